--- a/eligibility/eligibility.go
+++ b/eligibility/eligibility.go
@@ -19,12 +19,12 @@
 	None Cause = iota
 	// Tried replicas failed this request before.
 	Tried
-	// Region: the request must not run where the replica is.
-	Region
-	// Hall: the replica's data hall is closed or closing.
-	Hall
-	// WarmUp: the replica is warming up and bears no more now.
-	WarmUp
+	// RegionNotAllowed: the request must not run where the replica is.
+	RegionNotAllowed
+	// HallNotOpen: the replica's data hall is closed or closing.
+	HallNotOpen
+	// WarmingUp: the replica is warming up and bears no more now.
+	WarmingUp
 	// Limited: the replica's head names a limit, and this daemon has no part of it left now.
 	Limited
 	// Resting: the replica's head wants nothing from this daemon for a while.
@@ -33,13 +33,13 @@
 	Suspected
 	// Leaving replicas end soon.
 	Leaving
-	causes
+	numCauses
 )
 
 // reasons holds the causes' names in answers, logs and counters.
-var reasons = [causes]reason.Reason{
-	Tried: reason.Tried, Region: reason.RegionNotAllowed, Hall: reason.HallClosed,
-	WarmUp: reason.WarmUp, Limited: reason.Limited, Resting: reason.Resting, Suspected: reason.Suspected, Leaving: reason.Leaving,
+var reasons = [numCauses]reason.Reason{
+	Tried: reason.Tried, RegionNotAllowed: reason.RegionNotAllowed, HallNotOpen: reason.HallClosed,
+	WarmingUp: reason.WarmUp, Limited: reason.Limited, Resting: reason.Resting, Suspected: reason.Suspected, Leaving: reason.Leaving,
 }
 
 // Reason returns the cause's name in answers, logs and counters; empty for None.
@@ -55,87 +55,89 @@
 	Eligible Class = iota
 	// Reserve replicas are in a hall that is closing: they serve while others are full.
 	Reserve
-	// Doubtful replicas are suspected to have stopped.
-	Doubtful
+	// LastResort replicas are suspected to have stopped.
+	LastResort
 	// Excluded replicas must not get the request.
 	Excluded
 )
 
-// classes is how many classes may take a request.
-const classes = int(Excluded)
+// numClasses is how many classes may take a request.
+const numClasses = int(Excluded)
 
 // Rules is what replicas are judged by at one moment. A function that is nil keeps
 // nothing out.
 type Rules struct {
-	// Hall returns the state of a data hall.
-	Hall func(hall string) fleet.HallState
-	// Region returns the region of a data hall.
-	Region func(hall string) string
-	// WarmUp reports whether a replica bears one more request from this daemon.
-	WarmUp func(r *fleet.Replica) bool
-	// Limit reports whether the limit that a replica's head names bears one more request from
+	// HallState returns the state of a data hall.
+	HallState func(hall string) fleet.HallState
+	// RegionOf returns the region of a data hall.
+	RegionOf func(hall string) string
+	// HasWarmUpRoom reports whether a replica bears one more request from this daemon.
+	HasWarmUpRoom func(r *fleet.Replica) bool
+	// HasLimitRoom reports whether the limit that a replica's head names bears one more request from
 	// this daemon.
-	Limit func(r *fleet.Replica) bool
-	// Rested reports whether a replica's head wants requests from this daemon.
-	Rested func(r *fleet.Replica) bool
-	// Suspected reports whether a replica may have stopped.
-	Suspected func(r *fleet.Replica) bool
+	HasLimitRoom func(r *fleet.Replica) bool
+	// IsRested reports whether a replica's head wants requests from this daemon.
+	IsRested func(r *fleet.Replica) bool
+	// IsSuspected reports whether a replica may have stopped.
+	IsSuspected func(r *fleet.Replica) bool
 }
 
 // Request is what matters of a request.
 type Request struct {
-	// Route and Account are the regions allowed by the route and by the client account;
+	// RouteRegions and Account are the regions allowed by the route and by the client account;
 	// both bind.
-	Route, Account fleet.Regions
+	RouteRegions, AccountRegions fleet.Regions
 	// Tried holds the replicas that failed the request before, by id.
 	Tried map[string]bool
 }
 
-// bound reports whether the request must not run everywhere.
-func (q *Request) bound() bool { return len(q.Route) > 0 || len(q.Account) > 0 }
+// hasRegionLimit reports whether the request must not run everywhere.
+func (q *Request) hasRegionLimit() bool { return len(q.RouteRegions) > 0 || len(q.AccountRegions) > 0 }
 
-// Judge returns how readily a replica takes a request, and why not more so.
-func (r *Rules) Judge(q *Request, replica *fleet.Replica) (Class, Cause) {
+// Classify returns how readily a replica takes a request, and why not more so.
+func (r *Rules) Classify(q *Request, replica *fleet.Replica) (Class, Cause) {
 	if q.Tried[replica.ID] {
 		return Excluded, Tried
 	}
-	if r.Region != nil && q.bound() {
-		region := r.Region(replica.Head.Zone)
-		if !q.Route.Allows(region) || !q.Account.Allows(region) {
-			return Excluded, Region
+	if r.RegionOf != nil && q.hasRegionLimit() {
+		region := r.RegionOf(replica.Head.Zone)
+		if !q.RouteRegions.Allows(region) || !q.AccountRegions.Allows(region) {
+			return Excluded, RegionNotAllowed
 		}
 	}
 	class, cause := Eligible, None
-	if r.Hall != nil {
-		switch r.Hall(replica.Head.Zone) {
+	if r.HallState != nil {
+		switch r.HallState(replica.Head.Zone) {
 		case fleet.HallClosed:
-			return Excluded, Hall
+			return Excluded, HallNotOpen
 		case fleet.HallClosing:
-			class, cause = Reserve, Hall
+			class, cause = Reserve, HallNotOpen
 		}
 	}
-	if r.bounds() {
-		if bound := r.bound(replica); bound != None {
+	if r.hasLoadRules() {
+		if bound := r.loadCause(replica); bound != None {
 			return Excluded, bound
 		}
 	}
-	if r.Suspected != nil && r.Suspected(replica) {
-		return Doubtful, Suspected
+	if r.IsSuspected != nil && r.IsSuspected(replica) {
+		return LastResort, Suspected
 	}
 	return class, cause
 }
 
-// bounds reports whether anything bounds what replicas bear. Mostly nothing does.
-func (r *Rules) bounds() bool { return r.WarmUp != nil || r.Rested != nil || r.Limit != nil }
+// hasLoadRules reports whether anything bounds what replicas bear. Mostly nothing does.
+func (r *Rules) hasLoadRules() bool {
+	return r.HasWarmUpRoom != nil || r.IsRested != nil || r.HasLimitRoom != nil
+}
 
-// bound returns what keeps a replica from bearing one more request from this daemon.
-func (r *Rules) bound(replica *fleet.Replica) Cause {
+// loadCause returns what keeps a replica from bearing one more request from this daemon.
+func (r *Rules) loadCause(replica *fleet.Replica) Cause {
 	switch {
-	case r.WarmUp != nil && !r.WarmUp(replica):
-		return WarmUp
-	case r.Rested != nil && !r.Rested(replica):
+	case r.HasWarmUpRoom != nil && !r.HasWarmUpRoom(replica):
+		return WarmingUp
+	case r.IsRested != nil && !r.IsRested(replica):
 		return Resting
-	case r.Limit != nil && !r.Limit(replica):
+	case r.HasLimitRoom != nil && !r.HasLimitRoom(replica):
 		return Limited
 	}
 	return None
@@ -143,7 +145,7 @@
 
 // Selection is replicas by class.
 type Selection struct {
-	byClass [classes][]*fleet.Replica
+	byClass [numClasses][]*fleet.Replica
 	counts  Counts
 }
 
@@ -153,7 +155,7 @@
 	var s Selection
 	copied := false
 	for i, replica := range replicas {
-		class, cause := r.Judge(q, replica)
+		class, cause := r.Classify(q, replica)
 		if class == Eligible && !copied {
 			continue
 		}
@@ -174,11 +176,11 @@
 	return s
 }
 
-// Of returns the replicas of a class.
-func (s *Selection) Of(c Class) []*fleet.Replica { return s.byClass[c] }
+// InClass returns the replicas of a class.
+func (s *Selection) InClass(c Class) []*fleet.Replica { return s.byClass[c] }
 
-// Empty reports whether no replica may take the request.
-func (s *Selection) Empty() bool {
+// IsEmpty reports whether no replica may take the request.
+func (s *Selection) IsEmpty() bool {
 	for _, all := range s.byClass {
 		if len(all) > 0 {
 			return false
@@ -191,11 +193,11 @@
 func (s *Selection) Counts() Counts { return s.counts }
 
 // Counts counts replicas by cause.
-type Counts [causes]int
+type Counts [numCauses]int
 
-// Any reports whether anything was counted but replicas without a cause.
-func (c Counts) Any() bool {
-	for cause := Tried; cause < causes; cause++ {
+// HasAny reports whether anything was counted but replicas without a cause.
+func (c Counts) HasAny() bool {
+	for cause := Tried; cause < numCauses; cause++ {
 		if c[cause] > 0 {
 			return true
 		}
@@ -203,10 +205,10 @@
 	return false
 }
 
-// Most returns the cause that kept the most replicas out, and None if there is none.
-func (c Counts) Most() Cause {
+// MostFrequent returns the cause that kept the most replicas out, and None if there is none.
+func (c Counts) MostFrequent() Cause {
 	most := None
-	for cause := Tried; cause < causes; cause++ {
+	for cause := Tried; cause < numCauses; cause++ {
 		if c[cause] > 0 && (most == None || c[cause] > c[most]) {
 			most = cause
 		}
@@ -214,9 +216,9 @@
 	return most
 }
 
-// Each calls f with each cause that kept replicas out, and how many.
-func (c Counts) Each(f func(cause Cause, count int)) {
-	for cause := Tried; cause < causes; cause++ {
+// ForEach calls f with each cause that kept replicas out, and how many.
+func (c Counts) ForEach(f func(cause Cause, count int)) {
+	for cause := Tried; cause < numCauses; cause++ {
 		if c[cause] > 0 {
 			f(cause, c[cause])
 		}
@@ -226,7 +228,7 @@
 // String returns the counts as they stand in log lines: "hall_closed=3 warm_up=1".
 func (c Counts) String() string {
 	var all []string
-	c.Each(func(cause Cause, count int) {
+	c.ForEach(func(cause Cause, count int) {
 		all = append(all, string(cause.Reason())+"="+strconv.Itoa(count))
 	})
 	return strings.Join(all, " ")
--- a/eligibility/eligibility_test.go
+++ b/eligibility/eligibility_test.go
@@ -22,19 +22,19 @@
 // "both" does both, and "silent" is suspected.
 func testRules() *Rules {
 	return &Rules{
-		Hall: func(hall string) fleet.HallState {
+		HallState: func(hall string) fleet.HallState {
 			return map[string]fleet.HallState{"shut": fleet.HallClosed, "soon": fleet.HallClosing}[hall]
 		},
-		Region: func(hall string) string {
+		RegionOf: func(hall string) string {
 			if hall == "far" {
 				return "abroad"
 			}
 			return "home"
 		},
-		WarmUp:    func(r *fleet.Replica) bool { return r.ID != "cold" },
-		Limit:     func(r *fleet.Replica) bool { return r.ID != "limited" && r.ID != "both" },
-		Rested:    func(r *fleet.Replica) bool { return r.ID != "resting" && r.ID != "both" },
-		Suspected: func(r *fleet.Replica) bool { return r.ID == "silent" },
+		HasWarmUpRoom: func(r *fleet.Replica) bool { return r.ID != "cold" },
+		HasLimitRoom:  func(r *fleet.Replica) bool { return r.ID != "limited" && r.ID != "both" },
+		IsRested:      func(r *fleet.Replica) bool { return r.ID != "resting" && r.ID != "both" },
+		IsSuspected:   func(r *fleet.Replica) bool { return r.ID == "silent" },
 	}
 }
 
@@ -46,27 +46,27 @@
 		cause   Cause
 	}{
 		"nothing is wrong":                      {replica: replicaIn("a", "near"), class: Eligible},
-		"the hall is closed":                    {replica: replicaIn("a", "shut"), class: Excluded, cause: Hall},
-		"the hall is closing":                   {replica: replicaIn("a", "soon"), class: Reserve, cause: Hall},
-		"closing and silent":                    {replica: replicaIn("silent", "soon"), class: Doubtful, cause: Suspected},
-		"closed and cold":                       {replica: replicaIn("cold", "shut"), class: Excluded, cause: Hall},
-		"it bears no more":                      {replica: replicaIn("cold", "near"), class: Excluded, cause: WarmUp},
+		"the hall is closed":                    {replica: replicaIn("a", "shut"), class: Excluded, cause: HallNotOpen},
+		"the hall is closing":                   {replica: replicaIn("a", "soon"), class: Reserve, cause: HallNotOpen},
+		"closing and silent":                    {replica: replicaIn("silent", "soon"), class: LastResort, cause: Suspected},
+		"closed and cold":                       {replica: replicaIn("cold", "shut"), class: Excluded, cause: HallNotOpen},
+		"it bears no more":                      {replica: replicaIn("cold", "near"), class: Excluded, cause: WarmingUp},
 		"its limit leaves no room":              {replica: replicaIn("limited", "near"), class: Excluded, cause: Limited},
 		"it rests":                              {replica: replicaIn("resting", "near"), class: Excluded, cause: Resting},
 		"it rests and has a limit":              {replica: replicaIn("both", "soon"), class: Excluded, cause: Resting},
-		"it fell silent":                        {replica: replicaIn("silent", "near"), class: Doubtful, cause: Suspected},
+		"it fell silent":                        {replica: replicaIn("silent", "near"), class: LastResort, cause: Suspected},
 		"it failed the request":                 {request: Request{Tried: map[string]bool{"a": true}}, replica: replicaIn("a", "near"), class: Excluded, cause: Tried},
-		"the route allows the region":           {request: Request{Route: fleet.Regions{"home"}}, replica: replicaIn("a", "near"), class: Eligible},
-		"the route does not allow it":           {request: Request{Route: fleet.Regions{"home"}}, replica: replicaIn("a", "far"), class: Excluded, cause: Region},
-		"the account does not allow it":         {request: Request{Account: fleet.Regions{"home"}}, replica: replicaIn("a", "far"), class: Excluded, cause: Region},
-		"the route does, the account does not":  {request: Request{Route: fleet.Regions{"abroad", "home"}, Account: fleet.Regions{"home"}}, replica: replicaIn("a", "far"), class: Excluded, cause: Region},
-		"both allow it":                         {request: Request{Route: fleet.Regions{"abroad", "home"}, Account: fleet.Regions{"abroad"}}, replica: replicaIn("a", "far"), class: Eligible},
+		"the route allows the region":           {request: Request{RouteRegions: fleet.Regions{"home"}}, replica: replicaIn("a", "near"), class: Eligible},
+		"the route does not allow it":           {request: Request{RouteRegions: fleet.Regions{"home"}}, replica: replicaIn("a", "far"), class: Excluded, cause: RegionNotAllowed},
+		"the account does not allow it":         {request: Request{AccountRegions: fleet.Regions{"home"}}, replica: replicaIn("a", "far"), class: Excluded, cause: RegionNotAllowed},
+		"the route does, the account does not":  {request: Request{RouteRegions: fleet.Regions{"abroad", "home"}, AccountRegions: fleet.Regions{"home"}}, replica: replicaIn("a", "far"), class: Excluded, cause: RegionNotAllowed},
+		"both allow it":                         {request: Request{RouteRegions: fleet.Regions{"abroad", "home"}, AccountRegions: fleet.Regions{"abroad"}}, replica: replicaIn("a", "far"), class: Eligible},
 		"a request that may run anywhere, far":  {replica: replicaIn("a", "far"), class: Eligible},
-		"a region that no setting names, bound": {request: Request{Route: fleet.Regions{"elsewhere"}}, replica: replicaIn("a", "near"), class: Excluded, cause: Region},
+		"a region that no setting names, bound": {request: Request{RouteRegions: fleet.Regions{"elsewhere"}}, replica: replicaIn("a", "near"), class: Excluded, cause: RegionNotAllowed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			class, cause := testRules().Judge(&test.request, test.replica)
+			class, cause := testRules().Classify(&test.request, test.replica)
 			assert.Equal(t, class, test.class)
 			assert.Equal(t, cause, test.cause)
 		})
@@ -74,7 +74,7 @@
 }
 
 func TestNoRulesKeepNothingOut(t *testing.T) {
-	class, cause := (&Rules{}).Judge(&Request{Route: fleet.Regions{"home"}}, replicaIn("a", "far"))
+	class, cause := (&Rules{}).Classify(&Request{RouteRegions: fleet.Regions{"home"}}, replicaIn("a", "far"))
 	assert.Equal(t, class, Eligible)
 	assert.Equal(t, cause, None)
 }
@@ -85,26 +85,26 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "cold", "silent"}), 0, 12).Draw(t, "ids")
 		halls := rapid.SampledFrom([]string{"near", "shut", "soon", "far"})
-		request := &Request{Route: rapid.SampledFrom([]fleet.Regions{nil, {"home"}}).Draw(t, "regions")}
+		request := &Request{RouteRegions: rapid.SampledFrom([]fleet.Regions{nil, {"home"}}).Draw(t, "regions")}
 		var replicas []*fleet.Replica
 		for _, id := range ids {
 			replicas = append(replicas, replicaIn(id, halls.Draw(t, "hall")))
 		}
 		rules := testRules()
-		got, want := rules.Select(request, replicas), judged(rules, request, replicas)
+		got, want := rules.Select(request, replicas), selectOneByOne(rules, request, replicas)
 		assert.Equal(t, got.Counts(), want.Counts())
-		assert.Equal(t, got.Empty(), want.Empty())
+		assert.Equal(t, got.IsEmpty(), want.IsEmpty())
 		for class := Eligible; class < Excluded; class++ {
-			assert.Assert(t, slices.Equal(got.Of(class), want.Of(class)), "class %d", class)
+			assert.Assert(t, slices.Equal(got.InClass(class), want.InClass(class)), "class %d", class)
 		}
 	})
 }
 
-// judged selects replicas one by one.
-func judged(rules *Rules, request *Request, replicas []*fleet.Replica) Selection {
+// selectOneByOne selects replicas one by one.
+func selectOneByOne(rules *Rules, request *Request, replicas []*fleet.Replica) Selection {
 	var s Selection
 	for _, r := range replicas {
-		class, cause := rules.Judge(request, r)
+		class, cause := rules.Classify(request, r)
 		if cause != None {
 			s.counts[cause]++
 		}
@@ -116,10 +116,10 @@
 }
 
 func TestCounts(t *testing.T) {
-	counts := Counts{Hall: 3, WarmUp: 1}
+	counts := Counts{HallNotOpen: 3, WarmingUp: 1}
 	assert.Equal(t, counts.String(), "hall_closed=3 warm_up=1")
-	assert.Equal(t, counts.Most(), Hall)
-	assert.Equal(t, Counts{}.Most(), None)
+	assert.Equal(t, counts.MostFrequent(), HallNotOpen)
+	assert.Equal(t, Counts{}.MostFrequent(), None)
 	assert.Equal(t, Counts{}.String(), "")
 }
 
@@ -130,10 +130,10 @@
 	}
 	for name, rules := range map[string]*Rules{"none": {}, "all": testRules()} {
 		b.Run(name, func(b *testing.B) {
-			request := &Request{Route: fleet.Regions{"home"}}
+			request := &Request{RouteRegions: fleet.Regions{"home"}}
 			for b.Loop() {
 				s := rules.Select(request, replicas)
-				if s.Empty() {
+				if s.IsEmpty() {
 					b.Fatal("nothing is eligible")
 				}
 			}
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -34,9 +34,9 @@
 	recorder := httptest.NewRecorder()
 	recorder.Body = nil
 	e := &exchange{response: &http.Response{Body: io.NopCloser(reader), Header: http.Header{}}}
-	s := &relayed{w: recorder}
+	s := &relayedStream{w: recorder}
 	b.ResetTimer()
-	if err := s.copy(e, func(time.Time) {}, func() {}); err != nil {
+	if err := s.copyEvents(e, func(time.Time) {}, func() {}); err != nil {
 		b.Fatal(err)
 	}
 }
@@ -63,14 +63,14 @@
 	}
 	tests := map[string]func() map[string]bool{
 		"without connections": func() map[string]bool { return nil },
-		"with connections":    func() map[string]bool { return u.kept(time.Hour) },
+		"with connections":    func() map[string]bool { return u.connectedWorkers(time.Hour) },
 	}
 	for name, kept := range tests {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				c := testCosts
-				c.kept = kept()
+				c.connected = kept()
 				tracker.Choose(all, nil, c, 1000, now)
 			}
 		})
--- a/relay/bound.go
+++ b/relay/bound.go
@@ -31,7 +31,7 @@
 	return b.Check(now)
 }
 
-func (b Bound) scarce() func(r *fleet.Replica) bool {
+func (b Bound) tightlyLimited() func(r *fleet.Replica) bool {
 	if b.Scarce == nil {
 		return nil
 	}
@@ -52,9 +52,9 @@
 	return b.Next(r, now)
 }
 
-// take takes what an attempt needs to go to a replica. It reports false if another request
+// takeTokens takes what an attempt needs to go to a replica. It reports false if another request
 // took it since the replica was judged.
-func (r *Relay) take(c *request, replica *fleet.Replica, now time.Time) bool {
+func (r *Relay) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
 	c.sendBy = time.Time{}
 	for _, bound := range []struct {
 		Bound
@@ -62,7 +62,7 @@
 	}{{r.opts.Rests, reason.Resting}, {r.opts.WarmUp, reason.WarmUp}, {r.opts.Limits, reason.Limited}} {
 		sendBy, ok := bound.take(replica, now)
 		if !ok {
-			c.lacked = bound.reason
+			c.exhaustedBound = bound.reason
 			return false
 		}
 		if c.sendBy.IsZero() || !sendBy.IsZero() && sendBy.Before(c.sendBy) {
@@ -79,30 +79,30 @@
 	reason.Resting: "the workers want no requests for a while",
 }
 
-// bounded returns the refusal of a request that no replica bears yet, by which bound. Limits
+// boundRefusal returns the refusal of a request that no replica bears yet, by which bound. Limits
 // and rests may last, and leave room for few of those that come back, or with other daemons
 // sooner than here, so these are spread.
-func (r *Relay) bounded(c *request, why reason.Reason, now time.Time) *refusal {
-	wait := r.boundedWait(c, now)
+func (r *Relay) boundRefusal(c *request, why reason.Reason, now time.Time) *refusal {
+	wait := r.boundRetryAfter(c, now)
 	if why == reason.Limited || why == reason.Resting {
-		wait = r.spreadFrom(c, wait, now)
+		wait = r.spreadRetryFrom(c, wait, now)
 	}
 	return unavailable(why, boundMessages[why], wait)
 }
 
-// boundedWait returns when a caller is to come back whose request no replica bears yet.
-func (r *Relay) boundedWait(c *request, now time.Time) time.Duration {
+// boundRetryAfter returns when a caller is to come back whose request no replica bears yet.
+func (r *Relay) boundRetryAfter(c *request, now time.Time) time.Duration {
 	wait := retryClosed
 	for _, replica := range r.opts.View().Replicas(c.service, c.model) {
 		if !c.tried[replica.ID] {
-			wait = min(wait, r.nextOf(replica, now).Sub(now))
+			wait = min(wait, r.availableAt(replica, now).Sub(now))
 		}
 	}
 	return max(wait, retrySoon)
 }
 
-// nextOf returns when a replica is expected to bear a request of this daemon.
-func (r *Relay) nextOf(replica *fleet.Replica, now time.Time) time.Time {
+// availableAt returns when a replica is expected to bear a request of this daemon.
+func (r *Relay) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
 	for _, bound := range []Bound{r.opts.Rests, r.opts.WarmUp, r.opts.Limits} {
 		if at := bound.next(replica, now); at.After(next) {
@@ -112,13 +112,13 @@
 	return next
 }
 
-// isBounded reports whether a message has a token for one send.
-func (m *message) isBounded() bool { return !m.sendBy.IsZero() }
+// hasToken reports whether a message has a token for one send.
+func (m *message) hasToken() bool { return !m.sendBy.IsZero() }
 
-// inTime returns an error if a message is about to be sent later than it may be, after the
+// checkSendBy returns an error if a message is about to be sent later than it may be, after the
 // opening of its connection took long or the process stood still.
-func (m *message) inTime(worker string, now time.Time) error {
-	if !m.isBounded() || !now.After(m.sendBy) {
+func (m *message) checkSendBy(worker string, now time.Time) error {
+	if !m.hasToken() || !now.After(m.sendBy) {
 		return nil
 	}
 	return &sendError{cause: failure.New(failure.Refused, "send to worker", worker, "%s too late for its token", now.Sub(m.sendBy))}
--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -21,8 +21,8 @@
 	mu sync.Mutex
 	// left holds the tokens by worker; workers that are not named are not bounded.
 	left map[string]int
-	// stale tells that requests are sent too late for their token.
-	stale bool
+	// isStale tells that requests are sent too late for their token.
+	isStale bool
 }
 
 func (f *fakeTokens) check(time.Time) func(r *fleet.Replica) bool {
@@ -45,7 +45,7 @@
 		return time.Time{}, false
 	}
 	f.left[r.Head.ID]--
-	if f.stale {
+	if f.isStale {
 		return now.Add(-time.Millisecond), true
 	}
 	return now.Add(time.Minute), true
@@ -65,7 +65,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sum := 0
-	for _, n := range w.ran {
+	for _, n := range w.runsByRequest {
 		sum += n
 	}
 	return sum
@@ -79,10 +79,10 @@
 	tokens := &fakeTokens{left: map[string]int{"cold": 5}}
 	tokens.bound(r)
 	const requests = 40
-	results := make([]call, requests)
+	results := make([]answerSeen, requests)
 	var all sync.WaitGroup
 	for i := range requests {
-		all.Go(func() { results[i] = do(t, server, "/safe/", fmt.Sprint("r", i), nil) })
+		all.Go(func() { results[i] = sendRequest(t, server, "/safe/", fmt.Sprint("r", i), nil) })
 	}
 	all.Wait()
 	served := 0
@@ -115,7 +115,7 @@
 			tokens := &fakeTokens{left: test.left}
 			tokens.bound(r)
 			r.opts.WarmUp.Check = func(time.Time) func(*fleet.Replica) bool { return nil }
-			got := do(t, server, "/once/", "x", nil)
+			got := sendRequest(t, server, "/once/", "x", nil)
 			assert.Equal(t, got.status, test.status)
 			assert.Assert(t, strings.Contains(got.body, test.reason))
 		})
@@ -141,7 +141,7 @@
 			a, b := newFakeWorker(t, "a", test.first), newFakeWorker(t, "b", test.first)
 			r, server := newTestRelay(t, a, b)
 			(&fakeTokens{left: test.left}).bound(r)
-			do(t, server, test.path, "x", nil)
+			sendRequest(t, server, test.path, "x", nil)
 			assert.Equal(t, a.allRuns()+b.allRuns(), test.want)
 		})
 	}
@@ -151,7 +151,7 @@
 	cold := newFakeWorker(t, "cold")
 	r, server := newTestRelay(t, cold)
 	(&fakeTokens{left: map[string]int{"cold": 0}}).bound(r)
-	got := do(t, server, "/once/", "x", nil)
+	got := sendRequest(t, server, "/once/", "x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.header.Get("Retry-After"), "0.120")
 	assert.Assert(t, cold.allRuns() == 0)
@@ -164,9 +164,9 @@
 		t.Run(path, func(t *testing.T) {
 			cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
 			r, server := newTestRelay(t, cold, warm)
-			(&fakeTokens{left: map[string]int{"cold": 100}, stale: true}).bound(r)
+			(&fakeTokens{left: map[string]int{"cold": 100}, isStale: true}).bound(r)
 			for i := range 10 {
-				got := do(t, server, path, fmt.Sprint("r", i), nil)
+				got := sendRequest(t, server, path, fmt.Sprint("r", i), nil)
 				assert.Equal(t, got.status, http.StatusOK)
 			}
 			assert.Equal(t, cold.allRuns(), 0)
--- a/relay/broken.go
+++ b/relay/brokenattempt.go
@@ -10,15 +10,15 @@
 // fingerprint returns the request's fingerprint, which is computed when it is first asked for.
 func (c *request) fingerprint() quarantine.Fingerprint {
 	c.fingerprintOnce.Do(func() {
-		c.fingerprinted.Store(true)
-		c.fingerprintHeld = quarantine.FingerprintOf(c.account(), c.method, c.host, c.target, c.body)
+		c.hasFingerprint.Store(true)
+		c.cachedFingerprint = quarantine.FingerprintOf(c.account(), c.method, c.host, c.target, c.body)
 	})
-	return c.fingerprintHeld
+	return c.cachedFingerprint
 }
 
 // fingerprintIfKnown returns the fingerprint as logs show it if a decision asked for it.
 func (c *request) fingerprintIfKnown() string {
-	if !c.fingerprinted.Load() {
+	if !c.hasFingerprint.Load() {
 		return ""
 	}
 	return c.fingerprint().String()
@@ -32,9 +32,9 @@
 	return c.tenant.Name
 }
 
-// tellBroken logs an attempt that broke off, and by what the request is known again when it
+// logBroken logs an attempt that broke off, and by what the request is known again when it
 // comes under another id: which requests were at a worker when it ended shows in these lines.
-func (r *Relay) tellBroken(c *request, replica *fleet.Replica, err error) {
+func (r *Relay) logBroken(c *request, replica *fleet.Replica, err error) {
 	r.opts.Meter.Broken(c.service)
 	r.opts.Logger.Info("attempt broke off", "request", c.id, "fingerprint", c.fingerprint().String(),
 		"account", c.account(), "host", c.host, "target", c.target, "bytes", len(c.body),
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -25,9 +25,9 @@
 	daemons   int
 	extra     float64
 	perSecond int
-	// fails is the part of the requests that fail, least the part of the repeats asked for
+	// failedShare is the part of the requests that fail, least the part of the repeats asked for
 	// that are to be allowed.
-	fails, least float64
+	failedShare, minAllowedShare float64
 }
 
 // The tenths of a second of a minute, and those of the bound's window.
@@ -38,27 +38,27 @@
 
 // budgetCounts holds what came and what was repeated in each tenth of a second.
 type budgetCounts struct {
-	requests, repeats [budgetSteps]int
+	requests, retries [budgetSteps]int
 	asked, allowed    int
 }
 
-// play spreads the requests over the daemons for a minute.
-func (l budgetLoad) play() budgetCounts {
+// run spreads the requests over the daemons for a minute.
+func (l budgetLoad) run() budgetCounts {
 	all, random := fleetBudgets(l.daemons, l.extra), rand.New(rand.NewPCG(3, 3))
 	var counts budgetCounts
 	for step := range counts.requests {
 		now := time.Unix(1_700_000_000, 0).Add(time.Duration(step) * time.Second / 10)
 		for range l.perSecond / 10 {
 			b := all[random.IntN(len(all))]
-			b.earn("s", now)
+			b.addRequest("s", now)
 			counts.requests[step]++
-			if random.Float64() >= l.fails {
+			if random.Float64() >= l.failedShare {
 				continue
 			}
 			counts.asked++
-			if b.take("s", now) {
+			if b.takeRetry("s", now) {
 				counts.allowed++
-				counts.repeats[step]++
+				counts.retries[step]++
 			}
 		}
 	}
@@ -70,23 +70,23 @@
 // requests a daemon sees, and in no window of the bound does it repeat more.
 func TestBudgetOfALargeFleet(t *testing.T) {
 	tests := map[string]budgetLoad{
-		"986 daemons, a seventh fails":     {daemons: 986, extra: 1040, perSecond: 67, fails: 0.14, least: 0.9},
-		"986 daemons, all fail":            {daemons: 986, extra: 1040, perSecond: 630, fails: 1},
-		"1,970 daemons, a seventh fails":   {daemons: 1970, extra: 1040, perSecond: 134, fails: 0.14, least: 0.4},
-		"1,970 daemons, all fail":          {daemons: 1970, extra: 1040, perSecond: 1260, fails: 1},
-		"295 daemons, all fail":            {daemons: 295, extra: 400, perSecond: 300, fails: 1},
-		"9 daemons, all fail":              {daemons: 9, extra: 109, perSecond: 100, fails: 1},
-		"9 daemons, few repeats, all fail": {daemons: 9, extra: 5, perSecond: 100, fails: 1},
-		"986 daemons, few repeats":         {daemons: 986, extra: 20, perSecond: 630, fails: 1},
+		"986 daemons, a seventh fails":     {daemons: 986, extra: 1040, perSecond: 67, failedShare: 0.14, minAllowedShare: 0.9},
+		"986 daemons, all fail":            {daemons: 986, extra: 1040, perSecond: 630, failedShare: 1},
+		"1,970 daemons, a seventh fails":   {daemons: 1970, extra: 1040, perSecond: 134, failedShare: 0.14, minAllowedShare: 0.4},
+		"1,970 daemons, all fail":          {daemons: 1970, extra: 1040, perSecond: 1260, failedShare: 1},
+		"295 daemons, all fail":            {daemons: 295, extra: 400, perSecond: 300, failedShare: 1},
+		"9 daemons, all fail":              {daemons: 9, extra: 109, perSecond: 100, failedShare: 1},
+		"9 daemons, few repeats, all fail": {daemons: 9, extra: 5, perSecond: 100, failedShare: 1},
+		"986 daemons, few repeats":         {daemons: 986, extra: 20, perSecond: 630, failedShare: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			counts := test.play()
-			assert.Assert(t, float64(counts.allowed) >= test.least*float64(counts.asked), "%d of %d allowed", counts.allowed, counts.asked)
+			counts := test.run()
+			assert.Assert(t, float64(counts.allowed) >= test.minAllowedShare*float64(counts.asked), "%d of %d allowed", counts.allowed, counts.asked)
 			for first := range budgetSteps - budgetWindow {
 				came, again := 0, 0
 				for i := first; i < first+budgetWindow; i++ {
-					came, again = came+counts.requests[i], again+counts.repeats[i]
+					came, again = came+counts.requests[i], again+counts.retries[i]
 				}
 				assert.Assert(t, float64(again) <= 0.2*float64(came)+test.extra, "%d repeats of %d requests from step %d", again, came, first)
 			}
--- a/relay/edge_test.go
+++ b/relay/callerdeadlines_test.go
@@ -29,9 +29,9 @@
 			gone := make(chan bool, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 				edge := http.NewResponseController(w)
-				r.boundCaller(edge, time.Now(), bound)
+				r.setCallerDeadlines(edge, time.Now(), bound)
 				_, _ = io.ReadAll(h.Body)
-				r.bodyRead(edge)
+				r.clearReadDeadline(edge)
 				select {
 				case <-h.Context().Done():
 					gone <- true
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -20,76 +20,76 @@
 	daemons, replicas int
 	// perSecond is the rate of requests over all daemons.
 	perSecond float64
-	// idle is how long connections are kept.
-	idle time.Duration
-	// forget makes daemons choose as though they kept no connections.
-	forget bool
+	// keepAlive is how long connections are kept.
+	keepAlive time.Duration
+	// ignoreConnections makes daemons choose as though they kept no connections.
+	ignoreConnections bool
 }
 
 // choiceResult is what came of it.
 type choiceResult struct {
-	// opened is the part of the requests that took a new connection, first the 95th
+	// openedShare is the part of the requests that took a new connection, first the 95th
 	// percentile of the waits for the first event, full the part of the requests that
 	// found no slot.
-	opened, full float64
-	first        time.Duration
+	openedShare, fullShare float64
+	p95FirstEvent          time.Duration
 }
 
 func (r choiceResult) String() string {
-	return fmt.Sprintf("%.3f opened, first event %s at the 95th percentile, %.4f without a slot", r.opened, r.first, r.full)
+	return fmt.Sprintf("%.3f opened, first event %s at the 95th percentile, %.4f without a slot", r.openedShare, r.p95FirstEvent, r.fullShare)
 }
 
-// played is one play of a load.
-type played struct {
+// choiceSimulation is one play of a load.
+type choiceSimulation struct {
 	load     choiceLoad
 	costs    costs
 	rand     *rand.Rand
 	replicas []*fleet.Replica
-	daemons  []*playedDaemon
+	daemons  []*choiceDaemon
 	// busy holds the requests under way by replica, readAt when it has read its prompts.
 	busy   map[string]int
 	readAt map[string]time.Time
-	ends   playedEnds
+	ends   choiceEnds
 }
 
-// playedDaemon is a daemon with the times since when its kept connections are idle.
-type playedDaemon struct {
+// choiceDaemon is a daemon with the times since when its kept connections are idle.
+type choiceDaemon struct {
 	tracker *Tracker
 	idle    map[string][]time.Time
 }
 
-// playedEnd is the end of a request.
-type playedEnd struct {
+// choiceEnd is the end of a request.
+type choiceEnd struct {
 	at          time.Time
-	daemon      *playedDaemon
+	daemon      *choiceDaemon
 	replica     string
 	reservation *Reservation
 }
 
-type playedEnds []playedEnd
+type choiceEnds []choiceEnd
 
-func (e playedEnds) Len() int           { return len(e) }
-func (e playedEnds) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e playedEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *playedEnds) Push(x any)        { *e = append(*e, x.(playedEnd)) }
-func (e *playedEnds) Pop() any {
+func (e choiceEnds) Len() int           { return len(e) }
+func (e choiceEnds) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e choiceEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *choiceEnds) Push(x any)        { *e = append(*e, x.(choiceEnd)) }
+func (e *choiceEnds) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
 const (
-	playedPrompt = 700
-	playedEvents = 28
-	// playedReports is how often daemons are told of the loads at others.
-	playedReports = 250 * time.Millisecond
+	choicePromptTokens = 700
+	choiceEvents       = 28
+	// choiceReportInterval is how often daemons are told of the loads at others.
+	choiceReportInterval = 250 * time.Millisecond
 )
 
-// playChoices plays a load for a while; the first part, in which nothing is kept yet,
+// simulateChoices plays a load for a while; the first part, in which nothing is kept yet,
 // doesn't count.
-func playChoices(load choiceLoad) choiceResult {
+func simulateChoices(load choiceLoad) choiceResult {
 	const start, counted = 6 * time.Second, 10 * time.Second
-	p := &played{
+	p := &choiceSimulation{
 		load: load, rand: rand.New(rand.NewPCG(7, 11)), busy: make(map[string]int), readAt: make(map[string]time.Time),
 		costs: costs{slots: 20, perToken: 13 * time.Microsecond, pass: 28 * time.Millisecond, perRequest: 340 * time.Microsecond, service: time.Second},
 	}
@@ -97,7 +97,7 @@
 		p.replicas = append(p.replicas, testReplica(fmt.Sprintf("r%d", i), "z"))
 	}
 	for range load.daemons {
-		p.daemons = append(p.daemons, &playedDaemon{tracker: NewTracker("z", func(*fleet.Replica) {}), idle: make(map[string][]time.Time)})
+		p.daemons = append(p.daemons, &choiceDaemon{tracker: NewTracker("z", func(*fleet.Replica) {}), idle: make(map[string][]time.Time)})
 	}
 	began := time.Unix(1000, 0)
 	now, reported := began, began
@@ -106,7 +106,7 @@
 	for now.Sub(began) < start+counted {
 		now = now.Add(time.Duration(p.rand.ExpFloat64() / load.perSecond * float64(time.Second)))
 		p.end(now)
-		if now.Sub(reported) > playedReports {
+		if now.Sub(reported) > choiceReportInterval {
 			p.report(now)
 			reported = now
 		}
@@ -120,7 +120,7 @@
 	}
 	slices.Sort(waits)
 	count := float64(len(waits))
-	return choiceResult{opened: float64(opened) / count, full: float64(full) / count, first: waits[len(waits)*95/100]}
+	return choiceResult{openedShare: float64(opened) / count, fullShare: float64(full) / count, p95FirstEvent: waits[len(waits)*95/100]}
 }
 
 func boolToInt(b bool) int {
@@ -131,17 +131,17 @@
 }
 
 // end ends the requests that are done and keeps their connections.
-func (p *played) end(now time.Time) {
+func (p *choiceSimulation) end(now time.Time) {
 	for len(p.ends) > 0 && p.ends[0].at.Before(now) {
-		e := heap.Pop(&p.ends).(playedEnd)
-		e.reservation.End()
+		e := heap.Pop(&p.ends).(choiceEnd)
+		e.reservation.Release()
 		p.busy[e.replica]--
 		e.daemon.idle[e.replica] = append(e.daemon.idle[e.replica], e.at)
 	}
 }
 
 // report tells each daemon what the others have under way.
-func (p *played) report(now time.Time) {
+func (p *choiceSimulation) report(now time.Time) {
 	for _, d := range p.daemons {
 		own := make(map[string]int)
 		for _, l := range d.tracker.Loads() {
@@ -156,20 +156,20 @@
 }
 
 // request plays one request at a random daemon.
-func (p *played) request(now time.Time) (wait time.Duration, opened, full bool) {
+func (p *choiceSimulation) request(now time.Time) (wait time.Duration, opened, full bool) {
 	d := p.daemons[p.rand.IntN(len(p.daemons))]
 	c := p.costs
-	if !p.load.forget {
-		c.kept = d.kept(now, p.load.idle)
+	if !p.load.ignoreConnections {
+		c.connected = d.connectedWorkers(now, p.load.keepAlive)
 	}
-	choice, ok := d.tracker.Choose(p.replicas, nil, c, playedPrompt, now)
+	choice, ok := d.tracker.Choose(p.replicas, nil, c, choicePromptTokens, now)
 	if !ok {
 		return math.MaxInt64, false, true
 	}
 	id := choice.Replica.ID
-	opened = !d.take(id, now, p.load.idle)
-	reservation := d.tracker.Begin(choice.Replica, playedPrompt)
-	reservation.Started()
+	opened = !d.takeConnection(id, now, p.load.keepAlive)
+	reservation := d.tracker.Reserve(choice.Replica, choicePromptTokens)
+	reservation.PrefillDone()
 	full = float64(p.busy[id]) >= c.slots
 	p.busy[id]++
 	pass := c.pass + time.Duration(p.busy[id])*c.perRequest
@@ -177,13 +177,13 @@
 	if p.readAt[id].After(now) {
 		began = p.readAt[id]
 	}
-	p.readAt[id] = began.Add(playedPrompt * c.perToken)
+	p.readAt[id] = began.Add(choicePromptTokens * c.perToken)
 	wait = p.readAt[id].Sub(now) + pass
-	heap.Push(&p.ends, playedEnd{at: now.Add(wait + playedEvents*pass), daemon: d, replica: id, reservation: reservation})
+	heap.Push(&p.ends, choiceEnd{at: now.Add(wait + choiceEvents*pass), daemon: d, replica: id, reservation: reservation})
 	return wait, opened, full
 }
 
-func (d *playedDaemon) kept(now time.Time, idle time.Duration) map[string]bool {
+func (d *choiceDaemon) connectedWorkers(now time.Time, idle time.Duration) map[string]bool {
 	all := make(map[string]bool)
 	for id, since := range d.idle {
 		if len(since) > 0 && now.Sub(since[len(since)-1]) < idle {
@@ -193,8 +193,8 @@
 	return all
 }
 
-// take uses the connection that was used last, and reports whether there was one.
-func (d *playedDaemon) take(id string, now time.Time, idle time.Duration) bool {
+// takeConnection uses the connection that was used last, and reports whether there was one.
+func (d *choiceDaemon) takeConnection(id string, now time.Time, idle time.Duration) bool {
 	since := d.idle[id]
 	if len(since) == 0 {
 		return false
@@ -215,24 +215,24 @@
 		// opened is the part of the requests that may take new connections.
 		opened float64
 	}{
-		"many daemons with few requests": {choiceLoad{daemons: 123, replicas: 45, perSecond: 414, idle: usual}, 0.12},
-		"kept for longer":                {choiceLoad{daemons: 123, replicas: 45, perSecond: 414, idle: 2 * usual}, 0.12},
-		"nearly full":                    {choiceLoad{daemons: 123, replicas: 45, perSecond: 720, idle: usual}, 0.12},
-		"more daemons than replicas":     {choiceLoad{daemons: 123, replicas: 9, perSecond: 69, idle: usual}, 0.4},
-		"fewer daemons than replicas":    {choiceLoad{daemons: 3, replicas: 45, perSecond: 414, idle: usual}, 0.1},
-		"one replica":                    {choiceLoad{daemons: 5, replicas: 1, perSecond: 10, idle: usual}, 0.25},
+		"many daemons with few requests": {choiceLoad{daemons: 123, replicas: 45, perSecond: 414, keepAlive: usual}, 0.12},
+		"kept for longer":                {choiceLoad{daemons: 123, replicas: 45, perSecond: 414, keepAlive: 2 * usual}, 0.12},
+		"nearly full":                    {choiceLoad{daemons: 123, replicas: 45, perSecond: 720, keepAlive: usual}, 0.12},
+		"more daemons than replicas":     {choiceLoad{daemons: 123, replicas: 9, perSecond: 69, keepAlive: usual}, 0.4},
+		"fewer daemons than replicas":    {choiceLoad{daemons: 3, replicas: 45, perSecond: 414, keepAlive: usual}, 0.1},
+		"one replica":                    {choiceLoad{daemons: 5, replicas: 1, perSecond: 10, keepAlive: usual}, 0.25},
 		"kept for no time":               {choiceLoad{daemons: 20, replicas: 9, perSecond: 69}, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := playChoices(test.load)
+			got := simulateChoices(test.load)
 			unaware := test.load
-			unaware.forget = true
-			without := playChoices(unaware)
+			unaware.ignoreConnections = true
+			without := simulateChoices(unaware)
 			t.Logf("%s; without %s", got, without)
-			assert.Assert(t, got.opened <= test.opened, "%s", got)
-			assert.Assert(t, got.first <= without.first*11/10, "%s; without %s", got, without)
-			assert.Assert(t, got.full <= without.full+0.005, "%s; without %s", got, without)
+			assert.Assert(t, got.openedShare <= test.opened, "%s", got)
+			assert.Assert(t, got.p95FirstEvent <= without.p95FirstEvent*11/10, "%s; without %s", got, without)
+			assert.Assert(t, got.fullShare <= without.fullShare+0.005, "%s; without %s", got, without)
 		})
 	}
 }
@@ -253,10 +253,10 @@
 		"not kept, with a queue": {"other", 25, connectionCost + noise},
 	}
 	c := testCosts
-	c.kept = map[string]bool{"kept": true}
+	c.connected = map[string]bool{"kept": true}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, c.connecting(test.worker, test.busy, noise), test.want)
+			assert.Equal(t, c.openingCost(test.worker, test.busy, noise), test.want)
 		})
 	}
 }
@@ -268,7 +268,7 @@
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "kept", InFlight: 10, Prefill: 3000}}}, now)
 	c := testCosts
-	c.kept = map[string]bool{"kept": true}
+	c.connected = map[string]bool{"kept": true}
 	for range 10 {
 		choice, ok := tracker.Choose([]*fleet.Replica{testReplica("kept", "z"), testReplica("free", "z")}, nil, c, 100, now)
 		assert.Assert(t, ok)
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -16,30 +16,30 @@
 const (
 	// dialTimeout bounds the opening of a connection to a worker.
 	dialTimeout = 500 * time.Millisecond
-	// idlePerWorker bounds the idle connections to one worker: as many as the
+	// maxIdlePerWorker bounds the idle connections to one worker: as many as the
 	// slots that engines commonly have.
-	idlePerWorker = 16
-	// idleTotal bounds the idle connections of a daemon. With their buffers of
+	maxIdlePerWorker = 16
+	// maxIdleTotal bounds the idle connections of a daemon. With their buffers of
 	// 4 KiB they take 2 MiB, and less than a fifth of the 2,870 descriptors of
 	// the smallest machine.
-	idleTotal  = 512
-	readBuffer = 4 << 10
+	maxIdleTotal    = 512
+	readBufferBytes = 4 << 10
 )
 
 // upstream keeps connections to workers. It is safe for concurrent use.
 type upstream struct {
 	// dial opens a connection to a worker's address.
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// share returns how many idle connections this daemon may keep to a worker
+	// idleShare returns how many idle connections this daemon may keep to a worker
 	// of a service; count notes each connection that is opened or reused.
-	share func(service string) int
-	count func(service string, reused bool)
-
-	mu    sync.Mutex
-	idle  map[string][]*connection
-	total int
-	// forgetful holds the services whose workers drop idle connections early.
-	forgetful map[string]forgetting
+	idleShare    func(service string) int
+	onConnection func(service string, reused bool)
+
+	mu        sync.Mutex
+	idle      map[string][]*connection
+	idleCount int
+	// earlyDrops holds the services whose workers drop idle connections early.
+	earlyDrops map[string]earlyDrop
 }
 
 // connection is a connection to a worker.
@@ -47,31 +47,31 @@
 	net.Conn
 	worker  string
 	service string
-	// born is when the worker's life began to which the connection leads.
-	born   int64
-	reader *bufio.Reader
+	// workerBorn is when the worker's life began to which the connection leads.
+	workerBorn int64
+	reader     *bufio.Reader
 	// idleSince is when it was last used, closeAt until when it may be used.
 	idleSince time.Time
 	closeAt   time.Time
-	// idled is how long it had been idle before its request; zero for a new one.
-	idled time.Duration
+	// idleBefore is how long it had been idle before its request; zero for a new one.
+	idleBefore time.Duration
 }
 
 func newUpstream() *upstream {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &upstream{
-		dial:  dialer.DialContext,
-		share: func(string) int { return idlePerWorker },
-		count: func(string, bool) {},
-		idle:  make(map[string][]*connection), forgetful: make(map[string]forgetting),
+		dial:         dialer.DialContext,
+		idleShare:    func(string) int { return maxIdlePerWorker },
+		onConnection: func(string, bool) {},
+		idle:         make(map[string][]*connection), earlyDrops: make(map[string]earlyDrop),
 	}
 }
 
 // get returns a connection to a worker: one that has been idle for less than
 // idleFor, or a new one.
-func (u *upstream) get(ctx context.Context, w *fleet.Worker, idleFor time.Duration) (*connection, error) {
-	if c := u.reuse(w, idleFor); c != nil {
-		u.count(w.Service, true)
+func (u *upstream) get(ctx context.Context, w *fleet.Worker, maxIdle time.Duration) (*connection, error) {
+	if c := u.reuse(w, maxIdle); c != nil {
+		u.onConnection(w.Service, true)
 		return c, nil
 	}
 	return u.open(ctx, w)
@@ -83,15 +83,15 @@
 	if err != nil {
 		return nil, &sendError{cause: failure.At(failure.Refused, "connect to worker", w.ID, err)}
 	}
-	u.count(w.Service, false)
-	return &connection{Conn: raw, worker: w.ID, service: w.Service, born: w.Born, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	u.onConnection(w.Service, false)
+	return &connection{Conn: raw, worker: w.ID, service: w.Service, workerBorn: w.Born, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
 // reuse takes the connection that was used last, which is the least likely to
 // be closed by its worker. One that has been idle for too long stays for
 // requests that bear it, or until the next sweep.
 // Those to an earlier life of the worker are closed.
-func (u *upstream) reuse(w *fleet.Worker, idleFor time.Duration) *connection {
+func (u *upstream) reuse(w *fleet.Worker, maxIdle time.Duration) *connection {
 	now := time.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -101,43 +101,43 @@
 			return nil
 		}
 		c := all[len(all)-1]
-		if c.born == w.Born && !u.usable(c, idleFor, now) {
+		if c.workerBorn == w.Born && !u.isUsable(c, maxIdle, now) {
 			return nil
 		}
 		u.idle[w.ID] = all[:len(all)-1]
-		u.total--
-		if c.born == w.Born && c.quiet() {
-			c.idled = now.Sub(c.idleSince)
+		u.idleCount--
+		if c.workerBorn == w.Born && c.isIntact() {
+			c.idleBefore = now.Sub(c.idleSince)
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// usable reports whether a connection may carry a request that bears idleFor.
-func (u *upstream) usable(c *connection, idleFor time.Duration, now time.Time) bool {
+// isUsable reports whether a connection may carry a request that bears idleFor.
+func (u *upstream) isUsable(c *connection, maxIdle time.Duration, now time.Time) bool {
 	idled := now.Sub(c.idleSince)
-	return idled < idleFor && now.Before(c.closeAt) && !u.forgets(c.service, idled, now)
+	return idled < maxIdle && now.Before(c.closeAt) && !u.dropsEarly(c.service, idled, now)
 }
 
-// kept returns the workers to which there is a connection that has been idle
+// connectedWorkers returns the workers to which there is a connection that has been idle
 // for less than idleFor.
-func (u *upstream) kept(idleFor time.Duration) map[string]bool {
+func (u *upstream) connectedWorkers(maxIdle time.Duration) map[string]bool {
 	now := time.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	workers := make(map[string]bool, len(u.idle))
 	for worker, all := range u.idle {
-		if len(all) > 0 && u.usable(all[len(all)-1], idleFor, now) {
+		if len(all) > 0 && u.isUsable(all[len(all)-1], maxIdle, now) {
 			workers[worker] = true
 		}
 	}
 	return workers
 }
 
-// quiet reports whether the worker neither closed the connection nor sent
+// isIntact reports whether the worker neither closed the connection nor sent
 // anything on it since its last answer.
-func (c *connection) quiet() bool {
+func (c *connection) isIntact() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -162,20 +162,20 @@
 func (u *upstream) put(c *connection, keep time.Duration) {
 	now := time.Now()
 	c.idleSince, c.closeAt = now, now.Add(keep)
-	share := u.share(c.service)
+	share := u.idleShare(c.service)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if keep <= 0 || len(u.idle[c.worker]) >= share || u.total >= idleTotal {
+	if keep <= 0 || len(u.idle[c.worker]) >= share || u.idleCount >= maxIdleTotal {
 		_ = c.Close()
 		return
 	}
 	u.idle[c.worker] = append(u.idle[c.worker], c)
-	u.total++
+	u.idleCount++
 }
 
-// distrust closes the idle connections to a worker on whose connection a request got no
+// closeWorker closes the idle connections to a worker on whose connection a request got no
 // answer: what ended that one may have ended them as well.
-func (u *upstream) distrust(worker string) {
+func (u *upstream) closeWorker(worker string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.closeIdle(worker, 0)
@@ -191,14 +191,14 @@
 }
 
 // closeIdle closes the oldest idle connections to a worker until most are left.
-func (u *upstream) closeIdle(worker string, most int) {
+func (u *upstream) closeIdle(worker string, limit int) {
 	all := u.idle[worker]
-	surplus := max(len(all)-most, 0)
+	surplus := max(len(all)-limit, 0)
 	for _, c := range all[:surplus] {
 		_ = c.Close()
 	}
-	u.total -= surplus
-	if most <= 0 || len(all) == 0 {
+	u.idleCount -= surplus
+	if limit <= 0 || len(all) == 0 {
 		delete(u.idle, worker)
 		return
 	}
@@ -213,19 +213,19 @@
 	for worker, all := range u.idle {
 		kept := all[:0]
 		for _, c := range all {
-			if now.Before(c.closeAt) && !u.forgets(c.service, now.Sub(c.idleSince), now) {
+			if now.Before(c.closeAt) && !u.dropsEarly(c.service, now.Sub(c.idleSince), now) {
 				kept = append(kept, c)
 				continue
 			}
 			_ = c.Close()
-			u.total--
+			u.idleCount--
 		}
 		u.idle[worker] = kept
-		most := 0
+		limit := 0
 		if len(kept) > 0 {
-			most = u.share(kept[0].service)
+			limit = u.idleShare(kept[0].service)
 		}
-		u.closeIdle(worker, most)
+		u.closeIdle(worker, limit)
 	}
 }
 
@@ -235,11 +235,11 @@
 func (r *Relay) idleShare(service string) int {
 	config := r.opts.Config()
 	if config == nil {
-		return idlePerWorker
+		return maxIdlePerWorker
 	}
 	s, ok := config.Service(service)
 	if !ok || s.MaxConns <= 0 {
-		return idlePerWorker
+		return maxIdlePerWorker
 	}
-	return min(idlePerWorker, s.MaxConns/2/max(r.opts.Budget.Daemons(), 1))
+	return min(maxIdlePerWorker, s.MaxConns/2/max(r.opts.Budget.Daemons(), 1))
 }
--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -18,7 +18,7 @@
 func (w *fakeWorker) connections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.accepted
+	return w.connectionCount
 }
 
 // withHeader makes the worker add a header to each answer.
@@ -26,7 +26,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if header != "" {
-		w.header = header + "\r\n"
+		w.extraHeader = header + "\r\n"
 	}
 	return w
 }
@@ -54,9 +54,9 @@
 			_, server := newTestRelay(t, worker)
 			for i := range requests {
 				for _, path := range []string{"/safe/", "/stream/"} {
-					got := do(t, server, path, strconv.Itoa(i)+path, nil)
+					got := sendRequest(t, server, path, strconv.Itoa(i)+path, nil)
 					assert.Equal(t, got.status, 200, path)
-					assert.Assert(t, got.whole, path)
+					assert.Assert(t, got.isWhole, path)
 				}
 			}
 			opened := test.opened
@@ -88,8 +88,8 @@
 		t.Run(name, func(t *testing.T) {
 			worker := newFakeWorker(t, "w", test.script...)
 			_, server := newTestRelay(t, worker)
-			assert.Equal(t, do(t, server, test.path, "first", nil).status, 200)
-			assert.Equal(t, do(t, server, test.path, "second", nil).status, test.status)
+			assert.Equal(t, sendRequest(t, server, test.path, "first", nil).status, 200)
+			assert.Equal(t, sendRequest(t, server, test.path, "second", nil).status, test.status)
 			assert.Equal(t, worker.runs("second"), test.runs)
 		})
 	}
@@ -100,20 +100,20 @@
 		header string
 		want   time.Duration
 	}{
-		"none":            {"", idleUnstated},
+		"none":            {"", defaultKeepAlive},
 		"seconds":         {"timeout=9", 8 * time.Second},
 		"with a count":    {"max=100, timeout=9", 8 * time.Second},
 		"the margin":      {"timeout=1", 0},
-		"zero":            {"timeout=0", -idleMargin},
-		"a year":          {"timeout=31536000", idleMost},
-		"beyond a clock":  {"timeout=99999999999999999999", idleMost},
-		"not a number":    {"timeout=NaN", idleUnstated},
-		"negative beyond": {"timeout=-99999999999999999999", -idleMargin},
-		"words":           {"timeout=long", idleUnstated},
+		"zero":            {"timeout=0", -keepAliveMargin},
+		"a year":          {"timeout=31536000", maxKeepAlive},
+		"beyond a clock":  {"timeout=99999999999999999999", maxKeepAlive},
+		"not a number":    {"timeout=NaN", defaultKeepAlive},
+		"negative beyond": {"timeout=-99999999999999999999", -keepAliveMargin},
+		"words":           {"timeout=long", defaultKeepAlive},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, keepFor(test.header), test.want)
+			assert.Equal(t, keepAliveFor(test.header), test.want)
 		})
 	}
 }
@@ -133,7 +133,7 @@
 	worker := newFakeWorker(t, "w")
 	u := newUpstream()
 	share := 3
-	u.share = func(string) int { return share }
+	u.idleShare = func(string) int { return share }
 	for range 5 {
 		u.put(testConnection(t, worker, "s"), time.Minute)
 	}
@@ -143,9 +143,9 @@
 	assert.Equal(t, len(u.idle["w"]), 1)
 	share = 0
 	u.sweep(time.Now())
-	assert.Equal(t, u.total, 0)
+	assert.Equal(t, u.idleCount, 0)
 	u.put(testConnection(t, worker, "s"), time.Minute)
-	assert.Equal(t, u.total, 0)
+	assert.Equal(t, u.idleCount, 0)
 	assert.Equal(t, len(u.idle), 0)
 }
 
@@ -154,11 +154,11 @@
 	tests := map[string]struct {
 		maxConns, daemons, want int
 	}{
-		"a small fleet":                    {maxConns: 400, daemons: 3, want: idlePerWorker},
+		"a small fleet":                    {maxConns: 400, daemons: 3, want: maxIdlePerWorker},
 		"a large fleet":                    {maxConns: 400, daemons: 100, want: 2},
 		"more daemons than connections":    {maxConns: 100, daemons: 300, want: 0},
-		"the worker's bound is not known":  {daemons: 300, want: idlePerWorker},
-		"the number of daemons is unknown": {maxConns: 100, want: idlePerWorker},
+		"the worker's bound is not known":  {daemons: 300, want: maxIdlePerWorker},
+		"the number of daemons is unknown": {maxConns: 100, want: maxIdlePerWorker},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 	time.AfterFunc(10*time.Millisecond, func() { cancel(errStalled) })
 	_, err = u.send(ctx, &fleet.Worker{ID: "w", Service: "s", Address: silent.Addr().String()}, &message{encoded: []byte("GET / HTTP/1.1\r\n\r\n")})
 	assert.ErrorContains(t, err, errStalled.Error())
-	assert.Equal(t, u.total, 0)
+	assert.Equal(t, u.idleCount, 0)
 }
 
 // TestCallersThatLeaveEndNoConnections: a caller that goes says nothing of the worker.
@@ -204,7 +204,7 @@
 	time.AfterFunc(10*time.Millisecond, cancel)
 	_, err = u.send(ctx, &fleet.Worker{ID: "w", Service: "s", Address: silent.Addr().String()}, &message{encoded: []byte("GET / HTTP/1.1\r\n\r\n")})
 	assert.ErrorContains(t, err, context.Canceled.Error())
-	assert.Equal(t, u.total, 2)
+	assert.Equal(t, u.idleCount, 2)
 }
 
 // TestForgetfulServices: two workers that reset connections which were idle show that
@@ -213,16 +213,16 @@
 	now := time.Now()
 	second := time.Second
 	u := newUpstream()
-	u.noteReset(&connection{worker: "a", service: "s", idled: 2 * second}, now)
-	u.noteReset(&connection{worker: "a", service: "s", idled: 2 * second}, now)
-	assert.Assert(t, !u.forgets("s", 2*second, now), "one worker")
-	u.noteReset(&connection{worker: "b", service: "s", idled: 3 * second}, now)
-	assert.Assert(t, u.forgets("s", second, now))
-	assert.Assert(t, !u.forgets("s", second-1, now))
-	assert.Assert(t, !u.forgets("other", 3*second, now))
-	u.noteReset(&connection{worker: "b", service: "s", idled: second / 2}, now.Add(second))
-	assert.Assert(t, u.forgets("s", second, now.Add(forgetFor)), "it is known for longer")
-	assert.Assert(t, !u.forgets("s", 3*second, now.Add(forgetFor+second)), "it is tried again")
+	u.recordReset(&connection{worker: "a", service: "s", idleBefore: 2 * second}, now)
+	u.recordReset(&connection{worker: "a", service: "s", idleBefore: 2 * second}, now)
+	assert.Assert(t, !u.dropsEarly("s", 2*second, now), "one worker")
+	u.recordReset(&connection{worker: "b", service: "s", idleBefore: 3 * second}, now)
+	assert.Assert(t, u.dropsEarly("s", second, now))
+	assert.Assert(t, !u.dropsEarly("s", second-1, now))
+	assert.Assert(t, !u.dropsEarly("other", 3*second, now))
+	u.recordReset(&connection{worker: "b", service: "s", idleBefore: second / 2}, now.Add(second))
+	assert.Assert(t, u.dropsEarly("s", second, now.Add(earlyDropTTL)), "it is known for longer")
+	assert.Assert(t, !u.dropsEarly("s", 3*second, now.Add(earlyDropTTL+second)), "it is tried again")
 	assert.Assert(t, isReset(&sendError{cause: syscall.ECONNRESET}))
 }
 
@@ -238,7 +238,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		u := newUpstream()
 		share := 2
-		u.share = func(string) int { return share }
+		u.idleShare = func(string) int { return share }
 		worker := rapid.SampledFrom([]string{"a", "b", "c"})
 		idle := make(map[*connection]bool)
 		t.Repeat(map[string]func(*rapid.T){
@@ -255,7 +255,7 @@
 					delete(idle, c)
 				}
 			},
-			"distrust": func(t *rapid.T) { u.distrust(worker.Draw(t, "worker")) },
+			"distrust": func(t *rapid.T) { u.closeWorker(worker.Draw(t, "worker")) },
 			"sweep":    func(*rapid.T) { u.sweep(time.Now()) },
 			"share": func(t *rapid.T) {
 				share = rapid.IntRange(0, 4).Draw(t, "share")
@@ -267,7 +267,7 @@
 					total += len(all)
 					assert.Assert(t, len(all) <= share, "%d at %s", len(all), id)
 				}
-				assert.Equal(t, u.total, total)
+				assert.Equal(t, u.idleCount, total)
 			},
 		})
 	})
@@ -276,14 +276,14 @@
 // TestIdleConnectionsOfADaemonAreBounded: many workers take no more than the daemon keeps.
 func TestIdleConnectionsOfADaemonAreBounded(t *testing.T) {
 	u := newUpstream()
-	for i := range idleTotal + 10 {
+	for i := range maxIdleTotal + 10 {
 		u.put(pipedConnection(strconv.Itoa(i)), time.Minute)
 	}
-	assert.Equal(t, u.total, idleTotal)
+	assert.Equal(t, u.idleCount, maxIdleTotal)
 	u.sweep(time.Now().Add(time.Hour))
-	assert.Equal(t, u.total, 0)
+	assert.Equal(t, u.idleCount, 0)
 	u.put(pipedConnection("w"), time.Minute)
-	assert.Equal(t, u.total, 1)
+	assert.Equal(t, u.idleCount, 1)
 }
 
 // TestConnectionsOverASuspension: workers closed connections while this machine was suspended,
@@ -292,10 +292,10 @@
 	worker := newFakeWorker(t, "w")
 	r, server := newTestRelay(t, worker)
 	for i := range 3 {
-		assert.Equal(t, do(t, server, "/safe/", strconv.Itoa(i), nil).status, 200)
+		assert.Equal(t, sendRequest(t, server, "/safe/", strconv.Itoa(i), nil).status, 200)
 	}
 	assert.Equal(t, worker.connections(), 1)
 	r.Slept()
-	assert.Equal(t, do(t, server, "/safe/", "after", nil).status, 200)
+	assert.Equal(t, sendRequest(t, server, "/safe/", "after", nil).status, 200)
 	assert.Equal(t, worker.connections(), 2)
 }
--- a/relay/eligible_test.go
+++ b/relay/eligible_test.go
@@ -24,8 +24,8 @@
 	return h
 }
 
-// listIn lists the workers in halls: the first in "a", the second in "b", and so on.
-func listIn(r *testRelay, workers ...*fakeWorker) {
+// listInHalls lists the workers in halls: the first in "a", the second in "b", and so on.
+func listInHalls(r *testRelay, workers ...*fakeWorker) {
 	var changes []fleet.Change
 	for i, w := range workers {
 		hall := string(rune('a' + i))
@@ -58,8 +58,8 @@
 			open, closed := newFakeWorker(t, "open", test.script...), newFakeWorker(t, "closed")
 			r, server := newTestRelay(t, open, closed)
 			r.opts.Halls = test.halls.View
-			listIn(r, open, closed)
-			got := do(t, server, test.path, "id", nil)
+			listInHalls(r, open, closed)
+			got := sendRequest(t, server, test.path, "id", nil)
 			assert.Equal(t, got.status, test.status)
 			assert.Equal(t, closed.runs("id"), test.inClosed)
 			if test.status == http.StatusServiceUnavailable {
@@ -90,8 +90,8 @@
 			tenant, _ := r.opts.Config().Tenant("key")
 			tenant.Regions = test.account
 			r.opts.RegionOf = func(hall string) string { return regions[hall] }
-			listIn(r, east, west)
-			got := do(t, server, "/safe/", "id", nil)
+			listInHalls(r, east, west)
+			got := sendRequest(t, server, "/safe/", "id", nil)
 			assert.Equal(t, got.status, test.status)
 			assert.Equal(t, west.runs("id"), test.inWest)
 		})
--- a/relay/apart_test.go
+++ b/relay/failover_test.go
@@ -19,13 +19,13 @@
 	"quartzshelf.dev/fleet"
 )
 
-func placed(id, zone, domain string) *fleet.Replica {
+func replicaAt(id, zone, domain string) *fleet.Replica {
 	return &fleet.Replica{ID: id, Head: &fleet.Worker{ID: id, Zone: zone, Domain: domain}}
 }
 
 func TestApart(t *testing.T) {
-	x1, x2, y1 := placed("x1", "x", "d1"), placed("x2", "x", "d2"), placed("y1", "y", "d3")
-	plain := placed("p", "x", "")
+	x1, x2, y1 := replicaAt("x1", "x", "d1"), replicaAt("x2", "x", "d2"), replicaAt("y1", "y", "d3")
+	plain := replicaAt("p", "x", "")
 	tests := map[string]struct {
 		all    []*fleet.Replica
 		failed []*fleet.Replica
@@ -43,7 +43,7 @@
 			for _, f := range test.failed {
 				failed = append(failed, f.Head)
 			}
-			got := apart(test.all, failed)
+			got := independentReplicas(test.all, failed)
 			assert.Equal(t, len(got), len(test.want))
 			for i := range got {
 				assert.Equal(t, got[i].ID, test.want[i].ID)
@@ -57,13 +57,13 @@
 func TestSecondTriesLeaveTheHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dark := func() bool { return true }
-		var heads []*playedHead
+		var heads []*simHead
 		for i := range 4 {
-			heads = append(heads, &playedHead{id: fmt.Sprint("dark", i), zone: "x", still: dark}, &playedHead{id: fmt.Sprint("lit", i), zone: "y"})
+			heads = append(heads, &simHead{id: fmt.Sprint("dark", i), zone: "x", isStalled: dark}, &simHead{id: fmt.Sprint("lit", i), zone: "y"})
 		}
-		p := newPlay(t, 8, heads...)
+		p := newSimulation(t, 8, heads...)
 		for i := range 40 {
-			p.call(i%8, fmt.Sprint(i), 0, patient)
+			p.call(i%8, fmt.Sprint(i), 0, fullTimeout)
 		}
 		p.calls.Wait()
 		for i := range 40 {
@@ -89,18 +89,18 @@
 			tracker := NewTracker("", func(*fleet.Replica) { told++ })
 			gone, there := testReplica("gone", ""), testReplica("there", "")
 			if test.moves {
-				tracker.Moved(gone, &StreamWatch{}, now)
+				tracker.RecordEvent(gone, &StreamWatch{}, now)
 			}
-			assert.Equal(t, tracker.Unreached(gone, test.refused, now), test.want)
-			assert.Equal(t, isSuspected(tracker, gone, now), test.want)
+			assert.Equal(t, tracker.MarkUnreachable(gone, test.refused, now), test.want)
+			assert.Equal(t, isPassedOver(tracker, gone, now), test.want)
 			if !test.want {
 				return
 			}
-			tracker.Moved(gone, &StreamWatch{}, now)
-			assert.Equal(t, chosen(tracker, []*fleet.Replica{gone, there}, now, 50)["gone"], 0)
-			tracker.Unreached(gone, test.refused, now.Add(time.Second))
+			tracker.RecordEvent(gone, &StreamWatch{}, now)
+			assert.Equal(t, countChoices(tracker, []*fleet.Replica{gone, there}, now, 50)["gone"], 0)
+			tracker.MarkUnreachable(gone, test.refused, now.Add(time.Second))
 			assert.Equal(t, told, 1, "peers are told once")
-			assert.Assert(t, !isSuspected(tracker, gone, now.Add(time.Minute)))
+			assert.Assert(t, !isPassedOver(tracker, gone, now.Add(time.Minute)))
 		})
 	}
 }
@@ -118,14 +118,14 @@
 		"timed out":   {err: dial(os.ErrDeadlineExceeded), want: true},
 		"no route":    {err: dial(syscall.EHOSTUNREACH)},
 		"cut off":     {err: &sendError{sent: true, cause: io.ErrUnexpectedEOF}},
-		"turned away": {err: &sendError{cause: failure.At(failure.Refused, "exchange with worker", "w", errTurnedAway)}},
+		"turned away": {err: &sendError{cause: failure.At(failure.Refused, "exchange with worker", "w", errRejected)}},
 		"fell silent": {err: withCause(canceled(errStalled), "w", io.ErrUnexpectedEOF)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			told := false
 			r := &Relay{opts: Options{Logger: hclog.NewNullLogger(), Tracker: NewTracker("", func(*fleet.Replica) { told = true })}}
-			r.noteFailed(&request{}, testReplica("a", ""), test.err)
+			r.recordHeadFailure(&request{}, testReplica("a", ""), test.err)
 			assert.Equal(t, told, test.want)
 		})
 	}
@@ -145,15 +145,15 @@
 	tracker := NewTracker("", func(*fleet.Replica) {})
 	silent, other := testReplica("silent", ""), testReplica("other", "")
 	tracker.Suspect("silent", now)
-	assert.Equal(t, chosen(tracker, []*fleet.Replica{silent, other}, now, 50)["silent"], 0)
-	tracker.Begin(silent, 0)
-	assert.Assert(t, isSuspected(tracker, silent, now.Add(time.Second)), "once it is used, too")
-	assert.Assert(t, !isSuspected(tracker, silent, now.Add(suspectFor)))
+	assert.Equal(t, countChoices(tracker, []*fleet.Replica{silent, other}, now, 50)["silent"], 0)
+	tracker.Reserve(silent, 0)
+	assert.Assert(t, isPassedOver(tracker, silent, now.Add(time.Second)), "once it is used, too")
+	assert.Assert(t, !isPassedOver(tracker, silent, now.Add(suspicionPeriod)))
 }
 
-// isSuspected reports whether a replica is passed over in choices.
-func isSuspected(t *Tracker, r *fleet.Replica, now time.Time) bool {
-	suspects := t.suspects(now)
+// isPassedOver reports whether a replica is passed over in choices.
+func isPassedOver(t *Tracker, r *fleet.Replica, now time.Time) bool {
+	suspects := t.suspectCheck(now)
 	return suspects != nil && suspects(r)
 }
 
@@ -163,12 +163,12 @@
 	const draws, n = 4000, 8
 	var all []*fleet.Replica
 	for i := range n {
-		all = append(all, placed(fmt.Sprint(i), "", ""))
+		all = append(all, replicaAt(fmt.Sprint(i), "", ""))
 	}
 	r := &Relay{}
 	counts := make(map[string]int)
 	for range draws {
-		two := r.twoOf(all)
+		two := r.randomPair(all)
 		assert.Equal(t, len(two), 2)
 		assert.Assert(t, two[0] != two[1])
 		counts[two[0].ID]++
@@ -178,8 +178,8 @@
 		// 1,000 are expected of each, with a standard deviation of 27.
 		assert.Assert(t, count > 800 && count < 1200, "%s came %d times", id, count)
 	}
-	assert.Equal(t, len(r.twoOf(all[:2])), 2)
-	assert.Equal(t, len(r.twoOf(nil)), 0)
+	assert.Equal(t, len(r.randomPair(all[:2])), 2)
+	assert.Equal(t, len(r.randomPair(nil)), 0)
 }
 
 // TestRefusedReplicasOfTwo: while a daemon is new, two replicas that are passed over do not
@@ -189,16 +189,16 @@
 	var all []*fleet.Replica
 	tracker := NewTracker("", func(*fleet.Replica) {})
 	for i := range 8 {
-		all = append(all, placed(fmt.Sprint(i), "", ""))
+		all = append(all, replicaAt(fmt.Sprint(i), "", ""))
 		if i > 0 {
 			tracker.Suspect(fmt.Sprint(i), now)
 		}
 	}
 	r := &Relay{opts: Options{Tracker: tracker}, startedAt: now}
-	rules := eligibility.Rules{Suspected: tracker.suspects(now)}
+	rules := eligibility.Rules{IsSuspected: tracker.suspectCheck(now)}
 	selection := rules.Select(&eligibility.Request{}, all)
 	for range 50 {
-		choice, ok := r.chooseFrom(&request{}, selection.Of(eligibility.Eligible), nil, testCosts, now)
+		choice, ok := r.chooseFrom(&request{}, selection.InClass(eligibility.Eligible), nil, testCosts, now)
 		assert.Assert(t, ok)
 		assert.Equal(t, choice.Replica.ID, "0")
 	}
--- a/relay/pauses.go
+++ b/relay/gaptargets.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// pausesFor is how long a pause that callers of a model bear counts after it was asked
+// gapTargetTTL is how long a pause that callers of a model bear counts after it was asked
 // for last: routes change, and every daemon gets requests of each kind within seconds.
-const pausesFor = 10 * time.Second
+const gapTargetTTL = 10 * time.Second
 
-// pauses holds, by model, the pauses that routes allow between events, with until when
+// gapTargets holds, by model, the pauses that routes allow between events, with until when
 // they count.
-type pauses map[string]map[time.Duration]time.Time
+type gapTargets map[string]map[time.Duration]time.Time
 
-func (p pauses) note(model string, pause time.Duration, now time.Time) {
+func (p gapTargets) record(model string, pause time.Duration, now time.Time) {
 	if pause <= 0 {
 		return
 	}
 	if p[model] == nil {
 		p[model] = make(map[time.Duration]time.Time)
 	}
-	p[model][pause] = now.Add(pausesFor)
+	p[model][pause] = now.Add(gapTargetTTL)
 }
 
 // shortest returns the shortest pause that counts; zero if none does.
-func (p pauses) shortest(model string, now time.Time) time.Duration {
+func (p gapTargets) shortest(model string, now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for pause, until := range p[model] {
 		switch {
@@ -34,11 +34,11 @@
 	return shortest
 }
 
-// NotePause notes that a caller of a model bears a pause between events.
-func (t *Tracker) NotePause(model string, pause time.Duration, now time.Time) {
+// RecordGapTarget notes that a caller of a model bears a pause between events.
+func (t *Tracker) RecordGapTarget(model string, pause time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pauses.note(model, pause, now)
+	t.gapTargets.record(model, pause, now)
 }
 
 // Pause returns the longest pause that all callers of a model bear who came here of late;
@@ -46,5 +46,5 @@
 func (t *Tracker) Pause(model string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.pauses.shortest(model, now)
+	return t.gapTargets.shortest(model, now)
 }
--- a/relay/holdings_test.go
+++ b/relay/holdings_test.go
@@ -25,10 +25,10 @@
 		"room for it":                        {bound: most, size: 100 << 10},
 		"no bound":                           {size: 4 << 20},
 		"nothing":                            {bound: most},
-		"others hold all":                    {bound: most, held: map[string]int64{"b": most / 2, "c": most/2 - 1}, size: 600, want: errNoRoom},
-		"its account holds its part":         {bound: most, held: map[string]int64{"a": most/4 - 1}, size: 600, want: errNoRoom},
+		"others hold all":                    {bound: most, held: map[string]int64{"b": most / 2, "c": most/2 - 1}, size: 600, want: errMemoryLimit},
+		"its account holds its part":         {bound: most, held: map[string]int64{"a": most/4 - 1}, size: 600, want: errMemoryLimit},
 		"another account holds more":         {bound: most, held: map[string]int64{"b": most / 2}, size: 600},
-		"too long for its account by itself": {bound: most, size: most / 2, want: errNoRoom},
+		"too long for its account by itself": {bound: most, size: most / 2, want: errMemoryLimit},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,15 +38,15 @@
 				h.total += bytes
 			}
 			before := h.Held()
-			o := holding{holdings: h, account: "a"}
+			o := requestMemory{holdings: h, account: "a"}
 			body := bytes.Repeat([]byte("x"), test.size)
-			got, err := o.read(bytes.NewReader(body), 8<<20, refuseWhenFull)
+			got, err := o.read(bytes.NewReader(body), 8<<20, failWhenFull)
 			assert.Assert(t, errors.Is(err, test.want), "%v", err)
 			if test.want == nil {
 				assert.Equal(t, string(got), string(body))
 				assert.Equal(t, h.Held()-before, int64(test.size))
 			}
-			o.end()
+			o.release()
 			assert.Equal(t, h.Held(), before)
 		})
 	}
@@ -56,20 +56,20 @@
 func TestAnnouncedBodyTakesNoRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHoldings(1 << 20)
-		o := holding{holdings: h, account: "a"}
+		o := requestMemory{holdings: h, account: "a"}
 		reader, writer := io.Pipe()
 		done := make(chan error, 1)
 		go func() {
-			_, err := o.read(reader, 1<<20, refuseWhenFull)
+			_, err := o.read(reader, 1<<20, failWhenFull)
 			done <- err
 		}()
 		_, err := writer.Write([]byte("little"))
 		assert.NilError(t, err)
 		synctest.Wait()
-		assert.Assert(t, h.Held() <= firstStep, "%d bytes held", h.Held())
+		assert.Assert(t, h.Held() <= initialBufferBytes, "%d bytes held", h.Held())
 		assert.NilError(t, writer.CloseWithError(io.ErrClosedPipe))
 		assert.Assert(t, errors.Is(<-done, io.ErrClosedPipe))
-		o.end()
+		o.release()
 		assert.Equal(t, h.Held(), int64(0))
 	})
 }
@@ -78,20 +78,20 @@
 func TestAnswersWaitForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHoldings(1 << 20)
-		first := holding{holdings: h, account: "b"}
+		first := requestMemory{holdings: h, account: "b"}
 		assert.Assert(t, first.grow(1<<20))
-		time.AfterFunc(time.Second, first.end)
-		second := holding{holdings: h, account: "a"}
+		time.AfterFunc(time.Second, first.release)
+		second := requestMemory{holdings: h, account: "a"}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		began := time.Now()
-		got, err := second.read(strings.NewReader("answer"), 1<<20, waitForRoom(ctx))
+		got, err := second.read(strings.NewReader("answer"), 1<<20, waitForMemory(ctx))
 		assert.NilError(t, err)
 		assert.Equal(t, string(got), "answer")
 		assert.Assert(t, time.Since(began) >= time.Second)
-		third := holding{holdings: h, account: "b"}
+		third := requestMemory{holdings: h, account: "b"}
 		assert.Assert(t, third.grow(1<<20-100))
-		_, err = second.read(strings.NewReader("answer"), 1<<20, waitForRoom(ctx))
+		_, err = second.read(strings.NewReader("answer"), 1<<20, waitForMemory(ctx))
 		assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "%v", err)
 	})
 }
--- a/relay/keepalive.go
+++ b/relay/keepalive.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// idleUnstated is how long a connection is kept whose worker does not say for
+	// defaultKeepAlive is how long a connection is kept whose worker does not say for
 	// how long it does: a second less than the shortest default of common servers.
-	idleUnstated = 4 * time.Second
-	// idleMost is how long one is kept whatever its worker says. Every replica that
+	defaultKeepAlive = 4 * time.Second
+	// maxKeepAlive is how long one is kept whatever its worker says. Every replica that
 	// a daemon goes on using is used again well within that time.
-	idleMost = 30 * time.Second
-	// idleMargin is how much before the worker's own limit a connection is given
+	maxKeepAlive = 30 * time.Second
+	// keepAliveMargin is how much before the worker's own limit a connection is given
 	// up: workers state whole seconds, which may be rounded up.
-	idleMargin = time.Second
-	// freshIdle is how long a connection may have been idle to carry a request
+	keepAliveMargin = time.Second
+	// maxIdleRunOnce is how long a connection may have been idle to carry a request
 	// that runs at most once, which is lost if the worker has dropped the
 	// connection meanwhile: a quarter of the shortest time a worker can state.
-	freshIdle = 250 * time.Millisecond
-	// forgetFor is how long a service counts as forgetful: several times idleUnstated, so
+	maxIdleRunOnce = 250 * time.Millisecond
+	// earlyDropTTL is how long a service counts as forgetful: several times idleUnstated, so
 	// that looking again costs few requests.
-	forgetFor = 20 * time.Second
+	earlyDropTTL = 20 * time.Second
 )
 
-// keepFor returns for how long a connection may be kept by a Keep-Alive header.
-func keepFor(header string) time.Duration {
+// keepAliveFor returns for how long a connection may be kept by a Keep-Alive header.
+func keepAliveFor(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
@@ -37,57 +37,57 @@
 		// A number out of range becomes the largest or the smallest one.
 		seconds, err := strconv.ParseInt(value, 10, 64)
 		if err == nil || errors.Is(err, strconv.ErrRange) {
-			seconds = min(max(seconds, 0), int64((idleMost+idleMargin)/time.Second))
-			return time.Duration(seconds)*time.Second - idleMargin
+			seconds = min(max(seconds, 0), int64((maxKeepAlive+keepAliveMargin)/time.Second))
+			return time.Duration(seconds)*time.Second - keepAliveMargin
 		}
 	}
-	return idleUnstated
+	return defaultKeepAlive
 }
 
-// idleFor returns how long a connection may have been idle to carry a request.
-func idleFor(once bool) time.Duration {
+// maxIdleFor returns how long a connection may have been idle to carry a request.
+func maxIdleFor(once bool) time.Duration {
 	if once {
-		return freshIdle
+		return maxIdleRunOnce
 	}
-	return idleMost
+	return maxKeepAlive
 }
 
-// forgetting is what is known of the workers of a service that drop idle
+// earlyDrop is what is known of the workers of a service that drop idle
 // connections before the time they state, and without closing them.
-type forgetting struct {
+type earlyDrop struct {
 	// worker dropped a connection last, after it was idle for so long.
-	worker string
-	idle   time.Duration
+	worker       string
+	shortestIdle time.Duration
 	// limit is for how long connections may be idle, zero if only one worker
 	// dropped any.
-	limit time.Duration
-	until time.Time
+	limit     time.Duration
+	expiresAt time.Time
 }
 
-// forgets reports whether workers of a service are known to drop connections that were
+// dropsEarly reports whether workers of a service are known to drop connections that were
 // idle for so long.
-func (u *upstream) forgets(service string, idled time.Duration, now time.Time) bool {
-	f, ok := u.forgetful[service]
-	return ok && f.limit > 0 && idled >= f.limit && now.Before(f.until)
+func (u *upstream) dropsEarly(service string, idled time.Duration, now time.Time) bool {
+	f, ok := u.earlyDrops[service]
+	return ok && f.limit > 0 && idled >= f.limit && now.Before(f.expiresAt)
 }
 
-// noteReset notes that a worker reset a kept connection in place of an answer.
+// recordReset notes that a worker reset a kept connection in place of an answer.
 // One worker may have been started anew; a second one shows that the service
 // drops idle connections.
-func (u *upstream) noteReset(c *connection, now time.Time) {
+func (u *upstream) recordReset(c *connection, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	f, known := u.forgetful[c.service]
-	known = known && now.Before(f.until)
-	noted := forgetting{worker: c.worker, idle: c.idled, until: now.Add(forgetFor)}
+	f, known := u.earlyDrops[c.service]
+	known = known && now.Before(f.expiresAt)
+	noted := earlyDrop{worker: c.worker, shortestIdle: c.idleBefore, expiresAt: now.Add(earlyDropTTL)}
 	if known {
 		noted.limit = f.limit
-		noted.idle = min(f.idle, c.idled)
+		noted.shortestIdle = min(f.shortestIdle, c.idleBefore)
 	}
 	if known && f.worker != c.worker {
-		noted.limit = noted.idle / 2
+		noted.limit = noted.shortestIdle / 2
 	}
-	u.forgetful[c.service] = noted
+	u.earlyDrops[c.service] = noted
 }
 
 // isReset reports whether the other side no longer knows the connection.
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -50,16 +50,16 @@
 				switch {
 				case step.failed:
 					c.sends++
-					l.moving = true
+					l.isResuming = true
 					continue
 				case begun:
-					l.noteNext(c, "r", now.Sub(last))
+					l.recordNext(c, "r", now.Sub(last))
 				default:
-					l.noteFirst(c, "r", now)
+					l.recordFirst(c, "r", now)
 				}
 				begun, last = true, now
 			}
-			assert.Equal(t, l.why, test.want)
+			assert.Equal(t, l.reason, test.want)
 		})
 	}
 }
--- a/relay/return_test.go
+++ b/relay/powerreturn_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// returnWaiting callers waited in the dark, returnNew come in the three seconds after.
-	returnWaiting = 210
-	returnNew     = 270
-	// returnPrompt tokens are read in 25 ms.
-	returnPrompt = 250
+	// waitingCallers callers waited in the dark, returnNew come in the three seconds after.
+	waitingCallers = 210
+	newCallers     = 270
+	// restartPromptTokens tokens are read in 25 ms.
+	restartPromptTokens = 250
 )
 
 // TestReturnOfAll plays the moment at which all daemons are back after 1.3 s without power:
@@ -29,42 +29,42 @@
 	waited, fresh, inTime := 0, 0, 0
 	for range rounds {
 		synctest.Test(t, func(t *testing.T) {
-			p := playReturn(t)
-			waited += p.count("waited", returnWaiting, p.served)
-			fresh += p.count("new", returnNew, func(id string) bool { return p.served(id) || p.served(id+" again") })
-			inTime += p.count("new", returnNew, func(id string) bool {
+			p := simulatePowerReturn(t)
+			waited += p.count("waited", waitingCallers, p.served)
+			fresh += p.count("new", newCallers, func(id string) bool { return p.served(id) || p.served(id+" again") })
+			inTime += p.count("new", newCallers, func(id string) bool {
 				return p.served(id) && p.results[id].first < 300*time.Millisecond
 			})
 		})
 	}
 	t.Logf("served: %d who waited, %d new ones; in time %d", waited, fresh, inTime)
-	assert.Assert(t, waited >= rounds*returnWaiting*97/100, "%d who waited are served", waited)
-	assert.Assert(t, fresh >= rounds*returnNew*98/100, "%d new ones are served", fresh)
-	assert.Assert(t, inTime >= rounds*returnNew*15/100, "%d new ones are in time", inTime)
+	assert.Assert(t, waited >= rounds*waitingCallers*97/100, "%d who waited are served", waited)
+	assert.Assert(t, fresh >= rounds*newCallers*98/100, "%d new ones are served", fresh)
+	assert.Assert(t, inTime >= rounds*newCallers*15/100, "%d new ones are in time", inTime)
 }
 
-func playReturn(t *testing.T) *play {
+func simulatePowerReturn(t *testing.T) *simulation {
 	t.Helper()
 	const (
 		daemons, heads = 24, 8
 		dark           = 1300 * time.Millisecond
 		given          = 6 * time.Second
 	)
-	var all []*playedHead
+	var all []*simHead
 	for i := range heads {
-		all = append(all, &playedHead{id: fmt.Sprint("h", i), passes: 100 * time.Millisecond})
+		all = append(all, &simHead{id: fmt.Sprint("h", i), passTime: 100 * time.Millisecond})
 	}
-	p := newPlay(t, daemons, all...)
-	for i := range returnWaiting {
-		waited := dark * time.Duration(i) / returnWaiting
+	p := newSimulation(t, daemons, all...)
+	for i := range waitingCallers {
+		waited := dark * time.Duration(i) / waitingCallers
 		p.calls.Go(func() {
 			time.Sleep(time.Duration(i%50) * 2 * time.Millisecond)
-			p.send(i%daemons, fmt.Sprint("waited", i), returnPrompt, given-waited)
+			p.send(i%daemons, fmt.Sprint("waited", i), restartPromptTokens, given-waited)
 		})
 	}
-	for i := range returnNew {
-		p.calls.Go(func() { p.callTwice(i%daemons, fmt.Sprint("new", i), returnPrompt, given) })
-		time.Sleep(3 * time.Second / returnNew)
+	for i := range newCallers {
+		p.calls.Go(func() { p.callWithRetry(i%daemons, fmt.Sprint("new", i), restartPromptTokens, given) })
+		time.Sleep(3 * time.Second / newCallers)
 	}
 	p.calls.Wait()
 	return p
@@ -74,7 +74,7 @@
 // whether callers of the route give as much as the route allows or less.
 func TestWaited(t *testing.T) {
 	now := time.Unix(1000, 0)
-	route, _ := playedConfig().Route("h", "/stream/")
+	route, _ := simConfig().Route("h", "/stream/")
 	tests := map[string]struct {
 		// usual is what the callers before gave, how many of them there were.
 		usual  time.Duration
@@ -91,27 +91,27 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newPatiences()
+			p := newCallerTimeouts()
 			for range test.before {
-				p.waited(route, test.usual, now)
+				p.estimateWaited(route, test.usual, now)
 			}
 			if test.later > 0 {
 				// Two spans go by.
-				p.waited(route, test.given, now.Add(test.later))
+				p.estimateWaited(route, test.given, now.Add(test.later))
 				now := now.Add(2 * test.later)
-				assert.Equal(t, p.waited(route, test.given, now), test.want)
+				assert.Equal(t, p.estimateWaited(route, test.given, now), test.want)
 				return
 			}
-			assert.Equal(t, p.waited(route, test.given, now), test.want)
+			assert.Equal(t, p.estimateWaited(route, test.given, now), test.want)
 		})
 	}
 }
 
 // TestOldRoutesAreForgotten: configurations bring routes of other names again and again.
 func TestOldRoutesAreForgotten(t *testing.T) {
-	p, now := newPatiences(), time.Unix(1000, 0)
+	p, now := newCallerTimeouts(), time.Unix(1000, 0)
 	for i := range 50 {
-		p.waited(&fleet.Route{Name: fmt.Sprint(i)}, time.Second, now.Add(time.Duration(i)*patienceFor))
+		p.estimateWaited(&fleet.Route{Name: fmt.Sprint(i)}, time.Second, now.Add(time.Duration(i)*timeoutWindow))
 	}
 	assert.Assert(t, len(p.routes) <= 4, "%d routes are held", len(p.routes))
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -55,7 +55,7 @@
 			if test.prepare != nil {
 				test.prepare(r, w)
 			}
-			do(t, server, test.path, "a", test.change)
+			sendRequest(t, server, test.path, "a", test.change)
 			assert.Equal(t, !r.guard.Table().Empty(), test.blamed)
 		})
 	}
@@ -63,15 +63,15 @@
 
 // drain lists a worker as leaving from the moment at which it gets a request.
 func (r *testRelay) drain(w *fakeWorker) {
-	w.arrived = func() {
+	w.onRequest = func() {
 		entry := w.entry()
 		entry.Draining = true
 		r.inventory.Apply([]fleet.Change{{ID: w.id, Worker: entry}}, 2, time.Now())
 	}
 }
 
-// marked quarantines a request of the tests in a relay.
-func marked(r *testRelay, target, account, body string) quarantine.Fingerprint {
+// quarantineRequest quarantines a request of the tests in a relay.
+func quarantineRequest(r *testRelay, target, account, body string) quarantine.Fingerprint {
 	f := quarantine.FingerprintOf(account, http.MethodPost, "h", target, []byte(body))
 	blame(r.guard.Table(), f, 3, time.Now())
 	return f
@@ -101,8 +101,8 @@
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w")
 			r, server := newTestRelay(t, w)
-			marked(r, test.path, test.account, test.body)
-			got := do(t, server, "/safe/", "a", nil)
+			quarantineRequest(r, test.path, test.account, test.body)
+			got := sendRequest(t, server, "/safe/", "a", nil)
 			assert.Equal(t, got.status, test.status)
 			if test.status == http.StatusOK {
 				return
@@ -126,7 +126,7 @@
 			f := quarantine.FingerprintOf("tenant", http.MethodPost, "h", path, []byte("body"))
 			blame(r.guard.Table(), f, 2, time.Now())
 			assert.Equal(t, r.guard.Table().State(f, time.Now()).Crashes, 2)
-			assert.Equal(t, do(t, server, path, "a", nil).status, http.StatusOK)
+			assert.Equal(t, sendRequest(t, server, path, "a", nil).status, http.StatusOK)
 			assert.Equal(t, r.guard.Table().State(f, time.Now()).Crashes, 0)
 		})
 	}
@@ -135,7 +135,7 @@
 // TestRelayForgets: what nothing was seen of for long costs requests nothing any more.
 func TestRelayForgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 1, &playedHead{id: "a"})
+		p := newSimulation(t, 1, &simHead{id: "a"})
 		table := p.daemons[0].guard.Table()
 		blame(table, quarantine.FingerprintOf("", http.MethodPost, "h", "/", nil), 1, time.Now())
 		assert.Assert(t, !table.Empty())
@@ -149,15 +149,15 @@
 func TestSuspectsRunBesideTheFewest(t *testing.T) {
 	tracker := NewTracker("here", func(*fleet.Replica) {})
 	near, far := testReplica("near", "here"), testReplica("far", "there")
-	tracker.Begin(near, 0)
-	tracker.Begin(far, 5000)
-	tracker.Begin(near, 0)
+	tracker.Reserve(near, 0)
+	tracker.Reserve(far, 5000)
+	tracker.Reserve(near, 0)
 	now := time.Now()
 	for range 20 {
 		choice, ok := tracker.Choose([]*fleet.Replica{near, far}, nil, testCosts, 10, now)
 		assert.Assert(t, ok && choice.Replica == near)
 		fewest := testCosts
-		fewest.fewest = true
+		fewest.preferIdle = true
 		choice, ok = tracker.Choose([]*fleet.Replica{near, far}, nil, fewest, 10, now)
 		assert.Assert(t, ok && choice.Replica == far)
 	}
@@ -170,15 +170,15 @@
 	for name, crashes := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				near := &playedHead{id: "near"}
-				far := &playedHead{id: "far"}
-				p := newPlay(t, 1, near, far)
+				near := &simHead{id: "near"}
+				far := &simHead{id: "far"}
+				p := newSimulation(t, 1, near, far)
 				tracker, now := p.daemons[0].opts.Tracker, time.Now()
 				for _, replica := range p.inventory.View().Replicas("models", "m") {
 					// The far one has long prompts to read, the near one more requests.
-					tracker.Begin(replica, 0)
+					tracker.Reserve(replica, 0)
 					if replica.Head.ID == near.id {
-						tracker.Begin(replica, 0)
+						tracker.Reserve(replica, 0)
 					} else {
 						tracker.loadOf(replica).prefill = 20_000
 					}
@@ -186,7 +186,7 @@
 				f := quarantine.FingerprintOf("", http.MethodPost, "h", "/stream/", []byte("body"))
 				blame(p.daemons[0].guard.Table(), f, crashes, now)
 				p.send(0, "a", 10, 6*time.Second)
-				assert.Equal(t, len(far.seen) > 0, crashes > 1)
+				assert.Equal(t, len(far.received) > 0, crashes > 1)
 			})
 		})
 	}
@@ -196,7 +196,7 @@
 // events come goes on, and shows that the quarantine was wrong.
 func TestQuarantineCutsOffWhatHasNotBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 1, &playedHead{id: "a", mute: func(id string) bool { return id == "waits" }})
+		p := newSimulation(t, 1, &simHead{id: "a", isMuted: func(id string) bool { return id == "waits" }})
 		r := p.daemons[0]
 		p.call(0, "runs", 10, 6*time.Second)
 		p.call(0, "waits", 10, 6*time.Second)
@@ -222,16 +222,16 @@
 // 400 others are served.
 func TestStormOfOneRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := playBesideCrashes(t, func(p *play) {
+		p := simulateCrashes(t, func(p *simulation) {
 			for i := range 80 {
 				time.Sleep(125 * time.Millisecond)
 				p.call(i%len(p.daemons), fmt.Sprint("crash", i), 100, 6*time.Second)
 			}
 		})
-		served := p.count("other", playedOthers, p.served)
-		t.Logf("%d heads ended, %d of %d others served", p.ended, served, playedOthers)
-		assert.Assert(t, p.ended <= 6, "%d heads ended", p.ended)
-		assert.Assert(t, served >= playedOthers*98/100, "%d others are served", served)
+		served := p.count("other", otherRequests, p.served)
+		t.Logf("%d heads ended, %d of %d others served", p.crashes, served, otherRequests)
+		assert.Assert(t, p.crashes <= 6, "%d heads ended", p.crashes)
+		assert.Assert(t, served >= otherRequests*98/100, "%d others are served", served)
 	})
 }
 
@@ -240,44 +240,44 @@
 func TestPopularRequestBesideCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const copies = 50
-		p := playBesideCrashes(t, func(p *play) {
+		p := simulateCrashes(t, func(p *simulation) {
 			for i := range copies {
 				time.Sleep(200 * time.Millisecond)
 				p.call(i%len(p.daemons), fmt.Sprint("popular", i), 100, 6*time.Second)
 				if i%7 == 6 {
-					p.work.Go(func() { p.endOne() })
+					p.work.Go(func() { p.crashOne() })
 				}
 			}
 		})
-		popular, others := p.count("popular", copies, p.served), p.count("other", playedOthers, p.served)
-		t.Logf("%d heads ended; served: %d of %d copies, %d of %d others", p.ended, popular, copies, others, playedOthers)
+		popular, others := p.count("popular", copies, p.served), p.count("other", otherRequests, p.served)
+		t.Logf("%d heads ended; served: %d of %d copies, %d of %d others", p.crashes, popular, copies, others, otherRequests)
 		for _, r := range p.daemons {
 			assert.Equal(t, r.opts.Meter.Refusals()[reason.Quarantined], int64(0))
 		}
 		assert.Assert(t, popular >= copies*96/100, "%d copies are served", popular)
-		assert.Assert(t, others >= playedOthers*98/100, "%d others are served", others)
+		assert.Assert(t, others >= otherRequests*98/100, "%d others are served", others)
 	})
 }
 
-// playedOthers is how many requests of texts of their own come in the plays beside crashes.
-const playedOthers = 400
+// otherRequests is how many requests of texts of their own come in the plays beside crashes.
+const otherRequests = 400
 
-// playBesideCrashes plays ten seconds of requests with texts of their own, and what is given
+// simulateCrashes plays ten seconds of requests with texts of their own, and what is given
 // beside them.
-func playBesideCrashes(t *testing.T, beside func(p *play)) *play {
+func simulateCrashes(t *testing.T, beside func(p *simulation)) *simulation {
 	t.Helper()
 	const daemons, heads = 4, 12
-	var p *play
-	ends := func(h *playedHead, body string) {
+	var p *simulation
+	ends := func(h *simHead, body string) {
 		if body == "crash" {
-			p.work.Go(func() { p.end(h) })
+			p.work.Go(func() { p.crash(h) })
 		}
 	}
-	var all []*playedHead
+	var all []*simHead
 	for i := range heads {
-		all = append(all, &playedHead{id: fmt.Sprint("h", i), runsText: ends})
+		all = append(all, &simHead{id: fmt.Sprint("h", i), onRun: ends})
 	}
-	p = newPlay(t, daemons, all...)
+	p = newSimulation(t, daemons, all...)
 	p.body = func(id string) string {
 		kind := strings.TrimRight(id, "0123456789")
 		if kind == "other" {
@@ -286,7 +286,7 @@
 		return kind
 	}
 	p.calls.Go(func() { beside(p) })
-	for i := range playedOthers {
+	for i := range otherRequests {
 		time.Sleep(25 * time.Millisecond)
 		p.call(i%daemons, fmt.Sprint("other", i), 100, 6*time.Second)
 	}
@@ -294,15 +294,15 @@
 	return p
 }
 
-// endOne ends one of the heads.
-func (p *play) endOne() {
+// crashOne ends one of the heads.
+func (p *simulation) crashOne() {
 	p.mu.Lock()
-	var one *playedHead
+	var one *simHead
 	for _, h := range p.heads {
 		if one == nil || h.id < one.id {
 			one = h
 		}
 	}
 	p.mu.Unlock()
-	p.end(one)
+	p.crash(one)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	defaultBody    = 8 << 20
-	defaultTimeout = 10 * time.Minute
-	lowestPriority = 9
+	defaultMaxBodyBytes = 8 << 20
+	defaultTimeout      = 10 * time.Minute
+	lowestPriority      = 9
 	// maxRejections is how many workers may turn a request away before it is
 	// given up.
 	maxRejections = 2
-	// engineRoom and serviceRoom are how much work may be in flight at a
+	// engineLoadFactor and serviceRoom are how much work may be in flight at a
 	// worker, in multiples of its slots, before requests are refused.
-	engineRoom  = 1.0
-	serviceRoom = 4.0
-	// sweepEvery is how often silent replicas are looked for.
-	sweepEvery = 50 * time.Millisecond
+	engineLoadFactor  = 1.0
+	serviceLoadFactor = 4.0
+	// sweepInterval is how often silent replicas are looked for.
+	sweepInterval = 50 * time.Millisecond
 )
 
 // Options configures a Relay.
@@ -83,17 +83,17 @@
 
 // Relay serves callers. It implements http.Handler.
 type Relay struct {
-	opts      Options
-	upstream  *upstream
-	budget    *budget
-	patiences *patiences
-	guard     *guard.Guard
-	unbegun   unbegun
+	opts           Options
+	upstream       *upstream
+	budget         *budget
+	callerTimeouts *callerTimeouts
+	guard          *guard.Guard
+	waitingStreams waitingStreams
 	// startedAt is when this daemon began.
 	startedAt time.Time
-	// answered tells that some answer was not a refusal.
-	answered atomic.Bool
-	done     chan struct{}
+	// hasAnswered tells that some answer was not a refusal.
+	hasAnswered atomic.Bool
+	done        chan struct{}
 }
 
 var _ http.Handler = (*Relay)(nil)
@@ -107,19 +107,19 @@
 		opts.Awake = func() {}
 	}
 	r := &Relay{
-		opts: opts, upstream: newUpstream(), budget: newBudget(opts.Budget), patiences: newPatiences(),
+		opts: opts, upstream: newUpstream(), budget: newBudget(opts.Budget), callerTimeouts: newCallerTimeouts(),
 		startedAt: time.Now(), done: make(chan struct{}),
 	}
-	r.upstream.share, r.upstream.count = r.idleShare, opts.Meter.Connection
+	r.upstream.idleShare, r.upstream.onConnection = r.idleShare, opts.Meter.Connection
 	if opts.Dial != nil {
 		r.upstream.dial = opts.Dial
 	}
-	r.unbegun.held = make(map[*request]context.CancelCauseFunc)
+	r.waitingStreams.held = make(map[*request]context.CancelCauseFunc)
 	r.guard = guard.New(guard.Options{
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return r.upstream.dial(ctx, network, address)
 		},
-		Marked: r.cutOff, Spread: opts.Spread, Meter: opts.Meter, Logger: opts.Logger,
+		Marked: r.cancelQuarantined, Spread: opts.Spread, Meter: opts.Meter, Logger: opts.Logger,
 	})
 	return r
 }
@@ -131,7 +131,7 @@
 func (r *Relay) Run(ctx context.Context) {
 	defer close(r.done)
 	defer r.guard.Wait()
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -162,11 +162,11 @@
 	}
 	c, refused := r.accept(h, http.NewResponseController(w))
 	if c != nil {
-		defer c.holding.end()
+		defer c.memory.release()
 	}
 	if refused == nil {
 		defer c.cancel()
-		r.budget.earn(c.service, c.arrived)
+		r.budget.addRequest(c.service, c.arrived)
 		if c.route.Kind == fleet.Stream {
 			refused = r.serveStream(w, c)
 		} else {
@@ -177,28 +177,28 @@
 		r.refuse(w, c, refused)
 		return
 	}
-	r.answered.Store(true)
+	r.hasAnswered.Store(true)
 }
 
 // Answered reports whether a caller got an answer of a worker yet.
-func (r *Relay) Answered() bool { return r.answered.Load() }
+func (r *Relay) Answered() bool { return r.hasAnswered.Load() }
 
 // refuse answers with a refusal, counts it, and logs why.
 func (r *Relay) refuse(w http.ResponseWriter, c *request, f *refusal) {
 	r.opts.Meter.Refuse(f.reason)
-	if r.opts.ServeLate && f.wantsRoom() {
-		f.after = r.comeBack(c, time.Now())
+	if r.opts.ServeLate && f.isForCapacity() {
+		f.retryAfter = r.spreadRetryAfter(c, time.Now())
 	}
 	if c != nil {
 		service, sends, rejections := c.service, c.sends, c.rejections
 		r.opts.Logger.Info("request refused", "request", c.id, "status", f.status, "reason", string(f.reason),
 			"service", service, "model", c.model, "sends", sends, "rejections", rejections,
-			"ms", time.Since(c.arrived).Milliseconds(), "config", r.version(), "passed_over", f.passedOver, "fingerprint", c.fingerprintIfKnown(), "error", f.cause)
+			"ms", time.Since(c.arrived).Milliseconds(), "config", r.configVersion(), "passed_over", f.passedOver, "fingerprint", c.fingerprintIfKnown(), "error", f.cause)
 	}
 	f.write(w)
 }
 
-func (r *Relay) version() int64 {
+func (r *Relay) configVersion() int64 {
 	if c := r.opts.Config(); c != nil {
 		return c.Version()
 	}
@@ -209,91 +209,91 @@
 func (r *Relay) choose(c *request) (*fleet.Replica, *refusal) {
 	r.opts.Awake()
 	now := time.Now()
-	if f := r.quarantined(c, now); f != nil {
+	if f := r.checkQuarantine(c, now); f != nil {
 		return nil, f
 	}
 	if c.tenant != nil && r.BeliefTooOld(now) {
-		return nil, unavailable(reason.Isolated, "it is not certain which keys are in force", retryRevived)
+		return nil, unavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
-	selection := r.eligible(c, now)
-	// without holds replicas whose last token another request took since they were judged.
-	var without map[string]bool
+	selection := r.selectReplicas(c, now)
+	// exhausted holds replicas whose last token another request took since they were judged.
+	var exhausted map[string]bool
 	for {
-		if selection.Empty() {
-			return nil, r.noneEligible(c, selection.Counts(), now)
+		if selection.IsEmpty() {
+			return nil, r.noReplicaRefusal(c, selection.Counts(), now)
 		}
-		replica, none := r.chooseAmong(c, &selection, without, now)
+		replica, none := r.chooseByClass(c, &selection, exhausted, now)
 		c.sentAt = now
-		if none != nil || r.take(c, replica, now) {
+		if none != nil || r.takeTokens(c, replica, now) {
 			return replica, none
 		}
-		if without == nil {
-			without = make(map[string]bool)
+		if exhausted == nil {
+			exhausted = make(map[string]bool)
 		}
-		without[replica.ID] = true
+		exhausted[replica.ID] = true
 	}
 }
 
-// chooseAmong chooses among the replicas of the best class that has room. Doubtful ones
+// chooseByClass chooses among the replicas of the best class that has room. Doubtful ones
 // count only if there are no others.
-func (r *Relay) chooseAmong(c *request, s *eligibility.Selection, without map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
+func (r *Relay) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
 	full := false
 	for class := eligibility.Eligible; class < eligibility.Excluded; class++ {
-		replicas := s.Of(class)
-		if len(replicas) == 0 || full && class == eligibility.Doubtful {
+		replicas := s.InClass(class)
+		if len(replicas) == 0 || full && class == eligibility.LastResort {
 			continue
 		}
 		predicted := costsOf(c.engine, c.model, replicas[0].Head.Slots)
-		predicted.kept = r.upstream.kept(idleFor(!c.route.Repeatable()))
-		predicted.fewest = c.suspected
-		predicted.scarce = r.opts.Limits.scarce()
-		choice, ok := r.chooseFrom(c, replicas, without, predicted, now)
+		predicted.connected = r.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
+		predicted.preferIdle = c.isSuspected
+		predicted.tightlyLimited = r.opts.Limits.tightlyLimited()
+		choice, ok := r.chooseFrom(c, replicas, exhausted, predicted, now)
 		if !ok {
 			continue
 		}
 		c.chosenBusy = choice.Busy
-		if choice.Busy < r.room(c, choice.Replica) {
+		if choice.Busy < r.maxInFlight(c, choice.Replica) {
 			return choice.Replica, nil
 		}
 		full = true
 	}
 	f := unavailable(reason.Overloaded, "all replicas are busy", retryBusy)
 	if !full {
-		f = r.bounded(c, c.lacked, now)
+		f = r.boundRefusal(c, c.exhaustedBound, now)
 	}
 	f.passedOver = c.passedOver
 	return nil, f
 }
 
-// room returns how much work a replica may have in flight.
-func (r *Relay) room(c *request, replica *fleet.Replica) float64 {
+// maxInFlight returns how much work a replica may have in flight.
+func (r *Relay) maxInFlight(c *request, replica *fleet.Replica) float64 {
 	if c.engine != nil {
-		return engineRoom * float64(c.engine.Slots)
+		return engineLoadFactor * float64(c.engine.Slots)
 	}
-	return serviceRoom * float64(max(replica.Head.Slots, 1))
+	return serviceLoadFactor * float64(max(replica.Head.Slots, 1))
 }
 
-// mayRepeat reports whether a failed attempt may be followed by another one,
+// mayRetry reports whether a failed attempt may be followed by another one,
 // and draws on the budget if so. ran tells whether the attempt may have run.
-func (r *Relay) mayRepeat(c *request, ran bool) bool {
+func (r *Relay) mayRetry(c *request, ran bool) bool {
 	switch {
-	case c.gaveUp():
+	case c.isDone():
 		return false
 	case ran && (!c.route.Repeatable() || c.sends >= c.route.Attempts):
 		return false
 	case !ran && c.rejections > maxRejections:
 		return false
 	}
-	if !r.budget.take(c.service, time.Now()) {
+	if !r.budget.takeRetry(c.service, time.Now()) {
 		r.opts.Meter.Refuse(reason.RetryBudget)
 		return false
 	}
 	return true
 }
 
-// note records a failed attempt and returns whether it may have run.
-func (r *Relay) note(c *request, replica *fleet.Replica, err error) (ran bool) {
-	c.lastCause = err
+// recordFailure records a failed attempt and returns whether it may have run.
+func (r *Relay) recordFailure(c *request, replica *fleet.Replica, err error) (ran bool) {
+	c.lastErr = err
 	c.tried[replica.ID] = true
 	ran = wasSent(err)
 	if ran {
@@ -302,36 +302,36 @@
 		c.rejections++
 	}
 	if ran && guard.BrokeOff(err) {
-		r.tellBroken(c, replica, err)
-		r.blame(c, replica)
+		r.logBroken(c, replica, err)
+		r.reportCrash(c, replica)
 	}
-	if !c.gaveUp() && !errors.Is(err, errQuarantined) {
-		r.opts.Tracker.Fail(replica, time.Now())
-		r.noteFailed(c, replica, err)
+	if !c.isDone() && !errors.Is(err, errQuarantined) {
+		r.opts.Tracker.RecordFailure(replica, time.Now())
+		r.recordHeadFailure(c, replica, err)
 	}
 	return ran
 }
 
-// failed returns the answer to a request whose attempts all failed.
-func (r *Relay) failed(c *request) *refusal {
-	if c.outOfTime() {
-		return c.truthful(timedOut(c))
+// failureRefusal returns the answer to a request whose attempts all failed.
+func (r *Relay) failureRefusal(c *request) *refusal {
+	if c.isTimedOut() {
+		return c.correctStatus(timeoutRefusal(c))
 	}
 	f := unavailable(reason.EndpointRefused, "no worker took the request", retrySoon)
-	if c.mayHaveRan() {
+	if c.mayHaveRun() {
 		f = refuse(http.StatusBadGateway, reason.EndpointBroken, "the worker's answer was lost")
 	}
 	switch {
-	case errors.Is(c.lastCause, errStalled):
+	case errors.Is(c.lastErr, errStalled):
 		f.reason = reason.EndpointTimeout
-	case errors.Is(c.lastCause, errQuarantined):
+	case errors.Is(c.lastErr, errQuarantined):
 		f.reason = reason.Quarantined
 	}
-	return c.truthful(f)
+	return c.correctStatus(f)
 }
 
-func timedOut(c *request) *refusal {
-	if c.mayHaveRan() {
+func timeoutRefusal(c *request) *refusal {
+	if c.mayHaveRun() {
 		return refuse(http.StatusGatewayTimeout, reason.EndpointTimeout, "the time was up before the answer came")
 	}
 	return unavailable(reason.EndpointTimeout, "the time was up before the request began", 0)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -53,16 +53,16 @@
 	return r, server
 }
 
-// call is one answer as the caller sees it.
-type call struct {
+// answerSeen is one answer as the caller sees it.
+type answerSeen struct {
 	status int
 	header http.Header
 	body   string
-	// whole tells that the answer ended as it should.
-	whole bool
+	// isWhole tells that the answer ended as it should.
+	isWhole bool
 }
 
-func do(t assert.TestingT, server *httptest.Server, path, id string, change func(*http.Request)) call {
+func sendRequest(t assert.TestingT, server *httptest.Server, path, id string, change func(*http.Request)) answerSeen {
 	request, err := http.NewRequest(http.MethodPost, server.URL+path, strings.NewReader("body"))
 	assert.NilError(t, err)
 	request.Host = "h"
@@ -74,11 +74,11 @@
 	}
 	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
-		return call{}
+		return answerSeen{}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return call{status: response.StatusCode, header: response.Header, body: string(body), whole: err == nil}
+	return answerSeen{status: response.StatusCode, header: response.Header, body: string(body), isWhole: err == nil}
 }
 
 func wholeStream() string {
@@ -130,12 +130,12 @@
 			w := newFakeWorker(t, "w1", test.script...)
 			workers := []*fakeWorker{w}
 			for i := 2; i <= 4; i++ {
-				workers = append(workers, sharing(w, fmt.Sprintf("w%d", i)))
+				workers = append(workers, workerSharingScript(w, fmt.Sprintf("w%d", i)))
 			}
 			_, server := newTestRelay(t, workers...)
-			got := do(t, server, test.path, "a", test.change)
+			got := sendRequest(t, server, test.path, "a", test.change)
 			assert.Equal(t, got.status, test.status)
-			assert.Equal(t, got.whole, !test.cut)
+			assert.Equal(t, got.isWhole, !test.cut)
 			if test.body != "" {
 				assert.Equal(t, got.body, test.body)
 			}
@@ -147,8 +147,8 @@
 	}
 }
 
-// sharing returns a further worker that plays the same script and counts with w.
-func sharing(w *fakeWorker, id string) *fakeWorker {
+// workerSharingScript returns a further worker that plays the same script and counts with w.
+func workerSharingScript(w *fakeWorker, id string) *fakeWorker {
 	return &fakeWorker{id: id, listener: w.listener}
 }
 
@@ -160,21 +160,21 @@
 		script := rapid.SliceOfN(rapid.SampledFrom(all), 0, 12).Draw(t, "script")
 		paths := rapid.SliceOfN(rapid.SampledFrom([]string{"/once/", "/safe/", "/stream/"}), 1, 5).Draw(t, "paths")
 		w := newFakeWorker(outer, "w1", script...)
-		_, server := newTestRelay(outer, w, sharing(w, "w2"), sharing(w, "w3"))
+		_, server := newTestRelay(outer, w, workerSharingScript(w, "w2"), workerSharingScript(w, "w3"))
 		for i, path := range paths {
 			id := fmt.Sprintf("r%d", i)
-			checkPromises(t, path, id, do(t, server, path, id, nil), w.runs(id))
+			checkPromises(t, path, id, sendRequest(t, server, path, id, nil), w.runs(id))
 		}
 	})
 }
 
-func checkPromises(t *rapid.T, path, id string, got call, runs int) {
+func checkPromises(t *rapid.T, path, id string, got answerSeen, runs int) {
 	want := "answer to " + id
 	if path == "/stream/" {
 		want = wholeStream()
 	}
 	switch {
-	case got.status == http.StatusOK && got.whole && got.body != want:
+	case got.status == http.StatusOK && got.isWhole && got.body != want:
 		t.Fatalf("%s %s: a complete answer is %q", path, id, got.body)
 	case got.status == http.StatusServiceUnavailable && runs > 0:
 		t.Fatalf("%s %s: told that it did not run, ran %d times", path, id, runs)
@@ -190,7 +190,7 @@
 func TestWorkerSeesWhatItShould(t *testing.T) {
 	w := newFakeWorker(t, "w1")
 	_, server := newTestRelay(t, w)
-	do(t, server, "/safe/", "a", func(h *http.Request) {
+	sendRequest(t, server, "/safe/", "a", func(h *http.Request) {
 		h.Header.Set(testNames.Tenant, "forged")
 		h.Header.Set(testNames.Instance, "forged")
 		h.Header.Set(testNames.Deadline, "400")
@@ -198,7 +198,7 @@
 		h.Header.Set("X-Hop", "1")
 		h.Header.Set("X-Kept", "1")
 	})
-	head := w.heads[0]
+	head := w.received[0]
 	assert.Equal(t, head.Get(testNames.Tenant), "tenant")
 	assert.Equal(t, head.Get(testNames.Instance), "w1")
 	assert.Equal(t, head.Get(testNames.Key), "")
@@ -214,8 +214,8 @@
 	w := newFakeWorker(t, "w1")
 	r, server := newTestRelay(t, w)
 	r.confirmed = time.Now().Add(-time.Hour)
-	assert.Equal(t, do(t, server, "/safe/", "a", nil).status, 503)
-	assert.Equal(t, do(t, server, "/open/", "b", nil).status, 200)
+	assert.Equal(t, sendRequest(t, server, "/safe/", "a", nil).status, 503)
+	assert.Equal(t, sendRequest(t, server, "/open/", "b", nil).status, 200)
 	assert.Equal(t, w.runs("a"), 0)
 }
 
@@ -236,18 +236,18 @@
 	start := time.Unix(1000, 0)
 	b := newBudget(BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 20, Daemons: func() int { return 2 }})
 	taken := 0
-	for b.take("s", start) {
+	for b.takeRetry("s", start) {
 		taken++
 	}
 	assert.Equal(t, taken, 8, "0.8 of half of the extra")
 	for range 100 {
-		b.earn("s", start.Add(time.Second))
+		b.addRequest("s", start.Add(time.Second))
 	}
-	assert.Assert(t, b.take("s", start.Add(time.Second)), "requests allow repeats")
-	assert.Assert(t, b.take("other", start), "services are counted by themselves")
+	assert.Assert(t, b.takeRetry("s", start.Add(time.Second)), "requests allow repeats")
+	assert.Assert(t, b.takeRetry("other", start), "services are counted by themselves")
 	later := start.Add(time.Minute)
 	taken = 0
-	for b.take("s", later) {
+	for b.takeRetry("s", later) {
 		taken++
 	}
 	assert.Equal(t, taken, 8, "what is long past does not count")
@@ -284,7 +284,7 @@
 func TestFirstTokensAreMeasured(t *testing.T) {
 	r, server := newTestRelay(t, newFakeWorker(t, "w1", cuts), newFakeWorker(t, "w2"))
 	for _, id := range []string{"a", "b"} {
-		got := do(t, server, "/stream/", id, nil)
+		got := sendRequest(t, server, "/stream/", id, nil)
 		assert.Equal(t, got.body, wholeStream())
 	}
 	shown := httptest.NewRecorder()
--- a/relay/request.go
+++ b/relay/request.go
@@ -24,75 +24,75 @@
 	host   string
 	header http.Header
 	body   []byte
-	// holding is the room that the body and the answer take.
-	holding holding
+	// memory is the room that the body and the answer take.
+	memory  requestMemory
 	route   *fleet.Route
 	service string
 	// engine is nil for services whose workers serve alone.
 	engine *fleet.Engine
 	model  string
-	// prompt is the number of prompt tokens, as the caller gives it.
-	prompt   int
-	tenant   *fleet.Tenant
-	arrived  time.Time
-	deadline time.Time
-	// waited is how long the caller had waited before, as far as its deadline tells.
-	waited time.Duration
-	ctx    context.Context
-	cancel context.CancelFunc
+	// promptTokens is the number of prompt tokens, as the caller gives it.
+	promptTokens int
+	tenant       *fleet.Tenant
+	arrived      time.Time
+	deadline     time.Time
+	// waitedBefore is how long the caller had waited before, as far as its deadline tells.
+	waitedBefore time.Duration
+	ctx          context.Context
+	cancel       context.CancelFunc
 
 	// sends counts the workers that may have run the request, rejections those
 	// that certainly did not.
 	sends      int
 	rejections int
 	tried      map[string]bool
-	// failed holds the heads whose failure others may share.
-	failed []*fleet.Worker
+	// failedHeads holds the heads whose failure others may share.
+	failedHeads []*fleet.Worker
 	// chosenBusy is the work in flight at the replica chosen last, as far as known.
 	chosenBusy float64
 	// passedOver tells which reasons kept how many replicas out of the last choice.
 	passedOver string
 	// sendBy is until when the attempt may be sent; the zero time for any time. lacked is
 	// which bound had no token for the replica chosen last.
-	sendBy time.Time
-	lacked reason.Reason
-	// lastCause is the error of the newest failed attempt, sentAt when that was chosen.
-	lastCause error
-	sentAt    time.Time
+	sendBy         time.Time
+	exhaustedBound reason.Reason
+	// lastErr is the error of the newest failed attempt, sentAt when that was chosen.
+	lastErr error
+	sentAt  time.Time
 
-	// suspected tells that the next crash would quarantine the request.
-	suspected bool
+	// isSuspected tells that the next crash would quarantine the request.
+	isSuspected bool
 
-	fingerprintOnce sync.Once
-	fingerprinted   atomic.Bool
-	fingerprintHeld quarantine.Fingerprint
+	fingerprintOnce   sync.Once
+	hasFingerprint    atomic.Bool
+	cachedFingerprint quarantine.Fingerprint
 }
 
-// mayHaveRan reports whether some worker may have begun the request.
-func (c *request) mayHaveRan() bool { return c.sends > 0 }
+// mayHaveRun reports whether some worker may have begun the request.
+func (c *request) mayHaveRun() bool { return c.sends > 0 }
 
-// truthful turns a refusal that promises too much into one that does not.
-func (c *request) truthful(f *refusal) *refusal {
+// correctStatus turns a refusal that promises too much into one that does not.
+func (c *request) correctStatus(f *refusal) *refusal {
 	if f.cause == nil {
-		f.cause = c.lastCause
+		f.cause = c.lastErr
 	}
-	if f.promises() && c.mayHaveRan() {
-		f.status, f.after = http.StatusBadGateway, 0
+	if f.promisesNotRun() && c.mayHaveRun() {
+		f.status, f.retryAfter = http.StatusBadGateway, 0
 	}
 	return f
 }
 
 // accept reads a request and decides by the configuration whether it may run.
-func (r *Relay) accept(h *http.Request, edge *http.ResponseController) (*request, *refusal) {
+func (r *Relay) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
 	r.opts.Awake()
 	config := r.opts.Config()
 	if config == nil {
-		return nil, unavailable(reason.Starting, "no configuration is known yet", retryRevived)
+		return nil, unavailable(reason.Starting, "no configuration is known yet", retryUninformed)
 	}
 	c := &request{
 		method: h.Method, target: h.RequestURI, host: h.Host, header: h.Header,
 		id: h.Header.Get(r.opts.Names.Attempt), arrived: time.Now(), tried: make(map[string]bool),
-		holding: holding{holdings: r.opts.Holdings},
+		memory: requestMemory{holdings: r.opts.Holdings},
 	}
 	path, _, _ := strings.Cut(c.target, "?")
 	route, ok := config.Route(c.host, path)
@@ -100,12 +100,12 @@
 		return c, refuse(http.StatusNotFound, reason.NotFound, "no route leads there")
 	}
 	c.route = route
-	if bad := r.authenticate(c, config); bad != nil {
-		return c, bad
+	if refused := r.authenticate(c, config); refused != nil {
+		return c, refused
 	}
-	r.boundCaller(edge, c.arrived, route.Timeout)
-	bad := r.read(c, h, config.Limits())
-	r.bodyRead(edge)
+	r.setCallerDeadlines(controller, c.arrived, route.Timeout)
+	bad := r.readBody(c, h, config.Limits())
+	r.clearReadDeadline(controller)
 	if bad != nil {
 		return c, bad
 	}
@@ -115,9 +115,9 @@
 	}
 	if c.engine != nil {
 		c.model = h.Header.Get(r.opts.Names.Model)
-		c.prompt = promptTokens(h.Header.Get(r.opts.Names.Usage))
+		c.promptTokens = promptTokens(h.Header.Get(r.opts.Names.Usage))
 	}
-	r.begin(c, h)
+	r.setDeadline(c, h)
 	return c, nil
 }
 
@@ -128,7 +128,7 @@
 		return nil
 	}
 	if r.BeliefTooOld(time.Now()) {
-		return unavailable(reason.Isolated, "it is not certain which keys are in force", retryRevived)
+		return unavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	tenant, ok := config.Tenant(key)
 	if !ok {
@@ -144,43 +144,43 @@
 	return r.opts.BeliefFor > 0 && now.Sub(r.opts.Confirmed()) > r.opts.BeliefFor
 }
 
-// read reads the body within the configured limit.
-func (r *Relay) read(c *request, h *http.Request, limits fleet.Limits) *refusal {
-	most := limits.BodyBytes
-	if most <= 0 {
-		most = defaultBody
+// readBody reads the body within the configured limit.
+func (r *Relay) readBody(c *request, h *http.Request, limits fleet.Limits) *refusal {
+	limit := limits.BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if h.ContentLength > most {
+	if h.ContentLength > limit {
 		return refuse(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
 	}
-	c.holding.account = accountOf(c.tenant)
-	body, err := c.holding.read(h.Body, most, refuseWhenFull)
+	c.memory.account = accountName(c.tenant)
+	body, err := c.memory.read(h.Body, limit, failWhenFull)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return refuse(http.StatusRequestTimeout, reason.BadRequest, "the body did not come in time")
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errMemoryLimit):
 		return unavailable(reason.MemoryBound, "this daemon holds as much as it may", retryBusy)
 	case err != nil:
 		return refuse(http.StatusBadRequest, reason.BadRequest, "the body was not read whole")
 	}
-	if int64(len(body)) > most {
+	if int64(len(body)) > limit {
 		return refuse(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
 	}
 	c.body = body
 	return nil
 }
 
-// accountOf names whose bytes are counted: those of callers without an account together.
-func accountOf(tenant *fleet.Tenant) string {
+// accountName names whose bytes are counted: those of callers without an account together.
+func accountName(tenant *fleet.Tenant) string {
 	if tenant == nil {
 		return ""
 	}
 	return tenant.Name
 }
 
-// begin sets the request's deadline and context. A request that must not be
+// setDeadline sets the request's deadline and context. A request that must not be
 // repeated goes on when its caller has gone, so that it ends whole.
-func (r *Relay) begin(c *request, h *http.Request) {
+func (r *Relay) setDeadline(c *request, h *http.Request) {
 	c.deadline = c.arrived.Add(defaultTimeout)
 	if c.route.Timeout > 0 {
 		c.deadline = c.arrived.Add(c.route.Timeout)
@@ -195,7 +195,7 @@
 	if c.route.Kind == fleet.NonIdempotent {
 		parent = context.WithoutCancel(parent)
 	}
-	c.waited = r.patiences.waited(c.route, c.deadline.Sub(c.arrived), c.arrived)
+	c.waitedBefore = r.callerTimeouts.estimateWaited(c.route, c.deadline.Sub(c.arrived), c.arrived)
 	c.ctx, c.cancel = context.WithDeadline(parent, c.deadline)
 }
 
@@ -215,8 +215,8 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// forwarded returns the headers that are passed on.
-func forwarded(header http.Header) http.Header {
+// forwardedHeaders returns the headers that are passed on.
+func forwardedHeaders(header http.Header) http.Header {
 	out := header.Clone()
 	for _, field := range header.Values("Connection") {
 		for _, name := range strings.Split(field, ",") {
@@ -232,7 +232,7 @@
 // messageFor returns the request as it goes to a worker.
 func (r *Relay) messageFor(c *request, worker *fleet.Worker, lastEvent string) *message {
 	names := r.opts.Names
-	header := forwarded(c.header)
+	header := forwardedHeaders(c.header)
 	for _, own := range []string{names.Key, names.Tenant, names.Instance, names.Priority, names.Deadline} {
 		header.Del(own)
 	}
@@ -254,12 +254,12 @@
 	}
 	return &message{
 		method: c.method, encoded: encode(c.method, c.target, c.host, header, c.body),
-		sendBy: c.sendBy, attempt: c.id, attemptName: names.Attempt, once: !c.route.Repeatable(),
+		sendBy: c.sendBy, attempt: c.id, attemptName: names.Attempt, runOnce: !c.route.Repeatable(),
 	}
 }
 
-// gaveUp reports whether the caller has gone or the time is up.
-func (c *request) gaveUp() bool { return c.ctx.Err() != nil }
+// isDone reports whether the caller has gone or the time is up.
+func (c *request) isDone() bool { return c.ctx.Err() != nil }
 
-// outOfTime reports whether the request's time is up.
-func (c *request) outOfTime() bool { return errors.Is(c.ctx.Err(), context.DeadlineExceeded) }
+// isTimedOut reports whether the request's time is up.
+func (c *request) isTimedOut() bool { return errors.Is(c.ctx.Err(), context.DeadlineExceeded) }
--- a/relay/reservation.go
+++ b/relay/reservation.go
@@ -6,41 +6,41 @@
 type Reservation struct {
 	tracker *Tracker
 	load    *replicaLoad
-	// prompt is the number of prompt tokens, prefill how many of them are to be read.
-	prompt  int
-	prefill int
-	ended   bool
+	// promptTokens is the number of prompt tokens, prefill how many of them are to be read.
+	promptTokens int
+	prefill      int
+	isReleased   bool
 }
 
-// Begin counts a request with a number of prompt tokens to be read.
-func (t *Tracker) Begin(r *fleet.Replica, prompt int) *Reservation {
+// Reserve counts a request with a number of prompt tokens to be read.
+func (t *Tracker) Reserve(r *fleet.Replica, prompt int) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.loadOf(r)
 	s.inFlight++
 	s.prefill += prompt
-	s.prompts += prompt
-	t.traffic = t.traffic || prompt > 0
-	return &Reservation{tracker: t, load: s, prompt: prompt, prefill: prompt}
+	s.promptTokens += prompt
+	t.hasTraffic = t.hasTraffic || prompt > 0
+	return &Reservation{tracker: t, load: s, promptTokens: prompt, prefill: prompt}
 }
 
-// Started notes that the prompt was read.
-func (r *Reservation) Started() {
+// PrefillDone notes that the prompt was read.
+func (r *Reservation) PrefillDone() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
 	r.load.prefill -= r.prefill
 	r.prefill = 0
 }
 
-// End ends the count; further calls do nothing.
-func (r *Reservation) End() {
+// Release ends the count; further calls do nothing.
+func (r *Reservation) Release() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
-	if r.ended {
+	if r.isReleased {
 		return
 	}
-	r.ended = true
+	r.isReleased = true
 	r.load.inFlight--
 	r.load.prefill -= r.prefill
-	r.load.prompts -= r.prompt
+	r.load.promptTokens -= r.promptTokens
 }
--- a/relay/spread_test.go
+++ b/relay/resumedelay_test.go
@@ -24,8 +24,8 @@
 	r := &Relay{}
 	perPass := make(map[time.Duration]int)
 	for range streams {
-		s := &relayed{begun: true, movedAt: now.Add(-noticed)}
-		wait := r.spread(&request{route: route, arrived: now.Add(-3 * time.Second), deadline: now.Add(5 * time.Second)}, s, now)
+		s := &relayedStream{isHeadSent: true, lastEventAt: now.Add(-noticed)}
+		wait := r.resumeDelay(&request{route: route, arrived: now.Add(-3 * time.Second), deadline: now.Add(5 * time.Second)}, s, now)
 		perPass[wait/pass]++
 		assert.Assert(t, noticed+wait < leave, "%s", wait)
 	}
@@ -53,7 +53,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := &request{route: route, arrived: now.Add(-5 * time.Second), deadline: now.Add(test.left)}
 			for range 100 {
-				wait := (&Relay{}).spread(c, &relayed{begun: true, movedAt: now.Add(-test.pause)}, now)
+				wait := (&Relay{}).resumeDelay(c, &relayedStream{isHeadSent: true, lastEventAt: now.Add(-test.pause)}, now)
 				assert.Assert(t, wait >= 0 && wait <= test.most, "%s", wait)
 			}
 		})
@@ -78,9 +78,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := &relayed{begun: test.begun, movedAt: now.Add(-test.pause)}
+			s := &relayedStream{isHeadSent: test.begun, lastEventAt: now.Add(-test.pause)}
 			c := &request{route: test.route, arrived: now.Add(-test.age)}
-			assert.Equal(t, (&Relay{}).spread(c, s, now), time.Duration(0))
+			assert.Equal(t, (&Relay{}).resumeDelay(c, s, now), time.Duration(0))
 		})
 	}
 }
--- a/relay/comeback_test.go
+++ b/relay/retryafter_test.go
@@ -22,7 +22,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			for range 100 {
-				got := (&Relay{}).comeBack(&request{deadline: now.Add(test.left)}, now)
+				got := (&Relay{}).spreadRetryAfter(&request{deadline: now.Add(test.left)}, now)
 				assert.Assert(t, got >= test.least && got <= test.most, "%s", got)
 			}
 		})
@@ -35,17 +35,17 @@
 func TestRefusedCallersComeBackToAPlace(t *testing.T) {
 	for name, daemons := range map[string]int{"two daemons": 2, "eight daemons": 8} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playBurst(t, daemons) })
+			synctest.Test(t, func(t *testing.T) { simulateBurst(t, daemons) })
 		})
 	}
 }
 
-func playBurst(t *testing.T, daemons int) {
+func simulateBurst(t *testing.T, daemons int) {
 	t.Helper()
-	p := newPlay(t, daemons, &playedHead{id: "a"}, &playedHead{id: "b"})
+	p := newSimulation(t, daemons, &simHead{id: "a"}, &simHead{id: "b"})
 	const callers = 100
 	for i := range callers {
-		p.calls.Go(func() { p.callTwice(i%daemons, fmt.Sprint("burst", i), 100, patient) })
+		p.calls.Go(func() { p.callWithRetry(i%daemons, fmt.Sprint("burst", i), 100, fullTimeout) })
 		time.Sleep(time.Millisecond)
 	}
 	p.calls.Wait()
@@ -53,9 +53,9 @@
 	assert.Assert(t, served >= callers*95/100, "%d of %d are served", served, callers)
 }
 
-// callTwice is a caller that comes back once, when told, if that is within a third of the
+// callWithRetry is a caller that comes back once, when told, if that is within a third of the
 // time it has left.
-func (p *play) callTwice(daemon int, id string, prompt int, patience time.Duration) {
+func (p *simulation) callWithRetry(daemon int, id string, prompt int, patience time.Duration) {
 	began := time.Now()
 	p.send(daemon, id, prompt, patience)
 	p.mu.Lock()
--- a/relay/servelate_test.go
+++ b/relay/servelate_test.go
@@ -31,12 +31,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := &request{
-				route: &fleet.Route{Objective: 300 * time.Millisecond}, waited: test.waited, ctx: context.Background(),
+				route: &fleet.Route{Objective: 300 * time.Millisecond}, waitedBefore: test.waited, ctx: context.Background(),
 				arrived: now, deadline: now.Add(5 * time.Second),
 			}
 			r := &Relay{opts: Options{ServeLate: test.keeps}}
 			none := &refusal{status: http.StatusServiceUnavailable, reason: test.why}
-			got := r.mayWait(c, &relayed{begun: test.begun, movedAt: now}, none, now.Add(10*time.Millisecond))
+			got := r.mayWait(c, &relayedStream{isHeadSent: test.begun, lastEventAt: now}, none, now.Add(10*time.Millisecond))
 			assert.Equal(t, got, test.want)
 		})
 	}
--- a/relay/signals.go
+++ b/relay/signals.go
@@ -16,13 +16,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r.heed(worker, e.response, sent)
+	r.readSignal(worker, e.response, sent)
 	return e, nil
 }
 
-// heed takes what a worker says of itself in the head of an answer. One that another worker
+// readSignal takes what a worker says of itself in the head of an answer. One that another worker
 // gave at its address says nothing of it.
-func (r *Relay) heed(worker *fleet.Worker, answer *http.Response, sent time.Time) {
+func (r *Relay) readSignal(worker *fleet.Worker, answer *http.Response, sent time.Time) {
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
--- a/relay/signals_test.go
+++ b/relay/signals_test.go
@@ -14,13 +14,13 @@
 	"quartzshelf.dev/fleet"
 )
 
-// heardSignals collects what workers said of themselves.
-type heardSignals struct {
+// signalRecorder collects what workers said of themselves.
+type signalRecorder struct {
 	mu  sync.Mutex
 	all []backpressure.Signal
 }
 
-func (h *heardSignals) take(_ *fleet.Worker, s backpressure.Signal, _, _ time.Time) {
+func (h *signalRecorder) take(_ *fleet.Worker, s backpressure.Signal, _, _ time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.all = append(h.all, s)
@@ -50,11 +50,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w", test.script...)
-			w.header = test.header
+			w.extraHeader = test.header
 			r, server := newTestRelay(t, w)
-			var heard heardSignals
+			var heard signalRecorder
 			r.opts.Names.Asks, r.opts.Signalled = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, heard.take
-			do(t, server, test.path, "x", nil)
+			sendRequest(t, server, test.path, "x", nil)
 			heard.mu.Lock()
 			defer heard.mu.Unlock()
 			assert.DeepEqual(t, heard.all, test.want)
@@ -76,7 +76,7 @@
 				r, server := newTestRelay(t, w)
 				tokens := &fakeTokens{left: map[string]int{"w": 0, "w-model": 0}}
 				bound(&r.opts, Bound{Check: tokens.check, Take: tokens.take, Next: tokens.next})
-				got := do(t, server, path, "x", nil)
+				got := sendRequest(t, server, path, "x", nil)
 				assert.Equal(t, got.status, http.StatusServiceUnavailable)
 				assert.Assert(t, strings.Contains(got.body, why), got.body)
 				after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -95,9 +95,9 @@
 	r, server := newTestRelay(t, w)
 	tokens := &fakeTokens{left: map[string]int{"w": 2}}
 	r.opts.Limits = Bound{Check: tokens.check, Take: tokens.take, Next: tokens.next}
-	assert.Equal(t, do(t, server, "/safe/", "first", nil).status, http.StatusOK)
-	assert.Equal(t, do(t, server, "/safe/", "second", nil).status, http.StatusBadGateway)
+	assert.Equal(t, sendRequest(t, server, "/safe/", "first", nil).status, http.StatusOK)
+	assert.Equal(t, sendRequest(t, server, "/safe/", "second", nil).status, http.StatusBadGateway)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	assert.Equal(t, len(w.heads), 2)
+	assert.Equal(t, len(w.received), 2)
 }
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -16,28 +16,28 @@
 	"quartzshelf.dev/peers"
 )
 
-// patient callers give as much time as the route allows.
-const patient = 6 * time.Second
+// fullTimeout callers give as much time as the route allows.
+const fullTimeout = 6 * time.Second
 
 // TestQueuedPromptIsNotLost: a request waits 1.4 s behind other prompts at a head whose
 // streams move for another daemon. It is served there, from one send.
 func TestQueuedPromptIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 2, &playedHead{id: "a"})
+		p := newSimulation(t, 2, &simHead{id: "a"})
 		// Streams of the other daemon move all the time.
 		for range 30 {
-			p.call(1, "moving", 0, patient)
+			p.call(1, "moving", 0, fullTimeout)
 			time.Sleep(100 * time.Millisecond)
 			if p.sends("moving") == 5 {
-				p.call(1, "before", 14_000, patient)
+				p.call(1, "before", 14_000, fullTimeout)
 				time.Sleep(time.Millisecond)
-				p.call(0, "queued", 1000, patient)
+				p.call(0, "queued", 1000, fullTimeout)
 			}
 		}
 		p.calls.Wait()
 		assert.Assert(t, p.served("queued"), "%+v", p.results["queued"])
 		assert.Equal(t, p.sends("queued"), 1)
-		assert.Assert(t, p.results["queued"].first > beginSilence, "it waited for %s only", p.results["queued"].first)
+		assert.Assert(t, p.results["queued"].first > firstEventTimeout, "it waited for %s only", p.results["queued"].first)
 	})
 }
 
@@ -47,18 +47,18 @@
 func TestStandingReplicaIsNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Bool
-		p := newPlay(t, 2, &playedHead{id: "a", still: stopped.Load})
-		p.call(0, "begun", 0, patient)
-		p.call(1, "other", 0, patient)
+		p := newSimulation(t, 2, &simHead{id: "a", isStalled: stopped.Load})
+		p.call(0, "begun", 0, fullTimeout)
+		p.call(1, "other", 0, fullTimeout)
 		time.Sleep(100 * time.Millisecond)
 		stopped.Store(true)
 		began := time.Now()
-		p.call(1, "waits", 0, patient)
+		p.call(1, "waits", 0, fullTimeout)
 		for i, r := range p.daemons {
-			for !r.opts.Tracker.suspected("a@1", time.Now()) {
+			for !r.opts.Tracker.passesOver("a@1", time.Now()) {
 				time.Sleep(10 * time.Millisecond)
 			}
-			assert.Assert(t, time.Since(began) <= goSilence+2*sweepEvery, "daemon %d after %s", i, time.Since(began))
+			assert.Assert(t, time.Since(began) <= nextEventTimeout+2*sweepInterval, "daemon %d after %s", i, time.Since(began))
 		}
 		stopped.Store(false)
 		p.calls.Wait()
@@ -70,9 +70,9 @@
 func TestSilenceIsNamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		still := func() bool { return true }
-		p := newPlay(t, 1, &playedHead{id: "a", still: still}, &playedHead{id: "b", still: still})
-		p.leaves = patient
-		p.call(0, "waits", 0, patient)
+		p := newSimulation(t, 1, &simHead{id: "a", isStalled: still}, &simHead{id: "b", isStalled: still})
+		p.callerPatience = fullTimeout
+		p.call(0, "waits", 0, fullTimeout)
 		p.calls.Wait()
 		got := p.results["waits"]
 		assert.Equal(t, got.status, http.StatusBadGateway)
@@ -86,28 +86,28 @@
 func TestDeadConnectionIsNoticed(t *testing.T) {
 	for name, prompt := range map[string]int{"after events": 0, "before the first event": 1} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playDeadConnection(t, prompt) })
+			synctest.Test(t, func(t *testing.T) { simulateDeadConnection(t, prompt) })
 		})
 	}
 }
 
-func playDeadConnection(t *testing.T, prompt int) {
+func simulateDeadConnection(t *testing.T, prompt int) {
 	t.Helper()
 	var silent atomic.Bool
 	silent.Store(prompt > 0)
-	p := newPlay(t, 1, &playedHead{id: "a", mute: func(id string) bool { return id == "dead" && silent.Load() }})
-	p.call(0, "dead", prompt, patient)
+	p := newSimulation(t, 1, &simHead{id: "a", isMuted: func(id string) bool { return id == "dead" && silent.Load() }})
+	p.call(0, "dead", prompt, fullTimeout)
 	time.Sleep(100 * time.Millisecond)
 	silent.Store(true)
-	p.join(&playedHead{id: "b"})
+	p.addHead(&simHead{id: "b"})
 	for range 35 {
 		// So many that both heads get some.
 		for range 3 {
-			p.call(0, "moving", 0, patient)
+			p.call(0, "moving", 0, fullTimeout)
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
-	assert.Assert(t, !p.daemons[0].opts.Tracker.suspected("a@1", time.Now()))
+	assert.Assert(t, !p.daemons[0].opts.Tracker.passesOver("a@1", time.Now()))
 	p.calls.Wait()
 	got := p.results["dead"]
 	assert.Assert(t, p.served("dead"), "%+v", got)
@@ -122,7 +122,7 @@
 		replica := testReplica("a", "")
 		ctx, cancel := context.WithCancelCause(context.Background())
 		defer cancel(nil)
-		tracker.Moved(replica, tracker.Follow(replica, testCosts, cancel), time.Now())
+		tracker.RecordEvent(replica, tracker.Watch(replica, testCosts, cancel), time.Now())
 		const gap = 300 * time.Millisecond
 		for range 5 {
 			time.Sleep(gap)
@@ -140,11 +140,11 @@
 		replica := testReplica("a", "")
 		ctx, cancel := context.WithCancelCause(context.Background())
 		defer cancel(nil)
-		watch := tracker.Follow(replica, testCosts, cancel)
+		watch := tracker.Watch(replica, testCosts, cancel)
 		for range 5 {
-			tracker.Moved(replica, watch, time.Now())
-			time.Sleep(2 * goSilence)
-			tracker.Sweep(time.Now(), 2*goSilence)
+			tracker.RecordEvent(replica, watch, time.Now())
+			time.Sleep(2 * nextEventTimeout)
+			tracker.Sweep(time.Now(), 2*nextEventTimeout)
 			assert.NilError(t, ctx.Err())
 		}
 	})
@@ -164,17 +164,17 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			tracker := NewTracker("", func(*fleet.Replica) {})
-			tracker.Begin(testReplica("a", ""), 0)
+			tracker.Reserve(testReplica("a", ""), 0)
 			tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 1, Moved: test.moved}}}, now)
 			tracker.Suspect("a", now)
-			assert.Equal(t, tracker.suspected("a", now), test.want)
+			assert.Equal(t, tracker.passesOver("a", now), test.want)
 		})
 	}
 }
 
-// suspected reports whether a replica is passed over.
-func (t *Tracker) suspected(replica string, now time.Time) bool {
+// passesOver reports whether a replica is passed over.
+func (t *Tracker) passesOver(replica string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.doubted(replica, now)
+	return t.isSuspected(replica, now)
 }
--- a/relay/play_test.go
+++ b/relay/simulation_test.go
@@ -22,46 +22,46 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// play is daemons before heads, without a network. It is used within synctest.
-type play struct {
+// simulation is daemons before heads, without a network. It is used within synctest.
+type simulation struct {
 	ctx       context.Context
 	inventory *fleet.Inventory
-	heads     map[string]*playedHead
+	heads     map[string]*simHead
 	daemons   []*Relay
-	// leaves is how long callers wait for the first event.
-	leaves time.Duration
+	// callerPatience is how long callers wait for the first event.
+	callerPatience time.Duration
 	// body is the body of a request; all have the same if it is nil.
 	body func(id string) string
-	// ended counts the heads that ended.
-	ended int
-	calls sync.WaitGroup
-	work  sync.WaitGroup
+	// crashes counts the heads that ended.
+	crashes int
+	calls   sync.WaitGroup
+	work    sync.WaitGroup
 
 	mu      sync.Mutex
-	results map[string]playedCall
+	results map[string]simCall
 }
 
-// playedCall is what a caller got, and when.
-type playedCall struct {
-	call
+// simCall is what a caller got, and when.
+type simCall struct {
+	answerSeen
 	first, end time.Duration
 }
 
-// newPlay starts daemons before heads. The test ends it.
-func newPlay(t *testing.T, daemons int, heads ...*playedHead) *play {
+// newSimulation starts daemons before heads. The test ends it.
+func newSimulation(t *testing.T, daemons int, heads ...*simHead) *simulation {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &play{ctx: ctx, leaves: playedLeaves, heads: make(map[string]*playedHead), results: make(map[string]playedCall)}
+	p := &simulation{ctx: ctx, callerPatience: simCallerPatience, heads: make(map[string]*simHead), results: make(map[string]simCall)}
 	p.inventory = fleet.NewInventory(1200*time.Millisecond, 0)
 	for _, h := range heads {
-		p.join(h)
+		p.addHead(h)
 	}
 	for range daemons {
 		r := p.newDaemon(t, daemons)
 		p.daemons = append(p.daemons, r)
 		p.work.Go(func() { r.Run(ctx) })
 	}
-	p.work.Go(p.report)
+	p.work.Go(p.reportLoads)
 	t.Cleanup(func() {
 		p.calls.Wait()
 		cancel()
@@ -74,25 +74,25 @@
 	return p
 }
 
-// join starts a further head.
-func (p *play) join(h *playedHead) {
+// addHead starts a further head.
+func (p *simulation) addHead(h *simHead) {
 	p.mu.Lock()
 	p.heads[h.id] = h
 	p.mu.Unlock()
 	p.inventory.Apply([]fleet.Change{{ID: h.id, Worker: h.entry()}}, p.inventory.Position()+1, time.Now())
-	p.work.Go(func() { h.work(p.ctx) })
+	p.work.Go(func() { h.run(p.ctx) })
 }
 
-func (p *play) newDaemon(t *testing.T, daemons int) *Relay {
+func (p *simulation) newDaemon(t *testing.T, daemons int) *Relay {
 	t.Helper()
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
-	config := playedConfig()
+	config := simConfig()
 	r := New(Options{
 		Names: testNames, Config: func() *fleet.Config { return config }, Confirmed: time.Now,
 		ServeLate: true, View: p.inventory.View, Tracker: NewTracker("", func(*fleet.Replica) {}),
 		Budget:  BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, Daemons: func() int { return daemons }},
-		Spread:  func() { p.tellQuarantine() },
+		Spread:  func() { p.shareQuarantine() },
 		Leaving: func() bool { return false }, Meter: meter, Logger: hclog.NewNullLogger(),
 	})
 	r.upstream.dial = func(_ context.Context, _, address string) (net.Conn, error) {
@@ -110,8 +110,8 @@
 	return r
 }
 
-// tellQuarantine tells all daemons at once what each knows of requests that end heads.
-func (p *play) tellQuarantine() {
+// shareQuarantine tells all daemons at once what each knows of requests that end heads.
+func (p *simulation) shareQuarantine() {
 	now := time.Now()
 	for _, from := range p.daemons {
 		report := from.guard.Table().Report(now, true)
@@ -121,17 +121,17 @@
 	}
 }
 
-// end ends a head: its connections break, none is accepted any more, and the list loses it
+// crash ends a head: its connections break, none is accepted any more, and the list loses it
 // after three heartbeats. Another one takes its place.
-func (p *play) end(h *playedHead) {
+func (p *simulation) crash(h *simHead) {
 	p.mu.Lock()
 	if p.heads[h.id] != h {
 		p.mu.Unlock()
 		return
 	}
 	delete(p.heads, h.id)
-	p.ended++
-	next := &playedHead{id: fmt.Sprintf("%s-%d", h.id, p.ended), zone: h.zone, runsText: h.runsText}
+	p.crashes++
+	next := &simHead{id: fmt.Sprintf("%s-%d", h.id, p.crashes), zone: h.zone, onRun: h.onRun}
 	p.mu.Unlock()
 	h.end()
 	p.work.Go(func() {
@@ -140,13 +140,13 @@
 	})
 	p.work.Go(func() {
 		wait(p.ctx, 2*time.Second)
-		p.join(next)
+		p.addHead(next)
 	})
 }
 
-// report tells each daemon the loads at the others, five times a second, as late as
+// reportLoads tells each daemon the loads at the others, five times a second, as late as
 // relays of a large fleet do.
-func (p *play) report() {
+func (p *simulation) reportLoads() {
 	const every, late = 200 * time.Millisecond, 200 * time.Millisecond
 	for p.ctx.Err() == nil {
 		wait(p.ctx, every)
@@ -156,13 +156,13 @@
 		}
 		p.work.Go(func() {
 			wait(p.ctx, late)
-			p.tell(loads, late)
-			p.tellQuarantine()
+			p.deliverLoads(loads, late)
+			p.shareQuarantine()
 		})
 	}
 }
 
-func (p *play) tell(loads []peers.Loads, age time.Duration) {
+func (p *simulation) deliverLoads(loads []peers.Loads, age time.Duration) {
 	for i, to := range p.daemons {
 		for j := range loads {
 			if i != j {
@@ -178,30 +178,30 @@
 	}
 }
 
-// playedWriter notes when the first bytes of an answer came.
-type playedWriter struct {
+// simWriter notes when the first bytes of an answer came.
+type simWriter struct {
 	*httptest.ResponseRecorder
 	first time.Time
-	// leaves ends the call if nothing comes.
-	leaves *time.Timer
+	// giveUp ends the call if nothing comes.
+	giveUp *time.Timer
 }
 
-func (w *playedWriter) Write(b []byte) (int, error) {
+func (w *simWriter) Write(b []byte) (int, error) {
 	if w.first.IsZero() {
 		w.first = time.Now()
-		w.leaves.Stop()
+		w.giveUp.Stop()
 	}
 	return w.ResponseRecorder.Write(b)
 }
 
 // call sends a stream request by a daemon, with a prompt, from a caller that waits for a
 // time.
-func (p *play) call(daemon int, id string, prompt int, patience time.Duration) {
+func (p *simulation) call(daemon int, id string, prompt int, patience time.Duration) {
 	p.calls.Go(func() { p.send(daemon, id, prompt, patience) })
 }
 
 // send is call, and returns once the answer is over.
-func (p *play) send(daemon int, id string, prompt int, patience time.Duration) {
+func (p *simulation) send(daemon int, id string, prompt int, patience time.Duration) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, patience)
 	defer cancel()
@@ -215,13 +215,13 @@
 	request.Header.Set(testNames.Model, "m")
 	request.Header.Set(testNames.Deadline, strconv.FormatInt(patience.Milliseconds(), 10))
 	request.Header.Set(testNames.Usage, strconv.Itoa(prompt)+",40")
-	w := &playedWriter{ResponseRecorder: httptest.NewRecorder(), leaves: time.AfterFunc(p.leaves, cancel)}
-	defer w.leaves.Stop()
-	got := playedCall{call: call{whole: true}}
+	w := &simWriter{ResponseRecorder: httptest.NewRecorder(), giveUp: time.AfterFunc(p.callerPatience, cancel)}
+	defer w.giveUp.Stop()
+	got := simCall{answerSeen: answerSeen{isWhole: true}}
 	func() {
 		defer func() {
 			if recover() != nil {
-				got.whole = false
+				got.isWhole = false
 			}
 		}()
 		p.daemons[daemon].ServeHTTP(w, request)
@@ -234,15 +234,15 @@
 }
 
 // served reports whether a caller has the whole of its stream.
-func (p *play) served(id string) bool {
+func (p *simulation) served(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	got := p.results[id]
-	return got.status == http.StatusOK && got.whole && got.body == wholeStream()
+	return got.status == http.StatusOK && got.isWhole && got.body == wholeStream()
 }
 
 // count returns how many of n calls, whose ids are a name and a number, are as wanted.
-func (p *play) count(name string, n int, wanted func(id string) bool) int {
+func (p *simulation) count(name string, n int, wanted func(id string) bool) int {
 	count := 0
 	for i := range n {
 		if wanted(fmt.Sprint(name, i)) {
@@ -253,11 +253,11 @@
 }
 
 // sends returns at how many heads a request was seen, counting each time.
-func (p *play) sends(id string) int {
+func (p *simulation) sends(id string) int {
 	n := 0
 	for _, h := range p.heads {
 		h.mu.Lock()
-		for _, seen := range h.seen {
+		for _, seen := range h.received {
 			if seen == id {
 				n++
 			}
@@ -267,7 +267,7 @@
 	return n
 }
 
-func playedConfig() *fleet.Config {
+func simConfig() *fleet.Config {
 	return fleet.NewConfig(fleet.Parts{
 		Version: 1,
 		Routes: []*fleet.Route{{
@@ -275,6 +275,6 @@
 			Objective: 300 * time.Millisecond, GapTarget: 200 * time.Millisecond,
 			Targets: []fleet.Target{{Service: "models", Weight: 1}},
 		}},
-		Services: []*fleet.Service{{Name: "models", Engine: playedEngine}},
+		Services: []*fleet.Service{{Name: "models", Engine: simEngine}},
 	})
 }
--- a/relay/slowcaller_test.go
+++ b/relay/slowcaller_test.go
@@ -24,18 +24,18 @@
 }
 
 // sendSlowly sends a stream request whose caller reads slowly.
-func (p *play) sendSlowly(daemon int, id string, each time.Duration) {
+func (p *simulation) sendSlowly(daemon int, id string, each time.Duration) {
 	p.calls.Go(func() {
 		request := httptest.NewRequest(http.MethodPost, "/stream/", strings.NewReader("body")).WithContext(p.ctx)
 		request.Host = "h"
 		request.Header.Set(testNames.Attempt, id)
 		request.Header.Set(testNames.Model, "m")
 		w := &slowWriter{ResponseRecorder: httptest.NewRecorder(), each: each}
-		got := playedCall{call: call{whole: true}}
+		got := simCall{answerSeen: answerSeen{isWhole: true}}
 		func() {
 			defer func() {
 				if recover() != nil {
-					got.whole = false
+					got.isWhole = false
 				}
 			}()
 			p.daemons[daemon].ServeHTTP(w, request)
@@ -52,13 +52,13 @@
 // end.
 func TestSlowCallerHarmsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 2, &playedHead{id: "a"})
-		const each = goSilence + 2*sweepEvery
+		p := newSimulation(t, 2, &simHead{id: "a"})
+		const each = nextEventTimeout + 2*sweepInterval
 		p.sendSlowly(0, "slow", each)
 		for n := range 10 {
 			time.Sleep(200 * time.Millisecond)
 			for _, r := range p.daemons {
-				assert.Assert(t, !r.opts.Tracker.suspected("a@1", time.Now()), "suspected in step %d", n)
+				assert.Assert(t, !r.opts.Tracker.passesOver("a@1", time.Now()), "suspected in step %d", n)
 			}
 		}
 		p.calls.Wait()
@@ -72,17 +72,17 @@
 func TestSilenceBehindSlowCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stopped := false
-		p := newPlay(t, 1, &playedHead{id: "a", still: func() bool { return stopped }})
+		p := newSimulation(t, 1, &simHead{id: "a", isStalled: func() bool { return stopped }})
 		for i := range 5 {
 			p.sendSlowly(0, fmt.Sprint("slow", i), 10*time.Second)
 		}
-		p.call(0, "reads", 0, patient)
+		p.call(0, "reads", 0, fullTimeout)
 		time.Sleep(100 * time.Millisecond)
 		stopped = true
 		began := time.Now()
-		for !p.daemons[0].opts.Tracker.suspected("a@1", time.Now()) {
+		for !p.daemons[0].opts.Tracker.passesOver("a@1", time.Now()) {
 			time.Sleep(10 * time.Millisecond)
-			assert.Assert(t, time.Since(began) <= goSilence+2*sweepEvery, "not noticed after %s", time.Since(began))
+			assert.Assert(t, time.Since(began) <= nextEventTimeout+2*sweepInterval, "not noticed after %s", time.Since(began))
 		}
 		stopped = false
 		p.calls.Wait()
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	streamBuffer = 2 << 10
-	// maxEvent bounds one event of a stream, in bytes.
-	maxEvent = 1 << 20
-	// resumeWait is how long a stream that has begun waits for a replica to go
+	streamBufferBytes = 2 << 10
+	// maxEventBytes bounds one event of a stream, in bytes.
+	maxEventBytes = 1 << 20
+	// resumeTimeout is how long a stream that has begun waits for a replica to go
 	// on at, counted from its last event; callers leave soon after.
-	resumeWait = 1600 * time.Millisecond
-	resumePoll = 40 * time.Millisecond
+	resumeTimeout      = 1600 * time.Millisecond
+	resumePollInterval = 40 * time.Millisecond
 )
 
-var errTornStream = errors.New("the stream ended within an event")
+var errPartialEvent = errors.New("the stream ended within an event")
 
-// relayed is a stream as its caller has it so far.
-type relayed struct {
+// relayedStream is a stream as its caller has it so far.
+type relayedStream struct {
 	w http.ResponseWriter
-	// begun tells that the caller has the head, and so only the rest of this
+	// isHeadSent tells that the caller has the head, and so only the rest of this
 	// very stream may follow.
-	begun bool
-	// last is the id of the last whole event passed on.
-	last string
-	// movedAt is when that was.
-	movedAt time.Time
-	// clientGone tells that the caller does not read any more.
-	clientGone bool
-	late       lateness
+	isHeadSent bool
+	// lastEventID is the id of the last whole event passed on.
+	lastEventID string
+	// lastEventAt is when that was.
+	lastEventAt time.Time
+	// isClientGone tells that the caller does not read any more.
+	isClientGone bool
+	lateness     lateness
 }
 
 // serveStream relays a stream, and goes on at another replica when one breaks.
 func (r *Relay) serveStream(w http.ResponseWriter, c *request) *refusal {
-	s := &relayed{w: w, last: c.header.Get(r.opts.Names.LastEvent), movedAt: c.arrived}
-	r.opts.Tracker.NotePause(c.model, c.route.GapTarget, c.arrived)
+	s := &relayedStream{w: w, lastEventID: c.header.Get(r.opts.Names.LastEvent), lastEventAt: c.arrived}
+	r.opts.Tracker.RecordGapTarget(c.model, c.route.GapTarget, c.arrived)
 	for {
 		replica, none := r.chooseOrWait(c, s)
 		if none != nil {
@@ -51,17 +51,17 @@
 		}
 		err := r.tryStream(c, s, replica)
 		if err == nil {
-			r.tellLate(c, &s.late)
+			r.logLate(c, &s.lateness)
 			return nil
 		}
-		s.late.moving = true
-		ran := r.note(c, replica, err)
-		if c.gaveUp() || s.clientGone || !r.mayRepeat(c, ran) {
-			return r.endStream(c, s, r.failed(c))
+		s.lateness.isResuming = true
+		ran := r.recordFailure(c, replica, err)
+		if c.isDone() || s.isClientGone || !r.mayRetry(c, ran) {
+			return r.endStream(c, s, r.failureRefusal(c))
 		}
-		pause.For(c.ctx, r.spread(c, s, time.Now()))
-		if s.begun {
-			r.opts.Logger.Info("stream resumes", "request", c.id, "from", replica.ID, "after_event", s.last, "error", err)
+		pause.For(c.ctx, r.resumeDelay(c, s, time.Now()))
+		if s.isHeadSent {
+			r.opts.Logger.Info("stream resumes", "request", c.id, "from", replica.ID, "after_event", s.lastEventID, "error", err)
 			r.opts.Meter.Retry(reason.RetryResumed)
 			continue
 		}
@@ -71,85 +71,85 @@
 
 // chooseOrWait chooses a replica. A stream that has begun, or is late, waits a little for
 // one.
-func (r *Relay) chooseOrWait(c *request, s *relayed) (*fleet.Replica, *refusal) {
+func (r *Relay) chooseOrWait(c *request, s *relayedStream) (*fleet.Replica, *refusal) {
 	for {
 		replica, none := r.choose(c)
 		if none == nil || !r.mayWait(c, s, none, time.Now()) {
 			return replica, none
 		}
-		pause.For(c.ctx, resumePoll)
+		pause.For(c.ctx, resumePollInterval)
 	}
 }
 
 // endStream ends a stream that cannot go on: with a refusal if the caller has
 // nothing yet, else by breaking the connection off, since what is not whole
 // must not look complete.
-func (r *Relay) endStream(c *request, s *relayed, f *refusal) *refusal {
-	f = c.truthful(f)
-	if !s.begun {
+func (r *Relay) endStream(c *request, s *relayedStream, f *refusal) *refusal {
+	f = c.correctStatus(f)
+	if !s.isHeadSent {
 		return f
 	}
 	r.opts.Meter.Refuse(f.reason)
-	r.opts.Logger.Info("stream broken off", "request", c.id, "reason", string(f.reason), "after_event", s.last,
-		"sends", c.sends, "client_gone", s.clientGone, "ms", time.Since(c.arrived).Milliseconds(), "error", c.lastCause)
+	r.opts.Logger.Info("stream broken off", "request", c.id, "reason", string(f.reason), "after_event", s.lastEventID,
+		"sends", c.sends, "client_gone", s.isClientGone, "ms", time.Since(c.arrived).Milliseconds(), "error", c.lastErr)
 	panic(http.ErrAbortHandler)
 }
 
 // tryStream relays from one replica until the stream is complete.
-func (r *Relay) tryStream(c *request, s *relayed, replica *fleet.Replica) error {
+func (r *Relay) tryStream(c *request, s *relayedStream, replica *fleet.Replica) error {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
-	r.unbegun.add(c, cancel)
-	defer r.unbegun.remove(c)
-	reserved := r.opts.Tracker.Begin(replica, c.prompt)
-	defer reserved.End()
-	watch := r.opts.Tracker.Follow(replica, costsOf(c.engine, c.model, replica.Head.Slots), cancel)
-	defer r.opts.Tracker.Unfollow(replica, watch)
-	e, err := r.sendTo(ctx, c, replica.Head, s.last)
+	r.waitingStreams.add(c, cancel)
+	defer r.waitingStreams.remove(c)
+	reserved := r.opts.Tracker.Reserve(replica, c.promptTokens)
+	defer reserved.Release()
+	watch := r.opts.Tracker.Watch(replica, costsOf(c.engine, c.model, replica.Head.Slots), cancel)
+	defer r.opts.Tracker.Unwatch(replica, watch)
+	e, err := r.sendTo(ctx, c, replica.Head, s.lastEventID)
 	if err != nil {
 		return err
 	}
-	if err := r.rejected(e, replica.Head.ID); err != nil {
+	if err := r.checkRejected(e, replica.Head.ID); err != nil {
 		e.discard()
 		return err
 	}
 	if e.response.StatusCode != http.StatusOK || e.response.Header.Get(r.opts.Names.Signature) == "" {
 		return r.streamFailure(c, s, e, replica)
 	}
-	moved := func(now time.Time) {
-		if s.begun {
-			s.late.noteNext(c, replica.ID, now.Sub(s.movedAt))
+	onEvent := func(now time.Time) {
+		if s.isHeadSent {
+			s.lateness.recordNext(c, replica.ID, now.Sub(s.lastEventAt))
 		} else {
 			r.opts.Meter.FirstToken(c.arrived)
-			r.unbegun.remove(c)
-			s.late.noteFirst(c, replica.ID, now)
+			r.waitingStreams.remove(c)
+			s.lateness.recordFirst(c, replica.ID, now)
 		}
-		reserved.Started()
-		r.opts.Tracker.Moved(replica, watch, now)
-		watch.Passing()
+		reserved.PrefillDone()
+		r.opts.Tracker.RecordEvent(replica, watch, now)
+		watch.BeginForward()
 	}
-	passed := func() { r.opts.Tracker.Passed(watch, time.Now()) }
-	if err := s.copy(e, moved, passed); err != nil {
+	onForwarded := func() { r.opts.Tracker.EndForward(watch, time.Now()) }
+	if err := s.copyEvents(e, onEvent, onForwarded); err != nil {
 		e.abort()
 		return withCause(ctx, replica.Head.ID, &sendError{sent: true, cause: err})
 	}
 	e.finish()
-	r.completedBy(c, e)
+	r.recordCompletion(c, e)
 	return nil
 }
 
 // streamFailure deals with an answer that is not a stream: it is passed on
 // unless another attempt may follow or the caller has part of a stream.
-func (r *Relay) streamFailure(c *request, s *relayed, e *exchange, replica *fleet.Replica) error {
-	body, err := io.ReadAll(io.LimitReader(e.response.Body, maxEvent))
+func (r *Relay) streamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
+	body, err := io.ReadAll(io.LimitReader(e.response.Body, maxEventBytes))
 	if err != nil {
 		e.abort()
 		return &sendError{sent: true, cause: err}
 	}
 	e.finish()
-	r.completedBy(c, e)
-	got := &answer{status: e.response.StatusCode, header: forwarded(e.response.Header), body: body}
-	if s.begun || got.status < http.StatusBadRequest || got.status >= http.StatusInternalServerError && c.sends+1 < c.route.Attempts {
+	r.recordCompletion(c, e)
+	got := &answer{status: e.response.StatusCode, header: forwardedHeaders(e.response.Header), body: body}
+	if s.isHeadSent || got.status < http.StatusBadRequest || got.status >= http.StatusInternalServerError && c.sends+1 < c.route.Attempts {
 		return &sendError{sent: true, cause: failure.New(failure.Remote, "read stream", replica.Head.ID, "status %d", got.status)}
 	}
 	c.sends++
@@ -157,13 +157,13 @@
 	return nil
 }
 
-// copy passes whole events on as they come, until the stream is complete.
-func (s *relayed) copy(e *exchange, moved func(time.Time), passed func()) error {
-	buffer := make([]byte, 0, streamBuffer)
+// copyEvents passes whole events on as they come, until the stream is complete.
+func (s *relayedStream) copyEvents(e *exchange, onEvent func(time.Time), onForwarded func()) error {
+	buffer := make([]byte, 0, streamBufferBytes)
 	for {
 		if len(buffer) == cap(buffer) {
-			if cap(buffer) >= maxEvent {
-				return errTornStream
+			if cap(buffer) >= maxEventBytes {
+				return errPartialEvent
 			}
 			buffer = append(make([]byte, 0, 2*cap(buffer)), buffer...)
 		}
@@ -171,9 +171,9 @@
 		buffer = buffer[:len(buffer)+n]
 		whole, rest := splitEvents(buffer)
 		if len(whole) > 0 {
-			moved(time.Now())
-			err := s.pass(e, whole)
-			passed()
+			onEvent(time.Now())
+			err := s.forward(e, whole)
+			onForwarded()
 			if err != nil {
 				return err
 			}
@@ -181,9 +181,9 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF) && len(rest) > 0:
-			return errTornStream
+			return errPartialEvent
 		case errors.Is(err, io.EOF):
-			s.begin(e)
+			s.sendHead(e)
 			return nil
 		case err != nil:
 			return err
@@ -191,32 +191,32 @@
 	}
 }
 
-// begin sends the head of the first worker's answer, once.
-func (s *relayed) begin(e *exchange) {
-	if s.begun {
+// sendHead sends the head of the first worker's answer, once.
+func (s *relayedStream) sendHead(e *exchange) {
+	if s.isHeadSent {
 		return
 	}
 	header := s.w.Header()
-	for name, values := range forwarded(e.response.Header) {
+	for name, values := range forwardedHeaders(e.response.Header) {
 		header[name] = values
 	}
 	s.w.WriteHeader(http.StatusOK)
-	s.begun = true
+	s.isHeadSent = true
 }
 
-// pass sends whole events to the caller.
-func (s *relayed) pass(e *exchange, whole []byte) error {
-	s.begin(e)
+// forward sends whole events to the caller.
+func (s *relayedStream) forward(e *exchange, whole []byte) error {
+	s.sendHead(e)
 	if _, err := s.w.Write(whole); err != nil {
-		s.clientGone = true
+		s.isClientGone = true
 		return err
 	}
 	if f, ok := s.w.(http.Flusher); ok {
 		f.Flush()
 	}
 	if id := lastID(whole); id != "" {
-		s.last = id
+		s.lastEventID = id
 	}
-	s.movedAt = time.Now()
+	s.lastEventAt = time.Now()
 	return nil
 }
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// failureFor is how long a replica that failed a request is passed over if
+	// failurePenaltyPeriod is how long a replica that failed a request is passed over if
 	// others are there.
-	failureFor = time.Second
-	// remoteFor is how long a report of the load at other daemons counts.
-	remoteFor = time.Second
-	// failureCost is added, at the least, to the waits at replicas that failed a request
+	failurePenaltyPeriod = time.Second
+	// remoteLoadTTL is how long a report of the load at other daemons counts.
+	remoteLoadTTL = time.Second
+	// minFailurePenalty is added, at the least, to the waits at replicas that failed a request
 	// of late.
-	failureCost = 100 * time.Millisecond
-	// leastLate is the least time that loads of peers are late by.
-	leastLate = 50 * time.Millisecond
-	// fewestCost is charged for each request in flight where the fewest are wanted; predicted
+	minFailurePenalty = 100 * time.Millisecond
+	// minReportDelay is the least time that loads of peers are late by.
+	minReportDelay = 50 * time.Millisecond
+	// inFlightPenalty is charged for each request in flight where the fewest are wanted; predicted
 	// waits are shorter.
-	fewestCost = 10 * time.Second
-	// noisePasses is how many times less than a pass choices are spread at least.
-	noisePasses = 5
+	inFlightPenalty = 10 * time.Second
+	// noiseDivisor is how many times less than a pass choices are spread at least.
+	noiseDivisor = 5
 )
 
 // replicaLoad is a replica as this daemon's requests see it.
@@ -32,15 +32,15 @@
 	replica  *fleet.Replica
 	inFlight int
 	prefill  int
-	// prompts counts the prompt tokens of all requests in flight.
-	prompts  int
-	streams  map[*StreamWatch]struct{}
-	lastMove time.Time
-	suspect  time.Time
-	// refusedUntil is until when it gets no requests since its head took no connection.
-	refusedUntil time.Time
-	failedAt     time.Time
-	lastKnown    time.Time
+	// promptTokens counts the prompt tokens of all requests in flight.
+	promptTokens   int
+	streams        map[*StreamWatch]struct{}
+	lastEventAt    time.Time
+	suspectedUntil time.Time
+	// unreachableUntil is until when it gets no requests since its head took no connection.
+	unreachableUntil time.Time
+	failedAt         time.Time
+	lastUsedAt       time.Time
 }
 
 // Tracker counts the work in flight at each replica and notices when one falls
@@ -48,72 +48,72 @@
 type Tracker struct {
 	zone string
 
-	mu     sync.Mutex
-	held   map[string]*replicaLoad
-	remote map[string]remoteLoads
-	rates  *rates
-	pauses pauses
+	mu         sync.Mutex
+	replicas   map[string]*replicaLoad
+	remote     map[string]remoteLoads
+	rates      *rates
+	gapTargets gapTargets
 	// reportedSuspects holds until when replicas that this daemon never used are suspected, by the
 	// word of peers.
 	reportedSuspects map[string]time.Time
-	// traffic tells that a request came, here or at a peer.
-	traffic bool
-	// stalled is called, without the lock, with a replica that fell silent.
-	stalled func(r *fleet.Replica)
+	// hasTraffic tells that a request came, here or at a peer.
+	hasTraffic bool
+	// onStalled is called, without the lock, with a replica that fell silent.
+	onStalled func(r *fleet.Replica)
 }
 
 // remoteLoads is the work of other daemons, as a source reported it.
 type remoteLoads struct {
-	// at is of when the loads are on average, heard when they were reported.
-	at, heard time.Time
-	daemons   int
-	loads     map[string]peers.Load
+	// measuredAt is of when the loads are on average, heard when they were reported.
+	measuredAt, receivedAt time.Time
+	daemons                int
+	loads                  map[string]peers.Load
 }
 
 // NewTracker returns a tracker for a daemon in a zone. It calls stalled with
 // each replica whose streams all fell silent.
-func NewTracker(zone string, stalled func(r *fleet.Replica)) *Tracker {
+func NewTracker(zone string, onStalled func(r *fleet.Replica)) *Tracker {
 	return &Tracker{
-		zone: zone, held: make(map[string]*replicaLoad),
-		remote: make(map[string]remoteLoads), rates: newRates(), pauses: make(pauses),
-		reportedSuspects: make(map[string]time.Time), stalled: stalled,
+		zone: zone, replicas: make(map[string]*replicaLoad),
+		remote: make(map[string]remoteLoads), rates: newRates(), gapTargets: make(gapTargets),
+		reportedSuspects: make(map[string]time.Time), onStalled: onStalled,
 	}
 }
 
 func (t *Tracker) loadOf(r *fleet.Replica) *replicaLoad {
-	s, ok := t.held[r.ID]
+	s, ok := t.replicas[r.ID]
 	if !ok {
-		s = &replicaLoad{replica: r, streams: make(map[*StreamWatch]struct{}), suspect: t.reportedSuspects[r.ID]}
-		t.held[r.ID] = s
+		s = &replicaLoad{replica: r, streams: make(map[*StreamWatch]struct{}), suspectedUntil: t.reportedSuspects[r.ID]}
+		t.replicas[r.ID] = s
 	}
-	s.lastKnown = time.Now()
+	s.lastUsedAt = time.Now()
 	return s
 }
 
 // SetRemote takes what a source reported of the work of other daemons.
-func (t *Tracker) SetRemote(source string, work peers.Summary, heard time.Time) {
+func (t *Tracker) SetRemote(source string, work peers.Summary, receivedAt time.Time) {
 	byReplica := make(map[string]peers.Load, len(work.Loads))
 	for _, l := range work.Loads {
 		byReplica[l.Replica] = l
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := heard.Add(-time.Duration(work.Age) * time.Millisecond)
-	t.remote[source] = remoteLoads{at: at, heard: heard, daemons: work.Daemons, loads: byReplica}
+	measuredAt := receivedAt.Add(-time.Duration(work.Age) * time.Millisecond)
+	t.remote[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: work.Daemons, loads: byReplica}
 }
 
 // Traffic reports whether a request to a model came yet, here or at a peer.
 func (t *Tracker) Traffic() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.traffic
+	return t.hasTraffic
 }
 
 // SetTraffic notes that a request came to a peer.
 func (t *Tracker) SetTraffic() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.traffic = true
+	t.hasTraffic = true
 }
 
 // Loads returns this daemon's own work.
@@ -122,9 +122,9 @@
 	defer t.mu.Unlock()
 	now := time.Now()
 	var all peers.Loads
-	for id, s := range t.held {
+	for id, s := range t.replicas {
 		if s.inFlight > 0 {
-			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, Prefill: s.prefill, Moved: peers.MovedAgo(s.lastMove, now)})
+			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, Prefill: s.prefill, Moved: peers.MovedAgo(s.lastEventAt, now)})
 		}
 	}
 	return all
@@ -135,7 +135,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
-	for _, s := range t.held {
+	for _, s := range t.replicas {
 		if s.replica.Head.Zone == hall {
 			count += s.inFlight
 		}
@@ -149,10 +149,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	busy, prompts = make(map[string]float64), make(map[string]float64)
-	for _, s := range t.held {
+	for _, s := range t.replicas {
 		if s.replica.Model != "" {
 			busy[s.replica.Model] += float64(s.inFlight)
-			prompts[s.replica.Model] += float64(s.prompts)
+			prompts[s.replica.Model] += float64(s.promptTokens)
 		}
 	}
 	return busy, prompts
@@ -168,22 +168,22 @@
 // Choose returns the replica at which a request with a number of prompt tokens
 // would begin the soonest, and false when there is none. Those in tried are
 // left out.
-func (t *Tracker) Choose(replicas []*fleet.Replica, tried map[string]bool, c costs, prompt int, now time.Time) (Choice, bool) {
+func (t *Tracker) Choose(replicas []*fleet.Replica, excluded map[string]bool, c costs, prompt int, now time.Time) (Choice, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	noise := t.noise(replicas, c, prompt, now)
 	var best Choice
 	bestCost, found := time.Duration(0), false
 	for _, r := range replicas {
-		if tried[r.ID] {
+		if excluded[r.ID] {
 			continue
 		}
 		busy, cost := t.cost(r, c, now)
-		if !c.isScarce(r) {
-			cost += c.connecting(r.Head.ID, busy, noise) + time.Duration(rand.Float64()*float64(noise))
+		if !c.isTightlyLimited(r) {
+			cost += c.openingCost(r.Head.ID, busy, noise) + time.Duration(rand.Float64()*float64(noise))
 		}
-		if c.fewest {
-			cost += time.Duration(busy * float64(fewestCost))
+		if c.preferIdle {
+			cost += time.Duration(busy * float64(inFlightPenalty))
 		}
 		if !found || cost < bestCost {
 			best, bestCost, found = Choice{Replica: r, Busy: busy}, cost, true
@@ -200,10 +200,10 @@
 	if len(replicas) == 0 {
 		return 0
 	}
-	late, count := time.Duration(0), 0
+	delay, count := time.Duration(0), 0
 	for _, remote := range t.remote {
-		if age := now.Sub(remote.at); age < remoteFor {
-			late += age * time.Duration(remote.daemons)
+		if age := now.Sub(remote.measuredAt); age < remoteLoadTTL {
+			delay += age * time.Duration(remote.daemons)
 			count += remote.daemons
 		}
 	}
@@ -211,35 +211,35 @@
 	t.rates.count(key, now)
 	rate := t.rates.perSecond(key, now) * float64(count)
 	if count > 0 {
-		late /= time.Duration(count)
+		delay /= time.Duration(count)
 	}
-	arrivals := rate * (late + leastLate).Seconds() / float64(len(replicas))
-	each := time.Duration(prompt)*c.perToken + c.perRequest + c.pass/noisePasses
-	return time.Duration(arrivals*float64(each)) + c.pass/noisePasses
+	arrivals := rate * (delay + minReportDelay).Seconds() / float64(len(replicas))
+	perArrival := time.Duration(prompt)*c.perToken + c.perRequest + c.pass/noiseDivisor
+	return time.Duration(arrivals*float64(perArrival)) + c.pass/noiseDivisor
 }
 
 // cost returns the work in flight at a replica, and the predicted wait there.
 func (t *Tracker) cost(r *fleet.Replica, c costs, now time.Time) (busy float64, wait time.Duration) {
-	inFlight, prefill := t.work(r.ID, now)
+	inFlight, prefill := t.totalWork(r.ID, now)
 	busy = float64(inFlight)
 	wait = c.wait(busy, prefill)
 	if r.Head.Zone != t.zone {
-		wait += crossZone
+		wait += crossZoneCost
 	}
-	if s, ok := t.held[r.ID]; ok {
+	if s, ok := t.replicas[r.ID]; ok {
 		wait += t.penalty(s, c, now)
 	}
 	return busy, wait
 }
 
-// work returns the requests in flight at a replica over all daemons, and their prompt
+// totalWork returns the requests in flight at a replica over all daemons, and their prompt
 // tokens not yet read, as far as known.
-func (t *Tracker) work(replica string, now time.Time) (inFlight, prefill int) {
-	if s, ok := t.held[replica]; ok {
+func (t *Tracker) totalWork(replica string, now time.Time) (inFlight, prefill int) {
+	if s, ok := t.replicas[replica]; ok {
 		inFlight, prefill = s.inFlight, s.prefill
 	}
 	for _, peer := range t.remote {
-		if now.Sub(peer.at) < remoteFor {
+		if now.Sub(peer.measuredAt) < remoteLoadTTL {
 			l := peer.loads[replica]
 			inFlight += l.InFlight
 			prefill += l.Prefill
@@ -250,24 +250,24 @@
 
 // penalty returns the extra wait charged to a replica that failed a request recently.
 func (t *Tracker) penalty(s *replicaLoad, c costs, now time.Time) time.Duration {
-	if now.Sub(s.failedAt) < failureFor {
-		return max(c.service/2, failureCost)
+	if now.Sub(s.failedAt) < failurePenaltyPeriod {
+		return max(c.service/2, minFailurePenalty)
 	}
 	return 0
 }
 
-// suspects returns a check for replicas that may have stopped, or nil if there are none.
-func (t *Tracker) suspects(now time.Time) func(r *fleet.Replica) bool {
+// suspectCheck returns a check for replicas that may have stopped, or nil if there are none.
+func (t *Tracker) suspectCheck(now time.Time) func(r *fleet.Replica) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := make(map[string]bool)
-	for id := range t.held {
-		if t.doubted(id, now) {
+	for id := range t.replicas {
+		if t.isSuspected(id, now) {
 			all[id] = true
 		}
 	}
 	for id := range t.reportedSuspects {
-		if t.doubted(id, now) {
+		if t.isSuspected(id, now) {
 			all[id] = true
 		}
 	}
@@ -277,8 +277,8 @@
 	return func(r *fleet.Replica) bool { return all[r.ID] }
 }
 
-// Fail notes that a replica failed a request.
-func (t *Tracker) Fail(r *fleet.Replica, now time.Time) {
+// RecordFailure notes that a replica failed a request.
+func (t *Tracker) RecordFailure(r *fleet.Replica, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loadOf(r).failedAt = now
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -23,13 +23,13 @@
 	return &fleet.Replica{ID: id, Service: "s", Model: "m", Head: &fleet.Worker{ID: id, Zone: zone}}
 }
 
-// chosen chooses many times, as a relay does, and counts the choices of each replica.
-func chosen(t *Tracker, replicas []*fleet.Replica, now time.Time, draws int) map[string]int {
+// countChoices chooses many times, as a relay does, and counts the choices of each replica.
+func countChoices(t *Tracker, replicas []*fleet.Replica, now time.Time, draws int) map[string]int {
 	counts := make(map[string]int)
-	rules := eligibility.Rules{Suspected: t.suspects(now)}
+	rules := eligibility.Rules{IsSuspected: t.suspectCheck(now)}
 	selection := rules.Select(&eligibility.Request{}, replicas)
-	if replicas = selection.Of(eligibility.Eligible); len(replicas) == 0 {
-		replicas = selection.Of(eligibility.Doubtful)
+	if replicas = selection.InClass(eligibility.Eligible); len(replicas) == 0 {
+		replicas = selection.InClass(eligibility.LastResort)
 	}
 	for range draws {
 		if choice, ok := t.Choose(replicas, nil, testCosts, 1000, now); ok {
@@ -46,7 +46,7 @@
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "b", InFlight: 1}}}, now.Add(-200*time.Millisecond))
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
-	counts := chosen(tracker, replicas, now, 400)
+	counts := countChoices(tracker, replicas, now, 400)
 	// The wait at b is 1 ms longer; the spread is 10 ms at the least.
 	assert.Assert(t, counts["b"] > 100, "%v", counts)
 	assert.Assert(t, counts["a"] > 100, "%v", counts)
@@ -64,7 +64,7 @@
 	near := 0
 	for range 100 {
 		tracker := NewTracker("near", func(*fleet.Replica) {})
-		near += chosen(tracker, replicas, now, 10)["b"]
+		near += countChoices(tracker, replicas, now, 10)["b"]
 	}
 	assert.Assert(t, near > 600, "%d of 1000", near)
 }
@@ -78,9 +78,9 @@
 		idleFor time.Duration
 		reused  bool
 	}{
-		"just used, once":          {idle: -time.Minute, idleFor: freshIdle, reused: true},
-		"idle for a while, once":   {idle: 2 * freshIdle, idleFor: freshIdle},
-		"idle for a while, may be": {idle: 2 * freshIdle, idleFor: idleMost, reused: true},
+		"just used, once":          {idle: -time.Minute, idleFor: maxIdleRunOnce, reused: true},
+		"idle for a while, once":   {idle: 2 * maxIdleRunOnce, idleFor: maxIdleRunOnce},
+		"idle for a while, may be": {idle: 2 * maxIdleRunOnce, idleFor: maxKeepAlive, reused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -89,14 +89,14 @@
 			assert.NilError(t, err)
 			u := newUpstream()
 			c := &connection{Conn: raw, worker: "w", reader: bufio.NewReader(raw)}
-			u.put(c, idleMost)
+			u.put(c, maxKeepAlive)
 			c.idleSince = time.Now().Add(-test.idle)
 			assert.Equal(t, u.reuse(&fleet.Worker{ID: "w"}, test.idleFor) == c, test.reused)
 		})
 	}
 	// The relay asks for the shorter time for such requests alone.
-	assert.Equal(t, idleFor(true), freshIdle)
-	assert.Equal(t, idleFor(false), idleMost)
+	assert.Equal(t, maxIdleFor(true), maxIdleRunOnce)
+	assert.Equal(t, maxIdleFor(false), maxKeepAlive)
 }
 
 // TestNearlyFullReplicasAreLeftAlone: where one slot is left, two daemons that do
@@ -107,7 +107,7 @@
 	// At a the wait for the first event is 21 ms shorter.
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, Prefill: 1500}}}, now)
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
-	counts := chosen(tracker, replicas, now, 10)
+	counts := countChoices(tracker, replicas, now, 10)
 	assert.Equal(t, counts["b"], 10, "%v", counts)
 }
 
@@ -116,23 +116,23 @@
 func TestWorkIsMeasured(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	first := tracker.Begin(testReplica("a", "z"), 1500)
-	tracker.Begin(testReplica("b", "z"), 500)
-	first.Started()
+	first := tracker.Reserve(testReplica("a", "z"), 1500)
+	tracker.Reserve(testReplica("b", "z"), 500)
+	first.PrefillDone()
 	busy, prompts := tracker.Demand()
 	assert.DeepEqual(t, busy, map[string]float64{"m": 2})
 	// What was read would be read again elsewhere.
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 2000})
-	first.End()
+	first.Release()
 	_, prompts = tracker.Demand()
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 500})
 
 	assert.Equal(t, tracker.Pause("m", now), time.Duration(0))
-	tracker.NotePause("m", 300*time.Millisecond, now)
-	tracker.NotePause("m", 200*time.Millisecond, now)
-	tracker.NotePause("m", 0, now)
+	tracker.RecordGapTarget("m", 300*time.Millisecond, now)
+	tracker.RecordGapTarget("m", 200*time.Millisecond, now)
+	tracker.RecordGapTarget("m", 0, now)
 	assert.Equal(t, tracker.Pause("m", now), 200*time.Millisecond)
-	tracker.NotePause("m", 300*time.Millisecond, now.Add(pausesFor))
-	assert.Equal(t, tracker.Pause("m", now.Add(pausesFor+time.Second)), 300*time.Millisecond, "a route that is gone")
+	tracker.RecordGapTarget("m", 300*time.Millisecond, now.Add(gapTargetTTL))
+	assert.Equal(t, tracker.Pause("m", now.Add(gapTargetTTL+time.Second)), 300*time.Millisecond, "a route that is gone")
 	assert.Equal(t, tracker.Pause("other", now), time.Duration(0))
 }
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// surplusMost is how many answers to earlier requests are passed over.
-	surplusMost = 2
-	// surplusBody bounds the body of such an answer, in bytes.
-	surplusBody = 1 << 20
-	// lingerMost bounds what is read to free a connection after an answer.
-	lingerMost = 1 << 10
+	// maxForeignAnswers is how many answers to earlier requests are passed over.
+	maxForeignAnswers = 2
+	// maxForeignBodyBytes bounds the body of such an answer, in bytes.
+	maxForeignBodyBytes = 1 << 20
+	// maxDiscardBytes bounds what is read to free a connection after an answer.
+	maxDiscardBytes = 1 << 10
 )
 
 var (
-	errStalled = errors.New("the replica fell silent")
-	errQuiet   = fmt.Errorf("its stream alone: %w", errStalled)
-	errSurplus = errors.New("the answer belongs to another request")
+	errStalled       = errors.New("the replica fell silent")
+	errStreamSilent  = fmt.Errorf("its stream alone: %w", errStalled)
+	errForeignAnswer = errors.New("the answer belongs to another request")
 )
 
 // sendError tells whether a request that failed may have reached its worker.
@@ -51,8 +51,8 @@
 	conn     *connection
 	upstream *upstream
 	response *http.Response
-	// release undoes the closing of the connection on cancellation.
-	release func() bool
+	// stopCloseOnCancel undoes the closing of the connection on cancellation.
+	stopCloseOnCancel func() bool
 	// resent tells that the worker may have had the request before, over a
 	// connection that broke.
 	resent bool
@@ -63,13 +63,13 @@
 // worker if that had dropped the kept connection, unless it may have come there and must
 // not run twice, or has a token for one send alone.
 func (u *upstream) send(ctx context.Context, w *fleet.Worker, m *message) (*exchange, error) {
-	c, err := u.get(ctx, w, idleFor(m.once))
+	c, err := u.get(ctx, w, maxIdleFor(m.runOnce))
 	if err != nil {
 		return nil, err
 	}
 	e, err := u.exchange(ctx, c, m)
 	sent := wasSent(err)
-	if err == nil || c.idled == 0 || ctx.Err() != nil || !isReset(err) || sent && (m.once || m.isBounded()) {
+	if err == nil || c.idleBefore == 0 || ctx.Err() != nil || !isReset(err) || sent && (m.runOnce || m.hasToken()) {
 		return e, withCause(ctx, w.ID, err)
 	}
 	if c, err = u.open(ctx, w); err == nil {
@@ -89,24 +89,24 @@
 	if err != nil {
 		release()
 		_ = c.Close()
-		u.noteUnanswered(ctx, c, err)
+		u.recordUnanswered(ctx, c, err)
 		return nil, err
 	}
-	return &exchange{ctx: ctx, conn: c, upstream: u, response: response, release: release}, nil
+	return &exchange{ctx: ctx, conn: c, upstream: u, response: response, stopCloseOnCancel: release}, nil
 }
 
-// noteUnanswered notes that a request got no answer. On a new connection only
+// recordUnanswered notes that a request got no answer. On a new connection only
 // silence says something of the others, and a caller that left says nothing.
-func (u *upstream) noteUnanswered(ctx context.Context, c *connection, err error) {
-	kept := c.idled > 0
+func (u *upstream) recordUnanswered(ctx context.Context, c *connection, err error) {
+	kept := c.idleBefore > 0
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.Canceled):
 	case errors.Is(cause, errStalled):
-		u.distrust(c.worker)
+		u.closeWorker(c.worker)
 	case kept:
-		u.distrust(c.worker)
+		u.closeWorker(c.worker)
 		if cause == nil && isReset(err) {
-			u.noteReset(c, time.Now())
+			u.recordReset(c, time.Now())
 		}
 	}
 }
@@ -126,14 +126,14 @@
 // roundTrip writes the request and reads the head of its answer. Answers to
 // earlier requests that come late are passed over.
 func (c *connection) roundTrip(m *message) (*http.Response, error) {
-	if err := m.inTime(c.worker, time.Now()); err != nil {
+	if err := m.checkSendBy(c.worker, time.Now()); err != nil {
 		return nil, err
 	}
 	n, err := c.Write(m.encoded)
 	if err != nil {
 		return nil, &sendError{sent: n > 0, cause: err}
 	}
-	for range surplusMost {
+	for range maxForeignAnswers {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: m.method})
 		if err != nil {
 			return nil, &sendError{sent: true, cause: err}
@@ -144,36 +144,36 @@
 		if id := response.Header.Get(m.attemptName); id == "" || id == m.attempt {
 			return response, nil
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, surplusBody)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBodyBytes)); err != nil {
 			return nil, &sendError{sent: true, cause: err}
 		}
 	}
-	return nil, &sendError{sent: true, cause: errSurplus}
+	return nil, &sendError{sent: true, cause: errForeignAnswer}
 }
 
 // finish ends an exchange whose answer was read to its end and keeps the
 // connection if the worker does.
 func (e *exchange) finish() {
-	if !e.release() || e.response.Close || e.response.ContentLength < 0 && !chunked(e.response) {
+	if !e.stopCloseOnCancel() || e.response.Close || e.response.ContentLength < 0 && !chunked(e.response) {
 		_ = e.conn.Close()
 		return
 	}
-	e.upstream.put(e.conn, keepFor(e.response.Header.Get("Keep-Alive")))
+	e.upstream.put(e.conn, keepAliveFor(e.response.Header.Get("Keep-Alive")))
 }
 
 // abort ends an exchange early, which tells the worker to stop.
 func (e *exchange) abort() {
-	e.release()
+	e.stopCloseOnCancel()
 	_ = e.conn.Close()
 	if errors.Is(context.Cause(e.ctx), errStalled) {
-		e.upstream.distrust(e.conn.worker)
+		e.upstream.closeWorker(e.conn.worker)
 	}
 }
 
 // discard reads the rest of a short answer, so that its connection can be kept.
 func (e *exchange) discard() {
-	n, err := io.Copy(io.Discard, io.LimitReader(e.response.Body, lingerMost))
-	if err != nil || n >= lingerMost {
+	n, err := io.Copy(io.Discard, io.LimitReader(e.response.Body, maxDiscardBytes))
+	if err != nil || n >= maxDiscardBytes {
 		e.abort()
 		return
 	}
@@ -193,8 +193,8 @@
 	attemptName string
 	// sendBy is until when it may be sent; the zero time for any time.
 	sendBy time.Time
-	// once tells that the request must not be repeated.
-	once bool
+	// runOnce tells that the request must not be repeated.
+	runOnce bool
 }
 
 // encode writes a request head and body into one buffer.
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -12,10 +12,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// maxAnswer bounds the body of an answer that is relayed whole, in bytes.
-const maxAnswer = 32 << 20
+// maxAnswerBytes bounds the body of an answer that is relayed whole, in bytes.
+const maxAnswerBytes = 32 << 20
 
-var errTurnedAway = errors.New("turned away")
+var errRejected = errors.New("turned away")
 
 // answer is a worker's answer, read whole.
 type answer struct {
@@ -29,10 +29,10 @@
 	for {
 		replica, none := r.choose(c)
 		if none != nil {
-			return c.truthful(none)
+			return c.correctStatus(none)
 		}
 		got, err := r.tryWhole(c, replica)
-		if err == nil && !r.wantsAnother(c, replica, got) {
+		if err == nil && !r.shouldRetryAnswer(c, replica, got) {
 			writeAnswer(w, got)
 			return nil
 		}
@@ -40,9 +40,9 @@
 			r.opts.Meter.Retry(reason.RetryBroken)
 			continue
 		}
-		ran := r.note(c, replica, err)
-		if !r.mayRepeat(c, ran) {
-			return r.failed(c)
+		ran := r.recordFailure(c, replica, err)
+		if !r.mayRetry(c, ran) {
+			return r.failureRefusal(c)
 		}
 		r.opts.Meter.Retry(retryReason(ran))
 	}
@@ -56,43 +56,43 @@
 	return reason.RetryRefused
 }
 
-// wantsAnother reports whether a worker's own failure is to be followed by an
+// shouldRetryAnswer reports whether a worker's own failure is to be followed by an
 // attempt at another worker.
-func (r *Relay) wantsAnother(c *request, replica *fleet.Replica, got *answer) bool {
+func (r *Relay) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
 	if got.status < http.StatusInternalServerError || !c.route.Repeatable() {
 		return false
 	}
 	c.sends++
 	c.tried[replica.ID] = true
-	if left := r.eligible(c, time.Now()); left.Empty() {
+	if left := r.selectReplicas(c, time.Now()); left.IsEmpty() {
 		return false
 	}
-	return r.mayRepeat(c, true)
+	return r.mayRetry(c, true)
 }
 
 // tryWhole sends the request to one worker and reads the whole answer.
 func (r *Relay) tryWhole(c *request, replica *fleet.Replica) (*answer, error) {
-	reserved := r.opts.Tracker.Begin(replica, c.prompt)
-	defer reserved.End()
+	reserved := r.opts.Tracker.Reserve(replica, c.promptTokens)
+	defer reserved.Release()
 	e, err := r.sendTo(c.ctx, c, replica.Head, "")
 	if err != nil {
 		return nil, err
 	}
-	if err := r.rejected(e, replica.Head.ID); err != nil {
+	if err := r.checkRejected(e, replica.Head.ID); err != nil {
 		e.discard()
 		return nil, err
 	}
-	body, err := c.holding.read(e.response.Body, maxAnswer, waitForRoom(c.ctx))
-	if err == nil && len(body) > maxAnswer {
-		err = fmt.Errorf("the answer is longer than %d bytes", maxAnswer)
+	body, err := c.memory.read(e.response.Body, maxAnswerBytes, waitForMemory(c.ctx))
+	if err == nil && len(body) > maxAnswerBytes {
+		err = fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
 	}
 	if err != nil {
 		e.abort()
 		return nil, withCause(c.ctx, replica.Head.ID, &sendError{sent: true, cause: err})
 	}
 	e.finish()
-	r.completedBy(c, e)
-	got := &answer{status: e.response.StatusCode, header: forwarded(e.response.Header), body: body}
+	r.recordCompletion(c, e)
+	got := &answer{status: e.response.StatusCode, header: forwardedHeaders(e.response.Header), body: body}
 	return got, r.checkSigned(got, replica.Head.ID)
 }
 
@@ -104,14 +104,14 @@
 	return &sendError{sent: true, cause: failure.New(failure.Remote, "check answer", worker, "the success is not signed")}
 }
 
-// rejected returns an error if the worker turned the request away before
+// checkRejected returns an error if the worker turned the request away before
 // anything ran. One that was sent before may have run then.
-func (r *Relay) rejected(e *exchange, worker string) error {
+func (r *Relay) checkRejected(e *exchange, worker string) error {
 	status := e.response.StatusCode
 	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
 		return nil
 	}
-	return &sendError{sent: e.resent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errTurnedAway, status))}
+	return &sendError{sent: e.resent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
 }
 
 // writeAnswer passes a whole answer on.
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -62,14 +62,14 @@
 	// script gives the behaviour for the next requests; after it all answers.
 	mu     sync.Mutex
 	script []behaviour
-	// ran counts the runs by request, heads holds what came.
-	ran   map[string]int
-	heads []http.Header
-	// accepted counts the connections, header is added to each answer.
-	accepted int
-	header   string
-	// arrived is called when a request comes, before its behaviour is played.
-	arrived func()
+	// runsByRequest counts the runs by request, heads holds what came.
+	runsByRequest map[string]int
+	received      []http.Header
+	// connectionCount counts the connections, header is added to each answer.
+	connectionCount int
+	extraHeader     string
+	// onRequest is called when a request comes, before its behaviour is played.
+	onRequest func()
 }
 
 func newFakeWorker(t *testing.T, id string, script ...behaviour) *fakeWorker {
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fakeWorker{id: id, listener: l, script: script, ran: make(map[string]int)}
+	w := &fakeWorker{id: id, listener: l, script: script, runsByRequest: make(map[string]int)}
 	t.Cleanup(func() { _ = l.Close() })
 	go w.accept()
 	return w
@@ -91,7 +91,7 @@
 			return
 		}
 		w.mu.Lock()
-		w.accepted++
+		w.connectionCount++
 		w.mu.Unlock()
 		go w.serve(c)
 	}
@@ -111,7 +111,7 @@
 func (w *fakeWorker) runs(request string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ran[request]
+	return w.runsByRequest[request]
 }
 
 func (w *fakeWorker) serve(c net.Conn) {
@@ -135,22 +135,22 @@
 func (w *fakeWorker) answer(c net.Conn, r *http.Request) bool {
 	id := r.Header.Get(testNames.Attempt)
 	b := w.next()
-	if w.arrived != nil {
-		w.arrived()
+	if w.onRequest != nil {
+		w.onRequest()
 	}
 	w.mu.Lock()
-	w.heads = append(w.heads, r.Header)
+	w.received = append(w.received, r.Header)
 	if b != rejects && b != misdirects && b != drops {
-		w.ran[id]++
+		w.runsByRequest[id]++
 	}
 	w.mu.Unlock()
-	signed := "X-Attempt: " + id + "\r\nX-Signature: " + w.id + "\r\n" + w.header
+	signed := "X-Attempt: " + id + "\r\nX-Signature: " + w.id + "\r\n" + w.extraHeader
 	switch b {
 	case rejects:
-		write(c, "HTTP/1.1 503 Full\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.header+"Content-Length: 0\r\n\r\n")
+		write(c, "HTTP/1.1 503 Full\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case misdirects:
-		write(c, "HTTP/1.1 421 Another\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.header+"Content-Length: 0\r\n\r\n")
+		write(c, "HTTP/1.1 421 Another\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case fails:
 		write(c, "HTTP/1.1 500 Failed\r\n"+signed+"Content-Length: 0\r\n\r\n")
