--- a/eligibility/eligibility.go
+++ b/eligibility/eligibility.go
@@ -1,6 +1,5 @@
-// Package eligibility decides which replicas may take a request now, and tells what
-// keeps the others out. It holds no state and does no I/O: what it goes by is given to it
-// as functions.
+// Package eligibility decides which replicas may take a request now and why others may not. It
+// holds no state and does no I/O; everything it depends on is passed in as functions.
 package eligibility
 
 import (
@@ -11,27 +10,27 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Cause is why a replica may not take a request, or only as a last resort.
+// Cause is why a replica may not take a request, or may take it only as a second choice.
 type Cause int
 
-// The causes, in the order in which they are looked at.
+// The causes, in the order in which they are checked. Leaving is never returned by Classify.
 const (
 	None Cause = iota
-	// Tried replicas failed this request before.
+	// Tried: an earlier attempt of this request failed at the replica.
 	Tried
-	// RegionNotAllowed: the request must not run where the replica is.
+	// RegionNotAllowed: the request must not run in the replica's region.
 	RegionNotAllowed
 	// HallNotOpen: the replica's data hall is closed or closing.
 	HallNotOpen
-	// WarmingUp: the replica is warming up and bears no more now.
+	// WarmingUp: the replica is warming up and can take no more requests now.
 	WarmingUp
-	// Limited: the replica's head names a limit, and this daemon has no part of it left now.
+	// Limited: the replica's head has set a limit, and this daemon's share of it is used up.
 	Limited
-	// Resting: the replica's head wants nothing from this daemon for a while.
+	// Resting: the replica's head has asked this daemon to send nothing for a while.
 	Resting
-	// Suspected replicas may have stopped.
+	// Suspected: the replica may have stopped.
 	Suspected
-	// Leaving replicas end soon.
+	// Leaving: the replica is about to stop.
 	Leaving
 	numCauses
 )
@@ -45,15 +44,15 @@
 // Reason returns the cause's name in answers, logs and counters; empty for None.
 func (c Cause) Reason() reason.Reason { return reasons[c] }
 
-// Class says how readily a replica takes a request.
+// Class ranks replicas by how suitable they are for a request.
 type Class int
 
-// The classes, from the best to the worst. A worse one is used only if no replica of a
-// better one can take the request.
+// The classes, from best to worst. A class is used only if no replica of a better one can take
+// the request.
 const (
-	// Eligible replicas take the request.
+	// Eligible replicas can take the request.
 	Eligible Class = iota
-	// Reserve replicas are in a hall that is closing: they serve while others are full.
+	// Reserve replicas are in a closing data hall and are used while all others are full.
 	Reserve
 	// LastResort replicas are suspected to have stopped.
 	LastResort
@@ -61,40 +60,39 @@
 	Excluded
 )
 
-// numClasses is how many classes may take a request.
+// numClasses is the number of classes that may take a request.
 const numClasses = int(Excluded)
 
-// Rules is what replicas are judged by at one moment. A function that is nil keeps
-// nothing out.
+// Rules holds the checks for replicas at one moment. A nil function excludes nothing.
 type Rules struct {
 	// HallState returns the state of a data hall.
 	HallState func(hall string) fleet.HallState
 	// RegionOf returns the region of a data hall.
 	RegionOf func(hall string) string
-	// HasWarmUpRoom reports whether a replica bears one more request from this daemon.
+	// HasWarmUpRoom reports whether a replica's warm-up allows one more request from this daemon.
 	HasWarmUpRoom func(r *fleet.Replica) bool
-	// HasLimitRoom reports whether the limit that a replica's head names bears one more request from
+	// HasLimitRoom reports whether the limit set by a replica's head allows one more request from
 	// this daemon.
 	HasLimitRoom func(r *fleet.Replica) bool
-	// IsRested reports whether a replica's head wants requests from this daemon.
+	// IsRested reports whether a replica's head accepts requests from this daemon.
 	IsRested func(r *fleet.Replica) bool
 	// IsSuspected reports whether a replica may have stopped.
 	IsSuspected func(r *fleet.Replica) bool
 }
 
-// Request is what matters of a request.
+// Request holds the properties of a request that the rules need.
 type Request struct {
-	// RouteRegions and Account are the regions allowed by the route and by the client account;
-	// both bind.
+	// RouteRegions and AccountRegions are the regions allowed by the route and by the client
+	// account. A replica must satisfy both.
 	RouteRegions, AccountRegions fleet.Regions
-	// Tried holds the replicas that failed the request before, by id.
+	// Tried holds the IDs of replicas at which an attempt of this request failed.
 	Tried map[string]bool
 }
 
-// hasRegionLimit reports whether the request must not run everywhere.
+// hasRegionLimit reports whether the request is restricted to some regions.
 func (q *Request) hasRegionLimit() bool { return len(q.RouteRegions) > 0 || len(q.AccountRegions) > 0 }
 
-// Classify returns how readily a replica takes a request, and why not more so.
+// Classify returns a replica's class for a request, and the cause if it is not Eligible.
 func (r *Rules) Classify(q *Request, replica *fleet.Replica) (Class, Cause) {
 	if q.Tried[replica.ID] {
 		return Excluded, Tried
@@ -125,12 +123,12 @@
 	return class, cause
 }
 
-// hasLoadRules reports whether anything bounds what replicas bear. Mostly nothing does.
+// hasLoadRules reports whether any rule limits the load of replicas; usually none does.
 func (r *Rules) hasLoadRules() bool {
 	return r.HasWarmUpRoom != nil || r.IsRested != nil || r.HasLimitRoom != nil
 }
 
-// loadCause returns what keeps a replica from bearing one more request from this daemon.
+// loadCause returns why a replica can take no further request from this daemon, or None.
 func (r *Rules) loadCause(replica *fleet.Replica) Cause {
 	switch {
 	case r.HasWarmUpRoom != nil && !r.HasWarmUpRoom(replica):
@@ -143,14 +141,14 @@
 	return None
 }
 
-// Selection is replicas by class.
+// Selection holds replicas by class.
 type Selection struct {
 	byClass [numClasses][]*fleet.Replica
 	counts  Counts
 }
 
-// Select judges all replicas. Where all are eligible nothing is copied, and the result
-// holds the slice given.
+// Select classifies all replicas. If all are eligible, nothing is copied and the result holds the
+// given slice.
 func (r *Rules) Select(q *Request, replicas []*fleet.Replica) Selection {
 	var s Selection
 	copied := false
@@ -189,13 +187,13 @@
 	return true
 }
 
-// Counts returns how many replicas were left out or put back, by cause.
+// Counts returns how many replicas were excluded or ranked lower, by cause.
 func (s *Selection) Counts() Counts { return s.counts }
 
 // Counts counts replicas by cause.
 type Counts [numCauses]int
 
-// HasAny reports whether anything was counted but replicas without a cause.
+// HasAny reports whether any cause was counted.
 func (c Counts) HasAny() bool {
 	for cause := Tried; cause < numCauses; cause++ {
 		if c[cause] > 0 {
@@ -205,7 +203,7 @@
 	return false
 }
 
-// MostFrequent returns the cause that kept the most replicas out, and None if there is none.
+// MostFrequent returns the cause with the highest count, or None if nothing was counted.
 func (c Counts) MostFrequent() Cause {
 	most := None
 	for cause := Tried; cause < numCauses; cause++ {
@@ -216,7 +214,7 @@
 	return most
 }
 
-// ForEach calls f with each cause that kept replicas out, and how many.
+// ForEach calls f with each cause that was counted, and its count.
 func (c Counts) ForEach(f func(cause Cause, count int)) {
 	for cause := Tried; cause < numCauses; cause++ {
 		if c[cause] > 0 {
@@ -225,7 +223,7 @@
 	}
 }
 
-// String returns the counts as they stand in log lines: "hall_closed=3 warm_up=1".
+// String formats the counts for log lines, such as "hall_closed=3 warm_up=1".
 func (c Counts) String() string {
 	var all []string
 	c.ForEach(func(cause Cause, count int) {
--- a/eligibility/eligibility_test.go
+++ b/eligibility/eligibility_test.go
@@ -17,9 +17,9 @@
 	return &fleet.Replica{ID: id, Head: &fleet.Worker{ID: id, Zone: hall}}
 }
 
-// testRules: hall "shut" is closed, "soon" closing, "far" in another region; the replica
-// named "cold" bears nothing more, "limited" has named a limit, "resting" wants nothing,
-// "both" does both, and "silent" is suspected.
+// testRules returns rules by which hall "shut" is closed, "soon" is closing and "far" is in
+// another region; replica "cold" has no warm-up room, "limited" no limit room, "resting" is
+// resting, "both" is resting without limit room, and "silent" is suspected.
 func testRules() *Rules {
 	return &Rules{
 		HallState: func(hall string) fleet.HallState {
@@ -73,14 +73,14 @@
 	}
 }
 
-func TestNoRulesKeepNothingOut(t *testing.T) {
+func TestNoRulesExcludeNothing(t *testing.T) {
 	class, cause := (&Rules{}).Classify(&Request{RouteRegions: fleet.Regions{"home"}}, replicaIn("a", "far"))
 	assert.Equal(t, class, Eligible)
 	assert.Equal(t, cause, None)
 }
 
-// TestSelectionHoldsEachReplicaOnce: every replica is in the class that it was judged to
-// be in, in its order, or left out; and each cause is counted as often as it was found.
+// TestSelectionHoldsEachReplicaOnce checks that each replica is in the class that Classify
+// returns, in order, or excluded, and that each cause is counted.
 func TestSelectionHoldsEachReplicaOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "cold", "silent"}), 0, 12).Draw(t, "ids")
@@ -100,7 +100,7 @@
 	})
 }
 
-// selectOneByOne selects replicas one by one.
+// selectOneByOne is a plain reference implementation of Select.
 func selectOneByOne(rules *Rules, request *Request, replicas []*fleet.Replica) Selection {
 	var s Selection
 	for _, r := range replicas {
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -12,7 +12,7 @@
 	"quartzshelf.dev/peers"
 )
 
-// eventReader yields one event at each read.
+// eventReader returns one event per read.
 type eventReader struct {
 	event []byte
 	left  int
@@ -26,8 +26,8 @@
 	return copy(p, r.event), nil
 }
 
-// BenchmarkEvent measures the daemon's own work for one event of a stream: to
-// find its end and id and to hand it on. Connections are left out.
+// BenchmarkEvent measures the work per event of a stream without the network: finding its end and
+// ID, and forwarding it.
 func BenchmarkEvent(b *testing.B) {
 	b.ReportAllocs()
 	reader := &eventReader{event: []byte("id: 17\ndata: 0123456789012345678901234567890123456789012345678901234567890\n\n"), left: b.N}
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkChoose measures one choice among 400 replicas, of which this daemon keeps
-// connections to 16, with loads that the relays of three data halls report.
+// BenchmarkChoose measures one choice among 400 replicas, 16 of them connected, with loads
+// reported by three relays.
 func BenchmarkChoose(b *testing.B) {
 	const replicas, halls, connected = 400, 3, 16
 	now := time.Unix(1000, 0)
--- a/relay/bound.go
+++ b/relay/bound.go
@@ -8,19 +8,19 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Bound is this daemon's part of a bound on what replicas get from all daemons together. Its
-// zero value bounds nothing.
+// Bound is this daemon's share of a fleet-wide limit on the requests sent to replicas. The zero
+// value limits nothing.
 type Bound struct {
-	// Scarce returns a check for whether few requests may go to a replica; nil, or a nil
-	// result, if that makes no difference to choices.
+	// Scarce returns a check for whether a replica accepts only few requests; nil, or a nil
+	// result, if that does not affect choices.
 	Scarce func() func(r *fleet.Replica) bool
-	// Check returns what is known at a time, as a check for whether a replica bears one more
-	// request; nil, or a nil result, if none is bounded.
+	// Check returns a check, valid for the given time, for whether a replica can take one more
+	// request; nil, or a nil result, if no replica is limited.
 	Check func(now time.Time) func(r *fleet.Replica) bool
-	// Take takes what a request needs to go to a replica, and returns until when it may be
-	// sent; the zero time for any time. It reports false if there is nothing to take.
+	// Take takes the token that a request needs to be sent to a replica, and returns the time by
+	// which it must be sent; zero for any time. It reports false if no token is left.
 	Take func(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool)
-	// Next returns when there is expected to be something to take.
+	// Next returns when the next token is expected.
 	Next func(r *fleet.Replica, now time.Time) time.Time
 }
 
@@ -52,8 +52,8 @@
 	return b.Next(r, now)
 }
 
-// takeTokens takes what an attempt needs to go to a replica. It reports false if another request
-// took it since the replica was judged.
+// takeTokens takes the tokens that an attempt at a replica needs. It reports false if another
+// request took the last one since the replica was classified.
 func (r *Relay) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
 	c.sendBy = time.Time{}
 	for _, bound := range []struct {
@@ -72,16 +72,16 @@
 	return true
 }
 
-// boundMessages tell callers which bound leaves no replica.
+// boundMessages holds the messages to callers for each bound.
 var boundMessages = map[reason.Reason]string{
 	reason.WarmUp:  "the replicas are warming up",
 	reason.Limited: "the workers take no more requests now",
 	reason.Resting: "the workers want no requests for a while",
 }
 
-// boundRefusal returns the refusal of a request that no replica bears yet, by which bound. Limits
-// and rests may last, and leave room for few of those that come back, or with other daemons
-// sooner than here, so these are spread.
+// boundRefusal returns the refusal of a request for which all replicas are at their bound. Retry
+// times for limits and rests are spread, because tokens may stay scarce for long and callers that
+// return at the same time would be refused again.
 func (r *Relay) boundRefusal(c *request, why reason.Reason, now time.Time) *refusal {
 	wait := r.boundRetryAfter(c, now)
 	if why == reason.Limited || why == reason.Resting {
@@ -90,7 +90,8 @@
 	return unavailable(why, boundMessages[why], wait)
 }
 
-// boundRetryAfter returns when a caller is to come back whose request no replica bears yet.
+// boundRetryAfter returns after how long a caller should retry when all replicas are at their
+// bound.
 func (r *Relay) boundRetryAfter(c *request, now time.Time) time.Duration {
 	wait := retryClosed
 	for _, replica := range r.opts.View().Replicas(c.service, c.model) {
@@ -101,7 +102,7 @@
 	return max(wait, retrySoon)
 }
 
-// availableAt returns when a replica is expected to bear a request of this daemon.
+// availableAt returns when a replica is expected to take a request from this daemon.
 func (r *Relay) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
 	for _, bound := range []Bound{r.opts.Rests, r.opts.WarmUp, r.opts.Limits} {
@@ -112,11 +113,11 @@
 	return next
 }
 
-// hasToken reports whether a message has a token for one send.
+// hasToken reports whether the message uses a token, which allows only one send.
 func (m *message) hasToken() bool { return !m.sendBy.IsZero() }
 
-// checkSendBy returns an error if a message is about to be sent later than it may be, after the
-// opening of its connection took long or the process stood still.
+// checkSendBy returns an error if the message's token has expired, as after a slow connect or a
+// pause of the process.
 func (m *message) checkSendBy(worker string, now time.Time) error {
 	if !m.hasToken() || !now.After(m.sendBy) {
 		return nil
--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -16,12 +16,12 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// fakeTokens bounds what a replica gets: one request a token.
+// fakeTokens limits requests to workers by tokens, one for each request.
 type fakeTokens struct {
 	mu sync.Mutex
-	// left holds the tokens by worker; workers that are not named are not bounded.
+	// left holds the remaining tokens by worker; other workers are not limited.
 	left map[string]int
-	// isStale tells that requests are sent too late for their token.
+	// isStale makes tokens expire before they are used.
 	isStale bool
 }
 
@@ -55,12 +55,12 @@
 	return now.Add(120 * time.Millisecond)
 }
 
-// bound lets the relay go by the tokens.
+// bound sets the tokens as the relay's warm-up bound.
 func (f *fakeTokens) bound(r *testRelay) {
 	r.opts.WarmUp = Bound{Check: f.check, Take: f.take, Next: f.next}
 }
 
-// allRuns counts the runs of all requests at a worker.
+// allRuns returns the number of runs of all requests at a worker.
 func (w *fakeWorker) allRuns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,8 +71,8 @@
 	return sum
 }
 
-// TestNoMoreThanTokens lets many requests come at once, so that what was judged to have
-// room often has none when it is chosen.
+// TestNoMoreThanTokens sends many requests at once, so that tokens are often gone between check
+// and choice.
 func TestNoMoreThanTokens(t *testing.T) {
 	cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
 	r, server := newTestRelay(t, cold, warm)
@@ -96,9 +96,9 @@
 	assert.Assert(t, served > 5)
 }
 
-// TestWrongHints lets every replica be judged to have room, whether it has a token or not:
-// the choice goes on without those that have none, and ends.
-func TestWrongHints(t *testing.T) {
+// TestOutdatedChecks lets the check pass for every replica, whether it has a token or not. The
+// choice must skip replicas without tokens, and end.
+func TestOutdatedChecks(t *testing.T) {
 	tests := map[string]struct {
 		left   map[string]int
 		status int
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestRetriesAndResumptionsTakeTokens counts what comes after a failure like the rest.
+// TestRetriesAndResumptionsTakeTokens checks that attempts after a failure take tokens too.
 func TestRetriesAndResumptionsTakeTokens(t *testing.T) {
 	tests := map[string]struct {
 		path  string
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestNoTokenIsRefusedTruthfully(t *testing.T) {
+func TestNoTokenIsRefused(t *testing.T) {
 	cold := newFakeWorker(t, "cold")
 	r, server := newTestRelay(t, cold)
 	(&fakeTokens{left: map[string]int{"cold": 0}}).bound(r)
@@ -157,9 +157,9 @@
 	assert.Assert(t, cold.allRuns() == 0)
 }
 
-// TestLateSendIsVoid: a token that is too old at the write sends nothing, and the request
-// goes elsewhere.
-func TestLateSendIsVoid(t *testing.T) {
+// TestExpiredTokenIsNotSent: an attempt whose token expired before the write is not sent, and the
+// request goes to another worker.
+func TestExpiredTokenIsNotSent(t *testing.T) {
 	for _, path := range []string{"/once/", "/safe/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
 			cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
@@ -175,8 +175,8 @@
 	}
 }
 
-// choiceRelay returns a relay with many replicas, of which the first ones warm up, and the
-// heads of some name limits, and a request to them.
+// choiceRelay returns a relay with many replicas, and a request to them. The first replicas are
+// warming up or have limits.
 func choiceRelay(b *testing.B, replicas, warming, limited int) (*Relay, *request) {
 	b.Helper()
 	inventory := fleet.NewInventory(time.Second, 0)
@@ -220,8 +220,8 @@
 	return r, &request{service: "models", model: "m", engine: service.Engine, route: &fleet.Route{}, tried: make(map[string]bool)}
 }
 
-// BenchmarkChoice measures the choice among 400 replicas while some of them warm up, or their
-// heads name limits.
+// BenchmarkChoice measures the choice among 400 replicas of which some are warming up or have
+// limits.
 func BenchmarkChoice(b *testing.B) {
 	for _, some := range []struct{ warming, limited int }{{0, 0}, {100, 0}, {0, 100}, {0, 399}} {
 		b.Run(fmt.Sprintf("warming=%d/limited=%d", some.warming, some.limited), func(b *testing.B) {
--- a/relay/brokenattempt.go
+++ b/relay/brokenattempt.go
@@ -7,7 +7,7 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// fingerprint returns the request's fingerprint, which is computed when it is first asked for.
+// fingerprint returns the request's fingerprint, computed on first use.
 func (c *request) fingerprint() quarantine.Fingerprint {
 	c.fingerprintOnce.Do(func() {
 		c.hasFingerprint.Store(true)
@@ -16,7 +16,7 @@
 	return c.cachedFingerprint
 }
 
-// fingerprintIfKnown returns the fingerprint as logs show it if a decision asked for it.
+// fingerprintIfKnown returns the fingerprint in its log format, or "" if it was never computed.
 func (c *request) fingerprintIfKnown() string {
 	if !c.hasFingerprint.Load() {
 		return ""
@@ -32,8 +32,8 @@
 	return c.tenant.Name
 }
 
-// logBroken logs an attempt that broke off, and by what the request is known again when it
-// comes under another id: which requests were at a worker when it ended shows in these lines.
+// logBroken logs an attempt that broke off. The fingerprint identifies the same request under
+// another ID, so the lines show which requests were at a worker when it crashed.
 func (r *Relay) logBroken(c *request, replica *fleet.Replica, err error) {
 	r.opts.Meter.Broken(c.service)
 	r.opts.Logger.Info("attempt broke off", "request", c.id, "fingerprint", c.fingerprint().String(),
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// usedBudgetShare is the part of the allowed repeats that is used.
+	// usedBudgetShare is the part of the retry budget that is used.
 	usedBudgetShare = 0.8
-	// budgetBuckets is into how many parts the window is cut for counting.
+	// budgetBuckets is the number of buckets into which the window is divided.
 	budgetBuckets = 20
-	// roundingWindows is in how many windows each daemon has had its turn to round up. In one
-	// window a tenth of them change over, which half of the part kept back bears.
+	// roundingWindows is the number of windows over which each daemon takes its turn to round up.
+	// A tenth of the daemons change over within one window, which half of the unused budget
+	// covers.
 	roundingWindows = 10
-	// roundingMargin is how many times the standard deviation of all daemons' rounding the
-	// part of the budget that is kept back must be.
+	// roundingMargin is how many standard deviations of the sum of all daemons' rounding the
+	// unused budget must cover.
 	roundingMargin = 4
 )
 
-// BudgetOptions bounds the repeats of a service over the fleet: in any window
-// at most Ratio times its requests, and Extra more.
+// BudgetOptions limits the retries of a service over the whole fleet: in any window at most Ratio
+// times its requests, plus Extra.
 type BudgetOptions struct {
 	Ratio  float64
 	Window time.Duration
 	Extra  float64
-	// Self names this daemon among those that share the extra.
+	// Self identifies this daemon among those that share Extra.
 	Self string
-	// Daemons returns how many daemons share the extra.
+	// Daemons returns how many daemons share Extra.
 	Daemons func() int
 }
 
-// budget counts a daemon's requests and repeats by service.
+// budget counts a daemon's requests and retries by service.
 type budget struct {
 	opts BudgetOptions
 
@@ -40,7 +41,7 @@
 	services map[string]*windowCounts
 }
 
-// windowCounts holds the counts of the parts of a window.
+// windowCounts holds the counts of a sliding window by bucket.
 type windowCounts struct {
 	bucket   int64
 	requests [budgetBuckets]float64
@@ -51,7 +52,7 @@
 	return &budget{opts: opts, services: make(map[string]*windowCounts)}
 }
 
-// at returns the tally of a service, moved on to now, and the current part.
+// at returns the counts of a service, advanced to now, and the index of the current bucket.
 func (b *budget) at(service string, now time.Time) (*windowCounts, int) {
 	bucket := now.UnixNano() / (int64(b.opts.Window) / budgetBuckets)
 	t, ok := b.services[service]
@@ -70,7 +71,7 @@
 	return t, int(bucket % budgetBuckets)
 }
 
-// addRequest counts a request.
+// addRequest counts a request, which allows further retries.
 func (b *budget) addRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,7 +79,7 @@
 	t.requests[i]++
 }
 
-// takeRetry reports whether a repeat is allowed and counts it.
+// takeRetry reports whether a retry is allowed, and counts it if so.
 func (b *budget) takeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,26 +97,24 @@
 	return true
 }
 
-// roundShare makes a daemon's share of repeats a whole number. In a large fleet shares are below
-// one: rounded down by all, a fleet of 986 that may repeat 1,040 requests repeated none of
-// those of a service that gets 67 a second. Daemons therefore round up in turns, as many of
-// them at any time as their shares say, where the part of the budget that is kept back bears
-// the chance in that.
+// roundShare rounds a daemon's share of retries to a whole number. In a large fleet shares are
+// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns,
+// in proportion to the share, if the unused part of the budget covers the variation.
 func (b *budget) roundShare(share float64, service string, now time.Time) float64 {
-	whole, part := math.Modf(share)
+	whole, fraction := math.Modf(share)
 	daemons := float64(max(b.opts.Daemons(), 1))
-	spread := math.Sqrt(daemons) / 2
-	if (1-usedBudgetShare)*b.opts.Extra < roundingMargin*spread {
+	deviation := math.Sqrt(daemons) / 2
+	if (1-usedBudgetShare)*b.opts.Extra < roundingMargin*deviation {
 		return whole
 	}
 	turn := float64(now.UnixNano()) / float64(roundingWindows*b.opts.Window.Nanoseconds())
-	if _, drawn := math.Modf(b.turnOffset(service) + turn); drawn < part {
+	if _, position := math.Modf(b.turnOffset(service) + turn); position < fraction {
 		return whole + 1
 	}
 	return whole
 }
 
-// turnOffset returns a daemon's place among all in the turns of a service, from 0 to 1.
+// turnOffset returns this daemon's position in the turns of a service, from 0 to 1.
 func (b *budget) turnOffset(service string) float64 {
 	h := fnv.New32a()
 	// Writing to a hash does not fail.
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleetBudgets returns the budgets of daemons that share one.
+// fleetBudgets returns the budgets of all daemons of a fleet.
 func fleetBudgets(daemons int, extra float64) []*budget {
 	var all []*budget
 	for i := range daemons {
@@ -20,23 +20,23 @@
 	return all
 }
 
-// budgetLoad is the requests of a service over the daemons of a fleet.
+// budgetLoad is a load of requests to one service, spread over the daemons of a fleet.
 type budgetLoad struct {
 	daemons   int
 	extra     float64
 	perSecond int
-	// failedShare is the part of the requests that fail, least the part of the repeats asked for
-	// that are to be allowed.
+	// failedShare is the share of requests that fail, minAllowedShare the minimum share of
+	// retries that must be allowed.
 	failedShare, minAllowedShare float64
 }
 
-// The tenths of a second of a minute, and those of the bound's window.
+// A minute and the budget's window, in steps of a tenth of a second.
 const (
 	budgetSteps  = 600
 	budgetWindow = 100
 )
 
-// budgetCounts holds what came and what was repeated in each tenth of a second.
+// budgetCounts holds the requests and retries by step.
 type budgetCounts struct {
 	requests, retries [budgetSteps]int
 	asked, allowed    int
@@ -65,9 +65,8 @@
 	return counts
 }
 
-// TestBudgetOfALargeFleet spreads the requests of a service over daemons for a minute; a part
-// of them fails and asks for a repeat. What the fleet may repeat it does repeat, however few
-// requests a daemon sees, and in no window of the bound does it repeat more.
+// TestBudgetOfALargeFleet checks that the fleet uses its retry budget even if each daemon sees
+// few requests, and that no window exceeds it.
 func TestBudgetOfALargeFleet(t *testing.T) {
 	tests := map[string]budgetLoad{
 		"986 daemons, a seventh fails":     {daemons: 986, extra: 1040, perSecond: 67, failedShare: 0.14, minAllowedShare: 0.9},
--- a/relay/callerdeadlines.go
+++ b/relay/callerdeadlines.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// unreadFor is how long after a request's time is up its caller may take to read the answer,
-// and bodyFor how long it may take to send the body of a request without a time.
+// answerReadGrace is how long after a request's timeout its caller may take to read the answer.
+// defaultBodyTimeout is how long a caller may take to send the body if the route has no timeout.
 const (
 	answerReadGrace    = 5 * time.Second
 	defaultBodyTimeout = time.Minute
 )
 
-// setCallerDeadlines bounds how long a caller may hold its connection by not sending or not reading.
+// setCallerDeadlines limits how long a caller may hold its connection without sending or reading.
 func (r *Relay) setCallerDeadlines(controller *http.ResponseController, arrived time.Time, timeout time.Duration) {
 	body, answer := arrived.Add(defaultBodyTimeout), arrived.Add(defaultTimeout)
 	if timeout > 0 {
@@ -23,14 +23,14 @@
 	r.logDeadlineError("read", controller.SetWriteDeadline(answer))
 }
 
-// clearReadDeadline ends the bound on sending: what is read from now on only tells that the caller
-// has gone.
+// clearReadDeadline removes the read deadline once the body is read; later reads only detect that
+// the caller has disconnected.
 func (r *Relay) clearReadDeadline(controller *http.ResponseController) {
 	r.logDeadlineError("send", controller.SetReadDeadline(time.Time{}))
 }
 
 func (r *Relay) logDeadlineError(what string, err error) {
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		r.opts.Logger.Debug("caller not bounded", "to", what, "error", err)
+		r.opts.Logger.Debug("failed to set a deadline for the caller", "to", what, "error", err)
 	}
 }
--- a/relay/callerdeadlines_test.go
+++ b/relay/callerdeadlines_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCallerThatLeavesIsNoticed: the bound on sending a body must not hide that the caller
-// closed its connection, nor end a request of its own once the body is read.
-func TestCallerThatLeavesIsNoticed(t *testing.T) {
+// TestCallerDisconnectIsDetected: the deadline for sending the body must neither hide a
+// disconnected caller nor end the request once the body is read.
+func TestCallerDisconnectIsDetected(t *testing.T) {
 	const bound = 300 * time.Millisecond
 	tests := map[string]struct {
 		stays bool
@@ -28,10 +28,10 @@
 			r := &Relay{opts: Options{Logger: hclog.NewNullLogger()}}
 			gone := make(chan bool, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
-				edge := http.NewResponseController(w)
-				r.setCallerDeadlines(edge, time.Now(), bound)
+				controller := http.NewResponseController(w)
+				r.setCallerDeadlines(controller, time.Now(), bound)
 				_, _ = io.ReadAll(h.Body)
-				r.clearReadDeadline(edge)
+				r.clearReadDeadline(controller)
 				select {
 				case <-h.Context().Done():
 					gone <- true
--- a/relay/callertimeouts.go
+++ b/relay/callertimeouts.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// timeoutWindow is for how long the longest time that a caller of a route gave counts.
+	// timeoutWindow is how long the longest timeout sent by a route's callers is remembered.
 	timeoutWindow = 10 * time.Second
-	// minTimeoutSamples is how many callers of a route must have come before the longest time
-	// that they gave is taken for what callers give at first, in place of the time-out.
+	// minTimeoutSamples is the number of callers of a route after which their longest timeout
+	// replaces the route's own as the estimate of the initial timeout.
 	minTimeoutSamples = 10
-	// maxCapacityWait is how long a late request waits for room, and roomPart which part of the
-	// time left to it that may take.
+	// maxCapacityWait is how long a late request waits for capacity, and capacityWaitShare the
+	// largest part of its remaining time that this may take.
 	maxCapacityWait   = time.Second
 	capacityWaitShare = 0.25
 )
 
-// callerTimeouts holds how long callers of each route give a request at first. A daemon sees
-// by it how long a caller has waited before this attempt, at a daemon that is gone or
-// where it was refused.
+// callerTimeouts estimates the timeout with which callers of each route start. A shorter timeout
+// shows how long a caller has waited before, at a failed daemon or after a refusal.
 type callerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*routeTimeouts
 }
 
-// routeTimeouts is the longest time given by the callers of a route in this span and the last.
+// routeTimeouts holds the longest timeout of a route's callers in the current and the previous
+// window.
 type routeTimeouts struct {
 	callers                  int
 	longest, previousLongest time.Duration
@@ -40,48 +40,47 @@
 	return &callerTimeouts{routes: make(map[string]*routeTimeouts)}
 }
 
-// estimateWaited notes a caller that gives a request a time from now, and returns how long it has
-// waited already.
-func (p *callerTimeouts) estimateWaited(route *fleet.Route, given time.Duration, now time.Time) time.Duration {
+// estimateWaited records a caller's remaining time and returns how long it has waited before.
+func (p *callerTimeouts) estimateWaited(route *fleet.Route, remaining time.Duration, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held, ok := p.routes[route.Name]
+	entry, ok := p.routes[route.Name]
 	if !ok {
 		p.forget(now)
-		held = &routeTimeouts{windowEnd: now.Add(timeoutWindow)}
-		p.routes[route.Name] = held
+		entry = &routeTimeouts{windowEnd: now.Add(timeoutWindow)}
+		p.routes[route.Name] = entry
 	}
-	if now.After(held.windowEnd) {
-		held.previousLongest, held.longest, held.windowEnd = held.longest, 0, now.Add(timeoutWindow)
+	if now.After(entry.windowEnd) {
+		entry.previousLongest, entry.longest, entry.windowEnd = entry.longest, 0, now.Add(timeoutWindow)
 	}
-	held.callers++
-	held.longest = max(held.longest, given)
-	first := max(held.longest, held.previousLongest)
-	if held.callers <= minTimeoutSamples {
-		first = route.Timeout
+	entry.callers++
+	entry.longest = max(entry.longest, remaining)
+	initial := max(entry.longest, entry.previousLongest)
+	if entry.callers <= minTimeoutSamples {
+		initial = route.Timeout
 	}
-	return max(first-given, 0)
+	return max(initial-remaining, 0)
 }
 
-// forget drops routes that nobody called for long: configurations bring others.
+// forget deletes routes without recent callers, so that renamed routes don't accumulate.
 func (p *callerTimeouts) forget(now time.Time) {
-	for name, held := range p.routes {
-		if now.Sub(held.windowEnd) > timeoutWindow {
+	for name, entry := range p.routes {
+		if now.Sub(entry.windowEnd) > timeoutWindow {
 			delete(p.routes, name)
 		}
 	}
 }
 
-// isLate reports whether the first answer can't be in time any more, by when the caller
-// first asked.
+// isLate reports whether the objective for the first answer is already missed, counted from the
+// caller's first attempt.
 func (c *request) isLate(now time.Time) bool {
 	return c.route.Objective > 0 && c.waitedBefore+now.Sub(c.arrived) > c.route.Objective
 }
 
-// mayWait reports whether a request that found no room may wait for some: one that began
-// until its caller leaves, and, where late requests are kept, one that is late for a while,
-// since it can't come back in time either.
-func (r *Relay) mayWait(c *request, s *relayedStream, none *refusal, now time.Time) bool {
+// mayWait reports whether a request without an available replica may wait for one: a started
+// stream until its caller is expected to disconnect and, with ServeLate, a late request for a
+// while, since a retry by the caller would be late as well.
+func (r *Relay) mayWait(c *request, s *relayedStream, refused *refusal, now time.Time) bool {
 	switch {
 	case c.isDone():
 		return false
@@ -90,7 +89,7 @@
 	case !r.opts.ServeLate:
 		return false
 	}
-	most := min(maxCapacityWait, time.Duration(capacityWaitShare*float64(c.deadline.Sub(c.arrived))))
-	return none.reason == reason.Overloaded && none.status == http.StatusServiceUnavailable &&
-		c.waitedBefore > 0 && c.isLate(now) && now.Sub(c.arrived) <= most
+	limit := min(maxCapacityWait, time.Duration(capacityWaitShare*float64(c.deadline.Sub(c.arrived))))
+	return refused.reason == reason.Overloaded && refused.status == http.StatusServiceUnavailable &&
+		c.waitedBefore > 0 && c.isLate(now) && now.Sub(c.arrived) <= limit
 }
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -15,22 +15,21 @@
 	"quartzshelf.dev/peers"
 )
 
-// choiceLoad is a load that is played in virtual time, without a network.
+// choiceLoad is a load to be simulated in virtual time, without a network.
 type choiceLoad struct {
 	daemons, replicas int
 	// perSecond is the rate of requests over all daemons.
 	perSecond float64
 	// keepAlive is how long connections are kept.
 	keepAlive time.Duration
-	// ignoreConnections makes daemons choose as though they kept no connections.
+	// ignoreConnections makes daemons choose as if they kept no connections.
 	ignoreConnections bool
 }
 
-// choiceResult is what came of it.
+// choiceResult is the result of a simulation.
 type choiceResult struct {
-	// openedShare is the part of the requests that took a new connection, first the 95th
-	// percentile of the waits for the first event, full the part of the requests that
-	// found no slot.
+	// openedShare is the share of requests that opened a connection, fullShare the share that
+	// found no free slot, and p95FirstEvent the 95th percentile of the waits for the first event.
 	openedShare, fullShare float64
 	p95FirstEvent          time.Duration
 }
@@ -39,20 +38,20 @@
 	return fmt.Sprintf("%.3f opened, first event %s at the 95th percentile, %.4f without a slot", r.openedShare, r.p95FirstEvent, r.fullShare)
 }
 
-// choiceSimulation is one play of a load.
+// choiceSimulation simulates a load.
 type choiceSimulation struct {
 	load     choiceLoad
 	costs    costs
 	rand     *rand.Rand
 	replicas []*fleet.Replica
 	daemons  []*choiceDaemon
-	// busy holds the requests under way by replica, readAt when it has read its prompts.
+	// busy holds the requests in flight by replica, readAt when the replica has read its prompts.
 	busy   map[string]int
 	readAt map[string]time.Time
 	ends   choiceEnds
 }
 
-// choiceDaemon is a daemon with the times since when its kept connections are idle.
+// choiceDaemon is a daemon. idle holds since when its kept connections are idle, by replica.
 type choiceDaemon struct {
 	tracker *Tracker
 	idle    map[string][]time.Time
@@ -81,12 +80,11 @@
 const (
 	choicePromptTokens = 700
 	choiceEvents       = 28
-	// choiceReportInterval is how often daemons are told of the loads at others.
+	// choiceReportInterval is the interval at which daemons receive the loads of others.
 	choiceReportInterval = 250 * time.Millisecond
 )
 
-// simulateChoices plays a load for a while; the first part, in which nothing is kept yet,
-// doesn't count.
+// simulateChoices simulates a load. The start, when no connections are kept yet, is not counted.
 func simulateChoices(load choiceLoad) choiceResult {
 	const start, counted = 6 * time.Second, 10 * time.Second
 	p := &choiceSimulation{
@@ -140,7 +138,7 @@
 	}
 }
 
-// report tells each daemon what the others have under way.
+// report gives each daemon the work in flight of the others.
 func (p *choiceSimulation) report(now time.Time) {
 	for _, d := range p.daemons {
 		own := make(map[string]int)
@@ -155,7 +153,7 @@
 	}
 }
 
-// request plays one request at a random daemon.
+// request simulates one request at a random daemon.
 func (p *choiceSimulation) request(now time.Time) (wait time.Duration, opened, full bool) {
 	d := p.daemons[p.rand.IntN(len(p.daemons))]
 	c := p.costs
@@ -193,7 +191,7 @@
 	return all
 }
 
-// takeConnection uses the connection that was used last, and reports whether there was one.
+// takeConnection takes the most recently used connection, and reports whether it is usable.
 func (d *choiceDaemon) takeConnection(id string, now time.Time, idle time.Duration) bool {
 	since := d.idle[id]
 	if len(since) == 0 {
@@ -204,15 +202,14 @@
 	return now.Sub(last) < idle
 }
 
-// TestKeptConnectionsAreUsed plays fleets in which each daemon has few requests, against
-// choices that know of no connections: connections are used again, nobody waits longer, and
-// no more requests come to replicas without a slot. Choices draw on a source without a seed;
-// the bounds leave a third and more of what twenty plays of each load came to.
+// TestKeptConnectionsAreUsed compares choices with and without knowledge of kept connections:
+// connections must be reused without longer waits or more requests at full replicas. Choices are
+// random and unseeded, so the bounds leave a wide margin.
 func TestKeptConnectionsAreUsed(t *testing.T) {
 	const usual = 4 * time.Second
 	tests := map[string]struct {
 		load choiceLoad
-		// opened is the part of the requests that may take new connections.
+		// opened is the largest share of requests that may open a connection.
 		opened float64
 	}{
 		"many daemons with few requests": {choiceLoad{daemons: 123, replicas: 45, perSecond: 414, keepAlive: usual}, 0.12},
@@ -237,8 +234,8 @@
 	}
 }
 
-// TestPreferenceEndsWithTheSlots: a kept connection is no reason to take the last slot.
-func TestPreferenceEndsWithTheSlots(t *testing.T) {
+// TestLastSlotIsNotPreferred: a kept connection must not make a replica's last slot preferred.
+func TestLastSlotIsNotPreferred(t *testing.T) {
 	const noise = 20 * time.Millisecond
 	tests := map[string]struct {
 		worker string
@@ -261,8 +258,8 @@
 	}
 }
 
-// TestMuchFreerReplicasAreChosen: a kept connection does not hide a replica that is shown to
-// be freer by more than predictions may be off.
+// TestMuchFreerReplicasAreChosen: a kept connection must not outweigh a load difference that
+// exceeds the noise.
 func TestMuchFreerReplicasAreChosen(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -14,24 +14,22 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a worker.
+	// dialTimeout limits opening a connection to a worker.
 	dialTimeout = 500 * time.Millisecond
-	// maxIdlePerWorker bounds the idle connections to one worker: as many as the
-	// slots that engines commonly have.
+	// maxIdlePerWorker limits the idle connections to one worker, as many as engines commonly
+	// have slots.
 	maxIdlePerWorker = 16
-	// maxIdleTotal bounds the idle connections of a daemon. With their buffers of
-	// 4 KiB they take 2 MiB, and less than a fifth of the 2,870 descriptors of
-	// the smallest machine.
+	// maxIdleTotal limits the idle connections of a daemon: 2 MiB of buffers at 4 KiB each.
 	maxIdleTotal    = 512
 	readBufferBytes = 4 << 10
 )
 
-// upstream keeps connections to workers. It is safe for concurrent use.
+// upstream manages connections to workers. It is safe for concurrent use.
 type upstream struct {
 	// dial opens a connection to a worker's address.
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// idleShare returns how many idle connections this daemon may keep to a worker
-	// of a service; count notes each connection that is opened or reused.
+	// idleShare returns how many idle connections this daemon may keep to a worker of a service.
+	// onConnection is called for each connection opened or reused.
 	idleShare    func(service string) int
 	onConnection func(service string, reused bool)
 
@@ -47,13 +45,13 @@
 	net.Conn
 	worker  string
 	service string
-	// workerBorn is when the worker's life began to which the connection leads.
+	// workerBorn is the start of the worker instance to which the connection was opened.
 	workerBorn int64
 	reader     *bufio.Reader
-	// idleSince is when it was last used, closeAt until when it may be used.
+	// idleSince is when the connection was last used, closeAt until when it may be used.
 	idleSince time.Time
 	closeAt   time.Time
-	// idleBefore is how long it had been idle before its request; zero for a new one.
+	// idleBefore is how long it was idle before its current request; zero for a new connection.
 	idleBefore time.Duration
 }
 
@@ -67,8 +65,8 @@
 	}
 }
 
-// get returns a connection to a worker: one that has been idle for less than
-// idleFor, or a new one.
+// get returns a connection to a worker: one that has been idle for less than maxIdle, or a new
+// one.
 func (u *upstream) get(ctx context.Context, w *fleet.Worker, maxIdle time.Duration) (*connection, error) {
 	if c := u.reuse(w, maxIdle); c != nil {
 		u.onConnection(w.Service, true)
@@ -87,10 +85,9 @@
 	return &connection{Conn: raw, worker: w.ID, service: w.Service, workerBorn: w.Born, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// reuse takes the connection that was used last, which is the least likely to
-// be closed by its worker. One that has been idle for too long stays for
-// requests that bear it, or until the next sweep.
-// Those to an earlier life of the worker are closed.
+// reuse returns the most recently used connection, which the worker is least likely to have
+// closed, or nil. Connections idle for too long are left for requests that tolerate it, or the
+// next sweep. Connections to an earlier instance of the worker are closed.
 func (u *upstream) reuse(w *fleet.Worker, maxIdle time.Duration) *connection {
 	now := time.Now()
 	u.mu.Lock()
@@ -114,14 +111,14 @@
 	}
 }
 
-// isUsable reports whether a connection may carry a request that bears idleFor.
+// isUsable reports whether a connection may carry a request that tolerates maxIdle.
 func (u *upstream) isUsable(c *connection, maxIdle time.Duration, now time.Time) bool {
 	idled := now.Sub(c.idleSince)
 	return idled < maxIdle && now.Before(c.closeAt) && !u.dropsEarly(c.service, idled, now)
 }
 
-// connectedWorkers returns the workers to which there is a connection that has been idle
-// for less than idleFor.
+// connectedWorkers returns the workers with a connection that has been idle for less than
+// maxIdle.
 func (u *upstream) connectedWorkers(maxIdle time.Duration) map[string]bool {
 	now := time.Now()
 	u.mu.Lock()
@@ -135,8 +132,8 @@
 	return workers
 }
 
-// isIntact reports whether the worker neither closed the connection nor sent
-// anything on it since its last answer.
+// isIntact reports whether the worker has neither closed the connection nor sent data since its
+// last answer.
 func (c *connection) isIntact() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -149,16 +146,16 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	intact := false
 	err = socket.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		intact = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && intact
 }
 
-// put keeps a connection whose answer was read to its end.
+// put keeps a connection whose answer was read completely, or closes it if a limit is reached.
 func (u *upstream) put(c *connection, keep time.Duration) {
 	now := time.Now()
 	c.idleSince, c.closeAt = now, now.Add(keep)
@@ -173,8 +170,8 @@
 	u.idleCount++
 }
 
-// closeWorker closes the idle connections to a worker on whose connection a request got no
-// answer: what ended that one may have ended them as well.
+// closeWorker closes the idle connections to a worker after a request on another connection got
+// no answer: the same fault may have broken them too.
 func (u *upstream) closeWorker(worker string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -190,23 +187,23 @@
 	}
 }
 
-// closeIdle closes the oldest idle connections to a worker until most are left.
+// closeIdle closes the oldest idle connections to a worker until at most limit are left.
 func (u *upstream) closeIdle(worker string, limit int) {
 	all := u.idle[worker]
-	surplus := max(len(all)-limit, 0)
-	for _, c := range all[:surplus] {
+	excess := max(len(all)-limit, 0)
+	for _, c := range all[:excess] {
 		_ = c.Close()
 	}
-	u.idleCount -= surplus
+	u.idleCount -= excess
 	if limit <= 0 || len(all) == 0 {
 		delete(u.idle, worker)
 		return
 	}
-	u.idle[worker] = all[surplus:]
+	u.idle[worker] = all[excess:]
 }
 
-// sweep closes connections that were idle for too long, that their worker has
-// closed, or that are more than the daemon's share, which falls as daemons come.
+// sweep closes connections that have been idle for too long or exceed the daemon's share, which
+// shrinks as daemons join.
 func (u *upstream) sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -229,9 +226,9 @@
 	}
 }
 
-// idleShare returns how many idle connections this daemon may keep to a worker of a
-// service. What all daemons keep takes half of the connections that the worker accepts;
-// the other half is for requests under way and for daemons that came just now.
+// idleShare returns how many idle connections this daemon may keep to a worker of a service. All
+// daemons together keep up to half of the connections that the worker accepts; the other half is
+// left for requests in flight and for daemons that just joined.
 func (r *Relay) idleShare(service string) int {
 	config := r.opts.Config()
 	if config == nil {
--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -31,9 +31,9 @@
 	return w
 }
 
-// TestServiceOfOneWorkerIsServed: whatever a worker says of its connections, each request
-// is answered, and a connection is used again exactly if the worker keeps it.
-func TestServiceOfOneWorkerIsServed(t *testing.T) {
+// TestKeepAliveHeaders: whatever a worker states about its connections, each request is answered,
+// and a connection is reused exactly if the worker keeps it.
+func TestKeepAliveHeaders(t *testing.T) {
 	const requests = 8
 	tests := map[string]struct {
 		header string
@@ -68,9 +68,8 @@
 	}
 }
 
-// TestDroppedConnections: where a worker dropped a kept connection without closing it, the
-// request goes to the same worker once more, unless it must not run twice; no answer promises
-// that it did not run.
+// TestDroppedConnections: if a worker dropped a kept connection without closing it, the request
+// is sent to it again, unless it must not run twice. No answer may promise that it did not run.
 func TestDroppedConnections(t *testing.T) {
 	tests := map[string]struct {
 		path   string
@@ -118,7 +117,7 @@
 	}
 }
 
-// testConnection is a connection to a worker that is idle until closeAt.
+// testConnection returns an open connection to a worker.
 func testConnection(t *testing.T, worker *fakeWorker, service string) *connection {
 	t.Helper()
 	raw, err := net.Dial("tcp", worker.listener.Addr().String())
@@ -127,9 +126,8 @@
 	return &connection{Conn: raw, worker: worker.id, service: service, reader: bufio.NewReader(raw)}
 }
 
-// TestShareOfConnectionsFalls: as daemons come, each keeps fewer connections, so that
-// all of them together leave the worker room.
-func TestShareOfConnectionsFalls(t *testing.T) {
+// TestIdleShareShrinks: each daemon keeps fewer connections as daemons join.
+func TestIdleShareShrinks(t *testing.T) {
 	worker := newFakeWorker(t, "w")
 	u := newUpstream()
 	share := 3
@@ -149,7 +147,7 @@
 	assert.Equal(t, len(u.idle), 0)
 }
 
-// TestIdleShare: what all daemons keep is at most half of what a worker accepts.
+// TestIdleShare: all daemons together keep at most half of the connections that a worker accepts.
 func TestIdleShare(t *testing.T) {
 	tests := map[string]struct {
 		maxConns, daemons, want int
@@ -172,9 +170,9 @@
 	}
 }
 
-// TestSilenceOfOneConnectionEndsTheOthers: connections that went silent without a reset
-// must not take one request after the other.
-func TestSilenceOfOneConnectionEndsTheOthers(t *testing.T) {
+// TestSilentConnectionClosesTheOthers: connections that fell silent without a reset must not fail
+// one request after another.
+func TestSilentConnectionClosesTheOthers(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
@@ -190,8 +188,9 @@
 	assert.Equal(t, u.idleCount, 0)
 }
 
-// TestCallersThatLeaveEndNoConnections: a caller that goes says nothing of the worker.
-func TestCallersThatLeaveEndNoConnections(t *testing.T) {
+// TestCallerDisconnectKeepsConnections: a disconnected caller must not close the worker's other
+// connections.
+func TestCallerDisconnectKeepsConnections(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
@@ -207,9 +206,9 @@
 	assert.Equal(t, u.idleCount, 2)
 }
 
-// TestForgetfulServices: two workers that reset connections which were idle show that
-// their service drops them early; one may have been started anew.
-func TestForgetfulServices(t *testing.T) {
+// TestEarlyDrops: resets of idle connections by two workers show that their service drops
+// connections early; a single worker may have restarted.
+func TestEarlyDrops(t *testing.T) {
 	now := time.Now()
 	second := time.Second
 	u := newUpstream()
@@ -226,14 +225,14 @@
 	assert.Assert(t, isReset(&sendError{cause: syscall.ECONNRESET}))
 }
 
-// pipedConnection is a connection without a network.
+// pipedConnection returns a connection without a network.
 func pipedConnection(worker string) *connection {
 	near, _ := net.Pipe()
 	return &connection{Conn: near, worker: worker, service: "s", reader: bufio.NewReader(near)}
 }
 
-// TestIdleConnectionsAreBounded: whatever is kept, taken, swept and ended, in any order, no
-// bound is passed, and nothing is taken that is not idle.
+// TestIdleConnectionsAreBounded: no sequence of operations exceeds a limit or returns a
+// connection that was not idle.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := newUpstream()
@@ -273,7 +272,7 @@
 	})
 }
 
-// TestIdleConnectionsOfADaemonAreBounded: many workers take no more than the daemon keeps.
+// TestIdleConnectionsOfADaemonAreBounded: the total limit holds over many workers.
 func TestIdleConnectionsOfADaemonAreBounded(t *testing.T) {
 	u := newUpstream()
 	for i := range maxIdleTotal + 10 {
@@ -286,9 +285,9 @@
 	assert.Equal(t, u.idleCount, 1)
 }
 
-// TestConnectionsOverASuspension: workers closed connections while this machine was suspended,
-// of which it had no news. Requests that may be sent once were lost on them.
-func TestConnectionsOverASuspension(t *testing.T) {
+// TestSuspensionClosesConnections: workers may close connections unnoticed while this machine is
+// suspended, and requests that must not be repeated would be lost on them.
+func TestSuspensionClosesConnections(t *testing.T) {
 	worker := newFakeWorker(t, "w")
 	r, server := newTestRelay(t, worker)
 	for i := range 3 {
--- a/relay/cost.go
+++ b/relay/cost.go
@@ -7,48 +7,48 @@
 )
 
 const (
-	// defaultServiceTime is what a request is taken to hold a slot of a service that
-	// tells nothing of its times.
+	// defaultServiceTime is the assumed time for which a request holds a slot of a service
+	// without an engine.
 	defaultServiceTime = 30 * time.Millisecond
-	// defaultAnswerTokens is the length of an answer, in tokens, of an engine that
-	// tells none.
+	// defaultAnswerTokens is the assumed answer length, in tokens, of an engine that reports
+	// none.
 	defaultAnswerTokens = 150
 	// crossZoneCost is the cost of sending to another zone.
 	crossZoneCost = 4 * time.Millisecond
-	// crowdingFactor is the cost of a replica whose slots are all taken, in multiples
-	// of a pass; it grows with the cube of the part that is taken, since loads
-	// that are told late add up the most where little is left.
+	// crowdingFactor is the cost of a replica whose slots are all taken, in multiples of a pass.
+	// It grows with the cube of the occupied share, since outdated loads matter most when few
+	// slots are left.
 	crowdingFactor = 2.0
 )
 
-// costs predicts how long a request waits at a replica for its first answer.
+// costs predicts how long a request waits at a replica for its first event.
 type costs struct {
 	slots float64
 	// perToken is the time to read a prompt token.
 	perToken time.Duration
-	// pass is the time of a pass without other requests, perRequest what each
-	// adds to it.
+	// pass is the time of a pass without other requests, perRequest what each request adds to it.
 	pass       time.Duration
 	perRequest time.Duration
 	// service is how long a request holds its slot.
 	service time.Duration
 	// connected holds the workers to which a connection is kept.
 	connected map[string]bool
-	// preferIdle has the replica chosen that has the least work in flight: if the request ends
-	// it, the fewest others break with it.
+	// preferIdle selects the replica with the least work in flight, so that a crash caused by the
+	// request breaks the fewest others.
 	preferIdle bool
-	// tightlyLimited reports whether few requests may go to a replica, so that one which may is not
-	// kept from it by a connection that has to be opened, or by chance; nil for none.
+	// tightlyLimited reports whether a replica accepts only few requests. Such a replica, if it
+	// has a token, is charged neither the cost of a connection nor random noise. Nil if none is
+	// limited.
 	tightlyLimited func(r *fleet.Replica) bool
 }
 
-// isTightlyLimited reports whether few requests may go to a replica.
+// isTightlyLimited reports whether a replica accepts only few requests.
 func (c costs) isTightlyLimited(r *fleet.Replica) bool {
 	return c.tightlyLimited != nil && c.tightlyLimited(r)
 }
 
-// costsOf returns the costs of a service and model; slots counts for services
-// without an engine.
+// costsOf returns the costs of a service and model. slots is used only for services without an
+// engine.
 func costsOf(e *fleet.Engine, model string, slots int) costs {
 	if e == nil {
 		return costs{slots: float64(max(slots, 1)), pass: defaultServiceTime, service: defaultServiceTime}
@@ -64,8 +64,8 @@
 	return c
 }
 
-// wait returns the predicted wait at a replica with work in flight and prompt
-// tokens to be read before.
+// wait returns the predicted wait at a replica with the given requests in flight and unread
+// prompt tokens.
 func (c costs) wait(busy float64, prefill int) time.Duration {
 	w := time.Duration(prefill)*c.perToken + time.Duration(busy*float64(c.perRequest))
 	filled := busy / c.slots
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -8,7 +8,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// selectReplicas returns which replicas may take a request now, and counts what was passed over.
+// selectReplicas classifies the replicas for a request, and counts those passed over.
 func (r *Relay) selectReplicas(c *request, now time.Time) eligibility.Selection {
 	view := r.opts.View()
 	rules := r.rules(now)
@@ -27,7 +27,7 @@
 	return selection
 }
 
-// rules returns what replicas are judged by now. What keeps nothing out costs nothing.
+// rules returns the current rules for replicas; checks that would exclude nothing are nil.
 func (r *Relay) rules(now time.Time) *eligibility.Rules {
 	rules := &eligibility.Rules{RegionOf: r.opts.RegionOf, IsSuspected: r.opts.Tracker.suspectCheck(now)}
 	if r.opts.Halls != nil {
@@ -39,8 +39,8 @@
 	return rules
 }
 
-// noReplicaRefusal returns the refusal of a request that no replica may take, by what kept
-// the most of them out.
+// noReplicaRefusal returns the refusal of a request that no replica may take, by the most
+// frequent cause.
 func (r *Relay) noReplicaRefusal(c *request, counts eligibility.Counts, now time.Time) *refusal {
 	f := unavailable(reason.NoReplica, "no replica serves at present", retryBusy)
 	switch counts.MostFrequent() {
--- a/relay/eligible_test.go
+++ b/relay/eligible_test.go
@@ -10,7 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// closedHalls returns halls in which some are closed, or closing, since now.
+// closedHalls returns data halls of which the named ones are closed or, with closing, still
+// closing.
 func closedHalls(closing bool, names ...string) *fleet.Halls {
 	h := fleet.NewHalls(time.Hour)
 	if closing {
@@ -24,7 +25,7 @@
 	return h
 }
 
-// listInHalls lists the workers in halls: the first in "a", the second in "b", and so on.
+// listInHalls lists the workers in data halls: the first in "a", the second in "b", and so on.
 func listInHalls(r *testRelay, workers ...*fakeWorker) {
 	var changes []fleet.Change
 	for i, w := range workers {
@@ -39,11 +40,11 @@
 func TestClosedHall(t *testing.T) {
 	tests := map[string]struct {
 		halls *fleet.Halls
-		// script is what the worker in the open hall does first.
+		// script holds the first behaviours of the worker in the open hall.
 		script []behaviour
 		path   string
 		status int
-		// inClosed is how often the request runs in the closed hall, or may.
+		// inClosed is how often the request may run in the closed hall.
 		inClosed int
 	}{
 		"a plain request goes elsewhere":             {halls: closedHalls(false, "b"), path: "/safe/", status: 200},
--- a/relay/events.go
+++ b/relay/events.go
@@ -2,13 +2,13 @@
 
 import "bytes"
 
-// eventEnd ends an event of a stream.
+// eventEnd terminates an event of a stream.
 var eventEnd = []byte("\n\n")
 
-// idField begins the line of an event that carries its id.
+// idField starts the line of an event that carries its ID.
 var idField = []byte("id:")
 
-// splitEvents cuts data after its last whole event.
+// splitEvents splits data after its last complete event.
 func splitEvents(data []byte) (whole, rest []byte) {
 	i := bytes.LastIndex(data, eventEnd)
 	if i < 0 {
@@ -17,8 +17,7 @@
 	return data[:i+len(eventEnd)], data[i+len(eventEnd):]
 }
 
-// lastID returns the id of the last event in whole events, or an empty string
-// when none has one.
+// lastID returns the ID of the last event that has one, or an empty string.
 func lastID(whole []byte) string {
 	for end := len(whole); end > 0; {
 		start := bytes.LastIndexByte(whole[:end-1], '\n') + 1
--- a/relay/failover.go
+++ b/relay/failover.go
@@ -9,14 +9,12 @@
 	"quartzshelf.dev/fleet"
 )
 
-// randomPairPeriod is for how long after its start a daemon chooses between two replicas: it knows
-// no loads until peers have reported (lines `start: loads of peers known`), and what waited
-// meanwhile comes first.
+// randomPairPeriod is how long after its start a daemon chooses between two random replicas,
+// because peers have not reported their loads yet while waiting callers arrive in a burst.
 const randomPairPeriod = 2 * time.Second
 
-// recordHeadFailure notes what a failed attempt tells of a replica beyond the request. A worker
-// that turned the request away, or a stream whose connection alone fell silent, tells
-// nothing of others.
+// recordHeadFailure records a failed attempt against the replica's head. A rejection, or a stream
+// whose connection alone fell silent, does not count.
 func (r *Relay) recordHeadFailure(c *request, replica *fleet.Replica, err error) {
 	if errors.Is(err, errRejected) || errors.Is(err, errStreamSilent) {
 		return
@@ -27,7 +25,7 @@
 		return
 	}
 	if r.opts.Tracker.MarkUnreachable(replica, refused, time.Now()) {
-		r.opts.Logger.Info("head takes no connections", "replica", replica.ID, "head", replica.Head.ID, "error", err)
+		r.opts.Logger.Info("head accepts no connections", "replica", replica.ID, "head", replica.Head.ID, "error", err)
 	}
 }
 
@@ -37,11 +35,10 @@
 	return errors.As(err, &op) && op.Op == "dial" && op.Timeout()
 }
 
-// MarkUnreachable notes that a replica's head took no connection, and reports whether that is
-// news. If it was refused nobody listens there; if it was not accepted in time that may be
-// a lost packet, and counts only while no stream moves there. It gets no new requests for
-// suspectFor, and peers are told; streams in flight may still end there if the head leaves
-// as planned.
+// MarkUnreachable records that a connection to a replica's head failed, and reports whether the
+// replica was newly marked. A refused connection always counts; a timeout may be a lost packet,
+// and counts only if no stream has recently received an event from the replica. It gets no new
+// requests for suspicionPeriod, and peers are notified; its streams in flight may still complete.
 func (t *Tracker) MarkUnreachable(r *fleet.Replica, refused bool, now time.Time) bool {
 	t.mu.Lock()
 	s := t.loadOf(r)
@@ -57,16 +54,15 @@
 	return isNew
 }
 
-// chooseFrom chooses a replica for the next attempt: at first among those that are least
-// likely to share the failure of the attempts before, or, while little is known of loads,
-// between two.
+// chooseFrom chooses a replica for the next attempt. After a failure it prefers replicas that are
+// unlikely to share it; after the daemon's start it chooses between a random pair.
 func (r *Relay) chooseFrom(c *request, replicas []*fleet.Replica, exhausted map[string]bool, predicted costs, now time.Time) (Choice, bool) {
 	choose := func(some []*fleet.Replica) (Choice, bool) {
 		return r.opts.Tracker.Choose(some, exhausted, predicted, c.promptTokens, now)
 	}
-	switch others := independentReplicas(replicas, c.failedHeads); {
-	case len(c.failedHeads) > 0 && len(others) > 0:
-		choice, ok := choose(others)
+	switch independent := independentReplicas(replicas, c.failedHeads); {
+	case len(c.failedHeads) > 0 && len(independent) > 0:
+		choice, ok := choose(independent)
 		if ok && choice.Busy < r.maxInFlight(c, choice.Replica) {
 			return choice, true
 		}
@@ -78,10 +74,9 @@
 	return choose(replicas)
 }
 
-// randomPair returns two replicas at random. When all daemons start at once what waited comes
-// before their first reports, and for a while all know the same few loads: each would
-// choose the replicas that look idle, and then the last that seem to have room. Of two at
-// random none gets more than twice its part; if both are full the others will be soon.
+// randomPair returns two random replicas, or all if there are fewer than three. When all daemons
+// start at once they know the same few loads, and would all choose the same replicas; choosing
+// between two at random limits each replica to about twice its share.
 func (r *Relay) randomPair(replicas []*fleet.Replica) []*fleet.Replica {
 	n := len(replicas)
 	const few = 3
@@ -93,8 +88,8 @@
 	return []*fleet.Replica{replicas[i], replicas[j]}
 }
 
-// independentReplicas returns the replicas that share neither data hall nor fabric domain with any of
-// the heads that failed; if there are none, those that share no domain.
+// independentReplicas returns the replicas that share neither data hall nor fabric domain with
+// any of the failed heads; if there are none, those that share no domain.
 func independentReplicas(replicas []*fleet.Replica, failed []*fleet.Worker) []*fleet.Replica {
 	var otherHall, otherDomain []*fleet.Replica
 	for _, r := range replicas {
@@ -116,8 +111,8 @@
 	return otherDomain
 }
 
-// isSuspected reports whether a replica is passed over: it fell silent or takes no
-// connections, here or by a peer's word. The mutex is held.
+// isSuspected reports whether a replica fell silent or is unreachable, according to this daemon
+// or a peer. The caller must hold the mutex.
 func (t *Tracker) isSuspected(replica string, now time.Time) bool {
 	if s, ok := t.replicas[replica]; ok {
 		return now.Before(s.suspectedUntil) || now.Before(s.unreachableUntil)
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -23,7 +23,7 @@
 	return &fleet.Replica{ID: id, Head: &fleet.Worker{ID: id, Zone: zone, Domain: domain}}
 }
 
-func TestApart(t *testing.T) {
+func TestIndependentReplicas(t *testing.T) {
 	x1, x2, y1 := replicaAt("x1", "x", "d1"), replicaAt("x2", "x", "d2"), replicaAt("y1", "y", "d3")
 	plain := replicaAt("p", "x", "")
 	tests := map[string]struct {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestSecondTriesLeaveTheHall plays the loss of all replicas of a hall: each of forty
-// callers has its answer after two sends, since no second one goes to that hall.
-func TestSecondTriesLeaveTheHall(t *testing.T) {
+// TestRetriesLeaveTheHall simulates the loss of all replicas of a data hall: retries must go to
+// the other hall.
+func TestRetriesLeaveTheHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dark := func() bool { return true }
 		var heads []*simHead
@@ -72,10 +72,9 @@
 	})
 }
 
-// TestUnreachedHeadsArePassedOver: a head that refuses connections is a fact for this daemon
-// and its peers at once, though a stream that moves there may still end. One that did not
-// accept a connection in time is one unless streams move there.
-func TestUnreachedHeadsArePassedOver(t *testing.T) {
+// TestUnreachableHeadsArePassedOver: a head that refuses a connection is suspected here and at
+// peers at once. One that times out is suspected only if it sent no event recently.
+func TestUnreachableHeadsArePassedOver(t *testing.T) {
 	tests := map[string]struct{ refused, moves, want bool }{
 		"refused":                     {refused: true, want: true},
 		"refused, but streams move":   {refused: true, moves: true, want: true},
@@ -105,8 +104,8 @@
 	}
 }
 
-// TestWhatTellsOfAHead: only a failed connection says that nobody can reach it.
-func TestWhatTellsOfAHead(t *testing.T) {
+// TestFailuresThatMarkAHeadUnreachable: only a failed connect marks a head as unreachable.
+func TestFailuresThatMarkAHeadUnreachable(t *testing.T) {
 	dial := func(err error) error {
 		return &sendError{cause: failure.At(failure.Refused, "connect to worker", "w", &net.OpError{Op: "dial", Err: err})}
 	}
@@ -131,16 +130,16 @@
 	}
 }
 
-// canceled returns a context that ended for a cause.
+// canceled returns a context canceled with a cause.
 func canceled(cause error) context.Context {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cancel(cause)
 	return ctx
 }
 
-// TestPeersWordCountsForUnusedReplicas: a daemon that never used a replica does not try
-// what just failed others.
-func TestPeersWordCountsForUnusedReplicas(t *testing.T) {
+// TestPeerSuspicionsOfUnusedReplicas: a replica reported by a peer is passed over even if this
+// daemon has never used it.
+func TestPeerSuspicionsOfUnusedReplicas(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("", func(*fleet.Replica) {})
 	silent, other := testReplica("silent", ""), testReplica("other", "")
@@ -151,15 +150,15 @@
 	assert.Assert(t, !isPassedOver(tracker, silent, now.Add(suspicionPeriod)))
 }
 
-// isPassedOver reports whether a replica is passed over in choices.
+// isPassedOver reports whether choices pass over a replica.
 func isPassedOver(t *Tracker, r *fleet.Replica, now time.Time) bool {
 	suspects := t.suspectCheck(now)
 	return suspects != nil && suspects(r)
 }
 
-// TestTwoOf: the two are different ones, each replica comes as often as another, and a
-// service of few replicas is not narrowed.
-func TestTwoOf(t *testing.T) {
+// TestRandomPair: the two replicas differ, all replicas are drawn equally often, and a service
+// with fewer than three replicas is not narrowed.
+func TestRandomPair(t *testing.T) {
 	const draws, n = 4000, 8
 	var all []*fleet.Replica
 	for i := range n {
@@ -182,9 +181,9 @@
 	assert.Equal(t, len(r.randomPair(nil)), 0)
 }
 
-// TestRefusedReplicasOfTwo: while a daemon is new, two replicas that are passed over do not
-// hide the others.
-func TestRefusedReplicasOfTwo(t *testing.T) {
+// TestRandomPairSkipsSuspects: after a daemon's start, a random pair must not consist of
+// suspected replicas while others are available.
+func TestRandomPairSkipsSuspects(t *testing.T) {
 	now := time.Now()
 	var all []*fleet.Replica
 	tracker := NewTracker("", func(*fleet.Replica) {})
--- a/relay/gaptargets.go
+++ b/relay/gaptargets.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// gapTargetTTL is how long a pause that callers of a model bear counts after it was asked
-// for last: routes change, and every daemon gets requests of each kind within seconds.
+// gapTargetTTL is how long a gap target counts after the last request with it. Routes change, and
+// every daemon gets requests of each kind within seconds.
 const gapTargetTTL = 10 * time.Second
 
-// gapTargets holds, by model, the pauses that routes allow between events, with until when
-// they count.
+// gapTargets holds, by model, the longest pauses between events that routes allow, each with its
+// expiry.
 type gapTargets map[string]map[time.Duration]time.Time
 
 func (p gapTargets) record(model string, pause time.Duration, now time.Time) {
@@ -20,7 +20,7 @@
 	p[model][pause] = now.Add(gapTargetTTL)
 }
 
-// shortest returns the shortest pause that counts; zero if none does.
+// shortest returns the shortest gap target that has not expired; zero if there is none.
 func (p gapTargets) shortest(model string, now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for pause, until := range p[model] {
@@ -34,15 +34,15 @@
 	return shortest
 }
 
-// RecordGapTarget notes that a caller of a model bears a pause between events.
+// RecordGapTarget records the longest pause between events that a caller of a model accepts.
 func (t *Tracker) RecordGapTarget(model string, pause time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.gapTargets.record(model, pause, now)
 }
 
-// Pause returns the longest pause that all callers of a model bear who came here of late;
-// zero if none came.
+// Pause returns the longest pause between events that all recent callers of a model accept; zero
+// if there were none.
 func (t *Tracker) Pause(model string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/relay/holdings.go
+++ b/relay/holdings.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// maxAccountShare is which part of the daemon's bound one client account may hold, so that
-	// the slow callers of one account leave room for those of others.
+	// maxAccountShare is the part of the daemon's limit that one client account may use, so that
+	// slow callers of one account leave memory for others.
 	maxAccountShare = 0.25
-	// initialBufferBytes is how much room a body takes at first, in bytes. It doubles as the body
-	// comes: what was announced and is never sent takes none.
+	// initialBufferBytes is the initial buffer size of a body. It doubles as data arrives, so
+	// that a body that is announced but not sent takes no memory.
 	initialBufferBytes = 2 << 10
-	// memoryPollInterval is how often an answer that finds no room looks again.
+	// memoryPollInterval is how often an answer without memory tries again.
 	memoryPollInterval = 20 * time.Millisecond
 )
 
 var errMemoryLimit = errors.New("the daemon holds as much as it may")
 
-// Holdings bounds the bytes that a daemon holds for callers and workers: bodies of requests,
-// and answers that are read whole before they are passed on. Streams hold one event each.
+// Holdings limits the bytes that a daemon buffers for callers and workers: bodies of requests,
+// and answers that are read completely before they are forwarded. Streams buffer one event each.
 // It is safe for concurrent use.
 type Holdings struct {
 	limit int64
@@ -34,20 +34,20 @@
 	byAccount map[string]int64
 }
 
-// NewHoldings returns holdings of at most so many bytes; zero for no bound.
+// NewHoldings returns Holdings with a limit in bytes; zero for no limit.
 func NewHoldings(limit int64) *Holdings {
 	return &Holdings{limit: limit, byAccount: make(map[string]int64)}
 }
 
-// Held returns the bytes held.
+// Held returns the number of bytes in use.
 func (h *Holdings) Held() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.total
 }
 
-// reserve takes room for an account's bytes and reports whether there was any. An account that
-// holds nothing yet may take its first part.
+// reserve reserves bytes for an account and reports whether they were available. The account's
+// share does not limit its first reservation.
 func (h *Holdings) reserve(account string, bytes int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,14 +70,14 @@
 	}
 }
 
-// requestMemory is what is held for one request.
+// requestMemory is the memory reserved for one request.
 type requestMemory struct {
 	holdings *Holdings
 	account  string
 	bytes    int64
 }
 
-// grow takes room for further bytes.
+// grow reserves further bytes and reports whether they were available.
 func (o *requestMemory) grow(bytes int64) bool {
 	if !o.holdings.reserve(o.account, bytes) {
 		return false
@@ -86,14 +86,14 @@
 	return true
 }
 
-// release gives all room back.
+// release releases all reserved memory.
 func (o *requestMemory) release() {
 	o.holdings.release(o.account, o.bytes)
 	o.bytes = 0
 }
 
-// read reads up to most bytes and one more, which tells that there were too many. It takes
-// room as bytes come, by what wait does when there is none.
+// read reads up to limit bytes plus one, so that callers can detect a longer body. It reserves
+// memory as data arrives, and calls wait when there is none.
 func (o *requestMemory) read(from io.Reader, limit int64, wait func() error) ([]byte, error) {
 	var all []byte
 	from = io.LimitReader(from, limit+1)
@@ -119,17 +119,17 @@
 	}
 }
 
-// shrink gives back room that turned out not to be needed.
+// shrink releases memory that turned out not to be needed.
 func (o *requestMemory) shrink(bytes int64) {
 	o.holdings.release(o.account, bytes)
 	o.bytes -= bytes
 }
 
-// failWhenFull is the wait of a body: the request has not run, so it is refused.
+// failWhenFull is the wait function for bodies: the request has not run, so it is refused.
 func failWhenFull() error { return errMemoryLimit }
 
-// waitForMemory is the wait of an answer: it was made, so it is read as soon as there is room,
-// and the worker is held up until then.
+// waitForMemory returns the wait function for answers: the request has run, so its answer is read
+// as soon as memory is available, and the worker is blocked until then.
 func waitForMemory(ctx context.Context) func() error {
 	return func() error {
 		pause.For(ctx, memoryPollInterval)
--- a/relay/holdings_test.go
+++ b/relay/holdings_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBodiesAreBounded reads bodies beside others that are held already.
+// TestBodiesAreBounded reads bodies while other memory is already in use.
 func TestBodiesAreBounded(t *testing.T) {
 	const most = 1 << 20
 	tests := map[string]struct {
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestAnnouncedBodyTakesNoRoom: a caller announces a long body, sends a little and stops.
+// TestAnnouncedBodyTakesNoRoom: a caller announces a long body, sends a few bytes and stops.
 func TestAnnouncedBodyTakesNoRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHoldings(1 << 20)
@@ -74,7 +74,7 @@
 	})
 }
 
-// TestAnswersWaitForRoom: an answer was made, so it is read when others have ended.
+// TestAnswersWaitForRoom: an answer waits until other requests release memory.
 func TestAnswersWaitForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHoldings(1 << 20)
--- a/relay/lateness.go
+++ b/relay/lateness.go
@@ -6,22 +6,22 @@
 	"quartzshelf.dev/common/reason"
 )
 
-// nearlyFullShare is the part of a replica's slots that were taken, as far as was known, when a
-// late first event is put down to want of slots.
+// nearlyFullShare is the occupied share of a replica's slots from which on a late first event is
+// attributed to a lack of slots.
 const nearlyFullShare = 0.9
 
-// lateness notes whether the events of a stream came in time, and why not.
+// lateness records whether the events of a stream were on time, and if not, why.
 type lateness struct {
-	// reason is the first reason for which the stream is late; empty while it is not.
+	// reason is the first reason for which the stream was late; empty while it is on time.
 	reason  reason.Reason
 	replica string
-	// firstDelay is how long the first event took, pause the longest pause after it.
+	// firstDelay is the time to the first event, longestPause the longest pause after it.
 	firstDelay, longestPause time.Duration
-	// isResuming tells that the stream broke off and that no event came since.
+	// isResuming tells that the stream broke off and no event has arrived since.
 	isResuming bool
 }
 
-// recordFirst notes that the first event was passed on.
+// recordFirst records that the first event was forwarded.
 func (l *lateness) recordFirst(c *request, replica string, now time.Time) {
 	l.firstDelay, l.isResuming = now.Sub(c.arrived), false
 	if c.route.Objective <= 0 || l.firstDelay <= c.route.Objective {
@@ -37,26 +37,26 @@
 	}
 }
 
-// recordNext notes that a further event was passed on, so long after the one before.
+// recordNext records that a further event was forwarded after a pause.
 func (l *lateness) recordNext(c *request, replica string, pause time.Duration) {
 	l.longestPause = max(l.longestPause, pause)
 	if c.route.GapTarget > 0 && pause > c.route.GapTarget {
-		why := reason.LatePause
+		cause := reason.LatePause
 		if l.isResuming {
-			why = reason.LateResumed
+			cause = reason.LateResumed
 		}
-		l.setReason(why, replica)
+		l.setReason(cause, replica)
 	}
 	l.isResuming = false
 }
 
-func (l *lateness) setReason(why reason.Reason, replica string) {
+func (l *lateness) setReason(cause reason.Reason, replica string) {
 	if l.reason == "" {
-		l.reason, l.replica = why, replica
+		l.reason, l.replica = cause, replica
 	}
 }
 
-// logLate counts a stream that was late, and logs why.
+// logLate counts and logs a stream that was late.
 func (r *Relay) logLate(c *request, l *lateness) {
 	if l.reason == "" {
 		return
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -10,10 +10,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// lateStep is something that happens to a stream, at a time since it arrived.
+// lateStep is an event or failure of a stream, at a time since its arrival.
 type lateStep struct {
 	at time.Duration
-	// event tells that an event was passed on, failed that an attempt failed.
+	// event tells that an event was forwarded, failed that an attempt failed.
 	event, failed bool
 }
 
--- a/relay/names.go
+++ b/relay/names.go
@@ -1,35 +1,34 @@
-// Package relay answers callers: it finds the route of a request and the
-// replica that shall run it, passes the request on, and relays the answer. It
-// repeats only what may be repeated and says of a request that it did not run
-// only when that is certain.
+// Package relay serves callers: it finds the route of a request, chooses a replica, forwards the
+// request and relays the answer. It retries only requests that may be repeated, and reports that
+// a request did not run only when that is certain.
 package relay
 
 import "quartzshelf.dev/backpressure"
 
-// Names holds the names of the headers spoken with callers and workers.
+// Names holds the names of the headers exchanged with callers and workers.
 type Names struct {
-	// Attempt carries the identity of a request; an answer repeats it.
+	// Attempt is the header with the request's ID, which answers repeat.
 	Attempt string
-	// Deadline carries how long the sender waits, in milliseconds.
+	// Deadline is the header with the sender's remaining time, in milliseconds.
 	Deadline string
-	// Key carries a tenant's key. It is not passed on.
+	// Key is the header with a tenant's key. It is not forwarded.
 	Key string
-	// Tenant tells the worker whose request it is.
+	// Tenant is the header that tells workers the tenant's name.
 	Tenant string
-	// Instance names the worker that alone may run the request.
+	// Instance is the header with the ID of the only worker that may run the request.
 	Instance string
-	// NotRun marks refusals before anything ran.
+	// NotRun is the header that marks answers to requests that did not run.
 	NotRun string
-	// Signature is a worker's own mark on its answers.
+	// Signature is the header with a worker's signature of its answer.
 	Signature string
-	// Model names the model, Usage gives the tokens of the prompt and the most
-	// that may come out, separated by a comma.
+	// Model is the header with the model's name. Usage is the header with the number of prompt
+	// tokens and the maximum number of answer tokens, separated by a comma.
 	Model string
 	Usage string
-	// LastEvent names the last event that the caller has.
+	// LastEvent is the header with the ID of the last event that the caller has received.
 	LastEvent string
-	// Priority carries the rank of a request, 0 being the most urgent.
+	// Priority is the header with the request's priority; 0 is the most urgent.
 	Priority string
-	// Asks are the headers in which workers say what they ask for.
+	// Asks are the headers with which workers limit or pause requests.
 	Asks backpressure.Names
 }
--- a/relay/openingcost.go
+++ b/relay/openingcost.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// connectionCost is what a new connection costs a request: a round trip between
-// data halls, and the millisecond that a worker takes to accept it.
+// connectionCost is the cost of a new connection: a round trip between data halls, and the
+// millisecond that a worker takes to accept it.
 const connectionCost = 5 * time.Millisecond
 
-// openingCost returns what is added to the predicted wait at a replica to which no
-// connection is kept. Predicted waits are off by up to noise, so that a smaller
-// difference is no reason to open one. A replica with one slot left is not preferred:
-// others may take it meanwhile, and the request would be refused though another
-// replica has room.
+// openingCost returns the cost added to the predicted wait if no connection to the replica's head
+// is kept. It includes noise, the uncertainty of predictions, so that a smaller difference
+// doesn't open a connection. A replica with a single free slot is not preferred, since another
+// daemon may take that slot at the same time.
 func (c costs) openingCost(worker string, busy float64, noise time.Duration) time.Duration {
 	if c.connected[worker] && busy+1 < c.slots {
 		return 0
--- a/relay/powerreturn_test.go
+++ b/relay/powerreturn_test.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// waitingCallers callers waited in the dark, returnNew come in the three seconds after.
+	// waitingCallers waited during the power loss, newCallers arrive in the three seconds after
+	// it.
 	waitingCallers = 210
 	newCallers     = 270
-	// restartPromptTokens tokens are read in 25 ms.
+	// restartPromptTokens are read in 25 ms.
 	restartPromptTokens = 250
 )
 
-// TestReturnOfAll plays the moment at which all daemons are back after 1.3 s without power:
-// they know no loads, and 210 callers who waited come within 100 ms, once, beside 90 new
-// ones each second for 160 slots. All are served. Judged by own streams alone, daemons cut
-// off what only queues, and one in seven of those who waited is never served; refused when
-// they come back late, one in ten of the new ones is not.
-func TestReturnOfAll(t *testing.T) {
+// TestReturnAfterPowerLoss simulates all daemons returning at once after a power loss of 1.3 s.
+// They know no loads, while the waiting callers arrive within 100 ms beside new ones. It guards
+// against canceling streams that only wait in a queue, and against refusing late callers at the
+// cost of new ones.
+func TestReturnAfterPowerLoss(t *testing.T) {
 	const rounds = 4
 	waited, fresh, inTime := 0, 0, 0
 	for range rounds {
@@ -70,13 +70,13 @@
 	return p
 }
 
-// TestWaited: a daemon tells by the time that a caller gives how long it has waited before,
-// whether callers of the route give as much as the route allows or less.
-func TestWaited(t *testing.T) {
+// TestEstimateWaited: the remaining time sent by a caller shows how long it has waited, whether a
+// route's callers start with the route's timeout or a shorter one.
+func TestEstimateWaited(t *testing.T) {
 	now := time.Unix(1000, 0)
 	route, _ := simConfig().Route("h", "/stream/")
 	tests := map[string]struct {
-		// usual is what the callers before gave, how many of them there were.
+		// usual is the remaining time of earlier callers, before how many there were.
 		usual  time.Duration
 		before int
 		given  time.Duration
@@ -96,7 +96,7 @@
 				p.estimateWaited(route, test.usual, now)
 			}
 			if test.later > 0 {
-				// Two spans go by.
+				// Two windows pass.
 				p.estimateWaited(route, test.given, now.Add(test.later))
 				now := now.Add(2 * test.later)
 				assert.Equal(t, p.estimateWaited(route, test.given, now), test.want)
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestOldRoutesAreForgotten: configurations bring routes of other names again and again.
+// TestOldRoutesAreForgotten: routes that were renamed must not accumulate.
 func TestOldRoutesAreForgotten(t *testing.T) {
 	p, now := newCallerTimeouts(), time.Unix(1000, 0)
 	for i := range 50 {
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -14,8 +14,8 @@
 
 var errQuarantined = errors.New("the request ended workers elsewhere meanwhile")
 
-// waitingStreams holds the streams that were sent and have no event yet. It is safe for concurrent
-// use.
+// waitingStreams holds the streams that were sent and have received no event yet. It is safe for
+// concurrent use.
 type waitingStreams struct {
 	mu   sync.Mutex
 	held map[*request]context.CancelCauseFunc
@@ -33,7 +33,7 @@
 	delete(u.held, c)
 }
 
-// cancel cuts those off that are chosen.
+// cancel cancels the streams for which chosen returns true.
 func (u *waitingStreams) cancel(chosen func(c *request) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -44,17 +44,17 @@
 	}
 }
 
-// Guard returns what keeps requests that end their workers from workers.
+// Guard returns the guard against requests that crash their workers.
 func (r *Relay) Guard() *guard.Guard { return r.guard }
 
-// guardRequest returns the request as the guard knows it.
+// guardRequest returns the guard's description of the request.
 func (c *request) guardRequest() guard.Request {
 	return guard.Request{
 		ID: c.id, Account: c.account(), Host: c.host, Target: c.target, Bytes: len(c.body), Fingerprint: c.fingerprint,
 	}
 }
 
-// checkQuarantine returns the refusal of a request that ended the workers which ran it, at this
+// checkQuarantine returns the refusal of a request that crashed the workers which ran it, at this
 // daemon or others, or nil.
 func (r *Relay) checkQuarantine(c *request, now time.Time) *refusal {
 	state := r.guard.Judge(c.guardRequest(), now)
@@ -65,8 +65,8 @@
 	return unavailable(reason.Quarantined, "the request ended the workers that ran it", state.Until.Sub(now))
 }
 
-// reportCrash notes a request whose attempt broke off if its worker has ended otherwise than it had
-// said.
+// reportCrash reports a broken attempt to the guard, unless the worker had announced that it
+// would stop.
 func (r *Relay) reportCrash(c *request, replica *fleet.Replica) {
 	head := replica.Head
 	if listed, ok := r.opts.View().Worker(head.ID); ok && listed.Draining {
@@ -79,17 +79,17 @@
 	r.guard.Broke(c.guardRequest(), w, c.sentAt, time.Now())
 }
 
-// cancelQuarantined cuts off requests that are quarantined from now on, as long as they may not have
-// begun to run: each of them would end its worker. Streams that have events go on; if one of
-// them ends well the quarantine was wrong, and ends.
+// cancelQuarantined cancels the waiting streams of newly quarantined requests, each of which
+// would crash its worker. Streams with events continue; if one of them completes, the quarantine
+// was wrong and is lifted.
 func (r *Relay) cancelQuarantined(marked []quarantine.Fingerprint) {
 	for _, f := range marked {
 		r.waitingStreams.cancel(func(c *request) bool { return c.fingerprint() == f })
 	}
 }
 
-// recordCompletion notes that a worker ran a request to its end. The end of an answer without a
-// length may be the worker's own end, and one without a signature is not the worker's.
+// recordCompletion tells the guard that a worker completed a request. An answer without a length
+// doesn't count, since a crash may have ended it, nor does one without the worker's signature.
 func (r *Relay) recordCompletion(c *request, e *exchange) {
 	framed := e.response.ContentLength >= 0 || chunked(e.response)
 	if framed && e.response.Header.Get(r.opts.Names.Signature) != "" {
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -16,9 +16,9 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// TestWhatIsNoCrash gives a relay attempts that fail at workers which live, or that end as
-// they had said: no request is blamed for any of them.
-func TestWhatIsNoCrash(t *testing.T) {
+// TestFailuresThatAreNoCrash: attempts that fail at live workers, or at workers that had
+// announced their end, must not count as crashes.
+func TestFailuresThatAreNoCrash(t *testing.T) {
 	tests := map[string]struct {
 		path   string
 		script behaviour
@@ -61,7 +61,7 @@
 	}
 }
 
-// drain lists a worker as leaving from the moment at which it gets a request.
+// drain lists a worker as draining as soon as it gets a request.
 func (r *testRelay) drain(w *fakeWorker) {
 	w.onRequest = func() {
 		entry := w.entry()
@@ -70,14 +70,14 @@
 	}
 }
 
-// quarantineRequest quarantines a request of the tests in a relay.
+// quarantineRequest quarantines a test request at a relay.
 func quarantineRequest(r *testRelay, target, account, body string) quarantine.Fingerprint {
 	f := quarantine.FingerprintOf(account, http.MethodPost, "h", target, []byte(body))
 	blame(r.guard.Table(), f, 3, time.Now())
 	return f
 }
 
-// blame notes crashes of a request, one after the other, up to now.
+// blame records crashes of a request, one second apart, up to now.
 func blame(table *quarantine.Table, f quarantine.Fingerprint, crashes int, now time.Time) {
 	for i := range crashes {
 		ended := now.Add(time.Duration(i-crashes) * time.Second)
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestQuarantinedRequest: it is refused at once and truly, whoever sends it under the same
-// account, and nobody else is.
+// TestQuarantinedRequest: only requests with the same account, path and body are refused, at once
+// and without running.
 func TestQuarantinedRequest(t *testing.T) {
 	tests := map[string]struct {
 		account, path, body string
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestCompletedRunClears: a run that completes clears a request of two crashes, whether its
-// answer is relayed whole or as a stream.
+// TestCompletedRunClears: a completed run clears the crashes recorded for a request, for whole
+// answers and streams.
 func TestCompletedRunClears(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestRelayForgets: what nothing was seen of for long costs requests nothing any more.
-func TestRelayForgets(t *testing.T) {
+// TestQuarantineTableExpires: old crashes are removed from the table.
+func TestQuarantineTableExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 1, &simHead{id: "a"})
 		table := p.daemons[0].guard.Table()
@@ -144,9 +144,9 @@
 	})
 }
 
-// TestSuspectsRunBesideTheFewest: a request that ended two workers goes to the replica whose
-// end breaks the fewest others, whatever else speaks for another.
-func TestSuspectsRunBesideTheFewest(t *testing.T) {
+// TestSuspectedRequestsPreferIdleReplicas: a request that crashed two workers goes to the replica
+// with the fewest requests in flight, whatever the predicted wait.
+func TestSuspectedRequestsPreferIdleReplicas(t *testing.T) {
 	tracker := NewTracker("here", func(*fleet.Replica) {})
 	near, far := testReplica("near", "here"), testReplica("far", "there")
 	tracker.Reserve(near, 0)
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestSuspectedRequestIsSentThere: a request that ended two workers goes beside the fewest
-// though the other replica is nearer, another request does not.
-func TestSuspectedRequestIsSentThere(t *testing.T) {
+// TestSuspectedRequestGoesToIdleReplica: a request that crashed two workers goes to the replica
+// with the fewest requests in flight, one that crashed a single worker does not.
+func TestSuspectedRequestGoesToIdleReplica(t *testing.T) {
 	tests := map[string]int{"one crash": 1, "two crashes": 2}
 	for name, crashes := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +175,7 @@
 				p := newSimulation(t, 1, near, far)
 				tracker, now := p.daemons[0].opts.Tracker, time.Now()
 				for _, replica := range p.inventory.View().Replicas("models", "m") {
-					// The far one has long prompts to read, the near one more requests.
+					// The far head has long prompts to read, the near one more requests.
 					tracker.Reserve(replica, 0)
 					if replica.Head.ID == near.id {
 						tracker.Reserve(replica, 0)
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestQuarantineCutsOffWhatHasNotBegun: a copy that waits at a head would end it; one whose
-// events come goes on, and shows that the quarantine was wrong.
-func TestQuarantineCutsOffWhatHasNotBegun(t *testing.T) {
+// TestQuarantineCancelsWaitingStreams: a waiting copy would crash its head and is canceled; a
+// stream with events continues, and its completion lifts the quarantine.
+func TestQuarantineCancelsWaitingStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 1, &simHead{id: "a", isMuted: func(id string) bool { return id == "waits" }})
 		r := p.daemons[0]
@@ -216,11 +216,9 @@
 	})
 }
 
-// TestStormOfOneRequest plays copies of a request that ends each head which begins to run
-// it, eight a second at four daemons, beside 40 others a second: three heads end, and those
-// at which copies were on their way. Without quarantine 60 heads end in 10 s, and 31 of the
-// 400 others are served.
-func TestStormOfOneRequest(t *testing.T) {
+// TestCrashingRequestIsQuarantined simulates copies of a request that crashes every head it runs
+// at, beside other requests: few heads may crash, and the other requests must be served.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := simulateCrashes(t, func(p *simulation) {
 			for i := range 80 {
@@ -235,8 +233,8 @@
 	})
 }
 
-// TestPopularRequestBesideCrashes plays one text that comes five times a second while a head
-// ends by itself every 700 ms: no quarantine begins, and as much is served as of the others.
+// TestPopularRequestBesideCrashes repeats one body while heads crash for other reasons: it must
+// not be quarantined.
 func TestPopularRequestBesideCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const copies = 50
@@ -259,11 +257,11 @@
 	})
 }
 
-// otherRequests is how many requests of texts of their own come in the plays beside crashes.
+// otherRequests is the number of other requests in simulations of crashes.
 const otherRequests = 400
 
-// simulateCrashes plays ten seconds of requests with texts of their own, and what is given
-// beside them.
+// simulateCrashes simulates ten seconds of requests with distinct bodies, and runs beside in
+// parallel.
 func simulateCrashes(t *testing.T, beside func(p *simulation)) *simulation {
 	t.Helper()
 	const daemons, heads = 4, 12
@@ -294,7 +292,7 @@
 	return p
 }
 
-// crashOne ends one of the heads.
+// crashOne crashes one of the heads.
 func (p *simulation) crashOne() {
 	p.mu.Lock()
 	var one *simHead
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// retrySoon, retryLater and retryRevived are the times after which callers
-	// are asked to come again: when it was chance, when the fleet is busy or
-	// being mended, and when this daemon knows too little.
+	// retrySoon, retryBusy and retryUninformed are the retry times sent to callers: after a
+	// transient failure, when the fleet is busy or recovering, and when this daemon lacks
+	// information.
 	retrySoon       = 50 * time.Millisecond
 	retryBusy       = 300 * time.Millisecond
 	retryUninformed = 500 * time.Millisecond
-	// retryClosed is the same when an operator's word keeps all replicas out: it seldom
-	// changes within a second.
+	// retryClosed is the retry time when an operator's setting excludes all replicas, which
+	// seldom changes within a second.
 	retryClosed = time.Second
 )
 
-// refusal is an answer of the system's own.
+// refusal is an answer made by the daemon itself.
 type refusal struct {
 	status  int
 	reason  reason.Reason
 	message string
-	// retryAfter is when to come back; zero for never. It is told only with
-	// statuses that promise that the request did not run.
+	// retryAfter is when the caller should retry; zero for no retry. It is sent only with status
+	// codes that promise that the request did not run.
 	retryAfter time.Duration
-	// cause is the error that led here, if there was one.
+	// cause is the error that led to the refusal, if any.
 	cause error
-	// passedOver tells which reasons kept how many replicas out.
+	// passedOver holds the counts of replicas passed over, by cause.
 	passedOver string
 }
 
@@ -66,6 +66,6 @@
 		header.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.WriteHeader(f.status)
-	// A caller that has gone does not get it; there is nobody to tell.
+	// The error is ignored: the caller has disconnected.
 	_, _ = w.Write(body)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -23,14 +23,13 @@
 	defaultMaxBodyBytes = 8 << 20
 	defaultTimeout      = 10 * time.Minute
 	lowestPriority      = 9
-	// maxRejections is how many workers may turn a request away before it is
-	// given up.
+	// maxRejections is how many workers may reject a request before it fails.
 	maxRejections = 2
-	// engineLoadFactor and serviceRoom are how much work may be in flight at a
-	// worker, in multiples of its slots, before requests are refused.
+	// engineLoadFactor and serviceLoadFactor limit the work in flight at a worker, in multiples
+	// of its slots, before requests are refused.
 	engineLoadFactor  = 1.0
 	serviceLoadFactor = 4.0
-	// sweepInterval is how often silent replicas are looked for.
+	// sweepInterval is the interval of checks for silent replicas and idle connections.
 	sweepInterval = 50 * time.Millisecond
 )
 
@@ -38,44 +37,42 @@
 type Options struct {
 	Names  Names
 	Config func() *fleet.Config
-	// Confirmed returns when the configuration was last known to be the
-	// newest, BeliefFor for how long after that keys are believed in; zero
-	// means for ever.
+	// Confirmed returns when the configuration was last known to be current. Keys are accepted
+	// for BeliefFor after that; zero means without limit.
 	Confirmed func() time.Time
 	BeliefFor time.Duration
 	View      func() *fleet.View
-	// Halls returns the state of the data halls; nil for none that close.
+	// Halls returns the state of the data halls; nil if none is ever closed.
 	Halls func() *fleet.HallView
-	// RegionOf returns the region of a data hall; nil for one region.
+	// RegionOf returns the region of a data hall; nil if there is only one region.
 	RegionOf func(hall string) string
-	// WarmUp bounds what replicas get that warm up, Limits what those get whose heads name
-	// limits. Rests keeps requests from those whose heads want nothing from this daemon.
+	// WarmUp limits requests to replicas that are warming up, Limits those to replicas whose
+	// heads set limits. Rests stops requests to replicas whose heads ask for a pause.
 	WarmUp, Limits, Rests Bound
 
 	Tracker *Tracker
 	Budget  BudgetOptions
-	// Holdings bounds what is held for callers and workers; nil for no bound.
+	// Holdings limits the bytes buffered for callers and workers; nil for no limit.
 	Holdings *Holdings
-	// ServeLate keeps requests that are late already rather than lose them: they wait for
-	// room, and refused callers are told to come back over all of the time that they heed.
-	// Where a third of the workers is lost that makes fresh requests late as well, so it is
-	// off by default (docs/design/nothing-lost.md).
+	// ServeLate tries to serve requests that are already late: they wait for capacity, and retry
+	// times are spread over all of the time for which callers may wait. After a large loss of
+	// workers this delays new requests as well.
 	ServeLate bool
-	// Spread is called when peers are to be told at once of requests that end workers; nil
-	// for nobody.
+	// Spread is called when peers are to be notified at once of requests that crash workers; nil
+	// for no call.
 	Spread func()
-	// Replaced reports whether another life has the address of a worker; nil if that can't
-	// be told.
+	// Replaced reports whether another worker instance has taken over the address of a worker;
+	// nil if that can't be determined.
 	Replaced func(ctx context.Context, w *fleet.Worker) (bool, error)
-	// Signalled is called with what a worker says of itself in the head of an answer to a
-	// request that was sent at a time; nil for nobody.
+	// Signalled is called with the limits or pauses that a worker sets in the header of an
+	// answer, and when the request was sent; nil for no call.
 	Signalled func(w *fleet.Worker, s backpressure.Signal, sent, now time.Time)
 	// Dial opens connections to workers; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Awake is called before a request is judged by what is believed: it sees to it that
-	// beliefs are as old as they are if the machine was suspended; nil for one that never is.
+	// Awake is called before a request is judged. It updates the age of what the daemon knows if
+	// the machine was suspended; nil for machines that never are.
 	Awake func()
-	// Leaving reports whether this daemon is to stop.
+	// Leaving reports whether this daemon is shutting down.
 	Leaving func() bool
 	Meter   *telemetry.Meter
 	Logger  hclog.Logger
@@ -89,16 +86,16 @@
 	callerTimeouts *callerTimeouts
 	guard          *guard.Guard
 	waitingStreams waitingStreams
-	// startedAt is when this daemon began.
+	// startedAt is when this daemon started.
 	startedAt time.Time
-	// hasAnswered tells that some answer was not a refusal.
+	// hasAnswered tells that some request got an answer other than a refusal.
 	hasAnswered atomic.Bool
 	done        chan struct{}
 }
 
 var _ http.Handler = (*Relay)(nil)
 
-// New returns a relay; Run does its housekeeping.
+// New returns a Relay. Run must be called for its periodic work.
 func New(opts Options) *Relay {
 	if opts.Holdings == nil {
 		opts.Holdings = NewHoldings(0)
@@ -127,7 +124,7 @@
 // Done is closed when Run has returned.
 func (r *Relay) Done() <-chan struct{} { return r.done }
 
-// Run looks for silent replicas and closes idle connections until ctx ends.
+// Run checks for silent replicas and closes idle connections until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	defer close(r.done)
 	defer r.guard.Wait()
@@ -148,8 +145,8 @@
 	}
 }
 
-// Slept notes that the machine was suspended: workers may have closed the connections that
-// were kept, and of some of them nothing tells.
+// Slept tells the relay that the machine was suspended. It closes the idle connections, because
+// workers may have closed them unnoticed.
 func (r *Relay) Slept() { r.upstream.closeAll() }
 
 func (r *Relay) random() float64 { return rand.Float64() }
@@ -180,10 +177,10 @@
 	r.hasAnswered.Store(true)
 }
 
-// Answered reports whether a caller got an answer of a worker yet.
+// Answered reports whether any caller has got a worker's answer yet.
 func (r *Relay) Answered() bool { return r.hasAnswered.Load() }
 
-// refuse answers with a refusal, counts it, and logs why.
+// refuse sends, counts and logs a refusal.
 func (r *Relay) refuse(w http.ResponseWriter, c *request, f *refusal) {
 	r.opts.Meter.Refuse(f.reason)
 	if r.opts.ServeLate && f.isForCapacity() {
@@ -205,7 +202,7 @@
 	return 0
 }
 
-// choose returns the replica for the next attempt, or why there is none.
+// choose returns the replica for the next attempt, or a refusal if there is none.
 func (r *Relay) choose(c *request) (*fleet.Replica, *refusal) {
 	r.opts.Awake()
 	now := time.Now()
@@ -216,16 +213,17 @@
 		return nil, unavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	selection := r.selectReplicas(c, now)
-	// exhausted holds replicas whose last token another request took since they were judged.
+	// exhausted holds replicas whose last token was taken by another request since they were
+	// classified.
 	var exhausted map[string]bool
 	for {
 		if selection.IsEmpty() {
 			return nil, r.noReplicaRefusal(c, selection.Counts(), now)
 		}
-		replica, none := r.chooseByClass(c, &selection, exhausted, now)
+		replica, refused := r.chooseByClass(c, &selection, exhausted, now)
 		c.sentAt = now
-		if none != nil || r.takeTokens(c, replica, now) {
-			return replica, none
+		if refused != nil || r.takeTokens(c, replica, now) {
+			return replica, refused
 		}
 		if exhausted == nil {
 			exhausted = make(map[string]bool)
@@ -234,8 +232,8 @@
 	}
 }
 
-// chooseByClass chooses among the replicas of the best class that has room. Doubtful ones
-// count only if there are no others.
+// chooseByClass chooses among the replicas of the best class with free capacity. Replicas of
+// class LastResort are used only if there are no others.
 func (r *Relay) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
 	full := false
 	for class := eligibility.Eligible; class < eligibility.Excluded; class++ {
@@ -265,7 +263,7 @@
 	return nil, f
 }
 
-// maxInFlight returns how much work a replica may have in flight.
+// maxInFlight returns how many requests a replica may have in flight.
 func (r *Relay) maxInFlight(c *request, replica *fleet.Replica) float64 {
 	if c.engine != nil {
 		return engineLoadFactor * float64(c.engine.Slots)
@@ -273,8 +271,8 @@
 	return serviceLoadFactor * float64(max(replica.Head.Slots, 1))
 }
 
-// mayRetry reports whether a failed attempt may be followed by another one,
-// and draws on the budget if so. ran tells whether the attempt may have run.
+// mayRetry reports whether a failed attempt may be followed by another one, and if so takes it
+// from the retry budget. ran tells whether the attempt may have run.
 func (r *Relay) mayRetry(c *request, ran bool) bool {
 	switch {
 	case c.isDone():
@@ -312,7 +310,7 @@
 	return ran
 }
 
-// failureRefusal returns the answer to a request whose attempts all failed.
+// failureRefusal returns the refusal of a request whose attempts all failed.
 func (r *Relay) failureRefusal(c *request) *refusal {
 	if c.isTimedOut() {
 		return c.correctStatus(timeoutRefusal(c))
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// newTestRelay serves before workers and returns the address of the relay.
+// newTestRelay starts a relay for the workers, and a server for it.
 func newTestRelay(t *testing.T, workers ...*fakeWorker) (*testRelay, *httptest.Server) {
 	t.Helper()
 	meter, err := telemetry.NewMeter()
@@ -53,12 +53,12 @@
 	return r, server
 }
 
-// answerSeen is one answer as the caller sees it.
+// answerSeen is an answer as received by the caller.
 type answerSeen struct {
 	status int
 	header http.Header
 	body   string
-	// isWhole tells that the answer ended as it should.
+	// isWhole tells that the answer ended properly.
 	isWhole bool
 }
 
@@ -126,7 +126,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			// The script is shared: whichever worker is asked first plays its start.
+			// The script is shared: the worker asked first plays its first behaviour.
 			w := newFakeWorker(t, "w1", test.script...)
 			workers := []*fakeWorker{w}
 			for i := 2; i <= 4; i++ {
@@ -147,13 +147,12 @@
 	}
 }
 
-// workerSharingScript returns a further worker that plays the same script and counts with w.
+// workerSharingScript returns another worker with the script and counters of w.
 func workerSharingScript(w *fakeWorker, id string) *fakeWorker {
 	return &fakeWorker{id: id, listener: w.listener}
 }
 
-// TestPromises draws scripts and kinds of requests and checks what callers may
-// rely on, whatever workers do.
+// TestPromises checks the guarantees to callers for random requests and worker behaviours.
 func TestPromises(outer *testing.T) {
 	all := []behaviour{answers, rejects, fails, loses, cuts, tears, unsigned, surplus, garbles}
 	rapid.Check(outer, func(t *rapid.T) {
@@ -187,7 +186,7 @@
 	}
 }
 
-func TestWorkerSeesWhatItShould(t *testing.T) {
+func TestForwardedHeaders(t *testing.T) {
 	w := newFakeWorker(t, "w1")
 	_, server := newTestRelay(t, w)
 	sendRequest(t, server, "/safe/", "a", func(h *http.Request) {
@@ -210,7 +209,7 @@
 	assert.Assert(t, left > 0 && left <= 400)
 }
 
-func TestKeysAreNotBelievedInForEver(t *testing.T) {
+func TestKeysExpireWithoutConfirmation(t *testing.T) {
 	w := newFakeWorker(t, "w1")
 	r, server := newTestRelay(t, w)
 	r.confirmed = time.Now().Add(-time.Hour)
@@ -266,7 +265,7 @@
 	}
 }
 
-// FuzzEvents checks that cutting loses nothing and that ids are found safely.
+// FuzzEvents checks that splitting loses no bytes and that IDs are found safely.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\nda"))
 	f.Add([]byte("\n\n\n"))
@@ -279,8 +278,8 @@
 	})
 }
 
-// TestFirstTokensAreMeasured lets a stream break and go on: its first token is
-// measured once. One of the two calls meets the worker that breaks off.
+// TestFirstTokensAreMeasured: the first token of a stream that resumes is measured once. One of
+// the two requests meets the worker that breaks off.
 func TestFirstTokensAreMeasured(t *testing.T) {
 	r, server := newTestRelay(t, newFakeWorker(t, "w1", cuts), newFakeWorker(t, "w2"))
 	for _, id := range []string{"a", "b"} {
--- a/relay/request.go
+++ b/relay/request.go
@@ -16,7 +16,7 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// request is a caller's request on its way through the daemon.
+// request is a caller's request while the daemon handles it.
 type request struct {
 	id     string
 	method string
@@ -24,43 +24,46 @@
 	host   string
 	header http.Header
 	body   []byte
-	// memory is the room that the body and the answer take.
+	// memory is the memory used by the body and the answer.
 	memory  requestMemory
 	route   *fleet.Route
 	service string
-	// engine is nil for services whose workers serve alone.
+	// engine is nil for services without an engine.
 	engine *fleet.Engine
 	model  string
-	// promptTokens is the number of prompt tokens, as the caller gives it.
+	// promptTokens is the number of prompt tokens stated by the caller.
 	promptTokens int
 	tenant       *fleet.Tenant
 	arrived      time.Time
 	deadline     time.Time
-	// waitedBefore is how long the caller had waited before, as far as its deadline tells.
+	// waitedBefore is how long the caller had waited in earlier attempts, estimated from its
+	// deadline.
 	waitedBefore time.Duration
 	ctx          context.Context
 	cancel       context.CancelFunc
 
-	// sends counts the workers that may have run the request, rejections those
-	// that certainly did not.
+	// sends counts the workers that may have run the request, rejections those that certainly did
+	// not.
 	sends      int
 	rejections int
 	tried      map[string]bool
-	// failedHeads holds the heads whose failure others may share.
+	// failedHeads holds the heads of replicas at which attempts failed in a way that others may
+	// share.
 	failedHeads []*fleet.Worker
-	// chosenBusy is the work in flight at the replica chosen last, as far as known.
+	// chosenBusy is the known work in flight at the replica chosen last.
 	chosenBusy float64
-	// passedOver tells which reasons kept how many replicas out of the last choice.
+	// passedOver holds the counts of replicas passed over in the last choice, by cause.
 	passedOver string
-	// sendBy is until when the attempt may be sent; the zero time for any time. lacked is
-	// which bound had no token for the replica chosen last.
+	// sendBy is until when the attempt may be sent; zero for any time. exhaustedBound is the
+	// bound that had no token for the replica chosen last.
 	sendBy         time.Time
 	exhaustedBound reason.Reason
-	// lastErr is the error of the newest failed attempt, sentAt when that was chosen.
+	// lastErr is the error of the last failed attempt, sentAt when the last attempt's replica was
+	// chosen.
 	lastErr error
 	sentAt  time.Time
 
-	// isSuspected tells that the next crash would quarantine the request.
+	// isSuspected tells that one more crash would quarantine the request.
 	isSuspected bool
 
 	fingerprintOnce   sync.Once
@@ -68,10 +71,10 @@
 	cachedFingerprint quarantine.Fingerprint
 }
 
-// mayHaveRun reports whether some worker may have begun the request.
+// mayHaveRun reports whether any worker may have started the request.
 func (c *request) mayHaveRun() bool { return c.sends > 0 }
 
-// correctStatus turns a refusal that promises too much into one that does not.
+// correctStatus changes a refusal that wrongly promises that the request did not run.
 func (c *request) correctStatus(f *refusal) *refusal {
 	if f.cause == nil {
 		f.cause = c.lastErr
@@ -82,7 +85,7 @@
 	return f
 }
 
-// accept reads a request and decides by the configuration whether it may run.
+// accept reads a request and checks it against the configuration.
 func (r *Relay) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
 	r.opts.Awake()
 	config := r.opts.Config()
@@ -121,7 +124,7 @@
 	return c, nil
 }
 
-// authenticate finds the tenant by the request's key.
+// authenticate sets the tenant from the request's key.
 func (r *Relay) authenticate(c *request, config *fleet.Config) *refusal {
 	key := c.header.Get(r.opts.Names.Key)
 	if c.route.Public || !config.NeedsKeys() {
@@ -138,8 +141,8 @@
 	return nil
 }
 
-// BeliefTooOld reports whether keys may have been taken away without this
-// daemon knowing.
+// BeliefTooOld reports whether the configuration is so old that keys may have been revoked
+// without this daemon knowing.
 func (r *Relay) BeliefTooOld(now time.Time) bool {
 	return r.opts.BeliefFor > 0 && now.Sub(r.opts.Confirmed()) > r.opts.BeliefFor
 }
@@ -170,7 +173,8 @@
 	return nil
 }
 
-// accountName names whose bytes are counted: those of callers without an account together.
+// accountName returns the account to which memory is charged; all callers without an account
+// share one.
 func accountName(tenant *fleet.Tenant) string {
 	if tenant == nil {
 		return ""
@@ -178,8 +182,8 @@
 	return tenant.Name
 }
 
-// setDeadline sets the request's deadline and context. A request that must not be
-// repeated goes on when its caller has gone, so that it ends whole.
+// setDeadline sets the request's deadline and context. A request that must not be repeated
+// continues after its caller has disconnected.
 func (r *Relay) setDeadline(c *request, h *http.Request) {
 	c.deadline = c.arrived.Add(defaultTimeout)
 	if c.route.Timeout > 0 {
@@ -199,7 +203,7 @@
 	c.ctx, c.cancel = context.WithDeadline(parent, c.deadline)
 }
 
-// promptTokens returns the first of the comma-separated figures of a usage.
+// promptTokens returns the first of the comma-separated numbers in a usage header.
 func promptTokens(usage string) int {
 	first, _, _ := strings.Cut(usage, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(first))
@@ -209,13 +213,13 @@
 	return n
 }
 
-// hopHeaders concern one connection only.
+// hopHeaders are the headers that apply to a single connection.
 var hopHeaders = []string{
 	"Connection", "Content-Length", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// forwardedHeaders returns the headers that are passed on.
+// forwardedHeaders returns a copy without the headers that apply to a single connection.
 func forwardedHeaders(header http.Header) http.Header {
 	out := header.Clone()
 	for _, field := range header.Values("Connection") {
@@ -229,15 +233,15 @@
 	return out
 }
 
-// messageFor returns the request as it goes to a worker.
+// messageFor returns the request as sent to a worker.
 func (r *Relay) messageFor(c *request, worker *fleet.Worker, lastEvent string) *message {
 	names := r.opts.Names
 	header := forwardedHeaders(c.header)
-	for _, own := range []string{names.Key, names.Tenant, names.Instance, names.Priority, names.Deadline} {
-		header.Del(own)
+	for _, name := range []string{names.Key, names.Tenant, names.Instance, names.Priority, names.Deadline} {
+		header.Del(name)
 	}
-	left := max(time.Until(c.deadline).Milliseconds(), 1)
-	header.Set(names.Deadline, strconv.FormatInt(left, 10))
+	remaining := max(time.Until(c.deadline).Milliseconds(), 1)
+	header.Set(names.Deadline, strconv.FormatInt(remaining, 10))
 	header.Set(names.Instance, worker.ID)
 	priority := c.route.Priority
 	if c.tenant != nil {
@@ -258,8 +262,8 @@
 	}
 }
 
-// isDone reports whether the caller has gone or the time is up.
+// isDone reports whether the caller has disconnected or the deadline has passed.
 func (c *request) isDone() bool { return c.ctx.Err() != nil }
 
-// isTimedOut reports whether the request's time is up.
+// isTimedOut reports whether the deadline has passed.
 func (c *request) isTimedOut() bool { return errors.Is(c.ctx.Err(), context.DeadlineExceeded) }
--- a/relay/reservation.go
+++ b/relay/reservation.go
@@ -2,17 +2,17 @@
 
 import "quartzshelf.dev/fleet"
 
-// Reservation is a request counted at a replica.
+// Reservation is a request counted as in flight at a replica.
 type Reservation struct {
 	tracker *Tracker
 	load    *replicaLoad
-	// promptTokens is the number of prompt tokens, prefill how many of them are to be read.
+	// promptTokens is the number of prompt tokens, prefill how many of them are still to be read.
 	promptTokens int
 	prefill      int
 	isReleased   bool
 }
 
-// Reserve counts a request with a number of prompt tokens to be read.
+// Reserve counts a request with the given number of unread prompt tokens as in flight.
 func (t *Tracker) Reserve(r *fleet.Replica, prompt int) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -24,7 +24,7 @@
 	return &Reservation{tracker: t, load: s, promptTokens: prompt, prefill: prompt}
 }
 
-// PrefillDone notes that the prompt was read.
+// PrefillDone records that the prompt has been read.
 func (r *Reservation) PrefillDone() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
@@ -32,7 +32,7 @@
 	r.prefill = 0
 }
 
-// Release ends the count; further calls do nothing.
+// Release removes the request from the count; further calls do nothing.
 func (r *Reservation) Release() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
--- a/relay/resumedelay.go
+++ b/relay/resumedelay.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// maxResumeDelay is over how long streams are spread that go on elsewhere when they are
-	// late already. All streams of a replica that stands still are noticed at the same
-	// moment, and their prompts would hold up the streams of the replicas that take them.
+	// maxResumeDelay limits the random delay of late streams that resume at another replica. All
+	// streams of a stalled replica are noticed at the same moment, and their prompts would delay
+	// the streams of the replicas that take them over.
 	maxResumeDelay = 600 * time.Millisecond
-	// resumeDelayShare is the part of the time left to a request that this may take.
+	// resumeDelayShare is the largest part of the request's remaining time used for the delay.
 	resumeDelayShare = 0.25
 )
 
-// resumeDelay returns how long a stream that broke off is to wait before it goes on elsewhere:
-// not at all while it can be in time, and for a random while once it is late.
+// resumeDelay returns how long a broken stream waits before it resumes elsewhere: zero while it
+// can still be on time, and a random time once it is late.
 func (r *Relay) resumeDelay(c *request, s *relayedStream, now time.Time) time.Duration {
 	since, allowed := c.arrived, c.route.Objective
 	if s.isHeadSent {
@@ -22,6 +22,6 @@
 		return 0
 	}
 	left := time.Duration(resumeDelayShare * float64(c.deadline.Sub(now)))
-	most := min(maxResumeDelay, left, resumeTimeout-now.Sub(since))
-	return time.Duration(r.random() * float64(max(most, 0)))
+	limit := min(maxResumeDelay, left, resumeTimeout-now.Sub(since))
+	return time.Duration(r.random() * float64(max(limit, 0)))
 }
--- a/relay/resumedelay_test.go
+++ b/relay/resumedelay_test.go
@@ -9,10 +9,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLateStreamsDoNotComeTogether plays the loss of a replica with 200 streams, noticed
-// half a second after their last events: what comes to the others within one pass must
-// leave the streams there in time, and nobody may wait until callers leave.
-func TestLateStreamsDoNotComeTogether(t *testing.T) {
+// TestLateStreamsResumeSpreadOut simulates a replica that stalls with 200 streams: they must not
+// all resume within one pass, and must resume before callers disconnect.
+func TestLateStreamsResumeSpreadOut(t *testing.T) {
 	const (
 		streams = 200
 		pass    = 50 * time.Millisecond
@@ -30,18 +29,18 @@
 		assert.Assert(t, noticed+wait < leave, "%s", wait)
 	}
 	for at, count := range perPass {
-		// 17 are expected in each pass; all 200 would come in one without the spread.
+		// 17 are expected in each pass; all 200 would come in one without the delay.
 		assert.Assert(t, count < streams/4, "%d within pass %d", count, at)
 	}
 }
 
-// TestSpreadEndsBeforeCallersLeave: a stream that has little time left, or whose caller has
-// waited for long, goes on soon.
-func TestSpreadEndsBeforeCallersLeave(t *testing.T) {
+// TestResumeDelayEndsBeforeCallersLeave: the delay is short if little time is left, or if the
+// caller has already waited for long.
+func TestResumeDelayEndsBeforeCallersLeave(t *testing.T) {
 	now := time.Unix(1000, 0)
 	route := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 300 * time.Millisecond}
 	tests := map[string]struct {
-		// left is the time to the deadline, pause how long ago the last event came.
+		// left is the time to the deadline, pause the time since the last event.
 		left, pause, most time.Duration
 	}{
 		"little time left":     {left: 400 * time.Millisecond, pause: 500 * time.Millisecond, most: 100 * time.Millisecond},
@@ -60,14 +59,14 @@
 	}
 }
 
-// TestStreamsInTimeGoOnAtOnce: a stream that broke off a moment after its last event can
-// be in time elsewhere.
-func TestStreamsInTimeGoOnAtOnce(t *testing.T) {
+// TestStreamsOnTimeResumeAtOnce: a stream that broke off shortly after its last event can still
+// be on time, and must not be delayed.
+func TestStreamsOnTimeResumeAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	timed := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 200 * time.Millisecond}
 	tests := map[string]struct {
 		route *fleet.Route
-		// age is how old the request is, pause how long ago its last event came.
+		// age is the age of the request, pause the time since the last event.
 		age, pause time.Duration
 		begun      bool
 	}{
--- a/relay/retryafter.go
+++ b/relay/retryafter.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// retryAfterShare is the part of the time left to a caller within which it comes back when
-	// told; it ignores a later time.
+	// retryAfterShare is the part of a caller's remaining time up to which it follows
+	// Retry-After; it ignores later times.
 	retryAfterShare = 1.0 / 3
-	// retryAfterMargin keeps what is told within that part, since the answer takes a while.
+	// retryAfterMargin allows for the time that the refusal takes to arrive.
 	retryAfterMargin = 20 * time.Millisecond
 )
 
-// isForCapacity reports whether the request was refused for want of replicas, or of room at
-// them, and may come back.
+// isForCapacity reports whether the request was refused for lack of replicas or of capacity, and
+// may be retried.
 func (f *refusal) isForCapacity() bool {
 	if !f.promisesNotRun() || f.retryAfter <= 0 {
 		return false
@@ -24,10 +24,9 @@
 	return f.reason == reason.Overloaded || f.reason == reason.NoReplica || errors.Is(f.cause, errRejected)
 }
 
-// spreadRetryAfter returns after how long a caller that found no room is to come back. It comes
-// once, and all that are refused in one moment would meet again if told the same time. How
-// much work waits is known late, since loads of peers are, so the times are spread over the
-// later half of those that it heeds.
+// spreadRetryAfter returns when a caller refused for lack of capacity should retry. Callers retry
+// once, and would collide again if all were given the same time. Peers' loads are known late, so
+// the times are spread over the later half of the possible range.
 func (r *Relay) spreadRetryAfter(c *request, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= retryBusy {
@@ -37,13 +36,13 @@
 	return latest - time.Duration(r.random()*half)
 }
 
-// maxRetryAfter returns after how long a caller comes back at the latest when told.
+// maxRetryAfter returns the latest retry time that the caller follows.
 func (c *request) maxRetryAfter(now time.Time) time.Duration {
 	return time.Duration(retryAfterShare*float64(c.deadline.Sub(now))) - retryAfterMargin
 }
 
-// spreadRetryFrom returns after how long a caller is to come back that finds room no sooner than
-// after a wait: callers that are told the same time meet again.
+// spreadRetryFrom returns a random retry time of at least wait, so that callers don't all return
+// at the same time.
 func (r *Relay) spreadRetryFrom(c *request, wait time.Duration, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= wait {
--- a/relay/retryafter_test.go
+++ b/relay/retryafter_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestComeBack: callers heed no time after a third of what is left to them.
-func TestComeBack(t *testing.T) {
+// TestSpreadRetryAfter: retry times must stay within a third of the caller's remaining time.
+func TestSpreadRetryAfter(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := map[string]struct{ left, least, most time.Duration }{
 		"much time left": {left: 6 * time.Second, least: 1140 * time.Millisecond, most: 1980 * time.Millisecond},
@@ -29,10 +29,9 @@
 	}
 }
 
-// TestRefusedCallersComeBackToAPlace plays bursts of two and a half times what the replicas
-// hold at once, as their daemons meet them that know no loads yet. Callers who are refused
-// come back once, when told. Told 300 ms, a fifth of all are never served.
-func TestRefusedCallersComeBackToAPlace(t *testing.T) {
+// TestRefusedCallersAreServedOnRetry simulates bursts of two and a half times the replicas' slots
+// at daemons without known loads. Callers retry once; nearly all must be served.
+func TestRefusedCallersAreServedOnRetry(t *testing.T) {
 	for name, daemons := range map[string]int{"two daemons": 2, "eight daemons": 8} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { simulateBurst(t, daemons) })
@@ -53,8 +52,8 @@
 	assert.Assert(t, served >= callers*95/100, "%d of %d are served", served, callers)
 }
 
-// callWithRetry is a caller that comes back once, when told, if that is within a third of the
-// time it has left.
+// callWithRetry sends a request and, if it is refused, retries once after Retry-After if that is
+// within a third of the remaining time.
 func (p *simulation) callWithRetry(daemon int, id string, prompt int, patience time.Duration) {
 	began := time.Now()
 	p.send(daemon, id, prompt, patience)
--- a/relay/servelate_test.go
+++ b/relay/servelate_test.go
@@ -12,9 +12,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLateRequestsWaitOnlyIfKept: what found no room is refused at once, but for a stream
-// that has begun and, where late requests are kept, for one that is late.
-func TestLateRequestsWaitOnlyIfKept(t *testing.T) {
+// TestLateRequestsWaitOnlyWithServeLate: without an available replica, only started streams and,
+// with ServeLate, late requests wait.
+func TestLateRequestsWaitOnlyWithServeLate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := map[string]struct {
 		keeps, begun bool
--- a/relay/signals.go
+++ b/relay/signals.go
@@ -8,8 +8,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// sendTo sends an attempt to a worker, and takes what the worker says of itself in the head
-// of its answer.
+// sendTo sends an attempt to a worker, and processes the worker's signal in the answer's header.
 func (r *Relay) sendTo(ctx context.Context, c *request, worker *fleet.Worker, lastEvent string) (*exchange, error) {
 	sent := time.Now()
 	e, err := r.upstream.send(ctx, worker, r.messageFor(c, worker, lastEvent))
@@ -20,8 +19,8 @@
 	return e, nil
 }
 
-// readSignal takes what a worker says of itself in the head of an answer. One that another worker
-// gave at its address says nothing of it.
+// readSignal reports the limits and pauses that a worker sets in the header of an answer. An
+// answer by another worker at its address is ignored.
 func (r *Relay) readSignal(worker *fleet.Worker, answer *http.Response, sent time.Time) {
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		return
@@ -30,7 +29,7 @@
 	signal, err := r.opts.Names.Asks.Read(answer, signed)
 	if err != nil {
 		r.opts.Meter.Signal("unclear")
-		r.opts.Logger.Debug("a worker's word about itself not understood", "worker", worker.ID, "error", err)
+		r.opts.Logger.Debug("failed to read a worker's signal", "worker", worker.ID, "error", err)
 	}
 	if r.opts.Signalled != nil {
 		r.opts.Signalled(worker, signal, sent, time.Now())
--- a/relay/signals_test.go
+++ b/relay/signals_test.go
@@ -14,7 +14,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// signalRecorder collects what workers said of themselves.
+// signalRecorder collects the signals of workers.
 type signalRecorder struct {
 	mu  sync.Mutex
 	all []backpressure.Signal
@@ -26,9 +26,9 @@
 	h.all = append(h.all, s)
 }
 
-// TestSignalsAreHeard: what a worker says of itself is read on each way to it, also where its
-// answer turns the request away, but not from an answer of another worker.
-func TestSignalsAreHeard(t *testing.T) {
+// TestSignalsAreRead: signals are read from all answers, rejections included, except those of
+// another worker.
+func TestSignalsAreRead(t *testing.T) {
 	const limit = "X-Limit: 1.5\r\n"
 	limited := []backpressure.Signal{{Limited: true, PerSecond: 1.5}}
 	tests := map[string]struct {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestBoundedIsRefused: where all workers name limits that leave no room, or rest, a request
-// is refused at once, with a time within that which its caller heeds.
+// TestBoundedIsRefused: if all workers are limited or resting, a request is refused at once, with
+// a retry time that its caller follows.
 func TestBoundedIsRefused(t *testing.T) {
 	bounds := map[string]func(o *Options, b Bound){
 		"limited": func(o *Options, b Bound) { o.Limits = b },
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestOneTokenSendsOnce: a request that has a token is not sent again to the same worker where
-// that dropped the connection, since it may have come there.
+// TestOneTokenSendsOnce: a request with a token is not sent again on a new connection, since it
+// may have arrived the first time.
 func TestOneTokenSendsOnce(t *testing.T) {
 	w := newFakeWorker(t, "w", answers, drops)
 	r, server := newTestRelay(t, w)
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// firstEventTimeout and goSilence are how long all streams from a replica, here and at
-	// peers, may be silent before it is suspected: while none here has begun, and
-	// after. A pass full of prompts is shorter than both.
+	// firstEventTimeout and nextEventTimeout are how long all streams of a replica, here and at
+	// peers, may be silent before it is suspected: while none here has received an event, and
+	// after that. Both are longer than a pass full of prompts.
 	firstEventTimeout = 900 * time.Millisecond
 	nextEventTimeout  = 450 * time.Millisecond
-	// suspicionPeriod is how long a suspected replica gets no requests unless it
-	// shows progress.
+	// suspicionPeriod is how long a suspected replica gets no requests unless it shows progress.
 	suspicionPeriod = 2 * time.Second
-	// peerReportDelay is how soon work at peers is known here: a heartbeat and a summary of
-	// a relay later.
+	// peerReportDelay is how long until work at peers is known here: a heartbeat and a relay's
+	// summary.
 	peerReportDelay = 600 * time.Millisecond
 )
 
 // StreamWatch is a stream in flight.
 type StreamWatch struct {
 	hasBegun bool
-	// sentAt is when it was sent, movedAt that or when its last event came.
+	// sentAt is when the stream was sent, lastEventAt when its last event arrived, or sentAt
+	// before that.
 	sentAt      time.Time
 	lastEventAt time.Time
-	// firstEventDue is when its first event is expected by the work that is known there.
+	// firstEventDue is when its first event is expected, judged by the known work at the replica.
 	firstEventDue time.Time
-	// isTimerRestarted tells that a pause of this process restarted its clock since it last moved.
+	// isTimerRestarted tells that a pause of this process restarted the timer since the last
+	// event.
 	isTimerRestarted bool
-	// isForwarding tells that an event is being passed on to the caller: until the caller has
-	// taken it, nothing is read of the replica, whose silence says nothing.
+	// isForwarding tells that an event is being sent to the caller. Meanwhile nothing is read
+	// from the replica, so its silence means nothing.
 	isForwarding atomic.Bool
 	costs        costs
 	cancel       context.CancelCauseFunc
 }
 
-// Watch follows a stream: cancel is called when its replica falls silent, or it alone
-// does. The costs predict how long it waits for its events.
+// Watch registers a stream. cancel is called if the stream or its whole replica falls silent. The
+// costs predict how long the stream waits for events.
 func (t *Tracker) Watch(r *fleet.Replica, c costs, cancel context.CancelCauseFunc) *StreamWatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,7 +51,7 @@
 	return watch
 }
 
-// RecordEvent notes that an event of a stream came.
+// RecordEvent records that an event of a stream arrived.
 func (t *Tracker) RecordEvent(r *fleet.Replica, watch *StreamWatch, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,12 +61,11 @@
 	s.suspectedUntil = time.Time{}
 }
 
-// BeginForward notes that an event is being passed on to the caller of a stream, until Passed.
+// BeginForward records that an event is being sent to the stream's caller, until EndForward.
 func (w *StreamWatch) BeginForward() { w.isForwarding.Store(true) }
 
-// EndForward notes that the caller of a stream has taken its last event. A caller that reads
-// slowly slows its own stream alone: counted as silence of the replica, one such caller
-// took the replica from all others.
+// EndForward records that the caller has received the last event. The timer restarts then, so
+// that a slow reader does not make its replica appear silent.
 func (t *Tracker) EndForward(watch *StreamWatch, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,15 +73,15 @@
 	watch.isForwarding.Store(false)
 }
 
-// Unwatch ends the following of a stream.
+// Unwatch removes a stream.
 func (t *Tracker) Unwatch(r *fleet.Replica, watch *StreamWatch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.loadOf(r).streams, watch)
 }
 
-// Suspect passes a replica over for a while, on a peer's word, unless a stream moved
-// there a moment ago.
+// Suspect marks a replica that a peer reported, so that it gets no requests for a while, unless
+// it has recently sent an event.
 func (t *Tracker) Suspect(replica string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,11 +94,11 @@
 	}
 }
 
-// Sweep looks for replicas that fell silent, and for streams that did while their
-// replica goes on; it cuts these streams off so that they go on elsewhere. It forgets
-// replicas that are gone. A gap since the last sweep that shows this process stood still
-// excuses silence, once until the stream moves: a process that often stands still would
-// notice nothing otherwise.
+// Sweep finds replicas that fell silent, and silent streams of other replicas; it cancels their
+// streams so that they resume elsewhere. It forgets replicas that are no longer used. gap is the
+// time since the last sweep: a long gap means that this process was paused, and restarts each
+// stream's timer, but only once until its next event, so that a process with frequent pauses
+// still detects silence.
 func (t *Tracker) Sweep(now time.Time, gap time.Duration) {
 	if gap > nextEventTimeout/2 {
 		t.restartTimers(now)
@@ -129,7 +129,7 @@
 			delete(t.reportedSuspects, id)
 		}
 	}
-	var all []*fleet.Replica
+	var stalled []*fleet.Replica
 	for id, s := range t.replicas {
 		if s.inFlight == 0 && len(s.streams) == 0 && now.Sub(s.lastUsedAt) > forgetAfter {
 			delete(t.replicas, id)
@@ -137,16 +137,17 @@
 		}
 		if s.isSilent(t.lastEventOf(s), now) {
 			s.suspectedUntil = now.Add(suspicionPeriod)
-			all = append(all, s.replica)
+			stalled = append(stalled, s.replica)
 			s.cancelStreams(errStalled, func(w *StreamWatch) bool { return !w.isForwarding.Load() })
 			continue
 		}
 		s.cancelStreams(errStreamSilent, func(w *StreamWatch) bool { return t.isStreamSilent(s, w, now) })
 	}
-	return all
+	return stalled
 }
 
-// lastEventOf returns when a stream last moved at a replica, here or at a peer, as far as known.
+// lastEventOf returns when a replica last sent an event to this daemon or a peer, as far as
+// known.
 func (t *Tracker) lastEventOf(s *replicaLoad) time.Time {
 	last := s.lastEventAt
 	for _, remote := range t.remote {
@@ -159,10 +160,10 @@
 	return last
 }
 
-// isStreamSilent reports whether a stream has been silent for too long though others of its
-// replica move. One that has begun gets an event with each pass. One that waits for its
-// first event may be in a queue: it is due once the work that was sent before it is done,
-// as far as that is known when peers have reported it.
+// isStreamSilent reports whether a stream has been silent for too long although others of its
+// replica receive events. A started stream gets an event with each pass. The first event may wait
+// in a queue: it is due once the work sent before it is done, as far as peers have reported that
+// work.
 func (t *Tracker) isStreamSilent(s *replicaLoad, w *StreamWatch, now time.Time) bool {
 	if w.isForwarding.Load() {
 		return false
@@ -180,8 +181,8 @@
 	return now.Sub(w.lastEventAt) > firstEventTimeout && now.Sub(w.firstEventDue) > nextEventTimeout
 }
 
-// isSilent reports whether none of the replica's streams moved for so long that it must
-// have stopped, if one moved last at the given time.
+// isSilent reports whether the replica has sent no event for so long that it must have stopped.
+// last is when it last sent one.
 func (s *replicaLoad) isSilent(last, now time.Time) bool {
 	limit, oldest, waiting := firstEventTimeout, now, 0
 	for watch := range s.streams {
@@ -202,7 +203,7 @@
 	return waiting > 0 && now.Sub(last) > limit
 }
 
-// cancelStreams ends the streams that are chosen, so that they go on elsewhere.
+// cancelStreams cancels the matching streams, so that they resume elsewhere.
 func (s *replicaLoad) cancelStreams(cause error, matches func(*StreamWatch) bool) {
 	for watch := range s.streams {
 		if matches(watch) {
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -16,15 +16,15 @@
 	"quartzshelf.dev/peers"
 )
 
-// fullTimeout callers give as much time as the route allows.
+// fullTimeout is the timeout of the route.
 const fullTimeout = 6 * time.Second
 
-// TestQueuedPromptIsNotLost: a request waits 1.4 s behind other prompts at a head whose
-// streams move for another daemon. It is served there, from one send.
+// TestQueuedPromptIsNotLost: a request queued for 1.4 s behind other prompts must not be canceled
+// while the head's other streams, here at another daemon, receive events.
 func TestQueuedPromptIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 2, &simHead{id: "a"})
-		// Streams of the other daemon move all the time.
+		// Streams of the other daemon receive events all the time.
 		for range 30 {
 			p.call(1, "moving", 0, fullTimeout)
 			time.Sleep(100 * time.Millisecond)
@@ -41,10 +41,9 @@
 	})
 }
 
-// TestStandingReplicaIsNoticed: nobody's streams move at a replica that stands still. A
-// stream that has begun goes on elsewhere after goSilence, one that waits after
-// beginSilence, as without the word of peers.
-func TestStandingReplicaIsNoticed(t *testing.T) {
+// TestStalledReplicaIsDetected: a replica without any events is suspected by all daemons after
+// nextEventTimeout if a stream had started.
+func TestStalledReplicaIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Bool
 		p := newSimulation(t, 2, &simHead{id: "a", isStalled: stopped.Load})
@@ -65,9 +64,9 @@
 	})
 }
 
-// TestSilenceIsNamed: a caller is told that the replicas fell silent, not that an answer
+// TestSilenceIsReported: the refusal must say that the replicas fell silent, not that an answer
 // was lost.
-func TestSilenceIsNamed(t *testing.T) {
+func TestSilenceIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		still := func() bool { return true }
 		p := newSimulation(t, 1, &simHead{id: "a", isStalled: still}, &simHead{id: "b", isStalled: still})
@@ -80,10 +79,9 @@
 	})
 }
 
-// TestDeadConnectionIsNoticed: one stream gets nothing more though its replica's other
-// streams move, of this daemon too. It goes on elsewhere before its caller leaves, two
-// seconds after its last event, and the replica is not suspected.
-func TestDeadConnectionIsNoticed(t *testing.T) {
+// TestDeadConnectionIsDetected: a stream that gets no events while its replica's other streams do
+// must resume elsewhere before its caller disconnects, without the replica being suspected.
+func TestDeadConnectionIsDetected(t *testing.T) {
 	for name, prompt := range map[string]int{"after events": 0, "before the first event": 1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { simulateDeadConnection(t, prompt) })
@@ -101,7 +99,7 @@
 	silent.Store(true)
 	p.addHead(&simHead{id: "b"})
 	for range 35 {
-		// So many that both heads get some.
+		// Enough for both heads to get some.
 		for range 3 {
 			p.call(0, "moving", 0, fullTimeout)
 		}
@@ -114,9 +112,9 @@
 	assert.Assert(t, got.end < 2*time.Second, "%s", got.end)
 }
 
-// TestStarvedProcessNoticesSilence: a process that gets no processor for 0.3 s again and
-// again still sees that a replica stands still.
-func TestStarvedProcessNoticesSilence(t *testing.T) {
+// TestPausedProcessDetectsSilence: a process that is paused for 0.3 s again and again must still
+// detect a stalled replica.
+func TestPausedProcessDetectsSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := NewTracker("", func(*fleet.Replica) {})
 		replica := testReplica("a", "")
@@ -132,9 +130,9 @@
 	})
 }
 
-// TestOnePauseExcusesSilence: events that came while this process stood still have not been
-// read yet.
-func TestOnePauseExcusesSilence(t *testing.T) {
+// TestPauseRestartsTimers: events that arrived while this process was paused have not been read
+// yet.
+func TestPauseRestartsTimers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := NewTracker("", func(*fleet.Replica) {})
 		replica := testReplica("a", "")
@@ -150,7 +148,7 @@
 	})
 }
 
-// TestSuspicionOfPeersNeedsSilence: a peer's word does not count while streams move.
+// TestSuspicionOfPeersNeedsSilence: a peer's suspicion is ignored while a replica sends events.
 func TestSuspicionOfPeersNeedsSilence(t *testing.T) {
 	tests := map[string]struct {
 		moved int64
@@ -172,7 +170,7 @@
 	}
 }
 
-// passesOver reports whether a replica is passed over.
+// passesOver reports whether choices pass over a replica.
 func (t *Tracker) passesOver(replica string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	// playedReading is the most time that a pass reads prompts.
+	// simMaxReadTime is the longest time for which a pass reads prompts.
 	simPassTime        = 30 * time.Millisecond
 	simPromptTokenTime = 100 * time.Microsecond
 	simAnswerEvents    = fakeEvents
@@ -33,26 +33,26 @@
 	simCallerPatience = 2 * time.Second
 )
 
-// simHead is the head of a replica in a test's own time: it lets requests in by their
-// priority and reads prompts in pieces between the events of other streams.
+// simHead simulates the head of a replica in virtual time: it admits requests by priority and
+// reads prompts in pieces between the events of other streams.
 type simHead struct {
 	id   string
 	zone string
-	// isStalled tells that the replica stands still, mute whether a request gets nothing
-	// though the others move.
+	// isStalled reports whether the replica is stalled, isMuted whether a request gets no events
+	// while others do.
 	isStalled func() bool
-	// passTime is how long a pass takes without reading; zero for playedPass.
+	// passTime is the duration of a pass without reading; zero for simPassTime.
 	passTime time.Duration
 	isMuted  func(request string) bool
-	// onRun is called with the body of each request that begins to run.
+	// onRun is called with the body of each request that starts to run.
 	onRun func(h *simHead, body string)
 
 	mu sync.Mutex
-	// conns are the connections that the head has accepted.
+	// conns holds the accepted connections.
 	conns    []net.Conn
 	hasEnded bool
 	runs     []*simRun
-	// received lists the requests in the order in which they came.
+	// received lists the requests in order of arrival.
 	received []string
 }
 
@@ -63,13 +63,13 @@
 	conn net.Conn
 	// rank is the request's priority, 0 being the most urgent.
 	rank int
-	// toRead is the time that the rest of its prompt takes, next its next event.
+	// toRead is the time to read the rest of the prompt, nextEvent the number of the next event.
 	toRead    time.Duration
 	nextEvent int
 	hasBegun  bool
-	// hasSlot tells that it has a slot.
+	// hasSlot tells that the request has a slot.
 	hasSlot bool
-	// isCanceled tells that its caller left.
+	// isCanceled tells that the caller has disconnected.
 	isCanceled bool
 	done       chan struct{}
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// accept takes a connection, which breaks when the head ends.
+// accept adds a connection, which breaks when the head ends.
 func (h *simHead) accept(c net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,7 +125,7 @@
 		h.mu.Lock()
 		h.runs, h.received = append(h.runs, run), append(h.received, run.id)
 		h.mu.Unlock()
-		// The next request, or the end of the connection.
+		// Wait for the next request, or the end of the connection.
 		next := make(chan error, 1)
 		p.Go(func() {
 			_, err := reader.Peek(1)
@@ -143,7 +143,7 @@
 	}
 }
 
-// cancel forgets a request whose caller has gone.
+// cancel marks a request whose caller has disconnected.
 func (h *simHead) cancel(run *simRun) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,7 +156,7 @@
 	return run.isCanceled
 }
 
-// run plays passes until ctx ends.
+// run simulates passes until ctx ends.
 func (h *simHead) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait(ctx, cmp.Or(h.passTime, simPassTime))
@@ -176,8 +176,8 @@
 	}
 }
 
-// pass reads prompts and sends the next events; it returns the requests that go on, and how
-// long the reading takes.
+// pass reads prompts and sends the next events. It returns the requests that continue, and the
+// time spent reading.
 func (h *simHead) pass(runs []*simRun) (kept []*simRun, read time.Duration) {
 	for _, run := range runs {
 		switch {
@@ -200,7 +200,7 @@
 	return kept, read
 }
 
-// order puts requests that run before those that wait, the more urgent first.
+// order sorts running requests before waiting ones, and those by priority.
 func (run *simRun) order() int {
 	if run.hasSlot {
 		return -1
@@ -208,7 +208,7 @@
 	return run.rank
 }
 
-// sendEvent sends the next event and reports whether the run goes on.
+// sendEvent sends the next event and reports whether the request continues.
 func (run *simRun) sendEvent(head string) bool {
 	var text strings.Builder
 	if !run.hasBegun {
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -22,7 +22,7 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// simulation is daemons before heads, without a network. It is used within synctest.
+// simulation runs daemons and heads without a network, within synctest.
 type simulation struct {
 	ctx       context.Context
 	inventory *fleet.Inventory
@@ -30,9 +30,9 @@
 	daemons   []*Relay
 	// callerPatience is how long callers wait for the first event.
 	callerPatience time.Duration
-	// body is the body of a request; all have the same if it is nil.
+	// body returns the body of a request; nil for the same body for all.
 	body func(id string) string
-	// crashes counts the heads that ended.
+	// crashes counts the heads that crashed.
 	crashes int
 	calls   sync.WaitGroup
 	work    sync.WaitGroup
@@ -41,13 +41,13 @@
 	results map[string]simCall
 }
 
-// simCall is what a caller got, and when.
+// simCall is a caller's answer, with the times of its first bytes and its end.
 type simCall struct {
 	answerSeen
 	first, end time.Duration
 }
 
-// newSimulation starts daemons before heads. The test ends it.
+// newSimulation starts daemons and heads. They stop when the test ends.
 func newSimulation(t *testing.T, daemons int, heads ...*simHead) *simulation {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,7 +66,7 @@
 		p.calls.Wait()
 		cancel()
 		for _, r := range p.daemons {
-			// Connections are kept until their time is over.
+			// Close kept connections, so that their goroutines end.
 			r.upstream.sweep(time.Now().Add(time.Hour))
 		}
 		p.work.Wait()
@@ -74,7 +74,7 @@
 	return p
 }
 
-// addHead starts a further head.
+// addHead starts another head.
 func (p *simulation) addHead(h *simHead) {
 	p.mu.Lock()
 	p.heads[h.id] = h
@@ -110,7 +110,7 @@
 	return r
 }
 
-// shareQuarantine tells all daemons at once what each knows of requests that end heads.
+// shareQuarantine gives all daemons the quarantine reports of all others at once.
 func (p *simulation) shareQuarantine() {
 	now := time.Now()
 	for _, from := range p.daemons {
@@ -121,8 +121,8 @@
 	}
 }
 
-// crash ends a head: its connections break, none is accepted any more, and the list loses it
-// after three heartbeats. Another one takes its place.
+// crash crashes a head: its connections break, no new ones are accepted, and it is removed from
+// the inventory after three heartbeats. A new head replaces it.
 func (p *simulation) crash(h *simHead) {
 	p.mu.Lock()
 	if p.heads[h.id] != h {
@@ -144,8 +144,8 @@
 	})
 }
 
-// reportLoads tells each daemon the loads at the others, five times a second, as late as
-// relays of a large fleet do.
+// reportLoads gives each daemon the loads of the others five times a second, with the delay of
+// relays in a large fleet.
 func (p *simulation) reportLoads() {
 	const every, late = 200 * time.Millisecond, 200 * time.Millisecond
 	for p.ctx.Err() == nil {
@@ -178,11 +178,11 @@
 	}
 }
 
-// simWriter notes when the first bytes of an answer came.
+// simWriter records when the first bytes of an answer arrived.
 type simWriter struct {
 	*httptest.ResponseRecorder
 	first time.Time
-	// giveUp ends the call if nothing comes.
+	// giveUp ends the call if nothing arrives.
 	giveUp *time.Timer
 }
 
@@ -194,13 +194,12 @@
 	return w.ResponseRecorder.Write(b)
 }
 
-// call sends a stream request by a daemon, with a prompt, from a caller that waits for a
-// time.
+// call starts a stream request through a daemon, with a number of prompt tokens and a timeout.
 func (p *simulation) call(daemon int, id string, prompt int, patience time.Duration) {
 	p.calls.Go(func() { p.send(daemon, id, prompt, patience) })
 }
 
-// send is call, and returns once the answer is over.
+// send is like call, but returns when the answer has ended.
 func (p *simulation) send(daemon int, id string, prompt int, patience time.Duration) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, patience)
@@ -233,7 +232,7 @@
 	p.mu.Unlock()
 }
 
-// served reports whether a caller has the whole of its stream.
+// served reports whether a caller has received its whole stream.
 func (p *simulation) served(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -241,7 +240,7 @@
 	return got.status == http.StatusOK && got.isWhole && got.body == wholeStream()
 }
 
-// count returns how many of n calls, whose ids are a name and a number, are as wanted.
+// count returns how many of n calls satisfy wanted. Their IDs are name and a number.
 func (p *simulation) count(name string, n int, wanted func(id string) bool) int {
 	count := 0
 	for i := range n {
@@ -252,7 +251,7 @@
 	return count
 }
 
-// sends returns at how many heads a request was seen, counting each time.
+// sends returns how often heads received a request.
 func (p *simulation) sends(id string) int {
 	n := 0
 	for _, h := range p.heads {
--- a/relay/slowcaller_test.go
+++ b/relay/slowcaller_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowWriter is the connection of a caller that takes a while to read each event.
+// slowWriter is the connection of a caller that reads each event slowly.
 type slowWriter struct {
 	*httptest.ResponseRecorder
 	each time.Duration
@@ -47,9 +47,8 @@
 	})
 }
 
-// TestSlowCallerHarmsNobody: the only stream of a replica at this daemon has a caller that
-// reads slowly. Its replica is not suspected, and its stream goes on at the one worker to its
-// end.
+// TestSlowCallerHarmsNobody: a slow caller with the only stream of a replica must not make the
+// replica suspected, and its stream must complete there.
 func TestSlowCallerHarmsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 2, &simHead{id: "a"})
@@ -67,8 +66,8 @@
 	})
 }
 
-// TestSilenceBehindSlowCallers: a replica that stands still is noticed by the stream whose
-// caller reads, whatever the callers of the others do.
+// TestSilenceBehindSlowCallers: a stalled replica must be detected by a stream whose caller
+// reads, despite slow callers of others.
 func TestSilenceBehindSlowCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stopped := false
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -15,39 +15,40 @@
 
 const (
 	streamBufferBytes = 2 << 10
-	// maxEventBytes bounds one event of a stream, in bytes.
+	// maxEventBytes limits the size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// resumeTimeout is how long a stream that has begun waits for a replica to go
-	// on at, counted from its last event; callers leave soon after.
+	// resumeTimeout is how long after its last event a started stream waits for a replica to
+	// resume at; callers disconnect soon after.
 	resumeTimeout      = 1600 * time.Millisecond
 	resumePollInterval = 40 * time.Millisecond
 )
 
 var errPartialEvent = errors.New("the stream ended within an event")
 
-// relayedStream is a stream as its caller has it so far.
+// relayedStream is the state of a stream as its caller has received it.
 type relayedStream struct {
 	w http.ResponseWriter
-	// isHeadSent tells that the caller has the head, and so only the rest of this
-	// very stream may follow.
+	// isHeadSent tells that the caller has received the header, so that only the rest of this
+	// stream may follow.
 	isHeadSent bool
-	// lastEventID is the id of the last whole event passed on.
+	// lastEventID is the ID of the last complete event forwarded.
 	lastEventID string
-	// lastEventAt is when that was.
+	// lastEventAt is when that event was forwarded; before the first one, when the request
+	// arrived.
 	lastEventAt time.Time
-	// isClientGone tells that the caller does not read any more.
+	// isClientGone tells that a write to the caller failed.
 	isClientGone bool
 	lateness     lateness
 }
 
-// serveStream relays a stream, and goes on at another replica when one breaks.
+// serveStream relays a stream, and resumes it at another replica if it breaks.
 func (r *Relay) serveStream(w http.ResponseWriter, c *request) *refusal {
 	s := &relayedStream{w: w, lastEventID: c.header.Get(r.opts.Names.LastEvent), lastEventAt: c.arrived}
 	r.opts.Tracker.RecordGapTarget(c.model, c.route.GapTarget, c.arrived)
 	for {
-		replica, none := r.chooseOrWait(c, s)
-		if none != nil {
-			return r.endStream(c, s, none)
+		replica, refused := r.chooseOrWait(c, s)
+		if refused != nil {
+			return r.endStream(c, s, refused)
 		}
 		err := r.tryStream(c, s, replica)
 		if err == nil {
@@ -69,21 +70,19 @@
 	}
 }
 
-// chooseOrWait chooses a replica. A stream that has begun, or is late, waits a little for
-// one.
+// chooseOrWait chooses a replica. A stream that has started or is late may wait for one.
 func (r *Relay) chooseOrWait(c *request, s *relayedStream) (*fleet.Replica, *refusal) {
 	for {
-		replica, none := r.choose(c)
-		if none == nil || !r.mayWait(c, s, none, time.Now()) {
-			return replica, none
+		replica, refused := r.choose(c)
+		if refused == nil || !r.mayWait(c, s, refused, time.Now()) {
+			return replica, refused
 		}
 		pause.For(c.ctx, resumePollInterval)
 	}
 }
 
-// endStream ends a stream that cannot go on: with a refusal if the caller has
-// nothing yet, else by breaking the connection off, since what is not whole
-// must not look complete.
+// endStream ends a stream that can't continue: with a refusal if the caller has received nothing,
+// else by aborting the connection, so that the incomplete answer doesn't look complete.
 func (r *Relay) endStream(c *request, s *relayedStream, f *refusal) *refusal {
 	f = c.correctStatus(f)
 	if !s.isHeadSent {
@@ -138,8 +137,8 @@
 	return nil
 }
 
-// streamFailure deals with an answer that is not a stream: it is passed on
-// unless another attempt may follow or the caller has part of a stream.
+// streamFailure handles an answer that is not a stream. It is forwarded unless another attempt
+// may follow or the caller has received part of a stream.
 func (r *Relay) streamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
 	body, err := io.ReadAll(io.LimitReader(e.response.Body, maxEventBytes))
 	if err != nil {
@@ -157,7 +156,7 @@
 	return nil
 }
 
-// copyEvents passes whole events on as they come, until the stream is complete.
+// copyEvents forwards complete events as they arrive, until the stream ends.
 func (s *relayedStream) copyEvents(e *exchange, onEvent func(time.Time), onForwarded func()) error {
 	buffer := make([]byte, 0, streamBufferBytes)
 	for {
@@ -191,7 +190,7 @@
 	}
 }
 
-// sendHead sends the head of the first worker's answer, once.
+// sendHead sends the header of the first worker's answer, once.
 func (s *relayedStream) sendHead(e *exchange) {
 	if s.isHeadSent {
 		return
@@ -204,7 +203,7 @@
 	s.isHeadSent = true
 }
 
-// forward sends whole events to the caller.
+// forward sends complete events to the caller.
 func (s *relayedStream) forward(e *exchange, whole []byte) error {
 	s.sendHead(e)
 	if _, err := s.w.Write(whole); err != nil {
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -10,24 +10,22 @@
 )
 
 const (
-	// failurePenaltyPeriod is how long a replica that failed a request is passed over if
-	// others are there.
+	// failurePenaltyPeriod is how long a replica is charged a penalty after it failed a request.
 	failurePenaltyPeriod = time.Second
-	// remoteLoadTTL is how long a report of the load at other daemons counts.
+	// remoteLoadTTL is how long a report of the load at other daemons is used.
 	remoteLoadTTL = time.Second
-	// minFailurePenalty is added, at the least, to the waits at replicas that failed a request
-	// of late.
+	// minFailurePenalty is the minimum penalty added to the predicted wait.
 	minFailurePenalty = 100 * time.Millisecond
-	// minReportDelay is the least time that loads of peers are late by.
+	// minReportDelay is the minimum delay assumed for peers' loads.
 	minReportDelay = 50 * time.Millisecond
-	// inFlightPenalty is charged for each request in flight where the fewest are wanted; predicted
-	// waits are shorter.
+	// inFlightPenalty is charged for each request in flight if the least busy replica is wanted;
+	// it exceeds any predicted wait.
 	inFlightPenalty = 10 * time.Second
-	// noiseDivisor is how many times less than a pass choices are spread at least.
+	// noiseDivisor sets the minimum noise of choices: a pass divided by it.
 	noiseDivisor = 5
 )
 
-// replicaLoad is a replica as this daemon's requests see it.
+// replicaLoad is what this daemon knows of a replica from its own requests.
 type replicaLoad struct {
 	replica  *fleet.Replica
 	inFlight int
@@ -37,14 +35,14 @@
 	streams        map[*StreamWatch]struct{}
 	lastEventAt    time.Time
 	suspectedUntil time.Time
-	// unreachableUntil is until when it gets no requests since its head took no connection.
+	// unreachableUntil is until when the replica gets no requests after a failed connection.
 	unreachableUntil time.Time
 	failedAt         time.Time
 	lastUsedAt       time.Time
 }
 
-// Tracker counts the work in flight at each replica and notices when one falls
-// silent. It is safe for concurrent use.
+// Tracker counts the work in flight at each replica and detects replicas that fall silent. It is
+// safe for concurrent use.
 type Tracker struct {
 	zone string
 
@@ -53,25 +51,26 @@
 	remote     map[string]remoteLoads
 	rates      *rates
 	gapTargets gapTargets
-	// reportedSuspects holds until when replicas that this daemon never used are suspected, by the
-	// word of peers.
+	// reportedSuspects holds until when replicas that peers reported are suspected, for replicas
+	// that this daemon has not used.
 	reportedSuspects map[string]time.Time
-	// hasTraffic tells that a request came, here or at a peer.
+	// hasTraffic tells that a request arrived here or at a peer.
 	hasTraffic bool
-	// onStalled is called, without the lock, with a replica that fell silent.
+	// onStalled is called, without the lock, for each replica that fell silent.
 	onStalled func(r *fleet.Replica)
 }
 
-// remoteLoads is the work of other daemons, as a source reported it.
+// remoteLoads is the work of other daemons, as reported by a source.
 type remoteLoads struct {
-	// measuredAt is of when the loads are on average, heard when they were reported.
+	// measuredAt is the average time at which the loads were measured, receivedAt when the report
+	// arrived.
 	measuredAt, receivedAt time.Time
 	daemons                int
 	loads                  map[string]peers.Load
 }
 
-// NewTracker returns a tracker for a daemon in a zone. It calls stalled with
-// each replica whose streams all fell silent.
+// NewTracker returns a tracker for a daemon in a zone. It calls onStalled for each replica that
+// fell silent or became unreachable.
 func NewTracker(zone string, onStalled func(r *fleet.Replica)) *Tracker {
 	return &Tracker{
 		zone: zone, replicas: make(map[string]*replicaLoad),
@@ -90,7 +89,7 @@
 	return s
 }
 
-// SetRemote takes what a source reported of the work of other daemons.
+// SetRemote sets the work of other daemons as reported by a source.
 func (t *Tracker) SetRemote(source string, work peers.Summary, receivedAt time.Time) {
 	byReplica := make(map[string]peers.Load, len(work.Loads))
 	for _, l := range work.Loads {
@@ -102,21 +101,21 @@
 	t.remote[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: work.Daemons, loads: byReplica}
 }
 
-// Traffic reports whether a request to a model came yet, here or at a peer.
+// Traffic reports whether a request to a model has arrived yet, here or at a peer.
 func (t *Tracker) Traffic() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hasTraffic
 }
 
-// SetTraffic notes that a request came to a peer.
+// SetTraffic records that a request arrived at a peer.
 func (t *Tracker) SetTraffic() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hasTraffic = true
 }
 
-// Loads returns this daemon's own work.
+// Loads returns this daemon's own work in flight.
 func (t *Tracker) Loads() peers.Loads {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,8 +142,8 @@
 	return count
 }
 
-// Demand returns this daemon's own work by model: the slots that are busy, and the prompt
-// tokens of the requests there.
+// Demand returns this daemon's own work by model: the number of busy slots, and the prompt tokens
+// of the requests in flight.
 func (t *Tracker) Demand() (busy, prompts map[string]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,13 +160,12 @@
 // Choice is a replica chosen for a request.
 type Choice struct {
 	Replica *fleet.Replica
-	// Busy is the work in flight there over all daemons, as far as known.
+	// Busy is the known work in flight at the replica over all daemons.
 	Busy float64
 }
 
-// Choose returns the replica at which a request with a number of prompt tokens
-// would begin the soonest, and false when there is none. Those in tried are
-// left out.
+// Choose returns the replica with the shortest predicted wait for a request with the given number
+// of prompt tokens, and false if there is none. Excluded replicas are skipped.
 func (t *Tracker) Choose(replicas []*fleet.Replica, excluded map[string]bool, c costs, prompt int, now time.Time) (Choice, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -192,10 +190,9 @@
 	return best, found
 }
 
-// noise returns how far the predicted waits may be off, since other daemons
-// choose by the same loads, which are told late: by what the requests of the
-// fleet bring to one replica within that time. Without it all daemons would
-// choose the same replica.
+// noise returns the uncertainty of predicted waits: the work that the fleet's requests add to one
+// replica before peers' reports show it. Choices are randomized by it, since otherwise all
+// daemons would choose the same replica.
 func (t *Tracker) noise(replicas []*fleet.Replica, c costs, prompt int, now time.Time) time.Duration {
 	if len(replicas) == 0 {
 		return 0
@@ -232,8 +229,8 @@
 	return busy, wait
 }
 
-// totalWork returns the requests in flight at a replica over all daemons, and their prompt
-// tokens not yet read, as far as known.
+// totalWork returns the requests in flight at a replica over all daemons, and their unread prompt
+// tokens, as far as known.
 func (t *Tracker) totalWork(replica string, now time.Time) (inFlight, prefill int) {
 	if s, ok := t.replicas[replica]; ok {
 		inFlight, prefill = s.inFlight, s.prefill
@@ -277,7 +274,7 @@
 	return func(r *fleet.Replica) bool { return all[r.ID] }
 }
 
-// RecordFailure notes that a replica failed a request.
+// RecordFailure records that a replica failed a request.
 func (t *Tracker) RecordFailure(r *fleet.Replica, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -13,7 +13,7 @@
 	"quartzshelf.dev/peers"
 )
 
-// testCosts are those of an engine with steps of 10 ms, five in a pass.
+// testCosts are the costs of an engine with steps of 10 ms, five in a pass.
 var testCosts = costs{
 	slots: 20, perToken: 20 * time.Microsecond, pass: 50 * time.Millisecond,
 	perRequest: time.Millisecond, service: time.Second,
@@ -23,7 +23,7 @@
 	return &fleet.Replica{ID: id, Service: "s", Model: "m", Head: &fleet.Worker{ID: id, Zone: zone}}
 }
 
-// countChoices chooses many times, as a relay does, and counts the choices of each replica.
+// countChoices chooses many times, as a relay does, and counts the choices by replica.
 func countChoices(t *Tracker, replicas []*fleet.Replica, now time.Time, draws int) map[string]int {
 	counts := make(map[string]int)
 	rules := eligibility.Rules{IsSuspected: t.suspectCheck(now)}
@@ -39,28 +39,28 @@
 	return counts
 }
 
-// TestChoicesAreSpread: daemons that know the same loads, told late, must not
-// all choose the same replica, though one looks a little better.
+// TestChoicesAreSpread: daemons that know the same outdated loads must not all choose the same
+// replica, though one looks slightly better.
 func TestChoicesAreSpread(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "b", InFlight: 1}}}, now.Add(-200*time.Millisecond))
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
 	counts := countChoices(tracker, replicas, now, 400)
-	// The wait at b is 1 ms longer; the spread is 10 ms at the least.
+	// The wait at b is 1 ms longer; the noise is at least 10 ms.
 	assert.Assert(t, counts["b"] > 100, "%v", counts)
 	assert.Assert(t, counts["a"] > 100, "%v", counts)
 }
 
-// TestNearReplicasAreChosenFirst: among equals the one in the same data hall
-// takes more.
+// TestNearReplicasAreChosenFirst: among equal replicas, those in the daemon's own data hall are
+// preferred.
 func TestNearReplicasAreChosenFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	replicas := []*fleet.Replica{testReplica("a", "far"), testReplica("b", "near")}
-	// Half of the draws are expected without a cost of distance, with a standard
-	// deviation of 16 in a thousand. The cost of 4 ms against the spread of 10 ms
-	// that the first draw leaves makes it more than six in ten; the rate of these
-	// draws widens the spread, so few are drawn.
+	// Without a distance cost half of the draws are expected, with a standard deviation of 16 in
+	// a thousand. A cost of 4 ms against the noise of 10 ms of the first draw makes it more than
+	// 600; further draws increase the rate and with it the noise, so only ten are drawn at a
+	// time.
 	near := 0
 	for range 100 {
 		tracker := NewTracker("near", func(*fleet.Replica) {})
@@ -69,9 +69,8 @@
 	assert.Assert(t, near > 600, "%d of 1000", near)
 }
 
-// TestOnceRequestsGetFreshConnections: a connection that was idle for a while
-// may be closed by its worker just now, which a request that runs at most once
-// could not survive.
+// TestOnceRequestsGetFreshConnections: a worker may just have closed a connection that was idle
+// for a while, on which a request that must run at most once would be lost.
 func TestOnceRequestsGetFreshConnections(t *testing.T) {
 	tests := map[string]struct {
 		idle    time.Duration
@@ -94,25 +93,25 @@
 			assert.Equal(t, u.reuse(&fleet.Worker{ID: "w"}, test.idleFor) == c, test.reused)
 		})
 	}
-	// The relay asks for the shorter time for such requests alone.
+	// Only requests that must run at most once use the shorter time.
 	assert.Equal(t, maxIdleFor(true), maxIdleRunOnce)
 	assert.Equal(t, maxIdleFor(false), maxKeepAlive)
 }
 
-// TestNearlyFullReplicasAreLeftAlone: where one slot is left, two daemons that do
-// not know of each other's newest request both take it, and one is refused.
-func TestNearlyFullReplicasAreLeftAlone(t *testing.T) {
+// TestNearlyFullReplicasAreAvoided: if one slot is left, two daemons may take it at the same
+// time, and one request would be refused.
+func TestNearlyFullReplicasAreAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	// At a the wait for the first event is 21 ms shorter.
+	// The wait for the first event is 21 ms shorter at a.
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, Prefill: 1500}}}, now)
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
 	counts := countChoices(tracker, replicas, now, 10)
 	assert.Equal(t, counts["b"], 10, "%v", counts)
 }
 
-// TestWorkIsMeasured: the leader sizes models by what is in flight and by the pauses that
-// their callers bear.
+// TestWorkIsMeasured: the leader sizes models by the work in flight and the pauses between events
+// that callers accept.
 func TestWorkIsMeasured(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
@@ -121,7 +120,7 @@
 	first.PrefillDone()
 	busy, prompts := tracker.Demand()
 	assert.DeepEqual(t, busy, map[string]float64{"m": 2})
-	// What was read would be read again elsewhere.
+	// Prompts that were read here would have to be read again elsewhere.
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 2000})
 	first.Release()
 	_, prompts = tracker.Demand()
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// maxForeignAnswers is how many answers to earlier requests are passed over.
+	// maxForeignAnswers is how many answers are read to find the one for this request; others are
+	// skipped.
 	maxForeignAnswers = 2
-	// maxForeignBodyBytes bounds the body of such an answer, in bytes.
+	// maxForeignBodyBytes limits the body of a skipped answer.
 	maxForeignBodyBytes = 1 << 20
-	// maxDiscardBytes bounds what is read to free a connection after an answer.
+	// maxDiscardBytes limits what is read to free a connection after an answer.
 	maxDiscardBytes = 1 << 10
 )
 
 var (
 	errStalled       = errors.New("the replica fell silent")
-	errStreamSilent  = fmt.Errorf("its stream alone: %w", errStalled)
+	errStreamSilent  = fmt.Errorf("on this stream only: %w", errStalled)
 	errForeignAnswer = errors.New("the answer belongs to another request")
 )
 
-// sendError tells whether a request that failed may have reached its worker.
+// sendError is a failed exchange; sent tells whether the request may have reached its worker.
 type sendError struct {
 	sent  bool
 	cause error
@@ -45,23 +46,23 @@
 	return !errors.As(err, &s) || s.sent
 }
 
-// exchange is a request on its way and the answer that began.
+// exchange is a request in flight whose answer has started.
 type exchange struct {
 	ctx      context.Context
 	conn     *connection
 	upstream *upstream
 	response *http.Response
-	// stopCloseOnCancel undoes the closing of the connection on cancellation.
+	// stopCloseOnCancel cancels the closing of the connection when ctx ends.
 	stopCloseOnCancel func() bool
-	// resent tells that the worker may have had the request before, over a
-	// connection that broke.
+	// resent tells that the worker may have received the request before, over a connection that
+	// broke.
 	resent bool
 }
 
-// send passes a request on and returns once the head of its answer came. The
-// connection is closed as soon as ctx ends. A request is sent again to the same
-// worker if that had dropped the kept connection, unless it may have come there and must
-// not run twice, or has a token for one send alone.
+// send sends a request and returns once the header of its answer has arrived. The connection is
+// closed as soon as ctx ends. If the worker had dropped a kept connection, the request is sent
+// again over a new one, unless it may have arrived and must not run twice or has a token for one
+// send only.
 func (u *upstream) send(ctx context.Context, w *fleet.Worker, m *message) (*exchange, error) {
 	c, err := u.get(ctx, w, maxIdleFor(m.runOnce))
 	if err != nil {
@@ -82,7 +83,7 @@
 	return e, nil
 }
 
-// exchange sends a request over a connection and reads the head of its answer.
+// exchange sends a request over a connection and reads the header of its answer.
 func (u *upstream) exchange(ctx context.Context, c *connection, m *message) (*exchange, error) {
 	release := context.AfterFunc(ctx, func() { _ = c.Close() })
 	response, err := c.roundTrip(m)
@@ -95,8 +96,8 @@
 	return &exchange{ctx: ctx, conn: c, upstream: u, response: response, stopCloseOnCancel: release}, nil
 }
 
-// recordUnanswered notes that a request got no answer. On a new connection only
-// silence says something of the others, and a caller that left says nothing.
+// recordUnanswered records that a request got no answer. A failure on a new connection affects
+// others only if the worker fell silent; a disconnected caller means nothing.
 func (u *upstream) recordUnanswered(ctx context.Context, c *connection, err error) {
 	kept := c.idleBefore > 0
 	switch cause := context.Cause(ctx); {
@@ -111,7 +112,7 @@
 	}
 }
 
-// withCause adds why the context ended to an error that this brought about.
+// withCause replaces an error caused by the end of the context with the context's cause.
 func withCause(ctx context.Context, worker string, err error) error {
 	if err == nil {
 		return nil
@@ -123,8 +124,8 @@
 	return &sendError{sent: sent, cause: failure.At(failure.Remote, "exchange with worker", worker, err)}
 }
 
-// roundTrip writes the request and reads the head of its answer. Answers to
-// earlier requests that come late are passed over.
+// roundTrip writes the request and reads the header of its answer. Late answers to earlier
+// requests are skipped.
 func (c *connection) roundTrip(m *message) (*http.Response, error) {
 	if err := m.checkSendBy(c.worker, time.Now()); err != nil {
 		return nil, err
@@ -151,8 +152,8 @@
 	return nil, &sendError{sent: true, cause: errForeignAnswer}
 }
 
-// finish ends an exchange whose answer was read to its end and keeps the
-// connection if the worker does.
+// finish ends an exchange whose answer was read completely, and keeps the connection if the
+// worker does.
 func (e *exchange) finish() {
 	if !e.stopCloseOnCancel() || e.response.Close || e.response.ContentLength < 0 && !chunked(e.response) {
 		_ = e.conn.Close()
@@ -184,20 +185,20 @@
 	return len(r.TransferEncoding) > 0 && r.TransferEncoding[0] == "chunked"
 }
 
-// message is a request as it goes to a worker.
+// message is a request as sent to a worker.
 type message struct {
 	method  string
 	encoded []byte
-	// attempt is the request's identity, attemptName its header.
+	// attempt is the request's ID, attemptName its header.
 	attempt     string
 	attemptName string
-	// sendBy is until when it may be sent; the zero time for any time.
+	// sendBy is until when the message may be sent; zero for any time.
 	sendBy time.Time
 	// runOnce tells that the request must not be repeated.
 	runOnce bool
 }
 
-// encode writes a request head and body into one buffer.
+// encode writes a request's header and body into one buffer.
 func encode(method, target, host string, header http.Header, body []byte) []byte {
 	var b bytes.Buffer
 	b.Grow(len(body) + 1024)
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -12,24 +12,24 @@
 	"quartzshelf.dev/fleet"
 )
 
-// maxAnswerBytes bounds the body of an answer that is relayed whole, in bytes.
+// maxAnswerBytes limits the body of an answer that is relayed as a whole.
 const maxAnswerBytes = 32 << 20
 
 var errRejected = errors.New("turned away")
 
-// answer is a worker's answer, read whole.
+// answer is a worker's complete answer.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// serveWhole relays a request whose answer is read whole before it is passed on.
+// serveWhole relays a request whose answer is read completely before it is forwarded.
 func (r *Relay) serveWhole(w http.ResponseWriter, c *request) *refusal {
 	for {
-		replica, none := r.choose(c)
-		if none != nil {
-			return c.correctStatus(none)
+		replica, refused := r.choose(c)
+		if refused != nil {
+			return c.correctStatus(refused)
 		}
 		got, err := r.tryWhole(c, replica)
 		if err == nil && !r.shouldRetryAnswer(c, replica, got) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// retryReason names why an attempt is repeated.
+// retryReason returns the reason by which a retry is counted.
 func retryReason(ran bool) reason.Reason {
 	if ran {
 		return reason.RetryBroken
@@ -56,7 +56,7 @@
 	return reason.RetryRefused
 }
 
-// shouldRetryAnswer reports whether a worker's own failure is to be followed by an
+// shouldRetryAnswer reports whether an error answered by a worker should be followed by an
 // attempt at another worker.
 func (r *Relay) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
 	if got.status < http.StatusInternalServerError || !c.route.Repeatable() {
@@ -70,7 +70,7 @@
 	return r.mayRetry(c, true)
 }
 
-// tryWhole sends the request to one worker and reads the whole answer.
+// tryWhole sends the request to one worker and reads the complete answer.
 func (r *Relay) tryWhole(c *request, replica *fleet.Replica) (*answer, error) {
 	reserved := r.opts.Tracker.Reserve(replica, c.promptTokens)
 	defer reserved.Release()
@@ -96,7 +96,7 @@
 	return got, r.checkSigned(got, replica.Head.ID)
 }
 
-// checkSigned refuses a success that does not carry its worker's signature.
+// checkSigned returns an error if a success lacks its worker's signature.
 func (r *Relay) checkSigned(got *answer, worker string) error {
 	if got.status >= http.StatusMultipleChoices || got.header.Get(r.opts.Names.Signature) != "" {
 		return nil
@@ -104,8 +104,8 @@
 	return &sendError{sent: true, cause: failure.New(failure.Remote, "check answer", worker, "the success is not signed")}
 }
 
-// checkRejected returns an error if the worker turned the request away before
-// anything ran. One that was sent before may have run then.
+// checkRejected returns an error if the worker rejected the request before running it. If the
+// request had been sent twice, the first may have run.
 func (r *Relay) checkRejected(e *exchange, worker string) error {
 	status := e.response.StatusCode
 	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
@@ -114,7 +114,7 @@
 	return &sendError{sent: e.resent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
 }
 
-// writeAnswer passes a whole answer on.
+// writeAnswer forwards a complete answer.
 func writeAnswer(w http.ResponseWriter, got *answer) {
 	header := w.Header()
 	for name, values := range got.header {
@@ -122,6 +122,6 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(got.body)))
 	w.WriteHeader(got.status)
-	// A caller that has gone does not get it; there is nobody to tell.
+	// The error is ignored: the caller has disconnected.
 	_, _ = w.Write(got.body)
 }
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -18,31 +18,31 @@
 type behaviour string
 
 const (
-	// answers serves the request whole.
+	// answers sends a complete answer.
 	answers behaviour = "answers"
-	// rejects turns it away before it runs.
+	// rejects rejects the request before it runs.
 	rejects behaviour = "rejects"
-	// misdirects says that the request is meant for another worker.
+	// misdirects answers that the request is meant for another worker.
 	misdirects behaviour = "misdirects"
-	// fails runs it and answers with a failure of its own.
+	// fails runs the request and answers with an error.
 	fails behaviour = "fails"
-	// drops resets the connection in place of an answer, and runs nothing.
+	// drops resets the connection instead of answering, and runs nothing.
 	drops behaviour = "drops"
-	// loses runs it and closes the connection without an answer.
+	// loses runs the request and closes the connection without an answer.
 	loses behaviour = "loses"
-	// cuts runs it and breaks off within its answer.
+	// cuts runs the request and breaks off within the answer.
 	cuts behaviour = "cuts"
 	// tears breaks a stream off within an event.
 	tears behaviour = "tears"
 	// unsigned answers without a signature.
 	unsigned behaviour = "unsigned"
-	// surplus sends an answer to another request first.
+	// surplus first sends an answer to another request.
 	surplus behaviour = "surplus"
-	// garbles sends bytes that are no answer.
+	// garbles sends bytes that are not an HTTP answer.
 	garbles behaviour = "garbles"
 	// stalls sends two events and then nothing.
 	stalls behaviour = "stalls"
-	// ends runs it, and the worker's process ends.
+	// ends runs the request, and the worker's process ends.
 	ends behaviour = "ends"
 )
 
@@ -52,23 +52,23 @@
 	LastEvent: "Last-Event-Id", Priority: "X-Priority",
 }
 
-// fakeEvents is how many events a whole stream has.
+// fakeEvents is the number of events of a complete stream.
 const fakeEvents = 9
 
-// fakeWorker is a worker on a port of its own.
+// fakeWorker is a worker with its own port.
 type fakeWorker struct {
 	id       string
 	listener net.Listener
-	// script gives the behaviour for the next requests; after it all answers.
+	// script holds the behaviours for the next requests; after them the worker answers.
 	mu     sync.Mutex
 	script []behaviour
-	// runsByRequest counts the runs by request, heads holds what came.
+	// runsByRequest counts the runs by request, received holds the headers of all requests.
 	runsByRequest map[string]int
 	received      []http.Header
-	// connectionCount counts the connections, header is added to each answer.
+	// connectionCount counts the accepted connections, extraHeader is added to each answer.
 	connectionCount int
 	extraHeader     string
-	// onRequest is called when a request comes, before its behaviour is played.
+	// onRequest is called when a request arrives, before its behaviour is played.
 	onRequest func()
 }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-// answer plays the next behaviour and reports whether the connection goes on.
+// answer plays the next behaviour and reports whether the connection stays open.
 func (w *fakeWorker) answer(c net.Conn, r *http.Request) bool {
 	id := r.Header.Get(testNames.Attempt)
 	b := w.next()
@@ -156,7 +156,7 @@
 		write(c, "HTTP/1.1 500 Failed\r\n"+signed+"Content-Length: 0\r\n\r\n")
 		return true
 	case drops:
-		// Without a linger time the connection is reset.
+		// Without lingering, closing resets the connection.
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
 	case loses:
@@ -202,7 +202,7 @@
 				chunk(c, event[:len(event)/2])
 				return false
 			case stalls:
-				// The connection stays open until the other side leaves.
+				// The connection stays open until the peer closes it.
 				_, _ = c.Read(make([]byte, 1))
 				return false
 			}
@@ -216,11 +216,11 @@
 func chunk(c net.Conn, data string) { write(c, fmt.Sprintf("%x\r\n%s\r\n", len(data), data)) }
 
 func write(c net.Conn, data string) {
-	// A connection that the other side has closed is seen when reading from it.
+	// The error is ignored: a closed connection is detected by the next read.
 	_, _ = io.WriteString(c, data)
 }
 
-// testRelay is a relay before fake workers.
+// testRelay is a relay for fake workers.
 type testRelay struct {
 	*Relay
 	inventory *fleet.Inventory
