--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -220,8 +220,8 @@
 	assert.Assert(t, !u.dropsEarly("s", second-1, now))
 	assert.Assert(t, !u.dropsEarly("other", 3*second, now))
 	u.recordReset(&connection{worker: "b", service: "s", idleBefore: second / 2}, now.Add(second))
-	assert.Assert(t, u.dropsEarly("s", second, now.Add(earlyDropTTL)), "it is known for longer")
-	assert.Assert(t, !u.dropsEarly("s", 3*second, now.Add(earlyDropTTL+second)), "it is tried again")
+	assert.Assert(t, u.dropsEarly("s", second, now.Add(earlyDropTTL)), "another reset extends it")
+	assert.Assert(t, !u.dropsEarly("s", 3*second, now.Add(earlyDropTTL+second)), "it expires")
 	assert.Assert(t, isReset(&sendError{cause: syscall.ECONNRESET}))
 }
 
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -98,7 +98,7 @@
 			tracker.RecordEvent(gone, &StreamWatch{}, now)
 			assert.Equal(t, countChoices(tracker, []*fleet.Replica{gone, there}, now, 50)["gone"], 0)
 			tracker.MarkUnreachable(gone, test.refused, now.Add(time.Second))
-			assert.Equal(t, told, 1, "peers are told once")
+			assert.Equal(t, told, 1, "peers are notified once")
 			assert.Assert(t, !isPassedOver(tracker, gone, now.Add(time.Minute)))
 		})
 	}
@@ -146,7 +146,7 @@
 	tracker.Suspect("silent", now)
 	assert.Equal(t, countChoices(tracker, []*fleet.Replica{silent, other}, now, 50)["silent"], 0)
 	tracker.Reserve(silent, 0)
-	assert.Assert(t, isPassedOver(tracker, silent, now.Add(time.Second)), "once it is used, too")
+	assert.Assert(t, isPassedOver(tracker, silent, now.Add(time.Second)), "also after its first use")
 	assert.Assert(t, !isPassedOver(tracker, silent, now.Add(suspicionPeriod)))
 }
 
--- a/relay/lateness.go
+++ b/relay/lateness.go
@@ -12,8 +12,8 @@
 
 // lateness records whether the events of a stream were on time, and if not, why.
 type lateness struct {
-	// reason is the first reason for which the stream was late; empty while it is on time.
-	reason  reason.Reason
+	// cause is the first reason for which the stream was late; empty while it is on time.
+	cause   reason.Reason
 	replica string
 	// firstDelay is the time to the first event, longestPause the longest pause after it.
 	firstDelay, longestPause time.Duration
@@ -51,18 +51,18 @@
 }
 
 func (l *lateness) setReason(cause reason.Reason, replica string) {
-	if l.reason == "" {
-		l.reason, l.replica = cause, replica
+	if l.cause == "" {
+		l.cause, l.replica = cause, replica
 	}
 }
 
 // logLate counts and logs a stream that was late.
 func (r *Relay) logLate(c *request, l *lateness) {
-	if l.reason == "" {
+	if l.cause == "" {
 		return
 	}
-	r.opts.Meter.Late(l.reason)
-	r.opts.Logger.Info("stream late", "request", c.id, "reason", string(l.reason), "service", c.service, "model", c.model,
+	r.opts.Meter.Late(l.cause)
+	r.opts.Logger.Info("stream late", "request", c.id, "reason", string(l.cause), "service", c.service, "model", c.model,
 		"replica", l.replica, "first_ms", l.firstDelay.Milliseconds(), "pause_ms", l.longestPause.Milliseconds(), "sends", c.sends,
 		"rejections", c.rejections, "busy", int(c.chosenBusy), "prompt", c.promptTokens, "ms", time.Since(c.arrived).Milliseconds())
 }
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -59,7 +59,7 @@
 				}
 				begun, last = true, now
 			}
-			assert.Equal(t, l.reason, test.want)
+			assert.Equal(t, l.cause, test.want)
 		})
 	}
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -111,7 +111,7 @@
 			assert.Assert(t, strings.Contains(got.body, string(reason.Quarantined)))
 			seconds, err := time.ParseDuration(got.header.Get("Retry-After") + "s")
 			assert.NilError(t, err)
-			assert.Assert(t, seconds > 9*time.Minute, "it is told to come back after %s", seconds)
+			assert.Assert(t, seconds > 9*time.Minute, "Retry-After is %s", seconds)
 			assert.Equal(t, r.opts.Meter.Refusals()[reason.Quarantined], int64(1))
 		})
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -176,7 +176,7 @@
 	case got.status == http.StatusOK && got.isWhole && got.body != want:
 		t.Fatalf("%s %s: a complete answer is %q", path, id, got.body)
 	case got.status == http.StatusServiceUnavailable && runs > 0:
-		t.Fatalf("%s %s: told that it did not run, ran %d times", path, id, runs)
+		t.Fatalf("%s %s: answered that it did not run, ran %d times", path, id, runs)
 	case path == "/once/" && runs > 1:
 		t.Fatalf("%s %s: ran %d times", path, id, runs)
 	case path == "/safe/" && runs > 2 || runs > 3:
@@ -243,13 +243,13 @@
 		b.addRequest("s", start.Add(time.Second))
 	}
 	assert.Assert(t, b.takeRetry("s", start.Add(time.Second)), "requests allow repeats")
-	assert.Assert(t, b.takeRetry("other", start), "services are counted by themselves")
+	assert.Assert(t, b.takeRetry("other", start), "services are counted separately")
 	later := start.Add(time.Minute)
 	taken = 0
 	for b.takeRetry("s", later) {
 		taken++
 	}
-	assert.Equal(t, taken, 8, "what is long past does not count")
+	assert.Equal(t, taken, 8, "old retries are not counted")
 }
 
 func TestLastID(t *testing.T) {
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -37,7 +37,7 @@
 		p.calls.Wait()
 		assert.Assert(t, p.served("queued"), "%+v", p.results["queued"])
 		assert.Equal(t, p.sends("queued"), 1)
-		assert.Assert(t, p.results["queued"].first > firstEventTimeout, "it waited for %s only", p.results["queued"].first)
+		assert.Assert(t, p.results["queued"].first > firstEventTimeout, "it waited only %s", p.results["queued"].first)
 	})
 }
 
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -38,7 +38,7 @@
 	lastEventAt time.Time
 	// isClientGone tells that a write to the caller failed.
 	isClientGone bool
-	lateness     lateness
+	timing       lateness
 }
 
 // serveStream relays a stream, and resumes it at another replica if it breaks.
@@ -52,10 +52,10 @@
 		}
 		err := r.tryStream(c, s, replica)
 		if err == nil {
-			r.logLate(c, &s.lateness)
+			r.logLate(c, &s.timing)
 			return nil
 		}
-		s.lateness.isResuming = true
+		s.timing.isResuming = true
 		ran := r.recordFailure(c, replica, err)
 		if c.isDone() || s.isClientGone || !r.mayRetry(c, ran) {
 			return r.endStream(c, s, r.failureRefusal(c))
@@ -117,11 +117,11 @@
 	}
 	onEvent := func(now time.Time) {
 		if s.isHeadSent {
-			s.lateness.recordNext(c, replica.ID, now.Sub(s.lastEventAt))
+			s.timing.recordNext(c, replica.ID, now.Sub(s.lastEventAt))
 		} else {
 			r.opts.Meter.FirstToken(c.arrived)
 			r.waitingStreams.remove(c)
-			s.lateness.recordFirst(c, replica.ID, now)
+			s.timing.recordFirst(c, replica.ID, now)
 		}
 		reserved.PrefillDone()
 		r.opts.Tracker.RecordEvent(replica, watch, now)
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -132,6 +132,6 @@
 	tracker.RecordGapTarget("m", 0, now)
 	assert.Equal(t, tracker.Pause("m", now), 200*time.Millisecond)
 	tracker.RecordGapTarget("m", 300*time.Millisecond, now.Add(gapTargetTTL))
-	assert.Equal(t, tracker.Pause("m", now.Add(gapTargetTTL+time.Second)), 300*time.Millisecond, "a route that is gone")
+	assert.Equal(t, tracker.Pause("m", now.Add(gapTargetTTL+time.Second)), 300*time.Millisecond, "an expired gap target")
 	assert.Equal(t, tracker.Pause("other", now), time.Duration(0))
 }
