--- a/eligibility/eligibility.go
+++ b/eligibility/eligibility.go
@@ -74,8 +74,8 @@
 	// HasLimitRoom reports whether the limit set by a replica's head allows one more request from
 	// this daemon.
 	HasLimitRoom func(r *fleet.Replica) bool
-	// IsRested reports whether a replica's head accepts requests from this daemon.
-	IsRested func(r *fleet.Replica) bool
+	// AcceptsRequests reports whether a replica's head accepts requests from this daemon.
+	AcceptsRequests func(r *fleet.Replica) bool
 	// IsSuspected reports whether a replica may have stopped.
 	IsSuspected func(r *fleet.Replica) bool
 }
@@ -125,7 +125,7 @@
 
 // hasLoadRules reports whether any rule limits the load of replicas; usually none does.
 func (r *Rules) hasLoadRules() bool {
-	return r.HasWarmUpRoom != nil || r.IsRested != nil || r.HasLimitRoom != nil
+	return r.HasWarmUpRoom != nil || r.AcceptsRequests != nil || r.HasLimitRoom != nil
 }
 
 // loadCause returns why a replica can take no further request from this daemon, or None.
@@ -133,7 +133,7 @@
 	switch {
 	case r.HasWarmUpRoom != nil && !r.HasWarmUpRoom(replica):
 		return WarmingUp
-	case r.IsRested != nil && !r.IsRested(replica):
+	case r.AcceptsRequests != nil && !r.AcceptsRequests(replica):
 		return Resting
 	case r.HasLimitRoom != nil && !r.HasLimitRoom(replica):
 		return Limited
--- a/eligibility/eligibility_test.go
+++ b/eligibility/eligibility_test.go
@@ -31,10 +31,10 @@
 			}
 			return "home"
 		},
-		HasWarmUpRoom: func(r *fleet.Replica) bool { return r.ID != "cold" },
-		HasLimitRoom:  func(r *fleet.Replica) bool { return r.ID != "limited" && r.ID != "both" },
-		IsRested:      func(r *fleet.Replica) bool { return r.ID != "resting" && r.ID != "both" },
-		IsSuspected:   func(r *fleet.Replica) bool { return r.ID == "silent" },
+		HasWarmUpRoom:   func(r *fleet.Replica) bool { return r.ID != "cold" },
+		HasLimitRoom:    func(r *fleet.Replica) bool { return r.ID != "limited" && r.ID != "both" },
+		AcceptsRequests: func(r *fleet.Replica) bool { return r.ID != "resting" && r.ID != "both" },
+		IsSuspected:     func(r *fleet.Replica) bool { return r.ID == "silent" },
 	}
 }
 
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -83,11 +83,11 @@
 			counts := test.run()
 			assert.Assert(t, float64(counts.allowed) >= test.minAllowedShare*float64(counts.asked), "%d of %d allowed", counts.allowed, counts.asked)
 			for first := range budgetSteps - budgetWindow {
-				came, again := 0, 0
+				requests, retries := 0, 0
 				for i := first; i < first+budgetWindow; i++ {
-					came, again = came+counts.requests[i], again+counts.retries[i]
+					requests, retries = requests+counts.requests[i], retries+counts.retries[i]
 				}
-				assert.Assert(t, float64(again) <= 0.2*float64(came)+test.extra, "%d repeats of %d requests from step %d", again, came, first)
+				assert.Assert(t, float64(retries) <= 0.2*float64(requests)+test.extra, "%d repeats of %d requests from step %d", retries, requests, first)
 			}
 		})
 	}
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -24,14 +24,14 @@
 	body   []byte
 }
 
-// serveWhole relays a request whose answer is read completely before it is forwarded.
-func (r *Relay) serveWhole(w http.ResponseWriter, c *request) *refusal {
+// serveBuffered relays a request whose answer is read completely before it is forwarded.
+func (r *Relay) serveBuffered(w http.ResponseWriter, c *request) *refusal {
 	for {
 		replica, refused := r.choose(c)
 		if refused != nil {
 			return c.correctStatus(refused)
 		}
-		got, err := r.tryWhole(c, replica)
+		got, err := r.tryBuffered(c, replica)
 		if err == nil && !r.shouldRetryAnswer(c, replica, got) {
 			writeAnswer(w, got)
 			return nil
@@ -70,8 +70,8 @@
 	return r.mayRetry(c, true)
 }
 
-// tryWhole sends the request to one worker and reads the complete answer.
-func (r *Relay) tryWhole(c *request, replica *fleet.Replica) (*answer, error) {
+// tryBuffered sends the request to one worker and reads the complete answer.
+func (r *Relay) tryBuffered(c *request, replica *fleet.Replica) (*answer, error) {
 	reserved := r.opts.Tracker.Reserve(replica, c.promptTokens)
 	defer reserved.Release()
 	e, err := r.sendTo(c.ctx, c, replica.Head, "")
--- a/relay/callertimeouts.go
+++ b/relay/callertimeouts.go
@@ -41,14 +41,14 @@
 }
 
 // estimateWaited records a caller's remaining time and returns how long it has waited before.
-func (p *callerTimeouts) estimateWaited(route *fleet.Route, remaining time.Duration, now time.Time) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	entry, ok := p.routes[route.Name]
+func (t *callerTimeouts) estimateWaited(route *fleet.Route, remaining time.Duration, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	entry, ok := t.routes[route.Name]
 	if !ok {
-		p.forget(now)
+		t.forget(now)
 		entry = &routeTimeouts{windowEnd: now.Add(timeoutWindow)}
-		p.routes[route.Name] = entry
+		t.routes[route.Name] = entry
 	}
 	if now.After(entry.windowEnd) {
 		entry.previousLongest, entry.longest, entry.windowEnd = entry.longest, 0, now.Add(timeoutWindow)
@@ -63,10 +63,10 @@
 }
 
 // forget deletes routes without recent callers, so that renamed routes don't accumulate.
-func (p *callerTimeouts) forget(now time.Time) {
-	for name, entry := range p.routes {
+func (t *callerTimeouts) forget(now time.Time) {
+	for name, entry := range t.routes {
 		if now.Sub(entry.windowEnd) > timeoutWindow {
-			delete(p.routes, name)
+			delete(t.routes, name)
 		}
 	}
 }
--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -56,7 +56,7 @@
 				for _, path := range []string{"/safe/", "/stream/"} {
 					got := sendRequest(t, server, path, strconv.Itoa(i)+path, nil)
 					assert.Equal(t, got.status, 200, path)
-					assert.Assert(t, got.isWhole, path)
+					assert.Assert(t, got.isComplete, path)
 				}
 			}
 			opened := test.opened
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -35,7 +35,7 @@
 			rules.HallState = func(hall string) fleet.HallState { return halls.State(hall, now) }
 		}
 	}
-	rules.HasWarmUpRoom, rules.HasLimitRoom, rules.IsRested = r.opts.WarmUp.check(now), r.opts.Limits.check(now), r.opts.Rests.check(now)
+	rules.HasWarmUpRoom, rules.HasLimitRoom, rules.AcceptsRequests = r.opts.WarmUp.check(now), r.opts.Limits.check(now), r.opts.Rests.check(now)
 	return rules
 }
 
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -84,8 +84,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			told := 0
-			tracker := NewTracker("", func(*fleet.Replica) { told++ })
+			notified := 0
+			tracker := NewTracker("", func(*fleet.Replica) { notified++ })
 			gone, there := testReplica("gone", ""), testReplica("there", "")
 			if test.moves {
 				tracker.RecordEvent(gone, &StreamWatch{}, now)
@@ -98,7 +98,7 @@
 			tracker.RecordEvent(gone, &StreamWatch{}, now)
 			assert.Equal(t, countChoices(tracker, []*fleet.Replica{gone, there}, now, 50)["gone"], 0)
 			tracker.MarkUnreachable(gone, test.refused, now.Add(time.Second))
-			assert.Equal(t, told, 1, "peers are notified once")
+			assert.Equal(t, notified, 1, "peers are notified once")
 			assert.Assert(t, !isPassedOver(tracker, gone, now.Add(time.Minute)))
 		})
 	}
@@ -122,10 +122,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			told := false
-			r := &Relay{opts: Options{Logger: hclog.NewNullLogger(), Tracker: NewTracker("", func(*fleet.Replica) { told = true })}}
+			marked := false
+			r := &Relay{opts: Options{Logger: hclog.NewNullLogger(), Tracker: NewTracker("", func(*fleet.Replica) { marked = true })}}
 			r.recordHeadFailure(&request{}, testReplica("a", ""), test.err)
-			assert.Equal(t, told, test.want)
+			assert.Equal(t, marked, test.want)
 		})
 	}
 }
--- a/relay/gaptargets.go
+++ b/relay/gaptargets.go
@@ -10,23 +10,23 @@
 // expiry.
 type gapTargets map[string]map[time.Duration]time.Time
 
-func (p gapTargets) record(model string, pause time.Duration, now time.Time) {
+func (g gapTargets) record(model string, pause time.Duration, now time.Time) {
 	if pause <= 0 {
 		return
 	}
-	if p[model] == nil {
-		p[model] = make(map[time.Duration]time.Time)
+	if g[model] == nil {
+		g[model] = make(map[time.Duration]time.Time)
 	}
-	p[model][pause] = now.Add(gapTargetTTL)
+	g[model][pause] = now.Add(gapTargetTTL)
 }
 
 // shortest returns the shortest gap target that has not expired; zero if there is none.
-func (p gapTargets) shortest(model string, now time.Time) time.Duration {
+func (g gapTargets) shortest(model string, now time.Time) time.Duration {
 	shortest := time.Duration(0)
-	for pause, until := range p[model] {
+	for pause, until := range g[model] {
 		switch {
 		case now.After(until):
-			delete(p[model], pause)
+			delete(g[model], pause)
 		case shortest == 0 || pause < shortest:
 			shortest = pause
 		}
--- a/relay/holdings.go
+++ b/relay/holdings.go
@@ -78,29 +78,29 @@
 }
 
 // grow reserves further bytes and reports whether they were available.
-func (o *requestMemory) grow(bytes int64) bool {
-	if !o.holdings.reserve(o.account, bytes) {
+func (m *requestMemory) grow(bytes int64) bool {
+	if !m.holdings.reserve(m.account, bytes) {
 		return false
 	}
-	o.bytes += bytes
+	m.bytes += bytes
 	return true
 }
 
 // release releases all reserved memory.
-func (o *requestMemory) release() {
-	o.holdings.release(o.account, o.bytes)
-	o.bytes = 0
+func (m *requestMemory) release() {
+	m.holdings.release(m.account, m.bytes)
+	m.bytes = 0
 }
 
 // read reads up to limit bytes plus one, so that callers can detect a longer body. It reserves
 // memory as data arrives, and calls wait when there is none.
-func (o *requestMemory) read(from io.Reader, limit int64, wait func() error) ([]byte, error) {
+func (m *requestMemory) read(from io.Reader, limit int64, wait func() error) ([]byte, error) {
 	var all []byte
 	from = io.LimitReader(from, limit+1)
 	for step := 0; ; {
 		if len(all) == cap(all) {
 			step = max(2*step, initialBufferBytes)
-			for !o.grow(int64(step)) {
+			for !m.grow(int64(step)) {
 				if err := wait(); err != nil {
 					return nil, err
 				}
@@ -111,7 +111,7 @@
 		all = all[:len(all)+n]
 		switch {
 		case errors.Is(err, io.EOF):
-			o.shrink(int64(cap(all) - len(all)))
+			m.shrink(int64(cap(all) - len(all)))
 			return all, nil
 		case err != nil:
 			return nil, err
@@ -120,9 +120,9 @@
 }
 
 // shrink releases memory that turned out not to be needed.
-func (o *requestMemory) shrink(bytes int64) {
-	o.holdings.release(o.account, bytes)
-	o.bytes -= bytes
+func (m *requestMemory) shrink(bytes int64) {
+	m.holdings.release(m.account, bytes)
+	m.bytes -= bytes
 }
 
 // failWhenFull is the wait function for bodies: the request has not run, so it is refused.
--- a/relay/lateness.go
+++ b/relay/lateness.go
@@ -17,7 +17,7 @@
 	replica string
 	// firstDelay is the time to the first event, longestPause the longest pause after it.
 	firstDelay, longestPause time.Duration
-	// isResuming tells that the stream broke off and no event has arrived since.
+	// isResuming reports whether the stream broke off and no event has arrived since.
 	isResuming bool
 }
 
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -13,7 +13,7 @@
 // lateStep is an event or failure of a stream, at a time since its arrival.
 type lateStep struct {
 	at time.Duration
-	// event tells that an event was forwarded, failed that an attempt failed.
+	// event reports whether an event was forwarded, failed whether an attempt failed.
 	event, failed bool
 }
 
--- a/relay/powerreturn_test.go
+++ b/relay/powerreturn_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	const (
 		daemons, heads = 24, 8
-		dark           = 1300 * time.Millisecond
+		outage         = 1300 * time.Millisecond
 		given          = 6 * time.Second
 	)
 	var all []*simHead
@@ -56,7 +56,7 @@
 	}
 	p := newSimulation(t, daemons, all...)
 	for i := range waitingCallers {
-		waited := dark * time.Duration(i) / waitingCallers
+		waited := outage * time.Duration(i) / waitingCallers
 		p.calls.Go(func() {
 			time.Sleep(time.Duration(i%50) * 2 * time.Millisecond)
 			p.send(i%daemons, fmt.Sprint("waited", i), restartPromptTokens, given-waited)
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -17,27 +17,27 @@
 // waitingStreams holds the streams that were sent and have received no event yet. It is safe for
 // concurrent use.
 type waitingStreams struct {
-	mu   sync.Mutex
-	held map[*request]context.CancelCauseFunc
+	mu      sync.Mutex
+	cancels map[*request]context.CancelCauseFunc
 }
 
-func (u *waitingStreams) add(c *request, cancel context.CancelCauseFunc) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.held[c] = cancel
+func (w *waitingStreams) add(c *request, cancel context.CancelCauseFunc) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cancels[c] = cancel
 }
 
-func (u *waitingStreams) remove(c *request) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.held, c)
+func (w *waitingStreams) remove(c *request) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.cancels, c)
 }
 
 // cancel cancels the streams for which chosen returns true.
-func (u *waitingStreams) cancel(chosen func(c *request) bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for c, cancel := range u.held {
+func (w *waitingStreams) cancel(chosen func(c *request) bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for c, cancel := range w.cancels {
 		if chosen(c) {
 			cancel(errQuarantined)
 		}
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -266,14 +266,14 @@
 	t.Helper()
 	const daemons, heads = 4, 12
 	var p *simulation
-	ends := func(h *simHead, body string) {
+	onRun := func(h *simHead, body string) {
 		if body == "crash" {
 			p.work.Go(func() { p.crash(h) })
 		}
 	}
 	var all []*simHead
 	for i := range heads {
-		all = append(all, &simHead{id: fmt.Sprint("h", i), onRun: ends})
+		all = append(all, &simHead{id: fmt.Sprint("h", i), onRun: onRun})
 	}
 	p = newSimulation(t, daemons, all...)
 	p.body = func(id string) string {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -88,7 +88,7 @@
 	waitingStreams waitingStreams
 	// startedAt is when this daemon started.
 	startedAt time.Time
-	// hasAnswered tells that some request got an answer other than a refusal.
+	// hasAnswered reports whether some request got an answer other than a refusal.
 	hasAnswered atomic.Bool
 	done        chan struct{}
 }
@@ -111,7 +111,7 @@
 	if opts.Dial != nil {
 		r.upstream.dial = opts.Dial
 	}
-	r.waitingStreams.held = make(map[*request]context.CancelCauseFunc)
+	r.waitingStreams.cancels = make(map[*request]context.CancelCauseFunc)
 	r.guard = guard.New(guard.Options{
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return r.upstream.dial(ctx, network, address)
@@ -167,7 +167,7 @@
 		if c.route.Kind == fleet.Stream {
 			refused = r.serveStream(w, c)
 		} else {
-			refused = r.serveWhole(w, c)
+			refused = r.serveBuffered(w, c)
 		}
 	}
 	if refused != nil {
@@ -272,7 +272,7 @@
 }
 
 // mayRetry reports whether a failed attempt may be followed by another one, and if so takes it
-// from the retry budget. ran tells whether the attempt may have run.
+// from the retry budget. ran reports whether the attempt may have run.
 func (r *Relay) mayRetry(c *request, ran bool) bool {
 	switch {
 	case c.isDone():
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -58,8 +58,8 @@
 	status int
 	header http.Header
 	body   string
-	// isWhole tells that the answer ended properly.
-	isWhole bool
+	// isComplete reports whether the answer ended properly.
+	isComplete bool
 }
 
 func sendRequest(t assert.TestingT, server *httptest.Server, path, id string, change func(*http.Request)) answerSeen {
@@ -78,7 +78,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return answerSeen{status: response.StatusCode, header: response.Header, body: string(body), isWhole: err == nil}
+	return answerSeen{status: response.StatusCode, header: response.Header, body: string(body), isComplete: err == nil}
 }
 
 func wholeStream() string {
@@ -97,7 +97,7 @@
 		status int
 		body   string
 		runs   int
-		// cut tells that the answer must not look complete.
+		// cut reports whether the answer must not look complete.
 		cut bool
 	}{
 		"a whole answer":                         {path: "/safe/", status: 200, body: "answer to a", runs: 1},
@@ -135,7 +135,7 @@
 			_, server := newTestRelay(t, workers...)
 			got := sendRequest(t, server, test.path, "a", test.change)
 			assert.Equal(t, got.status, test.status)
-			assert.Equal(t, got.isWhole, !test.cut)
+			assert.Equal(t, got.isComplete, !test.cut)
 			if test.body != "" {
 				assert.Equal(t, got.body, test.body)
 			}
@@ -173,7 +173,7 @@
 		want = wholeStream()
 	}
 	switch {
-	case got.status == http.StatusOK && got.isWhole && got.body != want:
+	case got.status == http.StatusOK && got.isComplete && got.body != want:
 		t.Fatalf("%s %s: a complete answer is %q", path, id, got.body)
 	case got.status == http.StatusServiceUnavailable && runs > 0:
 		t.Fatalf("%s %s: answered that it did not run, ran %d times", path, id, runs)
--- a/relay/request.go
+++ b/relay/request.go
@@ -63,7 +63,7 @@
 	lastErr error
 	sentAt  time.Time
 
-	// isSuspected tells that one more crash would quarantine the request.
+	// isSuspected reports whether one more crash would quarantine the request.
 	isSuspected bool
 
 	fingerprintOnce   sync.Once
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -30,10 +30,10 @@
 	lastEventAt time.Time
 	// firstEventDue is when its first event is expected, judged by the known work at the replica.
 	firstEventDue time.Time
-	// isTimerRestarted tells that a pause of this process restarted the timer since the last
+	// isTimerRestarted reports whether a pause of this process restarted the timer since the last
 	// event.
 	isTimerRestarted bool
-	// isForwarding tells that an event is being sent to the caller. Meanwhile nothing is read
+	// isForwarding reports whether an event is being sent to the caller. Meanwhile nothing is read
 	// from the replica, so its silence means nothing.
 	isForwarding atomic.Bool
 	costs        costs
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -67,9 +67,9 @@
 	toRead    time.Duration
 	nextEvent int
 	hasBegun  bool
-	// hasSlot tells that the request has a slot.
+	// hasSlot reports whether the request has a slot.
 	hasSlot bool
-	// isCanceled tells that the caller has disconnected.
+	// isCanceled reports whether the caller has disconnected.
 	isCanceled bool
 	done       chan struct{}
 }
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -216,11 +216,11 @@
 	request.Header.Set(testNames.Usage, strconv.Itoa(prompt)+",40")
 	w := &simWriter{ResponseRecorder: httptest.NewRecorder(), giveUp: time.AfterFunc(p.callerPatience, cancel)}
 	defer w.giveUp.Stop()
-	got := simCall{answerSeen: answerSeen{isWhole: true}}
+	got := simCall{answerSeen: answerSeen{isComplete: true}}
 	func() {
 		defer func() {
 			if recover() != nil {
-				got.isWhole = false
+				got.isComplete = false
 			}
 		}()
 		p.daemons[daemon].ServeHTTP(w, request)
@@ -237,7 +237,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	got := p.results[id]
-	return got.status == http.StatusOK && got.isWhole && got.body == wholeStream()
+	return got.status == http.StatusOK && got.isComplete && got.body == wholeStream()
 }
 
 // count returns how many of n calls satisfy wanted. Their IDs are name and a number.
--- a/relay/slowcaller_test.go
+++ b/relay/slowcaller_test.go
@@ -31,11 +31,11 @@
 		request.Header.Set(testNames.Attempt, id)
 		request.Header.Set(testNames.Model, "m")
 		w := &slowWriter{ResponseRecorder: httptest.NewRecorder(), each: each}
-		got := simCall{answerSeen: answerSeen{isWhole: true}}
+		got := simCall{answerSeen: answerSeen{isComplete: true}}
 		func() {
 			defer func() {
 				if recover() != nil {
-					got.isWhole = false
+					got.isComplete = false
 				}
 			}()
 			p.daemons[daemon].ServeHTTP(w, request)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -28,15 +28,15 @@
 // relayedStream is the state of a stream as its caller has received it.
 type relayedStream struct {
 	w http.ResponseWriter
-	// isHeadSent tells that the caller has received the header, so that only the rest of this
-	// stream may follow.
+	// isHeadSent reports whether the caller has received the header, so that only the rest of
+	// this stream may follow.
 	isHeadSent bool
 	// lastEventID is the ID of the last complete event forwarded.
 	lastEventID string
 	// lastEventAt is when that event was forwarded; before the first one, when the request
 	// arrived.
 	lastEventAt time.Time
-	// isClientGone tells that a write to the caller failed.
+	// isClientGone reports whether a write to the caller failed.
 	isClientGone bool
 	timing       lateness
 }
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -54,7 +54,7 @@
 	// reportedSuspects holds until when replicas that peers reported are suspected, for replicas
 	// that this daemon has not used.
 	reportedSuspects map[string]time.Time
-	// hasTraffic tells that a request arrived here or at a peer.
+	// hasTraffic reports whether a request arrived here or at a peer.
 	hasTraffic bool
 	// onStalled is called, without the lock, for each replica that fell silent.
 	onStalled func(r *fleet.Replica)
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -30,7 +30,7 @@
 	errForeignAnswer = errors.New("the answer belongs to another request")
 )
 
-// sendError is a failed exchange; sent tells whether the request may have reached its worker.
+// sendError is a failed exchange; sent reports whether the request may have reached its worker.
 type sendError struct {
 	sent  bool
 	cause error
@@ -54,8 +54,8 @@
 	response *http.Response
 	// stopCloseOnCancel cancels the closing of the connection when ctx ends.
 	stopCloseOnCancel func() bool
-	// resent tells that the worker may have received the request before, over a connection that
-	// broke.
+	// resent reports whether the worker may have received the request before, over a
+	// connection that broke.
 	resent bool
 }
 
@@ -194,7 +194,7 @@
 	attemptName string
 	// sendBy is until when the message may be sent; zero for any time.
 	sendBy time.Time
-	// runOnce tells that the request must not be repeated.
+	// runOnce reports whether the request must not be repeated.
 	runOnce bool
 }
 
