--- a/eligibility/eligibility.go
+++ b/eligibility/eligibility.go
@@ -60,7 +60,7 @@
 	Excluded
 )
 
-// numClasses is the number of classes that may take a request.
+// numClasses is the number of classes whose replicas may take a request.
 const numClasses = int(Excluded)
 
 // Rules holds the checks for replicas at one moment. A nil function excludes nothing.
@@ -123,7 +123,7 @@
 	return class, cause
 }
 
-// hasLoadRules reports whether any rule limits the load of replicas; usually none does.
+// hasLoadRules reports whether any rule limits the load of replicas.
 func (r *Rules) hasLoadRules() bool {
 	return r.HasWarmUpRoom != nil || r.AcceptsRequests != nil || r.HasLimitRoom != nil
 }
--- a/eligibility/eligibility_test.go
+++ b/eligibility/eligibility_test.go
@@ -17,9 +17,10 @@
 	return &fleet.Replica{ID: id, Head: &fleet.Worker{ID: id, Zone: hall}}
 }
 
-// testRules returns rules by which hall "shut" is closed, "soon" is closing and "far" is in
-// another region; replica "cold" has no warm-up room, "limited" no limit room, "resting" is
-// resting, "both" is resting without limit room, and "silent" is suspected.
+// testRules returns rules for the halls and replicas used in tests. Hall "shut" is closed, "soon"
+// is closing, and "far" is in another region. Replica "cold" is warming up and "limited" has
+// reached its limit; neither can take a request. Replica "resting" is resting, "both" is resting
+// and has reached its limit, and "silent" is suspected.
 func testRules() *Rules {
 	return &Rules{
 		HallState: func(hall string) fleet.HallState {
@@ -38,7 +39,7 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	tests := map[string]struct {
 		request Request
 		replica *fleet.Replica
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -26,8 +26,8 @@
 	return copy(p, r.event), nil
 }
 
-// BenchmarkEvent measures the work per event of a stream without the network: finding its end and
-// ID, and forwarding it.
+// BenchmarkEvent measures the time per event of a stream, without the network. It covers finding
+// the event's end and ID, and forwarding it.
 func BenchmarkEvent(b *testing.B) {
 	b.ReportAllocs()
 	reader := &eventReader{event: []byte("id: 17\ndata: 0123456789012345678901234567890123456789012345678901234567890\n\n"), left: b.N}
@@ -41,10 +41,10 @@
 	}
 }
 
-// BenchmarkChoose measures one choice among 400 replicas, 16 of them connected, with loads
-// reported by three relays.
+// BenchmarkChoose measures one choice among 400 replicas with loads reported by three sources.
+// Connections to the heads of 16 replicas are kept.
 func BenchmarkChoose(b *testing.B) {
-	const replicas, halls, connected = 400, 3, 16
+	const replicas, sources, connected = 400, 3, 16
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	u := newUpstream()
@@ -58,7 +58,7 @@
 			u.idle[r.Head.ID] = []*connection{{worker: r.Head.ID, idleSince: time.Now(), closeAt: time.Now().Add(time.Hour)}}
 		}
 	}
-	for i := range halls {
+	for i := range sources {
 		tracker.SetRemote(fmt.Sprintf("hall%d", i), peers.Summary{Daemons: 40, Loads: loads}, now)
 	}
 	tests := map[string]func() map[string]bool{
--- a/relay/bound.go
+++ b/relay/bound.go
@@ -11,27 +11,27 @@
 // Bound is this daemon's share of a fleet-wide limit on the requests sent to replicas. The zero
 // value limits nothing.
 type Bound struct {
-	// Scarce returns a check for whether a replica accepts only few requests; nil, or a nil
-	// result, if that does not affect choices.
+	// Scarce returns a function that reports whether a replica accepts only few requests. Scarce or
+	// its result may be nil if no replica does.
 	Scarce func() func(r *fleet.Replica) bool
-	// Check returns a check, valid for the given time, for whether a replica can take one more
-	// request; nil, or a nil result, if no replica is limited.
+	// Check returns a function that reports whether a replica can take one more request at the
+	// given time. Check or its result may be nil if no replica is limited.
 	Check func(now time.Time) func(r *fleet.Replica) bool
 	// Take takes the token that a request needs to be sent to a replica, and returns the time by
 	// which it must be sent; zero for any time. It reports false if no token is left.
 	Take func(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool)
-	// Next returns when the next token is expected.
+	// Next returns when the next token for a replica is expected.
 	Next func(r *fleet.Replica, now time.Time) time.Time
 }
 
-func (b Bound) check(now time.Time) func(r *fleet.Replica) bool {
+func (b Bound) checker(now time.Time) func(r *fleet.Replica) bool {
 	if b.Check == nil {
 		return nil
 	}
 	return b.Check(now)
 }
 
-func (b Bound) tightlyLimited() func(r *fleet.Replica) bool {
+func (b Bound) tightLimitChecker() func(r *fleet.Replica) bool {
 	if b.Scarce == nil {
 		return nil
 	}
@@ -45,7 +45,7 @@
 	return b.Take(r, now)
 }
 
-func (b Bound) next(r *fleet.Replica, now time.Time) time.Time {
+func (b Bound) nextToken(r *fleet.Replica, now time.Time) time.Time {
 	if b.Next == nil {
 		return now
 	}
@@ -79,9 +79,9 @@
 	reason.Resting: "the workers want no requests for a while",
 }
 
-// boundRefusal returns the refusal of a request for which all replicas are at their bound. Retry
-// times for limits and rests are spread, because tokens may stay scarce for long and callers that
-// return at the same time would be refused again.
+// boundRefusal returns the refusal of a request for which no replica has a token left. Callers
+// refused because of limits or rests get random retry times. Tokens may stay scarce for long, and
+// callers that retry at the same time would be refused again.
 func (r *Relay) boundRefusal(c *request, why reason.Reason, now time.Time) *refusal {
 	wait := r.boundRetryAfter(c, now)
 	if why == reason.Limited || why == reason.Resting {
@@ -90,23 +90,22 @@
 	return unavailable(why, boundMessages[why], wait)
 }
 
-// boundRetryAfter returns after how long a caller should retry when all replicas are at their
-// bound.
+// boundRetryAfter returns after how long a caller should retry when no replica has a token left.
 func (r *Relay) boundRetryAfter(c *request, now time.Time) time.Duration {
-	wait := retryClosed
+	retryAfter := retryClosed
 	for _, replica := range r.opts.View().Replicas(c.service, c.model) {
 		if !c.tried[replica.ID] {
-			wait = min(wait, r.availableAt(replica, now).Sub(now))
+			retryAfter = min(retryAfter, r.availableAt(replica, now).Sub(now))
 		}
 	}
-	return max(wait, retrySoon)
+	return max(retryAfter, retrySoon)
 }
 
 // availableAt returns when a replica is expected to take a request from this daemon.
 func (r *Relay) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
 	for _, bound := range []Bound{r.opts.Rests, r.opts.WarmUp, r.opts.Limits} {
-		if at := bound.next(replica, now); at.After(next) {
+		if at := bound.nextToken(replica, now); at.After(next) {
 			next = at
 		}
 	}
@@ -116,8 +115,8 @@
 // hasToken reports whether the message uses a token, which allows only one send.
 func (m *message) hasToken() bool { return !m.sendBy.IsZero() }
 
-// checkSendBy returns an error if the message's token has expired, as after a slow connect or a
-// pause of the process.
+// checkSendBy returns an error if the message's token has expired, for example during a slow
+// connect.
 func (m *message) checkSendBy(worker string, now time.Time) error {
 	if !m.hasToken() || !now.After(m.sendBy) {
 		return nil
--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -19,7 +19,7 @@
 // fakeTokens limits requests to workers by tokens, one for each request.
 type fakeTokens struct {
 	mu sync.Mutex
-	// left holds the remaining tokens by worker; other workers are not limited.
+	// left holds the remaining tokens by worker. Workers that are not in it are not limited.
 	left map[string]int
 	// isStale makes tokens expire before they are used.
 	isStale bool
@@ -55,8 +55,8 @@
 	return now.Add(120 * time.Millisecond)
 }
 
-// bound sets the tokens as the relay's warm-up bound.
-func (f *fakeTokens) bound(r *testRelay) {
+// setWarmUp makes the tokens the relay's warm-up bound.
+func (f *fakeTokens) setWarmUp(r *testRelay) {
 	r.opts.WarmUp = Bound{Check: f.check, Take: f.take, Next: f.next}
 }
 
@@ -71,13 +71,13 @@
 	return sum
 }
 
-// TestNoMoreThanTokens sends many requests at once, so that tokens are often gone between check
-// and choice.
+// TestNoMoreThanTokens: a worker must not get more requests than it has tokens. Many requests are
+// sent at once, so that other requests often take the last token between the check and the choice.
 func TestNoMoreThanTokens(t *testing.T) {
 	cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
 	r, server := newTestRelay(t, cold, warm)
 	tokens := &fakeTokens{left: map[string]int{"cold": 5}}
-	tokens.bound(r)
+	tokens.setWarmUp(r)
 	const requests = 40
 	results := make([]answerSeen, requests)
 	var all sync.WaitGroup
@@ -97,7 +97,7 @@
 }
 
 // TestOutdatedChecks lets the check pass for every replica, whether it has a token or not. The
-// choice must skip replicas without tokens, and end.
+// choice must skip replicas without tokens, and must return.
 func TestOutdatedChecks(t *testing.T) {
 	tests := map[string]struct {
 		left   map[string]int
@@ -113,7 +113,7 @@
 			a, b := newFakeWorker(t, "a"), newFakeWorker(t, "b")
 			r, server := newTestRelay(t, a, b)
 			tokens := &fakeTokens{left: test.left}
-			tokens.bound(r)
+			tokens.setWarmUp(r)
 			r.opts.WarmUp.Check = func(time.Time) func(*fleet.Replica) bool { return nil }
 			got := sendRequest(t, server, "/once/", "x", nil)
 			assert.Equal(t, got.status, test.status)
@@ -140,7 +140,7 @@
 		t.Run(name, func(t *testing.T) {
 			a, b := newFakeWorker(t, "a", test.first), newFakeWorker(t, "b", test.first)
 			r, server := newTestRelay(t, a, b)
-			(&fakeTokens{left: test.left}).bound(r)
+			(&fakeTokens{left: test.left}).setWarmUp(r)
 			sendRequest(t, server, test.path, "x", nil)
 			assert.Equal(t, a.allRuns()+b.allRuns(), test.want)
 		})
@@ -150,7 +150,7 @@
 func TestNoTokenIsRefused(t *testing.T) {
 	cold := newFakeWorker(t, "cold")
 	r, server := newTestRelay(t, cold)
-	(&fakeTokens{left: map[string]int{"cold": 0}}).bound(r)
+	(&fakeTokens{left: map[string]int{"cold": 0}}).setWarmUp(r)
 	got := sendRequest(t, server, "/once/", "x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.header.Get("Retry-After"), "0.120")
@@ -164,7 +164,7 @@
 		t.Run(path, func(t *testing.T) {
 			cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
 			r, server := newTestRelay(t, cold, warm)
-			(&fakeTokens{left: map[string]int{"cold": 100}, isStale: true}).bound(r)
+			(&fakeTokens{left: map[string]int{"cold": 100}, isStale: true}).setWarmUp(r)
 			for i := range 10 {
 				got := sendRequest(t, server, path, fmt.Sprint("r", i), nil)
 				assert.Equal(t, got.status, http.StatusOK)
@@ -175,9 +175,9 @@
 	}
 }
 
-// choiceRelay returns a relay with many replicas, and a request to them. The first replicas are
-// warming up or have limits.
-func choiceRelay(b *testing.B, replicas, warming, limited int) (*Relay, *request) {
+// newChoiceRelay returns a relay with the given number of replicas, and a request to them. The
+// first ones are warming up or have limits.
+func newChoiceRelay(b *testing.B, replicas, warming, limited int) (*Relay, *request) {
 	b.Helper()
 	inventory := fleet.NewInventory(time.Second, 0)
 	service := &fleet.Service{Name: "models", Engine: &fleet.Engine{Slots: 30}, WarmUp: fleet.WarmUp{PerSecond: 14, For: time.Second}}
@@ -225,7 +225,7 @@
 func BenchmarkChoice(b *testing.B) {
 	for _, some := range []struct{ warming, limited int }{{0, 0}, {100, 0}, {0, 100}, {0, 399}} {
 		b.Run(fmt.Sprintf("warming=%d/limited=%d", some.warming, some.limited), func(b *testing.B) {
-			r, c := choiceRelay(b, 400, some.warming, some.limited)
+			r, c := newChoiceRelay(b, 400, some.warming, some.limited)
 			for b.Loop() {
 				if _, none := r.choose(c); none != nil {
 					b.Fatal(none.message)
--- a/relay/brokenattempt.go
+++ b/relay/brokenattempt.go
@@ -32,12 +32,12 @@
 	return c.tenant.Name
 }
 
-// logBroken logs an attempt that broke off. The fingerprint identifies the same request under
-// another ID, so the lines show which requests were at a worker when it crashed.
+// logBroken counts and logs an attempt that broke off. The logged fingerprint is the same for all
+// copies of a request, even if their IDs differ.
 func (r *Relay) logBroken(c *request, replica *fleet.Replica, err error) {
 	r.opts.Meter.Broken(c.service)
 	r.opts.Logger.Info("attempt broke off", "request", c.id, "fingerprint", c.fingerprint().String(),
 		"account", c.account(), "host", c.host, "target", c.target, "bytes", len(c.body),
-		"worker", replica.Head.ID, "replica", replica.ID, "busy", c.chosenBusy, "sends", c.sends,
-		"sent_ms", time.Since(c.sentAt).Milliseconds(), "error", err)
+		"worker", replica.Head.ID, "replica", replica.ID, "busy", c.chosenInFlight, "sends", c.sends,
+		"sent_ms", time.Since(c.chosenAt).Milliseconds(), "error", err)
 }
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// usedBudgetShare is the part of the retry budget that is used.
+	// usedBudgetShare is the share of the retry budget that daemons use. The rest covers errors
+	// from rounding the daemons' shares to whole retries.
 	usedBudgetShare = 0.8
 	// budgetBuckets is the number of buckets into which the window is divided.
 	budgetBuckets = 20
-	// roundingWindows is the number of windows over which each daemon takes its turn to round up.
-	// A tenth of the daemons change over within one window, which half of the unused budget
-	// covers.
+	// roundingWindows is the number of windows in a cycle, in which each daemon gets one turn to
+	// round up.
 	roundingWindows = 10
-	// roundingMargin is how many standard deviations of the sum of all daemons' rounding the
-	// unused budget must cover.
+	// roundingMargin is the number of standard deviations of the fleet's total rounding error that
+	// the unused budget must cover.
 	roundingMargin = 4
 )
 
@@ -43,63 +43,65 @@
 
 // windowCounts holds the counts of a sliding window by bucket.
 type windowCounts struct {
-	bucket   int64
-	requests [budgetBuckets]float64
-	retries  [budgetBuckets]float64
+	currentBucket int64
+	requests      [budgetBuckets]float64
+	retries       [budgetBuckets]float64
 }
 
 func newBudget(opts BudgetOptions) *budget {
 	return &budget{opts: opts, services: make(map[string]*windowCounts)}
 }
 
-// at returns the counts of a service, advanced to now, and the index of the current bucket.
-func (b *budget) at(service string, now time.Time) (*windowCounts, int) {
+// countsAt returns the counts of a service after clearing buckets older than the window, and the
+// index of the current bucket.
+func (b *budget) countsAt(service string, now time.Time) (*windowCounts, int) {
 	bucket := now.UnixNano() / (int64(b.opts.Window) / budgetBuckets)
-	t, ok := b.services[service]
+	counts, ok := b.services[service]
 	if !ok {
-		t = &windowCounts{bucket: bucket}
-		b.services[service] = t
+		counts = &windowCounts{currentBucket: bucket}
+		b.services[service] = counts
 	}
-	for t.bucket < bucket {
-		if bucket-t.bucket > budgetBuckets {
-			*t = windowCounts{bucket: bucket}
+	for counts.currentBucket < bucket {
+		if bucket-counts.currentBucket > budgetBuckets {
+			*counts = windowCounts{currentBucket: bucket}
 			break
 		}
-		t.bucket++
-		t.requests[t.bucket%budgetBuckets], t.retries[t.bucket%budgetBuckets] = 0, 0
+		counts.currentBucket++
+		counts.requests[counts.currentBucket%budgetBuckets], counts.retries[counts.currentBucket%budgetBuckets] = 0, 0
 	}
-	return t, int(bucket % budgetBuckets)
+	return counts, int(bucket % budgetBuckets)
 }
 
 // addRequest counts a request, which allows further retries.
 func (b *budget) addRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.at(service, now)
-	t.requests[i]++
+	counts, i := b.countsAt(service, now)
+	counts.requests[i]++
 }
 
 // takeRetry reports whether a retry is allowed, and counts it if so.
 func (b *budget) takeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.at(service, now)
+	counts, i := b.countsAt(service, now)
 	requests, retries := 0.0, 0.0
 	for p := range budgetBuckets {
-		requests += t.requests[p]
-		retries += t.retries[p]
+		requests += counts.requests[p]
+		retries += counts.retries[p]
 	}
 	extra := b.opts.Extra / float64(max(b.opts.Daemons(), 1))
 	if retries+1 > b.roundShare(usedBudgetShare*(b.opts.Ratio*requests+extra), service, now) {
 		return false
 	}
-	t.retries[i]++
+	counts.retries[i]++
 	return true
 }
 
 // roundShare rounds a daemon's share of retries to a whole number. In a large fleet shares are
-// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns,
-// in proportion to the share, if the unused part of the budget covers the variation.
+// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns.
+// The fraction of the share is the part of the time in which a daemon rounds up. All daemons round
+// down if the unused part of the budget does not cover the rounding errors.
 func (b *budget) roundShare(share float64, service string, now time.Time) float64 {
 	whole, fraction := math.Modf(share)
 	daemons := float64(max(b.opts.Daemons(), 1))
@@ -114,7 +116,8 @@
 	return whole
 }
 
-// turnOffset returns this daemon's position in the turns of a service, from 0 to 1.
+// turnOffset returns this daemon's position in a service's cycle of turns, as a fraction of the
+// cycle.
 func (b *budget) turnOffset(service string) float64 {
 	h := fnv.New32a()
 	// Writing to a hash does not fail.
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -30,13 +30,15 @@
 	failedShare, minAllowedShare float64
 }
 
-// A minute and the budget's window, in steps of a tenth of a second.
+// budgetSteps is the length of the simulation, budgetWindow that of the budget's window. Both are
+// in steps of 0.1 s.
 const (
 	budgetSteps  = 600
 	budgetWindow = 100
 )
 
-// budgetCounts holds the requests and retries by step.
+// budgetCounts holds the requests and retries by step. asked is the number of retries that were
+// requested, allowed the number that were allowed.
 type budgetCounts struct {
 	requests, retries [budgetSteps]int
 	asked, allowed    int
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		ran := r.recordFailure(c, replica, err)
-		if !r.mayRetry(c, ran) {
+		if !r.takeRetry(c, ran) {
 			return r.failureRefusal(c)
 		}
 		r.opts.Meter.Retry(retryReason(ran))
@@ -56,8 +56,8 @@
 	return reason.RetryRefused
 }
 
-// shouldRetryAnswer reports whether an error answered by a worker should be followed by an
-// attempt at another worker.
+// shouldRetryAnswer reports whether another worker should be tried because a worker answered with a
+// server error (5xx). If so, it takes the retry from the budget.
 func (r *Relay) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
 	if got.status < http.StatusInternalServerError || !c.route.Repeatable() {
 		return false
@@ -67,7 +67,7 @@
 	if left := r.selectReplicas(c, time.Now()); left.IsEmpty() {
 		return false
 	}
-	return r.mayRetry(c, true)
+	return r.takeRetry(c, true)
 }
 
 // tryBuffered sends the request to one worker and reads the complete answer.
@@ -88,7 +88,7 @@
 	}
 	if err != nil {
 		e.abort()
-		return nil, withCause(c.ctx, replica.Head.ID, &sendError{sent: true, cause: err})
+		return nil, withCause(c.ctx, replica.Head.ID, &sendError{mayHaveArrived: true, cause: err})
 	}
 	e.finish()
 	r.recordCompletion(c, e)
@@ -96,22 +96,23 @@
 	return got, r.checkSigned(got, replica.Head.ID)
 }
 
-// checkSigned returns an error if a success lacks its worker's signature.
+// checkSigned returns an error if an answer with a status below 300 lacks its worker's signature.
 func (r *Relay) checkSigned(got *answer, worker string) error {
 	if got.status >= http.StatusMultipleChoices || got.header.Get(r.opts.Names.Signature) != "" {
 		return nil
 	}
-	return &sendError{sent: true, cause: failure.New(failure.Remote, "check answer", worker, "the success is not signed")}
+	return &sendError{mayHaveArrived: true, cause: failure.New(failure.Remote, "check answer", worker, "the success is not signed")}
 }
 
 // checkRejected returns an error if the worker rejected the request before running it. If the
-// request had been sent twice, the first may have run.
+// request was sent twice, the error says that it may have arrived, because the first copy may have
+// run.
 func (r *Relay) checkRejected(e *exchange, worker string) error {
 	status := e.response.StatusCode
 	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
 		return nil
 	}
-	return &sendError{sent: e.resent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
+	return &sendError{mayHaveArrived: e.resent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
 }
 
 // writeAnswer forwards a complete answer.
@@ -122,6 +123,6 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(got.body)))
 	w.WriteHeader(got.status)
-	// The error is ignored: the caller has disconnected.
+	// An error means that the caller has disconnected; nothing is left to do.
 	_, _ = w.Write(got.body)
 }
--- a/relay/callerdeadlines.go
+++ b/relay/callerdeadlines.go
@@ -13,7 +13,8 @@
 	defaultBodyTimeout = time.Minute
 )
 
-// setCallerDeadlines limits how long a caller may hold its connection without sending or reading.
+// setCallerDeadlines sets the times by which the caller must have sent the body and read the
+// answer.
 func (r *Relay) setCallerDeadlines(controller *http.ResponseController, arrived time.Time, timeout time.Duration) {
 	body, answer := arrived.Add(defaultBodyTimeout), arrived.Add(defaultTimeout)
 	if timeout > 0 {
@@ -23,7 +24,7 @@
 	r.logDeadlineError("read", controller.SetWriteDeadline(answer))
 }
 
-// clearReadDeadline removes the read deadline once the body is read; later reads only detect that
+// clearReadDeadline removes the read deadline after the body was read. Later reads only detect that
 // the caller has disconnected.
 func (r *Relay) clearReadDeadline(controller *http.ResponseController) {
 	r.logDeadlineError("send", controller.SetReadDeadline(time.Time{}))
--- a/relay/callerdeadlines_test.go
+++ b/relay/callerdeadlines_test.go
@@ -15,13 +15,13 @@
 // TestCallerDisconnectIsDetected: the deadline for sending the body must neither hide a
 // disconnected caller nor end the request once the body is read.
 func TestCallerDisconnectIsDetected(t *testing.T) {
-	const bound = 300 * time.Millisecond
+	const timeout = 300 * time.Millisecond
 	tests := map[string]struct {
-		stays bool
-		want  bool
+		callerStays bool
+		want        bool
 	}{
 		"it leaves": {want: true},
-		"it stays":  {stays: true},
+		"it stays":  {callerStays: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -29,13 +29,13 @@
 			gone := make(chan bool, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 				controller := http.NewResponseController(w)
-				r.setCallerDeadlines(controller, time.Now(), bound)
+				r.setCallerDeadlines(controller, time.Now(), timeout)
 				_, _ = io.ReadAll(h.Body)
 				r.clearReadDeadline(controller)
 				select {
 				case <-h.Context().Done():
 					gone <- true
-				case <-time.After(3 * bound):
+				case <-time.After(3 * timeout):
 					gone <- false
 				}
 			}))
@@ -45,7 +45,7 @@
 			defer func() { _ = c.Close() }()
 			_, err = io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
 			assert.NilError(t, err)
-			if !test.stays {
+			if !test.callerStays {
 				assert.NilError(t, c.Close())
 			}
 			assert.Equal(t, <-gone, test.want)
--- a/relay/callertimeouts.go
+++ b/relay/callertimeouts.go
@@ -10,19 +10,22 @@
 )
 
 const (
-	// timeoutWindow is how long the longest timeout sent by a route's callers is remembered.
+	// timeoutWindow is the length of the windows in which the longest timeout of a route's callers
+	// is recorded.
 	timeoutWindow = 10 * time.Second
-	// minTimeoutSamples is the number of callers of a route after which their longest timeout
-	// replaces the route's own as the estimate of the initial timeout.
+	// minTimeoutSamples is the number of requests to a route for which the route's own timeout
+	// serves as the estimate of the initial timeout. After that, the longest timeout of its callers
+	// is used.
 	minTimeoutSamples = 10
-	// maxCapacityWait is how long a late request waits for capacity, and capacityWaitShare the
-	// largest part of its remaining time that this may take.
+	// maxCapacityWait limits how long a late request waits for capacity. capacityWaitShare limits
+	// the same wait to a share of the time between the request's arrival and its deadline.
 	maxCapacityWait   = time.Second
 	capacityWaitShare = 0.25
 )
 
-// callerTimeouts estimates the timeout with which callers of each route start. A shorter timeout
-// shows how long a caller has waited before, at a failed daemon or after a refusal.
+// callerTimeouts estimates the timeout that callers of each route set for their first attempt. If a
+// caller sends a shorter one, it has already waited for the difference, at a failed daemon or after
+// a refusal.
 type callerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*routeTimeouts
@@ -31,7 +34,7 @@
 // routeTimeouts holds the longest timeout of a route's callers in the current and the previous
 // window.
 type routeTimeouts struct {
-	callers                  int
+	callerCount              int
 	longest, previousLongest time.Duration
 	windowEnd                time.Time
 }
@@ -40,7 +43,8 @@
 	return &callerTimeouts{routes: make(map[string]*routeTimeouts)}
 }
 
-// estimateWaited records a caller's remaining time and returns how long it has waited before.
+// estimateWaited records a caller's remaining time, and returns the estimated time that the caller
+// waited before this attempt.
 func (t *callerTimeouts) estimateWaited(route *fleet.Route, remaining time.Duration, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,10 +57,10 @@
 	if now.After(entry.windowEnd) {
 		entry.previousLongest, entry.longest, entry.windowEnd = entry.longest, 0, now.Add(timeoutWindow)
 	}
-	entry.callers++
+	entry.callerCount++
 	entry.longest = max(entry.longest, remaining)
 	initial := max(entry.longest, entry.previousLongest)
-	if entry.callers <= minTimeoutSamples {
+	if entry.callerCount <= minTimeoutSamples {
 		initial = route.Timeout
 	}
 	return max(initial-remaining, 0)
@@ -71,15 +75,15 @@
 	}
 }
 
-// isLate reports whether the objective for the first answer is already missed, counted from the
-// caller's first attempt.
+// isLate reports whether the route's objective for the first event is already missed. The time is
+// counted from the caller's first attempt.
 func (c *request) isLate(now time.Time) bool {
 	return c.route.Objective > 0 && c.waitedBefore+now.Sub(c.arrived) > c.route.Objective
 }
 
-// mayWait reports whether a request without an available replica may wait for one: a started
-// stream until its caller is expected to disconnect and, with ServeLate, a late request for a
-// while, since a retry by the caller would be late as well.
+// mayWait reports whether a request may wait for a replica when none is available. A started stream
+// may wait until its caller is expected to disconnect. With ServeLate, a late request may wait
+// briefly, because a retry by the caller would be late too.
 func (r *Relay) mayWait(c *request, s *relayedStream, refused *refusal, now time.Time) bool {
 	switch {
 	case c.isDone():
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -38,26 +38,28 @@
 	return fmt.Sprintf("%.3f opened, first event %s at the 95th percentile, %.4f without a slot", r.openedShare, r.p95FirstEvent, r.fullShare)
 }
 
-// choiceSimulation simulates a load.
+// choiceSimulation is the state of a simulation.
 type choiceSimulation struct {
 	load     choiceLoad
 	costs    costs
 	rand     *rand.Rand
 	replicas []*fleet.Replica
 	daemons  []*choiceDaemon
-	// busy holds the requests in flight by replica, readAt when the replica has read its prompts.
-	busy   map[string]int
-	readAt map[string]time.Time
-	ends   choiceEnds
+	// inFlight holds the number of requests in flight by replica, readAt the time at which the
+	// replica has read all its prompts.
+	inFlight map[string]int
+	readAt   map[string]time.Time
+	ends     choiceEnds
 }
 
-// choiceDaemon is a daemon. idle holds since when its kept connections are idle, by replica.
+// choiceDaemon is a simulated daemon. idle holds, by replica, the times since which its kept
+// connections have been idle.
 type choiceDaemon struct {
 	tracker *Tracker
 	idle    map[string][]time.Time
 }
 
-// choiceEnd is the end of a request.
+// choiceEnd is a request in flight and the time at which it ends.
 type choiceEnd struct {
 	at          time.Time
 	daemon      *choiceDaemon
@@ -84,12 +86,13 @@
 	choiceReportInterval = 250 * time.Millisecond
 )
 
-// simulateChoices simulates a load. The start, when no connections are kept yet, is not counted.
+// simulateChoices simulates a load. The first seconds, in which few connections are kept, are not
+// counted.
 func simulateChoices(load choiceLoad) choiceResult {
 	const start, counted = 6 * time.Second, 10 * time.Second
 	p := &choiceSimulation{
-		load: load, rand: rand.New(rand.NewPCG(7, 11)), busy: make(map[string]int), readAt: make(map[string]time.Time),
-		costs: costs{slots: 20, perToken: 13 * time.Microsecond, pass: 28 * time.Millisecond, perRequest: 340 * time.Microsecond, service: time.Second},
+		load: load, rand: rand.New(rand.NewPCG(7, 11)), inFlight: make(map[string]int), readAt: make(map[string]time.Time),
+		costs: costs{slots: 20, perToken: 13 * time.Microsecond, pass: 28 * time.Millisecond, perRequest: 340 * time.Microsecond, slotTime: time.Second},
 	}
 	for i := range load.replicas {
 		p.replicas = append(p.replicas, testReplica(fmt.Sprintf("r%d", i), "z"))
@@ -103,7 +106,7 @@
 	opened, full := 0, 0
 	for now.Sub(began) < start+counted {
 		now = now.Add(time.Duration(p.rand.ExpFloat64() / load.perSecond * float64(time.Second)))
-		p.end(now)
+		p.endRequests(now)
 		if now.Sub(reported) > choiceReportInterval {
 			p.report(now)
 			reported = now
@@ -128,17 +131,17 @@
 	return 0
 }
 
-// end ends the requests that are done and keeps their connections.
-func (p *choiceSimulation) end(now time.Time) {
+// endRequests removes the requests that have ended and keeps their connections.
+func (p *choiceSimulation) endRequests(now time.Time) {
 	for len(p.ends) > 0 && p.ends[0].at.Before(now) {
 		e := heap.Pop(&p.ends).(choiceEnd)
 		e.reservation.Release()
-		p.busy[e.replica]--
+		p.inFlight[e.replica]--
 		e.daemon.idle[e.replica] = append(e.daemon.idle[e.replica], e.at)
 	}
 }
 
-// report gives each daemon the work in flight of the others.
+// report gives each daemon the loads of the others.
 func (p *choiceSimulation) report(now time.Time) {
 	for _, d := range p.daemons {
 		own := make(map[string]int)
@@ -146,7 +149,7 @@
 			own[l.Replica] = l.InFlight
 		}
 		work := peers.Summary{Daemons: len(p.daemons) - 1}
-		for id, busy := range p.busy {
+		for id, busy := range p.inFlight {
 			work.Loads = append(work.Loads, peers.Load{Replica: id, InFlight: busy - own[id]})
 		}
 		d.tracker.SetRemote("others", work, now.Add(-50*time.Millisecond))
@@ -167,10 +170,10 @@
 	id := choice.Replica.ID
 	opened = !d.takeConnection(id, now, p.load.keepAlive)
 	reservation := d.tracker.Reserve(choice.Replica, choicePromptTokens)
-	reservation.PrefillDone()
-	full = float64(p.busy[id]) >= c.slots
-	p.busy[id]++
-	pass := c.pass + time.Duration(p.busy[id])*c.perRequest
+	reservation.MarkPromptRead()
+	full = float64(p.inFlight[id]) >= c.slots
+	p.inFlight[id]++
+	pass := c.pass + time.Duration(p.inFlight[id])*c.perRequest
 	began := now
 	if p.readAt[id].After(now) {
 		began = p.readAt[id]
@@ -202,15 +205,15 @@
 	return now.Sub(last) < idle
 }
 
-// TestKeptConnectionsAreUsed compares choices with and without knowledge of kept connections:
-// connections must be reused without longer waits or more requests at full replicas. Choices are
+// TestKeptConnectionsAreUsed compares choices with and without knowledge of kept connections.
+// Connections must be reused without longer waits or more requests at full replicas. Choices are
 // random and unseeded, so the bounds leave a wide margin.
 func TestKeptConnectionsAreUsed(t *testing.T) {
 	const usual = 4 * time.Second
 	tests := map[string]struct {
 		load choiceLoad
-		// opened is the largest share of requests that may open a connection.
-		opened float64
+		// maxOpenedShare is the largest share of requests that may open a connection.
+		maxOpenedShare float64
 	}{
 		"many daemons with few requests": {choiceLoad{daemons: 123, replicas: 45, perSecond: 414, keepAlive: usual}, 0.12},
 		"kept for longer":                {choiceLoad{daemons: 123, replicas: 45, perSecond: 414, keepAlive: 2 * usual}, 0.12},
@@ -227,7 +230,7 @@
 			unaware.ignoreConnections = true
 			without := simulateChoices(unaware)
 			t.Logf("%s; without %s", got, without)
-			assert.Assert(t, got.openedShare <= test.opened, "%s", got)
+			assert.Assert(t, got.openedShare <= test.maxOpenedShare, "%s", got)
 			assert.Assert(t, got.p95FirstEvent <= without.p95FirstEvent*11/10, "%s; without %s", got, without)
 			assert.Assert(t, got.fullShare <= without.fullShare+0.005, "%s; without %s", got, without)
 		})
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -16,10 +16,10 @@
 const (
 	// dialTimeout limits opening a connection to a worker.
 	dialTimeout = 500 * time.Millisecond
-	// maxIdlePerWorker limits the idle connections to one worker, as many as engines commonly
-	// have slots.
+	// maxIdlePerWorker limits this daemon's idle connections to one worker. Engines commonly have
+	// as many slots.
 	maxIdlePerWorker = 16
-	// maxIdleTotal limits the idle connections of a daemon: 2 MiB of buffers at 4 KiB each.
+	// maxIdleTotal limits the idle connections of a daemon. Their read buffers take at most 2 MiB.
 	maxIdleTotal    = 512
 	readBufferBytes = 4 << 10
 )
@@ -45,10 +45,11 @@
 	net.Conn
 	worker  string
 	service string
-	// workerBorn is the start of the worker instance to which the connection was opened.
+	// workerBorn is the start time of the worker instance to which the connection was opened. It
+	// distinguishes instances with the same ID.
 	workerBorn int64
 	reader     *bufio.Reader
-	// idleSince is when the connection was last used, closeAt until when it may be used.
+	// idleSince is when the connection was last used, closeAt when it must be closed.
 	idleSince time.Time
 	closeAt   time.Time
 	// idleBefore is how long it was idle before its current request; zero for a new connection.
@@ -85,8 +86,8 @@
 	return &connection{Conn: raw, worker: w.ID, service: w.Service, workerBorn: w.Born, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// reuse returns the most recently used connection, which the worker is least likely to have
-// closed, or nil. Connections idle for too long are left for requests that tolerate it, or the
+// reuse returns the most recently used connection, which the worker is least likely to have closed,
+// or nil. Connections that were idle for longer than maxIdle are left for other requests or the
 // next sweep. Connections to an earlier instance of the worker are closed.
 func (u *upstream) reuse(w *fleet.Worker, maxIdle time.Duration) *connection {
 	now := time.Now()
@@ -111,7 +112,8 @@
 	}
 }
 
-// isUsable reports whether a connection may carry a request that tolerates maxIdle.
+// isUsable reports whether a connection has been idle for less than maxIdle and is not expected to
+// have been closed by its worker.
 func (u *upstream) isUsable(c *connection, maxIdle time.Duration, now time.Time) bool {
 	idled := now.Sub(c.idleSince)
 	return idled < maxIdle && now.Before(c.closeAt) && !u.dropsEarly(c.service, idled, now)
@@ -156,13 +158,13 @@
 }
 
 // put keeps a connection whose answer was read completely, or closes it if a limit is reached.
-func (u *upstream) put(c *connection, keep time.Duration) {
+func (u *upstream) put(c *connection, keepFor time.Duration) {
 	now := time.Now()
-	c.idleSince, c.closeAt = now, now.Add(keep)
+	c.idleSince, c.closeAt = now, now.Add(keepFor)
 	share := u.idleShare(c.service)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if keep <= 0 || len(u.idle[c.worker]) >= share || u.idleCount >= maxIdleTotal {
+	if keepFor <= 0 || len(u.idle[c.worker]) >= share || u.idleCount >= maxIdleTotal {
 		_ = c.Close()
 		return
 	}
@@ -170,9 +172,9 @@
 	u.idleCount++
 }
 
-// closeWorker closes the idle connections to a worker after a request on another connection got
-// no answer: the same fault may have broken them too.
-func (u *upstream) closeWorker(worker string) {
+// closeWorkerConnections closes the idle connections to a worker. It is called after a request on
+// another connection got no answer, since the same fault may have broken them too.
+func (u *upstream) closeWorkerConnections(worker string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.closeIdle(worker, 0)
@@ -202,8 +204,8 @@
 	u.idle[worker] = all[excess:]
 }
 
-// sweep closes connections that have been idle for too long or exceed the daemon's share, which
-// shrinks as daemons join.
+// sweep closes connections that have been idle for too long, and those beyond the daemon's share.
+// The share shrinks as daemons join.
 func (u *upstream) sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -31,8 +31,8 @@
 	return w
 }
 
-// TestKeepAliveHeaders: whatever a worker states about its connections, each request is answered,
-// and a connection is reused exactly if the worker keeps it.
+// TestKeepAliveHeaders: each request must be answered, whatever a worker states about its
+// connections. A connection must be reused if the worker keeps it, and only then.
 func TestKeepAliveHeaders(t *testing.T) {
 	const requests = 8
 	tests := map[string]struct {
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestKeepFor(t *testing.T) {
+func TestKeepAliveFor(t *testing.T) {
 	tests := map[string]struct {
 		header string
 		want   time.Duration
@@ -170,8 +170,8 @@
 	}
 }
 
-// TestSilentConnectionClosesTheOthers: connections that fell silent without a reset must not fail
-// one request after another.
+// TestSilentConnectionClosesTheOthers: after a connection fell silent, the idle connections to the
+// same worker must be closed, so that they don't fail further requests.
 func TestSilentConnectionClosesTheOthers(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -182,9 +182,9 @@
 		u.put(testConnection(t, worker, "s"), time.Minute)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	time.AfterFunc(10*time.Millisecond, func() { cancel(errStalled) })
+	time.AfterFunc(10*time.Millisecond, func() { cancel(errReplicaSilent) })
 	_, err = u.send(ctx, &fleet.Worker{ID: "w", Service: "s", Address: silent.Addr().String()}, &message{encoded: []byte("GET / HTTP/1.1\r\n\r\n")})
-	assert.ErrorContains(t, err, errStalled.Error())
+	assert.ErrorContains(t, err, errReplicaSilent.Error())
 	assert.Equal(t, u.idleCount, 0)
 }
 
@@ -206,8 +206,8 @@
 	assert.Equal(t, u.idleCount, 2)
 }
 
-// TestEarlyDrops: resets of idle connections by two workers show that their service drops
-// connections early; a single worker may have restarted.
+// TestEarlyDrops: a service counts as dropping connections early only after two of its workers have
+// reset idle connections. A single worker may have restarted.
 func TestEarlyDrops(t *testing.T) {
 	now := time.Now()
 	second := time.Second
@@ -254,7 +254,7 @@
 					delete(idle, c)
 				}
 			},
-			"distrust": func(t *rapid.T) { u.closeWorker(worker.Draw(t, "worker")) },
+			"distrust": func(t *rapid.T) { u.closeWorkerConnections(worker.Draw(t, "worker")) },
 			"sweep":    func(*rapid.T) { u.sweep(time.Now()) },
 			"share": func(t *rapid.T) {
 				share = rapid.IntRange(0, 4).Draw(t, "share")
--- a/relay/cost.go
+++ b/relay/cost.go
@@ -13,11 +13,11 @@
 	// defaultAnswerTokens is the assumed answer length, in tokens, of an engine that reports
 	// none.
 	defaultAnswerTokens = 150
-	// crossZoneCost is the cost of sending to another zone.
+	// crossZoneCost is added to the predicted wait at replicas in another data hall.
 	crossZoneCost = 4 * time.Millisecond
-	// crowdingFactor is the cost of a replica whose slots are all taken, in multiples of a pass.
-	// It grows with the cube of the occupied share, since outdated loads matter most when few
-	// slots are left.
+	// crowdingFactor is the time, in passes, that is added to the predicted wait at a replica whose
+	// slots are all taken. The added time is proportional to the cube of the occupied share, since
+	// errors of outdated loads matter most when few slots are left.
 	crowdingFactor = 2.0
 )
 
@@ -26,19 +26,19 @@
 	slots float64
 	// perToken is the time to read a prompt token.
 	perToken time.Duration
-	// pass is the time of a pass without other requests, perRequest what each request adds to it.
+	// pass is the duration of one pass of the engine over its batch if the batch is empty,
+	// perRequest the time that each request in the batch adds.
 	pass       time.Duration
 	perRequest time.Duration
-	// service is how long a request holds its slot.
-	service time.Duration
-	// connected holds the workers to which a connection is kept.
+	// slotTime is how long a request holds its slot.
+	slotTime time.Duration
+	// connected holds the IDs of the workers to which a connection is kept.
 	connected map[string]bool
 	// preferIdle selects the replica with the least work in flight, so that a crash caused by the
 	// request breaks the fewest others.
 	preferIdle bool
-	// tightlyLimited reports whether a replica accepts only few requests. Such a replica, if it
-	// has a token, is charged neither the cost of a connection nor random noise. Nil if none is
-	// limited.
+	// tightlyLimited reports whether a replica accepts only few requests. Neither the cost of a
+	// connection nor random noise is added for such a replica. Nil if no replica is.
 	tightlyLimited func(r *fleet.Replica) bool
 }
 
@@ -51,7 +51,7 @@
 // engine.
 func costsOf(e *fleet.Engine, model string, slots int) costs {
 	if e == nil {
-		return costs{slots: float64(max(slots, 1)), pass: defaultServiceTime, service: defaultServiceTime}
+		return costs{slots: float64(max(slots, 1)), pass: defaultServiceTime, slotTime: defaultServiceTime}
 	}
 	c := costs{slots: float64(max(e.Slots, 1)), perToken: e.PerToken(model)}
 	c.pass, c.perRequest = e.Pass(model)
@@ -60,7 +60,7 @@
 		tokens = defaultAnswerTokens
 	}
 	pass := float64(c.pass) + c.slots*float64(c.perRequest)
-	c.service = time.Duration(float64(tokens) * pass / float64(max(e.Stride, 1)))
+	c.slotTime = time.Duration(float64(tokens) * pass / float64(max(e.Stride, 1)))
 	return c
 }
 
@@ -71,7 +71,7 @@
 	filled := busy / c.slots
 	w += time.Duration(crowdingFactor * filled * filled * filled * float64(c.pass))
 	if queued := busy - c.slots + 1; queued > 0 {
-		w += time.Duration(queued / c.slots * float64(c.service))
+		w += time.Duration(queued / c.slots * float64(c.slotTime))
 	}
 	return w
 }
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -35,12 +35,12 @@
 			rules.HallState = func(hall string) fleet.HallState { return halls.State(hall, now) }
 		}
 	}
-	rules.HasWarmUpRoom, rules.HasLimitRoom, rules.AcceptsRequests = r.opts.WarmUp.check(now), r.opts.Limits.check(now), r.opts.Rests.check(now)
+	rules.HasWarmUpRoom, rules.HasLimitRoom, rules.AcceptsRequests = r.opts.WarmUp.checker(now), r.opts.Limits.checker(now), r.opts.Rests.checker(now)
 	return rules
 }
 
-// noReplicaRefusal returns the refusal of a request that no replica may take, by the most
-// frequent cause.
+// noReplicaRefusal returns the refusal of a request that no replica may take. Its reason follows
+// from the most frequent cause.
 func (r *Relay) noReplicaRefusal(c *request, counts eligibility.Counts, now time.Time) *refusal {
 	f := unavailable(reason.NoReplica, "no replica serves at present", retryBusy)
 	switch counts.MostFrequent() {
--- a/relay/eligible_test.go
+++ b/relay/eligible_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// closedHalls returns data halls of which the named ones are closed or, with closing, still
-// closing.
+// closedHalls returns data halls of which the named ones are closed. If closing is set, they are
+// still closing.
 func closedHalls(closing bool, names ...string) *fleet.Halls {
 	h := fleet.NewHalls(time.Hour)
 	if closing {
@@ -44,15 +44,15 @@
 		script []behaviour
 		path   string
 		status int
-		// inClosed is how often the request may run in the closed hall.
-		inClosed int
+		// runsInClosed is how often the request may run in the closed hall.
+		runsInClosed int
 	}{
 		"a plain request goes elsewhere":             {halls: closedHalls(false, "b"), path: "/safe/", status: 200},
 		"a stream goes elsewhere":                    {halls: closedHalls(false, "b"), path: "/stream/", status: 200},
 		"a second attempt does not go there":         {halls: closedHalls(false, "b"), script: []behaviour{loses}, path: "/safe/", status: 502},
 		"a broken stream does not go on there":       {halls: closedHalls(false, "b"), script: []behaviour{cuts}, path: "/stream/", status: 200},
 		"all halls are closed":                       {halls: closedHalls(false, "a", "b"), path: "/safe/", status: 503},
-		"a hall that is closing serves as a reserve": {halls: closedHalls(true, "b"), script: []behaviour{loses}, path: "/safe/", status: 200, inClosed: 1},
+		"a hall that is closing serves as a reserve": {halls: closedHalls(true, "b"), script: []behaviour{loses}, path: "/safe/", status: 200, runsInClosed: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			listInHalls(r, open, closed)
 			got := sendRequest(t, server, test.path, "id", nil)
 			assert.Equal(t, got.status, test.status)
-			assert.Equal(t, closed.runs("id"), test.inClosed)
+			assert.Equal(t, closed.runs("id"), test.runsInClosed)
 			if test.status == http.StatusServiceUnavailable {
 				assert.Equal(t, got.header.Get("Retry-After"), "1.000")
 				assert.Equal(t, open.runs("id"), 0, "503 promises that nothing ran")
@@ -74,14 +74,14 @@
 func TestRegions(t *testing.T) {
 	regions := map[string]string{"a": "east", "b": "west"}
 	tests := map[string]struct {
-		account fleet.Regions
-		script  []behaviour
-		status  int
-		inWest  int
+		account    fleet.Regions
+		script     []behaviour
+		status     int
+		runsInWest int
 	}{
 		"it must stay":                        {account: fleet.Regions{"east"}, status: 200},
 		"it must stay, also when sent again":  {account: fleet.Regions{"east"}, script: []behaviour{loses}, status: 502},
-		"it must go to the other region":      {account: fleet.Regions{"west"}, status: 200, inWest: 1},
+		"it must go to the other region":      {account: fleet.Regions{"west"}, status: 200, runsInWest: 1},
 		"it must not run where anything runs": {account: fleet.Regions{"north"}, status: 503},
 	}
 	for name, test := range tests {
@@ -94,7 +94,7 @@
 			listInHalls(r, east, west)
 			got := sendRequest(t, server, "/safe/", "id", nil)
 			assert.Equal(t, got.status, test.status)
-			assert.Equal(t, west.runs("id"), test.inWest)
+			assert.Equal(t, west.runs("id"), test.runsInWest)
 		})
 	}
 }
--- a/relay/failover.go
+++ b/relay/failover.go
@@ -9,12 +9,13 @@
 	"quartzshelf.dev/fleet"
 )
 
-// randomPairPeriod is how long after its start a daemon chooses between two random replicas,
-// because peers have not reported their loads yet while waiting callers arrive in a burst.
+// randomPairPeriod is how long after its start a daemon chooses between two random replicas. In
+// that time peers have not reported their loads yet, while waiting callers may arrive in a burst.
 const randomPairPeriod = 2 * time.Second
 
-// recordHeadFailure records a failed attempt against the replica's head. A rejection, or a stream
-// whose connection alone fell silent, does not count.
+// recordHeadFailure records that an attempt failed at the replica's head. It marks the replica as
+// unreachable if no connection could be opened. Rejections and the silence of a single stream do
+// not count.
 func (r *Relay) recordHeadFailure(c *request, replica *fleet.Replica, err error) {
 	if errors.Is(err, errRejected) || errors.Is(err, errStreamSilent) {
 		return
@@ -29,16 +30,16 @@
 	}
 }
 
-// isDialTimeout reports whether a head did not accept a connection in time.
+// isDialTimeout reports whether an attempt to open a connection timed out.
 func isDialTimeout(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && op.Timeout()
 }
 
-// MarkUnreachable records that a connection to a replica's head failed, and reports whether the
-// replica was newly marked. A refused connection always counts; a timeout may be a lost packet,
-// and counts only if no stream has recently received an event from the replica. It gets no new
-// requests for suspicionPeriod, and peers are notified; its streams in flight may still complete.
+// MarkUnreachable marks a replica as suspected because no connection to its head could be opened.
+// It reports whether the replica was not marked before; in that case peers are notified. A refused
+// connection always counts. A timeout may be due to a lost packet, and counts only if no stream has
+// recently received an event from the replica. Streams in flight may still complete.
 func (t *Tracker) MarkUnreachable(r *fleet.Replica, refused bool, now time.Time) bool {
 	t.mu.Lock()
 	s := t.loadOf(r)
@@ -49,13 +50,14 @@
 	}
 	t.mu.Unlock()
 	if isNew {
-		t.onStalled(r)
+		t.onSuspected(r)
 	}
 	return isNew
 }
 
-// chooseFrom chooses a replica for the next attempt. After a failure it prefers replicas that are
-// unlikely to share it; after the daemon's start it chooses between a random pair.
+// chooseFrom chooses a replica for the next attempt. After a failed attempt it prefers replicas
+// that are unlikely to fail for the same reason. Shortly after the daemon's start it chooses
+// between two random replicas.
 func (r *Relay) chooseFrom(c *request, replicas []*fleet.Replica, exhausted map[string]bool, predicted costs, now time.Time) (Choice, bool) {
 	choose := func(some []*fleet.Replica) (Choice, bool) {
 		return r.opts.Tracker.Choose(some, exhausted, predicted, c.promptTokens, now)
@@ -63,7 +65,7 @@
 	switch independent := independentReplicas(replicas, c.failedHeads); {
 	case len(c.failedHeads) > 0 && len(independent) > 0:
 		choice, ok := choose(independent)
-		if ok && choice.Busy < r.maxInFlight(c, choice.Replica) {
+		if ok && choice.InFlight < r.maxInFlight(c, choice.Replica) {
 			return choice, true
 		}
 	case now.Sub(r.startedAt) < randomPairPeriod:
@@ -75,8 +77,8 @@
 }
 
 // randomPair returns two random replicas, or all if there are fewer than three. When all daemons
-// start at once they know the same few loads, and would all choose the same replicas; choosing
-// between two at random limits each replica to about twice its share.
+// start at once, they know few loads and would all choose the same replicas. Choosing between two
+// random ones limits each replica to about twice its share of the requests.
 func (r *Relay) randomPair(replicas []*fleet.Replica) []*fleet.Replica {
 	n := len(replicas)
 	const few = 3
@@ -88,8 +90,8 @@
 	return []*fleet.Replica{replicas[i], replicas[j]}
 }
 
-// independentReplicas returns the replicas that share neither data hall nor fabric domain with
-// any of the failed heads; if there are none, those that share no domain.
+// independentReplicas returns the replicas that share neither data hall nor fabric domain with any
+// of the failed heads. If there are none, it returns those that share no fabric domain.
 func independentReplicas(replicas []*fleet.Replica, failed []*fleet.Worker) []*fleet.Replica {
 	var otherHall, otherDomain []*fleet.Replica
 	for _, r := range replicas {
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestRetriesLeaveTheHall simulates the loss of all replicas of a data hall: retries must go to
-// the other hall.
+// TestRetriesLeaveTheHall simulates the loss of all replicas of a data hall. Retries must go to the
+// other hall.
 func TestRetriesLeaveTheHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dark := func() bool { return true }
@@ -67,19 +67,20 @@
 		}
 		p.calls.Wait()
 		for i := range 40 {
-			assert.Assert(t, p.served(fmt.Sprint(i)), "%d: %+v", i, p.results[fmt.Sprint(i)])
+			assert.Assert(t, p.isServed(fmt.Sprint(i)), "%d: %+v", i, p.results[fmt.Sprint(i)])
 		}
 	})
 }
 
-// TestUnreachableHeadsArePassedOver: a head that refuses a connection is suspected here and at
-// peers at once. One that times out is suspected only if it sent no event recently.
+// TestUnreachableHeadsArePassedOver: a head that refuses a connection must be suspected at once,
+// and peers must be notified. If the connection times out, the head is suspected only if it sent no
+// event recently.
 func TestUnreachableHeadsArePassedOver(t *testing.T) {
-	tests := map[string]struct{ refused, moves, want bool }{
-		"refused":                     {refused: true, want: true},
-		"refused, but streams move":   {refused: true, moves: true, want: true},
+	tests := map[string]struct{ isRefused, hasRecentEvent, want bool }{
+		"refused":                     {isRefused: true, want: true},
+		"refused, but streams move":   {isRefused: true, hasRecentEvent: true, want: true},
 		"timed out":                   {want: true},
-		"timed out, but streams move": {moves: true},
+		"timed out, but streams move": {hasRecentEvent: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,38 +88,39 @@
 			notified := 0
 			tracker := NewTracker("", func(*fleet.Replica) { notified++ })
 			gone, there := testReplica("gone", ""), testReplica("there", "")
-			if test.moves {
+			if test.hasRecentEvent {
 				tracker.RecordEvent(gone, &StreamWatch{}, now)
 			}
-			assert.Equal(t, tracker.MarkUnreachable(gone, test.refused, now), test.want)
+			assert.Equal(t, tracker.MarkUnreachable(gone, test.isRefused, now), test.want)
 			assert.Equal(t, isPassedOver(tracker, gone, now), test.want)
 			if !test.want {
 				return
 			}
 			tracker.RecordEvent(gone, &StreamWatch{}, now)
 			assert.Equal(t, countChoices(tracker, []*fleet.Replica{gone, there}, now, 50)["gone"], 0)
-			tracker.MarkUnreachable(gone, test.refused, now.Add(time.Second))
+			tracker.MarkUnreachable(gone, test.isRefused, now.Add(time.Second))
 			assert.Equal(t, notified, 1, "peers are notified once")
 			assert.Assert(t, !isPassedOver(tracker, gone, now.Add(time.Minute)))
 		})
 	}
 }
 
-// TestFailuresThatMarkAHeadUnreachable: only a failed connect marks a head as unreachable.
+// TestFailuresThatMarkAHeadUnreachable: only a refused connection or a timeout of opening one marks
+// a head as unreachable.
 func TestFailuresThatMarkAHeadUnreachable(t *testing.T) {
-	dial := func(err error) error {
+	dialError := func(err error) error {
 		return &sendError{cause: failure.At(failure.Refused, "connect to worker", "w", &net.OpError{Op: "dial", Err: err})}
 	}
 	tests := map[string]struct {
 		err  error
 		want bool
 	}{
-		"refused":     {err: dial(syscall.ECONNREFUSED), want: true},
-		"timed out":   {err: dial(os.ErrDeadlineExceeded), want: true},
-		"no route":    {err: dial(syscall.EHOSTUNREACH)},
-		"cut off":     {err: &sendError{sent: true, cause: io.ErrUnexpectedEOF}},
+		"refused":     {err: dialError(syscall.ECONNREFUSED), want: true},
+		"timed out":   {err: dialError(os.ErrDeadlineExceeded), want: true},
+		"no route":    {err: dialError(syscall.EHOSTUNREACH)},
+		"cut off":     {err: &sendError{mayHaveArrived: true, cause: io.ErrUnexpectedEOF}},
 		"turned away": {err: &sendError{cause: failure.At(failure.Refused, "exchange with worker", "w", errRejected)}},
-		"fell silent": {err: withCause(canceled(errStalled), "w", io.ErrUnexpectedEOF)},
+		"fell silent": {err: withCause(canceledContext(errReplicaSilent), "w", io.ErrUnexpectedEOF)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -130,8 +132,8 @@
 	}
 }
 
-// canceled returns a context canceled with a cause.
-func canceled(cause error) context.Context {
+// canceledContext returns a context that is canceled with a cause.
+func canceledContext(cause error) context.Context {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cancel(cause)
 	return ctx
--- a/relay/holdings.go
+++ b/relay/holdings.go
@@ -14,18 +14,19 @@
 	// maxAccountShare is the part of the daemon's limit that one client account may use, so that
 	// slow callers of one account leave memory for others.
 	maxAccountShare = 0.25
-	// initialBufferBytes is the initial buffer size of a body. It doubles as data arrives, so
-	// that a body that is announced but not sent takes no memory.
+	// initialBufferBytes is the initial buffer size of a body. The buffer grows as data arrives, so
+	// that a body that is announced but not sent takes little memory.
 	initialBufferBytes = 2 << 10
-	// memoryPollInterval is how often an answer without memory tries again.
+	// memoryPollInterval is the interval at which an answer that waits for memory tries to reserve
+	// it.
 	memoryPollInterval = 20 * time.Millisecond
 )
 
 var errMemoryLimit = errors.New("the daemon holds as much as it may")
 
-// Holdings limits the bytes that a daemon buffers for callers and workers: bodies of requests,
-// and answers that are read completely before they are forwarded. Streams buffer one event each.
-// It is safe for concurrent use.
+// Holdings limits the bytes that a daemon buffers for callers and workers: bodies of requests, and
+// answers that are read completely before they are forwarded. The small buffers of streams are not
+// counted. It is safe for concurrent use.
 type Holdings struct {
 	limit int64
 
@@ -93,10 +94,11 @@
 }
 
 // read reads up to limit bytes plus one, so that callers can detect a longer body. It reserves
-// memory as data arrives, and calls wait when there is none.
-func (m *requestMemory) read(from io.Reader, limit int64, wait func() error) ([]byte, error) {
+// memory as data arrives. When no memory is left, it calls wait and tries again, or returns the
+// error of wait.
+func (m *requestMemory) read(body io.Reader, limit int64, wait func() error) ([]byte, error) {
 	var all []byte
-	from = io.LimitReader(from, limit+1)
+	body = io.LimitReader(body, limit+1)
 	for step := 0; ; {
 		if len(all) == cap(all) {
 			step = max(2*step, initialBufferBytes)
@@ -107,7 +109,7 @@
 			}
 			all = append(make([]byte, 0, len(all)+step), all...)
 		}
-		n, err := from.Read(all[len(all):cap(all)])
+		n, err := body.Read(all[len(all):cap(all)])
 		all = all[:len(all)+n]
 		switch {
 		case errors.Is(err, io.EOF):
@@ -125,11 +127,12 @@
 	m.bytes -= bytes
 }
 
-// failWhenFull is the wait function for bodies: the request has not run, so it is refused.
+// failWhenFull is the wait function for reading bodies of requests. It fails at once, because a
+// request that has not run can be refused.
 func failWhenFull() error { return errMemoryLimit }
 
-// waitForMemory returns the wait function for answers: the request has run, so its answer is read
-// as soon as memory is available, and the worker is blocked until then.
+// waitForMemory returns the wait function for reading answers. It pauses until the next attempt,
+// because a request that has run should get its answer. It fails when ctx ends.
 func waitForMemory(ctx context.Context) func() error {
 	return func() error {
 		pause.For(ctx, memoryPollInterval)
--- a/relay/holdings_test.go
+++ b/relay/holdings_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestAnnouncedBodyTakesNoRoom: a caller announces a long body, sends a few bytes and stops.
+// TestAnnouncedBodyTakesNoRoom: little memory must be reserved for a caller that announces a long
+// body but sends only a few bytes.
 func TestAnnouncedBodyTakesNoRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHoldings(1 << 20)
--- a/relay/keepalive.go
+++ b/relay/keepalive.go
@@ -9,20 +9,19 @@
 )
 
 const (
-	// defaultKeepAlive is how long a connection is kept if the worker states no timeout: a second
-	// less than the shortest default of common servers.
+	// defaultKeepAlive is how long a connection is kept if the worker states no timeout. It is a
+	// second shorter than the shortest default of common servers.
 	defaultKeepAlive = 4 * time.Second
 	// maxKeepAlive limits how long a connection is kept, whatever the worker states.
 	maxKeepAlive = 30 * time.Second
-	// keepAliveMargin is how long before the worker's stated timeout a connection is closed:
-	// workers state whole seconds, which may be rounded up.
+	// keepAliveMargin is how long before the worker's stated timeout a connection is closed.
+	// Workers state whole seconds, which may be rounded up.
 	keepAliveMargin = time.Second
-	// maxIdleRunOnce is how long a connection may have been idle to carry a request that must run
-	// at most once, and fails if the worker has dropped the connection: a quarter of the shortest
-	// timeout that a worker can state.
-	maxIdleRunOnce = 250 * time.Millisecond
-	// earlyDropTTL is how long a service is assumed to drop idle connections early: several times
-	// defaultKeepAlive, so that probing again affects few requests.
+	// maxIdleAtMostOnce is how long a connection may have been idle to carry a request that must
+	// run at most once. Such a request fails if the worker has dropped the connection.
+	maxIdleAtMostOnce = 250 * time.Millisecond
+	// earlyDropTTL is how long after the last reset a service is assumed to drop idle connections
+	// early.
 	earlyDropTTL = 20 * time.Second
 )
 
@@ -44,9 +43,9 @@
 }
 
 // maxIdleFor returns how long a connection may have been idle to carry a request.
-func maxIdleFor(once bool) time.Duration {
-	if once {
-		return maxIdleRunOnce
+func maxIdleFor(atMostOnce bool) time.Duration {
+	if atMostOnce {
+		return maxIdleAtMostOnce
 	}
 	return maxKeepAlive
 }
@@ -58,37 +57,38 @@
 	// a dropped connection.
 	worker       string
 	shortestIdle time.Duration
-	// limit is how long connections may be idle; zero until a second worker has dropped one.
-	limit     time.Duration
+	// maxIdle is how long connections may be idle; zero until a second worker has dropped one.
+	maxIdle   time.Duration
 	expiresAt time.Time
 }
 
 // dropsEarly reports whether workers of a service are known to drop connections that were idle
 // for the given time.
 func (u *upstream) dropsEarly(service string, idled time.Duration, now time.Time) bool {
-	f, ok := u.earlyDrops[service]
-	return ok && f.limit > 0 && idled >= f.limit && now.Before(f.expiresAt)
+	drop, ok := u.earlyDrops[service]
+	return ok && drop.maxIdle > 0 && idled >= drop.maxIdle && now.Before(drop.expiresAt)
 }
 
-// recordReset records that a worker reset a kept connection instead of answering. A single worker
-// may have restarted; a second one shows that the service drops idle connections.
+// recordReset records that a worker reset a kept connection instead of answering. If only one
+// worker does, it may have restarted. Resets by a second worker show that the service drops idle
+// connections.
 func (u *upstream) recordReset(c *connection, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	f, known := u.earlyDrops[c.service]
-	known = known && now.Before(f.expiresAt)
-	noted := earlyDrop{worker: c.worker, shortestIdle: c.idleBefore, expiresAt: now.Add(earlyDropTTL)}
-	if known {
-		noted.limit = f.limit
-		noted.shortestIdle = min(f.shortestIdle, c.idleBefore)
+	previous, isKnown := u.earlyDrops[c.service]
+	isKnown = isKnown && now.Before(previous.expiresAt)
+	updated := earlyDrop{worker: c.worker, shortestIdle: c.idleBefore, expiresAt: now.Add(earlyDropTTL)}
+	if isKnown {
+		updated.maxIdle = previous.maxIdle
+		updated.shortestIdle = min(previous.shortestIdle, c.idleBefore)
 	}
-	if known && f.worker != c.worker {
-		noted.limit = noted.shortestIdle / 2
+	if isKnown && previous.worker != c.worker {
+		updated.maxIdle = updated.shortestIdle / 2
 	}
-	u.earlyDrops[c.service] = noted
+	u.earlyDrops[c.service] = updated
 }
 
-// isReset reports whether an error means that the peer no longer knows the connection.
+// isReset reports whether an error shows that the worker has reset or closed the connection.
 func isReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/relay/lateness.go
+++ b/relay/lateness.go
@@ -6,8 +6,8 @@
 	"quartzshelf.dev/common/reason"
 )
 
-// nearlyFullShare is the occupied share of a replica's slots from which on a late first event is
-// attributed to a lack of slots.
+// nearlyFullShare is a share of a replica's slots. If at least that share is taken, a late first
+// event is attributed to a lack of slots.
 const nearlyFullShare = 0.9
 
 // lateness records whether the events of a stream were on time, and if not, why.
@@ -29,11 +29,11 @@
 	}
 	switch {
 	case c.sends+c.rejections > 0:
-		l.setReason(reason.LateRetried, replica)
-	case c.engine != nil && c.chosenBusy >= nearlyFullShare*float64(c.engine.Slots):
-		l.setReason(reason.LateFull, replica)
+		l.setCause(reason.LateRetried, replica)
+	case c.engine != nil && c.chosenInFlight >= nearlyFullShare*float64(c.engine.Slots):
+		l.setCause(reason.LateFull, replica)
 	default:
-		l.setReason(reason.LateFirst, replica)
+		l.setCause(reason.LateFirst, replica)
 	}
 }
 
@@ -45,12 +45,12 @@
 		if l.isResuming {
 			cause = reason.LateResumed
 		}
-		l.setReason(cause, replica)
+		l.setCause(cause, replica)
 	}
 	l.isResuming = false
 }
 
-func (l *lateness) setReason(cause reason.Reason, replica string) {
+func (l *lateness) setCause(cause reason.Reason, replica string) {
 	if l.cause == "" {
 		l.cause, l.replica = cause, replica
 	}
@@ -64,5 +64,5 @@
 	r.opts.Meter.Late(l.cause)
 	r.opts.Logger.Info("stream late", "request", c.id, "reason", string(l.cause), "service", c.service, "model", c.model,
 		"replica", l.replica, "first_ms", l.firstDelay.Milliseconds(), "pause_ms", l.longestPause.Milliseconds(), "sends", c.sends,
-		"rejections", c.rejections, "busy", int(c.chosenBusy), "prompt", c.promptTokens, "ms", time.Since(c.arrived).Milliseconds())
+		"rejections", c.rejections, "busy", int(c.chosenInFlight), "prompt", c.promptTokens, "ms", time.Since(c.arrived).Milliseconds())
 }
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -10,17 +10,17 @@
 	"quartzshelf.dev/fleet"
 )
 
-// lateStep is an event or failure of a stream, at a time since its arrival.
+// lateStep is an event or a failed attempt of a stream. at is the time since the request's arrival.
 type lateStep struct {
 	at time.Duration
-	// event reports whether an event was forwarded, failed whether an attempt failed.
-	event, failed bool
+	// isEvent reports whether an event was forwarded, isFailure whether an attempt failed.
+	isEvent, isFailure bool
 }
 
 func TestWhyStreamsAreLate(t *testing.T) {
 	const ms = time.Millisecond
-	event := func(at time.Duration) lateStep { return lateStep{at: at, event: true} }
-	failed := func(at time.Duration) lateStep { return lateStep{at: at, failed: true} }
+	event := func(at time.Duration) lateStep { return lateStep{at: at, isEvent: true} }
+	failed := func(at time.Duration) lateStep { return lateStep{at: at, isFailure: true} }
 	tests := map[string]struct {
 		steps []lateStep
 		busy  float64
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			c := &request{
-				arrived: start, chosenBusy: test.busy, engine: &fleet.Engine{Slots: 10},
+				arrived: start, chosenInFlight: test.busy, engine: &fleet.Engine{Slots: 10},
 				route: &fleet.Route{Objective: 300 * ms, GapTarget: 200 * ms},
 			}
 			var l lateness
@@ -48,7 +48,7 @@
 			for _, step := range test.steps {
 				now := start.Add(step.at)
 				switch {
-				case step.failed:
+				case step.isFailure:
 					c.sends++
 					l.isResuming = true
 					continue
--- a/relay/names.go
+++ b/relay/names.go
@@ -13,7 +13,7 @@
 	Deadline string
 	// Key is the header with a tenant's key. It is not forwarded.
 	Key string
-	// Tenant is the header that tells workers the tenant's name.
+	// Tenant is the header with the tenant's name. It is sent to workers only.
 	Tenant string
 	// Instance is the header with the ID of the only worker that may run the request.
 	Instance string
--- a/relay/openingcost.go
+++ b/relay/openingcost.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// connectionCost is the cost of a new connection: a round trip between data halls, and the
-// millisecond that a worker takes to accept it.
+// connectionCost is the assumed time to open a connection to a worker in another data hall.
 const connectionCost = 5 * time.Millisecond
 
-// openingCost returns the cost added to the predicted wait if no connection to the replica's head
-// is kept. It includes noise, the uncertainty of predictions, so that a smaller difference
-// doesn't open a connection. A replica with a single free slot is not preferred, since another
-// daemon may take that slot at the same time.
+// openingCost returns the cost that is added to the predicted wait at a replica unless a connection
+// to its head is kept. It includes the noise, so that random differences don't cause new
+// connections. The cost is also added if fewer than two slots are free. Another daemon may take the
+// last slot at the same time, so a kept connection must not make it preferred.
 func (c costs) openingCost(worker string, busy float64, noise time.Duration) time.Duration {
 	if c.connected[worker] && busy+1 < c.slots {
 		return 0
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -14,7 +14,7 @@
 
 var errQuarantined = errors.New("the request ended workers elsewhere meanwhile")
 
-// waitingStreams holds the streams that were sent and have received no event yet. It is safe for
+// waitingStreams holds the streams in flight that have received no event yet. It is safe for
 // concurrent use.
 type waitingStreams struct {
 	mu      sync.Mutex
@@ -33,12 +33,12 @@
 	delete(w.cancels, c)
 }
 
-// cancel cancels the streams for which chosen returns true.
-func (w *waitingStreams) cancel(chosen func(c *request) bool) {
+// cancel cancels the waiting streams for which matches returns true.
+func (w *waitingStreams) cancel(matches func(c *request) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c, cancel := range w.cancels {
-		if chosen(c) {
+		if matches(c) {
 			cancel(errQuarantined)
 		}
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// checkQuarantine returns the refusal of a request that crashed the workers which ran it, at this
-// daemon or others, or nil.
+// checkQuarantine returns a refusal if the request is quarantined because it crashed workers, at
+// this daemon or others. Otherwise it returns nil. It also sets isSuspected.
 func (r *Relay) checkQuarantine(c *request, now time.Time) *refusal {
 	state := r.guard.Judge(c.guardRequest(), now)
 	c.isSuspected = state.Suspected()
@@ -76,22 +76,23 @@
 	if r.opts.Replaced != nil {
 		w.Replaced = func(ctx context.Context) (bool, error) { return r.opts.Replaced(ctx, head) }
 	}
-	r.guard.Broke(c.guardRequest(), w, c.sentAt, time.Now())
+	r.guard.Broke(c.guardRequest(), w, c.chosenAt, time.Now())
 }
 
-// cancelQuarantined cancels the waiting streams of newly quarantined requests, each of which
-// would crash its worker. Streams with events continue; if one of them completes, the quarantine
-// was wrong and is lifted.
+// cancelQuarantined cancels the waiting streams of newly quarantined requests, because each would
+// crash its worker. Streams that have received events continue. If one of them completes, the
+// quarantine is lifted.
 func (r *Relay) cancelQuarantined(marked []quarantine.Fingerprint) {
 	for _, f := range marked {
 		r.waitingStreams.cancel(func(c *request) bool { return c.fingerprint() == f })
 	}
 }
 
-// recordCompletion tells the guard that a worker completed a request. An answer without a length
-// doesn't count, since a crash may have ended it, nor does one without the worker's signature.
+// recordCompletion tells the guard that a worker completed a request. An answer that is neither
+// chunked nor has a length doesn't count, since a crash may have cut it short. An answer without
+// the worker's signature doesn't count either.
 func (r *Relay) recordCompletion(c *request, e *exchange) {
-	framed := e.response.ContentLength >= 0 || chunked(e.response)
+	framed := e.response.ContentLength >= 0 || isChunked(e.response)
 	if framed && e.response.Header.Get(r.opts.Names.Signature) != "" {
 		r.guard.Completed(c.guardRequest())
 	}
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -16,8 +16,8 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// TestFailuresThatAreNoCrash: attempts that fail at live workers, or at workers that had
-// announced their end, must not count as crashes.
+// TestFailuresThatAreNoCrash: attempts that fail at live workers, or at workers that had announced
+// that they would stop, must not count as crashes.
 func TestFailuresThatAreNoCrash(t *testing.T) {
 	tests := map[string]struct {
 		path   string
@@ -25,7 +25,7 @@
 		// prepare changes the worker or its entry before the request.
 		prepare func(r *testRelay, w *fakeWorker)
 		change  func(*http.Request)
-		blamed  bool
+		isCrash bool
 	}{
 		"a reset connection":                    {path: "/safe/", script: drops},
 		"a lost answer":                         {path: "/safe/", script: loses},
@@ -37,12 +37,12 @@
 		"a failure of the worker":               {path: "/safe/", script: fails},
 		"a silent stream":                       {path: "/stream/", script: stalls},
 		"our own patience":                      {path: "/stream/", script: stalls, change: func(h *http.Request) { h.Header.Set(testNames.Deadline, "100") }},
-		"a worker that ends":                    {path: "/safe/", script: ends, blamed: true},
-		"a stream whose worker ends":            {path: "/stream/", script: ends, blamed: true},
+		"a worker that ends":                    {path: "/safe/", script: ends, isCrash: true},
+		"a stream whose worker ends":            {path: "/stream/", script: ends, isCrash: true},
 		"a worker that said it leaves":          {path: "/safe/", script: ends, prepare: (*testRelay).drain},
 		"an address that is not there any more": {path: "/safe/", prepare: func(_ *testRelay, w *fakeWorker) { _ = w.listener.Close() }},
 		"another life at the address": {
-			path: "/safe/", script: loses, blamed: true,
+			path: "/safe/", script: loses, isCrash: true,
 			prepare: func(r *testRelay, _ *fakeWorker) {
 				r.opts.Replaced = func(context.Context, *fleet.Worker) (bool, error) { return true, nil }
 			},
@@ -56,7 +56,7 @@
 				test.prepare(r, w)
 			}
 			sendRequest(t, server, test.path, "a", test.change)
-			assert.Equal(t, !r.guard.Table().Empty(), test.blamed)
+			assert.Equal(t, !r.guard.Table().Empty(), test.isCrash)
 		})
 	}
 }
@@ -70,23 +70,23 @@
 	}
 }
 
-// quarantineRequest quarantines a test request at a relay.
+// quarantineRequest records so many crashes of a request that it is quarantined.
 func quarantineRequest(r *testRelay, target, account, body string) quarantine.Fingerprint {
 	f := quarantine.FingerprintOf(account, http.MethodPost, "h", target, []byte(body))
-	blame(r.guard.Table(), f, 3, time.Now())
+	recordCrashes(r.guard.Table(), f, 3, time.Now())
 	return f
 }
 
-// blame records crashes of a request, one second apart, up to now.
-func blame(table *quarantine.Table, f quarantine.Fingerprint, crashes int, now time.Time) {
+// recordCrashes records crashes of a request. They are one second apart, the last one a second ago.
+func recordCrashes(table *quarantine.Table, f quarantine.Fingerprint, crashes int, now time.Time) {
 	for i := range crashes {
 		ended := now.Add(time.Duration(i-crashes) * time.Second)
 		table.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended}, now)
 	}
 }
 
-// TestQuarantinedRequest: only requests with the same account, path and body are refused, at once
-// and without running.
+// TestQuarantinedRequest: a request must be refused without running if it has the account, path and
+// body of a quarantined one. Other requests must be served.
 func TestQuarantinedRequest(t *testing.T) {
 	tests := map[string]struct {
 		account, path, body string
@@ -117,14 +117,13 @@
 	}
 }
 
-// TestCompletedRunClears: a completed run clears the crashes recorded for a request, for whole
-// answers and streams.
+// TestCompletedRunClears: a completed answer or stream clears the crashes recorded for its request.
 func TestCompletedRunClears(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
 			r, server := newTestRelay(t, newFakeWorker(t, "w"))
 			f := quarantine.FingerprintOf("tenant", http.MethodPost, "h", path, []byte("body"))
-			blame(r.guard.Table(), f, 2, time.Now())
+			recordCrashes(r.guard.Table(), f, 2, time.Now())
 			assert.Equal(t, r.guard.Table().State(f, time.Now()).Crashes, 2)
 			assert.Equal(t, sendRequest(t, server, path, "a", nil).status, http.StatusOK)
 			assert.Equal(t, r.guard.Table().State(f, time.Now()).Crashes, 0)
@@ -137,7 +136,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 1, &simHead{id: "a"})
 		table := p.daemons[0].guard.Table()
-		blame(table, quarantine.FingerprintOf("", http.MethodPost, "h", "/", nil), 1, time.Now())
+		recordCrashes(table, quarantine.FingerprintOf("", http.MethodPost, "h", "/", nil), 1, time.Now())
 		assert.Assert(t, !table.Empty())
 		time.Sleep(6 * time.Minute)
 		assert.Assert(t, table.Empty())
@@ -164,7 +163,7 @@
 }
 
 // TestSuspectedRequestGoesToIdleReplica: a request that crashed two workers goes to the replica
-// with the fewest requests in flight, one that crashed a single worker does not.
+// with the fewest requests in flight. A request that crashed a single worker does not.
 func TestSuspectedRequestGoesToIdleReplica(t *testing.T) {
 	tests := map[string]int{"one crash": 1, "two crashes": 2}
 	for name, crashes := range tests {
@@ -180,11 +179,11 @@
 					if replica.Head.ID == near.id {
 						tracker.Reserve(replica, 0)
 					} else {
-						tracker.loadOf(replica).prefill = 20_000
+						tracker.loadOf(replica).unreadTokens = 20_000
 					}
 				}
 				f := quarantine.FingerprintOf("", http.MethodPost, "h", "/stream/", []byte("body"))
-				blame(p.daemons[0].guard.Table(), f, crashes, now)
+				recordCrashes(p.daemons[0].guard.Table(), f, crashes, now)
 				p.send(0, "a", 10, 6*time.Second)
 				assert.Equal(t, len(far.received) > 0, crashes > 1)
 			})
@@ -192,8 +191,9 @@
 	}
 }
 
-// TestQuarantineCancelsWaitingStreams: a waiting copy would crash its head and is canceled; a
-// stream with events continues, and its completion lifts the quarantine.
+// TestQuarantineCancelsWaitingStreams: a copy that waits for its first event must be canceled,
+// since it would crash its head. A stream that has received events continues, and its completion
+// lifts the quarantine.
 func TestQuarantineCancelsWaitingStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 1, &simHead{id: "a", isMuted: func(id string) bool { return id == "waits" }})
@@ -208,7 +208,7 @@
 			r.guard.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended})
 		}
 		p.calls.Wait()
-		assert.Assert(t, p.served("runs"))
+		assert.Assert(t, p.isServed("runs"))
 		waits := p.results["waits"]
 		assert.Equal(t, waits.status, http.StatusBadGateway, "it may have run")
 		assert.Assert(t, waits.end < time.Second, "it is answered after %s", waits.end)
@@ -217,7 +217,7 @@
 }
 
 // TestCrashingRequestIsQuarantined simulates copies of a request that crashes every head it runs
-// at, beside other requests: few heads may crash, and the other requests must be served.
+// at, beside other requests. Few heads may crash, and the other requests must be served.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := simulateCrashes(t, func(p *simulation) {
@@ -226,15 +226,15 @@
 				p.call(i%len(p.daemons), fmt.Sprint("crash", i), 100, 6*time.Second)
 			}
 		})
-		served := p.count("other", otherRequests, p.served)
+		served := p.count("other", otherRequests, p.isServed)
 		t.Logf("%d heads ended, %d of %d others served", p.crashes, served, otherRequests)
 		assert.Assert(t, p.crashes <= 6, "%d heads ended", p.crashes)
 		assert.Assert(t, served >= otherRequests*98/100, "%d others are served", served)
 	})
 }
 
-// TestPopularRequestBesideCrashes repeats one body while heads crash for other reasons: it must
-// not be quarantined.
+// TestPopularRequestBesideCrashes repeats one request while heads crash for other reasons. The
+// request must not be quarantined.
 func TestPopularRequestBesideCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const copies = 50
@@ -247,7 +247,7 @@
 				}
 			}
 		})
-		popular, others := p.count("popular", copies, p.served), p.count("other", otherRequests, p.served)
+		popular, others := p.count("popular", copies, p.isServed), p.count("other", otherRequests, p.isServed)
 		t.Logf("%d heads ended; served: %d of %d copies, %d of %d others", p.crashes, popular, copies, others, otherRequests)
 		for _, r := range p.daemons {
 			assert.Equal(t, r.opts.Meter.Refusals()[reason.Quarantined], int64(0))
@@ -260,8 +260,8 @@
 // otherRequests is the number of other requests in simulations of crashes.
 const otherRequests = 400
 
-// simulateCrashes simulates ten seconds of requests with distinct bodies, and runs beside in
-// parallel.
+// simulateCrashes simulates ten seconds of requests with distinct bodies. It runs the function
+// beside at the same time.
 func simulateCrashes(t *testing.T, beside func(p *simulation)) *simulation {
 	t.Helper()
 	const daemons, heads = 4, 12
@@ -292,7 +292,7 @@
 	return p
 }
 
-// crashOne crashes one of the heads.
+// crashOne crashes the head with the lowest ID.
 func (p *simulation) crashOne() {
 	p.mu.Lock()
 	var one *simHead
--- a/relay/rates.go
+++ b/relay/rates.go
@@ -7,7 +7,8 @@
 	keys map[string]*rateAverage
 }
 
-// rateAverage is a moving average that decays to about a third within rateSpan.
+// rateAverage is a moving average of requests per second. Without requests it decays to 40 % within
+// rateSpan.
 type rateAverage struct {
 	value float64
 	at    time.Time
@@ -24,7 +25,7 @@
 		average = &rateAverage{at: now}
 		r.keys[key] = average
 	}
-	average.value = average.decayed(now) + 1/rateSpan.Seconds()
+	average.value = average.decayedValue(now) + 1/rateSpan.Seconds()
 	average.at = now
 }
 
@@ -34,10 +35,10 @@
 	if !ok {
 		return 0
 	}
-	return average.decayed(now)
+	return average.decayedValue(now)
 }
 
-func (r *rateAverage) decayed(now time.Time) float64 {
+func (r *rateAverage) decayedValue(now time.Time) float64 {
 	elapsed := now.Sub(r.at).Seconds() / rateSpan.Seconds()
 	return r.value / (1 + elapsed + elapsed*elapsed/2)
 }
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -10,9 +10,8 @@
 )
 
 const (
-	// retrySoon, retryBusy and retryUninformed are the retry times sent to callers: after a
-	// transient failure, when the fleet is busy or recovering, and when this daemon lacks
-	// information.
+	// retrySoon is the retry time sent to callers after a transient failure. retryBusy is sent when
+	// the fleet is busy or recovering, retryUninformed when this daemon lacks information.
 	retrySoon       = 50 * time.Millisecond
 	retryBusy       = 300 * time.Millisecond
 	retryUninformed = 500 * time.Millisecond
@@ -26,8 +25,8 @@
 	status  int
 	reason  reason.Reason
 	message string
-	// retryAfter is when the caller should retry; zero for no retry. It is sent only with status
-	// codes that promise that the request did not run.
+	// retryAfter is after how long the caller should retry; zero if the answer should not say so.
+	// It is sent only with status codes that promise that the request did not run.
 	retryAfter time.Duration
 	// cause is the error that led to the refusal, if any.
 	cause error
@@ -66,6 +65,6 @@
 		header.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.WriteHeader(f.status)
-	// The error is ignored: the caller has disconnected.
+	// An error means that the caller has disconnected; nothing is left to do.
 	_, _ = w.Write(body)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -23,10 +23,10 @@
 	defaultMaxBodyBytes = 8 << 20
 	defaultTimeout      = 10 * time.Minute
 	lowestPriority      = 9
-	// maxRejections is how many workers may reject a request before it fails.
+	// maxRejections is how many rejections a request may get and still be retried.
 	maxRejections = 2
-	// engineLoadFactor and serviceLoadFactor limit the work in flight at a worker, in multiples
-	// of its slots, before requests are refused.
+	// engineLoadFactor and serviceLoadFactor limit the number of requests in flight at a replica,
+	// in multiples of its slots. They apply to services with and without an engine.
 	engineLoadFactor  = 1.0
 	serviceLoadFactor = 4.0
 	// sweepInterval is the interval of checks for silent replicas and idle connections.
@@ -54,23 +54,23 @@
 	Budget  BudgetOptions
 	// Holdings limits the bytes buffered for callers and workers; nil for no limit.
 	Holdings *Holdings
-	// ServeLate tries to serve requests that are already late: they wait for capacity, and retry
-	// times are spread over all of the time for which callers may wait. After a large loss of
-	// workers this delays new requests as well.
+	// ServeLate makes the relay try to serve requests that are already late. They wait briefly for
+	// capacity, and callers refused for lack of capacity get random retry times. After a large loss
+	// of workers this delays new requests as well.
 	ServeLate bool
-	// Spread is called when peers are to be notified at once of requests that crash workers; nil
-	// for no call.
+	// Spread, if not nil, is called to notify peers at once of requests that crash workers.
 	Spread func()
 	// Replaced reports whether another worker instance has taken over the address of a worker;
 	// nil if that can't be determined.
 	Replaced func(ctx context.Context, w *fleet.Worker) (bool, error)
-	// Signalled is called with the limits or pauses that a worker sets in the header of an
-	// answer, and when the request was sent; nil for no call.
+	// Signalled, if not nil, is called after each answer with the limits and pauses that the worker
+	// set in its header. sent is when the request was sent.
 	Signalled func(w *fleet.Worker, s backpressure.Signal, sent, now time.Time)
 	// Dial opens connections to workers; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Awake is called before a request is judged. It updates the age of what the daemon knows if
-	// the machine was suspended; nil for machines that never are.
+	// Awake is called before a request is accepted and before a replica is chosen. After a
+	// suspension of the machine, it corrects how old the daemon's information is considered to be.
+	// Nil if the machine is never suspended.
 	Awake func()
 	// Leaving reports whether this daemon is shutting down.
 	Leaving func() bool
@@ -88,7 +88,7 @@
 	waitingStreams waitingStreams
 	// startedAt is when this daemon started.
 	startedAt time.Time
-	// hasAnswered reports whether some request got an answer other than a refusal.
+	// hasAnswered reports whether a request has been answered other than by a refusal.
 	hasAnswered atomic.Bool
 	done        chan struct{}
 }
@@ -124,7 +124,8 @@
 // Done is closed when Run has returned.
 func (r *Relay) Done() <-chan struct{} { return r.done }
 
-// Run checks for silent replicas and closes idle connections until ctx ends.
+// Run periodically checks for silent replicas, closes idle connections that are no longer needed,
+// and removes expired crash records, until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	defer close(r.done)
 	defer r.guard.Wait()
@@ -145,7 +146,7 @@
 	}
 }
 
-// Slept tells the relay that the machine was suspended. It closes the idle connections, because
+// Slept must be called after a suspension of the machine. It closes the idle connections, because
 // workers may have closed them unnoticed.
 func (r *Relay) Slept() { r.upstream.closeAll() }
 
@@ -221,7 +222,7 @@
 			return nil, r.noReplicaRefusal(c, selection.Counts(), now)
 		}
 		replica, refused := r.chooseByClass(c, &selection, exhausted, now)
-		c.sentAt = now
+		c.chosenAt = now
 		if refused != nil || r.takeTokens(c, replica, now) {
 			return replica, refused
 		}
@@ -232,8 +233,8 @@
 	}
 }
 
-// chooseByClass chooses among the replicas of the best class with free capacity. Replicas of
-// class LastResort are used only if there are no others.
+// chooseByClass chooses among the replicas of the best class with free capacity. Replicas of class
+// LastResort are not used while better ones are merely full.
 func (r *Relay) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
 	full := false
 	for class := eligibility.Eligible; class < eligibility.Excluded; class++ {
@@ -244,13 +245,13 @@
 		predicted := costsOf(c.engine, c.model, replicas[0].Head.Slots)
 		predicted.connected = r.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
 		predicted.preferIdle = c.isSuspected
-		predicted.tightlyLimited = r.opts.Limits.tightlyLimited()
+		predicted.tightlyLimited = r.opts.Limits.tightLimitChecker()
 		choice, ok := r.chooseFrom(c, replicas, exhausted, predicted, now)
 		if !ok {
 			continue
 		}
-		c.chosenBusy = choice.Busy
-		if choice.Busy < r.maxInFlight(c, choice.Replica) {
+		c.chosenInFlight = choice.InFlight
+		if choice.InFlight < r.maxInFlight(c, choice.Replica) {
 			return choice.Replica, nil
 		}
 		full = true
@@ -263,7 +264,7 @@
 	return nil, f
 }
 
-// maxInFlight returns how many requests a replica may have in flight.
+// maxInFlight returns how many requests may be in flight at a replica over all daemons.
 func (r *Relay) maxInFlight(c *request, replica *fleet.Replica) float64 {
 	if c.engine != nil {
 		return engineLoadFactor * float64(c.engine.Slots)
@@ -271,9 +272,9 @@
 	return serviceLoadFactor * float64(max(replica.Head.Slots, 1))
 }
 
-// mayRetry reports whether a failed attempt may be followed by another one, and if so takes it
-// from the retry budget. ran reports whether the attempt may have run.
-func (r *Relay) mayRetry(c *request, ran bool) bool {
+// takeRetry reports whether a failed attempt may be followed by another one. If so, it takes the
+// retry from the budget. ran reports whether the failed attempt may have run.
+func (r *Relay) takeRetry(c *request, ran bool) bool {
 	switch {
 	case c.isDone():
 		return false
@@ -293,7 +294,7 @@
 func (r *Relay) recordFailure(c *request, replica *fleet.Replica, err error) (ran bool) {
 	c.lastErr = err
 	c.tried[replica.ID] = true
-	ran = wasSent(err)
+	ran = mayHaveArrived(err)
 	if ran {
 		c.sends++
 	} else {
@@ -320,7 +321,7 @@
 		f = refuse(http.StatusBadGateway, reason.EndpointBroken, "the worker's answer was lost")
 	}
 	switch {
-	case errors.Is(c.lastErr, errStalled):
+	case errors.Is(c.lastErr, errReplicaSilent):
 		f.reason = reason.EndpointTimeout
 	case errors.Is(c.lastErr, errQuarantined):
 		f.reason = reason.Quarantined
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -26,14 +26,14 @@
 	t.Helper()
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
-	r := &testRelay{inventory: fleet.NewInventory(1200*time.Millisecond, 0), confirmed: time.Now()}
+	r := &testRelay{inventory: fleet.NewInventory(1200*time.Millisecond, 0), confirmedAt: time.Now()}
 	config := testConfig()
 	r.Relay = New(Options{
 		Names: testNames, Config: func() *fleet.Config { return config },
-		Confirmed: func() time.Time { return r.confirmed }, BeliefFor: time.Minute,
+		Confirmed: func() time.Time { return r.confirmedAt }, BeliefFor: time.Minute,
 		View: r.inventory.View, Tracker: NewTracker("", func(*fleet.Replica) {}),
 		Budget:  BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, Daemons: func() int { return 1 }},
-		Leaving: func() bool { return r.leaving }, Meter: meter, Logger: hclog.NewNullLogger(),
+		Leaving: func() bool { return r.isLeaving }, Meter: meter, Logger: hclog.NewNullLogger(),
 	})
 	var changes []fleet.Change
 	for _, w := range workers {
@@ -97,8 +97,8 @@
 		status int
 		body   string
 		runs   int
-		// cut reports whether the answer must not look complete.
-		cut bool
+		// isCut reports whether the answer must not look complete.
+		isCut bool
 	}{
 		"a whole answer":                         {path: "/safe/", status: 200, body: "answer to a", runs: 1},
 		"a rejected request goes to another":     {path: "/once/", script: []behaviour{rejects}, status: 200, body: "answer to a", runs: 1},
@@ -117,7 +117,7 @@
 		"a broken stream goes on elsewhere":      {path: "/stream/", script: []behaviour{cuts}, status: 200, body: wholeStream(), runs: 2},
 		"a torn event is not passed on":          {path: "/stream/", script: []behaviour{tears}, status: 200, body: wholeStream(), runs: 2},
 		"a silent stream goes on elsewhere":      {path: "/stream/", script: []behaviour{stalls}, status: 200, body: wholeStream(), runs: 2},
-		"a stream that breaks too often is cut":  {path: "/stream/", script: []behaviour{cuts, cuts, cuts}, status: 200, runs: 3, cut: true},
+		"a stream that breaks too often is cut":  {path: "/stream/", script: []behaviour{cuts, cuts, cuts}, status: 200, runs: 3, isCut: true},
 		"a lost stream begins anew":              {path: "/stream/", script: []behaviour{loses}, status: 200, body: wholeStream(), runs: 2},
 		"no route":                               {path: "/nowhere/", status: 404},
 		"an unknown key":                         {path: "/safe/", change: func(h *http.Request) { h.Header.Set(testNames.Key, "x") }, status: 401},
@@ -126,7 +126,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			// The script is shared: the worker asked first plays its first behaviour.
+			// The workers share the script. The first one to get a request plays its first
+			// behaviour.
 			w := newFakeWorker(t, "w1", test.script...)
 			workers := []*fakeWorker{w}
 			for i := 2; i <= 4; i++ {
@@ -135,7 +136,7 @@
 			_, server := newTestRelay(t, workers...)
 			got := sendRequest(t, server, test.path, "a", test.change)
 			assert.Equal(t, got.status, test.status)
-			assert.Equal(t, got.isComplete, !test.cut)
+			assert.Equal(t, got.isComplete, !test.isCut)
 			if test.body != "" {
 				assert.Equal(t, got.body, test.body)
 			}
@@ -212,7 +213,7 @@
 func TestKeysExpireWithoutConfirmation(t *testing.T) {
 	w := newFakeWorker(t, "w1")
 	r, server := newTestRelay(t, w)
-	r.confirmed = time.Now().Add(-time.Hour)
+	r.confirmedAt = time.Now().Add(-time.Hour)
 	assert.Equal(t, sendRequest(t, server, "/safe/", "a", nil).status, 503)
 	assert.Equal(t, sendRequest(t, server, "/open/", "b", nil).status, 200)
 	assert.Equal(t, w.runs("a"), 0)
@@ -220,7 +221,7 @@
 
 func TestLeavingDaemonClosesConnections(t *testing.T) {
 	r, server := newTestRelay(t, newFakeWorker(t, "w1"))
-	r.leaving = true
+	r.isLeaving = true
 	request, err := http.NewRequest(http.MethodPost, server.URL+"/open/", nil)
 	assert.NilError(t, err)
 	request.Host = "h"
@@ -278,8 +279,8 @@
 	})
 }
 
-// TestFirstTokensAreMeasured: the first token of a stream that resumes is measured once. One of
-// the two requests meets the worker that breaks off.
+// TestFirstTokensAreMeasured: the first token of a resumed stream must be measured once. One of the
+// two requests is sent to the worker that breaks off its first stream.
 func TestFirstTokensAreMeasured(t *testing.T) {
 	r, server := newTestRelay(t, newFakeWorker(t, "w1", cuts), newFakeWorker(t, "w2"))
 	for _, id := range []string{"a", "b"} {
--- a/relay/request.go
+++ b/relay/request.go
@@ -24,7 +24,7 @@
 	host   string
 	header http.Header
 	body   []byte
-	// memory is the memory used by the body and the answer.
+	// memory accounts for the bytes buffered for the request's body and answer.
 	memory  requestMemory
 	route   *fleet.Route
 	service string
@@ -42,26 +42,27 @@
 	ctx          context.Context
 	cancel       context.CancelFunc
 
-	// sends counts the workers that may have run the request, rejections those that certainly did
-	// not.
+	// sends is the number of attempts that may have run at a worker, rejections the number of
+	// attempts that certainly did not run.
 	sends      int
 	rejections int
 	tried      map[string]bool
-	// failedHeads holds the heads of replicas at which attempts failed in a way that others may
-	// share.
+	// failedHeads holds the heads of the replicas at which attempts failed, except for rejections
+	// and silence of a single stream. Replicas near these heads may have failed as well.
 	failedHeads []*fleet.Worker
-	// chosenBusy is the known work in flight at the replica chosen last.
-	chosenBusy float64
-	// passedOver holds the counts of replicas passed over in the last choice, by cause.
+	// chosenInFlight is the number of requests that were in flight over all daemons at the replica
+	// chosen last.
+	chosenInFlight float64
+	// passedOver states, for the log, how many replicas were excluded or ranked lower, by cause, in
+	// the last choice in which there were any.
 	passedOver string
-	// sendBy is until when the attempt may be sent; zero for any time. exhaustedBound is the
-	// bound that had no token for the replica chosen last.
+	// sendBy is the time by which the attempt must be sent; zero for any time. exhaustedBound names
+	// the bound (warm-up, limit or rest) that last refused a token.
 	sendBy         time.Time
 	exhaustedBound reason.Reason
-	// lastErr is the error of the last failed attempt, sentAt when the last attempt's replica was
-	// chosen.
-	lastErr error
-	sentAt  time.Time
+	// lastErr is the error of the last failed attempt. chosenAt is when a replica was last chosen.
+	lastErr  error
+	chosenAt time.Time
 
 	// isSuspected reports whether one more crash would quarantine the request.
 	isSuspected bool
@@ -74,7 +75,8 @@
 // mayHaveRun reports whether any worker may have started the request.
 func (c *request) mayHaveRun() bool { return c.sends > 0 }
 
-// correctStatus changes a refusal that wrongly promises that the request did not run.
+// correctStatus sets the status to 502 if the refusal wrongly promises that the request did not
+// run. It also sets a missing cause to the error of the last failed attempt.
 func (c *request) correctStatus(f *refusal) *refusal {
 	if f.cause == nil {
 		f.cause = c.lastErr
@@ -85,7 +87,8 @@
 	return f
 }
 
-// accept reads a request and checks it against the configuration.
+// accept finds the route of a request, authenticates the caller, reads the body and sets the
+// deadline. It returns a refusal if one of these steps fails.
 func (r *Relay) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
 	r.opts.Awake()
 	config := r.opts.Config()
@@ -124,7 +127,8 @@
 	return c, nil
 }
 
-// authenticate sets the tenant from the request's key.
+// authenticate sets the tenant from the request's key. It returns a refusal if the key is unknown,
+// or if it may have been revoked. Public routes need no key.
 func (r *Relay) authenticate(c *request, config *fleet.Config) *refusal {
 	key := c.header.Get(r.opts.Names.Key)
 	if c.route.Public || !config.NeedsKeys() {
@@ -141,13 +145,14 @@
 	return nil
 }
 
-// BeliefTooOld reports whether the configuration is so old that keys may have been revoked
-// without this daemon knowing.
+// BeliefTooOld reports whether the configuration was last confirmed so long ago that this daemon
+// may have missed the revocation of a key.
 func (r *Relay) BeliefTooOld(now time.Time) bool {
 	return r.opts.BeliefFor > 0 && now.Sub(r.opts.Confirmed()) > r.opts.BeliefFor
 }
 
-// readBody reads the body within the configured limit.
+// readBody reads the request's body. It returns a refusal if the body exceeds the configured limit,
+// if the daemon's memory is exhausted, or if reading fails.
 func (r *Relay) readBody(c *request, h *http.Request, limits fleet.Limits) *refusal {
 	limit := limits.BodyBytes
 	if limit <= 0 {
@@ -203,7 +208,8 @@
 	c.ctx, c.cancel = context.WithDeadline(parent, c.deadline)
 }
 
-// promptTokens returns the first of the comma-separated numbers in a usage header.
+// promptTokens returns the number of prompt tokens, which is the first of the comma-separated
+// numbers in a usage header. It returns 0 if that number is missing or invalid.
 func promptTokens(usage string) int {
 	first, _, _ := strings.Cut(usage, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(first))
@@ -258,7 +264,7 @@
 	}
 	return &message{
 		method: c.method, encoded: encode(c.method, c.target, c.host, header, c.body),
-		sendBy: c.sendBy, attempt: c.id, attemptName: names.Attempt, runOnce: !c.route.Repeatable(),
+		sendBy: c.sendBy, attempt: c.id, attemptName: names.Attempt, atMostOnce: !c.route.Repeatable(),
 	}
 }
 
--- a/relay/reservation.go
+++ b/relay/reservation.go
@@ -6,9 +6,10 @@
 type Reservation struct {
 	tracker *Tracker
 	load    *replicaLoad
-	// promptTokens is the number of prompt tokens, prefill how many of them are still to be read.
+	// promptTokens is the number of prompt tokens, unreadTokens how many of them the replica has
+	// not read yet.
 	promptTokens int
-	prefill      int
+	unreadTokens int
 	isReleased   bool
 }
 
@@ -18,18 +19,18 @@
 	defer t.mu.Unlock()
 	s := t.loadOf(r)
 	s.inFlight++
-	s.prefill += prompt
+	s.unreadTokens += prompt
 	s.promptTokens += prompt
 	t.hasTraffic = t.hasTraffic || prompt > 0
-	return &Reservation{tracker: t, load: s, promptTokens: prompt, prefill: prompt}
+	return &Reservation{tracker: t, load: s, promptTokens: prompt, unreadTokens: prompt}
 }
 
-// PrefillDone records that the prompt has been read.
-func (r *Reservation) PrefillDone() {
+// MarkPromptRead records that the replica has read the prompt.
+func (r *Reservation) MarkPromptRead() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
-	r.load.prefill -= r.prefill
-	r.prefill = 0
+	r.load.unreadTokens -= r.unreadTokens
+	r.unreadTokens = 0
 }
 
 // Release removes the request from the count; further calls do nothing.
@@ -41,6 +42,6 @@
 	}
 	r.isReleased = true
 	r.load.inFlight--
-	r.load.prefill -= r.prefill
+	r.load.unreadTokens -= r.unreadTokens
 	r.load.promptTokens -= r.promptTokens
 }
--- a/relay/resumedelay.go
+++ b/relay/resumedelay.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// maxResumeDelay limits the random delay of late streams that resume at another replica. All
-	// streams of a stalled replica are noticed at the same moment, and their prompts would delay
-	// the streams of the replicas that take them over.
+	// maxResumeDelay limits the random delay of late streams that resume at another replica.
+	// Without it, all streams of a stalled replica would resume at the same moment, and their
+	// prompts would delay the other streams of the replicas that take them over.
 	maxResumeDelay = 600 * time.Millisecond
 	// resumeDelayShare is the largest part of the request's remaining time used for the delay.
 	resumeDelayShare = 0.25
--- a/relay/resumedelay_test.go
+++ b/relay/resumedelay_test.go
@@ -9,27 +9,27 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLateStreamsResumeSpreadOut simulates a replica that stalls with 200 streams: they must not
+// TestLateStreamsResumeSpreadOut simulates a replica that stalls with 200 streams. They must not
 // all resume within one pass, and must resume before callers disconnect.
 func TestLateStreamsResumeSpreadOut(t *testing.T) {
 	const (
-		streams = 200
-		pass    = 50 * time.Millisecond
-		noticed = 500 * time.Millisecond
-		leave   = 2 * time.Second
+		streams        = 200
+		pass           = 50 * time.Millisecond
+		silentFor      = 500 * time.Millisecond
+		callerPatience = 2 * time.Second
 	)
 	now := time.Unix(1000, 0)
 	route := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 300 * time.Millisecond}
 	r := &Relay{}
 	perPass := make(map[time.Duration]int)
 	for range streams {
-		s := &relayedStream{isHeadSent: true, lastEventAt: now.Add(-noticed)}
+		s := &relayedStream{isHeadSent: true, lastEventAt: now.Add(-silentFor)}
 		wait := r.resumeDelay(&request{route: route, arrived: now.Add(-3 * time.Second), deadline: now.Add(5 * time.Second)}, s, now)
 		perPass[wait/pass]++
-		assert.Assert(t, noticed+wait < leave, "%s", wait)
+		assert.Assert(t, silentFor+wait < callerPatience, "%s", wait)
 	}
 	for at, count := range perPass {
-		// 17 are expected in each pass; all 200 would come in one without the delay.
+		// Without the delay, all streams would resume in one pass.
 		assert.Assert(t, count < streams/4, "%d within pass %d", count, at)
 	}
 }
@@ -68,16 +68,16 @@
 		route *fleet.Route
 		// age is the age of the request, pause the time since the last event.
 		age, pause time.Duration
-		begun      bool
+		hasBegun   bool
 	}{
 		"before the first event":   {route: timed, age: 250 * time.Millisecond},
-		"between two events":       {route: timed, age: time.Second, pause: 150 * time.Millisecond, begun: true},
-		"a route without times":    {route: &fleet.Route{}, age: time.Second, pause: time.Second, begun: true},
+		"between two events":       {route: timed, age: time.Second, pause: 150 * time.Millisecond, hasBegun: true},
+		"a route without times":    {route: &fleet.Route{}, age: time.Second, pause: time.Second, hasBegun: true},
 		"the first, without times": {route: &fleet.Route{}, age: time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := &relayedStream{isHeadSent: test.begun, lastEventAt: now.Add(-test.pause)}
+			s := &relayedStream{isHeadSent: test.hasBegun, lastEventAt: now.Add(-test.pause)}
 			c := &request{route: test.route, arrived: now.Add(-test.age)}
 			assert.Equal(t, (&Relay{}).resumeDelay(c, s, now), time.Duration(0))
 		})
--- a/relay/retryafter.go
+++ b/relay/retryafter.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// retryAfterShare is the part of a caller's remaining time up to which it follows
-	// Retry-After; it ignores later times.
+	// retryAfterShare is a share of a caller's remaining time. Callers are expected to ignore a
+	// Retry-After that is longer than that.
 	retryAfterShare = 1.0 / 3
 	// retryAfterMargin allows for the time that the refusal takes to arrive.
 	retryAfterMargin = 20 * time.Millisecond
@@ -24,9 +24,9 @@
 	return f.reason == reason.Overloaded || f.reason == reason.NoReplica || errors.Is(f.cause, errRejected)
 }
 
-// spreadRetryAfter returns when a caller refused for lack of capacity should retry. Callers retry
-// once, and would collide again if all were given the same time. Peers' loads are known late, so
-// the times are spread over the later half of the possible range.
+// spreadRetryAfter returns a random time after which a caller refused for lack of capacity should
+// retry. Callers retry once, and would collide again if all were given the same time. Only the
+// later half of the possible range is used, because peers' loads are reported with a delay.
 func (r *Relay) spreadRetryAfter(c *request, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= retryBusy {
@@ -36,7 +36,7 @@
 	return latest - time.Duration(r.random()*half)
 }
 
-// maxRetryAfter returns the latest retry time that the caller follows.
+// maxRetryAfter returns the longest retry time that the caller is expected to follow.
 func (c *request) maxRetryAfter(now time.Time) time.Duration {
 	return time.Duration(retryAfterShare*float64(c.deadline.Sub(now))) - retryAfterMargin
 }
--- a/relay/retryafter_test.go
+++ b/relay/retryafter_test.go
@@ -48,7 +48,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	p.calls.Wait()
-	served := p.count("burst", callers, func(id string) bool { return p.served(id) || p.served(id+" again") })
+	served := p.count("burst", callers, func(id string) bool { return p.isServed(id) || p.isServed(id+" again") })
 	assert.Assert(t, served >= callers*95/100, "%d of %d are served", served, callers)
 }
 
--- a/relay/servelate_test.go
+++ b/relay/servelate_test.go
@@ -12,21 +12,21 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLateRequestsWaitOnlyWithServeLate: without an available replica, only started streams and,
-// with ServeLate, late requests wait.
+// TestLateRequestsWaitOnlyWithServeLate: when no replica is available, started streams wait. Late
+// requests wait only with ServeLate.
 func TestLateRequestsWaitOnlyWithServeLate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := map[string]struct {
-		keeps, begun bool
-		waited       time.Duration
-		why          reason.Reason
-		want         bool
+		serveLate, hasBegun bool
+		waited              time.Duration
+		why                 reason.Reason
+		want                bool
 	}{
 		"late, and not kept":      {waited: time.Second, why: reason.Overloaded},
-		"late, and kept":          {keeps: true, waited: time.Second, why: reason.Overloaded, want: true},
-		"in time, and kept":       {keeps: true, why: reason.Overloaded},
-		"late, but nothing there": {keeps: true, waited: time.Second, why: reason.NoReplica},
-		"a stream that has begun": {begun: true, why: reason.Overloaded, want: true},
+		"late, and kept":          {serveLate: true, waited: time.Second, why: reason.Overloaded, want: true},
+		"in time, and kept":       {serveLate: true, why: reason.Overloaded},
+		"late, but nothing there": {serveLate: true, waited: time.Second, why: reason.NoReplica},
+		"a stream that has begun": {hasBegun: true, why: reason.Overloaded, want: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -34,9 +34,9 @@
 				route: &fleet.Route{Objective: 300 * time.Millisecond}, waitedBefore: test.waited, ctx: context.Background(),
 				arrived: now, deadline: now.Add(5 * time.Second),
 			}
-			r := &Relay{opts: Options{ServeLate: test.keeps}}
+			r := &Relay{opts: Options{ServeLate: test.serveLate}}
 			none := &refusal{status: http.StatusServiceUnavailable, reason: test.why}
-			got := r.mayWait(c, &relayedStream{isHeadSent: test.begun, lastEventAt: now}, none, now.Add(10*time.Millisecond))
+			got := r.mayWait(c, &relayedStream{isHeadSent: test.hasBegun, lastEventAt: now}, none, now.Add(10*time.Millisecond))
 			assert.Equal(t, got, test.want)
 		})
 	}
--- a/relay/signals_test.go
+++ b/relay/signals_test.go
@@ -20,7 +20,7 @@
 	all []backpressure.Signal
 }
 
-func (h *signalRecorder) take(_ *fleet.Worker, s backpressure.Signal, _, _ time.Time) {
+func (h *signalRecorder) record(_ *fleet.Worker, s backpressure.Signal, _, _ time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.all = append(h.all, s)
@@ -52,12 +52,12 @@
 			w := newFakeWorker(t, "w", test.script...)
 			w.extraHeader = test.header
 			r, server := newTestRelay(t, w)
-			var heard signalRecorder
-			r.opts.Names.Asks, r.opts.Signalled = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, heard.take
+			var recorder signalRecorder
+			r.opts.Names.Asks, r.opts.Signalled = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, recorder.record
 			sendRequest(t, server, test.path, "x", nil)
-			heard.mu.Lock()
-			defer heard.mu.Unlock()
-			assert.DeepEqual(t, heard.all, test.want)
+			recorder.mu.Lock()
+			defer recorder.mu.Unlock()
+			assert.DeepEqual(t, recorder.all, test.want)
 		})
 	}
 }
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -9,39 +9,43 @@
 )
 
 const (
-	// firstEventTimeout and nextEventTimeout are how long all streams of a replica, here and at
-	// peers, may be silent before it is suspected: while none here has received an event, and
-	// after that. Both are longer than a pass full of prompts.
+	// firstEventTimeout and nextEventTimeout are how long a replica may send no events to this
+	// daemon and its peers before it is suspected. The first applies while no stream of this daemon
+	// at the replica has received an event, the second after that. An engine's longest pass is
+	// shorter than both.
 	firstEventTimeout = 900 * time.Millisecond
 	nextEventTimeout  = 450 * time.Millisecond
-	// suspicionPeriod is how long a suspected replica gets no requests unless it shows progress.
+	// suspicionPeriod is how long a replica stays suspected unless it sends an event. Meanwhile it
+	// gets requests only if there is no other replica.
 	suspicionPeriod = 2 * time.Second
-	// peerReportDelay is how long until work at peers is known here: a heartbeat and a relay's
-	// summary.
+	// peerReportDelay is the assumed maximum time until this daemon learns of a request at a peer.
+	// It is the sum of the interval of the peer's reports and that of the daemon that passes them
+	// on.
 	peerReportDelay = 600 * time.Millisecond
 )
 
 // StreamWatch is a stream in flight.
 type StreamWatch struct {
 	hasBegun bool
-	// sentAt is when the stream was sent, lastEventAt when its last event arrived, or sentAt
-	// before that.
+	// sentAt is when the request was sent. lastEventAt is the time from which the stream's silence
+	// is measured. It starts as sentAt and moves on with each event, and when the timer restarts.
 	sentAt      time.Time
 	lastEventAt time.Time
-	// firstEventDue is when its first event is expected, judged by the known work at the replica.
+	// firstEventDue is when the first event is expected, as predicted from the requests in flight
+	// at the replica.
 	firstEventDue time.Time
-	// isTimerRestarted reports whether a pause of this process restarted the timer since the last
-	// event.
+	// isTimerRestarted reports whether the timer was restarted after the last event because this
+	// process had been paused.
 	isTimerRestarted bool
-	// isForwarding reports whether an event is being sent to the caller. Meanwhile nothing is read
-	// from the replica, so its silence means nothing.
+	// isForwarding reports whether an event is being sent to the caller. Nothing is read from the
+	// replica in that time, so the stream does not count as silent.
 	isForwarding atomic.Bool
 	costs        costs
 	cancel       context.CancelCauseFunc
 }
 
 // Watch registers a stream. cancel is called if the stream or its whole replica falls silent. The
-// costs predict how long the stream waits for events.
+// costs are used to predict when its events are due.
 func (t *Tracker) Watch(r *fleet.Replica, c costs, cancel context.CancelCauseFunc) *StreamWatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,8 +84,8 @@
 	delete(t.loadOf(r).streams, watch)
 }
 
-// Suspect marks a replica that a peer reported, so that it gets no requests for a while, unless
-// it has recently sent an event.
+// Suspect marks a replica as suspected because a peer reported it. It does nothing if the replica
+// has recently sent an event to this daemon or a peer.
 func (t *Tracker) Suspect(replica string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,17 +98,17 @@
 	}
 }
 
-// Sweep finds replicas that fell silent, and silent streams of other replicas; it cancels their
-// streams so that they resume elsewhere. It forgets replicas that are no longer used. gap is the
-// time since the last sweep: a long gap means that this process was paused, and restarts each
-// stream's timer, but only once until its next event, so that a process with frequent pauses
-// still detects silence.
+// Sweep cancels all streams of replicas that fell silent, and single silent streams of other
+// replicas, so that they resume elsewhere. It also removes replicas that are no longer used. gap is
+// the time since the last sweep. A long gap means that this process was paused, and restarts the
+// timers of the streams. Each timer is restarted at most once until the stream's next event, so
+// that a process with frequent pauses still detects silence.
 func (t *Tracker) Sweep(now time.Time, gap time.Duration) {
 	if gap > nextEventTimeout/2 {
 		t.restartTimers(now)
 	}
-	for _, r := range t.findSilent(now) {
-		t.onStalled(r)
+	for _, replica := range t.findSilent(now) {
+		t.onSuspected(replica)
 	}
 }
 
@@ -129,7 +133,7 @@
 			delete(t.reportedSuspects, id)
 		}
 	}
-	var stalled []*fleet.Replica
+	var silent []*fleet.Replica
 	for id, s := range t.replicas {
 		if s.inFlight == 0 && len(s.streams) == 0 && now.Sub(s.lastUsedAt) > forgetAfter {
 			delete(t.replicas, id)
@@ -137,17 +141,17 @@
 		}
 		if s.isSilent(t.lastEventOf(s), now) {
 			s.suspectedUntil = now.Add(suspicionPeriod)
-			stalled = append(stalled, s.replica)
-			s.cancelStreams(errStalled, func(w *StreamWatch) bool { return !w.isForwarding.Load() })
+			silent = append(silent, s.replica)
+			s.cancelStreams(errReplicaSilent, func(w *StreamWatch) bool { return !w.isForwarding.Load() })
 			continue
 		}
 		s.cancelStreams(errStreamSilent, func(w *StreamWatch) bool { return t.isStreamSilent(s, w, now) })
 	}
-	return stalled
+	return silent
 }
 
-// lastEventOf returns when a replica last sent an event to this daemon or a peer, as far as
-// known.
+// lastEventOf returns when a replica last sent an event to this daemon or, according to their
+// reports, to a peer.
 func (t *Tracker) lastEventOf(s *replicaLoad) time.Time {
 	last := s.lastEventAt
 	for _, remote := range t.remote {
@@ -160,10 +164,10 @@
 	return last
 }
 
-// isStreamSilent reports whether a stream has been silent for too long although others of its
-// replica receive events. A started stream gets an event with each pass. The first event may wait
-// in a queue: it is due once the work sent before it is done, as far as peers have reported that
-// work.
+// isStreamSilent reports whether a stream has been silent for too long, although other streams of
+// its replica receive events. A started stream gets an event with each pass of the engine. The
+// first event may be delayed by a queue. It is due when the requests that were sent earlier, here
+// or at peers, are predicted to be done.
 func (t *Tracker) isStreamSilent(s *replicaLoad, w *StreamWatch, now time.Time) bool {
 	if w.isForwarding.Load() {
 		return false
@@ -173,7 +177,7 @@
 		return now.Sub(w.lastEventAt) > nextEventTimeout+pass
 	}
 	if now.Sub(w.sentAt) <= peerReportDelay {
-		busy, prefill := t.totalWork(s.replica.ID, now)
+		busy, prefill := t.totalLoad(s.replica.ID, now)
 		if due := now.Add(w.costs.wait(float64(busy), prefill)); due.After(w.firstEventDue) {
 			w.firstEventDue = due
 		}
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -20,7 +20,7 @@
 const fullTimeout = 6 * time.Second
 
 // TestQueuedPromptIsNotLost: a request queued for 1.4 s behind other prompts must not be canceled
-// while the head's other streams, here at another daemon, receive events.
+// while other streams at its head receive events. Those streams belong to another daemon.
 func TestQueuedPromptIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 2, &simHead{id: "a"})
@@ -28,15 +28,15 @@
 		for range 30 {
 			p.call(1, "moving", 0, fullTimeout)
 			time.Sleep(100 * time.Millisecond)
-			if p.sends("moving") == 5 {
+			if p.timesReceived("moving") == 5 {
 				p.call(1, "before", 14_000, fullTimeout)
 				time.Sleep(time.Millisecond)
 				p.call(0, "queued", 1000, fullTimeout)
 			}
 		}
 		p.calls.Wait()
-		assert.Assert(t, p.served("queued"), "%+v", p.results["queued"])
-		assert.Equal(t, p.sends("queued"), 1)
+		assert.Assert(t, p.isServed("queued"), "%+v", p.results["queued"])
+		assert.Equal(t, p.timesReceived("queued"), 1)
 		assert.Assert(t, p.results["queued"].first > firstEventTimeout, "it waited only %s", p.results["queued"].first)
 	})
 }
@@ -54,7 +54,7 @@
 		began := time.Now()
 		p.call(1, "waits", 0, fullTimeout)
 		for i, r := range p.daemons {
-			for !r.opts.Tracker.passesOver("a@1", time.Now()) {
+			for !r.opts.Tracker.hasSuspected("a@1", time.Now()) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			assert.Assert(t, time.Since(began) <= nextEventTimeout+2*sweepInterval, "daemon %d after %s", i, time.Since(began))
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestDeadConnectionIsDetected: a stream that gets no events while its replica's other streams do
-// must resume elsewhere before its caller disconnects, without the replica being suspected.
+// TestDeadConnectionIsDetected: if only one of a replica's streams gets no events, it must resume
+// elsewhere before its caller disconnects. The replica must not be suspected.
 func TestDeadConnectionIsDetected(t *testing.T) {
 	for name, prompt := range map[string]int{"after events": 0, "before the first event": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -99,16 +99,16 @@
 	silent.Store(true)
 	p.addHead(&simHead{id: "b"})
 	for range 35 {
-		// Enough for both heads to get some.
+		// Several streams are started at once, so that both heads get some.
 		for range 3 {
 			p.call(0, "moving", 0, fullTimeout)
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
-	assert.Assert(t, !p.daemons[0].opts.Tracker.passesOver("a@1", time.Now()))
+	assert.Assert(t, !p.daemons[0].opts.Tracker.hasSuspected("a@1", time.Now()))
 	p.calls.Wait()
 	got := p.results["dead"]
-	assert.Assert(t, p.served("dead"), "%+v", got)
+	assert.Assert(t, p.isServed("dead"), "%+v", got)
 	assert.Assert(t, got.end < 2*time.Second, "%s", got.end)
 }
 
@@ -126,12 +126,12 @@
 			time.Sleep(gap)
 			tracker.Sweep(time.Now(), gap)
 		}
-		assert.ErrorIs(t, context.Cause(ctx), errStalled)
+		assert.ErrorIs(t, context.Cause(ctx), errReplicaSilent)
 	})
 }
 
-// TestPauseRestartsTimers: events that arrived while this process was paused have not been read
-// yet.
+// TestPauseRestartsTimers: a pause of this process must not make streams appear silent. Events that
+// arrived during the pause have not been read yet.
 func TestPauseRestartsTimers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := NewTracker("", func(*fleet.Replica) {})
@@ -151,11 +151,11 @@
 // TestSuspicionOfPeersNeedsSilence: a peer's suspicion is ignored while a replica sends events.
 func TestSuspicionOfPeersNeedsSilence(t *testing.T) {
 	tests := map[string]struct {
-		moved int64
-		want  bool
+		msSinceEvent int64
+		want         bool
 	}{
-		"moved a moment ago at another peer": {moved: 100},
-		"moved there long ago":               {moved: 600, want: true},
+		"moved a moment ago at another peer": {msSinceEvent: 100},
+		"moved there long ago":               {msSinceEvent: 600, want: true},
 		"nobody tells":                       {want: true},
 	}
 	for name, test := range tests {
@@ -163,15 +163,15 @@
 			now := time.Unix(1000, 0)
 			tracker := NewTracker("", func(*fleet.Replica) {})
 			tracker.Reserve(testReplica("a", ""), 0)
-			tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 1, Moved: test.moved}}}, now)
+			tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 1, Moved: test.msSinceEvent}}}, now)
 			tracker.Suspect("a", now)
-			assert.Equal(t, tracker.passesOver("a", now), test.want)
+			assert.Equal(t, tracker.hasSuspected("a", now), test.want)
 		})
 	}
 }
 
-// passesOver reports whether choices pass over a replica.
-func (t *Tracker) passesOver(replica string, now time.Time) bool {
+// hasSuspected reports whether a replica is suspected.
+func (t *Tracker) hasSuspected(replica string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.isSuspected(replica, now)
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -33,7 +33,7 @@
 	simCallerPatience = 2 * time.Second
 )
 
-// simHead simulates the head of a replica in virtual time: it admits requests by priority and
+// simHead simulates the head of a replica in virtual time. It admits requests by priority, and
 // reads prompts in pieces between the events of other streams.
 type simHead struct {
 	id   string
@@ -49,9 +49,9 @@
 
 	mu sync.Mutex
 	// conns holds the accepted connections.
-	conns    []net.Conn
-	hasEnded bool
-	runs     []*simRun
+	conns     []net.Conn
+	isStopped bool
+	runs      []*simRun
 	// received lists the requests in order of arrival.
 	received []string
 }
@@ -63,10 +63,11 @@
 	conn net.Conn
 	// rank is the request's priority, 0 being the most urgent.
 	rank int
-	// toRead is the time to read the rest of the prompt, nextEvent the number of the next event.
-	toRead    time.Duration
-	nextEvent int
-	hasBegun  bool
+	// readTimeLeft is the time to read the rest of the prompt, nextEvent the number of the next
+	// event.
+	readTimeLeft time.Duration
+	nextEvent    int
+	hasBegun     bool
 	// hasSlot reports whether the request has a slot.
 	hasSlot bool
 	// isCanceled reports whether the caller has disconnected.
@@ -81,21 +82,21 @@
 	}
 }
 
-// accept adds a connection, which breaks when the head ends.
+// accept adds a connection. It is closed when the head stops.
 func (h *simHead) accept(c net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conns = append(h.conns, c)
-	if h.hasEnded {
+	if h.isStopped {
 		_ = c.Close()
 	}
 }
 
-// end breaks all connections; nothing runs after it.
-func (h *simHead) end() {
+// stop closes all connections and discards all requests.
+func (h *simHead) stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hasEnded, h.runs = true, nil
+	h.isStopped, h.runs = true, nil
 	for _, c := range h.conns {
 		_ = c.Close()
 	}
@@ -115,7 +116,7 @@
 			return
 		}
 		run := &simRun{body: string(body), id: request.Header.Get(testNames.Attempt), conn: c, nextEvent: 1, done: make(chan struct{})}
-		run.toRead = time.Duration(promptTokens(request.Header.Get(testNames.Usage))) * simPromptTokenTime
+		run.readTimeLeft = time.Duration(promptTokens(request.Header.Get(testNames.Usage))) * simPromptTokenTime
 		if last, err := strconv.Atoi(request.Header.Get(testNames.LastEvent)); err == nil {
 			run.nextEvent = last + 1
 		}
@@ -171,7 +172,7 @@
 		wait(ctx, read)
 		h.mu.Lock()
 		h.runs = append(kept, h.runs...)
-		slices.SortStableFunc(h.runs, func(a, b *simRun) int { return cmp.Compare(a.order(), b.order()) })
+		slices.SortStableFunc(h.runs, func(a, b *simRun) int { return cmp.Compare(a.sortKey(), b.sortKey()) })
 		h.mu.Unlock()
 	}
 }
@@ -191,17 +192,18 @@
 			h.onRun(h, run.body)
 		}
 		run.hasSlot = true
-		piece := min(run.toRead, simMaxReadTime-read)
-		run.toRead, read = run.toRead-piece, read+piece
-		if run.toRead > 0 || h.isMuted != nil && h.isMuted(run.id) || run.sendEvent(h.id) {
+		piece := min(run.readTimeLeft, simMaxReadTime-read)
+		run.readTimeLeft, read = run.readTimeLeft-piece, read+piece
+		if run.readTimeLeft > 0 || h.isMuted != nil && h.isMuted(run.id) || run.sendEvent(h.id) {
 			kept = append(kept, run)
 		}
 	}
 	return kept, read
 }
 
-// order sorts running requests before waiting ones, and those by priority.
-func (run *simRun) order() int {
+// sortKey returns the key by which requests are sorted. Running requests come before waiting ones,
+// which are sorted by priority.
+func (run *simRun) sortKey() int {
 	if run.hasSlot {
 		return -1
 	}
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// crash crashes a head: its connections break, no new ones are accepted, and it is removed from
-// the inventory after three heartbeats. A new head replaces it.
+// crash simulates the crash of a head. Its connections are closed, no new ones are accepted, and it
+// is removed from the inventory after three heartbeats. A new head replaces it.
 func (p *simulation) crash(h *simHead) {
 	p.mu.Lock()
 	if p.heads[h.id] != h {
@@ -133,7 +133,7 @@
 	p.crashes++
 	next := &simHead{id: fmt.Sprintf("%s-%d", h.id, p.crashes), zone: h.zone, onRun: h.onRun}
 	p.mu.Unlock()
-	h.end()
+	h.stop()
 	p.work.Go(func() {
 		wait(p.ctx, 3*1200*time.Millisecond)
 		p.inventory.Apply([]fleet.Change{{ID: h.id}}, p.inventory.Position()+1, time.Now())
@@ -144,19 +144,19 @@
 	})
 }
 
-// reportLoads gives each daemon the loads of the others five times a second, with the delay of
-// relays in a large fleet.
+// reportLoads gives each daemon the loads of the others five times a second. They arrive after a
+// delay, as reports do in a large fleet.
 func (p *simulation) reportLoads() {
-	const every, late = 200 * time.Millisecond, 200 * time.Millisecond
+	const interval, delay = 200 * time.Millisecond, 200 * time.Millisecond
 	for p.ctx.Err() == nil {
-		wait(p.ctx, every)
+		wait(p.ctx, interval)
 		loads := make([]peers.Loads, len(p.daemons))
 		for i, r := range p.daemons {
 			loads[i] = r.opts.Tracker.Loads()
 		}
 		p.work.Go(func() {
-			wait(p.ctx, late)
-			p.deliverLoads(loads, late)
+			wait(p.ctx, delay)
+			p.deliverLoads(loads, delay)
 			p.shareQuarantine()
 		})
 	}
@@ -182,19 +182,20 @@
 type simWriter struct {
 	*httptest.ResponseRecorder
 	first time.Time
-	// giveUp ends the call if nothing arrives.
-	giveUp *time.Timer
+	// firstEventTimer cancels the call if no bytes arrive before callerPatience has passed.
+	firstEventTimer *time.Timer
 }
 
 func (w *simWriter) Write(b []byte) (int, error) {
 	if w.first.IsZero() {
 		w.first = time.Now()
-		w.giveUp.Stop()
+		w.firstEventTimer.Stop()
 	}
 	return w.ResponseRecorder.Write(b)
 }
 
-// call starts a stream request through a daemon, with a number of prompt tokens and a timeout.
+// call starts a stream request through a daemon. prompt is the number of prompt tokens, patience
+// the timeout.
 func (p *simulation) call(daemon int, id string, prompt int, patience time.Duration) {
 	p.calls.Go(func() { p.send(daemon, id, prompt, patience) })
 }
@@ -214,8 +215,8 @@
 	request.Header.Set(testNames.Model, "m")
 	request.Header.Set(testNames.Deadline, strconv.FormatInt(patience.Milliseconds(), 10))
 	request.Header.Set(testNames.Usage, strconv.Itoa(prompt)+",40")
-	w := &simWriter{ResponseRecorder: httptest.NewRecorder(), giveUp: time.AfterFunc(p.callerPatience, cancel)}
-	defer w.giveUp.Stop()
+	w := &simWriter{ResponseRecorder: httptest.NewRecorder(), firstEventTimer: time.AfterFunc(p.callerPatience, cancel)}
+	defer w.firstEventTimer.Stop()
 	got := simCall{answerSeen: answerSeen{isComplete: true}}
 	func() {
 		defer func() {
@@ -232,8 +233,8 @@
 	p.mu.Unlock()
 }
 
-// served reports whether a caller has received its whole stream.
-func (p *simulation) served(id string) bool {
+// isServed reports whether a caller has received its whole stream.
+func (p *simulation) isServed(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	got := p.results[id]
@@ -251,8 +252,8 @@
 	return count
 }
 
-// sends returns how often heads received a request.
-func (p *simulation) sends(id string) int {
+// timesReceived returns how often heads received a request.
+func (p *simulation) timesReceived(id string) int {
 	n := 0
 	for _, h := range p.heads {
 		h.mu.Lock()
--- a/relay/slowcaller_test.go
+++ b/relay/slowcaller_test.go
@@ -12,25 +12,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowWriter is the connection of a caller that reads each event slowly.
+// slowWriter is the response writer of a caller that takes delay to read each event.
 type slowWriter struct {
 	*httptest.ResponseRecorder
-	each time.Duration
+	delay time.Duration
 }
 
 func (w *slowWriter) Write(b []byte) (int, error) {
-	time.Sleep(w.each)
+	time.Sleep(w.delay)
 	return w.ResponseRecorder.Write(b)
 }
 
 // sendSlowly sends a stream request whose caller reads slowly.
-func (p *simulation) sendSlowly(daemon int, id string, each time.Duration) {
+func (p *simulation) sendSlowly(daemon int, id string, delay time.Duration) {
 	p.calls.Go(func() {
 		request := httptest.NewRequest(http.MethodPost, "/stream/", strings.NewReader("body")).WithContext(p.ctx)
 		request.Host = "h"
 		request.Header.Set(testNames.Attempt, id)
 		request.Header.Set(testNames.Model, "m")
-		w := &slowWriter{ResponseRecorder: httptest.NewRecorder(), each: each}
+		w := &slowWriter{ResponseRecorder: httptest.NewRecorder(), delay: delay}
 		got := simCall{answerSeen: answerSeen{isComplete: true}}
 		func() {
 			defer func() {
@@ -52,22 +52,22 @@
 func TestSlowCallerHarmsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newSimulation(t, 2, &simHead{id: "a"})
-		const each = nextEventTimeout + 2*sweepInterval
-		p.sendSlowly(0, "slow", each)
+		const delay = nextEventTimeout + 2*sweepInterval
+		p.sendSlowly(0, "slow", delay)
 		for n := range 10 {
 			time.Sleep(200 * time.Millisecond)
 			for _, r := range p.daemons {
-				assert.Assert(t, !r.opts.Tracker.passesOver("a@1", time.Now()), "suspected in step %d", n)
+				assert.Assert(t, !r.opts.Tracker.hasSuspected("a@1", time.Now()), "suspected in step %d", n)
 			}
 		}
 		p.calls.Wait()
-		assert.Equal(t, p.sends("slow"), 1)
-		assert.Assert(t, p.served("slow"), "%+v", p.results["slow"])
+		assert.Equal(t, p.timesReceived("slow"), 1)
+		assert.Assert(t, p.isServed("slow"), "%+v", p.results["slow"])
 	})
 }
 
-// TestSilenceBehindSlowCallers: a stalled replica must be detected by a stream whose caller
-// reads, despite slow callers of others.
+// TestSilenceBehindSlowCallers: a stalled replica must be detected if at least one of its streams
+// has a caller that reads without delay.
 func TestSilenceBehindSlowCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stopped := false
@@ -79,7 +79,7 @@
 		time.Sleep(100 * time.Millisecond)
 		stopped = true
 		began := time.Now()
-		for !p.daemons[0].opts.Tracker.passesOver("a@1", time.Now()) {
+		for !p.daemons[0].opts.Tracker.hasSuspected("a@1", time.Now()) {
 			time.Sleep(10 * time.Millisecond)
 			assert.Assert(t, time.Since(began) <= nextEventTimeout+2*sweepInterval, "not noticed after %s", time.Since(began))
 		}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -17,8 +17,8 @@
 	streamBufferBytes = 2 << 10
 	// maxEventBytes limits the size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// resumeTimeout is how long after its last event a started stream waits for a replica to
-	// resume at; callers disconnect soon after.
+	// resumeTimeout is how long after its last event a started stream may wait for a replica at
+	// which to resume. Callers are expected to disconnect soon after that.
 	resumeTimeout      = 1600 * time.Millisecond
 	resumePollInterval = 40 * time.Millisecond
 )
@@ -28,12 +28,12 @@
 // relayedStream is the state of a stream as its caller has received it.
 type relayedStream struct {
 	w http.ResponseWriter
-	// isHeadSent reports whether the caller has received the header, so that only the rest of
-	// this stream may follow.
+	// isHeadSent reports whether the header was sent to the caller. After that, only further events
+	// of this stream may follow.
 	isHeadSent bool
 	// lastEventID is the ID of the last complete event forwarded.
 	lastEventID string
-	// lastEventAt is when that event was forwarded; before the first one, when the request
+	// lastEventAt is when the last event was forwarded. Until the first one, it is when the request
 	// arrived.
 	lastEventAt time.Time
 	// isClientGone reports whether a write to the caller failed.
@@ -57,7 +57,7 @@
 		}
 		s.timing.isResuming = true
 		ran := r.recordFailure(c, replica, err)
-		if c.isDone() || s.isClientGone || !r.mayRetry(c, ran) {
+		if c.isDone() || s.isClientGone || !r.takeRetry(c, ran) {
 			return r.endStream(c, s, r.failureRefusal(c))
 		}
 		pause.For(c.ctx, r.resumeDelay(c, s, time.Now()))
@@ -81,8 +81,8 @@
 	}
 }
 
-// endStream ends a stream that can't continue: with a refusal if the caller has received nothing,
-// else by aborting the connection, so that the incomplete answer doesn't look complete.
+// endStream ends a stream that can't continue. It returns a refusal if the caller has received
+// nothing. Otherwise it aborts the connection, so that the incomplete answer doesn't look complete.
 func (r *Relay) endStream(c *request, s *relayedStream, f *refusal) *refusal {
 	f = c.correctStatus(f)
 	if !s.isHeadSent {
@@ -94,7 +94,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// tryStream relays from one replica until the stream is complete.
+// tryStream sends the request to one replica and relays the answer until the stream is complete.
 func (r *Relay) tryStream(c *request, s *relayedStream, replica *fleet.Replica) error {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
@@ -123,33 +123,34 @@
 			r.waitingStreams.remove(c)
 			s.timing.recordFirst(c, replica.ID, now)
 		}
-		reserved.PrefillDone()
+		reserved.MarkPromptRead()
 		r.opts.Tracker.RecordEvent(replica, watch, now)
 		watch.BeginForward()
 	}
 	onForwarded := func() { r.opts.Tracker.EndForward(watch, time.Now()) }
 	if err := s.copyEvents(e, onEvent, onForwarded); err != nil {
 		e.abort()
-		return withCause(ctx, replica.Head.ID, &sendError{sent: true, cause: err})
+		return withCause(ctx, replica.Head.ID, &sendError{mayHaveArrived: true, cause: err})
 	}
 	e.finish()
 	r.recordCompletion(c, e)
 	return nil
 }
 
-// streamFailure handles an answer that is not a stream. It is forwarded unless another attempt
-// may follow or the caller has received part of a stream.
+// streamFailure handles an answer that is not a signed stream. An error status is forwarded if the
+// caller has received nothing yet, but a server error (5xx) only at the last attempt. In all other
+// cases streamFailure returns an error.
 func (r *Relay) streamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
 	body, err := io.ReadAll(io.LimitReader(e.response.Body, maxEventBytes))
 	if err != nil {
 		e.abort()
-		return &sendError{sent: true, cause: err}
+		return &sendError{mayHaveArrived: true, cause: err}
 	}
 	e.finish()
 	r.recordCompletion(c, e)
 	got := &answer{status: e.response.StatusCode, header: forwardedHeaders(e.response.Header), body: body}
 	if s.isHeadSent || got.status < http.StatusBadRequest || got.status >= http.StatusInternalServerError && c.sends+1 < c.route.Attempts {
-		return &sendError{sent: true, cause: failure.New(failure.Remote, "read stream", replica.Head.ID, "status %d", got.status)}
+		return &sendError{mayHaveArrived: true, cause: failure.New(failure.Remote, "read stream", replica.Head.ID, "status %d", got.status)}
 	}
 	c.sends++
 	writeAnswer(s.w, got)
@@ -168,10 +169,10 @@
 		}
 		n, err := e.response.Body.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
-		whole, rest := splitEvents(buffer)
-		if len(whole) > 0 {
+		complete, rest := splitEvents(buffer)
+		if len(complete) > 0 {
 			onEvent(time.Now())
-			err := s.forward(e, whole)
+			err := s.forward(e, complete)
 			onForwarded()
 			if err != nil {
 				return err
@@ -190,7 +191,7 @@
 	}
 }
 
-// sendHead sends the header of the first worker's answer, once.
+// sendHead sends the answer's header to the caller, unless a header was sent before.
 func (s *relayedStream) sendHead(e *exchange) {
 	if s.isHeadSent {
 		return
@@ -204,16 +205,16 @@
 }
 
 // forward sends complete events to the caller.
-func (s *relayedStream) forward(e *exchange, whole []byte) error {
+func (s *relayedStream) forward(e *exchange, complete []byte) error {
 	s.sendHead(e)
-	if _, err := s.w.Write(whole); err != nil {
+	if _, err := s.w.Write(complete); err != nil {
 		s.isClientGone = true
 		return err
 	}
 	if f, ok := s.w.(http.Flusher); ok {
 		f.Flush()
 	}
-	if id := lastID(whole); id != "" {
+	if id := lastID(complete); id != "" {
 		s.lastEventID = id
 	}
 	s.lastEventAt = time.Now()
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -12,37 +12,41 @@
 const (
 	// failurePenaltyPeriod is how long a replica is charged a penalty after it failed a request.
 	failurePenaltyPeriod = time.Second
-	// remoteLoadTTL is how long a report of the load at other daemons is used.
+	// remoteLoadTTL is how long after their measurement the loads reported by other daemons are
+	// used.
 	remoteLoadTTL = time.Second
 	// minFailurePenalty is the minimum penalty added to the predicted wait.
 	minFailurePenalty = 100 * time.Millisecond
-	// minReportDelay is the minimum delay assumed for peers' loads.
+	// minReportDelay is the assumed minimum time until peers report the load of a new request.
 	minReportDelay = 50 * time.Millisecond
-	// inFlightPenalty is charged for each request in flight if the least busy replica is wanted;
-	// it exceeds any predicted wait.
+	// inFlightPenalty is added to a replica's cost for each request in flight there, if the replica
+	// with the fewest is preferred. It exceeds any predicted wait.
 	inFlightPenalty = 10 * time.Second
-	// noiseDivisor sets the minimum noise of choices: a pass divided by it.
+	// noiseDivisor determines the minimum noise of choices, which is the duration of a pass divided
+	// by noiseDivisor.
 	noiseDivisor = 5
 )
 
-// replicaLoad is what this daemon knows of a replica from its own requests.
+// replicaLoad holds this daemon's own requests in flight at a replica, and its recent events and
+// failures.
 type replicaLoad struct {
-	replica  *fleet.Replica
-	inFlight int
-	prefill  int
-	// promptTokens counts the prompt tokens of all requests in flight.
+	replica      *fleet.Replica
+	inFlight     int
+	unreadTokens int
+	// promptTokens counts the prompt tokens of the requests in flight, unreadTokens those of them
+	// that the replica has not read yet.
 	promptTokens   int
 	streams        map[*StreamWatch]struct{}
 	lastEventAt    time.Time
 	suspectedUntil time.Time
-	// unreachableUntil is until when the replica gets no requests after a failed connection.
+	// unreachableUntil is until when the replica counts as suspected after a failed connection.
 	unreachableUntil time.Time
 	failedAt         time.Time
 	lastUsedAt       time.Time
 }
 
-// Tracker counts the work in flight at each replica and detects replicas that fall silent. It is
-// safe for concurrent use.
+// Tracker counts the requests in flight at each replica and detects replicas that fall silent. It
+// is safe for concurrent use.
 type Tracker struct {
 	zone string
 
@@ -54,28 +58,29 @@
 	// reportedSuspects holds until when replicas that peers reported are suspected, for replicas
 	// that this daemon has not used.
 	reportedSuspects map[string]time.Time
-	// hasTraffic reports whether a request arrived here or at a peer.
+	// hasTraffic reports whether a request with a prompt has arrived at this daemon or a peer.
 	hasTraffic bool
-	// onStalled is called, without the lock, for each replica that fell silent.
-	onStalled func(r *fleet.Replica)
+	// onSuspected is called, without the lock, for each replica that fell silent or became
+	// unreachable.
+	onSuspected func(r *fleet.Replica)
 }
 
-// remoteLoads is the work of other daemons, as reported by a source.
+// remoteLoads holds the summed loads of one or more other daemons, as reported by one source.
 type remoteLoads struct {
 	// measuredAt is the average time at which the loads were measured, receivedAt when the report
-	// arrived.
+	// arrived. daemons is the number of daemons whose loads are summed.
 	measuredAt, receivedAt time.Time
 	daemons                int
 	loads                  map[string]peers.Load
 }
 
-// NewTracker returns a tracker for a daemon in a zone. It calls onStalled for each replica that
-// fell silent or became unreachable.
-func NewTracker(zone string, onStalled func(r *fleet.Replica)) *Tracker {
+// NewTracker returns a tracker for a daemon in a data hall. It calls onSuspected for each replica
+// that fell silent or became unreachable.
+func NewTracker(zone string, onSuspected func(r *fleet.Replica)) *Tracker {
 	return &Tracker{
 		zone: zone, replicas: make(map[string]*replicaLoad),
 		remote: make(map[string]remoteLoads), rates: newRates(), gapTargets: make(gapTargets),
-		reportedSuspects: make(map[string]time.Time), onStalled: onStalled,
+		reportedSuspects: make(map[string]time.Time), onSuspected: onSuspected,
 	}
 }
 
@@ -89,19 +94,19 @@
 	return s
 }
 
-// SetRemote sets the work of other daemons as reported by a source.
-func (t *Tracker) SetRemote(source string, work peers.Summary, receivedAt time.Time) {
-	byReplica := make(map[string]peers.Load, len(work.Loads))
-	for _, l := range work.Loads {
+// SetRemote replaces the loads of other daemons that a source reported before.
+func (t *Tracker) SetRemote(source string, summary peers.Summary, receivedAt time.Time) {
+	byReplica := make(map[string]peers.Load, len(summary.Loads))
+	for _, l := range summary.Loads {
 		byReplica[l.Replica] = l
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	measuredAt := receivedAt.Add(-time.Duration(work.Age) * time.Millisecond)
-	t.remote[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: work.Daemons, loads: byReplica}
+	measuredAt := receivedAt.Add(-time.Duration(summary.Age) * time.Millisecond)
+	t.remote[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: summary.Daemons, loads: byReplica}
 }
 
-// Traffic reports whether a request to a model has arrived yet, here or at a peer.
+// Traffic reports whether a request with a prompt has arrived yet, at this daemon or a peer.
 func (t *Tracker) Traffic() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +120,7 @@
 	t.hasTraffic = true
 }
 
-// Loads returns this daemon's own work in flight.
+// Loads returns this daemon's own load at each replica where it has requests in flight.
 func (t *Tracker) Loads() peers.Loads {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +128,7 @@
 	var all peers.Loads
 	for id, s := range t.replicas {
 		if s.inFlight > 0 {
-			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, Prefill: s.prefill, Moved: peers.MovedAgo(s.lastEventAt, now)})
+			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, Prefill: s.unreadTokens, Moved: peers.MovedAgo(s.lastEventAt, now)})
 		}
 	}
 	return all
@@ -142,8 +147,8 @@
 	return count
 }
 
-// Demand returns this daemon's own work by model: the number of busy slots, and the prompt tokens
-// of the requests in flight.
+// Demand returns this daemon's own load by model. busy is the number of requests in flight, prompts
+// the number of their prompt tokens.
 func (t *Tracker) Demand() (busy, prompts map[string]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,12 +165,13 @@
 // Choice is a replica chosen for a request.
 type Choice struct {
 	Replica *fleet.Replica
-	// Busy is the known work in flight at the replica over all daemons.
-	Busy float64
+	// InFlight is the number of requests in flight at the replica, over all daemons.
+	InFlight float64
 }
 
-// Choose returns the replica with the shortest predicted wait for a request with the given number
-// of prompt tokens, and false if there is none. Excluded replicas are skipped.
+// Choose returns the replica with the lowest cost for a request with the given number of prompt
+// tokens. The cost is the predicted wait, with penalties and random noise. Excluded replicas are
+// skipped. It returns false if no replica is left.
 func (t *Tracker) Choose(replicas []*fleet.Replica, excluded map[string]bool, c costs, prompt int, now time.Time) (Choice, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,23 +190,23 @@
 			cost += time.Duration(busy * float64(inFlightPenalty))
 		}
 		if !found || cost < bestCost {
-			best, bestCost, found = Choice{Replica: r, Busy: busy}, cost, true
+			best, bestCost, found = Choice{Replica: r, InFlight: busy}, cost, true
 		}
 	}
 	return best, found
 }
 
-// noise returns the uncertainty of predicted waits: the work that the fleet's requests add to one
-// replica before peers' reports show it. Choices are randomized by it, since otherwise all
-// daemons would choose the same replica.
+// noise returns the upper bound of the random time that is added to each predicted wait. It is the
+// wait that the fleet's requests are expected to add to a replica before peers report them. Without
+// noise, all daemons would choose the same replica. Each call counts a request.
 func (t *Tracker) noise(replicas []*fleet.Replica, c costs, prompt int, now time.Time) time.Duration {
 	if len(replicas) == 0 {
 		return 0
 	}
-	delay, count := time.Duration(0), 0
+	totalAge, count := time.Duration(0), 0
 	for _, remote := range t.remote {
 		if age := now.Sub(remote.measuredAt); age < remoteLoadTTL {
-			delay += age * time.Duration(remote.daemons)
+			totalAge += age * time.Duration(remote.daemons)
 			count += remote.daemons
 		}
 	}
@@ -208,16 +214,17 @@
 	t.rates.count(key, now)
 	rate := t.rates.perSecond(key, now) * float64(count)
 	if count > 0 {
-		delay /= time.Duration(count)
+		totalAge /= time.Duration(count)
 	}
-	arrivals := rate * (delay + minReportDelay).Seconds() / float64(len(replicas))
+	arrivals := rate * (totalAge + minReportDelay).Seconds() / float64(len(replicas))
 	perArrival := time.Duration(prompt)*c.perToken + c.perRequest + c.pass/noiseDivisor
 	return time.Duration(arrivals*float64(perArrival)) + c.pass/noiseDivisor
 }
 
-// cost returns the work in flight at a replica, and the predicted wait there.
+// cost returns the number of requests in flight at a replica, over all daemons, and the predicted
+// wait there with penalties.
 func (t *Tracker) cost(r *fleet.Replica, c costs, now time.Time) (busy float64, wait time.Duration) {
-	inFlight, prefill := t.totalWork(r.ID, now)
+	inFlight, prefill := t.totalLoad(r.ID, now)
 	busy = float64(inFlight)
 	wait = c.wait(busy, prefill)
 	if r.Head.Zone != t.zone {
@@ -229,11 +236,11 @@
 	return busy, wait
 }
 
-// totalWork returns the requests in flight at a replica over all daemons, and their unread prompt
-// tokens, as far as known.
-func (t *Tracker) totalWork(replica string, now time.Time) (inFlight, prefill int) {
+// totalLoad returns the number of requests in flight at a replica and the number of their unread
+// prompt tokens. Both are sums over this daemon and the recent reports of others.
+func (t *Tracker) totalLoad(replica string, now time.Time) (inFlight, prefill int) {
 	if s, ok := t.replicas[replica]; ok {
-		inFlight, prefill = s.inFlight, s.prefill
+		inFlight, prefill = s.inFlight, s.unreadTokens
 	}
 	for _, peer := range t.remote {
 		if now.Sub(peer.measuredAt) < remoteLoadTTL {
@@ -248,12 +255,13 @@
 // penalty returns the extra wait charged to a replica that failed a request recently.
 func (t *Tracker) penalty(s *replicaLoad, c costs, now time.Time) time.Duration {
 	if now.Sub(s.failedAt) < failurePenaltyPeriod {
-		return max(c.service/2, minFailurePenalty)
+		return max(c.slotTime/2, minFailurePenalty)
 	}
 	return 0
 }
 
-// suspectCheck returns a check for replicas that may have stopped, or nil if there are none.
+// suspectCheck returns a function that reports whether a replica is suspected to have stopped, or
+// nil if none is.
 func (t *Tracker) suspectCheck(now time.Time) func(r *fleet.Replica) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -16,14 +16,15 @@
 // testCosts are the costs of an engine with steps of 10 ms, five in a pass.
 var testCosts = costs{
 	slots: 20, perToken: 20 * time.Microsecond, pass: 50 * time.Millisecond,
-	perRequest: time.Millisecond, service: time.Second,
+	perRequest: time.Millisecond, slotTime: time.Second,
 }
 
 func testReplica(id, zone string) *fleet.Replica {
 	return &fleet.Replica{ID: id, Service: "s", Model: "m", Head: &fleet.Worker{ID: id, Zone: zone}}
 }
 
-// countChoices chooses many times, as a relay does, and counts the choices by replica.
+// countChoices makes a number of choices and counts them by replica. As in a Relay, suspected
+// replicas are used only if there are no others.
 func countChoices(t *Tracker, replicas []*fleet.Replica, now time.Time, draws int) map[string]int {
 	counts := make(map[string]int)
 	rules := eligibility.Rules{IsSuspected: t.suspectCheck(now)}
@@ -57,10 +58,8 @@
 func TestNearReplicasAreChosenFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	replicas := []*fleet.Replica{testReplica("a", "far"), testReplica("b", "near")}
-	// Without a distance cost half of the draws are expected, with a standard deviation of 16 in
-	// a thousand. A cost of 4 ms against the noise of 10 ms of the first draw makes it more than
-	// 600; further draws increase the rate and with it the noise, so only ten are drawn at a
-	// time.
+	// Without the cost of another data hall, each replica would get about 500. Each tracker makes
+	// only ten choices, since further ones would raise the request rate and with it the noise.
 	near := 0
 	for range 100 {
 		tracker := NewTracker("near", func(*fleet.Replica) {})
@@ -69,17 +68,18 @@
 	assert.Assert(t, near > 600, "%d of 1000", near)
 }
 
-// TestOnceRequestsGetFreshConnections: a worker may just have closed a connection that was idle
-// for a while, on which a request that must run at most once would be lost.
-func TestOnceRequestsGetFreshConnections(t *testing.T) {
+// TestAtMostOnceRequestsGetFreshConnections: requests that must run at most once must not use
+// connections that were idle for a while. The worker may just have closed such a connection, and
+// the request would be lost.
+func TestAtMostOnceRequestsGetFreshConnections(t *testing.T) {
 	tests := map[string]struct {
-		idle    time.Duration
-		idleFor time.Duration
-		reused  bool
+		idle     time.Duration
+		maxIdle  time.Duration
+		isReused bool
 	}{
-		"just used, once":          {idle: -time.Minute, idleFor: maxIdleRunOnce, reused: true},
-		"idle for a while, once":   {idle: 2 * maxIdleRunOnce, idleFor: maxIdleRunOnce},
-		"idle for a while, may be": {idle: 2 * maxIdleRunOnce, idleFor: maxKeepAlive, reused: true},
+		"just used, once":          {idle: -time.Minute, maxIdle: maxIdleAtMostOnce, isReused: true},
+		"idle for a while, once":   {idle: 2 * maxIdleAtMostOnce, maxIdle: maxIdleAtMostOnce},
+		"idle for a while, may be": {idle: 2 * maxIdleAtMostOnce, maxIdle: maxKeepAlive, isReused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -90,37 +90,38 @@
 			c := &connection{Conn: raw, worker: "w", reader: bufio.NewReader(raw)}
 			u.put(c, maxKeepAlive)
 			c.idleSince = time.Now().Add(-test.idle)
-			assert.Equal(t, u.reuse(&fleet.Worker{ID: "w"}, test.idleFor) == c, test.reused)
+			assert.Equal(t, u.reuse(&fleet.Worker{ID: "w"}, test.maxIdle) == c, test.isReused)
 		})
 	}
 	// Only requests that must run at most once use the shorter time.
-	assert.Equal(t, maxIdleFor(true), maxIdleRunOnce)
+	assert.Equal(t, maxIdleFor(true), maxIdleAtMostOnce)
 	assert.Equal(t, maxIdleFor(false), maxKeepAlive)
 }
 
-// TestNearlyFullReplicasAreAvoided: if one slot is left, two daemons may take it at the same
-// time, and one request would be refused.
+// TestNearlyFullReplicasAreAvoided: a replica with one slot left must not be chosen if another has
+// more. Two daemons may take the slot at the same time, and one request would be refused.
 func TestNearlyFullReplicasAreAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	// The wait for the first event is 21 ms shorter at a.
+	// Apart from the lack of slots, the predicted wait is shorter at a.
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, Prefill: 1500}}}, now)
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
 	counts := countChoices(tracker, replicas, now, 10)
 	assert.Equal(t, counts["b"], 10, "%v", counts)
 }
 
-// TestWorkIsMeasured: the leader sizes models by the work in flight and the pauses between events
-// that callers accept.
-func TestWorkIsMeasured(t *testing.T) {
+// TestDemandAndGapTargets checks the demand and the gap targets by model. The leader uses both to
+// decide how many replicas each model gets.
+func TestDemandAndGapTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	first := tracker.Reserve(testReplica("a", "z"), 1500)
 	tracker.Reserve(testReplica("b", "z"), 500)
-	first.PrefillDone()
+	first.MarkPromptRead()
 	busy, prompts := tracker.Demand()
 	assert.DeepEqual(t, busy, map[string]float64{"m": 2})
-	// Prompts that were read here would have to be read again elsewhere.
+	// Prompts that were already read count too, since another replica would have to read them
+	// again.
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 2000})
 	first.Release()
 	_, prompts = tracker.Demand()
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxForeignAnswers is how many answers are read to find the one for this request; others are
-	// skipped.
-	maxForeignAnswers = 2
+	// maxAnswersRead limits the answers that are read for one request. Interim (1xx) answers and
+	// answers to other requests are skipped.
+	maxAnswersRead = 2
 	// maxForeignBodyBytes limits the body of a skipped answer.
 	maxForeignBodyBytes = 1 << 20
 	// maxDiscardBytes limits what is read to free a connection after an answer.
@@ -25,34 +25,37 @@
 )
 
 var (
-	errStalled       = errors.New("the replica fell silent")
-	errStreamSilent  = fmt.Errorf("on this stream only: %w", errStalled)
+	errReplicaSilent = errors.New("the replica fell silent")
+	errStreamSilent  = fmt.Errorf("on this stream only: %w", errReplicaSilent)
 	errForeignAnswer = errors.New("the answer belongs to another request")
 )
 
-// sendError is a failed exchange; sent reports whether the request may have reached its worker.
+// sendError is the error of a failed exchange. mayHaveArrived reports whether the worker may have
+// received the request.
 type sendError struct {
-	sent  bool
-	cause error
+	mayHaveArrived bool
+	cause          error
 }
 
 func (e *sendError) Error() string { return e.cause.Error() }
 
 func (e *sendError) Unwrap() error { return e.cause }
 
-// wasSent reports whether a failed request may have reached its worker.
-func wasSent(err error) bool {
+// mayHaveArrived reports whether the worker may have received a request that failed with err. Only
+// a sendError can rule that out.
+func mayHaveArrived(err error) bool {
 	var s *sendError
-	return !errors.As(err, &s) || s.sent
+	return !errors.As(err, &s) || s.mayHaveArrived
 }
 
-// exchange is a request in flight whose answer has started.
+// exchange is a request to a worker whose answer's header has arrived.
 type exchange struct {
 	ctx      context.Context
 	conn     *connection
 	upstream *upstream
 	response *http.Response
-	// stopCloseOnCancel cancels the closing of the connection when ctx ends.
+	// stopCloseOnCancel prevents the connection from being closed when ctx ends. It returns false
+	// if ctx has already ended.
 	stopCloseOnCancel func() bool
 	// resent reports whether the worker may have received the request before, over a
 	// connection that broke.
@@ -60,24 +63,24 @@
 }
 
 // send sends a request and returns once the header of its answer has arrived. The connection is
-// closed as soon as ctx ends. If the worker had dropped a kept connection, the request is sent
-// again over a new one, unless it may have arrived and must not run twice or has a token for one
-// send only.
+// closed as soon as ctx ends. If the worker resets a kept connection instead of answering, the
+// request is sent again over a new one. A request that may have arrived is not sent again if it
+// must run at most once or if its token allows only one send.
 func (u *upstream) send(ctx context.Context, w *fleet.Worker, m *message) (*exchange, error) {
-	c, err := u.get(ctx, w, maxIdleFor(m.runOnce))
+	c, err := u.get(ctx, w, maxIdleFor(m.atMostOnce))
 	if err != nil {
 		return nil, err
 	}
 	e, err := u.exchange(ctx, c, m)
-	sent := wasSent(err)
-	if err == nil || c.idleBefore == 0 || ctx.Err() != nil || !isReset(err) || sent && (m.runOnce || m.hasToken()) {
+	sent := mayHaveArrived(err)
+	if err == nil || c.idleBefore == 0 || ctx.Err() != nil || !isReset(err) || sent && (m.atMostOnce || m.hasToken()) {
 		return e, withCause(ctx, w.ID, err)
 	}
 	if c, err = u.open(ctx, w); err == nil {
 		e, err = u.exchange(ctx, c, m)
 	}
 	if err != nil {
-		return nil, withCause(ctx, w.ID, &sendError{sent: sent || wasSent(err), cause: err})
+		return nil, withCause(ctx, w.ID, &sendError{mayHaveArrived: sent || mayHaveArrived(err), cause: err})
 	}
 	e.resent = sent
 	return e, nil
@@ -96,32 +99,34 @@
 	return &exchange{ctx: ctx, conn: c, upstream: u, response: response, stopCloseOnCancel: release}, nil
 }
 
-// recordUnanswered records that a request got no answer. A failure on a new connection affects
-// others only if the worker fell silent; a disconnected caller means nothing.
+// recordUnanswered handles a request that got no answer. It closes the worker's idle connections if
+// the worker fell silent or the request used a kept connection. It does nothing if the caller has
+// disconnected.
 func (u *upstream) recordUnanswered(ctx context.Context, c *connection, err error) {
 	kept := c.idleBefore > 0
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.Canceled):
-	case errors.Is(cause, errStalled):
-		u.closeWorker(c.worker)
+	case errors.Is(cause, errReplicaSilent):
+		u.closeWorkerConnections(c.worker)
 	case kept:
-		u.closeWorker(c.worker)
+		u.closeWorkerConnections(c.worker)
 		if cause == nil && isReset(err) {
 			u.recordReset(c, time.Now())
 		}
 	}
 }
 
-// withCause replaces an error caused by the end of the context with the context's cause.
+// withCause wraps err as a sendError for the worker. If ctx has ended, its cause is wrapped instead
+// of err. A nil err stays nil.
 func withCause(ctx context.Context, worker string, err error) error {
 	if err == nil {
 		return nil
 	}
-	sent := wasSent(err)
+	sent := mayHaveArrived(err)
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
-	return &sendError{sent: sent, cause: failure.At(failure.Remote, "exchange with worker", worker, err)}
+	return &sendError{mayHaveArrived: sent, cause: failure.At(failure.Remote, "exchange with worker", worker, err)}
 }
 
 // roundTrip writes the request and reads the header of its answer. Late answers to earlier
@@ -132,12 +137,12 @@
 	}
 	n, err := c.Write(m.encoded)
 	if err != nil {
-		return nil, &sendError{sent: n > 0, cause: err}
+		return nil, &sendError{mayHaveArrived: n > 0, cause: err}
 	}
-	for range maxForeignAnswers {
+	for range maxAnswersRead {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: m.method})
 		if err != nil {
-			return nil, &sendError{sent: true, cause: err}
+			return nil, &sendError{mayHaveArrived: true, cause: err}
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -146,32 +151,34 @@
 			return response, nil
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBodyBytes)); err != nil {
-			return nil, &sendError{sent: true, cause: err}
+			return nil, &sendError{mayHaveArrived: true, cause: err}
 		}
 	}
-	return nil, &sendError{sent: true, cause: errForeignAnswer}
+	return nil, &sendError{mayHaveArrived: true, cause: errForeignAnswer}
 }
 
-// finish ends an exchange whose answer was read completely, and keeps the connection if the
-// worker does.
+// finish ends an exchange whose answer was read completely. It keeps the connection if the worker
+// allows that, and closes it otherwise.
 func (e *exchange) finish() {
-	if !e.stopCloseOnCancel() || e.response.Close || e.response.ContentLength < 0 && !chunked(e.response) {
+	if !e.stopCloseOnCancel() || e.response.Close || e.response.ContentLength < 0 && !isChunked(e.response) {
 		_ = e.conn.Close()
 		return
 	}
 	e.upstream.put(e.conn, keepAliveFor(e.response.Header.Get("Keep-Alive")))
 }
 
-// abort ends an exchange early, which tells the worker to stop.
+// abort ends an exchange early by closing its connection, so that the worker can stop. If the
+// replica fell silent, the idle connections to the worker are closed as well.
 func (e *exchange) abort() {
 	e.stopCloseOnCancel()
 	_ = e.conn.Close()
-	if errors.Is(context.Cause(e.ctx), errStalled) {
-		e.upstream.closeWorker(e.conn.worker)
+	if errors.Is(context.Cause(e.ctx), errReplicaSilent) {
+		e.upstream.closeWorkerConnections(e.conn.worker)
 	}
 }
 
-// discard reads the rest of a short answer, so that its connection can be kept.
+// discard reads the rest of a short answer, so that its connection can be kept. It aborts the
+// exchange if the answer is long.
 func (e *exchange) discard() {
 	n, err := io.Copy(io.Discard, io.LimitReader(e.response.Body, maxDiscardBytes))
 	if err != nil || n >= maxDiscardBytes {
@@ -181,7 +188,7 @@
 	e.finish()
 }
 
-func chunked(r *http.Response) bool {
+func isChunked(r *http.Response) bool {
 	return len(r.TransferEncoding) > 0 && r.TransferEncoding[0] == "chunked"
 }
 
@@ -189,13 +196,13 @@
 type message struct {
 	method  string
 	encoded []byte
-	// attempt is the request's ID, attemptName its header.
+	// attempt is the request's ID, attemptName the name of the header that carries it.
 	attempt     string
 	attemptName string
-	// sendBy is until when the message may be sent; zero for any time.
+	// sendBy is the time by which the message must be sent; zero for any time.
 	sendBy time.Time
-	// runOnce reports whether the request must not be repeated.
-	runOnce bool
+	// atMostOnce reports whether the request must not be repeated.
+	atMostOnce bool
 }
 
 // encode writes a request's header and body into one buffer.
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -42,7 +42,8 @@
 	garbles behaviour = "garbles"
 	// stalls sends two events and then nothing.
 	stalls behaviour = "stalls"
-	// ends runs the request, and the worker's process ends.
+	// ends runs the request, then closes the connection and stops listening, like a process that
+	// crashed.
 	ends behaviour = "ends"
 )
 
@@ -59,7 +60,7 @@
 type fakeWorker struct {
 	id       string
 	listener net.Listener
-	// script holds the behaviours for the next requests; after them the worker answers.
+	// script holds the behaviours for the next requests. Requests after those are answered.
 	mu     sync.Mutex
 	script []behaviour
 	// runsByRequest counts the runs by request, received holds the headers of all requests.
@@ -216,16 +217,16 @@
 func chunk(c net.Conn, data string) { write(c, fmt.Sprintf("%x\r\n%s\r\n", len(data), data)) }
 
 func write(c net.Conn, data string) {
-	// The error is ignored: a closed connection is detected by the next read.
+	// The error is ignored, because the next read detects a closed connection.
 	_, _ = io.WriteString(c, data)
 }
 
 // testRelay is a relay for fake workers.
 type testRelay struct {
 	*Relay
-	inventory *fleet.Inventory
-	confirmed time.Time
-	leaving   bool
+	inventory   *fleet.Inventory
+	confirmedAt time.Time
+	isLeaving   bool
 }
 
 func (w *fakeWorker) entry() *fleet.Worker {
