--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -70,7 +70,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				c := testCosts
-				c.connected = kept()
+				c.connectedWorkers = kept()
 				tracker.Choose(all, nil, c, 1000, now)
 			}
 		})
--- a/relay/bound.go
+++ b/relay/bound.go
@@ -94,7 +94,7 @@
 func (r *Relay) boundRetryAfter(c *request, now time.Time) time.Duration {
 	retryAfter := retryClosed
 	for _, replica := range r.opts.View().Replicas(c.service, c.model) {
-		if !c.tried[replica.ID] {
+		if !c.triedReplicas[replica.ID] {
 			retryAfter = min(retryAfter, r.availableAt(replica, now).Sub(now))
 		}
 	}
--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -217,7 +217,7 @@
 		WarmUp: Bound{Check: tokens.Check, Take: tokens.Take, Next: tokens.Next},
 		Limits: Bound{Scarce: limits.Naming, Check: limits.Check, Take: limits.Take, Next: limits.Next},
 	})
-	return r, &request{service: "models", model: "m", engine: service.Engine, route: &fleet.Route{}, tried: make(map[string]bool)}
+	return r, &request{service: "models", model: "m", engine: service.Engine, route: &fleet.Route{}, triedReplicas: make(map[string]bool)}
 }
 
 // BenchmarkChoice measures the choice among 400 replicas of which some are warming up or have
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -21,8 +21,8 @@
 	roundingMargin = 4
 )
 
-// BudgetOptions limits the retries of a service over the whole fleet: in any window at most Ratio
-// times its requests, plus Extra.
+// BudgetOptions limits the retries of a service over the whole fleet. Any window may have at most
+// Ratio times as many retries as requests, plus Extra.
 type BudgetOptions struct {
 	Ratio  float64
 	Window time.Duration
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -44,8 +44,8 @@
 	asked, allowed    int
 }
 
-// run spreads the requests over the daemons for a minute.
-func (l budgetLoad) run() budgetCounts {
+// simulate spreads the requests over the daemons for a minute.
+func (l budgetLoad) simulate() budgetCounts {
 	all, random := fleetBudgets(l.daemons, l.extra), rand.New(rand.NewPCG(3, 3))
 	var counts budgetCounts
 	for step := range counts.requests {
@@ -82,7 +82,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			counts := test.run()
+			counts := test.simulate()
 			assert.Assert(t, float64(counts.allowed) >= test.minAllowedShare*float64(counts.asked), "%d of %d allowed", counts.allowed, counts.asked)
 			for first := range budgetSteps - budgetWindow {
 				requests, retries := 0, 0
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	c.sends++
-	c.tried[replica.ID] = true
+	c.triedReplicas[replica.ID] = true
 	if left := r.selectReplicas(c, time.Now()); left.IsEmpty() {
 		return false
 	}
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -52,11 +52,11 @@
 	ends     choiceEnds
 }
 
-// choiceDaemon is a simulated daemon. idle holds, by replica, the times since which its kept
+// choiceDaemon is a simulated daemon. idleSince holds, by replica, the times since which its kept
 // connections have been idle.
 type choiceDaemon struct {
-	tracker *Tracker
-	idle    map[string][]time.Time
+	tracker   *Tracker
+	idleSince map[string][]time.Time
 }
 
 // choiceEnd is a request in flight and the time at which it ends.
@@ -92,13 +92,13 @@
 	const start, counted = 6 * time.Second, 10 * time.Second
 	p := &choiceSimulation{
 		load: load, rand: rand.New(rand.NewPCG(7, 11)), inFlight: make(map[string]int), readAt: make(map[string]time.Time),
-		costs: costs{slots: 20, perToken: 13 * time.Microsecond, pass: 28 * time.Millisecond, perRequest: 340 * time.Microsecond, slotTime: time.Second},
+		costs: costs{slots: 20, perToken: 13 * time.Microsecond, passTime: 28 * time.Millisecond, perRequest: 340 * time.Microsecond, slotTime: time.Second},
 	}
 	for i := range load.replicas {
 		p.replicas = append(p.replicas, testReplica(fmt.Sprintf("r%d", i), "z"))
 	}
 	for range load.daemons {
-		p.daemons = append(p.daemons, &choiceDaemon{tracker: NewTracker("z", func(*fleet.Replica) {}), idle: make(map[string][]time.Time)})
+		p.daemons = append(p.daemons, &choiceDaemon{tracker: NewTracker("z", func(*fleet.Replica) {}), idleSince: make(map[string][]time.Time)})
 	}
 	began := time.Unix(1000, 0)
 	now, reported := began, began
@@ -108,10 +108,10 @@
 		now = now.Add(time.Duration(p.rand.ExpFloat64() / load.perSecond * float64(time.Second)))
 		p.endRequests(now)
 		if now.Sub(reported) > choiceReportInterval {
-			p.report(now)
+			p.reportLoads(now)
 			reported = now
 		}
-		wait, isNew, isFull := p.request(now)
+		wait, isNew, isFull := p.simulateRequest(now)
 		if now.Sub(began) < start {
 			continue
 		}
@@ -137,12 +137,12 @@
 		e := heap.Pop(&p.ends).(choiceEnd)
 		e.reservation.Release()
 		p.inFlight[e.replica]--
-		e.daemon.idle[e.replica] = append(e.daemon.idle[e.replica], e.at)
+		e.daemon.idleSince[e.replica] = append(e.daemon.idleSince[e.replica], e.at)
 	}
 }
 
-// report gives each daemon the loads of the others.
-func (p *choiceSimulation) report(now time.Time) {
+// reportLoads gives each daemon the loads of the others.
+func (p *choiceSimulation) reportLoads(now time.Time) {
 	for _, d := range p.daemons {
 		own := make(map[string]int)
 		for _, l := range d.tracker.Loads() {
@@ -156,12 +156,12 @@
 	}
 }
 
-// request simulates one request at a random daemon.
-func (p *choiceSimulation) request(now time.Time) (wait time.Duration, opened, full bool) {
+// simulateRequest simulates one request at a random daemon.
+func (p *choiceSimulation) simulateRequest(now time.Time) (wait time.Duration, opened, full bool) {
 	d := p.daemons[p.rand.IntN(len(p.daemons))]
 	c := p.costs
 	if !p.load.ignoreConnections {
-		c.connected = d.connectedWorkers(now, p.load.keepAlive)
+		c.connectedWorkers = d.connectedWorkers(now, p.load.keepAlive)
 	}
 	choice, ok := d.tracker.Choose(p.replicas, nil, c, choicePromptTokens, now)
 	if !ok {
@@ -173,7 +173,7 @@
 	reservation.MarkPromptRead()
 	full = float64(p.inFlight[id]) >= c.slots
 	p.inFlight[id]++
-	pass := c.pass + time.Duration(p.inFlight[id])*c.perRequest
+	pass := c.passTime + time.Duration(p.inFlight[id])*c.perRequest
 	began := now
 	if p.readAt[id].After(now) {
 		began = p.readAt[id]
@@ -186,7 +186,7 @@
 
 func (d *choiceDaemon) connectedWorkers(now time.Time, idle time.Duration) map[string]bool {
 	all := make(map[string]bool)
-	for id, since := range d.idle {
+	for id, since := range d.idleSince {
 		if len(since) > 0 && now.Sub(since[len(since)-1]) < idle {
 			all[id] = true
 		}
@@ -196,12 +196,12 @@
 
 // takeConnection takes the most recently used connection, and reports whether it is usable.
 func (d *choiceDaemon) takeConnection(id string, now time.Time, idle time.Duration) bool {
-	since := d.idle[id]
+	since := d.idleSince[id]
 	if len(since) == 0 {
 		return false
 	}
 	last := since[len(since)-1]
-	d.idle[id] = since[:len(since)-1]
+	d.idleSince[id] = since[:len(since)-1]
 	return now.Sub(last) < idle
 }
 
@@ -253,7 +253,7 @@
 		"not kept, with a queue": {"other", 25, connectionCost + noise},
 	}
 	c := testCosts
-	c.connected = map[string]bool{"kept": true}
+	c.connectedWorkers = map[string]bool{"kept": true}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, c.openingCost(test.worker, test.busy, noise), test.want)
@@ -268,7 +268,7 @@
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "kept", InFlight: 10, Prefill: 3000}}}, now)
 	c := testCosts
-	c.connected = map[string]bool{"kept": true}
+	c.connectedWorkers = map[string]bool{"kept": true}
 	for range 10 {
 		choice, ok := tracker.Choose([]*fleet.Replica{testReplica("kept", "z"), testReplica("free", "z")}, nil, c, 100, now)
 		assert.Assert(t, ok)
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// get returns a connection to a worker: one that has been idle for less than maxIdle, or a new
-// one.
+// get returns an idle connection to a worker if one has been idle for less than maxIdle, and a new
+// one otherwise.
 func (u *upstream) get(ctx context.Context, w *fleet.Worker, maxIdle time.Duration) (*connection, error) {
 	if c := u.reuse(w, maxIdle); c != nil {
 		u.onConnection(w.Service, true)
@@ -115,8 +115,8 @@
 // isUsable reports whether a connection has been idle for less than maxIdle and is not expected to
 // have been closed by its worker.
 func (u *upstream) isUsable(c *connection, maxIdle time.Duration, now time.Time) bool {
-	idled := now.Sub(c.idleSince)
-	return idled < maxIdle && now.Before(c.closeAt) && !u.dropsEarly(c.service, idled, now)
+	idleTime := now.Sub(c.idleSince)
+	return idleTime < maxIdle && now.Before(c.closeAt) && !u.dropsEarly(c.service, idleTime, now)
 }
 
 // connectedWorkers returns the workers with a connection that has been idle for less than
--- a/relay/cost.go
+++ b/relay/cost.go
@@ -26,19 +26,20 @@
 	slots float64
 	// perToken is the time to read a prompt token.
 	perToken time.Duration
-	// pass is the duration of one pass of the engine over its batch if the batch is empty,
+	// passTime is the duration of one pass of the engine over its batch if the batch is empty,
 	// perRequest the time that each request in the batch adds.
-	pass       time.Duration
+	passTime   time.Duration
 	perRequest time.Duration
 	// slotTime is how long a request holds its slot.
 	slotTime time.Duration
-	// connected holds the IDs of the workers to which a connection is kept.
-	connected map[string]bool
-	// preferIdle selects the replica with the least work in flight, so that a crash caused by the
-	// request breaks the fewest others.
+	// connectedWorkers holds the IDs of the workers to which a connection is kept.
+	connectedWorkers map[string]bool
+	// preferIdle makes choices prefer the replica with the fewest requests in flight, so that a
+	// crash caused by the request breaks the fewest others.
 	preferIdle bool
 	// tightlyLimited reports whether a replica accepts only few requests. Neither the cost of a
-	// connection nor random noise is added for such a replica. Nil if no replica is.
+	// connection nor random noise is added for such a replica. Nil if no replica is limited like
+	// that.
 	tightlyLimited func(r *fleet.Replica) bool
 }
 
@@ -51,26 +52,26 @@
 // engine.
 func costsOf(e *fleet.Engine, model string, slots int) costs {
 	if e == nil {
-		return costs{slots: float64(max(slots, 1)), pass: defaultServiceTime, slotTime: defaultServiceTime}
+		return costs{slots: float64(max(slots, 1)), passTime: defaultServiceTime, slotTime: defaultServiceTime}
 	}
 	c := costs{slots: float64(max(e.Slots, 1)), perToken: e.PerToken(model)}
-	c.pass, c.perRequest = e.Pass(model)
+	c.passTime, c.perRequest = e.Pass(model)
 	tokens := e.UsualAnswer
 	if tokens <= 0 {
 		tokens = defaultAnswerTokens
 	}
-	pass := float64(c.pass) + c.slots*float64(c.perRequest)
+	pass := float64(c.passTime) + c.slots*float64(c.perRequest)
 	c.slotTime = time.Duration(float64(tokens) * pass / float64(max(e.Stride, 1)))
 	return c
 }
 
-// wait returns the predicted wait at a replica with the given requests in flight and unread
+// predictedWait returns the predicted wait at a replica with the given requests in flight and unread
 // prompt tokens.
-func (c costs) wait(busy float64, prefill int) time.Duration {
-	w := time.Duration(prefill)*c.perToken + time.Duration(busy*float64(c.perRequest))
-	filled := busy / c.slots
-	w += time.Duration(crowdingFactor * filled * filled * filled * float64(c.pass))
-	if queued := busy - c.slots + 1; queued > 0 {
+func (c costs) predictedWait(inFlight float64, unreadTokens int) time.Duration {
+	w := time.Duration(unreadTokens)*c.perToken + time.Duration(inFlight*float64(c.perRequest))
+	occupiedShare := inFlight / c.slots
+	w += time.Duration(crowdingFactor * occupiedShare * occupiedShare * occupiedShare * float64(c.passTime))
+	if queued := inFlight - c.slots + 1; queued > 0 {
 		w += time.Duration(queued / c.slots * float64(c.slotTime))
 	}
 	return w
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -12,7 +12,7 @@
 func (r *Relay) selectReplicas(c *request, now time.Time) eligibility.Selection {
 	view := r.opts.View()
 	rules := r.rules(now)
-	request := eligibility.Request{RouteRegions: c.route.Regions, Tried: c.tried}
+	request := eligibility.Request{RouteRegions: c.route.Regions, Tried: c.triedReplicas}
 	if c.tenant != nil {
 		request.AccountRegions = c.tenant.Regions
 	}
--- a/relay/events.go
+++ b/relay/events.go
@@ -9,7 +9,7 @@
 var idField = []byte("id:")
 
 // splitEvents splits data after its last complete event.
-func splitEvents(data []byte) (complete, rest []byte) {
+func splitEvents(data []byte) (events, rest []byte) {
 	i := bytes.LastIndex(data, eventEnd)
 	if i < 0 {
 		return nil, data
@@ -18,10 +18,10 @@
 }
 
 // lastID returns the ID of the last event that has one, or an empty string.
-func lastID(complete []byte) string {
-	for end := len(complete); end > 0; {
-		start := bytes.LastIndexByte(complete[:end-1], '\n') + 1
-		if value, ok := bytes.CutPrefix(complete[start:end], idField); ok {
+func lastID(events []byte) string {
+	for end := len(events); end > 0; {
+		start := bytes.LastIndexByte(events[:end-1], '\n') + 1
+		if value, ok := bytes.CutPrefix(events[start:end], idField); ok {
 			return string(bytes.TrimSpace(value))
 		}
 		end = start
--- a/relay/failover.go
+++ b/relay/failover.go
@@ -40,10 +40,10 @@
 // It reports whether the replica was not marked before; in that case peers are notified. A refused
 // connection always counts. A timeout may be due to a lost packet, and counts only if no stream has
 // recently received an event from the replica. Streams in flight may still complete.
-func (t *Tracker) MarkUnreachable(r *fleet.Replica, refused bool, now time.Time) bool {
+func (t *Tracker) MarkUnreachable(r *fleet.Replica, isRefused bool, now time.Time) bool {
 	t.mu.Lock()
 	s := t.loadOf(r)
-	isUnreachable := refused || now.Sub(t.lastEventOf(s)) > nextEventTimeout
+	isUnreachable := isRefused || now.Sub(t.lastEventOf(s)) > nextEventTimeout
 	isNew := isUnreachable && now.After(s.unreachableUntil)
 	if isUnreachable {
 		s.unreachableUntil = now.Add(suspicionPeriod)
@@ -59,8 +59,8 @@
 // that are unlikely to fail for the same reason. Shortly after the daemon's start it chooses
 // between two random replicas.
 func (r *Relay) chooseFrom(c *request, replicas []*fleet.Replica, exhausted map[string]bool, predicted costs, now time.Time) (Choice, bool) {
-	choose := func(some []*fleet.Replica) (Choice, bool) {
-		return r.opts.Tracker.Choose(some, exhausted, predicted, c.promptTokens, now)
+	choose := func(candidates []*fleet.Replica) (Choice, bool) {
+		return r.opts.Tracker.Choose(candidates, exhausted, predicted, c.promptTokens, now)
 	}
 	switch independent := independentReplicas(replicas, c.failedHeads); {
 	case len(c.failedHeads) > 0 && len(independent) > 0:
@@ -81,8 +81,8 @@
 // random ones limits each replica to about twice its share of the requests.
 func (r *Relay) randomPair(replicas []*fleet.Replica) []*fleet.Replica {
 	n := len(replicas)
-	const few = 3
-	if n < few {
+	const minForPair = 3
+	if n < minForPair {
 		return replicas
 	}
 	i := int(r.random() * float64(n))
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -56,10 +56,10 @@
 // other hall.
 func TestRetriesLeaveTheHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dark := func() bool { return true }
+		isStalled := func() bool { return true }
 		var heads []*simHead
 		for i := range 4 {
-			heads = append(heads, &simHead{id: fmt.Sprint("dark", i), zone: "x", isStalled: dark}, &simHead{id: fmt.Sprint("lit", i), zone: "y"})
+			heads = append(heads, &simHead{id: fmt.Sprint("dark", i), zone: "x", isStalled: isStalled}, &simHead{id: fmt.Sprint("lit", i), zone: "y"})
 		}
 		p := newSimulation(t, 8, heads...)
 		for i := range 40 {
@@ -85,8 +85,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			notified := 0
-			tracker := NewTracker("", func(*fleet.Replica) { notified++ })
+			notifications := 0
+			tracker := NewTracker("", func(*fleet.Replica) { notifications++ })
 			gone, there := testReplica("gone", ""), testReplica("there", "")
 			if test.hasRecentEvent {
 				tracker.RecordEvent(gone, &StreamWatch{}, now)
@@ -99,7 +99,7 @@
 			tracker.RecordEvent(gone, &StreamWatch{}, now)
 			assert.Equal(t, countChoices(tracker, []*fleet.Replica{gone, there}, now, 50)["gone"], 0)
 			tracker.MarkUnreachable(gone, test.isRefused, now.Add(time.Second))
-			assert.Equal(t, notified, 1, "peers are notified once")
+			assert.Equal(t, notifications, 1, "peers are notified once")
 			assert.Assert(t, !isPassedOver(tracker, gone, now.Add(time.Minute)))
 		})
 	}
--- a/relay/holdings_test.go
+++ b/relay/holdings_test.go
@@ -38,15 +38,15 @@
 				h.total += bytes
 			}
 			before := h.Held()
-			o := requestMemory{holdings: h, account: "a"}
+			memory := requestMemory{holdings: h, account: "a"}
 			body := bytes.Repeat([]byte("x"), test.size)
-			got, err := o.read(bytes.NewReader(body), 8<<20, failWhenFull)
+			got, err := memory.read(bytes.NewReader(body), 8<<20, failWhenFull)
 			assert.Assert(t, errors.Is(err, test.want), "%v", err)
 			if test.want == nil {
 				assert.Equal(t, string(got), string(body))
 				assert.Equal(t, h.Held()-before, int64(test.size))
 			}
-			o.release()
+			memory.release()
 			assert.Equal(t, h.Held(), before)
 		})
 	}
@@ -57,11 +57,11 @@
 func TestAnnouncedBodyTakesNoRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHoldings(1 << 20)
-		o := requestMemory{holdings: h, account: "a"}
+		memory := requestMemory{holdings: h, account: "a"}
 		reader, writer := io.Pipe()
 		done := make(chan error, 1)
 		go func() {
-			_, err := o.read(reader, 1<<20, failWhenFull)
+			_, err := memory.read(reader, 1<<20, failWhenFull)
 			done <- err
 		}()
 		_, err := writer.Write([]byte("little"))
@@ -70,7 +70,7 @@
 		assert.Assert(t, h.Held() <= initialBufferBytes, "%d bytes held", h.Held())
 		assert.NilError(t, writer.CloseWithError(io.ErrClosedPipe))
 		assert.Assert(t, errors.Is(<-done, io.ErrClosedPipe))
-		o.release()
+		memory.release()
 		assert.Equal(t, h.Held(), int64(0))
 	})
 }
--- a/relay/keepalive.go
+++ b/relay/keepalive.go
@@ -64,9 +64,9 @@
 
 // dropsEarly reports whether workers of a service are known to drop connections that were idle
 // for the given time.
-func (u *upstream) dropsEarly(service string, idled time.Duration, now time.Time) bool {
+func (u *upstream) dropsEarly(service string, idleTime time.Duration, now time.Time) bool {
 	drop, ok := u.earlyDrops[service]
-	return ok && drop.maxIdle > 0 && idled >= drop.maxIdle && now.Before(drop.expiresAt)
+	return ok && drop.maxIdle > 0 && idleTime >= drop.maxIdle && now.Before(drop.expiresAt)
 }
 
 // recordReset records that a worker reset a kept connection instead of answering. If only one
--- a/relay/openingcost.go
+++ b/relay/openingcost.go
@@ -9,8 +9,8 @@
 // to its head is kept. It includes the noise, so that random differences don't cause new
 // connections. The cost is also added if fewer than two slots are free. Another daemon may take the
 // last slot at the same time, so a kept connection must not make it preferred.
-func (c costs) openingCost(worker string, busy float64, noise time.Duration) time.Duration {
-	if c.connected[worker] && busy+1 < c.slots {
+func (c costs) openingCost(worker string, inFlight float64, noise time.Duration) time.Duration {
+	if c.connectedWorkers[worker] && inFlight+1 < c.slots {
 		return 0
 	}
 	return connectionCost + noise
--- a/relay/powerreturn_test.go
+++ b/relay/powerreturn_test.go
@@ -32,7 +32,7 @@
 			waitingServed += p.count("waited", waitingCallers, p.isServed)
 			newServed += p.count("new", newCallers, func(id string) bool { return p.isServed(id) || p.isServed(id+" again") })
 			newInTime += p.count("new", newCallers, func(id string) bool {
-				return p.isServed(id) && p.results[id].first < 300*time.Millisecond
+				return p.isServed(id) && p.results[id].firstBytesAfter < 300*time.Millisecond
 			})
 		})
 	}
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -92,8 +92,8 @@
 // chunked nor has a length doesn't count, since a crash may have cut it short. An answer without
 // the worker's signature doesn't count either.
 func (r *Relay) recordCompletion(c *request, e *exchange) {
-	framed := e.response.ContentLength >= 0 || isChunked(e.response)
-	if framed && e.response.Header.Get(r.opts.Names.Signature) != "" {
+	isFramed := e.response.ContentLength >= 0 || isChunked(e.response)
+	if isFramed && e.response.Header.Get(r.opts.Names.Signature) != "" {
 		r.guard.Completed(c.guardRequest())
 	}
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -211,7 +211,7 @@
 		assert.Assert(t, p.isServed("runs"))
 		waits := p.results["waits"]
 		assert.Equal(t, waits.status, http.StatusBadGateway, "it may have run")
-		assert.Assert(t, waits.end < time.Second, "it is answered after %s", waits.end)
+		assert.Assert(t, waits.endedAfter < time.Second, "it is answered after %s", waits.endedAfter)
 		assert.Assert(t, !r.guard.Table().State(f, time.Now()).Quarantined)
 	})
 }
@@ -243,7 +243,7 @@
 				time.Sleep(200 * time.Millisecond)
 				p.call(i%len(p.daemons), fmt.Sprint("popular", i), 100, 6*time.Second)
 				if i%7 == 6 {
-					p.work.Go(func() { p.crashOne() })
+					p.background.Go(func() { p.crashOne() })
 				}
 			}
 		})
@@ -260,15 +260,15 @@
 // otherRequests is the number of other requests in simulations of crashes.
 const otherRequests = 400
 
-// simulateCrashes simulates ten seconds of requests with distinct bodies. It runs the function
-// beside at the same time.
-func simulateCrashes(t *testing.T, beside func(p *simulation)) *simulation {
+// simulateCrashes simulates ten seconds of requests with distinct bodies. It calls parallel at the
+// same time.
+func simulateCrashes(t *testing.T, parallel func(p *simulation)) *simulation {
 	t.Helper()
 	const daemons, heads = 4, 12
 	var p *simulation
 	onRun := func(h *simHead, body string) {
 		if body == "crash" {
-			p.work.Go(func() { p.crash(h) })
+			p.background.Go(func() { p.crash(h) })
 		}
 	}
 	var all []*simHead
@@ -276,14 +276,14 @@
 		all = append(all, &simHead{id: fmt.Sprint("h", i), onRun: onRun})
 	}
 	p = newSimulation(t, daemons, all...)
-	p.body = func(id string) string {
+	p.bodyOf = func(id string) string {
 		kind := strings.TrimRight(id, "0123456789")
 		if kind == "other" {
 			return id
 		}
 		return kind
 	}
-	p.calls.Go(func() { beside(p) })
+	p.calls.Go(func() { parallel(p) })
 	for i := range otherRequests {
 		time.Sleep(25 * time.Millisecond)
 		p.call(i%daemons, fmt.Sprint("other", i), 100, 6*time.Second)
@@ -295,12 +295,12 @@
 // crashOne crashes the head with the lowest ID.
 func (p *simulation) crashOne() {
 	p.mu.Lock()
-	var one *simHead
+	var first *simHead
 	for _, h := range p.heads {
-		if one == nil || h.id < one.id {
-			one = h
+		if first == nil || h.id < first.id {
+			first = h
 		}
 	}
 	p.mu.Unlock()
-	p.crash(one)
+	p.crash(first)
 }
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -34,7 +34,7 @@
 	passedOver string
 }
 
-// promisesNotRun reports whether the refusal says that the request did not run.
+// promisesNotRun reports whether the status tells the caller that the request did not run.
 func (f *refusal) promisesNotRun() bool {
 	return f.status == http.StatusServiceUnavailable || f.status == http.StatusTooManyRequests
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -236,14 +236,14 @@
 // chooseByClass chooses among the replicas of the best class with free capacity. Replicas of class
 // LastResort are not used while better ones are merely full.
 func (r *Relay) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
-	full := false
+	isFull := false
 	for class := eligibility.Eligible; class < eligibility.Excluded; class++ {
 		replicas := s.InClass(class)
-		if len(replicas) == 0 || full && class == eligibility.LastResort {
+		if len(replicas) == 0 || isFull && class == eligibility.LastResort {
 			continue
 		}
 		predicted := costsOf(c.engine, c.model, replicas[0].Head.Slots)
-		predicted.connected = r.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
+		predicted.connectedWorkers = r.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
 		predicted.preferIdle = c.isSuspected
 		predicted.tightlyLimited = r.opts.Limits.tightLimitChecker()
 		choice, ok := r.chooseFrom(c, replicas, exhausted, predicted, now)
@@ -254,10 +254,10 @@
 		if choice.InFlight < r.maxInFlight(c, choice.Replica) {
 			return choice.Replica, nil
 		}
-		full = true
+		isFull = true
 	}
 	f := unavailable(reason.Overloaded, "all replicas are busy", retryBusy)
-	if !full {
+	if !isFull {
 		f = r.boundRefusal(c, c.exhaustedBound, now)
 	}
 	f.passedOver = c.passedOver
@@ -293,7 +293,7 @@
 // recordFailure records a failed attempt and returns whether it may have run.
 func (r *Relay) recordFailure(c *request, replica *fleet.Replica, err error) (ran bool) {
 	c.lastErr = err
-	c.tried[replica.ID] = true
+	c.triedReplicas[replica.ID] = true
 	ran = mayHaveArrived(err)
 	if ran {
 		c.sends++
--- a/relay/request.go
+++ b/relay/request.go
@@ -44,9 +44,9 @@
 
 	// sends is the number of attempts that may have run at a worker, rejections the number of
 	// attempts that certainly did not run.
-	sends      int
-	rejections int
-	tried      map[string]bool
+	sends         int
+	rejections    int
+	triedReplicas map[string]bool
 	// failedHeads holds the heads of the replicas at which attempts failed, except for rejections
 	// and silence of a single stream. Replicas near these heads may have failed as well.
 	failedHeads []*fleet.Worker
@@ -97,7 +97,7 @@
 	}
 	c := &request{
 		method: h.Method, target: h.RequestURI, host: h.Host, header: h.Header,
-		id: h.Header.Get(r.opts.Names.Attempt), arrived: time.Now(), tried: make(map[string]bool),
+		id: h.Header.Get(r.opts.Names.Attempt), arrived: time.Now(), triedReplicas: make(map[string]bool),
 		memory: requestMemory{holdings: r.opts.Holdings},
 	}
 	path, _, _ := strings.Cut(c.target, "?")
@@ -110,10 +110,10 @@
 		return c, refused
 	}
 	r.setCallerDeadlines(controller, c.arrived, route.Timeout)
-	bad := r.readBody(c, h, config.Limits())
+	bodyRefusal := r.readBody(c, h, config.Limits())
 	r.clearReadDeadline(controller)
-	if bad != nil {
-		return c, bad
+	if bodyRefusal != nil {
+		return c, bodyRefusal
 	}
 	c.service = route.Choose(r.random())
 	if s, ok := config.Service(c.service); ok {
--- a/relay/reservation.go
+++ b/relay/reservation.go
@@ -14,15 +14,15 @@
 }
 
 // Reserve counts a request with the given number of unread prompt tokens as in flight.
-func (t *Tracker) Reserve(r *fleet.Replica, prompt int) *Reservation {
+func (t *Tracker) Reserve(r *fleet.Replica, promptTokens int) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.loadOf(r)
 	s.inFlight++
-	s.unreadTokens += prompt
-	s.promptTokens += prompt
-	t.hasTraffic = t.hasTraffic || prompt > 0
-	return &Reservation{tracker: t, load: s, promptTokens: prompt, unreadTokens: prompt}
+	s.unreadTokens += promptTokens
+	s.promptTokens += promptTokens
+	t.hasTraffic = t.hasTraffic || promptTokens > 0
+	return &Reservation{tracker: t, load: s, promptTokens: promptTokens, unreadTokens: promptTokens}
 }
 
 // MarkPromptRead records that the replica has read the prompt.
--- a/relay/resumedelay.go
+++ b/relay/resumedelay.go
@@ -14,14 +14,14 @@
 // resumeDelay returns how long a broken stream waits before it resumes elsewhere: zero while it
 // can still be on time, and a random time once it is late.
 func (r *Relay) resumeDelay(c *request, s *relayedStream, now time.Time) time.Duration {
-	since, allowed := c.arrived, c.route.Objective
+	lastProgress, maxGap := c.arrived, c.route.Objective
 	if s.isHeadSent {
-		since, allowed = s.lastEventAt, c.route.GapTarget
+		lastProgress, maxGap = s.lastEventAt, c.route.GapTarget
 	}
-	if allowed <= 0 || now.Sub(since) < allowed {
+	if maxGap <= 0 || now.Sub(lastProgress) < maxGap {
 		return 0
 	}
 	left := time.Duration(resumeDelayShare * float64(c.deadline.Sub(now)))
-	limit := min(maxResumeDelay, left, resumeTimeout-now.Sub(since))
+	limit := min(maxResumeDelay, left, resumeTimeout-now.Sub(lastProgress))
 	return time.Duration(r.random() * float64(max(limit, 0)))
 }
--- a/relay/resumedelay_test.go
+++ b/relay/resumedelay_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestResumeDelayEndsBeforeCallersLeave: the delay is short if little time is left, or if the
+// TestResumeDelayEndsBeforeCallersDisconnect: the delay is short if little time is left, or if the
 // caller has already waited for long.
-func TestResumeDelayEndsBeforeCallersLeave(t *testing.T) {
+func TestResumeDelayEndsBeforeCallersDisconnect(t *testing.T) {
 	now := time.Unix(1000, 0)
 	route := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 300 * time.Millisecond}
 	tests := map[string]struct {
--- a/relay/retryafter_test.go
+++ b/relay/retryafter_test.go
@@ -54,9 +54,9 @@
 
 // callWithRetry sends a request and, if it is refused, retries once after Retry-After if that is
 // within a third of the remaining time.
-func (p *simulation) callWithRetry(daemon int, id string, prompt int, patience time.Duration) {
+func (p *simulation) callWithRetry(daemon int, id string, promptTokens int, timeout time.Duration) {
 	began := time.Now()
-	p.send(daemon, id, prompt, patience)
+	p.send(daemon, id, promptTokens, timeout)
 	p.mu.Lock()
 	got := p.results[id]
 	p.mu.Unlock()
@@ -64,11 +64,11 @@
 		return
 	}
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-	left := patience - time.Since(began)
+	left := timeout - time.Since(began)
 	wanted := time.Duration(after * float64(time.Second))
 	if err != nil || wanted > left/3 {
 		return
 	}
 	time.Sleep(wanted)
-	p.send(daemon, id+" again", prompt, patience-time.Since(began))
+	p.send(daemon, id+" again", promptTokens, timeout-time.Since(began))
 }
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -11,8 +11,8 @@
 const (
 	// firstEventTimeout and nextEventTimeout are how long a replica may send no events to this
 	// daemon and its peers before it is suspected. The first applies while no stream of this daemon
-	// at the replica has received an event, the second after that. An engine's longest pass is
-	// shorter than both.
+	// at the replica has received an event, the second after that. Both exceed the time of an
+	// engine's pass that reads many prompts.
 	firstEventTimeout = 900 * time.Millisecond
 	nextEventTimeout  = 450 * time.Millisecond
 	// suspicionPeriod is how long a replica stays suspected unless it sends an event. Meanwhile it
@@ -27,8 +27,9 @@
 // StreamWatch is a stream in flight.
 type StreamWatch struct {
 	hasBegun bool
-	// sentAt is when the request was sent. lastEventAt is the time from which the stream's silence
-	// is measured. It starts as sentAt and moves on with each event, and when the timer restarts.
+	// sentAt is when the stream was registered, just before its request is sent. lastEventAt is the
+	// time from which the stream's silence is measured. It starts as sentAt and moves on with each
+	// event, and when the timer restarts.
 	sentAt      time.Time
 	lastEventAt time.Time
 	// firstEventDue is when the first event is expected, as predicted from the requests in flight
@@ -154,7 +155,7 @@
 // reports, to a peer.
 func (t *Tracker) lastEventOf(s *replicaLoad) time.Time {
 	last := s.lastEventAt
-	for _, remote := range t.remote {
+	for _, remote := range t.loadsBySource {
 		if l, ok := remote.loads[s.replica.ID]; ok && l.Moved > 0 {
 			if at := remote.receivedAt.Add(-time.Duration(l.Moved) * time.Millisecond); at.After(last) {
 				last = at
@@ -173,12 +174,12 @@
 		return false
 	}
 	if w.hasBegun {
-		pass := w.costs.pass + time.Duration(w.costs.slots*float64(w.costs.perRequest))
+		pass := w.costs.passTime + time.Duration(w.costs.slots*float64(w.costs.perRequest))
 		return now.Sub(w.lastEventAt) > nextEventTimeout+pass
 	}
 	if now.Sub(w.sentAt) <= peerReportDelay {
-		busy, prefill := t.totalLoad(s.replica.ID, now)
-		if due := now.Add(w.costs.wait(float64(busy), prefill)); due.After(w.firstEventDue) {
+		inFlight, unreadTokens := t.totalLoad(s.replica.ID, now)
+		if due := now.Add(w.costs.predictedWait(float64(inFlight), unreadTokens)); due.After(w.firstEventDue) {
 			w.firstEventDue = due
 		}
 	}
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -37,7 +37,7 @@
 		p.calls.Wait()
 		assert.Assert(t, p.isServed("queued"), "%+v", p.results["queued"])
 		assert.Equal(t, p.timesReceived("queued"), 1)
-		assert.Assert(t, p.results["queued"].first > firstEventTimeout, "it waited only %s", p.results["queued"].first)
+		assert.Assert(t, p.results["queued"].firstBytesAfter > firstEventTimeout, "it waited only %s", p.results["queued"].firstBytesAfter)
 	})
 }
 
@@ -68,8 +68,8 @@
 // was lost.
 func TestSilenceIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		still := func() bool { return true }
-		p := newSimulation(t, 1, &simHead{id: "a", isStalled: still}, &simHead{id: "b", isStalled: still})
+		isStalled := func() bool { return true }
+		p := newSimulation(t, 1, &simHead{id: "a", isStalled: isStalled}, &simHead{id: "b", isStalled: isStalled})
 		p.callerPatience = fullTimeout
 		p.call(0, "waits", 0, fullTimeout)
 		p.calls.Wait()
@@ -109,7 +109,7 @@
 	p.calls.Wait()
 	got := p.results["dead"]
 	assert.Assert(t, p.isServed("dead"), "%+v", got)
-	assert.Assert(t, got.end < 2*time.Second, "%s", got.end)
+	assert.Assert(t, got.endedAfter < 2*time.Second, "%s", got.endedAfter)
 }
 
 // TestPausedProcessDetectsSilence: a process that is paused for 0.3 s again and again must still
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -168,7 +168,7 @@
 		runs := h.runs
 		h.runs = nil
 		h.mu.Unlock()
-		kept, read := h.pass(runs)
+		kept, read := h.runPass(runs)
 		wait(ctx, read)
 		h.mu.Lock()
 		h.runs = append(kept, h.runs...)
@@ -177,9 +177,9 @@
 	}
 }
 
-// pass reads prompts and sends the next events. It returns the requests that continue, and the
+// runPass reads prompts and sends the next events. It returns the requests that continue, and the
 // time spent reading.
-func (h *simHead) pass(runs []*simRun) (kept []*simRun, read time.Duration) {
+func (h *simHead) runPass(runs []*simRun) (kept []*simRun, read time.Duration) {
 	for _, run := range runs {
 		switch {
 		case h.isCanceled(run):
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -30,21 +30,22 @@
 	daemons   []*Relay
 	// callerPatience is how long callers wait for the first event.
 	callerPatience time.Duration
-	// body returns the body of a request; nil for the same body for all.
-	body func(id string) string
+	// bodyOf returns the body of a request; nil for the same body for all.
+	bodyOf func(id string) string
 	// crashes counts the heads that crashed.
-	crashes int
-	calls   sync.WaitGroup
-	work    sync.WaitGroup
+	crashes    int
+	calls      sync.WaitGroup
+	background sync.WaitGroup
 
 	mu      sync.Mutex
 	results map[string]simCall
 }
 
-// simCall is a caller's answer, with the times of its first bytes and its end.
+// simCall is a caller's answer. firstBytesAfter and endedAfter are the times from the request to
+// the first bytes and to the end of the answer.
 type simCall struct {
 	answerSeen
-	first, end time.Duration
+	firstBytesAfter, endedAfter time.Duration
 }
 
 // newSimulation starts daemons and heads. They stop when the test ends.
@@ -59,9 +60,9 @@
 	for range daemons {
 		r := p.newDaemon(t, daemons)
 		p.daemons = append(p.daemons, r)
-		p.work.Go(func() { r.Run(ctx) })
+		p.background.Go(func() { r.Run(ctx) })
 	}
-	p.work.Go(p.reportLoads)
+	p.background.Go(p.reportLoads)
 	t.Cleanup(func() {
 		p.calls.Wait()
 		cancel()
@@ -69,7 +70,7 @@
 			// Close kept connections, so that their goroutines end.
 			r.upstream.sweep(time.Now().Add(time.Hour))
 		}
-		p.work.Wait()
+		p.background.Wait()
 	})
 	return p
 }
@@ -80,7 +81,7 @@
 	p.heads[h.id] = h
 	p.mu.Unlock()
 	p.inventory.Apply([]fleet.Change{{ID: h.id, Worker: h.entry()}}, p.inventory.Position()+1, time.Now())
-	p.work.Go(func() { h.run(p.ctx) })
+	p.background.Go(func() { h.run(p.ctx) })
 }
 
 func (p *simulation) newDaemon(t *testing.T, daemons int) *Relay {
@@ -104,7 +105,7 @@
 		}
 		near, far := net.Pipe()
 		h.accept(far)
-		p.work.Go(func() { h.serve(&p.work, far) })
+		p.background.Go(func() { h.serve(&p.background, far) })
 		return near, nil
 	}
 	return r
@@ -134,11 +135,11 @@
 	next := &simHead{id: fmt.Sprintf("%s-%d", h.id, p.crashes), zone: h.zone, onRun: h.onRun}
 	p.mu.Unlock()
 	h.stop()
-	p.work.Go(func() {
+	p.background.Go(func() {
 		wait(p.ctx, 3*1200*time.Millisecond)
 		p.inventory.Apply([]fleet.Change{{ID: h.id}}, p.inventory.Position()+1, time.Now())
 	})
-	p.work.Go(func() {
+	p.background.Go(func() {
 		wait(p.ctx, 2*time.Second)
 		p.addHead(next)
 	})
@@ -154,7 +155,7 @@
 		for i, r := range p.daemons {
 			loads[i] = r.opts.Tracker.Loads()
 		}
-		p.work.Go(func() {
+		p.background.Go(func() {
 			wait(p.ctx, delay)
 			p.deliverLoads(loads, delay)
 			p.shareQuarantine()
@@ -181,40 +182,40 @@
 // simWriter records when the first bytes of an answer arrived.
 type simWriter struct {
 	*httptest.ResponseRecorder
-	first time.Time
+	firstBytesAt time.Time
 	// firstEventTimer cancels the call if no bytes arrive before callerPatience has passed.
 	firstEventTimer *time.Timer
 }
 
 func (w *simWriter) Write(b []byte) (int, error) {
-	if w.first.IsZero() {
-		w.first = time.Now()
+	if w.firstBytesAt.IsZero() {
+		w.firstBytesAt = time.Now()
 		w.firstEventTimer.Stop()
 	}
 	return w.ResponseRecorder.Write(b)
 }
 
-// call starts a stream request through a daemon. prompt is the number of prompt tokens, patience
-// the timeout.
-func (p *simulation) call(daemon int, id string, prompt int, patience time.Duration) {
-	p.calls.Go(func() { p.send(daemon, id, prompt, patience) })
+// call starts a stream request through a daemon. timeout is how long the caller waits for the whole
+// stream.
+func (p *simulation) call(daemon int, id string, promptTokens int, timeout time.Duration) {
+	p.calls.Go(func() { p.send(daemon, id, promptTokens, timeout) })
 }
 
 // send is like call, but returns when the answer has ended.
-func (p *simulation) send(daemon int, id string, prompt int, patience time.Duration) {
+func (p *simulation) send(daemon int, id string, promptTokens int, timeout time.Duration) {
 	sent := time.Now()
-	ctx, cancel := context.WithTimeout(p.ctx, patience)
+	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
 	body := "body"
-	if p.body != nil {
-		body = p.body(id)
+	if p.bodyOf != nil {
+		body = p.bodyOf(id)
 	}
 	request := httptest.NewRequest(http.MethodPost, "/stream/", strings.NewReader(body)).WithContext(ctx)
 	request.Host = "h"
 	request.Header.Set(testNames.Attempt, id)
 	request.Header.Set(testNames.Model, "m")
-	request.Header.Set(testNames.Deadline, strconv.FormatInt(patience.Milliseconds(), 10))
-	request.Header.Set(testNames.Usage, strconv.Itoa(prompt)+",40")
+	request.Header.Set(testNames.Deadline, strconv.FormatInt(timeout.Milliseconds(), 10))
+	request.Header.Set(testNames.Usage, strconv.Itoa(promptTokens)+",40")
 	w := &simWriter{ResponseRecorder: httptest.NewRecorder(), firstEventTimer: time.AfterFunc(p.callerPatience, cancel)}
 	defer w.firstEventTimer.Stop()
 	got := simCall{answerSeen: answerSeen{isComplete: true}}
@@ -227,7 +228,7 @@
 		p.daemons[daemon].ServeHTTP(w, request)
 	}()
 	got.status, got.header, got.body = w.Code, w.Header(), w.Body.String()
-	got.first, got.end = w.first.Sub(sent), time.Since(sent)
+	got.firstBytesAfter, got.endedAfter = w.firstBytesAt.Sub(sent), time.Since(sent)
 	p.mu.Lock()
 	p.results[id] = got
 	p.mu.Unlock()
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -113,7 +113,7 @@
 		return err
 	}
 	if e.response.StatusCode != http.StatusOK || e.response.Header.Get(r.opts.Names.Signature) == "" {
-		return r.streamFailure(c, s, e, replica)
+		return r.handleStreamFailure(c, s, e, replica)
 	}
 	onEvent := func(now time.Time) {
 		if s.isHeadSent {
@@ -137,10 +137,10 @@
 	return nil
 }
 
-// streamFailure handles an answer that is not a signed stream. An error status is forwarded if the
-// caller has received nothing yet, but a server error (5xx) only at the last attempt. In all other
-// cases streamFailure returns an error.
-func (r *Relay) streamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
+// handleStreamFailure handles an answer that is not a signed stream. An error status is forwarded
+// if the caller has received nothing yet, but a server error (5xx) only at the last attempt. In all
+// other cases handleStreamFailure returns an error.
+func (r *Relay) handleStreamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
 	body, err := io.ReadAll(io.LimitReader(e.response.Body, maxEventBytes))
 	if err != nil {
 		e.abort()
@@ -169,10 +169,10 @@
 		}
 		n, err := e.response.Body.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
-		complete, rest := splitEvents(buffer)
-		if len(complete) > 0 {
+		events, rest := splitEvents(buffer)
+		if len(events) > 0 {
 			onEvent(time.Now())
-			err := s.forward(e, complete)
+			err := s.forward(e, events)
 			onForwarded()
 			if err != nil {
 				return err
@@ -205,16 +205,16 @@
 }
 
 // forward sends complete events to the caller.
-func (s *relayedStream) forward(e *exchange, complete []byte) error {
+func (s *relayedStream) forward(e *exchange, events []byte) error {
 	s.sendHead(e)
-	if _, err := s.w.Write(complete); err != nil {
+	if _, err := s.w.Write(events); err != nil {
 		s.isClientGone = true
 		return err
 	}
 	if f, ok := s.w.(http.Flusher); ok {
 		f.Flush()
 	}
-	if id := lastID(complete); id != "" {
+	if id := lastID(events); id != "" {
 		s.lastEventID = id
 	}
 	s.lastEventAt = time.Now()
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -50,11 +50,11 @@
 type Tracker struct {
 	zone string
 
-	mu         sync.Mutex
-	replicas   map[string]*replicaLoad
-	remote     map[string]remoteLoads
-	rates      *rates
-	gapTargets gapTargets
+	mu            sync.Mutex
+	replicas      map[string]*replicaLoad
+	loadsBySource map[string]remoteLoads
+	rates         *rates
+	gapTargets    gapTargets
 	// reportedSuspects holds until when replicas that peers reported are suspected, for replicas
 	// that this daemon has not used.
 	reportedSuspects map[string]time.Time
@@ -79,7 +79,7 @@
 func NewTracker(zone string, onSuspected func(r *fleet.Replica)) *Tracker {
 	return &Tracker{
 		zone: zone, replicas: make(map[string]*replicaLoad),
-		remote: make(map[string]remoteLoads), rates: newRates(), gapTargets: make(gapTargets),
+		loadsBySource: make(map[string]remoteLoads), rates: newRates(), gapTargets: make(gapTargets),
 		reportedSuspects: make(map[string]time.Time), onSuspected: onSuspected,
 	}
 }
@@ -103,7 +103,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	measuredAt := receivedAt.Add(-time.Duration(summary.Age) * time.Millisecond)
-	t.remote[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: summary.Daemons, loads: byReplica}
+	t.loadsBySource[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: summary.Daemons, loads: byReplica}
 }
 
 // Traffic reports whether a request with a prompt has arrived yet, at this daemon or a peer.
@@ -147,19 +147,19 @@
 	return count
 }
 
-// Demand returns this daemon's own load by model. busy is the number of requests in flight, prompts
-// the number of their prompt tokens.
-func (t *Tracker) Demand() (busy, prompts map[string]float64) {
+// Demand returns this daemon's own load by model. inFlight counts the requests in flight,
+// promptTokens their prompt tokens.
+func (t *Tracker) Demand() (inFlight, promptTokens map[string]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	busy, prompts = make(map[string]float64), make(map[string]float64)
+	inFlight, promptTokens = make(map[string]float64), make(map[string]float64)
 	for _, s := range t.replicas {
 		if s.replica.Model != "" {
-			busy[s.replica.Model] += float64(s.inFlight)
-			prompts[s.replica.Model] += float64(s.promptTokens)
+			inFlight[s.replica.Model] += float64(s.inFlight)
+			promptTokens[s.replica.Model] += float64(s.promptTokens)
 		}
 	}
-	return busy, prompts
+	return inFlight, promptTokens
 }
 
 // Choice is a replica chosen for a request.
@@ -172,25 +172,25 @@
 // Choose returns the replica with the lowest cost for a request with the given number of prompt
 // tokens. The cost is the predicted wait, with penalties and random noise. Excluded replicas are
 // skipped. It returns false if no replica is left.
-func (t *Tracker) Choose(replicas []*fleet.Replica, excluded map[string]bool, c costs, prompt int, now time.Time) (Choice, bool) {
+func (t *Tracker) Choose(replicas []*fleet.Replica, excluded map[string]bool, c costs, promptTokens int, now time.Time) (Choice, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	noise := t.noise(replicas, c, prompt, now)
+	noise := t.noise(replicas, c, promptTokens, now)
 	var best Choice
 	bestCost, found := time.Duration(0), false
 	for _, r := range replicas {
 		if excluded[r.ID] {
 			continue
 		}
-		busy, cost := t.cost(r, c, now)
+		inFlight, cost := t.cost(r, c, now)
 		if !c.isTightlyLimited(r) {
-			cost += c.openingCost(r.Head.ID, busy, noise) + time.Duration(rand.Float64()*float64(noise))
+			cost += c.openingCost(r.Head.ID, inFlight, noise) + time.Duration(rand.Float64()*float64(noise))
 		}
 		if c.preferIdle {
-			cost += time.Duration(busy * float64(inFlightPenalty))
+			cost += time.Duration(inFlight * float64(inFlightPenalty))
 		}
 		if !found || cost < bestCost {
-			best, bestCost, found = Choice{Replica: r, InFlight: busy}, cost, true
+			best, bestCost, found = Choice{Replica: r, InFlight: inFlight}, cost, true
 		}
 	}
 	return best, found
@@ -199,14 +199,14 @@
 // noise returns the upper bound of the random time that is added to each predicted wait. It is the
 // wait that the fleet's requests are expected to add to a replica before peers report them. Without
 // noise, all daemons would choose the same replica. Each call counts a request.
-func (t *Tracker) noise(replicas []*fleet.Replica, c costs, prompt int, now time.Time) time.Duration {
+func (t *Tracker) noise(replicas []*fleet.Replica, c costs, promptTokens int, now time.Time) time.Duration {
 	if len(replicas) == 0 {
 		return 0
 	}
-	totalAge, count := time.Duration(0), 0
-	for _, remote := range t.remote {
+	reportAge, count := time.Duration(0), 0
+	for _, remote := range t.loadsBySource {
 		if age := now.Sub(remote.measuredAt); age < remoteLoadTTL {
-			totalAge += age * time.Duration(remote.daemons)
+			reportAge += age * time.Duration(remote.daemons)
 			count += remote.daemons
 		}
 	}
@@ -214,42 +214,42 @@
 	t.rates.count(key, now)
 	rate := t.rates.perSecond(key, now) * float64(count)
 	if count > 0 {
-		totalAge /= time.Duration(count)
+		reportAge /= time.Duration(count)
 	}
-	arrivals := rate * (totalAge + minReportDelay).Seconds() / float64(len(replicas))
-	perArrival := time.Duration(prompt)*c.perToken + c.perRequest + c.pass/noiseDivisor
-	return time.Duration(arrivals*float64(perArrival)) + c.pass/noiseDivisor
+	arrivals := rate * (reportAge + minReportDelay).Seconds() / float64(len(replicas))
+	perArrival := time.Duration(promptTokens)*c.perToken + c.perRequest + c.passTime/noiseDivisor
+	return time.Duration(arrivals*float64(perArrival)) + c.passTime/noiseDivisor
 }
 
 // cost returns the number of requests in flight at a replica, over all daemons, and the predicted
 // wait there with penalties.
-func (t *Tracker) cost(r *fleet.Replica, c costs, now time.Time) (busy float64, wait time.Duration) {
-	inFlight, prefill := t.totalLoad(r.ID, now)
-	busy = float64(inFlight)
-	wait = c.wait(busy, prefill)
+func (t *Tracker) cost(r *fleet.Replica, c costs, now time.Time) (inFlight float64, wait time.Duration) {
+	requests, unreadTokens := t.totalLoad(r.ID, now)
+	inFlight = float64(requests)
+	wait = c.predictedWait(inFlight, unreadTokens)
 	if r.Head.Zone != t.zone {
 		wait += crossZoneCost
 	}
 	if s, ok := t.replicas[r.ID]; ok {
 		wait += t.penalty(s, c, now)
 	}
-	return busy, wait
+	return inFlight, wait
 }
 
 // totalLoad returns the number of requests in flight at a replica and the number of their unread
 // prompt tokens. Both are sums over this daemon and the recent reports of others.
-func (t *Tracker) totalLoad(replica string, now time.Time) (inFlight, prefill int) {
+func (t *Tracker) totalLoad(replica string, now time.Time) (inFlight, unreadTokens int) {
 	if s, ok := t.replicas[replica]; ok {
-		inFlight, prefill = s.inFlight, s.unreadTokens
+		inFlight, unreadTokens = s.inFlight, s.unreadTokens
 	}
-	for _, peer := range t.remote {
+	for _, peer := range t.loadsBySource {
 		if now.Sub(peer.measuredAt) < remoteLoadTTL {
 			l := peer.loads[replica]
 			inFlight += l.InFlight
-			prefill += l.Prefill
+			unreadTokens += l.Prefill
 		}
 	}
-	return inFlight, prefill
+	return inFlight, unreadTokens
 }
 
 // penalty returns the extra wait charged to a replica that failed a request recently.
@@ -265,21 +265,21 @@
 func (t *Tracker) suspectCheck(now time.Time) func(r *fleet.Replica) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make(map[string]bool)
+	suspected := make(map[string]bool)
 	for id := range t.replicas {
 		if t.isSuspected(id, now) {
-			all[id] = true
+			suspected[id] = true
 		}
 	}
 	for id := range t.reportedSuspects {
 		if t.isSuspected(id, now) {
-			all[id] = true
+			suspected[id] = true
 		}
 	}
-	if len(all) == 0 {
+	if len(suspected) == 0 {
 		return nil
 	}
-	return func(r *fleet.Replica) bool { return all[r.ID] }
+	return func(r *fleet.Replica) bool { return suspected[r.ID] }
 }
 
 // RecordFailure records that a replica failed a request.
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -15,7 +15,7 @@
 
 // testCosts are the costs of an engine with steps of 10 ms, five in a pass.
 var testCosts = costs{
-	slots: 20, perToken: 20 * time.Microsecond, pass: 50 * time.Millisecond,
+	slots: 20, perToken: 20 * time.Microsecond, passTime: 50 * time.Millisecond,
 	perRequest: time.Millisecond, slotTime: time.Second,
 }
 
@@ -118,8 +118,8 @@
 	first := tracker.Reserve(testReplica("a", "z"), 1500)
 	tracker.Reserve(testReplica("b", "z"), 500)
 	first.MarkPromptRead()
-	busy, prompts := tracker.Demand()
-	assert.DeepEqual(t, busy, map[string]float64{"m": 2})
+	inFlight, prompts := tracker.Demand()
+	assert.DeepEqual(t, inFlight, map[string]float64{"m": 2})
 	// Prompts that were already read count too, since another replica would have to read them
 	// again.
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 2000})
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -103,12 +103,12 @@
 // the worker fell silent or the request used a kept connection. It does nothing if the caller has
 // disconnected.
 func (u *upstream) recordUnanswered(ctx context.Context, c *connection, err error) {
-	kept := c.idleBefore > 0
+	isKept := c.idleBefore > 0
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.Canceled):
 	case errors.Is(cause, errReplicaSilent):
 		u.closeWorkerConnections(c.worker)
-	case kept:
+	case isKept:
 		u.closeWorkerConnections(c.worker)
 		if cause == nil && isReset(err) {
 			u.recordReset(c, time.Now())
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func (w *fakeWorker) next() behaviour {
+func (w *fakeWorker) nextBehaviour() behaviour {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.script) == 0 {
@@ -135,7 +135,7 @@
 // answer plays the next behaviour and reports whether the connection stays open.
 func (w *fakeWorker) answer(c net.Conn, r *http.Request) bool {
 	id := r.Header.Get(testNames.Attempt)
-	b := w.next()
+	b := w.nextBehaviour()
 	if w.onRequest != nil {
 		w.onRequest()
 	}
@@ -148,13 +148,13 @@
 	signed := "X-Attempt: " + id + "\r\nX-Signature: " + w.id + "\r\n" + w.extraHeader
 	switch b {
 	case rejects:
-		write(c, "HTTP/1.1 503 Full\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 503 Full\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case misdirects:
-		write(c, "HTTP/1.1 421 Another\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 421 Another\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case fails:
-		write(c, "HTTP/1.1 500 Failed\r\n"+signed+"Content-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 500 Failed\r\n"+signed+"Content-Length: 0\r\n\r\n")
 		return true
 	case drops:
 		// Without lingering, closing resets the connection.
@@ -166,33 +166,33 @@
 		_ = w.listener.Close()
 		return false
 	case garbles:
-		write(c, "these bytes are no answer\r\n\r\n")
+		writeText(c, "these bytes are no answer\r\n\r\n")
 		return false
 	case unsigned:
-		write(c, "HTTP/1.1 200 OK\r\nX-Attempt: "+id+"\r\nContent-Length: 2\r\n\r\nno")
+		writeText(c, "HTTP/1.1 200 OK\r\nX-Attempt: "+id+"\r\nContent-Length: 2\r\n\r\nno")
 		return true
 	case surplus:
-		write(c, "HTTP/1.1 200 OK\r\nX-Attempt: other\r\nX-Signature: other\r\nContent-Length: 5\r\n\r\nother")
+		writeText(c, "HTTP/1.1 200 OK\r\nX-Attempt: other\r\nX-Signature: other\r\nContent-Length: 5\r\n\r\nother")
 	}
 	if r.URL.Path == "/stream/" {
-		return w.stream(c, r, signed, b)
+		return w.sendStream(c, r, signed, b)
 	}
 	body := "answer to " + id
 	if b == cuts || b == tears {
-		write(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\nans")
+		writeText(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\nans")
 		return false
 	}
-	write(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+	writeText(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 	return true
 }
 
-// stream sends the events after the last one that the caller has.
-func (w *fakeWorker) stream(c net.Conn, r *http.Request, signed string, b behaviour) bool {
+// sendStream sends the events after the last one that the caller has.
+func (w *fakeWorker) sendStream(c net.Conn, r *http.Request, signed string, b behaviour) bool {
 	first := 1
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
 	}
-	write(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+	writeText(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for i := first; i <= fakeEvents; i++ {
 		event := fmt.Sprintf("id: %d\ndata: event %d\n\n", i, i)
 		if i == first+2 {
@@ -200,7 +200,7 @@
 			case cuts:
 				return false
 			case tears:
-				chunk(c, event[:len(event)/2])
+				writeChunk(c, event[:len(event)/2])
 				return false
 			case stalls:
 				// The connection stays open until the peer closes it.
@@ -208,15 +208,15 @@
 				return false
 			}
 		}
-		chunk(c, event)
+		writeChunk(c, event)
 	}
-	write(c, "0\r\n\r\n")
+	writeText(c, "0\r\n\r\n")
 	return true
 }
 
-func chunk(c net.Conn, data string) { write(c, fmt.Sprintf("%x\r\n%s\r\n", len(data), data)) }
+func writeChunk(c net.Conn, data string) { writeText(c, fmt.Sprintf("%x\r\n%s\r\n", len(data), data)) }
 
-func write(c net.Conn, data string) {
+func writeText(c net.Conn, data string) {
 	// The error is ignored, because the next read detects a closed connection.
 	_, _ = io.WriteString(c, data)
 }
