--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -29,17 +29,17 @@
 	return func(r *fleet.Replica) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		left, bounded := f.left[r.Head.ID]
-		return !bounded || left > 0
+		left, isLimited := f.left[r.Head.ID]
+		return !isLimited || left > 0
 	}
 }
 
 func (f *fakeTokens) take(r *fleet.Replica, now time.Time) (time.Time, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left, bounded := f.left[r.Head.ID]
+	left, isLimited := f.left[r.Head.ID]
 	switch {
-	case !bounded:
+	case !isLimited:
 		return time.Time{}, true
 	case left == 0:
 		return time.Time{}, false
@@ -85,15 +85,15 @@
 		all.Go(func() { results[i] = sendRequest(t, server, "/safe/", fmt.Sprint("r", i), nil) })
 	}
 	all.Wait()
-	served := 0
+	servedCount := 0
 	for _, result := range results {
 		if result.status == http.StatusOK {
-			served++
+			servedCount++
 		}
 	}
 	assert.Assert(t, cold.allRuns() <= 5)
-	assert.Equal(t, cold.allRuns()+warm.allRuns(), served)
-	assert.Assert(t, served > 5)
+	assert.Equal(t, cold.allRuns()+warm.allRuns(), servedCount)
+	assert.Assert(t, servedCount > 5)
 }
 
 // TestOutdatedChecks lets the check pass for every replica, whether it has a token or not. The
@@ -223,9 +223,9 @@
 // BenchmarkChoice measures the choice among 400 replicas of which some are warming up or have
 // limits.
 func BenchmarkChoice(b *testing.B) {
-	for _, some := range []struct{ warming, limited int }{{0, 0}, {100, 0}, {0, 100}, {0, 399}} {
-		b.Run(fmt.Sprintf("warming=%d/limited=%d", some.warming, some.limited), func(b *testing.B) {
-			r, c := newChoiceRelay(b, 400, some.warming, some.limited)
+	for _, load := range []struct{ warming, limited int }{{0, 0}, {100, 0}, {0, 100}, {0, 399}} {
+		b.Run(fmt.Sprintf("warming=%d/limited=%d", load.warming, load.limited), func(b *testing.B) {
+			r, c := newChoiceRelay(b, 400, load.warming, load.limited)
 			for b.Loop() {
 				if _, none := r.choose(c); none != nil {
 					b.Fatal(none.message)
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -99,9 +99,9 @@
 }
 
 // roundShare rounds a daemon's share of retries to a whole number. In a large fleet shares are
-// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns.
-// The fraction of the share is the part of the time in which a daemon rounds up. All daemons round
-// down if the unused part of the budget does not cover the rounding errors.
+// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns. A
+// daemon whose share has a fraction of 0.3 rounds up for 30 % of the time. All daemons round down
+// if the unused part of the budget does not cover the rounding errors.
 func (b *budget) roundShare(share float64, service string, now time.Time) float64 {
 	whole, fraction := math.Modf(share)
 	daemons := float64(max(b.opts.Daemons(), 1))
@@ -109,8 +109,8 @@
 	if (1-usedBudgetShare)*b.opts.Extra < roundingMargin*deviation {
 		return whole
 	}
-	turn := float64(now.UnixNano()) / float64(roundingWindows*b.opts.Window.Nanoseconds())
-	if _, position := math.Modf(b.turnOffset(service) + turn); position < fraction {
+	cycles := float64(now.UnixNano()) / float64(roundingWindows*b.opts.Window.Nanoseconds())
+	if _, position := math.Modf(b.turnOffset(service) + cycles); position < fraction {
 		return whole + 1
 	}
 	return whole
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -37,11 +37,11 @@
 	budgetWindow = 100
 )
 
-// budgetCounts holds the requests and retries by step. asked is the number of retries that were
-// requested, allowed the number that were allowed.
+// budgetCounts holds the requests and retries by step. retriesAsked is the number of retries that
+// were requested, retriesAllowed the number that were allowed.
 type budgetCounts struct {
-	requests, retries [budgetSteps]int
-	asked, allowed    int
+	requests, retries            [budgetSteps]int
+	retriesAsked, retriesAllowed int
 }
 
 // simulate spreads the requests over the daemons for a minute.
@@ -57,9 +57,9 @@
 			if random.Float64() >= l.failedShare {
 				continue
 			}
-			counts.asked++
+			counts.retriesAsked++
 			if b.takeRetry("s", now) {
-				counts.allowed++
+				counts.retriesAllowed++
 				counts.retries[step]++
 			}
 		}
@@ -83,7 +83,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			counts := test.simulate()
-			assert.Assert(t, float64(counts.allowed) >= test.minAllowedShare*float64(counts.asked), "%d of %d allowed", counts.allowed, counts.asked)
+			assert.Assert(t, float64(counts.retriesAllowed) >= test.minAllowedShare*float64(counts.retriesAsked), "%d of %d allowed", counts.retriesAllowed, counts.retriesAsked)
 			for first := range budgetSteps - budgetWindow {
 				requests, retries := 0, 0
 				for i := first; i < first+budgetWindow; i++ {
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -64,7 +64,7 @@
 	}
 	c.sends++
 	c.triedReplicas[replica.ID] = true
-	if left := r.selectReplicas(c, time.Now()); left.IsEmpty() {
+	if remaining := r.selectReplicas(c, time.Now()); remaining.IsEmpty() {
 		return false
 	}
 	return r.takeRetry(c, true)
@@ -72,8 +72,8 @@
 
 // tryBuffered sends the request to one worker and reads the complete answer.
 func (r *Relay) tryBuffered(c *request, replica *fleet.Replica) (*answer, error) {
-	reserved := r.opts.Tracker.Reserve(replica, c.promptTokens)
-	defer reserved.Release()
+	reservation := r.opts.Tracker.Reserve(replica, c.promptTokens)
+	defer reservation.Release()
 	e, err := r.sendTo(c.ctx, c, replica.Head, "")
 	if err != nil {
 		return nil, err
--- a/relay/callerdeadlines_test.go
+++ b/relay/callerdeadlines_test.go
@@ -26,7 +26,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := &Relay{opts: Options{Logger: hclog.NewNullLogger()}}
-			gone := make(chan bool, 1)
+			isGone := make(chan bool, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 				controller := http.NewResponseController(w)
 				r.setCallerDeadlines(controller, time.Now(), timeout)
@@ -34,9 +34,9 @@
 				r.clearReadDeadline(controller)
 				select {
 				case <-h.Context().Done():
-					gone <- true
+					isGone <- true
 				case <-time.After(3 * timeout):
-					gone <- false
+					isGone <- false
 				}
 			}))
 			defer server.Close()
@@ -48,7 +48,7 @@
 			if !test.callerStays {
 				assert.NilError(t, c.Close())
 			}
-			assert.Equal(t, <-gone, test.want)
+			assert.Equal(t, <-isGone, test.want)
 		})
 	}
 }
--- a/relay/callertimeouts.go
+++ b/relay/callertimeouts.go
@@ -93,7 +93,7 @@
 	case !r.opts.ServeLate:
 		return false
 	}
-	limit := min(maxCapacityWait, time.Duration(capacityWaitShare*float64(c.deadline.Sub(c.arrived))))
+	maxWait := min(maxCapacityWait, time.Duration(capacityWaitShare*float64(c.deadline.Sub(c.arrived))))
 	return refused.reason == reason.Overloaded && refused.status == http.StatusServiceUnavailable &&
-		c.waitedBefore > 0 && c.isLate(now) && now.Sub(c.arrived) <= limit
+		c.waitedBefore > 0 && c.isLate(now) && now.Sub(c.arrived) <= maxWait
 }
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -49,7 +49,7 @@
 	// replica has read all its prompts.
 	inFlight map[string]int
 	readAt   map[string]time.Time
-	ends     choiceEnds
+	running  endingRequests
 }
 
 // choiceDaemon is a simulated daemon. idleSince holds, by replica, the times since which its kept
@@ -59,21 +59,21 @@
 	idleSince map[string][]time.Time
 }
 
-// choiceEnd is a request in flight and the time at which it ends.
-type choiceEnd struct {
-	at          time.Time
+// endingRequest is a request in flight and the time at which it ends.
+type endingRequest struct {
+	endsAt      time.Time
 	daemon      *choiceDaemon
 	replica     string
 	reservation *Reservation
 }
 
-type choiceEnds []choiceEnd
+type endingRequests []endingRequest
 
-func (e choiceEnds) Len() int           { return len(e) }
-func (e choiceEnds) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e choiceEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *choiceEnds) Push(x any)        { *e = append(*e, x.(choiceEnd)) }
-func (e *choiceEnds) Pop() any {
+func (e endingRequests) Len() int           { return len(e) }
+func (e endingRequests) Less(i, j int) bool { return e[i].endsAt.Before(e[j].endsAt) }
+func (e endingRequests) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endingRequests) Push(x any)        { *e = append(*e, x.(endingRequest)) }
+func (e *endingRequests) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
@@ -89,7 +89,7 @@
 // simulateChoices simulates a load. The first seconds, in which few connections are kept, are not
 // counted.
 func simulateChoices(load choiceLoad) choiceResult {
-	const start, counted = 6 * time.Second, 10 * time.Second
+	const warmUpTime, measuredTime = 6 * time.Second, 10 * time.Second
 	p := &choiceSimulation{
 		load: load, rand: rand.New(rand.NewPCG(7, 11)), inFlight: make(map[string]int), readAt: make(map[string]time.Time),
 		costs: costs{slots: 20, perToken: 13 * time.Microsecond, passTime: 28 * time.Millisecond, perRequest: 340 * time.Microsecond, slotTime: time.Second},
@@ -100,28 +100,28 @@
 	for range load.daemons {
 		p.daemons = append(p.daemons, &choiceDaemon{tracker: NewTracker("z", func(*fleet.Replica) {}), idleSince: make(map[string][]time.Time)})
 	}
-	began := time.Unix(1000, 0)
-	now, reported := began, began
+	startedAt := time.Unix(1000, 0)
+	now, reportedAt := startedAt, startedAt
 	var waits []time.Duration
-	opened, full := 0, 0
-	for now.Sub(began) < start+counted {
+	openedCount, fullCount := 0, 0
+	for now.Sub(startedAt) < warmUpTime+measuredTime {
 		now = now.Add(time.Duration(p.rand.ExpFloat64() / load.perSecond * float64(time.Second)))
 		p.endRequests(now)
-		if now.Sub(reported) > choiceReportInterval {
+		if now.Sub(reportedAt) > choiceReportInterval {
 			p.reportLoads(now)
-			reported = now
+			reportedAt = now
 		}
 		wait, isNew, isFull := p.simulateRequest(now)
-		if now.Sub(began) < start {
+		if now.Sub(startedAt) < warmUpTime {
 			continue
 		}
 		waits = append(waits, wait)
-		opened += boolToInt(isNew)
-		full += boolToInt(isFull)
+		openedCount += boolToInt(isNew)
+		fullCount += boolToInt(isFull)
 	}
 	slices.Sort(waits)
 	count := float64(len(waits))
-	return choiceResult{openedShare: float64(opened) / count, fullShare: float64(full) / count, p95FirstEvent: waits[len(waits)*95/100]}
+	return choiceResult{openedShare: float64(openedCount) / count, fullShare: float64(fullCount) / count, p95FirstEvent: waits[len(waits)*95/100]}
 }
 
 func boolToInt(b bool) int {
@@ -133,11 +133,11 @@
 
 // endRequests removes the requests that have ended and keeps their connections.
 func (p *choiceSimulation) endRequests(now time.Time) {
-	for len(p.ends) > 0 && p.ends[0].at.Before(now) {
-		e := heap.Pop(&p.ends).(choiceEnd)
+	for len(p.running) > 0 && p.running[0].endsAt.Before(now) {
+		e := heap.Pop(&p.running).(endingRequest)
 		e.reservation.Release()
 		p.inFlight[e.replica]--
-		e.daemon.idleSince[e.replica] = append(e.daemon.idleSince[e.replica], e.at)
+		e.daemon.idleSince[e.replica] = append(e.daemon.idleSince[e.replica], e.endsAt)
 	}
 }
 
@@ -148,16 +148,16 @@
 		for _, l := range d.tracker.Loads() {
 			own[l.Replica] = l.InFlight
 		}
-		work := peers.Summary{Daemons: len(p.daemons) - 1}
+		summary := peers.Summary{Daemons: len(p.daemons) - 1}
 		for id, busy := range p.inFlight {
-			work.Loads = append(work.Loads, peers.Load{Replica: id, InFlight: busy - own[id]})
+			summary.Loads = append(summary.Loads, peers.Load{Replica: id, InFlight: busy - own[id]})
 		}
-		d.tracker.SetRemote("others", work, now.Add(-50*time.Millisecond))
+		d.tracker.SetRemote("others", summary, now.Add(-50*time.Millisecond))
 	}
 }
 
 // simulateRequest simulates one request at a random daemon.
-func (p *choiceSimulation) simulateRequest(now time.Time) (wait time.Duration, opened, full bool) {
+func (p *choiceSimulation) simulateRequest(now time.Time) (wait time.Duration, hasOpened, isFull bool) {
 	d := p.daemons[p.rand.IntN(len(p.daemons))]
 	c := p.costs
 	if !p.load.ignoreConnections {
@@ -168,10 +168,10 @@
 		return math.MaxInt64, false, true
 	}
 	id := choice.Replica.ID
-	opened = !d.takeConnection(id, now, p.load.keepAlive)
+	hasOpened = !d.takeConnection(id, now, p.load.keepAlive)
 	reservation := d.tracker.Reserve(choice.Replica, choicePromptTokens)
 	reservation.MarkPromptRead()
-	full = float64(p.inFlight[id]) >= c.slots
+	isFull = float64(p.inFlight[id]) >= c.slots
 	p.inFlight[id]++
 	pass := c.passTime + time.Duration(p.inFlight[id])*c.perRequest
 	began := now
@@ -180,8 +180,8 @@
 	}
 	p.readAt[id] = began.Add(choicePromptTokens * c.perToken)
 	wait = p.readAt[id].Sub(now) + pass
-	heap.Push(&p.ends, choiceEnd{at: now.Add(wait + choiceEvents*pass), daemon: d, replica: id, reservation: reservation})
-	return wait, opened, full
+	heap.Push(&p.running, endingRequest{endsAt: now.Add(wait + choiceEvents*pass), daemon: d, replica: id, reservation: reservation})
+	return wait, hasOpened, isFull
 }
 
 func (d *choiceDaemon) connectedWorkers(now time.Time, idle time.Duration) map[string]bool {
@@ -241,9 +241,9 @@
 func TestLastSlotIsNotPreferred(t *testing.T) {
 	const noise = 20 * time.Millisecond
 	tests := map[string]struct {
-		worker string
-		busy   float64
-		want   time.Duration
+		worker   string
+		inFlight float64
+		want     time.Duration
 	}{
 		"kept and idle":          {"kept", 0, 0},
 		"kept, two slots left":   {"kept", 18, 0},
@@ -256,7 +256,7 @@
 	c.connectedWorkers = map[string]bool{"kept": true}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, c.openingCost(test.worker, test.busy, noise), test.want)
+			assert.Equal(t, c.openingCost(test.worker, test.inFlight, noise), test.want)
 		})
 	}
 }
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -94,15 +94,15 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for {
-		all := u.idle[w.ID]
-		if len(all) == 0 {
+		conns := u.idle[w.ID]
+		if len(conns) == 0 {
 			return nil
 		}
-		c := all[len(all)-1]
+		c := conns[len(conns)-1]
 		if c.workerBorn == w.Born && !u.isUsable(c, maxIdle, now) {
 			return nil
 		}
-		u.idle[w.ID] = all[:len(all)-1]
+		u.idle[w.ID] = conns[:len(conns)-1]
 		u.idleCount--
 		if c.workerBorn == w.Born && c.isIntact() {
 			c.idleBefore = now.Sub(c.idleSince)
@@ -126,8 +126,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	workers := make(map[string]bool, len(u.idle))
-	for worker, all := range u.idle {
-		if len(all) > 0 && u.isUsable(all[len(all)-1], maxIdle, now) {
+	for worker, conns := range u.idle {
+		if len(conns) > 0 && u.isUsable(conns[len(conns)-1], maxIdle, now) {
 			workers[worker] = true
 		}
 	}
@@ -191,17 +191,17 @@
 
 // closeIdle closes the oldest idle connections to a worker until at most limit are left.
 func (u *upstream) closeIdle(worker string, limit int) {
-	all := u.idle[worker]
-	excess := max(len(all)-limit, 0)
-	for _, c := range all[:excess] {
+	conns := u.idle[worker]
+	excess := max(len(conns)-limit, 0)
+	for _, c := range conns[:excess] {
 		_ = c.Close()
 	}
 	u.idleCount -= excess
-	if limit <= 0 || len(all) == 0 {
+	if limit <= 0 || len(conns) == 0 {
 		delete(u.idle, worker)
 		return
 	}
-	u.idle[worker] = all[excess:]
+	u.idle[worker] = conns[excess:]
 }
 
 // sweep closes connections that have been idle for too long, and those beyond the daemon's share.
@@ -209,9 +209,9 @@
 func (u *upstream) sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for worker, all := range u.idle {
-		kept := all[:0]
-		for _, c := range all {
+	for worker, conns := range u.idle {
+		kept := conns[:0]
+		for _, c := range conns {
 			if now.Before(c.closeAt) && !u.dropsEarly(c.service, now.Sub(c.idleSince), now) {
 				kept = append(kept, c)
 				continue
--- a/relay/cost.go
+++ b/relay/cost.go
@@ -68,11 +68,11 @@
 // predictedWait returns the predicted wait at a replica with the given requests in flight and unread
 // prompt tokens.
 func (c costs) predictedWait(inFlight float64, unreadTokens int) time.Duration {
-	w := time.Duration(unreadTokens)*c.perToken + time.Duration(inFlight*float64(c.perRequest))
+	wait := time.Duration(unreadTokens)*c.perToken + time.Duration(inFlight*float64(c.perRequest))
 	occupiedShare := inFlight / c.slots
-	w += time.Duration(crowdingFactor * occupiedShare * occupiedShare * occupiedShare * float64(c.passTime))
+	wait += time.Duration(crowdingFactor * occupiedShare * occupiedShare * occupiedShare * float64(c.passTime))
 	if queued := inFlight - c.slots + 1; queued > 0 {
-		w += time.Duration(queued / c.slots * float64(c.slotTime))
+		wait += time.Duration(queued / c.slots * float64(c.slotTime))
 	}
-	return w
+	return wait
 }
--- a/relay/holdings_test.go
+++ b/relay/holdings_test.go
@@ -85,11 +85,11 @@
 		second := requestMemory{holdings: h, account: "a"}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		began := time.Now()
+		startedAt := time.Now()
 		got, err := second.read(strings.NewReader("answer"), 1<<20, waitForMemory(ctx))
 		assert.NilError(t, err)
 		assert.Equal(t, string(got), "answer")
-		assert.Assert(t, time.Since(began) >= time.Second)
+		assert.Assert(t, time.Since(startedAt) >= time.Second)
 		third := requestMemory{holdings: h, account: "b"}
 		assert.Assert(t, third.grow(1<<20-100))
 		_, err = second.read(strings.NewReader("answer"), 1<<20, waitForMemory(ctx))
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -22,14 +22,14 @@
 	event := func(at time.Duration) lateStep { return lateStep{at: at, isEvent: true} }
 	failed := func(at time.Duration) lateStep { return lateStep{at: at, isFailure: true} }
 	tests := map[string]struct {
-		steps []lateStep
-		busy  float64
-		want  reason.Reason
+		steps    []lateStep
+		inFlight float64
+		want     reason.Reason
 	}{
 		"in time":                       {steps: []lateStep{event(290 * ms), event(480 * ms)}},
 		"late behind prompts":           {steps: []lateStep{event(310 * ms)}, want: reason.LateFirst},
-		"late at a full replica":        {steps: []lateStep{event(310 * ms)}, busy: 9, want: reason.LateFull},
-		"late after a failure":          {steps: []lateStep{failed(200 * ms), event(310 * ms)}, busy: 9, want: reason.LateRetried},
+		"late at a full replica":        {steps: []lateStep{event(310 * ms)}, inFlight: 9, want: reason.LateFull},
+		"late after a failure":          {steps: []lateStep{failed(200 * ms), event(310 * ms)}, inFlight: 9, want: reason.LateRetried},
 		"a pause":                       {steps: []lateStep{event(100 * ms), event(301 * ms)}, want: reason.LatePause},
 		"moved in time":                 {steps: []lateStep{event(100 * ms), failed(150 * ms), event(290 * ms)}},
 		"moved too late":                {steps: []lateStep{event(100 * ms), failed(250 * ms), event(310 * ms)}, want: reason.LateResumed},
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			c := &request{
-				arrived: start, chosenInFlight: test.busy, engine: &fleet.Engine{Slots: 10},
+				arrived: start, chosenInFlight: test.inFlight, engine: &fleet.Engine{Slots: 10},
 				route: &fleet.Route{Objective: 300 * ms, GapTarget: 200 * ms},
 			}
 			var l lateness
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -226,10 +226,10 @@
 				p.call(i%len(p.daemons), fmt.Sprint("crash", i), 100, 6*time.Second)
 			}
 		})
-		served := p.count("other", otherRequests, p.isServed)
-		t.Logf("%d heads ended, %d of %d others served", p.crashes, served, otherRequests)
+		servedCount := p.count("other", otherRequests, p.isServed)
+		t.Logf("%d heads ended, %d of %d others served", p.crashes, servedCount, otherRequests)
 		assert.Assert(t, p.crashes <= 6, "%d heads ended", p.crashes)
-		assert.Assert(t, served >= otherRequests*98/100, "%d others are served", served)
+		assert.Assert(t, servedCount >= otherRequests*98/100, "%d others are served", servedCount)
 	})
 }
 
@@ -247,13 +247,13 @@
 				}
 			}
 		})
-		popular, others := p.count("popular", copies, p.isServed), p.count("other", otherRequests, p.isServed)
-		t.Logf("%d heads ended; served: %d of %d copies, %d of %d others", p.crashes, popular, copies, others, otherRequests)
+		popularServed, othersServed := p.count("popular", copies, p.isServed), p.count("other", otherRequests, p.isServed)
+		t.Logf("%d heads ended; served: %d of %d copies, %d of %d others", p.crashes, popularServed, copies, othersServed, otherRequests)
 		for _, r := range p.daemons {
 			assert.Equal(t, r.opts.Meter.Refusals()[reason.Quarantined], int64(0))
 		}
-		assert.Assert(t, popular >= copies*96/100, "%d copies are served", popular)
-		assert.Assert(t, others >= otherRequests*98/100, "%d others are served", others)
+		assert.Assert(t, popularServed >= copies*96/100, "%d copies are served", popularServed)
+		assert.Assert(t, othersServed >= otherRequests*98/100, "%d others are served", othersServed)
 	})
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -235,22 +235,22 @@
 func TestBudget(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := newBudget(BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 20, Daemons: func() int { return 2 }})
-	taken := 0
+	retries := 0
 	for b.takeRetry("s", start) {
-		taken++
+		retries++
 	}
-	assert.Equal(t, taken, 8, "0.8 of half of the extra")
+	assert.Equal(t, retries, 8, "0.8 of half of the extra")
 	for range 100 {
 		b.addRequest("s", start.Add(time.Second))
 	}
 	assert.Assert(t, b.takeRetry("s", start.Add(time.Second)), "requests allow repeats")
 	assert.Assert(t, b.takeRetry("other", start), "services are counted separately")
 	later := start.Add(time.Minute)
-	taken = 0
+	retries = 0
 	for b.takeRetry("s", later) {
-		taken++
+		retries++
 	}
-	assert.Equal(t, taken, 8, "old retries are not counted")
+	assert.Equal(t, retries, 8, "old retries are not counted")
 }
 
 func TestLastID(t *testing.T) {
--- a/relay/request.go
+++ b/relay/request.go
@@ -53,8 +53,8 @@
 	// chosenInFlight is the number of requests that were in flight over all daemons at the replica
 	// chosen last.
 	chosenInFlight float64
-	// passedOver states, for the log, how many replicas were excluded or ranked lower, by cause, in
-	// the last choice in which there were any.
+	// passedOver is a log text that counts, by cause, the replicas that a choice excluded or ranked
+	// lower. It is from the last choice that did so.
 	passedOver string
 	// sendBy is the time by which the attempt must be sent; zero for any time. exhaustedBound names
 	// the bound (warm-up, limit or rest) that last refused a token.
@@ -195,9 +195,9 @@
 		c.deadline = c.arrived.Add(c.route.Timeout)
 	}
 	if ms, err := strconv.ParseFloat(h.Header.Get(r.opts.Names.Deadline), 64); err == nil && ms >= 0 {
-		wanted := c.arrived.Add(time.Duration(ms * float64(time.Millisecond)))
-		if wanted.Before(c.deadline) {
-			c.deadline = wanted
+		callerDeadline := c.arrived.Add(time.Duration(ms * float64(time.Millisecond)))
+		if callerDeadline.Before(c.deadline) {
+			c.deadline = callerDeadline
 		}
 	}
 	parent := h.Context()
--- a/relay/resumedelay.go
+++ b/relay/resumedelay.go
@@ -21,7 +21,7 @@
 	if maxGap <= 0 || now.Sub(lastProgress) < maxGap {
 		return 0
 	}
-	left := time.Duration(resumeDelayShare * float64(c.deadline.Sub(now)))
-	limit := min(maxResumeDelay, left, resumeTimeout-now.Sub(lastProgress))
+	maxDelay := time.Duration(resumeDelayShare * float64(c.deadline.Sub(now)))
+	limit := min(maxResumeDelay, maxDelay, resumeTimeout-now.Sub(lastProgress))
 	return time.Duration(r.random() * float64(max(limit, 0)))
 }
--- a/relay/resumedelay_test.go
+++ b/relay/resumedelay_test.go
@@ -28,9 +28,9 @@
 		perPass[wait/pass]++
 		assert.Assert(t, silentFor+wait < callerPatience, "%s", wait)
 	}
-	for at, count := range perPass {
+	for passIndex, count := range perPass {
 		// Without the delay, all streams would resume in one pass.
-		assert.Assert(t, count < streams/4, "%d within pass %d", count, at)
+		assert.Assert(t, count < streams/4, "%d within pass %d", count, passIndex)
 	}
 }
 
--- a/relay/retryafter_test.go
+++ b/relay/retryafter_test.go
@@ -48,8 +48,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	p.calls.Wait()
-	served := p.count("burst", callers, func(id string) bool { return p.isServed(id) || p.isServed(id+" again") })
-	assert.Assert(t, served >= callers*95/100, "%d of %d are served", served, callers)
+	servedCount := p.count("burst", callers, func(id string) bool { return p.isServed(id) || p.isServed(id+" again") })
+	assert.Assert(t, servedCount >= callers*95/100, "%d of %d are served", servedCount, callers)
 }
 
 // callWithRetry sends a request and, if it is refused, retries once after Retry-After if that is
@@ -65,10 +65,10 @@
 	}
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	left := timeout - time.Since(began)
-	wanted := time.Duration(after * float64(time.Second))
-	if err != nil || wanted > left/3 {
+	retryAfter := time.Duration(after * float64(time.Second))
+	if err != nil || retryAfter > left/3 {
 		return
 	}
-	time.Sleep(wanted)
+	time.Sleep(retryAfter)
 	p.send(daemon, id+" again", promptTokens, timeout-time.Since(began))
 }
--- a/relay/signals.go
+++ b/relay/signals.go
@@ -25,8 +25,8 @@
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	signed := answer.Header.Get(r.opts.Names.Signature) != ""
-	signal, err := r.opts.Names.Asks.Read(answer, signed)
+	isSigned := answer.Header.Get(r.opts.Names.Signature) != ""
+	signal, err := r.opts.Names.Asks.Read(answer, isSigned)
 	if err != nil {
 		r.opts.Meter.Signal("unclear")
 		r.opts.Logger.Debug("failed to read a worker's signal", "worker", worker.ID, "error", err)
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -154,15 +154,15 @@
 // lastEventOf returns when a replica last sent an event to this daemon or, according to their
 // reports, to a peer.
 func (t *Tracker) lastEventOf(s *replicaLoad) time.Time {
-	last := s.lastEventAt
+	latest := s.lastEventAt
 	for _, remote := range t.loadsBySource {
 		if l, ok := remote.loads[s.replica.ID]; ok && l.Moved > 0 {
-			if at := remote.receivedAt.Add(-time.Duration(l.Moved) * time.Millisecond); at.After(last) {
-				last = at
+			if at := remote.receivedAt.Add(-time.Duration(l.Moved) * time.Millisecond); at.After(latest) {
+				latest = at
 			}
 		}
 	}
-	return last
+	return latest
 }
 
 // isStreamSilent reports whether a stream has been silent for too long, although other streams of
@@ -189,14 +189,14 @@
 // isSilent reports whether the replica has sent no event for so long that it must have stopped.
 // last is when it last sent one.
 func (s *replicaLoad) isSilent(last, now time.Time) bool {
-	limit, oldest, waiting := firstEventTimeout, now, 0
+	timeout, oldest, waitingCount := firstEventTimeout, now, 0
 	for watch := range s.streams {
 		if watch.isForwarding.Load() {
 			continue
 		}
-		waiting++
+		waitingCount++
 		if watch.hasBegun {
-			limit = nextEventTimeout
+			timeout = nextEventTimeout
 		}
 		if watch.lastEventAt.Before(oldest) {
 			oldest = watch.lastEventAt
@@ -205,7 +205,7 @@
 	if oldest.After(last) {
 		last = oldest
 	}
-	return waiting > 0 && now.Sub(last) > limit
+	return waitingCount > 0 && now.Sub(last) > timeout
 }
 
 // cancelStreams cancels the matching streams, so that they resume elsewhere.
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -168,8 +168,8 @@
 		runs := h.runs
 		h.runs = nil
 		h.mu.Unlock()
-		kept, read := h.runPass(runs)
-		wait(ctx, read)
+		kept, readTime := h.runPass(runs)
+		wait(ctx, readTime)
 		h.mu.Lock()
 		h.runs = append(kept, h.runs...)
 		slices.SortStableFunc(h.runs, func(a, b *simRun) int { return cmp.Compare(a.sortKey(), b.sortKey()) })
@@ -179,7 +179,7 @@
 
 // runPass reads prompts and sends the next events. It returns the requests that continue, and the
 // time spent reading.
-func (h *simHead) runPass(runs []*simRun) (kept []*simRun, read time.Duration) {
+func (h *simHead) runPass(runs []*simRun) (kept []*simRun, readTime time.Duration) {
 	for _, run := range runs {
 		switch {
 		case h.isCanceled(run):
@@ -192,13 +192,13 @@
 			h.onRun(h, run.body)
 		}
 		run.hasSlot = true
-		piece := min(run.readTimeLeft, simMaxReadTime-read)
-		run.readTimeLeft, read = run.readTimeLeft-piece, read+piece
+		piece := min(run.readTimeLeft, simMaxReadTime-readTime)
+		run.readTimeLeft, readTime = run.readTimeLeft-piece, readTime+piece
 		if run.readTimeLeft > 0 || h.isMuted != nil && h.isMuted(run.id) || run.sendEvent(h.id) {
 			kept = append(kept, run)
 		}
 	}
-	return kept, read
+	return kept, readTime
 }
 
 // sortKey returns the key by which requests are sorted. Running requests come before waiting ones,
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -30,7 +30,7 @@
 	daemons   []*Relay
 	// callerPatience is how long callers wait for the first event.
 	callerPatience time.Duration
-	// bodyOf returns the body of a request; nil for the same body for all.
+	// bodyOf returns the body of a request. If it is nil, all requests have the same body.
 	bodyOf func(id string) string
 	// crashes counts the heads that crashed.
 	crashes    int
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -203,18 +203,18 @@
 	if len(replicas) == 0 {
 		return 0
 	}
-	reportAge, count := time.Duration(0), 0
+	reportAge, daemons := time.Duration(0), 0
 	for _, remote := range t.loadsBySource {
 		if age := now.Sub(remote.measuredAt); age < remoteLoadTTL {
 			reportAge += age * time.Duration(remote.daemons)
-			count += remote.daemons
+			daemons += remote.daemons
 		}
 	}
 	key := replicas[0].Service + "/" + replicas[0].Model
 	t.rates.count(key, now)
-	rate := t.rates.perSecond(key, now) * float64(count)
-	if count > 0 {
-		reportAge /= time.Duration(count)
+	rate := t.rates.perSecond(key, now) * float64(daemons)
+	if daemons > 0 {
+		reportAge /= time.Duration(daemons)
 	}
 	arrivals := rate * (reportAge + minReportDelay).Seconds() / float64(len(replicas))
 	perArrival := time.Duration(promptTokens)*c.perToken + c.perRequest + c.passTime/noiseDivisor
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -145,7 +145,7 @@
 		w.runsByRequest[id]++
 	}
 	w.mu.Unlock()
-	signed := "X-Attempt: " + id + "\r\nX-Signature: " + w.id + "\r\n" + w.extraHeader
+	signedHeader := "X-Attempt: " + id + "\r\nX-Signature: " + w.id + "\r\n" + w.extraHeader
 	switch b {
 	case rejects:
 		writeText(c, "HTTP/1.1 503 Full\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
@@ -154,7 +154,7 @@
 		writeText(c, "HTTP/1.1 421 Another\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case fails:
-		writeText(c, "HTTP/1.1 500 Failed\r\n"+signed+"Content-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 500 Failed\r\n"+signedHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case drops:
 		// Without lingering, closing resets the connection.
@@ -175,24 +175,24 @@
 		writeText(c, "HTTP/1.1 200 OK\r\nX-Attempt: other\r\nX-Signature: other\r\nContent-Length: 5\r\n\r\nother")
 	}
 	if r.URL.Path == "/stream/" {
-		return w.sendStream(c, r, signed, b)
+		return w.sendStream(c, r, signedHeader, b)
 	}
 	body := "answer to " + id
 	if b == cuts || b == tears {
-		writeText(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\nans")
+		writeText(c, "HTTP/1.1 200 OK\r\n"+signedHeader+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\nans")
 		return false
 	}
-	writeText(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+	writeText(c, "HTTP/1.1 200 OK\r\n"+signedHeader+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 	return true
 }
 
 // sendStream sends the events after the last one that the caller has.
-func (w *fakeWorker) sendStream(c net.Conn, r *http.Request, signed string, b behaviour) bool {
+func (w *fakeWorker) sendStream(c net.Conn, r *http.Request, signedHeader string, b behaviour) bool {
 	first := 1
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
 	}
-	writeText(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+	writeText(c, "HTTP/1.1 200 OK\r\n"+signedHeader+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for i := first; i <= fakeEvents; i++ {
 		event := fmt.Sprintf("id: %d\ndata: event %d\n\n", i, i)
 		if i == first+2 {
