--- a/eligibility/eligibility_test.go
+++ b/eligibility/eligibility_test.go
@@ -80,8 +80,9 @@
 	assert.Equal(t, cause, None)
 }
 
-// TestSelectionHoldsEachReplicaOnce checks that each replica is in the class that Classify
-// returns, in order, or excluded, and that each cause is counted.
+// TestSelectionHoldsEachReplicaOnce checks that each replica is in the class that Classify returns,
+// and in no class if it is excluded. The order of replicas must be kept, and each cause must be
+// counted.
 func TestSelectionHoldsEachReplicaOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "cold", "silent"}), 0, 12).Draw(t, "ids")
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -86,9 +86,10 @@
 	return &connection{Conn: raw, worker: w.ID, service: w.Service, workerBorn: w.Born, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// reuse returns the most recently used connection, which the worker is least likely to have closed,
-// or nil. Connections that were idle for longer than maxIdle are left for other requests or the
-// next sweep. Connections to an earlier instance of the worker are closed.
+// reuse returns the most recently used idle connection, or nil if none is usable. The most recent
+// one is the least likely to have been closed by the worker. Connections that were idle for longer
+// than maxIdle are left for other requests or the next sweep. Connections to an earlier instance of
+// the worker are closed.
 func (u *upstream) reuse(w *fleet.Worker, maxIdle time.Duration) *connection {
 	now := time.Now()
 	u.mu.Lock()
--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestDroppedConnections: if a worker dropped a kept connection without closing it, the request
-// is sent to it again, unless it must not run twice. No answer may promise that it did not run.
+// TestDroppedConnections: if a worker resets a kept connection, a request that may be repeated must
+// be sent to it again. No answer may promise that the request did not run.
 func TestDroppedConnections(t *testing.T) {
 	tests := map[string]struct {
 		path   string
--- a/relay/cost.go
+++ b/relay/cost.go
@@ -65,8 +65,8 @@
 	return c
 }
 
-// predictedWait returns the predicted wait at a replica with the given requests in flight and unread
-// prompt tokens.
+// predictedWait returns the predicted wait for the first event at a replica with the given numbers
+// of requests in flight and unread prompt tokens.
 func (c costs) predictedWait(inFlight float64, unreadTokens int) time.Duration {
 	wait := time.Duration(unreadTokens)*c.perToken + time.Duration(inFlight*float64(c.perRequest))
 	occupiedShare := inFlight / c.slots
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -15,8 +15,8 @@
 	retrySoon       = 50 * time.Millisecond
 	retryBusy       = 300 * time.Millisecond
 	retryUninformed = 500 * time.Millisecond
-	// retryClosed is the retry time when an operator's setting excludes all replicas, which
-	// seldom changes within a second.
+	// retryClosed is the retry time when an operator's setting excludes all replicas. Such settings
+	// seldom change within a second.
 	retryClosed = time.Second
 )
 
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestStalledReplicaIsDetected: a replica without any events is suspected by all daemons after
-// nextEventTimeout if a stream had started.
+// TestStalledReplicaIsDetected: a replica that stalls after a stream has started must be suspected
+// by all daemons after nextEventTimeout.
 func TestStalledReplicaIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Bool
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -40,8 +40,8 @@
 	return counts
 }
 
-// TestChoicesAreSpread: daemons that know the same outdated loads must not all choose the same
-// replica, though one looks slightly better.
+// TestChoicesAreSpread: daemons with the same outdated loads must not all choose the same replica,
+// even if it looks slightly better.
 func TestChoicesAreSpread(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
