--- a/relay/bound.go
+++ b/relay/bound.go
@@ -82,12 +82,12 @@
 // boundRefusal returns the refusal of a request for which no replica has a token left. Callers
 // refused because of limits or rests get random retry times. Tokens may stay scarce for long, and
 // callers that retry at the same time would be refused again.
-func (r *Relay) boundRefusal(c *request, why reason.Reason, now time.Time) *refusal {
+func (r *Relay) boundRefusal(c *request, cause reason.Reason, now time.Time) *refusal {
 	wait := r.boundRetryAfter(c, now)
-	if why == reason.Limited || why == reason.Resting {
+	if cause == reason.Limited || cause == reason.Resting {
 		wait = r.spreadRetryFrom(c, wait, now)
 	}
-	return unavailable(why, boundMessages[why], wait)
+	return newUnavailable(cause, boundMessages[cause], wait)
 }
 
 // boundRetryAfter returns after how long a caller should retry when no replica has a token left.
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -42,12 +42,12 @@
 // noReplicaRefusal returns the refusal of a request that no replica may take. Its reason follows
 // from the most frequent cause.
 func (r *Relay) noReplicaRefusal(c *request, counts eligibility.Counts, now time.Time) *refusal {
-	f := unavailable(reason.NoReplica, "no replica serves at present", retryBusy)
+	f := newUnavailable(reason.NoReplica, "no replica serves at present", retryBusy)
 	switch counts.MostFrequent() {
 	case eligibility.HallNotOpen:
-		f = unavailable(reason.HallClosed, "the data halls that serve this are closed", retryClosed)
+		f = newUnavailable(reason.HallClosed, "the data halls that serve this are closed", retryClosed)
 	case eligibility.RegionNotAllowed:
-		f = unavailable(reason.RegionNotAllowed, "no replica serves in the regions that are allowed", retryClosed)
+		f = newUnavailable(reason.RegionNotAllowed, "no replica serves in the regions that are allowed", retryClosed)
 	case eligibility.WarmingUp, eligibility.Limited, eligibility.Resting:
 		f = r.boundRefusal(c, counts.MostFrequent().Reason(), now)
 	}
--- a/relay/names.go
+++ b/relay/names.go
@@ -29,6 +29,6 @@
 	LastEvent string
 	// Priority is the header with the request's priority; 0 is the most urgent.
 	Priority string
-	// Asks are the headers with which workers limit or pause requests.
+	// Asks holds the names of the headers with which workers limit or pause requests.
 	Asks backpressure.Names
 }
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -62,7 +62,7 @@
 	if !state.Quarantined {
 		return nil
 	}
-	return unavailable(reason.Quarantined, "the request ended the workers that ran it", state.Until.Sub(now))
+	return newUnavailable(reason.Quarantined, "the request ended the workers that ran it", state.Until.Sub(now))
 }
 
 // reportCrash reports a broken attempt to the guard, unless the worker had announced that it
--- a/relay/rates.go
+++ b/relay/rates.go
@@ -29,7 +29,7 @@
 	average.at = now
 }
 
-// perSecond returns the rate of a key.
+// perSecond returns the average number of requests per second of a key.
 func (r *rates) perSecond(key string, now time.Time) float64 {
 	average, ok := r.keys[key]
 	if !ok {
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -39,12 +39,12 @@
 	return f.status == http.StatusServiceUnavailable || f.status == http.StatusTooManyRequests
 }
 
-func refuse(status int, why reason.Reason, message string) *refusal {
-	return &refusal{status: status, reason: why, message: message}
+func newRefusal(status int, cause reason.Reason, message string) *refusal {
+	return &refusal{status: status, reason: cause, message: message}
 }
 
-func unavailable(why reason.Reason, message string, after time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: why, message: message, retryAfter: after}
+func newUnavailable(cause reason.Reason, message string, after time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, reason: cause, message: message, retryAfter: after}
 }
 
 type refusalBody struct {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -211,7 +211,7 @@
 		return nil, f
 	}
 	if c.tenant != nil && r.BeliefTooOld(now) {
-		return nil, unavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
+		return nil, newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	selection := r.selectReplicas(c, now)
 	// exhausted holds replicas whose last token was taken by another request since they were
@@ -256,7 +256,7 @@
 		}
 		isFull = true
 	}
-	f := unavailable(reason.Overloaded, "all replicas are busy", retryBusy)
+	f := newUnavailable(reason.Overloaded, "all replicas are busy", retryBusy)
 	if !isFull {
 		f = r.boundRefusal(c, c.exhaustedBound, now)
 	}
@@ -316,9 +316,9 @@
 	if c.isTimedOut() {
 		return c.correctStatus(timeoutRefusal(c))
 	}
-	f := unavailable(reason.EndpointRefused, "no worker took the request", retrySoon)
+	f := newUnavailable(reason.EndpointRefused, "no worker took the request", retrySoon)
 	if c.mayHaveRun() {
-		f = refuse(http.StatusBadGateway, reason.EndpointBroken, "the worker's answer was lost")
+		f = newRefusal(http.StatusBadGateway, reason.EndpointBroken, "the worker's answer was lost")
 	}
 	switch {
 	case errors.Is(c.lastErr, errReplicaSilent):
@@ -331,7 +331,7 @@
 
 func timeoutRefusal(c *request) *refusal {
 	if c.mayHaveRun() {
-		return refuse(http.StatusGatewayTimeout, reason.EndpointTimeout, "the time was up before the answer came")
+		return newRefusal(http.StatusGatewayTimeout, reason.EndpointTimeout, "the time was up before the answer came")
 	}
-	return unavailable(reason.EndpointTimeout, "the time was up before the request began", 0)
+	return newUnavailable(reason.EndpointTimeout, "the time was up before the request began", 0)
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -93,7 +93,7 @@
 	r.opts.Awake()
 	config := r.opts.Config()
 	if config == nil {
-		return nil, unavailable(reason.Starting, "no configuration is known yet", retryUninformed)
+		return nil, newUnavailable(reason.Starting, "no configuration is known yet", retryUninformed)
 	}
 	c := &request{
 		method: h.Method, target: h.RequestURI, host: h.Host, header: h.Header,
@@ -103,7 +103,7 @@
 	path, _, _ := strings.Cut(c.target, "?")
 	route, ok := config.Route(c.host, path)
 	if !ok {
-		return c, refuse(http.StatusNotFound, reason.NotFound, "no route leads there")
+		return c, newRefusal(http.StatusNotFound, reason.NotFound, "no route leads there")
 	}
 	c.route = route
 	if refused := r.authenticate(c, config); refused != nil {
@@ -135,11 +135,11 @@
 		return nil
 	}
 	if r.BeliefTooOld(time.Now()) {
-		return unavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
+		return newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	tenant, ok := config.Tenant(key)
 	if !ok {
-		return refuse(http.StatusUnauthorized, reason.Unauthorized, "the key is not known")
+		return newRefusal(http.StatusUnauthorized, reason.Unauthorized, "the key is not known")
 	}
 	c.tenant = tenant
 	return nil
@@ -159,20 +159,20 @@
 		limit = defaultMaxBodyBytes
 	}
 	if h.ContentLength > limit {
-		return refuse(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
+		return newRefusal(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
 	}
 	c.memory.account = accountName(c.tenant)
 	body, err := c.memory.read(h.Body, limit, failWhenFull)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refuse(http.StatusRequestTimeout, reason.BadRequest, "the body did not come in time")
+		return newRefusal(http.StatusRequestTimeout, reason.BadRequest, "the body did not come in time")
 	case errors.Is(err, errMemoryLimit):
-		return unavailable(reason.MemoryBound, "this daemon holds as much as it may", retryBusy)
+		return newUnavailable(reason.MemoryBound, "this daemon holds as much as it may", retryBusy)
 	case err != nil:
-		return refuse(http.StatusBadRequest, reason.BadRequest, "the body was not read whole")
+		return newRefusal(http.StatusBadRequest, reason.BadRequest, "the body was not read whole")
 	}
 	if int64(len(body)) > limit {
-		return refuse(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
+		return newRefusal(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
 	}
 	c.body = body
 	return nil
@@ -219,8 +219,8 @@
 	return n
 }
 
-// hopHeaders are the headers that apply to a single connection.
-var hopHeaders = []string{
+// hopByHopHeaders are the headers that apply to a single connection.
+var hopByHopHeaders = []string{
 	"Connection", "Content-Length", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
@@ -233,7 +233,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/relay/resumedelay.go
+++ b/relay/resumedelay.go
@@ -11,8 +11,8 @@
 	resumeDelayShare = 0.25
 )
 
-// resumeDelay returns how long a broken stream waits before it resumes elsewhere: zero while it
-// can still be on time, and a random time once it is late.
+// resumeDelay returns how long a broken stream waits before it resumes at another replica. The
+// delay is zero while the stream can still be on time, and random once it is late.
 func (r *Relay) resumeDelay(c *request, s *relayedStream, now time.Time) time.Duration {
 	lastProgress, maxGap := c.arrived, c.route.Objective
 	if s.isHeadSent {
