--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -12,7 +12,7 @@
 	"quartzshelf.dev/peers"
 )
 
-// eventReader yields one event at each read.
+// eventReader returns one event per read.
 type eventReader struct {
 	event []byte
 	left  int
@@ -26,25 +26,25 @@
 	return copy(p, r.event), nil
 }
 
-// BenchmarkEvent measures the daemon's own work for one event of a stream: to
-// find its end and id and to hand it on. Connections are left out.
+// BenchmarkEvent measures the time per event of a stream, without the network. It covers finding
+// the event's end and ID, and forwarding it.
 func BenchmarkEvent(b *testing.B) {
 	b.ReportAllocs()
 	reader := &eventReader{event: []byte("id: 17\ndata: 0123456789012345678901234567890123456789012345678901234567890\n\n"), left: b.N}
 	recorder := httptest.NewRecorder()
 	recorder.Body = nil
 	e := &exchange{response: &http.Response{Body: io.NopCloser(reader), Header: http.Header{}}}
-	s := &relayed{w: recorder}
+	s := &relayedStream{w: recorder}
 	b.ResetTimer()
-	if err := s.copy(e, func(time.Time) {}, func() {}); err != nil {
+	if err := s.copyEvents(e, func(time.Time) {}, func() {}); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// BenchmarkChoose measures one choice among 400 replicas, of which this daemon keeps
-// connections to 16, with loads that the relays of three data halls report.
+// BenchmarkChoose measures one choice among 400 replicas with loads reported by three sources.
+// Connections to the heads of 16 replicas are kept.
 func BenchmarkChoose(b *testing.B) {
-	const replicas, halls, connected = 400, 3, 16
+	const replicas, sources, connected = 400, 3, 16
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	u := newUpstream()
@@ -58,19 +58,19 @@
 			u.idle[r.Head.ID] = []*connection{{worker: r.Head.ID, idleSince: time.Now(), closeAt: time.Now().Add(time.Hour)}}
 		}
 	}
-	for i := range halls {
+	for i := range sources {
 		tracker.SetRemote(fmt.Sprintf("hall%d", i), peers.Summary{Daemons: 40, Loads: loads}, now)
 	}
 	tests := map[string]func() map[string]bool{
 		"without connections": func() map[string]bool { return nil },
-		"with connections":    func() map[string]bool { return u.kept(time.Hour) },
+		"with connections":    func() map[string]bool { return u.connectedWorkers(time.Hour) },
 	}
 	for name, kept := range tests {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				c := testCosts
-				c.kept = kept()
+				c.connectedWorkers = kept()
 				tracker.Choose(all, nil, c, 1000, now)
 			}
 		})
--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -16,36 +16,36 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// fakeTokens bounds what a replica gets: one request a token.
+// fakeTokens limits requests to workers by tokens, one for each request.
 type fakeTokens struct {
 	mu sync.Mutex
-	// left holds the tokens by worker; workers that are not named are not bounded.
+	// left holds the remaining tokens by worker. Workers that are not in it are not limited.
 	left map[string]int
-	// stale tells that requests are sent too late for their token.
-	stale bool
+	// isStale makes tokens expire before they are used.
+	isStale bool
 }
 
 func (f *fakeTokens) check(time.Time) func(r *fleet.Replica) bool {
 	return func(r *fleet.Replica) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		left, bounded := f.left[r.Head.ID]
-		return !bounded || left > 0
+		left, isLimited := f.left[r.Head.ID]
+		return !isLimited || left > 0
 	}
 }
 
 func (f *fakeTokens) take(r *fleet.Replica, now time.Time) (time.Time, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left, bounded := f.left[r.Head.ID]
+	left, isLimited := f.left[r.Head.ID]
 	switch {
-	case !bounded:
+	case !isLimited:
 		return time.Time{}, true
 	case left == 0:
 		return time.Time{}, false
 	}
 	f.left[r.Head.ID]--
-	if f.stale {
+	if f.isStale {
 		return now.Add(-time.Millisecond), true
 	}
 	return now.Add(time.Minute), true
@@ -55,50 +55,50 @@
 	return now.Add(120 * time.Millisecond)
 }
 
-// bound lets the relay go by the tokens.
-func (f *fakeTokens) bound(r *testRelay) {
+// setWarmUp makes the tokens the relay's warm-up bound.
+func (f *fakeTokens) setWarmUp(r *testRelay) {
 	r.opts.WarmUp = Bound{Check: f.check, Take: f.take, Next: f.next}
 }
 
-// allRuns counts the runs of all requests at a worker.
+// allRuns returns the number of runs of all requests at a worker.
 func (w *fakeWorker) allRuns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sum := 0
-	for _, n := range w.ran {
+	for _, n := range w.runsByRequest {
 		sum += n
 	}
 	return sum
 }
 
-// TestNoMoreThanTokens lets many requests come at once, so that what was judged to have
-// room often has none when it is chosen.
+// TestNoMoreThanTokens: a worker must not get more requests than it has tokens. Many requests are
+// sent at once, so that other requests often take the last token between the check and the choice.
 func TestNoMoreThanTokens(t *testing.T) {
 	cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
 	r, server := newTestRelay(t, cold, warm)
 	tokens := &fakeTokens{left: map[string]int{"cold": 5}}
-	tokens.bound(r)
+	tokens.setWarmUp(r)
 	const requests = 40
-	results := make([]call, requests)
+	results := make([]answerSeen, requests)
 	var all sync.WaitGroup
 	for i := range requests {
-		all.Go(func() { results[i] = do(t, server, "/safe/", fmt.Sprint("r", i), nil) })
+		all.Go(func() { results[i] = sendRequest(t, server, "/safe/", fmt.Sprint("r", i), nil) })
 	}
 	all.Wait()
-	served := 0
+	servedCount := 0
 	for _, result := range results {
 		if result.status == http.StatusOK {
-			served++
+			servedCount++
 		}
 	}
 	assert.Assert(t, cold.allRuns() <= 5)
-	assert.Equal(t, cold.allRuns()+warm.allRuns(), served)
-	assert.Assert(t, served > 5)
+	assert.Equal(t, cold.allRuns()+warm.allRuns(), servedCount)
+	assert.Assert(t, servedCount > 5)
 }
 
-// TestWrongHints lets every replica be judged to have room, whether it has a token or not:
-// the choice goes on without those that have none, and ends.
-func TestWrongHints(t *testing.T) {
+// TestOutdatedChecks lets the check pass for every replica, whether it has a token or not. The
+// choice must skip replicas without tokens, and must return.
+func TestOutdatedChecks(t *testing.T) {
 	tests := map[string]struct {
 		left   map[string]int
 		status int
@@ -113,16 +113,16 @@
 			a, b := newFakeWorker(t, "a"), newFakeWorker(t, "b")
 			r, server := newTestRelay(t, a, b)
 			tokens := &fakeTokens{left: test.left}
-			tokens.bound(r)
+			tokens.setWarmUp(r)
 			r.opts.WarmUp.Check = func(time.Time) func(*fleet.Replica) bool { return nil }
-			got := do(t, server, "/once/", "x", nil)
+			got := sendRequest(t, server, "/once/", "x", nil)
 			assert.Equal(t, got.status, test.status)
 			assert.Assert(t, strings.Contains(got.body, test.reason))
 		})
 	}
 }
 
-// TestRetriesAndResumptionsTakeTokens counts what comes after a failure like the rest.
+// TestRetriesAndResumptionsTakeTokens checks that attempts after a failure take tokens too.
 func TestRetriesAndResumptionsTakeTokens(t *testing.T) {
 	tests := map[string]struct {
 		path  string
@@ -140,33 +140,33 @@
 		t.Run(name, func(t *testing.T) {
 			a, b := newFakeWorker(t, "a", test.first), newFakeWorker(t, "b", test.first)
 			r, server := newTestRelay(t, a, b)
-			(&fakeTokens{left: test.left}).bound(r)
-			do(t, server, test.path, "x", nil)
+			(&fakeTokens{left: test.left}).setWarmUp(r)
+			sendRequest(t, server, test.path, "x", nil)
 			assert.Equal(t, a.allRuns()+b.allRuns(), test.want)
 		})
 	}
 }
 
-func TestNoTokenIsRefusedTruthfully(t *testing.T) {
+func TestNoTokenIsRefused(t *testing.T) {
 	cold := newFakeWorker(t, "cold")
 	r, server := newTestRelay(t, cold)
-	(&fakeTokens{left: map[string]int{"cold": 0}}).bound(r)
-	got := do(t, server, "/once/", "x", nil)
+	(&fakeTokens{left: map[string]int{"cold": 0}}).setWarmUp(r)
+	got := sendRequest(t, server, "/once/", "x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.header.Get("Retry-After"), "0.120")
 	assert.Assert(t, cold.allRuns() == 0)
 }
 
-// TestLateSendIsVoid: a token that is too old at the write sends nothing, and the request
-// goes elsewhere.
-func TestLateSendIsVoid(t *testing.T) {
+// TestExpiredTokenIsNotSent: an attempt whose token expired before the write is not sent, and the
+// request goes to another worker.
+func TestExpiredTokenIsNotSent(t *testing.T) {
 	for _, path := range []string{"/once/", "/safe/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
 			cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
 			r, server := newTestRelay(t, cold, warm)
-			(&fakeTokens{left: map[string]int{"cold": 100}, stale: true}).bound(r)
+			(&fakeTokens{left: map[string]int{"cold": 100}, isStale: true}).setWarmUp(r)
 			for i := range 10 {
-				got := do(t, server, path, fmt.Sprint("r", i), nil)
+				got := sendRequest(t, server, path, fmt.Sprint("r", i), nil)
 				assert.Equal(t, got.status, http.StatusOK)
 			}
 			assert.Equal(t, cold.allRuns(), 0)
@@ -175,9 +175,9 @@
 	}
 }
 
-// choiceRelay returns a relay with many replicas, of which the first ones warm up, and the
-// heads of some name limits, and a request to them.
-func choiceRelay(b *testing.B, replicas, warming, limited int) (*Relay, *request) {
+// newChoiceRelay returns a relay with the given number of replicas, and a request to them. The
+// first ones are warming up or have limits.
+func newChoiceRelay(b *testing.B, replicas, warming, limited int) (*Relay, *request) {
 	b.Helper()
 	inventory := fleet.NewInventory(time.Second, 0)
 	service := &fleet.Service{Name: "models", Engine: &fleet.Engine{Slots: 30}, WarmUp: fleet.WarmUp{PerSecond: 14, For: time.Second}}
@@ -217,15 +217,15 @@
 		WarmUp: Bound{Check: tokens.Check, Take: tokens.Take, Next: tokens.Next},
 		Limits: Bound{Scarce: limits.Naming, Check: limits.Check, Take: limits.Take, Next: limits.Next},
 	})
-	return r, &request{service: "models", model: "m", engine: service.Engine, route: &fleet.Route{}, tried: make(map[string]bool)}
+	return r, &request{service: "models", model: "m", engine: service.Engine, route: &fleet.Route{}, triedReplicas: make(map[string]bool)}
 }
 
-// BenchmarkChoice measures the choice among 400 replicas while some of them warm up, or their
-// heads name limits.
+// BenchmarkChoice measures the choice among 400 replicas of which some are warming up or have
+// limits.
 func BenchmarkChoice(b *testing.B) {
-	for _, some := range []struct{ warming, limited int }{{0, 0}, {100, 0}, {0, 100}, {0, 399}} {
-		b.Run(fmt.Sprintf("warming=%d/limited=%d", some.warming, some.limited), func(b *testing.B) {
-			r, c := choiceRelay(b, 400, some.warming, some.limited)
+	for _, load := range []struct{ warming, limited int }{{0, 0}, {100, 0}, {0, 100}, {0, 399}} {
+		b.Run(fmt.Sprintf("warming=%d/limited=%d", load.warming, load.limited), func(b *testing.B) {
+			r, c := newChoiceRelay(b, 400, load.warming, load.limited)
 			for b.Loop() {
 				if _, none := r.choose(c); none != nil {
 					b.Fatal(none.message)
--- /dev/null
+++ b/relay/buffered.go
@@ -0,0 +1,128 @@
+package relay
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"quartzshelf.dev/common/failure"
+	"quartzshelf.dev/common/reason"
+	"quartzshelf.dev/fleet"
+)
+
+// maxAnswerBytes limits the body of an answer that is relayed as a whole.
+const maxAnswerBytes = 32 << 20
+
+var errRejected = errors.New("turned away")
+
+// answer is a worker's complete answer.
+type answer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// serveBuffered relays a request whose answer is read completely before it is forwarded.
+func (r *Relay) serveBuffered(w http.ResponseWriter, c *request) *refusal {
+	for {
+		replica, refused := r.choose(c)
+		if refused != nil {
+			return c.correctStatus(refused)
+		}
+		got, err := r.tryBuffered(c, replica)
+		if err == nil && !r.shouldRetryAnswer(c, replica, got) {
+			writeAnswer(w, got)
+			return nil
+		}
+		if err == nil {
+			r.opts.Meter.Retry(reason.RetryBroken)
+			continue
+		}
+		ran := r.recordFailure(c, replica, err)
+		if !r.takeRetry(c, ran) {
+			return r.failureRefusal(c)
+		}
+		r.opts.Meter.Retry(retryReason(ran))
+	}
+}
+
+// retryReason returns the reason by which a retry is counted.
+func retryReason(ran bool) reason.Reason {
+	if ran {
+		return reason.RetryBroken
+	}
+	return reason.RetryRefused
+}
+
+// shouldRetryAnswer reports whether another worker should be tried because a worker answered with a
+// server error (5xx). If so, it takes the retry from the budget.
+func (r *Relay) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
+	if got.status < http.StatusInternalServerError || !c.route.Repeatable() {
+		return false
+	}
+	c.sends++
+	c.triedReplicas[replica.ID] = true
+	if remaining := r.selectReplicas(c, time.Now()); remaining.IsEmpty() {
+		return false
+	}
+	return r.takeRetry(c, true)
+}
+
+// tryBuffered sends the request to one worker and reads the complete answer.
+func (r *Relay) tryBuffered(c *request, replica *fleet.Replica) (*answer, error) {
+	reservation := r.opts.Tracker.Reserve(replica, c.promptTokens)
+	defer reservation.Release()
+	e, err := r.sendTo(c.ctx, c, replica.Head, "")
+	if err != nil {
+		return nil, err
+	}
+	if err := r.checkRejected(e, replica.Head.ID); err != nil {
+		e.discard()
+		return nil, err
+	}
+	body, err := c.memory.read(e.response.Body, maxAnswerBytes, waitForMemory(c.ctx))
+	if err == nil && len(body) > maxAnswerBytes {
+		err = fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
+	}
+	if err != nil {
+		e.abort()
+		return nil, withCause(c.ctx, replica.Head.ID, &sendError{mayHaveArrived: true, cause: err})
+	}
+	e.finish()
+	r.recordCompletion(c, e)
+	got := &answer{status: e.response.StatusCode, header: forwardedHeaders(e.response.Header), body: body}
+	return got, r.checkSigned(got, replica.Head.ID)
+}
+
+// checkSigned returns an error if an answer with a status below 300 lacks its worker's signature.
+func (r *Relay) checkSigned(got *answer, worker string) error {
+	if got.status >= http.StatusMultipleChoices || got.header.Get(r.opts.Names.Signature) != "" {
+		return nil
+	}
+	return &sendError{mayHaveArrived: true, cause: failure.New(failure.Remote, "check answer", worker, "the success is not signed")}
+}
+
+// checkRejected returns an error if the worker rejected the request before running it. If the
+// request was sent twice, the error says that it may have arrived, because the first copy may have
+// run.
+func (r *Relay) checkRejected(e *exchange, worker string) error {
+	status := e.response.StatusCode
+	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
+		return nil
+	}
+	return &sendError{mayHaveArrived: e.resent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
+}
+
+// writeAnswer forwards a complete answer.
+func writeAnswer(w http.ResponseWriter, got *answer) {
+	header := w.Header()
+	for name, values := range got.header {
+		header[name] = values
+	}
+	header.Set("Content-Length", strconv.Itoa(len(got.body)))
+	w.WriteHeader(got.status)
+	// An error means that the caller has disconnected; nothing is left to do.
+	_, _ = w.Write(got.body)
+}
--- a/relay/edge_test.go
+++ b/relay/callerdeadlines_test.go
@@ -12,31 +12,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCallerThatLeavesIsNoticed: the bound on sending a body must not hide that the caller
-// closed its connection, nor end a request of its own once the body is read.
-func TestCallerThatLeavesIsNoticed(t *testing.T) {
-	const bound = 300 * time.Millisecond
+// TestCallerDisconnectIsDetected: the deadline for sending the body must neither hide a
+// disconnected caller nor end the request once the body is read.
+func TestCallerDisconnectIsDetected(t *testing.T) {
+	const timeout = 300 * time.Millisecond
 	tests := map[string]struct {
-		stays bool
-		want  bool
+		callerStays bool
+		want        bool
 	}{
 		"it leaves": {want: true},
-		"it stays":  {stays: true},
+		"it stays":  {callerStays: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := &Relay{opts: Options{Logger: hclog.NewNullLogger()}}
-			gone := make(chan bool, 1)
+			isGone := make(chan bool, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
-				edge := http.NewResponseController(w)
-				r.boundCaller(edge, time.Now(), bound)
+				controller := http.NewResponseController(w)
+				r.setCallerDeadlines(controller, time.Now(), timeout)
 				_, _ = io.ReadAll(h.Body)
-				r.bodyRead(edge)
+				r.clearReadDeadline(controller)
 				select {
 				case <-h.Context().Done():
-					gone <- true
-				case <-time.After(3 * bound):
-					gone <- false
+					isGone <- true
+				case <-time.After(3 * timeout):
+					isGone <- false
 				}
 			}))
 			defer server.Close()
@@ -45,10 +45,10 @@
 			defer func() { _ = c.Close() }()
 			_, err = io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
 			assert.NilError(t, err)
-			if !test.stays {
+			if !test.callerStays {
 				assert.NilError(t, c.Close())
 			}
-			assert.Equal(t, <-gone, test.want)
+			assert.Equal(t, <-isGone, test.want)
 		})
 	}
 }
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -8,18 +8,18 @@
 	"quartzshelf.dev/fleet"
 )
 
-// eligible returns which replicas may take a request now, and counts what was passed over.
-func (r *Relay) eligible(c *request, now time.Time) eligibility.Selection {
+// selectReplicas classifies the replicas for a request, and counts those passed over.
+func (r *Relay) selectReplicas(c *request, now time.Time) eligibility.Selection {
 	view := r.opts.View()
 	rules := r.rules(now)
-	request := eligibility.Request{Route: c.route.Regions, Tried: c.tried}
+	request := eligibility.Request{RouteRegions: c.route.Regions, Tried: c.triedReplicas}
 	if c.tenant != nil {
-		request.Account = c.tenant.Regions
+		request.AccountRegions = c.tenant.Regions
 	}
 	selection := rules.Select(&request, view.Replicas(c.service, c.model))
-	if counts := selection.Counts(); counts.Any() {
+	if counts := selection.Counts(); counts.HasAny() {
 		c.passedOver = counts.String()
-		counts.Each(func(cause eligibility.Cause, _ int) { r.opts.Meter.PassOver(cause.Reason()) })
+		counts.ForEach(func(cause eligibility.Cause, _ int) { r.opts.Meter.PassOver(cause.Reason()) })
 	}
 	if view.Leaving(c.service, c.model) > 0 {
 		r.opts.Meter.PassOver(reason.Leaving)
@@ -27,29 +27,29 @@
 	return selection
 }
 
-// rules returns what replicas are judged by now. What keeps nothing out costs nothing.
+// rules returns the current rules for replicas; checks that would exclude nothing are nil.
 func (r *Relay) rules(now time.Time) *eligibility.Rules {
-	rules := &eligibility.Rules{Region: r.opts.RegionOf, Suspected: r.opts.Tracker.suspects(now)}
+	rules := &eligibility.Rules{RegionOf: r.opts.RegionOf, IsSuspected: r.opts.Tracker.suspectCheck(now)}
 	if r.opts.Halls != nil {
 		if halls := r.opts.Halls(); !halls.AllOpen() {
-			rules.Hall = func(hall string) fleet.HallState { return halls.State(hall, now) }
+			rules.HallState = func(hall string) fleet.HallState { return halls.State(hall, now) }
 		}
 	}
-	rules.WarmUp, rules.Limit, rules.Rested = r.opts.WarmUp.check(now), r.opts.Limits.check(now), r.opts.Rests.check(now)
+	rules.HasWarmUpRoom, rules.HasLimitRoom, rules.AcceptsRequests = r.opts.WarmUp.checker(now), r.opts.Limits.checker(now), r.opts.Rests.checker(now)
 	return rules
 }
 
-// noneEligible returns the refusal of a request that no replica may take, by what kept
-// the most of them out.
-func (r *Relay) noneEligible(c *request, counts eligibility.Counts, now time.Time) *refusal {
-	f := unavailable(reason.NoReplica, "no replica serves at present", retryBusy)
-	switch counts.Most() {
-	case eligibility.Hall:
-		f = unavailable(reason.HallClosed, "the data halls that serve this are closed", retryClosed)
-	case eligibility.Region:
-		f = unavailable(reason.RegionNotAllowed, "no replica serves in the regions that are allowed", retryClosed)
-	case eligibility.WarmUp, eligibility.Limited, eligibility.Resting:
-		f = r.bounded(c, counts.Most().Reason(), now)
+// noReplicaRefusal returns the refusal of a request that no replica may take. Its reason follows
+// from the most frequent cause.
+func (r *Relay) noReplicaRefusal(c *request, counts eligibility.Counts, now time.Time) *refusal {
+	f := newUnavailable(reason.NoReplica, "no replica serves at present", retryBusy)
+	switch counts.MostFrequent() {
+	case eligibility.HallNotOpen:
+		f = newUnavailable(reason.HallClosed, "the data halls that serve this are closed", retryClosed)
+	case eligibility.RegionNotAllowed:
+		f = newUnavailable(reason.RegionNotAllowed, "no replica serves in the regions that are allowed", retryClosed)
+	case eligibility.WarmingUp, eligibility.Limited, eligibility.Resting:
+		f = r.boundRefusal(c, counts.MostFrequent().Reason(), now)
 	}
 	f.passedOver = counts.String()
 	return f
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -10,26 +10,26 @@
 	"quartzshelf.dev/fleet"
 )
 
-// lateStep is something that happens to a stream, at a time since it arrived.
+// lateStep is an event or a failed attempt of a stream. at is the time since the request's arrival.
 type lateStep struct {
 	at time.Duration
-	// event tells that an event was passed on, failed that an attempt failed.
-	event, failed bool
+	// isEvent reports whether an event was forwarded, isFailure whether an attempt failed.
+	isEvent, isFailure bool
 }
 
 func TestWhyStreamsAreLate(t *testing.T) {
 	const ms = time.Millisecond
-	event := func(at time.Duration) lateStep { return lateStep{at: at, event: true} }
-	failed := func(at time.Duration) lateStep { return lateStep{at: at, failed: true} }
+	event := func(at time.Duration) lateStep { return lateStep{at: at, isEvent: true} }
+	failed := func(at time.Duration) lateStep { return lateStep{at: at, isFailure: true} }
 	tests := map[string]struct {
-		steps []lateStep
-		busy  float64
-		want  reason.Reason
+		steps    []lateStep
+		inFlight float64
+		want     reason.Reason
 	}{
 		"in time":                       {steps: []lateStep{event(290 * ms), event(480 * ms)}},
 		"late behind prompts":           {steps: []lateStep{event(310 * ms)}, want: reason.LateFirst},
-		"late at a full replica":        {steps: []lateStep{event(310 * ms)}, busy: 9, want: reason.LateFull},
-		"late after a failure":          {steps: []lateStep{failed(200 * ms), event(310 * ms)}, busy: 9, want: reason.LateRetried},
+		"late at a full replica":        {steps: []lateStep{event(310 * ms)}, inFlight: 9, want: reason.LateFull},
+		"late after a failure":          {steps: []lateStep{failed(200 * ms), event(310 * ms)}, inFlight: 9, want: reason.LateRetried},
 		"a pause":                       {steps: []lateStep{event(100 * ms), event(301 * ms)}, want: reason.LatePause},
 		"moved in time":                 {steps: []lateStep{event(100 * ms), failed(150 * ms), event(290 * ms)}},
 		"moved too late":                {steps: []lateStep{event(100 * ms), failed(250 * ms), event(310 * ms)}, want: reason.LateResumed},
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			c := &request{
-				arrived: start, chosenBusy: test.busy, engine: &fleet.Engine{Slots: 10},
+				arrived: start, chosenInFlight: test.inFlight, engine: &fleet.Engine{Slots: 10},
 				route: &fleet.Route{Objective: 300 * ms, GapTarget: 200 * ms},
 			}
 			var l lateness
@@ -48,18 +48,18 @@
 			for _, step := range test.steps {
 				now := start.Add(step.at)
 				switch {
-				case step.failed:
+				case step.isFailure:
 					c.sends++
-					l.moving = true
+					l.isResuming = true
 					continue
 				case begun:
-					l.noteNext(c, "r", now.Sub(last))
+					l.recordNext(c, "r", now.Sub(last))
 				default:
-					l.noteFirst(c, "r", now)
+					l.recordFirst(c, "r", now)
 				}
 				begun, last = true, now
 			}
-			assert.Equal(t, l.why, test.want)
+			assert.Equal(t, l.cause, test.want)
 		})
 	}
 }
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -14,60 +14,60 @@
 
 var errQuarantined = errors.New("the request ended workers elsewhere meanwhile")
 
-// unbegun holds the streams that were sent and have no event yet. It is safe for concurrent
-// use.
-type unbegun struct {
-	mu   sync.Mutex
-	held map[*request]context.CancelCauseFunc
+// waitingStreams holds the streams in flight that have received no event yet. It is safe for
+// concurrent use.
+type waitingStreams struct {
+	mu      sync.Mutex
+	cancels map[*request]context.CancelCauseFunc
 }
 
-func (u *unbegun) add(c *request, cancel context.CancelCauseFunc) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.held[c] = cancel
+func (w *waitingStreams) add(c *request, cancel context.CancelCauseFunc) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cancels[c] = cancel
 }
 
-func (u *unbegun) remove(c *request) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.held, c)
+func (w *waitingStreams) remove(c *request) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.cancels, c)
 }
 
-// cancel cuts those off that are chosen.
-func (u *unbegun) cancel(chosen func(c *request) bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for c, cancel := range u.held {
-		if chosen(c) {
+// cancel cancels the waiting streams for which matches returns true.
+func (w *waitingStreams) cancel(matches func(c *request) bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for c, cancel := range w.cancels {
+		if matches(c) {
 			cancel(errQuarantined)
 		}
 	}
 }
 
-// Guard returns what keeps requests that end their workers from workers.
+// Guard returns the guard against requests that crash their workers.
 func (r *Relay) Guard() *guard.Guard { return r.guard }
 
-// guarded returns the request as the guard knows it.
-func (c *request) guarded() guard.Request {
+// guardRequest returns the guard's description of the request.
+func (c *request) guardRequest() guard.Request {
 	return guard.Request{
 		ID: c.id, Account: c.account(), Host: c.host, Target: c.target, Bytes: len(c.body), Fingerprint: c.fingerprint,
 	}
 }
 
-// quarantined returns the refusal of a request that ended the workers which ran it, at this
-// daemon or others, or nil.
-func (r *Relay) quarantined(c *request, now time.Time) *refusal {
-	state := r.guard.Judge(c.guarded(), now)
-	c.suspected = state.Suspected()
+// checkQuarantine returns a refusal if the request is quarantined because it crashed workers, at
+// this daemon or others. Otherwise it returns nil. It also sets isSuspected.
+func (r *Relay) checkQuarantine(c *request, now time.Time) *refusal {
+	state := r.guard.Judge(c.guardRequest(), now)
+	c.isSuspected = state.Suspected()
 	if !state.Quarantined {
 		return nil
 	}
-	return unavailable(reason.Quarantined, "the request ended the workers that ran it", state.Until.Sub(now))
+	return newUnavailable(reason.Quarantined, "the request ended the workers that ran it", state.Until.Sub(now))
 }
 
-// blame notes a request whose attempt broke off if its worker has ended otherwise than it had
-// said.
-func (r *Relay) blame(c *request, replica *fleet.Replica) {
+// reportCrash reports a broken attempt to the guard, unless the worker had announced that it
+// would stop.
+func (r *Relay) reportCrash(c *request, replica *fleet.Replica) {
 	head := replica.Head
 	if listed, ok := r.opts.View().Worker(head.ID); ok && listed.Draining {
 		return
@@ -76,23 +76,24 @@
 	if r.opts.Replaced != nil {
 		w.Replaced = func(ctx context.Context) (bool, error) { return r.opts.Replaced(ctx, head) }
 	}
-	r.guard.Broke(c.guarded(), w, c.sentAt, time.Now())
+	r.guard.Broke(c.guardRequest(), w, c.chosenAt, time.Now())
 }
 
-// cutOff cuts off requests that are quarantined from now on, as long as they may not have
-// begun to run: each of them would end its worker. Streams that have events go on; if one of
-// them ends well the quarantine was wrong, and ends.
-func (r *Relay) cutOff(marked []quarantine.Fingerprint) {
+// cancelQuarantined cancels the waiting streams of newly quarantined requests, because each would
+// crash its worker. Streams that have received events continue. If one of them completes, the
+// quarantine is lifted.
+func (r *Relay) cancelQuarantined(marked []quarantine.Fingerprint) {
 	for _, f := range marked {
-		r.unbegun.cancel(func(c *request) bool { return c.fingerprint() == f })
+		r.waitingStreams.cancel(func(c *request) bool { return c.fingerprint() == f })
 	}
 }
 
-// completedBy notes that a worker ran a request to its end. The end of an answer without a
-// length may be the worker's own end, and one without a signature is not the worker's.
-func (r *Relay) completedBy(c *request, e *exchange) {
-	framed := e.response.ContentLength >= 0 || chunked(e.response)
-	if framed && e.response.Header.Get(r.opts.Names.Signature) != "" {
-		r.guard.Completed(c.guarded())
+// recordCompletion tells the guard that a worker completed a request. An answer that is neither
+// chunked nor has a length doesn't count, since a crash may have cut it short. An answer without
+// the worker's signature doesn't count either.
+func (r *Relay) recordCompletion(c *request, e *exchange) {
+	isFramed := e.response.ContentLength >= 0 || isChunked(e.response)
+	if isFramed && e.response.Header.Get(r.opts.Names.Signature) != "" {
+		r.guard.Completed(c.guardRequest())
 	}
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -16,16 +16,16 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// TestWhatIsNoCrash gives a relay attempts that fail at workers which live, or that end as
-// they had said: no request is blamed for any of them.
-func TestWhatIsNoCrash(t *testing.T) {
+// TestFailuresThatAreNoCrash: attempts that fail at live workers, or at workers that had announced
+// that they would stop, must not count as crashes.
+func TestFailuresThatAreNoCrash(t *testing.T) {
 	tests := map[string]struct {
 		path   string
 		script behaviour
 		// prepare changes the worker or its entry before the request.
 		prepare func(r *testRelay, w *fakeWorker)
 		change  func(*http.Request)
-		blamed  bool
+		isCrash bool
 	}{
 		"a reset connection":                    {path: "/safe/", script: drops},
 		"a lost answer":                         {path: "/safe/", script: loses},
@@ -37,12 +37,12 @@
 		"a failure of the worker":               {path: "/safe/", script: fails},
 		"a silent stream":                       {path: "/stream/", script: stalls},
 		"our own patience":                      {path: "/stream/", script: stalls, change: func(h *http.Request) { h.Header.Set(testNames.Deadline, "100") }},
-		"a worker that ends":                    {path: "/safe/", script: ends, blamed: true},
-		"a stream whose worker ends":            {path: "/stream/", script: ends, blamed: true},
+		"a worker that ends":                    {path: "/safe/", script: ends, isCrash: true},
+		"a stream whose worker ends":            {path: "/stream/", script: ends, isCrash: true},
 		"a worker that said it leaves":          {path: "/safe/", script: ends, prepare: (*testRelay).drain},
 		"an address that is not there any more": {path: "/safe/", prepare: func(_ *testRelay, w *fakeWorker) { _ = w.listener.Close() }},
 		"another life at the address": {
-			path: "/safe/", script: loses, blamed: true,
+			path: "/safe/", script: loses, isCrash: true,
 			prepare: func(r *testRelay, _ *fakeWorker) {
 				r.opts.Replaced = func(context.Context, *fleet.Worker) (bool, error) { return true, nil }
 			},
@@ -55,38 +55,38 @@
 			if test.prepare != nil {
 				test.prepare(r, w)
 			}
-			do(t, server, test.path, "a", test.change)
-			assert.Equal(t, !r.guard.Table().Empty(), test.blamed)
+			sendRequest(t, server, test.path, "a", test.change)
+			assert.Equal(t, !r.guard.Table().Empty(), test.isCrash)
 		})
 	}
 }
 
-// drain lists a worker as leaving from the moment at which it gets a request.
+// drain lists a worker as draining as soon as it gets a request.
 func (r *testRelay) drain(w *fakeWorker) {
-	w.arrived = func() {
+	w.onRequest = func() {
 		entry := w.entry()
 		entry.Draining = true
 		r.inventory.Apply([]fleet.Change{{ID: w.id, Worker: entry}}, 2, time.Now())
 	}
 }
 
-// marked quarantines a request of the tests in a relay.
-func marked(r *testRelay, target, account, body string) quarantine.Fingerprint {
+// quarantineRequest records so many crashes of a request that it is quarantined.
+func quarantineRequest(r *testRelay, target, account, body string) quarantine.Fingerprint {
 	f := quarantine.FingerprintOf(account, http.MethodPost, "h", target, []byte(body))
-	blame(r.guard.Table(), f, 3, time.Now())
+	recordCrashes(r.guard.Table(), f, 3, time.Now())
 	return f
 }
 
-// blame notes crashes of a request, one after the other, up to now.
-func blame(table *quarantine.Table, f quarantine.Fingerprint, crashes int, now time.Time) {
+// recordCrashes records crashes of a request. They are one second apart, the last one a second ago.
+func recordCrashes(table *quarantine.Table, f quarantine.Fingerprint, crashes int, now time.Time) {
 	for i := range crashes {
 		ended := now.Add(time.Duration(i-crashes) * time.Second)
 		table.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended}, now)
 	}
 }
 
-// TestQuarantinedRequest: it is refused at once and truly, whoever sends it under the same
-// account, and nobody else is.
+// TestQuarantinedRequest: a request must be refused without running if it has the account, path and
+// body of a quarantined one. Other requests must be served.
 func TestQuarantinedRequest(t *testing.T) {
 	tests := map[string]struct {
 		account, path, body string
@@ -101,8 +101,8 @@
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w")
 			r, server := newTestRelay(t, w)
-			marked(r, test.path, test.account, test.body)
-			got := do(t, server, "/safe/", "a", nil)
+			quarantineRequest(r, test.path, test.account, test.body)
+			got := sendRequest(t, server, "/safe/", "a", nil)
 			assert.Equal(t, got.status, test.status)
 			if test.status == http.StatusOK {
 				return
@@ -111,92 +111,92 @@
 			assert.Assert(t, strings.Contains(got.body, string(reason.Quarantined)))
 			seconds, err := time.ParseDuration(got.header.Get("Retry-After") + "s")
 			assert.NilError(t, err)
-			assert.Assert(t, seconds > 9*time.Minute, "it is told to come back after %s", seconds)
+			assert.Assert(t, seconds > 9*time.Minute, "Retry-After is %s", seconds)
 			assert.Equal(t, r.opts.Meter.Refusals()[reason.Quarantined], int64(1))
 		})
 	}
 }
 
-// TestCompletedRunClears: a run that completes clears a request of two crashes, whether its
-// answer is relayed whole or as a stream.
+// TestCompletedRunClears: a completed answer or stream clears the crashes recorded for its request.
 func TestCompletedRunClears(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
 			r, server := newTestRelay(t, newFakeWorker(t, "w"))
 			f := quarantine.FingerprintOf("tenant", http.MethodPost, "h", path, []byte("body"))
-			blame(r.guard.Table(), f, 2, time.Now())
+			recordCrashes(r.guard.Table(), f, 2, time.Now())
 			assert.Equal(t, r.guard.Table().State(f, time.Now()).Crashes, 2)
-			assert.Equal(t, do(t, server, path, "a", nil).status, http.StatusOK)
+			assert.Equal(t, sendRequest(t, server, path, "a", nil).status, http.StatusOK)
 			assert.Equal(t, r.guard.Table().State(f, time.Now()).Crashes, 0)
 		})
 	}
 }
 
-// TestRelayForgets: what nothing was seen of for long costs requests nothing any more.
-func TestRelayForgets(t *testing.T) {
+// TestQuarantineTableExpires: old crashes are removed from the table.
+func TestQuarantineTableExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 1, &playedHead{id: "a"})
+		p := newSimulation(t, 1, &simHead{id: "a"})
 		table := p.daemons[0].guard.Table()
-		blame(table, quarantine.FingerprintOf("", http.MethodPost, "h", "/", nil), 1, time.Now())
+		recordCrashes(table, quarantine.FingerprintOf("", http.MethodPost, "h", "/", nil), 1, time.Now())
 		assert.Assert(t, !table.Empty())
 		time.Sleep(6 * time.Minute)
 		assert.Assert(t, table.Empty())
 	})
 }
 
-// TestSuspectsRunBesideTheFewest: a request that ended two workers goes to the replica whose
-// end breaks the fewest others, whatever else speaks for another.
-func TestSuspectsRunBesideTheFewest(t *testing.T) {
+// TestSuspectedRequestsPreferIdleReplicas: a request that crashed two workers goes to the replica
+// with the fewest requests in flight, whatever the predicted wait.
+func TestSuspectedRequestsPreferIdleReplicas(t *testing.T) {
 	tracker := NewTracker("here", func(*fleet.Replica) {})
 	near, far := testReplica("near", "here"), testReplica("far", "there")
-	tracker.Begin(near, 0)
-	tracker.Begin(far, 5000)
-	tracker.Begin(near, 0)
+	tracker.Reserve(near, 0)
+	tracker.Reserve(far, 5000)
+	tracker.Reserve(near, 0)
 	now := time.Now()
 	for range 20 {
 		choice, ok := tracker.Choose([]*fleet.Replica{near, far}, nil, testCosts, 10, now)
 		assert.Assert(t, ok && choice.Replica == near)
 		fewest := testCosts
-		fewest.fewest = true
+		fewest.preferIdle = true
 		choice, ok = tracker.Choose([]*fleet.Replica{near, far}, nil, fewest, 10, now)
 		assert.Assert(t, ok && choice.Replica == far)
 	}
 }
 
-// TestSuspectedRequestIsSentThere: a request that ended two workers goes beside the fewest
-// though the other replica is nearer, another request does not.
-func TestSuspectedRequestIsSentThere(t *testing.T) {
+// TestSuspectedRequestGoesToIdleReplica: a request that crashed two workers goes to the replica
+// with the fewest requests in flight. A request that crashed a single worker does not.
+func TestSuspectedRequestGoesToIdleReplica(t *testing.T) {
 	tests := map[string]int{"one crash": 1, "two crashes": 2}
 	for name, crashes := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				near := &playedHead{id: "near"}
-				far := &playedHead{id: "far"}
-				p := newPlay(t, 1, near, far)
+				near := &simHead{id: "near"}
+				far := &simHead{id: "far"}
+				p := newSimulation(t, 1, near, far)
 				tracker, now := p.daemons[0].opts.Tracker, time.Now()
 				for _, replica := range p.inventory.View().Replicas("models", "m") {
-					// The far one has long prompts to read, the near one more requests.
-					tracker.Begin(replica, 0)
+					// The far head has long prompts to read, the near one more requests.
+					tracker.Reserve(replica, 0)
 					if replica.Head.ID == near.id {
-						tracker.Begin(replica, 0)
+						tracker.Reserve(replica, 0)
 					} else {
-						tracker.loadOf(replica).prefill = 20_000
+						tracker.loadOf(replica).unreadTokens = 20_000
 					}
 				}
 				f := quarantine.FingerprintOf("", http.MethodPost, "h", "/stream/", []byte("body"))
-				blame(p.daemons[0].guard.Table(), f, crashes, now)
+				recordCrashes(p.daemons[0].guard.Table(), f, crashes, now)
 				p.send(0, "a", 10, 6*time.Second)
-				assert.Equal(t, len(far.seen) > 0, crashes > 1)
+				assert.Equal(t, len(far.received) > 0, crashes > 1)
 			})
 		})
 	}
 }
 
-// TestQuarantineCutsOffWhatHasNotBegun: a copy that waits at a head would end it; one whose
-// events come goes on, and shows that the quarantine was wrong.
-func TestQuarantineCutsOffWhatHasNotBegun(t *testing.T) {
+// TestQuarantineCancelsWaitingStreams: a copy that waits for its first event must be canceled,
+// since it would crash its head. A stream that has received events continues, and its completion
+// lifts the quarantine.
+func TestQuarantineCancelsWaitingStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 1, &playedHead{id: "a", mute: func(id string) bool { return id == "waits" }})
+		p := newSimulation(t, 1, &simHead{id: "a", isMuted: func(id string) bool { return id == "waits" }})
 		r := p.daemons[0]
 		p.call(0, "runs", 10, 6*time.Second)
 		p.call(0, "waits", 10, 6*time.Second)
@@ -208,85 +208,83 @@
 			r.guard.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended})
 		}
 		p.calls.Wait()
-		assert.Assert(t, p.served("runs"))
+		assert.Assert(t, p.isServed("runs"))
 		waits := p.results["waits"]
 		assert.Equal(t, waits.status, http.StatusBadGateway, "it may have run")
-		assert.Assert(t, waits.end < time.Second, "it is answered after %s", waits.end)
+		assert.Assert(t, waits.endedAfter < time.Second, "it is answered after %s", waits.endedAfter)
 		assert.Assert(t, !r.guard.Table().State(f, time.Now()).Quarantined)
 	})
 }
 
-// TestStormOfOneRequest plays copies of a request that ends each head which begins to run
-// it, eight a second at four daemons, beside 40 others a second: three heads end, and those
-// at which copies were on their way. Without quarantine 60 heads end in 10 s, and 31 of the
-// 400 others are served.
-func TestStormOfOneRequest(t *testing.T) {
+// TestCrashingRequestIsQuarantined simulates copies of a request that crashes every head it runs
+// at, beside other requests. Few heads may crash, and the other requests must be served.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := playBesideCrashes(t, func(p *play) {
+		p := simulateCrashes(t, func(p *simulation) {
 			for i := range 80 {
 				time.Sleep(125 * time.Millisecond)
 				p.call(i%len(p.daemons), fmt.Sprint("crash", i), 100, 6*time.Second)
 			}
 		})
-		served := p.count("other", playedOthers, p.served)
-		t.Logf("%d heads ended, %d of %d others served", p.ended, served, playedOthers)
-		assert.Assert(t, p.ended <= 6, "%d heads ended", p.ended)
-		assert.Assert(t, served >= playedOthers*98/100, "%d others are served", served)
+		servedCount := p.count("other", otherRequests, p.isServed)
+		t.Logf("%d heads ended, %d of %d others served", p.crashes, servedCount, otherRequests)
+		assert.Assert(t, p.crashes <= 6, "%d heads ended", p.crashes)
+		assert.Assert(t, servedCount >= otherRequests*98/100, "%d others are served", servedCount)
 	})
 }
 
-// TestPopularRequestBesideCrashes plays one text that comes five times a second while a head
-// ends by itself every 700 ms: no quarantine begins, and as much is served as of the others.
+// TestPopularRequestBesideCrashes repeats one request while heads crash for other reasons. The
+// request must not be quarantined.
 func TestPopularRequestBesideCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const copies = 50
-		p := playBesideCrashes(t, func(p *play) {
+		p := simulateCrashes(t, func(p *simulation) {
 			for i := range copies {
 				time.Sleep(200 * time.Millisecond)
 				p.call(i%len(p.daemons), fmt.Sprint("popular", i), 100, 6*time.Second)
 				if i%7 == 6 {
-					p.work.Go(func() { p.endOne() })
+					p.background.Go(func() { p.crashOne() })
 				}
 			}
 		})
-		popular, others := p.count("popular", copies, p.served), p.count("other", playedOthers, p.served)
-		t.Logf("%d heads ended; served: %d of %d copies, %d of %d others", p.ended, popular, copies, others, playedOthers)
+		popularServed, othersServed := p.count("popular", copies, p.isServed), p.count("other", otherRequests, p.isServed)
+		t.Logf("%d heads ended; served: %d of %d copies, %d of %d others", p.crashes, popularServed, copies, othersServed, otherRequests)
 		for _, r := range p.daemons {
 			assert.Equal(t, r.opts.Meter.Refusals()[reason.Quarantined], int64(0))
 		}
-		assert.Assert(t, popular >= copies*96/100, "%d copies are served", popular)
-		assert.Assert(t, others >= playedOthers*98/100, "%d others are served", others)
+		assert.Assert(t, popularServed >= copies*96/100, "%d copies are served", popularServed)
+		assert.Assert(t, othersServed >= otherRequests*98/100, "%d others are served", othersServed)
 	})
 }
 
-// playedOthers is how many requests of texts of their own come in the plays beside crashes.
-const playedOthers = 400
+// otherRequests is the number of other requests in simulations of crashes.
+const otherRequests = 400
 
-// playBesideCrashes plays ten seconds of requests with texts of their own, and what is given
-// beside them.
-func playBesideCrashes(t *testing.T, beside func(p *play)) *play {
+// simulateCrashes simulates ten seconds of requests with distinct bodies. It calls parallel at the
+// same time.
+func simulateCrashes(t *testing.T, parallel func(p *simulation)) *simulation {
 	t.Helper()
 	const daemons, heads = 4, 12
-	var p *play
-	ends := func(h *playedHead, body string) {
+	var p *simulation
+	onRun := func(h *simHead, body string) {
 		if body == "crash" {
-			p.work.Go(func() { p.end(h) })
+			p.background.Go(func() { p.crash(h) })
 		}
 	}
-	var all []*playedHead
+	var all []*simHead
 	for i := range heads {
-		all = append(all, &playedHead{id: fmt.Sprint("h", i), runsText: ends})
+		all = append(all, &simHead{id: fmt.Sprint("h", i), onRun: onRun})
 	}
-	p = newPlay(t, daemons, all...)
-	p.body = func(id string) string {
+	p = newSimulation(t, daemons, all...)
+	p.bodyOf = func(id string) string {
 		kind := strings.TrimRight(id, "0123456789")
 		if kind == "other" {
 			return id
 		}
 		return kind
 	}
-	p.calls.Go(func() { beside(p) })
-	for i := range playedOthers {
+	p.calls.Go(func() { parallel(p) })
+	for i := range otherRequests {
 		time.Sleep(25 * time.Millisecond)
 		p.call(i%daemons, fmt.Sprint("other", i), 100, 6*time.Second)
 	}
@@ -294,15 +292,15 @@
 	return p
 }
 
-// endOne ends one of the heads.
-func (p *play) endOne() {
+// crashOne crashes the head with the lowest ID.
+func (p *simulation) crashOne() {
 	p.mu.Lock()
-	var one *playedHead
+	var first *simHead
 	for _, h := range p.heads {
-		if one == nil || h.id < one.id {
-			one = h
+		if first == nil || h.id < first.id {
+			first = h
 		}
 	}
 	p.mu.Unlock()
-	p.end(one)
+	p.crash(first)
 }
--- a/relay/rates.go
+++ b/relay/rates.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// rates measures how many requests a second come, by key. It is not safe for
-// concurrent use.
+// rates measures requests per second by key. It is not safe for concurrent use.
 type rates struct {
-	keys map[string]*rate
+	keys map[string]*rateAverage
 }
 
-// rate is an average that forgets: it falls to a third within rateSpan.
-type rate struct {
+// rateAverage is a moving average of requests per second. Without requests it decays to 40 % within
+// rateSpan.
+type rateAverage struct {
 	value float64
 	at    time.Time
 }
 
 const rateSpan = 2 * time.Second
 
-func newRates() *rates { return &rates{keys: make(map[string]*rate)} }
+func newRates() *rates { return &rates{keys: make(map[string]*rateAverage)} }
 
-// count notes a request.
+// count counts a request.
 func (r *rates) count(key string, now time.Time) {
-	held, ok := r.keys[key]
+	average, ok := r.keys[key]
 	if !ok {
-		held = &rate{at: now}
-		r.keys[key] = held
+		average = &rateAverage{at: now}
+		r.keys[key] = average
 	}
-	held.value = held.fallen(now) + 1/rateSpan.Seconds()
-	held.at = now
+	average.value = average.decayedValue(now) + 1/rateSpan.Seconds()
+	average.at = now
 }
 
-// perSecond returns the rate.
+// perSecond returns the average number of requests per second of a key.
 func (r *rates) perSecond(key string, now time.Time) float64 {
-	held, ok := r.keys[key]
+	average, ok := r.keys[key]
 	if !ok {
 		return 0
 	}
-	return held.fallen(now)
+	return average.decayedValue(now)
 }
 
-func (r *rate) fallen(now time.Time) float64 {
-	part := now.Sub(r.at).Seconds() / rateSpan.Seconds()
-	return r.value / (1 + part + part*part/2)
+func (r *rateAverage) decayedValue(now time.Time) float64 {
+	elapsed := now.Sub(r.at).Seconds() / rateSpan.Seconds()
+	return r.value / (1 + elapsed + elapsed*elapsed/2)
 }
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -10,42 +10,41 @@
 )
 
 const (
-	// retrySoon, retryLater and retryRevived are the times after which callers
-	// are asked to come again: when it was chance, when the fleet is busy or
-	// being mended, and when this daemon knows too little.
-	retrySoon    = 50 * time.Millisecond
-	retryBusy    = 300 * time.Millisecond
-	retryRevived = 500 * time.Millisecond
-	// retryClosed is the same when an operator's word keeps all replicas out: it seldom
-	// changes within a second.
+	// retrySoon is the retry time sent to callers after a transient failure. retryBusy is sent when
+	// the fleet is busy or recovering, retryUninformed when this daemon lacks information.
+	retrySoon       = 50 * time.Millisecond
+	retryBusy       = 300 * time.Millisecond
+	retryUninformed = 500 * time.Millisecond
+	// retryClosed is the retry time when an operator's setting excludes all replicas. Such settings
+	// seldom change within a second.
 	retryClosed = time.Second
 )
 
-// refusal is an answer of the system's own.
+// refusal is an answer made by the daemon itself.
 type refusal struct {
 	status  int
 	reason  reason.Reason
 	message string
-	// after is when to come back; zero for never. It is told only with
-	// statuses that promise that the request did not run.
-	after time.Duration
-	// cause is the error that led here, if there was one.
+	// retryAfter is after how long the caller should retry; zero if the answer should not say so.
+	// It is sent only with status codes that promise that the request did not run.
+	retryAfter time.Duration
+	// cause is the error that led to the refusal, if any.
 	cause error
-	// passedOver tells which reasons kept how many replicas out.
+	// passedOver holds the counts of replicas passed over, by cause.
 	passedOver string
 }
 
-// promises reports whether the refusal says that the request did not run.
-func (f *refusal) promises() bool {
+// promisesNotRun reports whether the status tells the caller that the request did not run.
+func (f *refusal) promisesNotRun() bool {
 	return f.status == http.StatusServiceUnavailable || f.status == http.StatusTooManyRequests
 }
 
-func refuse(status int, why reason.Reason, message string) *refusal {
-	return &refusal{status: status, reason: why, message: message}
+func newRefusal(status int, cause reason.Reason, message string) *refusal {
+	return &refusal{status: status, reason: cause, message: message}
 }
 
-func unavailable(why reason.Reason, message string, after time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: why, message: message, after: after}
+func newUnavailable(cause reason.Reason, message string, after time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, reason: cause, message: message, retryAfter: after}
 }
 
 type refusalBody struct {
@@ -62,10 +61,10 @@
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	if f.after > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(f.after.Seconds(), 'f', 3, 64))
+	if f.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.WriteHeader(f.status)
-	// A caller that has gone does not get it; there is nobody to tell.
+	// An error means that the caller has disconnected; nothing is left to do.
 	_, _ = w.Write(body)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -20,62 +20,59 @@
 )
 
 const (
-	defaultBody    = 8 << 20
-	defaultTimeout = 10 * time.Minute
-	lowestPriority = 9
-	// maxRejections is how many workers may turn a request away before it is
-	// given up.
+	defaultMaxBodyBytes = 8 << 20
+	defaultTimeout      = 10 * time.Minute
+	lowestPriority      = 9
+	// maxRejections is how many rejections a request may get and still be retried.
 	maxRejections = 2
-	// engineRoom and serviceRoom are how much work may be in flight at a
-	// worker, in multiples of its slots, before requests are refused.
-	engineRoom  = 1.0
-	serviceRoom = 4.0
-	// sweepEvery is how often silent replicas are looked for.
-	sweepEvery = 50 * time.Millisecond
+	// engineLoadFactor and serviceLoadFactor limit the number of requests in flight at a replica,
+	// in multiples of its slots. They apply to services with and without an engine.
+	engineLoadFactor  = 1.0
+	serviceLoadFactor = 4.0
+	// sweepInterval is the interval of checks for silent replicas and idle connections.
+	sweepInterval = 50 * time.Millisecond
 )
 
 // Options configures a Relay.
 type Options struct {
 	Names  Names
 	Config func() *fleet.Config
-	// Confirmed returns when the configuration was last known to be the
-	// newest, BeliefFor for how long after that keys are believed in; zero
-	// means for ever.
+	// Confirmed returns when the configuration was last known to be current. Keys are accepted
+	// for BeliefFor after that; zero means without limit.
 	Confirmed func() time.Time
 	BeliefFor time.Duration
 	View      func() *fleet.View
-	// Halls returns the state of the data halls; nil for none that close.
+	// Halls returns the state of the data halls; nil if none is ever closed.
 	Halls func() *fleet.HallView
-	// RegionOf returns the region of a data hall; nil for one region.
+	// RegionOf returns the region of a data hall; nil if there is only one region.
 	RegionOf func(hall string) string
-	// WarmUp bounds what replicas get that warm up, Limits what those get whose heads name
-	// limits. Rests keeps requests from those whose heads want nothing from this daemon.
+	// WarmUp limits requests to replicas that are warming up, Limits those to replicas whose
+	// heads set limits. Rests stops requests to replicas whose heads ask for a pause.
 	WarmUp, Limits, Rests Bound
 
 	Tracker *Tracker
 	Budget  BudgetOptions
-	// Holdings bounds what is held for callers and workers; nil for no bound.
+	// Holdings limits the bytes buffered for callers and workers; nil for no limit.
 	Holdings *Holdings
-	// ServeLate keeps requests that are late already rather than lose them: they wait for
-	// room, and refused callers are told to come back over all of the time that they heed.
-	// Where a third of the workers is lost that makes fresh requests late as well, so it is
-	// off by default (docs/design/nothing-lost.md).
+	// ServeLate makes the relay try to serve requests that are already late. They wait briefly for
+	// capacity, and callers refused for lack of capacity get random retry times. After a large loss
+	// of workers this delays new requests as well.
 	ServeLate bool
-	// Spread is called when peers are to be told at once of requests that end workers; nil
-	// for nobody.
+	// Spread, if not nil, is called to notify peers at once of requests that crash workers.
 	Spread func()
-	// Replaced reports whether another life has the address of a worker; nil if that can't
-	// be told.
+	// Replaced reports whether another worker instance has taken over the address of a worker;
+	// nil if that can't be determined.
 	Replaced func(ctx context.Context, w *fleet.Worker) (bool, error)
-	// Signalled is called with what a worker says of itself in the head of an answer to a
-	// request that was sent at a time; nil for nobody.
+	// Signalled, if not nil, is called after each answer with the limits and pauses that the worker
+	// set in its header. sent is when the request was sent.
 	Signalled func(w *fleet.Worker, s backpressure.Signal, sent, now time.Time)
 	// Dial opens connections to workers; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Awake is called before a request is judged by what is believed: it sees to it that
-	// beliefs are as old as they are if the machine was suspended; nil for one that never is.
+	// Awake is called before a request is accepted and before a replica is chosen. After a
+	// suspension of the machine, it corrects how old the daemon's information is considered to be.
+	// Nil if the machine is never suspended.
 	Awake func()
-	// Leaving reports whether this daemon is to stop.
+	// Leaving reports whether this daemon is shutting down.
 	Leaving func() bool
 	Meter   *telemetry.Meter
 	Logger  hclog.Logger
@@ -83,22 +80,22 @@
 
 // Relay serves callers. It implements http.Handler.
 type Relay struct {
-	opts      Options
-	upstream  *upstream
-	budget    *budget
-	patiences *patiences
-	guard     *guard.Guard
-	unbegun   unbegun
-	// startedAt is when this daemon began.
+	opts           Options
+	upstream       *upstream
+	budget         *budget
+	callerTimeouts *callerTimeouts
+	guard          *guard.Guard
+	waitingStreams waitingStreams
+	// startedAt is when this daemon started.
 	startedAt time.Time
-	// answered tells that some answer was not a refusal.
-	answered atomic.Bool
-	done     chan struct{}
+	// hasAnswered reports whether a request has been answered other than by a refusal.
+	hasAnswered atomic.Bool
+	done        chan struct{}
 }
 
 var _ http.Handler = (*Relay)(nil)
 
-// New returns a relay; Run does its housekeeping.
+// New returns a Relay. Run must be called for its periodic work.
 func New(opts Options) *Relay {
 	if opts.Holdings == nil {
 		opts.Holdings = NewHoldings(0)
@@ -107,19 +104,19 @@
 		opts.Awake = func() {}
 	}
 	r := &Relay{
-		opts: opts, upstream: newUpstream(), budget: newBudget(opts.Budget), patiences: newPatiences(),
+		opts: opts, upstream: newUpstream(), budget: newBudget(opts.Budget), callerTimeouts: newCallerTimeouts(),
 		startedAt: time.Now(), done: make(chan struct{}),
 	}
-	r.upstream.share, r.upstream.count = r.idleShare, opts.Meter.Connection
+	r.upstream.idleShare, r.upstream.onConnection = r.idleShare, opts.Meter.Connection
 	if opts.Dial != nil {
 		r.upstream.dial = opts.Dial
 	}
-	r.unbegun.held = make(map[*request]context.CancelCauseFunc)
+	r.waitingStreams.cancels = make(map[*request]context.CancelCauseFunc)
 	r.guard = guard.New(guard.Options{
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return r.upstream.dial(ctx, network, address)
 		},
-		Marked: r.cutOff, Spread: opts.Spread, Meter: opts.Meter, Logger: opts.Logger,
+		Marked: r.cancelQuarantined, Spread: opts.Spread, Meter: opts.Meter, Logger: opts.Logger,
 	})
 	return r
 }
@@ -127,11 +124,12 @@
 // Done is closed when Run has returned.
 func (r *Relay) Done() <-chan struct{} { return r.done }
 
-// Run looks for silent replicas and closes idle connections until ctx ends.
+// Run periodically checks for silent replicas, closes idle connections that are no longer needed,
+// and removes expired crash records, until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	defer close(r.done)
 	defer r.guard.Wait()
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -148,8 +146,8 @@
 	}
 }
 
-// Slept notes that the machine was suspended: workers may have closed the connections that
-// were kept, and of some of them nothing tells.
+// Slept must be called after a suspension of the machine. It closes the idle connections, because
+// workers may have closed them unnoticed.
 func (r *Relay) Slept() { r.upstream.closeAll() }
 
 func (r *Relay) random() float64 { return rand.Float64() }
@@ -162,177 +160,178 @@
 	}
 	c, refused := r.accept(h, http.NewResponseController(w))
 	if c != nil {
-		defer c.holding.end()
+		defer c.memory.release()
 	}
 	if refused == nil {
 		defer c.cancel()
-		r.budget.earn(c.service, c.arrived)
+		r.budget.addRequest(c.service, c.arrived)
 		if c.route.Kind == fleet.Stream {
 			refused = r.serveStream(w, c)
 		} else {
-			refused = r.serveWhole(w, c)
+			refused = r.serveBuffered(w, c)
 		}
 	}
 	if refused != nil {
 		r.refuse(w, c, refused)
 		return
 	}
-	r.answered.Store(true)
+	r.hasAnswered.Store(true)
 }
 
-// Answered reports whether a caller got an answer of a worker yet.
-func (r *Relay) Answered() bool { return r.answered.Load() }
+// Answered reports whether any caller has got a worker's answer yet.
+func (r *Relay) Answered() bool { return r.hasAnswered.Load() }
 
-// refuse answers with a refusal, counts it, and logs why.
+// refuse sends, counts and logs a refusal.
 func (r *Relay) refuse(w http.ResponseWriter, c *request, f *refusal) {
 	r.opts.Meter.Refuse(f.reason)
-	if r.opts.ServeLate && f.wantsRoom() {
-		f.after = r.comeBack(c, time.Now())
+	if r.opts.ServeLate && f.isForCapacity() {
+		f.retryAfter = r.spreadRetryAfter(c, time.Now())
 	}
 	if c != nil {
 		service, sends, rejections := c.service, c.sends, c.rejections
 		r.opts.Logger.Info("request refused", "request", c.id, "status", f.status, "reason", string(f.reason),
 			"service", service, "model", c.model, "sends", sends, "rejections", rejections,
-			"ms", time.Since(c.arrived).Milliseconds(), "config", r.version(), "passed_over", f.passedOver, "fingerprint", c.fingerprintIfKnown(), "error", f.cause)
+			"ms", time.Since(c.arrived).Milliseconds(), "config", r.configVersion(), "passed_over", f.passedOver, "fingerprint", c.fingerprintIfKnown(), "error", f.cause)
 	}
 	f.write(w)
 }
 
-func (r *Relay) version() int64 {
+func (r *Relay) configVersion() int64 {
 	if c := r.opts.Config(); c != nil {
 		return c.Version()
 	}
 	return 0
 }
 
-// choose returns the replica for the next attempt, or why there is none.
+// choose returns the replica for the next attempt, or a refusal if there is none.
 func (r *Relay) choose(c *request) (*fleet.Replica, *refusal) {
 	r.opts.Awake()
 	now := time.Now()
-	if f := r.quarantined(c, now); f != nil {
+	if f := r.checkQuarantine(c, now); f != nil {
 		return nil, f
 	}
 	if c.tenant != nil && r.BeliefTooOld(now) {
-		return nil, unavailable(reason.Isolated, "it is not certain which keys are in force", retryRevived)
+		return nil, newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
-	selection := r.eligible(c, now)
-	// without holds replicas whose last token another request took since they were judged.
-	var without map[string]bool
+	selection := r.selectReplicas(c, now)
+	// exhausted holds replicas whose last token was taken by another request since they were
+	// classified.
+	var exhausted map[string]bool
 	for {
-		if selection.Empty() {
-			return nil, r.noneEligible(c, selection.Counts(), now)
+		if selection.IsEmpty() {
+			return nil, r.noReplicaRefusal(c, selection.Counts(), now)
 		}
-		replica, none := r.chooseAmong(c, &selection, without, now)
-		c.sentAt = now
-		if none != nil || r.take(c, replica, now) {
-			return replica, none
+		replica, refused := r.chooseByClass(c, &selection, exhausted, now)
+		c.chosenAt = now
+		if refused != nil || r.takeTokens(c, replica, now) {
+			return replica, refused
 		}
-		if without == nil {
-			without = make(map[string]bool)
+		if exhausted == nil {
+			exhausted = make(map[string]bool)
 		}
-		without[replica.ID] = true
+		exhausted[replica.ID] = true
 	}
 }
 
-// chooseAmong chooses among the replicas of the best class that has room. Doubtful ones
-// count only if there are no others.
-func (r *Relay) chooseAmong(c *request, s *eligibility.Selection, without map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
-	full := false
+// chooseByClass chooses among the replicas of the best class with free capacity. Replicas of class
+// LastResort are not used while better ones are merely full.
+func (r *Relay) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
+	isFull := false
 	for class := eligibility.Eligible; class < eligibility.Excluded; class++ {
-		replicas := s.Of(class)
-		if len(replicas) == 0 || full && class == eligibility.Doubtful {
+		replicas := s.InClass(class)
+		if len(replicas) == 0 || isFull && class == eligibility.LastResort {
 			continue
 		}
 		predicted := costsOf(c.engine, c.model, replicas[0].Head.Slots)
-		predicted.kept = r.upstream.kept(idleFor(!c.route.Repeatable()))
-		predicted.fewest = c.suspected
-		predicted.scarce = r.opts.Limits.scarce()
-		choice, ok := r.chooseFrom(c, replicas, without, predicted, now)
+		predicted.connectedWorkers = r.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
+		predicted.preferIdle = c.isSuspected
+		predicted.tightlyLimited = r.opts.Limits.tightLimitChecker()
+		choice, ok := r.chooseFrom(c, replicas, exhausted, predicted, now)
 		if !ok {
 			continue
 		}
-		c.chosenBusy = choice.Busy
-		if choice.Busy < r.room(c, choice.Replica) {
+		c.chosenInFlight = choice.InFlight
+		if choice.InFlight < r.maxInFlight(c, choice.Replica) {
 			return choice.Replica, nil
 		}
-		full = true
+		isFull = true
 	}
-	f := unavailable(reason.Overloaded, "all replicas are busy", retryBusy)
-	if !full {
-		f = r.bounded(c, c.lacked, now)
+	f := newUnavailable(reason.Overloaded, "all replicas are busy", retryBusy)
+	if !isFull {
+		f = r.boundRefusal(c, c.exhaustedBound, now)
 	}
 	f.passedOver = c.passedOver
 	return nil, f
 }
 
-// room returns how much work a replica may have in flight.
-func (r *Relay) room(c *request, replica *fleet.Replica) float64 {
+// maxInFlight returns how many requests may be in flight at a replica over all daemons.
+func (r *Relay) maxInFlight(c *request, replica *fleet.Replica) float64 {
 	if c.engine != nil {
-		return engineRoom * float64(c.engine.Slots)
+		return engineLoadFactor * float64(c.engine.Slots)
 	}
-	return serviceRoom * float64(max(replica.Head.Slots, 1))
+	return serviceLoadFactor * float64(max(replica.Head.Slots, 1))
 }
 
-// mayRepeat reports whether a failed attempt may be followed by another one,
-// and draws on the budget if so. ran tells whether the attempt may have run.
-func (r *Relay) mayRepeat(c *request, ran bool) bool {
+// takeRetry reports whether a failed attempt may be followed by another one. If so, it takes the
+// retry from the budget. ran reports whether the failed attempt may have run.
+func (r *Relay) takeRetry(c *request, ran bool) bool {
 	switch {
-	case c.gaveUp():
+	case c.isDone():
 		return false
 	case ran && (!c.route.Repeatable() || c.sends >= c.route.Attempts):
 		return false
 	case !ran && c.rejections > maxRejections:
 		return false
 	}
-	if !r.budget.take(c.service, time.Now()) {
+	if !r.budget.takeRetry(c.service, time.Now()) {
 		r.opts.Meter.Refuse(reason.RetryBudget)
 		return false
 	}
 	return true
 }
 
-// note records a failed attempt and returns whether it may have run.
-func (r *Relay) note(c *request, replica *fleet.Replica, err error) (ran bool) {
-	c.lastCause = err
-	c.tried[replica.ID] = true
-	ran = wasSent(err)
+// recordFailure records a failed attempt and returns whether it may have run.
+func (r *Relay) recordFailure(c *request, replica *fleet.Replica, err error) (ran bool) {
+	c.lastErr = err
+	c.triedReplicas[replica.ID] = true
+	ran = mayHaveArrived(err)
 	if ran {
 		c.sends++
 	} else {
 		c.rejections++
 	}
 	if ran && guard.BrokeOff(err) {
-		r.tellBroken(c, replica, err)
-		r.blame(c, replica)
+		r.logBroken(c, replica, err)
+		r.reportCrash(c, replica)
 	}
-	if !c.gaveUp() && !errors.Is(err, errQuarantined) {
-		r.opts.Tracker.Fail(replica, time.Now())
-		r.noteFailed(c, replica, err)
+	if !c.isDone() && !errors.Is(err, errQuarantined) {
+		r.opts.Tracker.RecordFailure(replica, time.Now())
+		r.recordHeadFailure(c, replica, err)
 	}
 	return ran
 }
 
-// failed returns the answer to a request whose attempts all failed.
-func (r *Relay) failed(c *request) *refusal {
-	if c.outOfTime() {
-		return c.truthful(timedOut(c))
+// failureRefusal returns the refusal of a request whose attempts all failed.
+func (r *Relay) failureRefusal(c *request) *refusal {
+	if c.isTimedOut() {
+		return c.correctStatus(timeoutRefusal(c))
 	}
-	f := unavailable(reason.EndpointRefused, "no worker took the request", retrySoon)
-	if c.mayHaveRan() {
-		f = refuse(http.StatusBadGateway, reason.EndpointBroken, "the worker's answer was lost")
+	f := newUnavailable(reason.EndpointRefused, "no worker took the request", retrySoon)
+	if c.mayHaveRun() {
+		f = newRefusal(http.StatusBadGateway, reason.EndpointBroken, "the worker's answer was lost")
 	}
 	switch {
-	case errors.Is(c.lastCause, errStalled):
+	case errors.Is(c.lastErr, errReplicaSilent):
 		f.reason = reason.EndpointTimeout
-	case errors.Is(c.lastCause, errQuarantined):
+	case errors.Is(c.lastErr, errQuarantined):
 		f.reason = reason.Quarantined
 	}
-	return c.truthful(f)
+	return c.correctStatus(f)
 }
 
-func timedOut(c *request) *refusal {
-	if c.mayHaveRan() {
-		return refuse(http.StatusGatewayTimeout, reason.EndpointTimeout, "the time was up before the answer came")
+func timeoutRefusal(c *request) *refusal {
+	if c.mayHaveRun() {
+		return newRefusal(http.StatusGatewayTimeout, reason.EndpointTimeout, "the time was up before the answer came")
 	}
-	return unavailable(reason.EndpointTimeout, "the time was up before the request began", 0)
+	return newUnavailable(reason.EndpointTimeout, "the time was up before the request began", 0)
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,19 +21,19 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// newTestRelay serves before workers and returns the address of the relay.
+// newTestRelay starts a relay for the workers, and a server for it.
 func newTestRelay(t *testing.T, workers ...*fakeWorker) (*testRelay, *httptest.Server) {
 	t.Helper()
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
-	r := &testRelay{inventory: fleet.NewInventory(1200*time.Millisecond, 0), confirmed: time.Now()}
+	r := &testRelay{inventory: fleet.NewInventory(1200*time.Millisecond, 0), confirmedAt: time.Now()}
 	config := testConfig()
 	r.Relay = New(Options{
 		Names: testNames, Config: func() *fleet.Config { return config },
-		Confirmed: func() time.Time { return r.confirmed }, BeliefFor: time.Minute,
+		Confirmed: func() time.Time { return r.confirmedAt }, BeliefFor: time.Minute,
 		View: r.inventory.View, Tracker: NewTracker("", func(*fleet.Replica) {}),
 		Budget:  BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, Daemons: func() int { return 1 }},
-		Leaving: func() bool { return r.leaving }, Meter: meter, Logger: hclog.NewNullLogger(),
+		Leaving: func() bool { return r.isLeaving }, Meter: meter, Logger: hclog.NewNullLogger(),
 	})
 	var changes []fleet.Change
 	for _, w := range workers {
@@ -53,16 +53,16 @@
 	return r, server
 }
 
-// call is one answer as the caller sees it.
-type call struct {
+// answerSeen is an answer as received by the caller.
+type answerSeen struct {
 	status int
 	header http.Header
 	body   string
-	// whole tells that the answer ended as it should.
-	whole bool
+	// isComplete reports whether the answer ended properly.
+	isComplete bool
 }
 
-func do(t assert.TestingT, server *httptest.Server, path, id string, change func(*http.Request)) call {
+func sendRequest(t assert.TestingT, server *httptest.Server, path, id string, change func(*http.Request)) answerSeen {
 	request, err := http.NewRequest(http.MethodPost, server.URL+path, strings.NewReader("body"))
 	assert.NilError(t, err)
 	request.Host = "h"
@@ -74,11 +74,11 @@
 	}
 	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
-		return call{}
+		return answerSeen{}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return call{status: response.StatusCode, header: response.Header, body: string(body), whole: err == nil}
+	return answerSeen{status: response.StatusCode, header: response.Header, body: string(body), isComplete: err == nil}
 }
 
 func wholeStream() string {
@@ -97,8 +97,8 @@
 		status int
 		body   string
 		runs   int
-		// cut tells that the answer must not look complete.
-		cut bool
+		// isCut reports whether the answer must not look complete.
+		isCut bool
 	}{
 		"a whole answer":                         {path: "/safe/", status: 200, body: "answer to a", runs: 1},
 		"a rejected request goes to another":     {path: "/once/", script: []behaviour{rejects}, status: 200, body: "answer to a", runs: 1},
@@ -117,7 +117,7 @@
 		"a broken stream goes on elsewhere":      {path: "/stream/", script: []behaviour{cuts}, status: 200, body: wholeStream(), runs: 2},
 		"a torn event is not passed on":          {path: "/stream/", script: []behaviour{tears}, status: 200, body: wholeStream(), runs: 2},
 		"a silent stream goes on elsewhere":      {path: "/stream/", script: []behaviour{stalls}, status: 200, body: wholeStream(), runs: 2},
-		"a stream that breaks too often is cut":  {path: "/stream/", script: []behaviour{cuts, cuts, cuts}, status: 200, runs: 3, cut: true},
+		"a stream that breaks too often is cut":  {path: "/stream/", script: []behaviour{cuts, cuts, cuts}, status: 200, runs: 3, isCut: true},
 		"a lost stream begins anew":              {path: "/stream/", script: []behaviour{loses}, status: 200, body: wholeStream(), runs: 2},
 		"no route":                               {path: "/nowhere/", status: 404},
 		"an unknown key":                         {path: "/safe/", change: func(h *http.Request) { h.Header.Set(testNames.Key, "x") }, status: 401},
@@ -126,16 +126,17 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			// The script is shared: whichever worker is asked first plays its start.
+			// The workers share the script. The first one to get a request plays its first
+			// behaviour.
 			w := newFakeWorker(t, "w1", test.script...)
 			workers := []*fakeWorker{w}
 			for i := 2; i <= 4; i++ {
-				workers = append(workers, sharing(w, fmt.Sprintf("w%d", i)))
+				workers = append(workers, workerSharingScript(w, fmt.Sprintf("w%d", i)))
 			}
 			_, server := newTestRelay(t, workers...)
-			got := do(t, server, test.path, "a", test.change)
+			got := sendRequest(t, server, test.path, "a", test.change)
 			assert.Equal(t, got.status, test.status)
-			assert.Equal(t, got.whole, !test.cut)
+			assert.Equal(t, got.isComplete, !test.isCut)
 			if test.body != "" {
 				assert.Equal(t, got.body, test.body)
 			}
@@ -147,37 +148,36 @@
 	}
 }
 
-// sharing returns a further worker that plays the same script and counts with w.
-func sharing(w *fakeWorker, id string) *fakeWorker {
+// workerSharingScript returns another worker with the script and counters of w.
+func workerSharingScript(w *fakeWorker, id string) *fakeWorker {
 	return &fakeWorker{id: id, listener: w.listener}
 }
 
-// TestPromises draws scripts and kinds of requests and checks what callers may
-// rely on, whatever workers do.
+// TestPromises checks the guarantees to callers for random requests and worker behaviours.
 func TestPromises(outer *testing.T) {
 	all := []behaviour{answers, rejects, fails, loses, cuts, tears, unsigned, surplus, garbles}
 	rapid.Check(outer, func(t *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom(all), 0, 12).Draw(t, "script")
 		paths := rapid.SliceOfN(rapid.SampledFrom([]string{"/once/", "/safe/", "/stream/"}), 1, 5).Draw(t, "paths")
 		w := newFakeWorker(outer, "w1", script...)
-		_, server := newTestRelay(outer, w, sharing(w, "w2"), sharing(w, "w3"))
+		_, server := newTestRelay(outer, w, workerSharingScript(w, "w2"), workerSharingScript(w, "w3"))
 		for i, path := range paths {
 			id := fmt.Sprintf("r%d", i)
-			checkPromises(t, path, id, do(t, server, path, id, nil), w.runs(id))
+			checkPromises(t, path, id, sendRequest(t, server, path, id, nil), w.runs(id))
 		}
 	})
 }
 
-func checkPromises(t *rapid.T, path, id string, got call, runs int) {
+func checkPromises(t *rapid.T, path, id string, got answerSeen, runs int) {
 	want := "answer to " + id
 	if path == "/stream/" {
 		want = wholeStream()
 	}
 	switch {
-	case got.status == http.StatusOK && got.whole && got.body != want:
+	case got.status == http.StatusOK && got.isComplete && got.body != want:
 		t.Fatalf("%s %s: a complete answer is %q", path, id, got.body)
 	case got.status == http.StatusServiceUnavailable && runs > 0:
-		t.Fatalf("%s %s: told that it did not run, ran %d times", path, id, runs)
+		t.Fatalf("%s %s: answered that it did not run, ran %d times", path, id, runs)
 	case path == "/once/" && runs > 1:
 		t.Fatalf("%s %s: ran %d times", path, id, runs)
 	case path == "/safe/" && runs > 2 || runs > 3:
@@ -187,10 +187,10 @@
 	}
 }
 
-func TestWorkerSeesWhatItShould(t *testing.T) {
+func TestForwardedHeaders(t *testing.T) {
 	w := newFakeWorker(t, "w1")
 	_, server := newTestRelay(t, w)
-	do(t, server, "/safe/", "a", func(h *http.Request) {
+	sendRequest(t, server, "/safe/", "a", func(h *http.Request) {
 		h.Header.Set(testNames.Tenant, "forged")
 		h.Header.Set(testNames.Instance, "forged")
 		h.Header.Set(testNames.Deadline, "400")
@@ -198,7 +198,7 @@
 		h.Header.Set("X-Hop", "1")
 		h.Header.Set("X-Kept", "1")
 	})
-	head := w.heads[0]
+	head := w.received[0]
 	assert.Equal(t, head.Get(testNames.Tenant), "tenant")
 	assert.Equal(t, head.Get(testNames.Instance), "w1")
 	assert.Equal(t, head.Get(testNames.Key), "")
@@ -210,18 +210,18 @@
 	assert.Assert(t, left > 0 && left <= 400)
 }
 
-func TestKeysAreNotBelievedInForEver(t *testing.T) {
+func TestKeysExpireWithoutConfirmation(t *testing.T) {
 	w := newFakeWorker(t, "w1")
 	r, server := newTestRelay(t, w)
-	r.confirmed = time.Now().Add(-time.Hour)
-	assert.Equal(t, do(t, server, "/safe/", "a", nil).status, 503)
-	assert.Equal(t, do(t, server, "/open/", "b", nil).status, 200)
+	r.confirmedAt = time.Now().Add(-time.Hour)
+	assert.Equal(t, sendRequest(t, server, "/safe/", "a", nil).status, 503)
+	assert.Equal(t, sendRequest(t, server, "/open/", "b", nil).status, 200)
 	assert.Equal(t, w.runs("a"), 0)
 }
 
 func TestLeavingDaemonClosesConnections(t *testing.T) {
 	r, server := newTestRelay(t, newFakeWorker(t, "w1"))
-	r.leaving = true
+	r.isLeaving = true
 	request, err := http.NewRequest(http.MethodPost, server.URL+"/open/", nil)
 	assert.NilError(t, err)
 	request.Host = "h"
@@ -235,22 +235,22 @@
 func TestBudget(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := newBudget(BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 20, Daemons: func() int { return 2 }})
-	taken := 0
-	for b.take("s", start) {
-		taken++
+	retries := 0
+	for b.takeRetry("s", start) {
+		retries++
 	}
-	assert.Equal(t, taken, 8, "0.8 of half of the extra")
+	assert.Equal(t, retries, 8, "0.8 of half of the extra")
 	for range 100 {
-		b.earn("s", start.Add(time.Second))
+		b.addRequest("s", start.Add(time.Second))
 	}
-	assert.Assert(t, b.take("s", start.Add(time.Second)), "requests allow repeats")
-	assert.Assert(t, b.take("other", start), "services are counted by themselves")
+	assert.Assert(t, b.takeRetry("s", start.Add(time.Second)), "requests allow repeats")
+	assert.Assert(t, b.takeRetry("other", start), "services are counted separately")
 	later := start.Add(time.Minute)
-	taken = 0
-	for b.take("s", later) {
-		taken++
+	retries = 0
+	for b.takeRetry("s", later) {
+		retries++
 	}
-	assert.Equal(t, taken, 8, "what is long past does not count")
+	assert.Equal(t, retries, 8, "old retries are not counted")
 }
 
 func TestLastID(t *testing.T) {
@@ -266,7 +266,7 @@
 	}
 }
 
-// FuzzEvents checks that cutting loses nothing and that ids are found safely.
+// FuzzEvents checks that splitting loses no bytes and that IDs are found safely.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\nda"))
 	f.Add([]byte("\n\n\n"))
@@ -279,12 +279,12 @@
 	})
 }
 
-// TestFirstTokensAreMeasured lets a stream break and go on: its first token is
-// measured once. One of the two calls meets the worker that breaks off.
+// TestFirstTokensAreMeasured: the first token of a resumed stream must be measured once. One of the
+// two requests is sent to the worker that breaks off its first stream.
 func TestFirstTokensAreMeasured(t *testing.T) {
 	r, server := newTestRelay(t, newFakeWorker(t, "w1", cuts), newFakeWorker(t, "w2"))
 	for _, id := range []string{"a", "b"} {
-		got := do(t, server, "/stream/", id, nil)
+		got := sendRequest(t, server, "/stream/", id, nil)
 		assert.Equal(t, got.body, wholeStream())
 	}
 	shown := httptest.NewRecorder()
--- a/relay/request.go
+++ b/relay/request.go
@@ -16,7 +16,7 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// request is a caller's request on its way through the daemon.
+// request is a caller's request while the daemon handles it.
 type request struct {
 	id     string
 	method string
@@ -24,90 +24,96 @@
 	host   string
 	header http.Header
 	body   []byte
-	// holding is the room that the body and the answer take.
-	holding holding
+	// memory accounts for the bytes buffered for the request's body and answer.
+	memory  requestMemory
 	route   *fleet.Route
 	service string
-	// engine is nil for services whose workers serve alone.
+	// engine is nil for services without an engine.
 	engine *fleet.Engine
 	model  string
-	// prompt is the number of prompt tokens, as the caller gives it.
-	prompt   int
-	tenant   *fleet.Tenant
-	arrived  time.Time
-	deadline time.Time
-	// waited is how long the caller had waited before, as far as its deadline tells.
-	waited time.Duration
-	ctx    context.Context
-	cancel context.CancelFunc
+	// promptTokens is the number of prompt tokens stated by the caller.
+	promptTokens int
+	tenant       *fleet.Tenant
+	arrived      time.Time
+	deadline     time.Time
+	// waitedBefore is how long the caller had waited in earlier attempts, estimated from its
+	// deadline.
+	waitedBefore time.Duration
+	ctx          context.Context
+	cancel       context.CancelFunc
 
-	// sends counts the workers that may have run the request, rejections those
-	// that certainly did not.
-	sends      int
-	rejections int
-	tried      map[string]bool
-	// failed holds the heads whose failure others may share.
-	failed []*fleet.Worker
-	// chosenBusy is the work in flight at the replica chosen last, as far as known.
-	chosenBusy float64
-	// passedOver tells which reasons kept how many replicas out of the last choice.
+	// sends is the number of attempts that may have run at a worker, rejections the number of
+	// attempts that certainly did not run.
+	sends         int
+	rejections    int
+	triedReplicas map[string]bool
+	// failedHeads holds the heads of the replicas at which attempts failed, except for rejections
+	// and silence of a single stream. Replicas near these heads may have failed as well.
+	failedHeads []*fleet.Worker
+	// chosenInFlight is the number of requests that were in flight over all daemons at the replica
+	// chosen last.
+	chosenInFlight float64
+	// passedOver is a log text that counts, by cause, the replicas that a choice excluded or ranked
+	// lower. It is from the last choice that did so.
 	passedOver string
-	// sendBy is until when the attempt may be sent; the zero time for any time. lacked is
-	// which bound had no token for the replica chosen last.
-	sendBy time.Time
-	lacked reason.Reason
-	// lastCause is the error of the newest failed attempt, sentAt when that was chosen.
-	lastCause error
-	sentAt    time.Time
+	// sendBy is the time by which the attempt must be sent; zero for any time. exhaustedBound names
+	// the bound (warm-up, limit or rest) that last refused a token.
+	sendBy         time.Time
+	exhaustedBound reason.Reason
+	// lastErr is the error of the last failed attempt. chosenAt is when a replica was last chosen.
+	lastErr  error
+	chosenAt time.Time
 
-	// suspected tells that the next crash would quarantine the request.
-	suspected bool
+	// isSuspected reports whether one more crash would quarantine the request.
+	isSuspected bool
 
-	fingerprintOnce sync.Once
-	fingerprinted   atomic.Bool
-	fingerprintHeld quarantine.Fingerprint
+	fingerprintOnce   sync.Once
+	hasFingerprint    atomic.Bool
+	cachedFingerprint quarantine.Fingerprint
 }
 
-// mayHaveRan reports whether some worker may have begun the request.
-func (c *request) mayHaveRan() bool { return c.sends > 0 }
+// mayHaveRun reports whether any worker may have started the request.
+func (c *request) mayHaveRun() bool { return c.sends > 0 }
 
-// truthful turns a refusal that promises too much into one that does not.
-func (c *request) truthful(f *refusal) *refusal {
+// correctStatus sets the status to 502 if the refusal wrongly promises that the request did not
+// run. It also sets a missing cause to the error of the last failed attempt.
+func (c *request) correctStatus(f *refusal) *refusal {
 	if f.cause == nil {
-		f.cause = c.lastCause
+		f.cause = c.lastErr
 	}
-	if f.promises() && c.mayHaveRan() {
-		f.status, f.after = http.StatusBadGateway, 0
+	if f.promisesNotRun() && c.mayHaveRun() {
+		f.status, f.retryAfter = http.StatusBadGateway, 0
 	}
 	return f
 }
 
-// accept reads a request and decides by the configuration whether it may run.
-func (r *Relay) accept(h *http.Request, edge *http.ResponseController) (*request, *refusal) {
+// accept finds the route of a request, authenticates the caller, reads the body and sets the
+// deadline. It returns a refusal if one of these steps fails.
+func (r *Relay) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
 	r.opts.Awake()
 	config := r.opts.Config()
 	if config == nil {
-		return nil, unavailable(reason.Starting, "no configuration is known yet", retryRevived)
+		return nil, newUnavailable(reason.Starting, "no configuration is known yet", retryUninformed)
 	}
 	c := &request{
 		method: h.Method, target: h.RequestURI, host: h.Host, header: h.Header,
-		id: h.Header.Get(r.opts.Names.Attempt), arrived: time.Now(), tried: make(map[string]bool),
-		holding: holding{holdings: r.opts.Holdings},
+		id: h.Header.Get(r.opts.Names.Attempt), arrived: time.Now(), triedReplicas: make(map[string]bool),
+		memory: requestMemory{holdings: r.opts.Holdings},
 	}
 	path, _, _ := strings.Cut(c.target, "?")
 	route, ok := config.Route(c.host, path)
 	if !ok {
-		return c, refuse(http.StatusNotFound, reason.NotFound, "no route leads there")
+		return c, newRefusal(http.StatusNotFound, reason.NotFound, "no route leads there")
 	}
 	c.route = route
-	if bad := r.authenticate(c, config); bad != nil {
-		return c, bad
+	if refused := r.authenticate(c, config); refused != nil {
+		return c, refused
 	}
-	r.boundCaller(edge, c.arrived, route.Timeout)
-	bad := r.read(c, h, config.Limits())
-	r.bodyRead(edge)
-	if bad != nil {
-		return c, bad
+	r.setCallerDeadlines(controller, c.arrived, route.Timeout)
+	bodyRefusal := r.readBody(c, h, config.Limits())
+	r.clearReadDeadline(controller)
+	if bodyRefusal != nil {
+		return c, bodyRefusal
 	}
 	c.service = route.Choose(r.random())
 	if s, ok := config.Service(c.service); ok {
@@ -115,91 +121,95 @@
 	}
 	if c.engine != nil {
 		c.model = h.Header.Get(r.opts.Names.Model)
-		c.prompt = promptTokens(h.Header.Get(r.opts.Names.Usage))
+		c.promptTokens = promptTokens(h.Header.Get(r.opts.Names.Usage))
 	}
-	r.begin(c, h)
+	r.setDeadline(c, h)
 	return c, nil
 }
 
-// authenticate finds the tenant by the request's key.
+// authenticate sets the tenant from the request's key. It returns a refusal if the key is unknown,
+// or if it may have been revoked. Public routes need no key.
 func (r *Relay) authenticate(c *request, config *fleet.Config) *refusal {
 	key := c.header.Get(r.opts.Names.Key)
 	if c.route.Public || !config.NeedsKeys() {
 		return nil
 	}
 	if r.BeliefTooOld(time.Now()) {
-		return unavailable(reason.Isolated, "it is not certain which keys are in force", retryRevived)
+		return newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	tenant, ok := config.Tenant(key)
 	if !ok {
-		return refuse(http.StatusUnauthorized, reason.Unauthorized, "the key is not known")
+		return newRefusal(http.StatusUnauthorized, reason.Unauthorized, "the key is not known")
 	}
 	c.tenant = tenant
 	return nil
 }
 
-// BeliefTooOld reports whether keys may have been taken away without this
-// daemon knowing.
+// BeliefTooOld reports whether the configuration was last confirmed so long ago that this daemon
+// may have missed the revocation of a key.
 func (r *Relay) BeliefTooOld(now time.Time) bool {
 	return r.opts.BeliefFor > 0 && now.Sub(r.opts.Confirmed()) > r.opts.BeliefFor
 }
 
-// read reads the body within the configured limit.
-func (r *Relay) read(c *request, h *http.Request, limits fleet.Limits) *refusal {
-	most := limits.BodyBytes
-	if most <= 0 {
-		most = defaultBody
+// readBody reads the request's body. It returns a refusal if the body exceeds the configured limit,
+// if the daemon's memory is exhausted, or if reading fails.
+func (r *Relay) readBody(c *request, h *http.Request, limits fleet.Limits) *refusal {
+	limit := limits.BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if h.ContentLength > most {
-		return refuse(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
+	if h.ContentLength > limit {
+		return newRefusal(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
 	}
-	c.holding.account = accountOf(c.tenant)
-	body, err := c.holding.read(h.Body, most, refuseWhenFull)
+	c.memory.account = accountName(c.tenant)
+	body, err := c.memory.read(h.Body, limit, failWhenFull)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refuse(http.StatusRequestTimeout, reason.BadRequest, "the body did not come in time")
-	case errors.Is(err, errNoRoom):
-		return unavailable(reason.MemoryBound, "this daemon holds as much as it may", retryBusy)
+		return newRefusal(http.StatusRequestTimeout, reason.BadRequest, "the body did not come in time")
+	case errors.Is(err, errMemoryLimit):
+		return newUnavailable(reason.MemoryBound, "this daemon holds as much as it may", retryBusy)
 	case err != nil:
-		return refuse(http.StatusBadRequest, reason.BadRequest, "the body was not read whole")
+		return newRefusal(http.StatusBadRequest, reason.BadRequest, "the body was not read whole")
 	}
-	if int64(len(body)) > most {
-		return refuse(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
+	if int64(len(body)) > limit {
+		return newRefusal(http.StatusRequestEntityTooLarge, reason.BodyTooLarge, "the body is too long")
 	}
 	c.body = body
 	return nil
 }
 
-// accountOf names whose bytes are counted: those of callers without an account together.
-func accountOf(tenant *fleet.Tenant) string {
+// accountName returns the account to which memory is charged; all callers without an account
+// share one.
+func accountName(tenant *fleet.Tenant) string {
 	if tenant == nil {
 		return ""
 	}
 	return tenant.Name
 }
 
-// begin sets the request's deadline and context. A request that must not be
-// repeated goes on when its caller has gone, so that it ends whole.
-func (r *Relay) begin(c *request, h *http.Request) {
+// setDeadline sets the request's deadline and context. A request that must not be repeated
+// continues after its caller has disconnected.
+func (r *Relay) setDeadline(c *request, h *http.Request) {
 	c.deadline = c.arrived.Add(defaultTimeout)
 	if c.route.Timeout > 0 {
 		c.deadline = c.arrived.Add(c.route.Timeout)
 	}
 	if ms, err := strconv.ParseFloat(h.Header.Get(r.opts.Names.Deadline), 64); err == nil && ms >= 0 {
-		wanted := c.arrived.Add(time.Duration(ms * float64(time.Millisecond)))
-		if wanted.Before(c.deadline) {
-			c.deadline = wanted
+		callerDeadline := c.arrived.Add(time.Duration(ms * float64(time.Millisecond)))
+		if callerDeadline.Before(c.deadline) {
+			c.deadline = callerDeadline
 		}
 	}
 	parent := h.Context()
 	if c.route.Kind == fleet.NonIdempotent {
 		parent = context.WithoutCancel(parent)
 	}
-	c.waited = r.patiences.waited(c.route, c.deadline.Sub(c.arrived), c.arrived)
+	c.waitedBefore = r.callerTimeouts.estimateWaited(c.route, c.deadline.Sub(c.arrived), c.arrived)
 	c.ctx, c.cancel = context.WithDeadline(parent, c.deadline)
 }
 
-// promptTokens returns the first of the comma-separated figures of a usage.
+// promptTokens returns the number of prompt tokens, which is the first of the comma-separated
+// numbers in a usage header. It returns 0 if that number is missing or invalid.
 func promptTokens(usage string) int {
 	first, _, _ := strings.Cut(usage, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(first))
@@ -209,35 +219,35 @@
 	return n
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders are the headers that apply to a single connection.
+var hopByHopHeaders = []string{
 	"Connection", "Content-Length", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// forwarded returns the headers that are passed on.
-func forwarded(header http.Header) http.Header {
+// forwardedHeaders returns a copy without the headers that apply to a single connection.
+func forwardedHeaders(header http.Header) http.Header {
 	out := header.Clone()
 	for _, field := range header.Values("Connection") {
 		for _, name := range strings.Split(field, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// messageFor returns the request as it goes to a worker.
+// messageFor returns the request as sent to a worker.
 func (r *Relay) messageFor(c *request, worker *fleet.Worker, lastEvent string) *message {
 	names := r.opts.Names
-	header := forwarded(c.header)
-	for _, own := range []string{names.Key, names.Tenant, names.Instance, names.Priority, names.Deadline} {
-		header.Del(own)
+	header := forwardedHeaders(c.header)
+	for _, name := range []string{names.Key, names.Tenant, names.Instance, names.Priority, names.Deadline} {
+		header.Del(name)
 	}
-	left := max(time.Until(c.deadline).Milliseconds(), 1)
-	header.Set(names.Deadline, strconv.FormatInt(left, 10))
+	remaining := max(time.Until(c.deadline).Milliseconds(), 1)
+	header.Set(names.Deadline, strconv.FormatInt(remaining, 10))
 	header.Set(names.Instance, worker.ID)
 	priority := c.route.Priority
 	if c.tenant != nil {
@@ -254,12 +264,12 @@
 	}
 	return &message{
 		method: c.method, encoded: encode(c.method, c.target, c.host, header, c.body),
-		sendBy: c.sendBy, attempt: c.id, attemptName: names.Attempt, once: !c.route.Repeatable(),
+		sendBy: c.sendBy, attempt: c.id, attemptName: names.Attempt, atMostOnce: !c.route.Repeatable(),
 	}
 }
 
-// gaveUp reports whether the caller has gone or the time is up.
-func (c *request) gaveUp() bool { return c.ctx.Err() != nil }
+// isDone reports whether the caller has disconnected or the deadline has passed.
+func (c *request) isDone() bool { return c.ctx.Err() != nil }
 
-// outOfTime reports whether the request's time is up.
-func (c *request) outOfTime() bool { return errors.Is(c.ctx.Err(), context.DeadlineExceeded) }
+// isTimedOut reports whether the deadline has passed.
+func (c *request) isTimedOut() bool { return errors.Is(c.ctx.Err(), context.DeadlineExceeded) }
--- a/relay/spread_test.go
+++ b/relay/resumedelay_test.go
@@ -9,39 +9,38 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLateStreamsDoNotComeTogether plays the loss of a replica with 200 streams, noticed
-// half a second after their last events: what comes to the others within one pass must
-// leave the streams there in time, and nobody may wait until callers leave.
-func TestLateStreamsDoNotComeTogether(t *testing.T) {
+// TestLateStreamsResumeSpreadOut simulates a replica that stalls with 200 streams. They must not
+// all resume within one pass, and must resume before callers disconnect.
+func TestLateStreamsResumeSpreadOut(t *testing.T) {
 	const (
-		streams = 200
-		pass    = 50 * time.Millisecond
-		noticed = 500 * time.Millisecond
-		leave   = 2 * time.Second
+		streams        = 200
+		pass           = 50 * time.Millisecond
+		silentFor      = 500 * time.Millisecond
+		callerPatience = 2 * time.Second
 	)
 	now := time.Unix(1000, 0)
 	route := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 300 * time.Millisecond}
 	r := &Relay{}
 	perPass := make(map[time.Duration]int)
 	for range streams {
-		s := &relayed{begun: true, movedAt: now.Add(-noticed)}
-		wait := r.spread(&request{route: route, arrived: now.Add(-3 * time.Second), deadline: now.Add(5 * time.Second)}, s, now)
+		s := &relayedStream{isHeadSent: true, lastEventAt: now.Add(-silentFor)}
+		wait := r.resumeDelay(&request{route: route, arrived: now.Add(-3 * time.Second), deadline: now.Add(5 * time.Second)}, s, now)
 		perPass[wait/pass]++
-		assert.Assert(t, noticed+wait < leave, "%s", wait)
+		assert.Assert(t, silentFor+wait < callerPatience, "%s", wait)
 	}
-	for at, count := range perPass {
-		// 17 are expected in each pass; all 200 would come in one without the spread.
-		assert.Assert(t, count < streams/4, "%d within pass %d", count, at)
+	for passIndex, count := range perPass {
+		// Without the delay, all streams would resume in one pass.
+		assert.Assert(t, count < streams/4, "%d within pass %d", count, passIndex)
 	}
 }
 
-// TestSpreadEndsBeforeCallersLeave: a stream that has little time left, or whose caller has
-// waited for long, goes on soon.
-func TestSpreadEndsBeforeCallersLeave(t *testing.T) {
+// TestResumeDelayEndsBeforeCallersDisconnect: the delay is short if little time is left, or if the
+// caller has already waited for long.
+func TestResumeDelayEndsBeforeCallersDisconnect(t *testing.T) {
 	now := time.Unix(1000, 0)
 	route := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 300 * time.Millisecond}
 	tests := map[string]struct {
-		// left is the time to the deadline, pause how long ago the last event came.
+		// left is the time to the deadline, pause the time since the last event.
 		left, pause, most time.Duration
 	}{
 		"little time left":     {left: 400 * time.Millisecond, pause: 500 * time.Millisecond, most: 100 * time.Millisecond},
@@ -53,34 +52,34 @@
 		t.Run(name, func(t *testing.T) {
 			c := &request{route: route, arrived: now.Add(-5 * time.Second), deadline: now.Add(test.left)}
 			for range 100 {
-				wait := (&Relay{}).spread(c, &relayed{begun: true, movedAt: now.Add(-test.pause)}, now)
+				wait := (&Relay{}).resumeDelay(c, &relayedStream{isHeadSent: true, lastEventAt: now.Add(-test.pause)}, now)
 				assert.Assert(t, wait >= 0 && wait <= test.most, "%s", wait)
 			}
 		})
 	}
 }
 
-// TestStreamsInTimeGoOnAtOnce: a stream that broke off a moment after its last event can
-// be in time elsewhere.
-func TestStreamsInTimeGoOnAtOnce(t *testing.T) {
+// TestStreamsOnTimeResumeAtOnce: a stream that broke off shortly after its last event can still
+// be on time, and must not be delayed.
+func TestStreamsOnTimeResumeAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	timed := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 200 * time.Millisecond}
 	tests := map[string]struct {
 		route *fleet.Route
-		// age is how old the request is, pause how long ago its last event came.
+		// age is the age of the request, pause the time since the last event.
 		age, pause time.Duration
-		begun      bool
+		hasBegun   bool
 	}{
 		"before the first event":   {route: timed, age: 250 * time.Millisecond},
-		"between two events":       {route: timed, age: time.Second, pause: 150 * time.Millisecond, begun: true},
-		"a route without times":    {route: &fleet.Route{}, age: time.Second, pause: time.Second, begun: true},
+		"between two events":       {route: timed, age: time.Second, pause: 150 * time.Millisecond, hasBegun: true},
+		"a route without times":    {route: &fleet.Route{}, age: time.Second, pause: time.Second, hasBegun: true},
 		"the first, without times": {route: &fleet.Route{}, age: time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := &relayed{begun: test.begun, movedAt: now.Add(-test.pause)}
+			s := &relayedStream{isHeadSent: test.hasBegun, lastEventAt: now.Add(-test.pause)}
 			c := &request{route: test.route, arrived: now.Add(-test.age)}
-			assert.Equal(t, (&Relay{}).spread(c, s, now), time.Duration(0))
+			assert.Equal(t, (&Relay{}).resumeDelay(c, s, now), time.Duration(0))
 		})
 	}
 }
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -16,63 +16,62 @@
 	"quartzshelf.dev/peers"
 )
 
-// patient callers give as much time as the route allows.
-const patient = 6 * time.Second
+// fullTimeout is the timeout of the route.
+const fullTimeout = 6 * time.Second
 
-// TestQueuedPromptIsNotLost: a request waits 1.4 s behind other prompts at a head whose
-// streams move for another daemon. It is served there, from one send.
+// TestQueuedPromptIsNotLost: a request queued for 1.4 s behind other prompts must not be canceled
+// while other streams at its head receive events. Those streams belong to another daemon.
 func TestQueuedPromptIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 2, &playedHead{id: "a"})
-		// Streams of the other daemon move all the time.
+		p := newSimulation(t, 2, &simHead{id: "a"})
+		// Streams of the other daemon receive events all the time.
 		for range 30 {
-			p.call(1, "moving", 0, patient)
+			p.call(1, "moving", 0, fullTimeout)
 			time.Sleep(100 * time.Millisecond)
-			if p.sends("moving") == 5 {
-				p.call(1, "before", 14_000, patient)
+			if p.timesReceived("moving") == 5 {
+				p.call(1, "before", 14_000, fullTimeout)
 				time.Sleep(time.Millisecond)
-				p.call(0, "queued", 1000, patient)
+				p.call(0, "queued", 1000, fullTimeout)
 			}
 		}
 		p.calls.Wait()
-		assert.Assert(t, p.served("queued"), "%+v", p.results["queued"])
-		assert.Equal(t, p.sends("queued"), 1)
-		assert.Assert(t, p.results["queued"].first > beginSilence, "it waited for %s only", p.results["queued"].first)
+		assert.Assert(t, p.isServed("queued"), "%+v", p.results["queued"])
+		assert.Equal(t, p.timesReceived("queued"), 1)
+		assert.Assert(t, p.results["queued"].firstBytesAfter > firstEventTimeout, "it waited only %s", p.results["queued"].firstBytesAfter)
 	})
 }
 
-// TestStandingReplicaIsNoticed: nobody's streams move at a replica that stands still. A
-// stream that has begun goes on elsewhere after goSilence, one that waits after
-// beginSilence, as without the word of peers.
-func TestStandingReplicaIsNoticed(t *testing.T) {
+// TestStalledReplicaIsDetected: a replica that stalls after a stream has started must be suspected
+// by all daemons after nextEventTimeout.
+func TestStalledReplicaIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Bool
-		p := newPlay(t, 2, &playedHead{id: "a", still: stopped.Load})
-		p.call(0, "begun", 0, patient)
-		p.call(1, "other", 0, patient)
+		p := newSimulation(t, 2, &simHead{id: "a", isStalled: stopped.Load})
+		p.call(0, "begun", 0, fullTimeout)
+		p.call(1, "other", 0, fullTimeout)
 		time.Sleep(100 * time.Millisecond)
 		stopped.Store(true)
 		began := time.Now()
-		p.call(1, "waits", 0, patient)
+		p.call(1, "waits", 0, fullTimeout)
 		for i, r := range p.daemons {
-			for !r.opts.Tracker.suspected("a@1", time.Now()) {
+			for !r.opts.Tracker.hasSuspected("a@1", time.Now()) {
 				time.Sleep(10 * time.Millisecond)
 			}
-			assert.Assert(t, time.Since(began) <= goSilence+2*sweepEvery, "daemon %d after %s", i, time.Since(began))
+			assert.Assert(t, time.Since(began) <= nextEventTimeout+2*sweepInterval, "daemon %d after %s", i, time.Since(began))
 		}
 		stopped.Store(false)
 		p.calls.Wait()
 	})
 }
 
-// TestSilenceIsNamed: a caller is told that the replicas fell silent, not that an answer
+// TestSilenceIsReported: the refusal must say that the replicas fell silent, not that an answer
 // was lost.
-func TestSilenceIsNamed(t *testing.T) {
+func TestSilenceIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		still := func() bool { return true }
-		p := newPlay(t, 1, &playedHead{id: "a", still: still}, &playedHead{id: "b", still: still})
-		p.leaves = patient
-		p.call(0, "waits", 0, patient)
+		isStalled := func() bool { return true }
+		p := newSimulation(t, 1, &simHead{id: "a", isStalled: isStalled}, &simHead{id: "b", isStalled: isStalled})
+		p.callerPatience = fullTimeout
+		p.call(0, "waits", 0, fullTimeout)
 		p.calls.Wait()
 		got := p.results["waits"]
 		assert.Equal(t, got.status, http.StatusBadGateway)
@@ -80,101 +79,100 @@
 	})
 }
 
-// TestDeadConnectionIsNoticed: one stream gets nothing more though its replica's other
-// streams move, of this daemon too. It goes on elsewhere before its caller leaves, two
-// seconds after its last event, and the replica is not suspected.
-func TestDeadConnectionIsNoticed(t *testing.T) {
+// TestDeadConnectionIsDetected: if only one of a replica's streams gets no events, it must resume
+// elsewhere before its caller disconnects. The replica must not be suspected.
+func TestDeadConnectionIsDetected(t *testing.T) {
 	for name, prompt := range map[string]int{"after events": 0, "before the first event": 1} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playDeadConnection(t, prompt) })
+			synctest.Test(t, func(t *testing.T) { simulateDeadConnection(t, prompt) })
 		})
 	}
 }
 
-func playDeadConnection(t *testing.T, prompt int) {
+func simulateDeadConnection(t *testing.T, prompt int) {
 	t.Helper()
 	var silent atomic.Bool
 	silent.Store(prompt > 0)
-	p := newPlay(t, 1, &playedHead{id: "a", mute: func(id string) bool { return id == "dead" && silent.Load() }})
-	p.call(0, "dead", prompt, patient)
+	p := newSimulation(t, 1, &simHead{id: "a", isMuted: func(id string) bool { return id == "dead" && silent.Load() }})
+	p.call(0, "dead", prompt, fullTimeout)
 	time.Sleep(100 * time.Millisecond)
 	silent.Store(true)
-	p.join(&playedHead{id: "b"})
+	p.addHead(&simHead{id: "b"})
 	for range 35 {
-		// So many that both heads get some.
+		// Several streams are started at once, so that both heads get some.
 		for range 3 {
-			p.call(0, "moving", 0, patient)
+			p.call(0, "moving", 0, fullTimeout)
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
-	assert.Assert(t, !p.daemons[0].opts.Tracker.suspected("a@1", time.Now()))
+	assert.Assert(t, !p.daemons[0].opts.Tracker.hasSuspected("a@1", time.Now()))
 	p.calls.Wait()
 	got := p.results["dead"]
-	assert.Assert(t, p.served("dead"), "%+v", got)
-	assert.Assert(t, got.end < 2*time.Second, "%s", got.end)
+	assert.Assert(t, p.isServed("dead"), "%+v", got)
+	assert.Assert(t, got.endedAfter < 2*time.Second, "%s", got.endedAfter)
 }
 
-// TestStarvedProcessNoticesSilence: a process that gets no processor for 0.3 s again and
-// again still sees that a replica stands still.
-func TestStarvedProcessNoticesSilence(t *testing.T) {
+// TestPausedProcessDetectsSilence: a process that is paused for 0.3 s again and again must still
+// detect a stalled replica.
+func TestPausedProcessDetectsSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := NewTracker("", func(*fleet.Replica) {})
 		replica := testReplica("a", "")
 		ctx, cancel := context.WithCancelCause(context.Background())
 		defer cancel(nil)
-		tracker.Moved(replica, tracker.Follow(replica, testCosts, cancel), time.Now())
+		tracker.RecordEvent(replica, tracker.Watch(replica, testCosts, cancel), time.Now())
 		const gap = 300 * time.Millisecond
 		for range 5 {
 			time.Sleep(gap)
 			tracker.Sweep(time.Now(), gap)
 		}
-		assert.ErrorIs(t, context.Cause(ctx), errStalled)
+		assert.ErrorIs(t, context.Cause(ctx), errReplicaSilent)
 	})
 }
 
-// TestOnePauseExcusesSilence: events that came while this process stood still have not been
-// read yet.
-func TestOnePauseExcusesSilence(t *testing.T) {
+// TestPauseRestartsTimers: a pause of this process must not make streams appear silent. Events that
+// arrived during the pause have not been read yet.
+func TestPauseRestartsTimers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := NewTracker("", func(*fleet.Replica) {})
 		replica := testReplica("a", "")
 		ctx, cancel := context.WithCancelCause(context.Background())
 		defer cancel(nil)
-		watch := tracker.Follow(replica, testCosts, cancel)
+		watch := tracker.Watch(replica, testCosts, cancel)
 		for range 5 {
-			tracker.Moved(replica, watch, time.Now())
-			time.Sleep(2 * goSilence)
-			tracker.Sweep(time.Now(), 2*goSilence)
+			tracker.RecordEvent(replica, watch, time.Now())
+			time.Sleep(2 * nextEventTimeout)
+			tracker.Sweep(time.Now(), 2*nextEventTimeout)
 			assert.NilError(t, ctx.Err())
 		}
 	})
 }
 
-// TestSuspicionOfPeersNeedsSilence: a peer's word does not count while streams move.
+// TestSuspicionOfPeersNeedsSilence: a peer's suspicion is ignored while a replica sends events.
 func TestSuspicionOfPeersNeedsSilence(t *testing.T) {
 	tests := map[string]struct {
-		moved int64
-		want  bool
+		msSinceEvent int64
+		want         bool
 	}{
-		"moved a moment ago at another peer": {moved: 100},
-		"moved there long ago":               {moved: 600, want: true},
+		"moved a moment ago at another peer": {msSinceEvent: 100},
+		"moved there long ago":               {msSinceEvent: 600, want: true},
 		"nobody tells":                       {want: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			tracker := NewTracker("", func(*fleet.Replica) {})
-			tracker.Begin(testReplica("a", ""), 0)
-			tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 1, Moved: test.moved}}}, now)
+			tracker.Reserve(testReplica("a", ""), 0)
+			tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 1, Moved: test.msSinceEvent}}}, now)
 			tracker.Suspect("a", now)
-			assert.Equal(t, tracker.suspected("a", now), test.want)
+			assert.Equal(t, tracker.hasSuspected("a", now), test.want)
 		})
 	}
 }
 
-// suspected reports whether a replica is passed over.
-func (t *Tracker) suspected(replica string, now time.Time) bool {
+// hasSuspected reports whether a replica is suspected.
+func (t *Tracker) hasSuspected(replica string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.doubted(replica, now)
+	return t.isSuspected(replica, now)
 }
--- a/relay/slowcaller_test.go
+++ b/relay/slowcaller_test.go
@@ -12,30 +12,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowWriter is the connection of a caller that takes a while to read each event.
+// slowWriter is the response writer of a caller that takes delay to read each event.
 type slowWriter struct {
 	*httptest.ResponseRecorder
-	each time.Duration
+	delay time.Duration
 }
 
 func (w *slowWriter) Write(b []byte) (int, error) {
-	time.Sleep(w.each)
+	time.Sleep(w.delay)
 	return w.ResponseRecorder.Write(b)
 }
 
 // sendSlowly sends a stream request whose caller reads slowly.
-func (p *play) sendSlowly(daemon int, id string, each time.Duration) {
+func (p *simulation) sendSlowly(daemon int, id string, delay time.Duration) {
 	p.calls.Go(func() {
 		request := httptest.NewRequest(http.MethodPost, "/stream/", strings.NewReader("body")).WithContext(p.ctx)
 		request.Host = "h"
 		request.Header.Set(testNames.Attempt, id)
 		request.Header.Set(testNames.Model, "m")
-		w := &slowWriter{ResponseRecorder: httptest.NewRecorder(), each: each}
-		got := playedCall{call: call{whole: true}}
+		w := &slowWriter{ResponseRecorder: httptest.NewRecorder(), delay: delay}
+		got := simCall{answerSeen: answerSeen{isComplete: true}}
 		func() {
 			defer func() {
 				if recover() != nil {
-					got.whole = false
+					got.isComplete = false
 				}
 			}()
 			p.daemons[daemon].ServeHTTP(w, request)
@@ -47,42 +47,41 @@
 	})
 }
 
-// TestSlowCallerHarmsNobody: the only stream of a replica at this daemon has a caller that
-// reads slowly. Its replica is not suspected, and its stream goes on at the one worker to its
-// end.
+// TestSlowCallerHarmsNobody: a slow caller with the only stream of a replica must not make the
+// replica suspected, and its stream must complete there.
 func TestSlowCallerHarmsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 2, &playedHead{id: "a"})
-		const each = goSilence + 2*sweepEvery
-		p.sendSlowly(0, "slow", each)
+		p := newSimulation(t, 2, &simHead{id: "a"})
+		const delay = nextEventTimeout + 2*sweepInterval
+		p.sendSlowly(0, "slow", delay)
 		for n := range 10 {
 			time.Sleep(200 * time.Millisecond)
 			for _, r := range p.daemons {
-				assert.Assert(t, !r.opts.Tracker.suspected("a@1", time.Now()), "suspected in step %d", n)
+				assert.Assert(t, !r.opts.Tracker.hasSuspected("a@1", time.Now()), "suspected in step %d", n)
 			}
 		}
 		p.calls.Wait()
-		assert.Equal(t, p.sends("slow"), 1)
-		assert.Assert(t, p.served("slow"), "%+v", p.results["slow"])
+		assert.Equal(t, p.timesReceived("slow"), 1)
+		assert.Assert(t, p.isServed("slow"), "%+v", p.results["slow"])
 	})
 }
 
-// TestSilenceBehindSlowCallers: a replica that stands still is noticed by the stream whose
-// caller reads, whatever the callers of the others do.
+// TestSilenceBehindSlowCallers: a stalled replica must be detected if at least one of its streams
+// has a caller that reads without delay.
 func TestSilenceBehindSlowCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stopped := false
-		p := newPlay(t, 1, &playedHead{id: "a", still: func() bool { return stopped }})
+		p := newSimulation(t, 1, &simHead{id: "a", isStalled: func() bool { return stopped }})
 		for i := range 5 {
 			p.sendSlowly(0, fmt.Sprint("slow", i), 10*time.Second)
 		}
-		p.call(0, "reads", 0, patient)
+		p.call(0, "reads", 0, fullTimeout)
 		time.Sleep(100 * time.Millisecond)
 		stopped = true
 		began := time.Now()
-		for !p.daemons[0].opts.Tracker.suspected("a@1", time.Now()) {
+		for !p.daemons[0].opts.Tracker.hasSuspected("a@1", time.Now()) {
 			time.Sleep(10 * time.Millisecond)
-			assert.Assert(t, time.Since(began) <= goSilence+2*sweepEvery, "not noticed after %s", time.Since(began))
+			assert.Assert(t, time.Since(began) <= nextEventTimeout+2*sweepInterval, "not noticed after %s", time.Since(began))
 		}
 		stopped = false
 		p.calls.Wait()
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -10,121 +10,125 @@
 )
 
 const (
-	// failureFor is how long a replica that failed a request is passed over if
-	// others are there.
-	failureFor = time.Second
-	// remoteFor is how long a report of the load at other daemons counts.
-	remoteFor = time.Second
-	// failureCost is added, at the least, to the waits at replicas that failed a request
-	// of late.
-	failureCost = 100 * time.Millisecond
-	// leastLate is the least time that loads of peers are late by.
-	leastLate = 50 * time.Millisecond
-	// fewestCost is charged for each request in flight where the fewest are wanted; predicted
-	// waits are shorter.
-	fewestCost = 10 * time.Second
-	// noisePasses is how many times less than a pass choices are spread at least.
-	noisePasses = 5
+	// failurePenaltyPeriod is how long a replica is charged a penalty after it failed a request.
+	failurePenaltyPeriod = time.Second
+	// remoteLoadTTL is how long after their measurement the loads reported by other daemons are
+	// used.
+	remoteLoadTTL = time.Second
+	// minFailurePenalty is the minimum penalty added to the predicted wait.
+	minFailurePenalty = 100 * time.Millisecond
+	// minReportDelay is the assumed minimum time until peers report the load of a new request.
+	minReportDelay = 50 * time.Millisecond
+	// inFlightPenalty is added to a replica's cost for each request in flight there, if the replica
+	// with the fewest is preferred. It exceeds any predicted wait.
+	inFlightPenalty = 10 * time.Second
+	// noiseDivisor determines the minimum noise of choices, which is the duration of a pass divided
+	// by noiseDivisor.
+	noiseDivisor = 5
 )
 
-// replicaLoad is a replica as this daemon's requests see it.
+// replicaLoad holds this daemon's own requests in flight at a replica, and its recent events and
+// failures.
 type replicaLoad struct {
-	replica  *fleet.Replica
-	inFlight int
-	prefill  int
-	// prompts counts the prompt tokens of all requests in flight.
-	prompts  int
-	streams  map[*StreamWatch]struct{}
-	lastMove time.Time
-	suspect  time.Time
-	// refusedUntil is until when it gets no requests since its head took no connection.
-	refusedUntil time.Time
-	failedAt     time.Time
-	lastKnown    time.Time
+	replica      *fleet.Replica
+	inFlight     int
+	unreadTokens int
+	// promptTokens counts the prompt tokens of the requests in flight, unreadTokens those of them
+	// that the replica has not read yet.
+	promptTokens   int
+	streams        map[*StreamWatch]struct{}
+	lastEventAt    time.Time
+	suspectedUntil time.Time
+	// unreachableUntil is until when the replica counts as suspected after a failed connection.
+	unreachableUntil time.Time
+	failedAt         time.Time
+	lastUsedAt       time.Time
 }
 
-// Tracker counts the work in flight at each replica and notices when one falls
-// silent. It is safe for concurrent use.
+// Tracker counts the requests in flight at each replica and detects replicas that fall silent. It
+// is safe for concurrent use.
 type Tracker struct {
 	zone string
 
-	mu     sync.Mutex
-	held   map[string]*replicaLoad
-	remote map[string]remoteLoads
-	rates  *rates
-	pauses pauses
-	// reportedSuspects holds until when replicas that this daemon never used are suspected, by the
-	// word of peers.
+	mu            sync.Mutex
+	replicas      map[string]*replicaLoad
+	loadsBySource map[string]remoteLoads
+	rates         *rates
+	gapTargets    gapTargets
+	// reportedSuspects holds until when replicas that peers reported are suspected, for replicas
+	// that this daemon has not used.
 	reportedSuspects map[string]time.Time
-	// traffic tells that a request came, here or at a peer.
-	traffic bool
-	// stalled is called, without the lock, with a replica that fell silent.
-	stalled func(r *fleet.Replica)
+	// hasTraffic reports whether a request with a prompt has arrived at this daemon or a peer.
+	hasTraffic bool
+	// onSuspected is called, without the lock, for each replica that fell silent or became
+	// unreachable.
+	onSuspected func(r *fleet.Replica)
 }
 
-// remoteLoads is the work of other daemons, as a source reported it.
+// remoteLoads holds the summed loads of one or more other daemons, as reported by one source.
 type remoteLoads struct {
-	// at is of when the loads are on average, heard when they were reported.
-	at, heard time.Time
-	daemons   int
-	loads     map[string]peers.Load
+	// measuredAt is the average time at which the loads were measured, receivedAt when the report
+	// arrived. daemons is the number of daemons whose loads are summed.
+	measuredAt, receivedAt time.Time
+	daemons                int
+	loads                  map[string]peers.Load
 }
 
-// NewTracker returns a tracker for a daemon in a zone. It calls stalled with
-// each replica whose streams all fell silent.
-func NewTracker(zone string, stalled func(r *fleet.Replica)) *Tracker {
+// NewTracker returns a tracker for a daemon in a data hall. It calls onSuspected for each replica
+// that fell silent or became unreachable.
+func NewTracker(zone string, onSuspected func(r *fleet.Replica)) *Tracker {
 	return &Tracker{
-		zone: zone, held: make(map[string]*replicaLoad),
-		remote: make(map[string]remoteLoads), rates: newRates(), pauses: make(pauses),
-		reportedSuspects: make(map[string]time.Time), stalled: stalled,
+		zone: zone, replicas: make(map[string]*replicaLoad),
+		loadsBySource: make(map[string]remoteLoads), rates: newRates(), gapTargets: make(gapTargets),
+		reportedSuspects: make(map[string]time.Time), onSuspected: onSuspected,
 	}
 }
 
 func (t *Tracker) loadOf(r *fleet.Replica) *replicaLoad {
-	s, ok := t.held[r.ID]
+	s, ok := t.replicas[r.ID]
 	if !ok {
-		s = &replicaLoad{replica: r, streams: make(map[*StreamWatch]struct{}), suspect: t.reportedSuspects[r.ID]}
-		t.held[r.ID] = s
+		s = &replicaLoad{replica: r, streams: make(map[*StreamWatch]struct{}), suspectedUntil: t.reportedSuspects[r.ID]}
+		t.replicas[r.ID] = s
 	}
-	s.lastKnown = time.Now()
+	s.lastUsedAt = time.Now()
 	return s
 }
 
-// SetRemote takes what a source reported of the work of other daemons.
-func (t *Tracker) SetRemote(source string, work peers.Summary, heard time.Time) {
-	byReplica := make(map[string]peers.Load, len(work.Loads))
-	for _, l := range work.Loads {
+// SetRemote replaces the loads of other daemons that a source reported before.
+func (t *Tracker) SetRemote(source string, summary peers.Summary, receivedAt time.Time) {
+	byReplica := make(map[string]peers.Load, len(summary.Loads))
+	for _, l := range summary.Loads {
 		byReplica[l.Replica] = l
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := heard.Add(-time.Duration(work.Age) * time.Millisecond)
-	t.remote[source] = remoteLoads{at: at, heard: heard, daemons: work.Daemons, loads: byReplica}
+	measuredAt := receivedAt.Add(-time.Duration(summary.Age) * time.Millisecond)
+	t.loadsBySource[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: summary.Daemons, loads: byReplica}
 }
 
-// Traffic reports whether a request to a model came yet, here or at a peer.
+// Traffic reports whether a request with a prompt has arrived yet, at this daemon or a peer.
 func (t *Tracker) Traffic() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.traffic
+	return t.hasTraffic
 }
 
-// SetTraffic notes that a request came to a peer.
+// SetTraffic records that a request arrived at a peer.
 func (t *Tracker) SetTraffic() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.traffic = true
+	t.hasTraffic = true
 }
 
-// Loads returns this daemon's own work.
+// Loads returns this daemon's own load at each replica where it has requests in flight.
 func (t *Tracker) Loads() peers.Loads {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	var all peers.Loads
-	for id, s := range t.held {
+	for id, s := range t.replicas {
 		if s.inFlight > 0 {
-			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, Prefill: s.prefill, Moved: peers.MovedAgo(s.lastMove, now)})
+			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, Prefill: s.unreadTokens, Moved: peers.MovedAgo(s.lastEventAt, now)})
 		}
 	}
 	return all
@@ -135,7 +139,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
-	for _, s := range t.held {
+	for _, s := range t.replicas {
 		if s.replica.Head.Zone == hall {
 			count += s.inFlight
 		}
@@ -143,142 +147,143 @@
 	return count
 }
 
-// Demand returns this daemon's own work by model: the slots that are busy, and the prompt
-// tokens of the requests there.
-func (t *Tracker) Demand() (busy, prompts map[string]float64) {
+// Demand returns this daemon's own load by model. inFlight counts the requests in flight,
+// promptTokens their prompt tokens.
+func (t *Tracker) Demand() (inFlight, promptTokens map[string]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	busy, prompts = make(map[string]float64), make(map[string]float64)
-	for _, s := range t.held {
+	inFlight, promptTokens = make(map[string]float64), make(map[string]float64)
+	for _, s := range t.replicas {
 		if s.replica.Model != "" {
-			busy[s.replica.Model] += float64(s.inFlight)
-			prompts[s.replica.Model] += float64(s.prompts)
+			inFlight[s.replica.Model] += float64(s.inFlight)
+			promptTokens[s.replica.Model] += float64(s.promptTokens)
 		}
 	}
-	return busy, prompts
+	return inFlight, promptTokens
 }
 
 // Choice is a replica chosen for a request.
 type Choice struct {
 	Replica *fleet.Replica
-	// Busy is the work in flight there over all daemons, as far as known.
-	Busy float64
+	// InFlight is the number of requests in flight at the replica, over all daemons.
+	InFlight float64
 }
 
-// Choose returns the replica at which a request with a number of prompt tokens
-// would begin the soonest, and false when there is none. Those in tried are
-// left out.
-func (t *Tracker) Choose(replicas []*fleet.Replica, tried map[string]bool, c costs, prompt int, now time.Time) (Choice, bool) {
+// Choose returns the replica with the lowest cost for a request with the given number of prompt
+// tokens. The cost is the predicted wait, with penalties and random noise. Excluded replicas are
+// skipped. It returns false if no replica is left.
+func (t *Tracker) Choose(replicas []*fleet.Replica, excluded map[string]bool, c costs, promptTokens int, now time.Time) (Choice, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	noise := t.noise(replicas, c, prompt, now)
+	noise := t.noise(replicas, c, promptTokens, now)
 	var best Choice
 	bestCost, found := time.Duration(0), false
 	for _, r := range replicas {
-		if tried[r.ID] {
+		if excluded[r.ID] {
 			continue
 		}
-		busy, cost := t.cost(r, c, now)
-		if !c.isScarce(r) {
-			cost += c.connecting(r.Head.ID, busy, noise) + time.Duration(rand.Float64()*float64(noise))
+		inFlight, cost := t.cost(r, c, now)
+		if !c.isTightlyLimited(r) {
+			cost += c.openingCost(r.Head.ID, inFlight, noise) + time.Duration(rand.Float64()*float64(noise))
 		}
-		if c.fewest {
-			cost += time.Duration(busy * float64(fewestCost))
+		if c.preferIdle {
+			cost += time.Duration(inFlight * float64(inFlightPenalty))
 		}
 		if !found || cost < bestCost {
-			best, bestCost, found = Choice{Replica: r, Busy: busy}, cost, true
+			best, bestCost, found = Choice{Replica: r, InFlight: inFlight}, cost, true
 		}
 	}
 	return best, found
 }
 
-// noise returns how far the predicted waits may be off, since other daemons
-// choose by the same loads, which are told late: by what the requests of the
-// fleet bring to one replica within that time. Without it all daemons would
-// choose the same replica.
-func (t *Tracker) noise(replicas []*fleet.Replica, c costs, prompt int, now time.Time) time.Duration {
+// noise returns the upper bound of the random time that is added to each predicted wait. It is the
+// wait that the fleet's requests are expected to add to a replica before peers report them. Without
+// noise, all daemons would choose the same replica. Each call counts a request.
+func (t *Tracker) noise(replicas []*fleet.Replica, c costs, promptTokens int, now time.Time) time.Duration {
 	if len(replicas) == 0 {
 		return 0
 	}
-	late, count := time.Duration(0), 0
-	for _, remote := range t.remote {
-		if age := now.Sub(remote.at); age < remoteFor {
-			late += age * time.Duration(remote.daemons)
-			count += remote.daemons
+	reportAge, daemons := time.Duration(0), 0
+	for _, remote := range t.loadsBySource {
+		if age := now.Sub(remote.measuredAt); age < remoteLoadTTL {
+			reportAge += age * time.Duration(remote.daemons)
+			daemons += remote.daemons
 		}
 	}
 	key := replicas[0].Service + "/" + replicas[0].Model
 	t.rates.count(key, now)
-	rate := t.rates.perSecond(key, now) * float64(count)
-	if count > 0 {
-		late /= time.Duration(count)
+	rate := t.rates.perSecond(key, now) * float64(daemons)
+	if daemons > 0 {
+		reportAge /= time.Duration(daemons)
 	}
-	arrivals := rate * (late + leastLate).Seconds() / float64(len(replicas))
-	each := time.Duration(prompt)*c.perToken + c.perRequest + c.pass/noisePasses
-	return time.Duration(arrivals*float64(each)) + c.pass/noisePasses
+	arrivals := rate * (reportAge + minReportDelay).Seconds() / float64(len(replicas))
+	perArrival := time.Duration(promptTokens)*c.perToken + c.perRequest + c.passTime/noiseDivisor
+	return time.Duration(arrivals*float64(perArrival)) + c.passTime/noiseDivisor
 }
 
-// cost returns the work in flight at a replica, and the predicted wait there.
-func (t *Tracker) cost(r *fleet.Replica, c costs, now time.Time) (busy float64, wait time.Duration) {
-	inFlight, prefill := t.work(r.ID, now)
-	busy = float64(inFlight)
-	wait = c.wait(busy, prefill)
+// cost returns the number of requests in flight at a replica, over all daemons, and the predicted
+// wait there with penalties.
+func (t *Tracker) cost(r *fleet.Replica, c costs, now time.Time) (inFlight float64, wait time.Duration) {
+	requests, unreadTokens := t.totalLoad(r.ID, now)
+	inFlight = float64(requests)
+	wait = c.predictedWait(inFlight, unreadTokens)
 	if r.Head.Zone != t.zone {
-		wait += crossZone
+		wait += crossZoneCost
 	}
-	if s, ok := t.held[r.ID]; ok {
+	if s, ok := t.replicas[r.ID]; ok {
 		wait += t.penalty(s, c, now)
 	}
-	return busy, wait
+	return inFlight, wait
 }
 
-// work returns the requests in flight at a replica over all daemons, and their prompt
-// tokens not yet read, as far as known.
-func (t *Tracker) work(replica string, now time.Time) (inFlight, prefill int) {
-	if s, ok := t.held[replica]; ok {
-		inFlight, prefill = s.inFlight, s.prefill
+// totalLoad returns the number of requests in flight at a replica and the number of their unread
+// prompt tokens. Both are sums over this daemon and the recent reports of others.
+func (t *Tracker) totalLoad(replica string, now time.Time) (inFlight, unreadTokens int) {
+	if s, ok := t.replicas[replica]; ok {
+		inFlight, unreadTokens = s.inFlight, s.unreadTokens
 	}
-	for _, peer := range t.remote {
-		if now.Sub(peer.at) < remoteFor {
+	for _, peer := range t.loadsBySource {
+		if now.Sub(peer.measuredAt) < remoteLoadTTL {
 			l := peer.loads[replica]
 			inFlight += l.InFlight
-			prefill += l.Prefill
+			unreadTokens += l.Prefill
 		}
 	}
-	return inFlight, prefill
+	return inFlight, unreadTokens
 }
 
 // penalty returns the extra wait charged to a replica that failed a request recently.
 func (t *Tracker) penalty(s *replicaLoad, c costs, now time.Time) time.Duration {
-	if now.Sub(s.failedAt) < failureFor {
-		return max(c.service/2, failureCost)
+	if now.Sub(s.failedAt) < failurePenaltyPeriod {
+		return max(c.slotTime/2, minFailurePenalty)
 	}
 	return 0
 }
 
-// suspects returns a check for replicas that may have stopped, or nil if there are none.
-func (t *Tracker) suspects(now time.Time) func(r *fleet.Replica) bool {
+// suspectCheck returns a function that reports whether a replica is suspected to have stopped, or
+// nil if none is.
+func (t *Tracker) suspectCheck(now time.Time) func(r *fleet.Replica) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make(map[string]bool)
-	for id := range t.held {
-		if t.doubted(id, now) {
-			all[id] = true
+	suspected := make(map[string]bool)
+	for id := range t.replicas {
+		if t.isSuspected(id, now) {
+			suspected[id] = true
 		}
 	}
 	for id := range t.reportedSuspects {
-		if t.doubted(id, now) {
-			all[id] = true
+		if t.isSuspected(id, now) {
+			suspected[id] = true
 		}
 	}
-	if len(all) == 0 {
+	if len(suspected) == 0 {
 		return nil
 	}
-	return func(r *fleet.Replica) bool { return all[r.ID] }
+	return func(r *fleet.Replica) bool { return suspected[r.ID] }
 }
 
-// Fail notes that a replica failed a request.
-func (t *Tracker) Fail(r *fleet.Replica, now time.Time) {
+// RecordFailure records that a replica failed a request.
+func (t *Tracker) RecordFailure(r *fleet.Replica, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loadOf(r).failedAt = now
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -13,23 +13,24 @@
 	"quartzshelf.dev/peers"
 )
 
-// testCosts are those of an engine with steps of 10 ms, five in a pass.
+// testCosts are the costs of an engine with steps of 10 ms, five in a pass.
 var testCosts = costs{
-	slots: 20, perToken: 20 * time.Microsecond, pass: 50 * time.Millisecond,
-	perRequest: time.Millisecond, service: time.Second,
+	slots: 20, perToken: 20 * time.Microsecond, passTime: 50 * time.Millisecond,
+	perRequest: time.Millisecond, slotTime: time.Second,
 }
 
 func testReplica(id, zone string) *fleet.Replica {
 	return &fleet.Replica{ID: id, Service: "s", Model: "m", Head: &fleet.Worker{ID: id, Zone: zone}}
 }
 
-// chosen chooses many times, as a relay does, and counts the choices of each replica.
-func chosen(t *Tracker, replicas []*fleet.Replica, now time.Time, draws int) map[string]int {
+// countChoices makes a number of choices and counts them by replica. As in a Relay, suspected
+// replicas are used only if there are no others.
+func countChoices(t *Tracker, replicas []*fleet.Replica, now time.Time, draws int) map[string]int {
 	counts := make(map[string]int)
-	rules := eligibility.Rules{Suspected: t.suspects(now)}
+	rules := eligibility.Rules{IsSuspected: t.suspectCheck(now)}
 	selection := rules.Select(&eligibility.Request{}, replicas)
-	if replicas = selection.Of(eligibility.Eligible); len(replicas) == 0 {
-		replicas = selection.Of(eligibility.Doubtful)
+	if replicas = selection.InClass(eligibility.Eligible); len(replicas) == 0 {
+		replicas = selection.InClass(eligibility.LastResort)
 	}
 	for range draws {
 		if choice, ok := t.Choose(replicas, nil, testCosts, 1000, now); ok {
@@ -39,48 +40,46 @@
 	return counts
 }
 
-// TestChoicesAreSpread: daemons that know the same loads, told late, must not
-// all choose the same replica, though one looks a little better.
+// TestChoicesAreSpread: daemons with the same outdated loads must not all choose the same replica,
+// even if it looks slightly better.
 func TestChoicesAreSpread(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "b", InFlight: 1}}}, now.Add(-200*time.Millisecond))
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
-	counts := chosen(tracker, replicas, now, 400)
-	// The wait at b is 1 ms longer; the spread is 10 ms at the least.
+	counts := countChoices(tracker, replicas, now, 400)
+	// The wait at b is 1 ms longer; the noise is at least 10 ms.
 	assert.Assert(t, counts["b"] > 100, "%v", counts)
 	assert.Assert(t, counts["a"] > 100, "%v", counts)
 }
 
-// TestNearReplicasAreChosenFirst: among equals the one in the same data hall
-// takes more.
+// TestNearReplicasAreChosenFirst: among equal replicas, those in the daemon's own data hall are
+// preferred.
 func TestNearReplicasAreChosenFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	replicas := []*fleet.Replica{testReplica("a", "far"), testReplica("b", "near")}
-	// Half of the draws are expected without a cost of distance, with a standard
-	// deviation of 16 in a thousand. The cost of 4 ms against the spread of 10 ms
-	// that the first draw leaves makes it more than six in ten; the rate of these
-	// draws widens the spread, so few are drawn.
+	// Without the cost of another data hall, each replica would get about 500. Each tracker makes
+	// only ten choices, since further ones would raise the request rate and with it the noise.
 	near := 0
 	for range 100 {
 		tracker := NewTracker("near", func(*fleet.Replica) {})
-		near += chosen(tracker, replicas, now, 10)["b"]
+		near += countChoices(tracker, replicas, now, 10)["b"]
 	}
 	assert.Assert(t, near > 600, "%d of 1000", near)
 }
 
-// TestOnceRequestsGetFreshConnections: a connection that was idle for a while
-// may be closed by its worker just now, which a request that runs at most once
-// could not survive.
-func TestOnceRequestsGetFreshConnections(t *testing.T) {
+// TestAtMostOnceRequestsGetFreshConnections: requests that must run at most once must not use
+// connections that were idle for a while. The worker may just have closed such a connection, and
+// the request would be lost.
+func TestAtMostOnceRequestsGetFreshConnections(t *testing.T) {
 	tests := map[string]struct {
-		idle    time.Duration
-		idleFor time.Duration
-		reused  bool
+		idle     time.Duration
+		maxIdle  time.Duration
+		isReused bool
 	}{
-		"just used, once":          {idle: -time.Minute, idleFor: freshIdle, reused: true},
-		"idle for a while, once":   {idle: 2 * freshIdle, idleFor: freshIdle},
-		"idle for a while, may be": {idle: 2 * freshIdle, idleFor: idleMost, reused: true},
+		"just used, once":          {idle: -time.Minute, maxIdle: maxIdleAtMostOnce, isReused: true},
+		"idle for a while, once":   {idle: 2 * maxIdleAtMostOnce, maxIdle: maxIdleAtMostOnce},
+		"idle for a while, may be": {idle: 2 * maxIdleAtMostOnce, maxIdle: maxKeepAlive, isReused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -89,50 +88,51 @@
 			assert.NilError(t, err)
 			u := newUpstream()
 			c := &connection{Conn: raw, worker: "w", reader: bufio.NewReader(raw)}
-			u.put(c, idleMost)
+			u.put(c, maxKeepAlive)
 			c.idleSince = time.Now().Add(-test.idle)
-			assert.Equal(t, u.reuse(&fleet.Worker{ID: "w"}, test.idleFor) == c, test.reused)
+			assert.Equal(t, u.reuse(&fleet.Worker{ID: "w"}, test.maxIdle) == c, test.isReused)
 		})
 	}
-	// The relay asks for the shorter time for such requests alone.
-	assert.Equal(t, idleFor(true), freshIdle)
-	assert.Equal(t, idleFor(false), idleMost)
+	// Only requests that must run at most once use the shorter time.
+	assert.Equal(t, maxIdleFor(true), maxIdleAtMostOnce)
+	assert.Equal(t, maxIdleFor(false), maxKeepAlive)
 }
 
-// TestNearlyFullReplicasAreLeftAlone: where one slot is left, two daemons that do
-// not know of each other's newest request both take it, and one is refused.
-func TestNearlyFullReplicasAreLeftAlone(t *testing.T) {
+// TestNearlyFullReplicasAreAvoided: a replica with one slot left must not be chosen if another has
+// more. Two daemons may take the slot at the same time, and one request would be refused.
+func TestNearlyFullReplicasAreAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	// At a the wait for the first event is 21 ms shorter.
+	// Apart from the lack of slots, the predicted wait is shorter at a.
 	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, Prefill: 1500}}}, now)
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
-	counts := chosen(tracker, replicas, now, 10)
+	counts := countChoices(tracker, replicas, now, 10)
 	assert.Equal(t, counts["b"], 10, "%v", counts)
 }
 
-// TestWorkIsMeasured: the leader sizes models by what is in flight and by the pauses that
-// their callers bear.
-func TestWorkIsMeasured(t *testing.T) {
+// TestDemandAndGapTargets checks the demand and the gap targets by model. The leader uses both to
+// decide how many replicas each model gets.
+func TestDemandAndGapTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	first := tracker.Begin(testReplica("a", "z"), 1500)
-	tracker.Begin(testReplica("b", "z"), 500)
-	first.Started()
-	busy, prompts := tracker.Demand()
-	assert.DeepEqual(t, busy, map[string]float64{"m": 2})
-	// What was read would be read again elsewhere.
+	first := tracker.Reserve(testReplica("a", "z"), 1500)
+	tracker.Reserve(testReplica("b", "z"), 500)
+	first.MarkPromptRead()
+	inFlight, prompts := tracker.Demand()
+	assert.DeepEqual(t, inFlight, map[string]float64{"m": 2})
+	// Prompts that were already read count too, since another replica would have to read them
+	// again.
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 2000})
-	first.End()
+	first.Release()
 	_, prompts = tracker.Demand()
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 500})
 
 	assert.Equal(t, tracker.Pause("m", now), time.Duration(0))
-	tracker.NotePause("m", 300*time.Millisecond, now)
-	tracker.NotePause("m", 200*time.Millisecond, now)
-	tracker.NotePause("m", 0, now)
+	tracker.RecordGapTarget("m", 300*time.Millisecond, now)
+	tracker.RecordGapTarget("m", 200*time.Millisecond, now)
+	tracker.RecordGapTarget("m", 0, now)
 	assert.Equal(t, tracker.Pause("m", now), 200*time.Millisecond)
-	tracker.NotePause("m", 300*time.Millisecond, now.Add(pausesFor))
-	assert.Equal(t, tracker.Pause("m", now.Add(pausesFor+time.Second)), 300*time.Millisecond, "a route that is gone")
+	tracker.RecordGapTarget("m", 300*time.Millisecond, now.Add(gapTargetTTL))
+	assert.Equal(t, tracker.Pause("m", now.Add(gapTargetTTL+time.Second)), 300*time.Millisecond, "an expired gap target")
 	assert.Equal(t, tracker.Pause("other", now), time.Duration(0))
 }
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -18,31 +18,32 @@
 type behaviour string
 
 const (
-	// answers serves the request whole.
+	// answers sends a complete answer.
 	answers behaviour = "answers"
-	// rejects turns it away before it runs.
+	// rejects rejects the request before it runs.
 	rejects behaviour = "rejects"
-	// misdirects says that the request is meant for another worker.
+	// misdirects answers that the request is meant for another worker.
 	misdirects behaviour = "misdirects"
-	// fails runs it and answers with a failure of its own.
+	// fails runs the request and answers with an error.
 	fails behaviour = "fails"
-	// drops resets the connection in place of an answer, and runs nothing.
+	// drops resets the connection instead of answering, and runs nothing.
 	drops behaviour = "drops"
-	// loses runs it and closes the connection without an answer.
+	// loses runs the request and closes the connection without an answer.
 	loses behaviour = "loses"
-	// cuts runs it and breaks off within its answer.
+	// cuts runs the request and breaks off within the answer.
 	cuts behaviour = "cuts"
 	// tears breaks a stream off within an event.
 	tears behaviour = "tears"
 	// unsigned answers without a signature.
 	unsigned behaviour = "unsigned"
-	// surplus sends an answer to another request first.
+	// surplus first sends an answer to another request.
 	surplus behaviour = "surplus"
-	// garbles sends bytes that are no answer.
+	// garbles sends bytes that are not an HTTP answer.
 	garbles behaviour = "garbles"
 	// stalls sends two events and then nothing.
 	stalls behaviour = "stalls"
-	// ends runs it, and the worker's process ends.
+	// ends runs the request, then closes the connection and stops listening, like a process that
+	// crashed.
 	ends behaviour = "ends"
 )
 
@@ -52,24 +53,24 @@
 	LastEvent: "Last-Event-Id", Priority: "X-Priority",
 }
 
-// fakeEvents is how many events a whole stream has.
+// fakeEvents is the number of events of a complete stream.
 const fakeEvents = 9
 
-// fakeWorker is a worker on a port of its own.
+// fakeWorker is a worker with its own port.
 type fakeWorker struct {
 	id       string
 	listener net.Listener
-	// script gives the behaviour for the next requests; after it all answers.
+	// script holds the behaviours for the next requests. Requests after those are answered.
 	mu     sync.Mutex
 	script []behaviour
-	// ran counts the runs by request, heads holds what came.
-	ran   map[string]int
-	heads []http.Header
-	// accepted counts the connections, header is added to each answer.
-	accepted int
-	header   string
-	// arrived is called when a request comes, before its behaviour is played.
-	arrived func()
+	// runsByRequest counts the runs by request, received holds the headers of all requests.
+	runsByRequest map[string]int
+	received      []http.Header
+	// connectionCount counts the accepted connections, extraHeader is added to each answer.
+	connectionCount int
+	extraHeader     string
+	// onRequest is called when a request arrives, before its behaviour is played.
+	onRequest func()
 }
 
 func newFakeWorker(t *testing.T, id string, script ...behaviour) *fakeWorker {
@@ -78,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fakeWorker{id: id, listener: l, script: script, ran: make(map[string]int)}
+	w := &fakeWorker{id: id, listener: l, script: script, runsByRequest: make(map[string]int)}
 	t.Cleanup(func() { _ = l.Close() })
 	go w.accept()
 	return w
@@ -91,13 +92,13 @@
 			return
 		}
 		w.mu.Lock()
-		w.accepted++
+		w.connectionCount++
 		w.mu.Unlock()
 		go w.serve(c)
 	}
 }
 
-func (w *fakeWorker) next() behaviour {
+func (w *fakeWorker) nextBehaviour() behaviour {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.script) == 0 {
@@ -111,7 +112,7 @@
 func (w *fakeWorker) runs(request string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ran[request]
+	return w.runsByRequest[request]
 }
 
 func (w *fakeWorker) serve(c net.Conn) {
@@ -131,32 +132,32 @@
 	}
 }
 
-// answer plays the next behaviour and reports whether the connection goes on.
+// answer plays the next behaviour and reports whether the connection stays open.
 func (w *fakeWorker) answer(c net.Conn, r *http.Request) bool {
 	id := r.Header.Get(testNames.Attempt)
-	b := w.next()
-	if w.arrived != nil {
-		w.arrived()
+	b := w.nextBehaviour()
+	if w.onRequest != nil {
+		w.onRequest()
 	}
 	w.mu.Lock()
-	w.heads = append(w.heads, r.Header)
+	w.received = append(w.received, r.Header)
 	if b != rejects && b != misdirects && b != drops {
-		w.ran[id]++
+		w.runsByRequest[id]++
 	}
 	w.mu.Unlock()
-	signed := "X-Attempt: " + id + "\r\nX-Signature: " + w.id + "\r\n" + w.header
+	signedHeader := "X-Attempt: " + id + "\r\nX-Signature: " + w.id + "\r\n" + w.extraHeader
 	switch b {
 	case rejects:
-		write(c, "HTTP/1.1 503 Full\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.header+"Content-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 503 Full\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case misdirects:
-		write(c, "HTTP/1.1 421 Another\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.header+"Content-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 421 Another\r\nX-Attempt: "+id+"\r\nX-Not-Run: 1\r\n"+w.extraHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case fails:
-		write(c, "HTTP/1.1 500 Failed\r\n"+signed+"Content-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 500 Failed\r\n"+signedHeader+"Content-Length: 0\r\n\r\n")
 		return true
 	case drops:
-		// Without a linger time the connection is reset.
+		// Without lingering, closing resets the connection.
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
 	case loses:
@@ -165,33 +166,33 @@
 		_ = w.listener.Close()
 		return false
 	case garbles:
-		write(c, "these bytes are no answer\r\n\r\n")
+		writeText(c, "these bytes are no answer\r\n\r\n")
 		return false
 	case unsigned:
-		write(c, "HTTP/1.1 200 OK\r\nX-Attempt: "+id+"\r\nContent-Length: 2\r\n\r\nno")
+		writeText(c, "HTTP/1.1 200 OK\r\nX-Attempt: "+id+"\r\nContent-Length: 2\r\n\r\nno")
 		return true
 	case surplus:
-		write(c, "HTTP/1.1 200 OK\r\nX-Attempt: other\r\nX-Signature: other\r\nContent-Length: 5\r\n\r\nother")
+		writeText(c, "HTTP/1.1 200 OK\r\nX-Attempt: other\r\nX-Signature: other\r\nContent-Length: 5\r\n\r\nother")
 	}
 	if r.URL.Path == "/stream/" {
-		return w.stream(c, r, signed, b)
+		return w.sendStream(c, r, signedHeader, b)
 	}
 	body := "answer to " + id
 	if b == cuts || b == tears {
-		write(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\nans")
+		writeText(c, "HTTP/1.1 200 OK\r\n"+signedHeader+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\nans")
 		return false
 	}
-	write(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+	writeText(c, "HTTP/1.1 200 OK\r\n"+signedHeader+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 	return true
 }
 
-// stream sends the events after the last one that the caller has.
-func (w *fakeWorker) stream(c net.Conn, r *http.Request, signed string, b behaviour) bool {
+// sendStream sends the events after the last one that the caller has.
+func (w *fakeWorker) sendStream(c net.Conn, r *http.Request, signedHeader string, b behaviour) bool {
 	first := 1
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
 	}
-	write(c, "HTTP/1.1 200 OK\r\n"+signed+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+	writeText(c, "HTTP/1.1 200 OK\r\n"+signedHeader+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for i := first; i <= fakeEvents; i++ {
 		event := fmt.Sprintf("id: %d\ndata: event %d\n\n", i, i)
 		if i == first+2 {
@@ -199,33 +200,33 @@
 			case cuts:
 				return false
 			case tears:
-				chunk(c, event[:len(event)/2])
+				writeChunk(c, event[:len(event)/2])
 				return false
 			case stalls:
-				// The connection stays open until the other side leaves.
+				// The connection stays open until the peer closes it.
 				_, _ = c.Read(make([]byte, 1))
 				return false
 			}
 		}
-		chunk(c, event)
+		writeChunk(c, event)
 	}
-	write(c, "0\r\n\r\n")
+	writeText(c, "0\r\n\r\n")
 	return true
 }
 
-func chunk(c net.Conn, data string) { write(c, fmt.Sprintf("%x\r\n%s\r\n", len(data), data)) }
+func writeChunk(c net.Conn, data string) { writeText(c, fmt.Sprintf("%x\r\n%s\r\n", len(data), data)) }
 
-func write(c net.Conn, data string) {
-	// A connection that the other side has closed is seen when reading from it.
+func writeText(c net.Conn, data string) {
+	// The error is ignored, because the next read detects a closed connection.
 	_, _ = io.WriteString(c, data)
 }
 
-// testRelay is a relay before fake workers.
+// testRelay is a relay for fake workers.
 type testRelay struct {
 	*Relay
-	inventory *fleet.Inventory
-	confirmed time.Time
-	leaving   bool
+	inventory   *fleet.Inventory
+	confirmedAt time.Time
+	isLeaving   bool
 }
 
 func (w *fakeWorker) entry() *fleet.Worker {
