--- a/allowance/allowance.go
+++ b/allowance/allowance.go
@@ -1,7 +1,6 @@
-// Package allowance bounds what workers get from all daemons together while they warm up.
-// Each such worker has a few holders among the registered daemons, and only these send to
-// it, each by a token bucket of its own. No message is passed for it:
-// docs/design/warm-up.md tells why the sum stays below the bound.
+// Package allowance limits the requests that all daemons together send to a worker while it warms
+// up. For each such worker a few of the registered daemons are chosen as holders by hash, and only
+// these send to it, each limited by its own token bucket. The daemons exchange no messages for it.
 package allowance
 
 import (
@@ -13,54 +12,53 @@
 	"quartzshelf.dev/fleet"
 )
 
-// SendWithin is for how long a token that was taken allows a send. It spans the opening of
-// a connection; later than that the send would count in another second than its token.
+// SendWithin is how long a token is valid after it was taken. It covers opening a connection; a
+// later send could fall into another second than its token.
 const SendWithin = 100 * time.Millisecond
 
 // Options configures an Allowance.
 type Options struct {
-	// Self is the id of this daemon.
+	// Self is the ID of this daemon.
 	Self string
-	// Members returns the ids of all daemons that were ever registered, as far as known,
-	// with this one's; empty while none are known. It does not shrink when daemons fall
-	// silent: behind a cut each would take itself for the only one.
+	// Members returns the IDs of all daemons that were ever registered, as far as known, including
+	// this one; empty while unknown. The list must not shrink when daemons become unreachable:
+	// during a network partition each would act as the only one.
 	Members func() []string
-	// Bound is what the operator allows.
+	// Bound is the limit set by the operator.
 	Bound Bound
-	// Settle is for how much longer than the time of its service a worker counts as cold
-	// after its data hall was opened: its own entry may tell it later.
+	// Settle is added to the warm-up time of a service after a worker's data hall was opened, as
+	// the worker's own entry may arrive later.
 	Settle time.Duration
 
 	View   func() *fleet.View
 	Halls  func() *fleet.HallView
 	Config func() *fleet.Config
-	// Changed is called when a worker begins or ceases to warm up, as seen here. It must not
+	// Changed is called when this daemon sees a worker start or finish warming up. It must not
 	// call the Allowance.
 	Changed func(worker *fleet.Worker, warming bool)
 }
 
-// Allowance holds this daemon's tokens for workers that warm up. It is safe for
-// concurrent use.
+// Allowance holds this daemon's tokens for workers that warm up. It is safe for concurrent use.
 type Allowance struct {
 	opts Options
-	// current is what was seen last; the buckets in it are shared with the next one.
+	// current is the latest snapshot. Snapshots share their buckets.
 	current atomic.Pointer[snapshot]
 	mu      sync.Mutex
 }
 
-// snapshot is the workers that warm up by one look. Only its buckets change.
+// snapshot lists the workers that warm up. Only its buckets change.
 type snapshot struct {
 	view    *fleet.View
 	halls   *fleet.HallView
 	config  *fleet.Config
 	members int
-	// until is when the first of the workers has warmed up.
+	// until is when the first of the workers finishes warming up.
 	until   time.Time
 	warming map[string]*warming
-	// told holds the workers whose entry told how long they are cold since their hall was
-	// opened, with when that was.
-	told map[string]time.Time
-	// hallOpened tells that some warm up for longer than their entry tells, because their
+	// reported maps each worker whose entry covers the warm-up since its hall was opened to the
+	// time of that opening.
+	reported map[string]time.Time
+	// hallOpened means that some workers warm up for longer than their entry says, because their
 	// hall was opened.
 	hallOpened bool
 }
@@ -70,19 +68,19 @@
 	worker *fleet.Worker
 	until  time.Time
 	share  Share
-	// bucket is nil if this daemon is no holder.
+	// bucket is nil if this daemon is not a holder.
 	bucket *Bucket
 }
 
-// New returns an allowance that has seen nothing yet.
+// New returns an allowance with an empty snapshot.
 func New(opts Options) *Allowance {
 	a := &Allowance{opts: opts}
 	a.current.Store(&snapshot{})
 	return a
 }
 
-// Check returns a check for whether this daemon may send a request to a replica now, or
-// nil if no worker warms up. It is a hint: Take decides.
+// Check returns a function that reports whether this daemon may send a request to a replica now;
+// nil if no worker warms up. The result is a hint: only Take reserves a token.
 func (a *Allowance) Check(now time.Time) func(r *fleet.Replica) bool {
 	s := a.refresh(now)
 	if len(s.warming) == 0 {
@@ -90,7 +88,7 @@
 	}
 	return func(r *fleet.Replica) bool {
 		if !s.hallOpened && !now.Before(r.Head.ColdUntil) {
-			// Most are not cold, and need no search.
+			// Avoid the map lookup for the majority of workers, which are not cold.
 			return true
 		}
 		w := s.warming[r.Head.ID]
@@ -98,9 +96,9 @@
 	}
 }
 
-// Take takes a token for a request to a replica, if one is needed. It returns until when
-// the request may be sent, the zero time for a replica that is not bounded, and false if
-// there is no token.
+// Take takes a token for a request to a replica if its head worker warms up. It returns the
+// deadline for sending the request, the zero time if there is no limit, and false if no token is
+// available.
 func (a *Allowance) Take(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	w := a.refresh(now).warming[r.Head.ID]
 	switch {
@@ -112,7 +110,8 @@
 	return now.Add(SendWithin), true
 }
 
-// Next returns when this daemon may send a request to a replica, as far as is known now.
+// Next returns the earliest time at which this daemon may send a request to a replica, as far as
+// known now.
 func (a *Allowance) Next(r *fleet.Replica, now time.Time) time.Time {
 	w := a.refresh(now).warming[r.Head.ID]
 	switch {
@@ -124,41 +123,42 @@
 	return earlier(w.bucket.Next(now), w.until)
 }
 
-// Warming returns how many workers warm up by the last look.
+// Warming returns the number of workers that warm up in the latest snapshot.
 func (a *Allowance) Warming() int { return len(a.current.Load().warming) }
 
-// Look brings what is known of workers that warm up to the present. Requests do so as
-// well; a daemon that gets none does it by this.
+// Look refreshes the snapshot. Requests do so as well; calling Look covers daemons without
+// requests.
 func (a *Allowance) Look(now time.Time) { a.refresh(now) }
 
 func (a *Allowance) refresh(now time.Time) *snapshot {
-	if s := a.current.Load(); a.holds(s, now) {
+	if s := a.current.Load(); a.isCurrent(s, now) {
 		return s
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	held := a.current.Load()
-	if a.holds(held, now) {
-		return held
+	previous := a.current.Load()
+	if a.isCurrent(previous, now) {
+		return previous
 	}
-	next := a.look(held, now)
+	next := a.newSnapshot(previous, now)
 	a.current.Store(next)
-	a.tell(held, next)
+	a.notify(previous, next)
 	return next
 }
 
-// holds reports whether a snapshot is what a look would find now.
-func (a *Allowance) holds(s *snapshot, now time.Time) bool {
+// isCurrent reports whether a snapshot still matches its inputs.
+func (a *Allowance) isCurrent(s *snapshot, now time.Time) bool {
 	return s.view == a.opts.View() && s.halls == a.opts.Halls() && s.config == a.opts.Config() &&
 		(s.until.IsZero() || now.Before(s.until)) && (len(s.warming) == 0 || s.members == len(a.opts.Members()))
 }
 
-// look finds the workers that warm up now. A worker that did so before keeps its bucket.
-func (a *Allowance) look(held *snapshot, now time.Time) *snapshot {
+// newSnapshot finds the workers that warm up now. Workers that are in the previous snapshot keep
+// their buckets.
+func (a *Allowance) newSnapshot(previous *snapshot, now time.Time) *snapshot {
 	members := a.opts.Members()
-	next := &snapshot{view: a.opts.View(), halls: a.opts.Halls(), config: a.opts.Config(), members: len(members), told: make(map[string]time.Time)}
+	next := &snapshot{view: a.opts.View(), halls: a.opts.Halls(), config: a.opts.Config(), members: len(members), reported: make(map[string]time.Time)}
 	for id, w := range next.view.Workers() {
-		until, bound := a.warmsUntil(held, next, w)
+		until, bound := a.warmsUntil(previous, next, w)
 		if !now.Before(until) {
 			continue
 		}
@@ -166,7 +166,7 @@
 			next.warming = make(map[string]*warming)
 		}
 		next.hallOpened = next.hallOpened || until.After(w.ColdUntil)
-		next.warming[id] = a.warmingOf(held, w, bound, members, until, now)
+		next.warming[id] = a.warmingOf(previous, w, bound, members, until, now)
 		if next.until.IsZero() {
 			next.until = until
 		}
@@ -175,15 +175,15 @@
 	return next
 }
 
-// warmingOf returns the state of a worker that warms up: its bucket from before if the
-// share is still the same, else an empty one, so that no change brings tokens.
-func (a *Allowance) warmingOf(held *snapshot, w *fleet.Worker, bound fleet.WarmUp, members []string, until, now time.Time) *warming {
+// warmingOf returns the state of a worker that warms up. It reuses the previous bucket if the
+// share is unchanged and starts with an empty one otherwise, so that no change adds tokens.
+func (a *Allowance) warmingOf(previous *snapshot, w *fleet.Worker, bound fleet.WarmUp, members []string, until, now time.Time) *warming {
 	share := a.opts.Bound.Divide(bound.PerSecond, len(members))
 	next := &warming{worker: w, until: until, share: share}
-	before := held.warming[w.ID]
+	before := previous.warming[w.ID]
 	same := before != nil && before.share == share
 	switch {
-	case same && held.members == len(members):
+	case same && previous.members == len(members):
 		next.bucket = before.bucket
 	case !IsHolder(a.opts.Self, w.ID, members, share.Holders):
 	case same && before.bucket != nil:
@@ -194,16 +194,16 @@
 	return next
 }
 
-// tell reports which workers began or ceased to warm up.
-func (a *Allowance) tell(held, next *snapshot) {
+// notify reports the workers that started or finished warming up.
+func (a *Allowance) notify(previous, next *snapshot) {
 	for id, w := range next.warming {
-		if held.warming[id] == nil {
+		if previous.warming[id] == nil {
 			a.opts.Changed(w.worker, true)
 		}
 	}
-	for id := range maps.Keys(held.warming) {
+	for id := range maps.Keys(previous.warming) {
 		if next.warming[id] == nil {
-			a.opts.Changed(held.warming[id].worker, false)
+			a.opts.Changed(previous.warming[id].worker, false)
 		}
 	}
 }
--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -24,14 +24,14 @@
 	return i.View()
 }
 
-// fixture is an allowance of the only daemon, and what it goes by.
+// fixture is the allowance of a single daemon with its inputs.
 type fixture struct {
 	*Allowance
 	inventory *fleet.Inventory
 	halls     *fleet.Halls
 	config    *fleet.Config
 	position  int64
-	// changes lists what was reported of workers.
+	// changes lists the calls of Changed.
 	changes []string
 }
 
@@ -45,13 +45,13 @@
 	return f
 }
 
-// list brings a worker's entry.
+// list updates a worker's entry in the inventory.
 func (f *fixture) list(id string, coldLeft int64) {
 	f.position++
 	f.inventory.Apply([]fleet.Change{{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Zone: "hall", ColdLeft: coldLeft}}}, f.position, time.Now())
 }
 
-// cold returns the replica of the worker "w" as it is listed.
+// cold returns a replica headed by the worker "w" as currently listed.
 func (f *fixture) cold() *fleet.Replica {
 	w, _ := f.inventory.View().Worker("w")
 	return &fleet.Replica{ID: "g", Head: w}
@@ -63,7 +63,7 @@
 	f.halls.Take(fleet.HallNews{Changes: []fleet.HallChange{{Hall: "hall", Closed: closed}}}, f.position, time.Now())
 }
 
-// sends returns how many requests are sent in some time by who tries all the time.
+// sends returns the number of requests sent by a client that tries at every step.
 func (f *fixture) sends(during time.Duration) int {
 	count := 0
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(step) {
@@ -74,8 +74,8 @@
 	return count
 }
 
-func TestWhatWarmsUp(t *testing.T) {
-	// A holder alone sends 10.5 requests a second, after one that it had a token for.
+func TestWarmUpLimitsSends(t *testing.T) {
+	// A single holder sends 10.5 requests a second, plus one for a saved token.
 	const all = int(time.Second / step)
 	tests := map[string]struct {
 		perSecond float64
@@ -83,30 +83,30 @@
 		least     int
 		most      int
 	}{
-		"a worker that is not cold":            {bears, func(f *fixture) { f.list("w", 0) }, all, all},
-		"a cold one":                           {bears, func(f *fixture) { f.list("w", 3000) }, 9, 12},
-		"a cold one, later":                    {bears, func(f *fixture) { f.list("w", 3000); time.Sleep(time.Second) }, 9, 12},
-		"one that was cold":                    {bears, func(f *fixture) { f.list("w", 3000); time.Sleep(3 * time.Second) }, all, all},
-		"another one is cold":                  {bears, func(f *fixture) { f.list("w", 0); f.list("v", 3000) }, all, all},
+		"a worker that is not cold":            {bearableRate, func(f *fixture) { f.list("w", 0) }, all, all},
+		"a cold one":                           {bearableRate, func(f *fixture) { f.list("w", 3000) }, 9, 12},
+		"a cold one, later":                    {bearableRate, func(f *fixture) { f.list("w", 3000); time.Sleep(time.Second) }, 9, 12},
+		"one that was cold":                    {bearableRate, func(f *fixture) { f.list("w", 3000); time.Sleep(3 * time.Second) }, all, all},
+		"another one is cold":                  {bearableRate, func(f *fixture) { f.list("w", 0); f.list("v", 3000) }, all, all},
 		"a service that tells no figure":       {0, func(f *fixture) { f.list("w", 3000) }, all, all},
 		"a service that bears next to nothing": {0.1, func(f *fixture) { f.list("w", 3000) }, 0, 1},
-		"it turns cold between two entries": {bears, func(f *fixture) {
+		"it turns cold between two entries": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.Look(time.Now())
 			f.list("w", 3000)
 		}, 9, 12},
-		"its hall is opened again": {bears, func(f *fixture) {
+		"its hall is opened again": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.hall(true)
 			f.hall(false)
 		}, 9, 12},
-		"its hall was opened a while ago": {bears, func(f *fixture) {
+		"its hall was opened a while ago": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.hall(true)
 			f.hall(false)
 			time.Sleep(4 * time.Second)
 		}, all, all},
-		"its hall is opened a second time": {bears, func(f *fixture) {
+		"its hall is opened a second time": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			for range 2 {
 				f.hall(true)
@@ -116,7 +116,7 @@
 			f.hall(true)
 			f.hall(false)
 		}, 9, 12},
-		"its hall was opened, and its entry tells how long": {bears, func(f *fixture) {
+		"its hall was opened, and its entry tells how long": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.hall(true)
 			f.hall(false)
@@ -129,7 +129,7 @@
 			f.list("w", 0)
 			f.Look(time.Now())
 		}, all, all},
-		"its hall was opened again since its entry told": {bears, func(f *fixture) {
+		"its hall was opened again since its entry told": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.hall(true)
 			f.hall(false)
@@ -140,14 +140,14 @@
 			f.hall(true)
 			f.hall(false)
 		}, 9, 12},
-		"its hall was opened, and its entry tells of an earlier time": {bears, func(f *fixture) {
+		"its hall was opened, and its entry tells of an earlier time": {bearableRate, func(f *fixture) {
 			f.list("w", 3000)
 			time.Sleep(2 * time.Second)
 			f.hall(true)
 			f.hall(false)
 			time.Sleep(2 * time.Second)
 		}, 9, 12},
-		"nothing is known": {bears, func(f *fixture) { f.config = nil; f.list("w", 3000) }, all, all},
+		"nothing is known": {bearableRate, func(f *fixture) { f.config = nil; f.list("w", 3000) }, all, all},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -161,11 +161,10 @@
 	}
 }
 
-// TestCheckAndTakeAgree: what is judged to have room is taken once, and the next token is
-// there when it was said to be.
+// TestCheckAndTakeAgree checks that Check, Take and Next agree on when a token is available.
 func TestCheckAndTakeAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixture(bears)
+		f := newFixture(bearableRate)
 		assert.Assert(t, f.Check(time.Now()) == nil, "no worker is cold")
 		f.list("w", 3000)
 		for range 5 {
@@ -183,9 +182,9 @@
 	})
 }
 
-func TestChangesAreTold(t *testing.T) {
+func TestChangesAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixture(bears)
+		f := newFixture(bearableRate)
 		f.list("w", 0)
 		f.Look(time.Now())
 		f.list("w", 2000)
--- a/allowance/cold.go
+++ b/allowance/cold.go
@@ -6,35 +6,36 @@
 	"quartzshelf.dev/fleet"
 )
 
-// warmsUntil returns until when a worker warms up, and what its service says of that.
-func (a *Allowance) warmsUntil(held, s *snapshot, w *fleet.Worker) (time.Time, fleet.WarmUp) {
-	if s.config == nil {
+// warmsUntil returns when a worker finishes warming up, and the warm-up settings of its service.
+func (a *Allowance) warmsUntil(previous, next *snapshot, w *fleet.Worker) (time.Time, fleet.WarmUp) {
+	if next.config == nil {
 		return time.Time{}, fleet.WarmUp{}
 	}
-	service, ok := s.config.Service(w.Service)
+	service, ok := next.config.Service(w.Service)
 	if !ok || service.WarmUp.PerSecond <= 0 {
 		return time.Time{}, fleet.WarmUp{}
 	}
 	until := w.ColdUntil
-	opened := s.halls.OpenedAt(w.Zone)
+	opened := next.halls.OpenedAt(w.Zone)
 	if opened.IsZero() || service.WarmUp.For <= 0 {
 		return until, service.WarmUp
 	}
-	if a.tells(held, w, opened, service.WarmUp.For) {
-		s.told[w.ID] = opened
+	if a.coversOpening(previous, w, opened, service.WarmUp.For) {
+		next.reported[w.ID] = opened
 		return until, service.WarmUp
 	}
 	return later(until, opened.Add(service.WarmUp.For+a.opts.Settle)), service.WarmUp
 }
 
-// tells reports whether a worker's entry tells how long it is cold since its hall was
-// opened, or did so before: one that came no earlier than the worker may have turned cold
-// for it, and tells more than the rest of an earlier time.
-func (a *Allowance) tells(held *snapshot, w *fleet.Worker, opened time.Time, usual time.Duration) bool {
-	if at, ok := held.told[w.ID]; ok && at.Equal(opened) {
+// coversOpening reports whether a worker's entry accounts for the warm-up since its hall was
+// opened, or did so in the previous snapshot. It does if it was written no earlier than the worker
+// may have become cold by the opening, and if the remaining time is not what is left of an earlier
+// warm-up.
+func (a *Allowance) coversOpening(previous *snapshot, w *fleet.Worker, opened time.Time, warmUp time.Duration) bool {
+	if at, ok := previous.reported[w.ID]; ok && at.Equal(opened) {
 		return true
 	}
-	left := time.Duration(w.ColdLeft) * time.Millisecond
-	came := w.ColdUntil.Add(-left)
-	return left >= usual/2 && came.After(opened.Add(-a.opts.Settle))
+	remaining := time.Duration(w.ColdLeft) * time.Millisecond
+	writtenAt := w.ColdUntil.Add(-remaining)
+	return remaining >= warmUp/2 && writtenAt.After(opened.Add(-a.opts.Settle))
 }
--- a/allowance/share.go
+++ b/allowance/share.go
@@ -6,64 +6,63 @@
 )
 
 const (
-	// holdersMost is how many daemons send to a worker that warms up, so that one may be
-	// away. Each keeps room for a request that it had a token for before, so fewer holders
-	// send more together: two send 9.5 where four send 7.7 (docs/design/warm-up.md).
-	holdersMost = 2
-	// leastRate is the least rate, in requests a second, for which a further holder is
-	// taken: below it a worker that warms up for a few seconds gets next to nothing of it.
-	leastRate = 1.0
-	// views is how many views of the registered daemons may exist at once that have no
-	// holder in common: those of the two sides of a cut.
-	views = 2
+	// maxHolders is the maximum number of daemons that send to a worker that warms up; more than
+	// one, so that one may be down. Each holder reserves room for one saved token, so more holders
+	// send less in total.
+	maxHolders = 2
+	// minHolderRate is the minimum rate of a holder, in requests a second, when there are several.
+	minHolderRate = 1.0
+	// maxDisjointViews is how many views of the registered daemons without a common holder may
+	// exist at once: those of the two sides of a network partition.
+	maxDisjointViews = 2
 )
 
-// Bound bounds the requests that a worker that warms up gets in any one second from all
-// daemons together: Burst times what its service says that it bears, and Slack more.
+// Bound limits the requests that all daemons together send to a worker that warms up in any one
+// second: Burst times the rate that its service is configured to bear, plus Slack.
 type Bound struct {
 	Burst, Slack float64
 }
 
-// Share is who sends to a worker that warms up.
+// Share describes how the requests to a worker that warms up are split.
 type Share struct {
-	// Holders is how many daemons do, Rate how many requests a second each.
+	// Holders is the number of daemons that send, Rate the requests a second of each.
 	Holders int
 	Rate    float64
 }
 
-// Divide returns the shares in the allowance of a worker that bears perSecond requests a
-// second, among a number of registered daemons. In any one second a holder sends one
-// request that it had a token for before, and those whose tokens come within the second
-// or SendWithin before it. Where that allows next to nothing for two views, one is
-// counted on; where it allows nothing, nothing is sent.
+// Divide returns how the allowance of a worker that bears perSecond requests a second is split
+// among a number of registered daemons. In any one second a holder sends one request for a saved
+// token, plus those whose tokens become available within the second or SendWithin before it. If
+// the bound leaves no rate for two disjoint views, only one view is assumed; the rate is zero if
+// that does not fit either.
 func (b Bound) Divide(perSecond float64, members int) Share {
 	burst := b.Burst
 	if burst <= 0 {
 		burst = 1
 	}
-	// One request stays unused, for what counts in a second by rounding.
+	// One request is reserved for rounding at the boundaries of a second.
 	limit := perSecond*burst + max(b.Slack, 0) - 1
-	for holders := min(holdersMost, members); holders > 0; holders-- {
-		if rate := rateOf(limit/views, perSecond, holders); rate >= leastRate {
+	for holders := min(maxHolders, members); holders > 0; holders-- {
+		if rate := rateOf(limit/maxDisjointViews, perSecond, holders); rate >= minHolderRate {
 			return Share{Holders: holders, Rate: rate}
 		}
 	}
-	if rate := rateOf(limit/views, perSecond, 1); rate > 0 {
+	if rate := rateOf(limit/maxDisjointViews, perSecond, 1); rate > 0 {
 		return Share{Holders: 1, Rate: rate}
 	}
 	return Share{Holders: 1, Rate: max(rateOf(limit, perSecond, 1), 0)}
 }
 
-// rateOf returns the rate of each holder with which all together send at most limit
-// requests in any one second, and no more on average than a worker bears.
+// rateOf returns the rate of each holder at which all together send at most limit requests in any
+// one second and at most perSecond on average.
 func rateOf(limit, perSecond float64, holders int) float64 {
 	each := limit / float64(holders)
 	return min((each-1)/(1+SendWithin.Seconds()), perSecond/float64(holders))
 }
 
-// IsHolder reports whether a daemon is among the holders of a worker: those for which the
-// hash of their id and the worker's is the highest. So daemons that know the same others
-// agree without a message, and one that is added or unknown changes one holder at most.
+// IsHolder reports whether a daemon is among the holders of a worker: those whose ID has the
+// highest hash with the worker's (rendezvous hashing). Daemons with the same list of members agree
+// without messages, and adding or removing a member changes at most one holder.
 func IsHolder(self, worker string, members []string, holders int) bool {
 	own, higher, listed := Weigh(self, worker), 0, false
 	for _, other := range members {
@@ -79,14 +78,14 @@
 	return listed && higher < holders
 }
 
-// Weigh returns the hash of a daemon, or a data hall, and a worker. It must be the same in
-// all daemons.
+// Weigh returns the hash of the name of a daemon or data hall with a worker's ID. All daemons must
+// compute the same value.
 func Weigh(daemon, worker string) uint64 {
 	h := fnv.New64a()
 	// Writing to a hash does not fail.
 	_, _ = h.Write([]byte(daemon + "\x00" + worker))
-	// FNV leaves the upper bits alike for texts that differ at the end only; these are
-	// the constants of MurmurHash3's last step, which spreads them.
+	// FNV spreads differences in the last bytes poorly over the upper bits; the finalizer of
+	// MurmurHash3 mixes them.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/allowance/share_test.go
+++ b/allowance/share_test.go
@@ -18,15 +18,15 @@
 		least     float64
 		most      float64
 	}{
-		"a large fleet":             {Bound{1.5, 5}, 14, 90, holdersMost, 1, 14.0 / holdersMost},
+		"a large fleet":             {Bound{1.5, 5}, 14, 90, maxHolders, 1, 14.0 / maxHolders},
 		"one daemon":                {Bound{1.5, 5}, 14, 1, 1, 10, 11},
 		"no daemon is known":        {Bound{1.5, 5}, 14, 0, 1, 10, 11},
 		"workers that bear little":  {Bound{1.5, 2}, 2, 90, 1, 0.5, 1},
 		"one view is counted on":    {Bound{1, 0}, 2.5, 90, 1, 0.2, 0.5},
 		"nothing may be sent":       {Bound{1, 0}, 1, 90, 1, 0, 0},
-		"no burst is named":         {Bound{}, 14, 90, holdersMost, 2, 2.1},
-		"slack that is no slack":    {Bound{1.5, -5}, 14, 90, holdersMost, 3, 4},
-		"never more than it bears":  {Bound{1.5, 500}, 14, 90, holdersMost, 14.0 / holdersMost, 14.0 / holdersMost},
+		"no burst is named":         {Bound{}, 14, 90, maxHolders, 2, 2.1},
+		"slack that is no slack":    {Bound{1.5, -5}, 14, 90, maxHolders, 3, 4},
+		"never more than it bears":  {Bound{1.5, 500}, 14, 90, maxHolders, 14.0 / maxHolders, 14.0 / maxHolders},
 		"few daemons send the most": {Bound{1.5, 5}, 14, 2, 2, 4, 5},
 	}
 	for name, test := range tests {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestHolders: among any daemons a worker has as many holders as it should, and one that
-// is added takes the place of one at most.
+// TestHolders checks that a worker has as many holders as intended, and that adding a daemon
+// replaces at most one of them.
 func TestHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,3}-[0-9]{1,2}`), 1, 30, rapid.ID[string]).Draw(t, "members")
@@ -64,11 +64,11 @@
 			}
 		}
 		assert.Assert(t, gone <= 1)
-		assert.Assert(t, !IsHolder("unknown", worker, members, holders), "who is not listed holds nothing")
+		assert.Assert(t, !IsHolder("unknown", worker, members, holders), "a daemon that is not listed is no holder")
 	})
 }
 
-// TestHoldersAreSpread: where 25 workers warm up, no daemon of 90 is holder of many.
+// TestHoldersAreSpread checks that with 25 workers and 90 daemons no daemon holds shares of many.
 func TestHoldersAreSpread(t *testing.T) {
 	var members []string
 	for i := range 90 {
@@ -77,7 +77,7 @@
 	for _, self := range members {
 		count := 0
 		for w := range 25 {
-			if IsHolder(self, fmt.Sprintf("i-%04x", w), members, holdersMost) {
+			if IsHolder(self, fmt.Sprintf("i-%04x", w), members, maxHolders) {
 				count++
 			}
 		}
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestBucketOfMore: a bucket of three tokens gives as many at once when it is full, and one
-// each time afterwards.
-func TestBucketOfMore(t *testing.T) {
+// TestBucketOfThreeTokens checks that a full bucket of three tokens gives all three at once and single
+// ones afterwards.
+func TestBucketOfThreeTokens(t *testing.T) {
 	b := NewBucket(1, 3, start)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	assert.Assert(t, !b.Take(at(0)), "it is empty at the start")
@@ -125,9 +125,9 @@
 	assert.Assert(t, b.Take(at(101)) && !b.Take(at(101)))
 }
 
-// TestRetuneBringsNothing: whatever a bucket's rate is changed to, and however often, no more
-// tokens come than at its highest rate, and no fewer than at its lowest one.
-func TestRetuneBringsNothing(t *testing.T) {
+// TestRetuneAddsNoTokens checks that changes of the rate yield no more tokens than the highest
+// rate and no fewer than the lowest.
+func TestRetuneAddsNoTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const lowest, highest = 0.5, 3.0
 		b, now, taken, most := NewBucket(1, 1, start), start, 0, 1
--- a/allowance/sum_test.go
+++ b/allowance/sum_test.go
@@ -15,40 +15,39 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// cold is the worker that warms up in these tests, of a service that bears 14 requests a
-// second.
+// cold is a replica headed by the worker that warms up.
 var cold = &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w", Service: "models", Zone: "hall"}}
 
 const (
-	bears = 14.0
+	bearableRate = 14.0
 	// step is how often each daemon tries to send.
 	step = 20 * time.Millisecond
 )
 
 var start = time.Unix(1000, 0)
 
-// daemon sends to the cold worker whatever its allowance lets it.
+// daemon simulates a daemon that sends all requests its allowance permits.
 type daemon struct {
 	id        string
 	members   []string
 	allowance *Allowance
-	// frozen is while the process stands still, slow while its connections do not open;
-	// restarts is when it is killed and started again.
+	// frozen is when the process is stopped, slow when its connections do not open, and restarts
+	// when it is killed and started again.
 	frozen, slow span
 	restarts     []time.Duration
-	// held are the requests that have a token and wait for their connection.
+	// held lists the send deadlines of requests that have a token and wait for their connection.
 	held []time.Time
 	sent []time.Time
 }
 
-// span is a time, from the start of the test.
+// span is a period relative to the start of the test.
 type span struct{ from, to time.Duration }
 
 func (s span) covers(at time.Duration) bool { return s.from <= at && at < s.to }
 
 func (d *daemon) begin(bound Bound, now time.Time) {
 	view := viewOf(&fleet.Worker{ID: "w", Service: "models", Zone: "hall", ColdLeft: 1 << 30}, now)
-	config := configOf(bears)
+	config := configOf(bearableRate)
 	d.held = nil
 	d.allowance = New(Options{
 		Self: d.id, Members: func() []string { return d.members }, Bound: bound,
@@ -58,7 +57,7 @@
 	d.allowance.Look(now)
 }
 
-// act is one step of the daemon.
+// act runs one step of the daemon.
 func (d *daemon) act(bound Bound, at time.Duration) {
 	now := start.Add(at)
 	if slices.Contains(d.restarts, at) {
@@ -81,21 +80,21 @@
 	d.held = nil
 }
 
-// most returns how many requests were sent in the busiest second.
-func most(all []*daemon) int {
+// maxPerSecond returns the number of requests sent in the busiest second.
+func maxPerSecond(all []*daemon) int {
 	var sent []time.Time
 	for _, d := range all {
 		sent = append(sent, d.sent...)
 	}
 	slices.SortFunc(sent, time.Time.Compare)
-	most, first := 0, 0
+	busiest, first := 0, 0
 	for i, at := range sent {
 		for at.Sub(sent[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		busiest = max(busiest, i-first+1)
 	}
-	return most
+	return busiest
 }
 
 // drawSpan draws a span of whole steps.
@@ -104,7 +103,7 @@
 	return span{from: time.Duration(from) * step, to: time.Duration(from+rapid.IntRange(0, 100).Draw(t, name+" for")) * step}
 }
 
-// drawDaemon draws a daemon with troubles of its own.
+// drawDaemon draws a daemon with its own freezes, slow connections and restarts.
 func drawDaemon(t *rapid.T, id string) *daemon {
 	d := &daemon{id: id, frozen: drawSpan(t, "frozen"), slow: drawSpan(t, "slow")}
 	for range rapid.IntRange(0, 6).Draw(t, "restarts") {
@@ -113,8 +112,8 @@
 	return d
 }
 
-// drawDaemons draws daemons that hold one of two views of the registered ones, each with
-// itself in it. The views may have nobody in common, and all may freeze together.
+// drawDaemons draws daemons that each have one of two views of the registered ones, which includes
+// themselves. The views may be disjoint, and all daemons may freeze together.
 func drawDaemons(t *rapid.T) []*daemon {
 	disjoint, together := rapid.Bool().Draw(t, "disjoint"), rapid.Bool().Draw(t, "together")
 	frozen, slow := drawSpan(t, "all frozen"), drawSpan(t, "all slow")
@@ -140,8 +139,8 @@
 	return append(sides[0], sides[1]...)
 }
 
-// TestSumStaysBelowBound lets daemons send all they may, with freezes, restarts and
-// connections that open late: in no second are more requests sent than the operator allows.
+// TestSumStaysBelowBound checks that daemons with freezes, restarts and slow connections together
+// never send more requests in a second than the bound allows.
 func TestSumStaysBelowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := Bound{Burst: rapid.Float64Range(1, 2).Draw(t, "burst"), Slack: float64(rapid.IntRange(0, 12).Draw(t, "slack"))}
@@ -154,12 +153,12 @@
 				d.act(bound, at)
 			}
 		}
-		allowed := bears*bound.Burst + bound.Slack
-		assert.Assert(t, float64(most(all)) <= allowed, "%d sent in a second, %.1f allowed", most(all), allowed)
+		allowed := bearableRate*bound.Burst + bound.Slack
+		assert.Assert(t, float64(maxPerSecond(all)) <= allowed, "%d sent in a second, %.1f allowed", maxPerSecond(all), allowed)
 	})
 }
 
-// TestIntake tells what the allowance lets a worker have, where daemons send all they may.
+// TestIntake checks how many requests a worker gets in total from a large fleet.
 func TestIntake(t *testing.T) {
 	var members []string
 	for i := range 90 {
@@ -177,11 +176,11 @@
 		sent += len(d.sent)
 		all = append(all, d)
 	}
-	assert.Assert(t, sent >= 70 && float64(sent) <= 10*bears, "%d requests in 10 s", sent)
-	assert.Assert(t, most(all) <= 13, "half of the bound, since another view may use the other half")
+	assert.Assert(t, sent >= 70 && float64(sent) <= 10*bearableRate, "%d requests in 10 s", sent)
+	assert.Assert(t, maxPerSecond(all) <= 13, "half of the bound, since another view may use the other half")
 }
 
-func TestWhoKnowsNobodySendsNothing(t *testing.T) {
+func TestDaemonWithoutMembersSendsNothing(t *testing.T) {
 	d := &daemon{id: "a"}
 	d.begin(Bound{Burst: 1.5, Slack: 5}, start)
 	for at := time.Duration(0); at < 4*time.Second; at += step {
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -8,15 +8,15 @@
 	"quartzshelf.dev/fleet"
 )
 
-// limit is the limit of one life of a worker as requests see it.
+// limit is the limit of one incarnation of a worker, as used when requests are routed.
 type limit struct {
 	born int64
 	// bucket is nil if this daemon holds no share.
 	bucket *allowance.Bucket
 }
 
-// Check returns a check for whether this daemon may send a request to a replica now, or nil
-// if no worker names a limit. It is a hint: Take decides.
+// Check returns a function that reports whether this daemon may send a request to a replica now;
+// nil if no worker has a limit. The result is a hint: only Take reserves a token.
 func (t *Table) Check(now time.Time) func(r *fleet.Replica) bool {
 	limits := *t.limits.Load()
 	if len(limits) == 0 {
@@ -28,9 +28,9 @@
 	}
 }
 
-// Take takes a token for a request to a replica, if its head names a limit. It returns until
-// when the request may be sent, the zero time for a head without a limit, and false if there
-// is no token.
+// Take takes a token for a request to a replica if its head worker has a limit. It returns the
+// deadline for sending the request, the zero time if there is no limit, and false if no token is
+// available.
 func (t *Table) Take(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	l, ok := t.limitOf(r)
 	switch {
@@ -42,23 +42,25 @@
 	return now.Add(allowance.SendWithin), true
 }
 
-// otherDaemons is when a caller is to come back whose request other daemons may send.
-const otherDaemons = time.Second
+// otherDaemonRetryDelay is when a client should retry if only other daemons hold shares of the
+// limit.
+const otherDaemonRetryDelay = time.Second
 
-// Next returns when this daemon may send a request to a replica, as far as is known now.
+// Next returns the earliest time at which this daemon may send a request to a replica, as far as
+// known now.
 func (t *Table) Next(r *fleet.Replica, now time.Time) time.Time {
 	l, ok := t.limitOf(r)
 	switch {
 	case !ok:
 		return now
 	case l.bucket == nil:
-		return now.Add(otherDaemons)
+		return now.Add(otherDaemonRetryDelay)
 	}
 	return l.bucket.Next(now)
 }
 
-// Rested returns a check for whether a replica's head wants requests from this daemon, or nil
-// if all do.
+// Rested returns a function that reports whether a replica's head worker accepts requests from
+// this daemon, that is, it did not ask for rest; nil if no worker did.
 func (t *Table) Rested(now time.Time) func(r *fleet.Replica) bool {
 	if !t.rests.Any() {
 		return nil
@@ -69,14 +71,15 @@
 	}
 }
 
-// TakeRested reports whether a replica's head wants requests from this daemon now. They may be
-// sent at any time.
+// TakeRested reports whether a replica's head worker accepts requests from this daemon now. The
+// returned deadline is always zero.
 func (t *Table) TakeRested(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	_, rests := t.rests.Until(r.Head.ID, r.Head.Born, now)
 	return time.Time{}, !rests
 }
 
-// RestEnds returns when a replica's head wants requests from this daemon again.
+// RestEnds returns when a replica's head worker accepts requests from this daemon again; now if it
+// is not resting.
 func (t *Table) RestEnds(r *fleet.Replica, now time.Time) time.Time {
 	if until, rests := t.rests.Until(r.Head.ID, r.Head.Born, now); rests {
 		return until
@@ -84,7 +87,8 @@
 	return now
 }
 
-// Naming returns a check for whether a replica's head names a limit, or nil if none does.
+// Naming returns a function that reports whether a replica's head worker has a limit; nil if no
+// worker has one.
 func (t *Table) Naming() func(r *fleet.Replica) bool {
 	limits := *t.limits.Load()
 	if len(limits) == 0 {
@@ -96,55 +100,55 @@
 	}
 }
 
-// limitOf returns the limit that a replica's head names, and false if it names none.
+// limitOf returns the limit of a replica's head worker, and false if it has none.
 func (t *Table) limitOf(r *fleet.Replica) (*limit, bool) {
 	l, ok := (*t.limits.Load())[r.Head.ID]
 	return l, ok && l.born == r.Head.Born
 }
 
-// Look brings this daemon's shares to the present: daemons come, and limits grow stale. It
-// forgets rests that are over.
+// Look recomputes this daemon's shares for changes of members and stale limits, and removes ended
+// rest periods.
 func (t *Table) Look(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rests.Sweep(now)
-	at := t.place()
+	holders := t.shareholders()
 	for id, r := range t.records {
-		t.share(id, r, at, now)
+		t.updateShares(id, r, holders, now)
 	}
 }
 
-func (t *Table) place() place {
-	return place{self: t.opts.Self, hall: t.opts.Hall, halls: t.opts.Halls, members: t.opts.Members()}
+func (t *Table) shareholders() shareholders {
+	return shareholders{self: t.opts.Self, hall: t.opts.Hall, halls: t.opts.Halls, members: t.opts.Members()}
 }
 
-// share gives a worker's record the tokens that this daemon's shares of its limit bring. The
-// mutex is held.
-func (t *Table) share(worker string, r *record, at place, now time.Time) {
+// updateShares recomputes this daemon's shares of a worker's limit and adjusts the token bucket.
+// The caller must hold t.mu.
+func (t *Table) updateShares(worker string, r *record, holders shareholders, now time.Time) {
 	if !r.limited {
-		r.bucket, r.rate, r.held = nil, 0, 0
+		r.bucket, r.rate, r.shares = nil, 0, 0
 		t.publish(worker, nil)
 		return
 	}
-	d, key := t.opts.Bound.divide(r.perSecond, len(at.halls)*MembersMost), worker
+	d, key := t.opts.Bound.divide(r.perSecond, len(holders.halls)*MembersMost), worker
 	if silent := now.Sub(r.namedAt); silent > staleAfter {
 		d, key = t.opts.Bound.single(r.perSecond), staleKey(worker, silent)
 	}
-	held := at.held(key, d.shares)
+	held := holders.sharesOf(key, d.shares)
 	rate := d.rate * float64(held)
 	switch {
 	case held == 0:
 		r.bucket = nil
 	case r.bucket == nil:
 		r.bucket = allowance.NewBucket(rate, held, now)
-	case rate != r.rate || held != r.held:
+	case rate != r.rate || held != r.shares:
 		r.bucket.Retune(rate, held, now)
 	}
-	r.rate, r.held = rate, held
+	r.rate, r.shares = rate, held
 	t.publish(worker, &limit{born: r.born, bucket: r.bucket})
 }
 
-// publish shows requests a worker's limit; nil for none. The mutex is held.
+// publish makes a worker's limit visible to requests; nil removes it. The caller must hold t.mu.
 func (t *Table) publish(worker string, l *limit) {
 	held, ok := (*t.limits.Load())[worker]
 	if l == nil && !ok || l != nil && ok && *l == *held {
--- a/backpressure/limits_test.go
+++ b/backpressure/limits_test.go
@@ -9,9 +9,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLimitIsOfALife: a limit binds what goes to the life of the worker that named it, whatever
-// replica it heads, and nothing else.
-func TestLimitIsOfALife(t *testing.T) {
+// TestLimitAppliesToOneIncarnation checks that a limit applies only to the incarnation of the worker that
+// reported it, whichever replica it heads.
+func TestLimitAppliesToOneIncarnation(t *testing.T) {
 	tests := map[string]struct {
 		head  fleet.Worker
 		bound bool
--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// freshFor is how long peers are told of a change: ten heartbeats, of which some get
-	// lost, and three rounds of relays.
-	freshFor = 2 * time.Second
-	// freshMost and turnMost bound the entries of one report. What has not changed of late
-	// follows in turns, all of 400 within five seconds.
-	freshMost = 16
-	turnMost  = 16
-	// dropMargin is how much later than a limit was last heard an answer without one must have
-	// been asked for to end it by a peer's word: ages are only as exact as a round of
-	// heartbeats.
-	dropMargin = time.Second
-	// idMost bounds the name of a worker in a report, in bytes.
-	idMost = 256
+	// changeReportPeriod is how long a change is included in every report: ten heartbeats and
+	// three rounds of relays, so that the loss of some datagrams does not matter.
+	changeReportPeriod = 2 * time.Second
+	// maxChangedEntries and maxRotatedEntries limit the entries of one report. Unchanged records
+	// are sent in rotation; 400 of them take five seconds.
+	maxChangedEntries = 16
+	maxRotatedEntries = 16
+	// dropAgeTolerance is how much later than the last report of a limit a peer must have sent the
+	// request whose answer had no limit, for that answer to end the limit. Ages are only as exact
+	// as a round of heartbeats.
+	dropAgeTolerance = time.Second
+	// maxWorkerIDBytes is the maximum length of a worker ID in a report.
+	maxWorkerIDBytes = 256
 )
 
-// Entry is what a daemon reports of one worker. Ages are of the time of sending, in
-// milliseconds and at least one; zero stands for what is not told.
+// Entry is the report of one worker to peers. Ages are relative to the time of sending, in
+// milliseconds, and at least 1; zero means not set.
 type Entry struct {
 	Worker string `json:"w"`
 	Born   int64  `json:"b,omitempty"`
-	// Limit is the requests a second that the worker named Named ago.
+	// Limit is the worker's limit in requests a second. It was last reported Named ago.
 	Limit *float64 `json:"l,omitempty"`
 	Named int64    `json:"a,omitempty"`
-	// Dropped is how long ago it named no limit any more.
+	// Dropped is the age of the request whose answer ended the limit.
 	Dropped int64 `json:"d,omitempty"`
-	// Leaves tells that it ends soon.
+	// Leaves means that the worker is about to stop.
 	Leaves bool `json:"x,omitempty"`
 }
 
-// Report returns what peers are to be told now: what changed of late, and some of the rest in
-// turn. What only peers heard is told by those who pass reports on.
+// Report returns the entries to send to peers: recent changes, and some of the unchanged records
+// in rotation. Records learned only from peers are included if passesOn is set, as it is for
+// relays.
 func (t *Table) Report(now time.Time, passesOn bool) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,53 +50,53 @@
 	for id, r := range t.records {
 		switch {
 		case !r.heardHere && !passesOn:
-		case now.Sub(r.changedAt) < freshFor:
+		case now.Sub(r.changedAt) < changeReportPeriod:
 			fresh = append(fresh, id)
-		case r.limited || r.leaves:
+		case r.limited || r.leaving:
 			rest = append(rest, id)
 		}
 	}
 	slices.SortFunc(fresh, func(a, b string) int {
 		return cmp.Or(t.records[b].changedAt.Compare(t.records[a].changedAt), strings.Compare(a, b))
 	})
-	rest, t.turn = turn.Few(rest, t.turn, turnMost, strings.Compare)
+	rest, t.turn = turn.Few(rest, t.turn, maxRotatedEntries, strings.Compare)
 	var all []Entry
-	for _, id := range append(fresh[:min(len(fresh), freshMost)], rest...) {
+	for _, id := range append(fresh[:min(len(fresh), maxChangedEntries)], rest...) {
 		all = append(all, t.records[id].entry(id, now))
 	}
 	return all
 }
 
 func (r *record) entry(worker string, now time.Time) Entry {
-	e := Entry{Worker: worker, Born: r.born, Leaves: r.leaves}
+	e := Entry{Worker: worker, Born: r.born, Leaves: r.leaving}
 	switch {
 	case r.limited:
 		perSecond := r.perSecond
-		e.Limit, e.Named = &perSecond, ageOf(r.namedAt, now)
+		e.Limit, e.Named = &perSecond, ageMillis(r.namedAt, now)
 	case !r.droppedAt.IsZero():
-		e.Dropped = ageOf(r.droppedAt, now)
+		e.Dropped = ageMillis(r.droppedAt, now)
 	}
 	return e
 }
 
-func ageOf(t, now time.Time) int64 { return max(now.Sub(t).Milliseconds(), 1) }
+func ageMillis(t, now time.Time) int64 { return max(now.Sub(t).Milliseconds(), 1) }
 
-// isClear reports whether an entry of a peer can be taken.
-func (e *Entry) isClear() bool {
-	return e.Worker != "" && len(e.Worker) <= idMost && e.Named >= 0 && e.Dropped >= 0 &&
-		(e.Limit == nil || *e.Limit >= 0 && *e.Limit <= limitMost)
+// isValid reports whether an entry received from a peer is well-formed.
+func (e *Entry) isValid() bool {
+	return e.Worker != "" && len(e.Worker) <= maxWorkerIDBytes && e.Named >= 0 && e.Dropped >= 0 &&
+		(e.Limit == nil || *e.Limit >= 0 && *e.Limit <= maxLimit)
 }
 
-// Merge takes what a peer reported at a time, which is early rather than late. Entries that
-// say nothing are passed over.
+// Merge applies the entries that a peer reported. The time at must not be later than the time of
+// sending. Invalid entries are skipped.
 func (t *Table) Merge(all []Entry, by string, at, now time.Time) {
 	var changes []Change
-	for i := range min(len(all), freshMost+turnMost) {
-		if all[i].isClear() {
+	for i := range min(len(all), maxChangedEntries+maxRotatedEntries) {
+		if all[i].isValid() {
 			changes = append(changes, t.merge(&all[i], by, at, now)...)
 		}
 	}
-	t.tell(changes)
+	t.notify(changes)
 }
 
 func (t *Table) merge(e *Entry, by string, at, now time.Time) []Change {
@@ -107,18 +108,18 @@
 	w := &fleet.Worker{ID: e.Worker, Born: e.Born}
 	r := t.recordOf(w)
 	c := changesOf(w, by)
-	named, dropped := at.Add(-msOf(e.Named)), at.Add(-msOf(e.Dropped))
+	named, dropped := at.Add(-durationOf(e.Named)), at.Add(-durationOf(e.Dropped))
 	switch {
 	case e.Limit != nil && named.After(r.droppedAt) && named.After(r.namedAt):
-		c.add(r.name(*e.Limit, named, now))
-	case e.Dropped > 0 && dropped.After(r.namedAt.Add(dropMargin)):
-		c.add(r.drop(dropped, now))
+		c.add(r.setLimit(*e.Limit, named, now))
+	case e.Dropped > 0 && dropped.After(r.namedAt.Add(dropAgeTolerance)):
+		c.add(r.clearLimit(dropped, now))
 	}
 	if e.Leaves {
-		c.add(r.leave(now))
+		c.add(r.setLeaving(now))
 	}
-	t.share(e.Worker, r, t.place(), now)
+	t.updateShares(e.Worker, r, t.shareholders(), now)
 	return c.all
 }
 
-func msOf(age int64) time.Duration { return time.Duration(age) * time.Millisecond }
+func durationOf(age int64) time.Duration { return time.Duration(age) * time.Millisecond }
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -15,7 +15,7 @@
 
 func quietTable() *Table { return NewTable(testOptions(func(Change) {})) }
 
-// pass passes what one table reports on to another, which takes it a moment later.
+// pass merges the report of one table into another, which receives it a moment later.
 func pass(t *testing.T, from, to *Table, at time.Time, passesOn bool) {
 	t.Helper()
 	data, err := json.Marshal(from.Report(at, passesOn))
@@ -25,7 +25,7 @@
 	to.Merge(all, "peer", at, at.Add(20*time.Millisecond))
 }
 
-func TestPeersLearn(t *testing.T) {
+func TestReportToPeers(t *testing.T) {
 	w := &fleet.Worker{ID: "w", Born: 7}
 	second := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	tests := map[string]struct {
@@ -56,7 +56,7 @@
 		"that it ended, a moment after the peer heard it": {play: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			b.Hear(w, named(1.5), start, start)
-			a.Hear(w, noLimit, start.Add(dropMargin/2), second(1))
+			a.Hear(w, noLimit, start.Add(dropAgeTolerance/2), second(1))
 			pass(t, a, b, second(1), false)
 		}, limited: 1},
 		"an old word, after it ended": {play: func(a, b *Table) {
@@ -101,14 +101,14 @@
 			a, b := quietTable(), quietTable()
 			test.play(a, b)
 			assert.Equal(t, b.Limited(), test.limited)
-			assert.Equal(t, b.count(func(r *record) bool { return r.leaves }) > 0, test.leaves)
+			assert.Equal(t, b.count(func(r *record) bool { return r.leaving }) > 0, test.leaves)
 			assert.Equal(t, b.Resting(second(1)), 0)
 		})
 	}
 }
 
-// TestBadEntries: what can't be a worker's word is passed over, and keeps nothing else back.
-func TestBadEntries(t *testing.T) {
+// TestMergeSkipsInvalidEntries checks that invalid entries are skipped and the valid ones beside them kept.
+func TestMergeSkipsInvalidEntries(t *testing.T) {
 	limitOf := func(perSecond float64) *float64 { return &perSecond }
 	tests := map[string]Entry{
 		"no worker":         {Limit: limitOf(1), Named: 1},
@@ -131,18 +131,18 @@
 	}
 }
 
-// TestReportsAreBounded: of 400 workers that ask for something all are told within five
-// seconds, few at a time.
+// TestReportsAreBounded checks that a report stays small and that 400 workers are all reported
+// within five seconds.
 func TestReportsAreBounded(t *testing.T) {
 	const workers = 400
 	table, told := quietTable(), make(map[string]bool)
 	for i := range workers {
 		table.Hear(&fleet.Worker{ID: fmt.Sprint("w", i)}, named(1), start, start)
 	}
-	assert.Equal(t, len(table.Report(start, false)), freshMost)
+	assert.Equal(t, len(table.Report(start, false)), maxChangedEntries)
 	for round := range 25 {
 		all := table.Report(start.Add(10*time.Second+time.Duration(round)*200*time.Millisecond), false)
-		assert.Assert(t, len(all) <= turnMost)
+		assert.Assert(t, len(all) <= maxRotatedEntries)
 		for _, e := range all {
 			told[e.Worker] = true
 		}
@@ -150,8 +150,8 @@
 	assert.Equal(t, len(told), workers)
 }
 
-// TestStaleLimitMovesOn: where nobody hears of a limit any more, one daemon after the other
-// asks whether it still holds, and no two at once.
+// TestStaleLimitMovesOn checks that the share of a stale limit moves from daemon to daemon, with
+// one holder at a time.
 func TestStaleLimitMovesOn(t *testing.T) {
 	members := namesOf("daemon", 4)
 	var all []*Table
@@ -168,7 +168,7 @@
 		now, holders := start.Add(staleAfter+time.Duration(second+1)*time.Second), 0
 		for i, table := range all {
 			table.Look(now)
-			if table.records["w"].held > 0 {
+			if table.records["w"].shares > 0 {
 				holders++
 			}
 			if _, ok := table.Take(r, now); ok {
--- a/backpressure/rests.go
+++ b/backpressure/rests.go
@@ -7,59 +7,61 @@
 	"time"
 )
 
-// Rests holds until when workers want nothing from this daemon. It is safe for concurrent
-// use, and a look at it takes no lock.
+// Rests records the rest periods that workers asked this daemon for. It is safe for concurrent
+// use; reads take no lock.
 type Rests struct {
-	// held is by worker, and never changed.
-	held atomic.Pointer[map[string]rest]
-	mu   sync.Mutex
+	// entries maps worker IDs to rest periods. The map is replaced on change, never modified.
+	entries atomic.Pointer[map[string]rest]
+	mu      sync.Mutex
 }
 
-// rest is until when one life of a worker wants nothing.
+// rest is a rest period of one incarnation of a worker.
 type rest struct {
 	born  int64
 	until time.Time
 }
 
-// holds reports whether it is a rest of a life that is not over.
-func (o rest) holds(born int64, now time.Time) bool { return o.born == born && now.Before(o.until) }
+// isActive reports whether the rest period belongs to the given incarnation and has not ended.
+func (o rest) isActive(born int64, now time.Time) bool { return o.born == born && now.Before(o.until) }
 
-// NewRests returns rests of nobody.
+// NewRests returns an empty set of rest periods.
 func NewRests() *Rests {
 	r := &Rests{}
-	r.held.Store(&map[string]rest{})
+	r.entries.Store(&map[string]rest{})
 	return r
 }
 
-// Note notes that a life of a worker wants nothing for a while from now on, and reports whether
-// it did not before. Each word holds until its end, also beside a later one that asks for less.
+// Note records that an incarnation of a worker asked for no requests for a duration from now on.
+// It reports whether the worker was not resting before. A later, shorter rest does not shorten an
+// earlier one.
 func (r *Rests) Note(worker string, born int64, asked time.Duration, now time.Time) (began bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, next := (*r.held.Load())[worker], rest{born: born, until: now.Add(asked)}
-	rested := before.holds(born, now)
+	before, next := (*r.entries.Load())[worker], rest{born: born, until: now.Add(asked)}
+	rested := before.isActive(born, now)
 	if rested && !next.until.After(before.until) {
 		return false
 	}
-	held := maps.Clone(*r.held.Load())
+	held := maps.Clone(*r.entries.Load())
 	held[worker] = next
-	r.held.Store(&held)
+	r.entries.Store(&held)
 	return !rested
 }
 
-// Any reports whether some may rest.
-func (r *Rests) Any() bool { return len(*r.held.Load()) > 0 }
+// Any reports whether any rest periods are recorded, ended ones included.
+func (r *Rests) Any() bool { return len(*r.entries.Load()) > 0 }
 
-// Until returns until when a life of a worker wants nothing, and false if it wants requests.
+// Until returns when the rest period of a worker's incarnation ends, and false if it is not
+// resting.
 func (r *Rests) Until(worker string, born int64, now time.Time) (until time.Time, rests bool) {
-	held := (*r.held.Load())[worker]
-	return held.until, held.holds(born, now)
+	held := (*r.entries.Load())[worker]
+	return held.until, held.isActive(born, now)
 }
 
-// Count returns how many workers rest.
+// Count returns the number of resting workers.
 func (r *Rests) Count(now time.Time) int {
 	count := 0
-	for _, held := range *r.held.Load() {
+	for _, held := range *r.entries.Load() {
 		if now.Before(held.until) {
 			count++
 		}
@@ -67,13 +69,13 @@
 	return count
 }
 
-// Sweep forgets the rests that are over.
+// Sweep removes the rest periods that have ended.
 func (r *Rests) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	left := maps.Clone(*r.held.Load())
+	left := maps.Clone(*r.entries.Load())
 	maps.DeleteFunc(left, func(_ string, o rest) bool { return !now.Before(o.until) })
-	if len(left) < len(*r.held.Load()) {
-		r.held.Store(&left)
+	if len(left) < len(*r.entries.Load()) {
+		r.entries.Store(&left)
 	}
 }
--- a/backpressure/rests_test.go
+++ b/backpressure/rests_test.go
@@ -9,25 +9,25 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestRested: a replica whose head asked for rest gets nothing until the end of the longest
-// one, and neither another head nor another life of it is meant.
-func TestRested(t *testing.T) {
+// TestRestPeriods checks that a replica gets no requests until the longest rest period of its head
+// ends, and that other workers and incarnations are not affected.
+func TestRestPeriods(t *testing.T) {
 	const s = time.Second
 	asks := func(rest time.Duration) Signal { return Signal{Rest: rest} }
 	tests := map[string]struct {
-		words  []word
+		words  []answer
 		worker fleet.Worker
-		// rests is until when the replica of the worker rests, from the start.
+		// rests is when the worker's rest period ends, relative to start.
 		rests time.Duration
 	}{
 		"nothing":                        {worker: fleet.Worker{ID: "w"}},
-		"rest":                           {words: []word{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
-		"a shorter one afterwards":       {words: []word{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(s / 2)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
-		"a longer one afterwards":        {words: []word{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(5 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 7 * s},
-		"an answer without one":          {words: []word{{at: s, signal: asks(3 * s)}, {sent: s, at: 2 * s, signal: noLimit}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
-		"another worker":                 {words: []word{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "v"}},
-		"another life":                   {words: []word{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w", Born: 1}},
-		"another life that asks as well": {words: []word{{at: s, signal: asks(9 * s)}, {born: 1, at: 2 * s, signal: asks(s)}}, worker: fleet.Worker{ID: "w", Born: 1}, rests: 3 * s},
+		"rest":                           {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
+		"a shorter one afterwards":       {words: []answer{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(s / 2)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
+		"a longer one afterwards":        {words: []answer{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(5 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 7 * s},
+		"an answer without one":          {words: []answer{{at: s, signal: asks(3 * s)}, {sent: s, at: 2 * s, signal: noLimit}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
+		"another worker":                 {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "v"}},
+		"another life":                   {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w", Born: 1}},
+		"another life that asks as well": {words: []answer{{at: s, signal: asks(9 * s)}, {born: 1, at: 2 * s, signal: asks(s)}}, worker: fleet.Worker{ID: "w", Born: 1}, rests: 3 * s},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 				assert.Equal(t, table.RestEnds(r, now), start.Add(max(at, test.rests)))
 			}
 			table.Look(start.Add(time.Minute))
-			assert.Assert(t, table.Rested(start.Add(time.Minute)) == nil, "what is over is forgotten")
+			assert.Assert(t, table.Rested(start.Add(time.Minute)) == nil, "ended rest periods are removed")
 		})
 	}
 }
--- a/backpressure/shares_test.go
+++ b/backpressure/shares_test.go
@@ -15,14 +15,14 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// TestDivide reckons what all shares together send on average and within a window, also with
-// one more share than there should be.
+// TestDivide checks what all shares together send on average and within a window, also with one
+// share more than intended.
 func TestDivide(t *testing.T) {
 	tests := map[string]struct {
 		perSecond float64
 		members   int
 		shares    int
-		// least is the part of the limit that is used on average.
+		// least is the minimum fraction of the limit that is used on average.
 		least float64
 	}{
 		"a low limit":            {perSecond: 1.3, members: 40, shares: 4, least: 1},
@@ -37,17 +37,17 @@
 			d := testBound.divide(test.perSecond, test.members)
 			assert.Equal(t, d.shares, test.shares)
 			assert.Assert(t, d.rate*float64(d.shares) >= test.least*test.perSecond, "%.2f a second are used", d.rate*float64(d.shares))
-			sent := float64(d.shares+1) * testBound.sent(d.rate)
-			assert.Assert(t, sent <= testBound.most(test.perSecond), "%.1f sent", sent)
+			sent := float64(d.shares+1) * testBound.maxSentPerShare(d.rate)
+			assert.Assert(t, sent <= testBound.maxRequests(test.perSecond), "%.1f sent", sent)
 			single := testBound.single(test.perSecond)
-			assert.Assert(t, 2*testBound.sent(single.rate) <= testBound.most(test.perSecond)+1e-9)
+			assert.Assert(t, 2*testBound.maxSentPerShare(single.rate) <= testBound.maxRequests(test.perSecond)+1e-9)
 		})
 	}
 }
 
-// TestSharesAreHeldOnce: however many daemons there are in however many halls, all shares are
-// held, and none twice.
-func TestSharesAreHeldOnce(t *testing.T) {
+// TestEachShareHasOneHolder checks that every share is held by exactly one daemon, for any number of
+// halls and daemons.
+func TestEachShareHasOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		halls := namesOf("hall", rapid.IntRange(1, 6).Draw(t, "halls"))
 		shares := rapid.IntRange(1, 30).Draw(t, "shares")
@@ -56,7 +56,7 @@
 		for _, hall := range halls {
 			members := namesOf(hall, rapid.IntRange(1, MembersMost).Draw(t, hall))
 			for _, self := range members {
-				held += place{self: self, hall: hall, halls: halls, members: members}.held(worker, shares)
+				held += shareholders{self: self, hall: hall, halls: halls, members: members}.sharesOf(worker, shares)
 			}
 		}
 		assert.Equal(t, held, shares)
@@ -71,42 +71,42 @@
 	return all
 }
 
-// TestWhoHoldsNothing: a daemon that does not know who there is, or is none of the fittest.
-func TestWhoHoldsNothing(t *testing.T) {
-	p := place{self: "a", hall: "hall", halls: []string{"hall"}}
-	assert.Equal(t, p.held("w", 3), 0)
+// TestDaemonsWithoutShares checks daemons that know no members or are not among them.
+func TestDaemonsWithoutShares(t *testing.T) {
+	p := shareholders{self: "a", hall: "hall", halls: []string{"hall"}}
+	assert.Equal(t, p.sharesOf("w", 3), 0)
 	p.members = []string{"b", "c"}
-	assert.Equal(t, p.held("w", 3), 0)
+	assert.Equal(t, p.sharesOf("w", 3), 0)
 }
 
 const (
-	// playStep is how often each daemon of a play tries to send, playSteps how long it lasts.
-	playStep  = 20 * time.Millisecond
-	playSteps = 1500
-	// joinKnown is how long it takes until all of a hall know a daemon that was added.
-	joinKnown = time.Second
+	// simStep is how often each simulated daemon tries to send; a simulation has playSteps steps.
+	simStep  = 20 * time.Millisecond
+	simSteps = 1500
+	// joinDelay is how long it takes until all daemons of a hall know an added one.
+	joinDelay = time.Second
 )
 
-// sharer is a daemon of a play that sends to the limited worker whatever it may.
-type sharer struct {
+// simDaemon is a simulated daemon that sends all requests it may to the limited worker.
+type simDaemon struct {
 	id, hall string
 	table    *Table
-	// joins is when it was added, hears when it learns of the limit, frozen while it stands
-	// still, and restarts when it starts anew, which it does knowing nothing.
+	// joins is when the daemon is added, hears when it learns of the limit. From frozen to frozeTo
+	// its process is stopped. At each of restarts it starts again with no state.
 	joins, hears    time.Duration
 	frozen, frozeTo time.Duration
 	restarts        []time.Duration
-	// delay is how long its requests take to the worker.
+	// delay is the network delay of its requests.
 	delay time.Duration
 }
 
-func (s *sharer) begin(all []*sharer, halls []string, now *time.Duration) {
+func (s *simDaemon) begin(all []*simDaemon, halls []string, now *time.Duration) {
 	s.table = NewTable(Options{
 		Self: s.id, Hall: s.hall, Halls: halls, Bound: testBound, Changed: func(Change) {},
 		Members: func() []string {
 			var members []string
 			for _, other := range all {
-				if other.hall == s.hall && (other == s || other.joins == 0 || *now >= other.joins+joinKnown || s.joins >= other.joins && *now >= s.joins) {
+				if other.hall == s.hall && (other == s || other.joins == 0 || *now >= other.joins+joinDelay || s.joins >= other.joins && *now >= s.joins) {
 					members = append(members, other.id)
 				}
 			}
@@ -115,21 +115,21 @@
 	})
 }
 
-func drawSharer(t *rapid.T, i int, halls []string) *sharer {
+func drawDaemon(t *rapid.T, i int, halls []string) *simDaemon {
 	steps := func(name string, most int) time.Duration {
-		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * playStep
+		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * simStep
 	}
-	s := &sharer{id: fmt.Sprintf("daemon-%02d", i), hall: rapid.SampledFrom(halls).Draw(t, "hall"), hears: steps("hears", 100), delay: steps("delay", 3)}
-	s.frozen = steps("frozen", playSteps)
+	s := &simDaemon{id: fmt.Sprintf("daemon-%02d", i), hall: rapid.SampledFrom(halls).Draw(t, "hall"), hears: steps("hears", 100), delay: steps("delay", 3)}
+	s.frozen = steps("frozen", simSteps)
 	s.frozeTo = s.frozen + steps("froze", 200)
 	for range rapid.IntRange(0, 3).Draw(t, "restarts") {
-		s.restarts = append(s.restarts, steps("restart", playSteps))
+		s.restarts = append(s.restarts, steps("restart", simSteps))
 	}
 	return s
 }
 
-// act is one step of the daemon: it returns whether it sends a request.
-func (s *sharer) act(step int, now time.Duration, r *fleet.Replica, perSecond float64) bool {
+// act runs one step of the daemon and reports whether it sends a request.
+func (s *simDaemon) act(step int, now time.Duration, r *fleet.Replica, perSecond float64) bool {
 	at, restarted := start.Add(now), slices.Contains(s.restarts, now)
 	if now < s.joins || s.frozen <= now && now < s.frozeTo || now < s.hears {
 		return false
@@ -142,16 +142,17 @@
 	return ok && s.table.Naming() != nil
 }
 
-// playAll lets daemons send all they may, and returns when requests came.
-func playAll(all []*sharer, halls []string, perSecond float64) []time.Duration {
+// simulate runs a simulation in which daemons send all they may, and returns the arrival times of
+// the requests.
+func simulate(all []*simDaemon, halls []string, perSecond float64) []time.Duration {
 	var now time.Duration
 	for _, s := range all {
 		s.begin(all, halls, &now)
 	}
 	r := &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w"}}
 	var came []time.Duration
-	for step := range playSteps {
-		now = time.Duration(step) * playStep
+	for step := range simSteps {
+		now = time.Duration(step) * simStep
 		for _, s := range all {
 			if slices.Contains(s.restarts, now) {
 				s.begin(all, halls, &now)
@@ -165,20 +166,19 @@
 	return came
 }
 
-// TestSumStaysBelowLimit lets daemons send all they may to a worker that named a limit, which
-// hear of it late, freeze, start anew, and of which one is added and not known to the others
-// at first: within no window come more requests than the limit allows.
+// TestSumStaysBelowLimit checks that no window gets more requests than the bound allows when
+// daemons learn of the limit late, freeze, restart, or are added and not known to the others yet.
 func TestSumStaysBelowLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.SampledFrom([]float64{0, 0.25, 1, 1.3, 1.6, 3, 10}).Draw(t, "limit")
 		halls := namesOf("hall", rapid.IntRange(1, 5).Draw(t, "halls"))
-		var all []*sharer
+		var all []*simDaemon
 		for i := range rapid.IntRange(1, 24).Draw(t, "daemons") {
-			all = append(all, drawSharer(t, i, halls))
+			all = append(all, drawDaemon(t, i, halls))
 		}
-		all[len(all)-1].joins = time.Duration(rapid.IntRange(1, playSteps).Draw(t, "joins")) * playStep
+		all[len(all)-1].joins = time.Duration(rapid.IntRange(1, simSteps).Draw(t, "joins")) * simStep
 		first := 0
-		came := playAll(all, halls, perSecond)
+		came := simulate(all, halls, perSecond)
 		for i, at := range came {
 			for at-came[first] >= testBound.Window {
 				first++
@@ -189,12 +189,12 @@
 	})
 }
 
-// fleetOf returns daemons that know of a limit.
-func fleetOf(halls, perHall int, perSecond float64) []*sharer {
+// fleetOf returns daemons that know the limit.
+func fleetOf(halls, perHall int, perSecond float64) []*simDaemon {
 	names := namesOf("hall", halls)
-	var all []*sharer
+	var all []*simDaemon
 	for i := range halls * perHall {
-		all = append(all, &sharer{id: fmt.Sprintf("daemon-%03d", i), hall: names[i%halls]})
+		all = append(all, &simDaemon{id: fmt.Sprintf("daemon-%03d", i), hall: names[i%halls]})
 	}
 	var now time.Duration
 	for _, s := range all {
@@ -204,8 +204,8 @@
 	return all
 }
 
-// TestSumOfLargeFleets: what is sent in all depends on the limit, not on how many daemons
-// there are, and the limit is used whatever their number.
+// TestSumOfLargeFleets checks that the total rate depends on the limit and not on the number of
+// daemons, and that the limit is used.
 func TestSumOfLargeFleets(t *testing.T) {
 	tests := map[string]struct{ halls, perHall int }{
 		"6 daemons":   {3, 2},
--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -1,6 +1,6 @@
-// Package backpressure keeps what workers ask for in their answers: how many requests a
-// second they take from all daemons together, for how long they want nothing from this one,
-// and that they leave. It does no I/O, and all times are given to it.
+// Package backpressure tracks the load signals that workers send in their answers: limits on the
+// request rate from all daemons together, rest periods for a single daemon, and notices that they
+// are about to stop. It does no I/O; callers pass in all times.
 package backpressure
 
 import (
@@ -16,76 +16,76 @@
 const (
 	// headerRetryAfter is the standard header by which a worker asks for rest, in seconds.
 	headerRetryAfter = "Retry-After"
-	// limitMost is the most requests a second that are taken for a limit.
-	limitMost = 1e6
-	// restMost is the longest rest that a worker gets, however long it asks for: one that
-	// asks by mistake is asked again some time.
-	restMost = 10 * time.Minute
-	// valueMost bounds the length of a value, in bytes.
-	valueMost = 32
+	// maxLimit is the highest valid limit, in requests a second.
+	maxLimit = 1e6
+	// maxRest caps the rest period that a worker may ask for.
+	maxRest = 10 * time.Minute
+	// maxValueLength is the maximum length of a header value, in bytes.
+	maxValueLength = 32
 )
 
-// ErrUnclear tells that a worker's answer holds a value that says nothing.
-var ErrUnclear = errors.New("the value says nothing")
+// ErrUnclear means that a worker's answer holds an invalid header value.
+var ErrUnclear = errors.New("invalid header value")
 
-// Names holds the names of the headers in which workers say what they ask for.
+// Names holds the names of the headers that carry the signals of workers.
 type Names struct {
-	// Limit carries the requests a second that the worker takes from all daemons together.
+	// Limit carries the number of requests a second that the worker accepts from all daemons
+	// together.
 	Limit string
-	// Leaving marks the answers of a worker that ends soon.
+	// Leaving is set to 1 in the answers of a worker that is about to stop.
 	Leaving string
 }
 
-// Signal is what a worker says of itself in one answer.
+// Signal is what a worker reports about itself in one answer.
 type Signal struct {
-	// Limited tells that the worker named a limit, PerSecond how many requests it takes.
+	// Limited means that the worker reported a limit of PerSecond requests a second.
 	Limited   bool
 	PerSecond float64
-	// Unlimited tells that the answer is certainly the worker's and names no limit.
+	// Unlimited means that the answer is verified as the worker's own and holds no limit.
 	Unlimited bool
-	// Rest is for how long the worker wants nothing from this daemon; zero for no rest.
+	// Rest is how long this daemon should send the worker no requests; zero for no rest.
 	Rest time.Duration
-	// Leaving tells that the worker ends soon.
+	// Leaving means that the worker is about to stop.
 	Leaving bool
 }
 
-// Read returns what a worker says in the head of an answer, which is signed if it is
-// certainly the worker's own. Values that say nothing are left out, with an error that
-// wraps ErrUnclear for each.
+// Read returns the signal in the headers of an answer. The answer is signed if it is verified as
+// the worker's own. Invalid values are left out of the signal and reported as joined errors that
+// wrap ErrUnclear.
 func (n Names) Read(answer *http.Response, signed bool) (Signal, error) {
 	var s Signal
-	var unclear []error
-	switch limit, ok, err := number(answer.Header, n.Limit, limitMost); {
+	var invalid []error
+	switch limit, ok, err := parseNumber(answer.Header, n.Limit, maxLimit); {
 	case err != nil:
-		unclear = append(unclear, err)
+		invalid = append(invalid, err)
 	case ok:
 		s.Limited, s.PerSecond = true, limit
 	default:
 		s.Unlimited = signed
 	}
 	if answer.StatusCode == http.StatusServiceUnavailable {
-		rest, _, err := number(answer.Header, headerRetryAfter, math.MaxFloat64)
+		rest, _, err := parseNumber(answer.Header, headerRetryAfter, math.MaxFloat64)
 		if err != nil {
-			unclear = append(unclear, err)
+			invalid = append(invalid, err)
 		}
-		s.Rest = time.Duration(min(rest, restMost.Seconds()) * float64(time.Second))
+		s.Rest = time.Duration(min(rest, maxRest.Seconds()) * float64(time.Second))
 	}
 	s.Leaving = n.Leaving != "" && answer.Header.Get(n.Leaving) == "1"
-	return s, errors.Join(unclear...)
+	return s, errors.Join(invalid...)
 }
 
-// number returns the value of a header that holds one number from 0 to most, and false if
-// there is no such header.
-func number(header http.Header, name string, most float64) (value float64, ok bool, err error) {
+// parseNumber returns the value of a header that holds one number from 0 to upper, and false if
+// the header is missing.
+func parseNumber(header http.Header, name string, upper float64) (value float64, ok bool, err error) {
 	values := header.Values(name)
 	if name == "" || len(values) == 0 {
 		return 0, false, nil
 	}
-	if len(values) > 1 || len(values[0]) > valueMost {
+	if len(values) > 1 || len(values[0]) > maxValueLength {
 		return 0, false, failure.At(failure.Remote, "read header", name, ErrUnclear)
 	}
 	value, err = strconv.ParseFloat(values[0], 64)
-	if err != nil || !(value >= 0 && value <= most) {
+	if err != nil || !(value >= 0 && value <= upper) {
 		return 0, false, failure.At(failure.Remote, "read header", name, ErrUnclear)
 	}
 	return value, true, nil
--- a/backpressure/signal_test.go
+++ b/backpressure/signal_test.go
@@ -35,7 +35,7 @@
 		"an empty limit":                 {status: 200, header: limits(""), unclear: true},
 		"rest":                           {status: 503, header: rests("3"), want: Signal{Unlimited: true, Rest: 3 * time.Second}},
 		"rest with a fraction":           {status: 503, header: rests("0.25"), want: Signal{Unlimited: true, Rest: 250 * time.Millisecond}},
-		"rest for ever":                  {status: 503, header: rests("1e300"), want: Signal{Unlimited: true, Rest: restMost}},
+		"rest for ever":                  {status: 503, header: rests("1e300"), want: Signal{Unlimited: true, Rest: maxRest}},
 		"rest before now":                {status: 503, header: rests("-3"), want: Signal{Unlimited: true}, unclear: true},
 		"rest until a date":              {status: 503, header: rests("Fri, 04 Dec 2026 10:00:00 GMT"), want: Signal{Unlimited: true}, unclear: true},
 		"a success that names a time":    {status: 200, header: rests("3"), want: Signal{Unlimited: true}},
@@ -52,15 +52,16 @@
 	}
 }
 
-// TestUnsignedSaysLittle: an answer that may be another's takes no limit back.
-func TestUnsignedSaysLittle(t *testing.T) {
+// TestUnsignedAnswerKeepsLimit checks that an unsigned answer, which may not be the worker's, does not
+// withdraw a limit.
+func TestUnsignedAnswerKeepsLimit(t *testing.T) {
 	got, err := testNames.Read(&http.Response{StatusCode: http.StatusOK}, false)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, Signal{})
 }
 
-// TestNoNames: where workers have no such headers, nothing is read but rest.
-func TestNoNames(t *testing.T) {
+// TestReadWithoutHeaderNames checks that only Retry-After is read when no header names are set.
+func TestReadWithoutHeaderNames(t *testing.T) {
 	got, err := Names{}.Read(&http.Response{StatusCode: http.StatusOK, Header: http.Header{"": {"1"}}}, true)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, Signal{Unlimited: true})
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -9,10 +9,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Event is what happened to a worker's word.
+// Event is the kind of a change in what a worker reports about itself.
 type Event string
 
-// The events, as they are counted and logged.
+// Events, as counted in metrics and logged.
 const (
 	LimitNamed   Event = "limit_named"
 	LimitChanged Event = "limit_changed"
@@ -21,21 +21,21 @@
 	Leaves       Event = "leaves"
 )
 
-// Change tells of a worker's word that is new, other than before, or gone.
+// Change describes a change in what a worker reports: something added, modified or withdrawn.
 type Change struct {
 	Event Event
-	// Worker and Born name the worker's life.
+	// Worker and Born identify the incarnation of the worker.
 	Worker string
 	Born   int64
-	// PerSecond is the limit, where the event is of one, and Rest how long the worker wants
-	// nothing.
+	// PerSecond is the limit for limit events. Rest is the length of the rest period for
+	// RestAsked.
 	PerSecond float64
 	Rest      time.Duration
-	// By is the daemon that heard it; empty for this one.
+	// By is the daemon that received the worker's answer; empty for this one.
 	By string
 }
 
-// changes collects what one word of a worker's life changed.
+// changes collects the changes caused by one answer or report of a worker's incarnation.
 type changes struct {
 	of  Change
 	all []Change
@@ -45,7 +45,7 @@
 	return &changes{of: Change{Worker: w.ID, Born: w.Born, By: by}}
 }
 
-// add adds a change, unless it is none.
+// add appends a change unless it is empty.
 func (c *changes) add(change Change) {
 	if change.Event == "" {
 		return
@@ -56,72 +56,73 @@
 
 // Options configures a Table.
 type Options struct {
-	// Self is the id of this daemon, Hall its data hall, and Halls all of them.
+	// Self is the ID of this daemon, Hall its data hall, and Halls all data halls.
 	Self, Hall string
 	Halls      []string
-	// Members returns the ids of the fittest daemons of the own hall, with this one's if it
-	// is among them; empty while they are not known. It does not shrink when daemons fall
-	// silent: behind a cut each would take the shares of the others.
+	// Members returns the IDs of the daemons of this hall that hold shares, including this one's
+	// if it is among them; empty while unknown. The list must not shrink when daemons become
+	// unreachable: during a network partition each side would take over the shares of the other.
 	Members func() []string
-	// Bound is what workers that name a limit bear.
+	// Bound limits what is sent to workers that report a limit.
 	Bound Bound
-	// Changed is called with each change, without the lock.
+	// Changed is called for each change, without holding the lock.
 	Changed func(c Change)
 }
 
-// Table holds what workers ask for. It is safe for concurrent use.
+// Table holds the limits, rest periods and shutdown notices that workers reported. It is safe for
+// concurrent use.
 type Table struct {
 	opts Options
-	// limits is what requests see of the records that are limited, by worker. It is never
-	// changed, but for its buckets.
+	// limits maps worker IDs to the published limits. The map is replaced on change, never
+	// modified; the buckets in it are shared.
 	limits atomic.Pointer[map[string]*limit]
 	rests  *Rests
 
 	mu      sync.Mutex
 	records map[string]*record
-	// turn is the worker with which the next report goes on.
+	// turn is the worker at which the rotation of the next report starts.
 	turn string
 }
 
-// record is what one life of a worker asked for.
+// record is what one incarnation of a worker reported.
 type record struct {
 	born int64
-	// limited tells that the worker names a limit, namedAt when it last did as far as known,
-	// and droppedAt when it was last known to name none.
+	// limited means that the worker has a limit. namedAt is when the limit was last reported,
+	// droppedAt when the worker was last known to have none.
 	limited   bool
 	perSecond float64
 	namedAt   time.Time
 	droppedAt time.Time
-	// bucket holds the tokens of this daemon's shares, of which there are held with a rate in
-	// all; nil for no share.
+	// bucket holds the tokens of this daemon's shares; nil if it has none. shares is the number of
+	// shares, rate their total rate in requests a second.
 	bucket *allowance.Bucket
-	held   int
+	shares int
 	rate   float64
-	// leaves tells that it ends soon.
-	leaves bool
-	// heardHere tells that the worker said something to this daemon, changedAt when it last
-	// said something new, here or at a peer.
+	// leaving means that the worker is about to stop.
+	leaving bool
+	// heardHere means that this daemon received an answer of the worker itself. changedAt is when
+	// the record last changed, by an answer or by a peer's report.
 	heardHere bool
 	changedAt time.Time
-	// dropAt is when it is forgotten, if the worker is not listed until then.
-	dropAt time.Time
+	// expiresAt is when the record is removed unless the worker is listed again.
+	expiresAt time.Time
 }
 
-// NewTable returns a table in which no worker asks for anything.
+// NewTable returns an empty table.
 func NewTable(opts Options) *Table {
 	t := &Table{opts: opts, records: make(map[string]*record), rests: NewRests()}
 	t.limits.Store(&map[string]*limit{})
 	return t
 }
 
-// Hear takes what a worker says in an answer that came now to a request that was sent at a
-// time. An answer without a limit ends one that was named before the request was sent:
-// answers come in another order than their requests were begun in.
+// Hear applies the signal of an answer that was received now to a request that was sent at the
+// given time. An answer without a limit ends only a limit that was reported before that request
+// was sent, as answers may arrive out of order.
 func (t *Table) Hear(w *fleet.Worker, s Signal, sent, now time.Time) {
-	t.tell(t.hear(w, s, sent, now))
+	t.notify(t.hear(w, s, sent, now))
 }
 
-func (t *Table) tell(all []Change) {
+func (t *Table) notify(all []Change) {
 	for _, c := range all {
 		t.opts.Changed(c)
 	}
@@ -131,34 +132,34 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held, ok := t.records[w.ID]
-	if !ok && !s.asks() || ok && held.born > w.Born {
-		// Nothing is known and nothing is asked for, or it is the word of an earlier life.
+	if !ok && !s.isActionable() || ok && held.born > w.Born {
+		// Either there is nothing to record, or the answer is of an earlier incarnation.
 		return nil
 	}
 	r := t.recordOf(w)
 	c := changesOf(w, "")
 	switch {
 	case s.Limited:
-		c.add(r.name(s.PerSecond, now, now))
+		c.add(r.setLimit(s.PerSecond, now, now))
 	case s.Unlimited && r.limited && sent.After(r.namedAt):
-		c.add(r.drop(sent, now))
+		c.add(r.clearLimit(sent, now))
 	}
 	if s.Rest > 0 && t.rests.Note(w.ID, w.Born, s.Rest, now) {
 		c.add(Change{Event: RestAsked, Rest: s.Rest})
 	}
 	if s.Leaving {
-		c.add(r.leave(now))
+		c.add(r.setLeaving(now))
 	}
 	r.heardHere = r.heardHere || s.Limited || s.Leaving || len(c.all) > 0
-	t.share(w.ID, r, t.place(), now)
+	t.updateShares(w.ID, r, t.shareholders(), now)
 	return c.all
 }
 
-// asks reports whether the worker asks for anything.
-func (s Signal) asks() bool { return s.Limited || s.Rest > 0 || s.Leaving }
+// isActionable reports whether the signal holds a limit, a rest period or a shutdown notice.
+func (s Signal) isActionable() bool { return s.Limited || s.Rest > 0 || s.Leaving }
 
-// name notes that a limit was named at a time.
-func (r *record) name(perSecond float64, at, now time.Time) Change {
+// setLimit records a limit reported at a time.
+func (r *record) setLimit(perSecond float64, at, now time.Time) Change {
 	held, before := r.limited, r.perSecond
 	r.limited, r.perSecond, r.namedAt = true, perSecond, at
 	switch {
@@ -172,8 +173,8 @@
 	return Change{}
 }
 
-// drop notes that the worker named no limit at a time.
-func (r *record) drop(at, now time.Time) Change {
+// clearLimit records that the worker reported no limit at a time.
+func (r *record) clearLimit(at, now time.Time) Change {
 	held := r.limited
 	r.limited, r.droppedAt = false, at
 	if !held {
@@ -183,16 +184,17 @@
 	return Change{Event: LimitDropped, PerSecond: r.perSecond}
 }
 
-// leave notes that the worker ends soon, which a life says for good.
-func (r *record) leave(now time.Time) Change {
-	if r.leaves {
+// setLeaving records that the worker is about to stop. This is final for an incarnation.
+func (r *record) setLeaving(now time.Time) Change {
+	if r.leaving {
 		return Change{}
 	}
-	r.leaves, r.changedAt = true, now
+	r.leaving, r.changedAt = true, now
 	return Change{Event: Leaves}
 }
 
-// recordOf returns the record of a worker's life. What another life asked for is forgotten.
+// recordOf returns the record of a worker's incarnation. It replaces the record of another
+// incarnation.
 func (t *Table) recordOf(w *fleet.Worker) *record {
 	if r, ok := t.records[w.ID]; ok && r.born == w.Born {
 		return r
@@ -203,52 +205,52 @@
 	return r
 }
 
-// keepFor is how long what a worker asked for is kept when it is no longer listed: entries that
-// run out while the store is away come back, and what a life said holds.
-const keepFor = time.Minute
+// recordRetention is how long the record of a worker that is no longer listed is kept. Entries
+// that expire during an outage of the store come back, and the record is still valid then.
+const recordRetention = time.Minute
 
-// Forget drops the records of workers' lives that have not been listed for long.
+// Forget removes the records of incarnations that have not been listed for recordRetention.
 func (t *Table) Forget(listed func(worker string, born int64) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, r := range t.records {
 		switch {
 		case listed(id, r.born):
-			r.dropAt = now.Add(keepFor)
-		case r.dropAt.IsZero():
-			r.dropAt = now.Add(keepFor)
-		case now.After(r.dropAt):
+			r.expiresAt = now.Add(recordRetention)
+		case r.expiresAt.IsZero():
+			r.expiresAt = now.Add(recordRetention)
+		case now.After(r.expiresAt):
 			delete(t.records, id)
 			t.publish(id, nil)
 		}
 	}
 }
 
-// EachLeaving calls f with each life of a worker that said that it leaves, without the lock.
-func (t *Table) EachLeaving(f func(worker string, born int64)) {
+// EachLeaving calls f for each incarnation that is about to stop, without holding the lock.
+func (t *Table) EachLeaving(visit func(worker string, born int64)) {
 	t.mu.Lock()
 	leaving := make(map[string]int64)
 	for id, r := range t.records {
-		if r.leaves {
+		if r.leaving {
 			leaving[id] = r.born
 		}
 	}
 	t.mu.Unlock()
 	for id, born := range leaving {
-		f(id, born)
+		visit(id, born)
 	}
 }
 
-// Limited returns how many workers name a limit.
+// Limited returns the number of workers that have a limit.
 func (t *Table) Limited() int {
 	return t.count(func(r *record) bool { return r.limited })
 }
 
-// Resting returns how many workers want nothing from this daemon now.
+// Resting returns the number of workers that are resting for this daemon.
 func (t *Table) Resting(now time.Time) int { return t.rests.Count(now) }
 
-// Leaving returns how many workers said that they leave.
-func (t *Table) Leaving() int { return t.count(func(r *record) bool { return r.leaves }) }
+// Leaving returns the number of workers that are about to stop.
+func (t *Table) Leaving() int { return t.count(func(r *record) bool { return r.leaving }) }
 
 func (t *Table) count(counts func(r *record) bool) int {
 	t.mu.Lock()
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -11,9 +11,9 @@
 
 var start = time.Unix(1000, 0)
 
-// word is what the worker "w" of a life says at a time, in an answer to a request that was
-// sent at another; both from the start.
-type word struct {
+// answer is a signal of the worker "w" that arrives at a time in the answer to a request sent at
+// another; both relative to start.
+type answer struct {
 	born     int64
 	sent, at time.Duration
 	signal   Signal
@@ -26,27 +26,27 @@
 func TestHear(t *testing.T) {
 	const s = time.Second
 	tests := map[string]struct {
-		words  []word
+		words  []answer
 		events []Event
-		// limited and resting are what holds at the end, ten seconds after the start.
+		// limited and resting are the expected counts ten seconds after start.
 		limited, resting int
 	}{
-		"nothing":                           {words: []word{{at: s, signal: noLimit}}},
-		"a limit":                           {words: []word{{at: s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
-		"the same limit again":              {words: []word{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
-		"another limit":                     {words: []word{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(0)}}, events: []Event{LimitNamed, LimitChanged}, limited: 1},
-		"no limit any more":                 {words: []word{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed, LimitDropped}},
-		"an answer that began before":       {words: []word{{at: 2 * s, signal: named(1.5)}, {sent: s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed}, limited: 1},
-		"an answer that says nothing":       {words: []word{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s}}, events: []Event{LimitNamed}, limited: 1},
-		"another life says nothing":         {words: []word{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: noLimit}}, events: []Event{LimitNamed}},
-		"another life has a limit too":      {words: []word{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: named(3)}}, events: []Event{LimitNamed, LimitNamed}, limited: 1},
-		"rest":                              {words: []word{{at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
-		"rest that is over":                 {words: []word{{at: s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}},
-		"a longer rest":                     {words: []word{{at: 8 * s, signal: Signal{Rest: s}}, {at: 8500 * time.Millisecond, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
-		"a shorter rest does not shorten":   {words: []word{{at: 8 * s, signal: Signal{Rest: 3 * s}}, {at: 9 * s, signal: Signal{Rest: time.Millisecond}}}, events: []Event{RestAsked}, resting: 1},
-		"rest again":                        {words: []word{{at: s, signal: Signal{Rest: s}}, {at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked, RestAsked}, resting: 1},
-		"it leaves, said twice":             {words: []word{{at: s, signal: Signal{Leaving: true}}, {at: 2 * s, signal: Signal{Leaving: true}}}, events: []Event{Leaves}},
-		"it leaves, and names a limit, too": {words: []word{{at: s, signal: Signal{Leaving: true, Limited: true, PerSecond: 1}}}, events: []Event{LimitNamed, Leaves}, limited: 1},
+		"nothing":                           {words: []answer{{at: s, signal: noLimit}}},
+		"a limit":                           {words: []answer{{at: s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
+		"the same limit again":              {words: []answer{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
+		"another limit":                     {words: []answer{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(0)}}, events: []Event{LimitNamed, LimitChanged}, limited: 1},
+		"no limit any more":                 {words: []answer{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed, LimitDropped}},
+		"an answer that began before":       {words: []answer{{at: 2 * s, signal: named(1.5)}, {sent: s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed}, limited: 1},
+		"an answer that says nothing":       {words: []answer{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s}}, events: []Event{LimitNamed}, limited: 1},
+		"another life says nothing":         {words: []answer{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: noLimit}}, events: []Event{LimitNamed}},
+		"another life has a limit too":      {words: []answer{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: named(3)}}, events: []Event{LimitNamed, LimitNamed}, limited: 1},
+		"rest":                              {words: []answer{{at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
+		"rest that is over":                 {words: []answer{{at: s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}},
+		"a longer rest":                     {words: []answer{{at: 8 * s, signal: Signal{Rest: s}}, {at: 8500 * time.Millisecond, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
+		"a shorter rest does not shorten":   {words: []answer{{at: 8 * s, signal: Signal{Rest: 3 * s}}, {at: 9 * s, signal: Signal{Rest: time.Millisecond}}}, events: []Event{RestAsked}, resting: 1},
+		"rest again":                        {words: []answer{{at: s, signal: Signal{Rest: s}}, {at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked, RestAsked}, resting: 1},
+		"it leaves, said twice":             {words: []answer{{at: s, signal: Signal{Leaving: true}}, {at: 2 * s, signal: Signal{Leaving: true}}}, events: []Event{Leaves}},
+		"it leaves, and names a limit, too": {words: []answer{{at: s, signal: Signal{Leaving: true, Limited: true, PerSecond: 1}}}, events: []Event{LimitNamed, Leaves}, limited: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestForget: what a life asked for that has not been listed for long is forgotten; one whose
-// entry went and came back has still asked for it.
+// TestForget checks that records of incarnations that have not been listed for long are removed,
+// and that those listed again in time are kept.
 func TestForget(t *testing.T) {
 	table := NewTable(testOptions(func(Change) {}))
 	table.Hear(&fleet.Worker{ID: "w", Born: 1}, Signal{Leaving: true}, start, start)
@@ -71,19 +71,19 @@
 	all := func(worker string, _ int64) bool { return worker == "w" }
 	none := func(string, int64) bool { return false }
 	table.Forget(none, start)
-	table.Forget(none, start.Add(keepFor/2))
+	table.Forget(none, start.Add(recordRetention/2))
 	assert.Equal(t, table.Limited()+table.Leaving(), 2)
-	table.Forget(all, start.Add(keepFor/2))
-	table.Forget(none, start.Add(keepFor+time.Second))
+	table.Forget(all, start.Add(recordRetention/2))
+	table.Forget(none, start.Add(recordRetention+time.Second))
 	assert.Equal(t, table.Limited(), 0)
 	assert.Equal(t, table.Leaving(), 1)
-	table.Forget(none, start.Add(2*keepFor))
+	table.Forget(none, start.Add(2*recordRetention))
 	assert.Equal(t, table.Leaving(), 0)
 }
 
 var testBound = Bound{Burst: 1.5, Slack: 5, Window: 4 * time.Second}
 
-// testOptions are those of a daemon that is alone.
+// testOptions returns the options of a single daemon.
 func testOptions(changed func(c Change)) Options {
 	return Options{
 		Self: "a", Hall: "hall", Halls: []string{"hall"}, Members: func() []string { return []string{"a"} },
