--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -6,28 +6,27 @@
 	"time"
 )
 
-// full returns a table with as many records as it holds.
+// full returns a table with the maximum number of records.
 func full() *Table {
 	table := NewTable()
-	for i := range recordsMost {
+	for i := range maxRecords {
 		table.Blame(numbered(i), crash(fmt.Sprint(i), i, i), at(i))
 	}
 	return table
 }
 
-// BenchmarkState measures what each request pays beside its fingerprint while any is known.
+// BenchmarkState measures the lookup that each request makes while the table is not empty.
 func BenchmarkState(b *testing.B) {
-	table, f, now := full(), numbered(1), at(recordsMost)
+	table, f, now := full(), numbered(1), at(maxRecords)
 	b.ReportAllocs()
 	for b.Loop() {
 		table.State(f, now)
 	}
 }
 
-// BenchmarkSweep and BenchmarkReport measure what a daemon pays each second, and five times
-// a second.
+// BenchmarkSweep measures the sweep that runs each second.
 func BenchmarkSweep(b *testing.B) {
-	table, now := full(), at(recordsMost)
+	table, now := full(), at(maxRecords)
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		table.sweepAt = now
@@ -36,7 +35,7 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	table, now := full(), at(recordsMost)
+	table, now := full(), at(maxRecords)
 	b.ReportAllocs()
 	for b.Loop() {
 		table.Report(now, true)
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine decides which requests end the workers that run them, from what
-// daemons saw: which requests were at a worker when it ended, and which were run to a
-// good end. It does no I/O. docs/design/crashing-requests.md has what was weighed.
+// Package quarantine decides which requests crash the workers that run them, based on what daemons
+// observed: which requests were at a worker when it ended, and which requests completed. It does
+// no I/O.
 package quarantine
 
 import (
@@ -13,24 +13,24 @@
 	"io"
 )
 
-// fingerprintSize is the length of a fingerprint in bytes: nobody finds a second body for a
-// given one by trying 2^127 of them.
+// fingerprintSize is the length of a fingerprint in bytes, enough to rule out a second body with
+// the same fingerprint.
 const fingerprintSize = 16
 
-var errNotWhole = errors.New("it holds characters that count for nothing")
+var errIgnoredCharacters = errors.New("it contains ignored characters")
 
-// Fingerprint tells requests apart by what makes a worker do the same again. Equal
-// requests of one client account have equal fingerprints, at all daemons.
+// Fingerprint identifies equal requests. Equal requests of one client account have the same
+// fingerprint at all daemons.
 type Fingerprint [fingerprintSize]byte
 
-// FingerprintOf returns the fingerprint of a request. The account is part of it, so that no
-// account can bring a fingerprint of another about, whatever it sends; it is empty for
-// routes that need no key. The body is read in place and not copied.
+// FingerprintOf returns the fingerprint of a request. It includes the account, so that no account
+// can forge the fingerprint of another account's request; the account is empty for routes that
+// need no key. The body is not copied.
 func FingerprintOf(account, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [...]string{account, method, host, target} {
-		// With its length before it, no part can pose as the end of the one before.
+		// The length prefix keeps adjacent parts from running into each other.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		// Writing to a hash does not fail.
 		_, _ = h.Write(length[:])
@@ -47,14 +47,15 @@
 // MarshalText implements encoding.TextMarshaler.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It refuses what String does not write.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts only text in the form that String
+// returns.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	if want := base64.RawURLEncoding.EncodedLen(fingerprintSize); len(text) != want {
-		return fmt.Errorf("decode fingerprint %.40q: %d characters in place of %d", text, len(text), want)
+		return fmt.Errorf("decode fingerprint %.40q: got %d characters, want %d", text, len(text), want)
 	}
 	data, err := base64.RawURLEncoding.Strict().DecodeString(string(text))
 	if err != nil || len(data) != fingerprintSize {
-		return fmt.Errorf("decode fingerprint %.40q: %w", text, cmp.Or(err, errNotWhole))
+		return fmt.Errorf("decode fingerprint %.40q: %w", text, cmp.Or(err, errIgnoredCharacters))
 	}
 	*f = Fingerprint(data)
 	return nil
--- a/quarantine/guard/ended.go
+++ b/quarantine/guard/ended.go
@@ -13,22 +13,21 @@
 )
 
 const (
-	// endedWait bounds how long it is looked whether a worker has ended. It takes a round
-	// trip, 2.8 ms between data halls.
-	endedWait = 500 * time.Millisecond
-	// endedSoon is how long a request waits for that before it goes on elsewhere: ten round
-	// trips, a tenth of the pauses that callers bear.
-	endedSoon = 30 * time.Millisecond
-	// endedFor is how long an answer counts. A worker that lives may end a moment later,
-	// which connections that break then show.
-	endedFor = 100 * time.Millisecond
+	// checkTimeout limits a check whether a worker has ended, which takes one round trip.
+	checkTimeout = 500 * time.Millisecond
+	// blameDelay is how long a request waits for that check before it is retried elsewhere:
+	// several round trips, but short compared to the pauses that clients tolerate.
+	blameDelay = 30 * time.Millisecond
+	// resultTTL is how long the result of a check is reused. A worker that was alive may end a
+	// moment later, which further broken connections then show.
+	resultTTL = 100 * time.Millisecond
 )
 
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// BrokeOff reports whether an exchange failed since the worker's side of its connection
-// ended, or since nobody listened when it was to be sent there once more.
+// BrokeOff reports whether an exchange failed because the worker closed or reset the connection,
+// or because nobody listened when it was sent again.
 func BrokeOff(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ECONNREFUSED} {
 		if errors.Is(err, cause) {
@@ -40,58 +39,58 @@
 
 // Worker is a worker whose connection broke.
 type Worker struct {
-	// ID names its life.
+	// ID identifies its incarnation.
 	ID      string
 	Address string
-	// Replaced reports whether another life answers at the address, if somebody does; nil if
-	// that can't be told.
+	// Replaced reports whether another incarnation answers at the address, if any does; nil if
+	// that cannot be determined.
 	Replaced func(ctx context.Context) (bool, error)
 }
 
-// endings tells whether workers have ended whose connections broke: a connection also breaks
-// at a worker that lives, or on its way there. It is safe for concurrent use.
-type endings struct {
+// endChecker checks whether workers whose connections broke have ended; a connection can also
+// break while its worker is alive. It is safe for concurrent use.
+type endChecker struct {
 	dial Dial
-	// unclear is called when an error left it open whether a worker ended.
-	unclear func(w Worker, err error)
+	// onError is called when an error left it open whether a worker ended.
+	onError func(w Worker, err error)
 	checks  conc.WaitGroup
 
-	mu   sync.Mutex
-	held map[string]*ending
+	mu       sync.Mutex
+	byWorker map[string]*endCheck
 }
 
-// ending is one look at a worker.
-type ending struct {
-	// forgetAt is from when it is looked again.
-	forgetAt time.Time
-	// done is closed when it is known whether the worker has ended.
+// endCheck is one check of a worker.
+type endCheck struct {
+	// expiresAt is when the result may no longer be reused.
+	expiresAt time.Time
+	// done is closed when the result is available.
 	done  chan struct{}
 	ended bool
 }
 
-// of returns the look at a worker whose connection broke now. All that break at the same
-// moment share one.
-func (e *endings) of(w Worker, now time.Time) *ending {
+// check returns the check of a worker whose connection broke now. Connections that break at the
+// same moment share one check.
+func (e *endChecker) check(w Worker, now time.Time) *endCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for id, held := range e.held {
-		if held.isDone() && !now.Before(held.forgetAt) {
-			delete(e.held, id)
+	for id, held := range e.byWorker {
+		if held.isDone() && !now.Before(held.expiresAt) {
+			delete(e.byWorker, id)
 		}
 	}
-	if held, ok := e.held[w.ID]; ok {
+	if held, ok := e.byWorker[w.ID]; ok {
 		return held
 	}
-	look := &ending{forgetAt: now.Add(endedFor), done: make(chan struct{})}
-	e.held[w.ID] = look
+	started := &endCheck{expiresAt: now.Add(resultTTL), done: make(chan struct{})}
+	e.byWorker[w.ID] = started
 	e.checks.Go(func() {
-		defer close(look.done)
-		look.ended = e.look(w)
+		defer close(started.done)
+		started.ended = e.run(w)
 	})
-	return look
+	return started
 }
 
-func (l *ending) isDone() bool {
+func (l *endCheck) isDone() bool {
 	select {
 	case <-l.done:
 		return true
@@ -100,16 +99,16 @@
 	}
 }
 
-// look reports whether nobody listens at a worker's address any more, or another life of it.
-// Silence tells nothing: a link may be cut, or the machine stand still.
-func (e *endings) look(w Worker) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), endedWait)
+// run reports whether nobody listens at a worker's address any more, or whether another
+// incarnation does. A timeout proves nothing: the network or the machine may be stalled.
+func (e *endChecker) run(w Worker) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	c, err := e.dial(ctx, "tcp", w.Address)
 	if err != nil {
 		refused := errors.Is(err, syscall.ECONNREFUSED)
 		if !refused {
-			e.unclear(w, err)
+			e.onError(w, err)
 		}
 		return refused
 	}
@@ -119,7 +118,7 @@
 	}
 	replaced, err := w.Replaced(ctx)
 	if err != nil {
-		e.unclear(w, err)
+		e.onError(w, err)
 	}
 	return replaced
 }
--- a/quarantine/guard/guard.go
+++ b/quarantine/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard keeps requests that end their workers from workers: it looks whether a worker
-// ended whose connection broke, blames the requests that were there, and tells peers. What is
-// believed of a request is decided by the package quarantine.
+// Package guard keeps requests that crash workers away from them. It checks whether a worker whose
+// connection broke has ended, blames the requests that it had, and informs peers. The state of
+// requests is kept by package quarantine.
 package guard
 
 import (
@@ -12,36 +12,36 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// Request is a request as it is known and logged.
+// Request describes a request for lookups and logs.
 type Request struct {
 	ID string
 	// Account is the client account, empty for a route that needs no key.
 	Account, Host, Target string
-	// Bytes is the length of its body.
+	// Bytes is the length of the request body.
 	Bytes int
-	// Fingerprint computes the fingerprint, or returns the one computed before.
+	// Fingerprint returns the fingerprint, which is computed on the first call.
 	Fingerprint func() quarantine.Fingerprint
 }
 
 // Options configures a Guard.
 type Options struct {
 	Dial Dial
-	// Marked is called with requests that are quarantined from now on, Spread when peers are
-	// to be told at once; nil for nobody.
+	// Marked is called with the requests that were put into quarantine, Spread when peers should
+	// be informed at once. Both may be nil.
 	Marked func(all []quarantine.Fingerprint)
 	Spread func()
 	Meter  *telemetry.Meter
 	Logger hclog.Logger
 }
 
-// Guard is one daemon's guard. It is safe for concurrent use.
+// Guard tracks the requests of one daemon. It is safe for concurrent use.
 type Guard struct {
 	opts    Options
 	table   *quarantine.Table
-	endings *endings
+	checker *endChecker
 }
 
-// New returns a guard that knows nothing.
+// New returns a guard without records.
 func New(opts Options) *Guard {
 	if opts.Marked == nil {
 		opts.Marked = func([]quarantine.Fingerprint) {}
@@ -50,19 +50,19 @@
 		opts.Spread = func() {}
 	}
 	g := &Guard{opts: opts, table: quarantine.NewTable()}
-	g.endings = &endings{dial: opts.Dial, unclear: g.tellUnclear, held: make(map[string]*ending)}
+	g.checker = &endChecker{dial: opts.Dial, onError: g.logCheckError, byWorker: make(map[string]*endCheck)}
 	return g
 }
 
-// Table returns what is known of requests.
+// Table returns the table of known requests.
 func (g *Guard) Table() *quarantine.Table { return g.table }
 
-// Wait waits until every look at a worker has ended. No request may be served any more.
-func (g *Guard) Wait() { g.endings.checks.Wait() }
+// Wait waits until all checks of workers have finished. No request may be served any more.
+func (g *Guard) Wait() { g.checker.checks.Wait() }
 
-// Judge returns what is believed of a request before it is sent. A bound on each attempt's
-// sends alone bounds nothing: a request that ends workers comes again under another id, at
-// another daemon. While nothing is known of any request it costs nothing.
+// Judge returns the state of a request before it is sent. Limits on the sends of a single request
+// do not help here, as a request that crashes workers is retried under another ID and at another
+// daemon. Judge is free while the table is empty.
 func (g *Guard) Judge(r Request, now time.Time) quarantine.State {
 	if g.table.Empty() {
 		return quarantine.State{}
@@ -70,27 +70,27 @@
 	return g.table.State(r.Fingerprint(), now)
 }
 
-// Broke notes a request that was sent at a time and whose connection broke now, if its worker
-// has ended. It waits a moment for that to be known, so that the request is not sent on if it
-// is quarantined now.
+// Broke reports a request whose connection broke now, and blames it if its worker has ended. It
+// waits up to blameDelay for the check, so that the request is not retried if it was just
+// quarantined.
 func (g *Guard) Broke(r Request, w Worker, sent, now time.Time) {
 	crash := quarantine.Crash{Worker: w.ID, Sent: sent, Ended: now}
-	look := g.endings.of(w, now)
-	late := time.NewTimer(endedSoon)
-	defer late.Stop()
+	check := g.checker.check(w, now)
+	delay := time.NewTimer(blameDelay)
+	defer delay.Stop()
 	select {
-	case <-look.done:
-		g.blameIfEnded(r, look, crash)
-	case <-late.C:
-		g.endings.checks.Go(func() {
-			<-look.done
-			g.blameIfEnded(r, look, crash)
+	case <-check.done:
+		g.blameIfEnded(r, check, crash)
+	case <-delay.C:
+		g.checker.checks.Go(func() {
+			<-check.done
+			g.blameIfEnded(r, check, crash)
 		})
 	}
 }
 
-func (g *Guard) blameIfEnded(r Request, look *ending, crash quarantine.Crash) {
-	if !look.ended {
+func (g *Guard) blameIfEnded(r Request, check *endCheck, crash quarantine.Crash) {
+	if !check.ended {
 		return
 	}
 	state, marked := g.Blame(r.Fingerprint(), crash)
@@ -105,13 +105,13 @@
 		"bytes", r.Bytes, "crashes", state.Crashes, "worker", crash.Worker, "until", state.Until)
 }
 
-// Blame notes that a worker ended which had a request, and tells peers at once if another
-// crash would quarantine it or this one did.
+// Blame records that a worker ended while it had a request, and informs peers at once if the
+// request is quarantined or suspected now.
 func (g *Guard) Blame(f quarantine.Fingerprint, crash quarantine.Crash) (state quarantine.State, marked bool) {
 	g.opts.Meter.Quarantine("blamed")
 	state, marked = g.table.Blame(f, crash, time.Now())
 	if marked {
-		g.marked([]quarantine.Fingerprint{f})
+		g.reportMarked([]quarantine.Fingerprint{f})
 	}
 	if state.Suspected() || marked {
 		g.opts.Spread()
@@ -119,7 +119,7 @@
 	return state, marked
 }
 
-func (g *Guard) marked(all []quarantine.Fingerprint) {
+func (g *Guard) reportMarked(all []quarantine.Fingerprint) {
 	if len(all) == 0 {
 		return
 	}
@@ -129,60 +129,60 @@
 	g.opts.Marked(all)
 }
 
-// Completed notes that a worker ran a request to its end: whatever ended workers that had it
-// was something else.
+// Completed records that a worker completed a request, which proves that the request does not
+// crash workers.
 func (g *Guard) Completed(r Request) {
 	if g.table.Empty() || !g.table.Clear(r.Fingerprint(), time.Now()) {
 		return
 	}
 	g.opts.Meter.Quarantine("cleared")
-	g.opts.Logger.Warn("request was quarantined and runs well", "request", r.ID, "fingerprint", r.Fingerprint().String())
+	g.opts.Logger.Warn("quarantined request completed", "request", r.ID, "fingerprint", r.Fingerprint().String())
 	g.opts.Spread()
 }
 
-// Merge takes what a peer reported at a time, and reports whether that is to be passed on.
+// Merge applies a report that a peer sent at a time, and reports whether it has to be passed on.
 func (g *Guard) Merge(all []quarantine.Entry, at time.Time, by string) (news bool) {
 	merged := g.table.Merge(all, at, time.Now())
 	for _, f := range merged.Marked {
-		g.tellReported(f, by)
+		g.logReported(f, by)
 	}
-	g.marked(merged.Marked)
+	g.reportMarked(merged.Marked)
 	for _, f := range merged.Lifted {
-		g.tellLifted(f, by)
+		g.logLifted(f, by)
 	}
 	return merged.News
 }
 
-// Restore takes a mark that was kept outside of the daemons.
+// Restore adds a mark from persistent storage.
 func (g *Guard) Restore(m quarantine.Mark, by string) {
 	if !g.table.Restore(m, time.Now()) {
 		return
 	}
-	g.tellReported(m.Fingerprint, by)
-	g.marked([]quarantine.Fingerprint{m.Fingerprint})
+	g.logReported(m.Fingerprint, by)
+	g.reportMarked([]quarantine.Fingerprint{m.Fingerprint})
 }
 
-// Lift ends a quarantine by an operator's word, and reports whether there was one.
+// Lift ends a quarantine on behalf of an operator, and reports whether there was one.
 func (g *Guard) Lift(f quarantine.Fingerprint, by string) bool {
 	if !g.table.Clear(f, time.Now()) {
 		return false
 	}
-	g.tellLifted(f, by)
+	g.logLifted(f, by)
 	g.opts.Spread()
 	return true
 }
 
-func (g *Guard) tellReported(f quarantine.Fingerprint, by string) {
+func (g *Guard) logReported(f quarantine.Fingerprint, by string) {
 	state := g.table.State(f, time.Now())
-	g.opts.Logger.Info("request quarantined by report", "fingerprint", f.String(), "by", by, "crashes", state.Crashes, "until", state.Until)
+	g.opts.Logger.Info("request quarantined by a peer", "fingerprint", f.String(), "by", by, "crashes", state.Crashes, "until", state.Until)
 }
 
-func (g *Guard) tellLifted(f quarantine.Fingerprint, by string) {
+func (g *Guard) logLifted(f quarantine.Fingerprint, by string) {
 	g.opts.Meter.Quarantine("lifted")
 	g.opts.Logger.Info("quarantine lifted", "fingerprint", f.String(), "by", by)
 }
 
-// tellUnclear logs that it can't be told whether a worker whose connection broke has ended.
-func (g *Guard) tellUnclear(w Worker, err error) {
-	g.opts.Logger.Info("not known whether a worker ended", "worker", w.ID, "error", err)
+// logCheckError logs that it could not be determined whether a worker has ended.
+func (g *Guard) logCheckError(w Worker, err error) {
+	g.opts.Logger.Info("failed to check whether a worker ended", "worker", w.ID, "error", err)
 }
--- a/quarantine/guard/guard_test.go
+++ b/quarantine/guard/guard_test.go
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOneLookForAll: connections that break at one moment share one look at their worker,
-// and a later one looks again.
-func TestOneLookForAll(t *testing.T) {
+// TestBrokenConnectionsShareOneCheck checks that connections that break at the same moment share
+// one check of their worker, and that a later one starts a new check.
+func TestBrokenConnectionsShareOneCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		looks, refuse := 0, false
-		e := &endings{held: make(map[string]*ending), unclear: func(Worker, error) {}}
+		e := &endChecker{byWorker: make(map[string]*endCheck), onError: func(Worker, error) {}}
 		e.dial = func(context.Context, string, string) (net.Conn, error) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -31,14 +31,14 @@
 		}
 		w := Worker{ID: "w"}
 		for range 20 {
-			look := e.of(w, time.Now())
+			look := e.check(w, time.Now())
 			<-look.done
 			assert.Assert(t, !look.ended)
 		}
 		assert.Equal(t, looks, 1)
-		time.Sleep(endedFor)
+		time.Sleep(resultTTL)
 		refuse = true
-		look := e.of(w, time.Now())
+		look := e.check(w, time.Now())
 		<-look.done
 		assert.Assert(t, look.ended)
 		assert.Equal(t, looks, 2)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,53 +6,52 @@
 )
 
 const (
-	// crashesToMark is how many independent crashes without a completed run mark a request.
-	// An innocent request rarely meets three by chance (docs/design/crashing-requests.md),
-	// and any run of it that completes clears it.
+	// crashesToMark is the number of independent crashes without a completed run that quarantine a
+	// request. Three rarely hit an innocent request by chance, and any completed run clears it.
 	crashesToMark = 3
-	// apart is how far apart crashes end that have no common cause: what takes several
-	// workers at once, like a rack without power, ends them within some milliseconds, which
-	// daemons on slow machines see further apart.
-	apart = 100 * time.Millisecond
-	// crashesKept is how many crashes of a request are remembered, the newest ones.
-	crashesKept = 6
-	// firstPeriod is how long a request is quarantined at first. Each time that it ends a
-	// worker again after that, the period doubles, up to mostPeriod: a request that is not
-	// mended ends 10 workers in the first week.
-	firstPeriod = 10 * time.Minute
-	mostPeriod  = 24 * time.Hour
-	// roundsMost bounds how often a request counts as marked; mostPeriod is reached before.
-	roundsMost = 16
+	// commonCauseWindow is the minimum time between the ends of two crashes that count as
+	// independent. A common cause, such as a power failure of a rack, ends several workers within
+	// milliseconds; slow daemons may see them further apart.
+	commonCauseWindow = 100 * time.Millisecond
+	// maxCrashes is the number of crashes remembered per request, the newest ones.
+	maxCrashes = 6
+	// initialPeriod is the length of the first quarantine of a request. It doubles with every
+	// further crash, up to maxPeriod.
+	initialPeriod = 10 * time.Minute
+	maxPeriod     = 24 * time.Hour
+	// maxRounds caps the number of quarantines that is counted; maxPeriod is reached earlier.
+	maxRounds = 16
 )
 
-// Crash is the end of a worker that had a request.
+// Crash is the end of a worker while it had a request.
 type Crash struct {
-	// Worker names the life of the worker.
+	// Worker identifies the incarnation of the worker.
 	Worker string
-	// Sent is when the request was sent there, Ended when the end of the worker was seen.
+	// Sent is when the request was sent to the worker, Ended when the end of the worker was
+	// noticed.
 	Sent, Ended time.Time
 }
 
 // record is what is known of one request.
 type record struct {
-	// crashes are those since the request was last cleared, by their end.
+	// crashes are the crashes since the request was last cleared, sorted by their end.
 	crashes []Crash
-	// clearedAt is when a run of it was last completed, or an operator lifted its mark.
+	// clearedAt is when a run of the request last completed, or an operator lifted its quarantine.
 	clearedAt time.Time
-	// markedAt is the end of the crash that marked the request, until when it is
-	// quarantined, rounds how often it was marked.
+	// markedAt is the end of the crash that led to the quarantine, until the end of the
+	// quarantine, and rounds the number of quarantines so far.
 	markedAt, until time.Time
 	rounds          int
-	// changedAt is when peers had last to be told something, seenHere whether this daemon
-	// saw one of the crashes itself.
+	// changedAt is the last change that peers have to know. seenHere means that this daemon itself
+	// saw one of the crashes.
 	changedAt time.Time
 	seenHere  bool
 }
 
-// quarantined reports whether the request is quarantined at a time.
-func (r *record) quarantined(now time.Time) bool { return now.Before(r.until) }
+// isQuarantined reports whether the request is quarantined at a time.
+func (r *record) isQuarantined(now time.Time) bool { return now.Before(r.until) }
 
-// add adds a crash and reports whether it was news.
+// add adds a crash and reports whether it was new.
 func (r *record) add(c Crash) bool {
 	known := func(held Crash) bool { return held.Worker == c.Worker }
 	if !c.Ended.After(r.clearedAt) || slices.ContainsFunc(r.crashes, known) {
@@ -60,16 +59,16 @@
 	}
 	r.crashes = append(r.crashes, c)
 	slices.SortFunc(r.crashes, func(a, b Crash) int { return a.Ended.Compare(b.Ended) })
-	r.crashes = r.crashes[max(len(r.crashes)-crashesKept, 0):]
+	r.crashes = r.crashes[max(len(r.crashes)-maxCrashes, 0):]
 	return true
 }
 
-// independent returns how many of the crashes have no common cause: each was sent after the
-// one before had ended, or ended well after it.
-func (r *record) independent() int {
+// independentCrashes returns the number of crashes without a common cause: those of requests sent
+// after the previous crash, or that ended at least commonCauseWindow after it.
+func (r *record) independentCrashes() int {
 	count, last := 0, time.Time{}
 	for _, c := range r.crashes {
-		if count == 0 || !c.Sent.Before(last) || c.Ended.Sub(last) >= apart {
+		if count == 0 || !c.Sent.Before(last) || c.Ended.Sub(last) >= commonCauseWindow {
 			count++
 			last = c.Ended
 		}
@@ -77,9 +76,9 @@
 	return count
 }
 
-// judge marks the request if the crashes suffice, and reports whether it did. One that was
-// quarantined before is marked again by a single crash after that.
-func (r *record) judge() bool {
+// evaluate quarantines the request if there are enough crashes, and reports whether it did. After
+// a first quarantine, a single further crash is enough.
+func (r *record) evaluate() bool {
 	if len(r.crashes) == 0 {
 		return false
 	}
@@ -87,10 +86,10 @@
 	switch {
 	case newest.Before(r.until):
 		return false
-	case r.rounds == 0 && r.independent() < crashesToMark:
+	case r.rounds == 0 && r.independentCrashes() < crashesToMark:
 		return false
 	}
-	r.mark(newest, newest.Add(period(r.rounds)), min(r.rounds+1, roundsMost))
+	r.mark(newest, newest.Add(periodAfter(r.rounds)), min(r.rounds+1, maxRounds))
 	return true
 }
 
@@ -98,17 +97,17 @@
 	r.markedAt, r.until, r.rounds = at, until, rounds
 }
 
-// period returns how long a request is quarantined that was so some times before.
-func period(rounds int) time.Duration {
-	p := firstPeriod
-	for range min(rounds, roundsMost) {
-		p = min(2*p, mostPeriod)
+// periodAfter returns the length of the quarantine that follows the given number of earlier ones.
+func periodAfter(rounds int) time.Duration {
+	p := initialPeriod
+	for range min(rounds, maxRounds) {
+		p = min(2*p, maxPeriod)
 	}
 	return p
 }
 
-// clear forgets the crashes up to a time at which a run of the request is known not to have
-// ended its worker, and the mark that they led to. It reports whether there was a mark.
+// clear removes the crashes up to a time at which the request is known to have run without a
+// crash, and the mark that they led to. It reports whether there was a mark.
 func (r *record) clear(at time.Time) bool {
 	if !at.After(r.clearedAt) {
 		return false
@@ -122,8 +121,8 @@
 	return true
 }
 
-// newest returns when something of the request last happened.
-func (r *record) newest() time.Time {
+// lastEvent returns the time of the last event of the request, the end of its quarantine included.
+func (r *record) lastEvent() time.Time {
 	newest := r.clearedAt
 	if r.until.After(newest) {
 		newest = r.until
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -9,62 +9,63 @@
 )
 
 const (
-	// freshFor is how long peers are told of a change: ten heartbeats, of which some get
-	// lost, and three rounds of relays.
-	freshFor = 2 * time.Second
-	// freshMost and marksMost bound the entries of one report, so that it fits a datagram
-	// beside the loads: packed, an entry takes about 50 bytes. The marks follow in turns, all
-	// of 256 within 3.2 s.
-	freshMost = 48
-	marksMost = 16
+	// changeReportPeriod is how long a change is included in every report: ten heartbeats and
+	// three rounds of relays, so that the loss of some datagrams does not matter.
+	changeReportPeriod = 2 * time.Second
+	// maxChangedEntries and maxRotatedMarks limit the entries of one report, so that it fits into
+	// a datagram together with the loads; a packed entry takes about 50 bytes. Unchanged marks are
+	// sent in rotation; 256 of them take 3.2 s.
+	maxChangedEntries = 48
+	maxRotatedMarks   = 16
 )
 
-// Entry is what a daemon reports of one request. Ages are of the time of sending, in
+// Entry is the report of one request to peers. Ages are relative to the time of sending, in
 // milliseconds.
 type Entry struct {
 	Fingerprint Fingerprint   `json:"f"`
 	Crashes     []CrashReport `json:"c,omitempty"`
-	// Cleared is how long ago the request was cleared; zero if it was not.
+	// Cleared is the age of the request's last clearing; zero if it was not cleared.
 	Cleared int64 `json:"x,omitempty"`
-	// Marked is how long ago the crash was that marked it, Left for how much longer it is
-	// quarantined, Rounds how often it was marked; all zero if it is not.
+	// Marked is the age of the crash that led to the quarantine, Left the remaining time of the
+	// quarantine, and Rounds the number of quarantines so far. All are zero if the request is not
+	// quarantined.
 	Marked int64 `json:"m,omitempty"`
 	Left   int64 `json:"l,omitempty"`
 	Rounds int   `json:"n,omitempty"`
 }
 
-// CrashReport is a crash as daemons report it.
+// CrashReport is a crash as sent to peers.
 type CrashReport struct {
 	Worker string `json:"w"`
 	Sent   int64  `json:"s"`
 	Ended  int64  `json:"e"`
 }
 
-// Report returns what peers are to be told now: what changed of late, and some of the marks
-// in turn. What only peers saw is told by those who pass reports on, and where more than one
-// crash is known, since then no single daemon may know of all.
+// Report returns the entries to send to peers: recent changes, and some of the marks in rotation.
+// Changes learned only from peers are included if passesOn is set, as it is for relays, and also
+// if more than one crash is known, since no single daemon may have seen all of them.
 func (t *Table) Report(now time.Time, passesOn bool) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var fresh, marks []Fingerprint
 	for f, r := range t.records {
 		switch {
-		case now.Sub(r.changedAt) < freshFor && (r.seenHere || passesOn || len(r.crashes) > 1 || r.rounds > 0):
+		case now.Sub(r.changedAt) < changeReportPeriod && (r.seenHere || passesOn || len(r.crashes) > 1 || r.rounds > 0):
 			fresh = append(fresh, f)
-		case r.quarantined(now):
+		case r.isQuarantined(now):
 			marks = append(marks, f)
 		}
 	}
-	marks, t.turn = turn.Few(marks, t.turn, marksMost, compare)
+	marks, t.nextMark = turn.Few(marks, t.nextMark, maxRotatedMarks, compare)
 	var all []Entry
-	for _, f := range append(t.mostTelling(fresh), marks...) {
+	for _, f := range append(t.mostRelevant(fresh), marks...) {
 		all = append(all, t.records[f].entry(f, now))
 	}
 	return all
 }
 
-// mostTelling returns as many records as a report holds, those that know the most first.
-func (t *Table) mostTelling(fresh []Fingerprint) []Fingerprint {
+// mostRelevant returns the records for one report, those with the most rounds and crashes first.
+func (t *Table) mostRelevant(fresh []Fingerprint) []Fingerprint {
 	slices.SortFunc(fresh, func(a, b Fingerprint) int {
 		x, y := t.records[a], t.records[b]
 		if d := y.rounds - x.rounds; d != 0 {
@@ -78,44 +79,45 @@
 		}
 		return compare(a, b)
 	})
-	return fresh[:min(len(fresh), freshMost)]
+	return fresh[:min(len(fresh), maxChangedEntries)]
 }
 
 func compare(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) }
 
 func (r *record) entry(f Fingerprint, now time.Time) Entry {
-	e := Entry{Fingerprint: f, Cleared: ago(r.clearedAt, now)}
+	e := Entry{Fingerprint: f, Cleared: ageMillis(r.clearedAt, now)}
 	for _, c := range r.crashes {
-		e.Crashes = append(e.Crashes, CrashReport{Worker: c.Worker, Sent: ago(c.Sent, now), Ended: ago(c.Ended, now)})
+		e.Crashes = append(e.Crashes, CrashReport{Worker: c.Worker, Sent: ageMillis(c.Sent, now), Ended: ageMillis(c.Ended, now)})
 	}
-	if r.quarantined(now) {
-		e.Marked, e.Left, e.Rounds = ago(r.markedAt, now), r.until.Sub(now).Milliseconds(), r.rounds
+	if r.isQuarantined(now) {
+		e.Marked, e.Left, e.Rounds = ageMillis(r.markedAt, now), r.until.Sub(now).Milliseconds(), r.rounds
 	}
 	return e
 }
 
-// ago returns how long ago a time was, in milliseconds and at least one; zero for none.
-func ago(t, now time.Time) int64 {
+// ageMillis returns the age of a time in milliseconds, at least 1; zero for the zero time.
+func ageMillis(t, now time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return max(now.Sub(t).Milliseconds(), 1)
 }
 
-// Merged is what a report changed.
+// Merged describes the changes made by a report.
 type Merged struct {
-	// Marked are the requests that are quarantined now and were not, Lifted those that were.
+	// Marked lists the requests that are quarantined now and were not before, Lifted those that no
+	// longer are.
 	Marked, Lifted []Fingerprint
-	// News tells that there is something to pass on.
+	// News means that there are changes to pass on to other peers.
 	News bool
 }
 
-// Merge takes what a peer reported at a time.
+// Merge applies a report that a peer sent at a time.
 func (t *Table) Merge(all []Entry, at, now time.Time) Merged {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var merged Merged
-	for i := range min(len(all), freshMost+marksMost) {
+	for i := range min(len(all), maxChangedEntries+maxRotatedMarks) {
 		t.merge(&all[i], at, now, &merged)
 	}
 	return merged
@@ -123,27 +125,27 @@
 
 func (t *Table) merge(e *Entry, at, now time.Time, merged *Merged) {
 	if _, ok := t.records[e.Fingerprint]; !ok && len(e.Crashes) == 0 && e.Left <= 0 {
-		// It was cleared, and nothing is known against it here.
+		// The request was cleared, and no record of it exists here.
 		return
 	}
 	r := t.recordOf(e.Fingerprint, now)
-	before, changed := r.quarantined(now), false
-	if cleared := since(e.Cleared, at); cleared.After(r.clearedAt) {
+	before, changed := r.isQuarantined(now), false
+	if cleared := timeOfAge(e.Cleared, at); cleared.After(r.clearedAt) {
 		held, rounds := len(r.crashes), r.rounds
 		r.clear(cleared)
 		changed = len(r.crashes) < held || r.rounds < rounds
 	}
-	for _, c := range e.Crashes[:min(len(e.Crashes), crashesKept)] {
-		changed = r.add(Crash{Worker: c.Worker, Sent: since(c.Sent, at), Ended: since(c.Ended, at)}) || changed
+	for _, c := range e.Crashes[:min(len(e.Crashes), maxCrashes)] {
+		changed = r.add(Crash{Worker: c.Worker, Sent: timeOfAge(c.Sent, at), Ended: timeOfAge(c.Ended, at)}) || changed
 	}
-	if left := min(time.Duration(max(e.Left, 0))*time.Millisecond, mostPeriod); left > 0 {
-		changed = r.adopt(since(e.Marked, at), at.Add(left), e.Rounds) || changed
+	if left := min(time.Duration(max(e.Left, 0))*time.Millisecond, maxPeriod); left > 0 {
+		changed = r.adopt(timeOfAge(e.Marked, at), at.Add(left), e.Rounds) || changed
 	}
-	changed = r.judge() || changed
+	changed = r.evaluate() || changed
 	if changed {
 		r.changedAt, merged.News = now, true
 	}
-	switch after := r.quarantined(now); {
+	switch after := r.isQuarantined(now); {
 	case after && !before:
 		merged.Marked = append(merged.Marked, e.Fingerprint)
 	case before && !after:
@@ -151,13 +153,13 @@
 	}
 }
 
-// since returns when something was that a report tells the age of; the zero time for none.
-func since(age int64, at time.Time) time.Time {
+// timeOfAge returns the time that a reported age refers to; the zero time for no age.
+func timeOfAge(age int64, at time.Time) time.Time {
 	if age <= 0 {
 		return time.Time{}
 	}
-	return at.Add(-time.Duration(min(age, mostAge)) * time.Millisecond)
+	return at.Add(-time.Duration(min(age, maxAge)) * time.Millisecond)
 }
 
-// mostAge bounds the ages that are believed, in milliseconds: nothing is remembered for longer.
-const mostAge = int64(2 * mostPeriod / time.Millisecond)
+// maxAge caps reported ages, in milliseconds. Nothing is remembered for longer.
+const maxAge = int64(2 * maxPeriod / time.Millisecond)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,77 +8,75 @@
 )
 
 const (
-	// rememberFor is how long a request that is not quarantined is remembered after the last
-	// that was seen of it: callers come again for seconds, and jobs of theirs for minutes.
-	rememberFor = 5 * time.Minute
-	// recordsMost bounds the requests that are remembered, about 0.7 KB each.
-	// What is not quarantined is forgotten first, the oldest before others.
-	recordsMost = 2048
-	// sweepEvery is the time between two sweeps. Each looks at all records, 0.1 ms for 2,048.
-	sweepEvery = time.Second
-	// drift is how far apart two daemons may take a quarantine to end: ages in reports are
-	// off by the time that these travel, 0.4 s by relays whose links are full.
-	drift = 2 * time.Second
+	// recordRetention is how long a request that is not quarantined is remembered after its last
+	// event. Clients retry for seconds, and their jobs for minutes.
+	recordRetention = 5 * time.Minute
+	// maxRecords is the maximum number of remembered requests, about 0.7 KB each. Requests that
+	// are not quarantined are dropped first, oldest first.
+	maxRecords = 2048
+	// sweepInterval is the minimum time between two sweeps, each of which visits all records.
+	sweepInterval = time.Second
+	// endTolerance is how far two daemons may differ about the end of a quarantine. Reported ages
+	// are off by the delay of the network and of relays.
+	endTolerance = 2 * time.Second
 )
 
-// State is what is believed of a request.
+// State is what is known of a request.
 type State struct {
-	// Crashes is how many independent crashes are known of since it was last cleared.
+	// Crashes is the number of independent crashes since the request was last cleared.
 	Crashes int
-	// Quarantined tells that it is not to be sent to workers until Until.
+	// Quarantined means that the request must not be sent to workers until Until.
 	Quarantined bool
 	Until       time.Time
 }
 
-// Suspected reports whether another crash would quarantine the request.
+// Suspected reports whether one more crash would quarantine the request.
 func (s State) Suspected() bool { return s.Crashes >= crashesToMark-1 }
 
-// Mark is a request that is quarantined, with what led to it.
+// Mark is a quarantined request with the crashes that led to it.
 type Mark struct {
 	Fingerprint Fingerprint
 	Crashes     []Crash
-	// MarkedAt is the end of the crash that marked it, Until when it is let through again.
+	// MarkedAt is the end of the crash that led to the quarantine, Until when the quarantine ends.
 	MarkedAt, Until time.Time
-	// Rounds is how often it was marked.
+	// Rounds is the number of quarantines so far.
 	Rounds int
 }
 
-// Table holds what a daemon knows of requests that ended workers, of its own and of what its
-// peers report. Records of equal requests are joined, whatever the order in which they come.
-// It is safe for concurrent use.
+// Table holds what a daemon knows of requests that crashed workers, from its own observations and
+// from peers. Records can be merged in any order. It is safe for concurrent use.
 type Table struct {
-	// known is the number of records, for those who need not wait for the mutex.
-	known atomic.Int64
+	// recordCount is the number of records, readable without the mutex.
+	recordCount atomic.Int64
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
 	// sweepAt is when the next sweep is due.
 	sweepAt time.Time
-	// turn is the first mark of the next report, by fingerprint.
-	turn Fingerprint
+	// nextMark is the mark at which the rotation of the next report starts.
+	nextMark Fingerprint
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: make(map[Fingerprint]*record)} }
 
-// Empty reports whether nothing is known of any request, so that no fingerprint need be
-// computed.
-func (t *Table) Empty() bool { return t.known.Load() == 0 }
+// Empty reports whether the table has no records, so that callers can skip computing fingerprints.
+func (t *Table) Empty() bool { return t.recordCount.Load() == 0 }
 
-// Blame notes that a worker ended which had a request, and returns what is believed of the
-// request now and whether this crash marked it.
+// Blame records that a worker ended while it had the request. It returns the state of the request
+// and whether this crash put it into quarantine.
 func (t *Table) Blame(f Fingerprint, c Crash, now time.Time) (s State, marked bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recordOf(f, now)
 	if r.add(c) {
 		r.changedAt, r.seenHere = now, true
-		marked = r.judge()
+		marked = r.evaluate()
 	}
 	return r.state(now), marked
 }
 
-// Clear notes that a worker ran a request to its end, or that an operator lifts its mark. It
+// Clear records that a worker completed the request, or that an operator lifted its quarantine. It
 // reports whether that ended a quarantine.
 func (t *Table) Clear(f Fingerprint, now time.Time) bool {
 	t.mu.Lock()
@@ -93,7 +91,7 @@
 	return r.clear(now)
 }
 
-// State returns what is believed of a request.
+// State returns what is known of a request.
 func (t *Table) State(f Fingerprint, now time.Time) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,16 +103,16 @@
 }
 
 func (r *record) state(now time.Time) State {
-	return State{Crashes: r.independent(), Quarantined: r.quarantined(now), Until: r.until}
+	return State{Crashes: r.independentCrashes(), Quarantined: r.isQuarantined(now), Until: r.until}
 }
 
-// Marks returns the requests that are quarantined, sorted by fingerprint.
+// Marks returns the quarantined requests, sorted by fingerprint.
 func (t *Table) Marks(now time.Time) []Mark {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []Mark
 	for f, r := range t.records {
-		if r.quarantined(now) {
+		if r.isQuarantined(now) {
 			all = append(all, Mark{
 				Fingerprint: f, Crashes: slices.Clone(r.crashes), MarkedAt: r.markedAt, Until: r.until, Rounds: r.rounds,
 			})
@@ -124,7 +122,7 @@
 	return all
 }
 
-// Restore takes a mark that was kept outside of the daemons, and reports whether it was news.
+// Restore adds a mark from persistent storage, and reports whether it was new.
 func (t *Table) Restore(m Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,30 +131,30 @@
 		return false
 	}
 	r.changedAt = now
-	return r.quarantined(now)
+	return r.isQuarantined(now)
 }
 
-// adopt takes a mark that another daemon set, unless the request was cleared since, and
-// reports whether it reaches further than what is known.
+// adopt takes over a mark that another daemon set, unless the request was cleared since. It
+// reports whether the mark ends later than the known one by more than endTolerance.
 func (r *record) adopt(at, until time.Time, rounds int) bool {
-	if !at.After(r.clearedAt) || !until.After(r.until.Add(drift)) {
+	if !at.After(r.clearedAt) || !until.After(r.until.Add(endTolerance)) {
 		return false
 	}
-	r.mark(at, until, max(min(rounds, roundsMost), r.rounds, 1))
+	r.mark(at, until, max(min(rounds, maxRounds), r.rounds, 1))
 	return true
 }
 
-// Sweep forgets what nothing was seen of for long. Calls before it is due do nothing.
+// Sweep removes records without recent events. It does nothing before the next sweep is due.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Before(t.sweepAt) {
 		return
 	}
-	t.sweepAt = now.Add(sweepEvery)
+	t.sweepAt = now.Add(sweepInterval)
 	for f, r := range t.records {
-		if now.Sub(r.newest()) > rememberFor {
-			t.forget(f)
+		if now.Sub(r.lastEvent()) > recordRetention {
+			t.remove(f)
 		}
 	}
 }
@@ -166,36 +164,36 @@
 	if ok {
 		return r
 	}
-	if len(t.records) >= recordsMost {
-		t.forgetOldest(now)
+	if len(t.records) >= maxRecords {
+		t.evictOldest(now)
 	}
 	r = &record{changedAt: now}
 	t.records[f] = r
-	t.known.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 	return r
 }
 
-// forgetOldest makes room for a record.
-func (t *Table) forgetOldest(now time.Time) {
+// evictOldest makes room for a record.
+func (t *Table) evictOldest(now time.Time) {
 	var oldest Fingerprint
 	var held *record
 	for f, r := range t.records {
-		if held == nil || r.lesser(held, now) {
+		if held == nil || r.evictedBefore(held, now) {
 			oldest, held = f, r
 		}
 	}
-	t.forget(oldest)
+	t.remove(oldest)
 }
 
-// lesser reports whether a record is forgotten before another one.
-func (r *record) lesser(other *record, now time.Time) bool {
-	if q := r.quarantined(now); q != other.quarantined(now) {
+// evictedBefore reports whether a record is evicted before another one.
+func (r *record) evictedBefore(other *record, now time.Time) bool {
+	if q := r.isQuarantined(now); q != other.isQuarantined(now) {
 		return !q
 	}
-	return r.newest().Before(other.newest())
+	return r.lastEvent().Before(other.lastEvent())
 }
 
-func (t *Table) forget(f Fingerprint) {
+func (t *Table) remove(f Fingerprint) {
 	delete(t.records, f)
-	t.known.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -17,24 +17,23 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// at returns a time some milliseconds after the tests' epoch.
+// at returns a time some milliseconds after epoch.
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// numbered returns the fingerprint of one of the tests' requests.
+// numbered returns the fingerprint of a test request.
 func numbered(number int) Fingerprint {
 	return FingerprintOf("account", "POST", "host", "/", fmt.Append(nil, number))
 }
 
-// crash returns the end of a worker with a request that was sent at one time and broke at
-// another.
+// crash returns a crash of a worker with a request that was sent and ended at the given times.
 func crash(worker string, sent, ended int) Crash {
 	return Crash{Worker: worker, Sent: at(sent), Ended: at(ended)}
 }
 
-func TestWhatMarks(t *testing.T) {
+func TestCrashesThatQuarantine(t *testing.T) {
 	tests := map[string]struct {
 		crashes []Crash
-		// cleared is when a run was completed; zero for never.
+		// cleared is when a run completed; zero for never.
 		cleared int
 		marked  bool
 		count   int
@@ -84,7 +83,7 @@
 	}
 }
 
-// mark quarantines a request in a table by crashes that ended before a time.
+// mark quarantines a request by crashes that ended before a time.
 func mark(t *testing.T, table *Table, f Fingerprint, ended int) {
 	t.Helper()
 	for i := range crashesToMark {
@@ -93,8 +92,8 @@
 	assert.Assert(t, table.State(f, at(ended)).Quarantined)
 }
 
-// TestPeriodsGrow: a request that is let through again ends one worker, not three, and stays
-// away twice as long after that.
+// TestPeriodsGrow checks that a request needs one further crash, not three, after a quarantine,
+// and that its next quarantine is longer.
 func TestPeriodsGrow(t *testing.T) {
 	table, f := NewTable(), numbered(1)
 	mark(t, table, f, 1000)
@@ -107,7 +106,7 @@
 		_, marked := table.Blame(f, Crash{Worker: fmt.Sprint("later-", ended), Sent: until, Ended: now}, now)
 		assert.Assert(t, marked)
 		next := table.State(f, now).Until
-		assert.Assert(t, next.Sub(now) >= min(2*firstPeriod, mostPeriod))
+		assert.Assert(t, next.Sub(now) >= min(2*initialPeriod, maxPeriod))
 		until = next
 		total++
 	}
@@ -124,13 +123,14 @@
 	assert.Assert(t, !NewTable().Clear(f, at(1200)), "nothing was known of it")
 }
 
-// pass passes reports of one table on to another, as heartbeats do.
+// pass merges the report of one table into another, as heartbeats do.
 func pass(from, to *Table, now time.Time, passesOn bool) Merged {
 	return to.Merge(from.Report(now, passesOn), now, now)
 }
 
-// TestNoDaemonNeedsToSeeMoreThanOne: three daemons see a crash each.
-func TestNoDaemonNeedsToSeeMoreThanOne(t *testing.T) {
+// TestCrashesOfSeveralDaemonsAddUp checks that a request is quarantined if three daemons see one
+// crash each.
+func TestCrashesOfSeveralDaemonsAddUp(t *testing.T) {
 	tables, f := []*Table{NewTable(), NewTable(), NewTable()}, numbered(1)
 	for i, table := range tables {
 		_, marked := table.Blame(f, crash(fmt.Sprint(i), 100*i, 100*i+50), at(100*i+50))
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestMembersHearByRelays: what a member saw comes to the members of another hall by way of
-// two relays, and a member does not pass on what it only heard.
-func TestMembersHearByRelays(t *testing.T) {
+// TestReportsTravelByRelays checks that a member's observation reaches another hall by way of two
+// relays, and that members do not pass on what they only received.
+func TestReportsTravelByRelays(t *testing.T) {
 	member, relayA, relayB, far, f := NewTable(), NewTable(), NewTable(), NewTable(), numbered(1)
 	member.Blame(f, crash("a", 0, 50), at(50))
 	now := at(60)
@@ -161,9 +161,9 @@
 	assert.Assert(t, !pass(relayB, far, now, true).News, "it is known already")
 }
 
-// TestReportsJoin gives tables reports in any order, twice, late and through others: all
-// come to know the same, and what is cleared stays so.
-func TestReportsJoin(t *testing.T) {
+// TestReportsConverge merges reports in any order, repeatedly, late and indirectly, and checks
+// that all tables end up in the same state.
+func TestReportsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{NewTable(), NewTable(), NewTable()}
 		draw := func(label string) *Table { return tables[rapid.IntRange(0, len(tables)-1).Draw(t, label)] }
@@ -182,7 +182,7 @@
 				pass(from, draw("to"), at(now), true)
 			}
 		}
-		now = tellAll(tables, now)
+		now = exchangeAll(tables, now)
 		first := tables[0].State(numbered(1), at(now))
 		for _, table := range tables[1:] {
 			state := table.State(numbered(1), at(now))
@@ -192,9 +192,9 @@
 	})
 }
 
-// tellAll lets reports go on until each has reached all, within the time that news is told,
-// and returns when that is.
-func tellAll(tables []*Table, now int) int {
+// exchangeAll exchanges reports until each has reached all tables, within changeReportPeriod, and
+// returns when that is.
+func exchangeAll(tables []*Table, now int) int {
 	for range 2 * len(tables) {
 		now += 200
 		for _, from := range tables {
@@ -206,7 +206,7 @@
 	return now
 }
 
-func TestLiftIsTold(t *testing.T) {
+func TestLiftIsReported(t *testing.T) {
 	a, b, f := NewTable(), NewTable(), numbered(1)
 	mark(t, a, f, 1000)
 	assert.DeepEqual(t, pass(a, b, at(1000), false).Marked, []Fingerprint{f})
@@ -217,9 +217,9 @@
 	assert.Equal(t, b.State(f, at(2002)), State{})
 }
 
-// TestMarksAreToldInTurn: a daemon that starts later hears of all marks within seconds, and
-// no report is long.
-func TestMarksAreToldInTurn(t *testing.T) {
+// TestMarksAreReportedInRotation checks that a daemon that starts later learns all marks within
+// seconds from reports of limited size.
+func TestMarksAreReportedInRotation(t *testing.T) {
 	const marks = 256
 	old, young := NewTable(), NewTable()
 	for i := range marks {
@@ -238,7 +238,7 @@
 	assert.Assert(t, largest < 8<<10, "a report has %d bytes", largest)
 }
 
-func TestMarksThatWereKept(t *testing.T) {
+func TestRestore(t *testing.T) {
 	table, f, now := NewTable(), numbered(1), at(1000)
 	kept := Mark{Fingerprint: f, MarkedAt: at(0), Until: at(600_000), Rounds: 1}
 	assert.Assert(t, table.Restore(kept, now))
@@ -251,27 +251,28 @@
 	assert.Assert(t, !table.Restore(over, now))
 }
 
-// TestMemoryIsBounded: what is not quarantined is forgotten first, the oldest before others.
-func TestMemoryIsBounded(t *testing.T) {
+// TestRecordsAreBounded checks that requests that are not quarantined are evicted first, oldest
+// first.
+func TestRecordsAreBounded(t *testing.T) {
 	table := NewTable()
 	mark(t, table, numbered(0), 1000)
-	for i := 1; i <= 2*recordsMost; i++ {
+	for i := 1; i <= 2*maxRecords; i++ {
 		table.Blame(numbered(i), crash(fmt.Sprint(i), 2000+i, 2000+i), at(2000+i))
 	}
-	now := at(2000 + 2*recordsMost)
-	assert.Equal(t, len(table.records), recordsMost)
+	now := at(2000 + 2*maxRecords)
+	assert.Equal(t, len(table.records), maxRecords)
 	assert.Assert(t, table.State(numbered(0), now).Quarantined)
 	assert.Equal(t, table.State(numbered(1), now).Crashes, 0)
-	assert.Equal(t, table.State(numbered(2*recordsMost), now).Crashes, 1)
-	table.Sweep(now.Add(rememberFor + time.Second))
+	assert.Equal(t, table.State(numbered(2*maxRecords), now).Crashes, 1)
+	table.Sweep(now.Add(recordRetention + time.Second))
 	assert.Equal(t, len(table.records), 1)
-	table.Sweep(now.Add(firstPeriod + rememberFor))
+	table.Sweep(now.Add(initialPeriod + recordRetention))
 	assert.Assert(t, table.Empty())
 }
 
-// TestReportsOfAnything: whatever a peer sends, the table stays bounded and does not end its
-// daemon.
-func TestReportsOfAnything(t *testing.T) {
+// TestMergeOfArbitraryReports checks that the table stays bounded and does not panic whatever a
+// peer sends.
+func TestMergeOfArbitraryReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := rapid.OneOf(rapid.Int64(), rapid.Int64Range(-10, 5000))
 		var all []Entry
@@ -288,25 +289,25 @@
 		table, now := NewTable(), at(1_000_000)
 		table.Merge(all, now, now)
 		for _, r := range table.records {
-			assert.Assert(t, len(r.crashes) <= crashesKept)
-			assert.Assert(t, !r.until.After(now.Add(2*mostPeriod)))
-			assert.Assert(t, r.rounds <= roundsMost)
+			assert.Assert(t, len(r.crashes) <= maxCrashes)
+			assert.Assert(t, !r.until.After(now.Add(2*maxPeriod)))
+			assert.Assert(t, r.rounds <= maxRounds)
 		}
 		_ = table.Report(now, true)
 	})
 }
 
-// The worst second that was measured: 25 replicas, of which one ends each 400 ms whatever it
-// runs; 60 requests a second, each of which runs for 1.2 s and is sent four times at most (two
-// attempts of a caller with two sends each), and one text that comes five times a second.
+// Simulation of random crashes: 25 replicas, of which one ends each 400 ms; 60 requests a second,
+// each of which runs for 1.2 s and is sent four times at most, and one text that is repeated five
+// times a second.
 const (
 	innocentReplicas, innocentSeconds  = 25, 600
 	innocentStep, innocentRuns         = 10, 1200
 	innocentEndsEvery                  = 400
 	innocentPerSecond, innocentPopular = 60, 5
 	innocentSends                      = 4
-	// innocentMost is the share of requests that may be marked: a run ends with its replica
-	// with 0.12, three do with 0.0017, and those that do have one send left to lose.
+	// innocentMost is the maximum fraction of requests that may be marked. A run ends with its
+	// replica with probability 0.12, three in a row with 0.0017.
 	innocentMost = 0.0025
 )
 
@@ -317,7 +318,7 @@
 	sends         int
 }
 
-// innocents plays them.
+// innocents is the state of the simulation.
 type innocents struct {
 	random            *rand.Rand
 	table             *Table
@@ -326,8 +327,8 @@
 	marked            map[Fingerprint]bool
 }
 
-// TestInnocentRequestsAreNotMarked: what tells guilt from company is that other runs
-// complete.
+// TestInnocentRequestsAreNotMarked checks that completed runs keep innocent requests from being
+// quarantined when workers crash at random.
 func TestInnocentRequestsAreNotMarked(t *testing.T) {
 	p := &innocents{random: rand.New(rand.NewPCG(1, 2)), table: NewTable(), marked: make(map[Fingerprint]bool)}
 	for now := 0; now < innocentSeconds*1000; now += innocentStep {
@@ -340,7 +341,7 @@
 	assert.Assert(t, share <= innocentMost, "%v of %d requests were marked", share, p.requests)
 }
 
-// arrive draws the requests that come in a step.
+// arrive adds the requests that arrive in a step.
 func (p *innocents) arrive(now int) {
 	for range innocentStep * (innocentPerSecond + innocentPopular) {
 		if p.random.IntN(1000) > 0 {
@@ -355,7 +356,7 @@
 	}
 }
 
-// step ends a replica when it is time, and the runs that are complete.
+// step ends a replica when it is due, and the runs that are complete.
 func (p *innocents) step(now int) {
 	ended := -1
 	if now%innocentEndsEvery == 0 {
@@ -377,7 +378,7 @@
 	p.table.Sweep(at(now))
 }
 
-// broke blames a request for the end of its replica, and sends it again if it may be sent.
+// broke blames a request for the end of its replica, and sends it again if it may be.
 func (p *innocents) broke(r innocentRun, now int) {
 	if _, marked := p.table.Blame(r.fingerprint, crash(fmt.Sprint(p.workers), r.sent, now), at(now)); marked {
 		p.marked[r.fingerprint] = true
