--- a/intent/outcome.go
+++ b/intent/outcome.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// Phase is how far an attempt has come at the daemon that holds it.
+// Phase is the progress of an attempt at the daemon that holds it.
 type Phase string
 
-// The phases of an attempt.
+// Phases of an attempt.
 const (
-	// PhaseAbsent means that this process knows nothing of the attempt.
+	// PhaseAbsent means that the attempt is not known.
 	PhaseAbsent Phase = "absent"
-	// PhasePending means that the attempt was or may be sent and has not ended.
+	// PhasePending means that the attempt was or may be sent and has not finished.
 	PhasePending Phase = "pending"
-	// PhaseDone means that the attempt ran and its answer is kept.
+	// PhaseDone means that the attempt ran and its answer is available.
 	PhaseDone Phase = "done"
-	// PhaseUnknown means that the attempt was sent and its fate is not known.
+	// PhaseUnknown means that the attempt was sent and its outcome is unknown.
 	PhaseUnknown Phase = "unknown"
 	// PhaseReleased means that the attempt was not and will not be sent.
 	PhaseReleased Phase = "released"
 )
 
 const (
-	// keepOutcome is how long an answer is kept for a second caller.
-	keepOutcome = 10 * time.Minute
-	// maxOutcomeBytes bounds the answers kept, in bytes.
+	// outcomeTTL is how long an answer is kept for repeated requests.
+	outcomeTTL = 10 * time.Minute
+	// maxOutcomeBytes limits the memory of kept answers, in bytes.
 	maxOutcomeBytes = 4 << 20
-	// outcomeOverhead is what an outcome costs besides its body, in bytes.
+	// outcomeOverhead is the size of an outcome without its body, in bytes.
 	outcomeOverhead = 256
 )
 
-// Answer is the answer of a request that ran.
+// Answer is the answer to a request that ran.
 type Answer struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-// NewAnswer returns an answer; body must not be changed afterwards.
+// NewAnswer returns an answer. The body must not be changed afterwards.
 func NewAnswer(status int, contentType string, body []byte) Answer {
 	return Answer{status: status, contentType: contentType, body: body}
 }
@@ -49,27 +49,27 @@
 // ContentType returns the media type of the body.
 func (a Answer) ContentType() string { return a.contentType }
 
-// Body returns the body.
+// Body returns the body, which must not be changed.
 func (a Answer) Body() []byte { return a.body }
 
-// Outcome is what is known of an attempt.
+// Outcome is the known outcome of an attempt.
 type Outcome struct {
 	phase  Phase
 	answer Answer
 }
 
-// NewOutcome returns an outcome.
+// NewOutcome returns an outcome; the answer is that of an attempt that is done.
 func NewOutcome(phase Phase, answer Answer) Outcome {
 	return Outcome{phase: phase, answer: answer}
 }
 
-// Phase returns how far the attempt has come.
+// Phase returns the progress of the attempt.
 func (o Outcome) Phase() Phase { return o.phase }
 
 // Answer returns the answer of an attempt that is done.
 func (o Outcome) Answer() Answer { return o.answer }
 
-// outcomes keeps what became of this process's attempts.
+// outcomes holds the outcomes of this process's attempts.
 type outcomes struct {
 	mu    sync.Mutex
 	all   map[string]keptOutcome
@@ -78,15 +78,15 @@
 }
 
 type keptOutcome struct {
-	outcome  Outcome
-	forgetAt time.Time
+	outcome   Outcome
+	expiresAt time.Time
 }
 
 func newOutcomes() *outcomes {
 	return &outcomes{all: make(map[string]keptOutcome)}
 }
 
-// set notes the state of an attempt. Once it is final it does not change.
+// set records the outcome of an attempt. A final outcome does not change.
 func (o *outcomes) set(attempt string, outcome Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,7 +99,7 @@
 		o.bytes += outcomeOverhead
 	}
 	o.bytes += len(outcome.answer.body)
-	o.all[attempt] = keptOutcome{outcome: outcome, forgetAt: time.Now().Add(keepOutcome)}
+	o.all[attempt] = keptOutcome{outcome: outcome, expiresAt: time.Now().Add(outcomeTTL)}
 	o.trim()
 }
 
@@ -113,13 +113,13 @@
 	return kept.outcome
 }
 
-// trim forgets the oldest outcomes that are past their time or over the bound.
+// trim removes the oldest outcomes that have expired or exceed maxOutcomeBytes.
 func (o *outcomes) trim() {
 	now := time.Now()
 	n := 0
 	for n < len(o.order) {
 		kept := o.all[o.order[n]]
-		if now.Before(kept.forgetAt) && o.bytes <= maxOutcomeBytes {
+		if now.Before(kept.expiresAt) && o.bytes <= maxOutcomeBytes {
 			break
 		}
 		if kept.outcome.phase == PhasePending {
--- a/intent/state.go
+++ b/intent/state.go
@@ -1,7 +1,6 @@
-// Package intent makes requests that must not be repeated run at most once
-// over all daemons. Before such a request is sent, an intent is committed to
-// the log; the first intent for a key in log order wins, and only the daemon
-// that wrote it may send the request, once.
+// Package intent ensures that requests that must not be repeated run at most once across all
+// daemons. Before such a request is sent, an intent is committed to the log. The first intent for
+// a key in log order wins, and only the daemon that wrote it may send the request, once.
 package intent
 
 import (
@@ -19,23 +18,23 @@
 	"quartzshelf.dev/eventlog"
 )
 
-// Stream is the log stream that holds the intents.
+// Stream is the log stream of intents.
 const Stream = "intents"
 
 // Operation is what a record does to a key.
 type Operation string
 
-// The operations.
+// Operations.
 const (
-	// OperationClaim takes a key for an attempt.
+	// OperationClaim claims a key for an attempt.
 	OperationClaim Operation = "claim"
-	// OperationRelease gives a key back; its writer promises never to send the attempt.
+	// OperationRelease releases a key. Its writer guarantees that the attempt is never sent.
 	OperationRelease Operation = "release"
-	// OperationDone notes that the attempt ran to its end.
+	// OperationDone records that the attempt completed.
 	OperationDone Operation = "done"
 )
 
-// Record is an entry of the stream of intents.
+// Record is an entry of the log stream.
 type Record struct {
 	Operation Operation `json:"op"`
 	Key       Key       `json:"key"`
@@ -45,16 +44,15 @@
 	Status    int       `json:"status,omitempty"`
 }
 
-// Key names a request: a hash of the client account and of the key that the
-// caller made.
+// Key identifies a request: a hash of the client account and of the key that the caller chose.
 type Key string
 
-// KeyOf returns the key of a caller's key within a client account.
+// KeyOf returns the key for a caller's key within a client account.
 func KeyOf(account, callerKey string) Key {
 	return Key(shortHash([]byte(account + "\x00" + callerKey)))
 }
 
-// BodyHash returns the hash by which a repeated request is compared.
+// BodyHash returns a hash of the content of a request, by which repeated requests are compared.
 func BodyHash(method, path string, body []byte) string {
 	return shortHash(slices.Concat([]byte(method+" "+path+"\x00"), body))
 }
@@ -73,43 +71,43 @@
 	status    int
 	done      bool
 	expiresAt time.Time
-	// released lists attempts that were given back and may not come again.
+	// released lists attempts that released the key and may not claim it again.
 	released []string
 }
 
-// Attempt returns the attempt that holds the key, empty for none.
+// Attempt returns the attempt that holds the key, empty if there is none.
 func (e Entry) Attempt() string { return e.attempt }
 
-// Holder returns the daemon that alone may send the request.
+// Holder returns the only daemon that may send the request.
 func (e Entry) Holder() string { return e.holder }
 
 // Body returns the hash of the request's content.
 func (e Entry) Body() string { return e.body }
 
-// openTo reports whether a request with the given body hash may claim the key.
-// A key of which only a release was seen has no body yet.
-func (e Entry) openTo(body string) bool {
+// isClaimable reports whether a request with the given body hash may claim the key. If only a
+// release was seen, the entry has no body hash yet.
+func (e Entry) isClaimable(body string) bool {
 	return e.attempt == "" && (e.body == "" || e.body == body)
 }
 
-// Done reports whether the request is known to have run, with its status.
+// Done reports whether the request is known to have run, and its status.
 func (e Entry) Done() (status int, done bool) { return e.status, e.done }
 
-// State folds the stream of intents. A key is forgotten ttl after its first
-// claim, by the log's clock, so all daemons forget it at the same record.
+// State is the state of all keys, built from the log stream. A key is removed ttl after its first
+// claim. The log's clock decides, so all daemons remove it at the same record. It is safe for
+// concurrent use.
 type State struct {
 	ttl time.Duration
 
 	mu      sync.RWMutex
 	entries map[Key]Entry
-	// order lists keys by the time at which they expire.
+	// order lists keys by their time of expiry.
 	order []Key
 }
 
 var _ eventlog.State = (*State)(nil)
 
-// NewState returns a state that keeps keys for ttl, which must be well below
-// the log's retention.
+// NewState returns a state that keeps keys for ttl, which must be well below the log's retention.
 func NewState(ttl time.Duration) *State {
 	return &State{ttl: ttl, entries: make(map[Key]Entry)}
 }
@@ -122,7 +120,7 @@
 	return e, ok
 }
 
-// Len returns how many keys are kept.
+// Len returns the number of keys.
 func (s *State) Len() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -148,11 +146,11 @@
 	}
 }
 
-// claim gives the key to the first attempt that asks for it. A repeated record
-// of one attempt changes nothing.
+// claim assigns the key to the first attempt that claims it. A duplicate record of an attempt has
+// no effect.
 func (s *State) claim(r Record, at time.Time) {
 	e, known := s.entries[r.Key]
-	if !e.openTo(r.Body) || slices.Contains(e.released, r.Attempt) {
+	if !e.isClaimable(r.Body) || slices.Contains(e.released, r.Attempt) {
 		return
 	}
 	if !known {
@@ -162,8 +160,7 @@
 	s.entries[r.Key] = e
 }
 
-// release gives the key back. It also bars an attempt whose claim comes later
-// than its release.
+// release releases the key. It also blocks an attempt whose claim follows its release.
 func (s *State) release(r Record, at time.Time) {
 	e, known := s.entries[r.Key]
 	if !known {
@@ -179,7 +176,7 @@
 	s.entries[r.Key] = e
 }
 
-// add begins an entry for a key first seen at the given time of the log.
+// add creates an entry for a key first seen at the given log time.
 func (s *State) add(key Key, at time.Time) Entry {
 	s.order = append(s.order, key)
 	return Entry{expiresAt: at.Add(s.ttl)}
@@ -194,10 +191,10 @@
 	s.entries[r.Key] = e
 }
 
-// expire forgets the keys whose time is over at the log's time now.
-func (s *State) expire(now time.Time) {
+// expire removes the keys that have expired at the given log time.
+func (s *State) expire(logTime time.Time) {
 	n := 0
-	for n < len(s.order) && now.After(s.entries[s.order[n]].expiresAt) {
+	for n < len(s.order) && logTime.After(s.entries[s.order[n]].expiresAt) {
 		delete(s.entries, s.order[n])
 		n++
 	}
--- a/intent/state_test.go
+++ b/intent/state_test.go
@@ -10,7 +10,7 @@
 	"quartzshelf.dev/cluster"
 )
 
-// apply folds records, one a second from the given offset.
+// apply applies records to s, one a second from the given offset.
 func apply(t *testing.T, s *State, from int64, records ...Record) {
 	t.Helper()
 	for i, r := range records {
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestKeysExpireByTheLogsClock lets two daemons fold the same records, one of
-// them from a checkpoint: both must forget the key at the same record.
-func TestKeysExpireByTheLogsClock(t *testing.T) {
+// TestKeysExpireByLogTime applies the same records to two states, one of them restored from a
+// checkpoint, and checks that both remove the key at the same record.
+func TestKeysExpireByLogTime(t *testing.T) {
 	whole, late := NewState(10*time.Second), NewState(10*time.Second)
 	apply(t, whole, 0, claim("a"))
 	checkpoint, err := whole.Checkpoint()
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -6,58 +6,58 @@
 	"strings"
 )
 
-// Deputies is how many deputies a grant names, where there are as many daemons.
+// Deputies is the number of deputies in a grant, if there are enough daemons.
 const Deputies = 2
 
 // Candidate is a daemon that can own a domain.
 type Candidate struct {
 	ID string
-	// Local tells that the daemon is in the domain's data hall.
+	// Local means that the daemon is in the domain's data hall.
 	Local bool
 }
 
 // Action is what a daemon should do about a domain.
 type Action int
 
-// The actions.
+// Actions.
 const (
-	// Follow leaves the domain to another daemon.
+	// Follow means that another daemon manages the domain.
 	Follow Action = iota
-	// Lead looks after the domain under the present grant.
+	// Lead means that this daemon manages the domain under the current grant.
 	Lead
-	// Propose appends a new grant; until it is folded, the daemon follows.
+	// Propose means that this daemon appends a new grant and follows until the grant is applied.
 	Propose
-	// LeadAndPropose does both: a deputy that leads asks for a grant of its own.
+	// LeadAndPropose means that this daemon manages the domain and asks for a grant of its own, as
+	// a deputy does that took over.
 	LeadAndPropose
 )
 
-// Leads reports whether the action includes looking after the domain.
+// Leads reports whether the action includes managing the domain.
 func (a Action) Leads() bool { return a == Lead || a == LeadAndPropose }
 
 // Proposes reports whether the action includes appending a new grant.
 func (a Action) Proposes() bool { return a == Propose || a == LeadAndPropose }
 
-// Situation is what a daemon knows when it decides about a domain.
+// Situation holds the inputs of the decision about a domain.
 type Situation struct {
 	Self   string
 	Domain string
 	Grant  Grant
-	// ActiveRank is the highest rank known to have been used in the grant's
-	// epoch, -1 for none.
+	// ActiveRank is the highest rank known to have been used in the grant's epoch, -1 for none.
 	ActiveRank int
-	// Overdue tells that whoever used the active rank has not reported for too
-	// long though it may be alive: it cannot look after the domain.
+	// Overdue means that the daemon with the active rank has not reported for too long. It may be
+	// alive, but does not manage the domain.
 	Overdue bool
-	// Gone reports whether a daemon is dead or has departed.
+	// Gone reports whether a daemon is dead or has left.
 	Gone func(id string) bool
-	// Leaving reports whether a daemon has begun a planned stop.
+	// Leaving reports whether a daemon has started a planned shutdown.
 	Leaving func(id string) bool
-	// Candidates are the daemons that are alive and staying.
+	// Candidates are the daemons that are alive and not shutting down.
 	Candidates []Candidate
 }
 
-// Decide returns what the daemon should do. Any two daemons may reach
-// different answers from different knowledge; tokens keep that harmless.
+// Decide returns what the daemon should do. Daemons may reach different decisions from different
+// information; fencing tokens make that harmless.
 func Decide(s Situation) Action {
 	if s.Grant.Epoch() == 0 {
 		return proposeIfFirst(s)
@@ -78,9 +78,8 @@
 	return Lead
 }
 
-// leaderPosition returns which holder should lead: the last active one, or,
-// when it is gone, the next one in the round that is not. It returns -1 when
-// all holders are gone.
+// leaderPosition returns the position of the holder that should lead: the last active one, or the
+// next one in rotation that is not gone. It returns -1 if all holders are gone.
 func leaderPosition(s Situation) int {
 	n := len(s.Grant.holders)
 	start := max(s.ActiveRank, 0) % n
@@ -96,7 +95,7 @@
 	return -1
 }
 
-// proposeIfFirst lets the best candidate propose, and no other.
+// proposeIfFirst returns Propose for the best candidate, and Follow for all others.
 func proposeIfFirst(s Situation) Action {
 	holders := Holders(s.Domain, s.Candidates)
 	if len(holders) > 0 && holders[0] == s.Self {
@@ -105,9 +104,8 @@
 	return Follow
 }
 
-// NextRank returns the rank that the holder at position may use above the
-// ranks used so far: ranks are dealt out in rounds, so no two holders share
-// one. The used rank is -1 for none.
+// NextRank returns the lowest rank above used that belongs to the holder at position. Ranks are
+// assigned to the holders in rotation, so no two share one. used is -1 if no rank was used.
 func NextRank(used, position, holders int) uint32 {
 	rank := position
 	for rank <= used {
@@ -116,8 +114,8 @@
 	return uint32(rank)
 }
 
-// Holders returns the owner and deputies for a new grant: the candidates with
-// the highest rendezvous score, those of the domain's data hall first.
+// Holders returns the owner and the deputies for a new grant: the candidates with the highest
+// rendezvous scores, those in the domain's data hall first.
 func Holders(domain string, candidates []Candidate) []string {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(a, b Candidate) int {
@@ -144,7 +142,7 @@
 	return ids
 }
 
-// score is the rendezvous score of a daemon for a domain.
+// score returns the rendezvous score of a daemon for a domain.
 func score(domain, id string) uint64 {
 	h := fnv.New64a()
 	// Writes to a hash never fail.
--- a/ownership/decide_test.go
+++ b/ownership/decide_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestRanksAreNeverShared deals out ranks to three holders in turn.
+// TestRanksAreNeverShared checks that the ranks of three holders never overlap.
 func TestRanksAreNeverShared(t *testing.T) {
 	owners := make(map[uint32]int)
 	for used := -1; used < 20; used++ {
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestFirstGrantInLogOrderWins folds two grants that replace the same one.
+// TestFirstGrantInLogOrderWins applies two grants that replace the same one.
 func TestFirstGrantInLogOrderWins(t *testing.T) {
 	s := NewState()
 	for i, holder := range []string{"a", "b"} {
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -1,6 +1,6 @@
-// Package ownership decides which daemon looks after a fabric domain. Grants
-// on the log name an owner and ranked deputies; between grants, and while the
-// log is out, a deputy takes over by using a higher rank of the same epoch.
+// Package ownership decides which daemon manages a fabric domain. Grants in the log name an owner
+// and ranked deputies. Between grants, and while the log is unavailable, a deputy takes over by
+// using a higher rank of the same epoch.
 package ownership
 
 import (
@@ -16,16 +16,15 @@
 	"quartzshelf.dev/eventlog"
 )
 
-// Stream is the log stream that holds the grants.
+// Stream is the log stream of grants.
 const Stream = "ownership"
 
-// Record is a grant as it is written on the log.
+// Record is a grant as written to the log.
 type Record struct {
 	Domain string `json:"domain"`
-	// Replaces is the epoch of the grant that this one follows; a grant that
-	// does not follow the newest one is void.
+	// Replaces is the epoch of the preceding grant. A grant is void if that is not the newest one.
 	Replaces uint64 `json:"replaces"`
-	// Holders are the owner and then its deputies by rank.
+	// Holders lists the owner, then its deputies by rank.
 	Holders []string `json:"holders"`
 }
 
@@ -36,16 +35,16 @@
 	holders []string
 }
 
-// Domain returns the fabric domain that is granted.
+// Domain returns the fabric domain of the grant.
 func (g Grant) Domain() string { return g.domain }
 
-// Epoch returns one past the log offset of the grant; zero stands for none.
+// Epoch returns the log offset of the grant plus one; zero if there is no grant.
 func (g Grant) Epoch() uint64 { return g.epoch }
 
-// Holders returns the owner and then its deputies.
+// Holders returns the owner, then its deputies by rank.
 func (g Grant) Holders() []string { return g.holders }
 
-// Owner returns the owner, or an empty string where there is no grant.
+// Owner returns the owner, or an empty string if there is no grant.
 func (g Grant) Owner() string {
 	if len(g.holders) == 0 {
 		return ""
@@ -53,12 +52,13 @@
 	return g.holders[0]
 }
 
-// Position returns the place of a daemon among the holders, -1 for none.
+// Position returns the position of a daemon among the holders, -1 if it is not one of them.
 func (g Grant) Position(daemon string) int {
 	return slices.Index(g.holders, daemon)
 }
 
-// State folds the stream of grants. It is safe for concurrent use.
+// State is the current grant of each domain, built from the log stream. It is safe for concurrent
+// use.
 type State struct {
 	mu     sync.RWMutex
 	grants map[string]Grant
@@ -71,7 +71,7 @@
 	return &State{grants: make(map[string]Grant)}
 }
 
-// Grant returns the newest grant of a domain; its zero value if there is none.
+// Grant returns the newest grant of a domain, the zero value if there is none.
 func (s *State) Grant(domain string) Grant {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -85,8 +85,8 @@
 	return maps.Clone(s.grants)
 }
 
-// Apply implements eventlog.State: the first grant that replaces the newest
-// one wins.
+// Apply implements eventlog.State. Of several grants that replace the same one, the first in the
+// log wins.
 func (s *State) Apply(record cluster.Record, data json.RawMessage) {
 	var r Record
 	if json.Unmarshal(data, &r) != nil || r.Domain == "" || len(r.Holders) == 0 {
--- a/placement/apportion.go
+++ b/placement/apportion.go
@@ -6,30 +6,30 @@
 	"strings"
 )
 
-// Demand is what a deployment asks of the whole fleet.
+// Demand is what a deployment requests from the whole fleet.
 type Demand struct {
 	Deployment string
-	// Replicas is how many are wanted, zero for as many as fit.
+	// Replicas is the number of wanted replicas, zero for as many as fit.
 	Replicas int
 	Size     int
 	Priority int
 }
 
-// Supply is what a domain can give to a deployment.
+// Supply is what a domain can provide for a deployment.
 type Supply struct {
 	Domain string
-	// Eligible is how many of its usable nodes the deployment selects.
+	// Eligible is the number of usable nodes in the domain that the deployment selects.
 	Eligible int
-	// Existing is how many replicas of the deployment it holds, Serving how
-	// many of them serve.
+	// Existing is the number of the deployment's replicas in the domain, Serving the number of
+	// those that serve.
 	Existing int
 	Serving  int
 }
 
-// Apportion returns how many replicas of the demand each domain should hold.
-// It is a function of the domains' reports alone, so that owners with the same
-// reports agree without talking. Domains keep what they hold, those that serve
-// most first; what is missing goes to the domain with the most room.
+// Apportion returns how many replicas each domain should have. The result depends only on the
+// arguments, so owners of domains with the same reports agree without communication. Domains keep
+// what they have, those with the most serving replicas first; missing replicas go to the domain
+// with the most room.
 func Apportion(d Demand, supplies []Supply) map[string]int {
 	shares := make(map[string]int, len(supplies))
 	ordered := slices.Clone(supplies)
@@ -47,8 +47,8 @@
 	return shares
 }
 
-// keepExisting gives each domain what it holds and can hold, serving replicas
-// first, and returns how many are still to be placed.
+// keepExisting assigns to each domain the replicas that it has and has room for, serving ones
+// first, and returns how many still have to be placed.
 func keepExisting(d Demand, ordered []Supply, shares map[string]int) int {
 	left := d.Replicas
 	for _, s := range ordered {
@@ -65,8 +65,8 @@
 	return left
 }
 
-// addMissing places the rest one by one where the most nodes are free. What no
-// domain has room for goes to the first domain, which reports it as dark.
+// addMissing places the remaining replicas one by one in the domain with the most free nodes. If
+// none has room, that domain reports the replica as dark.
 func addMissing(d Demand, ordered []Supply, shares map[string]int, left int) {
 	for ; left > 0 && len(ordered) > 0; left-- {
 		best := slices.MaxFunc(ordered, func(a, b Supply) int {
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// BenchmarkMake plans one domain in which one node was just lost; 97 domains
-// of 64 nodes hold 6,200 workers.
+// BenchmarkMake plans one domain that has just lost a node.
 func BenchmarkMake(b *testing.B) {
 	for _, n := range []int{16, 64, 128} {
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
--- a/placement/closed.go
+++ b/placement/closed.go
@@ -1,10 +1,10 @@
 package placement
 
-// holdAll plans for a domain whose data hall is closed. The replicas of all wanted
-// deployments stay formed, however many are wanted, so that they serve at once when the
-// hall opens. A broken one waits for that too: its nodes may be switched off, and the
-// open halls make up for it. Only what nobody wants any more is freed.
-func (p *planner) holdAll() {
+// planClosed plans for a domain whose data hall is closed. The replicas of all wanted deployments
+// stay formed, whatever their number, so that they can serve as soon as the hall opens. Broken
+// ones are not repaired before that: their nodes may be switched off, and the open halls
+// compensate. Only nodes of unwanted deployments are released.
+func (p *planner) planClosed() {
 	for _, want := range p.wants {
 		for _, g := range p.sortedGroups(want.Deployment) {
 			if problem := p.problemOf(g, want); problem != "" {
--- a/placement/closed_test.go
+++ b/placement/closed_test.go
@@ -9,7 +9,7 @@
 	"quartzshelf.dev/cluster"
 )
 
-func TestClosedHallIsLeftAsItIs(t *testing.T) {
+func TestClosedHallKeepsReplicas(t *testing.T) {
 	formed := carryOut(idleNodes(10), Make(Input{Domain: "d", Nodes: idleNodes(10), Wants: []Want{want("chat", 2, 0)}}), 1)
 	change := func(id int, f func(*Node)) []Node {
 		nodes := append([]Node{}, formed...)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOpeningKeepsWhatWasWhole draws what becomes of nodes while a hall is closed: a
-// replica whose nodes all stayed is kept when it opens, with no order given.
-func TestOpeningKeepsWhatWasWhole(t *testing.T) {
+// TestOpeningKeepsCompleteReplicas changes nodes while a hall is closed, and checks that a replica
+// whose nodes were not affected is kept without any order when the hall opens.
+func TestOpeningKeepsCompleteReplicas(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wants := []Want{want("chat", 2, 0)}
 		nodes := carryOut(idleNodes(10), Make(Input{Domain: "d", Nodes: idleNodes(10), Wants: wants}), 1)
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -5,26 +5,25 @@
 	"slices"
 )
 
-// Rates by which the prices of an objective are compared.
+// Constants for comparing the costs of an objective.
 const (
-	// nodeFailuresPerSecond is how often one node fails: 120 of 6,200 a day.
+	// nodeFailuresPerSecond is the failure rate of a node: 120 of 6,200 nodes a day.
 	nodeFailuresPerSecond = 120.0 / 6200 / 86400
-	// yieldSeconds is how much longer a repair takes when its nodes first have
-	// to be drained from another replica.
-	yieldSeconds = 8.0
+	// drainSeconds is how much longer a repair takes if its nodes first have to be drained from
+	// another replica.
+	drainSeconds = 8.0
 )
 
-// Pays reports whether idle nodes should serve in further replicas instead of
-// waiting as spares: the price of the accelerators that are idle must exceed
-// that of the longer repairs of the replicas that the spares would have served.
-// Without a price on stranded accelerators nothing is filled.
+// Pays reports whether idle nodes should serve in additional replicas instead of waiting as
+// spares: the cost of the idle accelerators must exceed the cost of the longer repairs of the
+// other replicas. It is false if stranded accelerators have no cost.
 func (o Objective) Pays(idleAccelerators, nodesInReplicas int) bool {
 	idle := o.Stranded * float64(idleAccelerators)
-	repairs := o.Downtime * nodeFailuresPerSecond * float64(nodesInReplicas) * yieldSeconds
+	repairs := o.Downtime * nodeFailuresPerSecond * float64(nodesInReplicas) * drainSeconds
 	return idle > repairs
 }
 
-// fill forms replicas beyond the wanted number from nodes that are left.
+// fill forms replicas beyond the wanted number from the remaining nodes.
 func (p *planner) fill(want Want) {
 	if !want.Fill || p.hasDark(want.Deployment) {
 		return
@@ -40,8 +39,7 @@
 	}
 }
 
-// hasDark reports whether a wanted replica of the deployment is still to be
-// formed: it comes first.
+// hasDark reports whether a wanted replica of the deployment still has to be formed.
 func (p *planner) hasDark(deployment string) bool {
 	for _, d := range p.plan.deployments {
 		if d == deployment {
@@ -51,13 +49,13 @@
 	return false
 }
 
-// preload lets nodes fetch weights that they will need: spares those of the
-// first deployment that selects them, and members of outdated replicas those
-// of the new version. Loads of replicas that are being formed come first.
+// preload orders nodes to fetch weights that they will need: spare nodes those of the first
+// deployment that selects them, and members of outdated replicas those of the new version. Loads
+// of replicas that are being formed take precedence.
 func (p *planner) preload() {
 	budget := p.preloadBudget()
 	add := func(n *Node, version, reason string) {
-		if budget > 0 && n.usable() && !n.holds(version) && !slices.Contains(n.Preloading, version) {
+		if budget > 0 && n.isUsable() && !n.hasWeights(version) && !slices.Contains(n.Preloading, version) {
 			p.plan.Preloads = append(p.plan.Preloads, Preload{Node: n.ID, Version: version, Reason: reason})
 			budget--
 		}
@@ -76,7 +74,7 @@
 	}
 }
 
-// preloadBudget returns how many nodes may begin to preload now.
+// preloadBudget returns the number of nodes that may start to preload now.
 func (p *planner) preloadBudget() int {
 	if p.in.LoadSlots == 0 {
 		return len(p.nodes)
@@ -93,7 +91,7 @@
 	return (p.in.LoadSlots-p.loading)*largest - busy
 }
 
-// firstWant returns the want of the highest priority that selects the node.
+// firstWant returns the want with the highest priority that selects the node.
 func (p *planner) firstWant(n *Node) (Want, bool) {
 	for _, want := range p.wants {
 		if want.Selects(n.Labels) {
--- a/placement/input.go
+++ b/placement/input.go
@@ -1,5 +1,5 @@
-// Package placement decides which nodes of a fabric domain form which replica.
-// It is pure: the same input gives the same plan, and it does no I/O.
+// Package placement decides which nodes of a fabric domain form which replica. It does no I/O, and
+// the same input always gives the same plan.
 package placement
 
 import (
@@ -8,44 +8,43 @@
 	"quartzshelf.dev/cluster"
 )
 
-// Node is a node as the planner sees it. It is plain input, hence its exported
-// fields.
+// Node is the state of a node as seen by the planner.
 type Node struct {
 	ID string
-	// Labels are those of the node list with the operators' laid over them.
+	// Labels are the labels from the node list, overridden by those that operators set.
 	Labels map[string]string
-	// Answering tells that the node answered the last probe.
+	// Answering means that the node answered the last probe.
 	Answering bool
-	// Lost tells that the node has been silent for so long that it is given up.
+	// Lost means that the node has not answered for so long that it is considered failed.
 	Lost bool
-	// Leaving tells that the node list or a label takes the node out.
+	// Leaving means that the node list or a label takes the node out of service.
 	Leaving bool
-	// Scripted tells that scripts run the node: it is never given an order.
+	// Scripted means that scripts manage the node: it gets no orders.
 	Scripted bool
-	// Unorderable tells that the node cannot be given an order at present.
+	// Unorderable means that the node cannot be given orders at present.
 	Unorderable  bool
 	Accelerators int
 	Assignment   cluster.Assignment
 	Phase        cluster.Phase
 	Cached       []string
-	// Preloading lists the versions that the node fetches beside its work.
+	// Preloading lists the versions that the node is fetching in the background.
 	Preloading []string
 }
 
-// usable reports whether the node can be part of a replica from now on.
-func (n Node) usable() bool {
+// isUsable reports whether the node may become part of a replica.
+func (n Node) isUsable() bool {
 	return n.Answering && !n.Lost && !n.Leaving && !n.Scripted && !n.Unorderable
 }
 
-// holds reports whether the node has the weights of a version.
-func (n Node) holds(version string) bool {
+// hasWeights reports whether the node has cached the weights of a version.
+func (n Node) hasWeights(version string) bool {
 	return slices.Contains(n.Cached, version)
 }
 
-// Want is what a deployment asks of the domain.
+// Want is what a deployment requests from the domain.
 type Want struct {
 	Deployment string
-	// Replicas is how many replicas this domain should hold.
+	// Replicas is the number of replicas that this domain should have.
 	Replicas int
 	// Size is the number of nodes of a replica.
 	Size     int
@@ -55,71 +54,72 @@
 	Adapters []string
 	// Selects reports whether a node with the given labels may be used.
 	Selects func(labels map[string]string) bool
-	// Objective prices the two measures.
+	// Objective weighs downtime against idle accelerators.
 	Objective Objective
-	// Fill asks for further replicas from nodes that would be idle otherwise.
+	// Fill requests additional replicas on nodes that would otherwise be idle.
 	Fill bool
-	// MayRoll lists the replicas that may be taken down for a new version now.
+	// MayRoll lists the replicas that may be taken down now to change their version.
 	MayRoll []string
 }
 
-// Objective prices group downtime against stranded accelerators.
+// Objective holds the costs by which downtime is weighed against stranded accelerators.
 type Objective struct {
-	// Downtime is the price of a second in which a wanted replica does not serve.
+	// Downtime is the cost of each second in which a wanted replica does not serve.
 	Downtime float64
-	// Stranded is the price of a second of one accelerator without a replica.
+	// Stranded is the cost of each second of an accelerator without a replica.
 	Stranded float64
 }
 
-// Input is all that a plan depends on.
+// Input holds everything that a plan depends on.
 type Input struct {
 	Domain string
 	Nodes  []Node
 	Wants  []Want
-	// LoadSlots is how many replicas may load weights at a time, so that the
-	// store brings up one soon rather than all late; zero is no limit.
+	// LoadSlots is the number of replicas that may load weights at the same time, so that the
+	// first ones are ready early; zero means no limit.
 	LoadSlots int
-	// Closed tells that the domain's data hall is closed: replicas stay as they are, and
-	// none is formed or repaired.
+	// Closed means that the domain's data hall is closed: replicas stay as they are, and none are
+	// formed or repaired.
 	Closed bool
 }
 
-// Step is one order to one node.
+// Step is an order to a node.
 type Step struct {
 	Node       string
 	Assignment cluster.Assignment
-	// Reason says why, for the operator.
+	// Reason explains the order to operators.
 	Reason string
 }
 
-// Preload is an order to one node to fetch a version.
+// Preload is an order to a node to fetch a version.
 type Preload struct {
 	Node    string
 	Version string
 	Reason  string
 }
 
-// Formation is a group of steps that together form a replica.
+// Formation is the set of orders that form a replica.
 type Formation struct {
 	Replica string
 	Steps   []Step
 	Reason  string
 }
 
-// Plan is what to do and why the rest stays as it is.
+// Plan holds the orders to give, and the reasons why nodes and replicas are in their current
+// state.
 type Plan struct {
 	Formations []Formation
-	// Preloads let nodes fetch weights beside their work.
+	// Preloads are orders to fetch weights in the background.
 	Preloads []Preload
-	// Releases take nodes out of replicas that are no longer wanted.
+	// Releases remove nodes from replicas that are no longer wanted.
 	Releases []Step
-	// Dark says, by replica, why a wanted replica does not serve.
+	// Dark maps each wanted replica that does not serve to the reason.
 	Dark map[string]string
-	// Idle says, by node, why the node belongs to no replica.
+	// Idle maps each node without a replica to the reason.
 	Idle map[string]string
-	// Kept lists the replicas that stay as they are.
+	// Kept lists the replicas that stay unchanged.
 	Kept []string
-	// deployments holds the deployment of each replica named in Dark.
+	// deployments maps each replica named in Dark to its deployment.
 	deployments map[string]string
 }
 
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -12,14 +12,13 @@
 
 // Make returns the plan for an input.
 //
-// A replica that is whole stays. A broken one is formed anew from its
-// survivors and from spares that hold the weights, before any other node. A
-// replica is taken from a deployment of lower priority only when the domain
-// has no other nodes. Nothing moves without a reason.
+// Complete replicas stay unchanged. A broken replica is formed again from its remaining nodes and
+// from spares, with nodes that have the weights preferred. Nodes are taken from a deployment of
+// lower priority only if the domain has no others.
 func Make(in Input) Plan {
 	p := newPlanner(in)
 	if in.Closed {
-		p.holdAll()
+		p.planClosed()
 		return p.plan
 	}
 	for _, want := range p.wants {
@@ -40,7 +39,7 @@
 	return p.plan
 }
 
-// group is the set of nodes that hold one assignment.
+// group is the set of nodes with the same assignment.
 type group struct {
 	id         string
 	generation uint64
@@ -54,15 +53,15 @@
 	nodes  map[string]*Node
 	wants  []Want
 	groups map[string]*group
-	// taken holds, for each node in use, the replica that uses it.
+	// taken maps each node in use to the replica that uses it.
 	taken map[string]string
-	// placed counts the replicas found for each deployment.
+	// placed counts the replicas of each deployment.
 	placed map[string]int
-	// broken holds the groups of each deployment that need repair.
+	// broken lists the groups of each deployment that need repair.
 	broken map[string][]*group
-	// extra marks the replicas kept beyond the wanted number.
+	// extra marks the replicas that are kept beyond the wanted number.
 	extra map[string]bool
-	// outdated are the groups that run another version than the wanted one.
+	// outdated lists the groups that run another version than the wanted one.
 	outdated []outdatedGroup
 	loading  int
 }
@@ -90,8 +89,8 @@
 	return p
 }
 
-// addToGroup files a node under its assignment. Of several generations of one
-// replica the newest counts; nodes of older ones are free.
+// addToGroup adds a node to the group of its assignment. Only the newest generation of a replica
+// counts; nodes of older ones are free.
 func (p *planner) addToGroup(n *Node) {
 	a := n.Assignment
 	if a.Empty() || n.Scripted {
@@ -107,8 +106,8 @@
 	}
 }
 
-// sortedGroups returns the groups of a deployment: those that load or serve
-// first, then by name, so that surplus is taken from the least useful.
+// sortedGroups returns the groups of a deployment by readiness, then by name, so that surplus
+// replicas are the least useful ones.
 func (p *planner) sortedGroups(deployment string) []*group {
 	var all []*group
 	for _, g := range p.groups {
@@ -122,11 +121,11 @@
 	return all
 }
 
-// readiness ranks groups: more usable and ready nodes first.
+// readiness returns a rank that is higher for groups with more usable and ready nodes.
 func (g *group) readiness() int {
 	sum := 0
 	for _, n := range g.nodes {
-		if n.usable() {
+		if n.isUsable() {
 			sum++
 		}
 		if n.Phase == cluster.PhaseReady {
@@ -136,7 +135,7 @@
 	return sum
 }
 
-// keep counts the deployment's groups and notes which are whole.
+// keep counts the deployment's groups, keeps the complete ones and records the broken ones.
 func (p *planner) keep(want Want) {
 	for _, g := range p.sortedGroups(want.Deployment) {
 		if p.placed[want.Deployment] >= want.Replicas {
@@ -153,8 +152,8 @@
 	}
 }
 
-// keepExtra keeps a whole replica beyond the wanted number while its nodes
-// would be idle otherwise. It gives way to every replica that is wanted.
+// keepExtra keeps a complete replica beyond the wanted number if the deployment asks for it. Every
+// wanted replica may preempt it.
 func (p *planner) keepExtra(g *group, want Want) {
 	if want.Fill && p.problemOf(g, want) == "" {
 		p.extra[g.id] = true
@@ -175,8 +174,8 @@
 	}
 }
 
-// problemOf returns why a group cannot go on as it is, or an empty string. A
-// node that merely missed a probe is no problem yet.
+// problemOf returns why a group cannot stay unchanged, or an empty string if it can. A single
+// missed probe of a node is not a problem.
 func (p *planner) problemOf(g *group, want Want) string {
 	members := g.nodes[0].Assignment.Members
 	if len(members) != want.Size {
@@ -206,13 +205,13 @@
 	version string
 }
 
-// holds reports whether every node of the group has the weights of a version.
-func (g *group) holds(version string) bool {
-	return !slices.ContainsFunc(g.nodes, func(n *Node) bool { return !n.holds(version) })
+// hasWeights reports whether every node of the group has the weights of a version.
+func (g *group) hasWeights(version string) bool {
+	return !slices.ContainsFunc(g.nodes, func(n *Node) bool { return !n.hasWeights(version) })
 }
 
-// roll breaks up the groups of another version that may go down now. Their
-// nodes hold the new weights by then, so that they are not dark for a load.
+// roll marks groups of another version that may go down now as broken, so that they are formed
+// again. It waits until their nodes have the new weights, which keeps the downtime short.
 func (p *planner) roll(want Want) {
 	for _, g := range p.sortedGroups(want.Deployment) {
 		current := g.nodes[0].Assignment
@@ -221,7 +220,7 @@
 		if !outdated || !isKept {
 			continue
 		}
-		if !g.holds(want.Version) {
+		if !g.hasWeights(want.Version) {
 			p.outdated = append(p.outdated, outdatedGroup{group: g, version: want.Version})
 			continue
 		}
@@ -237,7 +236,7 @@
 	}
 }
 
-// form repairs the deployment's broken groups and adds what is missing.
+// form repairs the deployment's broken groups and adds missing replicas.
 func (p *planner) form(want Want) {
 	for _, g := range p.broken[want.Deployment] {
 		p.formReplica(want, g.id, g.nodes, p.plan.Dark[g.id])
@@ -251,7 +250,7 @@
 	}
 }
 
-// freeID returns the first unused name for a replica of the deployment here.
+// freeID returns the first unused ID for a replica of the deployment in this domain.
 func (p *planner) freeID(deployment string) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%s-%d", deployment, p.in.Domain, i)
@@ -263,8 +262,8 @@
 	}
 }
 
-// formReplica plans a replica from survivors and other nodes. It reports
-// whether it found enough of them.
+// formReplica plans a replica from the remaining nodes of a broken one and from other nodes. It
+// reports whether there were enough.
 func (p *planner) formReplica(want Want, id string, survivors []*Node, reason string) bool {
 	p.plan.deployments[id] = want.Deployment
 	chosen := p.choose(want, survivors)
@@ -276,7 +275,7 @@
 		p.reserve(id, survivors)
 		return false
 	}
-	needsLoad := slices.ContainsFunc(chosen, func(n *Node) bool { return !n.holds(want.Version) })
+	needsLoad := slices.ContainsFunc(chosen, func(n *Node) bool { return !n.hasWeights(want.Version) })
 	if needsLoad && p.in.LoadSlots > 0 && p.loading >= p.in.LoadSlots {
 		p.plan.Dark[id] = reason + "; waits for the weight store"
 		for _, n := range chosen {
@@ -292,11 +291,11 @@
 	return true
 }
 
-// reserve keeps the survivors of a replica that cannot be formed yet, so that
-// the next spare completes it.
+// reserve keeps the remaining nodes of a replica that cannot be formed yet, so that the next spare
+// node completes it.
 func (p *planner) reserve(id string, survivors []*Node) {
 	for _, n := range survivors {
-		if n.usable() && p.taken[n.ID] == "" {
+		if n.isUsable() && p.taken[n.ID] == "" {
 			p.taken[n.ID] = id
 		}
 	}
@@ -320,12 +319,12 @@
 	return f
 }
 
-// choose returns up to the wanted number of free nodes, the cheapest first:
-// survivors, then nodes that hold the weights, then any.
+// choose returns up to want.Size free nodes: remaining nodes of the replica first, then nodes that
+// have the weights, then others.
 func (p *planner) choose(want Want, survivors []*Node) []*Node {
 	var free []*Node
 	for _, n := range p.nodes {
-		if n.usable() && p.taken[n.ID] == "" && want.Selects(n.Labels) && !p.heldByOther(n, want) {
+		if n.isUsable() && p.taken[n.ID] == "" && want.Selects(n.Labels) && !p.isReservedByOther(n, want) {
 			free = append(free, n)
 		}
 	}
@@ -333,7 +332,7 @@
 		switch {
 		case slices.Contains(survivors, n):
 			return 0
-		case n.holds(want.Version):
+		case n.hasWeights(want.Version):
 			return 1
 		default:
 			return 2
@@ -345,9 +344,9 @@
 	return free[:min(want.Size, len(free))]
 }
 
-// heldByOther reports whether the node belongs to a broken group of another
-// deployment of equal or higher priority, which comes first.
-func (p *planner) heldByOther(n *Node, want Want) bool {
+// isReservedByOther reports whether the node belongs to a broken group of another deployment with
+// equal or higher priority, which has precedence.
+func (p *planner) isReservedByOther(n *Node, want Want) bool {
 	for _, other := range p.wants {
 		if other.Deployment == want.Deployment || other.Priority < want.Priority {
 			continue
@@ -361,8 +360,8 @@
 	return false
 }
 
-// preempt takes whole replicas that are not wanted, or of lower priority, until
-// missing nodes are found, or none at all when there are not enough.
+// preempt takes whole replicas that are surplus or of lower priority until the missing nodes are
+// found. It takes none if there are not enough.
 func (p *planner) preempt(want Want, missing int) []*Node {
 	var found []*Node
 	var victims []*group
@@ -370,7 +369,7 @@
 		if len(found) >= missing {
 			break
 		}
-		if usable := p.usableOf(g, want); len(usable) > 0 {
+		if usable := p.usableNodes(g, want); len(usable) > 0 {
 			victims = append(victims, g)
 			found = append(found, usable...)
 		}
@@ -379,13 +378,13 @@
 		return nil
 	}
 	for _, g := range victims {
-		p.giveUp(g, want.Deployment)
+		p.dissolve(g, want.Deployment)
 	}
 	return found[:missing]
 }
 
-// victims returns the kept replicas that give way to the want: first those
-// beyond the wanted number, then those of lower priority, the lowest first.
+// victims returns the kept replicas that the want may preempt: first those beyond the wanted
+// number, then those of lower priority, the lowest first.
 func (p *planner) victims(want Want) []*group {
 	var extra, lower []*group
 	for _, other := range slices.Backward(p.wants) {
@@ -402,17 +401,17 @@
 	return append(extra, lower...)
 }
 
-func (p *planner) usableOf(g *group, want Want) []*Node {
+func (p *planner) usableNodes(g *group, want Want) []*Node {
 	var usable []*Node
 	for _, n := range g.nodes {
-		if n.usable() && want.Selects(n.Labels) {
+		if n.isUsable() && want.Selects(n.Labels) {
 			usable = append(usable, n)
 		}
 	}
 	return usable
 }
 
-func (p *planner) giveUp(g *group, to string) {
+func (p *planner) dissolve(g *group, to string) {
 	p.plan.Kept = slices.DeleteFunc(p.plan.Kept, func(id string) bool { return id == g.id })
 	if !p.extra[g.id] {
 		p.plan.Dark[g.id] = "its nodes went to " + to + ", which has the higher priority"
@@ -422,7 +421,7 @@
 	}
 }
 
-// release frees the nodes of replicas that nobody wants any more.
+// release releases the nodes of replicas that are no longer wanted.
 func (p *planner) release() {
 	for _, id := range slices.Sorted(maps.Keys(p.nodes)) {
 		n := p.nodes[id]
@@ -436,7 +435,7 @@
 	}
 }
 
-// explainIdle says why the nodes that are left belong to no replica.
+// explainIdle records why the remaining nodes belong to no replica.
 func (p *planner) explainIdle() {
 	for id, n := range p.nodes {
 		if p.taken[id] == "" {
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// idleNodes returns n answering nodes that belong to nothing.
+// idleNodes returns n answering nodes without assignments.
 func idleNodes(n int) []Node {
 	nodes := make([]Node, n)
 	for i := range nodes {
@@ -31,7 +31,7 @@
 	return nodes
 }
 
-// carryOut makes the nodes as they are when the plan's orders are done.
+// carryOut returns the nodes after the plan's orders are carried out.
 func carryOut(nodes []Node, p Plan, generation uint64) []Node {
 	next := make([]Node, len(nodes))
 	copy(next, nodes)
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestFillStandsIn forms a further replica from idle nodes. When the wanted one
-// loses a node, the further one takes its place at once, with nothing moved;
-// when both lose one, the survivors form one replica.
-func TestFillStandsIn(t *testing.T) {
+// TestExtraReplicaReplacesBrokenOne forms an additional replica from idle nodes. If the wanted one
+// loses a node, the additional one must replace it without any order; if both lose one, the
+// remaining nodes must form one replica.
+func TestExtraReplicaReplacesBrokenOne(t *testing.T) {
 	filling := want("chat", 1, 0)
 	filling.Fill = true
 	in := Input{Domain: "d", Nodes: idleNodes(8), Wants: []Want{filling}}
@@ -145,8 +145,8 @@
 	assert.Equal(t, len(p.Formations), 1)
 }
 
-// TestRollLoadsFirst takes a replica to a new version only when its nodes hold
-// the weights.
+// TestRollLoadsFirst checks that a replica changes its version only after its nodes have the
+// weights.
 func TestRollLoadsFirst(t *testing.T) {
 	in := Input{Domain: "d", Nodes: idleNodes(4), Wants: []Want{want("chat", 1, 0)}}
 	in.Nodes = carryOut(in.Nodes, Make(in), 1)
@@ -193,9 +193,9 @@
 	return in
 }
 
-// TestPlanIsSound draws domains in any state. A plan must use each node once,
-// only nodes that may be used, whole replicas only, and be the same each time;
-// carried out, it must come to rest.
+// TestPlanIsSound plans domains in arbitrary states. A plan must use each node at most once, use
+// only usable nodes and complete replicas, and be deterministic. Carrying it out repeatedly must
+// reach a stable state.
 func TestPlanIsSound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := drawInput(rt)
@@ -236,13 +236,13 @@
 		}
 	}
 	for _, l := range p.Preloads {
-		if !byID[l.Node].usable() {
+		if !byID[l.Node].isUsable() {
 			t.Fatalf("node %s must not preload", l.Node)
 		}
 	}
 }
 
-// checkFormations returns the replica that uses each node.
+// checkFormations checks the formations and returns the replica that uses each node.
 func checkFormations(t *rapid.T, byID map[string]Node, p Plan) map[string]string {
 	used := make(map[string]string)
 	for _, f := range p.Formations {
@@ -254,7 +254,7 @@
 				t.Fatalf("node %s is used by %s and %s", s.Node, other, f.Replica)
 			}
 			used[s.Node] = f.Replica
-			if n := byID[s.Node]; !n.usable() {
+			if n := byID[s.Node]; !n.isUsable() {
 				t.Fatalf("%s uses node %+v", f.Replica, n)
 			}
 		}
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Inflight counts the requests that this daemon has sent to each replica and
-// not yet ended. It is safe for concurrent use.
+// Inflight counts the unfinished requests of this daemon by replica and by client account. It is
+// safe for concurrent use.
 type Inflight struct {
 	mu       sync.Mutex
-	replicas map[string]*flights
+	replicas map[string]*replicaCount
 	accounts map[string]int
 	total    int
 }
 
-// flights is the count of one replica.
-type flights struct {
+// replicaCount is the count of one replica.
+type replicaCount struct {
 	own int
-	// report is the deadline of the last report seen, by which a new one is told.
+	// report is the deadline of the last report seen, which identifies the report.
 	report      time.Time
 	ownAtReport int
 }
 
-// NewInflight returns a count of nothing.
+// NewInflight returns a counter without requests.
 func NewInflight() *Inflight {
-	return &Inflight{replicas: make(map[string]*flights), accounts: make(map[string]int)}
+	return &Inflight{replicas: make(map[string]*replicaCount), accounts: make(map[string]int)}
 }
 
-// Observe returns the replica's own count now and at its last report, which
-// the deadline that came with the report identifies.
+// Observe returns the replica's count now and at the time of its last report. The deadline that
+// came with the report identifies it.
 func (f *Inflight) Observe(replica string, report time.Time) (own, ownAtReport int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,7 +39,7 @@
 	return r.own, r.ownAtReport
 }
 
-// Count returns the replica's own count now.
+// Count returns the number of requests in flight at the replica.
 func (f *Inflight) Count(replica string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,8 +49,8 @@
 	return 0
 }
 
-// Start counts a request of a client account to a replica. The returned
-// function ends it; it does so once, however often it is called.
+// Start counts a request of a client account to a replica until the returned function is called,
+// which may be called more than once.
 func (f *Inflight) Start(replica, account string) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,7 +71,8 @@
 	}
 }
 
-// Account returns the account's requests in flight and how many accounts have any.
+// Account returns the number of the account's requests in flight, and the number of accounts with
+// requests in flight, the given one included.
 func (f *Inflight) Account(account string) (own, active int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,17 +83,17 @@
 	return own, active
 }
 
-// Total returns how many requests are in flight.
+// Total returns the number of requests in flight.
 func (f *Inflight) Total() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.total
 }
 
-func (f *Inflight) replica(id string) *flights {
+func (f *Inflight) replica(id string) *replicaCount {
 	r, ok := f.replicas[id]
 	if !ok {
-		r = &flights{}
+		r = &replicaCount{}
 		f.replicas[id] = r
 	}
 	return r
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -1,5 +1,5 @@
-// Package routing chooses the replica that answers a request. It keeps no
-// state of its own and does no I/O.
+// Package routing chooses the replica that serves a request, and counts the requests in flight
+// that the choice is based on. It does no I/O.
 package routing
 
 import (
@@ -11,32 +11,31 @@
 
 // Candidate is a replica as the router sees it now.
 type Candidate struct {
-	// ID names the replica.
+	// ID is the ID of the replica.
 	ID string
-	// Own is how many requests this daemon has in flight there.
+	// Own is the number of requests that this daemon has in flight at the replica.
 	Own int
-	// OwnAtReport is how many it had when the replica's last report came in.
+	// OwnAtReport is the value of Own when the replica's last report arrived.
 	OwnAtReport int
-	// Reported is how many requests the replica reported, running and queued.
+	// Reported is the number of running and queued requests in the replica's last report.
 	Reported int
-	// Slots is how many it works on at once, zero for unknown.
+	// Slots is the number of requests that the replica runs at once, zero if unknown.
 	Slots int
 }
 
 const (
-	// defaultSlots stands in for a replica that has not reported its slots.
+	// defaultSlots is assumed for a replica that has not reported its slots.
 	defaultSlots = 8
-	// homes is how many replicas a prefix may be kept at.
-	homes = 2
-	// homeSlack and homeSpare bound how many of this daemon's requests a home may
-	// have: homeSlack times the mean, and homeSpare more. docs/MEASUREMENTS.md
-	// tells how they were chosen.
-	homeSlack = 1.25
-	homeSpare = 0.0
+	// homeCount is the number of replicas that a prefix is preferably routed to.
+	homeCount = 2
+	// homeLoadFactor and homeLoadExtra limit this daemon's requests at a home replica:
+	// homeLoadFactor times the mean of all candidates, plus homeLoadExtra.
+	homeLoadFactor = 1.25
+	homeLoadExtra  = 0.0
 )
 
-// Occupancy returns the replica's expected load as a share of its slots: the
-// report, corrected by what this daemon has started and ended since.
+// Occupancy returns the replica's expected load relative to its slots: the reported load,
+// corrected by the requests that this daemon has started and finished since the report.
 func (c Candidate) Occupancy() float64 {
 	expected := max(c.Reported+c.Own-c.OwnAtReport, c.Own)
 	return float64(expected) / float64(c.slots())
@@ -49,26 +48,25 @@
 	return c.Slots
 }
 
-// Prefix returns the hash by which requests that share the beginning of their
-// prompt are brought together, within one client account.
+// Prefix returns a hash of the beginning of a prompt and the client account. Requests with the
+// same hash are preferably routed to the same replicas.
 func Prefix(account, prompt string) uint64 {
 	const prefixBytes = 256
 	return hash(account + "\x00" + prompt[:min(len(prompt), prefixBytes)])
 }
 
-// Pick returns the index of the candidate for a request, -1 for none.
+// Pick returns the index of the candidate for a request, -1 if there are none.
 //
-// The first of the prefix's homes that is not clearly busier than the mean is
-// taken: homes are the same at every daemon, so prefixes stay cached, and a
-// popular prefix spreads over several homes. Otherwise the request goes to a
-// replica with the fewest of this daemon's own requests. Reports break ties
-// alone: they are older than most requests, and daemons that follow the same
-// stale report all choose alike.
+// It prefers the first of the prefix's home replicas that is not much busier than the mean. Homes
+// are the same at every daemon, so prefixes stay cached, and a popular prefix is spread over
+// several homes. Otherwise it picks a replica with the fewest requests of this daemon. Reports are
+// only used to break ties: they are older than most requests, and daemons that rely on the same
+// stale report would all pick the same replica.
 func Pick(candidates []Candidate, prefix uint64, random *rand.Rand) int {
 	if len(candidates) == 0 {
 		return -1
 	}
-	bound := homeSlack*meanOwn(candidates) + homeSpare
+	bound := homeLoadFactor*meanOwn(candidates) + homeLoadExtra
 	for _, home := range homesOf(candidates, prefix) {
 		if float64(candidates[home].Own) <= bound {
 			return home
@@ -81,7 +79,7 @@
 	return float64(Own(candidates)) / float64(len(candidates))
 }
 
-// leastOwn returns, of two random candidates with the fewest own requests, the
+// leastOwn picks two random candidates among those with the fewest own requests, and returns the
 // less occupied one.
 func leastOwn(candidates []Candidate, random *rand.Rand) int {
 	first, second, found := -1, -1, 0
@@ -91,7 +89,7 @@
 			first, second, found = i, i, 1
 		case c.Own == candidates[first].Own:
 			found++
-			// Each of the candidates found is as likely as any other.
+			// Reservoir sampling: all candidates are equally likely.
 			if random.IntN(found) == 0 {
 				first = i
 			}
@@ -106,11 +104,11 @@
 	return first
 }
 
-// homesOf returns the candidates with the highest rendezvous scores for the
-// prefix, the highest first.
+// homesOf returns the candidates with the highest rendezvous scores for the prefix, the highest
+// first.
 func homesOf(candidates []Candidate, prefix uint64) []int {
-	var best [homes]int
-	var scores [homes]uint64
+	var best [homeCount]int
+	var scores [homeCount]uint64
 	n := 0
 	for i, c := range candidates {
 		score := mix(hash(c.ID) ^ prefix)
@@ -118,10 +116,10 @@
 		for place > 0 && scores[place-1] < score {
 			place--
 		}
-		if place == homes {
+		if place == homeCount {
 			continue
 		}
-		n = min(n+1, homes)
+		n = min(n+1, homeCount)
 		copy(best[place+1:], best[place:])
 		copy(scores[place+1:], scores[place:])
 		best[place], scores[place] = i, score
@@ -129,8 +127,7 @@
 	return best[:n]
 }
 
-// LeastOccupancy returns the lowest occupancy of the candidates, infinity for
-// none.
+// LeastOccupancy returns the lowest occupancy of the candidates, infinity if there are none.
 func LeastOccupancy(candidates []Candidate) float64 {
 	least := math.Inf(1)
 	for _, c := range candidates {
@@ -139,8 +136,7 @@
 	return least
 }
 
-// MeanOccupancy returns the mean occupancy weighted by slots, infinity for no
-// candidates.
+// MeanOccupancy returns the mean occupancy weighted by slots, infinity if there are no candidates.
 func MeanOccupancy(candidates []Candidate) float64 {
 	var load, slots float64
 	for _, c := range candidates {
@@ -153,7 +149,7 @@
 	return load / slots
 }
 
-// Own returns how many requests this daemon has in flight at the candidates.
+// Own returns the number of requests that this daemon has in flight at the candidates.
 func Own(candidates []Candidate) int {
 	sum := 0
 	for _, c := range candidates {
@@ -175,7 +171,7 @@
 	return xxhash.Sum64String(text)
 }
 
-// mix spreads the bits of a weak hash (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64, which spreads the bits of a weak hash.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -24,13 +24,13 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestPickOfNothing(t *testing.T) {
+func TestPickWithoutCandidates(t *testing.T) {
 	assert.Equal(t, Pick(nil, 1, random()), -1)
 }
 
-// TestSamePrefixGoesHome lets two daemons with nothing in flight choose the
-// same replica for one prefix.
-func TestSamePrefixGoesHome(t *testing.T) {
+// TestSamePrefixPicksSameReplica checks that daemons without requests in flight pick the same
+// replica for a prefix.
+func TestSamePrefixPicksSameReplica(t *testing.T) {
 	prefix := Prefix("account", "prompt")
 	first := Pick(candidates(0, 0, 0, 0, 0), prefix, random())
 	for seed := range uint64(20) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestPickIsBounded draws loads: whatever the prefix, a request never goes to
-// a replica with clearly more of this daemon's requests than the mean.
+// TestPickIsBounded checks for arbitrary loads that a request never goes to a replica with far
+// more of this daemon's requests than the mean.
 func TestPickIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		own := rapid.SliceOfN(rapid.IntRange(0, 40), 1, 60).Draw(rt, "own")
@@ -49,14 +49,14 @@
 		for _, c := range all {
 			least = min(least, c.Own)
 		}
-		if float64(all[i].Own) > homeSlack*meanOwn(all)+homeSpare && all[i].Own > least {
+		if float64(all[i].Own) > homeLoadFactor*meanOwn(all)+homeLoadExtra && all[i].Own > least {
 			rt.Fatalf("picked one with %d, mean %g, least %d", all[i].Own, meanOwn(all), least)
 		}
 	})
 }
 
-// TestRemovedReplicaMovesFewPrefixes takes one of 60 replicas away: only its
-// own prefixes may move.
+// TestRemovedReplicaMovesFewPrefixes checks that removing one of 60 replicas moves only its own
+// prefixes.
 func TestRemovedReplicaMovesFewPrefixes(t *testing.T) {
 	all := candidates(make([]int, 60)...)
 	for prefix := range uint64(500) {
