--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -83,14 +83,14 @@
 		least     int
 		most      int
 	}{
-		"a worker that is not cold":            {bearableRate, func(f *fixture) { f.list("w", 0) }, all, all},
-		"a cold one":                           {bearableRate, func(f *fixture) { f.list("w", 3000) }, 9, 12},
-		"a cold one, later":                    {bearableRate, func(f *fixture) { f.list("w", 3000); time.Sleep(time.Second) }, 9, 12},
-		"one that was cold":                    {bearableRate, func(f *fixture) { f.list("w", 3000); time.Sleep(3 * time.Second) }, all, all},
-		"another one is cold":                  {bearableRate, func(f *fixture) { f.list("w", 0); f.list("v", 3000) }, all, all},
-		"a service that tells no figure":       {0, func(f *fixture) { f.list("w", 3000) }, all, all},
-		"a service that bears next to nothing": {0.1, func(f *fixture) { f.list("w", 3000) }, 0, 1},
-		"it turns cold between two entries": {bearableRate, func(f *fixture) {
+		"a worker that is not cold":       {bearableRate, func(f *fixture) { f.list("w", 0) }, all, all},
+		"a cold worker":                   {bearableRate, func(f *fixture) { f.list("w", 3000) }, 9, 12},
+		"a cold worker, later":            {bearableRate, func(f *fixture) { f.list("w", 3000); time.Sleep(time.Second) }, 9, 12},
+		"a worker that has warmed up":     {bearableRate, func(f *fixture) { f.list("w", 3000); time.Sleep(3 * time.Second) }, all, all},
+		"another worker is cold":          {bearableRate, func(f *fixture) { f.list("w", 0); f.list("v", 3000) }, all, all},
+		"a service without a limit":       {0, func(f *fixture) { f.list("w", 3000) }, all, all},
+		"a service with a very low limit": {0.1, func(f *fixture) { f.list("w", 3000) }, 0, 1},
+		"a worker that turns cold between two entries": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.Look(time.Now())
 			f.list("w", 3000)
@@ -116,7 +116,7 @@
 			f.hall(true)
 			f.hall(false)
 		}, 9, 12},
-		"its hall was opened, and its entry tells how long": {bearableRate, func(f *fixture) {
+		"its hall was opened, and its entry covers that": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.hall(true)
 			f.hall(false)
@@ -129,7 +129,7 @@
 			f.list("w", 0)
 			f.Look(time.Now())
 		}, all, all},
-		"its hall was opened again since its entry told": {bearableRate, func(f *fixture) {
+		"its hall was opened again after its entry": {bearableRate, func(f *fixture) {
 			f.list("w", 0)
 			f.hall(true)
 			f.hall(false)
@@ -140,14 +140,14 @@
 			f.hall(true)
 			f.hall(false)
 		}, 9, 12},
-		"its hall was opened, and its entry tells of an earlier time": {bearableRate, func(f *fixture) {
+		"its hall was opened, and its entry is of an earlier warm-up": {bearableRate, func(f *fixture) {
 			f.list("w", 3000)
 			time.Sleep(2 * time.Second)
 			f.hall(true)
 			f.hall(false)
 			time.Sleep(2 * time.Second)
 		}, 9, 12},
-		"nothing is known": {bearableRate, func(f *fixture) { f.config = nil; f.list("w", 3000) }, all, all},
+		"no configuration is known": {bearableRate, func(f *fixture) { f.config = nil; f.list("w", 3000) }, all, all},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/allowance/share_test.go
+++ b/allowance/share_test.go
@@ -18,16 +18,16 @@
 		least     float64
 		most      float64
 	}{
-		"a large fleet":             {Bound{1.5, 5}, 14, 90, maxHolders, 1, 14.0 / maxHolders},
-		"one daemon":                {Bound{1.5, 5}, 14, 1, 1, 10, 11},
-		"no daemon is known":        {Bound{1.5, 5}, 14, 0, 1, 10, 11},
-		"workers that bear little":  {Bound{1.5, 2}, 2, 90, 1, 0.5, 1},
-		"one view is counted on":    {Bound{1, 0}, 2.5, 90, 1, 0.2, 0.5},
-		"nothing may be sent":       {Bound{1, 0}, 1, 90, 1, 0, 0},
-		"no burst is named":         {Bound{}, 14, 90, maxHolders, 2, 2.1},
-		"slack that is no slack":    {Bound{1.5, -5}, 14, 90, maxHolders, 3, 4},
-		"never more than it bears":  {Bound{1.5, 500}, 14, 90, maxHolders, 14.0 / maxHolders, 14.0 / maxHolders},
-		"few daemons send the most": {Bound{1.5, 5}, 14, 2, 2, 4, 5},
+		"a large fleet":                 {Bound{1.5, 5}, 14, 90, maxHolders, 1, 14.0 / maxHolders},
+		"one daemon":                    {Bound{1.5, 5}, 14, 1, 1, 10, 11},
+		"no daemon is known":            {Bound{1.5, 5}, 14, 0, 1, 10, 11},
+		"workers with a low limit":      {Bound{1.5, 2}, 2, 90, 1, 0.5, 1},
+		"only one view is assumed":      {Bound{1, 0}, 2.5, 90, 1, 0.2, 0.5},
+		"nothing may be sent":           {Bound{1, 0}, 1, 90, 1, 0, 0},
+		"no burst is named":             {Bound{}, 14, 90, maxHolders, 2, 2.1},
+		"negative slack":                {Bound{1.5, -5}, 14, 90, maxHolders, 3, 4},
+		"no more than the worker bears": {Bound{1.5, 500}, 14, 90, maxHolders, 14.0 / maxHolders, 14.0 / maxHolders},
+		"few daemons send the most":     {Bound{1.5, 5}, 14, 2, 2, 4, 5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/allowance/sum_test.go
+++ b/allowance/sum_test.go
@@ -35,9 +35,9 @@
 	// when it is killed and started again.
 	frozen, slow span
 	restarts     []time.Duration
-	// held lists the send deadlines of requests that have a token and wait for their connection.
-	held []time.Time
-	sent []time.Time
+	// pending lists the send deadlines of requests that have a token and wait for their connection.
+	pending []time.Time
+	sent    []time.Time
 }
 
 // span is a period relative to the start of the test.
@@ -48,7 +48,7 @@
 func (d *daemon) begin(bound Bound, now time.Time) {
 	view := viewOf(&fleet.Worker{ID: "w", Service: "models", Zone: "hall", ColdLeft: 1 << 30}, now)
 	config := configOf(bearableRate)
-	d.held = nil
+	d.pending = nil
 	d.allowance = New(Options{
 		Self: d.id, Members: func() []string { return d.members }, Bound: bound,
 		View: func() *fleet.View { return view }, Halls: func() *fleet.HallView { return nil },
@@ -67,17 +67,17 @@
 		return
 	}
 	if sendBy, ok := d.allowance.Take(cold, now); ok {
-		d.held = append(d.held, sendBy)
+		d.pending = append(d.pending, sendBy)
 	}
 	if d.slow.covers(at) {
 		return
 	}
-	for _, sendBy := range d.held {
+	for _, sendBy := range d.pending {
 		if !now.After(sendBy) {
 			d.sent = append(d.sent, now)
 		}
 	}
-	d.held = nil
+	d.pending = nil
 }
 
 // maxPerSecond returns the number of requests sent in the busiest second.
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -130,28 +130,28 @@
 		t.publish(worker, nil)
 		return
 	}
-	d, key := t.opts.Bound.divide(r.perSecond, len(holders.halls)*MembersMost), worker
-	if silent := now.Sub(r.namedAt); silent > staleAfter {
-		d, key = t.opts.Bound.single(r.perSecond), staleKey(worker, silent)
+	split, key := t.opts.Bound.divide(r.perSecond, len(holders.halls)*MembersMost), worker
+	if silent := now.Sub(r.limitReportedAt); silent > staleAfter {
+		split, key = t.opts.Bound.singleShare(r.perSecond), staleKey(worker, silent)
 	}
-	held := holders.sharesOf(key, d.shares)
-	rate := d.rate * float64(held)
+	shares := holders.sharesOf(key, split.shares)
+	rate := split.rate * float64(shares)
 	switch {
-	case held == 0:
+	case shares == 0:
 		r.bucket = nil
 	case r.bucket == nil:
-		r.bucket = allowance.NewBucket(rate, held, now)
-	case rate != r.rate || held != r.shares:
-		r.bucket.Retune(rate, held, now)
+		r.bucket = allowance.NewBucket(rate, shares, now)
+	case rate != r.rate || shares != r.shares:
+		r.bucket.Retune(rate, shares, now)
 	}
-	r.rate, r.shares = rate, held
+	r.rate, r.shares = rate, shares
 	t.publish(worker, &limit{born: r.born, bucket: r.bucket})
 }
 
 // publish makes a worker's limit visible to requests; nil removes it. The caller must hold t.mu.
 func (t *Table) publish(worker string, l *limit) {
-	held, ok := (*t.limits.Load())[worker]
-	if l == nil && !ok || l != nil && ok && *l == *held {
+	published, ok := (*t.limits.Load())[worker]
+	if l == nil && !ok || l != nil && ok && *l == *published {
 		return
 	}
 	next := maps.Clone(*t.limits.Load())
--- a/backpressure/limits_test.go
+++ b/backpressure/limits_test.go
@@ -16,10 +16,10 @@
 		head  fleet.Worker
 		bound bool
 	}{
-		"that life":        {fleet.Worker{ID: "w", Born: 1}, true},
-		"its next life":    {fleet.Worker{ID: "w", Born: 2}, false},
-		"an earlier entry": {fleet.Worker{ID: "w"}, false},
-		"another worker":   {fleet.Worker{ID: "v", Born: 1}, false},
+		"that incarnation":     {fleet.Worker{ID: "w", Born: 1}, true},
+		"its next incarnation": {fleet.Worker{ID: "w", Born: 2}, false},
+		"an earlier entry":     {fleet.Worker{ID: "w"}, false},
+		"another worker":       {fleet.Worker{ID: "v", Born: 1}, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			later := start.Add(time.Minute)
 			sendBy, ok := table.Take(r, later)
 			assert.Assert(t, ok)
-			assert.Equal(t, sendBy.IsZero(), !test.bound, "a token is void after a moment")
+			assert.Equal(t, sendBy.IsZero(), !test.bound, "a token is valid for a limited time")
 		})
 	}
 }
--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -49,7 +49,7 @@
 	var fresh, rest []string
 	for id, r := range t.records {
 		switch {
-		case !r.heardHere && !passesOn:
+		case !r.observedLocally && !passesOn:
 		case now.Sub(r.changedAt) < changeReportPeriod:
 			fresh = append(fresh, id)
 		case r.limited || r.leaving:
@@ -59,7 +59,7 @@
 	slices.SortFunc(fresh, func(a, b string) int {
 		return cmp.Or(t.records[b].changedAt.Compare(t.records[a].changedAt), strings.Compare(a, b))
 	})
-	rest, t.turn = turn.Few(rest, t.turn, maxRotatedEntries, strings.Compare)
+	rest, t.nextWorker = turn.Few(rest, t.nextWorker, maxRotatedEntries, strings.Compare)
 	var all []Entry
 	for _, id := range append(fresh[:min(len(fresh), maxChangedEntries)], rest...) {
 		all = append(all, t.records[id].entry(id, now))
@@ -72,9 +72,9 @@
 	switch {
 	case r.limited:
 		perSecond := r.perSecond
-		e.Limit, e.Named = &perSecond, ageMillis(r.namedAt, now)
-	case !r.droppedAt.IsZero():
-		e.Dropped = ageMillis(r.droppedAt, now)
+		e.Limit, e.Named = &perSecond, ageMillis(r.limitReportedAt, now)
+	case !r.limitEndedAt.IsZero():
+		e.Dropped = ageMillis(r.limitEndedAt, now)
 	}
 	return e
 }
@@ -102,7 +102,7 @@
 func (t *Table) merge(e *Entry, by string, at, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if held, ok := t.records[e.Worker]; ok && held.born > e.Born || !ok && e.Limit == nil && !e.Leaves {
+	if known, ok := t.records[e.Worker]; ok && known.born > e.Born || !ok && e.Limit == nil && !e.Leaves {
 		return nil
 	}
 	w := &fleet.Worker{ID: e.Worker, Born: e.Born}
@@ -110,9 +110,9 @@
 	c := changesOf(w, by)
 	named, dropped := at.Add(-durationOf(e.Named)), at.Add(-durationOf(e.Dropped))
 	switch {
-	case e.Limit != nil && named.After(r.droppedAt) && named.After(r.namedAt):
+	case e.Limit != nil && named.After(r.limitEndedAt) && named.After(r.limitReportedAt):
 		c.add(r.setLimit(*e.Limit, named, now))
-	case e.Dropped > 0 && dropped.After(r.namedAt.Add(dropAgeTolerance)):
+	case e.Dropped > 0 && dropped.After(r.limitReportedAt.Add(dropAgeTolerance)):
 		c.add(r.clearLimit(dropped, now))
 	}
 	if e.Leaves {
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -29,67 +29,67 @@
 	w := &fleet.Worker{ID: "w", Born: 7}
 	second := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	tests := map[string]struct {
-		play    func(a, b *Table)
-		limited int
-		leaves  bool
+		exchange func(a, b *Table)
+		limited  int
+		leaves   bool
 	}{
-		"a limit": {play: func(a, b *Table) {
+		"a limit": {exchange: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			pass(t, a, b, second(1), false)
 		}, limited: 1},
-		"a limit that is told in its turn": {play: func(a, b *Table) {
+		"a limit reported in rotation": {exchange: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			pass(t, a, b, second(9), false)
 		}, limited: 1},
-		"that it ended": {play: func(a, b *Table) {
+		"the end of a limit": {exchange: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			pass(t, a, b, second(1), false)
 			a.Hear(w, noLimit, second(3), second(4))
 			pass(t, a, b, second(4), false)
 		}},
-		"that it ended, which the peer has heard otherwise since": {play: func(a, b *Table) {
+		"the end of a limit that the peer received again since": {exchange: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			a.Hear(w, noLimit, second(1), second(2))
 			b.Hear(w, named(2), second(1), second(2))
 			pass(t, a, b, second(3), false)
 		}, limited: 1},
-		"that it ended, a moment after the peer heard it": {play: func(a, b *Table) {
+		"the end of a limit shortly after the peer received it": {exchange: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			b.Hear(w, named(1.5), start, start)
 			a.Hear(w, noLimit, start.Add(dropAgeTolerance/2), second(1))
 			pass(t, a, b, second(1), false)
 		}, limited: 1},
-		"an old word, after it ended": {play: func(a, b *Table) {
+		"an old limit after its end": {exchange: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			b.Hear(w, named(1.5), start, start)
 			b.Hear(w, noLimit, second(1), second(2))
 			pass(t, a, b, second(3), false)
 		}},
-		"that it leaves": {play: func(a, b *Table) {
+		"a shutdown notice": {exchange: func(a, b *Table) {
 			a.Hear(w, Signal{Leaving: true}, start, start)
 			pass(t, a, b, second(1), false)
 		}, leaves: true},
-		"the word of an earlier life": {play: func(a, b *Table) {
+		"a limit of an earlier incarnation": {exchange: func(a, b *Table) {
 			a.Hear(&fleet.Worker{ID: "w", Born: 6}, named(1.5), start, start)
 			b.Hear(w, Signal{Rest: time.Second}, start, start)
 			pass(t, a, b, second(1), false)
 		}},
-		"the word of a later life": {play: func(a, b *Table) {
+		"a limit of a later incarnation": {exchange: func(a, b *Table) {
 			a.Hear(w, named(1.5), start, start)
 			b.Hear(&fleet.Worker{ID: "w", Born: 6}, Signal{Leaving: true}, start, start)
 			pass(t, a, b, second(1), false)
 		}, limited: 1},
-		"rest, which is the daemon's own": {play: func(a, b *Table) {
+		"a rest period, which is not reported": {exchange: func(a, b *Table) {
 			a.Hear(w, Signal{Rest: time.Hour}, start, start)
 			pass(t, a, b, second(1), false)
 		}},
-		"by way of one that passes on": {play: func(a, b *Table) {
+		"by way of a relay": {exchange: func(a, b *Table) {
 			relay := quietTable()
 			a.Hear(w, named(1.5), start, start)
 			pass(t, a, relay, second(1), false)
 			pass(t, relay, b, second(2), true)
 		}, limited: 1},
-		"by way of one that passes nothing on": {play: func(a, b *Table) {
+		"by way of a daemon that is no relay": {exchange: func(a, b *Table) {
 			other := quietTable()
 			a.Hear(w, named(1.5), start, start)
 			pass(t, a, other, second(1), false)
@@ -99,7 +99,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			a, b := quietTable(), quietTable()
-			test.play(a, b)
+			test.exchange(a, b)
 			assert.Equal(t, b.Limited(), test.limited)
 			assert.Equal(t, b.count(func(r *record) bool { return r.leaving }) > 0, test.leaves)
 			assert.Equal(t, b.Resting(second(1)), 0)
@@ -111,15 +111,15 @@
 func TestMergeSkipsInvalidEntries(t *testing.T) {
 	limitOf := func(perSecond float64) *float64 { return &perSecond }
 	tests := map[string]Entry{
-		"no worker":         {Limit: limitOf(1), Named: 1},
-		"a name of 4 KB":    {Worker: strings.Repeat("w", 4<<10), Limit: limitOf(1), Named: 1},
-		"a negative limit":  {Worker: "w", Limit: limitOf(-1), Named: 1},
-		"an absurd limit":   {Worker: "w", Limit: limitOf(1e9), Named: 1},
-		"no number":         {Worker: "w", Limit: limitOf(math.NaN()), Named: 1},
-		"an age to come":    {Worker: "w", Limit: limitOf(1), Named: -1},
-		"an end to come":    {Worker: "w", Dropped: -1},
-		"nothing":           {Worker: "w"},
-		"an end of nothing": {Worker: "w", Dropped: 1},
+		"no worker":                   {Limit: limitOf(1), Named: 1},
+		"a name of 4 KB":              {Worker: strings.Repeat("w", 4<<10), Limit: limitOf(1), Named: 1},
+		"a negative limit":            {Worker: "w", Limit: limitOf(-1), Named: 1},
+		"an absurd limit":             {Worker: "w", Limit: limitOf(1e9), Named: 1},
+		"a limit that is no number":   {Worker: "w", Limit: limitOf(math.NaN()), Named: 1},
+		"a negative age of a limit":   {Worker: "w", Limit: limitOf(1), Named: -1},
+		"a negative age of an end":    {Worker: "w", Dropped: -1},
+		"no limit and no notice":      {Worker: "w"},
+		"the end of an unknown limit": {Worker: "w", Dropped: 1},
 	}
 	for name, entry := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/backpressure/rests.go
+++ b/backpressure/rests.go
@@ -37,15 +37,15 @@
 func (r *Rests) Note(worker string, born int64, asked time.Duration, now time.Time) (began bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, next := (*r.entries.Load())[worker], rest{born: born, until: now.Add(asked)}
-	rested := before.isActive(born, now)
-	if rested && !next.until.After(before.until) {
+	previous, next := (*r.entries.Load())[worker], rest{born: born, until: now.Add(asked)}
+	wasResting := previous.isActive(born, now)
+	if wasResting && !next.until.After(previous.until) {
 		return false
 	}
-	held := maps.Clone(*r.entries.Load())
-	held[worker] = next
-	r.entries.Store(&held)
-	return !rested
+	updated := maps.Clone(*r.entries.Load())
+	updated[worker] = next
+	r.entries.Store(&updated)
+	return !wasResting
 }
 
 // Any reports whether any rest periods are recorded, ended ones included.
@@ -54,15 +54,15 @@
 // Until returns when the rest period of a worker's incarnation ends, and false if it is not
 // resting.
 func (r *Rests) Until(worker string, born int64, now time.Time) (until time.Time, rests bool) {
-	held := (*r.entries.Load())[worker]
-	return held.until, held.isActive(born, now)
+	entry := (*r.entries.Load())[worker]
+	return entry.until, entry.isActive(born, now)
 }
 
 // Count returns the number of resting workers.
 func (r *Rests) Count(now time.Time) int {
 	count := 0
-	for _, held := range *r.entries.Load() {
-		if now.Before(held.until) {
+	for _, entry := range *r.entries.Load() {
+		if now.Before(entry.until) {
 			count++
 		}
 	}
@@ -73,9 +73,9 @@
 func (r *Rests) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	left := maps.Clone(*r.entries.Load())
-	maps.DeleteFunc(left, func(_ string, o rest) bool { return !now.Before(o.until) })
-	if len(left) < len(*r.entries.Load()) {
-		r.entries.Store(&left)
+	remaining := maps.Clone(*r.entries.Load())
+	maps.DeleteFunc(remaining, func(_ string, o rest) bool { return !now.Before(o.until) })
+	if len(remaining) < len(*r.entries.Load()) {
+		r.entries.Store(&remaining)
 	}
 }
--- a/backpressure/rests_test.go
+++ b/backpressure/rests_test.go
@@ -20,14 +20,14 @@
 		// rests is when the worker's rest period ends, relative to start.
 		rests time.Duration
 	}{
-		"nothing":                        {worker: fleet.Worker{ID: "w"}},
-		"rest":                           {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
-		"a shorter one afterwards":       {words: []answer{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(s / 2)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
-		"a longer one afterwards":        {words: []answer{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(5 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 7 * s},
-		"an answer without one":          {words: []answer{{at: s, signal: asks(3 * s)}, {sent: s, at: 2 * s, signal: noLimit}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
-		"another worker":                 {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "v"}},
-		"another life":                   {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w", Born: 1}},
-		"another life that asks as well": {words: []answer{{at: s, signal: asks(9 * s)}, {born: 1, at: 2 * s, signal: asks(s)}}, worker: fleet.Worker{ID: "w", Born: 1}, rests: 3 * s},
+		"nothing":                               {worker: fleet.Worker{ID: "w"}},
+		"rest":                                  {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
+		"a shorter one afterwards":              {words: []answer{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(s / 2)}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
+		"a longer one afterwards":               {words: []answer{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(5 * s)}}, worker: fleet.Worker{ID: "w"}, rests: 7 * s},
+		"an answer without one":                 {words: []answer{{at: s, signal: asks(3 * s)}, {sent: s, at: 2 * s, signal: noLimit}}, worker: fleet.Worker{ID: "w"}, rests: 4 * s},
+		"another worker":                        {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "v"}},
+		"another incarnation":                   {words: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w", Born: 1}},
+		"another incarnation that asks as well": {words: []answer{{at: s, signal: asks(9 * s)}, {born: 1, at: 2 * s, signal: asks(s)}}, worker: fleet.Worker{ID: "w", Born: 1}, rests: 3 * s},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/backpressure/shares.go
+++ b/backpressure/shares.go
@@ -55,22 +55,22 @@
 // divide splits a limit into as many shares as the bound allows, each with a rate of at least
 // minShareRate. It leaves room for one more share, which a daemon unknown to the others may hold.
 // More shares lose less capacity when daemons are down or get few requests.
-func (b Bound) divide(perSecond float64, most int) division {
+func (b Bound) divide(perSecond float64, maxShares int) division {
 	total := max(perSecond, minProbeRate)
-	for shares := min(most, max(int(total/minShareRate), 1)); shares > 0; shares-- {
+	for shares := min(maxShares, max(int(total/minShareRate), 1)); shares > 0; shares-- {
 		rate := total / float64(shares)
 		if float64(shares+1)*b.maxSentPerShare(rate) <= b.maxRequests(perSecond) {
 			return division{shares: shares, rate: rate}
 		}
 	}
-	return b.single(perSecond)
+	return b.singleShare(perSecond)
 }
 
-// single returns a division into one share that stays within the bound even if two daemons hold
-// it.
-func (b Bound) single(perSecond float64) division {
-	const held = 2
-	rate := (b.maxRequests(perSecond)/held - 1) / (b.Window + allowance.SendWithin).Seconds()
+// singleShare returns a division into one share that stays within the bound even if two daemons
+// hold it.
+func (b Bound) singleShare(perSecond float64) division {
+	const holders = 2
+	rate := (b.maxRequests(perSecond)/holders - 1) / (b.Window + allowance.SendWithin).Seconds()
 	return division{shares: 1, rate: max(min(rate, max(perSecond, minProbeRate)), 0)}
 }
 
@@ -94,7 +94,7 @@
 // portion returns how many of the shares the given name gets when they are split evenly between
 // all names.
 func portion(name string, all []string, worker string, shares int) int {
-	rank := slices.Index(byWeight(all, worker), name)
+	rank := slices.Index(sortedByHash(all, worker), name)
 	if rank < 0 {
 		return 0
 	}
@@ -105,8 +105,8 @@
 	return each
 }
 
-// byWeight returns the names sorted by their hash with a worker, highest first.
-func byWeight(all []string, worker string) []string {
+// sortedByHash returns the names sorted by their hash with a worker, highest first.
+func sortedByHash(all []string, worker string) []string {
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b string) int {
 		return cmp.Or(cmp.Compare(allowance.Weigh(b, worker), allowance.Weigh(a, worker)), cmp.Compare(a, b))
@@ -114,8 +114,8 @@
 	return all
 }
 
-// staleKey returns a hash key for a worker whose limit is stale. It changes every staleAfter, so
-// that another daemon gets the share.
+// staleKey returns the key that replaces the ID of a worker whose limit is stale when shares are
+// assigned. It changes every staleAfter, so that another daemon gets the share.
 func staleKey(worker string, silent time.Duration) string {
 	return worker + "#" + strconv.Itoa(int(silent/staleAfter))
 }
--- a/backpressure/shares_test.go
+++ b/backpressure/shares_test.go
@@ -39,7 +39,7 @@
 			assert.Assert(t, d.rate*float64(d.shares) >= test.least*test.perSecond, "%.2f a second are used", d.rate*float64(d.shares))
 			sent := float64(d.shares+1) * testBound.maxSentPerShare(d.rate)
 			assert.Assert(t, sent <= testBound.maxRequests(test.perSecond), "%.1f sent", sent)
-			single := testBound.single(test.perSecond)
+			single := testBound.singleShare(test.perSecond)
 			assert.Assert(t, 2*testBound.maxSentPerShare(single.rate) <= testBound.maxRequests(test.perSecond)+1e-9)
 		})
 	}
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -37,12 +37,12 @@
 
 // changes collects the changes caused by one answer or report of a worker's incarnation.
 type changes struct {
-	of  Change
-	all []Change
+	base Change
+	all  []Change
 }
 
 func changesOf(w *fleet.Worker, by string) *changes {
-	return &changes{of: Change{Worker: w.ID, Born: w.Born, By: by}}
+	return &changes{base: Change{Worker: w.ID, Born: w.Born, By: by}}
 }
 
 // add appends a change unless it is empty.
@@ -50,7 +50,7 @@
 	if change.Event == "" {
 		return
 	}
-	change.Worker, change.Born, change.By = c.of.Worker, c.of.Born, c.of.By
+	change.Worker, change.Born, change.By = c.base.Worker, c.base.Born, c.base.By
 	c.all = append(c.all, change)
 }
 
@@ -80,19 +80,19 @@
 
 	mu      sync.Mutex
 	records map[string]*record
-	// turn is the worker at which the rotation of the next report starts.
-	turn string
+	// nextWorker is the worker at which the rotation of the next report starts.
+	nextWorker string
 }
 
 // record is what one incarnation of a worker reported.
 type record struct {
 	born int64
-	// limited means that the worker has a limit. namedAt is when the limit was last reported,
-	// droppedAt when the worker was last known to have none.
-	limited   bool
-	perSecond float64
-	namedAt   time.Time
-	droppedAt time.Time
+	// limited means that the worker has a limit. limitReportedAt is when the limit was last
+	// reported, limitEndedAt when the worker was last known to have none.
+	limited         bool
+	perSecond       float64
+	limitReportedAt time.Time
+	limitEndedAt    time.Time
 	// bucket holds the tokens of this daemon's shares; nil if it has none. shares is the number of
 	// shares, rate their total rate in requests a second.
 	bucket *allowance.Bucket
@@ -100,10 +100,10 @@
 	rate   float64
 	// leaving means that the worker is about to stop.
 	leaving bool
-	// heardHere means that this daemon received an answer of the worker itself. changedAt is when
+	// observedLocally means that this daemon received an answer of the worker itself. changedAt is when
 	// the record last changed, by an answer or by a peer's report.
-	heardHere bool
-	changedAt time.Time
+	observedLocally bool
+	changedAt       time.Time
 	// expiresAt is when the record is removed unless the worker is listed again.
 	expiresAt time.Time
 }
@@ -119,7 +119,7 @@
 // given time. An answer without a limit ends only a limit that was reported before that request
 // was sent, as answers may arrive out of order.
 func (t *Table) Hear(w *fleet.Worker, s Signal, sent, now time.Time) {
-	t.notify(t.hear(w, s, sent, now))
+	t.notify(t.observe(w, s, sent, now))
 }
 
 func (t *Table) notify(all []Change) {
@@ -128,11 +128,11 @@
 	}
 }
 
-func (t *Table) hear(w *fleet.Worker, s Signal, sent, now time.Time) []Change {
+func (t *Table) observe(w *fleet.Worker, s Signal, sent, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, ok := t.records[w.ID]
-	if !ok && !s.isActionable() || ok && held.born > w.Born {
+	known, ok := t.records[w.ID]
+	if !ok && !s.isActionable() || ok && known.born > w.Born {
 		// Either there is nothing to record, or the answer is of an earlier incarnation.
 		return nil
 	}
@@ -141,7 +141,7 @@
 	switch {
 	case s.Limited:
 		c.add(r.setLimit(s.PerSecond, now, now))
-	case s.Unlimited && r.limited && sent.After(r.namedAt):
+	case s.Unlimited && r.limited && sent.After(r.limitReportedAt):
 		c.add(r.clearLimit(sent, now))
 	}
 	if s.Rest > 0 && t.rests.Note(w.ID, w.Born, s.Rest, now) {
@@ -150,7 +150,7 @@
 	if s.Leaving {
 		c.add(r.setLeaving(now))
 	}
-	r.heardHere = r.heardHere || s.Limited || s.Leaving || len(c.all) > 0
+	r.observedLocally = r.observedLocally || s.Limited || s.Leaving || len(c.all) > 0
 	t.updateShares(w.ID, r, t.shareholders(), now)
 	return c.all
 }
@@ -160,13 +160,13 @@
 
 // setLimit records a limit reported at a time.
 func (r *record) setLimit(perSecond float64, at, now time.Time) Change {
-	held, before := r.limited, r.perSecond
-	r.limited, r.perSecond, r.namedAt = true, perSecond, at
+	wasLimited, previous := r.limited, r.perSecond
+	r.limited, r.perSecond, r.limitReportedAt = true, perSecond, at
 	switch {
-	case !held:
+	case !wasLimited:
 		r.changedAt = now
 		return Change{Event: LimitNamed, PerSecond: perSecond}
-	case before != perSecond:
+	case previous != perSecond:
 		r.changedAt = now
 		return Change{Event: LimitChanged, PerSecond: perSecond}
 	}
@@ -175,9 +175,9 @@
 
 // clearLimit records that the worker reported no limit at a time.
 func (r *record) clearLimit(at, now time.Time) Change {
-	held := r.limited
-	r.limited, r.droppedAt = false, at
-	if !held {
+	wasLimited := r.limited
+	r.limited, r.limitEndedAt = false, at
+	if !wasLimited {
 		return Change{}
 	}
 	r.changedAt = now
@@ -226,7 +226,7 @@
 	}
 }
 
-// EachLeaving calls f for each incarnation that is about to stop, without holding the lock.
+// EachLeaving calls visit for each incarnation that is about to stop, without holding the lock.
 func (t *Table) EachLeaving(visit func(worker string, born int64)) {
 	t.mu.Lock()
 	leaving := make(map[string]int64)
@@ -252,12 +252,12 @@
 // Leaving returns the number of workers that are about to stop.
 func (t *Table) Leaving() int { return t.count(func(r *record) bool { return r.leaving }) }
 
-func (t *Table) count(counts func(r *record) bool) int {
+func (t *Table) count(matches func(r *record) bool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, r := range t.records {
-		if counts(r) {
+		if matches(r) {
 			n++
 		}
 	}
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -31,22 +31,22 @@
 		// limited and resting are the expected counts ten seconds after start.
 		limited, resting int
 	}{
-		"nothing":                           {words: []answer{{at: s, signal: noLimit}}},
-		"a limit":                           {words: []answer{{at: s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
-		"the same limit again":              {words: []answer{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
-		"another limit":                     {words: []answer{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(0)}}, events: []Event{LimitNamed, LimitChanged}, limited: 1},
-		"no limit any more":                 {words: []answer{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed, LimitDropped}},
-		"an answer that began before":       {words: []answer{{at: 2 * s, signal: named(1.5)}, {sent: s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed}, limited: 1},
-		"an answer that says nothing":       {words: []answer{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s}}, events: []Event{LimitNamed}, limited: 1},
-		"another life says nothing":         {words: []answer{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: noLimit}}, events: []Event{LimitNamed}},
-		"another life has a limit too":      {words: []answer{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: named(3)}}, events: []Event{LimitNamed, LimitNamed}, limited: 1},
-		"rest":                              {words: []answer{{at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
-		"rest that is over":                 {words: []answer{{at: s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}},
-		"a longer rest":                     {words: []answer{{at: 8 * s, signal: Signal{Rest: s}}, {at: 8500 * time.Millisecond, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
-		"a shorter rest does not shorten":   {words: []answer{{at: 8 * s, signal: Signal{Rest: 3 * s}}, {at: 9 * s, signal: Signal{Rest: time.Millisecond}}}, events: []Event{RestAsked}, resting: 1},
-		"rest again":                        {words: []answer{{at: s, signal: Signal{Rest: s}}, {at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked, RestAsked}, resting: 1},
-		"it leaves, said twice":             {words: []answer{{at: s, signal: Signal{Leaving: true}}, {at: 2 * s, signal: Signal{Leaving: true}}}, events: []Event{Leaves}},
-		"it leaves, and names a limit, too": {words: []answer{{at: s, signal: Signal{Leaving: true, Limited: true, PerSecond: 1}}}, events: []Event{LimitNamed, Leaves}, limited: 1},
+		"nothing":                             {words: []answer{{at: s, signal: noLimit}}},
+		"a limit":                             {words: []answer{{at: s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
+		"the same limit again":                {words: []answer{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(1.5)}}, events: []Event{LimitNamed}, limited: 1},
+		"another limit":                       {words: []answer{{at: s, signal: named(1.5)}, {at: 2 * s, signal: named(0)}}, events: []Event{LimitNamed, LimitChanged}, limited: 1},
+		"the end of a limit":                  {words: []answer{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed, LimitDropped}},
+		"an answer to an earlier request":     {words: []answer{{at: 2 * s, signal: named(1.5)}, {sent: s, at: 3 * s, signal: noLimit}}, events: []Event{LimitNamed}, limited: 1},
+		"an unsigned answer without a limit":  {words: []answer{{at: s, signal: named(1.5)}, {sent: 2 * s, at: 3 * s}}, events: []Event{LimitNamed}, limited: 1},
+		"another incarnation has no limit":    {words: []answer{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: noLimit}}, events: []Event{LimitNamed}},
+		"another incarnation has a limit too": {words: []answer{{at: s, signal: named(1.5)}, {born: 1, at: 2 * s, signal: named(3)}}, events: []Event{LimitNamed, LimitNamed}, limited: 1},
+		"rest":                                {words: []answer{{at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
+		"rest that is over":                   {words: []answer{{at: s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}},
+		"a longer rest":                       {words: []answer{{at: 8 * s, signal: Signal{Rest: s}}, {at: 8500 * time.Millisecond, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
+		"a shorter rest does not shorten":     {words: []answer{{at: 8 * s, signal: Signal{Rest: 3 * s}}, {at: 9 * s, signal: Signal{Rest: time.Millisecond}}}, events: []Event{RestAsked}, resting: 1},
+		"rest again":                          {words: []answer{{at: s, signal: Signal{Rest: s}}, {at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked, RestAsked}, resting: 1},
+		"two shutdown notices":                {words: []answer{{at: s, signal: Signal{Leaving: true}}, {at: 2 * s, signal: Signal{Leaving: true}}}, events: []Event{Leaves}},
+		"a shutdown notice with a limit":      {words: []answer{{at: s, signal: Signal{Leaving: true, Limited: true, PerSecond: 1}}}, events: []Event{LimitNamed, Leaves}, limited: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -67,24 +67,24 @@
 	done chan struct{}
 
 	mu     sync.Mutex
-	closed map[string]*closing
+	closed map[string]*closedHall
 }
 
-// closing is the record of a closed hall.
-type closing struct {
+// closedHall is the record of a closed hall.
+type closedHall struct {
 	// revision is the revision of the document that closes the hall.
 	revision int64
 	// closedAt is when this daemon learned of the closing.
 	closedAt time.Time
-	// quietAt is when load reports no longer include requests sent by daemons that did not know of
+	// earliestEmptyAt is when load reports no longer include requests sent by daemons that did not know of
 	// the closing yet.
-	quietAt time.Time
-	empty   bool
+	earliestEmptyAt time.Time
+	empty           bool
 }
 
 // NewWatch returns a watch, which is started by Run.
 func NewWatch(opts Options) *Watch {
-	return &Watch{opts: opts, done: make(chan struct{}), closed: make(map[string]*closing)}
+	return &Watch{opts: opts, done: make(chan struct{}), closed: make(map[string]*closedHall)}
 }
 
 // Done is closed when Run has returned.
@@ -134,17 +134,17 @@
 	if c, ok := w.closed[name]; ok && c.revision == object.Revision() {
 		return
 	}
-	w.closed[name] = &closing{
+	w.closed[name] = &closedHall{
 		revision: object.Revision(), closedAt: now,
-		quietAt: now.Add(closeDelay + w.opts.ServeWindow + loadReportDelay),
+		earliestEmptyAt: now.Add(closeDelay + w.opts.ServeWindow + loadReportDelay),
 	}
 	w.opts.Logger.Info("data hall closed", "hall", name, "revision", object.Revision())
 }
 
 // obstacles returns the reasons why a closed hall may not be empty yet.
-func (w *Watch) obstacles(name string, c *closing, now time.Time) []string {
+func (w *Watch) obstacles(name string, c *closedHall, now time.Time) []string {
 	var all []string
-	if left := c.quietAt.Sub(now); left > 0 {
+	if left := c.earliestEmptyAt.Sub(now); left > 0 {
 		all = append(all, fmt.Sprintf("daemons that get the news late may still send to it for up to %d s", seconds(left)))
 	}
 	// Daemons on the majority side of a network partition keep serving.
@@ -219,20 +219,20 @@
 func (w *Watch) Statuses(now time.Time) []Status {
 	view := w.opts.Config()
 	byName := make(map[string]*Status)
-	of := func(name string) *Status {
+	statusOf := func(name string) *Status {
 		if byName[name] == nil {
 			byName[name] = &Status{Name: name}
 		}
 		return byName[name]
 	}
 	for _, h := range view.Halls() {
-		of(h.Name())
+		statusOf(h.Name())
 	}
 	for name, daemons := range w.opts.Daemons() {
-		of(name).Daemons = daemons
+		statusOf(name).Daemons = daemons
 	}
 	for _, report := range w.opts.Catalog.Reports() {
-		s := of(report.DataHall)
+		s := statusOf(report.DataHall)
 		s.Nodes += len(report.Nodes)
 		s.InFlight += w.inFlight(report)
 		for _, r := range report.Replicas {
--- a/intent/ledger.go
+++ b/intent/ledger.go
@@ -176,13 +176,13 @@
 	if err != nil {
 		return err
 	}
-	seen := l.opts.Follower.Fold().Watch(record.ID)
+	applied := l.opts.Follower.Fold().Watch(record.ID)
 	defer l.opts.Follower.Fold().Unwatch(record.ID)
 	if !l.submit(ctx, r.Key, record) && !l.queue.Offer(record) {
 		return failure.New(failure.Refused, "queue intent", Stream, "%d records wait already", queueSize)
 	}
 	select {
-	case <-seen:
+	case <-applied:
 		return nil
 	case <-ctx.Done():
 		return failure.At(failure.Unavailable, "settle intent", Stream, ctx.Err())
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -41,8 +41,8 @@
 	capacity map[string]int
 	// fitAt holds when daemons become ready and able to lead, if not from the start.
 	fitAt map[string]time.Time
-	// twice lists claims that were made by two daemons.
-	twice []string
+	// duplicates lists claims that were made by two daemons.
+	duplicates []string
 }
 
 type fakeDaemon struct {
@@ -86,7 +86,7 @@
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	if other, ok := d.fleet.claims[claim]; ok {
-		d.fleet.twice = append(d.fleet.twice, fmt.Sprintf("%v by %s and %s", claim, other, d.self.ID))
+		d.fleet.duplicates = append(d.fleet.duplicates, fmt.Sprintf("%v by %s and %s", claim, other, d.self.ID))
 	}
 	d.fleet.claims[claim] = d.self.ID
 }
@@ -267,7 +267,7 @@
 	f.set(func() { f.storeUp, f.cut = true, make(map[string]bool) })
 	f.reportEra()
 	time.Sleep(10 * time.Second)
-	return f.twice, f.leaders()
+	return f.duplicates, f.leaders()
 }
 
 // TestFleetStartNeedsFewAttempts starts many daemons before any is ready, and checks that only a
@@ -460,7 +460,7 @@
 			}
 			f.set(func() { f.storeUp, f.cut = true, make(map[string]bool) })
 			time.Sleep(10 * time.Second)
-			twice, leaders = f.twice, f.leaders()
+			twice, leaders = f.duplicates, f.leaders()
 			f.end()
 		})
 		if len(twice) > 0 {
--- a/ownership/decide_test.go
+++ b/ownership/decide_test.go
@@ -67,7 +67,7 @@
 		for position := range 3 {
 			rank := NextRank(used, position, 3)
 			assert.Assert(t, int(rank) > used)
-			if holder, dealt := owners[rank]; dealt {
+			if holder, assigned := owners[rank]; assigned {
 				assert.Equal(t, holder, position)
 			}
 			owners[rank] = position
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.nodes)) {
-		if n := p.nodes[id]; p.taken[id] == "" && n.Assignment.Empty() {
+		if n := p.nodes[id]; p.usedBy[id] == "" && n.Assignment.Empty() {
 			if want, ok := p.firstWant(n); ok {
 				add(n, want.Version, "warm spare for "+want.Deployment)
 			}
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -53,8 +53,8 @@
 	nodes  map[string]*Node
 	wants  []Want
 	groups map[string]*group
-	// taken maps each node in use to the replica that uses it.
-	taken map[string]string
+	// usedBy maps each node in use to the replica that uses it.
+	usedBy map[string]string
 	// placed counts the replicas of each deployment.
 	placed map[string]int
 	// broken lists the groups of each deployment that need repair.
@@ -72,7 +72,7 @@
 		nodes:  make(map[string]*Node, len(in.Nodes)),
 		wants:  slices.Clone(in.Wants),
 		groups: make(map[string]*group),
-		taken:  make(map[string]string),
+		usedBy: make(map[string]string),
 		placed: make(map[string]int),
 		broken: make(map[string][]*group),
 		extra:  make(map[string]bool),
@@ -165,7 +165,7 @@
 	p.plan.Kept = append(p.plan.Kept, g.id)
 	isLoading := false
 	for _, n := range g.nodes {
-		p.taken[n.ID] = g.id
+		p.usedBy[n.ID] = g.id
 		isLoading = isLoading || n.Phase == cluster.PhaseLoading
 	}
 	if isLoading {
@@ -228,7 +228,7 @@
 			continue
 		}
 		for _, n := range g.nodes {
-			delete(p.taken, n.ID)
+			delete(p.usedBy, n.ID)
 		}
 		p.plan.Kept = slices.DeleteFunc(p.plan.Kept, func(id string) bool { return id == g.id })
 		p.plan.Dark[g.id] = fmt.Sprintf("changing from version %s to %s", current.Version, want.Version)
@@ -279,7 +279,7 @@
 	if needsLoad && p.in.LoadSlots > 0 && p.loading >= p.in.LoadSlots {
 		p.plan.Dark[id] = reason + "; waits for the weight store"
 		for _, n := range chosen {
-			p.taken[n.ID] = id
+			p.usedBy[n.ID] = id
 		}
 		return true
 	}
@@ -295,8 +295,8 @@
 // node completes it.
 func (p *planner) reserve(id string, survivors []*Node) {
 	for _, n := range survivors {
-		if n.isUsable() && p.taken[n.ID] == "" {
-			p.taken[n.ID] = id
+		if n.isUsable() && p.usedBy[n.ID] == "" {
+			p.usedBy[n.ID] = id
 		}
 	}
 }
@@ -306,7 +306,7 @@
 	members := make([]string, 0, len(chosen))
 	for _, n := range chosen {
 		members = append(members, n.ID)
-		p.taken[n.ID] = id
+		p.usedBy[n.ID] = id
 	}
 	assignment := cluster.Assignment{
 		Replica: id, Deployment: want.Deployment, Model: want.Model,
@@ -324,7 +324,7 @@
 func (p *planner) choose(want Want, survivors []*Node) []*Node {
 	var free []*Node
 	for _, n := range p.nodes {
-		if n.isUsable() && p.taken[n.ID] == "" && want.Selects(n.Labels) && !p.isReservedByOther(n, want) {
+		if n.isUsable() && p.usedBy[n.ID] == "" && want.Selects(n.Labels) && !p.isReservedByOther(n, want) {
 			free = append(free, n)
 		}
 	}
@@ -417,7 +417,7 @@
 		p.plan.Dark[g.id] = "its nodes went to " + to + ", which has the higher priority"
 	}
 	for _, n := range g.nodes {
-		delete(p.taken, n.ID)
+		delete(p.usedBy, n.ID)
 	}
 }
 
@@ -425,7 +425,7 @@
 func (p *planner) release() {
 	for _, id := range slices.Sorted(maps.Keys(p.nodes)) {
 		n := p.nodes[id]
-		if n.Assignment.Empty() || n.Scripted || !n.Answering || n.Unorderable || p.taken[id] != "" {
+		if n.Assignment.Empty() || n.Scripted || !n.Answering || n.Unorderable || p.usedBy[id] != "" {
 			continue
 		}
 		if _, stillBroken := p.plan.Dark[n.Assignment.Replica]; stillBroken && !n.Leaving {
@@ -438,7 +438,7 @@
 // explainIdle records why the remaining nodes belong to no replica.
 func (p *planner) explainIdle() {
 	for id, n := range p.nodes {
-		if p.taken[id] == "" {
+		if p.usedBy[id] == "" {
 			p.plan.Idle[id] = p.idleReason(n)
 		}
 	}
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// full returns a table with the maximum number of records.
-func full() *Table {
+// fullTable returns a table with the maximum number of records.
+func fullTable() *Table {
 	table := NewTable()
 	for i := range maxRecords {
-		table.Blame(numbered(i), crash(fmt.Sprint(i), i, i), at(i))
+		table.Blame(requestNumbered(i), crash(fmt.Sprint(i), i, i), at(i))
 	}
 	return table
 }
 
 // BenchmarkState measures the lookup that each request makes while the table is not empty.
 func BenchmarkState(b *testing.B) {
-	table, f, now := full(), numbered(1), at(maxRecords)
+	table, f, now := fullTable(), requestNumbered(1), at(maxRecords)
 	b.ReportAllocs()
 	for b.Loop() {
 		table.State(f, now)
@@ -26,7 +26,7 @@
 
 // BenchmarkSweep measures the sweep that runs each second.
 func BenchmarkSweep(b *testing.B) {
-	table, now := full(), at(maxRecords)
+	table, now := fullTable(), at(maxRecords)
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		table.sweepAt = now
@@ -35,7 +35,7 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	table, now := full(), at(maxRecords)
+	table, now := fullTable(), at(maxRecords)
 	b.ReportAllocs()
 	for b.Loop() {
 		table.Report(now, true)
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -12,15 +12,15 @@
 	type parts struct{ account, method, host, target, body string }
 	same := parts{"account", "POST", "host", "/path?q=1", "body"}
 	tests := map[string]parts{
-		"another account":               {"other", "POST", "host", "/path?q=1", "body"},
-		"no account":                    {"", "POST", "host", "/path?q=1", "body"},
-		"another method":                {"account", "PUT", "host", "/path?q=1", "body"},
-		"another host":                  {"account", "POST", "other", "/path?q=1", "body"},
-		"another path":                  {"account", "POST", "host", "/other?q=1", "body"},
-		"another query":                 {"account", "POST", "host", "/path?q=2", "body"},
-		"another body":                  {"account", "POST", "host", "/path?q=1", "other"},
-		"a body that takes over a part": {"account", "POST", "host", "/path?q=", "1body"},
-		"an account that takes over":    {"accountPOST", "", "host", "/path?q=1", "body"},
+		"another account": {"other", "POST", "host", "/path?q=1", "body"},
+		"no account":      {"", "POST", "host", "/path?q=1", "body"},
+		"another method":  {"account", "PUT", "host", "/path?q=1", "body"},
+		"another host":    {"account", "POST", "other", "/path?q=1", "body"},
+		"another path":    {"account", "POST", "host", "/other?q=1", "body"},
+		"another query":   {"account", "POST", "host", "/path?q=2", "body"},
+		"another body":    {"account", "POST", "host", "/path?q=1", "other"},
+		"a body that starts with the end of the target": {"account", "POST", "host", "/path?q=", "1body"},
+		"an account that ends with the method":          {"accountPOST", "", "host", "/path?q=1", "body"},
 	}
 	of := func(p parts) Fingerprint {
 		return FingerprintOf(p.account, p.method, p.host, p.target, []byte(p.body))
--- a/quarantine/guard/ended.go
+++ b/quarantine/guard/endcheck.go
@@ -90,9 +90,9 @@
 	return started
 }
 
-func (l *endCheck) isDone() bool {
+func (c *endCheck) isDone() bool {
 	select {
-	case <-l.done:
+	case <-c.done:
 		return true
 	default:
 		return false
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -42,10 +42,10 @@
 	// quarantine, and rounds the number of quarantines so far.
 	markedAt, until time.Time
 	rounds          int
-	// changedAt is the last change that peers have to know. seenHere means that this daemon itself
-	// saw one of the crashes.
-	changedAt time.Time
-	seenHere  bool
+	// changedAt is the last change that peers have to know. observedLocally means that this daemon
+	// itself saw one of the crashes.
+	changedAt       time.Time
+	observedLocally bool
 }
 
 // isQuarantined reports whether the request is quarantined at a time.
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -50,7 +50,7 @@
 	var fresh, marks []Fingerprint
 	for f, r := range t.records {
 		switch {
-		case now.Sub(r.changedAt) < changeReportPeriod && (r.seenHere || passesOn || len(r.crashes) > 1 || r.rounds > 0):
+		case now.Sub(r.changedAt) < changeReportPeriod && (r.observedLocally || passesOn || len(r.crashes) > 1 || r.rounds > 0):
 			fresh = append(fresh, f)
 		case r.isQuarantined(now):
 			marks = append(marks, f)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -70,7 +70,7 @@
 	defer t.mu.Unlock()
 	r := t.recordOf(f, now)
 	if r.add(c) {
-		r.changedAt, r.seenHere = now, true
+		r.changedAt, r.observedLocally = now, true
 		marked = r.evaluate()
 	}
 	return r.state(now), marked
@@ -176,10 +176,10 @@
 // evictOldest makes room for a record.
 func (t *Table) evictOldest(now time.Time) {
 	var oldest Fingerprint
-	var held *record
+	var evicted *record
 	for f, r := range t.records {
-		if held == nil || r.evictedBefore(held, now) {
-			oldest, held = f, r
+		if evicted == nil || r.evictedBefore(evicted, now) {
+			oldest, evicted = f, r
 		}
 	}
 	t.remove(oldest)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -20,8 +20,8 @@
 // at returns a time some milliseconds after epoch.
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// numbered returns the fingerprint of a test request.
-func numbered(number int) Fingerprint {
+// requestNumbered returns the fingerprint of a test request.
+func requestNumbered(number int) Fingerprint {
 	return FingerprintOf("account", "POST", "host", "/", fmt.Append(nil, number))
 }
 
@@ -42,10 +42,10 @@
 			crashes: []Crash{crash("a", 0, 10), crash("b", 11, 20), crash("c", 21, 30)}, marked: true, count: 3,
 		},
 		"two": {crashes: []Crash{crash("a", 0, 10), crash("b", 11, 20)}, count: 2},
-		"a rack that ends with three copies": {
+		"three copies on a rack that fails": {
 			crashes: []Crash{crash("a", 0, 1000), crash("b", 10, 1010), crash("c", 20, 1040)}, count: 1,
 		},
-		"copies that end apart": {
+		"copies that end at different times": {
 			crashes: []Crash{crash("a", 0, 1000), crash("b", 10, 1100), crash("c", 20, 1200)}, marked: true, count: 3,
 		},
 		"two racks, one after the other": {
@@ -60,13 +60,13 @@
 		"a run that completed before": {
 			crashes: []Crash{crash("a", 10, 20), crash("b", 21, 200), crash("c", 400, 600)}, cleared: 5, marked: true, count: 3,
 		},
-		"told in another order": {
+		"reported in another order": {
 			crashes: []Crash{crash("c", 21, 30), crash("a", 0, 10), crash("b", 11, 20)}, marked: true, count: 3,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			table, now, f := NewTable(), at(5000), numbered(1)
+			table, now, f := NewTable(), at(5000), requestNumbered(1)
 			if test.cleared > 0 {
 				table.recordOf(f, now).clear(at(test.cleared))
 			}
@@ -95,7 +95,7 @@
 // TestPeriodsGrow checks that a request needs one further crash, not three, after a quarantine,
 // and that its next quarantine is longer.
 func TestPeriodsGrow(t *testing.T) {
-	table, f := NewTable(), numbered(1)
+	table, f := NewTable(), requestNumbered(1)
 	mark(t, table, f, 1000)
 	until := table.State(f, at(1000)).Until
 	total, ended := 0, 0
@@ -114,11 +114,11 @@
 }
 
 func TestCompletedRunEndsAQuarantine(t *testing.T) {
-	table, f := NewTable(), numbered(1)
+	table, f := NewTable(), requestNumbered(1)
 	mark(t, table, f, 1000)
 	assert.Assert(t, table.Clear(f, at(1200)))
 	assert.Equal(t, table.State(f, at(1200)), State{})
-	assert.Assert(t, !table.Clear(f, at(1300)), "it is cleared already")
+	assert.Assert(t, !table.Clear(f, at(1300)), "it is already cleared")
 	mark(t, table, f, 2000)
 	assert.Assert(t, !NewTable().Clear(f, at(1200)), "nothing was known of it")
 }
@@ -131,7 +131,7 @@
 // TestCrashesOfSeveralDaemonsAddUp checks that a request is quarantined if three daemons see one
 // crash each.
 func TestCrashesOfSeveralDaemonsAddUp(t *testing.T) {
-	tables, f := []*Table{NewTable(), NewTable(), NewTable()}, numbered(1)
+	tables, f := []*Table{NewTable(), NewTable(), NewTable()}, requestNumbered(1)
 	for i, table := range tables {
 		_, marked := table.Blame(f, crash(fmt.Sprint(i), 100*i, 100*i+50), at(100*i+50))
 		assert.Assert(t, !marked)
@@ -150,7 +150,7 @@
 // TestReportsTravelByRelays checks that a member's observation reaches another hall by way of two
 // relays, and that members do not pass on what they only received.
 func TestReportsTravelByRelays(t *testing.T) {
-	member, relayA, relayB, far, f := NewTable(), NewTable(), NewTable(), NewTable(), numbered(1)
+	member, relayA, relayB, far, f := NewTable(), NewTable(), NewTable(), NewTable(), requestNumbered(1)
 	member.Blame(f, crash("a", 0, 50), at(50))
 	now := at(60)
 	assert.Assert(t, pass(member, relayA, now, false).News)
@@ -175,17 +175,17 @@
 			case 0, 1:
 				workers++
 				sent := now - rapid.IntRange(1, 40).Draw(t, "ran")
-				from.Blame(numbered(1), crash(fmt.Sprint(workers), sent, now), at(now))
+				from.Blame(requestNumbered(1), crash(fmt.Sprint(workers), sent, now), at(now))
 			case 2:
-				cleared = cleared || from.Clear(numbered(1), at(now))
+				cleared = cleared || from.Clear(requestNumbered(1), at(now))
 			default:
 				pass(from, draw("to"), at(now), true)
 			}
 		}
 		now = exchangeAll(tables, now)
-		first := tables[0].State(numbered(1), at(now))
+		first := tables[0].State(requestNumbered(1), at(now))
 		for _, table := range tables[1:] {
-			state := table.State(numbered(1), at(now))
+			state := table.State(requestNumbered(1), at(now))
 			assert.Equal(t, state.Quarantined, first.Quarantined)
 			assert.Assert(t, cleared || state.Crashes == first.Crashes)
 		}
@@ -207,7 +207,7 @@
 }
 
 func TestLiftIsReported(t *testing.T) {
-	a, b, f := NewTable(), NewTable(), numbered(1)
+	a, b, f := NewTable(), NewTable(), requestNumbered(1)
 	mark(t, a, f, 1000)
 	assert.DeepEqual(t, pass(a, b, at(1000), false).Marked, []Fingerprint{f})
 	assert.Assert(t, a.Clear(f, at(2000)))
@@ -223,7 +223,7 @@
 	const marks = 256
 	old, young := NewTable(), NewTable()
 	for i := range marks {
-		mark(t, old, numbered(i), 1000+i)
+		mark(t, old, requestNumbered(i), 1000+i)
 	}
 	now, largest := at(60_000), 0
 	for range 16 {
@@ -239,7 +239,7 @@
 }
 
 func TestRestore(t *testing.T) {
-	table, f, now := NewTable(), numbered(1), at(1000)
+	table, f, now := NewTable(), requestNumbered(1), at(1000)
 	kept := Mark{Fingerprint: f, MarkedAt: at(0), Until: at(600_000), Rounds: 1}
 	assert.Assert(t, table.Restore(kept, now))
 	assert.Assert(t, !table.Restore(kept, now), "it is known already")
@@ -247,7 +247,7 @@
 	assert.Equal(t, len(table.Report(now, false)), 1)
 	assert.Assert(t, table.Clear(f, at(2000)))
 	assert.Assert(t, !table.Restore(kept, at(2001)), "it was lifted since")
-	over := Mark{Fingerprint: numbered(2), MarkedAt: at(0), Until: at(500), Rounds: 1}
+	over := Mark{Fingerprint: requestNumbered(2), MarkedAt: at(0), Until: at(500), Rounds: 1}
 	assert.Assert(t, !table.Restore(over, now))
 }
 
@@ -255,15 +255,15 @@
 // first.
 func TestRecordsAreBounded(t *testing.T) {
 	table := NewTable()
-	mark(t, table, numbered(0), 1000)
+	mark(t, table, requestNumbered(0), 1000)
 	for i := 1; i <= 2*maxRecords; i++ {
-		table.Blame(numbered(i), crash(fmt.Sprint(i), 2000+i, 2000+i), at(2000+i))
+		table.Blame(requestNumbered(i), crash(fmt.Sprint(i), 2000+i, 2000+i), at(2000+i))
 	}
 	now := at(2000 + 2*maxRecords)
 	assert.Equal(t, len(table.records), maxRecords)
-	assert.Assert(t, table.State(numbered(0), now).Quarantined)
-	assert.Equal(t, table.State(numbered(1), now).Crashes, 0)
-	assert.Equal(t, table.State(numbered(2*maxRecords), now).Crashes, 1)
+	assert.Assert(t, table.State(requestNumbered(0), now).Quarantined)
+	assert.Equal(t, table.State(requestNumbered(1), now).Crashes, 0)
+	assert.Equal(t, table.State(requestNumbered(2*maxRecords), now).Crashes, 1)
 	table.Sweep(now.Add(recordRetention + time.Second))
 	assert.Equal(t, len(table.records), 1)
 	table.Sweep(now.Add(initialPeriod + recordRetention))
@@ -278,7 +278,7 @@
 		var all []Entry
 		for range rapid.IntRange(0, 100).Draw(t, "entries") {
 			e := Entry{
-				Fingerprint: numbered(rapid.IntRange(0, 3).Draw(t, "of")), Cleared: age.Draw(t, "cleared"), Marked: age.Draw(t, "marked"),
+				Fingerprint: requestNumbered(rapid.IntRange(0, 3).Draw(t, "of")), Cleared: age.Draw(t, "cleared"), Marked: age.Draw(t, "marked"),
 				Left: age.Draw(t, "left"), Rounds: int(age.Draw(t, "rounds")),
 			}
 			for range rapid.IntRange(0, 20).Draw(t, "crashes") {
@@ -301,66 +301,66 @@
 // each of which runs for 1.2 s and is sent four times at most, and one text that is repeated five
 // times a second.
 const (
-	innocentReplicas, innocentSeconds  = 25, 600
-	innocentStep, innocentRuns         = 10, 1200
-	innocentEndsEvery                  = 400
-	innocentPerSecond, innocentPopular = 60, 5
-	innocentSends                      = 4
-	// innocentMost is the maximum fraction of requests that may be marked. A run ends with its
+	simReplicas, simSeconds           = 25, 600
+	simStep, simRunTime               = 10, 1200
+	simEndInterval                    = 400
+	simPerSecond, simPopularPerSecond = 60, 5
+	simMaxSends                       = 4
+	// maxMarkedShare is the maximum fraction of requests that may be marked. A run ends with its
 	// replica with probability 0.12, three in a row with 0.0017.
-	innocentMost = 0.0025
+	maxMarkedShare = 0.0025
 )
 
-// innocentRun is a request at a replica.
-type innocentRun struct {
+// simRun is a request at a replica.
+type simRun struct {
 	fingerprint   Fingerprint
 	replica, sent int
 	sends         int
 }
 
-// innocents is the state of the simulation.
-type innocents struct {
+// simulation is the state of the simulation.
+type simulation struct {
 	random            *rand.Rand
 	table             *Table
 	requests, workers int
-	running           []innocentRun
+	running           []simRun
 	marked            map[Fingerprint]bool
 }
 
 // TestInnocentRequestsAreNotMarked checks that completed runs keep innocent requests from being
 // quarantined when workers crash at random.
 func TestInnocentRequestsAreNotMarked(t *testing.T) {
-	p := &innocents{random: rand.New(rand.NewPCG(1, 2)), table: NewTable(), marked: make(map[Fingerprint]bool)}
-	for now := 0; now < innocentSeconds*1000; now += innocentStep {
+	p := &simulation{random: rand.New(rand.NewPCG(1, 2)), table: NewTable(), marked: make(map[Fingerprint]bool)}
+	for now := 0; now < simSeconds*1000; now += simStep {
 		p.arrive(now)
 		p.step(now)
 	}
 	share := float64(len(p.marked)) / float64(p.requests)
 	t.Logf("%.5f of %d requests marked", share, p.requests)
-	assert.Assert(t, !p.marked[numbered(0)])
-	assert.Assert(t, share <= innocentMost, "%v of %d requests were marked", share, p.requests)
+	assert.Assert(t, !p.marked[requestNumbered(0)])
+	assert.Assert(t, share <= maxMarkedShare, "%v of %d requests were marked", share, p.requests)
 }
 
 // arrive adds the requests that arrive in a step.
-func (p *innocents) arrive(now int) {
-	for range innocentStep * (innocentPerSecond + innocentPopular) {
+func (p *simulation) arrive(now int) {
+	for range simStep * (simPerSecond + simPopularPerSecond) {
 		if p.random.IntN(1000) > 0 {
 			continue
 		}
 		p.requests++
-		f := numbered(p.requests)
-		if p.random.IntN(innocentPerSecond+innocentPopular) < innocentPopular {
-			f = numbered(0)
+		f := requestNumbered(p.requests)
+		if p.random.IntN(simPerSecond+simPopularPerSecond) < simPopularPerSecond {
+			f = requestNumbered(0)
 		}
-		p.running = append(p.running, innocentRun{fingerprint: f, replica: p.random.IntN(innocentReplicas), sent: now, sends: 1})
+		p.running = append(p.running, simRun{fingerprint: f, replica: p.random.IntN(simReplicas), sent: now, sends: 1})
 	}
 }
 
 // step ends a replica when it is due, and the runs that are complete.
-func (p *innocents) step(now int) {
+func (p *simulation) step(now int) {
 	ended := -1
-	if now%innocentEndsEvery == 0 {
-		ended = p.random.IntN(innocentReplicas)
+	if now%simEndInterval == 0 {
+		ended = p.random.IntN(simReplicas)
 		p.workers++
 	}
 	before := p.running
@@ -369,7 +369,7 @@
 		switch {
 		case r.replica == ended:
 			p.broke(r, now)
-		case now-r.sent >= innocentRuns:
+		case now-r.sent >= simRunTime:
 			p.table.Clear(r.fingerprint, at(now))
 		default:
 			p.running = append(p.running, r)
@@ -379,11 +379,11 @@
 }
 
 // broke blames a request for the end of its replica, and sends it again if it may be.
-func (p *innocents) broke(r innocentRun, now int) {
+func (p *simulation) broke(r simRun, now int) {
 	if _, marked := p.table.Blame(r.fingerprint, crash(fmt.Sprint(p.workers), r.sent, now), at(now)); marked {
 		p.marked[r.fingerprint] = true
 	}
-	if r.sends < innocentSends {
-		p.running = append(p.running, innocentRun{fingerprint: r.fingerprint, replica: p.random.IntN(innocentReplicas), sent: now, sends: r.sends + 1})
+	if r.sends < simMaxSends {
+		p.running = append(p.running, simRun{fingerprint: r.fingerprint, replica: p.random.IntN(simReplicas), sent: now, sends: r.sends + 1})
 	}
 }
