--- a/allowance/share_test.go
+++ b/allowance/share_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestBucketOfThreeTokens checks that a full bucket of three tokens gives all three at once and single
-// ones afterwards.
+// TestBucketOfThreeTokens checks that a full bucket of three tokens gives all three at once and
+// single ones afterwards.
 func TestBucketOfThreeTokens(t *testing.T) {
 	b := NewBucket(1, 3, start)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
--- a/backpressure/limits_test.go
+++ b/backpressure/limits_test.go
@@ -9,8 +9,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLimitAppliesToOneIncarnation checks that a limit applies only to the incarnation of the worker that
-// reported it, whichever replica it heads.
+// TestLimitAppliesToOneIncarnation checks that a limit applies only to the incarnation of the
+// worker that reported it, whichever replica it heads.
 func TestLimitAppliesToOneIncarnation(t *testing.T) {
 	tests := map[string]struct {
 		head  fleet.Worker
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -107,7 +107,8 @@
 	}
 }
 
-// TestMergeSkipsInvalidEntries checks that invalid entries are skipped and the valid ones beside them kept.
+// TestMergeSkipsInvalidEntries checks that invalid entries are skipped and the valid ones beside
+// them kept.
 func TestMergeSkipsInvalidEntries(t *testing.T) {
 	limitOf := func(perSecond float64) *float64 { return &perSecond }
 	tests := map[string]Entry{
--- a/backpressure/shares_test.go
+++ b/backpressure/shares_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestEachShareHasOneHolder checks that every share is held by exactly one daemon, for any number of
-// halls and daemons.
+// TestEachShareHasOneHolder checks that every share is held by exactly one daemon, for any number
+// of halls and daemons.
 func TestEachShareHasOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		halls := namesOf("hall", rapid.IntRange(1, 6).Draw(t, "halls"))
--- a/backpressure/signal_test.go
+++ b/backpressure/signal_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestUnsignedAnswerKeepsLimit checks that an unsigned answer, which may not be the worker's, does not
-// withdraw a limit.
+// TestUnsignedAnswerKeepsLimit checks that an unsigned answer, which may not be the worker's, does
+// not withdraw a limit.
 func TestUnsignedAnswerKeepsLimit(t *testing.T) {
 	got, err := testNames.Read(&http.Response{StatusCode: http.StatusOK}, false)
 	assert.NilError(t, err)
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -100,8 +100,8 @@
 	rate   float64
 	// leaving means that the worker is about to stop.
 	leaving bool
-	// observedLocally means that this daemon received an answer of the worker itself. changedAt is when
-	// the record last changed, by an answer or by a peer's report.
+	// observedLocally means that this daemon received an answer of the worker itself. changedAt is
+	// when the record last changed, by an answer or by a peer's report.
 	observedLocally bool
 	changedAt       time.Time
 	// expiresAt is when the record is removed unless the worker is listed again.
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -76,8 +76,8 @@
 	revision int64
 	// closedAt is when this daemon learned of the closing.
 	closedAt time.Time
-	// earliestEmptyAt is when load reports no longer include requests sent by daemons that did not know of
-	// the closing yet.
+	// earliestEmptyAt is when load reports no longer include requests sent by daemons that did not
+	// know of the closing yet.
 	earliestEmptyAt time.Time
 	empty           bool
 }
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -57,8 +57,8 @@
 	Grant peers.Grant
 	// Position is where the next grant has to be added.
 	Position int64
-	// Given is the highest epoch that may have been granted, including grants that a registry
-	// restored from a backup has lost.
+	// Given is an upper bound of the epochs that may have been granted, including grants that a
+	// registry restored from a backup has lost.
 	Given int64
 }
 
@@ -289,12 +289,12 @@
 
 // attempt tries to win a term: by a new grant, or by rank if the store is unavailable.
 func (e *Elector) attempt(ctx context.Context) {
-	// The term is based on the state of the store from here on.
+	// Read the era before the grant, so that a later restore of the store ends the term.
 	era, stamp := e.era(), awake.NewStamp(e.opts.Suspended)
 	claim, first, won := e.takeGrant(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	// If this daemon was suspended since the store answered, others may have led meanwhile.
+	// If this daemon was suspended in between, others may have led meanwhile.
 	if !won || stamp.Interrupted() || e.highest.Higher(claim) || ctx.Err() != nil {
 		e.pauseUntil = time.Now().Add(retryPause)
 		return
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,8 +9,8 @@
 	// crashesToMark is the number of independent crashes without a completed run that quarantine a
 	// request. Three rarely hit an innocent request by chance, and any completed run clears it.
 	crashesToMark = 3
-	// commonCauseWindow is the minimum time between the ends of two crashes that count as
-	// independent. A common cause, such as a power failure of a rack, ends several workers within
+	// commonCauseWindow is the time between the ends of two crashes within which they may have a
+	// common cause. A power failure of a rack, for example, ends several workers within
 	// milliseconds; slow daemons may see them further apart.
 	commonCauseWindow = 100 * time.Millisecond
 	// maxCrashes is the number of crashes remembered per request, the newest ones.
