--- a/allowance/share.go
+++ b/allowance/share.go
@@ -64,13 +64,13 @@
 // highest hash with the worker's (rendezvous hashing). Daemons with the same list of members agree
 // without messages, and adding or removing a member changes at most one holder.
 func IsHolder(self, worker string, members []string, holders int) bool {
-	own, higher, listed := Weigh(self, worker), 0, false
+	own, higher, listed := RendezvousHash(self, worker), 0, false
 	for _, other := range members {
 		if other == self {
 			listed = true
 			continue
 		}
-		weight := Weigh(other, worker)
+		weight := RendezvousHash(other, worker)
 		if weight > own || weight == own && strings.Compare(other, self) > 0 {
 			higher++
 		}
@@ -78,9 +78,9 @@
 	return listed && higher < holders
 }
 
-// Weigh returns the hash of the name of a daemon or data hall with a worker's ID. All daemons must
+// RendezvousHash returns the hash of the name of a daemon or data hall with a worker's ID. All daemons must
 // compute the same value.
-func Weigh(daemon, worker string) uint64 {
+func RendezvousHash(daemon, worker string) uint64 {
 	h := fnv.New64a()
 	// Writing to a hash does not fail.
 	_, _ = h.Write([]byte(daemon + "\x00" + worker))
--- a/backpressure/shares.go
+++ b/backpressure/shares.go
@@ -109,7 +109,7 @@
 func sortedByHash(all []string, worker string) []string {
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b string) int {
-		return cmp.Or(cmp.Compare(allowance.Weigh(b, worker), allowance.Weigh(a, worker)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(allowance.RendezvousHash(b, worker), allowance.RendezvousHash(a, worker)), cmp.Compare(a, b))
 	})
 	return all
 }
--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -24,8 +24,8 @@
 	maxValueLength = 32
 )
 
-// ErrUnclear means that a worker's answer holds an invalid header value.
-var ErrUnclear = errors.New("invalid header value")
+// ErrInvalidValue means that a worker's answer holds an invalid header value.
+var ErrInvalidValue = errors.New("invalid header value")
 
 // Names holds the names of the headers that carry the signals of workers.
 type Names struct {
@@ -51,7 +51,7 @@
 
 // Read returns the signal in the headers of an answer. The answer is signed if it is verified as
 // the worker's own. Invalid values are left out of the signal and reported as joined errors that
-// wrap ErrUnclear.
+// wrap ErrInvalidValue.
 func (n Names) Read(answer *http.Response, signed bool) (Signal, error) {
 	var s Signal
 	var invalid []error
@@ -82,11 +82,11 @@
 		return 0, false, nil
 	}
 	if len(values) > 1 || len(values[0]) > maxValueLength {
-		return 0, false, failure.At(failure.Remote, "read header", name, ErrUnclear)
+		return 0, false, failure.At(failure.Remote, "read header", name, ErrInvalidValue)
 	}
 	value, err = strconv.ParseFloat(values[0], 64)
 	if err != nil || !(value >= 0 && value <= upper) {
-		return 0, false, failure.At(failure.Remote, "read header", name, ErrUnclear)
+		return 0, false, failure.At(failure.Remote, "read header", name, ErrInvalidValue)
 	}
 	return value, true, nil
 }
--- a/backpressure/signal_test.go
+++ b/backpressure/signal_test.go
@@ -46,7 +46,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			got, err := testNames.Read(&http.Response{StatusCode: test.status, Header: test.header}, true)
-			assert.Equal(t, errors.Is(err, ErrUnclear), test.unclear)
+			assert.Equal(t, errors.Is(err, ErrInvalidValue), test.unclear)
 			assert.DeepEqual(t, got, test.want)
 		})
 	}
