--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -26,14 +26,14 @@
 		situation Situation
 		want      reason.Reason
 	}{
-		"full":                            {full, reason.Overloaded},
-		"full, high priority":             {change(func(s *Situation) { s.Priority = 1 }), ""},
-		"room left by the others":         {change(func(s *Situation) { s.Reported = 0.5 }), ""},
-		"own part not used up":            {change(func(s *Situation) { s.InFlight = 60 }), ""},
-		"low priority is refused sooner":  {change(func(s *Situation) { s.InFlight, s.Priority = 85, -2 }), reason.Overloaded},
-		"large account is held to a part": {change(func(s *Situation) { s.InFlight, s.Own = 95, 50 }), reason.FairShare},
-		"small account passes it by":      {change(func(s *Situation) { s.InFlight, s.Own = 95, 2 }), ""},
-		"flood":                           {change(func(s *Situation) { s.InFlight, s.Reported = 0, 4 }), reason.Overloaded},
+		"full":                                    {full, reason.Overloaded},
+		"full, high priority":                     {change(func(s *Situation) { s.Priority = 1 }), ""},
+		"capacity left by other daemons":          {change(func(s *Situation) { s.Reported = 0.5 }), ""},
+		"own share not used up":                   {change(func(s *Situation) { s.InFlight = 60 }), ""},
+		"low priority is refused sooner":          {change(func(s *Situation) { s.InFlight, s.Priority = 85, -2 }), reason.Overloaded},
+		"a large account is limited to its share": {change(func(s *Situation) { s.InFlight, s.Own = 95, 50 }), reason.FairShare},
+		"a small account is accepted":             {change(func(s *Situation) { s.InFlight, s.Own = 95, 2 }), ""},
+		"flood":                                   {change(func(s *Situation) { s.InFlight, s.Reported = 0, 4 }), reason.Overloaded},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/allowance/share.go
+++ b/allowance/share.go
@@ -78,8 +78,8 @@
 	return listed && higher < holders
 }
 
-// RendezvousHash returns the hash of the name of a daemon or data hall with a worker's ID. All daemons must
-// compute the same value.
+// RendezvousHash returns the hash of the name of a daemon or data hall with a worker's ID. All
+// daemons must compute the same value.
 func RendezvousHash(daemon, worker string) uint64 {
 	h := fnv.New64a()
 	// Writing to a hash does not fail.
--- a/allowance/sum_test.go
+++ b/allowance/sum_test.go
@@ -158,8 +158,8 @@
 	})
 }
 
-// TestIntake checks how many requests a worker gets in total from a large fleet.
-func TestIntake(t *testing.T) {
+// TestTotalRate checks how many requests a worker gets in total from a large fleet.
+func TestTotalRate(t *testing.T) {
 	var members []string
 	for i := range 90 {
 		members = append(members, fmt.Sprintf("daemon-%d", i))
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -151,9 +151,9 @@
 	assert.Equal(t, len(told), workers)
 }
 
-// TestStaleLimitMovesOn checks that the share of a stale limit moves from daemon to daemon, with
-// one holder at a time.
-func TestStaleLimitMovesOn(t *testing.T) {
+// TestStaleLimitMovesBetweenDaemons checks that the share of a stale limit moves from daemon to
+// daemon, with one holder at a time.
+func TestStaleLimitMovesBetweenDaemons(t *testing.T) {
 	members := namesOf("daemon", 4)
 	var all []*Table
 	for _, self := range members {
--- a/backpressure/shares_test.go
+++ b/backpressure/shares_test.go
@@ -91,11 +91,11 @@
 type simDaemon struct {
 	id, hall string
 	table    *Table
-	// joins is when the daemon is added, hears when it learns of the limit. From frozen to frozeTo
-	// its process is stopped. At each of restarts it starts again with no state.
-	joins, hears    time.Duration
-	frozen, frozeTo time.Duration
-	restarts        []time.Duration
+	// joinsAt is when the daemon is added, learnsAt when it learns of the limit. From frozenFrom to
+	// frozenUntil its process is stopped. At each of restarts it starts again with no state.
+	joinsAt, learnsAt       time.Duration
+	frozenFrom, frozenUntil time.Duration
+	restarts                []time.Duration
 	// delay is the network delay of its requests.
 	delay time.Duration
 }
@@ -106,7 +106,7 @@
 		Members: func() []string {
 			var members []string
 			for _, other := range all {
-				if other.hall == s.hall && (other == s || other.joins == 0 || *now >= other.joins+joinDelay || s.joins >= other.joins && *now >= s.joins) {
+				if other.hall == s.hall && (other == s || other.joinsAt == 0 || *now >= other.joinsAt+joinDelay || s.joinsAt >= other.joinsAt && *now >= s.joinsAt) {
 					members = append(members, other.id)
 				}
 			}
@@ -119,9 +119,9 @@
 	steps := func(name string, most int) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * simStep
 	}
-	s := &simDaemon{id: fmt.Sprintf("daemon-%02d", i), hall: rapid.SampledFrom(halls).Draw(t, "hall"), hears: steps("hears", 100), delay: steps("delay", 3)}
-	s.frozen = steps("frozen", simSteps)
-	s.frozeTo = s.frozen + steps("froze", 200)
+	s := &simDaemon{id: fmt.Sprintf("daemon-%02d", i), hall: rapid.SampledFrom(halls).Draw(t, "hall"), learnsAt: steps("hears", 100), delay: steps("delay", 3)}
+	s.frozenFrom = steps("frozen", simSteps)
+	s.frozenUntil = s.frozenFrom + steps("froze", 200)
 	for range rapid.IntRange(0, 3).Draw(t, "restarts") {
 		s.restarts = append(s.restarts, steps("restart", simSteps))
 	}
@@ -131,10 +131,10 @@
 // act runs one step of the daemon and reports whether it sends a request.
 func (s *simDaemon) act(step int, now time.Duration, r *fleet.Replica, perSecond float64) bool {
 	at, restarted := start.Add(now), slices.Contains(s.restarts, now)
-	if now < s.joins || s.frozen <= now && now < s.frozeTo || now < s.hears {
+	if now < s.joinsAt || s.frozenFrom <= now && now < s.frozenUntil || now < s.learnsAt {
 		return false
 	}
-	if step%50 == 0 || now == s.hears || restarted {
+	if step%50 == 0 || now == s.learnsAt || restarted {
 		s.table.Hear(r.Head, named(perSecond), at, at)
 		s.table.Look(at)
 	}
@@ -150,7 +150,7 @@
 		s.begin(all, halls, &now)
 	}
 	r := &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w"}}
-	var came []time.Duration
+	var arrivals []time.Duration
 	for step := range simSteps {
 		now = time.Duration(step) * simStep
 		for _, s := range all {
@@ -158,12 +158,12 @@
 				s.begin(all, halls, &now)
 			}
 			if s.act(step, now, r, perSecond) {
-				came = append(came, now+s.delay)
+				arrivals = append(arrivals, now+s.delay)
 			}
 		}
 	}
-	slices.Sort(came)
-	return came
+	slices.Sort(arrivals)
+	return arrivals
 }
 
 // TestSumStaysBelowLimit checks that no window gets more requests than the bound allows when
@@ -176,21 +176,21 @@
 		for i := range rapid.IntRange(1, 24).Draw(t, "daemons") {
 			all = append(all, drawDaemon(t, i, halls))
 		}
-		all[len(all)-1].joins = time.Duration(rapid.IntRange(1, simSteps).Draw(t, "joins")) * simStep
+		all[len(all)-1].joinsAt = time.Duration(rapid.IntRange(1, simSteps).Draw(t, "joins")) * simStep
 		first := 0
-		came := simulate(all, halls, perSecond)
-		for i, at := range came {
-			for at-came[first] >= testBound.Window {
+		arrivals := simulate(all, halls, perSecond)
+		for i, at := range arrivals {
+			for at-arrivals[first] >= testBound.Window {
 				first++
 			}
 			most := testBound.Burst*perSecond*testBound.Window.Seconds() + testBound.Slack
-			assert.Assert(t, float64(i-first+1) <= most, "%d requests in the %s before %s, %.1f may", i-first+1, testBound.Window, at, most)
+			assert.Assert(t, float64(i-first+1) <= most, "%d requests in the %s before %s, %.1f allowed", i-first+1, testBound.Window, at, most)
 		}
 	})
 }
 
-// fleetOf returns daemons that know the limit.
-func fleetOf(halls, perHall int, perSecond float64) []*simDaemon {
+// daemonsOf returns daemons that know the limit.
+func daemonsOf(halls, perHall int, perSecond float64) []*simDaemon {
 	names := namesOf("hall", halls)
 	var all []*simDaemon
 	for i := range halls * perHall {
@@ -216,16 +216,16 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			const perSecond, seconds = 1.3, 9
-			all := fleetOf(test.halls, test.perHall, perSecond)
-			r, came := &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w"}}, 0
+			all := daemonsOf(test.halls, test.perHall, perSecond)
+			r, arrivals := &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w"}}, 0
 			for step := range seconds * 10 * len(all) {
 				at := start.Add(time.Duration(step/len(all)) * 100 * time.Millisecond)
 				if _, ok := all[step%len(all)].table.Take(r, at); ok {
-					came++
+					arrivals++
 				}
 			}
-			assert.Assert(t, float64(came) <= perSecond*seconds, "%d came", came)
-			assert.Assert(t, float64(came) >= perSecond*seconds/2, "%d came", came)
+			assert.Assert(t, float64(arrivals) <= perSecond*seconds, "%d requests arrived", arrivals)
+			assert.Assert(t, float64(arrivals) >= perSecond*seconds/2, "%d requests arrived", arrivals)
 		})
 	}
 }
--- a/hall/watch_test.go
+++ b/hall/watch_test.go
@@ -111,18 +111,18 @@
 		want     State
 		obstacle string
 	}{
-		"nothing runs":                {after: all, want: Empty},
-		"too early":                   {after: all - 3*time.Second, want: Closing, obstacle: "daemons that get the news late"},
-		"a replica reports requests":  {after: all, load: 3, want: Closing, obstacle: "3 requests are in flight"},
-		"own requests at a replica":   {after: all, change: func(f *fixture) { f.own["replica-a"] = 2 }, want: Closing, obstacle: "2 requests are in flight"},
-		"own calls of a service":      {after: all, change: func(f *fixture) { f.own["service-a"] = 1 }, want: Closing, obstacle: "1 requests are in flight"},
-		"requests in another hall":    {after: all, change: func(f *fixture) { f.own["replica-b"] = 2 }, want: Empty},
-		"most daemons do not answer":  {after: all, change: func(f *fixture) { f.reached = 1 }, want: Closing, obstacle: "only 1 of 3 daemons have answered"},
-		"a minority does not answer":  {after: all, change: func(f *fixture) { f.reached = 2 }, want: Empty},
-		"its domain reports no more":  {after: all, change: func(f *fixture) { f.silent = true }, want: Closing, obstacle: "nothing was heard from the leader of its domain domain-a"},
-		"opened again":                {after: all, change: func(f *fixture) { f.set("hall-a", false) }, want: Open},
-		"closed, opened and closed":   {after: all, change: func(f *fixture) { f.set("hall-a", false); f.set("hall-a", true) }, want: Empty},
-		"another change of its entry": {after: time.Second, change: func(f *fixture) { f.set("hall-a", true) }, want: Closing},
+		"nothing runs":                 {after: all, want: Empty},
+		"too early":                    {after: all - 3*time.Second, want: Closing, obstacle: "daemons that get the news late"},
+		"a replica reports requests":   {after: all, load: 3, want: Closing, obstacle: "3 requests are in flight"},
+		"own requests at a replica":    {after: all, change: func(f *fixture) { f.own["replica-a"] = 2 }, want: Closing, obstacle: "2 requests are in flight"},
+		"own calls of a service":       {after: all, change: func(f *fixture) { f.own["service-a"] = 1 }, want: Closing, obstacle: "1 requests are in flight"},
+		"requests in another hall":     {after: all, change: func(f *fixture) { f.own["replica-b"] = 2 }, want: Empty},
+		"most daemons do not answer":   {after: all, change: func(f *fixture) { f.reached = 1 }, want: Closing, obstacle: "only 1 of 3 daemons have answered"},
+		"a minority does not answer":   {after: all, change: func(f *fixture) { f.reached = 2 }, want: Empty},
+		"its domain no longer reports": {after: all, change: func(f *fixture) { f.silent = true }, want: Closing, obstacle: "nothing was heard from the leader of its domain domain-a"},
+		"opened again":                 {after: all, change: func(f *fixture) { f.set("hall-a", false) }, want: Open},
+		"closed, opened and closed":    {after: all, change: func(f *fixture) { f.set("hall-a", false); f.set("hall-a", true) }, want: Empty},
+		"another change of its entry":  {after: time.Second, change: func(f *fixture) { f.set("hall-a", true) }, want: Closing},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/intent/ledger.go
+++ b/intent/ledger.go
@@ -116,8 +116,8 @@
 	return Claim{key: key, attempt: attempt, sendBefore: sendBefore, won: won, entry: e}, nil
 }
 
-// abandon abandons an attempt whose claim was not applied in time. As the claim may still win
-// later, a release is queued for it.
+// abandon gives up the right to send an attempt whose claim was not applied in time. As the claim
+// may still win later, a release is queued for it.
 func (l *Ledger) abandon(key Key, attempt string) {
 	l.outcomes.set(attempt, Outcome{phase: PhaseReleased})
 	l.enqueue(Record{Operation: OperationRelease, Key: key, Attempt: attempt})
@@ -155,8 +155,8 @@
 }
 
 // Outcome returns the outcome of the attempt that holds a key, by asking its holder. It has
-// PhaseAbsent if the holder does not know the attempt or does not answer; the request may then
-// have run, unless the log has recorded it as done.
+// PhaseAbsent if the holder does not know the attempt or does not answer. Whether such a request
+// ran is unknown, unless the log has recorded it as done.
 func (l *Ledger) Outcome(ctx context.Context, e Entry) Outcome {
 	if e.holder == l.opts.Self {
 		return l.outcomes.get(e.attempt)
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -25,13 +25,13 @@
 // fakeFleet connects electors by heartbeats and a registry, both of which can fail.
 type fakeFleet struct {
 	mu      sync.Mutex
-	grants  []keptGrant
+	grants  []storedGrant
 	era     int64
 	storeUp bool
-	// cut holds the daemons that reach neither others nor the store.
-	cut     map[string]bool
-	dead    map[string]bool
-	daemons []*fakeDaemon
+	// isolated holds the daemons that reach neither others nor the store.
+	isolated map[string]bool
+	dead     map[string]bool
+	daemons  []*fakeDaemon
 	// claims maps every claim ever made to the daemon that made it.
 	claims map[peers.Claim]string
 	// unready means that no daemon is ready yet. calls counts the calls to the registry.
@@ -56,7 +56,7 @@
 }
 
 func newFakeFleet(daemons int) *fakeFleet {
-	f := &fakeFleet{storeUp: true, cut: make(map[string]bool), dead: make(map[string]bool), claims: make(map[peers.Claim]string)}
+	f := &fakeFleet{storeUp: true, isolated: make(map[string]bool), dead: make(map[string]bool), claims: make(map[peers.Claim]string)}
 	for i := range daemons {
 		f.start(fmt.Sprintf("d%d", i), 1)
 	}
@@ -69,7 +69,7 @@
 		Self: d.identity(), Registry: Registry{Newest: d.newest, Add: d.add}, Alive: d.alive, Known: d.known,
 		Patience: func() time.Duration { return 800 * time.Millisecond },
 		Settled:  func(time.Time) bool { return true }, Fit: d.fit,
-		Era: d.seenEra, StoreSeen: d.storeSeen, Lead: d.lead, Logger: hclog.NewNullLogger(),
+		Era: d.reportedEra, StoreSeen: d.storeSeen, Lead: d.lead, Logger: hclog.NewNullLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
@@ -92,7 +92,7 @@
 }
 
 func (f *fakeFleet) connected(a, b string) bool {
-	return !f.cut[a] && !f.cut[b] && !f.dead[a] && !f.dead[b]
+	return !f.isolated[a] && !f.isolated[b] && !f.dead[a] && !f.dead[b]
 }
 
 func (d *fakeDaemon) identity() peers.Identity {
@@ -162,7 +162,7 @@
 func (d *fakeDaemon) reachesStore() bool {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	return d.fleet.storeUp && !d.fleet.cut[d.self.ID] && !d.fleet.dead[d.self.ID]
+	return d.fleet.storeUp && !d.fleet.isolated[d.self.ID] && !d.fleet.dead[d.self.ID]
 }
 
 func (d *fakeDaemon) newest(context.Context) (Found, error) {
@@ -191,12 +191,12 @@
 	if position != int64(len(d.fleet.grants)) || d.era != d.fleet.era {
 		return false, nil
 	}
-	d.fleet.grants = append(d.fleet.grants, keptGrant{Grant: grant, era: d.fleet.era})
+	d.fleet.grants = append(d.fleet.grants, storedGrant{Grant: grant, era: d.fleet.era})
 	return true, nil
 }
 
-// seenEra returns the era that the store last reported to this daemon.
-func (d *fakeDaemon) seenEra() int64 {
+// reportedEra returns the era that the store last reported to this daemon.
+func (d *fakeDaemon) reportedEra() int64 {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	return d.era
@@ -205,8 +205,8 @@
 // maxLostGrants is the maximum number of grants that a restore of the store loses in these tests.
 const maxLostGrants = 3
 
-// keptGrant is a grant with the era in which it was added.
-type keptGrant struct {
+// storedGrant is a grant with the era in which it was added.
+type storedGrant struct {
 	peers.Grant
 	era int64
 }
@@ -224,7 +224,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.daemons {
-		if f.storeUp && !f.cut[d.self.ID] && !f.dead[d.self.ID] {
+		if f.storeUp && !f.isolated[d.self.ID] && !f.dead[d.self.ID] {
 			d.era = f.era
 		}
 	}
@@ -243,7 +243,7 @@
 			t.Fatalf("claimed twice: %v", twice)
 		}
 		if len(leaders) != 1 {
-			t.Fatalf("when all is well again, %v lead", leaders)
+			t.Fatalf("after recovery, %v lead", leaders)
 		}
 	})
 }
@@ -264,7 +264,7 @@
 			f.reportEra()
 		}
 	}
-	f.set(func() { f.storeUp, f.cut = true, make(map[string]bool) })
+	f.set(func() { f.storeUp, f.isolated = true, make(map[string]bool) })
 	f.reportEra()
 	time.Sleep(10 * time.Second)
 	return f.duplicates, f.leaders()
@@ -433,11 +433,11 @@
 		f := newFakeFleet(5)
 		time.Sleep(3 * time.Second)
 		old := f.leaders()[0]
-		f.set(func() { f.cut[old] = true })
+		f.set(func() { f.isolated[old] = true })
 		time.Sleep(8 * time.Second)
 		assert.Equal(t, len(f.leaders()), 1)
 		assert.Assert(t, f.leaders()[0] != old)
-		f.set(func() { f.cut[old] = false })
+		f.set(func() { f.isolated[old] = false })
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, len(f.leaders()), 1)
 		f.end()
@@ -458,7 +458,7 @@
 				incarnation++
 				f.disturb(step, fmt.Sprintf("d%d", which[i]), incarnation)
 			}
-			f.set(func() { f.storeUp, f.cut = true, make(map[string]bool) })
+			f.set(func() { f.storeUp, f.isolated = true, make(map[string]bool) })
 			time.Sleep(10 * time.Second)
 			twice, leaders = f.duplicates, f.leaders()
 			f.end()
@@ -467,7 +467,7 @@
 			t.Fatalf("claimed twice: %v", twice)
 		}
 		if len(leaders) != 1 {
-			t.Fatalf("when all is well again, %v lead", leaders)
+			t.Fatalf("after recovery, %v lead", leaders)
 		}
 	})
 }
@@ -479,7 +479,7 @@
 		f.set(func() { f.dead[id] = false })
 		f.start(id, incarnation)
 	case 2:
-		f.set(func() { f.cut[id] = !f.cut[id] })
+		f.set(func() { f.isolated[id] = !f.isolated[id] })
 	case 3:
 		f.set(func() { f.storeUp = !f.storeUp })
 	case 4:
@@ -489,7 +489,7 @@
 			f.start(leaders[0], incarnation)
 		}
 	default:
-		f.set(func() { f.cut = make(map[string]bool) })
+		f.set(func() { f.isolated = make(map[string]bool) })
 	}
 }
 
@@ -510,9 +510,9 @@
 		}
 		d.elector.attempt(context.Background())
 		own, _, _ := d.elector.State()
-		assert.Assert(t, own == nil, "it claims a grant that was won before it was suspended")
+		assert.Assert(t, own == nil, "it claims a grant that was won before the suspension")
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, len(f.leaders()), 1, "it leads by what the store tells it now")
+		assert.Equal(t, len(f.leaders()), 1, "it leads by a new answer of the store")
 		f.end()
 	})
 }
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -27,8 +27,8 @@
 	Lead
 	// Propose means that this daemon appends a new grant and follows until the grant is applied.
 	Propose
-	// LeadAndPropose means that this daemon manages the domain and asks for a grant of its own, as
-	// a deputy does that took over.
+	// LeadAndPropose means that this daemon manages the domain and also appends a new grant, for
+	// example as a deputy that took over.
 	LeadAndPropose
 )
 
--- a/ownership/decide_test.go
+++ b/ownership/decide_test.go
@@ -30,18 +30,18 @@
 		overdue    bool
 		want       Action
 	}{
-		"the owner leads":                          {self: "a", grant: grant, activeRank: -1, want: Lead},
-		"a deputy follows":                         {self: "b", grant: grant, activeRank: 0, want: Follow},
-		"the first deputy takes over":              {self: "b", grant: grant, activeRank: 0, gone: []string{"a"}, want: LeadAndPropose},
-		"the second waits for the first":           {self: "c", grant: grant, activeRank: 0, gone: []string{"a"}, want: Follow},
-		"the second follows the first":             {self: "c", grant: grant, activeRank: 1, gone: []string{"a", "b"}, want: LeadAndPropose},
-		"the owner comes back in the next round":   {self: "a", grant: grant, activeRank: 2, gone: []string{"b", "c"}, want: Lead},
-		"the owner leaves it to an active deputy":  {self: "a", grant: grant, activeRank: 1, want: Follow},
-		"a leaving owner hands over":               {self: "a", grant: grant, activeRank: 0, leaving: []string{"a"}, want: LeadAndPropose},
-		"an overdue owner is passed over":          {self: "b", grant: grant, activeRank: 0, overdue: true, want: LeadAndPropose},
-		"an overdue owner stands back":             {self: "a", grant: grant, activeRank: 0, overdue: true, want: Follow},
-		"no grant: the best candidate proposes":    {self: first, activeRank: -1, want: Propose},
-		"all holders gone: a stranger may propose": {self: "x", grant: grant, gone: []string{"a", "b", "c"}, want: Propose},
+		"the owner leads":                           {self: "a", grant: grant, activeRank: -1, want: Lead},
+		"a deputy follows":                          {self: "b", grant: grant, activeRank: 0, want: Follow},
+		"the first deputy takes over":               {self: "b", grant: grant, activeRank: 0, gone: []string{"a"}, want: LeadAndPropose},
+		"the second waits for the first":            {self: "c", grant: grant, activeRank: 0, gone: []string{"a"}, want: Follow},
+		"the second follows the first":              {self: "c", grant: grant, activeRank: 1, gone: []string{"a", "b"}, want: LeadAndPropose},
+		"the owner comes back in the next round":    {self: "a", grant: grant, activeRank: 2, gone: []string{"b", "c"}, want: Lead},
+		"the owner follows an active deputy":        {self: "a", grant: grant, activeRank: 1, want: Follow},
+		"a leaving owner hands over":                {self: "a", grant: grant, activeRank: 0, leaving: []string{"a"}, want: LeadAndPropose},
+		"a deputy replaces an overdue owner":        {self: "b", grant: grant, activeRank: 0, overdue: true, want: LeadAndPropose},
+		"an overdue owner follows":                  {self: "a", grant: grant, activeRank: 0, overdue: true, want: Follow},
+		"no grant: the best candidate proposes":     {self: first, activeRank: -1, want: Propose},
+		"all holders gone: another daemon proposes": {self: "x", grant: grant, gone: []string{"a", "b", "c"}, want: Propose},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/placement/closed_test.go
+++ b/placement/closed_test.go
@@ -44,7 +44,7 @@
 				return w
 			}()}, kept: []string{"chat-d-0", "chat-d-1"},
 		},
-		"nobody wants it any more": {nodes: formed, released: 8},
+		"no longer wanted": {nodes: formed, released: 8},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 		}
 		for _, f := range p.Formations {
 			if f.Replica == "chat-d-0" {
-				rt.Fatalf("chat-d-0 is formed anew: %v", f.Reason)
+				rt.Fatalf("chat-d-0 is formed again: %v", f.Reason)
 			}
 		}
 	})
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -77,10 +77,10 @@
 			in: Input{Nodes: idleNodes(6), Wants: []Want{want("chat", 1, 0)}}, formed: 1,
 			members: []string{"n00", "n01", "n02", "n03"}, dark: "wanted by the deployment",
 		},
-		"keeps what is whole":             {in: Input{Nodes: formed, Wants: []Want{want("chat", 1, 0)}}},
-		"keeps through one missed probe":  {in: Input{Nodes: change(1, func(n *Node) { n.Answering = false }), Wants: []Want{want("chat", 1, 0)}}},
-		"releases what is not wanted":     {in: Input{Nodes: formed}, released: 4},
-		"too few nodes say what is there": {in: Input{Nodes: idleNodes(3), Wants: []Want{want("chat", 1, 0)}}, dark: "wanted by the deployment; needs 4 nodes, only 3 can be used"},
+		"keeps a complete replica":             {in: Input{Nodes: formed, Wants: []Want{want("chat", 1, 0)}}},
+		"keeps a replica after a missed probe": {in: Input{Nodes: change(1, func(n *Node) { n.Answering = false }), Wants: []Want{want("chat", 1, 0)}}},
+		"releases what is not wanted":          {in: Input{Nodes: formed}, released: 4},
+		"too few nodes are explained":          {in: Input{Nodes: idleNodes(3), Wants: []Want{want("chat", 1, 0)}}, dark: "wanted by the deployment; needs 4 nodes, only 3 can be used"},
 		"replaces a lost node by a spare": {
 			in:     Input{Nodes: change(1, func(n *Node) { n.Answering, n.Lost = false, true }), Wants: []Want{want("chat", 1, 0)}},
 			formed: 1, members: []string{"n00", "n02", "n03", "n04"}, dark: "node n01 does not answer",
@@ -212,7 +212,7 @@
 			p = Make(in)
 			checkPlan(rt, in, p)
 		}
-		rt.Fatalf("the plan does not come to rest: %+v", p)
+		rt.Fatalf("the plans do not reach a stable state: %+v", p)
 	})
 }
 
@@ -268,11 +268,11 @@
 		supplies []Supply
 		want     map[string]int
 	}{
-		"spreads by room":          {3, []Supply{{Domain: "a", Eligible: 12}, {Domain: "b", Eligible: 6}}, map[string]int{"a": 2, "b": 1}},
-		"keeps what serves":        {1, []Supply{{Domain: "a", Eligible: 12}, {Domain: "b", Eligible: 4, Existing: 1, Serving: 1}}, map[string]int{"a": 0, "b": 1}},
-		"moves what has no room":   {1, []Supply{{Domain: "a", Eligible: 3, Existing: 1}, {Domain: "b", Eligible: 4}}, map[string]int{"a": 0, "b": 1}},
-		"as many as fit":           {0, []Supply{{Domain: "a", Eligible: 11}, {Domain: "b", Eligible: 4}}, map[string]int{"a": 2, "b": 1}},
-		"drops surplus of the end": {1, []Supply{{Domain: "a", Eligible: 4, Existing: 1, Serving: 1}, {Domain: "b", Eligible: 4, Existing: 1, Serving: 1}}, map[string]int{"a": 1, "b": 0}},
+		"spreads by room":                  {3, []Supply{{Domain: "a", Eligible: 12}, {Domain: "b", Eligible: 6}}, map[string]int{"a": 2, "b": 1}},
+		"keeps what serves":                {1, []Supply{{Domain: "a", Eligible: 12}, {Domain: "b", Eligible: 4, Existing: 1, Serving: 1}}, map[string]int{"a": 0, "b": 1}},
+		"moves what has no room":           {1, []Supply{{Domain: "a", Eligible: 3, Existing: 1}, {Domain: "b", Eligible: 4}}, map[string]int{"a": 0, "b": 1}},
+		"as many as fit":                   {0, []Supply{{Domain: "a", Eligible: 11}, {Domain: "b", Eligible: 4}}, map[string]int{"a": 2, "b": 1}},
+		"drops surplus in the last domain": {1, []Supply{{Domain: "a", Eligible: 4, Existing: 1, Serving: 1}, {Domain: "b", Eligible: 4, Existing: 1, Serving: 1}}, map[string]int{"a": 1, "b": 0}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -113,14 +113,14 @@
 	assert.Assert(t, total+crashesToMark <= 16, "%d workers in a week", total+crashesToMark)
 }
 
-func TestCompletedRunEndsAQuarantine(t *testing.T) {
+func TestCompletedRunEndsQuarantine(t *testing.T) {
 	table, f := NewTable(), requestNumbered(1)
 	mark(t, table, f, 1000)
 	assert.Assert(t, table.Clear(f, at(1200)))
 	assert.Equal(t, table.State(f, at(1200)), State{})
 	assert.Assert(t, !table.Clear(f, at(1300)), "it is already cleared")
 	mark(t, table, f, 2000)
-	assert.Assert(t, !NewTable().Clear(f, at(1200)), "nothing was known of it")
+	assert.Assert(t, !NewTable().Clear(f, at(1200)), "there is no record of it")
 }
 
 // pass merges the report of one table into another, as heartbeats do.
@@ -158,7 +158,7 @@
 	assert.Assert(t, pass(relayB, far, now, true).News)
 	assert.Equal(t, far.State(f, now).Crashes, 1)
 	assert.Equal(t, len(far.Report(now, false)), 0)
-	assert.Assert(t, !pass(relayB, far, now, true).News, "it is known already")
+	assert.Assert(t, !pass(relayB, far, now, true).News, "it is already known")
 }
 
 // TestReportsConverge merges reports in any order, repeatedly, late and indirectly, and checks
@@ -242,7 +242,7 @@
 	table, f, now := NewTable(), requestNumbered(1), at(1000)
 	kept := Mark{Fingerprint: f, MarkedAt: at(0), Until: at(600_000), Rounds: 1}
 	assert.Assert(t, table.Restore(kept, now))
-	assert.Assert(t, !table.Restore(kept, now), "it is known already")
+	assert.Assert(t, !table.Restore(kept, now), "it is already known")
 	assert.Assert(t, table.State(f, now).Quarantined)
 	assert.Equal(t, len(table.Report(now, false)), 1)
 	assert.Assert(t, table.Clear(f, at(2000)))
