--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -17,7 +17,7 @@
 // the same fingerprint.
 const fingerprintSize = 16
 
-var errIgnoredCharacters = errors.New("it contains ignored characters")
+var errIgnoredCharacters = errors.New("it holds characters that count for nothing")
 
 // Fingerprint identifies equal requests. Equal requests of one client account have the same
 // fingerprint at all daemons.
@@ -51,7 +51,7 @@
 // returns.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	if want := base64.RawURLEncoding.EncodedLen(fingerprintSize); len(text) != want {
-		return fmt.Errorf("decode fingerprint %.40q: got %d characters, want %d", text, len(text), want)
+		return fmt.Errorf("decode fingerprint %.40q: %d characters in place of %d", text, len(text), want)
 	}
 	data, err := base64.RawURLEncoding.Strict().DecodeString(string(text))
 	if err != nil || len(data) != fingerprintSize {
--- a/quarantine/guard/guard.go
+++ b/quarantine/guard/guard.go
@@ -174,7 +174,7 @@
 
 func (g *Guard) logReported(f quarantine.Fingerprint, by string) {
 	state := g.table.State(f, time.Now())
-	g.opts.Logger.Info("request quarantined by a peer", "fingerprint", f.String(), "by", by, "crashes", state.Crashes, "until", state.Until)
+	g.opts.Logger.Info("quarantine received", "fingerprint", f.String(), "by", by, "crashes", state.Crashes, "until", state.Until)
 }
 
 func (g *Guard) logLifted(f quarantine.Fingerprint, by string) {
