--- a/placement/plan.go
+++ b/placement/plan.go
@@ -13,8 +13,8 @@
 // Make returns the plan for an input.
 //
 // Complete replicas stay unchanged. A broken replica is formed again from its remaining nodes and
-// from spares, with nodes that have the weights preferred. Nodes are taken from a deployment of
-// lower priority only if the domain has no others.
+// from spares. Spares that have cached the weights are preferred. Nodes are taken from surplus
+// replicas or from deployments of lower priority only if there are not enough spares.
 func Make(in Input) Plan {
 	p := newPlanner(in)
 	if in.Closed {
@@ -47,6 +47,7 @@
 	nodes      []*Node
 }
 
+// planner holds the state of making one plan.
 type planner struct {
 	in     Input
 	plan   Plan
@@ -55,28 +56,30 @@
 	groups map[string]*group
 	// usedBy maps each node in use to the replica that uses it.
 	usedBy map[string]string
-	// placed counts the replicas of each deployment.
-	placed map[string]int
+	// placedCount maps each deployment to the number of its wanted replicas that are kept, broken
+	// or planned.
+	placedCount map[string]int
 	// broken lists the groups of each deployment that need repair.
 	broken map[string][]*group
-	// extra marks the replicas that are kept beyond the wanted number.
+	// extra contains the IDs of replicas that are kept or formed beyond the wanted number.
 	extra map[string]bool
-	// outdated lists the groups that run another version than the wanted one.
+	// outdated lists the groups whose nodes should fetch another version.
 	outdated []outdatedGroup
-	loading  int
+	// loadingCount is the number of replicas that load weights now, or will load them by this plan.
+	loadingCount int
 }
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in:     in,
-		nodes:  make(map[string]*Node, len(in.Nodes)),
-		wants:  slices.Clone(in.Wants),
-		groups: make(map[string]*group),
-		usedBy: make(map[string]string),
-		placed: make(map[string]int),
-		broken: make(map[string][]*group),
-		extra:  make(map[string]bool),
-		plan:   Plan{Dark: make(map[string]string), Idle: make(map[string]string), deployments: make(map[string]string)},
+		in:          in,
+		nodes:       make(map[string]*Node, len(in.Nodes)),
+		wants:       slices.Clone(in.Wants),
+		groups:      make(map[string]*group),
+		usedBy:      make(map[string]string),
+		placedCount: make(map[string]int),
+		broken:      make(map[string][]*group),
+		extra:       make(map[string]bool),
+		plan:        Plan{Dark: make(map[string]string), Idle: make(map[string]string), deployments: make(map[string]string)},
 	}
 	slices.SortStableFunc(p.wants, func(a, b Want) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), strings.Compare(a.Deployment, b.Deployment))
@@ -89,8 +92,8 @@
 	return p
 }
 
-// addToGroup adds a node to the group of its assignment. Only the newest generation of a replica
-// counts; nodes of older ones are free.
+// addToGroup adds a node to the group of its assignment. A group has only nodes of the newest
+// generation of a replica. Nodes of older generations may be used for other replicas.
 func (p *planner) addToGroup(n *Node) {
 	a := n.Assignment
 	if a.Empty() || n.Scripted {
@@ -106,8 +109,8 @@
 	}
 }
 
-// sortedGroups returns the groups of a deployment by readiness, then by name, so that surplus
-// replicas are the least useful ones.
+// sortedGroups returns the groups of a deployment, those with the highest readiness first and then
+// by ID. Callers treat the last groups as surplus.
 func (p *planner) sortedGroups(deployment string) []*group {
 	var all []*group
 	for _, g := range p.groups {
@@ -121,7 +124,7 @@
 	return all
 }
 
-// readiness returns a rank that is higher for groups with more usable and ready nodes.
+// readiness returns the number of usable nodes of the group plus the number of ready ones.
 func (g *group) readiness() int {
 	sum := 0
 	for _, n := range g.nodes {
@@ -135,14 +138,15 @@
 	return sum
 }
 
-// keep counts the deployment's groups, keeps the complete ones and records the broken ones.
+// keep keeps the complete groups of a deployment and records the broken ones, up to the wanted
+// number.
 func (p *planner) keep(want Want) {
 	for _, g := range p.sortedGroups(want.Deployment) {
-		if p.placed[want.Deployment] >= want.Replicas {
+		if p.placedCount[want.Deployment] >= want.Replicas {
 			p.keepExtra(g, want)
 			continue
 		}
-		p.placed[want.Deployment]++
+		p.placedCount[want.Deployment]++
 		if problem := p.problemOf(g, want); problem != "" {
 			p.plan.Dark[g.id] = problem
 			p.broken[want.Deployment] = append(p.broken[want.Deployment], g)
@@ -152,8 +156,8 @@
 	}
 }
 
-// keepExtra keeps a complete replica beyond the wanted number if the deployment asks for it. Every
-// wanted replica may preempt it.
+// keepExtra keeps a complete replica beyond the wanted number if the deployment asks for additional
+// replicas. Its nodes may be taken for any wanted replica.
 func (p *planner) keepExtra(g *group, want Want) {
 	if want.Fill && p.problemOf(g, want) == "" {
 		p.extra[g.id] = true
@@ -169,13 +173,13 @@
 		isLoading = isLoading || n.Phase == cluster.PhaseLoading
 	}
 	if isLoading {
-		p.loading++
+		p.loadingCount++
 		p.plan.Dark[g.id] = "loading weights"
 	}
 }
 
-// problemOf returns why a group cannot stay unchanged, or an empty string if it can. A single
-// missed probe of a node is not a problem.
+// problemOf returns why a group cannot stay unchanged, or an empty string if it can. A node that
+// missed a probe but is not lost is not a problem.
 func (p *planner) problemOf(g *group, want Want) string {
 	members := g.nodes[0].Assignment.Members
 	if len(members) != want.Size {
@@ -210,8 +214,9 @@
 	return !slices.ContainsFunc(g.nodes, func(n *Node) bool { return !n.hasWeights(version) })
 }
 
-// roll marks groups of another version that may go down now as broken, so that they are formed
-// again. It waits until their nodes have the new weights, which keeps the downtime short.
+// roll changes the version of the deployment's groups. A group of another version is marked as
+// broken, so that it is formed again, if it may be taken down now and all its nodes have cached the
+// new weights. Groups without the new weights are recorded as outdated.
 func (p *planner) roll(want Want) {
 	for _, g := range p.sortedGroups(want.Deployment) {
 		current := g.nodes[0].Assignment
@@ -241,12 +246,12 @@
 	for _, g := range p.broken[want.Deployment] {
 		p.formReplica(want, g.id, g.nodes, p.plan.Dark[g.id])
 	}
-	for p.placed[want.Deployment] < want.Replicas {
+	for p.placedCount[want.Deployment] < want.Replicas {
 		id := p.freeID(want.Deployment)
 		if !p.formReplica(want, id, nil, "wanted by the deployment") {
 			return
 		}
-		p.placed[want.Deployment]++
+		p.placedCount[want.Deployment]++
 	}
 }
 
@@ -263,10 +268,11 @@
 }
 
 // formReplica plans a replica from the remaining nodes of a broken one and from other nodes. It
-// reports whether there were enough.
+// reports whether there were enough nodes. If too many replicas load weights, it only reserves the
+// nodes.
 func (p *planner) formReplica(want Want, id string, survivors []*Node, reason string) bool {
 	p.plan.deployments[id] = want.Deployment
-	chosen := p.choose(want, survivors)
+	chosen := p.chooseNodes(want, survivors)
 	if len(chosen) < want.Size {
 		chosen = append(chosen, p.preempt(want, want.Size-len(chosen))...)
 	}
@@ -276,7 +282,7 @@
 		return false
 	}
 	needsLoad := slices.ContainsFunc(chosen, func(n *Node) bool { return !n.hasWeights(want.Version) })
-	if needsLoad && p.in.LoadSlots > 0 && p.loading >= p.in.LoadSlots {
+	if needsLoad && p.in.LoadSlots > 0 && p.loadingCount >= p.in.LoadSlots {
 		p.plan.Dark[id] = reason + "; waits for the weight store"
 		for _, n := range chosen {
 			p.usedBy[n.ID] = id
@@ -284,15 +290,15 @@
 		return true
 	}
 	if needsLoad {
-		p.loading++
+		p.loadingCount++
 	}
 	p.plan.Dark[id] = reason
-	p.plan.Formations = append(p.plan.Formations, p.formation(want, id, chosen, reason))
+	p.plan.Formations = append(p.plan.Formations, p.newFormation(want, id, chosen, reason))
 	return true
 }
 
-// reserve keeps the remaining nodes of a replica that cannot be formed yet, so that the next spare
-// node completes it.
+// reserve keeps the remaining nodes of a replica that cannot be formed yet from being used for
+// others.
 func (p *planner) reserve(id string, survivors []*Node) {
 	for _, n := range survivors {
 		if n.isUsable() && p.usedBy[n.ID] == "" {
@@ -301,7 +307,7 @@
 	}
 }
 
-func (p *planner) formation(want Want, id string, chosen []*Node, reason string) Formation {
+func (p *planner) newFormation(want Want, id string, chosen []*Node, reason string) Formation {
 	slices.SortFunc(chosen, func(a, b *Node) int { return strings.Compare(a.ID, b.ID) })
 	members := make([]string, 0, len(chosen))
 	for _, n := range chosen {
@@ -319,9 +325,9 @@
 	return f
 }
 
-// choose returns up to want.Size free nodes: remaining nodes of the replica first, then nodes that
-// have the weights, then others.
-func (p *planner) choose(want Want, survivors []*Node) []*Node {
+// chooseNodes returns up to want.Size unused nodes. It prefers the remaining nodes of the replica,
+// then nodes that have cached the weights.
+func (p *planner) chooseNodes(want Want, survivors []*Node) []*Node {
 	var free []*Node
 	for _, n := range p.nodes {
 		if n.isUsable() && p.usedBy[n.ID] == "" && want.Selects(n.Labels) && !p.isReservedByOther(n, want) {
@@ -344,8 +350,8 @@
 	return free[:min(want.Size, len(free))]
 }
 
-// isReservedByOther reports whether the node belongs to a broken group of another deployment with
-// equal or higher priority, which has precedence.
+// isReservedByOther reports whether the node belongs to a broken group of another deployment that
+// has an equal or higher priority.
 func (p *planner) isReservedByOther(n *Node, want Want) bool {
 	for _, other := range p.wants {
 		if other.Deployment == want.Deployment || other.Priority < want.Priority {
@@ -360,8 +366,8 @@
 	return false
 }
 
-// preempt takes whole replicas that are surplus or of lower priority until the missing nodes are
-// found. It takes none if there are not enough.
+// preempt dissolves replicas that are surplus or of lower priority, as many as needed for the
+// missing number of nodes, and returns these nodes. If they would not suffice, it dissolves none.
 func (p *planner) preempt(want Want, missing int) []*Node {
 	var found []*Node
 	var victims []*group
@@ -401,6 +407,7 @@
 	return append(extra, lower...)
 }
 
+// usableNodes returns the nodes of a group that the want can use.
 func (p *planner) usableNodes(g *group, want Want) []*Node {
 	var usable []*Node
 	for _, n := range g.nodes {
@@ -411,6 +418,7 @@
 	return usable
 }
 
+// dissolve frees the nodes of a kept replica for the deployment to.
 func (p *planner) dissolve(g *group, to string) {
 	p.plan.Kept = slices.DeleteFunc(p.plan.Kept, func(id string) bool { return id == g.id })
 	if !p.extra[g.id] {
@@ -421,7 +429,7 @@
 	}
 }
 
-// release releases the nodes of replicas that are no longer wanted.
+// release adds orders that remove nodes from replicas that are no longer wanted.
 func (p *planner) release() {
 	for _, id := range slices.Sorted(maps.Keys(p.nodes)) {
 		n := p.nodes[id]
@@ -435,7 +443,7 @@
 	}
 }
 
-// explainIdle records why the remaining nodes belong to no replica.
+// explainIdle records for each unused node why it belongs to no replica.
 func (p *planner) explainIdle() {
 	for id, n := range p.nodes {
 		if p.usedBy[id] == "" {
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -31,7 +31,8 @@
 	return nodes
 }
 
-// carryOut returns the nodes after the plan's orders are carried out.
+// carryOut returns the states of the nodes after they have carried out a plan. The replicas that it
+// forms get the given generation.
 func carryOut(nodes []Node, p Plan, generation uint64) []Node {
 	next := make([]Node, len(nodes))
 	copy(next, nodes)
@@ -124,9 +125,9 @@
 	}
 }
 
-// TestExtraReplicaReplacesBrokenOne forms an additional replica from idle nodes. If the wanted one
-// loses a node, the additional one must replace it without any order; if both lose one, the
-// remaining nodes must form one replica.
+// TestExtraReplicaReplacesBrokenOne forms an additional replica from idle nodes. If the wanted
+// replica loses a node, the additional one must replace it, without orders to its nodes. If both
+// lose a node, the remaining nodes must form one replica.
 func TestExtraReplicaReplacesBrokenOne(t *testing.T) {
 	filling := want("chat", 1, 0)
 	filling.Fill = true
@@ -193,9 +194,9 @@
 	return in
 }
 
-// TestPlanIsSound plans domains in arbitrary states. A plan must use each node at most once, use
-// only usable nodes and complete replicas, and be deterministic. Carrying it out repeatedly must
-// reach a stable state.
+// TestPlanIsSound plans domains in arbitrary states. A plan must use each node at most once, and
+// only usable nodes. It must form complete replicas and be deterministic. If plans are made and
+// carried out repeatedly, the orders must cease.
 func TestPlanIsSound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := drawInput(rt)
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -15,7 +15,7 @@
 	return table
 }
 
-// BenchmarkState measures the lookup that each request makes while the table is not empty.
+// BenchmarkState measures the lookup of one request in a full table.
 func BenchmarkState(b *testing.B) {
 	table, f, now := fullTable(), requestNumbered(1), at(maxRecords)
 	b.ReportAllocs()
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkSweep measures the sweep that runs each second.
+// BenchmarkSweep measures a sweep of a full table.
 func BenchmarkSweep(b *testing.B) {
 	table, now := fullTable(), at(maxRecords)
 	for b.Loop() {
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine decides which requests crash the workers that run them, based on what daemons
-// observed: which requests were at a worker when it ended, and which requests completed. It does
-// no I/O.
+// Package quarantine determines which requests crash the workers that run them. A request is
+// quarantined if several workers ended while they had it, and released if a run of it completes.
+// Daemons exchange what they observed. The package does no I/O.
 package quarantine
 
 import (
@@ -13,24 +13,24 @@
 	"io"
 )
 
-// fingerprintSize is the length of a fingerprint in bytes, enough to rule out a second body with
-// the same fingerprint.
+// fingerprintSize is the length of a fingerprint in bytes. It makes it infeasible to find two
+// requests with the same fingerprint.
 const fingerprintSize = 16
 
 var errIgnoredCharacters = errors.New("it holds characters that count for nothing")
 
-// Fingerprint identifies equal requests. Equal requests of one client account have the same
-// fingerprint at all daemons.
+// Fingerprint identifies a request by its content. Equal requests of one client account have the
+// same fingerprint at all daemons.
 type Fingerprint [fingerprintSize]byte
 
-// FingerprintOf returns the fingerprint of a request. It includes the account, so that no account
-// can forge the fingerprint of another account's request; the account is empty for routes that
-// need no key. The body is not copied.
+// FingerprintOf returns the fingerprint of a request. It depends on the client account, so that no
+// account can cause the quarantine of another account's requests. The account is empty for routes
+// that need no key.
 func FingerprintOf(account, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [...]string{account, method, host, target} {
-		// The length prefix keeps adjacent parts from running into each other.
+		// Without a length prefix, parts that are split differently could have the same hash.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		// Writing to a hash does not fail.
 		_, _ = h.Write(length[:])
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkFingerprint measures the computation for each request while the table is not empty.
+// BenchmarkFingerprint measures the computation of fingerprints for bodies of several sizes.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{200, 4 << 10, 1 << 20} {
 		b.Run(fmt.Sprintf("%d bytes", size), func(b *testing.B) {
--- a/quarantine/guard/endcheck.go
+++ b/quarantine/guard/endcheck.go
@@ -13,13 +13,12 @@
 )
 
 const (
-	// checkTimeout limits a check whether a worker has ended, which takes one round trip.
+	// checkTimeout limits the time that a check whether a worker has ended takes.
 	checkTimeout = 500 * time.Millisecond
-	// blameDelay is how long a request waits for that check before it is retried elsewhere:
-	// several round trips, but short compared to the pauses that clients tolerate.
+	// blameDelay is the maximum time for which the retry of a request waits for that check.
 	blameDelay = 30 * time.Millisecond
-	// resultTTL is how long the result of a check is reused. A worker that was alive may end a
-	// moment later, which further broken connections then show.
+	// resultTTL is how long the result of a check is reused for further broken connections to the
+	// same worker.
 	resultTTL = 100 * time.Millisecond
 )
 
@@ -27,7 +26,7 @@
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // BrokeOff reports whether an exchange failed because the worker closed or reset the connection,
-// or because nobody listened when it was sent again.
+// or because it refused a new one.
 func BrokeOff(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ECONNREFUSED} {
 		if errors.Is(err, cause) {
@@ -42,16 +41,16 @@
 	// ID identifies its incarnation.
 	ID      string
 	Address string
-	// Replaced reports whether another incarnation answers at the address, if any does; nil if
-	// that cannot be determined.
+	// Replaced asks whoever listens at the address, and reports whether it is another incarnation.
+	// It is nil if that cannot be determined.
 	Replaced func(ctx context.Context) (bool, error)
 }
 
-// endChecker checks whether workers whose connections broke have ended; a connection can also
+// endChecker checks whether workers whose connections broke have ended. A connection can also
 // break while its worker is alive. It is safe for concurrent use.
 type endChecker struct {
 	dial Dial
-	// onError is called when an error left it open whether a worker ended.
+	// onError is called if a check failed, so that it is unknown whether the worker ended.
 	onError func(w Worker, err error)
 	checks  conc.WaitGroup
 
@@ -61,15 +60,15 @@
 
 // endCheck is one check of a worker.
 type endCheck struct {
-	// expiresAt is when the result may no longer be reused.
+	// expiresAt is the time from which the result is not reused.
 	expiresAt time.Time
 	// done is closed when the result is available.
 	done  chan struct{}
 	ended bool
 }
 
-// check returns the check of a worker whose connection broke now. Connections that break at the
-// same moment share one check.
+// check starts a check of a worker whose connection broke now, or returns the current one if it
+// has not expired. Connections that break at the same time thus share one check.
 func (e *endChecker) check(w Worker, now time.Time) *endCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,7 +84,7 @@
 	e.byWorker[w.ID] = started
 	e.checks.Go(func() {
 		defer close(started.done)
-		started.ended = e.run(w)
+		started.ended = e.hasEnded(w)
 	})
 	return started
 }
@@ -99,9 +98,10 @@
 	}
 }
 
-// run reports whether nobody listens at a worker's address any more, or whether another
-// incarnation does. A timeout proves nothing: the network or the machine may be stalled.
-func (e *endChecker) run(w Worker) bool {
+// hasEnded reports whether the worker has ended, that is, whether its address refuses connections
+// or belongs to another incarnation now. It returns false after a timeout, since the network or
+// the machine may be stalled.
+func (e *endChecker) hasEnded(w Worker) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	c, err := e.dial(ctx, "tcp", w.Address)
--- a/quarantine/guard/guard.go
+++ b/quarantine/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard keeps requests that crash workers away from them. It checks whether a worker whose
-// connection broke has ended, blames the requests that it had, and informs peers. The state of
-// requests is kept by package quarantine.
+// Package guard detects requests that crash workers. If a worker's connection breaks, it checks
+// whether the worker has ended, records a crash for the request of that connection, and informs
+// peers. The records are kept by package quarantine.
 package guard
 
 import (
@@ -26,7 +26,7 @@
 // Options configures a Guard.
 type Options struct {
 	Dial Dial
-	// Marked is called with the requests that were put into quarantine, Spread when peers should
+	// Marked is called with the requests that were quarantined. Spread is called when peers should
 	// be informed at once. Both may be nil.
 	Marked func(all []quarantine.Fingerprint)
 	Spread func()
@@ -34,7 +34,7 @@
 	Logger hclog.Logger
 }
 
-// Guard tracks the requests of one daemon. It is safe for concurrent use.
+// Guard observes the requests of one daemon. It is safe for concurrent use.
 type Guard struct {
 	opts    Options
 	table   *quarantine.Table
@@ -57,12 +57,12 @@
 // Table returns the table of known requests.
 func (g *Guard) Table() *quarantine.Table { return g.table }
 
-// Wait waits until all checks of workers have finished. No request may be served any more.
+// Wait waits until all checks of workers have finished. It must not be called while requests are
+// served.
 func (g *Guard) Wait() { g.checker.checks.Wait() }
 
-// Judge returns the state of a request before it is sent. Limits on the sends of a single request
-// do not help here, as a request that crashes workers is retried under another ID and at another
-// daemon. Judge is free while the table is empty.
+// Judge returns the state of a request, which is to be called before the request is sent. It does
+// not compute the fingerprint of the request if there are no records.
 func (g *Guard) Judge(r Request, now time.Time) quarantine.State {
 	if g.table.Empty() {
 		return quarantine.State{}
@@ -70,9 +70,9 @@
 	return g.table.State(r.Fingerprint(), now)
 }
 
-// Broke reports a request whose connection broke now, and blames it if its worker has ended. It
-// waits up to blameDelay for the check, so that the request is not retried if it was just
-// quarantined.
+// Broke handles a request whose connection to the worker w broke now. If the worker has ended, it
+// records a crash for the request. It waits up to blameDelay for the check of the worker, so that
+// a request that is quarantined now is not retried.
 func (g *Guard) Broke(r Request, w Worker, sent, now time.Time) {
 	crash := quarantine.Crash{Worker: w.ID, Sent: sent, Ended: now}
 	check := g.checker.check(w, now)
@@ -89,6 +89,7 @@
 	}
 }
 
+// blameIfEnded blames a request if the check found that its worker has ended.
 func (g *Guard) blameIfEnded(r Request, check *endCheck, crash quarantine.Crash) {
 	if !check.ended {
 		return
@@ -105,8 +106,8 @@
 		"bytes", r.Bytes, "crashes", state.Crashes, "worker", crash.Worker, "until", state.Until)
 }
 
-// Blame records that a worker ended while it had a request, and informs peers at once if the
-// request is quarantined or suspected now.
+// Blame records that a worker ended while it had a request. It informs peers at once if the request
+// is now quarantined, or would be after one more crash.
 func (g *Guard) Blame(f quarantine.Fingerprint, crash quarantine.Crash) (state quarantine.State, marked bool) {
 	g.opts.Meter.Quarantine("blamed")
 	state, marked = g.table.Blame(f, crash, time.Now())
@@ -140,9 +141,10 @@
 	g.opts.Spread()
 }
 
-// Merge applies a report that a peer sent at a time, and reports whether it has to be passed on.
-func (g *Guard) Merge(all []quarantine.Entry, at time.Time, by string) (news bool) {
-	merged := g.table.Merge(all, at, time.Now())
+// Merge applies a report that the peer by sent at the time sentAt. It reports whether a record
+// changed, which is to be reported to other peers.
+func (g *Guard) Merge(all []quarantine.Entry, sentAt time.Time, by string) (changed bool) {
+	merged := g.table.Merge(all, sentAt, time.Now())
 	for _, f := range merged.Marked {
 		g.logReported(f, by)
 	}
@@ -153,7 +155,8 @@
 	return merged.News
 }
 
-// Restore adds a mark from persistent storage.
+// Restore adds a quarantine that was read from persistent storage. The argument by is its source
+// for the log.
 func (g *Guard) Restore(m quarantine.Mark, by string) {
 	if !g.table.Restore(m, time.Now()) {
 		return
@@ -162,7 +165,7 @@
 	g.reportMarked([]quarantine.Fingerprint{m.Fingerprint})
 }
 
-// Lift ends a quarantine on behalf of an operator, and reports whether there was one.
+// Lift ends a quarantine at the request of the operator by, and reports whether there was one.
 func (g *Guard) Lift(f quarantine.Fingerprint, by string) bool {
 	if !g.table.Clear(f, time.Now()) {
 		return false
@@ -182,7 +185,7 @@
 	g.opts.Logger.Info("quarantine lifted", "fingerprint", f.String(), "by", by)
 }
 
-// logCheckError logs that it could not be determined whether a worker has ended.
+// logCheckError logs that a check whether a worker has ended failed.
 func (g *Guard) logCheckError(w Worker, err error) {
 	g.opts.Logger.Info("failed to check whether a worker ended", "worker", w.ID, "error", err)
 }
--- a/quarantine/guard/guard_test.go
+++ b/quarantine/guard/guard_test.go
@@ -12,17 +12,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBrokenConnectionsShareOneCheck checks that connections that break at the same moment share
-// one check of their worker, and that a later one starts a new check.
+// TestBrokenConnectionsShareOneCheck checks that connections that break at the same time share one
+// check of their worker, and that one that breaks later starts a new check.
 func TestBrokenConnectionsShareOneCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		looks, refuse := 0, false
+		checkCount, refuse := 0, false
 		e := &endChecker{byWorker: make(map[string]*endCheck), onError: func(Worker, error) {}}
 		e.dial = func(context.Context, string, string) (net.Conn, error) {
 			mu.Lock()
 			defer mu.Unlock()
-			looks++
+			checkCount++
 			if refuse {
 				return nil, syscall.ECONNREFUSED
 			}
@@ -35,13 +35,13 @@
 			<-look.done
 			assert.Assert(t, !look.ended)
 		}
-		assert.Equal(t, looks, 1)
+		assert.Equal(t, checkCount, 1)
 		time.Sleep(resultTTL)
 		refuse = true
 		look := e.check(w, time.Now())
 		<-look.done
 		assert.Assert(t, look.ended)
-		assert.Equal(t, looks, 2)
+		assert.Equal(t, checkCount, 2)
 		e.checks.Wait()
 	})
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// crashesToMark is the number of independent crashes without a completed run that quarantine a
-	// request. Three rarely hit an innocent request by chance, and any completed run clears it.
+	// crashesToMark is the number of independent crashes, without a completed run between them,
+	// after which a request is quarantined.
 	crashesToMark = 3
-	// commonCauseWindow is the time between the ends of two crashes within which they may have a
-	// common cause. A power failure of a rack, for example, ends several workers within
-	// milliseconds; slow daemons may see them further apart.
+	// commonCauseWindow is the maximum time between two crashes that may have a common cause, such
+	// as a power failure of a rack.
 	commonCauseWindow = 100 * time.Millisecond
-	// maxCrashes is the number of crashes remembered per request, the newest ones.
+	// maxCrashes is the maximum number of crashes in the record of a request. The newest are kept.
 	maxCrashes = 6
-	// initialPeriod is the length of the first quarantine of a request. It doubles with every
-	// further crash, up to maxPeriod.
+	// initialPeriod is the length of the first quarantine of a request. Each further quarantine is
+	// twice as long as the previous one, up to maxPeriod.
 	initialPeriod = 10 * time.Minute
 	maxPeriod     = 24 * time.Hour
-	// maxRounds caps the number of quarantines that is counted; maxPeriod is reached earlier.
+	// maxRounds caps the counted number of quarantines of a request. The length of a quarantine
+	// reaches maxPeriod before.
 	maxRounds = 16
 )
 
@@ -27,23 +27,23 @@
 type Crash struct {
 	// Worker identifies the incarnation of the worker.
 	Worker string
-	// Sent is when the request was sent to the worker, Ended when the end of the worker was
-	// noticed.
+	// Sent is when the request was sent to the worker. Ended is when a daemon noticed that the
+	// worker had ended.
 	Sent, Ended time.Time
 }
 
-// record is what is known of one request.
+// record holds the crashes and quarantines of one request.
 type record struct {
 	// crashes are the crashes since the request was last cleared, sorted by their end.
 	crashes []Crash
 	// clearedAt is when a run of the request last completed, or an operator lifted its quarantine.
 	clearedAt time.Time
-	// markedAt is the end of the crash that led to the quarantine, until the end of the
-	// quarantine, and rounds the number of quarantines so far.
+	// markedAt is the time of the crash that led to the last quarantine, and until is when that
+	// quarantine ends. rounds is the number of quarantines since the request was last cleared.
 	markedAt, until time.Time
 	rounds          int
-	// changedAt is the last change that peers have to know. observedLocally means that this daemon
-	// itself saw one of the crashes.
+	// changedAt is the time of the last change that is reported to peers. observedLocally means
+	// that this daemon itself saw one of the crashes.
 	changedAt       time.Time
 	observedLocally bool
 }
@@ -51,7 +51,8 @@
 // isQuarantined reports whether the request is quarantined at a time.
 func (r *record) isQuarantined(now time.Time) bool { return now.Before(r.until) }
 
-// add adds a crash and reports whether it was new.
+// add adds a crash and reports whether it did. It ignores a crash of a worker that is recorded
+// already, and one before the request was last cleared.
 func (r *record) add(c Crash) bool {
 	known := func(held Crash) bool { return held.Worker == c.Worker }
 	if !c.Ended.After(r.clearedAt) || slices.ContainsFunc(r.crashes, known) {
@@ -63,9 +64,10 @@
 	return true
 }
 
-// independentCrashes returns the number of crashes without a common cause: those of requests sent
-// after the previous crash, or that ended at least commonCauseWindow after it.
-func (r *record) independentCrashes() int {
+// countIndependentCrashes returns the number of crashes without a common cause. A crash counts if
+// its request was sent after the last counted crash, or if the worker ended at least
+// commonCauseWindow after that.
+func (r *record) countIndependentCrashes() int {
 	count, last := 0, time.Time{}
 	for _, c := range r.crashes {
 		if count == 0 || !c.Sent.Before(last) || c.Ended.Sub(last) >= commonCauseWindow {
@@ -77,7 +79,7 @@
 }
 
 // evaluate quarantines the request if there are enough crashes, and reports whether it did. After
-// a first quarantine, a single further crash is enough.
+// the first quarantine, one further crash is enough.
 func (r *record) evaluate() bool {
 	if len(r.crashes) == 0 {
 		return false
@@ -86,13 +88,14 @@
 	switch {
 	case newest.Before(r.until):
 		return false
-	case r.rounds == 0 && r.independentCrashes() < crashesToMark:
+	case r.rounds == 0 && r.countIndependentCrashes() < crashesToMark:
 		return false
 	}
 	r.mark(newest, newest.Add(periodAfter(r.rounds)), min(r.rounds+1, maxRounds))
 	return true
 }
 
+// mark sets the last quarantine and the number of quarantines.
 func (r *record) mark(at, until time.Time, rounds int) {
 	r.markedAt, r.until, r.rounds = at, until, rounds
 }
@@ -106,8 +109,9 @@
 	return p
 }
 
-// clear removes the crashes up to a time at which the request is known to have run without a
-// crash, and the mark that they led to. It reports whether there was a mark.
+// clear removes the crashes up to the given time, and the quarantine that they led to. At that
+// time a run of the request completed, or an operator lifted the quarantine. It reports whether a
+// quarantine was removed, including one that had ended.
 func (r *record) clear(at time.Time) bool {
 	if !at.After(r.clearedAt) {
 		return false
@@ -121,8 +125,9 @@
 	return true
 }
 
-// lastEvent returns the time of the last event of the request, the end of its quarantine included.
-func (r *record) lastEvent() time.Time {
+// lastEventAt returns the time of the last change of the record, or the end of its quarantine if
+// that is later.
+func (r *record) lastEventAt() time.Time {
 	newest := r.clearedAt
 	if r.until.After(newest) {
 		newest = r.until
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// changeReportPeriod is how long a change is included in every report: ten heartbeats and
-	// three rounds of relays, so that the loss of some datagrams does not matter.
+	// changeReportPeriod is how long a change is included in every report. It spans ten heartbeats
+	// and three rounds of relays, so that the loss of some datagrams does not matter.
 	changeReportPeriod = 2 * time.Second
-	// maxChangedEntries and maxRotatedMarks limit the entries of one report, so that it fits into
-	// a datagram together with the loads; a packed entry takes about 50 bytes. Unchanged marks are
-	// sent in rotation; 256 of them take 3.2 s.
+	// maxChangedEntries and maxRotatedMarks are the maximum numbers of changed records and of
+	// unchanged quarantines in one report, which must fit into a datagram. Unchanged quarantines
+	// are sent in rotation.
 	maxChangedEntries = 48
 	maxRotatedMarks   = 16
 )
@@ -26,46 +26,48 @@
 	Crashes     []CrashReport `json:"c,omitempty"`
 	// Cleared is the age of the request's last clearing; zero if it was not cleared.
 	Cleared int64 `json:"x,omitempty"`
-	// Marked is the age of the crash that led to the quarantine, Left the remaining time of the
-	// quarantine, and Rounds the number of quarantines so far. All are zero if the request is not
-	// quarantined.
+	// Marked is the age of the crash that led to the quarantine. Left is the remaining time of the
+	// quarantine, in milliseconds. Rounds is the number of quarantines so far. All are zero if the
+	// request is not quarantined.
 	Marked int64 `json:"m,omitempty"`
 	Left   int64 `json:"l,omitempty"`
 	Rounds int   `json:"n,omitempty"`
 }
 
-// CrashReport is a crash as sent to peers.
+// CrashReport is a crash as sent to peers. Sent and Ended are ages in milliseconds.
 type CrashReport struct {
 	Worker string `json:"w"`
 	Sent   int64  `json:"s"`
 	Ended  int64  `json:"e"`
 }
 
-// Report returns the entries to send to peers: recent changes, and some of the marks in rotation.
-// Changes learned only from peers are included if passesOn is set, as it is for relays, and also
-// if more than one crash is known, since no single daemon may have seen all of them.
+// Report returns the entries to send to peers: records that changed recently, and some of the
+// other quarantined requests in rotation. If passesOn is set, all records that changed are
+// included; relays set it. Otherwise a record that is known from peers only is left out, unless it
+// has several crashes or a quarantine: no single daemon may have seen all of its crashes.
 func (t *Table) Report(now time.Time, passesOn bool) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fresh, marks []Fingerprint
+	var changed, marks []Fingerprint
 	for f, r := range t.records {
 		switch {
 		case now.Sub(r.changedAt) < changeReportPeriod && (r.observedLocally || passesOn || len(r.crashes) > 1 || r.rounds > 0):
-			fresh = append(fresh, f)
+			changed = append(changed, f)
 		case r.isQuarantined(now):
 			marks = append(marks, f)
 		}
 	}
 	marks, t.nextMark = turn.Few(marks, t.nextMark, maxRotatedMarks, compare)
 	var all []Entry
-	for _, f := range append(t.mostRelevant(fresh), marks...) {
-		all = append(all, t.records[f].entry(f, now))
+	for _, f := range append(t.selectMostRelevant(changed), marks...) {
+		all = append(all, t.records[f].toEntry(f, now))
 	}
 	return all
 }
 
-// mostRelevant returns the records for one report, those with the most rounds and crashes first.
-func (t *Table) mostRelevant(fresh []Fingerprint) []Fingerprint {
+// selectMostRelevant returns at most maxChangedEntries of the changed records. Records with more
+// quarantines come first, then those with more crashes, then those that changed later.
+func (t *Table) selectMostRelevant(fresh []Fingerprint) []Fingerprint {
 	slices.SortFunc(fresh, func(a, b Fingerprint) int {
 		x, y := t.records[a], t.records[b]
 		if d := y.rounds - x.rounds; d != 0 {
@@ -84,7 +86,7 @@
 
 func compare(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) }
 
-func (r *record) entry(f Fingerprint, now time.Time) Entry {
+func (r *record) toEntry(f Fingerprint, now time.Time) Entry {
 	e := Entry{Fingerprint: f, Cleared: ageMillis(r.clearedAt, now)}
 	for _, c := range r.crashes {
 		e.Crashes = append(e.Crashes, CrashReport{Worker: c.Worker, Sent: ageMillis(c.Sent, now), Ended: ageMillis(c.Ended, now)})
@@ -95,7 +97,8 @@
 	return e
 }
 
-// ageMillis returns the age of a time in milliseconds, at least 1; zero for the zero time.
+// ageMillis returns the age of a time in milliseconds, at least 1. It returns zero for the zero
+// time.
 func ageMillis(t, now time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -103,63 +106,64 @@
 	return max(now.Sub(t).Milliseconds(), 1)
 }
 
-// Merged describes the changes made by a report.
+// Merged describes the changes that a peer's report made to a table.
 type Merged struct {
 	// Marked lists the requests that are quarantined now and were not before, Lifted those that no
 	// longer are.
 	Marked, Lifted []Fingerprint
-	// News means that there are changes to pass on to other peers.
+	// News means that a record changed, which is to be reported to other peers.
 	News bool
 }
 
-// Merge applies a report that a peer sent at a time.
-func (t *Table) Merge(all []Entry, at, now time.Time) Merged {
+// Merge applies a report that a peer sent at the time sentAt.
+func (t *Table) Merge(all []Entry, sentAt, now time.Time) Merged {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var merged Merged
 	for i := range min(len(all), maxChangedEntries+maxRotatedMarks) {
-		t.merge(&all[i], at, now, &merged)
+		t.merge(&all[i], sentAt, now, &merged)
 	}
 	return merged
 }
 
-func (t *Table) merge(e *Entry, at, now time.Time, merged *Merged) {
+func (t *Table) merge(e *Entry, sentAt, now time.Time, merged *Merged) {
 	if _, ok := t.records[e.Fingerprint]; !ok && len(e.Crashes) == 0 && e.Left <= 0 {
 		// The request was cleared, and no record of it exists here.
 		return
 	}
-	r := t.recordOf(e.Fingerprint, now)
-	before, changed := r.isQuarantined(now), false
-	if cleared := timeOfAge(e.Cleared, at); cleared.After(r.clearedAt) {
-		held, rounds := len(r.crashes), r.rounds
+	r := t.ensureRecord(e.Fingerprint, now)
+	wasQuarantined, changed := r.isQuarantined(now), false
+	if cleared := timeOfAge(e.Cleared, sentAt); cleared.After(r.clearedAt) {
+		crashesBefore, roundsBefore := len(r.crashes), r.rounds
 		r.clear(cleared)
-		changed = len(r.crashes) < held || r.rounds < rounds
+		changed = len(r.crashes) < crashesBefore || r.rounds < roundsBefore
 	}
 	for _, c := range e.Crashes[:min(len(e.Crashes), maxCrashes)] {
-		changed = r.add(Crash{Worker: c.Worker, Sent: timeOfAge(c.Sent, at), Ended: timeOfAge(c.Ended, at)}) || changed
+		changed = r.add(Crash{Worker: c.Worker, Sent: timeOfAge(c.Sent, sentAt), Ended: timeOfAge(c.Ended, sentAt)}) || changed
 	}
 	if left := min(time.Duration(max(e.Left, 0))*time.Millisecond, maxPeriod); left > 0 {
-		changed = r.adopt(timeOfAge(e.Marked, at), at.Add(left), e.Rounds) || changed
+		changed = r.adopt(timeOfAge(e.Marked, sentAt), sentAt.Add(left), e.Rounds) || changed
 	}
 	changed = r.evaluate() || changed
 	if changed {
 		r.changedAt, merged.News = now, true
 	}
-	switch after := r.isQuarantined(now); {
-	case after && !before:
+	switch nowQuarantined := r.isQuarantined(now); {
+	case nowQuarantined && !wasQuarantined:
 		merged.Marked = append(merged.Marked, e.Fingerprint)
-	case before && !after:
+	case wasQuarantined && !nowQuarantined:
 		merged.Lifted = append(merged.Lifted, e.Fingerprint)
 	}
 }
 
-// timeOfAge returns the time that a reported age refers to; the zero time for no age.
-func timeOfAge(age int64, at time.Time) time.Time {
+// timeOfAge returns the time that an age in a report refers to, and the zero time if no age is
+// set. The report was sent at sentAt.
+func timeOfAge(age int64, sentAt time.Time) time.Time {
 	if age <= 0 {
 		return time.Time{}
 	}
-	return at.Add(-time.Duration(min(age, maxAge)) * time.Millisecond)
+	return sentAt.Add(-time.Duration(min(age, maxAge)) * time.Millisecond)
 }
 
-// maxAge caps reported ages, in milliseconds. Nothing is remembered for longer.
+// maxAge caps the ages in reports, in milliseconds. Records are kept for a shorter time.
 const maxAge = int64(2 * maxPeriod / time.Millisecond)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// recordRetention is how long a request that is not quarantined is remembered after its last
-	// event. Clients retry for seconds, and their jobs for minutes.
+	// recordRetention is how long a record is kept after its last change or the end of its
+	// quarantine, whichever is later. Clients may retry a request for minutes.
 	recordRetention = 5 * time.Minute
-	// maxRecords is the maximum number of remembered requests, about 0.7 KB each. Requests that
-	// are not quarantined are dropped first, oldest first.
+	// maxRecords is the maximum number of records. Records of requests that are not quarantined are
+	// evicted first, the oldest before the others.
 	maxRecords = 2048
-	// sweepInterval is the minimum time between two sweeps, each of which visits all records.
+	// sweepInterval is the minimum time between two sweeps, since a sweep visits all records.
 	sweepInterval = time.Second
-	// endTolerance is how far two daemons may differ about the end of a quarantine. Reported ages
-	// are off by the delay of the network and of relays.
+	// endTolerance is the maximum difference between two times of the end of a quarantine that are
+	// considered equal. Delays of the network and of relays make such times differ between daemons.
 	endTolerance = 2 * time.Second
 )
 
-// State is what is known of a request.
+// State is the state of a request.
 type State struct {
 	// Crashes is the number of independent crashes since the request was last cleared.
 	Crashes int
-	// Quarantined means that the request must not be sent to workers until Until.
+	// Quarantined means that the request must not be sent to workers before the time Until.
 	Quarantined bool
 	Until       time.Time
 }
@@ -37,14 +37,15 @@
 type Mark struct {
 	Fingerprint Fingerprint
 	Crashes     []Crash
-	// MarkedAt is the end of the crash that led to the quarantine, Until when the quarantine ends.
+	// MarkedAt is the time of the crash that led to the quarantine. Until is when the quarantine
+	// ends.
 	MarkedAt, Until time.Time
 	// Rounds is the number of quarantines so far.
 	Rounds int
 }
 
-// Table holds what a daemon knows of requests that crashed workers, from its own observations and
-// from peers. Records can be merged in any order. It is safe for concurrent use.
+// Table holds a daemon's records of requests that crashed workers, from its own observations and
+// from reports of peers. Reports can be merged in any order. It is safe for concurrent use.
 type Table struct {
 	// recordCount is the number of records, readable without the mutex.
 	recordCount atomic.Int64
@@ -53,22 +54,22 @@
 	records map[Fingerprint]*record
 	// sweepAt is when the next sweep is due.
 	sweepAt time.Time
-	// nextMark is the mark at which the rotation of the next report starts.
+	// nextMark is the first of the quarantined requests that the next report includes in rotation.
 	nextMark Fingerprint
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: make(map[Fingerprint]*record)} }
 
-// Empty reports whether the table has no records, so that callers can skip computing fingerprints.
+// Empty reports whether the table has no records. Callers need not compute fingerprints then.
 func (t *Table) Empty() bool { return t.recordCount.Load() == 0 }
 
-// Blame records that a worker ended while it had the request. It returns the state of the request
-// and whether this crash put it into quarantine.
+// Blame records that a worker ended while it had the request. It returns the state of the request,
+// and whether this crash caused its quarantine.
 func (t *Table) Blame(f Fingerprint, c Crash, now time.Time) (s State, marked bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.recordOf(f, now)
+	r := t.ensureRecord(f, now)
 	if r.add(c) {
 		r.changedAt, r.observedLocally = now, true
 		marked = r.evaluate()
@@ -91,7 +92,7 @@
 	return r.clear(now)
 }
 
-// State returns what is known of a request.
+// State returns the state of a request, which is zero if it has no record.
 func (t *Table) State(f Fingerprint, now time.Time) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +104,7 @@
 }
 
 func (r *record) state(now time.Time) State {
-	return State{Crashes: r.independentCrashes(), Quarantined: r.isQuarantined(now), Until: r.until}
+	return State{Crashes: r.countIndependentCrashes(), Quarantined: r.isQuarantined(now), Until: r.until}
 }
 
 // Marks returns the quarantined requests, sorted by fingerprint.
@@ -126,7 +127,7 @@
 func (t *Table) Restore(m Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.recordOf(m.Fingerprint, now)
+	r := t.ensureRecord(m.Fingerprint, now)
 	if !r.adopt(m.MarkedAt, m.Until, m.Rounds) {
 		return false
 	}
@@ -134,8 +135,9 @@
 	return r.isQuarantined(now)
 }
 
-// adopt takes over a mark that another daemon set, unless the request was cleared since. It
-// reports whether the mark ends later than the known one by more than endTolerance.
+// adopt records a quarantine that another daemon reported or that was stored, and reports whether
+// it did. It ignores the quarantine if the request was cleared since. It also ignores it unless it
+// ends more than endTolerance later than the recorded one.
 func (r *record) adopt(at, until time.Time, rounds int) bool {
 	if !at.After(r.clearedAt) || !until.After(r.until.Add(endTolerance)) {
 		return false
@@ -144,7 +146,8 @@
 	return true
 }
 
-// Sweep removes records without recent events. It does nothing before the next sweep is due.
+// Sweep removes the records that are older than recordRetention. It does nothing before the next
+// sweep is due.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,13 +156,13 @@
 	}
 	t.sweepAt = now.Add(sweepInterval)
 	for f, r := range t.records {
-		if now.Sub(r.lastEvent()) > recordRetention {
+		if now.Sub(r.lastEventAt()) > recordRetention {
 			t.remove(f)
 		}
 	}
 }
 
-func (t *Table) recordOf(f Fingerprint, now time.Time) *record {
+func (t *Table) ensureRecord(f Fingerprint, now time.Time) *record {
 	r, ok := t.records[f]
 	if ok {
 		return r
@@ -173,7 +176,7 @@
 	return r
 }
 
-// evictOldest makes room for a record.
+// evictOldest removes the record that is to be evicted first.
 func (t *Table) evictOldest(now time.Time) {
 	var oldest Fingerprint
 	var evicted *record
@@ -190,7 +193,7 @@
 	if q := r.isQuarantined(now); q != other.isQuarantined(now) {
 		return !q
 	}
-	return r.lastEvent().Before(other.lastEvent())
+	return r.lastEventAt().Before(other.lastEventAt())
 }
 
 func (t *Table) remove(f Fingerprint) {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -17,15 +17,15 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// at returns a time some milliseconds after epoch.
+// at returns the time that is ms milliseconds after epoch.
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// requestNumbered returns the fingerprint of a test request.
+// requestNumbered returns the fingerprint of a test request, which differs for each number.
 func requestNumbered(number int) Fingerprint {
 	return FingerprintOf("account", "POST", "host", "/", fmt.Append(nil, number))
 }
 
-// crash returns a crash of a worker with a request that was sent and ended at the given times.
+// crash returns a crash of a worker. The times are in milliseconds after epoch.
 func crash(worker string, sent, ended int) Crash {
 	return Crash{Worker: worker, Sent: at(sent), Ended: at(ended)}
 }
@@ -33,10 +33,11 @@
 func TestCrashesThatQuarantine(t *testing.T) {
 	tests := map[string]struct {
 		crashes []Crash
-		// cleared is when a run completed; zero for never.
+		// cleared is when a run completed, in milliseconds after epoch; zero for never.
 		cleared int
 		marked  bool
-		count   int
+		// count is the expected number of independent crashes.
+		count int
 	}{
 		"one after the other": {
 			crashes: []Crash{crash("a", 0, 10), crash("b", 11, 20), crash("c", 21, 30)}, marked: true, count: 3,
@@ -68,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			table, now, f := NewTable(), at(5000), requestNumbered(1)
 			if test.cleared > 0 {
-				table.recordOf(f, now).clear(at(test.cleared))
+				table.ensureRecord(f, now).clear(at(test.cleared))
 			}
 			marked := false
 			for _, c := range test.crashes {
@@ -83,7 +84,7 @@
 	}
 }
 
-// mark quarantines a request by crashes that ended before a time.
+// mark quarantines a request by crashes up to the time ended, in milliseconds after epoch.
 func mark(t *testing.T, table *Table, f Fingerprint, ended int) {
 	t.Helper()
 	for i := range crashesToMark {
@@ -92,8 +93,8 @@
 	assert.Assert(t, table.State(f, at(ended)).Quarantined)
 }
 
-// TestPeriodsGrow checks that a request needs one further crash, not three, after a quarantine,
-// and that its next quarantine is longer.
+// TestPeriodsGrow checks that after a quarantine one further crash, not three, quarantines the
+// request again for a longer time. A request must not crash more than 16 workers within a week.
 func TestPeriodsGrow(t *testing.T) {
 	table, f := NewTable(), requestNumbered(1)
 	mark(t, table, f, 1000)
@@ -123,8 +124,8 @@
 	assert.Assert(t, !NewTable().Clear(f, at(1200)), "there is no record of it")
 }
 
-// pass merges the report of one table into another, as heartbeats do.
-func pass(from, to *Table, now time.Time, passesOn bool) Merged {
+// sendReport merges the report of one table into another, without a delay.
+func sendReport(from, to *Table, now time.Time, passesOn bool) Merged {
 	return to.Merge(from.Report(now, passesOn), now, now)
 }
 
@@ -139,7 +140,7 @@
 	now := at(400)
 	for _, from := range tables {
 		for _, to := range tables {
-			pass(from, to, now, false)
+			sendReport(from, to, now, false)
 		}
 	}
 	for _, table := range tables {
@@ -147,22 +148,22 @@
 	}
 }
 
-// TestReportsTravelByRelays checks that a member's observation reaches another hall by way of two
-// relays, and that members do not pass on what they only received.
+// TestReportsTravelByRelays checks that a crash seen by a daemon is reported to another hall by way
+// of two relays. A daemon that is no relay must not report what it only received.
 func TestReportsTravelByRelays(t *testing.T) {
 	member, relayA, relayB, far, f := NewTable(), NewTable(), NewTable(), NewTable(), requestNumbered(1)
 	member.Blame(f, crash("a", 0, 50), at(50))
 	now := at(60)
-	assert.Assert(t, pass(member, relayA, now, false).News)
-	assert.Assert(t, pass(relayA, relayB, now, true).News)
-	assert.Assert(t, pass(relayB, far, now, true).News)
+	assert.Assert(t, sendReport(member, relayA, now, false).News)
+	assert.Assert(t, sendReport(relayA, relayB, now, true).News)
+	assert.Assert(t, sendReport(relayB, far, now, true).News)
 	assert.Equal(t, far.State(f, now).Crashes, 1)
 	assert.Equal(t, len(far.Report(now, false)), 0)
-	assert.Assert(t, !pass(relayB, far, now, true).News, "it is already known")
+	assert.Assert(t, !sendReport(relayB, far, now, true).News, "it is already known")
 }
 
-// TestReportsConverge merges reports in any order, repeatedly, late and indirectly, and checks
-// that all tables end up in the same state.
+// TestReportsConverge merges reports in arbitrary order, and checks that all tables have the same
+// state in the end.
 func TestReportsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{NewTable(), NewTable(), NewTable()}
@@ -179,7 +180,7 @@
 			case 2:
 				cleared = cleared || from.Clear(requestNumbered(1), at(now))
 			default:
-				pass(from, draw("to"), at(now), true)
+				sendReport(from, draw("to"), at(now), true)
 			}
 		}
 		now = exchangeAll(tables, now)
@@ -192,14 +193,14 @@
 	})
 }
 
-// exchangeAll exchanges reports until each has reached all tables, within changeReportPeriod, and
-// returns when that is.
+// exchangeAll lets the tables exchange reports until each has reached all tables. It takes and
+// returns the current time in milliseconds after epoch.
 func exchangeAll(tables []*Table, now int) int {
 	for range 2 * len(tables) {
 		now += 200
 		for _, from := range tables {
 			for _, to := range tables {
-				pass(from, to, at(now), true)
+				sendReport(from, to, at(now), true)
 			}
 		}
 	}
@@ -209,16 +210,16 @@
 func TestLiftIsReported(t *testing.T) {
 	a, b, f := NewTable(), NewTable(), requestNumbered(1)
 	mark(t, a, f, 1000)
-	assert.DeepEqual(t, pass(a, b, at(1000), false).Marked, []Fingerprint{f})
+	assert.DeepEqual(t, sendReport(a, b, at(1000), false).Marked, []Fingerprint{f})
 	assert.Assert(t, a.Clear(f, at(2000)))
-	assert.DeepEqual(t, pass(a, b, at(2001), false).Lifted, []Fingerprint{f})
-	assert.Assert(t, !pass(b, a, at(2002), true).News)
+	assert.DeepEqual(t, sendReport(a, b, at(2001), false).Lifted, []Fingerprint{f})
+	assert.Assert(t, !sendReport(b, a, at(2002), true).News)
 	assert.Equal(t, a.State(f, at(2002)), State{})
 	assert.Equal(t, b.State(f, at(2002)), State{})
 }
 
-// TestMarksAreReportedInRotation checks that a daemon that starts later learns all marks within
-// seconds from reports of limited size.
+// TestMarksAreReportedInRotation checks that a new daemon learns of 256 quarantines from 16 reports
+// of limited size.
 func TestMarksAreReportedInRotation(t *testing.T) {
 	const marks = 256
 	old, young := NewTable(), NewTable()
@@ -297,28 +298,29 @@
 	})
 }
 
-// Simulation of random crashes: 25 replicas, of which one ends each 400 ms; 60 requests a second,
-// each of which runs for 1.2 s and is sent four times at most, and one text that is repeated five
-// times a second.
+// Parameters of a simulation of random crashes. Times are in milliseconds, except for simSeconds.
+// A random replica crashes every simCrashInterval. Different requests arrive at a rate of
+// simPerSecond, and one popular request at a rate of simPopularPerSecond.
 const (
 	simReplicas, simSeconds           = 25, 600
 	simStep, simRunTime               = 10, 1200
-	simEndInterval                    = 400
+	simCrashInterval                  = 400
 	simPerSecond, simPopularPerSecond = 60, 5
 	simMaxSends                       = 4
-	// maxMarkedShare is the maximum fraction of requests that may be marked. A run ends with its
-	// replica with probability 0.12, three in a row with 0.0017.
+	// maxMarkedShare is the maximum fraction of requests that may be quarantined.
 	maxMarkedShare = 0.0025
 )
 
-// simRun is a request at a replica.
+// simRun is a run of a request at a replica. It was sent at sent, and sends is the number of times
+// that the request was sent so far.
 type simRun struct {
 	fingerprint   Fingerprint
 	replica, sent int
 	sends         int
 }
 
-// simulation is the state of the simulation.
+// simulation is the state of the simulation. It counts the requests that arrived and the workers
+// that ended.
 type simulation struct {
 	random            *rand.Rand
 	table             *Table
@@ -327,12 +329,12 @@
 	marked            map[Fingerprint]bool
 }
 
-// TestInnocentRequestsAreNotMarked checks that completed runs keep innocent requests from being
-// quarantined when workers crash at random.
+// TestInnocentRequestsAreNotMarked checks that few requests are quarantined if workers crash at
+// random. The popular request must not be, since most of its runs complete.
 func TestInnocentRequestsAreNotMarked(t *testing.T) {
 	p := &simulation{random: rand.New(rand.NewPCG(1, 2)), table: NewTable(), marked: make(map[Fingerprint]bool)}
 	for now := 0; now < simSeconds*1000; now += simStep {
-		p.arrive(now)
+		p.addArrivals(now)
 		p.step(now)
 	}
 	share := float64(len(p.marked)) / float64(p.requests)
@@ -341,8 +343,8 @@
 	assert.Assert(t, share <= maxMarkedShare, "%v of %d requests were marked", share, p.requests)
 }
 
-// arrive adds the requests that arrive in a step.
-func (p *simulation) arrive(now int) {
+// addArrivals adds the requests that arrive in a step.
+func (p *simulation) addArrivals(now int) {
 	for range simStep * (simPerSecond + simPopularPerSecond) {
 		if p.random.IntN(1000) > 0 {
 			continue
@@ -356,10 +358,10 @@
 	}
 }
 
-// step ends a replica when it is due, and the runs that are complete.
+// step crashes a replica if a crash is due, and ends the runs that are complete.
 func (p *simulation) step(now int) {
 	ended := -1
-	if now%simEndInterval == 0 {
+	if now%simCrashInterval == 0 {
 		ended = p.random.IntN(simReplicas)
 		p.workers++
 	}
@@ -368,7 +370,7 @@
 	for _, r := range before {
 		switch {
 		case r.replica == ended:
-			p.broke(r, now)
+			p.blame(r, now)
 		case now-r.sent >= simRunTime:
 			p.table.Clear(r.fingerprint, at(now))
 		default:
@@ -378,8 +380,8 @@
 	p.table.Sweep(at(now))
 }
 
-// broke blames a request for the end of its replica, and sends it again if it may be.
-func (p *simulation) broke(r simRun, now int) {
+// blame blames a request for the crash of its replica, and sends it again up to simMaxSends times.
+func (p *simulation) blame(r simRun, now int) {
 	if _, marked := p.table.Blame(r.fingerprint, crash(fmt.Sprint(p.workers), r.sent, now), at(now)); marked {
 		p.marked[r.fingerprint] = true
 	}
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Inflight counts the unfinished requests of this daemon by replica and by client account. It is
-// safe for concurrent use.
+// Inflight counts the requests that this daemon has in flight, by replica and by client account. It
+// is safe for concurrent use.
 type Inflight struct {
 	mu       sync.Mutex
 	replicas map[string]*replicaCount
@@ -14,29 +14,32 @@
 	total    int
 }
 
-// replicaCount is the count of one replica.
+// replicaCount holds the numbers of one replica.
 type replicaCount struct {
-	own int
-	// report is the deadline of the last report seen, which identifies the report.
-	report      time.Time
-	ownAtReport int
+	// inFlight is the number of requests in flight, and inFlightAtReport that number when the last
+	// report arrived.
+	inFlight int
+	// reportDeadline is the deadline of the replica's last report, which identifies the report.
+	reportDeadline   time.Time
+	inFlightAtReport int
 }
 
-// NewInflight returns a counter without requests.
+// NewInflight returns a counter of zero requests.
 func NewInflight() *Inflight {
 	return &Inflight{replicas: make(map[string]*replicaCount), accounts: make(map[string]int)}
 }
 
-// Observe returns the replica's count now and at the time of its last report. The deadline that
-// came with the report identifies it.
-func (f *Inflight) Observe(replica string, report time.Time) (own, ownAtReport int) {
+// Observe returns the number of requests in flight at the replica, now and when its last report
+// arrived. Each report has a different deadline. If reportDeadline is new, the report counts as
+// arrived now.
+func (f *Inflight) Observe(replica string, reportDeadline time.Time) (own, ownAtReport int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.replica(replica)
-	if !r.report.Equal(report) {
-		r.report, r.ownAtReport = report, r.own
+	r := f.countOf(replica)
+	if !r.reportDeadline.Equal(reportDeadline) {
+		r.reportDeadline, r.inFlightAtReport = reportDeadline, r.inFlight
 	}
-	return r.own, r.ownAtReport
+	return r.inFlight, r.inFlightAtReport
 }
 
 // Count returns the number of requests in flight at the replica.
@@ -44,26 +47,26 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r, ok := f.replicas[replica]; ok {
-		return r.own
+		return r.inFlight
 	}
 	return 0
 }
 
-// Start counts a request of a client account to a replica until the returned function is called,
-// which may be called more than once.
+// Start counts a request of a client account to a replica until the returned function is called.
+// Further calls of that function have no effect.
 func (f *Inflight) Start(replica, account string) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.replica(replica).own++
+	f.countOf(replica).inFlight++
 	f.accounts[account]++
 	f.total++
-	return sync.OnceFunc(func() { f.end(replica, account) })
+	return sync.OnceFunc(func() { f.finish(replica, account) })
 }
 
-func (f *Inflight) end(replica, account string) {
+func (f *Inflight) finish(replica, account string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.replica(replica).own--
+	f.countOf(replica).inFlight--
 	f.total--
 	f.accounts[account]--
 	if f.accounts[account] == 0 {
@@ -71,8 +74,8 @@
 	}
 }
 
-// Account returns the number of the account's requests in flight, and the number of accounts with
-// requests in flight, the given one included.
+// Account returns the number of requests that the account has in flight. It also returns the number
+// of accounts with requests in flight, which always includes the given one.
 func (f *Inflight) Account(account string) (own, active int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +93,7 @@
 	return f.total
 }
 
-func (f *Inflight) replica(id string) *replicaCount {
+func (f *Inflight) countOf(id string) *replicaCount {
 	r, ok := f.replicas[id]
 	if !ok {
 		r = &replicaCount{}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -1,5 +1,5 @@
-// Package routing chooses the replica that serves a request, and counts the requests in flight
-// that the choice is based on. It does no I/O.
+// Package routing chooses the replica that serves a request. It also counts the requests in flight,
+// on which the choice is based. It does no I/O.
 package routing
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is a replica as the router sees it now.
+// Candidate is a replica that may serve a request, with its load.
 type Candidate struct {
 	// ID is the ID of the replica.
 	ID string
@@ -26,16 +26,17 @@
 const (
 	// defaultSlots is assumed for a replica that has not reported its slots.
 	defaultSlots = 8
-	// homeCount is the number of replicas that a prefix is preferably routed to.
+	// homeCount is the number of home replicas of a prefix, to which its requests are preferably
+	// routed.
 	homeCount = 2
-	// homeLoadFactor and homeLoadExtra limit this daemon's requests at a home replica:
-	// homeLoadFactor times the mean of all candidates, plus homeLoadExtra.
+	// homeLoadFactor and homeLoadExtra limit the number of this daemon's requests at a home replica
+	// to homeLoadFactor times the mean of all candidates, plus homeLoadExtra.
 	homeLoadFactor = 1.25
 	homeLoadExtra  = 0.0
 )
 
-// Occupancy returns the replica's expected load relative to its slots: the reported load,
-// corrected by the requests that this daemon has started and finished since the report.
+// Occupancy returns the expected number of requests at the replica, per slot. This is the reported
+// number, corrected by the requests that this daemon has started and finished since the report.
 func (c Candidate) Occupancy() float64 {
 	expected := max(c.Reported+c.Own-c.OwnAtReport, c.Own)
 	return float64(expected) / float64(c.slots())
@@ -55,33 +56,33 @@
 	return hash(account + "\x00" + prompt[:min(len(prompt), prefixBytes)])
 }
 
-// Pick returns the index of the candidate for a request, -1 if there are none.
+// Pick returns the index of the candidate that should serve a request, or -1 if there are none.
 //
-// It prefers the first of the prefix's home replicas that is not much busier than the mean. Homes
-// are the same at every daemon, so prefixes stay cached, and a popular prefix is spread over
-// several homes. Otherwise it picks a replica with the fewest requests of this daemon. Reports are
-// only used to break ties: they are older than most requests, and daemons that rely on the same
-// stale report would all pick the same replica.
+// It prefers the home replicas of the prefix. They are the same at every daemon, so that the prefix
+// stays in their caches. Pick returns the first home with not many more requests of this daemon
+// than the mean of all candidates. If there is none, it returns a candidate with the fewest
+// requests of this daemon. Reports from the replicas only break ties, since daemons that rely on
+// the same outdated report would all pick the same replica.
 func Pick(candidates []Candidate, prefix uint64, random *rand.Rand) int {
 	if len(candidates) == 0 {
 		return -1
 	}
-	bound := homeLoadFactor*meanOwn(candidates) + homeLoadExtra
+	bound := homeLoadFactor*meanInFlight(candidates) + homeLoadExtra
 	for _, home := range homesOf(candidates, prefix) {
 		if float64(candidates[home].Own) <= bound {
 			return home
 		}
 	}
-	return leastOwn(candidates, random)
+	return pickLeastBusy(candidates, random)
 }
 
-func meanOwn(candidates []Candidate) float64 {
+func meanInFlight(candidates []Candidate) float64 {
 	return float64(Own(candidates)) / float64(len(candidates))
 }
 
-// leastOwn picks two random candidates among those with the fewest own requests, and returns the
-// less occupied one.
-func leastOwn(candidates []Candidate, random *rand.Rand) int {
+// pickLeastBusy picks two random candidates among those with the fewest requests of this daemon,
+// and returns the index of the one with the lower occupancy.
+func pickLeastBusy(candidates []Candidate, random *rand.Rand) int {
 	first, second, found := -1, -1, 0
 	for i, c := range candidates {
 		switch {
@@ -89,7 +90,7 @@
 			first, second, found = i, i, 1
 		case c.Own == candidates[first].Own:
 			found++
-			// Reservoir sampling: all candidates are equally likely.
+			// By reservoir sampling, each of these candidates is equally likely.
 			if random.IntN(found) == 0 {
 				first = i
 			}
@@ -104,8 +105,8 @@
 	return first
 }
 
-// homesOf returns the candidates with the highest rendezvous scores for the prefix, the highest
-// first.
+// homesOf returns the indexes of the home replicas of a prefix: the homeCount candidates with the
+// highest scores in rendezvous hashing, the highest first.
 func homesOf(candidates []Candidate, prefix uint64) []int {
 	var best [homeCount]int
 	var scores [homeCount]uint64
@@ -127,7 +128,7 @@
 	return best[:n]
 }
 
-// LeastOccupancy returns the lowest occupancy of the candidates, infinity if there are none.
+// LeastOccupancy returns the lowest occupancy of the candidates, or infinity if there are none.
 func LeastOccupancy(candidates []Candidate) float64 {
 	least := math.Inf(1)
 	for _, c := range candidates {
@@ -136,7 +137,8 @@
 	return least
 }
 
-// MeanOccupancy returns the mean occupancy weighted by slots, infinity if there are no candidates.
+// MeanOccupancy returns the mean occupancy of the candidates, weighted by their slots. It returns
+// infinity if there are none.
 func MeanOccupancy(candidates []Candidate) float64 {
 	var load, slots float64
 	for _, c := range candidates {
@@ -171,7 +173,7 @@
 	return xxhash.Sum64String(text)
 }
 
-// mix is the finalizer of SplitMix64, which spreads the bits of a weak hash.
+// mix is the finalizer of SplitMix64. It improves the distribution of a weak hash.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestPickIsBounded checks for arbitrary loads that a request never goes to a replica with far
-// more of this daemon's requests than the mean.
+// TestPickIsBounded checks for arbitrary loads that a request goes to a replica with the fewest
+// requests of this daemon, or to one below the limit for homes.
 func TestPickIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		own := rapid.SliceOfN(rapid.IntRange(0, 40), 1, 60).Draw(rt, "own")
@@ -49,14 +49,14 @@
 		for _, c := range all {
 			least = min(least, c.Own)
 		}
-		if float64(all[i].Own) > homeLoadFactor*meanOwn(all)+homeLoadExtra && all[i].Own > least {
-			rt.Fatalf("picked one with %d, mean %g, least %d", all[i].Own, meanOwn(all), least)
+		if float64(all[i].Own) > homeLoadFactor*meanInFlight(all)+homeLoadExtra && all[i].Own > least {
+			rt.Fatalf("picked one with %d, mean %g, least %d", all[i].Own, meanInFlight(all), least)
 		}
 	})
 }
 
-// TestRemovedReplicaMovesFewPrefixes checks that removing one of 60 replicas moves only its own
-// prefixes.
+// TestRemovedReplicaMovesFewPrefixes checks that only the prefixes of a replica get another first
+// home when the replica is removed.
 func TestRemovedReplicaMovesFewPrefixes(t *testing.T) {
 	all := candidates(make([]int, 60)...)
 	for prefix := range uint64(500) {
