--- a/admission/gate.go
+++ b/admission/gate.go
@@ -12,8 +12,8 @@
 
 // Thresholds of occupancy. Occupancy is the number of requests in flight per slot. At an occupancy
 // of one, all slots are busy, and further requests wait in the queues of the engines. The reported
-// occupancy is that of all replicas by their reports. The own occupancy is that of this daemon's
-// requests relative to its share of the slots.
+// occupancy is the mean of the occupancies that the replicas reported. The own occupancy is the
+// number of this daemon's requests per slot of its share.
 const (
 	// busyThreshold is the reported occupancy from which on limits apply.
 	busyThreshold = 0.7
--- a/allowance/allowance.go
+++ b/allowance/allowance.go
@@ -37,7 +37,7 @@
 	Config func() *fleet.Config
 	// Changed is called when this daemon sees a worker start or finish warming up. It must not
 	// call the Allowance.
-	Changed func(worker *fleet.Worker, warming bool)
+	Changed func(worker *fleet.Worker, isWarming bool)
 }
 
 // Allowance holds this daemon's tokens for workers that warm up. It is safe for concurrent use.
@@ -70,8 +70,9 @@
 // warmingWorker is a worker that warms up.
 type warmingWorker struct {
 	worker *fleet.Worker
-	until  time.Time
-	share  Share
+	// until is when the worker finishes warming up.
+	until time.Time
+	share Share
 	// bucket is nil if this daemon is not a holder.
 	bucket *Bucket
 }
@@ -96,7 +97,7 @@
 			return true
 		}
 		w := s.warming[r.Head.ID]
-		return w == nil || !now.Before(w.until) || w.bucket != nil && w.bucket.Has(now)
+		return w == nil || !now.Before(w.until) || w.bucket != nil && w.bucket.HasToken(now)
 	}
 }
 
@@ -162,7 +163,7 @@
 	members := a.opts.Members()
 	next := &snapshot{view: a.opts.View(), halls: a.opts.Halls(), config: a.opts.Config(), members: len(members), coveredOpenings: make(map[string]time.Time)}
 	for id, w := range next.view.Workers() {
-		until, bound := a.warmsUntil(previous, next, w)
+		until, warmUp := a.warmUpEnd(previous, next, w)
 		if !now.Before(until) {
 			continue
 		}
@@ -170,7 +171,7 @@
 			next.warming = make(map[string]*warmingWorker)
 		}
 		next.hallOpened = next.hallOpened || until.After(w.ColdUntil)
-		next.warming[id] = a.newWarmingWorker(previous, w, bound, members, until, now)
+		next.warming[id] = a.newWarmingWorker(previous, w, warmUp, members, until, now)
 		if next.validUntil.IsZero() {
 			next.validUntil = until
 		}
@@ -182,8 +183,8 @@
 // newWarmingWorker returns the state of a worker that warms up until the given time. It reuses the
 // previous bucket if the share is unchanged. Otherwise it creates an empty one, so that no change
 // adds tokens.
-func (a *Allowance) newWarmingWorker(previous *snapshot, w *fleet.Worker, bound fleet.WarmUp, members []string, until, now time.Time) *warmingWorker {
-	share := a.opts.Bound.Divide(bound.PerSecond, len(members))
+func (a *Allowance) newWarmingWorker(previous *snapshot, w *fleet.Worker, warmUp fleet.WarmUp, members []string, until, now time.Time) *warmingWorker {
+	share := a.opts.Bound.Divide(warmUp.PerSecond, len(members))
 	next := &warmingWorker{worker: w, until: until, share: share}
 	previousState := previous.warming[w.ID]
 	hasSameShare := previousState != nil && previousState.share == share
--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -81,8 +81,8 @@
 	tests := map[string]struct {
 		perSecond float64
 		prepare   func(f *fixture)
-		least     int
-		most      int
+		minSent   int
+		maxSent   int
 	}{
 		"a worker that is not cold":       {bearableRate, func(f *fixture) { f.listWorker("w", 0) }, all, all},
 		"a cold worker":                   {bearableRate, func(f *fixture) { f.listWorker("w", 3000) }, 9, 12},
@@ -156,7 +156,7 @@
 				f := newFixture(test.perSecond)
 				test.prepare(f)
 				got := f.countSends(time.Second)
-				assert.Assert(t, got >= test.least && got <= test.most, "%d sent", got)
+				assert.Assert(t, got >= test.minSent && got <= test.maxSent, "%d sent", got)
 			})
 		})
 	}
--- a/allowance/bucket.go
+++ b/allowance/bucket.go
@@ -11,7 +11,7 @@
 // wall clock do not affect. It is safe for concurrent use.
 type Bucket struct {
 	mu sync.Mutex
-	// interval is the time after which the next token is added; zero if none are added.
+	// interval is the time in which the bucket gets one token; zero if it gets none.
 	interval time.Duration
 	// capacity is the maximum number of tokens.
 	capacity int
@@ -37,8 +37,8 @@
 // readyAt returns when a token is available. The caller must hold b.mu.
 func (b *Bucket) readyAt() time.Time { return b.fullAt.Add(-time.Duration(b.capacity-1) * b.interval) }
 
-// Has reports whether a token is available.
-func (b *Bucket) Has(now time.Time) bool {
+// HasToken reports whether a token is available.
+func (b *Bucket) HasToken(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.interval > 0 && !now.Before(b.readyAt())
@@ -61,8 +61,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.interval <= 0 {
-		const never = 24 * time.Hour
-		return now.Add(never)
+		const longDelay = 24 * time.Hour
+		return now.Add(longDelay)
 	}
 	return later(b.readyAt(), now)
 }
@@ -74,8 +74,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	tokens := float64(b.capacity)
-	if left := b.fullAt.Sub(now); b.interval > 0 {
-		tokens = max(tokens-max(float64(left)/float64(b.interval), 0), 0)
+	if untilFull := b.fullAt.Sub(now); b.interval > 0 {
+		tokens = max(tokens-max(float64(untilFull)/float64(b.interval), 0), 0)
 	} else {
 		tokens = 0
 	}
--- a/allowance/cold.go
+++ b/allowance/cold.go
@@ -6,9 +6,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// warmsUntil returns when a worker finishes warming up, and the warm-up settings of its service.
+// warmUpEnd returns when a worker finishes warming up, and the warm-up settings of its service.
 // Both are zero if its service has no limit.
-func (a *Allowance) warmsUntil(previous, next *snapshot, w *fleet.Worker) (time.Time, fleet.WarmUp) {
+func (a *Allowance) warmUpEnd(previous, next *snapshot, w *fleet.Worker) (time.Time, fleet.WarmUp) {
 	if next.config == nil {
 		return time.Time{}, fleet.WarmUp{}
 	}
@@ -29,8 +29,8 @@
 }
 
 // coversOpening reports whether a worker's entry accounts for the warm-up since its hall was
-// opened, or did so in the previous snapshot. Such an entry must not be older than the opening,
-// less Settle. Its remaining time must be at least half the warm-up time, as a shorter one may
+// opened, or did so in the previous snapshot. Such an entry was written after the opening, with
+// Settle as tolerance. Its remaining time is at least half the warm-up time, as a shorter one may
 // belong to an earlier warm-up.
 func (a *Allowance) coversOpening(previous *snapshot, w *fleet.Worker, opened time.Time, warmUp time.Duration) bool {
 	if at, ok := previous.coveredOpenings[w.ID]; ok && at.Equal(opened) {
--- a/allowance/share.go
+++ b/allowance/share.go
@@ -68,18 +68,18 @@
 // hashing of the daemons' IDs with the worker's. Daemons with the same list of members agree on
 // the holders without messages. Adding or removing a member changes at most one holder.
 func IsHolder(self, worker string, members []string, holders int) bool {
-	ownHash, holdersAhead, listed := RendezvousHash(self, worker), 0, false
+	ownHash, holdersAhead, isListed := RendezvousHash(self, worker), 0, false
 	for _, other := range members {
 		if other == self {
-			listed = true
+			isListed = true
 			continue
 		}
-		weight := RendezvousHash(other, worker)
-		if weight > ownHash || weight == ownHash && strings.Compare(other, self) > 0 {
+		otherHash := RendezvousHash(other, worker)
+		if otherHash > ownHash || otherHash == ownHash && strings.Compare(other, self) > 0 {
 			holdersAhead++
 		}
 	}
-	return listed && holdersAhead < holders
+	return isListed && holdersAhead < holders
 }
 
 // RendezvousHash returns a hash of the name of a daemon or data hall together with a worker's ID.
--- a/allowance/share_test.go
+++ b/allowance/share_test.go
@@ -57,13 +57,13 @@
 		before := holdersOf(members[1:])
 		after := holdersOf(members)
 		assert.Equal(t, len(after), min(holders, len(members)))
-		gone := 0
+		removed := 0
 		for id := range before {
 			if !after[id] {
-				gone++
+				removed++
 			}
 		}
-		assert.Assert(t, gone <= 1)
+		assert.Assert(t, removed <= 1)
 		assert.Assert(t, !IsHolder("unknown", worker, members, holders), "a daemon that is not listed is no holder")
 	})
 }
@@ -103,15 +103,15 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewBucket(test.rate, 1, start)
 			for i, at := range test.takes {
-				assert.Equal(t, b.Has(ms(at)), test.want[i], "%d ms", at)
+				assert.Equal(t, b.HasToken(ms(at)), test.want[i], "%d ms", at)
 				assert.Equal(t, b.Take(ms(at)), test.want[i], "%d ms", at)
 			}
 		})
 	}
 }
 
-// TestBucketOfThreeTokens checks that a full bucket of three tokens gives all three at once and
-// single ones afterwards.
+// TestBucketOfThreeTokens checks that three tokens can be taken at once from a full bucket with a
+// capacity of three, and then one token after each interval.
 func TestBucketOfThreeTokens(t *testing.T) {
 	b := NewBucket(1, 3, start)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
@@ -131,19 +131,19 @@
 func TestRetuneAddsNoTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const lowest, highest = 0.5, 3.0
-		b, now, taken, most := NewBucket(1, 1, start), start, 0, 1
+		b, now, taken, capacity := NewBucket(1, 1, start), start, 0, 1
 		for range 200 {
 			now = now.Add(100 * time.Millisecond)
 			if rapid.Bool().Draw(t, "retunes") {
-				most = rapid.IntRange(1, 3).Draw(t, "most")
-				b.Retune(rapid.Float64Range(lowest, highest).Draw(t, "rate"), most, now)
+				capacity = rapid.IntRange(1, 3).Draw(t, "most")
+				b.Retune(rapid.Float64Range(lowest, highest).Draw(t, "rate"), capacity, now)
 			}
 			if b.Take(now) {
 				taken++
 			}
 		}
-		passed := now.Sub(start).Seconds()
-		assert.Assert(t, float64(taken) <= highest*passed, "%d taken", taken)
-		assert.Assert(t, float64(taken) >= lowest*passed-1, "%d taken", taken)
+		elapsed := now.Sub(start).Seconds()
+		assert.Assert(t, float64(taken) <= highest*elapsed, "%d taken", taken)
+		assert.Assert(t, float64(taken) >= lowest*elapsed-1, "%d taken", taken)
 	})
 }
--- a/allowance/sum_test.go
+++ b/allowance/sum_test.go
@@ -117,19 +117,19 @@
 // same members, which include themselves. The members of the two sides may be disjoint, and all
 // daemons may freeze at the same time.
 func drawDaemons(t *rapid.T) []*daemon {
-	disjoint, together := rapid.Bool().Draw(t, "disjoint"), rapid.Bool().Draw(t, "together")
+	areDisjoint, freezeTogether := rapid.Bool().Draw(t, "disjoint"), rapid.Bool().Draw(t, "together")
 	frozen, slow := drawSpan(t, "all frozen"), drawSpan(t, "all slow")
 	var views [2][]string
 	var sides [2][]*daemon
 	for i := range rapid.IntRange(1, 16).Draw(t, "daemons") {
 		d := drawDaemon(t, fmt.Sprintf("daemon-%d", i))
-		if together {
+		if freezeTogether {
 			d.frozen, d.slow = frozen, slow
 		}
 		side := rapid.IntRange(0, 1).Draw(t, "side")
 		sides[side] = append(sides[side], d)
 		views[side] = append(views[side], d.id)
-		if !disjoint && rapid.Bool().Draw(t, "known to the other side") {
+		if !areDisjoint && rapid.Bool().Draw(t, "known to the other side") {
 			views[1-side] = append(views[1-side], d.id)
 		}
 	}
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -25,7 +25,7 @@
 	}
 	return func(r *fleet.Replica) bool {
 		l, ok := limits[r.Head.ID]
-		return !ok || l.born != r.Head.Born || l.bucket != nil && l.bucket.Has(now)
+		return !ok || l.born != r.Head.Born || l.bucket != nil && l.bucket.HasToken(now)
 	}
 }
 
@@ -68,8 +68,8 @@
 		return nil
 	}
 	return func(r *fleet.Replica) bool {
-		_, rests := t.rests.Until(r.Head.ID, r.Head.Born, now)
-		return !rests
+		_, isResting := t.rests.Until(r.Head.ID, r.Head.Born, now)
+		return !isResting
 	}
 }
 
@@ -107,8 +107,8 @@
 	return l, ok && l.born == r.Head.Born
 }
 
-// Look recomputes this daemon's shares, since members may have changed and limits become stale. It
-// also removes rest periods that have ended.
+// Look recomputes this daemon's shares and removes rest periods that have ended. It must be called
+// regularly, since members change and limits become stale.
 func (t *Table) Look(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,7 +135,7 @@
 	if sinceReport := now.Sub(r.limitReportedAt); sinceReport > staleAfter {
 		split, key = t.opts.Bound.singleShare(r.perSecond), staleKey(worker, sinceReport)
 	}
-	shares := holders.sharesOf(key, split.shares)
+	shares := holders.countShares(key, split.shares)
 	rate := split.rate * float64(shares)
 	switch {
 	case shares == 0:
--- a/backpressure/limits_test.go
+++ b/backpressure/limits_test.go
@@ -13,8 +13,8 @@
 // worker that reported it, whichever replica it heads.
 func TestLimitAppliesToOneIncarnation(t *testing.T) {
 	tests := map[string]struct {
-		head  fleet.Worker
-		bound bool
+		head      fleet.Worker
+		isLimited bool
 	}{
 		"that incarnation":     {fleet.Worker{ID: "w", Born: 1}, true},
 		"its next incarnation": {fleet.Worker{ID: "w", Born: 2}, false},
@@ -26,15 +26,15 @@
 			table := newTestTable()
 			table.Hear(&fleet.Worker{ID: "w", Born: 1}, limitSignal(1), start, start)
 			r := &fleet.Replica{ID: "any", Head: &test.head}
-			assert.Equal(t, table.Check(start)(r), !test.bound)
-			assert.Equal(t, table.Naming()(r), test.bound)
+			assert.Equal(t, table.Check(start)(r), !test.isLimited)
+			assert.Equal(t, table.Naming()(r), test.isLimited)
 			_, ok := table.Take(r, start)
-			assert.Equal(t, ok, !test.bound)
-			assert.Equal(t, table.Next(r, start).After(start), test.bound)
+			assert.Equal(t, ok, !test.isLimited)
+			assert.Equal(t, table.Next(r, start).After(start), test.isLimited)
 			later := start.Add(time.Minute)
 			sendBy, ok := table.Take(r, later)
 			assert.Assert(t, ok)
-			assert.Equal(t, sendBy.IsZero(), !test.bound, "a token is valid for a limited time")
+			assert.Equal(t, sendBy.IsZero(), !test.isLimited, "a token is valid for a limited time")
 		})
 	}
 }
--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -89,27 +89,27 @@
 		(e.Limit == nil || *e.Limit >= 0 && *e.Limit <= maxLimit)
 }
 
-// Merge applies the entries that the peer by reported. The time sentAt must not be later than the
-// time at which the peer sent them. Invalid entries are skipped.
-func (t *Table) Merge(all []Entry, by string, sentAt, now time.Time) {
+// Merge applies the entries of a report from a peer. The time sentAt must not be later than the
+// time at which the peer sent the report. Invalid entries are skipped.
+func (t *Table) Merge(all []Entry, peer string, sentAt, now time.Time) {
 	var changes []Change
 	for i := range min(len(all), maxChangedEntries+maxRotatedEntries) {
 		if all[i].isValid() {
-			changes = append(changes, t.merge(&all[i], by, sentAt, now)...)
+			changes = append(changes, t.merge(&all[i], peer, sentAt, now)...)
 		}
 	}
 	t.notify(changes)
 }
 
-func (t *Table) merge(e *Entry, by string, sentAt, now time.Time) []Change {
+func (t *Table) merge(e *Entry, peer string, sentAt, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known, ok := t.records[e.Worker]; ok && known.born > e.Born || !ok && e.Limit == nil && !e.Leaves {
+	if existing, ok := t.records[e.Worker]; ok && existing.born > e.Born || !ok && e.Limit == nil && !e.Leaves {
 		return nil
 	}
 	w := &fleet.Worker{ID: e.Worker, Born: e.Born}
 	r := t.ensureRecord(w)
-	c := newChanges(w, by)
+	c := newChanges(w, peer)
 	reportedAt, endedAt := sentAt.Add(-durationOf(e.Named)), sentAt.Add(-durationOf(e.Dropped))
 	switch {
 	case e.Limit != nil && reportedAt.After(r.limitEndedAt) && reportedAt.After(r.limitReportedAt):
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -29,9 +29,9 @@
 	w := &fleet.Worker{ID: "w", Born: 7}
 	second := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	tests := map[string]struct {
-		exchange func(a, b *Table)
-		limited  int
-		leaves   bool
+		exchange  func(a, b *Table)
+		limited   int
+		isLeaving bool
 	}{
 		"a limit": {exchange: func(a, b *Table) {
 			a.Hear(w, limitSignal(1.5), start, start)
@@ -68,7 +68,7 @@
 		"a shutdown notice": {exchange: func(a, b *Table) {
 			a.Hear(w, Signal{Leaving: true}, start, start)
 			sendReport(t, a, b, second(1), false)
-		}, leaves: true},
+		}, isLeaving: true},
 		"a limit of an earlier incarnation": {exchange: func(a, b *Table) {
 			a.Hear(&fleet.Worker{ID: "w", Born: 6}, limitSignal(1.5), start, start)
 			b.Hear(w, Signal{Rest: time.Second}, start, start)
@@ -101,7 +101,7 @@
 			a, b := newTestTable(), newTestTable()
 			test.exchange(a, b)
 			assert.Equal(t, b.Limited(), test.limited)
-			assert.Equal(t, b.count(func(r *record) bool { return r.leaving }) > 0, test.leaves)
+			assert.Equal(t, b.countRecords(func(r *record) bool { return r.leaving }) > 0, test.isLeaving)
 			assert.Equal(t, b.Resting(second(1)), 0)
 		})
 	}
@@ -166,17 +166,17 @@
 	}
 	r, senders := &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w"}}, make(map[int]bool)
 	for second := range 120 {
-		now, holders := start.Add(staleAfter+time.Duration(second+1)*time.Second), 0
+		now, holderCount := start.Add(staleAfter+time.Duration(second+1)*time.Second), 0
 		for i, table := range all {
 			table.Look(now)
 			if table.records["w"].shares > 0 {
-				holders++
+				holderCount++
 			}
 			if _, ok := table.Take(r, now); ok {
 				senders[i] = true
 			}
 		}
-		assert.Equal(t, holders, 1)
+		assert.Equal(t, holderCount, 1)
 	}
 	assert.Equal(t, len(senders), len(all))
 }
--- a/backpressure/rests.go
+++ b/backpressure/rests.go
@@ -34,7 +34,7 @@
 // Note records that an incarnation of a worker asked for a rest period from now on. It reports
 // whether the worker was not resting before. A rest period that is still running is extended if
 // the new one ends later, and kept otherwise.
-func (r *Rests) Note(worker string, born int64, duration time.Duration, now time.Time) (began bool) {
+func (r *Rests) Note(worker string, born int64, duration time.Duration, now time.Time) (started bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	previous, next := (*r.entries.Load())[worker], rest{born: born, until: now.Add(duration)}
--- a/backpressure/shares.go
+++ b/backpressure/shares.go
@@ -13,8 +13,8 @@
 const MembersMost = 8
 
 const (
-	// minShareRate is the minimum rate of a share, in requests a second, when a limit is split
-	// into several shares. The first token of a share is available after 1/rate seconds.
+	// minShareRate is the minimum rate of a share, in requests a second, if a limit is split into
+	// several shares. At a low rate, it takes long until the first token of a share is available.
 	minShareRate = 0.25
 	// minProbeRate is the minimum rate, in requests a second, at which requests may be sent to a
 	// worker, even if its limit is lower. Only the answers show that the worker raised its limit.
@@ -75,19 +75,20 @@
 	return division{shares: 1, rate: max(min(rate, max(perSecond, minProbeRate)), 0)}
 }
 
-// shareholders describes the daemons that hold shares, as known to one daemon, self.
+// shareholders describes the daemons that hold shares.
 type shareholders struct {
+	// self is the ID of this daemon, hall its data hall, and halls lists all data halls.
 	self, hall string
 	halls      []string
 	// members are the daemons of this hall that hold shares; empty while unknown.
 	members []string
 }
 
-// sharesOf returns how many of the given shares of a worker's limit this daemon holds. Shares are
-// split evenly between data halls, and within a hall between its members. If they cannot be split
-// evenly, a hash with the worker's ID decides who gets one more. So all daemons agree without
+// countShares returns how many of the given shares of a worker's limit this daemon holds. Shares
+// are split evenly between data halls, and within a hall between its members. If they cannot be
+// split evenly, a hash with the worker's ID decides who gets one more. So all daemons agree without
 // knowing the members of other halls.
-func (p shareholders) sharesOf(worker string, shares int) int {
+func (p shareholders) countShares(worker string, shares int) int {
 	inHall := portionOf(p.hall, p.halls, worker, shares)
 	return portionOf(p.self, p.members, worker, inHall)
 }
--- a/backpressure/shares_test.go
+++ b/backpressure/shares_test.go
@@ -22,21 +22,21 @@
 		perSecond float64
 		members   int
 		shares    int
-		// least is the minimum fraction of the limit that is used on average.
-		least float64
+		// minUse is the minimum fraction of the limit that is used on average.
+		minUse float64
 	}{
-		"a low limit":            {perSecond: 1.3, members: 40, shares: 4, least: 1},
-		"a limit below one":      {perSecond: 0.25, members: 40, shares: 1, least: 1},
+		"a low limit":            {perSecond: 1.3, members: 40, shares: 4, minUse: 1},
+		"a limit below one":      {perSecond: 0.25, members: 40, shares: 1, minUse: 1},
 		"a limit of zero":        {perSecond: 0, members: 40, shares: 1},
-		"a usual rate":           {perSecond: 6, members: 40, shares: 12, least: 1},
-		"a high limit":           {perSecond: 100, members: 40, shares: 40, least: 1},
-		"a daemon that is alone": {perSecond: 1.3, members: 1, shares: 1, least: 0.9},
+		"a usual rate":           {perSecond: 6, members: 40, shares: 12, minUse: 1},
+		"a high limit":           {perSecond: 100, members: 40, shares: 40, minUse: 1},
+		"a daemon that is alone": {perSecond: 1.3, members: 1, shares: 1, minUse: 0.9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := testBound.divide(test.perSecond, test.members)
 			assert.Equal(t, d.shares, test.shares)
-			assert.Assert(t, d.rate*float64(d.shares) >= test.least*test.perSecond, "%.2f a second are used", d.rate*float64(d.shares))
+			assert.Assert(t, d.rate*float64(d.shares) >= test.minUse*test.perSecond, "%.2f a second are used", d.rate*float64(d.shares))
 			sent := float64(d.shares+1) * testBound.maxSentPerShare(d.rate)
 			assert.Assert(t, sent <= testBound.maxRequests(test.perSecond), "%.1f sent", sent)
 			single := testBound.singleShare(test.perSecond)
@@ -56,17 +56,17 @@
 		for _, hall := range halls {
 			members := namesOf(hall, rapid.IntRange(1, MembersMost).Draw(t, hall))
 			for _, self := range members {
-				held += shareholders{self: self, hall: hall, halls: halls, members: members}.sharesOf(worker, shares)
+				held += shareholders{self: self, hall: hall, halls: halls, members: members}.countShares(worker, shares)
 			}
 		}
 		assert.Equal(t, held, shares)
 	})
 }
 
-func namesOf(kind string, count int) []string {
+func namesOf(prefix string, count int) []string {
 	var all []string
 	for i := range count {
-		all = append(all, fmt.Sprintf("%s-%d", kind, i))
+		all = append(all, fmt.Sprintf("%s-%d", prefix, i))
 	}
 	return all
 }
@@ -75,9 +75,9 @@
 // its hall or is not one of them.
 func TestDaemonsWithoutShares(t *testing.T) {
 	p := shareholders{self: "a", hall: "hall", halls: []string{"hall"}}
-	assert.Equal(t, p.sharesOf("w", 3), 0)
+	assert.Equal(t, p.countShares("w", 3), 0)
 	p.members = []string{"b", "c"}
-	assert.Equal(t, p.sharesOf("w", 3), 0)
+	assert.Equal(t, p.countShares("w", 3), 0)
 }
 
 const (
@@ -119,14 +119,14 @@
 }
 
 func drawDaemon(t *rapid.T, i int, halls []string) *simDaemon {
-	steps := func(name string, most int) time.Duration {
-		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * simStep
+	drawSteps := func(name string, maxSteps int) time.Duration {
+		return time.Duration(rapid.IntRange(0, maxSteps).Draw(t, name)) * simStep
 	}
-	s := &simDaemon{id: fmt.Sprintf("daemon-%02d", i), hall: rapid.SampledFrom(halls).Draw(t, "hall"), learnsAt: steps("hears", 100), delay: steps("delay", 3)}
-	s.frozenFrom = steps("frozen", simSteps)
-	s.frozenUntil = s.frozenFrom + steps("froze", 200)
+	s := &simDaemon{id: fmt.Sprintf("daemon-%02d", i), hall: rapid.SampledFrom(halls).Draw(t, "hall"), learnsAt: drawSteps("hears", 100), delay: drawSteps("delay", 3)}
+	s.frozenFrom = drawSteps("frozen", simSteps)
+	s.frozenUntil = s.frozenFrom + drawSteps("froze", 200)
 	for range rapid.IntRange(0, 3).Draw(t, "restarts") {
-		s.restarts = append(s.restarts, steps("restart", simSteps))
+		s.restarts = append(s.restarts, drawSteps("restart", simSteps))
 	}
 	return s
 }
@@ -186,8 +186,8 @@
 			for at-arrivals[first] >= testBound.Window {
 				first++
 			}
-			most := testBound.Burst*perSecond*testBound.Window.Seconds() + testBound.Slack
-			assert.Assert(t, float64(i-first+1) <= most, "%d requests in the %s before %s, %.1f allowed", i-first+1, testBound.Window, at, most)
+			allowed := testBound.Burst*perSecond*testBound.Window.Seconds() + testBound.Slack
+			assert.Assert(t, float64(i-first+1) <= allowed, "%d requests in the %s before %s, %.1f allowed", i-first+1, testBound.Window, at, allowed)
 		}
 	})
 }
--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -51,10 +51,10 @@
 	Leaving bool
 }
 
-// Read returns the signal in the headers of an answer. The argument signed says whether the answer
-// is verified as the worker's own. Invalid values are left out of the signal and reported as
-// joined errors that wrap ErrInvalidValue.
-func (n Names) Read(answer *http.Response, signed bool) (Signal, error) {
+// Read returns the signal in the headers of an answer. If isSigned is set, the answer is verified
+// as the worker's own. Invalid values are left out of the signal and reported as joined errors that
+// wrap ErrInvalidValue.
+func (n Names) Read(answer *http.Response, isSigned bool) (Signal, error) {
 	var s Signal
 	var invalid []error
 	switch limit, ok, err := parseNumber(answer.Header, n.Limit, maxLimit); {
@@ -63,7 +63,7 @@
 	case ok:
 		s.Limited, s.PerSecond = true, limit
 	default:
-		s.Unlimited = signed
+		s.Unlimited = isSigned
 	}
 	if answer.StatusCode == http.StatusServiceUnavailable {
 		rest, _, err := parseNumber(answer.Header, headerRetryAfter, math.MaxFloat64)
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -31,7 +31,8 @@
 	// rest period, for RestAsked.
 	PerSecond float64
 	Rest      time.Duration
-	// By is the daemon that received the worker's answer; empty for this one.
+	// By is the ID of the peer that reported the change. It is empty if this daemon received the
+	// worker's answer itself.
 	By string
 }
 
@@ -63,7 +64,7 @@
 	// daemon. It is empty if they are not known yet. The list must not shrink when daemons become
 	// unreachable: in a network partition each side would take over the shares of the other.
 	Members func() []string
-	// Bound limits what is sent to workers that report a limit.
+	// Bound limits the number of requests to workers that report a limit.
 	Bound Bound
 	// Changed is called for each change. It may call the Table.
 	Changed func(c Change)
@@ -88,8 +89,8 @@
 type record struct {
 	born int64
 	// limited means that the worker has a limit of perSecond requests a second. limitReportedAt is
-	// when the worker last reported it. limitEndedAt is when the request was sent whose answer
-	// ended the last limit.
+	// when the worker last reported it. limitEndedAt belongs to the last answer that ended a limit:
+	// it is when the request for that answer was sent.
 	limited         bool
 	perSecond       float64
 	limitReportedAt time.Time
@@ -116,11 +117,11 @@
 	return t
 }
 
-// Hear applies the signal of an answer. The time sent is when the request was sent, now when its
-// answer arrived. As answers may arrive out of order, one without a limit ends a limit only if the
-// limit was reported before the request was sent.
-func (t *Table) Hear(w *fleet.Worker, s Signal, sent, now time.Time) {
-	t.notify(t.observe(w, s, sent, now))
+// Hear applies the signal of an answer that arrived now, to a request that was sent at sentAt. As
+// answers may arrive out of order, one without a limit ends a limit only if the limit was reported
+// before that request was sent.
+func (t *Table) Hear(w *fleet.Worker, s Signal, sentAt, now time.Time) {
+	t.notify(t.applySignal(w, s, sentAt, now))
 }
 
 func (t *Table) notify(all []Change) {
@@ -129,12 +130,12 @@
 	}
 }
 
-func (t *Table) observe(w *fleet.Worker, s Signal, sent, now time.Time) []Change {
+func (t *Table) applySignal(w *fleet.Worker, s Signal, sentAt, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.records[w.ID]
-	if !ok && !s.isActionable() || ok && known.born > w.Born {
-		// Either there is nothing to record, or the answer is of an earlier incarnation.
+	existing, ok := t.records[w.ID]
+	if !ok && !s.isActionable() || ok && existing.born > w.Born {
+		// The signal changes nothing, or the answer is from an earlier incarnation.
 		return nil
 	}
 	r := t.ensureRecord(w)
@@ -142,8 +143,8 @@
 	switch {
 	case s.Limited:
 		c.add(r.setLimit(s.PerSecond, now, now))
-	case s.Unlimited && r.limited && sent.After(r.limitReportedAt):
-		c.add(r.clearLimit(sent, now))
+	case s.Unlimited && r.limited && sentAt.After(r.limitReportedAt):
+		c.add(r.clearLimit(sentAt, now))
 	}
 	if s.Rest > 0 && t.rests.Note(w.ID, w.Born, s.Rest, now) {
 		c.add(Change{Event: RestAsked, Rest: s.Rest})
@@ -213,12 +214,12 @@
 const recordRetention = time.Minute
 
 // Forget removes the records of incarnations that have not been listed for recordRetention.
-func (t *Table) Forget(listed func(worker string, born int64) bool, now time.Time) {
+func (t *Table) Forget(isListed func(worker string, born int64) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, r := range t.records {
 		switch {
-		case listed(id, r.born):
+		case isListed(id, r.born):
 			r.expiresAt = now.Add(recordRetention)
 		case r.expiresAt.IsZero():
 			r.expiresAt = now.Add(recordRetention)
@@ -247,7 +248,7 @@
 
 // Limited returns the number of workers that have a limit.
 func (t *Table) Limited() int {
-	return t.count(func(r *record) bool { return r.limited })
+	return t.countRecords(func(r *record) bool { return r.limited })
 }
 
 // Resting returns the number of workers that asked this daemon for a rest period which has not
@@ -255,9 +256,9 @@
 func (t *Table) Resting(now time.Time) int { return t.rests.Count(now) }
 
 // Leaving returns the number of workers that are about to stop.
-func (t *Table) Leaving() int { return t.count(func(r *record) bool { return r.leaving }) }
+func (t *Table) Leaving() int { return t.countRecords(func(r *record) bool { return r.leaving }) }
 
-func (t *Table) count(matches func(r *record) bool) int {
+func (t *Table) countRecords(matches func(r *record) bool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -76,10 +76,10 @@
 	revision int64
 	// closedAt is when this daemon learned of the closing.
 	closedAt time.Time
-	// earliestEmptyAt is when the hall can first be empty: late daemons have stopped sending to
-	// it, and the load reports include all requests that they sent.
+	// earliestEmptyAt is the earliest time at which the hall may be considered empty. By then, all
+	// daemons have stopped sending to it, and the load reports include all requests that they sent.
 	earliestEmptyAt time.Time
-	empty           bool
+	isEmpty         bool
 }
 
 // NewWatch returns a watch, which is started by Run.
@@ -120,8 +120,8 @@
 			w.opts.Logger.Info("data hall open", "hall", name, "after_ms", now.Sub(c.closedAt).Milliseconds())
 			continue
 		}
-		if !c.empty && len(w.obstacles(name, c, now)) == 0 {
-			c.empty = true
+		if !c.isEmpty && len(w.obstacles(name, c, now)) == 0 {
+			c.isEmpty = true
 			w.opts.Logger.Info("data hall empty", "hall", name, "after_ms", now.Sub(c.closedAt).Milliseconds())
 		}
 	}
@@ -144,15 +144,15 @@
 // obstacles returns the reasons why a closed hall may not be empty yet.
 func (w *Watch) obstacles(name string, c *closedHall, now time.Time) []string {
 	var all []string
-	if left := c.earliestEmptyAt.Sub(now); left > 0 {
-		all = append(all, fmt.Sprintf("daemons that get the news late may still send to it for up to %d s", wholeSeconds(left)))
+	if remaining := c.earliestEmptyAt.Sub(now); remaining > 0 {
+		all = append(all, fmt.Sprintf("daemons that get the news late may still send to it for up to %d s", wholeSeconds(remaining)))
 	}
 	// Without a majority, this daemon may be on the smaller side of a network partition, and the
 	// daemons on the other side may still send requests to the hall.
 	if reached, members := w.opts.Reached(c.closedAt); 2*reached < members {
 		all = append(all, fmt.Sprintf("only %d of %d daemons have answered since it was closed", reached, members))
 	}
-	var running int
+	var inFlight int
 	for _, report := range w.opts.Catalog.Reports() {
 		if report.DataHall != name {
 			continue
@@ -160,10 +160,10 @@
 		if _, deadline, _ := w.opts.Catalog.Current(report.Domain); !now.Before(deadline) {
 			all = append(all, "nothing was heard from the leader of its domain "+report.Domain)
 		}
-		running += w.countInFlight(report)
+		inFlight += w.countInFlight(report)
 	}
-	if running > 0 {
-		all = append(all, fmt.Sprintf("%d requests are in flight", running))
+	if inFlight > 0 {
+		all = append(all, fmt.Sprintf("%d requests are in flight", inFlight))
 	}
 	return all
 }
@@ -265,7 +265,7 @@
 	switch {
 	case !ok || c.revision != s.Revision:
 		s.State, s.Obstacles = Closing, []string{"it was closed just now"}
-	case c.empty:
+	case c.isEmpty:
 		s.State = Empty
 	default:
 		s.State, s.Obstacles = Closing, w.obstacles(s.Name, c, now)
--- a/hall/watch_test.go
+++ b/hall/watch_test.go
@@ -23,13 +23,13 @@
 
 // fixture is a watch with a fleet of three daemons and one domain in each of two halls.
 type fixture struct {
-	state    *config.State
-	catalog  *catalog.Catalog
-	offset   int64
-	beat     uint64
-	reached  int
-	inFlight map[string]int
-	load     uint32
+	state        *config.State
+	catalog      *catalog.Catalog
+	offset       int64
+	reportNumber uint64
+	reached      int
+	inFlight     map[string]int
+	load         uint32
 	// stopsReporting means that the domains no longer report.
 	stopsReporting bool
 	log            bytes.Buffer
@@ -57,10 +57,10 @@
 
 // report publishes the reports of both domains. f.load is the load of the replica in hall-a.
 func (f *fixture) report() {
-	f.beat++
+	f.reportNumber++
 	for _, name := range []string{"a", "b"} {
 		f.catalog.Publish(&rpc.DomainReport{
-			Domain: "domain-" + name, DataHall: "hall-" + name, Token: &rpc.Token{Epoch: 1}, Version: f.beat, Beat: f.beat,
+			Domain: "domain-" + name, DataHall: "hall-" + name, Token: &rpc.Token{Epoch: 1}, Version: f.reportNumber, Beat: f.reportNumber,
 			Replicas: []*rpc.ReplicaReport{{Id: "replica-" + name, Deployment: "chat", Serving: true}},
 			Nodes:    []*rpc.NodeReport{{Id: "service-" + name, State: rpc.NodeState_SERVICE}},
 			Loads:    []uint32{f.load, 0, 8},
--- a/intent/ledger.go
+++ b/intent/ledger.go
@@ -12,7 +12,7 @@
 	"quartzshelf.dev/eventlog"
 )
 
-// Limits of a Ledger.
+// Sizes and timeouts of a Ledger.
 const (
 	// queueSize is the maximum number of records that wait to be appended to the log.
 	queueSize = 4096
@@ -89,8 +89,8 @@
 // attempt that holds the key.
 func (c Claim) Entry() Entry { return c.entry }
 
-// MaySend reports whether the attempt may be sent at the given time. If it is sent somewhat later,
-// that is harmless as long as the key is kept, since no other attempt can win the key before.
+// MaySend reports whether the attempt may be sent at the given time. It may be sent with a short
+// delay after the check, since no other attempt can win the key while the key is kept.
 func (c Claim) MaySend(now time.Time) bool { return c.won && now.Before(c.sendBefore) }
 
 // Take claims a key for a request with the given body hash. If the claim is not won, its entry
@@ -241,8 +241,8 @@
 func (l *Ledger) flush(ctx context.Context, batch []cluster.Record) {
 	deadline := time.Now().Add(claimTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		attempt, cancel := context.WithTimeout(ctx, time.Second)
-		err := l.opts.Follower.AppendRecords(attempt, batch)
+		attemptCtx, cancel := context.WithTimeout(ctx, time.Second)
+		err := l.opts.Follower.AppendRecords(attemptCtx, batch)
 		cancel()
 		if err == nil {
 			return
--- a/intent/outcome.go
+++ b/intent/outcome.go
@@ -10,11 +10,11 @@
 
 // Phases of an attempt.
 const (
-	// PhaseAbsent means that the attempt is not known.
+	// PhaseAbsent means that the daemon has no record of the attempt.
 	PhaseAbsent Phase = "absent"
 	// PhasePending means that the attempt may have been sent and has not finished.
 	PhasePending Phase = "pending"
-	// PhaseDone means that the attempt ran and its answer is available.
+	// PhaseDone means that the attempt has finished and its answer is available.
 	PhaseDone Phase = "done"
 	// PhaseUnknown means that the attempt was sent and its outcome is unknown.
 	PhaseUnknown Phase = "unknown"
@@ -92,11 +92,11 @@
 func (o *outcomes) set(attempt string, outcome Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	old, known := o.all[attempt]
-	if known && old.outcome.phase != PhasePending {
+	previous, exists := o.all[attempt]
+	if exists && previous.outcome.phase != PhasePending {
 		return
 	}
-	if !known {
+	if !exists {
 		o.oldestFirst = append(o.oldestFirst, attempt)
 		o.bytes += outcomeOverhead
 	}
--- a/intent/state.go
+++ b/intent/state.go
@@ -74,7 +74,7 @@
 	holder    string
 	body      string
 	status    int
-	done      bool
+	isDone    bool
 	expiresAt time.Time
 	// released lists the IDs of attempts that were released and may not claim the key again.
 	released []string
@@ -96,7 +96,7 @@
 }
 
 // Done reports whether the log has recorded that the request ran, and the status of its answer.
-func (e Entry) Done() (status int, done bool) { return e.status, e.done }
+func (e Entry) Done() (status int, done bool) { return e.status, e.isDone }
 
 // State is the state of all keys, built from the log stream. A key is removed ttl after its first
 // record. The times of the log's records decide, so that all daemons remove it at the same record.
@@ -154,11 +154,11 @@
 // claim assigns the key to an attempt. It has no effect if another attempt holds the key, the body
 // hash differs or the attempt was released.
 func (s *State) claim(r Record, at time.Time) {
-	e, known := s.entries[r.Key]
+	e, exists := s.entries[r.Key]
 	if !e.isClaimable(r.Body) || slices.Contains(e.released, r.Attempt) {
 		return
 	}
-	if !known {
+	if !exists {
 		e = s.add(r.Key, at)
 	}
 	e.attempt, e.holder, e.body = r.Attempt, r.Holder, r.Body
@@ -168,11 +168,11 @@
 // release releases the key if the attempt holds it. If the attempt's claim follows its release in
 // the log, the claim has no effect.
 func (s *State) release(r Record, at time.Time) {
-	e, known := s.entries[r.Key]
-	if !known {
+	e, exists := s.entries[r.Key]
+	if !exists {
 		e = s.add(r.Key, at)
 	}
-	if e.done || slices.Contains(e.released, r.Attempt) {
+	if e.isDone || slices.Contains(e.released, r.Attempt) {
 		return
 	}
 	e.released = append(slices.Clone(e.released), r.Attempt)
@@ -190,11 +190,11 @@
 
 // finish records that the attempt that holds the key completed.
 func (s *State) finish(r Record) {
-	e, known := s.entries[r.Key]
-	if !known || e.attempt != r.Attempt {
+	e, exists := s.entries[r.Key]
+	if !exists || e.attempt != r.Attempt {
 		return
 	}
-	e.done, e.status = true, r.Status
+	e.isDone, e.status = true, r.Status
 	s.entries[r.Key] = e
 }
 
@@ -230,7 +230,7 @@
 		e := s.entries[key]
 		stored = append(stored, storedEntry{
 			Key: key, Attempt: e.attempt, Holder: e.holder, Body: e.body, Status: e.status,
-			Done: e.done, ExpiresAt: e.expiresAt.UnixNano(), Released: e.released,
+			Done: e.isDone, ExpiresAt: e.expiresAt.UnixNano(), Released: e.released,
 		})
 	}
 	return cbor.Marshal(stored)
@@ -247,7 +247,7 @@
 	for _, e := range stored {
 		entries[e.Key] = Entry{
 			attempt: e.Attempt, holder: e.Holder, body: e.Body, status: e.Status,
-			done: e.Done, expiresAt: time.Unix(0, e.ExpiresAt), released: e.Released,
+			isDone: e.Done, expiresAt: time.Unix(0, e.ExpiresAt), released: e.Released,
 		}
 		order = append(order, e.Key)
 	}
--- a/intent/state_test.go
+++ b/intent/state_test.go
@@ -59,12 +59,12 @@
 // TestKeysExpireByLogTime applies the same records to two states, one of which is restored from a
 // checkpoint in between. It checks that both remove the key at the same record.
 func TestKeysExpireByLogTime(t *testing.T) {
-	whole, late := NewState(10*time.Second), NewState(10*time.Second)
-	apply(t, whole, 0, claim("a"))
-	checkpoint, err := whole.Checkpoint()
+	original, restored := NewState(10*time.Second), NewState(10*time.Second)
+	apply(t, original, 0, claim("a"))
+	checkpoint, err := original.Checkpoint()
 	assert.NilError(t, err)
-	assert.NilError(t, late.Restore(checkpoint))
-	for name, s := range map[string]*State{"whole": whole, "late": late} {
+	assert.NilError(t, restored.Restore(checkpoint))
+	for name, s := range map[string]*State{"original": original, "restored": restored} {
 		apply(t, s, 10, claim("b"))
 		e, _ := s.Entry("k")
 		assert.Equal(t, e.Attempt(), "a", name)
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -139,8 +139,8 @@
 	return e.ownClaim, e.highestClaim, e.grant
 }
 
-// Hear updates the known grant and claims from a heartbeat of a peer, and yields if the peer knows
-// a higher claim.
+// Hear updates the known grant and claims from a heartbeat of a peer, and yields if the peer
+// reports a higher claim.
 func (e *Elector) Hear(p *peers.Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -206,7 +206,7 @@
 		switch {
 		case !canLead:
 			e.yield("the daemon leaves or knows too little")
-		case e.era() != e.ownEra:
+		case e.currentEra() != e.ownEra:
 			e.yield("the store came back from a copy")
 		case e.isIsolated(alive, now):
 			e.yield("neither the store nor most daemons are reached")
@@ -224,12 +224,12 @@
 	if e.leaderlessSince.IsZero() {
 		e.leaderlessSince = now
 	}
-	turn := e.candidatesAhead(alive)
-	return now.Sub(e.leaderlessSince) >= time.Duration(turn)*candidateDelay && !e.isIsolated(alive, now)
+	ahead := e.candidatesAhead(alive)
+	return now.Sub(e.leaderlessSince) >= time.Duration(ahead)*candidateDelay && !e.isIsolated(alive, now)
 }
 
-// era returns the newest era reported by the registry.
-func (e *Elector) era() int64 {
+// currentEra returns the newest era reported by the registry.
+func (e *Elector) currentEra() int64 {
 	if e.opts.Era == nil {
 		return 0
 	}
@@ -259,10 +259,10 @@
 
 // candidatesAhead returns the number of daemons that should try to lead before this one.
 //
-// The candidates are this daemon and the others that are ready and know all workers. If there are
-// no such others, the rest are candidates too. Before the first grant, daemons that are not ready
-// yet always are, because the fittest one may still be reading its first list of workers. Daemons
-// that are stopping never are.
+// The candidates are this daemon and the others that are ready and know all workers. Before the
+// first grant, daemons that are not ready yet are candidates as well, because the fittest one may
+// still be reading its first list of workers. If no other daemon is a candidate by these rules, all
+// of them are. Daemons that are stopping are left out.
 func (e *Elector) candidatesAhead(alive []*peers.Peer) int {
 	candidates, unready := []peers.Identity{e.opts.Self}, []peers.Identity{}
 	for _, p := range alive {
@@ -303,8 +303,8 @@
 // tryToLead tries to win a term: by a new grant, or by a higher rank if the store is unavailable.
 func (e *Elector) tryToLead(ctx context.Context) {
 	// Read the era before the grant, so that a later restore of the store ends the term.
-	era, stamp := e.era(), awake.NewStamp(e.opts.Suspended)
-	claim, first, won := e.acquireClaim(ctx)
+	era, stamp := e.currentEra(), awake.NewStamp(e.opts.Suspended)
+	claim, isFirst, won := e.acquireClaim(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	// If this daemon was suspended in between, others may have led meanwhile.
@@ -317,14 +317,14 @@
 	term, stop := context.WithCancel(ctx)
 	e.stopTerm = stop
 	e.leaderlessSince = time.Time{}
-	e.opts.Logger.Info("leading", "epoch", claim.Epoch, "rank", claim.Rank, "first", first)
-	go e.opts.Lead(term, claim, first)
+	e.opts.Logger.Info("leading", "epoch", claim.Epoch, "rank", claim.Rank, "first", isFirst)
+	go e.opts.Lead(term, claim, isFirst)
 }
 
 // acquireClaim adds a grant to the registry, or uses the next rank of the known grant if the
 // registry is unavailable. It returns the resulting claim, whether its grant is the first one
 // ever, and whether the claim was won.
-func (e *Elector) acquireClaim(ctx context.Context) (claim peers.Claim, first, won bool) {
+func (e *Elector) acquireClaim(ctx context.Context) (claim peers.Claim, isFirst, won bool) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	found, err := e.opts.Registry.Newest(ctx)
@@ -338,10 +338,10 @@
 		e.grant = newest
 	}
 	grant := e.nextGrant(found)
-	first = grant.Epoch == 1
-	isOwnUnused := len(newest.Holders) > 0 && newest.Holders[0] == e.self() && e.highestClaim.Epoch < newest.Epoch
+	isFirst = grant.Epoch == 1
+	isUnusedOwnGrant := len(newest.Holders) > 0 && newest.Holders[0] == e.self() && e.highestClaim.Epoch < newest.Epoch
 	e.mu.Unlock()
-	if isOwnUnused {
+	if isUnusedOwnGrant {
 		// An earlier call added the grant, but its answer was lost.
 		return peers.Claim{Epoch: newest.Epoch}, false, true
 	}
@@ -355,7 +355,7 @@
 		e.grant = grant
 		e.mu.Unlock()
 	}
-	return peers.Claim{Epoch: grant.Epoch}, first, won
+	return peers.Claim{Epoch: grant.Epoch}, isFirst, won
 }
 
 // nextGrant returns the grant to add next. Its epoch is above every epoch known to the registry,
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -24,11 +24,11 @@
 
 // fakeFleet connects electors by heartbeats and a registry, both of which can fail.
 type fakeFleet struct {
-	mu      sync.Mutex
-	grants  []storedGrant
-	era     int64
-	storeUp bool
-	// isolated holds the daemons that can reach neither the others nor the store.
+	mu        sync.Mutex
+	grants    []storedGrant
+	era       int64
+	storeIsUp bool
+	// isolated contains the IDs of the daemons that can reach neither the others nor the store.
 	isolated map[string]bool
 	dead     map[string]bool
 	daemons  []*fakeDaemon
@@ -57,7 +57,7 @@
 }
 
 func newFakeFleet(daemons int) *fakeFleet {
-	f := &fakeFleet{storeUp: true, isolated: make(map[string]bool), dead: make(map[string]bool), claims: make(map[peers.Claim]string)}
+	f := &fakeFleet{storeIsUp: true, isolated: make(map[string]bool), dead: make(map[string]bool), claims: make(map[peers.Claim]string)}
 	for i := range daemons {
 		f.start(fmt.Sprintf("d%d", i), 1)
 	}
@@ -92,7 +92,7 @@
 	d.fleet.claims[claim] = d.self.ID
 }
 
-func (f *fakeFleet) connected(a, b string) bool {
+func (f *fakeFleet) areConnected(a, b string) bool {
 	return !f.isolated[a] && !f.isolated[b] && !f.dead[a] && !f.dead[b]
 }
 
@@ -116,7 +116,7 @@
 		d.fleet.mu.Unlock()
 		for _, other := range all {
 			d.fleet.mu.Lock()
-			reachable := other != d && d.fleet.connected(d.self.ID, other.self.ID)
+			reachable := other != d && d.fleet.areConnected(d.self.ID, other.self.ID)
 			if reachable {
 				other.lastHeartbeats[d.self.ID] = p
 			}
@@ -163,7 +163,7 @@
 func (d *fakeDaemon) reachesStore() bool {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	return d.fleet.storeUp && !d.fleet.isolated[d.self.ID] && !d.fleet.dead[d.self.ID]
+	return d.fleet.storeIsUp && !d.fleet.isolated[d.self.ID] && !d.fleet.dead[d.self.ID]
 }
 
 func (d *fakeDaemon) newest(context.Context) (Found, error) {
@@ -226,7 +226,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.daemons {
-		if f.storeUp && !f.isolated[d.self.ID] && !f.dead[d.self.ID] {
+		if f.storeIsUp && !f.isolated[d.self.ID] && !f.dead[d.self.ID] {
 			d.era = f.era
 		}
 	}
@@ -238,11 +238,11 @@
 func TestStoreThatLosesGrants(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 8), 3, 14).Draw(t, "steps")
-		which := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
-		var twice, leaders []string
-		synctest.Test(outer, func(*testing.T) { twice, leaders = simulateRestores(steps, which) })
-		if len(twice) > 0 {
-			t.Fatalf("claimed twice: %v", twice)
+		targets := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
+		var duplicates, leaders []string
+		synctest.Test(outer, func(*testing.T) { duplicates, leaders = simulateRestores(steps, targets) })
+		if len(duplicates) > 0 {
+			t.Fatalf("claimed twice: %v", duplicates)
 		}
 		if len(leaders) != 1 {
 			t.Fatalf("after recovery, %v lead", leaders)
@@ -252,7 +252,7 @@
 
 // simulateRestores runs the steps on a fleet. It returns the claims that were made twice, and the
 // daemons that lead after everything has recovered.
-func simulateRestores(steps, which []int) (twice, leaders []string) {
+func simulateRestores(steps, targets []int) (duplicates, leaders []string) {
 	f := newFakeFleet(5)
 	defer f.stopAll()
 	for i, step := range steps {
@@ -260,13 +260,13 @@
 		if step > 5 {
 			f.restoreStore(step - 5)
 		} else {
-			f.disrupt(step, fmt.Sprintf("d%d", which[i]), int64(i+2))
+			f.disrupt(step, fmt.Sprintf("d%d", targets[i]), int64(i+2))
 		}
-		if which[i]%2 == 0 {
+		if targets[i]%2 == 0 {
 			f.reportEra()
 		}
 	}
-	f.update(func() { f.storeUp, f.isolated = true, make(map[string]bool) })
+	f.update(func() { f.storeIsUp, f.isolated = true, make(map[string]bool) })
 	f.reportEra()
 	time.Sleep(10 * time.Second)
 	return f.duplicates, f.leaders()
@@ -402,7 +402,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(5)
 		time.Sleep(3 * time.Second)
-		f.update(func() { f.storeUp = false })
+		f.update(func() { f.storeIsUp = false })
 		for range 2 {
 			f.kill(f.leaders()[0])
 			time.Sleep(5 * time.Second)
@@ -423,7 +423,7 @@
 			f.start(fmt.Sprintf("late%d", i), 1)
 		}
 		time.Sleep(4 * time.Second)
-		f.update(func() { f.storeUp = false })
+		f.update(func() { f.storeIsUp = false })
 		f.kill(leader)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(f.leaders()), 1)
@@ -452,23 +452,23 @@
 func TestNoClaimIsMadeTwice(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 3, 14).Draw(t, "steps")
-		which := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
-		var twice, leaders []string
+		targets := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
+		var duplicates, leaders []string
 		synctest.Test(outer, func(*testing.T) {
 			f := newFakeFleet(5)
 			incarnation := int64(1)
 			for i, step := range steps {
 				time.Sleep(time.Duration(400+350*step) * time.Millisecond)
 				incarnation++
-				f.disrupt(step, fmt.Sprintf("d%d", which[i]), incarnation)
+				f.disrupt(step, fmt.Sprintf("d%d", targets[i]), incarnation)
 			}
-			f.update(func() { f.storeUp, f.isolated = true, make(map[string]bool) })
+			f.update(func() { f.storeIsUp, f.isolated = true, make(map[string]bool) })
 			time.Sleep(10 * time.Second)
-			twice, leaders = f.duplicates, f.leaders()
+			duplicates, leaders = f.duplicates, f.leaders()
 			f.stopAll()
 		})
-		if len(twice) > 0 {
-			t.Fatalf("claimed twice: %v", twice)
+		if len(duplicates) > 0 {
+			t.Fatalf("claimed twice: %v", duplicates)
 		}
 		if len(leaders) != 1 {
 			t.Fatalf("after recovery, %v lead", leaders)
@@ -485,7 +485,7 @@
 	case 2:
 		f.update(func() { f.isolated[id] = !f.isolated[id] })
 	case 3:
-		f.update(func() { f.storeUp = !f.storeUp })
+		f.update(func() { f.storeIsUp = !f.storeIsUp })
 	case 4:
 		if leaders := f.leaders(); len(leaders) > 0 {
 			f.kill(leaders[0])
@@ -503,12 +503,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(1)
 		d := f.daemons[0]
-		asleep := time.Duration(0)
-		d.elector.opts.Suspended = func() time.Duration { return asleep }
+		suspendedFor := time.Duration(0)
+		d.elector.opts.Suspended = func() time.Duration { return suspendedFor }
 		add := d.elector.opts.Registry.Add
 		d.elector.opts.Registry.Add = func(ctx context.Context, grant peers.Grant, position int64) (bool, error) {
-			if asleep == 0 {
-				asleep = time.Minute
+			if suspendedFor == 0 {
+				suspendedFor = time.Minute
 			}
 			return add(ctx, grant, position)
 		}
--- a/placement/apportion.go
+++ b/placement/apportion.go
@@ -48,8 +48,8 @@
 	return shares
 }
 
-// keepExisting assigns the existing replicas to their domains, the serving ones first. It leaves
-// out replicas that do not serve and do not fit on the eligible nodes. It returns the number of
+// keepExisting assigns the existing replicas to their domains, the serving ones first. The others
+// are only assigned if the domain has enough eligible nodes for them. It returns the number of
 // replicas that are still missing.
 func keepExisting(d Demand, ordered []Supply, shares map[string]int) int {
 	missing := d.Replicas
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -36,13 +36,13 @@
 			return
 		}
 		id := p.freeID(want.Deployment)
-		p.extra[id] = true
+		p.extraReplicas[id] = true
 		p.formReplica(want, id, nil, "fills nodes that would be idle")
 	}
 }
 
-// hasUnformedReplica reports whether the plan forms a replica of the deployment or could not form
-// one.
+// hasUnformedReplica reports whether a wanted replica of the deployment is not formed yet. This
+// includes replicas that this plan forms.
 func (p *planner) hasUnformedReplica(deployment string) bool {
 	for _, d := range p.plan.deployments {
 		if d == deployment {
@@ -58,7 +58,7 @@
 // such orders.
 func (p *planner) preload() {
 	budget := p.preloadBudget()
-	add := func(n *Node, version, reason string) {
+	addOrder := func(n *Node, version, reason string) {
 		if budget > 0 && n.isUsable() && !n.hasWeights(version) && !slices.Contains(n.Preloading, version) {
 			p.plan.Preloads = append(p.plan.Preloads, Preload{Node: n.ID, Version: version, Reason: reason})
 			budget--
@@ -66,13 +66,13 @@
 	}
 	for _, o := range p.outdated {
 		for _, n := range o.group.nodes {
-			add(n, o.version, "the new version of "+o.group.id)
+			addOrder(n, o.version, "the new version of "+o.group.id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.nodes)) {
 		if n := p.nodes[id]; p.usedBy[id] == "" && n.Assignment.Empty() {
 			if want, ok := p.firstWant(n); ok {
-				add(n, want.Version, "warm spare for "+want.Deployment)
+				addOrder(n, want.Version, "warm spare for "+want.Deployment)
 			}
 		}
 	}
@@ -84,16 +84,16 @@
 	if p.in.LoadSlots == 0 {
 		return len(p.nodes)
 	}
-	largest, busy := 1, 0
+	largest, preloading := 1, 0
 	for _, want := range p.wants {
 		largest = max(largest, want.Size)
 	}
 	for _, n := range p.nodes {
 		if len(n.Preloading) > 0 {
-			busy++
+			preloading++
 		}
 	}
-	return (p.in.LoadSlots-p.loadingCount)*largest - busy
+	return (p.in.LoadSlots-p.loadingCount)*largest - preloading
 }
 
 // firstWant returns the want with the highest priority that selects the node.
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -54,32 +54,33 @@
 	nodes  map[string]*Node
 	wants  []Want
 	groups map[string]*group
-	// usedBy maps each node in use to the replica that uses it.
+	// usedBy maps the ID of each node in use to the ID of the replica that uses it.
 	usedBy map[string]string
 	// placedCount maps each deployment to the number of its wanted replicas that are kept, broken
 	// or planned.
 	placedCount map[string]int
-	// broken lists the groups of each deployment that need repair.
-	broken map[string][]*group
-	// extra contains the IDs of replicas that are kept or formed beyond the wanted number.
-	extra map[string]bool
+	// brokenGroups maps each deployment to its groups that need repair.
+	brokenGroups map[string][]*group
+	// extraReplicas contains the IDs of replicas that are kept or formed beyond the wanted number.
+	extraReplicas map[string]bool
 	// outdated lists the groups whose nodes should fetch another version.
 	outdated []outdatedGroup
-	// loadingCount is the number of replicas that load weights now, or will load them by this plan.
+	// loadingCount is the number of replicas that load weights, including those that this plan
+	// forms.
 	loadingCount int
 }
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in:          in,
-		nodes:       make(map[string]*Node, len(in.Nodes)),
-		wants:       slices.Clone(in.Wants),
-		groups:      make(map[string]*group),
-		usedBy:      make(map[string]string),
-		placedCount: make(map[string]int),
-		broken:      make(map[string][]*group),
-		extra:       make(map[string]bool),
-		plan:        Plan{Dark: make(map[string]string), Idle: make(map[string]string), deployments: make(map[string]string)},
+		in:            in,
+		nodes:         make(map[string]*Node, len(in.Nodes)),
+		wants:         slices.Clone(in.Wants),
+		groups:        make(map[string]*group),
+		usedBy:        make(map[string]string),
+		placedCount:   make(map[string]int),
+		brokenGroups:  make(map[string][]*group),
+		extraReplicas: make(map[string]bool),
+		plan:          Plan{Dark: make(map[string]string), Idle: make(map[string]string), deployments: make(map[string]string)},
 	}
 	slices.SortStableFunc(p.wants, func(a, b Want) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), strings.Compare(a.Deployment, b.Deployment))
@@ -149,7 +150,7 @@
 		p.placedCount[want.Deployment]++
 		if problem := p.problemOf(g, want); problem != "" {
 			p.plan.Dark[g.id] = problem
-			p.broken[want.Deployment] = append(p.broken[want.Deployment], g)
+			p.brokenGroups[want.Deployment] = append(p.brokenGroups[want.Deployment], g)
 			continue
 		}
 		p.keepGroup(g)
@@ -160,7 +161,7 @@
 // replicas. Its nodes may be taken for any wanted replica.
 func (p *planner) keepExtra(g *group, want Want) {
 	if want.Fill && p.problemOf(g, want) == "" {
-		p.extra[g.id] = true
+		p.extraReplicas[g.id] = true
 		p.keepGroup(g)
 	}
 }
@@ -220,9 +221,9 @@
 func (p *planner) roll(want Want) {
 	for _, g := range p.sortedGroups(want.Deployment) {
 		current := g.nodes[0].Assignment
-		outdated := current.Version != want.Version || !slices.Equal(current.Adapters, want.Adapters)
+		isOutdated := current.Version != want.Version || !slices.Equal(current.Adapters, want.Adapters)
 		isKept := slices.Contains(p.plan.Kept, g.id)
-		if !outdated || !isKept {
+		if !isOutdated || !isKept {
 			continue
 		}
 		if !g.hasWeights(want.Version) {
@@ -237,13 +238,13 @@
 		}
 		p.plan.Kept = slices.DeleteFunc(p.plan.Kept, func(id string) bool { return id == g.id })
 		p.plan.Dark[g.id] = fmt.Sprintf("changing from version %s to %s", current.Version, want.Version)
-		p.broken[want.Deployment] = append(p.broken[want.Deployment], g)
+		p.brokenGroups[want.Deployment] = append(p.brokenGroups[want.Deployment], g)
 	}
 }
 
 // form repairs the deployment's broken groups and adds missing replicas.
 func (p *planner) form(want Want) {
-	for _, g := range p.broken[want.Deployment] {
+	for _, g := range p.brokenGroups[want.Deployment] {
 		p.formReplica(want, g.id, g.nodes, p.plan.Dark[g.id])
 	}
 	for p.placedCount[want.Deployment] < want.Replicas {
@@ -259,9 +260,9 @@
 func (p *planner) freeID(deployment string) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%s-%d", deployment, p.in.Domain, i)
-		_, used := p.groups[id]
-		_, dark := p.plan.Dark[id]
-		if !used && !dark {
+		_, isUsed := p.groups[id]
+		_, isDark := p.plan.Dark[id]
+		if !isUsed && !isDark {
 			return id
 		}
 	}
@@ -357,7 +358,7 @@
 		if other.Deployment == want.Deployment || other.Priority < want.Priority {
 			continue
 		}
-		for _, g := range p.broken[other.Deployment] {
+		for _, g := range p.brokenGroups[other.Deployment] {
 			if slices.Contains(g.nodes, n) && g.generation == n.Assignment.Generation {
 				return true
 			}
@@ -371,7 +372,7 @@
 func (p *planner) preempt(want Want, missing int) []*Node {
 	var found []*Node
 	var victims []*group
-	for _, g := range p.victims(want) {
+	for _, g := range p.preemptable(want) {
 		if len(found) >= missing {
 			break
 		}
@@ -389,15 +390,15 @@
 	return found[:missing]
 }
 
-// victims returns the kept replicas that the want may preempt: first those beyond the wanted
+// preemptable returns the kept replicas that the want may preempt: first those beyond the wanted
 // number, then those of lower priority, the lowest first.
-func (p *planner) victims(want Want) []*group {
+func (p *planner) preemptable(want Want) []*group {
 	var extra, lower []*group
 	for _, other := range slices.Backward(p.wants) {
 		for _, g := range slices.Backward(p.sortedGroups(other.Deployment)) {
 			switch {
 			case !slices.Contains(p.plan.Kept, g.id):
-			case p.extra[g.id]:
+			case p.extraReplicas[g.id]:
 				extra = append(extra, g)
 			case other.Priority < want.Priority:
 				lower = append(lower, g)
@@ -421,7 +422,7 @@
 // dissolve frees the nodes of a kept replica for the deployment to.
 func (p *planner) dissolve(g *group, to string) {
 	p.plan.Kept = slices.DeleteFunc(p.plan.Kept, func(id string) bool { return id == g.id })
-	if !p.extra[g.id] {
+	if !p.extraReplicas[g.id] {
 		p.plan.Dark[g.id] = "its nodes went to " + to + ", which has the higher priority"
 	}
 	for _, n := range g.nodes {
@@ -436,7 +437,7 @@
 		if n.Assignment.Empty() || n.Scripted || !n.Answering || n.Unorderable || p.usedBy[id] != "" {
 			continue
 		}
-		if _, stillBroken := p.plan.Dark[n.Assignment.Replica]; stillBroken && !n.Leaving {
+		if _, isDark := p.plan.Dark[n.Assignment.Replica]; isDark && !n.Leaving {
 			continue
 		}
 		p.plan.Releases = append(p.plan.Releases, Step{Node: id, Reason: "its replica is no longer wanted"})
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -251,7 +251,7 @@
 			t.Fatalf("%s is formed from %d nodes", f.Replica, len(f.Steps))
 		}
 		for _, s := range f.Steps {
-			if other, twice := used[s.Node]; twice {
+			if other, isUsed := used[s.Node]; isUsed {
 				t.Fatalf("node %s is used by %s and %s", s.Node, other, f.Replica)
 			}
 			used[s.Node] = f.Replica
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -30,7 +30,7 @@
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [...]string{account, method, host, target} {
-		// Without a length prefix, parts that are split differently could have the same hash.
+		// The length prefixes ensure that "ab", "c" and "a", "bc" have different hashes.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		// Writing to a hash does not fail.
 		_, _ = h.Write(length[:])
@@ -41,7 +41,7 @@
 	return Fingerprint(h.Sum(sum[:0])[:fingerprintSize])
 }
 
-// String returns the fingerprint as logs and messages show it.
+// String returns the fingerprint in base64, as used in logs and messages.
 func (f Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -37,9 +37,9 @@
 	f := FingerprintOf("account", "POST", "host", "/path", []byte("body"))
 	text, err := f.MarshalText()
 	assert.NilError(t, err)
-	var back Fingerprint
-	assert.NilError(t, back.UnmarshalText(text))
-	assert.Equal(t, back, f)
+	var decoded Fingerprint
+	assert.NilError(t, decoded.UnmarshalText(text))
+	assert.Equal(t, decoded, f)
 	refused := map[string]string{
 		"nothing":         "",
 		"too short":       string(text[1:]),
@@ -51,7 +51,7 @@
 	}
 	for name, given := range refused {
 		t.Run(name, func(t *testing.T) {
-			assert.Assert(t, back.UnmarshalText([]byte(given)) != nil)
+			assert.Assert(t, decoded.UnmarshalText([]byte(given)) != nil)
 		})
 	}
 }
--- a/quarantine/guard/endcheck.go
+++ b/quarantine/guard/endcheck.go
@@ -41,7 +41,7 @@
 	// ID identifies its incarnation.
 	ID      string
 	Address string
-	// Replaced asks whoever listens at the address, and reports whether it is another incarnation.
+	// Replaced sends a request to the address, and reports whether another incarnation answers it.
 	// It is nil if that cannot be determined.
 	Replaced func(ctx context.Context) (bool, error)
 }
@@ -72,21 +72,21 @@
 func (e *endChecker) check(w Worker, now time.Time) *endCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for id, held := range e.byWorker {
-		if held.isDone() && !now.Before(held.expiresAt) {
+	for id, existing := range e.byWorker {
+		if existing.isDone() && !now.Before(existing.expiresAt) {
 			delete(e.byWorker, id)
 		}
 	}
 	if held, ok := e.byWorker[w.ID]; ok {
 		return held
 	}
-	started := &endCheck{expiresAt: now.Add(resultTTL), done: make(chan struct{})}
-	e.byWorker[w.ID] = started
+	created := &endCheck{expiresAt: now.Add(resultTTL), done: make(chan struct{})}
+	e.byWorker[w.ID] = created
 	e.checks.Go(func() {
-		defer close(started.done)
-		started.ended = e.hasEnded(w)
+		defer close(created.done)
+		created.ended = e.hasEnded(w)
 	})
-	return started
+	return created
 }
 
 func (c *endCheck) isDone() bool {
--- a/quarantine/guard/guard.go
+++ b/quarantine/guard/guard.go
@@ -26,9 +26,9 @@
 // Options configures a Guard.
 type Options struct {
 	Dial Dial
-	// Marked is called with the requests that were quarantined. Spread is called when peers should
-	// be informed at once. Both may be nil.
+	// Marked is called with requests that have just been quarantined; it may be nil.
 	Marked func(all []quarantine.Fingerprint)
+	// Spread is called when a report should be sent to peers at once; it may be nil.
 	Spread func()
 	Meter  *telemetry.Meter
 	Logger hclog.Logger
@@ -54,15 +54,15 @@
 	return g
 }
 
-// Table returns the table of known requests.
+// Table returns the table with the records of requests.
 func (g *Guard) Table() *quarantine.Table { return g.table }
 
 // Wait waits until all checks of workers have finished. It must not be called while requests are
 // served.
 func (g *Guard) Wait() { g.checker.checks.Wait() }
 
-// Judge returns the state of a request, which is to be called before the request is sent. It does
-// not compute the fingerprint of the request if there are no records.
+// Judge returns the state of a request. The caller must not send the request if it is quarantined.
+// While there are no records, Judge does not compute the fingerprint of the request.
 func (g *Guard) Judge(r Request, now time.Time) quarantine.State {
 	if g.table.Empty() {
 		return quarantine.State{}
@@ -141,48 +141,47 @@
 	g.opts.Spread()
 }
 
-// Merge applies a report that the peer by sent at the time sentAt. It reports whether a record
-// changed, which is to be reported to other peers.
-func (g *Guard) Merge(all []quarantine.Entry, sentAt time.Time, by string) (changed bool) {
+// Merge applies a report that a peer sent at the time sentAt. It returns true if a record changed,
+// and so is to be reported to other peers.
+func (g *Guard) Merge(all []quarantine.Entry, sentAt time.Time, peer string) (changed bool) {
 	merged := g.table.Merge(all, sentAt, time.Now())
 	for _, f := range merged.Marked {
-		g.logReported(f, by)
+		g.logReported(f, peer)
 	}
 	g.reportMarked(merged.Marked)
 	for _, f := range merged.Lifted {
-		g.logLifted(f, by)
+		g.logLifted(f, peer)
 	}
 	return merged.News
 }
 
-// Restore adds a quarantine that was read from persistent storage. The argument by is its source
-// for the log.
-func (g *Guard) Restore(m quarantine.Mark, by string) {
+// Restore adds a quarantine that was read from persistent storage. The source is only logged.
+func (g *Guard) Restore(m quarantine.Mark, source string) {
 	if !g.table.Restore(m, time.Now()) {
 		return
 	}
-	g.logReported(m.Fingerprint, by)
+	g.logReported(m.Fingerprint, source)
 	g.reportMarked([]quarantine.Fingerprint{m.Fingerprint})
 }
 
-// Lift ends a quarantine at the request of the operator by, and reports whether there was one.
-func (g *Guard) Lift(f quarantine.Fingerprint, by string) bool {
+// Lift ends a quarantine at the request of an operator, and reports whether there was one.
+func (g *Guard) Lift(f quarantine.Fingerprint, operator string) bool {
 	if !g.table.Clear(f, time.Now()) {
 		return false
 	}
-	g.logLifted(f, by)
+	g.logLifted(f, operator)
 	g.opts.Spread()
 	return true
 }
 
-func (g *Guard) logReported(f quarantine.Fingerprint, by string) {
+func (g *Guard) logReported(f quarantine.Fingerprint, source string) {
 	state := g.table.State(f, time.Now())
-	g.opts.Logger.Info("quarantine received", "fingerprint", f.String(), "by", by, "crashes", state.Crashes, "until", state.Until)
+	g.opts.Logger.Info("quarantine received", "fingerprint", f.String(), "by", source, "crashes", state.Crashes, "until", state.Until)
 }
 
-func (g *Guard) logLifted(f quarantine.Fingerprint, by string) {
+func (g *Guard) logLifted(f quarantine.Fingerprint, source string) {
 	g.opts.Meter.Quarantine("lifted")
-	g.opts.Logger.Info("quarantine lifted", "fingerprint", f.String(), "by", by)
+	g.opts.Logger.Info("quarantine lifted", "fingerprint", f.String(), "by", source)
 }
 
 // logCheckError logs that a check whether a worker has ended failed.
--- a/quarantine/guard/guard_test.go
+++ b/quarantine/guard/guard_test.go
@@ -17,13 +17,13 @@
 func TestBrokenConnectionsShareOneCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		checkCount, refuse := 0, false
+		checkCount, refusesConnections := 0, false
 		e := &endChecker{byWorker: make(map[string]*endCheck), onError: func(Worker, error) {}}
 		e.dial = func(context.Context, string, string) (net.Conn, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			checkCount++
-			if refuse {
+			if refusesConnections {
 				return nil, syscall.ECONNREFUSED
 			}
 			near, _ := net.Pipe()
@@ -31,16 +31,16 @@
 		}
 		w := Worker{ID: "w"}
 		for range 20 {
-			look := e.check(w, time.Now())
-			<-look.done
-			assert.Assert(t, !look.ended)
+			check := e.check(w, time.Now())
+			<-check.done
+			assert.Assert(t, !check.ended)
 		}
 		assert.Equal(t, checkCount, 1)
 		time.Sleep(resultTTL)
-		refuse = true
-		look := e.check(w, time.Now())
-		<-look.done
-		assert.Assert(t, look.ended)
+		refusesConnections = true
+		check := e.check(w, time.Now())
+		<-check.done
+		assert.Assert(t, check.ended)
 		assert.Equal(t, checkCount, 2)
 		e.checks.Wait()
 	})
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -39,7 +39,7 @@
 	// clearedAt is when a run of the request last completed, or an operator lifted its quarantine.
 	clearedAt time.Time
 	// markedAt is the time of the crash that led to the last quarantine, and until is when that
-	// quarantine ends. rounds is the number of quarantines since the request was last cleared.
+	// quarantine ends. rounds counts the quarantines since the request was last cleared.
 	markedAt, until time.Time
 	rounds          int
 	// changedAt is the time of the last change that is reported to peers. observedLocally means
@@ -54,8 +54,8 @@
 // add adds a crash and reports whether it did. It ignores a crash of a worker that is recorded
 // already, and one before the request was last cleared.
 func (r *record) add(c Crash) bool {
-	known := func(held Crash) bool { return held.Worker == c.Worker }
-	if !c.Ended.After(r.clearedAt) || slices.ContainsFunc(r.crashes, known) {
+	isSameWorker := func(other Crash) bool { return other.Worker == c.Worker }
+	if !c.Ended.After(r.clearedAt) || slices.ContainsFunc(r.crashes, isSameWorker) {
 		return false
 	}
 	r.crashes = append(r.crashes, c)
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -67,8 +67,8 @@
 
 // selectMostRelevant returns at most maxChangedEntries of the changed records. Records with more
 // quarantines come first, then those with more crashes, then those that changed later.
-func (t *Table) selectMostRelevant(fresh []Fingerprint) []Fingerprint {
-	slices.SortFunc(fresh, func(a, b Fingerprint) int {
+func (t *Table) selectMostRelevant(changed []Fingerprint) []Fingerprint {
+	slices.SortFunc(changed, func(a, b Fingerprint) int {
 		x, y := t.records[a], t.records[b]
 		if d := y.rounds - x.rounds; d != 0 {
 			return d
@@ -81,7 +81,7 @@
 		}
 		return compare(a, b)
 	})
-	return fresh[:min(len(fresh), maxChangedEntries)]
+	return changed[:min(len(changed), maxChangedEntries)]
 }
 
 func compare(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) }
@@ -141,8 +141,8 @@
 	for _, c := range e.Crashes[:min(len(e.Crashes), maxCrashes)] {
 		changed = r.add(Crash{Worker: c.Worker, Sent: timeOfAge(c.Sent, sentAt), Ended: timeOfAge(c.Ended, sentAt)}) || changed
 	}
-	if left := min(time.Duration(max(e.Left, 0))*time.Millisecond, maxPeriod); left > 0 {
-		changed = r.adopt(timeOfAge(e.Marked, sentAt), sentAt.Add(left), e.Rounds) || changed
+	if remaining := min(time.Duration(max(e.Left, 0))*time.Millisecond, maxPeriod); remaining > 0 {
+		changed = r.adopt(timeOfAge(e.Marked, sentAt), sentAt.Add(remaining), e.Rounds) || changed
 	}
 	changed = r.evaluate() || changed
 	if changed {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -30,10 +30,10 @@
 	Until       time.Time
 }
 
-// Suspected reports whether one more crash would quarantine the request.
+// Suspected reports whether one more independent crash would quarantine the request.
 func (s State) Suspected() bool { return s.Crashes >= crashesToMark-1 }
 
-// Mark is a quarantined request with the crashes that led to it.
+// Mark is a quarantine of a request, with the crashes that led to it.
 type Mark struct {
 	Fingerprint Fingerprint
 	Crashes     []Crash
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -73,8 +73,8 @@
 			}
 			marked := false
 			for _, c := range test.crashes {
-				_, m := table.Blame(f, c, now)
-				marked = marked || m
+				_, quarantined := table.Blame(f, c, now)
+				marked = marked || quarantined
 			}
 			state := table.State(f, now)
 			assert.Equal(t, marked, test.marked)
@@ -99,7 +99,7 @@
 	table, f := NewTable(), requestNumbered(1)
 	mark(t, table, f, 1000)
 	until := table.State(f, at(1000)).Until
-	total, ended := 0, 0
+	furtherCrashes, ended := 0, 0
 	for until.Sub(epoch) < 7*24*time.Hour {
 		assert.Assert(t, !table.State(f, until).Quarantined)
 		ended++
@@ -109,9 +109,9 @@
 		next := table.State(f, now).Until
 		assert.Assert(t, next.Sub(now) >= min(2*initialPeriod, maxPeriod))
 		until = next
-		total++
+		furtherCrashes++
 	}
-	assert.Assert(t, total+crashesToMark <= 16, "%d workers in a week", total+crashesToMark)
+	assert.Assert(t, furtherCrashes+crashesToMark <= 16, "%d workers in a week", furtherCrashes+crashesToMark)
 }
 
 func TestCompletedRunEndsQuarantine(t *testing.T) {
@@ -151,15 +151,15 @@
 // TestReportsTravelByRelays checks that a crash seen by a daemon is reported to another hall by way
 // of two relays. A daemon that is no relay must not report what it only received.
 func TestReportsTravelByRelays(t *testing.T) {
-	member, relayA, relayB, far, f := NewTable(), NewTable(), NewTable(), NewTable(), requestNumbered(1)
+	member, relayA, relayB, farMember, f := NewTable(), NewTable(), NewTable(), NewTable(), requestNumbered(1)
 	member.Blame(f, crash("a", 0, 50), at(50))
 	now := at(60)
 	assert.Assert(t, sendReport(member, relayA, now, false).News)
 	assert.Assert(t, sendReport(relayA, relayB, now, true).News)
-	assert.Assert(t, sendReport(relayB, far, now, true).News)
-	assert.Equal(t, far.State(f, now).Crashes, 1)
-	assert.Equal(t, len(far.Report(now, false)), 0)
-	assert.Assert(t, !sendReport(relayB, far, now, true).News, "it is already known")
+	assert.Assert(t, sendReport(relayB, farMember, now, true).News)
+	assert.Equal(t, farMember.State(f, now).Crashes, 1)
+	assert.Equal(t, len(farMember.Report(now, false)), 0)
+	assert.Assert(t, !sendReport(relayB, farMember, now, true).News, "it is already known")
 }
 
 // TestReportsConverge merges reports in arbitrary order, and checks that all tables have the same
@@ -222,34 +222,34 @@
 // of limited size.
 func TestMarksAreReportedInRotation(t *testing.T) {
 	const marks = 256
-	old, young := NewTable(), NewTable()
+	oldTable, newTable := NewTable(), NewTable()
 	for i := range marks {
-		mark(t, old, requestNumbered(i), 1000+i)
+		mark(t, oldTable, requestNumbered(i), 1000+i)
 	}
 	now, largest := at(60_000), 0
 	for range 16 {
 		now = now.Add(200 * time.Millisecond)
-		report := old.Report(now, false)
+		report := oldTable.Report(now, false)
 		data, err := json.Marshal(report)
 		assert.NilError(t, err)
 		largest = max(largest, len(data))
-		young.Merge(report, now, now)
+		newTable.Merge(report, now, now)
 	}
-	assert.Equal(t, len(young.Marks(now)), marks)
+	assert.Equal(t, len(newTable.Marks(now)), marks)
 	assert.Assert(t, largest < 8<<10, "a report has %d bytes", largest)
 }
 
 func TestRestore(t *testing.T) {
 	table, f, now := NewTable(), requestNumbered(1), at(1000)
-	kept := Mark{Fingerprint: f, MarkedAt: at(0), Until: at(600_000), Rounds: 1}
-	assert.Assert(t, table.Restore(kept, now))
-	assert.Assert(t, !table.Restore(kept, now), "it is already known")
+	stored := Mark{Fingerprint: f, MarkedAt: at(0), Until: at(600_000), Rounds: 1}
+	assert.Assert(t, table.Restore(stored, now))
+	assert.Assert(t, !table.Restore(stored, now), "it is already known")
 	assert.Assert(t, table.State(f, now).Quarantined)
 	assert.Equal(t, len(table.Report(now, false)), 1)
 	assert.Assert(t, table.Clear(f, at(2000)))
-	assert.Assert(t, !table.Restore(kept, at(2001)), "it was lifted since")
-	over := Mark{Fingerprint: requestNumbered(2), MarkedAt: at(0), Until: at(500), Rounds: 1}
-	assert.Assert(t, !table.Restore(over, now))
+	assert.Assert(t, !table.Restore(stored, at(2001)), "it was lifted since")
+	ended := Mark{Fingerprint: requestNumbered(2), MarkedAt: at(0), Until: at(500), Rounds: 1}
+	assert.Assert(t, !table.Restore(ended, now))
 }
 
 // TestRecordsAreBounded checks that requests that are not quarantined are evicted first, oldest
@@ -358,7 +358,7 @@
 	}
 }
 
-// step crashes a replica if a crash is due, and ends the runs that are complete.
+// step crashes a replica if a crash is due, and clears the requests whose runs are complete.
 func (p *simulation) step(now int) {
 	ended := -1
 	if now%simCrashInterval == 0 {
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -76,14 +76,14 @@
 
 // Account returns the number of requests that the account has in flight. It also returns the number
 // of accounts with requests in flight, which always includes the given one.
-func (f *Inflight) Account(account string) (own, active int) {
+func (f *Inflight) Account(account string) (inFlight, activeAccounts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	own, active = f.accounts[account], len(f.accounts)
-	if own == 0 {
-		active++
+	inFlight, activeAccounts = f.accounts[account], len(f.accounts)
+	if inFlight == 0 {
+		activeAccounts++
 	}
-	return own, active
+	return inFlight, activeAccounts
 }
 
 // Total returns the number of requests in flight.
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -67,9 +67,9 @@
 	if len(candidates) == 0 {
 		return -1
 	}
-	bound := homeLoadFactor*meanInFlight(candidates) + homeLoadExtra
+	maxHomeLoad := homeLoadFactor*meanInFlight(candidates) + homeLoadExtra
 	for _, home := range homesOf(candidates, prefix) {
-		if float64(candidates[home].Own) <= bound {
+		if float64(candidates[home].Own) <= maxHomeLoad {
 			return home
 		}
 	}
@@ -83,18 +83,18 @@
 // pickLeastBusy picks two random candidates among those with the fewest requests of this daemon,
 // and returns the index of the one with the lower occupancy.
 func pickLeastBusy(candidates []Candidate, random *rand.Rand) int {
-	first, second, found := -1, -1, 0
+	first, second, tied := -1, -1, 0
 	for i, c := range candidates {
 		switch {
 		case first < 0 || c.Own < candidates[first].Own:
-			first, second, found = i, i, 1
+			first, second, tied = i, i, 1
 		case c.Own == candidates[first].Own:
-			found++
+			tied++
 			// By reservoir sampling, each of these candidates is equally likely.
-			if random.IntN(found) == 0 {
+			if random.IntN(tied) == 0 {
 				first = i
 			}
-			if random.IntN(found) == 0 {
+			if random.IntN(tied) == 0 {
 				second = i
 			}
 		}
@@ -113,17 +113,17 @@
 	n := 0
 	for i, c := range candidates {
 		score := mix(hash(c.ID) ^ prefix)
-		place := n
-		for place > 0 && scores[place-1] < score {
-			place--
+		position := n
+		for position > 0 && scores[position-1] < score {
+			position--
 		}
-		if place == homeCount {
+		if position == homeCount {
 			continue
 		}
 		n = min(n+1, homeCount)
-		copy(best[place+1:], best[place:])
-		copy(scores[place+1:], scores[place:])
-		best[place], scores[place] = i, score
+		copy(best[position+1:], best[position:])
+		copy(scores[position+1:], scores[position:])
+		best[position], scores[position] = i, score
 	}
 	return best[:n]
 }
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -81,8 +81,8 @@
 	end()
 	own, _ = f.Observe("r", report)
 	assert.Equal(t, own, 1)
-	mine, active := f.Account("a")
-	assert.DeepEqual(t, []int{mine, active, f.Total()}, []int{0, 2, 1})
+	inFlight, active := f.Account("a")
+	assert.DeepEqual(t, []int{inFlight, active, f.Total()}, []int{0, 2, 1})
 }
 
 func BenchmarkPick(b *testing.B) {
