--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Unix(1000, 0)
 
-// answer is an answer of the worker "w" to a request. The request was sent at sent, and the answer
-// arrives at at. Both are relative to start.
+// answer is an answer of the worker "w" to a request. The times at which the request was sent and
+// the answer arrives are relative to start.
 type answer struct {
 	born     int64
 	sent, at time.Duration
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -363,6 +363,7 @@
 	d.stop()
 }
 
+// update calls change while it holds the lock.
 func (f *fakeFleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -476,6 +477,8 @@
 	})
 }
 
+// disrupt causes a disturbance, which depends on the step: it restarts the daemon id or the leader,
+// changes the connections of daemons, or starts or ends an outage of the store.
 func (f *fakeFleet) disrupt(step int, id string, incarnation int64) {
 	switch step {
 	case 0, 1:
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -10,8 +10,8 @@
 	// nodeFailuresPerSecond is the expected rate of failures of one node: 120 of 6,200 nodes fail
 	// each day.
 	nodeFailuresPerSecond = 120.0 / 6200 / 86400
-	// drainSeconds is how much longer a repair takes if there are no spare nodes. Nodes must then
-	// be taken from another replica, whose requests have to finish first.
+	// drainSeconds is how much longer a repair takes if there are no spare nodes. It then has to
+	// take nodes from another replica and wait until the requests there have finished.
 	drainSeconds = 8.0
 )
 
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -298,8 +298,8 @@
 	return true
 }
 
-// reserve keeps the remaining nodes of a replica that cannot be formed yet from being used for
-// others.
+// reserve marks the remaining nodes of a replica as used by it, although the replica cannot be
+// formed yet. Other replicas then do not get these nodes.
 func (p *planner) reserve(id string, survivors []*Node) {
 	for _, n := range survivors {
 		if n.isUsable() && p.usedBy[n.ID] == "" {
--- a/quarantine/guard/guard_test.go
+++ b/quarantine/guard/guard_test.go
@@ -26,8 +26,8 @@
 			if refusesConnections {
 				return nil, syscall.ECONNREFUSED
 			}
-			near, _ := net.Pipe()
-			return near, nil
+			conn, _ := net.Pipe()
+			return conn, nil
 		}
 		w := Worker{ID: "w"}
 		for range 20 {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -99,12 +99,12 @@
 	table, f := NewTable(), requestNumbered(1)
 	mark(t, table, f, 1000)
 	until := table.State(f, at(1000)).Until
-	furtherCrashes, ended := 0, 0
+	furtherCrashes, crashNumber := 0, 0
 	for until.Sub(epoch) < 7*24*time.Hour {
 		assert.Assert(t, !table.State(f, until).Quarantined)
-		ended++
+		crashNumber++
 		now := until.Add(time.Second)
-		_, marked := table.Blame(f, Crash{Worker: fmt.Sprint("later-", ended), Sent: until, Ended: now}, now)
+		_, marked := table.Blame(f, Crash{Worker: fmt.Sprint("later-", crashNumber), Sent: until, Ended: now}, now)
 		assert.Assert(t, marked)
 		next := table.State(f, now).Until
 		assert.Assert(t, next.Sub(now) >= min(2*initialPeriod, maxPeriod))
@@ -365,9 +365,9 @@
 		ended = p.random.IntN(simReplicas)
 		p.workers++
 	}
-	before := p.running
+	running := p.running
 	p.running = nil
-	for _, r := range before {
+	for _, r := range running {
 		switch {
 		case r.replica == ended:
 			p.blame(r, now)
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -59,10 +59,10 @@
 // Pick returns the index of the candidate that should serve a request, or -1 if there are none.
 //
 // It prefers the home replicas of the prefix. They are the same at every daemon, so that the prefix
-// stays in their caches. Pick returns the first home with not many more requests of this daemon
-// than the mean of all candidates. If there is none, it returns a candidate with the fewest
-// requests of this daemon. Reports from the replicas only break ties, since daemons that rely on
-// the same outdated report would all pick the same replica.
+// stays in their caches. Pick returns the first home that has few enough requests of this daemon
+// (see homeLoadFactor). If there is none, it returns a candidate with the fewest requests of this
+// daemon. Reports from the replicas only break ties, since daemons that rely on the same outdated
+// report would all pick the same replica.
 func Pick(candidates []Candidate, prefix uint64, random *rand.Rand) int {
 	if len(candidates) == 0 {
 		return -1
