--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -90,7 +90,7 @@
 	// Suspended returns the total time for which the machine was suspended; nil if it never is.
 	Suspended func() time.Duration
 	// Lead is called for each term that this daemon wins, and runs until the term's context ends.
-	// The first term of a new fleet has first set.
+	// The argument first is true for the first term of a new fleet.
 	Lead   func(ctx context.Context, claim peers.Claim, first bool)
 	Logger hclog.Logger
 }
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -106,12 +106,12 @@
 	return Follow
 }
 
-// NextRank returns the lowest rank above used that belongs to the holder at the given position.
-// Ranks are assigned to the holders in rotation, so that no two holders use the same one. The
-// argument used is the highest rank used so far, or -1 if none was.
-func NextRank(used, position, holders int) uint32 {
+// NextRank returns the next rank that the holder at the given position may use. Ranks are assigned
+// to the holders in rotation, so that no two holders use the same one. The argument highestUsed is
+// the highest rank used so far, or -1 if none was.
+func NextRank(highestUsed, position, holders int) uint32 {
 	rank := position
-	for rank <= used {
+	for rank <= highestUsed {
 		rank += holders
 	}
 	return uint32(rank)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -78,7 +78,7 @@
 }
 
 // Clear records that a worker completed the request, or that an operator lifted its quarantine. It
-// reports whether that ended a quarantine.
+// reports whether a quarantine was removed, including one that had ended.
 func (t *Table) Clear(f Fingerprint, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -311,8 +311,8 @@
 	maxMarkedShare = 0.0025
 )
 
-// simRun is a run of a request at a replica. It was sent at sent, and sends is the number of times
-// that the request was sent so far.
+// simRun is a run of a request at a replica. The field sent is the time of sending, and sends is
+// the number of times that the request was sent so far.
 type simRun struct {
 	fingerprint   Fingerprint
 	replica, sent int
