--- a/peers/agent.go
+++ b/peers/agent.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// heartbeatEvery is the time between two heartbeats to the same daemon.
-	heartbeatEvery = 200 * time.Millisecond
-	// heldUpAfter is how late a heartbeat must be for this process to have stood still.
-	heldUpAfter = 3 * heartbeatEvery
-	// A datagram begins with its format, the sender's clock, and the
-	// receiver's clock as it stood in the last heartbeat heard from it.
-	// The rest is a message.
-	formatByte   = 4
-	headerLength = 1 + 8 + 8
-	// maxDatagram bounds a datagram, in bytes; the transport takes no larger one.
-	maxDatagram = 60 << 10
+	// heartbeatInterval is the time between two heartbeats to the same daemon.
+	heartbeatInterval = 200 * time.Millisecond
+	// processPauseThreshold is the gap between two rounds from which this process counts as having
+	// been paused.
+	processPauseThreshold = 3 * heartbeatInterval
+	// A datagram starts with the framing version, the sender's clock, and the newest clock that
+	// the sender received from the receiver. A message follows.
+	framingVersion = 4
+	headerLength   = 1 + 8 + 8
+	// maxDatagramBytes limits the size of a datagram; the transport accepts no larger ones.
+	maxDatagramBytes = 60 << 10
 )
 
-// The kinds of datagrams, as they are counted.
+// The kinds of datagrams, as reported to Options.OnSent.
 const (
 	kindHeartbeat = "heartbeat"
 	kindReports   = "reports"
 	kindNews      = "news"
 )
 
-// The causes for which datagrams are passed over, as they are counted.
+// The causes for which datagrams are dropped, as reported to Options.OnDropped.
 const (
 	causeFraming  = "framing"
 	causeDecoding = "decoding"
@@ -46,52 +46,52 @@
 // Options configures an Agent.
 type Options struct {
 	Self Identity
-	// Transport carries the datagrams; without one the agent opens UDP at the
-	// address of self.
+	// Transport carries the datagrams; if unset, the agent opens a UDP socket at the address of
+	// Self.
 	Transport Transport
-	// Compose fills in what this daemon reports of itself now.
-	Compose func(h *Heartbeat, now time.Time)
-	// Heard is called with each new heartbeat.
-	Heard func(p *Peer)
-	// News is called with what a peer passes on.
-	News func(p *Peer, n *News)
-	// Summed is called with each summary that counts for this daemon, and its hall;
-	// the hall is empty where it sums up all daemons, this one included.
-	Summed func(hall string, s Summary, now time.Time)
-	// Counted is called with each datagram that is sent, by its kind and bytes, PassedOver with
-	// each that came and is not understood, by the cause; nil for nobody.
-	Counted    func(kind string, bytes int)
-	PassedOver func(cause string)
-	// Suspended returns for how long the machine was suspended in all; nil for one that never
-	// is. Clocks that are told and echoed count it.
+	// FillHeartbeat sets what this daemon currently reports of itself.
+	FillHeartbeat func(h *Heartbeat, now time.Time)
+	// OnHeartbeat is called with each new heartbeat.
+	OnHeartbeat func(p *Peer)
+	// OnNews is called with the news that a peer forwards.
+	OnNews func(p *Peer, n *News)
+	// OnSummary is called with each summary that is relevant in this daemon's role, and its data
+	// hall; hall is empty for a summary of all daemons, this one included.
+	OnSummary func(hall string, s Summary, now time.Time)
+	// OnSent is called with the kind and size of each datagram sent. OnDropped is called with the
+	// cause for each received datagram that is not understood; it may be nil.
+	OnSent    func(kind string, bytes int)
+	OnDropped func(cause string)
+	// Suspended returns the total time for which the machine was suspended; nil for a machine that
+	// never is. The clocks exchanged in datagrams include it.
 	Suspended func() time.Duration
 	Logger    hclog.Logger
 }
 
-// Agent sends and receives reports.
+// Agent exchanges heartbeats, reports and news with other daemons.
 type Agent struct {
-	opts   Options
-	table  *Table
-	clocks *clocks
-	sums   *summaries
-	start  time.Time
-	done   chan struct{}
-	role   atomic.Int32
-	count  atomic.Int32
+	opts              Options
+	table             *Table
+	clocks            *clocks
+	receivedSummaries *summaries
+	start             time.Time
+	done              chan struct{}
+	role              atomic.Int32
+	daemonCount       atomic.Int32
 
 	mu    sync.Mutex
 	round int
-	// layout is that of the newest round, and roleSince when this daemon took its role.
+	// layout is the layout of the latest round, roleSince the time when this daemon took its role.
 	layout    layout
 	roleSince time.Time
-	// passedOver holds of whom it was logged that its datagrams are not understood, by cause.
-	passedOver map[string]bool
+	// loggedDrops holds the pairs of cause and sender whose dropped datagrams were already logged.
+	loggedDrops map[string]bool
 }
 
-// passedOverMost bounds how many senders are remembered whose datagrams are not understood.
-const passedOverMost = 256
+// maxLoggedDrops limits the number of entries in Agent.loggedDrops.
+const maxLoggedDrops = 256
 
-// NewAgent returns an agent; Run makes it work.
+// NewAgent returns an agent. It does nothing until Run is called.
 func NewAgent(opts Options) (*Agent, error) {
 	opts.Self.Format = OwnFormat()
 	if opts.Suspended == nil {
@@ -105,43 +105,43 @@
 		opts.Transport = transport
 	}
 	return &Agent{
-		opts: opts, table: NewTable(opts.Self), clocks: newClocks(), sums: newSummaries(),
-		start: time.Now(), done: make(chan struct{}), passedOver: make(map[string]bool),
+		opts: opts, table: NewTable(opts.Self), clocks: newClocks(), receivedSummaries: newSummaries(),
+		start: time.Now(), done: make(chan struct{}), loggedDrops: make(map[string]bool),
 	}, nil
 }
 
-// Table returns what is known of the other daemons.
+// Table returns the table of the other daemons.
 func (a *Agent) Table() *Table { return a.table }
 
-// Role returns the daemon's part in passing reports on.
+// Role returns the daemon's current role in forwarding reports.
 func (a *Agent) Role() Role { return Role(a.role.Load()) }
 
-// Daemons returns how many daemons there are, this one included, as it last knew.
-func (a *Agent) Daemons() int { return max(int(a.count.Load()), 1) }
+// DaemonCount returns the number of daemons, this one included, as of the latest round.
+func (a *Agent) DaemonCount() int { return max(int(a.daemonCount.Load()), 1) }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
-// Run sends and receives until ctx ends.
+// Run sends and receives until ctx ends, then closes the transport.
 func (a *Agent) Run(ctx context.Context) {
 	defer close(a.done)
 	var group conc.WaitGroup
-	group.Go(a.receive)
-	group.Go(func() { a.sendAll(ctx) })
+	group.Go(a.receiveLoop)
+	group.Go(func() { a.sendLoop(ctx) })
 	<-ctx.Done()
-	// Closing the transport ends receive; nothing can be done about an error.
+	// Closing the transport ends receiveLoop; its error cannot be handled.
 	_ = a.opts.Transport.Close()
 	group.Wait()
 }
 
-func (a *Agent) sendAll(ctx context.Context) {
-	ticker := time.NewTicker(heartbeatEvery)
+func (a *Agent) sendLoop(ctx context.Context) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for ctx.Err() == nil {
 		now := time.Now()
-		if gap := now.Sub(last); gap > heldUpAfter {
-			a.table.HeldUp(now, gap)
+		if gap := now.Sub(last); gap > processPauseThreshold {
+			a.table.NotePause(now, gap)
 		}
 		last = now
 		a.sendRound(now)
@@ -152,40 +152,41 @@
 	}
 }
 
-// sendRound sends this round's heartbeats and, as a relay, reports on others.
+// sendRound sends this round's heartbeats and, if the daemon is a relay, reports on others.
 func (a *Agent) sendRound(now time.Time) {
-	own := a.compose(now)
-	l, round := a.arrange(own, now)
+	own := a.composeHeartbeat(now)
+	l, round := a.startRound(own, now)
 	if l.role != Relay {
-		a.deliver(kindHeartbeat, l.reached(own.Leads != nil), now, a.message(own))
+		a.deliver(kindHeartbeat, l.recipients(own.Leads != nil), now, a.newMessage(own))
 		return
 	}
-	told, others := l.inTurn(round)
-	a.deliver(kindReports, told, now, a.hallMessages(own, now, round)...)
-	a.deliver(kindHeartbeat, others, now, a.message(own))
-	a.deliver(kindReports, l.across, now, a.acrossMessages(own, now, round)...)
+	full, others := l.splitByTurn(round)
+	a.deliver(kindReports, full, now, a.hallMessages(own, now, round)...)
+	a.deliver(kindHeartbeat, others, now, a.newMessage(own))
+	a.deliver(kindReports, l.otherHalls, now, a.crossHallMessages(own, now, round)...)
 }
 
-// compose returns what this daemon reports of itself now.
-func (a *Agent) compose(now time.Time) *Heartbeat {
+// composeHeartbeat returns this daemon's current heartbeat.
+func (a *Agent) composeHeartbeat(now time.Time) *Heartbeat {
 	own := &Heartbeat{Identity: a.opts.Self}
-	a.opts.Compose(own, now)
+	a.opts.FillHeartbeat(own, now)
 	a.clocks.noteGrant(own.Grant.Epoch, a.clock(now))
 	return own
 }
 
-// Arrange decides anew whom to report to, as after many daemons became known at once.
-func (a *Agent) Arrange(now time.Time) { a.arrange(a.compose(now), now) }
+// UpdateLayout recomputes the recipients of reports without waiting for the next round, for
+// example after many daemons became known at once.
+func (a *Agent) UpdateLayout(now time.Time) { a.startRound(a.composeHeartbeat(now), now) }
 
-// arrange decides whom to report to in a new round.
-func (a *Agent) arrange(own *Heartbeat, now time.Time) (layout, int) {
-	size := a.size(own, now)
-	a.count.Store(int32(size))
+// startRound starts a new round: it recomputes the layout and returns it with the round's number.
+func (a *Agent) startRound(own *Heartbeat, now time.Time) (layout, int) {
+	size := a.fleetSize(own, now)
+	a.daemonCount.Store(int32(size))
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.round++
 	before := a.Role()
-	a.layout = a.table.layout(now, standing{role: before, since: a.roleSince}, size, a.round)
+	a.layout = a.table.layout(now, previousRole{role: before, since: a.roleSince}, size, a.round)
 	if a.layout.role != before {
 		a.roleSince = now
 	}
@@ -193,45 +194,45 @@
 	return a.layout, a.round
 }
 
-// current returns the layout of the newest round.
-func (a *Agent) current() layout {
+// currentLayout returns the layout of the latest round.
+func (a *Agent) currentLayout() layout {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.layout
 }
 
-// Send reports out of turn what cannot wait for the next round.
-func (a *Agent) Send(now time.Time) {
-	own := a.compose(now)
-	a.deliver(kindHeartbeat, a.current().reached(own.Leads != nil), now, a.message(own))
+// SendHeartbeat sends a heartbeat at once, without waiting for the next round.
+func (a *Agent) SendHeartbeat(now time.Time) {
+	own := a.composeHeartbeat(now)
+	a.deliver(kindHeartbeat, a.currentLayout().recipients(own.Leads != nil), now, a.newMessage(own))
 }
 
-// SendNews passes on what has just become known: a leader to all it reports to, a
-// relay within its hall. The members of its hall get news of their own.
+// SendNews forwards new information: a leader sends all of it to everybody that it reports to, a
+// relay within its data hall. Ordinary members of the hall get forMembers instead of all.
 func (a *Agent) SendNews(all, forMembers []News, leads bool, now time.Time) {
-	complete, members := a.current().audience(leads)
+	complete, members := a.currentLayout().newsRecipients(leads)
 	a.sendNews(all, complete, now)
 	a.sendNews(forMembers, members, now)
 }
 
 func (a *Agent) sendNews(all []News, to []string, now time.Time) {
 	for i := range all {
-		m := a.message(nil)
+		m := a.newMessage(nil)
 		m.News = &all[i]
 		a.deliver(kindNews, to, now, m)
 	}
 }
 
-// deliver sends messages to daemons. Each gets heartbeats in the form that
-// completes what it holds.
+// deliver sends messages to daemons. Heartbeats are sent in brief form to those that acknowledged
+// a full one.
 func (a *Agent) deliver(kind string, addresses []string, now time.Time, all ...*message) {
 	clock := a.clock(now)
 	for _, m := range all {
-		whole := sync.OnceValue(func() []byte { return a.datagram(m, clock) })
-		brief := sync.OnceValue(func() []byte { return a.datagram(m.brief(), clock) })
+		whole := sync.OnceValue(func() []byte { return a.encodeDatagram(m, clock) })
+		brief := sync.OnceValue(func() []byte { return a.encodeDatagram(m.brief(), clock) })
 		for _, address := range addresses {
 			form := whole
-			if a.clocks.holds(address, clock) {
+			if a.clocks.hasAcknowledged(address, clock) {
 				form = brief
 			}
 			a.send(kind, address, form())
@@ -253,19 +254,20 @@
 	if datagram == nil {
 		return
 	}
-	binary.BigEndian.PutUint64(datagram[9:], uint64(a.clocks.of(address)))
+	binary.BigEndian.PutUint64(datagram[9:], uint64(a.clocks.latest(address)))
 	if err := a.opts.Transport.Send(address, datagram); err != nil {
-		// A datagram may be lost anyway; the next round sends another.
+		// Datagrams may be lost anyway; the next round sends another one.
 		a.opts.Logger.Debug("datagram not sent", "to", address, "error", err)
 		return
 	}
-	a.opts.Counted(kind, len(datagram))
+	a.opts.OnSent(kind, len(datagram))
 }
 
-// datagram returns a message as it is sent, but for the receiver's clock.
-func (a *Agent) datagram(m *message, clock time.Duration) []byte {
+// encodeDatagram returns the datagram of a message. The receiver's clock is still to be filled in.
+// It returns nil, after logging, if the message cannot be encoded.
+func (a *Agent) encodeDatagram(m *message, clock time.Duration) []byte {
 	body, err := encode(m)
-	if err == nil && len(body) > maxDatagram {
+	if err == nil && len(body) > maxDatagramBytes {
 		err = failure.New(failure.Invalid, "encode message", m.ID, "%d bytes are too many", len(body))
 	}
 	if err != nil {
@@ -273,139 +275,140 @@
 		return nil
 	}
 	datagram := make([]byte, headerLength, headerLength+len(body))
-	datagram[0] = formatByte
+	datagram[0] = framingVersion
 	binary.BigEndian.PutUint64(datagram[1:], uint64(clock))
 	return append(datagram, body...)
 }
 
-func (a *Agent) receive() {
-	buffer := make([]byte, maxDatagram+headerLength)
+func (a *Agent) receiveLoop() {
+	buffer := make([]byte, maxDatagramBytes+headerLength)
 	for {
 		n, err := a.opts.Transport.Receive(buffer)
 		if err != nil {
 			return
 		}
-		a.take(buffer[:n], time.Now())
+		a.handleDatagram(buffer[:n], time.Now())
 	}
 }
 
-// take takes one datagram. What is not understood is passed over.
-func (a *Agent) take(datagram []byte, now time.Time) {
-	if len(datagram) < headerLength || datagram[0] != formatByte {
-		a.passOver(causeFraming, "", nil)
+// handleDatagram processes one datagram. Datagrams that are not understood are dropped.
+func (a *Agent) handleDatagram(datagram []byte, now time.Time) {
+	if len(datagram) < headerLength || datagram[0] != framingVersion {
+		a.recordDropped(causeFraming, "", nil)
 		return
 	}
 	m, err := decode(datagram[headerLength:])
 	if err != nil || m.ID == "" {
-		a.passOver(causeDecoding, m.ID, err)
+		a.recordDropped(causeDecoding, m.ID, err)
 		return
 	}
-	if m.Heartbeat != nil && !a.takeHeartbeat(m.Heartbeat, datagram, now) {
+	if m.Heartbeat != nil && !a.handleHeartbeat(m.Heartbeat, datagram, now) {
 		return
 	}
-	p, ok := a.table.heard(m.ID, m.Incarnation)
+	p, ok := a.table.heardPeer(m.ID, m.Incarnation)
 	if !ok {
-		// Nothing whole was heard of this life yet.
+		// No full heartbeat was received from this incarnation yet.
 		return
 	}
 	if m.Heartbeat != nil && len(m.Known) == 0 {
-		// An answer that names relays is not answered.
+		// Replies that name relays get no reply themselves.
 		a.redirect(p, now)
 	}
 	for _, identity := range m.Known {
 		a.table.Learn(identity, now)
 	}
 	for _, s := range m.Statuses {
-		a.table.Report(s, now)
+		a.table.RecordStatus(s, now)
 	}
-	a.takeSummaries(p, &m, now)
+	a.handleSummaries(p, &m, now)
 	if m.News != nil {
-		a.opts.News(p, m.News)
+		a.opts.OnNews(p, m.News)
 	}
 }
 
-// passOver counts a datagram that is not understood, and logs the first one of a sender.
-func (a *Agent) passOver(cause, sender string, err error) {
-	if a.opts.PassedOver != nil {
-		a.opts.PassedOver(cause)
+// recordDropped counts a datagram that is not understood, and logs the first one of each cause and
+// sender.
+func (a *Agent) recordDropped(cause, sender string, err error) {
+	if a.opts.OnDropped != nil {
+		a.opts.OnDropped(cause)
 	}
 	a.mu.Lock()
-	told := a.passedOver[cause+sender] || len(a.passedOver) >= passedOverMost
-	if !told {
-		a.passedOver[cause+sender] = true
+	alreadyLogged := a.loggedDrops[cause+sender] || len(a.loggedDrops) >= maxLoggedDrops
+	if !alreadyLogged {
+		a.loggedDrops[cause+sender] = true
 	}
 	a.mu.Unlock()
-	if !told {
+	if !alreadyLogged {
 		a.opts.Logger.Warn("datagrams not understood", "cause", cause, "from", sender, "error", err)
 	}
 }
 
-// redirect names the relays of the own hall to a new daemon that takes this member for one:
-// it read the member list before they were in it, would hear of nobody, and after a second
-// take itself for alone and read all that the store holds.
+// redirect names the relays of the own hall to a new daemon that mistook this member for one. Such
+// a daemon read the member list before the relays were in it; without the reply it would hear from
+// nobody, assume that it is alone and read everything from the store.
 func (a *Agent) redirect(p *Peer, now time.Time) {
-	l := a.current()
+	l := a.currentLayout()
 	isRelay := func(relay Identity) bool { return relay.ID == p.ID }
-	if l.role != Member || p.Zone != a.opts.Self.Zone || now.Sub(p.addedAt) > newFor || slices.ContainsFunc(l.relays, isRelay) {
+	if l.role != Member || p.Zone != a.opts.Self.Zone || now.Sub(p.addedAt) > newPeerPeriod || slices.ContainsFunc(l.hallRelays, isRelay) {
 		return
 	}
-	m := a.message(a.compose(now))
-	m.Known = l.relays
+	m := a.newMessage(a.composeHeartbeat(now))
+	m.Known = l.hallRelays
 	a.deliver(kindHeartbeat, []string{p.Address}, now, m)
 }
 
-// clock returns this daemon's clock, which peers echo. It counts suspensions: what waited in
-// this machine meanwhile is so much older.
+// clock returns this daemon's clock, which peers echo. It includes suspensions, so that data that
+// waited in a suspended machine counts as correspondingly older.
 func (a *Agent) clock(now time.Time) time.Duration { return now.Sub(a.start) + a.opts.Suspended() }
 
-// takeHeartbeat takes a heartbeat, and reports false if it cannot be understood yet.
-func (a *Agent) takeHeartbeat(h *Heartbeat, datagram []byte, now time.Time) bool {
-	if h.Brief && !a.table.complete(h) || h.Address == "" {
-		// This daemon has yet to hear a whole heartbeat of that one.
+// handleHeartbeat processes a heartbeat. It reports false if the heartbeat cannot be used.
+func (a *Agent) handleHeartbeat(h *Heartbeat, datagram []byte, now time.Time) bool {
+	if h.Brief && !a.table.fillBrief(h) || h.Address == "" {
+		// No full heartbeat was received from that daemon yet.
 		return false
 	}
 	if !h.Format.IsUnderstood() {
-		a.passOver(causeFormat, h.ID, nil)
+		a.recordDropped(causeFormat, h.ID, nil)
 		return false
 	}
-	if !h.Format.isClear() {
-		a.passOver(causeFormat, h.ID, nil)
+	if !h.Format.isValid() {
+		a.recordDropped(causeFormat, h.ID, nil)
 	}
 	echo := time.Duration(binary.BigEndian.Uint64(datagram[9:]))
 	clock := a.clock(now)
 	if echo < 0 || echo > clock {
 		echo = 0
 	}
-	a.clocks.heard(h.Address, int64(binary.BigEndian.Uint64(datagram[1:])), echo)
+	a.clocks.record(h.Address, int64(binary.BigEndian.Uint64(datagram[1:])), echo)
 	var sentAfter time.Time
 	if echo > 0 {
 		sentAfter = now.Add(echo - clock)
 	}
-	if a.table.Hear(*h, now, sentAfter) {
-		a.opts.Heard(&Peer{Heartbeat: *h, HeardAt: now, SentAfter: sentAfter})
+	if a.table.RecordHeartbeat(*h, now, sentAfter) {
+		a.opts.OnHeartbeat(&Peer{Heartbeat: *h, HeardAt: now, SentAfter: sentAfter})
 	}
 	return true
 }
 
-// takeSummaries takes the summaries that count in this daemon's role: relays add
-// up those of other halls, members take the sum from a relay.
-func (a *Agent) takeSummaries(p *Peer, m *message, now time.Time) {
+// handleSummaries processes the summaries that are relevant in this daemon's role: relays add up
+// those of other halls, members take the total from a relay.
+func (a *Agent) handleSummaries(p *Peer, m *message, now time.Time) {
 	role := a.Role()
 	for _, s := range []*Summary{m.Hall, m.Fleet} {
 		if s != nil && s.Part == 0 {
-			a.table.NoteFormat(s.version(), now)
+			a.table.NoteFormat(s.oldestFormat(), now)
 		}
 	}
 	if m.Hall != nil && p.Zone != a.opts.Self.Zone {
-		a.sums.set(p.Zone, *m.Hall, now)
+		a.receivedSummaries.set(p.Zone, *m.Hall, now)
 		if role == Relay {
-			a.opts.Summed(p.Zone, *m.Hall, now)
+			a.opts.OnSummary(p.Zone, *m.Hall, now)
 		}
 	}
 	if m.Fleet != nil {
-		a.sums.set(wholeFleet, *m.Fleet, now)
+		a.receivedSummaries.set(wholeFleet, *m.Fleet, now)
 		if role == Member {
-			a.opts.Summed(wholeFleet, *m.Fleet, now)
+			a.opts.OnSummary(wholeFleet, *m.Fleet, now)
 		}
 	}
 }
--- a/peers/agent_test.go
+++ b/peers/agent_test.go
@@ -13,7 +13,7 @@
 	"quartzshelf.dev/common/awake"
 )
 
-// freeAddress returns a loopback address that the kernel chose.
+// freeAddress returns a free loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -25,9 +25,9 @@
 func newAgent(t *testing.T, id string, heard func(*Peer)) *Agent {
 	t.Helper()
 	a, err := NewAgent(Options{
-		Self:    Identity{ID: id, Incarnation: 1, Address: freeAddress(t), Front: id},
-		Compose: func(b *Heartbeat, _ time.Time) { b.Ready, b.ConfigAge = true, 100 },
-		Heard:   heard, News: func(*Peer, *News) {}, Summed: func(string, Summary, time.Time) {}, Counted: func(string, int) {},
+		Self:          Identity{ID: id, Incarnation: 1, Address: freeAddress(t), Front: id},
+		FillHeartbeat: func(b *Heartbeat, _ time.Time) { b.Ready, b.ConfigAge = true, 100 },
+		OnHeartbeat:   heard, OnNews: func(*Peer, *News) {}, OnSummary: func(string, Summary, time.Time) {}, OnSent: func(string, int) {},
 		Logger: hclog.NewNullLogger(),
 	})
 	assert.NilError(t, err)
@@ -46,11 +46,11 @@
 	defer cancel()
 	b.Table().Learn(a.opts.Self, time.Now())
 	for p := range heard {
-		// The age counts from a time at which this daemon was heard before.
+		// SentAfter is known once the peer has echoed this daemon's clock.
 		if !p.SentAfter.IsZero() {
 			assert.Equal(t, p.ID, "b")
 			assert.Assert(t, p.SentAfter.Before(p.HeardAt))
-			assert.Equal(t, p.ConfigConfirmed(), p.SentAfter.Add(-100*time.Millisecond))
+			assert.Equal(t, p.ConfigConfirmedAt(), p.SentAfter.Add(-100*time.Millisecond))
 			break
 		}
 	}
@@ -63,37 +63,37 @@
 		return Heartbeat{Identity: Identity{ID: "b", Incarnation: incarnation, Address: "b:1"}}
 	}
 	table := NewTable(Identity{ID: "a", Incarnation: 1, Address: "a:1"})
-	assert.Assert(t, table.Hear(heartbeat(2), now, now))
-	assert.Assert(t, !table.Hear(heartbeat(1), now, now), "an earlier life")
-	assert.Assert(t, !table.Hear(heartbeat(2), now, now.Add(-time.Second)), "a beat that was overtaken")
-	assert.Assert(t, !table.Hear(Heartbeat{Identity: Identity{ID: "a", Incarnation: 1}}, now, now), "itself")
-	assert.Equal(t, len(table.Alive(now.Add(aliveFor/2))), 1)
-	assert.Equal(t, len(table.Alive(now.Add(2*aliveFor))), 0)
-	held := now.Add(5 * time.Second)
-	table.HeldUp(held, 5*time.Second)
-	assert.Equal(t, len(table.Alive(held)), 1, "heartbeats wait to be read")
-	assert.Assert(t, !table.Settled(held))
-	assert.Assert(t, table.Settled(held.Add(aliveFor)))
-	told := func(at time.Time) int { return len(table.layout(at, standing{role: Direct}, 1, 1).peers) }
-	assert.Equal(t, told(now.Add(forgetAfter/2)), 1, "silent daemons are still told")
-	assert.Equal(t, told(now.Add(2*forgetAfter)), 0)
+	assert.Assert(t, table.RecordHeartbeat(heartbeat(2), now, now))
+	assert.Assert(t, !table.RecordHeartbeat(heartbeat(1), now, now), "an earlier incarnation")
+	assert.Assert(t, !table.RecordHeartbeat(heartbeat(2), now, now.Add(-time.Second)), "a heartbeat that arrived out of order")
+	assert.Assert(t, !table.RecordHeartbeat(Heartbeat{Identity: Identity{ID: "a", Incarnation: 1}}, now, now), "itself")
+	assert.Equal(t, len(table.Alive(now.Add(aliveTimeout/2))), 1)
+	assert.Equal(t, len(table.Alive(now.Add(2*aliveTimeout))), 0)
+	resumed := now.Add(5 * time.Second)
+	table.NotePause(resumed, 5*time.Second)
+	assert.Equal(t, len(table.Alive(resumed)), 1, "queued heartbeats are yet to be read")
+	assert.Assert(t, !table.HasCaughtUp(resumed))
+	assert.Assert(t, table.HasCaughtUp(resumed.Add(aliveTimeout)))
+	recipients := func(at time.Time) int { return len(table.layout(at, previousRole{role: Direct}, 1, 1).peers) }
+	assert.Equal(t, recipients(now.Add(forgetAfter/2)), 1, "silent daemons still get heartbeats")
+	assert.Equal(t, recipients(now.Add(2*forgetAfter)), 0)
 	table.Learn(Identity{ID: "z", Incarnation: 1, Address: "a:1"}, now)
-	assert.Equal(t, told(now), 0, "no daemon is its own seed")
+	assert.Equal(t, recipients(now), 0, "a daemon does not report to itself")
 }
 
 func TestLeaderAge(t *testing.T) {
 	table := NewTable(Identity{ID: "a", Incarnation: 1})
 	now := time.Unix(1000, 0)
 	assert.Equal(t, table.LeaderAge(now), int64(0))
-	table.Hear(Heartbeat{Identity: Identity{ID: "b", Incarnation: 1}, Leads: &Claim{Epoch: 1}}, now, now)
+	table.RecordHeartbeat(Heartbeat{Identity: Identity{ID: "b", Incarnation: 1}, Leads: &Claim{Epoch: 1}}, now, now)
 	assert.Equal(t, table.LeaderAge(now.Add(time.Second)), int64(1001))
 }
 
-// TestBriefHeartbeatsGoToThoseThatHoldTheRest plays what two daemons tell each other.
-func TestBriefHeartbeatsGoToThoseThatHoldTheRest(t *testing.T) {
+// TestBriefHeartbeatsOnlyAfterAcknowledgment checks which daemons may get brief heartbeats.
+func TestBriefHeartbeatsOnlyAfterAcknowledgment(t *testing.T) {
 	second := func(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 	tests := map[string]struct {
-		// heard is this daemon's clock as the other one heard it last.
+		// heard is this daemon's clock as last acknowledged by the other one.
 		heard, changed, now time.Duration
 		brief               bool
 	}{
@@ -107,58 +107,59 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newClocks()
-			c.ours["b:1"], c.changedAt = test.heard, test.changed
-			assert.Equal(t, c.holds("b:1", test.now), test.brief)
-			assert.Assert(t, !c.holds("c:1", test.now))
+			c.acknowledged["b:1"], c.changedAt = test.heard, test.changed
+			assert.Equal(t, c.hasAcknowledged("b:1", test.now), test.brief)
+			assert.Assert(t, !c.hasAcknowledged("c:1", test.now))
 		})
 	}
 }
 
-// deafAgent returns an agent without a transport.
-func deafAgent(heard func(*Peer)) *Agent {
+// agentWithoutTransport returns an agent that only receives what a test passes to it.
+func agentWithoutTransport(heard func(*Peer)) *Agent {
 	return &Agent{
 		opts: Options{
-			Self: Identity{ID: "a", Incarnation: 1}, Heard: heard, News: func(*Peer, *News) {},
-			Summed: func(string, Summary, time.Time) {}, Suspended: awake.Never, Logger: hclog.NewNullLogger(),
+			Self: Identity{ID: "a", Incarnation: 1}, OnHeartbeat: heard, OnNews: func(*Peer, *News) {},
+			OnSummary: func(string, Summary, time.Time) {}, Suspended: awake.Never, Logger: hclog.NewNullLogger(),
 		},
-		table: NewTable(Identity{ID: "a", Incarnation: 1}), clocks: newClocks(), sums: newSummaries(), start: time.Now(), passedOver: make(map[string]bool),
+		table: NewTable(Identity{ID: "a", Incarnation: 1}), clocks: newClocks(), receivedSummaries: newSummaries(), start: time.Now(), loggedDrops: make(map[string]bool),
 	}
 }
 
-// TestBriefHeartbeatsAreCompleted feeds a daemon with heartbeats of two lives of another.
+// TestBriefHeartbeatsAreCompleted checks that a brief heartbeat is used only after a full one of
+// the same incarnation.
 func TestBriefHeartbeatsAreCompleted(t *testing.T) {
 	var heard []*Peer
-	a := deafAgent(func(p *Peer) { heard = append(heard, p) })
+	a := agentWithoutTransport(func(p *Peer) { heard = append(heard, p) })
 	clock := time.Duration(0)
-	tell := func(b *Heartbeat) {
+	receive := func(b *Heartbeat) {
 		clock += time.Millisecond
 		m := &message{ID: b.ID, Incarnation: b.Incarnation, Heartbeat: b}
-		a.take(a.datagram(m, clock), time.Now())
+		a.handleDatagram(a.encodeDatagram(m, clock), time.Now())
 	}
-	whole := &Heartbeat{
+	full := &Heartbeat{
 		Identity: Identity{ID: "b", Incarnation: 1, Zone: "z", Address: "b:1", Front: "f"},
 		Grant:    Grant{Epoch: 7, Holders: []Holder{{ID: "b", Incarnation: 1}}}, ConfigVersion: 3,
 	}
-	tell(whole.brief())
-	assert.Equal(t, len(heard), 0, "nothing whole was heard before")
-	assert.Equal(t, a.clocks.of("b:1"), int64(0), "what is not taken is not shown as heard")
-	tell(whole)
-	news := *whole
+	receive(full.brief())
+	assert.Equal(t, len(heard), 0, "no full heartbeat was received before")
+	assert.Equal(t, a.clocks.latest("b:1"), int64(0), "a rejected heartbeat is not acknowledged")
+	receive(full)
+	news := *full
 	news.ConfigVersion = 4
-	tell(news.brief())
+	receive(news.brief())
 	assert.Equal(t, len(heard), 2)
 	assert.Equal(t, heard[1].ConfigVersion, int64(4))
-	assert.DeepEqual(t, heard[1].Identity, whole.Identity)
-	assert.DeepEqual(t, heard[1].Grant, whole.Grant)
-	restarted := *whole
+	assert.DeepEqual(t, heard[1].Identity, full.Identity)
+	assert.DeepEqual(t, heard[1].Grant, full.Grant)
+	restarted := *full
 	restarted.Incarnation = 2
-	tell(restarted.brief())
-	assert.Equal(t, len(heard), 2, "another life has to be heard whole")
-	tell(&restarted)
+	receive(restarted.brief())
+	assert.Equal(t, len(heard), 2, "a new incarnation must send a full heartbeat first")
+	receive(&restarted)
 	assert.Equal(t, len(heard), 3)
 }
 
-// FuzzDatagram checks that foreign and torn datagrams do no harm.
+// FuzzDatagram checks that malformed datagrams do no harm.
 func FuzzDatagram(f *testing.F) {
 	body, err := encode(&message{
 		ID: "b", Incarnation: 2, Heartbeat: &Heartbeat{Identity: Identity{ID: "b", Incarnation: 2, Address: "b:1"}},
@@ -167,43 +168,42 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole := append(binary.BigEndian.AppendUint64([]byte{formatByte}, 5), make([]byte, 8)...)
+	whole := append(binary.BigEndian.AppendUint64([]byte{framingVersion}, 5), make([]byte, 8)...)
 	f.Add(append(whole, body...))
-	f.Add([]byte{formatByte})
+	f.Add([]byte{framingVersion})
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		deafAgent(func(*Peer) {}).take(data, time.Now())
+		agentWithoutTransport(func(*Peer) {}).handleDatagram(data, time.Now())
 	})
 }
 
-// TestHeartbeatsThatWaitedOverASuspension: a machine was suspended for a minute after it had
-// told its clock. A heartbeat that had come by then and echoed it was read when the machine
-// woke; what it confirmed counted as fresh, as the steady clock had stood still.
-func TestHeartbeatsThatWaitedOverASuspension(t *testing.T) {
+// TestHeartbeatQueuedDuringSuspension guards against treating a heartbeat that was queued while
+// the machine was suspended as fresh, since the monotonic clock does not count suspensions.
+func TestHeartbeatQueuedDuringSuspension(t *testing.T) {
 	var heard []*Peer
-	a := deafAgent(func(p *Peer) { heard = append(heard, p) })
-	asleep := time.Duration(0)
-	a.opts.Suspended = func() time.Duration { return asleep }
+	a := agentWithoutTransport(func(p *Peer) { heard = append(heard, p) })
+	suspended := time.Duration(0)
+	a.opts.Suspended = func() time.Duration { return suspended }
 	b := &Heartbeat{Identity: Identity{ID: "b", Incarnation: 1, Address: "b:1"}}
-	datagram := a.datagram(&message{ID: "b", Incarnation: 1, Heartbeat: b}, time.Millisecond)
-	told := a.start.Add(time.Second)
-	binary.BigEndian.PutUint64(datagram[9:], uint64(a.clock(told)))
-	asleep = time.Minute
-	read := told.Add(100 * time.Millisecond)
-	a.take(datagram, read)
+	datagram := a.encodeDatagram(&message{ID: "b", Incarnation: 1, Heartbeat: b}, time.Millisecond)
+	sentAt := a.start.Add(time.Second)
+	binary.BigEndian.PutUint64(datagram[9:], uint64(a.clock(sentAt)))
+	suspended = time.Minute
+	readAt := sentAt.Add(100 * time.Millisecond)
+	a.handleDatagram(datagram, readAt)
 	assert.Equal(t, len(heard), 1)
-	assert.Equal(t, read.Sub(heard[0].SentAfter), time.Minute+100*time.Millisecond)
+	assert.Equal(t, readAt.Sub(heard[0].SentAfter), time.Minute+100*time.Millisecond)
 }
 
-// TestTableOverASuspension: others count as heard so much earlier, but not as silent before
-// what waits is read.
-func TestTableOverASuspension(t *testing.T) {
+// TestTableAfterSuspension checks that recorded times move back by the suspension, but peers are
+// not considered silent before queued datagrams are read.
+func TestTableAfterSuspension(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(Identity{ID: "a", Incarnation: 1, Address: "a:1"})
 	b := Heartbeat{Identity: Identity{ID: "b", Incarnation: 1, Address: "b:1"}}
-	assert.Assert(t, table.Hear(b, now, now))
-	table.Slept(now, time.Minute)
-	assert.Assert(t, !table.Settled(now))
-	assert.Equal(t, len(table.Alive(now)), 1, "heartbeats wait to be read")
+	assert.Assert(t, table.RecordHeartbeat(b, now, now))
+	table.NoteSuspension(now, time.Minute)
+	assert.Assert(t, !table.HasCaughtUp(now))
+	assert.Equal(t, len(table.Alive(now)), 1, "queued heartbeats are yet to be read")
 	assert.Equal(t, table.Alive(now)[0].SentAfter, now.Add(-time.Minute))
-	assert.Equal(t, len(table.Alive(now.Add(aliveFor))), 0)
+	assert.Equal(t, len(table.Alive(now.Add(aliveTimeout))), 0)
 }
--- a/peers/clocks.go
+++ b/peers/clocks.go
@@ -5,45 +5,43 @@
 	"time"
 )
 
-// heldFor is how long a daemon counts as holding what it showed that it had
-// heard: longer than two daemons that report to each other are ever silent while
-// both live.
-const heldFor = 2 * time.Second
+// ackLifetime is how long an acknowledgment of a heartbeat stays valid. It exceeds the longest
+// silence between two live daemons that report to each other.
+const ackLifetime = 2 * time.Second
 
-// clocks holds what this daemon and each other one have heard of each other's
-// clocks, by address. It is safe for concurrent use.
+// clocks holds, by address, which clock was last received from each daemon and which clock of this
+// daemon it acknowledged. It is safe for concurrent use.
 type clocks struct {
 	mu sync.Mutex
-	// theirs holds the newest clock heard from a daemon.
-	theirs map[string]int64
-	// ours holds the newest clock of this daemon that the other one has heard.
-	ours map[string]time.Duration
-	// grant is the epoch of the grant told last, changedAt the clock at which it
-	// was first told.
+	// received holds the newest clock received from each daemon.
+	received map[string]int64
+	// acknowledged holds the newest clock of this daemon that each daemon echoed.
+	acknowledged map[string]time.Duration
+	// grant is the epoch of the grant sent last, changedAt the clock at which it was first sent.
 	grant     int64
 	changedAt time.Duration
 }
 
 func newClocks() *clocks {
-	return &clocks{theirs: make(map[string]int64), ours: make(map[string]time.Duration)}
+	return &clocks{received: make(map[string]int64), acknowledged: make(map[string]time.Duration)}
 }
 
-// heard notes the clock of a daemon, and the one of this daemon that it has heard.
-func (c *clocks) heard(address string, theirs int64, ours time.Duration) {
+// record stores the clock of a daemon and the clock of this daemon that it echoed.
+func (c *clocks) record(address string, theirs int64, ours time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.theirs[address] = theirs
-	c.ours[address] = ours
+	c.received[address] = theirs
+	c.acknowledged[address] = ours
 }
 
-// of returns the newest clock heard from a daemon, 0 if there is none.
-func (c *clocks) of(address string) int64 {
+// latest returns the newest clock received from a daemon, 0 if there is none.
+func (c *clocks) latest(address string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.theirs[address]
+	return c.received[address]
 }
 
-// noteGrant notes when the grant that is told changes.
+// noteGrant records the epoch that is sent, and the clock if it changed.
 func (c *clocks) noteGrant(epoch int64, clock time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,11 +50,11 @@
 	}
 }
 
-// holds reports whether a daemon has shown of late that it heard this one since
-// the grant changed: it then holds all that a brief heartbeat leaves out.
-func (c *clocks) holds(address string, clock time.Duration) bool {
+// hasAcknowledged reports whether a daemon recently acknowledged a heartbeat sent since the grant
+// changed. It then knows everything that a brief heartbeat omits.
+func (c *clocks) hasAcknowledged(address string, clock time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	heard := c.ours[address]
-	return heard > 0 && heard >= c.changedAt && clock-heard < heldFor
+	heard := c.acknowledged[address]
+	return heard > 0 && heard >= c.changedAt && clock-heard < ackLifetime
 }
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -10,18 +10,18 @@
 	"quartzshelf.dev/common/failure"
 )
 
-// maxMessage bounds an inflated message, in bytes.
-const maxMessage = 1 << 20
+// maxMessageBytes limits the size of an inflated message.
+const maxMessageBytes = 1 << 20
 
-// deflaters holds writers for reuse: each takes several hundred kilobytes.
-var deflaters = sync.Pool{New: func() any {
-	// New fails only for a level that does not exist.
+// deflateWriters pools writers, which take several hundred kilobytes each.
+var deflateWriters = sync.Pool{New: func() any {
+	// NewWriter fails only for an invalid level.
 	w, _ := flate.NewWriter(nil, flate.BestSpeed)
 	return w
 }}
 
-// inflaters holds readers for reuse.
-var inflaters = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
+// inflateReaders pools readers.
+var inflateReaders = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 
 // encode returns a message as deflated JSON.
 func encode(m *message) ([]byte, error) {
@@ -30,8 +30,8 @@
 		return nil, failure.At(failure.Invalid, "encode message", m.ID, err)
 	}
 	var out bytes.Buffer
-	w := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(w)
+	w := deflateWriters.Get().(*flate.Writer)
+	defer deflateWriters.Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(body); err != nil {
 		return nil, failure.At(failure.Invalid, "deflate message", m.ID, err)
@@ -45,12 +45,12 @@
 // decode reads a message from deflated JSON.
 func decode(data []byte) (message, error) {
 	var m message
-	r := inflaters.Get().(io.ReadCloser)
-	defer inflaters.Put(r)
+	r := inflateReaders.Get().(io.ReadCloser)
+	defer inflateReaders.Put(r)
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(data), nil); err != nil {
 		return m, failure.At(failure.Remote, "inflate message", "", err)
 	}
-	body, err := io.ReadAll(io.LimitReader(r, maxMessage))
+	body, err := io.ReadAll(io.LimitReader(r, maxMessageBytes))
 	if err != nil {
 		return m, failure.At(failure.Remote, "inflate message", "", err)
 	}
--- a/peers/format.go
+++ b/peers/format.go
@@ -2,74 +2,74 @@
 
 import "time"
 
-// The versions of the format in which daemons tell each other what they know. A change that
-// a daemon of the version before would misunderstand takes a new one, and what the fleet does
-// by it waits until no such daemon is in touch: docs/design/upgrades.md.
+// Versions of the message format between daemons. A change that daemons of the previous version
+// would misinterpret gets a new version, and the fleet makes use of it only once no such daemon
+// has been heard for formatRetention.
 const (
-	// FormatFirst is that of daemons that tell none.
+	// FormatFirst is assumed of daemons that report no version.
 	FormatFirst = 1
-	// FormatAsked has what workers ask for, and daemons that hold shares of their limits.
-	FormatAsked = 2
+	// FormatBackpressure adds workers' backpressure signals and the sharing of their request
+	// limits among daemons.
+	FormatBackpressure = 2
 
-	// formatSpoken is the version that this build writes, formatOldest the oldest that it
-	// understands.
-	formatSpoken = FormatAsked
-	formatOldest = FormatFirst
-	// formatMost is the highest version that is taken for one.
-	formatMost = 1 << 15
-	// formatKept is how long after a daemon of an earlier version was last heard, by this one
-	// or a relay, the fleet still acts by what it understands: longer than a restart takes,
-	// and than a cut that callers hardly notice.
-	formatKept = 10 * time.Second
+	// currentFormat is the version that this build writes, oldestUnderstood the oldest version
+	// that it reads.
+	currentFormat    = FormatBackpressure
+	oldestUnderstood = FormatFirst
+	// maxFormat is the highest version that counts as valid.
+	maxFormat = 1 << 15
+	// formatRetention is how long the fleet keeps to an earlier version after a daemon of that
+	// version was last heard, directly or by a relay. It exceeds a restart and a short network
+	// outage.
+	formatRetention = 10 * time.Second
 )
 
-// Format tells in which versions of the format a daemon can be spoken with.
+// Format is the range of format versions that a daemon supports.
 type Format struct {
-	// Spoken is the version that it writes, Oldest the oldest that it understands. Both are
-	// zero for a daemon that tells none.
+	// Spoken is the version that the daemon writes, Oldest the oldest version that it reads. Both
+	// are zero if the daemon reports none.
 	Spoken int `json:"v,omitempty"`
 	Oldest int `json:"o,omitempty"`
 }
 
 // OwnFormat returns the format of this build.
-func OwnFormat() Format { return Format{Spoken: formatSpoken, Oldest: formatOldest} }
+func OwnFormat() Format { return Format{Spoken: currentFormat, Oldest: oldestUnderstood} }
 
-// isClear reports whether a format can be what it says.
-func (f Format) isClear() bool {
-	return f == Format{} || f.Oldest >= FormatFirst && f.Spoken >= f.Oldest && f.Spoken <= formatMost
+// isValid reports whether a format is a possible range of versions, or empty.
+func (f Format) isValid() bool {
+	return f == Format{} || f.Oldest >= FormatFirst && f.Spoken >= f.Oldest && f.Spoken <= maxFormat
 }
 
-// version returns the version by which a daemon acts that says this of itself, as far as this
-// build knows versions. What can't be is taken for the first.
-func (f Format) version() int {
-	if f == (Format{}) || !f.isClear() {
+// effectiveVersion returns the version that a daemon with this format uses, at most the version of
+// this build. An empty or invalid format counts as the first version.
+func (f Format) effectiveVersion() int {
+	if f == (Format{}) || !f.isValid() {
 		return FormatFirst
 	}
-	return min(f.Spoken, formatSpoken)
+	return min(f.Spoken, currentFormat)
 }
 
-// IsUnderstood reports whether this build understands what a daemon says that tells its format.
-func (f Format) IsUnderstood() bool { return !f.isClear() || f.Oldest <= formatSpoken }
+// IsUnderstood reports whether this build can read messages of a daemon with this format.
+func (f Format) IsUnderstood() bool { return !f.isValid() || f.Oldest <= currentFormat }
 
-// formats holds when daemons of each version were last heard. It is used under its owner's
-// mutex.
+// formats holds when daemons of each earlier version were last heard. The mutex of its owner
+// guards it.
 type formats struct {
-	heardAt [formatSpoken + 1]time.Time
+	heardAt [currentFormat + 1]time.Time
 }
 
-func (f *formats) note(version int, at time.Time) {
-	if version < formatSpoken && at.After(f.heardAt[version]) {
+func (f *formats) record(version int, at time.Time) {
+	if version < currentFormat && at.After(f.heardAt[version]) {
 		f.heardAt[version] = at
 	}
 }
 
-// oldest returns the earliest version of the daemons that were heard of late, this one
-// included.
+// oldest returns the earliest version among this daemon and those heard within formatRetention.
 func (f *formats) oldest(now time.Time) int {
-	for version := FormatFirst; version < formatSpoken; version++ {
-		if at := f.heardAt[version]; !at.IsZero() && now.Sub(at) < formatKept {
+	for version := FormatFirst; version < currentFormat; version++ {
+		if at := f.heardAt[version]; !at.IsZero() && now.Sub(at) < formatRetention {
 			return version
 		}
 	}
-	return formatSpoken
+	return currentFormat
 }
--- a/peers/format_test.go
+++ b/peers/format_test.go
@@ -11,12 +11,12 @@
 	"quartzshelf.dev/common/wiretest"
 )
 
-// recordedLoads are those of the recorded messages.
+// recordedLoads returns the loads of the recorded messages.
 func recordedLoads() Loads {
 	return Loads{{Replica: "big-r4fti4i@268435458", InFlight: 3, Prefill: 100, Moved: 20}, {Replica: "worker", InFlight: 2, Prefill: 7, Moved: 30}}
 }
 
-// filled returns a message of this build in which everything is told.
+// filled returns a message with every field set.
 func filled() *message {
 	m := &message{}
 	wiretest.Fill(m)
@@ -24,8 +24,8 @@
 	return m
 }
 
-// TestEarlierFormat reads what a build of the first version wrote, and looks whether what this
-// one writes has all of that.
+// TestEarlierFormat checks that this build reads everything that the first version wrote, and
+// still writes all of it.
 func TestEarlierFormat(t *testing.T) {
 	files, err := filepath.Glob("testdata/format-1/*.json")
 	assert.NilError(t, err)
@@ -52,10 +52,10 @@
 		understood bool
 	}{
 		"a daemon that tells none":        {Format{}, FormatFirst, true, true},
-		"this build":                      {OwnFormat(), formatSpoken, true, true},
+		"this build":                      {OwnFormat(), currentFormat, true, true},
 		"the first version, told":         {Format{1, 1}, FormatFirst, true, true},
-		"a later one that goes back":      {Format{9, formatSpoken}, formatSpoken, true, true},
-		"a later one that does not":       {Format{formatSpoken + 2, formatSpoken + 1}, formatSpoken, true, false},
+		"a later one that goes back":      {Format{9, currentFormat}, currentFormat, true, true},
+		"a later one that does not":       {Format{currentFormat + 2, currentFormat + 1}, currentFormat, true, false},
 		"a version of zero":               {Format{0, 1}, FormatFirst, false, true},
 		"a negative version":              {Format{-1, -1}, FormatFirst, false, true},
 		"an absurd version":               {Format{1e9, 1}, FormatFirst, false, true},
@@ -64,31 +64,32 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.format.version(), test.version)
-			assert.Equal(t, test.format.isClear(), test.clear)
+			assert.Equal(t, test.format.effectiveVersion(), test.version)
+			assert.Equal(t, test.format.isValid(), test.clear)
 			assert.Equal(t, test.format.IsUnderstood(), test.understood)
 		})
 	}
 }
 
-// TestFleetActsByTheOldest plays daemons that come and go before one of this build.
-func TestFleetActsByTheOldest(t *testing.T) {
+// TestOldestFormat checks which version the fleet keeps to as daemons of several versions come and
+// go.
+func TestOldestFormat(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	hear := func(table *Table, id string, incarnation int64, f Format, now time.Time) {
-		table.Hear(Heartbeat{Identity: Identity{ID: id, Incarnation: incarnation, Address: id, Format: f}}, now, now)
+		table.RecordHeartbeat(Heartbeat{Identity: Identity{ID: id, Incarnation: incarnation, Address: id, Format: f}}, now, now)
 	}
-	const kept = int(formatKept / time.Second)
+	const kept = int(formatRetention / time.Second)
 	tests := map[string]struct {
 		play func(table *Table)
 		at   int
 		want int
 	}{
-		"alone":                              {func(*Table) {}, 0, formatSpoken},
-		"one of this build":                  {func(table *Table) { hear(table, "b", 1, OwnFormat(), at(0)) }, 1, formatSpoken},
+		"alone":                              {func(*Table) {}, 0, currentFormat},
+		"one of this build":                  {func(table *Table) { hear(table, "b", 1, OwnFormat(), at(0)) }, 1, currentFormat},
 		"an earlier one":                     {func(table *Table) { hear(table, "b", 1, Format{}, at(0)) }, 1, FormatFirst},
 		"an earlier one, silent for a while": {func(table *Table) { hear(table, "b", 1, Format{}, at(0)) }, kept - 1, FormatFirst},
-		"an earlier one, silent for long":    {func(table *Table) { hear(table, "b", 1, Format{}, at(0)) }, kept, formatSpoken},
+		"an earlier one, silent for long":    {func(table *Table) { hear(table, "b", 1, Format{}, at(0)) }, kept, currentFormat},
 		"one that was replaced a moment ago": {func(table *Table) {
 			hear(table, "b", 1, Format{}, at(0))
 			hear(table, "b", 2, OwnFormat(), at(5))
@@ -96,14 +97,14 @@
 		"one that was replaced long ago": {func(table *Table) {
 			hear(table, "b", 1, Format{}, at(0))
 			hear(table, "b", 2, OwnFormat(), at(5))
-		}, kept, formatSpoken},
+		}, kept, currentFormat},
 		"one that was taken back": {func(table *Table) {
 			hear(table, "b", 1, OwnFormat(), at(0))
 			hear(table, "b", 2, Format{}, at(50))
 		}, 51, FormatFirst},
 		"an earlier one that a relay hears": {func(table *Table) { table.NoteFormat(FormatFirst, at(0)) }, 1, FormatFirst},
 		"one that claims what can't be":     {func(table *Table) { hear(table, "b", 1, Format{1e9, 1e9}, at(0)) }, 1, FormatFirst},
-		"a later one":                       {func(table *Table) { hear(table, "b", 1, Format{9, 1}, at(0)) }, 1, formatSpoken},
+		"a later one":                       {func(table *Table) { hear(table, "b", 1, Format{9, 1}, at(0)) }, 1, currentFormat},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -114,20 +115,20 @@
 	}
 }
 
-// TestSummariesTellTheOldest: what relays sum up tells of the earliest version among all, and
-// of a relay that tells none that there is one of the first.
-func TestSummariesTellTheOldest(t *testing.T) {
-	now := Summary{Daemons: 3, Format: formatSpoken}
+// TestSummaryOldestFormat checks that a sum of summaries has the earliest version of all of them.
+// A summary without a version counts as the first.
+func TestSummaryOldestFormat(t *testing.T) {
+	now := Summary{Daemons: 3, Format: currentFormat}
 	tests := map[string]struct {
 		sums []Summary
 		want int
 	}{
-		"all speak this version": {[]Summary{now, now}, formatSpoken},
+		"all speak this version": {[]Summary{now, now}, currentFormat},
 		"one hall does not":      {[]Summary{now, {Daemons: 2, Format: FormatFirst}, now}, FormatFirst},
 		"a relay tells none":     {[]Summary{now, {Daemons: 2}}, FormatFirst},
 		"a relay tells nonsense": {[]Summary{now, {Daemons: 2, Format: -7}}, FormatFirst},
-		"a later version":        {[]Summary{now, {Daemons: 2, Format: 9}}, formatSpoken},
-		"a further part":         {[]Summary{now, {Part: 1}}, formatSpoken},
+		"a later version":        {[]Summary{now, {Daemons: 2, Format: 9}}, currentFormat},
+		"a further part":         {[]Summary{now, {Part: 1}}, currentFormat},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -135,14 +136,14 @@
 			for _, s := range test.sums {
 				total.add(s, 0)
 			}
-			assert.Equal(t, total.version(), test.want)
+			assert.Equal(t, total.oldestFormat(), test.want)
 		})
 	}
 }
 
-// TestClaimsOfAFormat feeds an agent with daemons that claim versions: what is of a later
-// format alone is not taken, counted and logged once; nothing else is lost.
-func TestClaimsOfAFormat(t *testing.T) {
+// TestHeartbeatsWithUnusualFormats checks that only heartbeats in a format that this build cannot
+// read are ignored, and that they are counted and logged once.
+func TestHeartbeatsWithUnusualFormats(t *testing.T) {
 	tests := map[string]struct {
 		format  Format
 		taken   bool
@@ -151,33 +152,32 @@
 		"this build":                {OwnFormat(), true, 0},
 		"an earlier one":            {Format{}, true, 0},
 		"one that can't be":         {Format{-1, 3}, true, 2},
-		"one from a distant future": {Format{formatMost, formatMost}, false, 2},
+		"one from a distant future": {Format{maxFormat, maxFormat}, false, 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var heard []*Peer
 			counted := 0
-			a := deafAgent(func(p *Peer) { heard = append(heard, p) })
-			a.opts.PassedOver = func(string) { counted++ }
+			a := agentWithoutTransport(func(p *Peer) { heard = append(heard, p) })
+			a.opts.OnDropped = func(string) { counted++ }
 			for range 2 {
 				body, err := encode(&message{ID: "b", Incarnation: 1, Heartbeat: &Heartbeat{Identity: Identity{ID: "b", Incarnation: 1, Address: "b", Format: test.format}}})
 				assert.NilError(t, err)
-				a.take(append(make([]byte, headerLength), body...), time.Now())
-				a.take(append(append([]byte{formatByte}, make([]byte, headerLength-1)...), body...), time.Now())
+				a.handleDatagram(append(make([]byte, headerLength), body...), time.Now())
+				a.handleDatagram(append(append([]byte{framingVersion}, make([]byte, headerLength-1)...), body...), time.Now())
 			}
 			assert.Equal(t, len(heard) > 0, test.taken)
-			assert.Equal(t, counted, test.counted+2, "two have another framing")
-			assert.Assert(t, len(a.passedOver) <= 2)
+			assert.Equal(t, counted, test.counted+2, "two datagrams have another framing version")
+			assert.Assert(t, len(a.loggedDrops) <= 2)
 		})
 	}
 }
 
-// TestAgesThatWereLeftOut: an age that a sender leaves out is not that of what it has just
-// confirmed.
-func TestAgesThatWereLeftOut(t *testing.T) {
+// TestOmittedAges checks that an omitted age does not count as just confirmed.
+func TestOmittedAges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := &Peer{SentAfter: now}
-	assert.Assert(t, p.ConfigConfirmed().IsZero() && p.WorkersConfirmed().IsZero())
+	assert.Assert(t, p.ConfigConfirmedAt().IsZero() && p.WorkersConfirmedAt().IsZero())
 	p.ConfigAge, p.WorkersAge = 1, 1
-	assert.Assert(t, !p.ConfigConfirmed().IsZero() && !p.WorkersConfirmed().IsZero())
+	assert.Assert(t, !p.ConfigConfirmedAt().IsZero() && !p.WorkersConfirmedAt().IsZero())
 }
--- a/peers/heartbeat.go
+++ b/peers/heartbeat.go
@@ -1,7 +1,6 @@
-// Package peers lets daemons report to each other, several times a second and
-// without the store, that they live and what they know. Small fleets report all
-// to all. In larger ones a few daemons of each data hall, its relays, pass
-// reports on: docs/DESIGN.md has the bounds.
+// Package peers implements the heartbeat protocol by which daemons report their state to each
+// other several times a second, without using the store. In small fleets every daemon reports to
+// every other one. In larger fleets a few daemons of each data hall, the relays, forward reports.
 package peers
 
 import (
@@ -12,112 +11,112 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// Claim is a leader's term: the epoch of a grant and the rank of the holder
-// that acts under it. Higher claims outdo lower ones.
+// Claim identifies a leader's term: the epoch of a grant and the rank of the holder that leads
+// under it. A higher claim supersedes a lower one.
 type Claim struct {
 	Epoch int64 `json:"epoch,omitempty"`
 	Rank  int   `json:"rank,omitempty"`
 }
 
-// Higher reports whether c outdoes other.
+// Higher reports whether c supersedes other.
 func (c Claim) Higher(other Claim) bool {
 	return c.Epoch > other.Epoch || c.Epoch == other.Epoch && c.Rank > other.Rank
 }
 
-// rankBits is the room for a rank in the number of a term; ranks end at 200.
+// rankBits is the number of bits for the rank in Claim.Term; ranks are at most 200.
 const rankBits = 8
 
-// Term returns the claim as one number; higher claims have higher ones.
+// Term returns the claim as one number that orders like the claims.
 func (c Claim) Term() int64 { return c.Epoch<<rankBits | int64(c.Rank) }
 
-// Holder is one life of a daemon that may lead under a grant.
+// Holder is an incarnation of a daemon that may lead under a grant.
 type Holder struct {
 	ID          string `json:"id"`
 	Incarnation int64  `json:"incarnation"`
 }
 
-// Grant names who may lead in an epoch, in the order of their ranks.
+// Grant lists the daemons that may lead in an epoch, by rank.
 type Grant struct {
 	Epoch   int64    `json:"epoch,omitempty"`
 	Holders []Holder `json:"holders,omitempty"`
 }
 
-// Stall says that all of a daemon's streams from a replica fell silent.
+// Stall reports that all of a daemon's streams from a replica stopped sending.
 type Stall struct {
 	Replica string `json:"r"`
 	Head    string `json:"h"`
-	// Age is how long ago that was, in milliseconds.
+	// Age is the time since the stall was detected, in milliseconds.
 	Age int64 `json:"a,omitempty"`
 }
 
-// Identity is what does not change in a daemon's life.
+// Identity holds the properties of a daemon that do not change while it runs.
 type Identity struct {
 	ID string `json:"id"`
-	// Incarnation grows with each start of the daemon.
+	// Incarnation increases with each start of the daemon.
 	Incarnation int64 `json:"inc"`
-	// Zone is the data hall that the daemon is in.
+	// Zone is the data hall of the daemon.
 	Zone string `json:"zone,omitempty"`
-	// Address is where peers reach the daemon, over UDP and TCP alike.
+	// Address is where peers reach the daemon, by both UDP and TCP.
 	Address string `json:"peer,omitempty"`
-	// Front is where callers reach it.
+	// Front is the address for callers.
 	Front string `json:"front,omitempty"`
-	// Capacity is how much the daemon's machine can do, in thousandths of a
-	// processor core; 0 if it is not known.
+	// Capacity is the computing capacity of the daemon's machine, in thousandths of a processor
+	// core; 0 if unknown.
 	Capacity int `json:"cap,omitempty"`
-	// Format tells in which versions of the format the daemon can be spoken with.
+	// Format is the range of message formats that the daemon supports.
 	Format Format `json:"f,omitzero"`
-	// Build names the source that the daemon was built from; empty if it is not known.
+	// Build names the source revision that the daemon was built from; empty if unknown.
 	Build string `json:"b,omitempty"`
 }
 
-// Never is the age, in milliseconds, of what was never known to be the newest.
+// Never is the age, in milliseconds, of state that was never confirmed to be current.
 const Never = 1 << 40
 
-// Heartbeat is what a daemon reports of itself. Ages count at the time of
-// sending, in milliseconds.
+// Heartbeat is a daemon's report of its own state. Ages are in milliseconds at the time of
+// sending.
 type Heartbeat struct {
 	Identity
-	// Brief heartbeats leave out what the receiver holds from a whole one: the
-	// identity but for id and incarnation, and the grant.
+	// Brief marks a heartbeat that omits what the receiver knows from a full one: the grant, and
+	// the identity except for id and incarnation.
 	Brief bool `json:"brief,omitempty"`
 
 	Ready   bool `json:"ready,omitempty"`
 	Leaving bool `json:"leaving,omitempty"`
-	// Complete tells that the daemon knows all workers, as a leader must.
+	// Complete reports that the daemon knows all workers, which a leader must.
 	Complete bool `json:"all,omitempty"`
 
 	ConfigVersion   int64 `json:"cv,omitempty"`
 	ConfigAge       int64 `json:"ca"`
 	WorkersPosition int64 `json:"wp,omitempty"`
 	WorkersAge      int64 `json:"wa"`
-	// Halls is what the daemon knows of closed data halls.
+	// Halls is what the daemon knows about closed data halls.
 	Halls fleet.HallReport `json:"hl,omitzero"`
-	// Decided is how far the daemon knows the leader's decisions.
+	// Decided is the position up to which the daemon knows the leader's decisions.
 	Decided fleet.DecisionPosition `json:"d,omitzero"`
 
-	// Leads is the daemon's own claim while it leads, Highest the highest one
-	// that it knows of, and Grant the newest grant that it knows of.
+	// Leads is the daemon's own claim while it leads. Highest is the highest claim and Grant the
+	// newest grant that it knows of.
 	Leads   *Claim `json:"leads,omitempty"`
 	Highest Claim  `json:"highest"`
 	Grant   Grant  `json:"grant,omitzero"`
-	// LeaderAge is how long ago a leader was last heard, 0 if none was.
+	// LeaderAge is the time since a leader was last heard, 0 if none was.
 	LeaderAge int64 `json:"la,omitempty"`
 
 	Loads  Loads   `json:"loads,omitempty"`
 	Stalls []Stall `json:"stalls,omitempty"`
-	// Quarantine is what the daemon knows of requests that end workers.
+	// Quarantine holds the daemon's records of requests that crash workers.
 	Quarantine []quarantine.Entry `json:"q,omitempty"`
-	// Asked is what workers ask for in their answers.
+	// Asked holds the backpressure signals that workers sent in their responses.
 	Asked []backpressure.Entry `json:"bp,omitempty"`
-	// Demand is the measured work of each model, in slots busy.
+	// Demand is the measured load of each model, in busy slots.
 	Demand map[string]float64 `json:"demand,omitempty"`
-	// Prompts is how many prompt tokens its requests there have.
+	// Prompts is the number of prompt tokens in the requests of each model.
 	Prompts map[string]float64 `json:"prompts,omitempty"`
-	// Traffic tells that requests came to the fleet.
+	// Traffic reports that the fleet received requests.
 	Traffic bool `json:"traffic,omitempty"`
 }
 
-// brief returns the heartbeat without what its receiver holds already.
+// brief returns the heartbeat without the parts that its receiver already knows.
 func (h *Heartbeat) brief() *Heartbeat {
 	short := *h
 	short.Brief = true
@@ -126,40 +125,41 @@
 	return &short
 }
 
-// Peer is what is known of another daemon.
+// Peer is the known state of another daemon.
 type Peer struct {
 	Heartbeat
-	// HeardAt is when its last heartbeat came; the zero time if none did.
+	// HeardAt is when its latest heartbeat was received; zero if none was.
 	HeardAt time.Time
-	// SentAfter is a time, by this daemon's clock, after which the last heartbeat
-	// was sent for certain. Ages in it count from here.
+	// SentAfter is a lower bound, by this daemon's clock, of when the latest heartbeat was sent.
+	// Ages in the heartbeat are relative to it.
 	SentAfter time.Time
-	// reportedAt is when a relay last heard the daemon, as far as relays told.
+	// reportedAt is when a relay last heard the daemon, according to relays' reports.
 	reportedAt time.Time
-	// addedAt is when this life of the daemon became known.
+	// addedAt is when this incarnation became known.
 	addedAt time.Time
 }
 
-// lastSign returns when the peer was last known to live; the zero time if it
+// lastSeen returns when the peer was last known to be alive, directly or by a relay; zero if it
 // never was.
-func (p *Peer) lastSign() time.Time {
+func (p *Peer) lastSeen() time.Time {
 	if p.reportedAt.After(p.HeardAt) {
 		return p.reportedAt
 	}
 	return p.HeardAt
 }
 
-// ConfigConfirmed returns when the peer's version of the configuration is
-// known to have been the newest.
-func (p *Peer) ConfigConfirmed() time.Time { return p.confirmed(p.ConfigAge) }
+// ConfigConfirmedAt returns when the peer's configuration was last known to be the newest; zero if
+// unknown.
+func (p *Peer) ConfigConfirmedAt() time.Time { return p.confirmedAt(p.ConfigAge) }
 
-// WorkersConfirmed returns the same of the peer's position in the worker list.
-func (p *Peer) WorkersConfirmed() time.Time { return p.confirmed(p.WorkersAge) }
+// WorkersConfirmedAt returns when the peer's position in the worker list was last known to be the
+// newest; zero if unknown.
+func (p *Peer) WorkersConfirmedAt() time.Time { return p.confirmedAt(p.WorkersAge) }
 
-func (p *Peer) confirmed(age int64) time.Time {
+func (p *Peer) confirmedAt(age int64) time.Time {
 	if p.SentAfter.IsZero() || age <= 0 || age >= Never {
-		// An age is at least one; zero is one that the sender left out.
-		// A time of long ago would make its receiver read the store at once.
+		// Ages start at 1, so 0 means that the sender omitted it. Never must yield the zero time:
+		// a time in the distant past would make the receiver read the store at once.
 		return time.Time{}
 	}
 	return p.SentAfter.Add(-time.Duration(age) * time.Millisecond)
--- a/peers/loads.go
+++ b/peers/loads.go
@@ -10,76 +10,75 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Load is work in flight at a replica.
+// Load is the work in flight at a replica.
 type Load struct {
 	Replica  string `json:"r"`
 	InFlight int    `json:"n"`
-	// Prefill is the number of prompt tokens of requests not yet begun.
+	// Prefill is the number of prompt tokens of requests that have not started.
 	Prefill int `json:"p,omitempty"`
-	// Moved is how long ago the replica's newest event came, in milliseconds; zero if
-	// that is not known.
+	// Moved is the time since the replica's latest event, in milliseconds; zero if unknown.
 	Moved int64 `json:"m,omitempty"`
 }
 
 const (
-	// movedUnit is the unit in which messages tell Moved, in milliseconds.
-	movedUnit = 10
-	// movedMost is the longest time that is told, in milliseconds: what has been silent
-	// for longer is suspected.
-	movedMost = 1500
+	// eventAgeUnit is the resolution of Load.Moved in messages, in milliseconds.
+	eventAgeUnit = 10
+	// maxEventAge is the longest time that Load.Moved reports, in milliseconds. Replicas that are
+	// silent for longer are suspected anyway.
+	maxEventAge = 1500
 )
 
-// MovedAgo returns what Load.Moved tells of the newest event of a replica.
+// MovedAgo returns the value of Load.Moved for an event at the time moved.
 func MovedAgo(moved, now time.Time) int64 {
-	return toldMove(now.Sub(moved).Milliseconds() + 1)
+	return roundEventAge(now.Sub(moved).Milliseconds() + 1)
 }
 
-// toldMove returns a time as Load.Moved tells it: rounded up, so that silence is never
-// hidden, and zero if it is too long ago.
-func toldMove(ms int64) int64 {
-	if ms <= 0 || ms > movedMost {
+// roundEventAge rounds a value of Load.Moved up to eventAgeUnit, so that silence is never
+// underestimated. It returns zero if the value is out of range.
+func roundEventAge(ms int64) int64 {
+	if ms <= 0 || ms > maxEventAge {
 		return 0
 	}
-	return (ms + movedUnit - 1) / movedUnit * movedUnit
+	return (ms + eventAgeUnit - 1) / eventAgeUnit * eventAgeUnit
 }
 
-// newerMove returns the newer of two times that Load.Moved tells.
-func newerMove(a, b int64) int64 {
+// newerEventAge returns the smaller of two values of Load.Moved, ignoring unknown ones.
+func newerEventAge(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return a + b
 	}
 	return min(a, b)
 }
 
-// aged returns loads that were reported a time ago.
+// aged returns the loads with event ages increased by age.
 func (l Loads) aged(age time.Duration) Loads {
 	older := slices.Clone(l)
 	for i := range older {
 		if older[i].Moved > 0 {
-			older[i].Moved = toldMove(older[i].Moved + age.Milliseconds())
+			older[i].Moved = roundEventAge(older[i].Moved + age.Milliseconds())
 		}
 	}
 	return older
 }
 
-// Loads is work at several replicas. In messages it is packed: the names of
-// groups are most of it otherwise.
+// Loads is the work at several replicas. It is encoded compactly, since the names of groups would
+// take up most of it otherwise.
 type Loads []Load
 
-// packedLoads is the form of Loads in messages.
+// packedLoads is the encoded form of Loads.
 type packedLoads struct {
-	// Groups holds three numbers for each group of a model, by rising epoch: how
-	// much higher the epoch is than the one before, requests in flight, prompt tokens.
+	// Groups holds three numbers for each group of a model, by ascending epoch: the difference to
+	// the previous epoch, requests in flight, prompt tokens.
 	Groups map[string][]int64 `json:"g,omitempty"`
-	// Moved holds Load.Moved of each group in the same order, in units of movedUnit.
-	// It is a list of its own since daemons of earlier versions read Groups by threes.
-	Moved map[string][]int64 `json:"m,omitempty"`
+	// EventAges holds Load.Moved of each group in the same order, in eventAgeUnit. It is a
+	// separate list because earlier versions read Groups in threes.
+	EventAges map[string][]int64 `json:"m,omitempty"`
 	// Others holds the replicas that are not groups.
 	Others []Load `json:"o,omitempty"`
 }
 
-// perGroup is how many numbers packedLoads holds for a group.
-const perGroup = 3
+// valuesPerGroup is the number of values in packedLoads.Groups for each group.
+const valuesPerGroup = 3
 
 // groupLoad is the work at a group.
 type groupLoad struct {
@@ -103,10 +102,10 @@
 	last := make(map[string]int64)
 	for _, g := range groups {
 		if packed.Groups == nil {
-			packed.Groups, packed.Moved = make(map[string][]int64), make(map[string][]int64)
+			packed.Groups, packed.EventAges = make(map[string][]int64), make(map[string][]int64)
 		}
 		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-last[g.model], int64(g.InFlight), int64(g.Prefill))
-		packed.Moved[g.model] = append(packed.Moved[g.model], g.Moved/movedUnit)
+		packed.EventAges[g.model] = append(packed.EventAges[g.model], g.Moved/eventAgeUnit)
 		last[g.model] = g.epoch
 	}
 	return json.Marshal(packed)
@@ -120,22 +119,22 @@
 	}
 	all := packed.Others
 	for model, numbers := range packed.Groups {
-		epoch, moved := int64(0), packed.Moved[model]
-		for i := 0; len(numbers) >= perGroup; i++ {
+		epoch, moved := int64(0), packed.EventAges[model]
+		for i := 0; len(numbers) >= valuesPerGroup; i++ {
 			epoch += numbers[0]
 			load := Load{Replica: fleet.KeyOf(model, epoch), InFlight: int(numbers[1]), Prefill: int(numbers[2])}
 			if i < len(moved) {
-				load.Moved = toldMove(moved[i] * movedUnit)
+				load.Moved = roundEventAge(moved[i] * eventAgeUnit)
 			}
 			all = append(all, load)
-			numbers = numbers[perGroup:]
+			numbers = numbers[valuesPerGroup:]
 		}
 	}
 	*l = all
 	return nil
 }
 
-// sumLoads returns the work at each replica over several daemons, sorted by replica.
+// sumLoads adds up the work at each replica over several daemons, sorted by replica.
 func sumLoads(all ...Loads) Loads {
 	byReplica := make(map[string]Load)
 	for _, loads := range all {
@@ -143,7 +142,7 @@
 			held := byReplica[l.Replica]
 			byReplica[l.Replica] = Load{
 				Replica: l.Replica, InFlight: held.InFlight + l.InFlight, Prefill: held.Prefill + l.Prefill,
-				Moved: newerMove(held.Moved, l.Moved),
+				Moved: newerEventAge(held.Moved, l.Moved),
 			}
 		}
 	}
@@ -155,7 +154,8 @@
 	return sum
 }
 
-// Without returns the loads less those of one daemon that they include.
+// Without returns the loads minus the share of one daemon that they include. Replicas with no
+// requests left are omitted.
 func (l Loads) Without(own Loads) Loads {
 	byReplica := make(map[string]Load, len(own))
 	for _, o := range own {
--- a/peers/loads_test.go
+++ b/peers/loads_test.go
@@ -10,7 +10,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestPackedLoads checks that loads survive being packed.
+// TestPackedLoads checks that loads survive encoding and decoding.
 func TestPackedLoads(t *testing.T) {
 	loads := Loads{
 		{Replica: fleet.KeyOf("a-b", 268435645), InFlight: 3, Prefill: 1420, Moved: 40}, {Replica: fleet.KeyOf("a-b", 9), InFlight: 1, Moved: 1500},
@@ -23,17 +23,17 @@
 	assert.DeepEqual(t, sumLoads(back), sumLoads(loads))
 }
 
-// TestOwnWorkIsTakenOut takes a daemon's own work out of a sum that includes it, as it
-// was a moment ago.
-func TestOwnWorkIsTakenOut(t *testing.T) {
+// TestLoadsWithout checks the subtraction of a daemon's own work from a sum that includes an
+// earlier state of it.
+func TestLoadsWithout(t *testing.T) {
 	sum := Loads{{Replica: "a", InFlight: 3, Prefill: 300}, {Replica: "b", InFlight: 1, Prefill: 50}, {Replica: "c", InFlight: 2}}
 	own := Loads{{Replica: "a", InFlight: 1, Prefill: 100}, {Replica: "b", InFlight: 2, Prefill: 60}, {Replica: "d", InFlight: 1}}
 	assert.DeepEqual(t, sum.Without(own), Loads{{Replica: "a", InFlight: 2, Prefill: 200}, {Replica: "c", InFlight: 2}})
 }
 
-// TestMovesGrowOld: what is passed on tells how long ago the newest event of a replica
-// came, over all daemons that know one, and never makes it look newer than it was.
-func TestMovesGrowOld(t *testing.T) {
+// TestEventAgesIncrease checks that forwarded loads hold the age of the newest known event over
+// all daemons and never make it look newer.
+func TestEventAgesIncrease(t *testing.T) {
 	tests := map[string]struct {
 		own, other int64
 		age        time.Duration
@@ -59,7 +59,7 @@
 	assert.Equal(t, MovedAgo(now.Add(-time.Hour), now), int64(0))
 }
 
-// TestLoadsOfOlderDaemons reads what a daemon sends that tells no moves.
+// TestLoadsOfOlderDaemons checks that loads without event ages can be read.
 func TestLoadsOfOlderDaemons(t *testing.T) {
 	var got Loads
 	assert.NilError(t, got.UnmarshalJSON([]byte(`{"g":{"a":[5,2,100,1,3,0]}}`)))
@@ -68,14 +68,14 @@
 	})
 }
 
-// TestSummariesAreSplit checks that the parts of a summary hold its loads once, each
-// replica in the same part while their number stays, and add up to it.
+// TestSummariesAreSplit checks that the parts of a summary hold each load once and add up to the
+// whole.
 func TestSummariesAreSplit(t *testing.T) {
 	whole := Summary{Daemons: 9, Demand: map[string]float64{"m": 4}, Age: 120}
 	for i := range 2*loadsPerPart + 1 {
 		whole.Loads = append(whole.Loads, Load{Replica: fmt.Sprint(i), InFlight: 1})
 	}
-	parts := whole.parts()
+	parts := whole.split()
 	assert.Equal(t, len(parts), 3)
 	var sum Summary
 	for _, part := range parts {
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -19,19 +19,19 @@
 var errOff = errors.New("the daemon is off")
 
 const (
-	// smallLink and largeLink are links of machines, in bytes a second: 20 and 200
+	// smallLink and largeLink are the bandwidths of machines, in bytes per second: 20 and 200
 	// Mbit/s.
 	smallLink = 20e6 / 8
 	largeLink = 200e6 / 8
-	// linkQueue is how long a datagram waits for a link at most, linkDelay how long
-	// it then travels.
-	linkQueue = 100 * time.Millisecond
-	linkDelay = 1400 * time.Microsecond
-	// replicas is how many replicas the daemons' requests go to.
+	// maxQueueDelay is the longest time that a datagram waits for a link; linkDelay is the latency
+	// of the link.
+	maxQueueDelay = 100 * time.Millisecond
+	linkDelay     = 1400 * time.Microsecond
+	// replicas is the number of replicas that the daemons' requests go to.
 	replicas = 132
 )
 
-// network joins simulated daemons by links of bounded rate, in virtual time.
+// network connects simulated daemons by links of limited bandwidth, in virtual time.
 type network struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -40,18 +40,18 @@
 	ctx     context.Context
 }
 
-// simDaemon is an agent and its link.
+// simDaemon is an agent with its link.
 type simDaemon struct {
 	net   *network
 	agent *Agent
 	rate  float64
 	inbox chan []byte
 	stop  context.CancelFunc
-	// off daemons neither send nor receive; freeAt is when the link is free again.
+	// A daemon that is off neither sends nor receives. freeAt is when the link is idle again.
 	off    bool
 	freeAt time.Time
 	bytes  int
-	// lost counts datagrams that found the link full, largest is the longest one.
+	// lost counts datagrams dropped at a full link, largest is the size of the largest datagram.
 	lost, largest int
 	leads         *Claim
 	leaving       bool
@@ -65,7 +65,7 @@
 	return &network{random: rand.New(rand.NewPCG(seed, seed)), daemons: make(map[string]*simDaemon), ctx: ctx}
 }
 
-// add starts a daemon in a hall on a machine of some capacity.
+// add starts a daemon in a hall on a machine of the given capacity.
 func (n *network) add(t *testing.T, hall string, number, capacity int) *simDaemon {
 	t.Helper()
 	id := fmt.Sprintf("front-%s-%d", hall, number)
@@ -82,8 +82,8 @@
 	self := Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: hall, Address: id + ":1", Front: id + ":2", Capacity: capacity, Build: "01234567"}
 	agent, err := NewAgent(Options{
 		Self: self, Transport: Transport{Send: d.send, Receive: d.receive, Close: func() error { return nil }},
-		Compose: d.compose, Heard: func(*Peer) {}, News: func(_ *Peer, m *News) { d.take(m) },
-		Summed: func(string, Summary, time.Time) {}, Counted: func(string, int) {}, Logger: hclog.NewNullLogger(),
+		FillHeartbeat: d.compose, OnHeartbeat: func(*Peer) {}, OnNews: func(_ *Peer, m *News) { d.handleNews(m) },
+		OnSummary: func(string, Summary, time.Time) {}, OnSent: func(string, int) {}, Logger: hclog.NewNullLogger(),
 	})
 	assert.NilError(t, err)
 	d.agent = agent
@@ -96,8 +96,8 @@
 	return d
 }
 
-// fleet starts daemons in halls, the first few of each on larger machines, and lets
-// each know of all, as the store does.
+// fleet starts daemons in several halls, the last few of each on larger machines, and makes all of
+// them known to each other, as the store does.
 func (n *network) fleet(t *testing.T, halls, perHall, large int) []*simDaemon {
 	t.Helper()
 	var all []*simDaemon
@@ -126,8 +126,8 @@
 	h.Loads = d.loads
 }
 
-// take takes decisions, which a relay passes on if they are new to it.
-func (d *simDaemon) take(m *News) {
+// handleNews records decisions. A relay forwards those that are new to it.
+func (d *simDaemon) handleNews(m *News) {
 	d.net.mu.Lock()
 	known := d.leads != nil || slices.ContainsFunc(d.news, func(n News) bool { return n.Decisions.To == m.Decisions.To })
 	if !known {
@@ -147,7 +147,7 @@
 	if d.freeAt.Before(now) {
 		d.freeAt = now
 	}
-	if d.freeAt.Sub(now) > linkQueue {
+	if d.freeAt.Sub(now) > maxQueueDelay {
 		d.lost++
 		return nil
 	}
@@ -183,33 +183,33 @@
 	}
 }
 
-// set changes what a daemon does.
+// set runs change, which modifies daemons, under the lock.
 func (n *network) set(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// sent returns how many bytes each daemon sends a second, over a while.
-func (n *network) sent(all []*simDaemon, while time.Duration) map[*simDaemon]float64 {
+// sendRates returns how many bytes per second each daemon sends, averaged over a period.
+func (n *network) sendRates(all []*simDaemon, period time.Duration) map[*simDaemon]float64 {
 	before := make(map[*simDaemon]int)
 	n.set(func() {
 		for _, d := range all {
 			before[d] = d.bytes
 		}
 	})
-	time.Sleep(while)
+	time.Sleep(period)
 	rates := make(map[*simDaemon]float64)
 	n.set(func() {
 		for _, d := range all {
-			rates[d] = float64(d.bytes-before[d]) / while.Seconds()
+			rates[d] = float64(d.bytes-before[d]) / period.Seconds()
 		}
 	})
 	return rates
 }
 
-// names returns the ids of the daemons that one takes for alive.
-func (d *simDaemon) names() []string {
+// aliveIDs returns the ids of the daemons that this one considers alive.
+func (d *simDaemon) aliveIDs() []string {
 	var names []string
 	for _, p := range d.agent.Table().Alive(time.Now()) {
 		names = append(names, p.ID)
--- a/peers/relay_test.go
+++ b/peers/relay_test.go
@@ -13,7 +13,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// inVirtualTime plays a test on a network of its own.
+// inVirtualTime runs a test on a new network in virtual time.
 func inVirtualTime(t *testing.T, seed uint64, test func(t *testing.T, n *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -37,15 +37,15 @@
 	return counts
 }
 
-// checkKnown checks that a daemon knows all living daemons of its hall, and at
-// least some of each other hall.
+// checkKnown checks that a daemon knows all living daemons of its hall, and at least some of each
+// other hall.
 func checkKnown(t *testing.T, d *simDaemon, all []*simDaemon, least int) {
 	t.Helper()
-	names, halls := d.names(), make(map[string]int)
+	names, halls := d.aliveIDs(), make(map[string]int)
 	for _, other := range all {
 		known := slices.Contains(names, other.id())
 		if other.off && known {
-			t.Errorf("%s takes %s for alive", d.id(), other.id())
+			t.Errorf("%s considers %s alive", d.id(), other.id())
 		}
 		if !other.off && other != d && other.hall() == d.hall() && !known {
 			t.Errorf("%s does not know %s of its hall", d.id(), other.id())
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestControlFitsSmallLinks bounds what each daemon of a large fleet sends, also
-// where relays are on small machines.
-func TestControlFitsSmallLinks(t *testing.T) {
+// TestReportTrafficFitsSmallLinks limits what each daemon of a large fleet sends, also with relays
+// on small machines.
+func TestReportTrafficFitsSmallLinks(t *testing.T) {
 	tests := map[string]struct {
 		large int
 	}{
@@ -77,7 +77,7 @@
 				all := n.fleet(t, 5, 59, test.large)
 				time.Sleep(4 * time.Second)
 				checkRoles(t, all)
-				checkBounds(t, all, n.sent(all, 2*time.Second))
+				checkBounds(t, all, n.sendRates(all, 2*time.Second))
 				for _, d := range []*simDaemon{all[0], all[58], all[200]} {
 					checkKnown(t, d, all, relaysPerHall)
 				}
@@ -86,7 +86,7 @@
 	}
 }
 
-// checkRoles checks that each hall has its relays, and that all others are members.
+// checkRoles checks that each hall has its relays, and that all other daemons are members.
 func checkRoles(t *testing.T, all []*simDaemon) {
 	t.Helper()
 	for hall, counts := range roles(all) {
@@ -95,21 +95,22 @@
 	}
 }
 
-// checkBounds checks what daemons send a second, and what they know of the fleet.
+// checkBounds checks the send rates of daemons, and that each knows the size and demand of the
+// fleet.
 func checkBounds(t *testing.T, all []*simDaemon, rates map[*simDaemon]float64) {
 	t.Helper()
-	most := map[Role]float64{Member: 24e3, Relay: smallLink / 10}
+	limits := map[Role]float64{Member: 24e3, Relay: smallLink / 10}
 	for _, d := range all {
 		role := d.agent.Role()
-		assert.Assert(t, rates[d] < most[role], "%s, a %s, sends %.0f bytes a second", d.id(), role, rates[d])
+		assert.Assert(t, rates[d] < limits[role], "%s, a %s, sends %.0f bytes a second", d.id(), role, rates[d])
 		assert.Assert(t, d.largest < 1400, "%s sends %d bytes at once", d.id(), d.largest)
 		assert.Equal(t, d.lost, 0)
-		assert.Equal(t, d.agent.Fleet(time.Now()).Daemons, len(all))
-		assert.Equal(t, d.agent.Fleet(time.Now()).Demand["m"], float64(len(all)))
+		assert.Equal(t, d.agent.FleetSummary(time.Now()).Daemons, len(all))
+		assert.Equal(t, d.agent.FleetSummary(time.Now()).Demand["m"], float64(len(all)))
 	}
 }
 
-// relayOf returns a relay of a hall, the first or the second by its fitness.
+// relayOf returns the first or second relay of a hall by fitness.
 func relayOf(all []*simDaemon, hall string, which int) *simDaemon {
 	var relays []*simDaemon
 	for _, d := range all {
@@ -121,11 +122,11 @@
 	return relays[which]
 }
 
-// TestFleetBearsTheLossOfRelays takes daemons away and checks that soon all others
-// know so, know each other, and are reached by news.
-func TestFleetBearsTheLossOfRelays(t *testing.T) {
-	// soon is the time in which a silent daemon is known to be; later that in which
-	// others take over from all relays of a hall, and are met by the other halls.
+// TestFleetToleratesLossOfRelays stops daemons and checks that all others soon notice, know each
+// other and receive news.
+func TestFleetToleratesLossOfRelays(t *testing.T) {
+	// soon is the time to detect a silent daemon. later also includes the time for others to
+	// replace all relays of a hall and become known to the other halls.
 	const soon, later = 1300 * time.Millisecond, 2 * time.Second
 	tests := map[string]struct {
 		loss   float64
@@ -167,14 +168,13 @@
 	}
 }
 
-// newsSent is how much news a leader sends for checkReached. Where a tenth of the datagrams is
-// lost, both relays of a hall miss one piece in a hundred, and with them their whole hall: of
-// a single piece that says nothing.
+// newsSent is the number of pieces of news that a leader sends for checkReached. With a tenth of
+// the datagrams lost, both relays of a hall miss a piece now and then, so a single piece proves
+// nothing.
 const newsSent = 40
 
-// checkReached checks that all living daemons know the others, and were reached by
-// a leader's news; of news that was lost on the way they learn by the positions in
-// heartbeats, which package serving tests.
+// checkReached checks that all living daemons know the others and received a leader's news.
+// Recovery from lost news is tested in package serving.
 func checkReached(t *testing.T, all []*simDaemon, leader *simDaemon, loss float64) {
 	t.Helper()
 	missed := 0
@@ -185,11 +185,11 @@
 		checkKnown(t, d, all, 1)
 		missed += newsSent - len(d.news)
 	}
-	assert.Assert(t, float64(missed) <= loss*float64(newsSent*len(all)), "%d pieces of news missed their daemons", missed)
+	assert.Assert(t, float64(missed) <= loss*float64(newsSent*len(all)), "%d pieces of news were not delivered", missed)
 }
 
-// TestDecisionsFitTheLeadersLink lets a small machine that leads decide as often as
-// in the forming of all replicas of 760 workers.
+// TestDecisionsFitTheLeadersLink checks that a leader on a small machine can send decisions as
+// fast as when a large fleet forms all its replicas.
 func TestDecisionsFitTheLeadersLink(t *testing.T) {
 	leaders := map[string]func(all []*simDaemon) *simDaemon{
 		"a relay leads":  func(all []*simDaemon) *simDaemon { return relayOf(all, "hall3", 0) },
@@ -203,12 +203,12 @@
 				time.Sleep(3 * time.Second)
 				leader := choose(all)
 				n.set(func() { leader.leads = &Claim{Epoch: 1} })
-				// Others know a new leader by its heartbeat before they take news of it.
-				time.Sleep(2 * heartbeatEvery)
+				// Others must know a new leader from its heartbeat before they accept its news.
+				time.Sleep(2 * heartbeatInterval)
 				start := leader.bytes
 				decide(leader, decisions, every)
 				rate := float64(leader.bytes-start) / (decisions * every).Seconds()
-				time.Sleep(linkQueue)
+				time.Sleep(maxQueueDelay)
 				assert.Assert(t, rate < 1e6, "the leader sends %.0f bytes a second", rate)
 				assert.Equal(t, leader.lost, 0)
 				for _, d := range all {
@@ -219,7 +219,7 @@
 	}
 }
 
-// decide lets a leader pass on decisions, one after the other.
+// decide makes a leader send decisions one after the other.
 func decide(leader *simDaemon, count int, every time.Duration) {
 	for i := range count {
 		group := fleet.GroupName("model", int64(i), &fleet.Worker{ID: "i-5b1fe61aea", Address: "10.2.64.162:8460"})
@@ -229,7 +229,8 @@
 	}
 }
 
-// TestLeavingIsKnownSoon lets a member and a relay announce that they leave.
+// TestLeavingIsKnownSoon checks that other daemons of the hall learn quickly that a member or a
+// relay is leaving.
 func TestLeavingIsKnownSoon(t *testing.T) {
 	inVirtualTime(t, 3, func(t *testing.T, n *network) {
 		all := n.fleet(t, 3, 12, 2)
@@ -241,9 +242,9 @@
 			}
 		})
 		for _, d := range leaving {
-			d.agent.Send(time.Now())
+			d.agent.SendHeartbeat(time.Now())
 		}
-		time.Sleep(2*heartbeatEvery + 50*time.Millisecond)
+		time.Sleep(2*heartbeatInterval + 50*time.Millisecond)
 		for _, d := range all {
 			checkLeaving(t, d, leaving[0].id())
 			checkLeaving(t, d, leaving[1].id())
@@ -251,18 +252,18 @@
 	})
 }
 
-// checkLeaving checks that a daemon knows of one of its hall that it leaves.
+// checkLeaving checks that a daemon knows that another one of its hall is leaving.
 func checkLeaving(t *testing.T, d *simDaemon, id string) {
 	t.Helper()
 	for _, p := range d.agent.Table().Alive(time.Now()) {
 		if p.ID == id && p.Zone == d.hall() {
-			assert.Assert(t, p.Leaving, "%s does not know that %s leaves", d.id(), id)
+			assert.Assert(t, p.Leaving, "%s does not know that %s is leaving", d.id(), id)
 		}
 	}
 }
 
-// TestFleetFindsBackTogether cuts a hall off from the others for a while.
-func TestFleetFindsBackTogether(t *testing.T) {
+// TestFleetRejoinsAfterPartition cuts a hall off from the others for a while.
+func TestFleetRejoinsAfterPartition(t *testing.T) {
 	inVirtualTime(t, 4, func(t *testing.T, n *network) {
 		all := n.fleet(t, 3, 12, 2)
 		time.Sleep(3 * time.Second)
@@ -280,13 +281,13 @@
 		time.Sleep(3 * time.Second)
 		for _, d := range all {
 			checkKnown(t, d, all, relaysPerHall)
-			assert.Equal(t, d.agent.Fleet(time.Now()).Daemons, len(all))
+			assert.Equal(t, d.agent.FleetSummary(time.Now()).Daemons, len(all))
 		}
 	})
 }
 
-// TestNewDaemonsAreFound starts daemons that read the store before others knew them.
-func TestNewDaemonsAreFound(t *testing.T) {
+// TestNewDaemonsAreDiscovered starts a daemon that knows the others before they know it.
+func TestNewDaemonsAreDiscovered(t *testing.T) {
 	inVirtualTime(t, 5, func(t *testing.T, n *network) {
 		all := n.fleet(t, 3, 12, 2)
 		time.Sleep(3 * time.Second)
@@ -298,15 +299,14 @@
 		all = append(all, late)
 		for _, d := range all {
 			checkKnown(t, d, all, relaysPerHall)
-			assert.Equal(t, d.agent.Fleet(time.Now()).Daemons, len(all))
+			assert.Equal(t, d.agent.FleetSummary(time.Now()).Daemons, len(all))
 		}
 	})
 }
 
-// TestRelayThatLeavesHandsOver: a relay that says that it leaves is followed by the next
-// fittest of its hall before it ends, so that no report is missed when it does. Until then it
-// goes on relaying.
-func TestRelayThatLeavesHandsOver(t *testing.T) {
+// TestLeavingRelayHandsOver checks that the next fittest daemon of the hall takes over from a
+// leaving relay before that one stops, and that no reports are missed.
+func TestLeavingRelayHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -315,34 +315,34 @@
 		time.Sleep(3 * time.Second)
 		leaving := relayOf(all, "hall0", 0)
 		n.set(func() { leaving.leaving = true })
-		leaving.agent.Send(time.Now())
-		time.Sleep(2 * heartbeatEvery)
+		leaving.agent.SendHeartbeat(time.Now())
+		time.Sleep(2 * heartbeatInterval)
 		synctest.Wait()
 		staying := slices.DeleteFunc(slices.Clone(all), func(d *simDaemon) bool { return d == leaving || d.hall() != leaving.hall() })
-		assert.Equal(t, roles(staying)[leaving.hall()][Relay], relaysPerHall, "nobody followed it yet")
+		assert.Equal(t, roles(staying)[leaving.hall()][Relay], relaysPerHall, "its successor has not taken over")
 		n.set(func() { leaving.off = true })
 		for range 10 {
-			time.Sleep(heartbeatEvery / 2)
+			time.Sleep(heartbeatInterval / 2)
 			for _, d := range staying {
-				checkSees(t, d, staying)
+				checkAlive(t, d, staying)
 			}
 		}
 	})
 }
 
-// checkSees checks that a daemon takes all of some for alive.
-func checkSees(t *testing.T, d *simDaemon, some []*simDaemon) {
+// checkAlive checks that a daemon considers all of some others alive.
+func checkAlive(t *testing.T, d *simDaemon, some []*simDaemon) {
 	t.Helper()
-	names := d.names()
+	names := d.aliveIDs()
 	for _, other := range some {
-		assert.Assert(t, other == d || slices.Contains(names, other.id()), "%s has lost sight of %s", d.id(), other.id())
+		assert.Assert(t, other == d || slices.Contains(names, other.id()), "%s no longer considers %s alive", d.id(), other.id())
 	}
 }
 
-// TestRelaysThatComeBackTakeOverSlowly ends both relays of a hall and starts them anew. They
-// are fitter than those that followed them, but know only whom the member list names, so that
-// the others go on relaying until the new lives know the hall.
-func TestRelaysThatComeBackTakeOverSlowly(t *testing.T) {
+// TestRestartedRelaysTakeOverSlowly restarts both relays of a hall. They are fitter than their
+// successors but at first know only the daemons in the member list, so the successors must
+// continue until the restarted ones know the hall.
+func TestRestartedRelaysTakeOverSlowly(t *testing.T) {
 	inVirtualTime(t, 8, func(t *testing.T, n *network) {
 		const listed = 32
 		all := n.fleet(t, 2, 60, 3)
@@ -361,14 +361,14 @@
 			for _, other := range append(slices.Clone(staying[:listed]), former...) {
 				back.agent.Table().Learn(other.agent.opts.Self, time.Now())
 			}
-			back.agent.Arrange(time.Now())
+			back.agent.UpdateLayout(time.Now())
 		}
 		for range 40 {
-			time.Sleep(heartbeatEvery / 2)
+			time.Sleep(heartbeatInterval / 2)
 			for _, d := range staying {
-				checkSees(t, d, staying)
+				checkAlive(t, d, staying)
 			}
 		}
-		assert.Equal(t, roles(staying)["hall0"][Relay], 0, "those that followed go on")
+		assert.Equal(t, roles(staying)["hall0"][Relay], 0, "the successors are still relays")
 	})
 }
--- a/peers/reports.go
+++ b/peers/reports.go
@@ -6,24 +6,22 @@
 )
 
 const (
-	// reportedMost is how many daemons of its hall a relay reports on, the fittest first:
-	// callers take as many addresses from one answer, and the next relays are among them.
-	// Of a hall of 197 each status round is one datagram to each member rather than three,
-	// and the requests of a hall come to these, who keep more connections and know more.
-	reportedMost = 64
-	// statusesPerDatagram bounds the daemons that one datagram reports on: packed
-	// and deflated, one takes about ten bytes.
+	// maxReportedDaemons limits how many daemons of its hall a relay reports on, fittest first. It
+	// bounds the datagrams of each status round in large halls, matches the number of addresses
+	// that callers take from one response, and includes the next relays.
+	maxReportedDaemons = 64
+	// statusesPerDatagram limits the daemons reported on in one datagram: an encoded status takes
+	// about ten bytes.
 	statusesPerDatagram = 80
-	// knownPerRound is how many identities a relay passes on in a round: those of
-	// all 60 daemons of a hall within some six seconds from one relay.
-	knownPerRound = 4
-	// newFor is how long a daemon counts as new, so that its identity is passed on
-	// before those of others.
-	newFor = 3 * time.Second
+	// identitiesPerRound is the number of identities that a relay forwards in a round.
+	identitiesPerRound = 4
+	// newPeerPeriod is how long a daemon counts as new; identities of new daemons are forwarded
+	// first.
+	newPeerPeriod = 3 * time.Second
 )
 
-// hallMessages returns what a relay passes on within its hall in a round: by
-// turns whom it hears, and the work of all daemons.
+// hallMessages returns a relay's messages within its hall for a round: alternately the daemons
+// that it hears and the work of all daemons.
 func (a *Agent) hallMessages(own *Heartbeat, now time.Time, round int) []*message {
 	if round%2 == 0 {
 		return a.statusMessages(own, now, round)
@@ -31,23 +29,23 @@
 	return a.summaryMessages(own, a.fleetSummary(own, now), func(m *message, s *Summary) { m.Fleet = s })
 }
 
-// acrossMessages returns what a relay tells those of other halls in a round.
-func (a *Agent) acrossMessages(own *Heartbeat, now time.Time, round int) []*message {
+// crossHallMessages returns a relay's messages to relays of other halls for a round.
+func (a *Agent) crossHallMessages(own *Heartbeat, now time.Time, round int) []*message {
 	if round%2 == 0 {
-		return []*message{a.message(own)}
+		return []*message{a.newMessage(own)}
 	}
 	return a.summaryMessages(own, a.hallSummary(own, now), func(m *message, s *Summary) { m.Hall = s })
 }
 
-// message returns a message that holds a heartbeat, or none if it is nil.
-func (a *Agent) message(own *Heartbeat) *message {
+// newMessage returns a message with a heartbeat, which may be nil.
+func (a *Agent) newMessage(own *Heartbeat) *message {
 	return &message{ID: a.opts.Self.ID, Incarnation: a.opts.Self.Incarnation, Heartbeat: own}
 }
 
 func (a *Agent) summaryMessages(own *Heartbeat, s Summary, put func(m *message, s *Summary)) []*message {
 	var all []*message
-	for i, part := range s.parts() {
-		m := a.message(nil)
+	for i, part := range s.split() {
+		m := a.newMessage(nil)
 		if i == 0 {
 			m.Heartbeat = own
 		}
@@ -58,30 +56,30 @@
 }
 
 func (a *Agent) statusMessages(own *Heartbeat, now time.Time, round int) []*message {
-	heard := a.table.heardOfLate(now)
-	first := a.message(own)
-	first.Known = someKnown(heard, now, round)
-	heard = reported(heard, a.opts.Self.Zone)
+	heard := a.table.heardRecently(now)
+	first := a.newMessage(own)
+	first.Known = selectIdentities(heard, now, round)
+	heard = selectReported(heard, a.opts.Self.Zone)
 	all := []*message{first}
 	for len(heard) > 0 {
 		n := min(len(heard), statusesPerDatagram)
 		m := all[len(all)-1]
 		for _, p := range heard[:n] {
 			m.Statuses = append(m.Statuses, Status{
-				ID: p.ID, Life: lifeOf(p.Incarnation), Ready: p.Ready, Leaving: p.Leaving, Age: now.Sub(p.HeardAt).Milliseconds(),
+				ID: p.ID, ShortIncarnation: shortIncarnation(p.Incarnation), Ready: p.Ready, Leaving: p.Leaving, Age: now.Sub(p.HeardAt).Milliseconds(),
 			})
 		}
 		if heard = heard[n:]; len(heard) > 0 {
-			all = append(all, a.message(nil))
+			all = append(all, a.newMessage(nil))
 		}
 	}
 	return all
 }
 
-// reported returns the daemons that a relay reports on: all that leave, which callers must
-// not be sent to, and the fittest of its hall that stay. Daemons of other halls are named as
-// far as they are heard.
-func reported(heard []*Peer, hall string) []*Peer {
+// selectReported returns the daemons that a relay reports on: all that are leaving, to which
+// callers must not be sent, and the fittest of its hall that stay. All daemons heard from other
+// halls are included.
+func selectReported(heard []*Peer, hall string) []*Peer {
 	var all, staying []*Peer
 	for _, p := range heard {
 		if p.Leaving || p.Zone != hall {
@@ -91,11 +89,11 @@
 		staying = append(staying, p)
 	}
 	slices.SortFunc(staying, compareRelays)
-	return append(all, staying[:min(len(staying), reportedMost)]...)
+	return append(all, staying[:min(len(staying), maxReportedDaemons)]...)
 }
 
-// heardOfLate returns the daemons that were themselves heard of late, sorted by id.
-func (t *Table) heardOfLate(now time.Time) []*Peer {
+// heardRecently returns the daemons heard directly within aliveTimeout, sorted by id.
+func (t *Table) heardRecently(now time.Time) []*Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []*Peer
@@ -107,12 +105,12 @@
 	return all
 }
 
-// someKnown returns a few identities: of new daemons as long as there are any, and
-// of others by turns.
-func someKnown(heard []*Peer, now time.Time, round int) []Identity {
+// selectIdentities returns a few identities: those of new daemons if there are any, otherwise of
+// all in turn.
+func selectIdentities(heard []*Peer, now time.Time, round int) []Identity {
 	var fresh []*Peer
 	for _, p := range heard {
-		if now.Sub(p.addedAt) < newFor {
+		if now.Sub(p.addedAt) < newPeerPeriod {
 			fresh = append(fresh, p)
 		}
 	}
@@ -120,9 +118,9 @@
 		fresh = heard
 	}
 	var some []Identity
-	for i := range min(knownPerRound, len(fresh)) {
-		identity := fresh[(round/2*knownPerRound+i)%len(fresh)].Identity
-		// Its own heartbeats tell these to all that need them.
+	for i := range min(identitiesPerRound, len(fresh)) {
+		identity := fresh[(round/2*identitiesPerRound+i)%len(fresh)].Identity
+		// Daemons that need these get them from its own heartbeats.
 		identity.Format, identity.Build = Format{}, ""
 		some = append(some, identity)
 	}
--- a/peers/table.go
+++ b/peers/table.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// aliveFor is how long a daemon counts as alive after a heartbeat. It spans
-	// several heartbeats, since datagrams get lost.
-	aliveFor = 800 * time.Millisecond
-	// reportedFor is how long a daemon counts as alive after a relay heard it: a
-	// relay reports a daemon until it was silent for aliveFor, at every second
-	// heartbeat, and one of its reports may be lost.
-	reportedFor = aliveFor + 2*heartbeatEvery
-	// lifeAfter is how long a life must have been silent for one with a lower
-	// incarnation to follow it: the clock that incarnations come from may have
-	// been set back before a restart.
-	lifeAfter = 2 * time.Second
-	// forgetAfter is how long a silent daemon is still sent heartbeats, so that
-	// it finds back after a partition.
+	// aliveTimeout is how long a daemon counts as alive after a heartbeat. It spans several
+	// heartbeats, since datagrams may be lost.
+	aliveTimeout = 800 * time.Millisecond
+	// reportedAliveTimeout is how long a daemon counts as alive after a relay heard it: a relay
+	// reports a daemon at every second heartbeat until it was silent for aliveTimeout, and one
+	// report may be lost.
+	reportedAliveTimeout = aliveTimeout + 2*heartbeatInterval
+	// lowerIncarnationDelay is how long an incarnation must have been silent before a lower one
+	// may replace it: the clock that incarnations are taken from may have been set back before a
+	// restart.
+	lowerIncarnationDelay = 2 * time.Second
+	// forgetAfter is how long heartbeats are sent to a silent daemon, so that it reconnects after
+	// a partition.
 	forgetAfter = 90 * time.Second
-	// expectFor is how long a daemon that was never heard is expected to be alive
-	// after it became known: daemons start within 0.3 s of each other.
-	expectFor = time.Second
+	// assumedAliveFor is how long after becoming known a daemon that was never heard is assumed to
+	// be alive.
+	assumedAliveFor = time.Second
 )
 
-// Table holds what is known of the other daemons. It is safe for concurrent use.
+// Table holds the state of the other daemons. It is safe for concurrent use.
 type Table struct {
 	self Identity
 
 	mu    sync.Mutex
 	peers map[string]*Peer
-	// registered holds all daemons that were ever known, this one too.
-	registered registered
-	// formats holds which versions of the format daemons speak.
+	// everKnown holds all daemons that were ever known, this one included.
+	everKnown everKnown
+	// formats holds the format versions of the daemons heard.
 	formats formats
-	// pausedUntil is until when silence counts less: after this process stood
-	// still for pausedFor, heartbeats that waited for it have yet to be read.
-	pausedUntil time.Time
-	pausedFor   time.Duration
+	// After this process was paused for pausedFor, that time is deducted from silences until
+	// pauseGraceUntil, since heartbeats received meanwhile have yet to be read.
+	pauseGraceUntil time.Time
+	pausedFor       time.Duration
 }
 
-// NewTable returns a table that knows nobody.
+// NewTable returns a table that knows only the daemon itself.
 func NewTable(self Identity) *Table {
-	return &Table{self: self, peers: make(map[string]*Peer), registered: registered{ids: []string{self.ID}, hall: []Identity{self}}}
+	return &Table{self: self, peers: make(map[string]*Peer), everKnown: everKnown{ids: []string{self.ID}, hall: []Identity{self}}}
 }
 
-// Learn notes that a life of a daemon exists. It need not be alive.
+// Learn records that an incarnation of a daemon exists. It may no longer be alive.
 func (t *Table) Learn(identity Identity, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if identity.Address == "" {
 		return
 	}
-	t.register(identity)
-	if t.outlived(identity, now) {
+	t.recordIdentity(identity)
+	if t.isSuperseded(identity, now) {
 		return
 	}
 	if held, ok := t.peers[identity.ID]; ok && held.Incarnation == identity.Incarnation {
@@ -65,61 +65,62 @@
 	t.peers[identity.ID] = &Peer{Heartbeat: Heartbeat{Identity: identity}, addedAt: now}
 }
 
-// register notes a daemon among all that were ever known.
-func (t *Table) register(identity Identity) {
-	t.registered.add(identity.ID)
+// recordIdentity adds a daemon to those that were ever known.
+func (t *Table) recordIdentity(identity Identity) {
+	t.everKnown.add(identity.ID)
 	if identity.Zone == t.self.Zone {
-		t.registered.addToHall(identity)
+		t.everKnown.addToHall(identity)
 	}
 }
 
-// outlived reports whether a life is this daemon's own, or an earlier one of it
-// or of another daemon.
-func (t *Table) outlived(identity Identity, now time.Time) bool {
+// isSuperseded reports whether an identity is this daemon's own, an earlier incarnation of it, or
+// an earlier incarnation of another daemon.
+func (t *Table) isSuperseded(identity Identity, now time.Time) bool {
 	if identity.Address != "" && identity.Address == t.self.Address || identity.ID == t.self.ID && identity.Incarnation <= t.self.Incarnation {
 		return true
 	}
 	held, ok := t.peers[identity.ID]
-	return ok && held.Incarnation > identity.Incarnation && now.Sub(held.lastSign()) < lifeAfter
+	return ok && held.Incarnation > identity.Incarnation && now.Sub(held.lastSeen()) < lowerIncarnationDelay
 }
 
-// HeldUp notes that this process stood still for a while up to now.
-func (t *Table) HeldUp(now time.Time, gap time.Duration) {
+// NotePause records that this process was paused for gap until now.
+func (t *Table) NotePause(now time.Time, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pausedUntil, t.pausedFor = now.Add(aliveFor), gap
+	t.pauseGraceUntil, t.pausedFor = now.Add(aliveTimeout), gap
 }
 
-// Slept notes that the machine was suspended for a while up to now, which the steady clock
-// does not count: others were heard so much earlier, and what waits has yet to be read.
-func (t *Table) Slept(now time.Time, asleep time.Duration) {
+// NoteSuspension records that the machine was suspended until now, which the monotonic clock does
+// not count: recorded times move back accordingly, and datagrams received meanwhile have yet to be
+// read.
+func (t *Table) NoteSuspension(now time.Time, suspended time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, p := range t.peers {
 		earlier := *p
 		for _, at := range []*time.Time{&earlier.HeardAt, &earlier.SentAfter, &earlier.reportedAt, &earlier.addedAt} {
 			if !at.IsZero() {
-				*at = at.Add(-asleep)
+				*at = at.Add(-suspended)
 			}
 		}
 		t.peers[id] = &earlier
 	}
-	t.pausedUntil, t.pausedFor = now.Add(aliveFor), asleep
+	t.pauseGraceUntil, t.pausedFor = now.Add(aliveTimeout), suspended
 }
 
-// Hear takes a heartbeat. It reports false for one that is out of date.
-func (t *Table) Hear(h Heartbeat, now, sentAfter time.Time) bool {
+// RecordHeartbeat stores a heartbeat. It reports false if the heartbeat is out of date.
+func (t *Table) RecordHeartbeat(h Heartbeat, now, sentAfter time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.register(h.Identity)
-	if t.outlived(h.Identity, now) {
+	t.recordIdentity(h.Identity)
+	if t.isSuperseded(h.Identity, now) {
 		return false
 	}
-	t.formats.note(h.Format.version(), now)
+	t.formats.record(h.Format.effectiveVersion(), now)
 	next := &Peer{Heartbeat: h, HeardAt: now, SentAfter: sentAfter, addedAt: now}
 	if held, ok := t.peers[h.ID]; ok && held.Incarnation == h.Incarnation {
 		if held.SentAfter.After(sentAfter) {
-			// Datagrams may overtake each other.
+			// Datagrams may arrive out of order.
 			held.HeardAt = now
 			return false
 		}
@@ -129,12 +130,12 @@
 	return true
 }
 
-// Report takes a relay's word about a daemon whose identity is known.
-func (t *Table) Report(s Status, now time.Time) {
+// RecordStatus stores a relay's report on a daemon whose identity is known.
+func (t *Table) RecordStatus(s Status, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held, ok := t.peers[s.ID]
-	if !ok || lifeOf(held.Incarnation) != s.Life {
+	if !ok || shortIncarnation(held.Incarnation) != s.ShortIncarnation {
 		return
 	}
 	at := now.Add(-time.Duration(s.Age) * time.Millisecond)
@@ -143,16 +144,16 @@
 	}
 	next := *held
 	next.reportedAt = at
-	if at.Sub(held.HeardAt) > aliveFor {
-		// What the daemon itself reported is out of date.
+	if at.Sub(held.HeardAt) > aliveTimeout {
+		// The daemon's last heartbeat is out of date.
 		next.Heartbeat = Heartbeat{Identity: held.Identity, Ready: s.Ready, Leaving: s.Leaving}
 	}
 	t.peers[s.ID] = &next
 }
 
-// complete fills in what a brief heartbeat leaves out, and reports false if no
-// whole one of the same life was heard.
-func (t *Table) complete(h *Heartbeat) bool {
+// fillBrief adds what a brief heartbeat omits. It reports false if no full heartbeat of the same
+// incarnation was received.
+func (t *Table) fillBrief(h *Heartbeat) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held, ok := t.peers[h.ID]
@@ -163,16 +164,15 @@
 	return true
 }
 
-// heard returns the peer that a life of a daemon is, and false if it was never heard.
-func (t *Table) heard(id string, incarnation int64) (*Peer, bool) {
+// heardPeer returns the peer of an incarnation, and false if it was never heard directly.
+func (t *Table) heardPeer(id string, incarnation int64) (*Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, ok := t.peers[id]
 	return p, ok && p.Incarnation == incarnation && !p.HeardAt.IsZero()
 }
 
-// Alive returns the daemons that are known to live, sorted by id: those heard of
-// late, and those that a relay heard.
+// Alive returns the daemons that are alive, sorted by id: heard recently, directly or by a relay.
 func (t *Table) Alive(now time.Time) []*Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +182,7 @@
 func (t *Table) alive(now time.Time) []*Peer {
 	var all []*Peer
 	for _, p := range t.peers {
-		if t.isHeard(p, now) || t.since(p.reportedAt, now) < reportedFor {
+		if t.isHeard(p, now) || t.elapsed(p.reportedAt, now) < reportedAliveTimeout {
 			all = append(all, p)
 		}
 	}
@@ -190,21 +190,20 @@
 	return all
 }
 
-// isHeard reports whether a daemon was itself heard of late.
-func (t *Table) isHeard(p *Peer, now time.Time) bool { return t.since(p.HeardAt, now) < aliveFor }
+// isHeard reports whether a daemon was recently heard directly.
+func (t *Table) isHeard(p *Peer, now time.Time) bool { return t.elapsed(p.HeardAt, now) < aliveTimeout }
 
-// since returns how long ago a time was, less what this process may not have
-// noticed while it stood still.
-func (t *Table) since(at, now time.Time) time.Duration {
+// elapsed returns the time since at, minus the recent pause of this process.
+func (t *Table) elapsed(at, now time.Time) time.Duration {
 	span := now.Sub(at)
-	if now.Before(t.pausedUntil) {
+	if now.Before(t.pauseGraceUntil) {
 		span -= t.pausedFor
 	}
 	return span
 }
 
-// LeaderAge returns how long ago a leader that stays was last heard, in
-// milliseconds; 0 if none was.
+// LeaderAge returns the time since a leader that is not leaving was last heard, in milliseconds; 0
+// if none was.
 func (t *Table) LeaderAge(now time.Time) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,50 +219,50 @@
 	return age
 }
 
-// NoteFormat notes that a relay heard daemons of which the earliest version is the given one.
+// NoteFormat records the earliest version among the daemons that a relay heard.
 func (t *Table) NoteFormat(version int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.formats.note(version, now)
+	t.formats.record(version, now)
 }
 
-// OldestFormat returns the earliest version of the format that a daemon in touch speaks, this
-// one included: the fleet acts by what that one understands.
+// OldestFormat returns the earliest format version in use by recently heard daemons, this one
+// included. The whole fleet keeps to it.
 func (t *Table) OldestFormat(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.formats.oldest(now)
 }
 
-// Patience returns how long a daemon counts as alive after a heartbeat.
-func (t *Table) Patience() time.Duration { return aliveFor }
+// AliveTimeout returns how long a daemon counts as alive after a heartbeat.
+func (t *Table) AliveTimeout() time.Duration { return aliveTimeout }
 
-// Known returns how many daemons were known to live since the given time and
-// were not leaving, whether they are alive or not.
-func (t *Table) Known(since time.Time) int {
+// KnownSince returns the number of daemons, alive or not, that were seen after the given time and
+// were not leaving.
+func (t *Table) KnownSince(since time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := 0
 	for _, p := range t.peers {
-		if p.lastSign().After(since) && !p.Leaving {
+		if p.lastSeen().After(since) && !p.Leaving {
 			known++
 		}
 	}
 	return known
 }
 
-// Settled reports whether heartbeats that waited while this process stood still
-// have had time to be read.
-func (t *Table) Settled(now time.Time) bool {
+// HasCaughtUp reports whether heartbeats that arrived while this process was paused have had time
+// to be read.
+func (t *Table) HasCaughtUp(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !now.Before(t.pausedUntil)
+	return !now.Before(t.pauseGraceUntil)
 }
 
-// forget drops daemons that were silent for long.
+// forget drops daemons that were silent for longer than forgetAfter.
 func (t *Table) forget(now time.Time) {
 	for id, p := range t.peers {
-		if now.Sub(p.addedAt) > forgetAfter && now.Sub(p.lastSign()) > forgetAfter {
+		if now.Sub(p.addedAt) > forgetAfter && now.Sub(p.lastSeen()) > forgetAfter {
 			delete(t.peers, id)
 		}
 	}
--- a/peers/topology.go
+++ b/peers/topology.go
@@ -7,42 +7,39 @@
 )
 
 const (
-	// directMost is how many daemons a fleet has at most in which all report to
-	// all; directAgain is at how many a larger one returns to that. With 24 daemons a
-	// round of heartbeats is as many datagrams as a relay sends for a hall of 24.
-	directMost  = 24
-	directAgain = 16
-	// relaysPerHall is how many daemons of a data hall pass reports on, so that
-	// one may fail at any moment.
+	// maxDirectDaemons is the largest fleet in which all daemons report to all others. A larger
+	// one returns to that mode when it shrinks to directAgainAt.
+	maxDirectDaemons = 24
+	directAgainAt    = 16
+	// relaysPerHall is the number of relays in each data hall, so that any one may fail.
 	relaysPerHall = 2
-	// uplinks is how many daemons of their hall others report to: the relays, and
-	// the one that takes over when one of them fails.
-	uplinks = relaysPerHall + 1
-	// standbyRounds is how seldom the third uplink is told, in rounds: it knows from the
-	// relays who lives, and is told in each round once it relays.
-	standbyRounds = 4
-	// handOver is for how long a relay goes on relaying beside a fitter daemon whose life has
-	// just begun: that one knows whom the member list names, and hears of the rest of its
-	// hall within a second.
-	handOver = 2 * time.Second
-	// probes is how many silent daemons a relay tries in each round.
-	probes = 2
+	// uplinkCount is the number of daemons of its hall that a member reports to: the relays, and
+	// the one that takes over when a relay fails.
+	uplinkCount = relaysPerHall + 1
+	// standbyRoundInterval is the number of rounds between two reports to the standby uplink,
+	// which learns from the relays who is alive.
+	standbyRoundInterval = 4
+	// relayHandOver is how long a relay continues beside a fitter daemon that has just started,
+	// until that one has heard from the rest of its hall.
+	relayHandOver = 2 * time.Second
+	// probesPerRound is the number of silent daemons that a relay probes in each round.
+	probesPerRound = 2
 )
 
-// Role is a daemon's part in passing reports on.
+// Role is a daemon's role in forwarding reports.
 type Role int
 
-// The roles.
+// The roles of a daemon.
 const (
 	// Direct daemons report to all others.
 	Direct Role = iota
 	// Member daemons report to the relays of their data hall.
 	Member
-	// Relay daemons pass reports on within their data hall and between halls.
+	// Relay daemons forward reports within their data hall and between data halls.
 	Relay
 )
 
-// String returns the role's name in logs and counters.
+// String returns the role's name for logs and metrics.
 func (r Role) String() string {
 	switch r {
 	case Direct:
@@ -55,84 +52,80 @@
 	return "unknown"
 }
 
-// CompareFitness orders daemons by how fit they are to lead: those on larger machines come
-// first, since they send the most, and among equals those that run the longest, since they
-// know the fleet best.
+// CompareFitness orders daemons by fitness to lead: larger machines first, since they can send the
+// most, then those that have been running for longest, since they know the fleet best.
 func CompareFitness(a, b Identity) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.ID, b.ID))
 }
 
-// CompareRelays orders daemons by how fit they are to relay: those on larger machines come
-// first, and the order of equals is the same in all their lives. After the end of all daemons
-// the member list holds former lives, and each daemon knows the new life of itself alone:
-// ordered by incarnations, 986 daemons did not agree on who relays, and 1,770 calls read the
-// list of workers where 70 do.
+// CompareRelays orders daemons by fitness to relay: larger machines first, then by id. It does not
+// use incarnations because daemons may know different ones after a restart of the whole fleet, and
+// all must agree on the relays.
 func CompareRelays(a, b Identity) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.ID, b.ID))
 }
 
 func compareRelays(a, b *Peer) int { return CompareRelays(a.Identity, b.Identity) }
 
-// layout is whom a daemon reports to in one round, by address.
+// layout holds the addresses that a daemon reports to in one round.
 type layout struct {
 	role Role
-	// peers get what this daemon reports of itself: all others of a small fleet,
-	// the relays of the own hall in a larger one.
+	// peers get this daemon's own heartbeat: all others in a small fleet, the relays of the own
+	// hall in a larger one.
 	peers []string
-	// hall gets what a relay passes on within its own hall.
+	// hall gets the reports of a relay within its own hall.
 	hall []string
-	// fellows holds the other relays of the own hall, rank is the own place among them.
-	fellows []string
-	rank    int
-	// relays holds those of the own hall, where this daemon is a member.
-	relays []Identity
-	// across holds the relays of other halls, and a leader that is none: relays and
-	// leaders report to them.
-	across []string
+	// otherRelays holds the other relays of the own hall, rank is this daemon's place among the
+	// relays.
+	otherRelays []string
+	rank        int
+	// hallRelays holds the identities of the relays of the own hall, except for this daemon.
+	hallRelays []Identity
+	// otherHalls holds the relays of other halls and any leader there. Relays and leaders report
+	// to them.
+	otherHalls []string
 }
 
-// reached returns all whom a daemon reports to itself.
-func (l layout) reached(leads bool) []string {
+// recipients returns all addresses that get this daemon's own heartbeat.
+func (l layout) recipients(leads bool) []string {
 	all := slices.Clone(l.hall)
 	if l.role != Relay {
 		// The peers of a relay are in its hall.
 		all = append(all, l.peers...)
 	}
 	if leads || l.role == Relay {
-		all = append(all, l.across...)
+		all = append(all, l.otherHalls...)
 	}
 	return all
 }
 
-// inTurn returns which daemons of its hall a relay reports to in a round, and which get its
-// heartbeat alone. Statuses go to all at each second round. The work of all daemons is
-// several datagrams in a large fleet; there each of the relays tells half of the hall at a
-// time, so that a member hears it from one of them each 0.4 s, and each 0.8 s while one is
-// gone.
-func (l layout) inTurn(round int) (told, others []string) {
-	if round%2 == 0 || len(l.hall) <= directMost {
+// splitByTurn returns which daemons of its hall get a relay's reports in a round, and which get
+// only its heartbeat. Statuses go to all at every second round. Summaries of a large fleet take
+// several datagrams, so there each relay sends them to one part of the hall at a time, in turn.
+func (l layout) splitByTurn(round int) (full, others []string) {
+	if round%2 == 0 || len(l.hall) <= maxDirectDaemons {
 		return l.hall, nil
 	}
 	for i, address := range l.hall {
-		if (i+round/2+l.rank)%relaysPerHall == 0 || slices.Contains(l.fellows, address) {
-			told = append(told, address)
+		if (i+round/2+l.rank)%relaysPerHall == 0 || slices.Contains(l.otherRelays, address) {
+			full = append(full, address)
 			continue
 		}
 		others = append(others, address)
 	}
-	return told, others
+	return full, others
 }
 
-// audience returns who gets news of all workers, and which members get news of their own.
-func (l layout) audience(leads bool) (complete, members []string) {
+// newsRecipients returns who gets news of all workers, and which members get the reduced news.
+func (l layout) newsRecipients(leads bool) (complete, members []string) {
 	if l.role != Relay {
-		return l.reached(leads), nil
+		return l.recipients(leads), nil
 	}
 	if leads {
-		complete = slices.Clone(l.across)
+		complete = slices.Clone(l.otherHalls)
 	}
 	for _, address := range l.hall {
-		if slices.Contains(l.fellows, address) {
+		if slices.Contains(l.otherRelays, address) {
 			complete = append(complete, address)
 			continue
 		}
@@ -141,42 +134,42 @@
 	return complete, members
 }
 
-// standing is the part that a daemon had until now, and since when.
-type standing struct {
+// previousRole is a daemon's role before the current round, and when it took it.
+type previousRole struct {
 	role  Role
 	since time.Time
 }
 
-// layout returns whom to report to.
-func (t *Table) layout(now time.Time, before standing, size, round int) layout {
+// layout computes the addresses to report to.
+func (t *Table) layout(now time.Time, before previousRole, size, round int) layout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.forget(now)
-	limit := directAgain
+	limit := directAgainAt
 	if before.role == Direct {
-		limit = directMost
+		limit = maxDirectDaemons
 	}
 	expected := t.expected(now)
 	if max(size, len(expected)+1) <= limit {
-		return layout{role: Direct, peers: inTurn(t.addresses(), 2*directMost, round)}
+		return layout{role: Direct, peers: rotate(t.addresses(), 2*maxDirectDaemons, round)}
 	}
 	fittest := append(inHall(expected, t.self.Zone), &Peer{Heartbeat: Heartbeat{Identity: t.self}})
 	slices.SortFunc(fittest, compareRelays)
-	l := layout{role: Member, across: t.acrossAddresses(expected, round)}
+	l := layout{role: Member, otherHalls: t.otherHallAddresses(expected, round)}
 	for i, p := range fittest {
 		switch {
 		case p.ID == t.self.ID && i < relaysPerHall:
 			l.role, l.rank = Relay, i
-		case p.ID == t.self.ID || i >= uplinks:
-		case i < relaysPerHall || round%standbyRounds == 0:
+		case p.ID == t.self.ID || i >= uplinkCount:
+		case i < relaysPerHall || round%standbyRoundInterval == 0:
 			l.peers = append(l.peers, p.Address)
 		}
 		if p.ID != t.self.ID && i < relaysPerHall {
-			l.fellows = append(l.fellows, p.Address)
-			l.relays = append(l.relays, p.Identity)
+			l.otherRelays = append(l.otherRelays, p.Address)
+			l.hallRelays = append(l.hallRelays, p.Identity)
 		}
 	}
-	if l.role == Member && before.role == Relay && t.isNew(l.relays, before.since, now) {
+	if l.role == Member && before.role == Relay && t.anyNew(l.hallRelays, before.since, now) {
 		l.role = Relay
 	}
 	if l.role == Relay {
@@ -185,22 +178,22 @@
 	return l
 }
 
-// isNew reports whether the life of one of some daemons has just become known to one that has
-// relayed for a while by then. In a start of all, many take themselves for relays until they
-// know of fitter ones, and yield at once.
-func (t *Table) isNew(some []Identity, relaying, now time.Time) bool {
+// anyNew reports whether one of some daemons became known only recently, to a daemon that had been
+// a relay for a while by then. When a whole fleet starts, daemons that mistake themselves for
+// relays thus yield at once.
+func (t *Table) anyNew(some []Identity, relaying, now time.Time) bool {
 	return slices.ContainsFunc(some, func(id Identity) bool {
 		p, ok := t.peers[id.ID]
-		return ok && now.Sub(p.addedAt) < handOver && p.addedAt.Sub(relaying) > handOver
+		return ok && now.Sub(p.addedAt) < relayHandOver && p.addedAt.Sub(relaying) > relayHandOver
 	})
 }
 
-// expected returns the daemons that stay and are alive, or may be though they
-// were not heard yet.
+// expected returns the daemons that are not leaving and are alive or, if never heard yet, assumed
+// to be.
 func (t *Table) expected(now time.Time) []*Peer {
 	all := t.alive(now)
 	for _, p := range t.peers {
-		if p.lastSign().IsZero() && now.Sub(p.addedAt) < expectFor {
+		if p.lastSeen().IsZero() && now.Sub(p.addedAt) < assumedAliveFor {
 			all = append(all, p)
 		}
 	}
@@ -218,7 +211,7 @@
 	return in
 }
 
-// addresses returns the addresses of all daemons that are known.
+// addresses returns the addresses of all known daemons.
 func (t *Table) addresses() []string {
 	all := make([]string, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -228,26 +221,26 @@
 	return slices.Compact(all)
 }
 
-// hallAddresses returns the daemons of the own hall that a relay passes reports
-// on to: those that live or may, and in turns those that fell silent.
+// hallAddresses returns the daemons of the own hall that a relay reports to: those alive or
+// assumed to be, and a few silent ones in turn.
 func (t *Table) hallAddresses(now time.Time, round int) []string {
 	var living, silent []string
 	for _, p := range t.peers {
 		switch {
 		case p.Zone != t.self.Zone:
-		case now.Sub(p.lastSign()) < reportedFor || now.Sub(p.addedAt) < expectFor:
+		case now.Sub(p.lastSeen()) < reportedAliveTimeout || now.Sub(p.addedAt) < assumedAliveFor:
 			living = append(living, p.Address)
 		default:
 			silent = append(silent, p.Address)
 		}
 	}
 	slices.Sort(living)
-	return append(living, inTurn(silent, probes, round)...)
+	return append(living, rotate(silent, probesPerRound, round)...)
 }
 
-// acrossAddresses returns the fittest daemons of each other hall. Where none is
-// expected to live, those that are known are tried in turns.
-func (t *Table) acrossAddresses(expected []*Peer, round int) []string {
+// otherHallAddresses returns the fittest daemons of each other hall. If too few of a hall are
+// expected to be alive, its known daemons are tried in turn.
+func (t *Table) otherHallAddresses(expected []*Peer, round int) []string {
 	living := make(map[string][]*Peer)
 	known := make(map[string][]string)
 	for _, p := range t.peers {
@@ -269,22 +262,22 @@
 			all = append(all, p.Address)
 		}
 		if len(fittest) < relaysPerHall {
-			all = append(all, inTurn(addresses, relaysPerHall, round)...)
+			all = append(all, rotate(addresses, relaysPerHall, round)...)
 		}
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// inTurn returns a few of the addresses, others in each round.
-func inTurn(all []string, most, round int) []string {
-	if len(all) <= most {
-		return all
+// rotate returns up to limit of the addresses, different ones in each round.
+func rotate(addresses []string, limit, round int) []string {
+	if len(addresses) <= limit {
+		return addresses
 	}
-	slices.Sort(all)
-	chosen := make([]string, 0, most)
-	for i := range most {
-		chosen = append(chosen, all[(round*most+i)%len(all)])
+	slices.Sort(addresses)
+	chosen := make([]string, 0, limit)
+	for i := range limit {
+		chosen = append(chosen, addresses[(round*limit+i)%len(addresses)])
 	}
 	return chosen
 }
--- a/peers/transport.go
+++ b/peers/transport.go
@@ -7,16 +7,15 @@
 	"quartzshelf.dev/common/failure"
 )
 
-// Transport carries datagrams, any of which may be lost.
+// Transport carries datagrams, which may be lost.
 type Transport struct {
 	Send func(to string, datagram []byte) error
-	// Receive waits for a datagram and returns its length. It fails once the
-	// transport is closed.
+	// Receive waits for a datagram and returns its length. It fails after Close.
 	Receive func(buffer []byte) (int, error)
 	Close   func() error
 }
 
-// ListenUDP opens an address for datagrams.
+// ListenUDP opens a UDP socket at an address.
 func ListenUDP(address string) (Transport, error) {
 	resolved, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
--- a/serving/awake.go
+++ b/serving/awake.go
@@ -19,6 +19,6 @@
 	s.beliefs.Slept(asleep)
 	s.inventory.Slept(asleep)
 	s.halls.Slept(asleep)
-	s.agent.Table().Slept(time.Now(), asleep)
+	s.agent.Table().NoteSuspension(time.Now(), asleep)
 	s.relay.Slept()
 }
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -201,7 +201,7 @@
 		synctest.Wait()
 		own, _, _ = s.elector.State()
 		assert.Assert(t, own == nil, "the leader goes on")
-		assert.Assert(t, !s.agent.Table().Settled(time.Now()), "others are judged by heartbeats of before")
+		assert.Assert(t, !s.agent.Table().HasCaughtUp(time.Now()), "others are judged by heartbeats of before")
 		alive := s.agent.Table().Alive(time.Now())
 		assert.Equal(t, len(alive), 1)
 		ago := time.Since(alive[0].SentAfter)
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -36,7 +36,7 @@
 	if s.metAt.Load() == nil || s.readTooSoon.Load() || !s.sharesLimits(time.Now()) {
 		return nil
 	}
-	return s.agent.Table().Fittest(backpressure.MembersMost)
+	return s.agent.Table().FittestInHall(backpressure.MembersMost)
 }
 
 // signalChanged counts and logs what a worker asks for. One that leaves counts as the list's
--- a/serving/entries_test.go
+++ b/serving/entries_test.go
@@ -38,7 +38,7 @@
 			for id, hall := range map[string]string{"w": "y", "s": "x"} {
 				h := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id, Zone: hall}}
 				h.Ready = !slices.Contains(test.notReady, id)
-				s.agent.Table().Hear(h, time.Now(), time.Now())
+				s.agent.Table().RecordHeartbeat(h, time.Now(), time.Now())
 			}
 			got := s.Entries(test.caller)
 			slices.Sort(got)
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	f.server.beliefs.Offer(config, p.ConfigConfirmed())
+	f.server.beliefs.Offer(config, p.ConfigConfirmedAt())
 	return nil
 }
 
@@ -157,11 +157,11 @@
 	}
 	switch {
 	case m.Whole && m.Heads:
-		inventory.ReplaceHeads(m.Changes, m.To, p.WorkersConfirmed())
+		inventory.ReplaceHeads(m.Changes, m.To, p.WorkersConfirmedAt())
 	case m.Whole:
-		inventory.Replace(m.Changes, m.To, p.WorkersConfirmed())
+		inventory.Replace(m.Changes, m.To, p.WorkersConfirmedAt())
 	default:
-		inventory.Follow(m.Delta, p.WorkersConfirmed())
+		inventory.Follow(m.Delta, p.WorkersConfirmedAt())
 	}
 	return nil
 }
--- a/serving/format.go
+++ b/serving/format.go
@@ -17,7 +17,7 @@
 // sharesLimits reports whether shares of limits may be held: daemons of an earlier version
 // heed no limit, and what they send takes its place.
 func (s *Server) sharesLimits(now time.Time) bool {
-	return s.agent.Table().OldestFormat(now) >= peers.FormatAsked
+	return s.agent.Table().OldestFormat(now) >= peers.FormatBackpressure
 }
 
 // watchFormat logs when the earliest version that a daemon in touch speaks changes, until ctx
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -203,7 +203,7 @@
 				time.Sleep(5 * time.Second)
 				f.assertFormat(t, peers.FormatFirst)
 				time.Sleep(10 * time.Second)
-				f.assertFormat(t, peers.FormatAsked)
+				f.assertFormat(t, peers.FormatBackpressure)
 			})
 		})
 	}
--- a/serving/halls.go
+++ b/serving/halls.go
@@ -36,7 +36,7 @@
 			return
 		case <-s.halls.Changed():
 			if s.passesOn() {
-				s.agent.Send(time.Now())
+				s.agent.SendHeartbeat(time.Now())
 			}
 		case <-ticker.C:
 		}
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -49,8 +49,8 @@
 		s.beliefs.HoldCopy(p.HeardAt)
 	}
 	s.halls.Follow(p.Halls, p.SentAfter)
-	s.beliefs.Confirm(p.ConfigVersion, p.ConfigConfirmed())
-	s.inventory.Confirm(p.WorkersPosition, p.WorkersConfirmed())
+	s.beliefs.Confirm(p.ConfigVersion, p.ConfigConfirmedAt())
+	s.inventory.Confirm(p.WorkersPosition, p.WorkersConfirmedAt())
 	s.suspected(p)
 	s.heardQuarantine(p)
 	s.heardAsked(p)
@@ -94,7 +94,7 @@
 		s.suspect(stall.Replica)
 	}
 	if news && s.passesOn() {
-		s.agent.Send(time.Now())
+		s.agent.SendHeartbeat(time.Now())
 	}
 }
 
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -17,7 +17,7 @@
 	h.ID, h.Address = "teller", "127.0.0.1:1"
 	from.compose(&h, now)
 	p := &peers.Peer{Heartbeat: h, HeardAt: now, SentAfter: now}
-	to.agent.Table().Hear(h, now, now)
+	to.agent.Table().RecordHeartbeat(h, now, now)
 	to.heard(p)
 }
 
@@ -73,7 +73,7 @@
 		"that a leader was heard": {
 			know: func(teller *Server) {
 				leader := peers.Identity{ID: "leader", Incarnation: 1, Address: "127.0.0.1:2"}
-				teller.agent.Table().Hear(peers.Heartbeat{Identity: leader, Leads: &peers.Claim{Epoch: 1}}, now, now)
+				teller.agent.Table().RecordHeartbeat(peers.Heartbeat{Identity: leader, Leads: &peers.Claim{Epoch: 1}}, now, now)
 			},
 			told: func(s *Server) bool {
 				heard := func(p *peers.Peer) bool { return p.ID == "teller" && p.LeaderAge > 0 }
--- a/serving/indirect_test.go
+++ b/serving/indirect_test.go
@@ -74,5 +74,5 @@
 func hearPeer(t *testing.T, s *Server, address string) {
 	t.Helper()
 	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: address}, Ready: true}
-	assert.Assert(t, s.agent.Table().Hear(b, time.Now(), time.Now()))
+	assert.Assert(t, s.agent.Table().RecordHeartbeat(b, time.Now(), time.Now()))
 }
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -66,7 +66,7 @@
 // demand returns the work of each model over all daemons.
 func (s *Server) demand() map[string]formation.Work {
 	now := time.Now()
-	measured := s.agent.Fleet(now)
+	measured := s.agent.FleetSummary(now)
 	all := make(map[string]formation.Work, len(measured.Demand))
 	for model, busy := range measured.Demand {
 		all[model] = formation.Work{Busy: busy, Prompts: measured.Prompts[model], Pause: s.tracker.Pause(model, now)}
@@ -80,7 +80,7 @@
 	s.logger.Warn("replica fell silent", "replica", r.ID, "head", r.Head.ID)
 	s.suspicions.add(peers.Stall{Replica: r.ID, Head: r.Head.ID}, now)
 	s.suspect(r.ID)
-	s.agent.Send(now)
+	s.agent.SendHeartbeat(now)
 }
 
 // suspect tells the keeper of a suspicion if this daemon leads.
--- a/serving/meet.go
+++ b/serving/meet.go
@@ -192,7 +192,7 @@
 		s.listed = all
 	}
 	// Who relays is decided before anything else is read.
-	s.agent.Arrange(now)
+	s.agent.UpdateLayout(now)
 	s.metAt.CompareAndSwap(nil, &now)
 	return true
 }
--- a/serving/news.go
+++ b/serving/news.go
@@ -31,7 +31,7 @@
 		case <-s.beliefs.Changed():
 			// Peers fetch the configuration when they hear of its version.
 			if s.passesOn() {
-				s.agent.Send(time.Now())
+				s.agent.SendHeartbeat(time.Now())
 			}
 			continue
 		case <-s.inventory.News():
@@ -110,6 +110,6 @@
 		s.inventory.FollowDecisions(*n.Decisions)
 	}
 	if n.Workers != nil {
-		s.inventory.Follow(*n.Workers, p.WorkersConfirmed())
+		s.inventory.Follow(*n.Workers, p.WorkersConfirmedAt())
 	}
 }
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -164,7 +164,7 @@
 // on at once.
 func (s *Server) heardQuarantine(p *peers.Peer) {
 	if s.relay.Guard().Merge(p.Quarantine, p.HeardAt, p.ID) && s.passesOn() {
-		s.agent.Send(time.Now())
+		s.agent.SendHeartbeat(time.Now())
 	}
 }
 
--- a/serving/reader.go
+++ b/serving/reader.go
@@ -97,7 +97,7 @@
 	case now.Sub(*met) < roleKnown || s.readTooSoon.Load():
 		return false
 	}
-	return s.agent.Role() != peers.Member || now.Sub(*met) > toldFor+spreadOver(s.agent.Daemons())
+	return s.agent.Role() != peers.Member || now.Sub(*met) > toldFor+spreadOver(s.agent.DaemonCount())
 }
 
 // retrySpread returns how far apart the calls of this daemon to a store that does not answer
@@ -107,7 +107,7 @@
 	if s.isReader() || s.agent.Role() != peers.Member {
 		return 0
 	}
-	return spreadOver(s.agent.Daemons())
+	return spreadOver(s.agent.DaemonCount())
 }
 
 // spreadOver returns how far apart the calls of each of some daemons are for all of them
--- a/serving/server.go
+++ b/serving/server.go
@@ -112,8 +112,8 @@
 		Reads: s.reads, Spread: s.retrySpread, Suspended: s.suspended, Logger: opts.Logger.Named("follower"),
 	})
 	s.agent, err = peers.NewAgent(peers.Options{
-		Self: opts.Self, Transport: opts.Transport, Compose: s.compose, Heard: s.heard, News: s.taken, Summed: s.summed,
-		Counted: s.meter.Datagram, PassedOver: s.meter.PassedOverDatagram, Suspended: s.suspended, Logger: opts.Logger.Named("peers"),
+		Self: opts.Self, Transport: opts.Transport, FillHeartbeat: s.compose, OnHeartbeat: s.heard, OnNews: s.taken, OnSummary: s.summed,
+		OnSent: s.meter.Datagram, OnDropped: s.meter.PassedOverDatagram, Suspended: s.suspended, Logger: opts.Logger.Named("peers"),
 	})
 	if err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 	return leadership.Options{
 		Self:     s.opts.Self,
 		Registry: s.opts.Registry,
-		Alive:    table.Alive, Known: table.Known, Settled: table.Settled, Patience: table.Patience,
+		Alive:    table.Alive, Known: table.KnownSince, Settled: table.HasCaughtUp, Patience: table.AliveTimeout,
 		Fit:       s.fit,
 		Era:       s.opts.Era,
 		StoreSeen: s.storeSeen, Suspended: s.opts.Suspended,
@@ -148,7 +148,7 @@
 
 func (s *Server) newRelay() *relay.Relay {
 	budget := s.opts.Bounds.Budget
-	budget.Self, budget.Daemons = s.opts.Self.ID, s.agent.Daemons
+	budget.Self, budget.Daemons = s.opts.Self.ID, s.agent.DaemonCount
 	holdings := relay.NewHoldings(s.opts.Bounds.Held)
 	s.meter.Gauge("held_bytes", func() float64 { return float64(holdings.Held()) })
 	return relay.New(relay.Options{
@@ -159,7 +159,7 @@
 		Limits:  relay.Bound{Scarce: s.signals.Naming, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
 		Rests:   relay.Bound{Check: s.signals.Rested, Take: s.signals.TakeRested, Next: s.signals.RestEnds},
 		Tracker: s.tracker, Budget: budget,
-		Spread: func() { s.agent.Send(time.Now()) }, Replaced: s.replaced, Signalled: s.signals.Hear, Dial: s.opts.DialWorker,
+		Spread: func() { s.agent.SendHeartbeat(time.Now()) }, Replaced: s.replaced, Signalled: s.signals.Hear, Dial: s.opts.DialWorker,
 		Awake:   s.awake.Check,
 		Leaving: s.leaving.Load, Meter: s.meter, Logger: s.logger.Named("relay"),
 	})
--- a/serving/server_test.go
+++ b/serving/server_test.go
@@ -89,7 +89,7 @@
 	s.inventory.Replace(nil, 1, now)
 	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "it heard nobody yet")
 	p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, ConfigVersion: 2}, HeardAt: now}
-	s.agent.Table().Hear(p.Heartbeat, now, now)
+	s.agent.Table().RecordHeartbeat(p.Heartbeat, now, now)
 	s.heard(p)
 	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "a newer one is in force at a peer")
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now)
@@ -121,7 +121,7 @@
 func TestEntries(t *testing.T) {
 	hear := func(s *Server, id string, ready, leaving bool) {
 		b := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id}, Ready: ready, Leaving: leaving}
-		s.agent.Table().Hear(b, time.Now(), time.Now())
+		s.agent.Table().RecordHeartbeat(b, time.Now(), time.Now())
 	}
 	tests := map[string]struct {
 		prepare func(s *Server)
@@ -165,7 +165,7 @@
 	assert.Assert(t, s.reads(time.Time{}), "nothing is known")
 	assert.Assert(t, !s.reads(now), "what is known is fresh, though nobody leads")
 	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, Leads: &peers.Claim{Epoch: 1}}
-	s.agent.Table().Hear(b, now, now)
+	s.agent.Table().RecordHeartbeat(b, now, now)
 	assert.Assert(t, !s.reads(now), "the leader reads")
 	assert.Assert(t, s.reads(now.Add(-readAfter-readSpread)), "what the leader tells is too old")
 }
@@ -188,9 +188,9 @@
 		id := fmt.Sprint("front-", n)
 		s.agent.Table().Learn(peers.Identity{ID: id, Incarnation: 1, Zone: "z", Address: id, Capacity: 100}, now)
 	}
-	s.agent.Arrange(now)
-	s.agent.Arrange(now)
+	s.agent.UpdateLayout(now)
+	s.agent.UpdateLayout(now)
 	assert.Equal(t, s.agent.Role(), peers.Member)
-	assert.Equal(t, s.retrySpread(), spreadOver(s.agent.Daemons()))
+	assert.Equal(t, s.retrySpread(), spreadOver(s.agent.DaemonCount()))
 	assert.Assert(t, spreadOver(986) > 4*time.Second && spreadOver(9) < 100*time.Millisecond)
 }
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -30,7 +30,7 @@
 		{"callers come here", func(time.Time) bool { return s.Ready() }},
 		{"daemons listed", func(time.Time) bool { return s.metAt.Load() != nil }},
 		{"peers heard", func(now time.Time) bool { return len(s.agent.Table().Alive(now)) > 0 }},
-		{"loads of peers known", func(now time.Time) bool { return len(s.agent.Fleet(now).Loads) > len(s.tracker.Loads()) }},
+		{"loads of peers known", func(now time.Time) bool { return len(s.agent.FleetSummary(now).Loads) > len(s.tracker.Loads()) }},
 		{"leader known", func(time.Time) bool { _, highest, _ := s.elector.State(); return highest.Epoch > 0 }},
 		{"first answer", func(time.Time) bool { return s.relay.Answered() }},
 	}
--- a/serving/stop.go
+++ b/serving/stop.go
@@ -25,7 +25,7 @@
 	end := start.Add(s.opts.Bounds.Grace - graceMargin)
 	s.leaving.Store(true)
 	s.elector.Yield("the daemon leaves")
-	s.agent.Send(start)
+	s.agent.SendHeartbeat(start)
 	s.logger.Info("stopping", "until", end)
 	void := start.Add(entryLives*s.opts.Bounds.KeepEntries + graceMargin)
 	if void.After(end) {
--- a/serving/warmup.go
+++ b/serving/warmup.go
@@ -37,7 +37,7 @@
 	if !s.metAll.Load() {
 		return nil
 	}
-	return s.agent.Table().Registered()
+	return s.agent.Table().EverKnownIDs()
 }
 
 // membersDue reports whether the member list is to be read again though others are heard:
--- a/serving/warmup_test.go
+++ b/serving/warmup_test.go
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, test.store)
 			for _, b := range others(test.heard) {
-				s.agent.Table().Hear(peers.Heartbeat{Identity: b}, time.Now(), time.Now())
+				s.agent.Table().RecordHeartbeat(peers.Heartbeat{Identity: b}, time.Now(), time.Now())
 			}
 			s.readMembers(context.Background())
 			warmUpFleet(s)
