--- a/peers/agent.go
+++ b/peers/agent.go
@@ -257,7 +257,7 @@
 	binary.BigEndian.PutUint64(datagram[9:], uint64(a.clocks.latest(address)))
 	if err := a.opts.Transport.Send(address, datagram); err != nil {
 		// Datagrams may be lost anyway; the next round sends another one.
-		a.opts.Logger.Debug("datagram not sent", "to", address, "error", err)
+		a.opts.Logger.Debug("sending datagram failed", "to", address, "error", err)
 		return
 	}
 	a.opts.OnSent(kind, len(datagram))
@@ -268,10 +268,10 @@
 func (a *Agent) encodeDatagram(m *message, clock time.Duration) []byte {
 	body, err := encode(m)
 	if err == nil && len(body) > maxDatagramBytes {
-		err = failure.New(failure.Invalid, "encode message", m.ID, "%d bytes are too many", len(body))
+		err = failure.New(failure.Invalid, "encode message", m.ID, "%d bytes exceed the maximum of a datagram", len(body))
 	}
 	if err != nil {
-		a.opts.Logger.Error("message not sent", "error", err)
+		a.opts.Logger.Error("encoding message failed", "error", err)
 		return nil
 	}
 	datagram := make([]byte, headerLength, headerLength+len(body))
--- a/peers/transport.go
+++ b/peers/transport.go
@@ -19,11 +19,11 @@
 func ListenUDP(address string) (Transport, error) {
 	resolved, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
-		return Transport{}, failure.At(failure.Invalid, "open peers' port", address, err)
+		return Transport{}, failure.At(failure.Invalid, "open UDP port for peers", address, err)
 	}
 	conn, err := net.ListenUDP("udp4", resolved)
 	if err != nil {
-		return Transport{}, failure.At(failure.Unavailable, "open peers' port", address, err)
+		return Transport{}, failure.At(failure.Unavailable, "open UDP port for peers", address, err)
 	}
 	return Transport{
 		Send: func(to string, datagram []byte) error {
--- a/serving/awake.go
+++ b/serving/awake.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// suspended returns for how long the machine was suspended in all, once what is believed is as
-// old as it is. It must not be called with a lock that slept takes.
+// suspended returns the total time for which the machine was suspended, after state that depends
+// on it has been corrected. It must not be called with a lock held that afterSuspension takes.
 func (s *Server) suspended() time.Duration {
 	s.awake.Check()
 	return s.opts.Suspended()
 }
 
-// slept makes all that is believed as old as it is, after the machine was suspended: what the
-// steady clock does not count would else let keys that were taken away pass, and a leader whom
-// another one followed go on.
-func (s *Server) slept(asleep time.Duration) {
-	s.logger.Warn("the machine was suspended", "ms", asleep.Milliseconds())
-	s.meter.Slept(asleep)
+// afterSuspension corrects the age of all state after the machine was suspended, which the
+// monotonic clock does not count. Otherwise revoked keys could still be accepted, and a superseded
+// leader could go on.
+func (s *Server) afterSuspension(suspended time.Duration) {
+	s.logger.Warn("the machine was suspended", "ms", suspended.Milliseconds())
+	s.meter.Slept(suspended)
 	s.elector.Yield("the machine was suspended")
-	s.beliefs.Slept(asleep)
-	s.inventory.Slept(asleep)
-	s.halls.Slept(asleep)
-	s.agent.Table().NoteSuspension(time.Now(), asleep)
+	s.beliefs.Slept(suspended)
+	s.inventory.Slept(suspended)
+	s.halls.Slept(suspended)
+	s.agent.Table().NoteSuspension(time.Now(), suspended)
 	s.relay.Slept()
 }
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -11,9 +11,9 @@
 	"quartzshelf.dev/peers"
 )
 
-// signalsLook is how often it is looked which workers' words are void, and which daemons hold
-// shares of limits.
-const signalsLook = time.Second
+// signalCheckInterval is the time between two checks for expired signals and for changes of the
+// daemons that share limits.
+const signalCheckInterval = time.Second
 
 func (s *Server) newSignals() *backpressure.Table {
 	halls := slices.Sorted(maps.Keys(s.opts.Regions))
@@ -21,7 +21,7 @@
 		halls = append(halls, s.opts.Self.Zone)
 	}
 	t := backpressure.NewTable(backpressure.Options{
-		Self: s.opts.Self.ID, Hall: s.opts.Self.Zone, Halls: halls, Members: s.sharers,
+		Self: s.opts.Self.ID, Hall: s.opts.Self.Zone, Halls: halls, Members: s.limitShareHolders,
 		Bound: s.opts.Bounds.Limits, Changed: s.signalChanged,
 	})
 	s.meter.Gauge("workers_limited", func() float64 { return float64(t.Limited()) })
@@ -30,17 +30,18 @@
 	return t
 }
 
-// sharers returns the daemons of the own data hall that hold shares of limits; none before
-// this daemon has read who there is, and while others do not heed limits.
-func (s *Server) sharers() []string {
-	if s.metAt.Load() == nil || s.readTooSoon.Load() || !s.sharesLimits(time.Now()) {
+// limitShareHolders returns the daemons of the own data hall that share the request limits of
+// workers. There are none before the member list was read, and while daemons of an earlier version
+// ignore limits.
+func (s *Server) limitShareHolders() []string {
+	if s.membersReadAt.Load() == nil || s.mustRereadMembers.Load() || !s.sharesLimits(time.Now()) {
 		return nil
 	}
 	return s.agent.Table().FittestInHall(backpressure.MembersMost)
 }
 
-// signalChanged counts and logs what a worker asks for. One that leaves counts as the list's
-// word would, which may come later or never.
+// signalChanged counts and logs a worker's signal. A worker that signals that it is leaving is
+// treated as leaving at once, without waiting for the worker list.
 func (s *Server) signalChanged(c backpressure.Change) {
 	if c.Event == backpressure.Leaves {
 		s.inventory.Leave(c.Worker, c.Born)
@@ -50,12 +51,13 @@
 	if c.Event == backpressure.LimitChanged || c.By != "" {
 		log = s.logger.Debug
 	}
-	log("worker asks", "event", string(c.Event), "worker", c.Worker, "per_second", c.PerSecond,
+	log("worker sent signal", "event", string(c.Event), "worker", c.Worker, "per_second", c.PerSecond,
 		"rest_ms", c.Rest.Milliseconds(), "by", c.By)
 }
 
-// heardAsked takes what a peer reports of workers' words. Heartbeats pass them on soon enough.
-func (s *Server) heardAsked(p *peers.Peer) {
+// mergeSignals merges the workers' signals that a peer reports. They are forwarded with the next
+// regular heartbeat.
+func (s *Server) mergeSignals(p *peers.Peer) {
 	at := p.SentAfter
 	if at.IsZero() {
 		at = p.HeardAt
@@ -63,7 +65,7 @@
 	s.signals.Merge(p.Asked, p.ID, at, p.HeardAt)
 }
 
-// watchSignals forgets what workers asked for that are gone, and follows who holds shares of
+// watchSignals drops the signals of workers that are gone, and updates the daemons that share
 // limits, until ctx ends.
 func (s *Server) watchSignals(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -73,8 +75,9 @@
 			return listed && w.Born == born
 		}, time.Now())
 		s.signals.Look(time.Now())
-		// An entry that went and came back does not tell what the worker said meanwhile.
+		// A worker that was removed from the list and listed again has lost its leaving mark, so
+		// it is set again.
 		s.signals.EachLeaving(s.inventory.Leave)
-		pause.For(ctx, signalsLook)
+		pause.For(ctx, signalCheckInterval)
 	}
 }
--- a/serving/crashing_test.go
+++ b/serving/crashing_test.go
@@ -23,28 +23,13 @@
 	"quartzshelf.dev/relay"
 )
 
-// What users saw: a request came again and again, under new ids and at different daemons,
-// and each worker that began to run it ended. 39 and 58 workers ended under one request
-// each, 15 and 30 sends of it came after the third had ended and all daemons had had time to
-// know, and up to 58 of 75 other requests in a second were refused.
-//
-// The order of events: a daemon sends the request to a head, which ends; the daemon blames
-// the head, tells its peers to pass it over, and sends the request to another head, which
-// ends as well. The caller gets a 502 and comes again, at another daemon, which knows
-// nothing of the first.
-//
-// The cause: what is known of a failed attempt is kept of replicas alone, and of a request
-// for one attempt of its caller at one daemon alone. Its bound on sends begins anew with
-// each id at each daemon.
-//
-// The evidence, from the lines "attempt broke off" of the test below on the code before: all
-// 24 workers that end do so under one fingerprint, and no other request breaks. Half of the
-// sends are first ones, and where nothing is repeated all 12 copies end a worker each, so
-// that repeats are not the cause. In the users' record two copies are sent twice each, under
-// ids of their own, and heads end 1 to 78 ms after they begin to run them.
+// The tests below guard against a request that crashes every worker that runs it and is sent again
+// and again, under new ids and by different daemons. What daemons know of failed attempts must be
+// shared by the fingerprint of the request, since limits that count by request id or daemon start
+// again with each copy.
 
-// crashingBody is the body of the request that ends each worker which runs it, breakingBody
-// of one whose connection ends, waitingBody of one that gets no answer.
+// crashingBody is the body of a request that crashes each worker that runs it, breakingBody that
+// of one whose connection breaks, waitingBody that of one that gets no response.
 const (
 	crashingBody = "ends each worker"
 	breakingBody = "ends its connection"
@@ -57,21 +42,21 @@
 	LastEvent: "Last-Event-Id", Priority: "X-Priority",
 }
 
-// crashingFleet is several daemons, joined by their heartbeats alone, before heads of which
-// each ends with the crashing request.
+// crashingFleet is a group of daemons that exchange heartbeats, in front of heads that crash when
+// they run the crashing request.
 type crashingFleet struct {
 	t *testing.T
 
 	mu      sync.Mutex
 	daemons []*crashingDaemon
 	heads   []*fleet.Worker
-	// ended counts the heads that ended, sent the requests.
+	// ended counts the heads that crashed, sent the requests.
 	ended, sent atomic.Int64
-	// waiting counts the requests that wait at heads.
+	// waiting counts the requests that are waiting at heads.
 	waiting atomic.Int64
 }
 
-// crashingDaemon is one of them, with the part of its duties that routing needs.
+// crashingDaemon is a daemon of a crashingFleet. It runs only the tasks that routing needs.
 type crashingDaemon struct {
 	*Server
 	front *httptest.Server
@@ -89,7 +74,7 @@
 	return f
 }
 
-// startHead starts a worker that is the head of an open replica and takes plain requests too.
+// startHead starts a worker that is the head of an open replica and also accepts plain requests.
 func (f *crashingFleet) startHead(id string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
@@ -130,7 +115,7 @@
 		})
 }
 
-// unlist takes a head that ended from the list of all daemons.
+// unlist removes a crashed head from the worker lists of all daemons.
 func (f *crashingFleet) unlist(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +126,7 @@
 	}
 }
 
-// startDaemon starts a daemon that knows the heads, and of the daemons before it.
+// startDaemon starts a daemon that knows the heads and the earlier daemons.
 func (f *crashingFleet) startDaemon() *crashingDaemon {
 	f.t.Helper()
 	f.mu.Lock()
@@ -162,7 +147,7 @@
 	})
 	assert.NilError(f.t, err)
 	s.beliefs.Offer(crashingConfig(), time.Now())
-	s.settledOnce.Store(true)
+	s.isSettled.Store(true)
 	var changes []fleet.Change
 	for _, w := range f.heads {
 		changes = append(changes, fleet.Change{ID: w.ID, Worker: w})
@@ -173,20 +158,20 @@
 		other.agent.Table().Learn(self, time.Now())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties conc.WaitGroup
-	duties.Go(func() { s.agent.Run(ctx) })
-	duties.Go(func() { s.relay.Run(ctx) })
+	var tasks conc.WaitGroup
+	tasks.Go(func() { s.agent.Run(ctx) })
+	tasks.Go(func() { s.relay.Run(ctx) })
 	d := &crashingDaemon{Server: s, front: httptest.NewServer(s.relay)}
 	f.t.Cleanup(func() {
 		d.front.Close()
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 	})
 	f.daemons = append(f.daemons, d)
 	return d
 }
 
-// testLog writes a daemon's lines to the log of its test.
+// testLog writes a daemon's log lines to the log of its test.
 type testLog struct{ t *testing.T }
 
 func (l testLog) Write(line []byte) (int, error) {
@@ -208,7 +193,8 @@
 	})
 }
 
-// send sends a request by a daemon under a new id and returns the status; 0 for none.
+// send sends a request to a daemon under a new id and returns the status, 0 if there is no
+// response.
 func (f *crashingFleet) send(d *crashingDaemon, path, key, body string) int {
 	f.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, d.front.URL+path, strings.NewReader(body))
@@ -228,16 +214,16 @@
 	return response.StatusCode
 }
 
-// heartbeats is long enough for each daemon to have heard the others again.
-const heartbeats = 500 * time.Millisecond
+// heartbeatPeriod is long enough for each daemon to have received a heartbeat from the others.
+const heartbeatPeriod = 500 * time.Millisecond
 
-// crashesMost is how many workers a request may end that comes again and again: three, and
-// three more by what was under way meanwhile.
-const crashesMost = 6
+// maxCrashes is the maximum number of workers that a repeated request may crash: three before it
+// is quarantined, and three more by attempts already in flight.
+const maxCrashes = 6
 
-// TestRequestThatEndsItsWorkers sends copies of the crashing request to daemons in turn,
-// and other requests beside them, which must be served.
-func TestRequestThatEndsItsWorkers(t *testing.T) {
+// TestRequestThatCrashesWorkers sends copies of the crashing request to daemons in turn, along
+// with other requests, which must succeed.
+func TestRequestThatCrashesWorkers(t *testing.T) {
 	tests := map[string]string{
 		"a stream":                      "/stream/",
 		"a request that is repeated":    "/safe/",
@@ -252,9 +238,9 @@
 				d := f.daemons[i%len(f.daemons)]
 				assert.Assert(t, f.send(d, path, "key", crashingBody) != http.StatusOK)
 				assert.Equal(t, f.send(d, path, "key", "another body"), http.StatusOK)
-				time.Sleep(heartbeats)
+				time.Sleep(heartbeatPeriod)
 			}
-			assert.Assert(t, f.ended.Load() <= crashesMost, "%d workers ended", f.ended.Load())
+			assert.Assert(t, f.ended.Load() <= maxCrashes, "%d workers ended", f.ended.Load())
 		})
 	}
 }
--- a/serving/entries.go
+++ b/serving/entries.go
@@ -9,27 +9,26 @@
 	"quartzshelf.dev/peers"
 )
 
-// Caller is who asks for the addresses of daemons. What is empty is not known.
+// Caller describes who asks for the addresses of daemons. Empty fields are unknown.
 type Caller struct {
-	// Host is the name that the requests will carry.
+	// Host is the host name that the requests will carry.
 	Host string
-	// Region is where the caller is.
+	// Region is the region of the caller.
 	Region string
 }
 
-// entry is a daemon that may be named to a caller.
+// entry is a daemon whose address may be given to a caller.
 type entry struct {
 	front string
 	zone  string
 	ready bool
 }
 
-// Entries returns the addresses that a caller should use: those of daemons that are
-// alive, ready and stay; those that are not ready only if no other is left. Daemons of
-// the caller's region, and of those that its host's routes allow, are named alone as long
-// as one of them is ready. Callers take a part of the addresses from the start, so the few
-// that are known of other halls come before the many of this one: who keeps an answer
-// while a whole hall goes finds some that live.
+// Entries returns the addresses that a caller should use: daemons that are alive, ready and not
+// leaving, or ones that are not ready if there are no others. If any are ready in the caller's
+// region, or in the regions that the routes of its host allow, only those are returned. Callers
+// use a part of the addresses from the start, so the few known daemons of other halls come first:
+// a caller that keeps the addresses then still reaches some if this whole hall fails.
 func (s *Server) Entries(c Caller) []string {
 	all := s.entries()
 	allowed := s.allowedRegions(c)
@@ -44,7 +43,7 @@
 	return nil
 }
 
-// allowedRegions returns the regions whose daemons suit a caller; empty for all.
+// allowedRegions returns the regions whose daemons a caller may use; empty for all.
 func (s *Server) allowedRegions(c Caller) fleet.Regions {
 	if c.Region == "" {
 		return nil
@@ -56,14 +55,15 @@
 	return regions
 }
 
-// entries returns this daemon and the others that live, those of other halls first.
+// entries returns this daemon and all others that are alive and not leaving, those of other halls
+// first.
 func (s *Server) entries() []entry {
 	var all []entry
 	if !s.leaving.Load() {
 		all = append(all, entry{front: s.opts.Self.Front, zone: s.opts.Self.Zone, ready: s.Ready()})
 	}
 	alive := s.agent.Table().Alive(time.Now())
-	slices.SortStableFunc(alive, func(a, b *peers.Peer) int { return cmp.Compare(s.nearness(a), s.nearness(b)) })
+	slices.SortStableFunc(alive, func(a, b *peers.Peer) int { return cmp.Compare(s.hallOrder(a), s.hallOrder(b)) })
 	for _, p := range alive {
 		if !p.Leaving {
 			all = append(all, entry{front: p.Front, zone: p.Zone, ready: p.Ready})
@@ -72,8 +72,8 @@
 	return all
 }
 
-// nearness is 1 for a daemon of the own hall, and 0 for another one.
-func (s *Server) nearness(p *peers.Peer) int {
+// hallOrder returns 1 for a daemon of the own hall, and 0 for any other, for sorting.
+func (s *Server) hallOrder(p *peers.Peer) int {
 	if p.Zone == s.opts.Self.Zone {
 		return 1
 	}
--- a/serving/entries_test.go
+++ b/serving/entries_test.go
@@ -17,7 +17,7 @@
 	free := &fleet.Route{Host: "free.example", Prefix: "/"}
 	tests := map[string]struct {
 		caller Caller
-		// notReady holds peers that are not ready.
+		// notReady holds the peers that are not ready.
 		notReady []string
 		want     []string
 	}{
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, &fakeStore{})
 			s.opts.Regions = map[string]string{"z": "east", "y": "west", "x": "south"}
-			learn(s, time.Now())
+			setState(s, time.Now())
 			s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Routes: []*fleet.Route{bound, both, free}}), time.Now())
 			for id, hall := range map[string]string{"w": "y", "s": "x"} {
 				h := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id, Zone: hall}}
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -24,44 +24,45 @@
 	pathConfig    = "/configuration"
 	pathWorkers   = "/workers"
 	pathDecisions = "/decisions"
-	// headsKey asks for the workers that requests go to alone, wholeList for a list from no
-	// position on.
-	headsKey  = "heads"
-	onlyHeads = headsKey + "=1"
-	wholeList = -1
-	// fetchDelay leaves this daemon's own reading the first chance.
+	// headsParam is the query parameter that requests only the workers that requests go to.
+	// wholeListPosition is the position that requests the whole list.
+	headsParam        = "heads"
+	headsQuery        = headsParam + "=1"
+	wholeListPosition = -1
+	// fetchDelay gives this daemon's own reads of the store time to complete first.
 	fetchDelay = 150 * time.Millisecond
-	// fetchTimeout bounds a call to a peer, maxFetched its answer, in bytes.
-	fetchTimeout = time.Second
-	maxFetched   = 16 << 20
+	// fetchTimeout limits the duration of a request to a peer, maxFetchBytes the size of its
+	// response.
+	fetchTimeout  = time.Second
+	maxFetchBytes = 16 << 20
 )
 
-// fetcher brings from peers what they know and this daemon does not.
+// fetcher fetches state that peers have and this daemon lacks.
 type fetcher struct {
-	server *Server
-	client *http.Client
-	wanted chan wish
-	packed packedConfig
+	server     *Server
+	client     *http.Client
+	requests   chan fetchRequest
+	compressed compressedConfig
 }
 
-// wish is a peer to fetch from, and when that was wanted.
-type wish struct {
+// fetchRequest is a peer to fetch from, and when the fetch was requested.
+type fetchRequest struct {
 	*peers.Peer
-	wanted awake.Stamp
+	requestedAt awake.Stamp
 }
 
 func newFetcher(s *Server) *fetcher {
-	f := &fetcher{server: s, wanted: make(chan wish, 1), client: &http.Client{Timeout: fetchTimeout, Transport: s.opts.Ask}}
+	f := &fetcher{server: s, requests: make(chan fetchRequest, 1), client: &http.Client{Timeout: fetchTimeout, Transport: s.opts.Ask}}
 	if s.opts.Ask == nil {
 		f.client.Transport = &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}
 	}
 	return f
 }
 
-// want asks for what a peer knows, unless a fetch is waiting already.
-func (f *fetcher) want(p *peers.Peer) {
+// request schedules a fetch from a peer, unless one is pending already.
+func (f *fetcher) request(p *peers.Peer) {
 	select {
-	case f.wanted <- wish{Peer: p, wanted: awake.NewStamp(f.server.opts.Suspended)}:
+	case f.requests <- fetchRequest{Peer: p, requestedAt: awake.NewStamp(f.server.opts.Suspended)}:
 	default:
 	}
 }
@@ -77,7 +78,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-f.wanted:
+		case p := <-f.requests:
 			pause.For(ctx, fetchDelay)
 			f.fetch(ctx, p)
 		}
@@ -86,45 +87,45 @@
 
 // listen serves peers at the daemon's own address until ctx ends.
 func (f *fetcher) listen(ctx context.Context, handler http.Handler) {
-	server := &http.Server{Addr: f.server.opts.Self.Address, Handler: handler, ReadHeaderTimeout: headerWait}
+	server := &http.Server{Addr: f.server.opts.Self.Address, Handler: handler, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.ListenAndServe(); err != nil && ctx.Err() == nil {
-		f.server.logger.Error("peers are not served", "address", server.Addr, "error", err)
+		f.server.logger.Error("serving peers failed", "address", server.Addr, "error", err)
 	}
 }
 
-// handler serves what peers ask for.
+// handler returns the handler for requests of peers.
 func (f *fetcher) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathConfig, f.giveConfig)
-	mux.HandleFunc("GET "+pathWorkers, f.giveWorkers)
-	mux.HandleFunc("GET "+pathDecisions, f.giveDecisions)
-	mux.HandleFunc("POST "+pathLeave, f.server.giveLeave)
+	mux.HandleFunc("GET "+pathConfig, f.serveConfig)
+	mux.HandleFunc("GET "+pathWorkers, f.serveWorkers)
+	mux.HandleFunc("GET "+pathDecisions, f.serveDecisions)
+	mux.HandleFunc("POST "+pathLeave, f.server.serveLeave)
 	return mux
 }
 
-// fetch brings what is still missing. What cannot be had now is asked for again
-// after the next heartbeat.
-func (f *fetcher) fetch(ctx context.Context, p wish) {
+// fetch fetches what is still missing. If it fails, it is requested again after the next
+// heartbeat.
+func (f *fetcher) fetch(ctx context.Context, p fetchRequest) {
 	if p.ConfigVersion > f.server.beliefs.Version() {
-		f.report(p, f.fetchConfig(ctx, p))
+		f.logFailure(p, f.fetchConfig(ctx, p))
 	}
-	if f.server.lacksWorkers(p.Peer) {
-		f.report(p, f.fetchWorkers(ctx, p))
+	if f.server.isBehindOnWorkers(p.Peer) {
+		f.logFailure(p, f.fetchWorkers(ctx, p))
 	}
 	if f.server.inventory.Decided().Before(p.Decided) {
-		f.report(p, f.fetchDecisions(ctx, p))
+		f.logFailure(p, f.fetchDecisions(ctx, p))
 	}
 }
 
-func (f *fetcher) report(p wish, err error) {
+func (f *fetcher) logFailure(p fetchRequest, err error) {
 	if err != nil {
-		f.server.logger.Debug("not fetched from peer", "peer", p.ID, "error", err)
+		f.server.logger.Debug("fetch from peer failed", "peer", p.ID, "error", err)
 	}
 }
 
-func (f *fetcher) fetchConfig(ctx context.Context, p wish) error {
+func (f *fetcher) fetchConfig(ctx context.Context, p fetchRequest) error {
 	data, err := f.get(ctx, p, pathConfig)
 	if err != nil {
 		return err
@@ -137,15 +138,15 @@
 	return nil
 }
 
-func (f *fetcher) fetchWorkers(ctx context.Context, p wish) error {
+func (f *fetcher) fetchWorkers(ctx context.Context, p fetchRequest) error {
 	inventory := f.server.inventory
 	scope, from := inventory.Wants(), inventory.Position()
 	if inventory.AwaitsList() && p.Complete {
-		from = wholeList
+		from = wholeListPosition
 	}
 	path := pathWorkers + "?from=" + strconv.FormatInt(from, 10)
 	if scope == fleet.HeadsOnly {
-		path += "&" + onlyHeads
+		path += "&" + headsQuery
 	}
 	data, err := f.get(ctx, p, path)
 	if err != nil {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-func (f *fetcher) fetchDecisions(ctx context.Context, p wish) error {
+func (f *fetcher) fetchDecisions(ctx context.Context, p fetchRequest) error {
 	known := f.server.inventory.Decided()
 	data, err := f.get(ctx, p, fmt.Sprintf("%s?term=%d&from=%d", pathDecisions, known.Term, known.Seq))
 	if err != nil {
@@ -180,7 +181,7 @@
 	return nil
 }
 
-func (f *fetcher) get(ctx context.Context, p wish, path string) ([]byte, error) {
+func (f *fetcher) get(ctx context.Context, p fetchRequest, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
 		return nil, failure.At(failure.Invalid, "ask peer", p.ID, err)
@@ -190,87 +191,87 @@
 		return nil, failure.At(failure.Unavailable, "ask peer", p.ID, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxFetched))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxFetchBytes))
 	if err != nil {
-		return nil, failure.At(failure.Unavailable, "read answer of peer", p.ID, err)
+		return nil, failure.At(failure.Unavailable, "read response of peer", p.ID, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, failure.New(failure.Refused, "ask peer", p.ID, "status %d", response.StatusCode)
 	}
-	// What the peer confirmed when it was heard is older than it seems.
-	if p.wanted.Interrupted() {
-		return nil, failure.New(failure.Unavailable, "ask peer", p.ID, "the machine was suspended meanwhile")
+	// The ages in the peer's heartbeat did not count the suspension.
+	if p.requestedAt.Interrupted() {
+		return nil, failure.New(failure.Unavailable, "ask peer", p.ID, "the machine was suspended during the call")
 	}
 	return data, nil
 }
 
-func (f *fetcher) giveConfig(w http.ResponseWriter, r *http.Request) {
+func (f *fetcher) serveConfig(w http.ResponseWriter, r *http.Request) {
 	config := f.server.beliefs.Config()
 	if config == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	f.answer(w, r, config.Encoded(), func() ([]byte, error) { return f.packed.of(config) })
+	f.respond(w, r, config.Encoded(), func() ([]byte, error) { return f.compressed.get(config) })
 }
 
-// answer answers a peer with data, packed if it takes that.
-func (f *fetcher) answer(w http.ResponseWriter, r *http.Request, data []byte, pack func() ([]byte, error)) {
+// respond writes data to a peer, compressed if the peer accepts that.
+func (f *fetcher) respond(w http.ResponseWriter, r *http.Request, data []byte, pack func() ([]byte, error)) {
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		packed, err := pack()
+		compressed, err := pack()
 		if err == nil {
 			w.Header().Set("Content-Encoding", "gzip")
-			data = packed
+			data = compressed
 		} else {
-			f.server.logger.Warn("answer to a peer sent unpacked", "path", r.URL.Path, "error", err)
+			f.server.logger.Warn("sending response to peer uncompressed", "path", r.URL.Path, "error", err)
 		}
 	}
-	// A peer that has gone does not get it; it asks again.
+	// If the peer is gone, it asks again.
 	_, _ = w.Write(data)
 }
 
-// answerJSON answers a peer with a message.
-func (f *fetcher) answerJSON(w http.ResponseWriter, r *http.Request, m any) {
+// respondJSON writes a message to a peer as JSON.
+func (f *fetcher) respondJSON(w http.ResponseWriter, r *http.Request, m any) {
 	data, err := json.Marshal(m)
 	if err != nil {
-		f.server.logger.Error("answer to a peer not encoded", "path", r.URL.Path, "error", err)
+		f.server.logger.Error("encoding response to peer failed", "path", r.URL.Path, "error", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	f.answer(w, r, data, func() ([]byte, error) { return pack(data) })
+	f.respond(w, r, data, func() ([]byte, error) { return compress(data) })
 }
 
-// pack returns data as gzip.
-func pack(data []byte) ([]byte, error) {
+// compress returns data as gzip.
+func compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
-		return nil, failure.At(failure.Invalid, "pack answer", "", err)
+		return nil, failure.At(failure.Invalid, "compress response", "", err)
 	}
 	if _, err := w.Write(data); err != nil {
-		return nil, failure.At(failure.Invalid, "pack answer", "", err)
+		return nil, failure.At(failure.Invalid, "compress response", "", err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, failure.At(failure.Invalid, "pack answer", "", err)
+		return nil, failure.At(failure.Invalid, "compress response", "", err)
 	}
 	return out.Bytes(), nil
 }
 
-// packedConfig keeps the newest configuration compressed: after each change all
-// peers ask for it within a second. It is safe for concurrent use.
-type packedConfig struct {
+// compressedConfig caches the newest configuration in compressed form, since all peers request it
+// shortly after a change. It is safe for concurrent use.
+type compressedConfig struct {
 	mu     sync.Mutex
 	config *fleet.Config
 	data   []byte
 }
 
-// of returns a configuration as gzip of the operator's own words.
-func (p *packedConfig) of(config *fleet.Config) ([]byte, error) {
+// get returns the encoded configuration as gzip.
+func (p *compressedConfig) get(config *fleet.Config) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.config == config {
 		return p.data, nil
 	}
-	data, err := pack(config.Encoded())
+	data, err := compress(config.Encoded())
 	if err != nil {
 		return nil, err
 	}
@@ -278,32 +279,32 @@
 	return data, nil
 }
 
-func (f *fetcher) giveWorkers(w http.ResponseWriter, r *http.Request) {
+func (f *fetcher) serveWorkers(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if r.URL.Query().Get(headsKey) != "" {
+	if r.URL.Query().Get(headsParam) != "" {
 		d, whole := f.server.inventory.HeadsSince(from)
-		f.answerJSON(w, r, changesMessage{Delta: d, Whole: whole})
+		f.respondJSON(w, r, changesMessage{Delta: d, Whole: whole})
 		return
 	}
 	if !f.server.inventory.Complete() {
-		// A peer that needs all workers asks another one.
+		// The peer gets the list from another daemon.
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	d, whole := f.server.inventory.Since(from)
-	f.answerJSON(w, r, changesMessage{Delta: d, Whole: whole})
+	f.respondJSON(w, r, changesMessage{Delta: d, Whole: whole})
 }
 
-func (f *fetcher) giveDecisions(w http.ResponseWriter, r *http.Request) {
+func (f *fetcher) serveDecisions(w http.ResponseWriter, r *http.Request) {
 	term, errTerm := strconv.ParseInt(r.URL.Query().Get("term"), 10, 64)
 	seq, errSeq := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if errTerm != nil || errSeq != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	f.answerJSON(w, r, f.server.inventory.DecisionsSince(fleet.DecisionPosition{Term: term, Seq: seq}))
+	f.respondJSON(w, r, f.server.inventory.DecisionsSince(fleet.DecisionPosition{Term: term, Seq: seq}))
 }
--- a/serving/fetch_test.go
+++ b/serving/fetch_test.go
@@ -15,9 +15,9 @@
 	"quartzshelf.dev/peers"
 )
 
-// TestConfigurationIsSentPacked fetches two versions from a peer and looks at
-// what went over the wire.
-func TestConfigurationIsSentPacked(t *testing.T) {
+// TestConfigurationIsSentCompressed fetches two versions from a peer and checks the size of the
+// responses.
+func TestConfigurationIsSentCompressed(t *testing.T) {
 	giver, taker := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 	var sent []int
 	recorder := httptest.NewServer(giver.fetcher.handler())
@@ -31,20 +31,20 @@
 	for version := int64(1); version <= 2; version++ {
 		words := bytes.Repeat([]byte{'a' + byte(version)}, 50_000)
 		giver.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: version, Encoded: words}), time.Now())
-		assert.NilError(t, taker.fetcher.fetchConfig(context.Background(), wish{Peer: peer, wanted: awake.NewStamp(awake.Never)}))
+		assert.NilError(t, taker.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: awake.NewStamp(awake.Never)}))
 		assert.Equal(t, taker.beliefs.Version(), version)
 		assert.DeepEqual(t, decoded[version-1], words)
 
 		answer := httptest.NewRecorder()
 		request := httptest.NewRequest("GET", pathConfig, nil)
 		request.Header.Set("Accept-Encoding", "gzip")
-		giver.fetcher.giveConfig(answer, request)
+		giver.fetcher.serveConfig(answer, request)
 		sent = append(sent, answer.Body.Len())
 	}
 	for _, n := range sent {
 		assert.Assert(t, n < 5_000, "%d bytes were sent", n)
 	}
 	plain := httptest.NewRecorder()
-	giver.fetcher.giveConfig(plain, httptest.NewRequest("GET", pathConfig, nil))
-	assert.Equal(t, plain.Body.Len(), 50_000, "who does not ask for it packed gets it plain")
+	giver.fetcher.serveConfig(plain, httptest.NewRequest("GET", pathConfig, nil))
+	assert.Equal(t, plain.Body.Len(), 50_000, "without Accept-Encoding the response is not compressed")
 }
--- a/serving/format.go
+++ b/serving/format.go
@@ -10,18 +10,16 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// formatLook is how often a daemon looks which versions of the format the others speak, so
-// that its log tells when that changes.
-const formatLook = time.Second
+// formatCheckInterval is the time between two checks of the format versions in use.
+const formatCheckInterval = time.Second
 
-// sharesLimits reports whether shares of limits may be held: daemons of an earlier version
-// heed no limit, and what they send takes its place.
+// sharesLimits reports whether the daemons may share the request limits of workers. Daemons of
+// earlier versions ignore limits, so none are shared while one is around.
 func (s *Server) sharesLimits(now time.Time) bool {
 	return s.agent.Table().OldestFormat(now) >= peers.FormatBackpressure
 }
 
-// watchFormat logs when the earliest version that a daemon in touch speaks changes, until ctx
-// ends.
+// watchFormat logs changes of the earliest format version in use, until ctx ends.
 func (s *Server) watchFormat(ctx context.Context) {
 	known := 0
 	for ctx.Err() == nil {
@@ -29,12 +27,12 @@
 			s.logger.Info("the fleet acts by a version of the format", "oldest", oldest, "before", known, "own", s.opts.Self.Format.Spoken)
 			known = oldest
 		}
-		pause.For(ctx, formatLook)
+		pause.For(ctx, formatCheckInterval)
 	}
 }
 
-// daemonsByBuild counts this daemon and those that it hears by what they were built from and
-// the format that they speak: all of a small fleet, those of its hall for a relay.
+// daemonsByBuild counts this daemon and those that it hears directly, by build and format version.
+// That is the whole of a small fleet, and the own hall for a relay.
 func (s *Server) daemonsByBuild() map[telemetry.Build]int64 {
 	counts := map[telemetry.Build]int64{buildOf(s.opts.Self): 1}
 	for _, p := range s.agent.Table().Alive(time.Now()) {
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -25,8 +25,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// TestEarlierAnswers reads what daemons of the first version of the format answered each other,
-// and looks whether what this build answers has all of that.
+// TestEarlierAnswers checks that this build reads all that daemons of the first format version
+// sent in responses, and still sends all of it.
 func TestEarlierAnswers(t *testing.T) {
 	tests := map[string]func() any{
 		"workers":   func() any { return &changesMessage{} },
@@ -50,12 +50,12 @@
 	}
 }
 
-// framing is what stands before the message of a datagram, in bytes.
+// framing is the length of the header before the message in a datagram, in bytes.
 const framing = 17
 
-// toFirst returns a datagram as a daemon of the first version of the format writes or reads
-// it: without what was added since.
-func toFirst(datagram []byte) []byte {
+// toFirstFormat converts a datagram to the first format version by removing what later versions
+// added.
+func toFirstFormat(datagram []byte) []byte {
 	body, err := io.ReadAll(flate.NewReader(bytes.NewReader(datagram[framing:])))
 	if err != nil {
 		return datagram
@@ -76,13 +76,13 @@
 	if err != nil {
 		return datagram
 	}
-	// Writing to a buffer does not fail.
+	// Writing to a buffer never fails.
 	_, _ = w.Write(body)
 	_ = w.Close()
 	return append(bytes.Clone(datagram[:framing]), packed.Bytes()...)
 }
 
-// dropAdded drops what was added to a message: by its names, at the places that have them.
+// dropAdded removes from a message the fields that later versions added.
 func dropAdded(m any) {
 	fields, ok := m.(map[string]any)
 	if !ok {
@@ -104,25 +104,25 @@
 	}
 }
 
-// earlier returns a transport as a daemon of the first version of the format uses it.
-func earlier(t peers.Transport) peers.Transport {
+// earlierTransport wraps a transport so that its daemon acts like one of the first format version.
+func earlierTransport(t peers.Transport) peers.Transport {
 	return peers.Transport{
-		Send: func(to string, datagram []byte) error { return t.Send(to, toFirst(datagram)) },
+		Send: func(to string, datagram []byte) error { return t.Send(to, toFirstFormat(datagram)) },
 		Receive: func(buffer []byte) (int, error) {
 			n, err := t.Receive(buffer)
 			if err != nil {
 				return n, err
 			}
-			return copy(buffer, toFirst(buffer[:n])), nil
+			return copy(buffer, toFirstFormat(buffer[:n])), nil
 		},
 		Close: t.Close,
 	}
 }
 
-// mixedFleet is daemons of three halls, some of an earlier version.
+// mixedFleet is a fleet in three halls, in which some daemons use an earlier format version.
 type mixedFleet struct {
 	all []*Server
-	// early tells which are of an earlier version, end ends each.
+	// early tells which daemons use the earlier version; end stops each of them.
 	early []bool
 	end   []context.CancelFunc
 }
@@ -132,12 +132,12 @@
 	const halls = 3
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
 	f := &mixedFleet{}
-	var duties conc.WaitGroup
+	var tasks conc.WaitGroup
 	for i := range halls * perHall {
 		id := fmt.Sprintf("daemon-%03d", i)
 		store, transport := &fakeStore{}, network.transport(id)
 		if isEarly(i % perHall) {
-			transport = earlier(transport)
+			transport = earlierTransport(transport)
 		}
 		s, err := New(Options{
 			Self:   peers.Identity{ID: id, Incarnation: 1, Zone: fmt.Sprintf("hall-%d", i/perHall), Address: id},
@@ -153,20 +153,20 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		f.end = append(f.end, cancel)
-		duties.Go(func() { s.agent.Run(ctx) })
+		tasks.Go(func() { s.agent.Run(ctx) })
 	}
 	t.Cleanup(func() {
 		for _, end := range f.end {
 			end()
 		}
-		duties.Wait()
-		// Datagrams that are on their way arrive.
+		tasks.Wait()
+		// Datagrams in transit arrive.
 		time.Sleep(time.Second)
 	})
 	return f
 }
 
-// assertFormat checks what the daemons of this version take for the earliest one in touch.
+// assertFormat checks which version the daemons of this build consider the oldest in use.
 func (f *mixedFleet) assertFormat(t *testing.T, want int) {
 	t.Helper()
 	for i, s := range f.all {
@@ -176,10 +176,10 @@
 	}
 }
 
-// TestMixedFleetActsByTheOldest lets daemons of an earlier version be in a fleet with relays:
-// all others know that there are some, by way of relays of either version, and act by this
-// one's version once none has been in touch for a while.
-func TestMixedFleetActsByTheOldest(t *testing.T) {
+// TestMixedFleetUsesOldestFormat runs daemons of an earlier version in a fleet with relays. All
+// others must learn of them, by relays of either version, and switch to this build's version once
+// none was heard for a while.
+func TestMixedFleetUsesOldestFormat(t *testing.T) {
 	tests := map[string]struct {
 		perHall int
 		isEarly func(inHall int) bool
@@ -209,31 +209,31 @@
 	}
 }
 
-// TestNoSharesBesideEarlierDaemons: daemons of an earlier version heed no limit. While one is
-// in touch the others send nothing to a worker that named one, so that all of them together
-// send as little as can be; once it is gone they share the limit.
-func TestNoSharesBesideEarlierDaemons(t *testing.T) {
+// TestNoLimitSharesWithEarlierDaemons checks that, while a daemon of an earlier version, which
+// ignores limits, is in use, the others send nothing to a worker that reported a limit, and that
+// they share the limit afterwards.
+func TestNoLimitSharesWithEarlierDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		says := func(h http.Header, _ time.Duration) bool {
+		signal := func(h http.Header, _ time.Duration) bool {
 			h.Set(signalNames.Asks.Limit, "1.5")
 			return true
 		}
-		limited, other := &signalHead{id: "limited", says: says, work: 30 * time.Millisecond}, &signalHead{id: "other", work: 30 * time.Millisecond}
+		limited, other := &signalHead{id: "limited", signal: signal, work: 30 * time.Millisecond}, &signalHead{id: "other", work: 30 * time.Millisecond}
 		f := newSignalFleet(t, 3, 2, limited, other)
 		for _, s := range f.daemons {
 			s.signals.Hear(&fleet.Worker{ID: "limited"}, backpressure.Signal{Limited: true, PerSecond: 1.5}, time.Now(), time.Now())
 			s.agent.Table().NoteFormat(peers.FormatFirst, time.Now())
 		}
 		f.load(30, 8*time.Second)
-		assert.Equal(t, limited.came(0, 8*time.Second), 0)
+		assert.Equal(t, limited.arrivalsBetween(0, 8*time.Second), 0)
 		f.load(30, 12*time.Second)
-		assert.Assert(t, limited.came(12*time.Second, 20*time.Second) > 0)
+		assert.Assert(t, limited.arrivalsBetween(12*time.Second, 20*time.Second) > 0)
 		assert.Equal(t, f.served, f.sent)
 	})
 }
 
-// TestToFirst: the helper drops what was added and nothing else.
-func TestToFirst(t *testing.T) {
+// TestToFirstFormat checks that dropAdded removes only the added fields.
+func TestToFirstFormat(t *testing.T) {
 	m := map[string]any{"id": "a", "hb": map[string]any{"f": 1, "bp": 1, "cv": 3}, "known": []any{map[string]any{"f": 1, "id": "b"}}}
 	dropAdded(m)
 	data, err := json.Marshal(m)
--- a/serving/halls.go
+++ b/serving/halls.go
@@ -7,45 +7,44 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallsEvery is how often it is looked whether a closed data hall is empty.
-const hallsEvery = 100 * time.Millisecond
+// hallCheckInterval is the time between two checks whether a closed data hall is empty.
+const hallCheckInterval = 100 * time.Millisecond
 
-// hallWatch follows the data halls that are closed, for logs and metrics.
+// hallWatch tracks closed data halls for logs and metrics.
 type hallWatch struct {
 	server *Server
-	// closedAt holds when this daemon saw that a hall is to be closed.
+	// closedAt holds when this daemon learned that a hall is to be closed.
 	closedAt map[string]time.Time
-	// states holds the state that was logged last, by hall; empty halls are those
-	// that are closed and have no request of this daemon.
+	// states holds the state logged last, by hall. empty holds the closed halls with no requests
+	// of this daemon left.
 	states map[string]fleet.HallState
 	empty  map[string]bool
 }
 
-// watchHalls passes changes of the data halls on and logs each hall's states until ctx
-// ends.
+// watchHalls forwards changes of data halls and logs each hall's states until ctx ends.
 func (s *Server) watchHalls(ctx context.Context) {
 	w := &hallWatch{
 		server: s, closedAt: make(map[string]time.Time),
 		states: make(map[string]fleet.HallState), empty: make(map[string]bool),
 	}
-	ticker := time.NewTicker(hallsEvery)
+	ticker := time.NewTicker(hallCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.halls.Changed():
-			if s.passesOn() {
+			if s.forwardsNews() {
 				s.agent.SendHeartbeat(time.Now())
 			}
 		case <-ticker.C:
 		}
-		w.look(s.halls.View(), time.Now())
+		w.update(s.halls.View(), time.Now())
 	}
 }
 
-// look logs what changed since the last look.
-func (w *hallWatch) look(view *fleet.HallView, now time.Time) {
+// update logs the changes since its last call.
+func (w *hallWatch) update(view *fleet.HallView, now time.Time) {
 	for _, hall := range view.Closed() {
 		if _, known := w.closedAt[hall]; !known {
 			w.closedAt[hall] = now
@@ -69,8 +68,8 @@
 	}
 }
 
-// hallsIn returns how many data halls are in a state, for the metrics.
-func (s *Server) hallsIn(state fleet.HallState) func() float64 {
+// hallCounter returns a gauge of the number of data halls in a state.
+func (s *Server) hallCounter(state fleet.HallState) func() float64 {
 	return func() float64 {
 		view, now, count := s.halls.View(), time.Now(), 0
 		for _, hall := range view.Closed() {
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -8,8 +8,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// compose fills in what this daemon reports of itself to its peers.
-func (s *Server) compose(h *peers.Heartbeat, now time.Time) {
+// fillHeartbeat sets this daemon's own state in a heartbeat.
+func (s *Server) fillHeartbeat(h *peers.Heartbeat, now time.Time) {
 	s.awake.Check()
 	h.Ready, h.Leaving, h.Complete = s.Ready(), s.leaving.Load(), s.inventory.Complete()
 	version, confirmed := s.beliefs.State()
@@ -22,11 +22,12 @@
 	h.Loads, h.Traffic = s.tracker.Loads(), s.tracker.Traffic()
 	h.Demand, h.Prompts = s.tracker.Demand()
 	h.Stalls = s.suspicions.current(now)
-	h.Quarantine = s.relay.Guard().Table().Report(now, s.passesOn())
-	h.Asked = s.signals.Report(now, s.passesOn())
+	h.Quarantine = s.relay.Guard().Table().Report(now, s.forwardsNews())
+	h.Asked = s.signals.Report(now, s.forwardsNews())
 }
 
-// age returns how long ago a time was, in milliseconds.
+// age returns the time since t in milliseconds, as heartbeats hold it: at least 1, or peers.Never
+// if t is zero.
 func age(t, now time.Time) int64 {
 	if t.IsZero() {
 		return peers.Never
@@ -34,8 +35,8 @@
 	return now.Sub(t).Milliseconds() + 1
 }
 
-// heard takes what a peer reported of itself.
-func (s *Server) heard(p *peers.Peer) {
+// onHeartbeat processes a peer's heartbeat.
+func (s *Server) onHeartbeat(p *peers.Peer) {
 	s.elector.Hear(p)
 	if s.countsLoads(p) {
 		s.tracker.SetRemote(p.ID, peers.Summary{Daemons: 1, Loads: p.Loads}, p.HeardAt)
@@ -43,36 +44,37 @@
 	if p.Traffic {
 		s.tracker.SetTraffic()
 	}
-	s.hearVersion(p.ConfigVersion)
+	s.noteConfigVersion(p.ConfigVersion)
 	if own := s.inventory.Position(); own > 0 && fleet.EraOf(p.WorkersPosition) > fleet.EraOf(own) {
-		// Who does not read the store learns of a copy by the positions of others.
+		// Daemons that don't read the store learn from the positions of others that it was
+		// restored from a copy.
 		s.beliefs.HoldCopy(p.HeardAt)
 	}
 	s.halls.Follow(p.Halls, p.SentAfter)
 	s.beliefs.Confirm(p.ConfigVersion, p.ConfigConfirmedAt())
 	s.inventory.Confirm(p.WorkersPosition, p.WorkersConfirmedAt())
-	s.suspected(p)
-	s.heardQuarantine(p)
-	s.heardAsked(p)
-	if s.lacks(p) {
-		s.fetcher.want(p)
+	s.onSuspicions(p)
+	s.mergeQuarantine(p)
+	s.mergeSignals(p)
+	if s.isBehind(p) {
+		s.fetcher.request(p)
 	}
 }
 
-// lacks reports whether a peer knows something that this daemon does not.
-func (s *Server) lacks(p *peers.Peer) bool {
-	return p.ConfigVersion > s.beliefs.Version() || s.lacksWorkers(p) || s.inventory.Decided().Before(p.Decided)
+// isBehind reports whether a peer knows something that this daemon does not.
+func (s *Server) isBehind(p *peers.Peer) bool {
+	return p.ConfigVersion > s.beliefs.Version() || s.isBehindOnWorkers(p) || s.inventory.Decided().Before(p.Decided)
 }
 
-// lacksWorkers reports whether a peer knows later changes of the worker list, or all workers
-// when this daemon needs them. The list of one that is behind could not be taken.
-func (s *Server) lacksWorkers(p *peers.Peer) bool {
+// isBehindOnWorkers reports whether a peer knows later changes of the worker list, or all workers
+// if this daemon needs them. A list from a peer that is behind cannot be used.
+func (s *Server) isBehindOnWorkers(p *peers.Peer) bool {
 	own := s.inventory.Position()
 	return p.WorkersPosition > own || p.WorkersPosition == own && p.Complete && s.inventory.AwaitsList()
 }
 
-// countsLoads reports whether a peer's own loads count here, rather than as a part
-// of a summary.
+// countsLoads reports whether the loads in a peer's heartbeat count here. Otherwise they arrive as
+// part of a summary.
 func (s *Server) countsLoads(p *peers.Peer) bool {
 	switch s.agent.Role() {
 	case peers.Relay:
@@ -83,23 +85,23 @@
 	return true
 }
 
-// suspected takes a peer's suspicions. A relay passes new ones on at once.
-func (s *Server) suspected(p *peers.Peer) {
-	news := false
+// onSuspicions processes a peer's suspicions. A relay forwards new ones at once.
+func (s *Server) onSuspicions(p *peers.Peer) {
+	hasNew := false
 	for _, stall := range p.Stalls {
 		at := p.HeardAt.Add(-time.Duration(stall.Age) * time.Millisecond)
-		news = s.suspicions.add(stall, at) || news
-		// Streams that moved a moment ago may have stopped by the next report.
+		hasNew = s.suspicions.add(stall, at) || hasNew
+		// Streams that were active until now may have stalled by the next report.
 		s.tracker.Suspect(stall.Replica, p.HeardAt)
 		s.suspect(stall.Replica)
 	}
-	if news && s.passesOn() {
+	if hasNew && s.forwardsNews() {
 		s.agent.SendHeartbeat(time.Now())
 	}
 }
 
-// summed takes a summary of the work of other daemons.
-func (s *Server) summed(hall string, summary peers.Summary, now time.Time) {
+// onSummary processes a summary of the work of other daemons.
+func (s *Server) onSummary(hall string, summary peers.Summary, now time.Time) {
 	if summary.Traffic {
 		s.tracker.SetTraffic()
 	}
@@ -110,9 +112,9 @@
 	s.tracker.SetRemote(source, summary, now)
 }
 
-// changesMessage is what a daemon answers a peer that asks for the worker list.
+// changesMessage is the response to a peer that requests the worker list.
 type changesMessage struct {
 	fleet.Delta
-	// Whole tells that the changes are the whole list.
+	// Whole reports that the changes are the whole list.
 	Whole bool `json:"whole"`
 }
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -11,20 +11,19 @@
 	"quartzshelf.dev/peers"
 )
 
-// tell lets a daemon hear the heartbeat that another one composes.
-func tell(from, to *Server, now time.Time) {
+// sendHeartbeat passes a heartbeat of one daemon to another.
+func sendHeartbeat(from, to *Server, now time.Time) {
 	h := peers.Heartbeat{Identity: from.opts.Self}
 	h.ID, h.Address = "teller", "127.0.0.1:1"
-	from.compose(&h, now)
+	from.fillHeartbeat(&h, now)
 	p := &peers.Peer{Heartbeat: h, HeardAt: now, SentAfter: now}
 	to.agent.Table().RecordHeartbeat(h, now, now)
-	to.heard(p)
+	to.onHeartbeat(p)
 }
 
-// TestHeartbeatsCarry lets a daemon that the store turns away hear of a peer what it can't
-// read for itself. Each case fails without the line that sends it, and without the one that
-// takes it.
-func TestHeartbeatsCarry(t *testing.T) {
+// TestHeartbeatsTransferState checks each kind of state that a daemon which cannot read the store
+// learns from a peer's heartbeat.
+func TestHeartbeatsTransferState(t *testing.T) {
 	now := time.Now()
 	earlier := now.Add(-3 * time.Second)
 	tests := map[string]struct {
@@ -47,18 +46,18 @@
 		},
 		"that there is a newer configuration": {
 			know: func(teller *Server) { teller.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now) },
-			told: func(s *Server) bool { return len(s.fetcher.wanted) == 1 && s.newestHeard.Load() == 2 },
+			told: func(s *Server) bool { return len(s.fetcher.requests) == 1 && s.newestConfigHeard.Load() == 2 },
 		},
 		"that there are changes of the worker list": {
 			know: func(teller *Server) { teller.inventory.Replace(nil, 2, now) },
-			told: func(s *Server) bool { return len(s.fetcher.wanted) == 1 },
+			told: func(s *Server) bool { return len(s.fetcher.requests) == 1 },
 		},
 		"that there are decisions of a leader": {
 			know: func(teller *Server) {
 				teller.inventory.BeginTerm(1)
 				teller.inventory.Decide(1, fleet.Announcement{Group: "g"})
 			},
-			told: func(s *Server) bool { return len(s.fetcher.wanted) == 1 },
+			told: func(s *Server) bool { return len(s.fetcher.requests) == 1 },
 		},
 		"who may lead": {
 			know: func(teller *Server) {
@@ -93,7 +92,7 @@
 				teller.inventory.Replace(nil, fleet.PositionOf(1, 1), now)
 				teller.beliefs.Confirm(1, now)
 			},
-			// What the store then shows confirms nothing for a while.
+			// The restored store confirms nothing for a while.
 			told: func(s *Server) bool {
 				s.beliefs.Confirm(1, now)
 				return s.beliefs.Confirmed().Equal(earlier)
@@ -102,20 +101,21 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			teller, s := newServerThatKnows(t, earlier), newServerThatKnows(t, earlier)
-			tell(teller, s, now)
-			assert.Assert(t, !test.told(newServerThatKnows(t, earlier)), "it is so without being told")
+			teller, s := newServerWithState(t, earlier), newServerWithState(t, earlier)
+			sendHeartbeat(teller, s, now)
+			assert.Assert(t, !test.told(newServerWithState(t, earlier)), "the state is known without a heartbeat")
 			test.know(teller)
-			tell(teller, s, now.Add(time.Millisecond))
+			sendHeartbeat(teller, s, now.Add(time.Millisecond))
 			assert.Assert(t, test.told(s))
 		})
 	}
 }
 
-// newServerThatKnows returns a daemon that knows a configuration and the workers as of a time.
-func newServerThatKnows(t *testing.T, at time.Time) *Server {
+// newServerWithState returns a daemon that has a configuration and a worker list confirmed at a
+// time.
+func newServerWithState(t *testing.T, at time.Time) *Server {
 	t.Helper()
 	s := newServer(t, &fakeStore{})
-	learn(s, at)
+	setState(s, at)
 	return s
 }
--- a/serving/indirect.go
+++ b/serving/indirect.go
@@ -17,15 +17,15 @@
 
 const (
 	pathLeave = "/leave"
-	// indirectPeers is how many daemons are asked to give an order.
-	indirectPeers = 6
-	// indirectTimeout bounds the order that a peer gives.
+	// indirectPeerCount is the number of peers that are asked to send an order.
+	indirectPeerCount = 6
+	// indirectTimeout limits the time for a peer's call to the worker.
 	indirectTimeout = 200 * time.Millisecond
-	// maxOrder bounds a message about an order, in bytes.
-	maxOrder = 64 << 10
+	// maxOrderBytes limits the size of a message about an order.
+	maxOrderBytes = 64 << 10
 )
 
-// leaveMessage asks a peer to give an order.
+// leaveMessage asks a peer to order a worker to leave its group.
 type leaveMessage struct {
 	Worker fleet.Worker    `json:"worker"`
 	Fence  formation.Fence `json:"fence"`
@@ -33,24 +33,24 @@
 	Epoch  int64           `json:"epoch"`
 }
 
-// verdictMessage is how the worker took the order.
+// verdictMessage is the worker's verdict on the order.
 type verdictMessage struct {
 	Verdict formation.Verdict `json:"verdict"`
 }
 
-// leaveThroughPeers is a formation.IndirectLeave: several peers give the order
-// at once, with the same fence, and the first answer counts.
+// leaveThroughPeers is a formation.IndirectLeave: several peers send the order at once, with the
+// same fence, and the first response counts.
 func (s *Server) leaveThroughPeers(ctx context.Context, w *fleet.Worker, fence formation.Fence, g formation.Group) (formation.Verdict, error) {
 	body, err := json.Marshal(leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch})
 	if err != nil {
 		return formation.Malformed, failure.At(failure.Invalid, "encode order", w.ID, err)
 	}
-	chosen := s.somePeers()
+	chosen := s.randomPeers()
 	answers := make(chan verdictMessage, len(chosen))
 	failures := make(chan error, len(chosen))
 	for _, p := range chosen {
 		go func() {
-			m, err := s.askToLeave(ctx, p, body)
+			m, err := s.sendLeaveOrder(ctx, p, body)
 			if err != nil {
 				failures <- err
 				return
@@ -58,7 +58,7 @@
 			answers <- m
 		}()
 	}
-	err = failure.New(failure.Unavailable, "give order through peers", w.ID, "no peer is alive")
+	err = failure.New(failure.Unavailable, "send order through peers", w.ID, "no peer is alive")
 	for range chosen {
 		select {
 		case m := <-answers:
@@ -69,37 +69,37 @@
 	return formation.Unfit, err
 }
 
-// somePeers returns the peers that are asked, chosen by chance.
-func (s *Server) somePeers() []*peers.Peer {
+// randomPeers returns a random choice of live peers.
+func (s *Server) randomPeers() []*peers.Peer {
 	alive := s.agent.Table().Alive(time.Now())
 	rand.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
-	return alive[:min(len(alive), indirectPeers)]
+	return alive[:min(len(alive), indirectPeerCount)]
 }
 
-func (s *Server) askToLeave(ctx context.Context, p *peers.Peer, body []byte) (verdictMessage, error) {
+func (s *Server) sendLeaveOrder(ctx context.Context, p *peers.Peer, body []byte) (verdictMessage, error) {
 	var m verdictMessage
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Address+pathLeave, bytes.NewReader(body))
 	if err != nil {
-		return m, failure.At(failure.Invalid, "ask peer to order", p.ID, err)
+		return m, failure.At(failure.Invalid, "ask peer to send order", p.ID, err)
 	}
 	response, err := s.fetcher.client.Do(request)
 	if err != nil {
-		return m, failure.At(failure.Unavailable, "ask peer to order", p.ID, err)
+		return m, failure.At(failure.Unavailable, "ask peer to send order", p.ID, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return m, failure.New(failure.Refused, "ask peer to order", p.ID, "status %d", response.StatusCode)
+		return m, failure.New(failure.Refused, "ask peer to send order", p.ID, "status %d", response.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxOrder)).Decode(&m); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxOrderBytes)).Decode(&m); err != nil {
 		return m, failure.At(failure.Remote, "decode verdict", p.ID, err)
 	}
 	return m, nil
 }
 
-// giveLeave gives an order on a peer's behalf.
-func (s *Server) giveLeave(w http.ResponseWriter, r *http.Request) {
+// serveLeave sends an order to a worker on behalf of a peer.
+func (s *Server) serveLeave(w http.ResponseWriter, r *http.Request) {
 	var m leaveMessage
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxOrder)).Decode(&m); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxOrderBytes)).Decode(&m); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -115,6 +115,6 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// A peer that has gone does not get it; it asks again.
+	// If the peer is gone, it asks again.
 	_, _ = w.Write(data)
 }
--- a/serving/indirect_test.go
+++ b/serving/indirect_test.go
@@ -15,19 +15,19 @@
 	"quartzshelf.dev/peers"
 )
 
-// leaveOrders takes orders to leave; the others are not given here.
+// leaveOrders records orders to leave and returns a fixed result.
 type leaveOrders struct {
-	verdict formation.Verdict
-	err     error
-	taken   chan leaveMessage
+	verdict  formation.Verdict
+	err      error
+	received chan leaveMessage
 }
 
 func (o *leaveOrders) leave(_ context.Context, w *fleet.Worker, fence formation.Fence, g formation.Group) (formation.Verdict, error) {
-	o.taken <- leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch}
+	o.received <- leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch}
 	return o.verdict, o.err
 }
 
-func TestOrdersByWayOfPeers(t *testing.T) {
+func TestOrdersThroughPeers(t *testing.T) {
 	worker := &fleet.Worker{ID: "w", Address: "127.0.0.1:1", Service: "s"}
 	group := formation.Group{Name: "m-r5", Epoch: 5}
 	tests := map[string]struct {
@@ -43,7 +43,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			test.orders.taken = make(chan leaveMessage, 1)
+			test.orders.received = make(chan leaveMessage, 1)
 			leader, peer := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 			peer.opts.Orders = formation.Orders{Leave: test.orders.leave}
 			if test.peer {
@@ -53,13 +53,13 @@
 			assert.Equal(t, verdict, test.want)
 			assert.Equal(t, err != nil, test.failure)
 			if test.peer {
-				assert.DeepEqual(t, <-test.orders.taken, leaveMessage{Worker: *worker, Fence: 9, Group: "m-r5", Epoch: 5})
+				assert.DeepEqual(t, <-test.orders.received, leaveMessage{Worker: *worker, Fence: 9, Group: "m-r5", Epoch: 5})
 			}
 		})
 	}
 }
 
-// servePeer serves what a daemon gives its peers and returns its address.
+// servePeer serves a daemon's handler for peers and returns its address.
 func servePeer(t *testing.T, s *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 	return l.Addr().String()
 }
 
-// hearPeer lets a daemon know a peer at an address.
+// hearPeer makes a peer at an address known to a daemon.
 func hearPeer(t *testing.T, s *Server, address string) {
 	t.Helper()
 	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: address}, Ready: true}
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -9,7 +9,7 @@
 	"quartzshelf.dev/peers"
 )
 
-// lead runs a term of leadership until ctx ends.
+// lead acts as leader for one term, until ctx ends.
 func (s *Server) lead(ctx context.Context, claim peers.Claim, first bool) {
 	s.inventory.BeginTerm(claim.Term())
 	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: first, FirstLife: s.opts.FirstLife},
@@ -28,13 +28,13 @@
 		Config: s.beliefs.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
 		Demand: s.demand, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
-		Smoothed:  s.work.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.hallOpen,
+		Smoothed:  s.smoothedWork.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.hallOpen,
 		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
 		Awake: s.awake.Check, Counted: s.meter.Order, Logger: s.logger.Named("formation"),
 	}
 }
 
-// hallOpen reports whether a data hall takes requests and stays open.
+// hallOpen reports whether a data hall accepts requests and is not being closed.
 func (s *Server) hallOpen(hall string) bool {
 	return s.halls.View().State(hall, time.Now()) == fleet.HallOpen
 }
@@ -45,20 +45,20 @@
 	s.keeper = k
 }
 
-// observeEvery is how often a daemon that may come to lead looks at the work of the fleet.
-const observeEvery = time.Second
+// observeInterval is the time between two samples of the fleet's work.
+const observeInterval = time.Second
 
-// observeWork keeps the smoothed work of the fleet until ctx ends, from which a term of
-// this daemon's would go on.
+// observeWork updates the smoothed work of the fleet until ctx ends, so that a new leader starts
+// with a current value.
 func (s *Server) observeWork(ctx context.Context) {
-	ticker := time.NewTicker(observeEvery)
+	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.work.Observe(s.demand(), now)
+			s.smoothedWork.Observe(s.demand(), now)
 		}
 	}
 }
@@ -74,16 +74,16 @@
 	return all
 }
 
-// stalled takes a suspicion of this daemon's own.
-func (s *Server) stalled(r *fleet.Replica) {
+// onStall processes a stalled replica that this daemon detected itself.
+func (s *Server) onStall(r *fleet.Replica) {
 	now := time.Now()
-	s.logger.Warn("replica fell silent", "replica", r.ID, "head", r.Head.ID)
+	s.logger.Warn("replica stalled", "replica", r.ID, "head", r.Head.ID)
 	s.suspicions.add(peers.Stall{Replica: r.ID, Head: r.Head.ID}, now)
 	s.suspect(r.ID)
 	s.agent.SendHeartbeat(now)
 }
 
-// suspect tells the keeper of a suspicion if this daemon leads.
+// suspect reports a suspicion to the keeper if this daemon leads.
 func (s *Server) suspect(replica string) {
 	s.mu.Lock()
 	keeper := s.keeper
--- a/serving/limits_test.go
+++ b/serving/limits_test.go
@@ -11,57 +11,49 @@
 	"gotest.tools/v3/assert"
 )
 
-// What users saw: a worker in need told in its answers how many requests a second it takes
-// from all daemons together, and got 3.5 times as many, as if it had said nothing: 24 in
-// four seconds where 1.6 a second were named and 15 are allowed.
-//
-// The order of events: the worker names the limit; each daemon passes its answers on to the
-// callers, and goes on choosing the worker by its load, which is that of a healthy one.
-//
-// The cause: no code read what workers say of themselves in their answers.
-//
-// The evidence: on the code before, the test below counts 30 requests where 12 may come, at one
-// daemon alone as at six and sixty, and as many after the limit was named as before.
+// The test below guards against ignoring the request rate that a worker reports in its responses
+// as its limit for all daemons together.
 
 const (
-	// limitContact is how long after a worker first named a limit that binds, limitHeard how
-	// long before a request its daemon must have had an answer that named it.
-	limitContact = 3 * time.Second
-	limitHeard   = 500 * time.Millisecond
-	// limitWindow is the time in which requests are counted.
+	// limitGrace is how long after a worker first reported a limit it has to be kept. limitNotice
+	// is how long a daemon may take to apply a limit that it received.
+	limitGrace  = 3 * time.Second
+	limitNotice = 500 * time.Millisecond
+	// limitWindow is the period over which requests are counted.
 	limitWindow = 4 * time.Second
 )
 
-// mostAllowed is how many requests a worker that named a limit may get within limitWindow.
-func mostAllowed(perSecond float64) int {
+// maxAllowed is the number of requests that a worker that reported a limit may get within
+// limitWindow.
+func maxAllowed(perSecond float64) int {
 	const burst, slack = 1.5, 5
 	return int(burst*perSecond*limitWindow.Seconds()) + slack
 }
 
-// assertLimit checks that a worker that names a limit from a time on got no more than that
-// from the daemons that know of it.
+// assertLimit checks that a worker that reported a limit from a given time on got no more than
+// that from the daemons that know of it.
 func assertLimit(t *testing.T, h *signalHead, named time.Duration, perSecond float64) {
 	t.Helper()
-	all, first := h.counted(limitHeard), 0
+	all, first := h.arrivalsAfterSignal(limitNotice), 0
 	for i, at := range all {
 		for at-all[first] >= limitWindow {
 			first++
 		}
-		if at >= named+limitContact {
-			assert.Assert(t, i-first+1 <= mostAllowed(perSecond), "%s got %d requests in the %s before %s", h.id, i-first+1, limitWindow, at)
+		if at >= named+limitGrace {
+			assert.Assert(t, i-first+1 <= maxAllowed(perSecond), "%s got %d requests in the %s before %s", h.id, i-first+1, limitWindow, at)
 		}
 	}
 }
 
-// limitedCount is how many heads name a limit, limitNamed from when on.
+// limitedCount is the number of heads that report a limit, limitNamed when they start to.
 const (
 	limitedCount = 2
 	limitNamed   = 2 * time.Second
 )
 
-// limitedHeads returns eight heads, of which the first ones name a limit.
+// limitedHeads returns eight heads, the first limitedCount of which report a limit.
 func limitedHeads(perSecond float64) []*signalHead {
-	says := func(h http.Header, at time.Duration) bool {
+	signal := func(h http.Header, at time.Duration) bool {
 		if at >= limitNamed {
 			h.Set(signalNames.Asks.Limit, strconv.FormatFloat(perSecond, 'f', -1, 64))
 		}
@@ -71,19 +63,19 @@
 	for i := range 8 {
 		h := &signalHead{id: fmt.Sprint("head-", i), work: 300 * time.Millisecond}
 		if i < limitedCount {
-			h.id, h.says = fmt.Sprint("limited-", i), says
+			h.id, h.signal = fmt.Sprint("limited-", i), signal
 		}
 		heads = append(heads, h)
 	}
 	return heads
 }
 
-// TestNamedLimitHolds lets two of eight heads name a limit after two seconds, in fleets in
-// which all report to all, and in which relays pass reports on.
-func TestNamedLimitHolds(t *testing.T) {
+// TestReportedLimitHolds lets two of eight heads report a limit after two seconds, in fleets with
+// and without relays.
+func TestReportedLimitHolds(t *testing.T) {
 	tests := map[string]struct {
 		halls, perHall int
-		// load is how many requests come a second to all daemons together.
+		// load is the number of requests per second to all daemons together.
 		load      float64
 		perSecond float64
 	}{
@@ -104,11 +96,11 @@
 				came := 0
 				for _, h := range heads[:limitedCount] {
 					assertLimit(t, h, limitNamed, test.perSecond)
-					came += h.came(from, to)
+					came += h.arrivalsBetween(from, to)
 				}
 				worth := limitedCount * test.perSecond * (to - from).Seconds()
-				assert.Assert(t, float64(came) >= worth/2, "they got %d requests of %.1f that they take", came, worth)
-				assert.Equal(t, f.served, f.sent, "the others have room")
+				assert.Assert(t, float64(came) >= worth/2, "the limited heads got %d requests, their limits allow %.1f", came, worth)
+				assert.Equal(t, f.served, f.sent, "the other heads have free slots")
 			})
 		})
 	}
--- a/serving/news.go
+++ b/serving/news.go
@@ -10,54 +10,53 @@
 )
 
 const (
-	// newsPause joins what becomes known close upon one another: what comes within
-	// it waits and goes together.
-	newsPause = 40 * time.Millisecond
-	// changesPerNews and decisionsPerNews are how many changes of the worker list
-	// and decisions go into one datagram, so that it fits one frame of the network:
-	// deflated, a change takes about 70 bytes and a decision about 60.
+	// newsBatchDelay is how long news is collected before it is sent together.
+	newsBatchDelay = 40 * time.Millisecond
+	// changesPerNews and decisionsPerNews limit the worker list changes and decisions in a
+	// datagram, so that it fits into one network frame. Compressed, a change takes about 70 bytes
+	// and a decision about 60.
 	changesPerNews   = 14
 	decisionsPerNews = 16
 )
 
-// passNews passes on what becomes known, once, while this daemon leads or relays.
-// Who misses some of it sees so by the positions in heartbeats and asks for it.
-func (s *Server) passNews(ctx context.Context) {
-	var passed newsPosition
+// forwardNews forwards new changes and decisions once, while this daemon is leader or relay.
+// Daemons that miss some of it detect the gap from the positions in heartbeats and fetch it.
+func (s *Server) forwardNews(ctx context.Context) {
+	var forwarded newsPosition
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.beliefs.Changed():
-			// Peers fetch the configuration when they hear of its version.
-			if s.passesOn() {
+			// Peers fetch the configuration when a heartbeat reports a new version.
+			if s.forwardsNews() {
 				s.agent.SendHeartbeat(time.Now())
 			}
 			continue
 		case <-s.inventory.News():
 		}
-		if s.passesOn() {
+		if s.forwardsNews() {
 			var n news
-			n, passed = s.newsSince(passed)
+			n, forwarded = s.newsSince(forwarded)
 			s.agent.SendNews(n.all, n.members, s.isReader(), time.Now())
 		} else {
-			passed = newsPosition{workers: s.inventory.Position(), decided: s.inventory.Decided()}
+			forwarded = newsPosition{workers: s.inventory.Position(), decided: s.inventory.Decided()}
 		}
-		pause.For(ctx, newsPause)
+		pause.For(ctx, newsBatchDelay)
 	}
 }
 
-// passesOn reports whether this daemon passes on what it learns.
-func (s *Server) passesOn() bool { return s.isReader() || s.agent.Role() == peers.Relay }
+// forwardsNews reports whether this daemon forwards what it learns.
+func (s *Server) forwardsNews() bool { return s.isReader() || s.agent.Role() == peers.Relay }
 
-// newsPosition is how far the worker list and the decisions were passed on.
+// newsPosition is the position up to which the worker list and the decisions were forwarded.
 type newsPosition struct {
 	workers int64
 	decided fleet.DecisionPosition
 }
 
-// news is what has become known, in parts that fit a datagram each: with the changes of all
-// workers, and for members, most of which need those of heads alone.
+// news holds new information in parts that fit into a datagram each: all with the changes of all
+// workers, members with the changes of group heads only, which is all that most members need.
 type news struct {
 	all, members []peers.News
 }
@@ -67,8 +66,8 @@
 	n.members = append(n.members, part)
 }
 
-// newsSince returns what has become known since a position, and the new position. Where
-// everything was read anew there is no news: peers ask for what they lack.
+// newsSince returns the news since a position, and the new position. After a full reload there is
+// no news; peers fetch what they lack.
 func (s *Server) newsSince(from newsPosition) (news, newsPosition) {
 	var n news
 	decisions := s.inventory.DecisionsSince(from.decided)
@@ -84,9 +83,9 @@
 	return n, newsPosition{workers: workers.To, decided: fleet.DecisionPosition{Term: decisions.Term, Seq: decisions.To}}
 }
 
-// addWorkers adds changes of the worker list. What cannot be split is fetched. Where members
-// hold all workers too they get all changes: told of heads alone, each would stay behind and
-// fetch the others at a heartbeat (40 changes behind in TestMembersAreToldWhatTheyHold).
+// addWorkers adds changes of the worker list. Changes that cannot be split are left for peers to
+// fetch. Members that hold all workers get all changes, since with those of heads alone they would
+// fall behind and have to fetch the rest.
 func (s *Server) addWorkers(n *news, changes fleet.Delta) {
 	if s.inventory.Complete() {
 		parts, _ := changes.Split(changesPerNews)
@@ -104,8 +103,8 @@
 	}
 }
 
-// taken takes what a peer passed on.
-func (s *Server) taken(p *peers.Peer, n *peers.News) {
+// onNews processes news that a peer forwarded.
+func (s *Server) onNews(p *peers.Peer, n *peers.News) {
 	if n.Decisions != nil {
 		s.inventory.FollowDecisions(*n.Decisions)
 	}
--- a/serving/news_test.go
+++ b/serving/news_test.go
@@ -13,8 +13,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// listed returns changes that list some workers.
-func listed(from, count int) []fleet.Change {
+// listWorkers returns changes that add workers to the list.
+func listWorkers(from, count int) []fleet.Change {
 	var all []fleet.Change
 	for i := from; i < from+count; i++ {
 		id := fmt.Sprintf("w%d", i)
@@ -23,29 +23,29 @@
 	return all
 }
 
-// leading returns a daemon that knows some workers and leads a term.
-func leading(t *testing.T, workers int) *Server {
+// newLeader returns a daemon that knows some workers and leads a term.
+func newLeader(t *testing.T, workers int) *Server {
 	t.Helper()
 	s := newServer(t, &fakeStore{})
-	s.inventory.Replace(listed(0, workers), int64(workers), time.Now())
+	s.inventory.Replace(listWorkers(0, workers), int64(workers), time.Now())
 	s.inventory.BeginTerm(1)
 	return s
 }
 
-// TestNewsIsPassedOnOnce follows what a leader passes on: each change and decision
-// once, in parts of a bounded size, and nothing of what was known before.
-func TestNewsIsPassedOnOnce(t *testing.T) {
-	leader, follower := leading(t, 3), newServer(t, &fakeStore{})
-	follower.inventory.Replace(listed(0, 3), 3, time.Now())
+// TestNewsIsForwardedOnce checks that a leader forwards each change and decision once, in parts of
+// limited size, and nothing that was known before.
+func TestNewsIsForwardedOnce(t *testing.T) {
+	leader, follower := newLeader(t, 3), newServer(t, &fakeStore{})
+	follower.inventory.Replace(listWorkers(0, 3), 3, time.Now())
 	follower.inventory.FollowDecisions(leader.inventory.DecisionsSince(fleet.DecisionPosition{}))
-	n, passed := leader.newsSince(newsPosition{})
-	assert.Equal(t, len(n.all)+len(n.members), 0, "what was there at the start is fetched by those that lack it")
+	n, forwarded := leader.newsSince(newsPosition{})
+	assert.Equal(t, len(n.all)+len(n.members), 0, "the initial state is fetched, not sent as news")
 	const count = 40
-	leader.inventory.Apply(listed(3, count), 3+count, time.Now())
+	leader.inventory.Apply(listWorkers(3, count), 3+count, time.Now())
 	for i := range count {
 		leader.inventory.Decide(1, fleet.Announcement{Group: fmt.Sprint("g", i), Epoch: int64(i + 1), Head: "h"})
 	}
-	n, passed = leader.newsSince(passed)
+	n, forwarded = leader.newsSince(forwarded)
 	changes, decisions := 0, 0
 	for _, n := range n.all {
 		if n.Workers != nil {
@@ -56,20 +56,19 @@
 			assert.Assert(t, len(n.Decisions.All) <= decisionsPerNews)
 			decisions += len(n.Decisions.All)
 		}
-		follower.taken(&peers.Peer{}, &n)
+		follower.onNews(&peers.Peer{}, &n)
 	}
 	assert.Equal(t, changes, count)
 	assert.Equal(t, decisions, count)
 	assert.Equal(t, follower.inventory.Position(), leader.inventory.Position())
 	assert.Equal(t, follower.inventory.Decided(), leader.inventory.Decided())
-	n, _ = leader.newsSince(passed)
+	n, _ = leader.newsSince(forwarded)
 	assert.Equal(t, len(n.all)+len(n.members), 0)
 }
 
-// TestMembersAreToldWhatTheyHold: members hold heads alone, or all workers where requests to
-// those that warm up are bounded. What they are passed on brings them to the leader's position
-// without asking.
-func TestMembersAreToldWhatTheyHold(t *testing.T) {
+// TestMembersGetNewsInScope checks that forwarded news brings members to the leader's position
+// without a fetch, whether they hold only heads or all workers.
+func TestMembersGetNewsInScope(t *testing.T) {
 	tests := map[string]struct {
 		bounded bool
 		scope   fleet.Scope
@@ -88,27 +87,27 @@
 			leader.inventory.Apply(nil, start+1, time.Now())
 			whole, _ := leader.inventory.Since(-1)
 			member.inventory.Replace(whole.Changes, whole.To, time.Now())
-			_, passed := leader.newsSince(newsPosition{})
+			_, forwarded := leader.newsSince(newsPosition{})
 			const count = 40
 			var changes []fleet.Change
-			for _, c := range listed(100, count) {
+			for _, c := range listWorkers(100, count) {
 				c.Worker.Domain = "d"
 				changes = append(changes, c)
 			}
 			leader.inventory.Apply(changes, start+1+count, time.Now())
-			n, _ := leader.newsSince(passed)
+			n, _ := leader.newsSince(forwarded)
 			for _, part := range n.members {
-				member.taken(&peers.Peer{}, &part)
+				member.onNews(&peers.Peer{}, &part)
 			}
 			assert.Equal(t, member.inventory.Position(), leader.inventory.Position())
-			_, held := member.inventory.View().Worker("w100")
-			assert.Equal(t, held, test.scope == fleet.AllWorkers)
+			_, isHeld := member.inventory.View().Worker("w100")
+			assert.Equal(t, isHeld, test.scope == fleet.AllWorkers)
 		})
 	}
 }
 
-// TestWhatWasMissedIsFetched lets a daemon miss news in several ways and ask a peer.
-func TestWhatWasMissedIsFetched(t *testing.T) {
+// TestMissedNewsIsFetched lets a daemon miss news in several ways and fetch it from a peer.
+func TestMissedNewsIsFetched(t *testing.T) {
 	tests := map[string]func(leader, follower *Server){
 		"all of it": func(*Server, *Server) {},
 		"decisions of the term, but not the first": func(leader, follower *Server) {
@@ -123,14 +122,14 @@
 	}
 	for name, miss := range tests {
 		t.Run(name, func(t *testing.T) {
-			leader, follower := leading(t, 3), newServer(t, &fakeStore{})
+			leader, follower := newLeader(t, 3), newServer(t, &fakeStore{})
 			leader.inventory.Decide(1, fleet.Announcement{Group: "closed", Epoch: 1, Head: "h"})
 			miss(leader, follower)
 			p := &peers.Peer{Heartbeat: peers.Heartbeat{
 				Identity:        peers.Identity{ID: "leader", Address: servePeer(t, leader)},
 				WorkersPosition: leader.inventory.Position(), Decided: leader.inventory.Decided(),
 			}}
-			follower.fetcher.fetch(context.Background(), wish{Peer: p, wanted: awake.NewStamp(awake.Never)})
+			follower.fetcher.fetch(context.Background(), fetchRequest{Peer: p, requestedAt: awake.NewStamp(awake.Never)})
 			assert.Equal(t, follower.inventory.Position(), leader.inventory.Position())
 			assert.Equal(t, follower.inventory.Decided(), leader.inventory.Decided())
 			for _, group := range []string{"closed", "missed"} {
--- a/serving/options.go
+++ b/serving/options.go
@@ -1,5 +1,5 @@
-// Package serving is the daemon: it joins what follows the configuration and
-// the workers, what talks to peers, what leads and what relays.
+// Package serving implements the daemon. It connects the followers of the configuration and the
+// worker list, the exchange with peers, leadership and the relaying of requests.
 package serving
 
 import (
@@ -18,50 +18,48 @@
 	"quartzshelf.dev/relay"
 )
 
-// MemberList is where daemons find each other after a start.
+// MemberList is the list in the store by which daemons discover each other after a start.
 type MemberList struct {
-	// Register notes this daemon for others to find.
+	// Register adds this daemon to the list.
 	Register func(ctx context.Context, self peers.Identity) error
-	// Read returns the daemons of a data hall noted so far; some may be gone.
+	// Read returns the registered daemons of a data hall; some may no longer exist.
 	Read func(ctx context.Context, hall string) ([]peers.Identity, error)
 }
 
-// Bounds is what the operator promises callers, as far as it binds the daemon.
+// Bounds holds the limits that the operator guarantees to callers, as far as they concern the
+// daemon.
 type Bounds struct {
-	// Grace is the time from the order to stop until the process is killed.
+	// The time between the signal to stop and the process being killed.
 	Grace time.Duration
-	// Revoke is the time after which a key that was taken away must not work
-	// anywhere; zero when that is not strict.
+	// The time after which a revoked key must be rejected everywhere; zero for no strict bound.
 	Revoke time.Duration
-	// Leave is the time after which a worker that left the list must get no
-	// more requests; zero for none.
+	// The time after which a worker removed from the list must get no more requests; zero for no
+	// bound.
 	Leave time.Duration
-	// Heartbeat is how often workers write to the list.
+	// The interval at which workers update their entries in the list.
 	Heartbeat time.Duration
-	// Stall is how long a replica that lost a member stands still.
+	// How long a replica that lost a member stands still.
 	Stall   time.Duration
 	Ceiling formation.Ceiling
-	// Held is how many bytes of requests and answers the daemon may hold; zero for no bound.
+	// The number of bytes of requests and responses that the daemon may hold; zero for no limit.
 	Held   int64
 	Budget relay.BudgetOptions
-	// Empty is the time after the operator's word within which a closed data hall gets
-	// no more requests.
+	// The time after the operator's order within which a closed data hall gets no more requests.
 	Empty time.Duration
-	// BearHalls is how many data halls may be lost at once, HallWeight what a share of
-	// requests that such a loss takes costs a plan, beside one that is lost now. Zero
-	// leaves it out, which is the usual: at 0.2 and 0.02 plans served callers worse on days
-	// on which no hall was lost (docs/design/domain-plan.md).
+	// Plans take into account that BearHalls data halls may fail at once. HallWeight is the cost
+	// of the share of requests lost in such a failure, relative to requests lost now. Zero, the
+	// default, disables this.
 	BearHalls  int
 	HallWeight float64
 	WarmUp     WarmUpBound
-	// Limits bounds the requests that a worker which named a limit gets.
+	// The bound on requests to workers that reported a limit.
 	Limits backpressure.Bound
-	// KeepEntries is for how long callers keep an answer of Entries.
+	// How long callers may keep a result of Entries.
 	KeepEntries time.Duration
 }
 
-// WarmUpBound bounds the requests that a cold worker gets in any one second from all
-// daemons together: Burst times what its service says that it bears, and Slack more.
+// WarmUpBound limits the requests that a cold worker gets in any one second from all daemons
+// together: Burst times the rate that its service declares, plus Slack.
 type WarmUpBound struct {
 	Burst, Slack float64
 }
@@ -69,9 +67,9 @@
 // Options configures a Server.
 type Options struct {
 	Self peers.Identity
-	// FirstLife tells that this process runs since the fleet first started.
+	// Reports that the process has been running since the fleet first started.
 	FirstLife bool
-	// Regions holds the region of each data hall.
+	// Regions maps each data hall to its region.
 	Regions map[string]string
 	Bounds  Bounds
 	Names   relay.Names
@@ -79,29 +77,29 @@
 	Source   fleet.Source
 	Decode   func(data []byte) (*fleet.Config, error)
 	Registry leadership.Registry
-	// Era returns how often the store came back from a copy, as far as it told; nil for a
-	// store that never does.
+	// Era returns how many times the store was restored from a copy, as far as it reported; nil
+	// for a store that never is.
 	Era func() int64
-	// StoreCalls returns how many calls to the store were made so far, by what they were
-	// for; nil for a store that does not count them.
+	// StoreCalls returns the number of calls to the store so far, by purpose; nil for a store that
+	// does not count them.
 	StoreCalls func() map[string]int64
 	MemberList MemberList
 	Orders     formation.Orders
-	// Marks keeps the requests that are quarantined.
+	// Marks stores the marks of quarantined requests.
 	Marks MarkStore
 
-	// Transport carries datagrams between daemons; without one they go by UDP.
+	// Transport carries datagrams between daemons; if unset, they use UDP.
 	Transport peers.Transport
-	// Ask carries what daemons ask each other, and ServePeers serves it until ctx ends;
-	// without them that goes by HTTP at the addresses of daemons.
+	// Ask carries requests between daemons, and ServePeers serves them until ctx ends. If unset,
+	// HTTP is used at the daemons' addresses.
 	Ask        http.RoundTripper
 	ServePeers func(ctx context.Context, handler http.Handler)
 	// DialWorker opens connections to workers; nil for TCP.
 	DialWorker func(ctx context.Context, network, address string) (net.Conn, error)
-	// Suspended returns for how long the machine was suspended in all; nil for one that never
-	// is.
+	// Suspended returns the total time for which the machine was suspended; nil for a machine that
+	// never is.
 	Suspended func() time.Duration
-	// Metrics is the address for metrics; empty for none.
+	// Metrics is the address that serves metrics; empty to disable them.
 	Metrics string
 	Logger  hclog.Logger
 }
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -16,160 +16,160 @@
 )
 
 const (
-	// keepMarksEvery is how often a leader looks whether marks are to be kept, readMarksEvery
-	// how often it reads those that are kept, so that a mark that an operator removes is
-	// lifted.
-	keepMarksEvery = 500 * time.Millisecond
-	readMarksEvery = 30 * time.Second
-	// readMarksAgain is how soon that is tried again when it failed.
-	readMarksAgain = 2 * time.Second
-	// liftAfter is how long ago a mark must have been read for its absence to mean that it
-	// was removed: answers of the store may be some seconds behind.
-	liftAfter = 10 * time.Second
-	// marksTimeout bounds a call to where marks are kept.
+	// marksSyncInterval is the time between two checks of a leader for marks to store. It reads
+	// the stored marks every marksReadInterval, so that a mark that an operator removes is lifted.
+	marksSyncInterval = 500 * time.Millisecond
+	marksReadInterval = 30 * time.Second
+	// marksRetryDelay is the delay before a failed read is tried again.
+	marksRetryDelay = 2 * time.Second
+	// marksLiftDelay is how long ago a mark must first have been read for its absence to mean that
+	// it was removed, since reads of the store may be a few seconds out of date.
+	marksLiftDelay = 10 * time.Second
+	// marksTimeout limits a call to the store of marks.
 	marksTimeout = time.Second
-	// byStore stands in logs for the place where marks are kept.
-	byStore = "store"
+	// storeSource is the source of marks from the store in logs.
+	storeSource = "store"
 )
 
-// MarkStore keeps the requests that are quarantined beyond the life of all daemons. Read and
-// Write are nil where nothing is kept.
+// MarkStore persists the marks of quarantined requests, so that they survive a restart of all
+// daemons. Read and Write are nil if marks are not stored.
 type MarkStore struct {
-	// Read returns the marks that are kept, and an error for each record that is none.
+	// Read returns the stored marks, and an error for each record that is not a valid mark.
 	Read func(ctx context.Context) (marks []quarantine.Mark, refused []error, err error)
-	// Write keeps a mark; one without a time at which it ends is removed.
+	// Write stores a mark, or removes it if its Until is zero.
 	Write func(ctx context.Context, m quarantine.Mark) error
 }
 
-// markKeeper keeps marks while this daemon leads.
+// markKeeper stores marks while this daemon leads.
 type markKeeper struct {
 	server *Server
-	// kept holds the marks that are known to be kept.
-	kept map[quarantine.Fingerprint]keptMark
-	// readAt is when they are to be read next.
-	readAt time.Time
-	// refused is what was last said of records that are no marks, so that it is logged once.
-	refused string
+	// stored holds the marks known to be in the store.
+	stored map[quarantine.Fingerprint]storedMark
+	// nextRead is when the stored marks are to be read again.
+	nextRead time.Time
+	// loggedRefusals is the text logged last about invalid records, so that it is not repeated.
+	loggedRefusals string
 }
 
-// keptMark is a mark that is known to be kept until a time. readAt is when it was first read;
-// the zero time if it was only written.
-type keptMark struct {
-	until, readAt time.Time
+// storedMark is a mark known to be stored. firstReadAt is when it was first read; zero if it was
+// only written.
+type storedMark struct {
+	until, firstReadAt time.Time
 }
 
-// keepMarks keeps the marks that daemons set until ctx ends, so that a request does not begin
-// anew to end workers when all daemons have ended at once.
-func (s *Server) keepMarks(ctx context.Context) {
+// syncMarks stores the marks that daemons set, until ctx ends, so that a request that crashes
+// workers stays quarantined after a restart of all daemons.
+func (s *Server) syncMarks(ctx context.Context) {
 	if s.opts.Marks.Read == nil || s.opts.Marks.Write == nil {
 		return
 	}
-	k := &markKeeper{server: s, kept: make(map[quarantine.Fingerprint]keptMark)}
+	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	for ctx.Err() == nil {
 		if s.isReader() {
-			k.look(ctx, time.Now())
+			k.sync(ctx, time.Now())
 		} else {
-			// Another leader may write meanwhile, and the store may come back without what was
-			// written: what it lacks in the next term was not lifted by an operator.
-			k.readAt = time.Time{}
-			clear(k.kept)
+			// Another leader may write in the meantime, or the store may lose writes, so a mark
+			// that is missing in this daemon's next term was not necessarily lifted by an
+			// operator.
+			k.nextRead = time.Time{}
+			clear(k.stored)
 		}
-		pause.For(ctx, keepMarksEvery)
+		pause.For(ctx, marksSyncInterval)
 	}
 }
 
 func (k *markKeeper) guard() *guard.Guard { return k.server.relay.Guard() }
 
-// look reads what is kept when that is due, and writes what is not.
-func (k *markKeeper) look(ctx context.Context, now time.Time) {
-	if !now.Before(k.readAt) && !k.read(ctx, now) {
+// sync reads the stored marks if due, and writes changes.
+func (k *markKeeper) sync(ctx context.Context, now time.Time) {
+	if !now.Before(k.nextRead) && !k.read(ctx, now) {
 		return
 	}
 	for _, m := range k.guard().Table().Marks(now) {
-		if held, ok := k.kept[m.Fingerprint]; !ok || m.Until.After(held.until) {
+		if held, ok := k.stored[m.Fingerprint]; !ok || m.Until.After(held.until) {
 			k.write(ctx, m)
 		}
 	}
-	for f := range k.kept {
+	for f := range k.stored {
 		if !k.guard().Table().State(f, now).Quarantined {
 			k.write(ctx, quarantine.Mark{Fingerprint: f})
 		}
 	}
 }
 
-// read takes what is kept, and reports whether it is known now. What was kept and is gone
-// was lifted by an operator.
+// read loads the stored marks and reports whether that succeeded. Marks that were removed from the
+// store are lifted, since an operator removed them.
 func (k *markKeeper) read(ctx context.Context, now time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
 	marks, refused, err := k.server.opts.Marks.Read(ctx)
 	if err != nil {
-		k.server.logger.Info("marks of quarantined requests not read", "error", err)
-		k.readAt = now.Add(readMarksAgain)
+		k.server.logger.Info("reading marks of quarantined requests failed", "error", err)
+		k.nextRead = now.Add(marksRetryDelay)
 		return false
 	}
-	k.readAt = now.Add(readMarksEvery)
-	k.tellRefused(refused)
+	k.nextRead = now.Add(marksReadInterval)
+	k.logRefused(refused)
 	k.liftRemoved(marks, now)
 	for _, m := range marks {
-		held := k.kept[m.Fingerprint]
-		k.kept[m.Fingerprint] = keptMark{until: m.Until, readAt: cmp.Or(held.readAt, now)}
-		k.guard().Restore(m, byStore)
+		held := k.stored[m.Fingerprint]
+		k.stored[m.Fingerprint] = storedMark{until: m.Until, firstReadAt: cmp.Or(held.firstReadAt, now)}
+		k.guard().Restore(m, storeSource)
 	}
 	return true
 }
 
-// tellRefused logs once which records are no marks. Nothing is done to them: another writer
-// may know what they are.
-func (k *markKeeper) tellRefused(refused []error) {
+// logRefused logs invalid records once. They are left in place: another version may understand
+// them.
+func (k *markKeeper) logRefused(refused []error) {
 	text := ""
 	if len(refused) > 0 {
 		text = errors.Join(refused...).Error()
 	}
-	if text != "" && text != k.refused {
-		k.server.logger.Warn("records of quarantined requests not understood", "error", text)
+	if text != "" && text != k.loggedRefusals {
+		k.server.logger.Warn("invalid records of quarantined requests", "error", text)
 	}
-	k.refused = text
+	k.loggedRefusals = text
 }
 
-// liftRemoved lifts the marks that were read before and are not kept any more.
+// liftRemoved lifts the marks that were read before and are no longer stored.
 func (k *markKeeper) liftRemoved(marks []quarantine.Mark, now time.Time) {
-	for f, held := range k.kept {
-		kept := slices.ContainsFunc(marks, func(m quarantine.Mark) bool { return m.Fingerprint == f })
-		if kept || held.readAt.IsZero() || now.Sub(held.readAt) < liftAfter {
+	for f, held := range k.stored {
+		isStored := slices.ContainsFunc(marks, func(m quarantine.Mark) bool { return m.Fingerprint == f })
+		if isStored || held.firstReadAt.IsZero() || now.Sub(held.firstReadAt) < marksLiftDelay {
 			continue
 		}
-		delete(k.kept, f)
-		k.guard().Lift(f, byStore)
+		delete(k.stored, f)
+		k.guard().Lift(f, storeSource)
 	}
 }
 
-// write keeps a mark, or removes one.
+// write stores a mark, or removes one.
 func (k *markKeeper) write(ctx context.Context, m quarantine.Mark) {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
 	if err := k.server.opts.Marks.Write(ctx, m); err != nil {
-		// It may be kept all the same; the next look writes it again.
-		k.server.logger.Info("mark of a quarantined request not kept", "fingerprint", m.Fingerprint.String(), "error", err)
+		// The write may have succeeded all the same; the next sync repeats it.
+		k.server.logger.Info("writing mark of quarantined request failed", "fingerprint", m.Fingerprint.String(), "error", err)
 		return
 	}
 	if m.Until.IsZero() {
-		delete(k.kept, m.Fingerprint)
+		delete(k.stored, m.Fingerprint)
 		return
 	}
-	k.kept[m.Fingerprint] = keptMark{until: m.Until, readAt: k.kept[m.Fingerprint].readAt}
+	k.stored[m.Fingerprint] = storedMark{until: m.Until, firstReadAt: k.stored[m.Fingerprint].firstReadAt}
 }
 
-// heardQuarantine takes what a peer reports of requests that end workers. A relay passes news
-// on at once.
-func (s *Server) heardQuarantine(p *peers.Peer) {
-	if s.relay.Guard().Merge(p.Quarantine, p.HeardAt, p.ID) && s.passesOn() {
+// mergeQuarantine merges a peer's records of requests that crash workers. A relay forwards changes
+// at once.
+func (s *Server) mergeQuarantine(p *peers.Peer) {
+	if s.relay.Guard().Merge(p.Quarantine, p.HeardAt, p.ID) && s.forwardsNews() {
 		s.agent.SendHeartbeat(time.Now())
 	}
 }
 
-// replaced reports whether another life has the address of a worker.
-func (s *Server) replaced(ctx context.Context, w *fleet.Worker) (bool, error) {
+// isReplaced reports whether the address of a worker now belongs to another incarnation or worker.
+func (s *Server) isReplaced(ctx context.Context, w *fleet.Worker) (bool, error) {
 	if s.opts.Orders.Ask == nil {
 		return false, nil
 	}
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -27,29 +27,29 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// TestDaemonThatStartsLaterKnows: a daemon that starts when a request is quarantined hears of
-// it from its peers, and refuses the request.
-func TestDaemonThatStartsLaterKnows(t *testing.T) {
+// TestStartingDaemonLearnsQuarantine checks that a daemon that starts after a request was
+// quarantined learns of it from its peers and refuses the request.
+func TestStartingDaemonLearnsQuarantine(t *testing.T) {
 	f := newCrashingFleet(t, 2, 12)
 	for i := range 4 {
 		assert.Assert(t, f.send(f.daemons[i%2], "/safe/", "key", crashingBody) != http.StatusOK)
 	}
 	ended := f.ended.Load()
-	young := f.startDaemon()
+	starting := f.startDaemon()
 	for range 20 {
-		if len(young.relay.Guard().Table().Marks(time.Now())) > 0 {
+		if len(starting.relay.Guard().Table().Marks(time.Now())) > 0 {
 			break
 		}
-		time.Sleep(heartbeats / 2)
+		time.Sleep(heartbeatPeriod / 2)
 	}
-	assert.Equal(t, f.send(young, "/safe/", "key", crashingBody), http.StatusServiceUnavailable)
+	assert.Equal(t, f.send(starting, "/safe/", "key", crashingBody), http.StatusServiceUnavailable)
 	assert.Equal(t, f.ended.Load(), ended)
-	assert.Equal(t, f.send(young, "/safe/", "other", "another body"), http.StatusOK)
+	assert.Equal(t, f.send(starting, "/safe/", "other", "another body"), http.StatusOK)
 }
 
-// TestReportsCutOffWhatWaits: a stream that waits at a head is cut off when another daemon
-// quarantines its request.
-func TestReportsCutOffWhatWaits(t *testing.T) {
+// TestQuarantineCutsOffPendingStreams checks that a stream waiting at a head is cut off when
+// another daemon quarantines its request.
+func TestQuarantineCutsOffPendingStreams(t *testing.T) {
 	f := newCrashingFleet(t, 2, 2)
 	answered := make(chan int)
 	go func() { answered <- f.send(f.daemons[0], "/stream/", "key", waitingBody) }()
@@ -57,7 +57,7 @@
 		if f.waiting.Load() > 0 {
 			break
 		}
-		time.Sleep(heartbeats / 100)
+		time.Sleep(heartbeatPeriod / 100)
 	}
 	waiting := quarantine.FingerprintOf("account", http.MethodPost, "h", "/stream/", []byte(waitingBody))
 	now := time.Now()
@@ -69,9 +69,9 @@
 	assert.Equal(t, f.daemons[0].meter.Refusals()[reason.Quarantined], int64(1))
 }
 
-// TestAnotherLifeAtTheAddress: a worker whose address another life has by the time that
-// anybody looks has ended.
-func TestAnotherLifeAtTheAddress(t *testing.T) {
+// TestWorkerAddressReused checks that a worker whose address was taken over by another one counts
+// as crashed.
+func TestWorkerAddressReused(t *testing.T) {
 	tests := map[string]struct {
 		err    error
 		blamed bool
@@ -90,10 +90,10 @@
 	}
 }
 
-// TestLeaderKeepsMarks runs a whole daemon that comes to lead: it reads what is kept.
-func TestLeaderKeepsMarks(t *testing.T) {
+// TestLeaderReadsMarks checks that a daemon that becomes leader reads the stored marks.
+func TestLeaderReadsMarks(t *testing.T) {
 	f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
-	marks := &fakeMarks{kept: map[quarantine.Fingerprint]quarantine.Mark{
+	marks := &fakeMarks{stored: map[quarantine.Fingerprint]quarantine.Mark{
 		f: {Fingerprint: f, MarkedAt: now, Until: now.Add(time.Hour), Rounds: 1},
 	}}
 	s := newServer(t, &fakeStore{})
@@ -111,14 +111,14 @@
 		if s.relay.Guard().Table().State(f, time.Now()).Quarantined {
 			break
 		}
-		time.Sleep(heartbeats / 10)
+		time.Sleep(heartbeatPeriod / 10)
 	}
 	assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined)
 	cancel()
 	<-s.Done()
 }
 
-// fakeNetwork carries datagrams between daemons in a test's own time.
+// fakeNetwork carries datagrams between daemons in virtual time.
 type fakeNetwork struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -141,7 +141,7 @@
 	return n.random.Float64() < n.loss
 }
 
-// transport returns what a daemon at an address sends and receives with.
+// transport returns the transport of a daemon at an address.
 func (n *fakeNetwork) transport(address string) peers.Transport {
 	inbox, closed := n.inbox(address), make(chan struct{})
 	return peers.Transport{
@@ -168,9 +168,8 @@
 	}
 }
 
-// TestQuarantineReachesAllDaemons: three daemons of different halls see a crash each. Every
-// daemon knows within a second, also where relays pass reports on and links lose packets;
-// the bound is three seconds.
+// TestQuarantineReachesAllDaemons lets daemons in three halls detect one crash each. Every daemon
+// must know of the quarantine within a second, also with relays and packet loss.
 func TestQuarantineReachesAllDaemons(t *testing.T) {
 	tests := map[string]struct {
 		perHall int
@@ -195,16 +194,16 @@
 				}
 				time.Sleep(time.Second)
 				for _, s := range all {
-					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know", s.opts.Self.ID)
+					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
 				}
 			})
 		})
 	}
 }
 
-// TestMarkIsToldAtOnce: what quarantines a request does not wait for heartbeats, by way of
-// relays neither.
-func TestMarkIsToldAtOnce(t *testing.T) {
+// TestMarkIsSentAtOnce checks that a quarantine is reported without waiting for the next
+// heartbeat, through relays as well.
+func TestMarkIsSentAtOnce(t *testing.T) {
 	tests := map[string]int{"a small fleet": 2, "a fleet with relays": 20}
 	for name, perHall := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -219,19 +218,19 @@
 				const threeHops = 20 * time.Millisecond
 				time.Sleep(threeHops)
 				for _, s := range all {
-					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know", s.opts.Self.ID)
+					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
 				}
 			})
 		})
 	}
 }
 
-// fakeFleet starts the reporting of daemons that know of each other.
+// fakeFleet starts daemons that know of each other and exchange heartbeats.
 func fakeFleet(t *testing.T, halls, perHall int, loss float64) []*Server {
 	t.Helper()
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), loss: loss, inboxes: make(map[string]chan []byte)}
 	var all []*Server
-	var duties conc.WaitGroup
+	var tasks conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range halls * perHall {
 		id := fmt.Sprintf("daemon-%d", i)
@@ -248,38 +247,39 @@
 		for _, other := range all {
 			s.agent.Table().Learn(other.opts.Self, time.Now())
 		}
-		duties.Go(func() { s.agent.Run(ctx) })
+		tasks.Go(func() { s.agent.Run(ctx) })
 	}
 	t.Cleanup(func() {
 		cancel()
-		duties.Wait()
-		// Datagrams that are on their way arrive.
+		tasks.Wait()
+		// Datagrams in transit arrive.
 		time.Sleep(time.Second)
 	})
 	return all
 }
 
-// TestHeardOnlyIsNotToldAgain: a daemon that passes nothing on tells what it saw alone.
-func TestHeardOnlyIsNotToldAgain(t *testing.T) {
+// TestHeardQuarantineIsNotRepeated checks that a daemon that is neither leader nor relay reports
+// only crashes that it detected itself.
+func TestHeardQuarantineIsNotRepeated(t *testing.T) {
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	entry := quarantine.Entry{
 		Fingerprint: quarantine.FingerprintOf("a", "POST", "h", "/", nil),
 		Crashes:     []quarantine.CrashReport{{Worker: "w", Sent: 20, Ended: 10}},
 	}
-	s.heard(&peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b"}, Quarantine: []quarantine.Entry{entry}}, HeardAt: now})
+	s.onHeartbeat(&peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b"}, Quarantine: []quarantine.Entry{entry}}, HeardAt: now})
 	assert.Equal(t, s.relay.Guard().Table().State(entry.Fingerprint, now).Crashes, 1)
 	var h peers.Heartbeat
-	s.compose(&h, now)
+	s.fillHeartbeat(&h, now)
 	assert.Equal(t, len(h.Quarantine), 0)
 }
 
-// fakeMarks keeps marks as a test sets them.
+// fakeMarks is a store of marks in memory.
 type fakeMarks struct {
-	mu    sync.Mutex
-	kept  map[quarantine.Fingerprint]quarantine.Mark
-	away  bool
-	reads int
-	// refused is what is said of records that are no marks.
+	mu          sync.Mutex
+	stored      map[quarantine.Fingerprint]quarantine.Mark
+	unavailable bool
+	reads       int
+	// refused is returned as the errors of invalid records.
 	refused []error
 }
 
@@ -289,11 +289,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reads++
-	if f.away {
-		return nil, nil, errAway
+	if f.unavailable {
+		return nil, nil, errUnavailable
 	}
 	var all []quarantine.Mark
-	for _, m := range f.kept {
+	for _, m := range f.stored {
 		all = append(all, m)
 	}
 	return all, f.refused, nil
@@ -302,14 +302,14 @@
 func (f *fakeMarks) write(_ context.Context, m quarantine.Mark) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
-		return errAway
+	if f.unavailable {
+		return errUnavailable
 	}
 	if m.Until.IsZero() {
-		delete(f.kept, m.Fingerprint)
+		delete(f.stored, m.Fingerprint)
 		return nil
 	}
-	f.kept[m.Fingerprint] = m
+	f.stored[m.Fingerprint] = m
 	return nil
 }
 
@@ -321,84 +321,84 @@
 	}
 }
 
-// TestMarksOutliveAllDaemons: a leader keeps what is quarantined; when all daemons have ended
-// at once, the next leader knows of it, and tells its peers.
-func TestMarksOutliveAllDaemons(t *testing.T) {
-	marks := &fakeMarks{kept: make(map[quarantine.Fingerprint]quarantine.Mark)}
+// TestMarksSurviveRestartOfAllDaemons checks that a leader stores quarantined requests, and that
+// the next leader after a restart of all daemons knows of them and tells its peers.
+func TestMarksSurviveRestartOfAllDaemons(t *testing.T) {
+	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
 	keeper := func() (*Server, *markKeeper) {
 		s := newServer(t, &fakeStore{})
 		s.opts.Marks = marks.store()
-		return s, &markKeeper{server: s, kept: make(map[quarantine.Fingerprint]keptMark)}
+		return s, &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	}
 	before, k := keeper()
 	quarantineIn(before, f, now)
-	marks.away = true
-	k.look(context.Background(), now)
-	assert.Equal(t, len(marks.kept), 0)
-	marks.away = false
-	k.look(context.Background(), now.Add(readMarksAgain))
-	k.look(context.Background(), now.Add(2*readMarksAgain))
-	assert.Equal(t, len(marks.kept), 1)
-	assert.Equal(t, marks.reads, 2, "what is known is not read again and again")
+	marks.unavailable = true
+	k.sync(context.Background(), now)
+	assert.Equal(t, len(marks.stored), 0)
+	marks.unavailable = false
+	k.sync(context.Background(), now.Add(marksRetryDelay))
+	k.sync(context.Background(), now.Add(2*marksRetryDelay))
+	assert.Equal(t, len(marks.stored), 1)
+	assert.Equal(t, marks.reads, 2, "known marks are not read again")
 
 	after, k := keeper()
 	assert.Assert(t, !after.relay.Guard().Table().State(f, now).Quarantined)
-	k.look(context.Background(), now)
+	k.sync(context.Background(), now)
 	assert.Assert(t, after.relay.Guard().Table().State(f, now).Quarantined)
 	var h peers.Heartbeat
-	after.compose(&h, now)
+	after.fillHeartbeat(&h, now)
 	assert.Equal(t, len(h.Quarantine), 1)
 }
 
-// TestRecordsThatAreNoMarks: what another writer put beside the marks keeps none from being
-// read or kept, and is told once.
-func TestRecordsThatAreNoMarks(t *testing.T) {
-	marks := &fakeMarks{kept: make(map[quarantine.Fingerprint]quarantine.Mark), refused: []error{errors.New("no mark")}}
+// TestInvalidMarkRecords checks that invalid records do not keep marks from being read or written,
+// and are logged once.
+func TestInvalidMarkRecords(t *testing.T) {
+	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark), refused: []error{errors.New("no mark")}}
 	var lines bytes.Buffer
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	s.opts.Marks, s.logger = marks.store(), hclog.New(&hclog.LoggerOptions{Output: &lines})
-	k := &markKeeper{server: s, kept: make(map[quarantine.Fingerprint]keptMark)}
+	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	quarantineIn(s, quarantine.FingerprintOf("a", "POST", "h", "/", nil), now)
-	k.look(context.Background(), now)
-	k.look(context.Background(), now.Add(readMarksEvery))
+	k.sync(context.Background(), now)
+	k.sync(context.Background(), now.Add(marksReadInterval))
 	assert.Equal(t, marks.reads, 2)
-	assert.Equal(t, len(marks.kept), 1)
-	assert.Equal(t, strings.Count(lines.String(), "not understood"), 1)
+	assert.Equal(t, len(marks.stored), 1)
+	assert.Equal(t, strings.Count(lines.String(), "invalid records of quarantined requests"), 1)
 }
 
-// TestOperatorLiftsAMark: a mark that is removed from where it is kept is lifted at the next
-// reading, and one that ended by a completed run is removed there.
-func TestOperatorLiftsAMark(t *testing.T) {
-	marks := &fakeMarks{kept: make(map[quarantine.Fingerprint]quarantine.Mark)}
+// TestOperatorLiftsMark checks that a mark removed from the store is lifted at the next read, and
+// that one cleared by a successful run is removed from the store.
+func TestOperatorLiftsMark(t *testing.T) {
+	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	s := newServer(t, &fakeStore{})
 	s.opts.Marks = marks.store()
-	k := &markKeeper{server: s, kept: make(map[quarantine.Fingerprint]keptMark)}
+	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	f, other, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), quarantine.FingerprintOf("b", "POST", "h", "/", nil), time.Now()
 	quarantineIn(s, f, now)
 	quarantineIn(s, other, now)
-	look := func(after time.Duration) { k.look(context.Background(), now.Add(after)) }
+	look := func(after time.Duration) { k.sync(context.Background(), now.Add(after)) }
 	look(0)
-	assert.Equal(t, len(marks.kept), 2)
+	assert.Equal(t, len(marks.stored), 2)
 
-	held := marks.kept[f]
-	delete(marks.kept, f)
-	look(readMarksEvery)
-	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "an answer that is behind lifts nothing")
-	marks.kept[f] = held
-	look(2 * readMarksEvery)
-	delete(marks.kept, f)
-	marks.away = true
-	look(3 * readMarksEvery)
-	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "what can't be read lifts nothing")
-	marks.away = false
-	look(4 * readMarksEvery)
+	held := marks.stored[f]
+	delete(marks.stored, f)
+	look(marksReadInterval)
+	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "a stale read lifts nothing")
+	marks.stored[f] = held
+	look(2 * marksReadInterval)
+	delete(marks.stored, f)
+	marks.unavailable = true
+	look(3 * marksReadInterval)
+	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "a failed read lifts nothing")
+	marks.unavailable = false
+	look(4 * marksReadInterval)
 	assert.Assert(t, !s.relay.Guard().Table().State(f, now).Quarantined)
 	assert.Assert(t, s.relay.Guard().Table().State(other, now).Quarantined)
 
-	s.relay.Guard().Table().Clear(other, now.Add(4*readMarksEvery))
-	look(4 * readMarksEvery)
-	assert.Equal(t, len(marks.kept), 0)
+	s.relay.Guard().Table().Clear(other, now.Add(4*marksReadInterval))
+	look(4 * marksReadInterval)
+	assert.Equal(t, len(marks.stored), 0)
 }
 
 func TestReplacedWorker(t *testing.T) {
@@ -415,7 +415,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, &fakeStore{})
 			s.opts.Orders.Ask = func(context.Context, *fleet.Worker) (formation.State, error) { return formation.State{}, test.err }
-			replaced, err := s.replaced(context.Background(), &fleet.Worker{ID: "w"})
+			replaced, err := s.isReplaced(context.Background(), &fleet.Worker{ID: "w"})
 			assert.Equal(t, replaced, test.replaced)
 			assert.Equal(t, err != nil, test.fail)
 		})
--- a/serving/reader.go
+++ b/serving/reader.go
@@ -11,98 +11,95 @@
 )
 
 const (
-	// readAfter is how old a belief gets before a daemon that is told by others
-	// reads for itself, and readSpread by how much daemons differ in that, so
-	// that one comes first and tells the others.
-	readAfter  = 1100 * time.Millisecond
-	readSpread = 500 * time.Millisecond
-	// relayedLater is how much older beliefs are that come by way of a relay: a
-	// further heartbeat, and the one by which the relay knows its age.
-	relayedLater = 800 * time.Millisecond
-	// roleKnown is how long after it read who there is in its data hall a daemon's part in
-	// passing reports on is certain enough: a round of heartbeats, and some slack.
-	roleKnown = 250 * time.Millisecond
-	// meetFor is how long a daemon that could not read the member list waits for it before
-	// it reads other things.
-	meetFor = 1500 * time.Millisecond
-	// toldFor is how long after its start a member waits to be told by its relays before
-	// it reads for itself: relays read within a second, and tell a hall of 200 over 20
-	// Mbit/s within two.
-	toldFor = 4 * time.Second
-	// retriesPerSecond is how often all daemons together call the store again while it
-	// answers none of them: a small part of the calls that it bears. One answer is passed
-	// on to all.
-	retriesPerSecond = 200
+	// readStaleAfter is the age of a daemon's state at which it reads the store itself although it
+	// is updated by others. readSpread is how much daemons vary in that, so that one of them reads
+	// first and updates the others.
+	readStaleAfter = 1100 * time.Millisecond
+	readSpread     = 500 * time.Millisecond
+	// relayDelay is how much older state may be that arrives by way of a relay: one more
+	// heartbeat, and the one from which the relay knows its age.
+	relayDelay = 800 * time.Millisecond
+	// roleSettleTime is how long after reading its hall's member list a daemon relies on its role:
+	// slightly more than a round of heartbeats.
+	roleSettleTime = 250 * time.Millisecond
+	// memberListWait is how long a daemon that cannot read the member list waits before it reads
+	// anything else.
+	memberListWait = 1500 * time.Millisecond
+	// relayWait is how long a starting member waits for state from its relays before it reads the
+	// store itself.
+	relayWait = 4 * time.Second
+	// storeRetriesPerSecond limits how often all daemons together retry a store that does not
+	// respond. One success suffices, since its result is forwarded to all.
+	storeRetriesPerSecond = 200
 )
 
-// isReader reports whether this daemon reads the store for all: the leader does.
+// isReader reports whether this daemon reads the store on behalf of all others, which the leader
+// does.
 func (s *Server) isReader() bool {
 	own, _, _ := s.elector.State()
 	return own != nil
 }
 
-// scopeFor is how long a daemon that no longer relays keeps all workers.
-const scopeFor = 5 * time.Second
+// scopeRetention is how long a daemon that is no longer a relay keeps all workers.
+const scopeRetention = 5 * time.Second
 
-// scopeLook is how often a daemon looks which workers it has to hold: as often as its part in
-// passing reports on may change.
-const scopeLook = 200 * time.Millisecond
+// scopeCheckInterval is the time between two checks of which workers to hold, as often as the role
+// may change.
+const scopeCheckInterval = 200 * time.Millisecond
 
-// watchScope decides which workers this daemon holds until ctx ends.
+// watchScope updates which workers this daemon holds until ctx ends.
 func (s *Server) watchScope(ctx context.Context) {
-	wantedAll := s.start
+	lastNeeded := s.start
 	for ctx.Err() == nil {
 		now := time.Now()
 		switch {
 		case s.needsAllWorkers():
-			wantedAll = now
+			lastNeeded = now
 			s.inventory.SetScope(fleet.AllWorkers)
-		case s.inventory.Confirmed().IsZero() || now.Sub(wantedAll) > scopeFor:
+		case s.inventory.Confirmed().IsZero() || now.Sub(lastNeeded) > scopeRetention:
 			s.inventory.SetScope(fleet.HeadsOnly)
 		}
-		pause.For(ctx, scopeLook)
+		pause.For(ctx, scopeCheckInterval)
 	}
 }
 
-// needsAllWorkers reports whether this daemon has to know more workers than those that
-// requests go to: the leader does, relays may follow it, and which workers warm up is told
-// by all of them.
+// needsAllWorkers reports whether this daemon must know all workers, not just those that requests
+// go to. That applies to the leader, to relays, which may succeed it, and to all daemons if
+// workers that warm up are bounded.
 func (s *Server) needsAllWorkers() bool {
 	return s.isReader() || s.agent.Role() != peers.Member || s.boundsWarmUp()
 }
 
-// reads reports whether this daemon is to read from the store what it last
-// knew to be the newest at the given time: while it leads, and when what peers
-// tell is too old. Terms often follow one another within a second; if all read
-// in between, a large fleet would call the store hundreds of times.
-func (s *Server) reads(confirmed time.Time) bool {
+// shouldRead reports whether this daemon should read from the store, given when its state was last
+// confirmed: while it leads, and when the state from peers is too old. It is not done at each
+// change of leader, since that would cause too many calls in a large fleet.
+func (s *Server) shouldRead(confirmed time.Time) bool {
 	switch {
 	case s.isReader():
 		return true
 	case confirmed.IsZero():
-		return s.readsFirst(time.Now())
+		return s.shouldReadFirst(time.Now())
 	}
-	return time.Since(confirmed) > readPatience(s.agent.Role(), s.readDelay)
+	return time.Since(confirmed) > maxStaleness(s.agent.Role(), s.readDelay)
 }
 
-// readsFirst reports whether a daemon that knows nothing yet is to read for itself. Daemons
-// that start together know from the member list which of them relay: these read, and tell
-// the others. When all of 986 daemons read 3,064 workers at once, each took longer than a
-// read may, and began anew.
-func (s *Server) readsFirst(now time.Time) bool {
-	met := s.metAt.Load()
+// shouldReadFirst reports whether a daemon without any state should read the store itself. Daemons
+// that start together learn from the member list which of them are relays; only these read, and
+// update the others, so that the store is not overloaded.
+func (s *Server) shouldReadFirst(now time.Time) bool {
+	readAt := s.membersReadAt.Load()
 	switch {
-	case met == nil:
-		return now.Sub(s.start) > meetFor+s.readDelay
-	case now.Sub(*met) < roleKnown || s.readTooSoon.Load():
+	case readAt == nil:
+		return now.Sub(s.start) > memberListWait+s.readDelay
+	case now.Sub(*readAt) < roleSettleTime || s.mustRereadMembers.Load():
 		return false
 	}
-	return s.agent.Role() != peers.Member || now.Sub(*met) > toldFor+spreadOver(s.agent.DaemonCount())
+	return s.agent.Role() != peers.Member || now.Sub(*readAt) > relayWait+spreadOver(s.agent.DaemonCount())
 }
 
-// retrySpread returns how far apart the calls of this daemon to a store that does not answer
-// are at least. The leader and the relays are few, and the others wait for what they learn:
-// spread like the rest, a leader of 986 would pause for five seconds after one lost answer.
+// retrySpread returns the minimum interval between this daemon's retries of a store that does not
+// respond. The leader and the relays retry without it: they are few, and all others depend on
+// them.
 func (s *Server) retrySpread() time.Duration {
 	if s.isReader() || s.agent.Role() != peers.Member {
 		return 0
@@ -110,26 +107,25 @@
 	return spreadOver(s.agent.DaemonCount())
 }
 
-// spreadOver returns how far apart the calls of each of some daemons are for all of them
-// together to stay within retriesPerSecond.
+// spreadOver returns the interval between calls of each daemon at which all of them together stay
+// within storeRetriesPerSecond.
 func spreadOver(daemons int) time.Duration {
-	return time.Duration(daemons) * time.Second / retriesPerSecond
+	return time.Duration(daemons) * time.Second / storeRetriesPerSecond
 }
 
-// readPatience returns how old a belief gets before a daemon reads for itself. Relays
-// hear the leader as daemons of a small fleet do: where it no longer reaches the store
-// they are the first to read, and pass on what they learn.
-func readPatience(role peers.Role, delay time.Duration) time.Duration {
+// maxStaleness returns the age of state at which a daemon reads the store itself. Relays hear the
+// leader directly, so they are the first to read if it loses access to the store.
+func maxStaleness(role peers.Role, delay time.Duration) time.Duration {
 	if role == peers.Member {
-		return readAfter + delay + relayedLater
+		return readStaleAfter + delay + relayDelay
 	}
-	return readAfter + delay
+	return readStaleAfter + delay
 }
 
-// readDelayOf returns a daemon's own part of readSpread.
+// readDelayOf returns a daemon's own part of readSpread, derived from its id.
 func readDelayOf(id string) time.Duration {
 	h := fnv.New32a()
-	// Writing to a hash does not fail.
+	// Writing to a hash never fails.
 	_, _ = h.Write([]byte(id))
 	const steps = 16
 	return time.Duration(h.Sum32()%steps) * readSpread / steps
--- a/serving/rests_test.go
+++ b/serving/rests_test.go
@@ -11,34 +11,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// What users saw: a worker turned requests of a daemon away and asked it for three seconds of
-// rest, and got four and five requests from it in that time, where two may come. Each of them
-// was turned away and sent elsewhere, up to twice, so that workers got a third more requests
-// than callers had sent.
-//
-// The order of events: the worker answers 503 with a time; the daemon sends the request to
-// another worker, charges this one a tenth of a second of expected wait for a second, and
-// forgets the time.
-//
-// The cause: a rejection counted for the request that it met alone; what the worker asked for
-// was thrown away with the answer.
-//
-// The evidence: on the code before, the test below counts up to eight requests within a rest, in
-// its first second as later, first sends as well as repeats, and of each kind.
+// The test below guards against sending more requests to a worker that rejected one with a
+// Retry-After time. Each would be rejected again and repeated elsewhere, which multiplies the load
+// on the workers.
 
 const (
-	// restAsked is for how long heads want nothing, restFrom and restTo while they turn all
-	// requests away.
+	// restAsked is the rest that heads request; restFrom and restTo limit the period in which they
+	// reject all requests.
 	restAsked        = 3 * time.Second
 	restFrom, restTo = 2 * time.Second, 6 * time.Second
-	// restMost is how many requests may come from a daemon between heardAfter and the end of a
-	// rest that it was asked for.
-	restMost   = 2
-	heardAfter = 500 * time.Millisecond
+	// maxDuringRest is how many requests may come from a daemon between restNotice after a
+	// rejection and the end of the requested rest.
+	maxDuringRest = 2
+	restNotice    = 500 * time.Millisecond
 )
 
-// assertRest checks that a head which turned a daemon away got no more than that from it while
-// it rested.
+// assertRest checks that a head that rejected a daemon's request got at most maxDuringRest
+// requests from it while it rested.
 func assertRest(t *testing.T, h *signalHead) {
 	t.Helper()
 	h.mu.Lock()
@@ -49,18 +38,18 @@
 		}
 		came := 0
 		for _, a := range h.arrivals {
-			if a.daemon == turned.daemon && a.at >= turned.at+heardAfter && a.at < turned.at+restAsked {
+			if a.daemon == turned.daemon && a.at >= turned.at+restNotice && a.at < turned.at+restAsked {
 				came++
 			}
 		}
-		assert.Assert(t, came <= restMost, "%s got %d requests from %s after it asked for rest at %s", h.id, came, turned.daemon, turned.at)
+		assert.Assert(t, came <= maxDuringRest, "%s got %d requests from %s after it requested a rest at %s", h.id, came, turned.daemon, turned.at)
 	}
 }
 
-// restingHeads returns eight heads, of which some turn all requests away for a while and ask
-// for rest.
+// restingHeads returns eight heads, some of which reject all requests for a while and request a
+// rest.
 func restingHeads(resting int) []*signalHead {
-	says := func(h http.Header, at time.Duration) bool {
+	signal := func(h http.Header, at time.Duration) bool {
 		if at < restFrom || at >= restTo {
 			return true
 		}
@@ -71,16 +60,16 @@
 	for i := range 8 {
 		h := &signalHead{id: fmt.Sprint("head-", i), work: 300 * time.Millisecond}
 		if i < resting {
-			h.says = says
+			h.signal = signal
 		}
 		heads = append(heads, h)
 	}
 	return heads
 }
 
-// TestAskedRestHolds lets heads turn all requests away for four seconds and ask for rest, with
+// TestRequestedRestHolds lets heads reject all requests for four seconds and request a rest, with
 // requests of each kind.
-func TestAskedRestHolds(t *testing.T) {
+func TestRequestedRestHolds(t *testing.T) {
 	tests := map[string]struct {
 		path    string
 		resting int
@@ -105,7 +94,7 @@
 				}
 				f.sent, f.served = 0, 0
 				f.load(60, restAsked)
-				assert.Equal(t, f.served, f.sent, "all have rested")
+				assert.Equal(t, f.served, f.sent, "all rests are over")
 			})
 		})
 	}
--- a/serving/server.go
+++ b/serving/server.go
@@ -24,20 +24,20 @@
 )
 
 const (
-	// revokeMargin is how much earlier than the bound keys are no longer
-	// believed in.
+	// revokeMargin is how long before the bound expires a daemon stops accepting keys from an
+	// unconfirmed configuration.
 	revokeMargin = 200 * time.Millisecond
-	// headerWait bounds the reading of a request's head.
-	headerWait = 10 * time.Second
-	// idleWait is how long a caller's connection may be idle. Closing sooner
-	// than callers expect would cross their next request.
-	idleWait = time.Minute
-	// hearFor is how long after it first read the member list a daemon listens for
-	// others before it may lead.
-	hearFor = 700 * time.Millisecond
+	// headerTimeout limits the reading of a request's header.
+	headerTimeout = 10 * time.Second
+	// idleTimeout is how long a caller's connection may be idle. If it were shorter than callers
+	// expect, their next request could collide with the close.
+	idleTimeout = time.Minute
+	// listenPeriod is how long a daemon listens for others after first reading the member list
+	// before it may lead.
+	listenPeriod = 700 * time.Millisecond
 )
 
-// Server is one daemon.
+// Server is a daemon.
 type Server struct {
 	opts      Options
 	logger    hclog.Logger
@@ -51,45 +51,45 @@
 	tracker   *relay.Tracker
 	relay     *relay.Relay
 	fetcher   *fetcher
-	// warmUp bounds what workers get that warm up.
+	// warmUp limits the requests to workers that warm up.
 	warmUp *allowance.Allowance
-	// signals holds what workers ask for in their answers.
+	// signals holds the backpressure signals of workers.
 	signals *backpressure.Table
-	// awake notices that the machine was suspended.
+	// awake detects suspensions of the machine.
 	awake *awake.Watch
-	// suspicions holds the replicas that fell silent of late.
+	// suspicions holds the replicas that stalled recently.
 	suspicions *suspicions
-	// work is the smoothed work of the fleet.
-	work    formation.Smoother
-	leaving atomic.Bool
-	// metAt is when the own data hall's part of the member list was first read, metAll tells
-	// that those of all halls were.
-	metAt  atomic.Pointer[time.Time]
-	metAll atomic.Bool
-	// settledOnce tells that what was read after the start is no older than what others
-	// know, newestHeard is the newest version of the configuration that was heard of.
-	settledOnce atomic.Bool
-	newestHeard atomic.Int64
-	// readAgain is when the member list is to be read again.
-	readAgain time.Time
-	// listed is the own hall's part of the member list as last read, and registration when
-	// this daemon was added to it. readTooSoon tells that it was read before that, or may have
-	// been.
-	listed       []peers.Identity
-	registration registration
-	readTooSoon  atomic.Bool
-	// unread holds the other data halls whose part of the member list is yet to be read.
-	unread    []string
-	readDelay time.Duration
-	start     time.Time
-	done      chan struct{}
+	// smoothedWork is the smoothed work of the fleet.
+	smoothedWork formation.Smoother
+	leaving      atomic.Bool
+	// membersReadAt is when the member list of the own data hall was first read. allMembersRead
+	// reports that those of all halls were.
+	membersReadAt  atomic.Pointer[time.Time]
+	allMembersRead atomic.Bool
+	// isSettled caches the result of settled. newestConfigHeard is the newest configuration
+	// version that a peer reported.
+	isSettled         atomic.Bool
+	newestConfigHeard atomic.Int64
+	// nextMemberRead is when the member list is to be read again.
+	nextMemberRead time.Time
+	// hallMembers is the own hall's member list as last read, registration this daemon's
+	// registration in it. mustRereadMembers is set if the list may have been read before this
+	// daemon registered.
+	hallMembers       []peers.Identity
+	registration      registration
+	mustRereadMembers atomic.Bool
+	// unreadHalls holds the other data halls whose member lists are yet to be read.
+	unreadHalls []string
+	readDelay   time.Duration
+	start       time.Time
+	done        chan struct{}
 
 	mu sync.Mutex
 	// keeper is nil while this daemon does not lead.
 	keeper *formation.Keeper
 }
 
-// New builds a daemon and opens its peers' port. Nothing runs before Run.
+// New creates a daemon and opens the port for peers. Nothing else happens before Run.
 func New(opts Options) (*Server, error) {
 	meter, err := telemetry.NewMeter()
 	if err != nil {
@@ -104,15 +104,15 @@
 		inventory: fleet.NewInventory(opts.Bounds.Heartbeat, opts.Bounds.Leave), suspicions: newSuspicions(),
 		readDelay: readDelayOf(opts.Self.ID), start: time.Now(), done: make(chan struct{}),
 	}
-	s.awake = awake.NewWatch(opts.Suspended, s.slept)
-	s.tracker = relay.NewTracker(opts.Self.Zone, s.stalled)
+	s.awake = awake.NewWatch(opts.Suspended, s.afterSuspension)
+	s.tracker = relay.NewTracker(opts.Self.Zone, s.onStall)
 	s.fetcher = newFetcher(s)
 	s.follower = fleet.NewFollower(fleet.FollowerOptions{
 		Source: opts.Source, Beliefs: s.beliefs, Halls: s.halls, Inventory: s.inventory,
-		Reads: s.reads, Spread: s.retrySpread, Suspended: s.suspended, Logger: opts.Logger.Named("follower"),
+		Reads: s.shouldRead, Spread: s.retrySpread, Suspended: s.suspended, Logger: opts.Logger.Named("follower"),
 	})
 	s.agent, err = peers.NewAgent(peers.Options{
-		Self: opts.Self, Transport: opts.Transport, FillHeartbeat: s.compose, OnHeartbeat: s.heard, OnNews: s.taken, OnSummary: s.summed,
+		Self: opts.Self, Transport: opts.Transport, FillHeartbeat: s.fillHeartbeat, OnHeartbeat: s.onHeartbeat, OnNews: s.onNews, OnSummary: s.onSummary,
 		OnSent: s.meter.Datagram, OnDropped: s.meter.PassedOverDatagram, Suspended: s.suspended, Logger: opts.Logger.Named("peers"),
 	})
 	if err != nil {
@@ -128,8 +128,8 @@
 	}
 	meter.Gauge("oldest_format", func() float64 { return float64(s.agent.Table().OldestFormat(time.Now())) })
 	meter.CountDaemons(s.daemonsByBuild)
-	meter.Gauge("halls_closing", s.hallsIn(fleet.HallClosing))
-	meter.Gauge("halls_closed", s.hallsIn(fleet.HallClosed))
+	meter.Gauge("halls_closing", s.hallCounter(fleet.HallClosing))
+	meter.Gauge("halls_closed", s.hallCounter(fleet.HallClosed))
 	return s, nil
 }
 
@@ -139,9 +139,9 @@
 		Self:     s.opts.Self,
 		Registry: s.opts.Registry,
 		Alive:    table.Alive, Known: table.KnownSince, Settled: table.HasCaughtUp, Patience: table.AliveTimeout,
-		Fit:       s.fit,
+		Fit:       s.canLead,
 		Era:       s.opts.Era,
-		StoreSeen: s.storeSeen, Suspended: s.opts.Suspended,
+		StoreSeen: s.storeLastSeen, Suspended: s.opts.Suspended,
 		Lead: s.lead, Logger: s.logger.Named("leadership"),
 	}
 }
@@ -153,42 +153,42 @@
 	s.meter.Gauge("held_bytes", func() float64 { return float64(holdings.Held()) })
 	return relay.New(relay.Options{
 		Holdings: holdings,
-		Names:    s.opts.Names, Config: s.beliefs.Config, Confirmed: s.configConfirmed, BeliefFor: s.beliefFor(),
+		Names:    s.opts.Names, Config: s.beliefs.Config, Confirmed: s.configConfirmed, BeliefFor: s.maxConfigAge(),
 		View: s.inventory.View, Halls: s.halls.View, RegionOf: s.regionOf,
 		WarmUp:  relay.Bound{Check: s.warmUp.Check, Take: s.takeWarmUp, Next: s.warmUp.Next},
 		Limits:  relay.Bound{Scarce: s.signals.Naming, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
 		Rests:   relay.Bound{Check: s.signals.Rested, Take: s.signals.TakeRested, Next: s.signals.RestEnds},
 		Tracker: s.tracker, Budget: budget,
-		Spread: func() { s.agent.SendHeartbeat(time.Now()) }, Replaced: s.replaced, Signalled: s.signals.Hear, Dial: s.opts.DialWorker,
+		Spread: func() { s.agent.SendHeartbeat(time.Now()) }, Replaced: s.isReplaced, Signalled: s.signals.Hear, Dial: s.opts.DialWorker,
 		Awake:   s.awake.Check,
 		Leaving: s.leaving.Load, Meter: s.meter, Logger: s.logger.Named("relay"),
 	})
 }
 
-// regionOf returns the region of a data hall; empty if the settings tell none.
+// regionOf returns the region of a data hall; empty if it is not configured.
 func (s *Server) regionOf(hall string) string { return s.opts.Regions[hall] }
 
-func (s *Server) beliefFor() time.Duration {
+func (s *Server) maxConfigAge() time.Duration {
 	if s.opts.Bounds.Revoke <= 0 {
 		return 0
 	}
 	return max(s.opts.Bounds.Revoke-revokeMargin, revokeMargin)
 }
 
-// knows reports whether a configuration and a worker list are known.
-func (s *Server) knows() bool {
+// hasState reports whether a configuration and a worker list are known.
+func (s *Server) hasState() bool {
 	return s.beliefs.Config() != nil && !s.inventory.Confirmed().IsZero()
 }
 
-// fit reports whether this daemon may lead: it stays, knows the fleet with all workers, and
-// has had time to hear of the other daemons.
-func (s *Server) fit() bool {
-	met := s.metAt.Load()
-	return !s.leaving.Load() && s.knows() && s.inventory.Complete() && met != nil && time.Since(*met) > hearFor
+// canLead reports whether this daemon may lead: it is not leaving, knows the configuration and all
+// workers, and has had time to hear other daemons.
+func (s *Server) canLead() bool {
+	readAt := s.membersReadAt.Load()
+	return !s.leaving.Load() && s.hasState() && s.inventory.Complete() && readAt != nil && time.Since(*readAt) > listenPeriod
 }
 
-// storeSeen returns when the store last told this daemon anything.
-func (s *Server) storeSeen() time.Time {
+// storeLastSeen returns when the store last sent this daemon anything.
+func (s *Server) storeLastSeen() time.Time {
 	config, workers := s.beliefs.Confirmed(), s.inventory.Confirmed()
 	if config.After(workers) {
 		return config
@@ -196,36 +196,36 @@
 	return workers
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Run serves callers on front until ctx ends, then stops as planned.
+// Run serves callers on front until ctx ends, then shuts down gracefully.
 func (s *Server) Run(ctx context.Context, front net.Listener) error {
 	defer close(s.done)
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	server := &http.Server{
-		Handler: s.relay, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait,
+		Handler: s.relay, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: s.logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
-	var duties conc.WaitGroup
-	duties.Go(func() { s.follower.Run(running) })
-	duties.Go(func() { s.agent.Run(running) })
-	duties.Go(func() { s.elector.Run(running) })
-	duties.Go(func() { s.relay.Run(running) })
-	duties.Go(func() { s.fetcher.run(running) })
-	duties.Go(func() { s.passNews(running) })
-	duties.Go(func() { s.watchHalls(running) })
-	duties.Go(func() { s.observeWork(running) })
-	duties.Go(func() { s.meet(running) })
-	duties.Go(func() { s.watchScope(running) })
-	duties.Go(func() { s.watchWarmUp(running) })
-	duties.Go(func() { s.watchSignals(running) })
-	duties.Go(func() { s.watchFormat(running) })
-	duties.Go(func() { s.keepMarks(running) })
-	duties.Go(func() { s.serveMetrics(running) })
-	duties.Go(func() { s.tellStart(running) })
+	var tasks conc.WaitGroup
+	tasks.Go(func() { s.follower.Run(running) })
+	tasks.Go(func() { s.agent.Run(running) })
+	tasks.Go(func() { s.elector.Run(running) })
+	tasks.Go(func() { s.relay.Run(running) })
+	tasks.Go(func() { s.fetcher.run(running) })
+	tasks.Go(func() { s.forwardNews(running) })
+	tasks.Go(func() { s.watchHalls(running) })
+	tasks.Go(func() { s.observeWork(running) })
+	tasks.Go(func() { s.discoverPeers(running) })
+	tasks.Go(func() { s.watchScope(running) })
+	tasks.Go(func() { s.watchWarmUp(running) })
+	tasks.Go(func() { s.watchSignals(running) })
+	tasks.Go(func() { s.watchFormat(running) })
+	tasks.Go(func() { s.syncMarks(running) })
+	tasks.Go(func() { s.serveMetrics(running) })
+	tasks.Go(func() { s.logStart(running) })
 	stopped := make(chan error, 1)
-	duties.Go(func() { stopped <- server.Serve(front) })
+	tasks.Go(func() { stopped <- server.Serve(front) })
 	var err error
 	select {
 	case <-ctx.Done():
@@ -234,27 +234,27 @@
 		err = failure.At(failure.Unavailable, "serve callers", front.Addr().String(), err)
 	}
 	cancel()
-	duties.Wait()
+	tasks.Wait()
 	return err
 }
 
-// Ready reports whether callers should come here.
+// Ready reports whether callers should use this daemon.
 func (s *Server) Ready() bool {
-	return s.knows() && s.settled(time.Now()) && !s.leaving.Load() && !s.relay.BeliefTooOld(time.Now())
+	return s.hasState() && s.settled(time.Now()) && !s.leaving.Load() && !s.relay.BeliefTooOld(time.Now())
 }
 
-// KeepEntries returns for how long callers keep an answer of Entries.
+// KeepEntries returns how long callers may keep a result of Entries.
 func (s *Server) KeepEntries() time.Duration { return s.opts.Bounds.KeepEntries }
 
-// serveMetrics shows the metrics until ctx ends.
+// serveMetrics serves metrics until ctx ends.
 func (s *Server) serveMetrics(ctx context.Context) {
 	if s.opts.Metrics == "" {
 		return
 	}
-	server := &http.Server{Addr: s.opts.Metrics, Handler: s.meter.Handler(), ReadHeaderTimeout: headerWait}
+	server := &http.Server{Addr: s.opts.Metrics, Handler: s.meter.Handler(), ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.ListenAndServe(); err != nil && ctx.Err() == nil {
-		s.logger.Warn("metrics not served", "address", s.opts.Metrics, "error", err)
+		s.logger.Warn("serving metrics failed", "address", s.opts.Metrics, "error", err)
 	}
 }
--- a/serving/server_test.go
+++ b/serving/server_test.go
@@ -15,12 +15,12 @@
 	"quartzshelf.dev/peers"
 )
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-// fakeStore is a source and a member list whose answers a test sets.
+// fakeStore is a source and a member list with preset results.
 type fakeStore struct {
-	known []peers.Identity
-	away  bool
+	known       []peers.Identity
+	unavailable bool
 }
 
 func (f *fakeStore) source() fleet.Source {
@@ -32,7 +32,7 @@
 }
 
 func (f *fakeStore) nextConfig(context.Context, int64, time.Duration) (fleet.ConfigNews, error) {
-	return fleet.ConfigNews{}, errAway
+	return fleet.ConfigNews{}, errUnavailable
 }
 
 func (f *fakeStore) readWorkers(context.Context, string) (fleet.WorkerNews, error) {
@@ -40,14 +40,14 @@
 }
 
 func (f *fakeStore) nextWorkers(context.Context, int64, time.Duration) (fleet.WorkerNews, error) {
-	return fleet.WorkerNews{}, errAway
+	return fleet.WorkerNews{}, errUnavailable
 }
 
 func (f *fakeStore) register(context.Context, peers.Identity) error { return nil }
 
 func (f *fakeStore) read(context.Context, string) ([]peers.Identity, error) {
-	if f.away {
-		return nil, errAway
+	if f.unavailable {
+		return nil, errUnavailable
 	}
 	return f.known, nil
 }
@@ -59,7 +59,7 @@
 	return s
 }
 
-// optionsOf returns the options of a daemon alone.
+// optionsOf returns the options of a daemon that is alone.
 func optionsOf(t *testing.T, store *fakeStore) Options {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -73,49 +73,49 @@
 	}
 }
 
-// learn lets the server know a configuration and the workers as of a time.
-func learn(s *Server, at time.Time) {
+// setState gives the server a configuration and a worker list confirmed at a time.
+func setState(s *Server, at time.Time) {
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), at)
 	s.inventory.Replace(nil, 1, at)
-	s.settledOnce.Store(true)
+	s.isSettled.Store(true)
 }
 
-// TestWhoHasJustStartedBelievesPeers: the store came back from a copy and shows an older
-// configuration. A daemon that starts then serves no keys by it once it hears of a newer one,
-// nor before it could hear of any.
-func TestWhoHasJustStartedBelievesPeers(t *testing.T) {
+// TestStartingDaemonTrustsPeers checks that a daemon that starts while the store, just restored
+// from a copy, returns an older configuration accepts no keys by it, neither before it could hear
+// from peers nor after hearing of a newer one.
+func TestStartingDaemonTrustsPeers(t *testing.T) {
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
 	s.inventory.Replace(nil, 1, now)
-	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "it heard nobody yet")
+	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "it has heard no peer yet")
 	p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, ConfigVersion: 2}, HeardAt: now}
 	s.agent.Table().RecordHeartbeat(p.Heartbeat, now, now)
-	s.heard(p)
-	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "a newer one is in force at a peer")
+	s.onHeartbeat(p)
+	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "a peer has a newer configuration")
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now)
 	assert.Assert(t, s.Ready() && !s.relay.BeliefTooOld(now))
 	alone := newServer(t, &fakeStore{})
 	alone.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
 	alone.inventory.Replace(nil, 1, now)
-	long := now.Add(-2 * hearFor)
-	alone.metAt.Store(&long)
-	assert.Assert(t, alone.Ready(), "there is nobody to hear")
+	longAgo := now.Add(-2 * listenPeriod)
+	alone.membersReadAt.Store(&longAgo)
+	assert.Assert(t, alone.Ready(), "there are no peers")
 }
 
-func TestWhoHasNotMetOthersDoesNotLead(t *testing.T) {
-	store := &fakeStore{away: true}
+func TestNoLeadershipBeforeDiscovery(t *testing.T) {
+	store := &fakeStore{unavailable: true}
 	s := newServer(t, store)
-	learn(s, time.Now())
+	setState(s, time.Now())
 	s.readMembers(context.Background())
-	assert.Assert(t, !s.fit(), "the member list was not read")
-	store.away = false
+	assert.Assert(t, !s.canLead(), "the member list was not read")
+	store.unavailable = false
 	s.readMembers(context.Background())
-	assert.Assert(t, !s.fit(), "nobody had time to be heard")
-	long := time.Now().Add(-2 * hearFor)
-	s.metAt.Store(&long)
-	assert.Assert(t, s.fit())
+	assert.Assert(t, !s.canLead(), "there was no time to hear peers")
+	longAgo := time.Now().Add(-2 * listenPeriod)
+	s.membersReadAt.Store(&longAgo)
+	assert.Assert(t, s.canLead())
 	s.leaving.Store(true)
-	assert.Assert(t, !s.fit())
+	assert.Assert(t, !s.canLead())
 }
 
 func TestEntries(t *testing.T) {
@@ -128,15 +128,15 @@
 		want    []string
 	}{
 		"itself and a ready peer": {
-			prepare: func(s *Server) { learn(s, time.Now()); hear(s, "b", true, false) },
+			prepare: func(s *Server) { setState(s, time.Now()); hear(s, "b", true, false) },
 			want:    []string{"front-a", "front-b"},
 		},
 		"peers that leave or are not ready are left out": {
-			prepare: func(s *Server) { learn(s, time.Now()); hear(s, "b", true, true); hear(s, "c", false, false) },
+			prepare: func(s *Server) { setState(s, time.Now()); hear(s, "b", true, true); hear(s, "c", false, false) },
 			want:    []string{"front-a"},
 		},
 		"a daemon that knows too little names others": {
-			prepare: func(s *Server) { learn(s, time.Now().Add(-time.Hour)); hear(s, "b", true, false) },
+			prepare: func(s *Server) { setState(s, time.Now().Add(-time.Hour)); hear(s, "b", true, false) },
 			want:    []string{"front-b"},
 		},
 		"when nobody is ready, all that stay": {
@@ -144,7 +144,7 @@
 			want:    []string{"front-a", "front-b"},
 		},
 		"a leaving daemon names others": {
-			prepare: func(s *Server) { learn(s, time.Now()); s.leaving.Store(true); hear(s, "b", true, false) },
+			prepare: func(s *Server) { setState(s, time.Now()); s.leaving.Store(true); hear(s, "b", true, false) },
 			want:    []string{"front-b"},
 		},
 	}
@@ -157,32 +157,33 @@
 	}
 }
 
-func TestReaderIsOnlyOne(t *testing.T) {
+func TestOnlyOneDaemonReads(t *testing.T) {
 	s := newServer(t, &fakeStore{})
 	now := time.Now()
-	met := now.Add(-roleKnown)
-	s.metAt.Store(&met)
-	assert.Assert(t, s.reads(time.Time{}), "nothing is known")
-	assert.Assert(t, !s.reads(now), "what is known is fresh, though nobody leads")
+	met := now.Add(-roleSettleTime)
+	s.membersReadAt.Store(&met)
+	assert.Assert(t, s.shouldRead(time.Time{}), "it has no state")
+	assert.Assert(t, !s.shouldRead(now), "its state is current, though there is no leader")
 	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, Leads: &peers.Claim{Epoch: 1}}
 	s.agent.Table().RecordHeartbeat(b, now, now)
-	assert.Assert(t, !s.reads(now), "the leader reads")
-	assert.Assert(t, s.reads(now.Add(-readAfter-readSpread)), "what the leader tells is too old")
+	assert.Assert(t, !s.shouldRead(now), "the leader reads")
+	assert.Assert(t, s.shouldRead(now.Add(-readStaleAfter-readSpread)), "the state from the leader is too old")
 }
 
-// TestRelaysReadBeforeMembers: where the leader is turned away by the store, all relays
-// read before any member does, so that a change is known within the bounds by one hop.
+// TestRelaysReadBeforeMembers checks that all relays read before any member does if the leader
+// cannot reach the store, so that a change arrives within its bound with one more hop.
 func TestRelaysReadBeforeMembers(t *testing.T) {
 	for _, role := range []peers.Role{peers.Direct, peers.Relay} {
-		assert.Assert(t, readPatience(role, readSpread) < readPatience(peers.Member, 0), "%s", role)
-		assert.Equal(t, readPatience(role, 0), readAfter)
+		assert.Assert(t, maxStaleness(role, readSpread) < maxStaleness(peers.Member, 0), "%s", role)
+		assert.Equal(t, maxStaleness(role, 0), readStaleAfter)
 	}
 }
 
-// TestOnlyMembersSpreadTheirRetries: the leader and relays read for all.
+// TestOnlyMembersSpreadTheirRetries checks that the leader and relays, which read for all others,
+// retry without delay.
 func TestOnlyMembersSpreadTheirRetries(t *testing.T) {
 	s := newServer(t, &fakeStore{})
-	assert.Equal(t, s.retrySpread(), time.Duration(0), "it does not know of others")
+	assert.Equal(t, s.retrySpread(), time.Duration(0), "it knows no other daemon")
 	now := time.Now()
 	for n := range 200 {
 		id := fmt.Sprint("front-", n)
--- a/serving/settle.go
+++ b/serving/settle.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// settleAlone is how long after its start a daemon that hears nobody and cannot read the
-// member list takes what it knows for the newest.
-const settleAlone = 2 * time.Second
+// settleAloneAfter is how long after its start a daemon that hears no other and cannot read the
+// member list assumes that its state is current.
+const settleAloneAfter = 2 * time.Second
 
-// settled reports whether what this daemon read after its start is known to be no older than
-// what daemons that ran before know: it heard one, and has the newest configuration heard of,
-// or there is none. A store that has just come back from a copy shows an older configuration
-// for a moment, in which keys are in force that were taken away.
+// settled reports whether the state that this daemon read after its start is known to be at least
+// as new as that of daemons already running: it heard one and has the newest configuration
+// reported, or there is no other. A store just restored from a copy may briefly return an older
+// configuration with keys that were revoked since.
 func (s *Server) settled(now time.Time) bool {
-	if s.settledOnce.Load() {
+	if s.isSettled.Load() {
 		return true
 	}
-	met := s.metAt.Load()
-	alone := met != nil && now.Sub(*met) > hearFor || now.Sub(s.start) > settleAlone
+	readAt := s.membersReadAt.Load()
+	alone := readAt != nil && now.Sub(*readAt) > listenPeriod || now.Sub(s.start) > settleAloneAfter
 	heard := len(s.agent.Table().Alive(now)) > 0
-	if !heard && !alone || s.newestHeard.Load() > s.beliefs.Version() {
+	if !heard && !alone || s.newestConfigHeard.Load() > s.beliefs.Version() {
 		return false
 	}
-	s.settledOnce.Store(true)
+	s.isSettled.Store(true)
 	return true
 }
 
-// hearVersion notes the version of the configuration that a peer has in force.
-func (s *Server) hearVersion(version int64) {
+// noteConfigVersion records the configuration version of a peer.
+func (s *Server) noteConfigVersion(version int64) {
 	for {
-		known := s.newestHeard.Load()
-		if version <= known || s.newestHeard.CompareAndSwap(known, version) {
+		known := s.newestConfigHeard.Load()
+		if version <= known || s.newestConfigHeard.CompareAndSwap(known, version) {
 			return
 		}
 	}
 }
 
-// configConfirmed returns when the configuration in force was last known to be the newest;
-// the zero time while it may be an older one.
+// configConfirmed returns when the current configuration was last known to be the newest; zero
+// while it may be out of date.
 func (s *Server) configConfirmed() time.Time {
 	if !s.settled(time.Now()) {
 		return time.Time{}
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -34,15 +34,15 @@
 	Asks: backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"},
 }
 
-var errHeadClosed = errors.New("the head takes no connections")
+var errHeadClosed = errors.New("the head is closed")
 
-// signalHead is the head of a replica, or a worker that serves alone, in a test's own time.
+// signalHead is the head of a replica, or a worker that serves alone, in virtual time.
 type signalHead struct {
 	id string
-	// says adds to the head of an answer, at a time from the start of the fleet; it returns
-	// false for a request that is turned away.
-	says func(h http.Header, at time.Duration) bool
-	work time.Duration
+	// signal sets headers of a response, given the time since the start of the fleet. It returns
+	// false if the request is to be rejected.
+	signal func(h http.Header, at time.Duration) bool
+	work   time.Duration
 
 	start    time.Time
 	conns    chan net.Conn
@@ -50,26 +50,26 @@
 	arrivals []signalArrival
 }
 
-// signalArrival is a request that reached a head, from the start of the fleet.
+// signalArrival is an event at a head; times count from the start of the fleet.
 type signalArrival struct {
 	at     time.Duration
 	daemon string
-	// told is when the daemon first passed an answer with a word of the head on; never if
-	// it had not.
-	told time.Duration
-	// turnedAway tells that the head turned it away.
+	// signalledAt is when the daemon received a response with a limit; never for an ordinary
+	// request.
+	signalledAt time.Duration
+	// turnedAway reports that the head rejected the request.
 	turnedAway bool
 }
 
 const never = time.Duration(1<<63 - 1)
 
-// daemonConn is a connection of a daemon.
+// daemonConn is a connection from a daemon.
 type daemonConn struct {
 	net.Conn
 	daemon string
 }
 
-// daemonAddr names the daemon at the other end of a connection.
+// daemonAddr is the name of the daemon at the other end of a connection.
 type daemonAddr string
 
 func (daemonAddr) Network() string  { return "test" }
@@ -77,7 +77,7 @@
 
 func (c daemonConn) RemoteAddr() net.Addr { return daemonAddr(c.daemon) }
 
-// Accept, Close and Addr let an http.Server serve the head.
+// Accept, Close and Addr implement net.Listener, so that an http.Server can serve the head.
 func (h *signalHead) Accept() (net.Conn, error) {
 	c, ok := <-h.conns
 	if !ok {
@@ -93,51 +93,52 @@
 
 func (h *signalHead) Addr() net.Addr { return daemonAddr(h.id) }
 
-// ServeHTTP answers with one event.
+// ServeHTTP responds with one event.
 func (h *signalHead) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
 	at := time.Since(h.start)
-	turnedAway := h.says != nil && !h.says(w.Header(), at)
+	turnedAway := h.signal != nil && !h.signal(w.Header(), at)
 	h.mu.Lock()
-	h.arrivals = append(h.arrivals, signalArrival{at: at, daemon: r.RemoteAddr, told: never, turnedAway: turnedAway})
+	h.arrivals = append(h.arrivals, signalArrival{at: at, daemon: r.RemoteAddr, signalledAt: never, turnedAway: turnedAway})
 	h.mu.Unlock()
 	w.Header().Set(signalNames.Attempt, r.Header.Get(signalNames.Attempt))
 	if turnedAway {
 		w.Header().Set(signalNames.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		h.told(r.RemoteAddr, w.Header())
+		h.noteSignal(r.RemoteAddr, w.Header())
 		return
 	}
 	time.Sleep(h.work)
 	w.Header().Set(signalNames.Signature, h.id)
 	_, _ = io.WriteString(w, "id: 1\ndata: whole\n\n")
-	h.told(r.RemoteAddr, w.Header())
+	h.noteSignal(r.RemoteAddr, w.Header())
 }
 
-// told notes that a daemon has an answer with a word of the head.
-func (h *signalHead) told(daemon string, header http.Header) {
+// noteSignal records that a daemon received a response with a limit.
+func (h *signalHead) noteSignal(daemon string, header http.Header) {
 	if header.Get(signalNames.Asks.Limit) == "" {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.arrivals = append(h.arrivals, signalArrival{at: never, daemon: daemon, told: time.Since(h.start)})
+	h.arrivals = append(h.arrivals, signalArrival{at: never, daemon: daemon, signalledAt: time.Since(h.start)})
 }
 
-// counted returns when requests came from daemons that had been told since some time.
-func (h *signalHead) counted(after time.Duration) []time.Duration {
+// arrivalsAfterSignal returns the times of requests from daemons that received a limit at least
+// delay before.
+func (h *signalHead) arrivalsAfterSignal(delay time.Duration) []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	first := make(map[string]time.Duration)
 	var all []time.Duration
 	for _, a := range h.arrivals {
-		told, known := first[a.daemon]
+		signalled, known := first[a.daemon]
 		switch {
-		case a.told != never && !known:
-			first[a.daemon] = a.told
-		case a.told == never && known && a.at-told >= after:
+		case a.signalledAt != never && !known:
+			first[a.daemon] = a.signalledAt
+		case a.signalledAt == never && known && a.at-signalled >= delay:
 			all = append(all, a.at)
 		}
 	}
@@ -145,8 +146,8 @@
 	return all
 }
 
-// came returns how many requests came in a time.
-func (h *signalHead) came(from, to time.Duration) int {
+// arrivalsBetween returns the number of requests that arrived within a period.
+func (h *signalHead) arrivalsBetween(from, to time.Duration) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -158,10 +159,10 @@
 	return n
 }
 
-// signalSlots is how many requests a head works on at once.
+// signalSlots is the number of requests that a head processes at once.
 const signalSlots = 17
 
-// signalEngine has passes of 40 ms, in which 2 ms a request are added.
+// signalEngine has steps of 40 ms, plus 2 ms per request.
 var signalEngine = &fleet.Engine{
 	Slots: signalSlots, PrefillPerSecond: 45_900, Step: 8 * time.Millisecond, StepPerRequest: 400 * time.Microsecond,
 	Stride: 5, UsualAnswer: 50,
@@ -180,35 +181,34 @@
 	})
 }
 
-// signalFleet is daemons, joined by their heartbeats alone, before heads, in a test's own
-// time.
+// signalFleet is a group of daemons that exchange heartbeats, in front of heads, in virtual time.
 type signalFleet struct {
 	t       *testing.T
 	start   time.Time
 	daemons []*Server
 	heads   map[string]*signalHead
 	random  *rand.Rand
-	// path is where requests go; empty for streams.
+	// path is the path of the requests; empty for streams.
 	path string
 
 	mu sync.Mutex
-	// served and refused count requests by their answers, sent all.
+	// served and refused count requests by their responses, sent counts all.
 	sent, served, refused int
 }
 
-// newSignalFleet starts daemons, in halls of so many each, before heads.
+// newSignalFleet starts perHall daemons in each hall, in front of heads.
 func newSignalFleet(t *testing.T, halls, perHall int, heads ...*signalHead) *signalFleet {
 	t.Helper()
 	f := &signalFleet{t: t, start: time.Now(), heads: make(map[string]*signalHead), random: rand.New(rand.NewPCG(1, 2))}
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties conc.WaitGroup
+	var tasks conc.WaitGroup
 	var servers []*http.Server
 	for _, h := range heads {
 		h.start, h.conns = f.start, make(chan net.Conn)
 		f.heads[h.id] = h
 		server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
-		duties.Go(func() { _ = server.Serve(h) })
+		tasks.Go(func() { _ = server.Serve(h) })
 		servers = append(servers, server)
 	}
 	regions := make(map[string]string)
@@ -219,15 +219,15 @@
 		f.daemons = append(f.daemons, f.newDaemon(network, fmt.Sprintf("daemon-%d", i), fmt.Sprintf("hall-%d", i/perHall), regions))
 	}
 	for _, s := range f.daemons {
-		f.startDuties(ctx, &duties, s)
+		f.startTasks(ctx, &tasks, s)
 	}
 	t.Cleanup(func() {
 		cancel()
 		for _, server := range servers {
 			_ = server.Close()
 		}
-		duties.Wait()
-		// Datagrams that are on their way arrive.
+		tasks.Wait()
+		// Datagrams in transit arrive.
 		time.Sleep(time.Second)
 	})
 	return f
@@ -249,9 +249,9 @@
 	return s
 }
 
-// startDuties lets a daemon know the heads and the other daemons, and runs the part of its
-// duties that routing needs.
-func (f *signalFleet) startDuties(ctx context.Context, duties *conc.WaitGroup, s *Server) {
+// startTasks makes the heads and the other daemons known to a daemon, and runs the tasks that
+// routing needs.
+func (f *signalFleet) startTasks(ctx context.Context, tasks *conc.WaitGroup, s *Server) {
 	now := time.Now()
 	s.beliefs.Offer(signalConfig(), now)
 	var changes []fleet.Change
@@ -265,25 +265,25 @@
 			fleet.Change{ID: plain, Worker: &fleet.Worker{ID: plain, Service: "plain", Address: id, Slots: signalSlots}})
 	}
 	s.inventory.Replace(changes, 1, now)
-	s.settledOnce.Store(true)
-	s.metAt.Store(&now)
-	s.metAll.Store(true)
+	s.isSettled.Store(true)
+	s.membersReadAt.Store(&now)
+	s.allMembersRead.Store(true)
 	for _, other := range f.daemons {
 		s.agent.Table().Learn(other.opts.Self, now)
 	}
-	duties.Go(func() { s.agent.Run(ctx) })
-	duties.Go(func() { s.relay.Run(ctx) })
-	duties.Go(func() { s.watchSignals(ctx) })
+	tasks.Go(func() { s.agent.Run(ctx) })
+	tasks.Go(func() { s.relay.Run(ctx) })
+	tasks.Go(func() { s.watchSignals(ctx) })
 }
 
-// dial opens a connection of a daemon to a head.
+// dial connects a daemon to a head.
 func (f *signalFleet) dial(daemon, address string) (net.Conn, error) {
 	near, far := net.Pipe()
 	f.heads[address].conns <- daemonConn{Conn: far, daemon: daemon}
 	return near, nil
 }
 
-// call sends a request by a daemon and notes its answer.
+// call sends a request to a daemon and counts its response.
 func (f *signalFleet) call(s *Server, id string) {
 	request := httptest.NewRequest(http.MethodPost, cmp.Or(f.path, "/stream/"), strings.NewReader("body "+id))
 	request.Host = "h"
@@ -303,10 +303,10 @@
 	}
 }
 
-// load sends so many requests a second for a time, each by a daemon that chance picks.
-func (f *signalFleet) load(perSecond float64, during time.Duration) {
+// load sends requests at a rate for a period, each to a random daemon.
+func (f *signalFleet) load(perSecond float64, period time.Duration) {
 	var calls sync.WaitGroup
-	for end := time.Now().Add(during); time.Now().Before(end); {
+	for end := time.Now().Add(period); time.Now().Before(end); {
 		time.Sleep(time.Duration(f.random.ExpFloat64() / perSecond * float64(time.Second)))
 		s, id := f.daemons[f.random.IntN(len(f.daemons))], strconv.Itoa(f.random.Int())
 		calls.Go(func() { f.call(s, id) })
--- a/serving/start_test.go
+++ b/serving/start_test.go
@@ -24,39 +24,39 @@
 )
 
 const (
-	// storeRate is what the store of a fleet of 986 daemons sends in all, in bytes a second;
-	// smallRate and largeRate are the links of daemons, 20 Mbit/s and a gigabit.
+	// storeRate is the total send rate of the store in bytes per second; smallRate and largeRate
+	// are the link rates of daemons, 20 Mbit/s and 1 Gbit/s.
 	storeRate = 500e6
 	smallRate = 20e6 / 8
 	largeRate = 1e9 / 8
-	// storeDelay is how long an answer of the store takes at least, storeSilence after which
-	// silence a call is given up.
+	// storeDelay is the minimum latency of the store, storeSilence the silence after which a call
+	// fails.
 	storeDelay   = 4 * time.Millisecond
 	storeSilence = 700 * time.Millisecond
-	// workerBytes is the size of a worker's entry in an answer, pageWorkers how many fit one.
+	// workerBytes is the size of a worker's entry in a response, pageWorkers the number of entries
+	// in a page.
 	workerBytes = 300
 	pageWorkers = 500
-	// identityBytes is the same of a daemon, configBytes that of the configuration.
+	// identityBytes is the size of a daemon's entry, configBytes that of the configuration.
 	identityBytes = 220
 	configBytes   = 150_000
 )
 
 var errSilentStore = errors.New("the store is silent")
 
-// sharedStore is a store whose answers share its rate.
+// sharedStore is a store whose responses share its send rate.
 type sharedStore struct {
 	mu      sync.Mutex
 	freeAt  time.Time
 	workers []fleet.Change
 	members map[string][]peers.Identity
 	grant   peers.Grant
-	// changes are those of the worker list since the first list, version is that of the
-	// configuration.
+	// changes holds the changes since the first worker list, version is that of the configuration.
 	changes []fleet.Change
 	version int64
 	bytes   int
 	calls   int
-	// purposes counts calls by what they are for.
+	// purposes counts calls by purpose.
 	purposes map[string]int
 }
 
@@ -67,8 +67,8 @@
 	s.purposes[purpose]++
 }
 
-// counted returns the calls so far, and begins anew.
-func (s *sharedStore) counted() map[string]int {
+// takeCounts returns the counts of calls and resets them.
+func (s *sharedStore) takeCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := s.purposes
@@ -76,7 +76,7 @@
 	return all
 }
 
-// set changes what the store holds.
+// set runs change, which modifies the store, under the lock.
 func (s *sharedStore) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	return fleet.NewConfig(fleet.Parts{Version: s.version, Encoded: encoded})
 }
 
-// decodeVersion returns a configuration of the version that it was encoded with.
+// decodeVersion decodes a configuration that sharedStore.config encoded.
 func decodeVersion(data []byte) (*fleet.Config, error) {
 	var version int64
 	if _, err := fmt.Sscanf(string(data[:8]), "%d", &version); err != nil {
@@ -107,8 +107,8 @@
 	return s.changes[position-int64(len(s.workers)):]
 }
 
-// answer waits for an answer of some bytes over a link.
-func (s *sharedStore) answer(ctx context.Context, size int, link float64) error {
+// respond waits for a response of the given size over a link.
+func (s *sharedStore) respond(ctx context.Context, size int, link float64) error {
 	s.mu.Lock()
 	now := time.Now()
 	if s.freeAt.Before(now) {
@@ -133,7 +133,7 @@
 
 func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// waitFor waits for news for a while and answers with what there is then.
+// waitFor waits until there is news, at most for the given time, and then responds with it.
 func (s *sharedStore) waitFor(ctx context.Context, wait time.Duration, size func() int, link float64) error {
 	for until := time.Now().Add(wait); size() == 0 && time.Now().Before(until); {
 		select {
@@ -142,16 +142,16 @@
 			return ctx.Err()
 		}
 	}
-	return s.answer(ctx, 16+size(), link)
+	return s.respond(ctx, 16+size(), link)
 }
 
-// source returns the store as a daemon with a link reads it.
+// source returns the store as read by a daemon with a given link.
 func (s *sharedStore) source(link float64) fleet.Source {
 	return fleet.Source{
 		ReadConfig: func(ctx context.Context) (fleet.ConfigNews, error) {
 			s.count("list configuration")
 			config := s.config()
-			return fleet.ConfigNews{Config: config, Next: config.Version()}, s.answer(ctx, configBytes, link)
+			return fleet.ConfigNews{Config: config, Next: config.Version()}, s.respond(ctx, configBytes, link)
 		},
 		NextConfig: func(ctx context.Context, position int64, wait time.Duration) (fleet.ConfigNews, error) {
 			s.count("follow configuration")
@@ -185,14 +185,14 @@
 	}
 	page := s.workers[first:min(first+pageWorkers, len(s.workers))]
 	news := fleet.WorkerNews{Changes: page, Next: int64(len(s.workers)), More: first+len(page) < len(s.workers), Last: page[len(page)-1].ID}
-	return news, s.answer(ctx, len(page)*workerBytes, link)
+	return news, s.respond(ctx, len(page)*workerBytes, link)
 }
 
 func (s *sharedStore) memberList(link float64) MemberList {
 	return MemberList{
 		Register: func(ctx context.Context, self peers.Identity) error {
 			s.count("add members")
-			if err := s.answer(ctx, identityBytes, link); err != nil {
+			if err := s.respond(ctx, identityBytes, link); err != nil {
 				return err
 			}
 			s.mu.Lock()
@@ -206,7 +206,7 @@
 			s.mu.Lock()
 			all := s.members[hall]
 			s.mu.Unlock()
-			return all, s.answer(ctx, len(all)*identityBytes, link)
+			return all, s.respond(ctx, len(all)*identityBytes, link)
 		},
 	}
 }
@@ -215,14 +215,14 @@
 	return leadership.Registry{
 		Newest: func(ctx context.Context) (leadership.Found, error) {
 			s.count("list grants")
-			err := s.answer(ctx, identityBytes, link)
+			err := s.respond(ctx, identityBytes, link)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return leadership.Found{Grant: s.grant, Position: s.grant.Epoch}, err
 		},
 		Add: func(ctx context.Context, grant peers.Grant, position int64) (bool, error) {
 			s.count("add grants")
-			if err := s.answer(ctx, identityBytes, link); err != nil {
+			if err := s.respond(ctx, identityBytes, link); err != nil {
 				return false, err
 			}
 			s.mu.Lock()
@@ -236,33 +236,33 @@
 	}
 }
 
-// startHalls is how many data halls a startingFleet is in.
+// startHalls is the number of data halls of a startingFleet.
 const startHalls = 5
 
-// startingFleet is daemons that start together.
+// startingFleet is a fleet whose daemons start together.
 type startingFleet struct {
 	store   *sharedStore
 	network *fakeNetwork
 	all     []*Server
-	duties  conc.WaitGroup
+	tasks   conc.WaitGroup
 	cancel  context.CancelFunc
 	mu      sync.Mutex
-	// handlers serves what daemons ask each other, links their links, freeAt until when
-	// these are taken, by address.
+	// By address: handlers serves the requests of peers, links holds link rates, freeAt is when
+	// each link is idle again.
 	handlers map[string]http.Handler
 	links    map[string]float64
 	freeAt   map[string]time.Time
 	asked    int
 }
 
-// RoundTrip carries what a daemon asks another one, over the link of the one that answers.
+// RoundTrip carries a request between daemons, over the link of the responding one.
 func (f *startingFleet) RoundTrip(r *http.Request) (*http.Response, error) {
 	f.mu.Lock()
 	handler, link := f.handlers[r.URL.Host], f.links[r.URL.Host]
 	f.asked++
 	f.mu.Unlock()
 	if handler == nil {
-		return nil, errAway
+		return nil, errUnavailable
 	}
 	recorder := httptest.NewRecorder()
 	r.Header.Set("Accept-Encoding", "identity")
@@ -272,7 +272,7 @@
 	if f.freeAt[r.URL.Host].After(from) {
 		from = f.freeAt[r.URL.Host]
 	}
-	// Such answers take a tenth of their size deflated.
+	// Compressed, such responses are a tenth of their size.
 	const deflated = 10
 	f.freeAt[r.URL.Host] = from.Add(secondsOf(float64(recorder.Body.Len()) / deflated / link))
 	wait := time.Until(f.freeAt[r.URL.Host])
@@ -285,7 +285,7 @@
 	}
 }
 
-// start starts a daemon in a hall; the first ten of each are on large machines.
+// start starts a daemon in a hall; the first ten of each hall run on large machines.
 func (f *startingFleet) start(ctx context.Context, t *testing.T, hall, number int) *Server {
 	t.Helper()
 	id := fmt.Sprintf("front-%d-%d", hall, number)
@@ -312,13 +312,13 @@
 		Logger: hclog.NewNullLogger(),
 	})
 	assert.NilError(t, err)
-	for _, run := range []func(context.Context){s.follower.Run, s.agent.Run, s.elector.Run, s.fetcher.run, s.passNews, s.meet, s.watchScope} {
-		f.duties.Go(func() { run(ctx) })
+	for _, run := range []func(context.Context){s.follower.Run, s.agent.Run, s.elector.Run, s.fetcher.run, s.forwardNews, s.discoverPeers, s.watchScope} {
+		f.tasks.Go(func() { run(ctx) })
 	}
 	return s
 }
 
-// startAll starts daemons in an order drawn by chance, within a while.
+// startAll starts daemons in random order, spread over a period.
 func (f *startingFleet) startAll(t *testing.T, daemons int, within time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -326,17 +326,17 @@
 	f.network = &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
 	random := rand.New(rand.NewPCG(7, 7))
 	for i, number := range random.Perm(daemons) {
-		// 1 ms for several daemons, or several for one.
+		// Whole milliseconds, either for several daemons or several of them for one.
 		pauses := func(n int) int { return int(within.Milliseconds()) * n / daemons }
 		time.Sleep(time.Duration(pauses(i+1)-pauses(i)) * time.Millisecond)
 		f.all = append(f.all, f.start(ctx, t, number%startHalls, number/startHalls))
 	}
 }
 
-// stop ends all daemons, and waits for the datagrams and calls that are on their way.
+// stop stops all daemons, and waits for datagrams and calls in transit.
 func (f *startingFleet) stop() {
 	f.cancel()
-	f.duties.Wait()
+	f.tasks.Wait()
 	time.Sleep(time.Minute)
 }
 
@@ -349,7 +349,7 @@
 	return ready, leaders, complete
 }
 
-// relays returns how many daemons of each data hall take themselves for relays.
+// relays returns the number of daemons with the role of relay in each data hall.
 func (f *startingFleet) relays() map[string]int {
 	relays := make(map[string]int)
 	for _, s := range f.all {
@@ -360,14 +360,13 @@
 	return relays
 }
 
-// TestLargeFleetReturns starts all daemons at once before a full list of workers, as after
-// the end of all: no step may cost daemons times workers at the store. All must be ready
-// within 5 s, one must lead, each data hall must have its two relays, and what the store is
-// read must stay below ten times the list, beside what each daemon reads of its own data hall.
-func TestLargeFleetReturns(t *testing.T) {
+// TestLargeFleetStarts starts all daemons at once with a full worker list. The load on the store
+// must not grow with the product of daemons and workers: all daemons must be ready within 5 s, and
+// the bytes read are limited.
+func TestLargeFleetStarts(t *testing.T) {
 	tests := map[string]struct {
 		daemons, workers int
-		// within is the time over which the daemons start, in an order drawn by chance.
+		// within is the period over which the daemons start, in random order.
 		within time.Duration
 	}{
 		"986 daemons, 3,064 workers":                {daemons: 986, workers: 3064, within: 300 * time.Millisecond},
@@ -380,8 +379,8 @@
 				f := newStartingFleet(test.workers)
 				f.startAll(t, test.daemons, test.within)
 				time.Sleep(5 * time.Second)
-				f.check(t, test.daemons, test.workers)
-				// Looks at the member list, a registration and looks after that.
+				f.checkState(t, test.daemons, test.workers)
+				// Reads of the member list, a registration, and the reads after it.
 				assert.Assert(t, 10*f.store.calls < 33*test.daemons, "%d calls", f.store.calls)
 				f.stop()
 			})
@@ -389,10 +388,10 @@
 	}
 }
 
-// TestLargeFleetReturnsAgain ends all daemons and starts them anew: the member list holds their
-// former lives. After 3 s all must be ready and one must lead; each daemon reads the list once,
-// and what relays and the leader read besides may be a fifth of that.
-func TestLargeFleetReturnsAgain(t *testing.T) {
+// TestLargeFleetRestarts stops all daemons and starts them again, with a member list that holds
+// their former incarnations. All must be ready within 3 s with few calls beside one read of the
+// member list each.
+func TestLargeFleetRestarts(t *testing.T) {
 	t.Parallel()
 	const daemons, workers = 986, 3064
 	synctest.Test(t, func(t *testing.T) {
@@ -401,21 +400,22 @@
 		time.Sleep(3 * time.Second)
 		f.stop()
 		f.store.set(func() { f.store.calls, f.store.bytes = 0, 0 })
-		f.store.counted()
+		f.store.takeCounts()
 		f.startAll(t, daemons, 300*time.Millisecond)
 		time.Sleep(3 * time.Second)
-		f.check(t, daemons, workers)
+		f.checkState(t, daemons, workers)
 		assert.Assert(t, 10*f.store.calls < 12*daemons, "%d calls", f.store.calls)
 		f.stop()
 	})
 }
 
-// check checks that all daemons are ready, that one leads and two of each data hall relay, and
-// that reading cost the store no more than ten lists of workers and one of each daemon's hall.
-func (f *startingFleet) check(t *testing.T, daemons, workers int) {
+// checkState checks that all daemons are ready, that there is one leader and two relays in each
+// data hall, and that no more was read from the store than ten worker lists and the member list of
+// each daemon's hall.
+func (f *startingFleet) checkState(t *testing.T, daemons, workers int) {
 	t.Helper()
 	ready, leaders, complete := f.states()
-	t.Logf("ready %d, leaders %d, complete %d, %d MB read, %d asked, calls %v", ready, leaders, complete, f.store.bytes>>20, f.asked, f.store.counted())
+	t.Logf("ready %d, leaders %d, complete %d, %d MB read, %d asked, calls %v", ready, leaders, complete, f.store.bytes>>20, f.asked, f.store.takeCounts())
 	assert.Equal(t, ready, daemons)
 	assert.Equal(t, leaders, 1)
 	assert.DeepEqual(t, f.relays(), map[string]int{"hall-0": 2, "hall-1": 2, "hall-2": 2, "hall-3": 2, "hall-4": 2})
@@ -424,11 +424,10 @@
 	assert.Assert(t, f.store.bytes < 10*list+halved, "%d MB read, the list is %d kB", f.store.bytes>>20, list>>10)
 }
 
-// TestCallsOfALargeFleet counts the calls to the store of a fleet that is up while nothing
-// happens, while replicas form and while configurations follow one another. One reads for
-// all: what others call for as well grows with the daemons. A daemon may make 0.05 calls a
-// second.
-func TestCallsOfALargeFleet(t *testing.T) {
+// TestStoreCallsOfLargeFleet limits the calls to the store by a running fleet while nothing
+// happens, while replicas form and while the configuration changes. One daemon reads for all, so
+// the calls must not grow with the number of daemons.
+func TestStoreCallsOfLargeFleet(t *testing.T) {
 	t.Parallel()
 	const daemons, span = 986, 3 * time.Second
 	phases := []struct {
@@ -444,13 +443,13 @@
 		f := newStartingFleet(3064)
 		f.startAll(t, daemons, 300*time.Millisecond)
 		time.Sleep(6 * time.Second)
-		f.store.counted()
+		f.store.takeCounts()
 		for _, phase := range phases {
 			for step := range int(span / phase.every) {
 				f.store.set(func() { phase.change(f.store, step) })
 				time.Sleep(phase.every)
 			}
-			calls, all := f.store.counted(), 0
+			calls, all := f.store.takeCounts(), 0
 			for _, n := range calls {
 				all += n
 			}
@@ -484,7 +483,7 @@
 	return f
 }
 
-// join changes some workers to the next state of their group. The mutex is held.
+// join moves some workers to the next epoch of their group. The caller holds the mutex.
 func (s *sharedStore) join(first, count int) {
 	for i := range count {
 		w := *s.workers[(first+i)%len(s.workers)].Worker
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// startLook is how often a daemon looks how far its start has come.
-	startLook = 20 * time.Millisecond
-	// startFor is for how long it looks: a daemon that is alone, or that nobody calls,
+	// startCheckInterval is the time between two checks of the progress of the start.
+	startCheckInterval = 20 * time.Millisecond
+	// startLogPeriod is how long the start is logged. A daemon that is alone or gets no requests
 	// does not reach all steps.
-	startFor = 10 * time.Second
+	startLogPeriod = 10 * time.Second
 )
 
-// startStep is a state that a daemon reaches once after its start.
+// startStep is a milestone of a daemon's start.
 type startStep struct {
 	name    string
 	reached func(now time.Time) bool
 }
 
-// startSteps are the states between the start of a daemon and its first answer, in the
-// order in which they are usually reached.
+// startSteps returns the milestones between the start of a daemon and its first response, in their
+// usual order.
 func (s *Server) startSteps() []startStep {
 	return []startStep{
 		{"configuration known", func(time.Time) bool { return s.beliefs.Config() != nil }},
 		{"worker list known", func(time.Time) bool { return !s.inventory.Confirmed().IsZero() }},
-		{"callers come here", func(time.Time) bool { return s.Ready() }},
-		{"daemons listed", func(time.Time) bool { return s.metAt.Load() != nil }},
+		{"ready for callers", func(time.Time) bool { return s.Ready() }},
+		{"daemons listed", func(time.Time) bool { return s.membersReadAt.Load() != nil }},
 		{"peers heard", func(now time.Time) bool { return len(s.agent.Table().Alive(now)) > 0 }},
 		{"loads of peers known", func(now time.Time) bool { return len(s.agent.FleetSummary(now).Loads) > len(s.tracker.Loads()) }},
 		{"leader known", func(time.Time) bool { _, highest, _ := s.elector.State(); return highest.Epoch > 0 }},
@@ -36,10 +36,11 @@
 	}
 }
 
-// tellStart logs each step of the start as it is reached, until all are or startFor is over.
-func (s *Server) tellStart(ctx context.Context) {
+// logStart logs each step of the start as it is reached, until all are reached or startLogPeriod
+// is over.
+func (s *Server) logStart(ctx context.Context) {
 	began, left := time.Now(), s.startSteps()
-	for ctx.Err() == nil && len(left) > 0 && time.Since(began) < startFor {
+	for ctx.Err() == nil && len(left) > 0 && time.Since(began) < startLogPeriod {
 		now, rest := time.Now(), left[:0:0]
 		for _, step := range left {
 			if !step.reached(now) {
@@ -49,6 +50,6 @@
 			s.logger.Info("start: "+step.name, "ms", now.Sub(began).Milliseconds(), "workers", len(s.inventory.View().Workers()))
 		}
 		left = rest
-		pause.For(ctx, startLook)
+		pause.For(ctx, startCheckInterval)
 	}
 }
--- a/serving/stop.go
+++ b/serving/stop.go
@@ -8,32 +8,30 @@
 )
 
 const (
-	// entryLives is how many times the given time some callers keep an answer
-	// that names addresses.
-	entryLives = 3
+	// entryLifetimeFactor is how many times longer than KeepEntries some callers keep addresses.
+	entryLifetimeFactor = 3
 	// graceMargin is how long before it would be killed the process ends.
 	graceMargin = 300 * time.Millisecond
-	// acceptMargin is how long after the last connection was taken its serving
-	// has begun for certain.
+	// acceptMargin is enough time for the serving of the last accepted connection to begin.
 	acceptMargin = 100 * time.Millisecond
 )
 
-// stop is the planned stop: peers and callers are told first, then callers
-// that kept an address are still served, then what is in flight may end.
+// stop shuts down gracefully: it informs peers and callers, then serves callers that still use
+// this daemon's address, then waits for requests in flight.
 func (s *Server) stop(server *http.Server, front net.Listener) {
 	start := time.Now()
 	end := start.Add(s.opts.Bounds.Grace - graceMargin)
 	s.leaving.Store(true)
-	s.elector.Yield("the daemon leaves")
+	s.elector.Yield("the daemon is stopping")
 	s.agent.SendHeartbeat(start)
 	s.logger.Info("stopping", "until", end)
-	void := start.Add(entryLives*s.opts.Bounds.KeepEntries + graceMargin)
-	if void.After(end) {
-		void = end
+	expiry := start.Add(entryLifetimeFactor*s.opts.Bounds.KeepEntries + graceMargin)
+	if expiry.After(end) {
+		expiry = end
 	}
-	time.Sleep(time.Until(void))
-	// The library does not wait for a connection that was taken in the moment
-	// in which it stops, so taking them ends first.
+	time.Sleep(time.Until(expiry))
+	// Shutdown does not wait for a connection that is accepted at the same moment, so accepting
+	// ends first.
 	_ = front.Close()
 	time.Sleep(acceptMargin)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
--- a/serving/stop_test.go
+++ b/serving/stop_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// lastMoment is a listener that hands out one connection just when it is closed.
-type lastMoment struct {
+// lateListener is a listener that accepts one connection just as it is closed.
+type lateListener struct {
 	net.Listener
 	conn   net.Conn
 	closed chan struct{}
@@ -23,10 +23,10 @@
 
 var errClosed = errors.New("the listener is closed")
 
-func (l *lastMoment) Accept() (net.Conn, error) {
+func (l *lateListener) Accept() (net.Conn, error) {
 	<-l.closed
 	if c := l.conn; c != nil {
-		// The library is slow to notice the connection.
+		// The server notices the connection late.
 		time.Sleep(acceptMargin / 4)
 		l.conn = nil
 		return c, nil
@@ -34,20 +34,20 @@
 	return nil, errClosed
 }
 
-func (l *lastMoment) Close() error {
+func (l *lateListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *lastMoment) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *lateListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestStopAnswersTheLastConnection takes a connection in the moment in which
-// the daemon stops: its request must be answered before the process may end.
+// TestStopAnswersTheLastConnection accepts a connection at the moment in which the daemon stops:
+// its request must get a response before the process ends.
 func TestStopAnswersTheLastConnection(t *testing.T) {
 	s := newServer(t, &fakeStore{})
 	s.opts.Bounds.KeepEntries, s.opts.Bounds.Grace = time.Millisecond, time.Minute
 	caller, daemon := net.Pipe()
-	front := &lastMoment{conn: daemon, closed: make(chan struct{})}
+	front := &lateListener{conn: daemon, closed: make(chan struct{})}
 	server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusNoContent)
@@ -63,7 +63,7 @@
 	time.Sleep(2 * acceptMargin)
 	select {
 	case <-stopped:
-		t.Fatal("it stopped while a request was not answered")
+		t.Fatal("it stopped before a request had a response")
 	default:
 	}
 	response, err := http.ReadResponse(bufio.NewReader(caller), nil)
--- a/serving/suspicions.go
+++ b/serving/suspicions.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// stallFor is how long a suspicion of a replica is passed on to peers.
-	stallFor = time.Second
-	// lookEvery is the least time between two looks of a leader at the members of a
-	// suspected replica: as long as it waits for the answers of silent ones.
-	lookEvery = 400 * time.Millisecond
+	// suspicionLifetime is how long a suspicion of a replica is reported to peers.
+	suspicionLifetime = time.Second
+	// inspectInterval is the minimum time between two inspections of a suspected replica by the
+	// leader, as long as it waits for responses of the replica's members.
+	inspectInterval = 400 * time.Millisecond
 )
 
-// suspicions holds the replicas that fell silent of late, here or at peers. It is
-// safe for concurrent use.
+// suspicions holds the replicas that stalled recently, as detected here or by peers. It is safe
+// for concurrent use.
 type suspicions struct {
 	mu   sync.Mutex
 	held map[string]suspicion
@@ -25,13 +25,13 @@
 type suspicion struct {
 	peers.Stall
 	since time.Time
-	// lookAt is from when the leader looks at the replica again.
-	lookAt time.Time
+	// nextInspection is the earliest time at which the leader inspects the replica again.
+	nextInspection time.Time
 }
 
 func newSuspicions() *suspicions { return &suspicions{held: make(map[string]suspicion)} }
 
-// add takes a suspicion since a time, and reports whether it is a new one.
+// add records a suspicion that began at since, and reports whether it is new.
 func (s *suspicions) add(stall peers.Stall, since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,32 +39,32 @@
 	if known && !since.After(held.since) {
 		return false
 	}
-	s.held[stall.Replica] = suspicion{Stall: stall, since: since, lookAt: held.lookAt}
-	return !known || since.Sub(held.since) > stallFor
+	s.held[stall.Replica] = suspicion{Stall: stall, since: since, nextInspection: held.nextInspection}
+	return !known || since.Sub(held.since) > suspicionLifetime
 }
 
-// due reports whether a leader is to look at a suspected replica now, and notes that
-// it does.
+// due reports whether the leader should inspect a suspected replica now. If so, it records the
+// inspection.
 func (s *suspicions) due(replica string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held, known := s.held[replica]
-	if !known || now.Before(held.lookAt) {
+	if !known || now.Before(held.nextInspection) {
 		return false
 	}
-	held.lookAt = now.Add(lookEvery)
+	held.nextInspection = now.Add(inspectInterval)
 	s.held[replica] = held
 	return true
 }
 
-// current returns the suspicions of late, and forgets older ones.
+// current returns the recent suspicions, and drops older ones.
 func (s *suspicions) current(now time.Time) []peers.Stall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []peers.Stall
 	for id, held := range s.held {
 		age := now.Sub(held.since)
-		if age > stallFor {
+		if age > suspicionLifetime {
 			delete(s.held, id)
 			continue
 		}
--- a/serving/suspicions_test.go
+++ b/serving/suspicions_test.go
@@ -9,9 +9,9 @@
 	"quartzshelf.dev/peers"
 )
 
-// TestSuspicionsEnd passes a suspicion from one daemon to another and back: each is
-// passed on for a bounded time after its replica fell silent, however often it comes.
-func TestSuspicionsEnd(t *testing.T) {
+// TestSuspicionsExpire forwards a suspicion back and forth between two daemons. Each must be
+// reported only for a limited time after its replica stalled.
+func TestSuspicionsExpire(t *testing.T) {
 	a, b := newSuspicions(), newSuspicions()
 	start := time.Unix(1000, 0)
 	assert.Assert(t, a.add(peers.Stall{Replica: "r"}, start))
@@ -30,14 +30,14 @@
 	}
 	assert.Assert(t, passed > 0)
 	assert.Equal(t, len(a.current(now))+len(b.current(now)), 0)
-	assert.Assert(t, a.add(peers.Stall{Replica: "r"}, now), "it falls silent again")
+	assert.Assert(t, a.add(peers.Stall{Replica: "r"}, now), "it stalled again")
 }
 
-// TestLeaderLooksNowAndThen reports a suspicion by many daemons at once.
-func TestLeaderLooksNowAndThen(t *testing.T) {
+// TestLeaderInspectionsAreLimited reports a suspicion by many daemons at once.
+func TestLeaderInspectionsAreLimited(t *testing.T) {
 	s := newSuspicions()
 	now := time.Unix(1000, 0)
-	assert.Assert(t, !s.due("r", now), "nobody suspects it")
+	assert.Assert(t, !s.due("r", now), "it is not suspected")
 	looks := 0
 	for range 100 {
 		s.add(peers.Stall{Replica: "r"}, now)
--- a/serving/warmup.go
+++ b/serving/warmup.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// warmUpBeats is how many heartbeats a worker may take to tell that it is cold: its
-	// next one, and one that was on its way.
-	warmUpBeats = 2
-	// lookAtWarmUp is how often a daemon without requests looks which workers warm up, so
-	// that its gauge and log lines follow.
-	lookAtWarmUp = time.Second
+	// warmUpHeartbeats is the number of heartbeats within which a worker reports that it is cold:
+	// the next one, and one already in transit.
+	warmUpHeartbeats = 2
+	// warmUpCheckInterval is the time between two checks of which workers warm up, which keep the
+	// gauge and the logs current on a daemon without requests.
+	warmUpCheckInterval = time.Second
 )
 
 func (s *Server) newWarmUp() *allowance.Allowance {
 	a := allowance.New(allowance.Options{
-		Self: s.opts.Self.ID, Members: s.registered,
+		Self: s.opts.Self.ID, Members: s.registeredIDs,
 		Bound:  allowance.Bound{Burst: s.opts.Bounds.WarmUp.Burst, Slack: s.opts.Bounds.WarmUp.Slack},
-		Settle: warmUpBeats * s.opts.Bounds.Heartbeat,
+		Settle: warmUpHeartbeats * s.opts.Bounds.Heartbeat,
 		View:   s.inventory.View, Halls: s.halls.View, Config: s.beliefs.Config, Changed: s.warmUpChanged,
 	})
 	s.meter.Gauge("workers_warming", func() float64 { return float64(a.Warming()) })
 	return a
 }
 
-// registered returns the ids of all registered daemons, or none before this daemon has read
-// the member list of all data halls: daemons that were started without the store hear those
-// of their own data hall only, so each hall would choose holders of its own.
-func (s *Server) registered() []string {
-	if !s.metAll.Load() {
+// registeredIDs returns the ids of all daemons ever known, or none before this daemon has read the
+// member lists of all data halls: with only those of the own hall, each hall would choose its own
+// holders of shares.
+func (s *Server) registeredIDs() []string {
+	if !s.allMembersRead.Load() {
 		return nil
 	}
 	return s.agent.Table().EverKnownIDs()
 }
 
-// membersDue reports whether the member list is to be read again though others are heard:
-// who holds a worker that warms up is found among all that are registered.
-func (s *Server) membersDue(now time.Time) bool {
-	return !now.Before(s.readAgain) && s.boundsWarmUp()
+// memberReadDue reports whether the member list is to be read again although others are heard: the
+// daemons that hold shares of a worker that warms up are chosen from all registered ones.
+func (s *Server) memberReadDue(now time.Time) bool {
+	return !now.Before(s.nextMemberRead) && s.boundsWarmUp()
 }
 
-// boundsWarmUp reports whether requests to workers that warm up are bounded.
+// boundsWarmUp reports whether requests to workers that warm up are limited.
 func (s *Server) boundsWarmUp() bool {
 	config := s.beliefs.Config()
 	bounded := func(v *fleet.Service) bool { return v.WarmUp.PerSecond > 0 }
@@ -65,12 +65,12 @@
 	return sendBy, ok
 }
 
-// warmUpChanged logs that a worker begins or ceases to warm up. All daemons see it; the
-// leader tells it for all.
+// warmUpChanged logs the start or end of a worker's warm-up. All daemons see it, so only the
+// leader logs it at level info.
 func (s *Server) warmUpChanged(w *fleet.Worker, warming bool) {
 	message := "worker warmed up"
 	if warming {
-		message = "worker warms up"
+		message = "worker is warming up"
 	}
 	log := s.logger.Debug
 	if s.isReader() {
@@ -79,10 +79,10 @@
 	log(message, "worker", w.ID, "service", w.Service, "hall", w.Zone, "group", w.Member.Group, "cold_ms", w.ColdLeft)
 }
 
-// watchWarmUp looks now and then which workers warm up until ctx ends.
+// watchWarmUp regularly checks which workers warm up until ctx ends.
 func (s *Server) watchWarmUp(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.warmUp.Look(time.Now())
-		pause.For(ctx, lookAtWarmUp)
+		pause.For(ctx, warmUpCheckInterval)
 	}
 }
--- a/serving/warmup_test.go
+++ b/serving/warmup_test.go
@@ -12,24 +12,24 @@
 	"quartzshelf.dev/peers"
 )
 
-const manyWorkers = 200
+const coldWorkers = 200
 
-// warmUpFleet is a fleet whose workers are all cold, by what one daemon knows.
+// warmUpFleet makes a fleet known to a daemon in which all workers are cold.
 func warmUpFleet(s *Server) {
 	warmUp := fleet.WarmUp{PerSecond: 14, For: 3 * time.Second}
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Services: []*fleet.Service{{Name: "models", WarmUp: warmUp}}}), time.Now())
 	var all []fleet.Change
-	for i := range manyWorkers {
+	for i := range coldWorkers {
 		id := fmt.Sprint("w", i)
 		all = append(all, fleet.Change{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Zone: "hall", ColdLeft: time.Hour.Milliseconds()}})
 	}
 	s.inventory.Replace(all, 2, time.Now())
 }
 
-// held returns for how many of the cold workers a daemon ever gets a token.
-func held(s *Server) int {
+// countHeld returns the number of cold workers for which a daemon ever gets a token.
+func countHeld(s *Server) int {
 	count, later := 0, time.Now().Add(time.Minute)
-	for i := range manyWorkers {
+	for i := range coldWorkers {
 		w, _ := s.inventory.View().Worker(fmt.Sprint("w", i))
 		r := &fleet.Replica{ID: w.ID, Head: w}
 		s.warmUp.Look(time.Now())
@@ -40,9 +40,9 @@
 	return count
 }
 
-// TestWhoHoldsColdWorkers: a daemon holds its part of the cold workers by all daemons that
-// were ever registered, whether they are alive or not, and none before it read of them.
-func TestWhoHoldsColdWorkers(t *testing.T) {
+// TestHoldersOfColdWorkers checks that a daemon holds its part of the cold workers according to
+// all daemons ever registered, alive or not, and none before it has read the member list.
+func TestHoldersOfColdWorkers(t *testing.T) {
 	others := func(count int) []peers.Identity {
 		var all []peers.Identity
 		for i := range count {
@@ -56,10 +56,10 @@
 		least int
 		most  int
 	}{
-		"it knows nobody and has not read the list": {store: &fakeStore{away: true}},
-		"it is alone, by the list":                  {store: &fakeStore{}, least: manyWorkers, most: manyWorkers},
+		"it knows nobody and has not read the list": {store: &fakeStore{unavailable: true}},
+		"it is alone, by the list":                  {store: &fakeStore{}, least: coldWorkers, most: coldWorkers},
 		"many are listed and none is alive":         {store: &fakeStore{known: others(79)}, least: 1, most: 25},
-		"others were heard and the list is away":    {store: &fakeStore{away: true}, heard: 29},
+		"others were heard and the list is away":    {store: &fakeStore{unavailable: true}, heard: 29},
 		"many are listed and more were heard":       {store: &fakeStore{known: others(49)}, heard: 79, least: 1, most: 25},
 	}
 	for name, test := range tests {
@@ -70,26 +70,27 @@
 			}
 			s.readMembers(context.Background())
 			warmUpFleet(s)
-			got := held(s)
+			got := countHeld(s)
 			assert.Assert(t, got >= test.least && got <= test.most, "%d held", got)
 		})
 	}
 }
 
-// TestMembersAreReadAgain: what registers after the first read is found by a later one.
-func TestMembersAreReadAgain(t *testing.T) {
+// TestMemberListIsReread checks that daemons that register after the first read are found by a
+// later one.
+func TestMemberListIsReread(t *testing.T) {
 	store := &fakeStore{}
 	s := newServer(t, store)
 	s.readMembers(context.Background())
-	assert.Assert(t, time.Until(s.readAgain) <= readMembersSoon)
-	learn(s, time.Now())
-	soon := time.Now().Add(readMembersSoon)
-	assert.Assert(t, !s.membersDue(soon), "no service bounds what cold workers get")
+	assert.Assert(t, time.Until(s.nextMemberRead) <= memberRereadDelay)
+	setState(s, time.Now())
+	soon := time.Now().Add(memberRereadDelay)
+	assert.Assert(t, !s.memberReadDue(soon), "no service limits requests to cold workers")
 	warmUpFleet(s)
-	assert.Assert(t, !s.membersDue(time.Now()))
-	assert.Assert(t, s.membersDue(soon))
+	assert.Assert(t, !s.memberReadDue(time.Now()))
+	assert.Assert(t, s.memberReadDue(soon))
 	store.known = []peers.Identity{{ID: "b", Incarnation: 1, Address: "b:1"}}
 	s.readMembers(context.Background())
-	assert.DeepEqual(t, s.registered(), []string{"a", "b"})
-	assert.Assert(t, time.Until(s.readAgain) > readMembersSoon)
+	assert.DeepEqual(t, s.registeredIDs(), []string{"a", "b"})
+	assert.Assert(t, time.Until(s.nextMemberRead) > memberRereadDelay)
 }
