--- a/peers/agent.go
+++ b/peers/agent.go
@@ -185,9 +185,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.round++
-	before := a.Role()
-	a.layout = a.table.layout(now, previousRole{role: before, since: a.roleSince}, size, a.round)
-	if a.layout.role != before {
+	previous := a.Role()
+	a.layout = a.table.layout(now, previousRole{role: previous, since: a.roleSince}, size, a.round)
+	if a.layout.role != previous {
 		a.roleSince = now
 	}
 	a.role.Store(int32(a.layout.role))
@@ -228,10 +228,10 @@
 func (a *Agent) deliver(kind string, addresses []string, now time.Time, all ...*message) {
 	clock := a.clock(now)
 	for _, m := range all {
-		whole := sync.OnceValue(func() []byte { return a.encodeDatagram(m, clock) })
+		full := sync.OnceValue(func() []byte { return a.encodeDatagram(m, clock) })
 		brief := sync.OnceValue(func() []byte { return a.encodeDatagram(m.brief(), clock) })
 		for _, address := range addresses {
-			form := whole
+			form := full
 			if a.clocks.hasAcknowledged(address, clock) {
 				form = brief
 			}
--- a/peers/agent_test.go
+++ b/peers/agent_test.go
@@ -22,12 +22,12 @@
 	return c.LocalAddr().String()
 }
 
-func newAgent(t *testing.T, id string, heard func(*Peer)) *Agent {
+func newAgent(t *testing.T, id string, onHeartbeat func(*Peer)) *Agent {
 	t.Helper()
 	a, err := NewAgent(Options{
 		Self:          Identity{ID: id, Incarnation: 1, Address: freeAddress(t), Front: id},
 		FillHeartbeat: func(b *Heartbeat, _ time.Time) { b.Ready, b.ConfigAge = true, 100 },
-		OnHeartbeat:   heard, OnNews: func(*Peer, *News) {}, OnSummary: func(string, Summary, time.Time) {}, OnSent: func(string, int) {},
+		OnHeartbeat:   onHeartbeat, OnNews: func(*Peer, *News) {}, OnSummary: func(string, Summary, time.Time) {}, OnSent: func(string, int) {},
 		Logger: hclog.NewNullLogger(),
 	})
 	assert.NilError(t, err)
@@ -35,8 +35,8 @@
 }
 
 func TestAgentsFindEachOtherThroughOneSeed(t *testing.T) {
-	heard := make(chan *Peer, 1000)
-	a := newAgent(t, "a", func(p *Peer) { heard <- p })
+	received := make(chan *Peer, 1000)
+	a := newAgent(t, "a", func(p *Peer) { received <- p })
 	b := newAgent(t, "b", func(*Peer) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, agent := range []*Agent{a, b} {
@@ -45,7 +45,7 @@
 	}
 	defer cancel()
 	b.Table().Learn(a.opts.Self, time.Now())
-	for p := range heard {
+	for p := range received {
 		// SentAfter is known once the peer has echoed this daemon's clock.
 		if !p.SentAfter.IsZero() {
 			assert.Equal(t, p.ID, "b")
@@ -98,7 +98,7 @@
 		brief               bool
 	}{
 		"never heard":                     {now: second(1)},
-		"heard of late":                   {heard: second(9), now: second(10), brief: true},
+		"heard recently":                  {heard: second(9), now: second(10), brief: true},
 		"heard long ago":                  {heard: second(7), now: second(10)},
 		"heard before the grant changed":  {heard: second(9), changed: second(9.5), now: second(10)},
 		"heard after the grant changed":   {heard: second(9.7), changed: second(9.5), now: second(10), brief: true},
@@ -115,10 +115,10 @@
 }
 
 // agentWithoutTransport returns an agent that only receives what a test passes to it.
-func agentWithoutTransport(heard func(*Peer)) *Agent {
+func agentWithoutTransport(onHeartbeat func(*Peer)) *Agent {
 	return &Agent{
 		opts: Options{
-			Self: Identity{ID: "a", Incarnation: 1}, OnHeartbeat: heard, OnNews: func(*Peer, *News) {},
+			Self: Identity{ID: "a", Incarnation: 1}, OnHeartbeat: onHeartbeat, OnNews: func(*Peer, *News) {},
 			OnSummary: func(string, Summary, time.Time) {}, Suspended: awake.Never, Logger: hclog.NewNullLogger(),
 		},
 		table: NewTable(Identity{ID: "a", Incarnation: 1}), clocks: newClocks(), receivedSummaries: newSummaries(), start: time.Now(), loggedDrops: make(map[string]bool),
@@ -128,8 +128,8 @@
 // TestBriefHeartbeatsAreCompleted checks that a brief heartbeat is used only after a full one of
 // the same incarnation.
 func TestBriefHeartbeatsAreCompleted(t *testing.T) {
-	var heard []*Peer
-	a := agentWithoutTransport(func(p *Peer) { heard = append(heard, p) })
+	var received []*Peer
+	a := agentWithoutTransport(func(p *Peer) { received = append(received, p) })
 	clock := time.Duration(0)
 	receive := func(b *Heartbeat) {
 		clock += time.Millisecond
@@ -141,22 +141,22 @@
 		Grant:    Grant{Epoch: 7, Holders: []Holder{{ID: "b", Incarnation: 1}}}, ConfigVersion: 3,
 	}
 	receive(full.brief())
-	assert.Equal(t, len(heard), 0, "no full heartbeat was received before")
+	assert.Equal(t, len(received), 0, "no full heartbeat was received before")
 	assert.Equal(t, a.clocks.latest("b:1"), int64(0), "a rejected heartbeat is not acknowledged")
 	receive(full)
 	news := *full
 	news.ConfigVersion = 4
 	receive(news.brief())
-	assert.Equal(t, len(heard), 2)
-	assert.Equal(t, heard[1].ConfigVersion, int64(4))
-	assert.DeepEqual(t, heard[1].Identity, full.Identity)
-	assert.DeepEqual(t, heard[1].Grant, full.Grant)
+	assert.Equal(t, len(received), 2)
+	assert.Equal(t, received[1].ConfigVersion, int64(4))
+	assert.DeepEqual(t, received[1].Identity, full.Identity)
+	assert.DeepEqual(t, received[1].Grant, full.Grant)
 	restarted := *full
 	restarted.Incarnation = 2
 	receive(restarted.brief())
-	assert.Equal(t, len(heard), 2, "a new incarnation must send a full heartbeat first")
+	assert.Equal(t, len(received), 2, "a new incarnation must send a full heartbeat first")
 	receive(&restarted)
-	assert.Equal(t, len(heard), 3)
+	assert.Equal(t, len(received), 3)
 }
 
 // FuzzDatagram checks that malformed datagrams do no harm.
@@ -168,8 +168,8 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole := append(binary.BigEndian.AppendUint64([]byte{framingVersion}, 5), make([]byte, 8)...)
-	f.Add(append(whole, body...))
+	datagram := append(binary.BigEndian.AppendUint64([]byte{framingVersion}, 5), make([]byte, 8)...)
+	f.Add(append(datagram, body...))
 	f.Add([]byte{framingVersion})
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		agentWithoutTransport(func(*Peer) {}).handleDatagram(data, time.Now())
@@ -179,8 +179,8 @@
 // TestHeartbeatQueuedDuringSuspension guards against treating a heartbeat that was queued while
 // the machine was suspended as fresh, since the monotonic clock does not count suspensions.
 func TestHeartbeatQueuedDuringSuspension(t *testing.T) {
-	var heard []*Peer
-	a := agentWithoutTransport(func(p *Peer) { heard = append(heard, p) })
+	var received []*Peer
+	a := agentWithoutTransport(func(p *Peer) { received = append(received, p) })
 	suspended := time.Duration(0)
 	a.opts.Suspended = func() time.Duration { return suspended }
 	b := &Heartbeat{Identity: Identity{ID: "b", Incarnation: 1, Address: "b:1"}}
@@ -190,8 +190,8 @@
 	suspended = time.Minute
 	readAt := sentAt.Add(100 * time.Millisecond)
 	a.handleDatagram(datagram, readAt)
-	assert.Equal(t, len(heard), 1)
-	assert.Equal(t, readAt.Sub(heard[0].SentAfter), time.Minute+100*time.Millisecond)
+	assert.Equal(t, len(received), 1)
+	assert.Equal(t, readAt.Sub(received[0].SentAfter), time.Minute+100*time.Millisecond)
 }
 
 // TestTableAfterSuspension checks that recorded times move back by the suspension, but peers are
--- a/peers/clocks.go
+++ b/peers/clocks.go
@@ -55,6 +55,6 @@
 func (c *clocks) hasAcknowledged(address string, clock time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	heard := c.acknowledged[address]
-	return heard > 0 && heard >= c.changedAt && clock-heard < ackLifetime
+	acknowledged := c.acknowledged[address]
+	return acknowledged > 0 && acknowledged >= c.changedAt && clock-acknowledged < ackLifetime
 }
--- a/peers/ever_known.go
+++ b/peers/ever_known.go
@@ -14,11 +14,11 @@
 
 // add records a daemon.
 func (r *everKnown) add(id string) {
-	at, known := slices.BinarySearch(r.ids, id)
+	i, known := slices.BinarySearch(r.ids, id)
 	if known || id == "" {
 		return
 	}
-	r.ids = slices.Insert(slices.Clone(r.ids), at, id)
+	r.ids = slices.Insert(slices.Clone(r.ids), i, id)
 }
 
 // addToHall records a daemon of the own data hall, or updates it if its capacity changed.
--- a/peers/format_test.go
+++ b/peers/format_test.go
@@ -48,24 +48,24 @@
 	tests := map[string]struct {
 		format     Format
 		version    int
-		clear      bool
+		valid      bool
 		understood bool
 	}{
-		"a daemon that tells none":        {Format{}, FormatFirst, true, true},
-		"this build":                      {OwnFormat(), currentFormat, true, true},
-		"the first version, told":         {Format{1, 1}, FormatFirst, true, true},
-		"a later one that goes back":      {Format{9, currentFormat}, currentFormat, true, true},
-		"a later one that does not":       {Format{currentFormat + 2, currentFormat + 1}, currentFormat, true, false},
-		"a version of zero":               {Format{0, 1}, FormatFirst, false, true},
-		"a negative version":              {Format{-1, -1}, FormatFirst, false, true},
-		"an absurd version":               {Format{1e9, 1}, FormatFirst, false, true},
-		"one that understands none":       {Format{2, 0}, FormatFirst, false, true},
-		"one that understands later ones": {Format{2, 3}, FormatFirst, false, true},
+		"no format":                           {Format{}, FormatFirst, true, true},
+		"this build":                          {OwnFormat(), currentFormat, true, true},
+		"the first version, explicit":         {Format{1, 1}, FormatFirst, true, true},
+		"a later one that reads this version": {Format{9, currentFormat}, currentFormat, true, true},
+		"a later one that does not":           {Format{currentFormat + 2, currentFormat + 1}, currentFormat, true, false},
+		"a version of zero":                   {Format{0, 1}, FormatFirst, false, true},
+		"a negative version":                  {Format{-1, -1}, FormatFirst, false, true},
+		"an absurd version":                   {Format{1e9, 1}, FormatFirst, false, true},
+		"one that reads none":                 {Format{2, 0}, FormatFirst, false, true},
+		"one that reads only later ones":      {Format{2, 3}, FormatFirst, false, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.format.effectiveVersion(), test.version)
-			assert.Equal(t, test.format.isValid(), test.clear)
+			assert.Equal(t, test.format.isValid(), test.valid)
 			assert.Equal(t, test.format.IsUnderstood(), test.understood)
 		})
 	}
@@ -98,12 +98,12 @@
 			hear(table, "b", 1, Format{}, at(0))
 			hear(table, "b", 2, OwnFormat(), at(5))
 		}, kept, currentFormat},
-		"one that was taken back": {func(table *Table) {
+		"one that was downgraded": {func(table *Table) {
 			hear(table, "b", 1, OwnFormat(), at(0))
 			hear(table, "b", 2, Format{}, at(50))
 		}, 51, FormatFirst},
 		"an earlier one that a relay hears": {func(table *Table) { table.NoteFormat(FormatFirst, at(0)) }, 1, FormatFirst},
-		"one that claims what can't be":     {func(table *Table) { hear(table, "b", 1, Format{1e9, 1e9}, at(0)) }, 1, FormatFirst},
+		"an impossible version":             {func(table *Table) { hear(table, "b", 1, Format{1e9, 1e9}, at(0)) }, 1, FormatFirst},
 		"a later one":                       {func(table *Table) { hear(table, "b", 1, Format{9, 1}, at(0)) }, 1, currentFormat},
 	}
 	for name, test := range tests {
@@ -123,12 +123,12 @@
 		sums []Summary
 		want int
 	}{
-		"all speak this version": {[]Summary{now, now}, currentFormat},
-		"one hall does not":      {[]Summary{now, {Daemons: 2, Format: FormatFirst}, now}, FormatFirst},
-		"a relay tells none":     {[]Summary{now, {Daemons: 2}}, FormatFirst},
-		"a relay tells nonsense": {[]Summary{now, {Daemons: 2, Format: -7}}, FormatFirst},
-		"a later version":        {[]Summary{now, {Daemons: 2, Format: 9}}, currentFormat},
-		"a further part":         {[]Summary{now, {Part: 1}}, currentFormat},
+		"all speak this version":          {[]Summary{now, now}, currentFormat},
+		"one hall does not":               {[]Summary{now, {Daemons: 2, Format: FormatFirst}, now}, FormatFirst},
+		"a relay without a version":       {[]Summary{now, {Daemons: 2}}, FormatFirst},
+		"a relay with an invalid version": {[]Summary{now, {Daemons: 2, Format: -7}}, FormatFirst},
+		"a later version":                 {[]Summary{now, {Daemons: 2, Format: 9}}, currentFormat},
+		"a further part":                  {[]Summary{now, {Part: 1}}, currentFormat},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -145,20 +145,20 @@
 // read are ignored, and that they are counted and logged once.
 func TestHeartbeatsWithUnusualFormats(t *testing.T) {
 	tests := map[string]struct {
-		format  Format
-		taken   bool
-		counted int
+		format   Format
+		accepted bool
+		counted  int
 	}{
 		"this build":                {OwnFormat(), true, 0},
 		"an earlier one":            {Format{}, true, 0},
-		"one that can't be":         {Format{-1, 3}, true, 2},
+		"an impossible format":      {Format{-1, 3}, true, 2},
 		"one from a distant future": {Format{maxFormat, maxFormat}, false, 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var heard []*Peer
+			var received []*Peer
 			counted := 0
-			a := agentWithoutTransport(func(p *Peer) { heard = append(heard, p) })
+			a := agentWithoutTransport(func(p *Peer) { received = append(received, p) })
 			a.opts.OnDropped = func(string) { counted++ }
 			for range 2 {
 				body, err := encode(&message{ID: "b", Incarnation: 1, Heartbeat: &Heartbeat{Identity: Identity{ID: "b", Incarnation: 1, Address: "b", Format: test.format}}})
@@ -166,7 +166,7 @@
 				a.handleDatagram(append(make([]byte, headerLength), body...), time.Now())
 				a.handleDatagram(append(append([]byte{framingVersion}, make([]byte, headerLength-1)...), body...), time.Now())
 			}
-			assert.Equal(t, len(heard) > 0, test.taken)
+			assert.Equal(t, len(received) > 0, test.accepted)
 			assert.Equal(t, counted, test.counted+2, "two datagrams have another framing version")
 			assert.Assert(t, len(a.loggedDrops) <= 2)
 		})
--- a/peers/heartbeat.go
+++ b/peers/heartbeat.go
@@ -69,8 +69,8 @@
 	Build string `json:"b,omitempty"`
 }
 
-// Never is the age, in milliseconds, of state that was never confirmed to be current.
-const Never = 1 << 40
+// NeverConfirmed is the age, in milliseconds, of state that was never confirmed to be current.
+const NeverConfirmed = 1 << 40
 
 // Heartbeat is a daemon's report of its own state. Ages are in milliseconds at the time of
 // sending.
@@ -106,12 +106,12 @@
 	Stalls []Stall `json:"stalls,omitempty"`
 	// Quarantine holds the daemon's records of requests that crash workers.
 	Quarantine []quarantine.Entry `json:"q,omitempty"`
-	// Asked holds the backpressure signals that workers sent in their responses.
-	Asked []backpressure.Entry `json:"bp,omitempty"`
+	// Signals holds the backpressure signals that workers sent in their responses.
+	Signals []backpressure.Entry `json:"bp,omitempty"`
 	// Demand is the measured load of each model, in busy slots.
 	Demand map[string]float64 `json:"demand,omitempty"`
-	// Prompts is the number of prompt tokens in the requests of each model.
-	Prompts map[string]float64 `json:"prompts,omitempty"`
+	// PromptTokens is the number of prompt tokens in the requests of each model.
+	PromptTokens map[string]float64 `json:"prompts,omitempty"`
 	// Traffic reports that the fleet received requests.
 	Traffic bool `json:"traffic,omitempty"`
 }
@@ -157,8 +157,8 @@
 func (p *Peer) WorkersConfirmedAt() time.Time { return p.confirmedAt(p.WorkersAge) }
 
 func (p *Peer) confirmedAt(age int64) time.Time {
-	if p.SentAfter.IsZero() || age <= 0 || age >= Never {
-		// Ages start at 1, so 0 means that the sender omitted it. Never must yield the zero time:
+	if p.SentAfter.IsZero() || age <= 0 || age >= NeverConfirmed {
+		// Ages start at 1, so 0 means that the sender omitted it. NeverConfirmed must yield the zero time:
 		// a time in the distant past would make the receiver read the store at once.
 		return time.Time{}
 	}
--- a/peers/loads.go
+++ b/peers/loads.go
@@ -139,10 +139,10 @@
 	byReplica := make(map[string]Load)
 	for _, loads := range all {
 		for _, l := range loads {
-			held := byReplica[l.Replica]
+			total := byReplica[l.Replica]
 			byReplica[l.Replica] = Load{
-				Replica: l.Replica, InFlight: held.InFlight + l.InFlight, Prefill: held.Prefill + l.Prefill,
-				Moved: newerEventAge(held.Moved, l.Moved),
+				Replica: l.Replica, InFlight: total.InFlight + l.InFlight, Prefill: total.Prefill + l.Prefill,
+				Moved: newerEventAge(total.Moved, l.Moved),
 			}
 		}
 	}
@@ -161,14 +161,14 @@
 	for _, o := range own {
 		byReplica[o.Replica] = o
 	}
-	rest := make(Loads, 0, len(l))
+	remaining := make(Loads, 0, len(l))
 	for _, load := range l {
 		o := byReplica[load.Replica]
 		load.InFlight = max(load.InFlight-o.InFlight, 0)
 		load.Prefill = max(load.Prefill-o.Prefill, 0)
 		if load.InFlight > 0 {
-			rest = append(rest, load)
+			remaining = append(remaining, load)
 		}
 	}
-	return rest
+	return remaining
 }
--- a/peers/loads_test.go
+++ b/peers/loads_test.go
@@ -18,9 +18,9 @@
 	}
 	data, err := loads.MarshalJSON()
 	assert.NilError(t, err)
-	var back Loads
-	assert.NilError(t, back.UnmarshalJSON(data))
-	assert.DeepEqual(t, sumLoads(back), sumLoads(loads))
+	var decoded Loads
+	assert.NilError(t, decoded.UnmarshalJSON(data))
+	assert.DeepEqual(t, sumLoads(decoded), sumLoads(loads))
 }
 
 // TestLoadsWithout checks the subtraction of a daemon's own work from a sum that includes an
--- a/peers/message.go
+++ b/peers/message.go
@@ -30,11 +30,11 @@
 // Summary is the combined work of several daemons.
 type Summary struct {
 	// Daemons is the number of daemons, including those that are leaving.
-	Daemons int                `json:"n"`
-	Traffic bool               `json:"traffic,omitempty"`
-	Demand  map[string]float64 `json:"demand,omitempty"`
-	Prompts map[string]float64 `json:"prompts,omitempty"`
-	Loads   Loads              `json:"loads,omitempty"`
+	Daemons      int                `json:"n"`
+	Traffic      bool               `json:"traffic,omitempty"`
+	Demand       map[string]float64 `json:"demand,omitempty"`
+	PromptTokens map[string]float64 `json:"prompts,omitempty"`
+	Loads        Loads              `json:"loads,omitempty"`
 	// Age is the average age of the loads, in milliseconds.
 	Age int64 `json:"a,omitempty"`
 	// Part is the index of this part of a summary. Loads that do not fit into one datagram go into
@@ -83,7 +83,7 @@
 	s.Daemons = total
 	s.Traffic = s.Traffic || other.Traffic
 	s.Demand = sumDemand(s.Demand, other.Demand)
-	s.Prompts = sumDemand(s.Prompts, other.Prompts)
+	s.PromptTokens = sumDemand(s.PromptTokens, other.PromptTokens)
 	s.Loads = sumLoads(s.Loads, other.Loads.aged(age))
 }
 
@@ -107,7 +107,7 @@
 func (s Summary) split() []Summary {
 	count := max((len(s.Loads)+loadsPerPart-1)/loadsPerPart, 1)
 	all := make([]Summary, count)
-	all[0] = Summary{Daemons: s.Daemons, Traffic: s.Traffic, Demand: s.Demand, Prompts: s.Prompts, Format: s.Format}
+	all[0] = Summary{Daemons: s.Daemons, Traffic: s.Traffic, Demand: s.Demand, PromptTokens: s.PromptTokens, Format: s.Format}
 	for _, l := range s.Loads {
 		h := fnv.New32a()
 		// Writing to a hash never fails.
@@ -123,5 +123,5 @@
 
 // summaryOf returns the summary of a single daemon.
 func summaryOf(h *Heartbeat) Summary {
-	return Summary{Daemons: 1, Traffic: h.Traffic, Demand: h.Demand, Prompts: h.Prompts, Loads: h.Loads, Format: h.Format.effectiveVersion()}
+	return Summary{Daemons: 1, Traffic: h.Traffic, Demand: h.Demand, PromptTokens: h.PromptTokens, Loads: h.Loads, Format: h.Format.effectiveVersion()}
 }
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -158,8 +158,8 @@
 	if d.off || !ok || n.random.Float64() < n.loss {
 		return nil
 	}
-	held := slices.Clone(datagram)
-	time.AfterFunc(d.freeAt.Sub(now)+linkDelay, func() { other.arrive(held) })
+	copied := slices.Clone(datagram)
+	time.AfterFunc(d.freeAt.Sub(now)+linkDelay, func() { other.arrive(copied) })
 	return nil
 }
 
--- a/peers/relay_test.go
+++ b/peers/relay_test.go
@@ -39,7 +39,7 @@
 
 // checkKnown checks that a daemon knows all living daemons of its hall, and at least some of each
 // other hall.
-func checkKnown(t *testing.T, d *simDaemon, all []*simDaemon, least int) {
+func checkKnown(t *testing.T, d *simDaemon, all []*simDaemon, minKnown int) {
 	t.Helper()
 	names, halls := d.aliveIDs(), make(map[string]int)
 	for _, other := range all {
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, other := range all {
-		if halls[other.hall()] < least {
+		if halls[other.hall()] < minKnown {
 			t.Errorf("%s knows %d daemons of %s", d.id(), halls[other.hall()], other.hall())
 			return
 		}
@@ -133,10 +133,10 @@
 		within time.Duration
 		lose   func(all []*simDaemon) []*simDaemon
 	}{
-		"nobody":                           {within: soon, lose: func([]*simDaemon) []*simDaemon { return nil }},
-		"nobody, but every tenth datagram": {within: soon, loss: 0.1, lose: func([]*simDaemon) []*simDaemon { return nil }},
-		"a member":                         {within: soon, lose: func(all []*simDaemon) []*simDaemon { return all[:1] }},
-		"one relay":                        {within: soon, lose: func(all []*simDaemon) []*simDaemon { return []*simDaemon{relayOf(all, "hall1", 0)} }},
+		"none": {within: soon, lose: func([]*simDaemon) []*simDaemon { return nil }},
+		"none, with a tenth of the datagrams lost": {within: soon, loss: 0.1, lose: func([]*simDaemon) []*simDaemon { return nil }},
+		"a member":  {within: soon, lose: func(all []*simDaemon) []*simDaemon { return all[:1] }},
+		"one relay": {within: soon, lose: func(all []*simDaemon) []*simDaemon { return []*simDaemon{relayOf(all, "hall1", 0)} }},
 		"all relays of a hall": {within: later, lose: func(all []*simDaemon) []*simDaemon {
 			return []*simDaemon{relayOf(all, "hall1", 0), relayOf(all, "hall1", 1)}
 		}},
@@ -331,10 +331,10 @@
 }
 
 // checkAlive checks that a daemon considers all of some others alive.
-func checkAlive(t *testing.T, d *simDaemon, some []*simDaemon) {
+func checkAlive(t *testing.T, d *simDaemon, others []*simDaemon) {
 	t.Helper()
 	names := d.aliveIDs()
-	for _, other := range some {
+	for _, other := range others {
 		assert.Assert(t, other == d || slices.Contains(names, other.id()), "%s no longer considers %s alive", d.id(), other.id())
 	}
 }
--- a/peers/reports.go
+++ b/peers/reports.go
@@ -108,21 +108,21 @@
 // selectIdentities returns a few identities: those of new daemons if there are any, otherwise of
 // all in turn.
 func selectIdentities(heard []*Peer, now time.Time, round int) []Identity {
-	var fresh []*Peer
+	var candidates []*Peer
 	for _, p := range heard {
 		if now.Sub(p.addedAt) < newPeerPeriod {
-			fresh = append(fresh, p)
+			candidates = append(candidates, p)
 		}
 	}
-	if len(fresh) == 0 {
-		fresh = heard
+	if len(candidates) == 0 {
+		candidates = heard
 	}
-	var some []Identity
-	for i := range min(identitiesPerRound, len(fresh)) {
-		identity := fresh[(round/2*identitiesPerRound+i)%len(fresh)].Identity
+	var selected []Identity
+	for i := range min(identitiesPerRound, len(candidates)) {
+		identity := candidates[(round/2*identitiesPerRound+i)%len(candidates)].Identity
 		// Daemons that need these get them from its own heartbeats.
 		identity.Format, identity.Build = Format{}, ""
-		some = append(some, identity)
+		selected = append(selected, identity)
 	}
-	return some
+	return selected
 }
--- a/peers/summaries.go
+++ b/peers/summaries.go
@@ -99,8 +99,8 @@
 // fleetSize returns the known number of daemons. Relayed summaries count as well, so that a daemon
 // that was cut off learns that the fleet is larger than what it hears.
 func (a *Agent) fleetSize(own *Heartbeat, now time.Time) int {
-	heard := a.heardSummary(own, now, func(*Peer) bool { return true })
-	return max(heard.Daemons, a.allHallsSummary(own, now).Daemons, a.relayedSummary(now).Daemons)
+	direct := a.heardSummary(own, now, func(*Peer) bool { return true })
+	return max(direct.Daemons, a.allHallsSummary(own, now).Daemons, a.relayedSummary(now).Daemons)
 }
 
 // FleetSummary returns the known work of all daemons.
--- a/peers/table.go
+++ b/peers/table.go
@@ -59,7 +59,7 @@
 	if t.isSuperseded(identity, now) {
 		return
 	}
-	if held, ok := t.peers[identity.ID]; ok && held.Incarnation == identity.Incarnation {
+	if known, ok := t.peers[identity.ID]; ok && known.Incarnation == identity.Incarnation {
 		return
 	}
 	t.peers[identity.ID] = &Peer{Heartbeat: Heartbeat{Identity: identity}, addedAt: now}
@@ -79,8 +79,8 @@
 	if identity.Address != "" && identity.Address == t.self.Address || identity.ID == t.self.ID && identity.Incarnation <= t.self.Incarnation {
 		return true
 	}
-	held, ok := t.peers[identity.ID]
-	return ok && held.Incarnation > identity.Incarnation && now.Sub(held.lastSeen()) < lowerIncarnationDelay
+	known, ok := t.peers[identity.ID]
+	return ok && known.Incarnation > identity.Incarnation && now.Sub(known.lastSeen()) < lowerIncarnationDelay
 }
 
 // NotePause records that this process was paused for gap until now.
@@ -118,13 +118,13 @@
 	}
 	t.formats.record(h.Format.effectiveVersion(), now)
 	next := &Peer{Heartbeat: h, HeardAt: now, SentAfter: sentAfter, addedAt: now}
-	if held, ok := t.peers[h.ID]; ok && held.Incarnation == h.Incarnation {
-		if held.SentAfter.After(sentAfter) {
+	if known, ok := t.peers[h.ID]; ok && known.Incarnation == h.Incarnation {
+		if known.SentAfter.After(sentAfter) {
 			// Datagrams may arrive out of order.
-			held.HeardAt = now
+			known.HeardAt = now
 			return false
 		}
-		next.reportedAt, next.addedAt = held.reportedAt, held.addedAt
+		next.reportedAt, next.addedAt = known.reportedAt, known.addedAt
 	}
 	t.peers[h.ID] = next
 	return true
@@ -134,19 +134,19 @@
 func (t *Table) RecordStatus(s Status, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, ok := t.peers[s.ID]
-	if !ok || shortIncarnation(held.Incarnation) != s.ShortIncarnation {
+	known, ok := t.peers[s.ID]
+	if !ok || shortIncarnation(known.Incarnation) != s.ShortIncarnation {
 		return
 	}
 	at := now.Add(-time.Duration(s.Age) * time.Millisecond)
-	if !at.After(held.reportedAt) {
+	if !at.After(known.reportedAt) {
 		return
 	}
-	next := *held
+	next := *known
 	next.reportedAt = at
-	if at.Sub(held.HeardAt) > aliveTimeout {
+	if at.Sub(known.HeardAt) > aliveTimeout {
 		// The daemon's last heartbeat is out of date.
-		next.Heartbeat = Heartbeat{Identity: held.Identity, Ready: s.Ready, Leaving: s.Leaving}
+		next.Heartbeat = Heartbeat{Identity: known.Identity, Ready: s.Ready, Leaving: s.Leaving}
 	}
 	t.peers[s.ID] = &next
 }
@@ -156,11 +156,11 @@
 func (t *Table) fillBrief(h *Heartbeat) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, ok := t.peers[h.ID]
-	if !ok || held.Incarnation != h.Incarnation || held.HeardAt.IsZero() {
+	known, ok := t.peers[h.ID]
+	if !ok || known.Incarnation != h.Incarnation || known.HeardAt.IsZero() {
 		return false
 	}
-	h.Identity, h.Grant = held.Identity, held.Grant
+	h.Identity, h.Grant = known.Identity, known.Grant
 	return true
 }
 
@@ -212,8 +212,8 @@
 		if p.Leads == nil || p.Leaving {
 			continue
 		}
-		if heard := now.Sub(p.HeardAt).Milliseconds() + 1; age == 0 || heard < age {
-			age = heard
+		if sinceHeard := now.Sub(p.HeardAt).Milliseconds() + 1; age == 0 || sinceHeard < age {
+			age = sinceHeard
 		}
 	}
 	return age
@@ -242,13 +242,13 @@
 func (t *Table) KnownSince(since time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := 0
+	count := 0
 	for _, p := range t.peers {
 		if p.lastSeen().After(since) && !p.Leaving {
-			known++
+			count++
 		}
 	}
-	return known
+	return count
 }
 
 // HasCaughtUp reports whether heartbeats that arrived while this process was paused have had time
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -19,10 +19,10 @@
 		next    int64
 		heard   bool
 	}{
-		"a later life":                              {next: 11, heard: true},
-		"a late heartbeat of an earlier life":       {next: 9},
-		"the same life":                             {next: 10, heard: true},
-		"a life begun after the clock was set back": {silence: lowerIncarnationDelay, next: 9, heard: true},
+		"a later incarnation":                              {next: 11, heard: true},
+		"a late heartbeat of an earlier incarnation":       {next: 9},
+		"the same incarnation":                             {next: 10, heard: true},
+		"a lower incarnation after the clock was set back": {silence: lowerIncarnationDelay, next: 9, heard: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 // rather than one in the distant past.
 func TestNeverConfirmedIsZeroTime(t *testing.T) {
 	now := time.Now()
-	p := &Peer{Heartbeat: Heartbeat{ConfigAge: Never, WorkersAge: 5}, SentAfter: now}
+	p := &Peer{Heartbeat: Heartbeat{ConfigAge: NeverConfirmed, WorkersAge: 5}, SentAfter: now}
 	assert.Assert(t, p.ConfigConfirmedAt().IsZero())
 	assert.Assert(t, p.WorkersConfirmedAt().Equal(now.Add(-5*time.Millisecond)))
 }
--- a/peers/topology.go
+++ b/peers/topology.go
@@ -141,12 +141,12 @@
 }
 
 // layout computes the addresses to report to.
-func (t *Table) layout(now time.Time, before previousRole, size, round int) layout {
+func (t *Table) layout(now time.Time, previous previousRole, size, round int) layout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.forget(now)
 	limit := directAgainAt
-	if before.role == Direct {
+	if previous.role == Direct {
 		limit = maxDirectDaemons
 	}
 	expected := t.expected(now)
@@ -169,7 +169,7 @@
 			l.hallRelays = append(l.hallRelays, p.Identity)
 		}
 	}
-	if l.role == Member && before.role == Relay && t.anyNew(l.hallRelays, before.since, now) {
+	if l.role == Member && previous.role == Relay && t.anyNew(l.hallRelays, previous.since, now) {
 		l.role = Relay
 	}
 	if l.role == Relay {
@@ -181,10 +181,10 @@
 // anyNew reports whether one of some daemons became known only recently, to a daemon that had been
 // a relay for a while by then. When a whole fleet starts, daemons that mistake themselves for
 // relays thus yield at once.
-func (t *Table) anyNew(some []Identity, relaying, now time.Time) bool {
-	return slices.ContainsFunc(some, func(id Identity) bool {
+func (t *Table) anyNew(ids []Identity, relaySince, now time.Time) bool {
+	return slices.ContainsFunc(ids, func(id Identity) bool {
 		p, ok := t.peers[id.ID]
-		return ok && now.Sub(p.addedAt) < relayHandOver && p.addedAt.Sub(relaying) > relayHandOver
+		return ok && now.Sub(p.addedAt) < relayHandOver && p.addedAt.Sub(relaySince) > relayHandOver
 	})
 }
 
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -93,21 +93,21 @@
 // TestFetchInterruptedBySuspension suspends a daemon while it fetches the configuration from a
 // peer. The peer's confirmation is then out of date.
 func TestFetchInterruptedBySuspension(t *testing.T) {
-	taker, machine := newSuspendableServer(t)
-	taker.opts.Decode = func([]byte) (*fleet.Config, error) { return fleet.NewConfig(fleet.Parts{Version: 2}), nil }
-	giver := newServerWithState(t, time.Now())
-	heard := time.Now()
+	fetching, machine := newSuspendableServer(t)
+	fetching.opts.Decode = func([]byte) (*fleet.Config, error) { return fleet.NewConfig(fleet.Parts{Version: 2}), nil }
+	provider := newServerWithState(t, time.Now())
+	heardAt := time.Now()
 	p := &peers.Peer{
-		Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "giver", Address: servePeer(t, giver)}, ConfigVersion: 2},
-		HeardAt:   heard, SentAfter: heard,
+		Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "giver", Address: servePeer(t, provider)}, ConfigVersion: 2},
+		HeardAt:   heardAt, SentAfter: heardAt,
 	}
 	request := fetchRequest{Peer: p, requestedAt: awake.NewStamp(machine.suspended)}
 	machine.add(time.Minute)
-	assert.ErrorContains(t, taker.fetcher.fetchConfig(context.Background(), request), "suspended")
-	assert.Equal(t, taker.beliefs.Version(), int64(1))
+	assert.ErrorContains(t, fetching.fetcher.fetchConfig(context.Background(), request), "suspended")
+	assert.Equal(t, fetching.beliefs.Version(), int64(1))
 	request.requestedAt = awake.NewStamp(machine.suspended)
-	assert.NilError(t, taker.fetcher.fetchConfig(context.Background(), request))
-	assert.Equal(t, taker.beliefs.Version(), int64(2))
+	assert.NilError(t, fetching.fetcher.fetchConfig(context.Background(), request))
+	assert.Equal(t, fetching.beliefs.Version(), int64(2))
 }
 
 // gate blocks what arrives at a daemon while it is closed.
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -62,7 +62,7 @@
 	if at.IsZero() {
 		at = p.HeardAt
 	}
-	s.signals.Merge(p.Asked, p.ID, at, p.HeardAt)
+	s.signals.Merge(p.Signals, p.ID, at, p.HeardAt)
 }
 
 // watchSignals drops the signals of workers that are gone, and updates the daemons that share
--- a/serving/entries.go
+++ b/serving/entries.go
@@ -34,10 +34,10 @@
 	allowed := s.allowedRegions(c)
 	inRegion := func(e entry) bool { return allowed.Allows(s.regionOf(e.zone)) }
 	isReady := func(e entry) bool { return e.ready }
-	near := selectEntries(all, inRegion)
-	for _, some := range [][]entry{selectEntries(near, isReady), selectEntries(all, isReady), near, all} {
-		if len(some) > 0 {
-			return frontsOf(some)
+	inRegions := selectEntries(all, inRegion)
+	for _, candidates := range [][]entry{selectEntries(inRegions, isReady), selectEntries(all, isReady), inRegions, all} {
+		if len(candidates) > 0 {
+			return frontsOf(candidates)
 		}
 	}
 	return nil
@@ -81,13 +81,13 @@
 }
 
 func selectEntries(all []entry, wanted func(e entry) bool) []entry {
-	var some []entry
+	var selected []entry
 	for _, e := range all {
 		if wanted(e) {
-			some = append(some, e)
+			selected = append(selected, e)
 		}
 	}
-	return some
+	return selected
 }
 
 func frontsOf(all []entry) []string {
--- a/serving/entries_test.go
+++ b/serving/entries_test.go
@@ -21,11 +21,11 @@
 		notReady []string
 		want     []string
 	}{
-		"a caller that tells nothing":            {want: []string{"front-a", "front-s", "front-w"}},
+		"an unknown caller":                      {want: []string{"front-a", "front-s", "front-w"}},
 		"of the own region":                      {caller: Caller{Region: "east", Host: "free.example"}, want: []string{"front-a"}},
 		"of another region":                      {caller: Caller{Region: "west", Host: "free.example"}, want: []string{"front-w"}},
 		"of another one, bound":                  {caller: Caller{Region: "south", Host: "bound.example:80"}, want: []string{"front-s", "front-w"}},
-		"nobody in the region is ready":          {caller: Caller{Region: "west"}, notReady: []string{"w"}, want: []string{"front-a", "front-s"}},
+		"no daemon in the region is ready":       {caller: Caller{Region: "west"}, notReady: []string{"w"}, want: []string{"front-a", "front-s"}},
 		"a region without daemons":               {caller: Caller{Region: "north"}, want: []string{"front-a", "front-s", "front-w"}},
 		"a region without daemons, bound routes": {caller: Caller{Region: "north", Host: "bound.example"}, want: []string{"front-w"}},
 	}
--- a/serving/fetch_test.go
+++ b/serving/fetch_test.go
@@ -18,33 +18,33 @@
 // TestConfigurationIsSentCompressed fetches two versions from a peer and checks the size of the
 // responses.
 func TestConfigurationIsSentCompressed(t *testing.T) {
-	giver, taker := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
+	provider, fetching := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 	var sent []int
-	recorder := httptest.NewServer(giver.fetcher.handler())
+	recorder := httptest.NewServer(provider.fetcher.handler())
 	defer recorder.Close()
 	var decoded [][]byte
-	taker.opts.Decode = func(data []byte) (*fleet.Config, error) {
+	fetching.opts.Decode = func(data []byte) (*fleet.Config, error) {
 		decoded = append(decoded, data)
 		return fleet.NewConfig(fleet.Parts{Version: int64(len(decoded)), Encoded: data}), nil
 	}
 	peer := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "giver", Address: strings.TrimPrefix(recorder.URL, "http://")}}}
 	for version := int64(1); version <= 2; version++ {
-		words := bytes.Repeat([]byte{'a' + byte(version)}, 50_000)
-		giver.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: version, Encoded: words}), time.Now())
-		assert.NilError(t, taker.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: awake.NewStamp(awake.Never)}))
-		assert.Equal(t, taker.beliefs.Version(), version)
-		assert.DeepEqual(t, decoded[version-1], words)
+		encoded := bytes.Repeat([]byte{'a' + byte(version)}, 50_000)
+		provider.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: version, Encoded: encoded}), time.Now())
+		assert.NilError(t, fetching.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: awake.NewStamp(awake.Never)}))
+		assert.Equal(t, fetching.beliefs.Version(), version)
+		assert.DeepEqual(t, decoded[version-1], encoded)
 
 		answer := httptest.NewRecorder()
 		request := httptest.NewRequest("GET", pathConfig, nil)
 		request.Header.Set("Accept-Encoding", "gzip")
-		giver.fetcher.serveConfig(answer, request)
+		provider.fetcher.serveConfig(answer, request)
 		sent = append(sent, answer.Body.Len())
 	}
 	for _, n := range sent {
 		assert.Assert(t, n < 5_000, "%d bytes were sent", n)
 	}
 	plain := httptest.NewRecorder()
-	giver.fetcher.serveConfig(plain, httptest.NewRequest("GET", pathConfig, nil))
+	provider.fetcher.serveConfig(plain, httptest.NewRequest("GET", pathConfig, nil))
 	assert.Equal(t, plain.Body.Len(), 50_000, "without Accept-Encoding the response is not compressed")
 }
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -20,17 +20,17 @@
 	h.Leads, h.Highest, h.Grant = s.elector.State()
 	h.LeaderAge = s.agent.Table().LeaderAge(now)
 	h.Loads, h.Traffic = s.tracker.Loads(), s.tracker.Traffic()
-	h.Demand, h.Prompts = s.tracker.Demand()
+	h.Demand, h.PromptTokens = s.tracker.Demand()
 	h.Stalls = s.suspicions.current(now)
 	h.Quarantine = s.relay.Guard().Table().Report(now, s.forwardsNews())
-	h.Asked = s.signals.Report(now, s.forwardsNews())
+	h.Signals = s.signals.Report(now, s.forwardsNews())
 }
 
-// age returns the time since t in milliseconds, as heartbeats hold it: at least 1, or peers.Never
-// if t is zero.
+// age returns the time since t in milliseconds, as heartbeats hold it: at least 1, or
+// peers.NeverConfirmed if t is zero.
 func age(t, now time.Time) int64 {
 	if t.IsZero() {
-		return peers.Never
+		return peers.NeverConfirmed
 	}
 	return now.Sub(t).Milliseconds() + 1
 }
@@ -69,8 +69,8 @@
 // isBehindOnWorkers reports whether a peer knows later changes of the worker list, or all workers
 // if this daemon needs them. A list from a peer that is behind cannot be used.
 func (s *Server) isBehindOnWorkers(p *peers.Peer) bool {
-	own := s.inventory.Position()
-	return p.WorkersPosition > own || p.WorkersPosition == own && p.Complete && s.inventory.AwaitsList()
+	position := s.inventory.Position()
+	return p.WorkersPosition > position || p.WorkersPosition == position && p.Complete && s.inventory.AwaitsList()
 }
 
 // countsLoads reports whether the loads in a peer's heartbeat count here. Otherwise they arrive as
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -14,7 +14,7 @@
 // sendHeartbeat passes a heartbeat of one daemon to another.
 func sendHeartbeat(from, to *Server, now time.Time) {
 	h := peers.Heartbeat{Identity: from.opts.Self}
-	h.ID, h.Address = "teller", "127.0.0.1:1"
+	h.ID, h.Address = "sender", "127.0.0.1:1"
 	from.fillHeartbeat(&h, now)
 	p := &peers.Peer{Heartbeat: h, HeardAt: now, SentAfter: now}
 	to.agent.Table().RecordHeartbeat(h, now, now)
@@ -27,73 +27,73 @@
 	now := time.Now()
 	earlier := now.Add(-3 * time.Second)
 	tests := map[string]struct {
-		know func(teller *Server)
-		told func(s *Server) bool
+		prepare func(sender *Server)
+		isKnown func(s *Server) bool
 	}{
 		"a closed data hall": {
-			know: func(teller *Server) {
-				teller.halls.Take(fleet.HallNews{Whole: true, Changes: []fleet.HallChange{{Hall: "z", Closed: true}}}, 5, now)
+			prepare: func(sender *Server) {
+				sender.halls.Take(fleet.HallNews{Whole: true, Changes: []fleet.HallChange{{Hall: "z", Closed: true}}}, 5, now)
 			},
-			told: func(s *Server) bool { return s.halls.View().State("z", now) != fleet.HallOpen },
+			isKnown: func(s *Server) bool { return s.halls.View().State("z", now) != fleet.HallOpen },
 		},
 		"that the configuration is the newest": {
-			know: func(teller *Server) { teller.beliefs.Confirm(1, now) },
-			told: func(s *Server) bool { return now.Sub(s.beliefs.Confirmed()) < time.Second },
+			prepare: func(sender *Server) { sender.beliefs.Confirm(1, now) },
+			isKnown: func(s *Server) bool { return now.Sub(s.beliefs.Confirmed()) < time.Second },
 		},
 		"that the worker list is the newest": {
-			know: func(teller *Server) { teller.inventory.Confirm(1, now) },
-			told: func(s *Server) bool { return now.Sub(s.inventory.Confirmed()) < time.Second },
+			prepare: func(sender *Server) { sender.inventory.Confirm(1, now) },
+			isKnown: func(s *Server) bool { return now.Sub(s.inventory.Confirmed()) < time.Second },
 		},
 		"that there is a newer configuration": {
-			know: func(teller *Server) { teller.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now) },
-			told: func(s *Server) bool { return len(s.fetcher.requests) == 1 && s.newestConfigHeard.Load() == 2 },
+			prepare: func(sender *Server) { sender.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now) },
+			isKnown: func(s *Server) bool { return len(s.fetcher.requests) == 1 && s.newestConfigHeard.Load() == 2 },
 		},
 		"that there are changes of the worker list": {
-			know: func(teller *Server) { teller.inventory.Replace(nil, 2, now) },
-			told: func(s *Server) bool { return len(s.fetcher.requests) == 1 },
+			prepare: func(sender *Server) { sender.inventory.Replace(nil, 2, now) },
+			isKnown: func(s *Server) bool { return len(s.fetcher.requests) == 1 },
 		},
 		"that there are decisions of a leader": {
-			know: func(teller *Server) {
-				teller.inventory.BeginTerm(1)
-				teller.inventory.Decide(1, fleet.Announcement{Group: "g"})
+			prepare: func(sender *Server) {
+				sender.inventory.BeginTerm(1)
+				sender.inventory.Decide(1, fleet.Announcement{Group: "g"})
 			},
-			told: func(s *Server) bool { return len(s.fetcher.requests) == 1 },
+			isKnown: func(s *Server) bool { return len(s.fetcher.requests) == 1 },
 		},
 		"who may lead": {
-			know: func(teller *Server) {
+			prepare: func(sender *Server) {
 				claim := peers.Claim{Epoch: 7}
-				teller.elector.Hear(&peers.Peer{Heartbeat: peers.Heartbeat{Highest: claim, Grant: peers.Grant{Epoch: 7}}})
+				sender.elector.Hear(&peers.Peer{Heartbeat: peers.Heartbeat{Highest: claim, Grant: peers.Grant{Epoch: 7}}})
 			},
-			told: func(s *Server) bool {
+			isKnown: func(s *Server) bool {
 				_, highest, grant := s.elector.State()
 				return highest.Epoch == 7 && grant.Epoch == 7
 			},
 		},
 		"that a leader was heard": {
-			know: func(teller *Server) {
+			prepare: func(sender *Server) {
 				leader := peers.Identity{ID: "leader", Incarnation: 1, Address: "127.0.0.1:2"}
-				teller.agent.Table().RecordHeartbeat(peers.Heartbeat{Identity: leader, Leads: &peers.Claim{Epoch: 1}}, now, now)
+				sender.agent.Table().RecordHeartbeat(peers.Heartbeat{Identity: leader, Leads: &peers.Claim{Epoch: 1}}, now, now)
 			},
-			told: func(s *Server) bool {
-				heard := func(p *peers.Peer) bool { return p.ID == "teller" && p.LeaderAge > 0 }
+			isKnown: func(s *Server) bool {
+				heard := func(p *peers.Peer) bool { return p.ID == "sender" && p.LeaderAge > 0 }
 				return slices.ContainsFunc(s.agent.Table().Alive(now), heard)
 			},
 		},
-		"that requests came": {
-			know: func(teller *Server) { teller.tracker.SetTraffic() },
-			told: func(s *Server) bool { return s.tracker.Traffic() },
+		"that there is traffic": {
+			prepare: func(sender *Server) { sender.tracker.SetTraffic() },
+			isKnown: func(s *Server) bool { return s.tracker.Traffic() },
 		},
-		"that a replica fell silent": {
-			know: func(teller *Server) { teller.suspicions.add(peers.Stall{Replica: "r", Head: "w"}, now) },
-			told: func(s *Server) bool { return len(s.suspicions.current(now)) == 1 },
+		"that a replica stalled": {
+			prepare: func(sender *Server) { sender.suspicions.add(peers.Stall{Replica: "r", Head: "w"}, now) },
+			isKnown: func(s *Server) bool { return len(s.suspicions.current(now)) == 1 },
 		},
-		"that the store came back from a copy": {
-			know: func(teller *Server) {
-				teller.inventory.Replace(nil, fleet.PositionOf(1, 1), now)
-				teller.beliefs.Confirm(1, now)
+		"that the store was restored from a copy": {
+			prepare: func(sender *Server) {
+				sender.inventory.Replace(nil, fleet.PositionOf(1, 1), now)
+				sender.beliefs.Confirm(1, now)
 			},
 			// The restored store confirms nothing for a while.
-			told: func(s *Server) bool {
+			isKnown: func(s *Server) bool {
 				s.beliefs.Confirm(1, now)
 				return s.beliefs.Confirmed().Equal(earlier)
 			},
@@ -101,12 +101,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			teller, s := newServerWithState(t, earlier), newServerWithState(t, earlier)
-			sendHeartbeat(teller, s, now)
-			assert.Assert(t, !test.told(newServerWithState(t, earlier)), "the state is known without a heartbeat")
-			test.know(teller)
-			sendHeartbeat(teller, s, now.Add(time.Millisecond))
-			assert.Assert(t, test.told(s))
+			sender, s := newServerWithState(t, earlier), newServerWithState(t, earlier)
+			sendHeartbeat(sender, s, now)
+			assert.Assert(t, !test.isKnown(newServerWithState(t, earlier)), "the state is known without a heartbeat")
+			test.prepare(sender)
+			sendHeartbeat(sender, s, now.Add(time.Millisecond))
+			assert.Assert(t, test.isKnown(s))
 		})
 	}
 }
--- a/serving/indirect_test.go
+++ b/serving/indirect_test.go
@@ -36,10 +36,10 @@
 		want    formation.Verdict
 		failure bool
 	}{
-		"the peer reaches it":         {orders: &leaveOrders{verdict: formation.Holds}, peer: true, want: formation.Holds},
-		"a higher term is known":      {orders: &leaveOrders{verdict: formation.Fenced}, peer: true, want: formation.Fenced},
-		"the peer does not reach it":  {orders: &leaveOrders{err: errors.New("silent")}, peer: true, want: formation.Unfit, failure: true},
-		"there is nobody to go about": {orders: &leaveOrders{}, want: formation.Unfit, failure: true},
+		"the peer reaches it":        {orders: &leaveOrders{verdict: formation.Holds}, peer: true, want: formation.Holds},
+		"a higher term is known":     {orders: &leaveOrders{verdict: formation.Fenced}, peer: true, want: formation.Fenced},
+		"the peer does not reach it": {orders: &leaveOrders{err: errors.New("silent")}, peer: true, want: formation.Unfit, failure: true},
+		"there is no peer":           {orders: &leaveOrders{}, want: formation.Unfit, failure: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -69,7 +69,7 @@
 	measured := s.agent.FleetSummary(now)
 	all := make(map[string]formation.Work, len(measured.Demand))
 	for model, busy := range measured.Demand {
-		all[model] = formation.Work{Busy: busy, Prompts: measured.Prompts[model], Pause: s.tracker.Pause(model, now)}
+		all[model] = formation.Work{Busy: busy, Prompts: measured.PromptTokens[model], Pause: s.tracker.Pause(model, now)}
 	}
 	return all
 }
--- a/serving/news.go
+++ b/serving/news.go
@@ -40,7 +40,7 @@
 			n, forwarded = s.newsSince(forwarded)
 			s.agent.SendNews(n.all, n.members, s.isReader(), time.Now())
 		} else {
-			forwarded = newsPosition{workers: s.inventory.Position(), decided: s.inventory.Decided()}
+			forwarded = newsPosition{workers: s.inventory.Position(), decisions: s.inventory.Decided()}
 		}
 		pause.For(ctx, newsBatchDelay)
 	}
@@ -51,8 +51,8 @@
 
 // newsPosition is the position up to which the worker list and the decisions were forwarded.
 type newsPosition struct {
-	workers int64
-	decided fleet.DecisionPosition
+	workers   int64
+	decisions fleet.DecisionPosition
 }
 
 // news holds new information in parts that fit into a datagram each: all with the changes of all
@@ -70,7 +70,7 @@
 // no news; peers fetch what they lack.
 func (s *Server) newsSince(from newsPosition) (news, newsPosition) {
 	var n news
-	decisions := s.inventory.DecisionsSince(from.decided)
+	decisions := s.inventory.DecisionsSince(from.decisions)
 	if !decisions.Whole {
 		for _, part := range decisions.Split(decisionsPerNews) {
 			n.add(peers.News{Decisions: &part})
@@ -80,7 +80,7 @@
 	if !whole && workers.To > workers.From {
 		s.addWorkers(&n, workers)
 	}
-	return n, newsPosition{workers: workers.To, decided: fleet.DecisionPosition{Term: decisions.Term, Seq: decisions.To}}
+	return n, newsPosition{workers: workers.To, decisions: fleet.DecisionPosition{Term: decisions.Term, Seq: decisions.To}}
 }
 
 // addWorkers adds changes of the worker list. Changes that cannot be split are left for peers to
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -86,7 +86,7 @@
 		return
 	}
 	for _, m := range k.guard().Table().Marks(now) {
-		if held, ok := k.stored[m.Fingerprint]; !ok || m.Until.After(held.until) {
+		if known, ok := k.stored[m.Fingerprint]; !ok || m.Until.After(known.until) {
 			k.write(ctx, m)
 		}
 	}
@@ -112,8 +112,8 @@
 	k.logRefused(refused)
 	k.liftRemoved(marks, now)
 	for _, m := range marks {
-		held := k.stored[m.Fingerprint]
-		k.stored[m.Fingerprint] = storedMark{until: m.Until, firstReadAt: cmp.Or(held.firstReadAt, now)}
+		known := k.stored[m.Fingerprint]
+		k.stored[m.Fingerprint] = storedMark{until: m.Until, firstReadAt: cmp.Or(known.firstReadAt, now)}
 		k.guard().Restore(m, storeSource)
 	}
 	return true
@@ -134,9 +134,9 @@
 
 // liftRemoved lifts the marks that were read before and are no longer stored.
 func (k *markKeeper) liftRemoved(marks []quarantine.Mark, now time.Time) {
-	for f, held := range k.stored {
+	for f, mark := range k.stored {
 		isStored := slices.ContainsFunc(marks, func(m quarantine.Mark) bool { return m.Fingerprint == f })
-		if isStored || held.firstReadAt.IsZero() || now.Sub(held.firstReadAt) < marksLiftDelay {
+		if isStored || mark.firstReadAt.IsZero() || now.Sub(mark.firstReadAt) < marksLiftDelay {
 			continue
 		}
 		delete(k.stored, f)
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -76,8 +76,8 @@
 		err    error
 		blamed bool
 	}{
-		"it lives":                {},
-		"another has its address": {err: formation.ErrElsewhere, blamed: true},
+		"the worker is alive":            {},
+		"another worker has its address": {err: formation.ErrElsewhere, blamed: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -406,10 +406,10 @@
 		err            error
 		replaced, fail bool
 	}{
-		"it answers":                   {},
-		"another has its address":      {err: formation.ErrElsewhere, replaced: true},
-		"a wrapped word of another":    {err: fmt.Errorf("ask: %w", formation.ErrElsewhere), replaced: true},
-		"nothing is known for certain": {err: errors.New("no answer"), fail: true},
+		"it responds":                    {},
+		"another worker has its address": {err: formation.ErrElsewhere, replaced: true},
+		"a wrapped error":                {err: fmt.Errorf("ask: %w", formation.ErrElsewhere), replaced: true},
+		"the state is unknown":           {err: errors.New("no answer"), fail: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/serving/reader.go
+++ b/serving/reader.go
@@ -36,8 +36,8 @@
 // isReader reports whether this daemon reads the store on behalf of all others, which the leader
 // does.
 func (s *Server) isReader() bool {
-	own, _, _ := s.elector.State()
-	return own != nil
+	claim, _, _ := s.elector.State()
+	return claim != nil
 }
 
 // scopeRetention is how long a daemon that is no longer a relay keeps all workers.
--- a/serving/server_test.go
+++ b/serving/server_test.go
@@ -131,19 +131,19 @@
 			prepare: func(s *Server) { setState(s, time.Now()); hear(s, "b", true, false) },
 			want:    []string{"front-a", "front-b"},
 		},
-		"peers that leave or are not ready are left out": {
+		"peers that are leaving or not ready are omitted": {
 			prepare: func(s *Server) { setState(s, time.Now()); hear(s, "b", true, true); hear(s, "c", false, false) },
 			want:    []string{"front-a"},
 		},
-		"a daemon that knows too little names others": {
+		"a daemon with outdated state returns others": {
 			prepare: func(s *Server) { setState(s, time.Now().Add(-time.Hour)); hear(s, "b", true, false) },
 			want:    []string{"front-b"},
 		},
-		"when nobody is ready, all that stay": {
+		"if no daemon is ready, all that are not leaving": {
 			prepare: func(s *Server) { hear(s, "b", false, false) },
 			want:    []string{"front-a", "front-b"},
 		},
-		"a leaving daemon names others": {
+		"a leaving daemon returns others": {
 			prepare: func(s *Server) { setState(s, time.Now()); s.leaving.Store(true); hear(s, "b", true, false) },
 			want:    []string{"front-b"},
 		},
--- a/serving/settle.go
+++ b/serving/settle.go
@@ -16,8 +16,8 @@
 	}
 	readAt := s.membersReadAt.Load()
 	alone := readAt != nil && now.Sub(*readAt) > listenPeriod || now.Sub(s.start) > settleAloneAfter
-	heard := len(s.agent.Table().Alive(now)) > 0
-	if !heard && !alone || s.newestConfigHeard.Load() > s.beliefs.Version() {
+	hasPeers := len(s.agent.Table().Alive(now)) > 0
+	if !hasPeers && !alone || s.newestConfigHeard.Load() > s.beliefs.Version() {
 		return false
 	}
 	s.isSettled.Store(true)
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -39,17 +39,17 @@
 // logStart logs each step of the start as it is reached, until all are reached or startLogPeriod
 // is over.
 func (s *Server) logStart(ctx context.Context) {
-	began, left := time.Now(), s.startSteps()
-	for ctx.Err() == nil && len(left) > 0 && time.Since(began) < startLogPeriod {
-		now, rest := time.Now(), left[:0:0]
-		for _, step := range left {
+	began, remaining := time.Now(), s.startSteps()
+	for ctx.Err() == nil && len(remaining) > 0 && time.Since(began) < startLogPeriod {
+		now, pending := time.Now(), remaining[:0:0]
+		for _, step := range remaining {
 			if !step.reached(now) {
-				rest = append(rest, step)
+				pending = append(pending, step)
 				continue
 			}
 			s.logger.Info("start: "+step.name, "ms", now.Sub(began).Milliseconds(), "workers", len(s.inventory.View().Workers()))
 		}
-		left = rest
+		remaining = pending
 		pause.For(ctx, startCheckInterval)
 	}
 }
--- a/serving/suspicions.go
+++ b/serving/suspicions.go
@@ -35,12 +35,12 @@
 func (s *suspicions) add(stall peers.Stall, since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.held[stall.Replica]
-	if known && !since.After(held.since) {
+	existing, known := s.held[stall.Replica]
+	if known && !since.After(existing.since) {
 		return false
 	}
-	s.held[stall.Replica] = suspicion{Stall: stall, since: since, nextInspection: held.nextInspection}
-	return !known || since.Sub(held.since) > suspicionLifetime
+	s.held[stall.Replica] = suspicion{Stall: stall, since: since, nextInspection: existing.nextInspection}
+	return !known || since.Sub(existing.since) > suspicionLifetime
 }
 
 // due reports whether the leader should inspect a suspected replica now. If so, it records the
@@ -48,12 +48,12 @@
 func (s *suspicions) due(replica string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.held[replica]
-	if !known || now.Before(held.nextInspection) {
+	suspected, known := s.held[replica]
+	if !known || now.Before(suspected.nextInspection) {
 		return false
 	}
-	held.nextInspection = now.Add(inspectInterval)
-	s.held[replica] = held
+	suspected.nextInspection = now.Add(inspectInterval)
+	s.held[replica] = suspected
 	return true
 }
 
@@ -62,13 +62,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []peers.Stall
-	for id, held := range s.held {
-		age := now.Sub(held.since)
+	for id, suspected := range s.held {
+		age := now.Sub(suspected.since)
 		if age > suspicionLifetime {
 			delete(s.held, id)
 			continue
 		}
-		stall := held.Stall
+		stall := suspected.Stall
 		stall.Age = age.Milliseconds()
 		all = append(all, stall)
 	}
--- a/serving/warmup_test.go
+++ b/serving/warmup_test.go
@@ -56,11 +56,11 @@
 		least int
 		most  int
 	}{
-		"it knows nobody and has not read the list": {store: &fakeStore{unavailable: true}},
-		"it is alone, by the list":                  {store: &fakeStore{}, least: coldWorkers, most: coldWorkers},
-		"many are listed and none is alive":         {store: &fakeStore{known: others(79)}, least: 1, most: 25},
-		"others were heard and the list is away":    {store: &fakeStore{unavailable: true}, heard: 29},
-		"many are listed and more were heard":       {store: &fakeStore{known: others(49)}, heard: 79, least: 1, most: 25},
+		"it knows no other and has not read the list":   {store: &fakeStore{unavailable: true}},
+		"it is the only one listed":                     {store: &fakeStore{}, least: coldWorkers, most: coldWorkers},
+		"many are listed and none is alive":             {store: &fakeStore{known: others(79)}, least: 1, most: 25},
+		"others were heard and the list is unavailable": {store: &fakeStore{unavailable: true}, heard: 29},
+		"many are listed and more were heard":           {store: &fakeStore{known: others(49)}, heard: 79, least: 1, most: 25},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
