--- a/peers/heartbeat.go
+++ b/peers/heartbeat.go
@@ -158,8 +158,8 @@
 
 func (p *Peer) confirmedAt(age int64) time.Time {
 	if p.SentAfter.IsZero() || age <= 0 || age >= NeverConfirmed {
-		// Ages start at 1, so 0 means that the sender omitted it. NeverConfirmed must yield the zero time:
-		// a time in the distant past would make the receiver read the store at once.
+		// Ages start at 1, so 0 means that the sender omitted it. NeverConfirmed must yield the zero
+		// time: a time in the distant past would make the receiver read the store at once.
 		return time.Time{}
 	}
 	return p.SentAfter.Add(-time.Duration(age) * time.Millisecond)
