--- a/peers/agent.go
+++ b/peers/agent.go
@@ -18,11 +18,12 @@
 const (
 	// heartbeatInterval is the time between two heartbeats to the same daemon.
 	heartbeatInterval = 200 * time.Millisecond
-	// processPauseThreshold is the gap between two rounds from which this process counts as having
-	// been paused.
+	// processPauseThreshold is the longest normal time between two rounds. After a longer one this
+	// process counts as having been paused.
 	processPauseThreshold = 3 * heartbeatInterval
-	// A datagram starts with the framing version, the sender's clock, and the newest clock that
-	// the sender received from the receiver. A message follows.
+	// framingVersion is the first byte of a datagram. It is followed by a reading of the sender's
+	// clock and the newest reading of the receiver's clock that the sender knows, eight bytes each.
+	// They form the header of headerLength bytes. The encoded message follows.
 	framingVersion = 4
 	headerLength   = 1 + 8 + 8
 	// maxDatagramBytes limits the size of a datagram; the transport accepts no larger ones.
@@ -55,15 +56,15 @@
 	OnHeartbeat func(p *Peer)
 	// OnNews is called with the news that a peer forwards.
 	OnNews func(p *Peer, n *News)
-	// OnSummary is called with each summary that is relevant in this daemon's role, and its data
-	// hall; hall is empty for a summary of all daemons, this one included.
+	// OnSummary is called with each summary that is relevant in this daemon's role, and the data
+	// hall that it covers. hall is empty for a summary of all daemons, this one included.
 	OnSummary func(hall string, s Summary, now time.Time)
 	// OnSent is called with the kind and size of each datagram sent. OnDropped is called with the
 	// cause for each received datagram that is not understood; it may be nil.
 	OnSent    func(kind string, bytes int)
 	OnDropped func(cause string)
-	// Suspended returns the total time for which the machine was suspended; nil for a machine that
-	// never is. The clocks exchanged in datagrams include it.
+	// Suspended returns the total time for which the machine was suspended. If it is nil, the
+	// machine is assumed never to be suspended. The clocks exchanged in datagrams include it.
 	Suspended func() time.Duration
 	Logger    hclog.Logger
 }
@@ -81,7 +82,7 @@
 
 	mu    sync.Mutex
 	round int
-	// layout is the layout of the latest round, roleSince the time when this daemon took its role.
+	// layout is the layout of the latest round, roleSince the time when this daemon's role began.
 	layout    layout
 	roleSince time.Time
 	// loggedDrops holds the pairs of cause and sender whose dropped datagrams were already logged.
@@ -170,7 +171,7 @@
 func (a *Agent) composeHeartbeat(now time.Time) *Heartbeat {
 	own := &Heartbeat{Identity: a.opts.Self}
 	a.opts.FillHeartbeat(own, now)
-	a.clocks.noteGrant(own.Grant.Epoch, a.clock(now))
+	a.clocks.recordGrant(own.Grant.Epoch, a.clock(now))
 	return own
 }
 
@@ -207,8 +208,9 @@
 	a.deliver(kindHeartbeat, a.currentLayout().recipients(own.Leads != nil), now, a.newMessage(own))
 }
 
-// SendNews forwards new information: a leader sends all of it to everybody that it reports to, a
-// relay within its data hall. Ordinary members of the hall get forMembers instead of all.
+// SendNews sends news to the daemons that this one reports to. A relay sends it within its data
+// hall, and to other halls only if it leads. Members of a relay's hall get forMembers instead of
+// all.
 func (a *Agent) SendNews(all, forMembers []News, leads bool, now time.Time) {
 	complete, members := a.currentLayout().newsRecipients(leads)
 	a.sendNews(all, complete, now)
@@ -223,19 +225,19 @@
 	}
 }
 
-// deliver sends messages to daemons. Heartbeats are sent in brief form to those that acknowledged
-// a full one.
-func (a *Agent) deliver(kind string, addresses []string, now time.Time, all ...*message) {
+// deliver sends each message to each address. Daemons that acknowledged a full heartbeat get brief
+// ones.
+func (a *Agent) deliver(kind string, addresses []string, now time.Time, messages ...*message) {
 	clock := a.clock(now)
-	for _, m := range all {
+	for _, m := range messages {
 		full := sync.OnceValue(func() []byte { return a.encodeDatagram(m, clock) })
 		brief := sync.OnceValue(func() []byte { return a.encodeDatagram(m.brief(), clock) })
 		for _, address := range addresses {
-			form := full
+			datagram := full
 			if a.clocks.hasAcknowledged(address, clock) {
-				form = brief
+				datagram = brief
 			}
-			a.send(kind, address, form())
+			a.send(kind, address, datagram())
 		}
 	}
 }
@@ -263,8 +265,8 @@
 	a.opts.OnSent(kind, len(datagram))
 }
 
-// encodeDatagram returns the datagram of a message. The receiver's clock is still to be filled in.
-// It returns nil, after logging, if the message cannot be encoded.
+// encodeDatagram returns the datagram of a message. The caller must still set the receiver's clock
+// in it. If the message cannot be encoded, encodeDatagram logs the error and returns nil.
 func (a *Agent) encodeDatagram(m *message, clock time.Duration) []byte {
 	body, err := encode(m)
 	if err == nil && len(body) > maxDatagramBytes {
@@ -305,7 +307,7 @@
 	if m.Heartbeat != nil && !a.handleHeartbeat(m.Heartbeat, datagram, now) {
 		return
 	}
-	p, ok := a.table.heardPeer(m.ID, m.Incarnation)
+	p, ok := a.table.peerWithHeartbeat(m.ID, m.Incarnation)
 	if !ok {
 		// No full heartbeat was received from this incarnation yet.
 		return
@@ -333,19 +335,19 @@
 		a.opts.OnDropped(cause)
 	}
 	a.mu.Lock()
-	alreadyLogged := a.loggedDrops[cause+sender] || len(a.loggedDrops) >= maxLoggedDrops
-	if !alreadyLogged {
+	skipsLog := a.loggedDrops[cause+sender] || len(a.loggedDrops) >= maxLoggedDrops
+	if !skipsLog {
 		a.loggedDrops[cause+sender] = true
 	}
 	a.mu.Unlock()
-	if !alreadyLogged {
+	if !skipsLog {
 		a.opts.Logger.Warn("datagrams not understood", "cause", cause, "from", sender, "error", err)
 	}
 }
 
-// redirect names the relays of the own hall to a new daemon that mistook this member for one. Such
-// a daemon read the member list before the relays were in it; without the reply it would hear from
-// nobody, assume that it is alone and read everything from the store.
+// redirect sends the identities of the hall's relays to a new daemon that reported to this member
+// although it is no relay. Such a daemon does not know the relays yet. Without the reply it would
+// receive no heartbeats, assume that it is alone and read everything from the store.
 func (a *Agent) redirect(p *Peer, now time.Time) {
 	l := a.currentLayout()
 	isRelay := func(relay Identity) bool { return relay.ID == p.ID }
@@ -357,8 +359,8 @@
 	a.deliver(kindHeartbeat, []string{p.Address}, now, m)
 }
 
-// clock returns this daemon's clock, which peers echo. It includes suspensions, so that data that
-// waited in a suspended machine counts as correspondingly older.
+// clock returns the time since the agent was created, including suspensions. Peers echo it. Because
+// suspensions count, datagrams that waited in a suspended machine have the right age.
 func (a *Agent) clock(now time.Time) time.Duration { return now.Sub(a.start) + a.opts.Suspended() }
 
 // handleHeartbeat processes a heartbeat. It reports false if the heartbeat cannot be used.
@@ -390,8 +392,8 @@
 	return true
 }
 
-// handleSummaries processes the summaries that are relevant in this daemon's role: relays add up
-// those of other halls, members take the total from a relay.
+// handleSummaries stores the summaries in a message and calls OnSummary with those that are relevant
+// in this daemon's role. Relays need those of other halls, members that of the whole fleet.
 func (a *Agent) handleSummaries(p *Peer, m *message, now time.Time) {
 	role := a.Role()
 	for _, s := range []*Summary{m.Hall, m.Fleet} {
@@ -406,9 +408,9 @@
 		}
 	}
 	if m.Fleet != nil {
-		a.receivedSummaries.set(wholeFleet, *m.Fleet, now)
+		a.receivedSummaries.set(wholeFleetKey, *m.Fleet, now)
 		if role == Member {
-			a.opts.OnSummary(wholeFleet, *m.Fleet, now)
+			a.opts.OnSummary(wholeFleetKey, *m.Fleet, now)
 		}
 	}
 }
--- a/peers/agent_test.go
+++ b/peers/agent_test.go
@@ -93,7 +93,7 @@
 func TestBriefHeartbeatsOnlyAfterAcknowledgment(t *testing.T) {
 	second := func(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 	tests := map[string]struct {
-		// heard is this daemon's clock as last acknowledged by the other one.
+		// acknowledged is the reading of this daemon's clock that the other one echoed last.
 		heard, changed, now time.Duration
 		brief               bool
 	}{
@@ -107,7 +107,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newClocks()
-			c.acknowledged["b:1"], c.changedAt = test.heard, test.changed
+			c.acknowledged["b:1"], c.grantChangedAt = test.heard, test.changed
 			assert.Equal(t, c.hasAcknowledged("b:1", test.now), test.brief)
 			assert.Assert(t, !c.hasAcknowledged("c:1", test.now))
 		})
@@ -159,7 +159,7 @@
 	assert.Equal(t, len(received), 3)
 }
 
-// FuzzDatagram checks that malformed datagrams do no harm.
+// FuzzDatagram checks that malformed datagrams cause no panic.
 func FuzzDatagram(f *testing.F) {
 	body, err := encode(&message{
 		ID: "b", Incarnation: 2, Heartbeat: &Heartbeat{Identity: Identity{ID: "b", Incarnation: 2, Address: "b:1"}},
@@ -176,8 +176,8 @@
 	})
 }
 
-// TestHeartbeatQueuedDuringSuspension guards against treating a heartbeat that was queued while
-// the machine was suspended as fresh, since the monotonic clock does not count suspensions.
+// TestHeartbeatQueuedDuringSuspension checks that the age of a heartbeat includes the time that it
+// was queued while the machine was suspended. The monotonic clock does not count that time.
 func TestHeartbeatQueuedDuringSuspension(t *testing.T) {
 	var received []*Peer
 	a := agentWithoutTransport(func(p *Peer) { received = append(received, p) })
@@ -194,8 +194,8 @@
 	assert.Equal(t, readAt.Sub(received[0].SentAfter), time.Minute+100*time.Millisecond)
 }
 
-// TestTableAfterSuspension checks that recorded times move back by the suspension, but peers are
-// not considered silent before queued datagrams are read.
+// TestTableAfterSuspension checks that recorded times are moved back by the suspended time. Peers
+// must nevertheless count as alive until the queued datagrams have been read.
 func TestTableAfterSuspension(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(Identity{ID: "a", Incarnation: 1, Address: "a:1"})
--- a/peers/clocks.go
+++ b/peers/clocks.go
@@ -9,24 +9,25 @@
 // silence between two live daemons that report to each other.
 const ackLifetime = 2 * time.Second
 
-// clocks holds, by address, which clock was last received from each daemon and which clock of this
-// daemon it acknowledged. It is safe for concurrent use.
+// clocks holds the clock readings exchanged with other daemons, by their addresses. It is safe for
+// concurrent use.
 type clocks struct {
 	mu sync.Mutex
-	// received holds the newest clock received from each daemon.
+	// received holds the newest reading of each daemon's clock.
 	received map[string]int64
-	// acknowledged holds the newest clock of this daemon that each daemon echoed.
+	// acknowledged holds the newest reading of this daemon's clock that each daemon echoed.
 	acknowledged map[string]time.Duration
-	// grant is the epoch of the grant sent last, changedAt the clock at which it was first sent.
-	grant     int64
-	changedAt time.Duration
+	// grantEpoch is the epoch of the grant sent last. grantChangedAt is the reading of this
+	// daemon's clock when that grant was first sent.
+	grantEpoch     int64
+	grantChangedAt time.Duration
 }
 
 func newClocks() *clocks {
 	return &clocks{received: make(map[string]int64), acknowledged: make(map[string]time.Duration)}
 }
 
-// record stores the clock of a daemon and the clock of this daemon that it echoed.
+// record stores a reading of a daemon's clock and the reading of this daemon's clock that it echoed.
 func (c *clocks) record(address string, theirs int64, ours time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,19 +35,20 @@
 	c.acknowledged[address] = ours
 }
 
-// latest returns the newest clock received from a daemon, 0 if there is none.
+// latest returns the newest reading of a daemon's clock, 0 if none was received.
 func (c *clocks) latest(address string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.received[address]
 }
 
-// noteGrant records the epoch that is sent, and the clock if it changed.
-func (c *clocks) noteGrant(epoch int64, clock time.Duration) {
+// recordGrant stores the epoch of the grant that is about to be sent, and the clock if the epoch
+// changed.
+func (c *clocks) recordGrant(epoch int64, clock time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if epoch != c.grant {
-		c.grant, c.changedAt = epoch, clock
+	if epoch != c.grantEpoch {
+		c.grantEpoch, c.grantChangedAt = epoch, clock
 	}
 }
 
@@ -56,5 +58,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	acknowledged := c.acknowledged[address]
-	return acknowledged > 0 && acknowledged >= c.changedAt && clock-acknowledged < ackLifetime
+	return acknowledged > 0 && acknowledged >= c.grantChangedAt && clock-acknowledged < ackLifetime
 }
--- a/peers/ever_known.go
+++ b/peers/ever_known.go
@@ -2,18 +2,20 @@
 
 import "slices"
 
-// everKnown holds all daemons that were ever known. Unlike the table it keeps silent ones: the
-// daemons that may send to a rate-limited worker are chosen from all that may exist, so that both
+// daemonHistory holds all daemons that this daemon ever knew. Unlike Table.peers it also keeps
+// silent ones. The daemons that may send to a rate-limited worker are chosen from it, so that both
 // sides of a network partition choose the same ones.
-type everKnown struct {
-	// ids is sorted, and replaced as a whole when an id is added.
+type daemonHistory struct {
+	// ids holds the sorted ids of the daemons. A change replaces the slice, so that callers can
+	// keep an earlier one.
 	ids []string
-	// hall holds the daemons of the own data hall, fittest relay first; also replaced as a whole.
-	hall []Identity
+	// hallDaemons holds the daemons of this daemon's data hall, fittest relay first. A change
+	// replaces the slice.
+	hallDaemons []Identity
 }
 
 // add records a daemon.
-func (r *everKnown) add(id string) {
+func (r *daemonHistory) add(id string) {
 	i, known := slices.BinarySearch(r.ids, id)
 	if known || id == "" {
 		return
@@ -21,18 +23,18 @@
 	r.ids = slices.Insert(slices.Clone(r.ids), i, id)
 }
 
-// addToHall records a daemon of the own data hall, or updates it if its capacity changed.
-func (r *everKnown) addToHall(identity Identity) {
-	at := slices.IndexFunc(r.hall, func(other Identity) bool { return other.ID == identity.ID })
-	if identity.ID == "" || at >= 0 && r.hall[at].Capacity == identity.Capacity {
+// addToHall records a daemon of this daemon's data hall, or updates it if its capacity changed.
+func (r *daemonHistory) addToHall(identity Identity) {
+	at := slices.IndexFunc(r.hallDaemons, func(other Identity) bool { return other.ID == identity.ID })
+	if identity.ID == "" || at >= 0 && r.hallDaemons[at].Capacity == identity.Capacity {
 		return
 	}
-	hall := slices.Clone(r.hall)
+	updated := slices.Clone(r.hallDaemons)
 	if at >= 0 {
-		hall = slices.Delete(hall, at, at+1)
+		updated = slices.Delete(updated, at, at+1)
 	}
-	at, _ = slices.BinarySearchFunc(hall, identity, CompareRelays)
-	r.hall = slices.Insert(hall, at, identity)
+	at, _ = slices.BinarySearchFunc(updated, identity, CompareRelays)
+	r.hallDaemons = slices.Insert(updated, at, identity)
 }
 
 // EverKnownIDs returns the sorted ids of all daemons that were ever known, this one included. The
@@ -43,11 +45,11 @@
 	return t.everKnown.ids
 }
 
-// FittestInHall returns the ids of up to limit daemons of the own data hall that are the fittest
-// relays among all that were ever known, this one included.
+// FittestInHall returns the ids of the daemons that are fittest to relay in this daemon's data
+// hall, at most limit. It chooses among all that were ever known, this one included.
 func (t *Table) FittestInHall(limit int) []string {
 	t.mu.Lock()
-	hall := t.everKnown.hall
+	hall := t.everKnown.hallDaemons
 	t.mu.Unlock()
 	fittest := make([]string, min(len(hall), limit))
 	for i := range fittest {
--- a/peers/ever_known_test.go
+++ b/peers/ever_known_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEverKnownKeepsSilentDaemons checks that silent daemons are removed from the table, but not
-// from those ever known.
+// TestEverKnownKeepsSilentDaemons checks that a silent daemon is removed from the peers of a table,
+// but that EverKnownIDs still returns it.
 func TestEverKnownKeepsSilentDaemons(t *testing.T) {
 	identity := func(id string, incarnation int64) Identity {
 		return Identity{ID: id, Incarnation: incarnation, Address: id + ":1"}
--- a/peers/format.go
+++ b/peers/format.go
@@ -3,10 +3,10 @@
 import "time"
 
 // Versions of the message format between daemons. A change that daemons of the previous version
-// would misinterpret gets a new version, and the fleet makes use of it only once no such daemon
-// has been heard for formatRetention.
+// would misinterpret gets a new version. The fleet uses the change only after formatRetention has
+// passed without a sign of a daemon that has an earlier version.
 const (
-	// FormatFirst is assumed of daemons that report no version.
+	// FormatFirst is the first version. Daemons that report no version are assumed to use it.
 	FormatFirst = 1
 	// FormatBackpressure adds workers' backpressure signals and the sharing of their request
 	// limits among daemons.
@@ -18,9 +18,8 @@
 	oldestUnderstood = FormatFirst
 	// maxFormat is the highest version that counts as valid.
 	maxFormat = 1 << 15
-	// formatRetention is how long the fleet keeps to an earlier version after a daemon of that
-	// version was last heard, directly or by a relay. It exceeds a restart and a short network
-	// outage.
+	// formatRetention is how long the fleet keeps to an earlier version after the last heartbeat
+	// or relay's summary with that version. It exceeds a restart and a short network outage.
 	formatRetention = 10 * time.Second
 )
 
@@ -52,22 +51,21 @@
 // IsUnderstood reports whether this build can read messages of a daemon with this format.
 func (f Format) IsUnderstood() bool { return !f.isValid() || f.Oldest <= currentFormat }
 
-// formats holds when daemons of each earlier version were last heard. The mutex of its owner
-// guards it.
+// formats records when each earlier version was last in use. The mutex of the Table guards it.
 type formats struct {
-	heardAt [currentFormat + 1]time.Time
+	lastUsedAt [currentFormat + 1]time.Time
 }
 
 func (f *formats) record(version int, at time.Time) {
-	if version < currentFormat && at.After(f.heardAt[version]) {
-		f.heardAt[version] = at
+	if version < currentFormat && at.After(f.lastUsedAt[version]) {
+		f.lastUsedAt[version] = at
 	}
 }
 
-// oldest returns the earliest version among this daemon and those heard within formatRetention.
+// oldest returns the earliest version in use within formatRetention, by this daemon or others.
 func (f *formats) oldest(now time.Time) int {
 	for version := FormatFirst; version < currentFormat; version++ {
-		if at := f.heardAt[version]; !at.IsZero() && now.Sub(at) < formatRetention {
+		if at := f.lastUsedAt[version]; !at.IsZero() && now.Sub(at) < formatRetention {
 			return version
 		}
 	}
--- a/peers/format_test.go
+++ b/peers/format_test.go
@@ -16,16 +16,16 @@
 	return Loads{{Replica: "big-r4fti4i@268435458", InFlight: 3, Prefill: 100, Moved: 20}, {Replica: "worker", InFlight: 2, Prefill: 7, Moved: 30}}
 }
 
-// filled returns a message with every field set.
-func filled() *message {
+// filledMessage returns a message with every field set.
+func filledMessage() *message {
 	m := &message{}
 	wiretest.Fill(m)
 	m.Heartbeat.Loads, m.Hall.Loads, m.Fleet.Loads = recordedLoads(), recordedLoads(), recordedLoads()
 	return m
 }
 
-// TestEarlierFormat checks that this build reads everything that the first version wrote, and
-// still writes all of it.
+// TestEarlierFormat checks that this build reads and still writes every field of messages that a
+// build of the first version wrote.
 func TestEarlierFormat(t *testing.T) {
 	files, err := filepath.Glob("testdata/format-1/*.json")
 	assert.NilError(t, err)
@@ -37,7 +37,7 @@
 			lost, err := wiretest.Lost(recorded, &message{})
 			assert.NilError(t, err)
 			assert.Equal(t, len(lost), 0, "not understood: %v", lost)
-			missing, err := wiretest.Missing(recorded, filled())
+			missing, err := wiretest.Missing(recorded, filledMessage())
 			assert.NilError(t, err)
 			assert.Equal(t, len(missing), 0, "not written any more: %v", missing)
 		})
@@ -71,64 +71,64 @@
 	}
 }
 
-// TestOldestFormat checks which version the fleet keeps to as daemons of several versions come and
-// go.
+// TestOldestFormat checks which version the fleet keeps to while daemons of several versions start
+// and stop.
 func TestOldestFormat(t *testing.T) {
 	start := time.Unix(1000, 0)
-	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	hear := func(table *Table, id string, incarnation int64, f Format, now time.Time) {
+	atSecond := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
+	receive := func(table *Table, id string, incarnation int64, f Format, now time.Time) {
 		table.RecordHeartbeat(Heartbeat{Identity: Identity{ID: id, Incarnation: incarnation, Address: id, Format: f}}, now, now)
 	}
-	const kept = int(formatRetention / time.Second)
+	const retentionSeconds = int(formatRetention / time.Second)
 	tests := map[string]struct {
 		play func(table *Table)
 		at   int
 		want int
 	}{
 		"alone":                              {func(*Table) {}, 0, currentFormat},
-		"one of this build":                  {func(table *Table) { hear(table, "b", 1, OwnFormat(), at(0)) }, 1, currentFormat},
-		"an earlier one":                     {func(table *Table) { hear(table, "b", 1, Format{}, at(0)) }, 1, FormatFirst},
-		"an earlier one, silent for a while": {func(table *Table) { hear(table, "b", 1, Format{}, at(0)) }, kept - 1, FormatFirst},
-		"an earlier one, silent for long":    {func(table *Table) { hear(table, "b", 1, Format{}, at(0)) }, kept, currentFormat},
+		"one of this build":                  {func(table *Table) { receive(table, "b", 1, OwnFormat(), atSecond(0)) }, 1, currentFormat},
+		"an earlier one":                     {func(table *Table) { receive(table, "b", 1, Format{}, atSecond(0)) }, 1, FormatFirst},
+		"an earlier one, silent for a while": {func(table *Table) { receive(table, "b", 1, Format{}, atSecond(0)) }, retentionSeconds - 1, FormatFirst},
+		"an earlier one, silent for long":    {func(table *Table) { receive(table, "b", 1, Format{}, atSecond(0)) }, retentionSeconds, currentFormat},
 		"one that was replaced a moment ago": {func(table *Table) {
-			hear(table, "b", 1, Format{}, at(0))
-			hear(table, "b", 2, OwnFormat(), at(5))
+			receive(table, "b", 1, Format{}, atSecond(0))
+			receive(table, "b", 2, OwnFormat(), atSecond(5))
 		}, 6, FormatFirst},
 		"one that was replaced long ago": {func(table *Table) {
-			hear(table, "b", 1, Format{}, at(0))
-			hear(table, "b", 2, OwnFormat(), at(5))
-		}, kept, currentFormat},
+			receive(table, "b", 1, Format{}, atSecond(0))
+			receive(table, "b", 2, OwnFormat(), atSecond(5))
+		}, retentionSeconds, currentFormat},
 		"one that was downgraded": {func(table *Table) {
-			hear(table, "b", 1, OwnFormat(), at(0))
-			hear(table, "b", 2, Format{}, at(50))
+			receive(table, "b", 1, OwnFormat(), atSecond(0))
+			receive(table, "b", 2, Format{}, atSecond(50))
 		}, 51, FormatFirst},
-		"an earlier one that a relay hears": {func(table *Table) { table.NoteFormat(FormatFirst, at(0)) }, 1, FormatFirst},
-		"an impossible version":             {func(table *Table) { hear(table, "b", 1, Format{1e9, 1e9}, at(0)) }, 1, FormatFirst},
-		"a later one":                       {func(table *Table) { hear(table, "b", 1, Format{9, 1}, at(0)) }, 1, currentFormat},
+		"an earlier one that a relay hears": {func(table *Table) { table.NoteFormat(FormatFirst, atSecond(0)) }, 1, FormatFirst},
+		"an impossible version":             {func(table *Table) { receive(table, "b", 1, Format{1e9, 1e9}, atSecond(0)) }, 1, FormatFirst},
+		"a later one":                       {func(table *Table) { receive(table, "b", 1, Format{9, 1}, atSecond(0)) }, 1, currentFormat},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable(Identity{ID: "a", Incarnation: 1, Address: "a"})
 			test.play(table)
-			assert.Equal(t, table.OldestFormat(at(test.at)), test.want)
+			assert.Equal(t, table.OldestFormat(atSecond(test.at)), test.want)
 		})
 	}
 }
 
 // TestSummaryOldestFormat checks that a sum of summaries has the earliest version of all of them.
-// A summary without a version counts as the first.
+// A summary without a valid version counts as having the first one.
 func TestSummaryOldestFormat(t *testing.T) {
-	now := Summary{Daemons: 3, Format: currentFormat}
+	current := Summary{Daemons: 3, Format: currentFormat}
 	tests := map[string]struct {
 		sums []Summary
 		want int
 	}{
-		"all speak this version":          {[]Summary{now, now}, currentFormat},
-		"one hall does not":               {[]Summary{now, {Daemons: 2, Format: FormatFirst}, now}, FormatFirst},
-		"a relay without a version":       {[]Summary{now, {Daemons: 2}}, FormatFirst},
-		"a relay with an invalid version": {[]Summary{now, {Daemons: 2, Format: -7}}, FormatFirst},
-		"a later version":                 {[]Summary{now, {Daemons: 2, Format: 9}}, currentFormat},
-		"a further part":                  {[]Summary{now, {Part: 1}}, currentFormat},
+		"all speak this version":          {[]Summary{current, current}, currentFormat},
+		"one hall does not":               {[]Summary{current, {Daemons: 2, Format: FormatFirst}, current}, FormatFirst},
+		"a relay without a version":       {[]Summary{current, {Daemons: 2}}, FormatFirst},
+		"a relay with an invalid version": {[]Summary{current, {Daemons: 2, Format: -7}}, FormatFirst},
+		"a later version":                 {[]Summary{current, {Daemons: 2, Format: 9}}, currentFormat},
+		"a further part":                  {[]Summary{current, {Part: 1}}, currentFormat},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -141,8 +141,9 @@
 	}
 }
 
-// TestHeartbeatsWithUnusualFormats checks that only heartbeats in a format that this build cannot
-// read are ignored, and that they are counted and logged once.
+// TestHeartbeatsWithUnusualFormats checks that heartbeats are ignored only if this build cannot
+// read their format. Those with an unreadable or invalid format are counted each time and logged
+// once.
 func TestHeartbeatsWithUnusualFormats(t *testing.T) {
 	tests := map[string]struct {
 		format   Format
--- a/peers/heartbeat.go
+++ b/peers/heartbeat.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// Claim identifies a leader's term: the epoch of a grant and the rank of the holder that leads
-// under it. A higher claim supersedes a lower one.
+// Claim identifies a leader's term. It consists of the epoch of a Grant and the rank of the holder
+// that leads under that grant. A higher claim supersedes a lower one.
 type Claim struct {
 	Epoch int64 `json:"epoch,omitempty"`
 	Rank  int   `json:"rank,omitempty"`
@@ -26,7 +26,7 @@
 // rankBits is the number of bits for the rank in Claim.Term; ranks are at most 200.
 const rankBits = 8
 
-// Term returns the claim as one number that orders like the claims.
+// Term returns the claim as one number. A higher claim has a higher number.
 func (c Claim) Term() int64 { return c.Epoch<<rankBits | int64(c.Rank) }
 
 // Holder is an incarnation of a daemon that may lead under a grant.
@@ -35,7 +35,7 @@
 	Incarnation int64  `json:"incarnation"`
 }
 
-// Grant lists the daemons that may lead in an epoch, by rank.
+// Grant lists the daemons that may lead in an epoch. The first one has rank 0.
 type Grant struct {
 	Epoch   int64    `json:"epoch,omitempty"`
 	Holders []Holder `json:"holders,omitempty"`
@@ -82,24 +82,24 @@
 
 	Ready   bool `json:"ready,omitempty"`
 	Leaving bool `json:"leaving,omitempty"`
-	// Complete reports that the daemon knows all workers, which a leader must.
+	// Complete reports that the daemon knows all workers. Only such a daemon may lead.
 	Complete bool `json:"all,omitempty"`
 
 	ConfigVersion   int64 `json:"cv,omitempty"`
 	ConfigAge       int64 `json:"ca"`
 	WorkersPosition int64 `json:"wp,omitempty"`
 	WorkersAge      int64 `json:"wa"`
-	// Halls is what the daemon knows about closed data halls.
+	// Halls holds the closed data halls that the daemon knows of.
 	Halls fleet.HallReport `json:"hl,omitzero"`
 	// Decided is the position up to which the daemon knows the leader's decisions.
 	Decided fleet.DecisionPosition `json:"d,omitzero"`
 
-	// Leads is the daemon's own claim while it leads. Highest is the highest claim and Grant the
-	// newest grant that it knows of.
+	// Leads is the daemon's own claim while it leads, otherwise nil. Highest is the highest claim
+	// and Grant the newest grant that the daemon knows of.
 	Leads   *Claim `json:"leads,omitempty"`
 	Highest Claim  `json:"highest"`
 	Grant   Grant  `json:"grant,omitzero"`
-	// LeaderAge is the time since a leader was last heard, 0 if none was.
+	// LeaderAge is the time since the daemon last received a leader's heartbeat; 0 if it never did.
 	LeaderAge int64 `json:"la,omitempty"`
 
 	Loads  Loads   `json:"loads,omitempty"`
@@ -112,7 +112,7 @@
 	Demand map[string]float64 `json:"demand,omitempty"`
 	// PromptTokens is the number of prompt tokens in the requests of each model.
 	PromptTokens map[string]float64 `json:"prompts,omitempty"`
-	// Traffic reports that the fleet received requests.
+	// Traffic reports that clients have sent requests to the fleet.
 	Traffic bool `json:"traffic,omitempty"`
 }
 
@@ -125,22 +125,22 @@
 	return &short
 }
 
-// Peer is the known state of another daemon.
+// Peer is the state of another daemon as far as this daemon knows it.
 type Peer struct {
 	Heartbeat
 	// HeardAt is when its latest heartbeat was received; zero if none was.
 	HeardAt time.Time
-	// SentAfter is a lower bound, by this daemon's clock, of when the latest heartbeat was sent.
-	// Ages in the heartbeat are relative to it.
+	// SentAfter is the earliest time, by this daemon's clock, at which the latest heartbeat can
+	// have been sent; zero if unknown. Ages in the heartbeat are subtracted from it.
 	SentAfter time.Time
-	// reportedAt is when a relay last heard the daemon, according to relays' reports.
+	// reportedAt is when a relay last received the peer's heartbeat, according to relays' reports.
 	reportedAt time.Time
 	// addedAt is when this incarnation became known.
 	addedAt time.Time
 }
 
-// lastSeen returns when the peer was last known to be alive, directly or by a relay; zero if it
-// never was.
+// lastSeen returns when this daemon or a relay last received a heartbeat of the peer. It is zero if
+// neither did.
 func (p *Peer) lastSeen() time.Time {
 	if p.reportedAt.After(p.HeardAt) {
 		return p.reportedAt
@@ -159,7 +159,7 @@
 func (p *Peer) confirmedAt(age int64) time.Time {
 	if p.SentAfter.IsZero() || age <= 0 || age >= NeverConfirmed {
 		// Ages start at 1, so 0 means that the sender omitted it. NeverConfirmed must yield the zero
-		// time: a time in the distant past would make the receiver read the store at once.
+		// time, because a time in the distant past would make the receiver read the store at once.
 		return time.Time{}
 	}
 	return p.SentAfter.Add(-time.Duration(age) * time.Millisecond)
--- a/peers/loads.go
+++ b/peers/loads.go
@@ -10,36 +10,38 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Load is the work in flight at a replica.
+// Load is the number of requests, and of their prompt tokens, at a replica.
 type Load struct {
 	Replica  string `json:"r"`
 	InFlight int    `json:"n"`
-	// Prefill is the number of prompt tokens of requests that have not started.
+	// Prefill is the number of prompt tokens in requests whose answers have not started.
 	Prefill int `json:"p,omitempty"`
-	// Moved is the time since the replica's latest event, in milliseconds; zero if unknown.
+	// Moved is the time since the latest event was received from the replica, in milliseconds. It
+	// is zero if unknown.
 	Moved int64 `json:"m,omitempty"`
 }
 
 const (
-	// eventAgeUnit is the resolution of Load.Moved in messages, in milliseconds.
-	eventAgeUnit = 10
-	// maxEventAge is the longest time that Load.Moved reports, in milliseconds. Replicas that are
+	// eventAgeUnitMillis is the resolution of Load.Moved in messages, in milliseconds.
+	eventAgeUnitMillis = 10
+	// maxEventAgeMillis is the longest time that Load.Moved reports, in milliseconds. Replicas that are
 	// silent for longer are suspected anyway.
-	maxEventAge = 1500
+	maxEventAgeMillis = 1500
 )
 
-// MovedAgo returns the value of Load.Moved for an event at the time moved.
-func MovedAgo(moved, now time.Time) int64 {
-	return roundEventAge(now.Sub(moved).Milliseconds() + 1)
+// MovedAgo returns the value of Load.Moved for a replica whose latest event was received at
+// eventAt.
+func MovedAgo(eventAt, now time.Time) int64 {
+	return roundEventAge(now.Sub(eventAt).Milliseconds() + 1)
 }
 
-// roundEventAge rounds a value of Load.Moved up to eventAgeUnit, so that silence is never
-// underestimated. It returns zero if the value is out of range.
+// roundEventAge rounds a value of Load.Moved up to a multiple of eventAgeUnit. Rounding down would
+// make a replica look less silent than it is. The result is zero if the value is out of range.
 func roundEventAge(ms int64) int64 {
-	if ms <= 0 || ms > maxEventAge {
+	if ms <= 0 || ms > maxEventAgeMillis {
 		return 0
 	}
-	return (ms + eventAgeUnit - 1) / eventAgeUnit * eventAgeUnit
+	return (ms + eventAgeUnitMillis - 1) / eventAgeUnitMillis * eventAgeUnitMillis
 }
 
 // newerEventAge returns the smaller of two values of Load.Moved, ignoring unknown ones.
@@ -61,17 +63,17 @@
 	return older
 }
 
-// Loads is the work at several replicas. It is encoded compactly, since the names of groups would
-// take up most of it otherwise.
+// Loads holds the loads of several replicas. Its encoding leaves out the names of groups, which
+// would take up most of the space.
 type Loads []Load
 
 // packedLoads is the encoded form of Loads.
 type packedLoads struct {
-	// Groups holds three numbers for each group of a model, by ascending epoch: the difference to
-	// the previous epoch, requests in flight, prompt tokens.
+	// Groups holds three numbers for each group of a model, by ascending epoch. They are the
+	// difference to the previous epoch, Load.InFlight and Load.Prefill.
 	Groups map[string][]int64 `json:"g,omitempty"`
-	// EventAges holds Load.Moved of each group in the same order, in eventAgeUnit. It is a
-	// separate list because earlier versions read Groups in threes.
+	// EventAges holds Load.Moved of each group in the same order, in units of eventAgeUnit. It is a
+	// separate list because earlier versions expect three numbers per group in Groups.
 	EventAges map[string][]int64 `json:"m,omitempty"`
 	// Others holds the replicas that are not groups.
 	Others []Load `json:"o,omitempty"`
@@ -80,7 +82,7 @@
 // valuesPerGroup is the number of values in packedLoads.Groups for each group.
 const valuesPerGroup = 3
 
-// groupLoad is the work at a group.
+// groupLoad is the load of a group, with the parts of the group's name.
 type groupLoad struct {
 	Load
 	model string
@@ -105,7 +107,7 @@
 			packed.Groups, packed.EventAges = make(map[string][]int64), make(map[string][]int64)
 		}
 		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-last[g.model], int64(g.InFlight), int64(g.Prefill))
-		packed.EventAges[g.model] = append(packed.EventAges[g.model], g.Moved/eventAgeUnit)
+		packed.EventAges[g.model] = append(packed.EventAges[g.model], g.Moved/eventAgeUnitMillis)
 		last[g.model] = g.epoch
 	}
 	return json.Marshal(packed)
@@ -118,23 +120,23 @@
 		return failure.At(failure.Remote, "decode loads", "", err)
 	}
 	all := packed.Others
-	for model, numbers := range packed.Groups {
-		epoch, moved := int64(0), packed.EventAges[model]
-		for i := 0; len(numbers) >= valuesPerGroup; i++ {
-			epoch += numbers[0]
-			load := Load{Replica: fleet.KeyOf(model, epoch), InFlight: int(numbers[1]), Prefill: int(numbers[2])}
-			if i < len(moved) {
-				load.Moved = roundEventAge(moved[i] * eventAgeUnit)
+	for model, values := range packed.Groups {
+		epoch, eventAges := int64(0), packed.EventAges[model]
+		for i := 0; len(values) >= valuesPerGroup; i++ {
+			epoch += values[0]
+			load := Load{Replica: fleet.KeyOf(model, epoch), InFlight: int(values[1]), Prefill: int(values[2])}
+			if i < len(eventAges) {
+				load.Moved = roundEventAge(eventAges[i] * eventAgeUnitMillis)
 			}
 			all = append(all, load)
-			numbers = numbers[valuesPerGroup:]
+			values = values[valuesPerGroup:]
 		}
 	}
 	*l = all
 	return nil
 }
 
-// sumLoads adds up the work at each replica over several daemons, sorted by replica.
+// sumLoads adds up several daemons' loads of each replica. The result is sorted by replica.
 func sumLoads(all ...Loads) Loads {
 	byReplica := make(map[string]Load)
 	for _, loads := range all {
@@ -154,8 +156,8 @@
 	return sum
 }
 
-// Without returns the loads minus the share of one daemon that they include. Replicas with no
-// requests left are omitted.
+// Without subtracts one daemon's own loads from a sum that includes them. Replicas without
+// remaining requests are omitted.
 func (l Loads) Without(own Loads) Loads {
 	byReplica := make(map[string]Load, len(own))
 	for _, o := range own {
--- a/peers/loads_test.go
+++ b/peers/loads_test.go
@@ -23,16 +23,16 @@
 	assert.DeepEqual(t, sumLoads(decoded), sumLoads(loads))
 }
 
-// TestLoadsWithout checks the subtraction of a daemon's own work from a sum that includes an
-// earlier state of it.
+// TestLoadsWithout checks the subtraction of a daemon's own loads from a sum that includes its
+// earlier, different loads.
 func TestLoadsWithout(t *testing.T) {
 	sum := Loads{{Replica: "a", InFlight: 3, Prefill: 300}, {Replica: "b", InFlight: 1, Prefill: 50}, {Replica: "c", InFlight: 2}}
 	own := Loads{{Replica: "a", InFlight: 1, Prefill: 100}, {Replica: "b", InFlight: 2, Prefill: 60}, {Replica: "d", InFlight: 1}}
 	assert.DeepEqual(t, sum.Without(own), Loads{{Replica: "a", InFlight: 2, Prefill: 200}, {Replica: "c", InFlight: 2}})
 }
 
-// TestEventAgesIncrease checks that forwarded loads hold the age of the newest known event over
-// all daemons and never make it look newer.
+// TestEventAgesIncrease checks that a sum of loads holds the age of the newest event of each
+// replica. The time since a load was received is added to the age, and the result is rounded up.
 func TestEventAgesIncrease(t *testing.T) {
 	tests := map[string]struct {
 		own, other int64
--- a/peers/message.go
+++ b/peers/message.go
@@ -7,27 +7,28 @@
 	"quartzshelf.dev/fleet"
 )
 
-// News is new information that is forwarded at once.
+// News holds changes of workers or decisions of the leader. It is sent as soon as it is known,
+// between the regular rounds.
 type News struct {
 	Workers   *fleet.Delta     `json:"w,omitempty"`
 	Decisions *fleet.Decisions `json:"d,omitempty"`
 }
 
-// Status is a relay's report on a daemon that it hears.
+// Status is a relay's report on a daemon whose heartbeats it receives.
 type Status struct {
 	ID string `json:"i"`
-	// ShortIncarnation holds the low bits of the incarnation, enough to tell restarts apart.
+	// ShortIncarnation holds the low bits of the incarnation, which suffice to detect a restart.
 	ShortIncarnation uint16 `json:"l"`
 	Ready            bool   `json:"r,omitempty"`
 	Leaving          bool   `json:"x,omitempty"`
-	// Age is the time since the relay heard the daemon, in milliseconds.
+	// Age is the time since the relay received the daemon's latest heartbeat, in milliseconds.
 	Age int64 `json:"a"`
 }
 
 // shortIncarnation returns the form of an incarnation that Status holds.
 func shortIncarnation(incarnation int64) uint16 { return uint16(incarnation) }
 
-// Summary is the combined work of several daemons.
+// Summary adds up the loads and the demand that several daemons reported.
 type Summary struct {
 	// Daemons is the number of daemons, including those that are leaving.
 	Daemons      int                `json:"n"`
@@ -37,11 +38,11 @@
 	Loads        Loads              `json:"loads,omitempty"`
 	// Age is the average age of the loads, in milliseconds.
 	Age int64 `json:"a,omitempty"`
-	// Part is the index of this part of a summary. Loads that do not fit into one datagram go into
-	// further parts, which hold nothing else.
+	// Part is the index of this part of a summary. Loads that do not fit into the first datagram
+	// are sent in further parts, which hold only loads and their age.
 	Part int `json:"part,omitempty"`
-	// Format is the earliest format version that one of the daemons writes; zero if the relay
-	// reports none. Only the first part has it.
+	// Format is the earliest of the format versions that the daemons write; zero if the relay
+	// reports none. Only the first part of a summary holds it.
 	Format int `json:"f,omitempty"`
 }
 
@@ -59,8 +60,8 @@
 	Incarnation int64      `json:"inc"`
 	Heartbeat   *Heartbeat `json:"hb,omitempty"`
 	News        *News      `json:"news,omitempty"`
-	// Statuses and Known are a relay's reports to its data hall: the daemons that it hears, and
-	// the identities of some of them.
+	// Statuses holds a relay's reports on the daemons whose heartbeats it receives. Known holds the
+	// identities of some daemons, so that the receiver learns of them.
 	Statuses []Status   `json:"st,omitempty"`
 	Known    []Identity `json:"known,omitempty"`
 	// Hall summarizes the relay's data hall, Fleet all data halls.
@@ -68,7 +69,7 @@
 	Fleet *Summary `json:"fleet,omitempty"`
 }
 
-// add adds the work of further daemons, reported age ago.
+// add adds the summary of further daemons, which was received the given time ago.
 func (s *Summary) add(other Summary, age time.Duration) {
 	total := s.Daemons + other.Daemons
 	if total > 0 {
@@ -98,12 +99,12 @@
 	return sum
 }
 
-// loadsPerPart is the number of loads that fit into a datagram along with the rest: an encoded
-// load takes about seven bytes.
+// loadsPerPart is the average number of loads in each part of a summary. An encoded load takes
+// about seven bytes.
 const loadsPerPart = 150
 
-// split splits a summary into parts that fit into one datagram each. The part of a replica does
-// not change while the number of parts stays the same.
+// split splits a summary into parts that fit into one datagram each. The index of the part that
+// holds a replica depends only on the replica's name and the number of parts.
 func (s Summary) split() []Summary {
 	count := max((len(s.Loads)+loadsPerPart-1)/loadsPerPart, 1)
 	all := make([]Summary, count)
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -23,12 +23,12 @@
 	// Mbit/s.
 	smallLink = 20e6 / 8
 	largeLink = 200e6 / 8
-	// maxQueueDelay is the longest time that a datagram waits for a link; linkDelay is the latency
+	// maxQueueDelay is the longest time that a datagram waits for a link. linkDelay is the latency
 	// of the link.
 	maxQueueDelay = 100 * time.Millisecond
 	linkDelay     = 1400 * time.Microsecond
-	// replicas is the number of replicas that the daemons' requests go to.
-	replicas = 132
+	// replicaCount is the number of replicas that the daemons send requests to.
+	replicaCount = 132
 )
 
 // network connects simulated daemons by links of limited bandwidth, in virtual time.
@@ -42,23 +42,25 @@
 
 // simDaemon is an agent with its link.
 type simDaemon struct {
-	net   *network
-	agent *Agent
-	rate  float64
-	inbox chan []byte
-	stop  context.CancelFunc
-	// A daemon that is off neither sends nor receives. freeAt is when the link is idle again.
-	off    bool
-	freeAt time.Time
-	bytes  int
-	// lost counts datagrams dropped at a full link, largest is the size of the largest datagram.
-	lost, largest int
-	leads         *Claim
-	leaving       bool
-	ready         bool
-	demand        float64
-	loads         Loads
-	news          []News
+	net      *network
+	agent    *Agent
+	linkRate float64
+	inbox    chan []byte
+	stop     context.CancelFunc
+	// isOff is set for a daemon that neither sends nor receives. linkIdleAt is when the daemon's
+	// link will have sent all queued datagrams.
+	isOff      bool
+	linkIdleAt time.Time
+	bytesSent  int
+	// dropped counts datagrams dropped at a full link. largest is the size of the largest datagram
+	// sent, in bytes.
+	dropped, largest int
+	claim            *Claim
+	leaving          bool
+	ready            bool
+	demand           float64
+	loads            Loads
+	news             []News
 }
 
 func newNetwork(ctx context.Context, seed uint64) *network {
@@ -69,20 +71,20 @@
 func (n *network) add(t *testing.T, hall string, number, capacity int) *simDaemon {
 	t.Helper()
 	id := fmt.Sprintf("front-%s-%d", hall, number)
-	d := &simDaemon{net: n, rate: smallLink, inbox: make(chan []byte, 1<<14), ready: true, demand: 1}
+	d := &simDaemon{net: n, linkRate: smallLink, inbox: make(chan []byte, 1<<14), ready: true, demand: 1}
 	if capacity > 200 {
-		d.rate = largeLink
+		d.linkRate = largeLink
 	}
 	n.mu.Lock()
 	for range 5 {
-		epoch := 1<<28 + n.random.Int64N(replicas)
+		epoch := 1<<28 + n.random.Int64N(replicaCount)
 		d.loads = append(d.loads, Load{Replica: fleet.KeyOf("model", epoch), InFlight: 1, Prefill: n.random.IntN(4000)})
 	}
 	n.mu.Unlock()
 	self := Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: hall, Address: id + ":1", Front: id + ":2", Capacity: capacity, Build: "01234567"}
 	agent, err := NewAgent(Options{
 		Self: self, Transport: Transport{Send: d.send, Receive: d.receive, Close: func() error { return nil }},
-		FillHeartbeat: d.compose, OnHeartbeat: func(*Peer) {}, OnNews: func(_ *Peer, m *News) { d.handleNews(m) },
+		FillHeartbeat: d.fillHeartbeat, OnHeartbeat: func(*Peer) {}, OnNews: func(_ *Peer, m *News) { d.handleNews(m) },
 		OnSummary: func(string, Summary, time.Time) {}, OnSent: func(string, int) {}, Logger: hclog.NewNullLogger(),
 	})
 	assert.NilError(t, err)
@@ -96,9 +98,9 @@
 	return d
 }
 
-// fleet starts daemons in several halls, the last few of each on larger machines, and makes all of
-// them known to each other, as the store does.
-func (n *network) fleet(t *testing.T, halls, perHall, large int) []*simDaemon {
+// addFleet starts perHall daemons in each of several halls. The last large ones of each hall run on
+// larger machines. All daemons know each other's identities, as if read from the store.
+func (n *network) addFleet(t *testing.T, halls, perHall, large int) []*simDaemon {
 	t.Helper()
 	var all []*simDaemon
 	for hall := range halls {
@@ -118,10 +120,10 @@
 	return all
 }
 
-func (d *simDaemon) compose(h *Heartbeat, _ time.Time) {
+func (d *simDaemon) fillHeartbeat(h *Heartbeat, _ time.Time) {
 	d.net.mu.Lock()
 	defer d.net.mu.Unlock()
-	h.Ready, h.Leaving, h.Leads, h.ConfigAge, h.WorkersAge = d.ready, d.leaving, d.leads, 100, 100
+	h.Ready, h.Leaving, h.Leads, h.ConfigAge, h.WorkersAge = d.ready, d.leaving, d.claim, 100, 100
 	h.Demand = map[string]float64{"m": d.demand}
 	h.Loads = d.loads
 }
@@ -129,7 +131,7 @@
 // handleNews records decisions. A relay forwards those that are new to it.
 func (d *simDaemon) handleNews(m *News) {
 	d.net.mu.Lock()
-	known := d.leads != nil || slices.ContainsFunc(d.news, func(n News) bool { return n.Decisions.To == m.Decisions.To })
+	known := d.claim != nil || slices.ContainsFunc(d.news, func(n News) bool { return n.Decisions.To == m.Decisions.To })
 	if !known {
 		d.news = append(d.news, *m)
 	}
@@ -144,29 +146,29 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if d.freeAt.Before(now) {
-		d.freeAt = now
+	if d.linkIdleAt.Before(now) {
+		d.linkIdleAt = now
 	}
-	if d.freeAt.Sub(now) > maxQueueDelay {
-		d.lost++
+	if d.linkIdleAt.Sub(now) > maxQueueDelay {
+		d.dropped++
 		return nil
 	}
-	d.freeAt = d.freeAt.Add(time.Duration(float64(len(datagram)) / d.rate * float64(time.Second)))
-	d.bytes += len(datagram)
+	d.linkIdleAt = d.linkIdleAt.Add(time.Duration(float64(len(datagram)) / d.linkRate * float64(time.Second)))
+	d.bytesSent += len(datagram)
 	d.largest = max(d.largest, len(datagram))
 	other, ok := n.daemons[to]
-	if d.off || !ok || n.random.Float64() < n.loss {
+	if d.isOff || !ok || n.random.Float64() < n.loss {
 		return nil
 	}
 	copied := slices.Clone(datagram)
-	time.AfterFunc(d.freeAt.Sub(now)+linkDelay, func() { other.arrive(copied) })
+	time.AfterFunc(d.linkIdleAt.Sub(now)+linkDelay, func() { other.enqueue(copied) })
 	return nil
 }
 
-func (d *simDaemon) arrive(datagram []byte) {
+func (d *simDaemon) enqueue(datagram []byte) {
 	d.net.mu.Lock()
 	defer d.net.mu.Unlock()
-	if !d.off {
+	if !d.isOff {
 		select {
 		case d.inbox <- datagram:
 		default:
@@ -183,8 +185,8 @@
 	}
 }
 
-// set runs change, which modifies daemons, under the lock.
-func (n *network) set(change func()) {
+// update runs change under the network's lock.
+func (n *network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
@@ -193,16 +195,16 @@
 // sendRates returns how many bytes per second each daemon sends, averaged over a period.
 func (n *network) sendRates(all []*simDaemon, period time.Duration) map[*simDaemon]float64 {
 	before := make(map[*simDaemon]int)
-	n.set(func() {
+	n.update(func() {
 		for _, d := range all {
-			before[d] = d.bytes
+			before[d] = d.bytesSent
 		}
 	})
 	time.Sleep(period)
 	rates := make(map[*simDaemon]float64)
-	n.set(func() {
+	n.update(func() {
 		for _, d := range all {
-			rates[d] = float64(d.bytes-before[d]) / period.Seconds()
+			rates[d] = float64(d.bytesSent-before[d]) / period.Seconds()
 		}
 	})
 	return rates
--- a/peers/relay_test.go
+++ b/peers/relay_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// roles counts daemons by hall and role.
-func roles(all []*simDaemon) map[string]map[Role]int {
+// countRoles counts daemons by hall and role.
+func countRoles(all []*simDaemon) map[string]map[Role]int {
 	counts := make(map[string]map[Role]int)
 	for _, d := range all {
 		if counts[d.hall()] == nil {
@@ -37,33 +37,33 @@
 	return counts
 }
 
-// checkKnown checks that a daemon knows all living daemons of its hall, and at least some of each
-// other hall.
+// checkKnown checks which daemons a daemon considers alive: all running ones of its hall, none that
+// is off, and at least minKnown of each hall.
 func checkKnown(t *testing.T, d *simDaemon, all []*simDaemon, minKnown int) {
 	t.Helper()
-	names, halls := d.aliveIDs(), make(map[string]int)
+	aliveIDs, knownPerHall := d.aliveIDs(), make(map[string]int)
 	for _, other := range all {
-		known := slices.Contains(names, other.id())
-		if other.off && known {
+		known := slices.Contains(aliveIDs, other.id())
+		if other.isOff && known {
 			t.Errorf("%s considers %s alive", d.id(), other.id())
 		}
-		if !other.off && other != d && other.hall() == d.hall() && !known {
+		if !other.isOff && other != d && other.hall() == d.hall() && !known {
 			t.Errorf("%s does not know %s of its hall", d.id(), other.id())
 		}
 		if known {
-			halls[other.hall()]++
+			knownPerHall[other.hall()]++
 		}
 	}
 	for _, other := range all {
-		if halls[other.hall()] < minKnown {
-			t.Errorf("%s knows %d daemons of %s", d.id(), halls[other.hall()], other.hall())
+		if knownPerHall[other.hall()] < minKnown {
+			t.Errorf("%s knows %d daemons of %s", d.id(), knownPerHall[other.hall()], other.hall())
 			return
 		}
 	}
 }
 
-// TestReportTrafficFitsSmallLinks limits what each daemon of a large fleet sends, also with relays
-// on small machines.
+// TestReportTrafficFitsSmallLinks checks that each daemon of a large fleet sends no more than a
+// small link carries, even if the relays run on small machines.
 func TestReportTrafficFitsSmallLinks(t *testing.T) {
 	tests := map[string]struct {
 		large int
@@ -74,7 +74,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, 1, func(t *testing.T, n *network) {
-				all := n.fleet(t, 5, 59, test.large)
+				all := n.addFleet(t, 5, 59, test.large)
 				time.Sleep(4 * time.Second)
 				checkRoles(t, all)
 				checkBounds(t, all, n.sendRates(all, 2*time.Second))
@@ -89,14 +89,14 @@
 // checkRoles checks that each hall has its relays, and that all other daemons are members.
 func checkRoles(t *testing.T, all []*simDaemon) {
 	t.Helper()
-	for hall, counts := range roles(all) {
+	for hall, counts := range countRoles(all) {
 		assert.Equal(t, counts[Relay], relaysPerHall, "in %s", hall)
 		assert.Equal(t, counts[Direct], 0, "in %s", hall)
 	}
 }
 
-// checkBounds checks the send rates of daemons, and that each knows the size and demand of the
-// fleet.
+// checkBounds checks that the send rates of daemons, in bytes per second, are below their limits.
+// It also checks that each daemon knows the size and the demand of the fleet.
 func checkBounds(t *testing.T, all []*simDaemon, rates map[*simDaemon]float64) {
 	t.Helper()
 	limits := map[Role]float64{Member: 24e3, Relay: smallLink / 10}
@@ -104,92 +104,91 @@
 		role := d.agent.Role()
 		assert.Assert(t, rates[d] < limits[role], "%s, a %s, sends %.0f bytes a second", d.id(), role, rates[d])
 		assert.Assert(t, d.largest < 1400, "%s sends %d bytes at once", d.id(), d.largest)
-		assert.Equal(t, d.lost, 0)
+		assert.Equal(t, d.dropped, 0)
 		assert.Equal(t, d.agent.FleetSummary(time.Now()).Daemons, len(all))
 		assert.Equal(t, d.agent.FleetSummary(time.Now()).Demand["m"], float64(len(all)))
 	}
 }
 
-// relayOf returns the first or second relay of a hall by fitness.
-func relayOf(all []*simDaemon, hall string, which int) *simDaemon {
+// relayOf returns a running relay of a hall. Rank 0 is the fittest one to lead.
+func relayOf(all []*simDaemon, hall string, rank int) *simDaemon {
 	var relays []*simDaemon
 	for _, d := range all {
-		if d.hall() == hall && d.agent.Role() == Relay && !d.off {
+		if d.hall() == hall && d.agent.Role() == Relay && !d.isOff {
 			relays = append(relays, d)
 		}
 	}
 	slices.SortFunc(relays, func(a, b *simDaemon) int { return CompareFitness(a.agent.opts.Self, b.agent.opts.Self) })
-	return relays[which]
+	return relays[rank]
 }
 
-// TestFleetToleratesLossOfRelays stops daemons and checks that all others soon notice, know each
-// other and receive news.
+// TestFleetToleratesLossOfRelays stops daemons. It checks that the others soon consider only each
+// other alive and still receive news.
 func TestFleetToleratesLossOfRelays(t *testing.T) {
-	// soon is the time to detect a silent daemon. later also includes the time for others to
-	// replace all relays of a hall and become known to the other halls.
-	const soon, later = 1300 * time.Millisecond, 2 * time.Second
+	// detectionTime is the time to detect a silent daemon. replacementTime also includes the time
+	// that new relays need to take over in a hall and to become known to the other halls.
+	const detectionTime, replacementTime = 1300 * time.Millisecond, 2 * time.Second
 	tests := map[string]struct {
 		loss   float64
 		within time.Duration
 		lose   func(all []*simDaemon) []*simDaemon
 	}{
-		"none": {within: soon, lose: func([]*simDaemon) []*simDaemon { return nil }},
-		"none, with a tenth of the datagrams lost": {within: soon, loss: 0.1, lose: func([]*simDaemon) []*simDaemon { return nil }},
-		"a member":  {within: soon, lose: func(all []*simDaemon) []*simDaemon { return all[:1] }},
-		"one relay": {within: soon, lose: func(all []*simDaemon) []*simDaemon { return []*simDaemon{relayOf(all, "hall1", 0)} }},
-		"all relays of a hall": {within: later, lose: func(all []*simDaemon) []*simDaemon {
+		"none": {within: detectionTime, lose: func([]*simDaemon) []*simDaemon { return nil }},
+		"none, with a tenth of the datagrams lost": {within: detectionTime, loss: 0.1, lose: func([]*simDaemon) []*simDaemon { return nil }},
+		"a member":  {within: detectionTime, lose: func(all []*simDaemon) []*simDaemon { return all[:1] }},
+		"one relay": {within: detectionTime, lose: func(all []*simDaemon) []*simDaemon { return []*simDaemon{relayOf(all, "hall1", 0)} }},
+		"all relays of a hall": {within: replacementTime, lose: func(all []*simDaemon) []*simDaemon {
 			return []*simDaemon{relayOf(all, "hall1", 0), relayOf(all, "hall1", 1)}
 		}},
-		"a relay of each hall": {within: soon, lose: func(all []*simDaemon) []*simDaemon {
+		"a relay of each hall": {within: detectionTime, lose: func(all []*simDaemon) []*simDaemon {
 			return []*simDaemon{relayOf(all, "hall0", 0), relayOf(all, "hall1", 1), relayOf(all, "hall2", 0)}
 		}},
-		"most of a hall": {within: later, lose: func(all []*simDaemon) []*simDaemon { return all[2:14] }},
+		"most of a hall": {within: replacementTime, lose: func(all []*simDaemon) []*simDaemon { return all[2:14] }},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, 2, func(t *testing.T, n *network) {
 				n.loss = test.loss
-				all := n.fleet(t, 3, 15, 3)
+				all := n.addFleet(t, 3, 15, 3)
 				time.Sleep(3 * time.Second)
 				leader := relayOf(all, "hall2", 1)
 				lost := test.lose(all)
-				n.set(func() {
-					leader.leads = &Claim{Epoch: 1}
+				n.update(func() {
+					leader.claim = &Claim{Epoch: 1}
 					for _, d := range lost {
-						d.off = true
+						d.isOff = true
 					}
 				})
 				time.Sleep(test.within)
-				decide(leader, newsSent, 20*time.Millisecond)
+				sendDecisions(leader, newsCount, 20*time.Millisecond)
 				time.Sleep(20 * time.Millisecond)
-				checkReached(t, all, leader, test.loss)
+				checkNewsDelivered(t, all, leader, test.loss)
 			})
 		})
 	}
 }
 
-// newsSent is the number of pieces of news that a leader sends for checkReached. With a tenth of
-// the datagrams lost, both relays of a hall miss a piece now and then, so a single piece proves
-// nothing.
-const newsSent = 40
+// newsCount is the number of pieces of news that a leader sends for checkNewsDelivered. It is
+// large because a single piece may be lost on the way to both relays of a hall.
+const newsCount = 40
 
-// checkReached checks that all living daemons know the others and received a leader's news.
-// Recovery from lost news is tested in package serving.
-func checkReached(t *testing.T, all []*simDaemon, leader *simDaemon, loss float64) {
+// checkNewsDelivered checks that all running daemons know the others, and that they missed at most
+// the share loss of a leader's news. Recovery from lost news is tested in package serving.
+func checkNewsDelivered(t *testing.T, all []*simDaemon, leader *simDaemon, loss float64) {
 	t.Helper()
 	missed := 0
 	for _, d := range all {
-		if d.off || d == leader {
+		if d.isOff || d == leader {
 			continue
 		}
 		checkKnown(t, d, all, 1)
-		missed += newsSent - len(d.news)
+		missed += newsCount - len(d.news)
 	}
-	assert.Assert(t, float64(missed) <= loss*float64(newsSent*len(all)), "%d pieces of news were not delivered", missed)
+	assert.Assert(t, float64(missed) <= loss*float64(newsCount*len(all)), "%d pieces of news were not delivered", missed)
 }
 
-// TestDecisionsFitTheLeadersLink checks that a leader on a small machine can send decisions as
-// fast as when a large fleet forms all its replicas.
+// TestDecisionsFitTheLeadersLink checks that a small link suffices for a leader that sends
+// decisions as fast as a large fleet needs them when it forms all its replicas.
 func TestDecisionsFitTheLeadersLink(t *testing.T) {
 	leaders := map[string]func(all []*simDaemon) *simDaemon{
 		"a relay leads":  func(all []*simDaemon) *simDaemon { return relayOf(all, "hall3", 0) },
@@ -198,34 +197,34 @@
 	for name, choose := range leaders {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, 6, func(t *testing.T, n *network) {
-				const decisions, every = 132, 30 * time.Millisecond
-				all := n.fleet(t, 5, 59, 0)
+				const decisionCount, interval = 132, 30 * time.Millisecond
+				all := n.addFleet(t, 5, 59, 0)
 				time.Sleep(3 * time.Second)
 				leader := choose(all)
-				n.set(func() { leader.leads = &Claim{Epoch: 1} })
+				n.update(func() { leader.claim = &Claim{Epoch: 1} })
 				// Others must know a new leader from its heartbeat before they accept its news.
 				time.Sleep(2 * heartbeatInterval)
-				start := leader.bytes
-				decide(leader, decisions, every)
-				rate := float64(leader.bytes-start) / (decisions * every).Seconds()
+				start := leader.bytesSent
+				sendDecisions(leader, decisionCount, interval)
+				rate := float64(leader.bytesSent-start) / (decisionCount * interval).Seconds()
 				time.Sleep(maxQueueDelay)
 				assert.Assert(t, rate < 1e6, "the leader sends %.0f bytes a second", rate)
-				assert.Equal(t, leader.lost, 0)
+				assert.Equal(t, leader.dropped, 0)
 				for _, d := range all {
-					assert.Assert(t, d == leader || len(d.news) == decisions, "%s heard %d decisions", d.id(), len(d.news))
+					assert.Assert(t, d == leader || len(d.news) == decisionCount, "%s heard %d decisions", d.id(), len(d.news))
 				}
 			})
 		})
 	}
 }
 
-// decide makes a leader send decisions one after the other.
-func decide(leader *simDaemon, count int, every time.Duration) {
+// sendDecisions makes a leader send decisions one after the other.
+func sendDecisions(leader *simDaemon, count int, interval time.Duration) {
 	for i := range count {
 		group := fleet.GroupName("model", int64(i), &fleet.Worker{ID: "i-5b1fe61aea", Address: "10.2.64.162:8460"})
 		d := fleet.Decisions{Term: 1, From: int64(i), To: int64(i + 1), All: []fleet.Announcement{{Group: group}}}
 		leader.agent.SendNews([]News{{Decisions: &d}}, []News{{Decisions: &d}}, true, time.Now())
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
 
@@ -233,10 +232,10 @@
 // relay is leaving.
 func TestLeavingIsKnownSoon(t *testing.T) {
 	inVirtualTime(t, 3, func(t *testing.T, n *network) {
-		all := n.fleet(t, 3, 12, 2)
+		all := n.addFleet(t, 3, 12, 2)
 		time.Sleep(3 * time.Second)
 		leaving := []*simDaemon{all[0], relayOf(all, "hall1", 0)}
-		n.set(func() {
+		n.update(func() {
 			for _, d := range leaving {
 				d.leaving = true
 			}
@@ -262,20 +261,21 @@
 	}
 }
 
-// TestFleetRejoinsAfterPartition cuts a hall off from the others for a while.
+// TestFleetRejoinsAfterPartition turns all daemons of a hall off for a while. It checks that all
+// daemons know each other again afterwards.
 func TestFleetRejoinsAfterPartition(t *testing.T) {
 	inVirtualTime(t, 4, func(t *testing.T, n *network) {
-		all := n.fleet(t, 3, 12, 2)
+		all := n.addFleet(t, 3, 12, 2)
 		time.Sleep(3 * time.Second)
-		n.set(func() {
+		n.update(func() {
 			for _, d := range all[:12] {
-				d.off = true
+				d.isOff = true
 			}
 		})
 		time.Sleep(5 * time.Second)
-		n.set(func() {
+		n.update(func() {
 			for _, d := range all[:12] {
-				d.off = false
+				d.isOff = false
 			}
 		})
 		time.Sleep(3 * time.Second)
@@ -286,10 +286,11 @@
 	})
 }
 
-// TestNewDaemonsAreDiscovered starts a daemon that knows the others before they know it.
+// TestNewDaemonsAreDiscovered starts a daemon that has the others in its table. It checks that they
+// discover it from its heartbeats.
 func TestNewDaemonsAreDiscovered(t *testing.T) {
 	inVirtualTime(t, 5, func(t *testing.T, n *network) {
-		all := n.fleet(t, 3, 12, 2)
+		all := n.addFleet(t, 3, 12, 2)
 		time.Sleep(3 * time.Second)
 		late := n.add(t, "hall2", 90, 192)
 		for _, d := range all {
@@ -305,22 +306,22 @@
 }
 
 // TestLeavingRelayHandsOver checks that the next fittest daemon of the hall takes over from a
-// leaving relay before that one stops, and that no reports are missed.
+// leaving relay before the relay stops. No daemon may be considered dead in the meantime.
 func TestLeavingRelayHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		n := newNetwork(ctx, 5)
-		all := n.fleet(t, 2, 20, 3)
+		all := n.addFleet(t, 2, 20, 3)
 		time.Sleep(3 * time.Second)
 		leaving := relayOf(all, "hall0", 0)
-		n.set(func() { leaving.leaving = true })
+		n.update(func() { leaving.leaving = true })
 		leaving.agent.SendHeartbeat(time.Now())
 		time.Sleep(2 * heartbeatInterval)
 		synctest.Wait()
 		staying := slices.DeleteFunc(slices.Clone(all), func(d *simDaemon) bool { return d == leaving || d.hall() != leaving.hall() })
-		assert.Equal(t, roles(staying)[leaving.hall()][Relay], relaysPerHall, "its successor has not taken over")
-		n.set(func() { leaving.off = true })
+		assert.Equal(t, countRoles(staying)[leaving.hall()][Relay], relaysPerHall, "its successor has not taken over")
+		n.update(func() { leaving.isOff = true })
 		for range 10 {
 			time.Sleep(heartbeatInterval / 2)
 			for _, d := range staying {
@@ -339,29 +340,29 @@
 	}
 }
 
-// TestRestartedRelaysTakeOverSlowly restarts both relays of a hall. They are fitter than their
-// successors but at first know only the daemons in the member list, so the successors must
-// continue until the restarted ones know the hall.
+// TestRestartedRelaysTakeOverSlowly restarts both relays of a hall. They are fitter than the
+// daemons that replaced them, but at first know only a part of the hall. The replacements must
+// remain relays until the restarted ones know the whole hall.
 func TestRestartedRelaysTakeOverSlowly(t *testing.T) {
 	inVirtualTime(t, 8, func(t *testing.T, n *network) {
-		const listed = 32
-		all := n.fleet(t, 2, 60, 3)
+		const listedCount = 32
+		all := n.addFleet(t, 2, 60, 3)
 		time.Sleep(3 * time.Second)
-		former := []*simDaemon{relayOf(all, "hall0", 0), relayOf(all, "hall0", 1)}
-		n.set(func() { former[0].off, former[1].off = true, true })
+		restarted := []*simDaemon{relayOf(all, "hall0", 0), relayOf(all, "hall0", 1)}
+		n.update(func() { restarted[0].isOff, restarted[1].isOff = true, true })
 		time.Sleep(4 * time.Second)
-		staying := slices.DeleteFunc(slices.Clone(all), func(d *simDaemon) bool { return slices.Contains(former, d) || d.hall() != "hall0" })
-		for _, d := range former {
+		staying := slices.DeleteFunc(slices.Clone(all), func(d *simDaemon) bool { return slices.Contains(restarted, d) || d.hall() != "hall0" })
+		for _, d := range restarted {
 			d.stop()
 			number, capacity := 0, d.agent.opts.Self.Capacity
 			_, err := fmt.Sscanf(d.id(), "front-hall0-%d", &number)
 			assert.NilError(t, err)
-			back := n.add(t, "hall0", number, capacity)
+			successor := n.add(t, "hall0", number, capacity)
 			slices.SortFunc(staying, func(a, b *simDaemon) int { return CompareRelays(a.agent.opts.Self, b.agent.opts.Self) })
-			for _, other := range append(slices.Clone(staying[:listed]), former...) {
-				back.agent.Table().Learn(other.agent.opts.Self, time.Now())
+			for _, other := range append(slices.Clone(staying[:listedCount]), restarted...) {
+				successor.agent.Table().Learn(other.agent.opts.Self, time.Now())
 			}
-			back.agent.UpdateLayout(time.Now())
+			successor.agent.UpdateLayout(time.Now())
 		}
 		for range 40 {
 			time.Sleep(heartbeatInterval / 2)
@@ -369,6 +370,6 @@
 				checkAlive(t, d, staying)
 			}
 		}
-		assert.Equal(t, roles(staying)["hall0"][Relay], 0, "the successors are still relays")
+		assert.Equal(t, countRoles(staying)["hall0"][Relay], 0, "the successors are still relays")
 	})
 }
--- a/peers/reports.go
+++ b/peers/reports.go
@@ -7,21 +7,20 @@
 
 const (
 	// maxReportedDaemons limits how many daemons of its hall a relay reports on, fittest first. It
-	// bounds the datagrams of each status round in large halls, matches the number of addresses
-	// that callers take from one response, and includes the next relays.
+	// keeps the reports small in large halls.
 	maxReportedDaemons = 64
-	// statusesPerDatagram limits the daemons reported on in one datagram: an encoded status takes
-	// about ten bytes.
+	// statusesPerDatagram is the maximum number of statuses in one datagram. An encoded status
+	// takes about ten bytes.
 	statusesPerDatagram = 80
 	// identitiesPerRound is the number of identities that a relay forwards in a round.
 	identitiesPerRound = 4
-	// newPeerPeriod is how long a daemon counts as new; identities of new daemons are forwarded
-	// first.
+	// newPeerPeriod is how long a daemon counts as new after it became known. Relays forward the
+	// identities of new daemons first.
 	newPeerPeriod = 3 * time.Second
 )
 
-// hallMessages returns a relay's messages within its hall for a round: alternately the daemons
-// that it hears and the work of all daemons.
+// hallMessages returns the messages that a relay sends within its hall in a round. Even rounds
+// report on single daemons, odd ones hold the summary of the fleet.
 func (a *Agent) hallMessages(own *Heartbeat, now time.Time, round int) []*message {
 	if round%2 == 0 {
 		return a.statusMessages(own, now, round)
@@ -29,7 +28,8 @@
 	return a.summaryMessages(own, a.fleetSummary(own, now), func(m *message, s *Summary) { m.Fleet = s })
 }
 
-// crossHallMessages returns a relay's messages to relays of other halls for a round.
+// crossHallMessages returns the messages that a relay sends to relays of other halls in a round.
+// Even rounds hold only its heartbeat, odd ones also the summary of its hall.
 func (a *Agent) crossHallMessages(own *Heartbeat, now time.Time, round int) []*message {
 	if round%2 == 0 {
 		return []*message{a.newMessage(own)}
@@ -56,32 +56,31 @@
 }
 
 func (a *Agent) statusMessages(own *Heartbeat, now time.Time, round int) []*message {
-	heard := a.table.heardRecently(now)
+	senders := a.table.recentSenders(now)
 	first := a.newMessage(own)
-	first.Known = selectIdentities(heard, now, round)
-	heard = selectReported(heard, a.opts.Self.Zone)
+	first.Known = selectIdentities(senders, now, round)
+	senders = selectReported(senders, a.opts.Self.Zone)
 	all := []*message{first}
-	for len(heard) > 0 {
-		n := min(len(heard), statusesPerDatagram)
+	for len(senders) > 0 {
+		n := min(len(senders), statusesPerDatagram)
 		m := all[len(all)-1]
-		for _, p := range heard[:n] {
+		for _, p := range senders[:n] {
 			m.Statuses = append(m.Statuses, Status{
 				ID: p.ID, ShortIncarnation: shortIncarnation(p.Incarnation), Ready: p.Ready, Leaving: p.Leaving, Age: now.Sub(p.HeardAt).Milliseconds(),
 			})
 		}
-		if heard = heard[n:]; len(heard) > 0 {
+		if senders = senders[n:]; len(senders) > 0 {
 			all = append(all, a.newMessage(nil))
 		}
 	}
 	return all
 }
 
-// selectReported returns the daemons that a relay reports on: all that are leaving, to which
-// callers must not be sent, and the fittest of its hall that stay. All daemons heard from other
-// halls are included.
-func selectReported(heard []*Peer, hall string) []*Peer {
+// selectReported returns the daemons that a relay reports on. These are all of other halls, all
+// that are leaving, and the fittest of its hall among the rest.
+func selectReported(senders []*Peer, hall string) []*Peer {
 	var all, staying []*Peer
-	for _, p := range heard {
+	for _, p := range senders {
 		if p.Leaving || p.Zone != hall {
 			all = append(all, p)
 			continue
@@ -92,35 +91,36 @@
 	return append(all, staying[:min(len(staying), maxReportedDaemons)]...)
 }
 
-// heardRecently returns the daemons heard directly within aliveTimeout, sorted by id.
-func (t *Table) heardRecently(now time.Time) []*Peer {
+// recentSenders returns the daemons whose heartbeats were received within aliveTimeout, sorted by
+// id.
+func (t *Table) recentSenders(now time.Time) []*Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []*Peer
 	for _, p := range t.alive(now) {
-		if t.isHeard(p, now) {
+		if t.hasRecentHeartbeat(p, now) {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// selectIdentities returns a few identities: those of new daemons if there are any, otherwise of
-// all in turn.
-func selectIdentities(heard []*Peer, now time.Time, round int) []Identity {
+// selectIdentities returns the identities that a relay forwards in a round. It takes them from the
+// new daemons if there are any, otherwise from all of them in turn.
+func selectIdentities(senders []*Peer, now time.Time, round int) []Identity {
 	var candidates []*Peer
-	for _, p := range heard {
+	for _, p := range senders {
 		if now.Sub(p.addedAt) < newPeerPeriod {
 			candidates = append(candidates, p)
 		}
 	}
 	if len(candidates) == 0 {
-		candidates = heard
+		candidates = senders
 	}
 	var selected []Identity
 	for i := range min(identitiesPerRound, len(candidates)) {
 		identity := candidates[(round/2*identitiesPerRound+i)%len(candidates)].Identity
-		// Daemons that need these get them from its own heartbeats.
+		// Receivers get these fields from that daemon's own heartbeats.
 		identity.Format, identity.Build = Format{}, ""
 		selected = append(selected, identity)
 	}
--- a/peers/summaries.go
+++ b/peers/summaries.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// summaryLifetime is how long a relay's summary stays valid: five of its rounds.
+// summaryLifetime is how long a relay's summary stays valid. A relay sends one every other round,
+// so several may be lost.
 const summaryLifetime = 2 * time.Second
 
-// wholeFleet is the key for a summary of all halls.
-const wholeFleet = ""
+// wholeFleetKey is used in place of a hall's name for a summary of all halls.
+const wholeFleetKey = ""
 
 // receivedSummary is one part of a summary received from a relay.
 type receivedSummary struct {
@@ -35,7 +36,7 @@
 	s.parts[hall+"/"+strconv.Itoa(summary.Part)] = receivedSummary{Summary: summary, hall: hall, receivedAt: now}
 }
 
-// sum adds up the summaries of the wanted halls and drops expired ones.
+// sum adds up the summaries of the halls for which wanted returns true. It deletes expired ones.
 func (s *summaries) sum(wanted func(hall string) bool, now time.Time) Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,13 +52,15 @@
 	return total
 }
 
-// hallSummary returns the work of this daemon and of those that it hears in its hall.
+// hallSummary sums up the heartbeats of this daemon and of those alive in its hall.
 func (a *Agent) hallSummary(own *Heartbeat, now time.Time) Summary {
-	return a.heardSummary(own, now, func(p *Peer) bool { return p.Zone == a.opts.Self.Zone })
+	return a.directSummary(own, now, func(p *Peer) bool { return p.Zone == a.opts.Self.Zone })
 }
 
-// heardSummary returns the work of this daemon and of the wanted ones that it hears directly.
-func (a *Agent) heardSummary(own *Heartbeat, now time.Time, wanted func(p *Peer) bool) Summary {
+// directSummary sums up this daemon's heartbeat and those that it recently received from daemons
+// for which wanted returns true. A daemon that only relays report as alive is counted, but without
+// any loads.
+func (a *Agent) directSummary(own *Heartbeat, now time.Time, wanted func(p *Peer) bool) Summary {
 	total := summaryOf(own)
 	for _, p := range a.table.Alive(now) {
 		switch {
@@ -71,7 +74,8 @@
 	return total
 }
 
-// fleetSummary returns the known work of all daemons.
+// fleetSummary returns the summary of all daemons, from the best source that this daemon's role
+// gives it.
 func (a *Agent) fleetSummary(own *Heartbeat, now time.Time) Summary {
 	switch a.Role() {
 	case Relay:
@@ -81,29 +85,30 @@
 			return relayed
 		}
 	}
-	return a.heardSummary(own, now, func(*Peer) bool { return true })
+	return a.directSummary(own, now, func(*Peer) bool { return true })
 }
 
-// allHallsSummary returns the work of the own hall and of the others, as reported by their relays.
+// allHallsSummary adds the other halls' summaries, received from their relays, to that of the own
+// hall.
 func (a *Agent) allHallsSummary(own *Heartbeat, now time.Time) Summary {
 	total := a.hallSummary(own, now)
-	total.add(a.receivedSummaries.sum(func(hall string) bool { return hall != wholeFleet && hall != a.opts.Self.Zone }, now), 0)
+	total.add(a.receivedSummaries.sum(func(hall string) bool { return hall != wholeFleetKey && hall != a.opts.Self.Zone }, now), 0)
 	return total
 }
 
-// relayedSummary returns the work of all daemons as reported by relays of the own hall.
+// relayedSummary returns the summary of all daemons that a relay of the own hall sent.
 func (a *Agent) relayedSummary(now time.Time) Summary {
-	return a.receivedSummaries.sum(func(hall string) bool { return hall == wholeFleet }, now)
+	return a.receivedSummaries.sum(func(hall string) bool { return hall == wholeFleetKey }, now)
 }
 
-// fleetSize returns the known number of daemons. Relayed summaries count as well, so that a daemon
-// that was cut off learns that the fleet is larger than what it hears.
+// fleetSize returns the number of daemons, this one included. Relays' summaries are considered
+// too, because after a partition they include daemons whose heartbeats this one does not receive.
 func (a *Agent) fleetSize(own *Heartbeat, now time.Time) int {
-	direct := a.heardSummary(own, now, func(*Peer) bool { return true })
+	direct := a.directSummary(own, now, func(*Peer) bool { return true })
 	return max(direct.Daemons, a.allHallsSummary(own, now).Daemons, a.relayedSummary(now).Daemons)
 }
 
-// FleetSummary returns the known work of all daemons.
+// FleetSummary returns the summary of all daemons, this one included.
 func (a *Agent) FleetSummary(now time.Time) Summary {
 	own := &Heartbeat{Identity: a.opts.Self}
 	a.opts.FillHeartbeat(own, now)
--- a/peers/table.go
+++ b/peers/table.go
@@ -11,20 +11,19 @@
 	// aliveTimeout is how long a daemon counts as alive after a heartbeat. It spans several
 	// heartbeats, since datagrams may be lost.
 	aliveTimeout = 800 * time.Millisecond
-	// reportedAliveTimeout is how long a daemon counts as alive after a relay heard it: a relay
-	// reports a daemon at every second heartbeat until it was silent for aliveTimeout, and one
-	// report may be lost.
+	// reportedAliveTimeout is how long a daemon counts as alive after a relay received its
+	// heartbeat. It exceeds aliveTimeout because a relay's reports are sent only every other round.
 	reportedAliveTimeout = aliveTimeout + 2*heartbeatInterval
 	// lowerIncarnationDelay is how long an incarnation must have been silent before a lower one
-	// may replace it: the clock that incarnations are taken from may have been set back before a
-	// restart.
+	// may replace it. A restarted daemon has a lower incarnation if its machine's clock was set
+	// back.
 	lowerIncarnationDelay = 2 * time.Second
-	// forgetAfter is how long heartbeats are sent to a silent daemon, so that it reconnects after
-	// a partition.
+	// forgetAfter is how long a silent daemon stays in the table. Until then heartbeats are sent to
+	// it, so that it reconnects after a partition.
 	forgetAfter = 90 * time.Second
-	// assumedAliveFor is how long after becoming known a daemon that was never heard is assumed to
-	// be alive.
-	assumedAliveFor = time.Second
+	// assumedAliveTimeout is how long a daemon is assumed to be alive after it became known, if no
+	// heartbeat from it has arrived yet.
+	assumedAliveTimeout = time.Second
 )
 
 // Table holds the state of the other daemons. It is safe for concurrent use.
@@ -34,21 +33,23 @@
 	mu    sync.Mutex
 	peers map[string]*Peer
 	// everKnown holds all daemons that were ever known, this one included.
-	everKnown everKnown
-	// formats holds the format versions of the daemons heard.
+	everKnown daemonHistory
+	// formats records the earlier format versions in use.
 	formats formats
-	// After this process was paused for pausedFor, that time is deducted from silences until
-	// pauseGraceUntil, since heartbeats received meanwhile have yet to be read.
+	// pausedFor is the duration of this process's latest pause. Until pauseGraceUntil it is
+	// deducted from the time that peers have been silent, because heartbeats that arrived during
+	// the pause are yet to be read.
 	pauseGraceUntil time.Time
 	pausedFor       time.Duration
 }
 
 // NewTable returns a table that knows only the daemon itself.
 func NewTable(self Identity) *Table {
-	return &Table{self: self, peers: make(map[string]*Peer), everKnown: everKnown{ids: []string{self.ID}, hall: []Identity{self}}}
+	return &Table{self: self, peers: make(map[string]*Peer), everKnown: daemonHistory{ids: []string{self.ID}, hallDaemons: []Identity{self}}}
 }
 
-// Learn records that an incarnation of a daemon exists. It may no longer be alive.
+// Learn adds an incarnation of a daemon to the table, unless it has no address or a later
+// incarnation is known. The daemon need not be alive.
 func (t *Table) Learn(identity Identity, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,8 +74,8 @@
 	}
 }
 
-// isSuperseded reports whether an identity is this daemon's own, an earlier incarnation of it, or
-// an earlier incarnation of another daemon.
+// isSuperseded reports whether the table must ignore an identity. It does so if the identity
+// belongs to this daemon, or if a later incarnation of the daemon was alive recently.
 func (t *Table) isSuperseded(identity Identity, now time.Time) bool {
 	if identity.Address != "" && identity.Address == t.self.Address || identity.ID == t.self.ID && identity.Incarnation <= t.self.Incarnation {
 		return true
@@ -90,9 +91,9 @@
 	t.pauseGraceUntil, t.pausedFor = now.Add(aliveTimeout), gap
 }
 
-// NoteSuspension records that the machine was suspended until now, which the monotonic clock does
-// not count: recorded times move back accordingly, and datagrams received meanwhile have yet to be
-// read.
+// NoteSuspension records that the machine was suspended until now. The monotonic clock does not
+// count suspensions, so recorded times are moved back by the suspended time. Peers do not count as
+// silent until the datagrams that arrived meanwhile have been read.
 func (t *Table) NoteSuspension(now time.Time, suspended time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,8 +152,8 @@
 	t.peers[s.ID] = &next
 }
 
-// fillBrief adds what a brief heartbeat omits. It reports false if no full heartbeat of the same
-// incarnation was received.
+// fillBrief sets the fields that a brief heartbeat omits. It reports false if no full heartbeat of
+// the same incarnation was received.
 func (t *Table) fillBrief(h *Heartbeat) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,15 +165,17 @@
 	return true
 }
 
-// heardPeer returns the peer of an incarnation, and false if it was never heard directly.
-func (t *Table) heardPeer(id string, incarnation int64) (*Peer, bool) {
+// peerWithHeartbeat returns the peer with an id and incarnation. It reports false if no heartbeat
+// of that incarnation was received.
+func (t *Table) peerWithHeartbeat(id string, incarnation int64) (*Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, ok := t.peers[id]
 	return p, ok && p.Incarnation == incarnation && !p.HeardAt.IsZero()
 }
 
-// Alive returns the daemons that are alive, sorted by id: heard recently, directly or by a relay.
+// Alive returns the daemons whose heartbeats this daemon or a relay received recently, sorted by
+// id.
 func (t *Table) Alive(now time.Time) []*Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +185,7 @@
 func (t *Table) alive(now time.Time) []*Peer {
 	var all []*Peer
 	for _, p := range t.peers {
-		if t.isHeard(p, now) || t.elapsed(p.reportedAt, now) < reportedAliveTimeout {
+		if t.hasRecentHeartbeat(p, now) || t.elapsed(p.reportedAt, now) < reportedAliveTimeout {
 			all = append(all, p)
 		}
 	}
@@ -190,10 +193,12 @@
 	return all
 }
 
-// isHeard reports whether a daemon was recently heard directly.
-func (t *Table) isHeard(p *Peer, now time.Time) bool { return t.elapsed(p.HeardAt, now) < aliveTimeout }
+// hasRecentHeartbeat reports whether a heartbeat of a peer was received within aliveTimeout.
+func (t *Table) hasRecentHeartbeat(p *Peer, now time.Time) bool {
+	return t.elapsed(p.HeardAt, now) < aliveTimeout
+}
 
-// elapsed returns the time since at, minus the recent pause of this process.
+// elapsed returns the time since at. Shortly after a pause of this process it deducts the pause.
 func (t *Table) elapsed(at, now time.Time) time.Duration {
 	span := now.Sub(at)
 	if now.Before(t.pauseGraceUntil) {
@@ -202,8 +207,8 @@
 	return span
 }
 
-// LeaderAge returns the time since a leader that is not leaving was last heard, in milliseconds; 0
-// if none was.
+// LeaderAge returns the time since the latest heartbeat of a leader, in milliseconds. Leaders that
+// are leaving do not count. It returns 0 if there was no such heartbeat.
 func (t *Table) LeaderAge(now time.Time) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,22 +217,22 @@
 		if p.Leads == nil || p.Leaving {
 			continue
 		}
-		if sinceHeard := now.Sub(p.HeardAt).Milliseconds() + 1; age == 0 || sinceHeard < age {
-			age = sinceHeard
+		if leaderAge := now.Sub(p.HeardAt).Milliseconds() + 1; age == 0 || leaderAge < age {
+			age = leaderAge
 		}
 	}
 	return age
 }
 
-// NoteFormat records the earliest version among the daemons that a relay heard.
+// NoteFormat records the earliest format version in a relay's summary.
 func (t *Table) NoteFormat(version int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.formats.record(version, now)
 }
 
-// OldestFormat returns the earliest format version in use by recently heard daemons, this one
-// included. The whole fleet keeps to it.
+// OldestFormat returns the earliest format version that was recently in use by any daemon, this
+// one included. The fleet uses no features of later versions.
 func (t *Table) OldestFormat(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,9 +242,9 @@
 // AliveTimeout returns how long a daemon counts as alive after a heartbeat.
 func (t *Table) AliveTimeout() time.Duration { return aliveTimeout }
 
-// KnownSince returns the number of daemons, alive or not, that were seen after the given time and
+// CountSeenSince returns the number of daemons, alive or not, that were seen after the given time and
 // were not leaving.
-func (t *Table) KnownSince(since time.Time) int {
+func (t *Table) CountSeenSince(since time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
@@ -259,8 +264,8 @@
 	return !now.Before(t.pauseGraceUntil)
 }
 
-// forget drops daemons that were silent for longer than forgetAfter.
-func (t *Table) forget(now time.Time) {
+// forgetSilent deletes daemons that were silent for longer than forgetAfter.
+func (t *Table) forgetSilent(now time.Time) {
 	for id, p := range t.peers {
 		if now.Sub(p.addedAt) > forgetAfter && now.Sub(p.lastSeen()) > forgetAfter {
 			delete(t.peers, id)
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIncarnationsReplaceEachOther restarts a daemon, also with its clock set back, and delivers
-// old heartbeats late.
+// TestIncarnationsReplaceEachOther checks which heartbeats a table accepts after a daemon restarts.
+// Its clock may have been set back, and heartbeats from before the restart may arrive late.
 func TestIncarnationsReplaceEachOther(t *testing.T) {
 	heartbeat := func(incarnation int64) Heartbeat {
 		return Heartbeat{Identity: Identity{ID: "b", Incarnation: incarnation, Address: "b:1"}}
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestNeverConfirmedIsZeroTime checks that state which a peer never confirmed yields the zero time
-// rather than one in the distant past.
+// TestNeverConfirmedIsZeroTime checks that an age of NeverConfirmed yields the zero time rather than
+// a time in the distant past.
 func TestNeverConfirmedIsZeroTime(t *testing.T) {
 	now := time.Now()
 	p := &Peer{Heartbeat: Heartbeat{ConfigAge: NeverConfirmed, WorkersAge: 5}, SentAfter: now}
--- a/peers/topology.go
+++ b/peers/topology.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// maxDirectDaemons is the largest fleet in which all daemons report to all others. A larger
-	// one returns to that mode when it shrinks to directAgainAt.
+	// maxDirectDaemons is the number of daemons up to which all report to all others. A fleet that
+	// has grown beyond it returns to that mode when it shrinks to directReturnSize daemons.
 	maxDirectDaemons = 24
-	directAgainAt    = 16
+	directReturnSize = 16
 	// relaysPerHall is the number of relays in each data hall, so that any one may fail.
 	relaysPerHall = 2
-	// uplinkCount is the number of daemons of its hall that a member reports to: the relays, and
-	// the one that takes over when a relay fails.
+	// uplinkCount is the number of daemons of its hall that a member reports to. These are the
+	// relays, and a standby that takes over when a relay fails.
 	uplinkCount = relaysPerHall + 1
-	// standbyRoundInterval is the number of rounds between two reports to the standby uplink,
-	// which learns from the relays who is alive.
-	standbyRoundInterval = 4
-	// relayHandOver is how long a relay continues beside a fitter daemon that has just started,
-	// until that one has heard from the rest of its hall.
-	relayHandOver = 2 * time.Second
+	// roundsPerStandbyReport is the number of rounds after which a member reports to the standby
+	// again.
+	roundsPerStandbyReport = 4
+	// relayHandOverPeriod is how long a relay continues after a fitter daemon of its hall becomes
+	// known. In that time the fitter one receives heartbeats from the rest of the hall.
+	relayHandOverPeriod = 2 * time.Second
 	// probesPerRound is the number of silent daemons that a relay probes in each round.
 	probesPerRound = 2
 )
@@ -52,15 +52,15 @@
 	return "unknown"
 }
 
-// CompareFitness orders daemons by fitness to lead: larger machines first, since they can send the
-// most, then those that have been running for longest, since they know the fleet best.
+// CompareFitness orders daemons by fitness to lead. Larger machines come first, because they can
+// send the most. Among equal ones, daemons that started earlier come first.
 func CompareFitness(a, b Identity) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.ID, b.ID))
 }
 
-// CompareRelays orders daemons by fitness to relay: larger machines first, then by id. It does not
-// use incarnations because daemons may know different ones after a restart of the whole fleet, and
-// all must agree on the relays.
+// CompareRelays orders daemons by fitness to relay. Larger machines come first; equal ones are
+// ordered by id. Incarnations are not used because all daemons must agree on the relays, and after a
+// restart of the fleet they may know different incarnations.
 func CompareRelays(a, b Identity) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.ID, b.ID))
 }
@@ -70,19 +70,18 @@
 // layout holds the addresses that a daemon reports to in one round.
 type layout struct {
 	role Role
-	// peers get this daemon's own heartbeat: all others in a small fleet, the relays of the own
-	// hall in a larger one.
+	// peers holds the recipients of this daemon's own heartbeat. In a small fleet these are all
+	// others, in a larger one the relays and the standby of the own hall.
 	peers []string
-	// hall gets the reports of a relay within its own hall.
+	// hall holds the daemons of a relay's own hall that it sends reports to.
 	hall []string
-	// otherRelays holds the other relays of the own hall, rank is this daemon's place among the
-	// relays.
+	// otherRelays holds the other relays of the own hall. rank is a relay's index among the relays
+	// of its hall, fittest first.
 	otherRelays []string
 	rank        int
 	// hallRelays holds the identities of the relays of the own hall, except for this daemon.
 	hallRelays []Identity
-	// otherHalls holds the relays of other halls and any leader there. Relays and leaders report
-	// to them.
+	// otherHalls holds the relays and any leader in other halls. Relays and leaders report to them.
 	otherHalls []string
 }
 
@@ -99,9 +98,10 @@
 	return all
 }
 
-// splitByTurn returns which daemons of its hall get a relay's reports in a round, and which get
-// only its heartbeat. Statuses go to all at every second round. Summaries of a large fleet take
-// several datagrams, so there each relay sends them to one part of the hall at a time, in turn.
+// splitByTurn splits the daemons of a relay's hall in two for a round. Those in full get its
+// reports, the others only its heartbeat. In even rounds all get the reports, which then hold
+// statuses. In odd rounds of a large hall the relays divide the daemons among them, because
+// summaries may take several datagrams.
 func (l layout) splitByTurn(round int) (full, others []string) {
 	if round%2 == 0 || len(l.hall) <= maxDirectDaemons {
 		return l.hall, nil
@@ -116,7 +116,8 @@
 	return full, others
 }
 
-// newsRecipients returns who gets news of all workers, and which members get the reduced news.
+// newsRecipients returns the addresses that get all news, and those of the members that get only
+// the news for members.
 func (l layout) newsRecipients(leads bool) (complete, members []string) {
 	if l.role != Relay {
 		return l.recipients(leads), nil
@@ -134,26 +135,27 @@
 	return complete, members
 }
 
-// previousRole is a daemon's role before the current round, and when it took it.
+// previousRole is a daemon's role before the current round, and the time when that role began.
 type previousRole struct {
 	role  Role
 	since time.Time
 }
 
-// layout computes the addresses to report to.
-func (t *Table) layout(now time.Time, previous previousRole, size, round int) layout {
+// layout computes the addresses to report to. size is the number of daemons in the fleet, round the
+// number of the current round.
+func (t *Table) layout(now time.Time, previous previousRole, fleetSize, round int) layout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
-	limit := directAgainAt
+	t.forgetSilent(now)
+	limit := directReturnSize
 	if previous.role == Direct {
 		limit = maxDirectDaemons
 	}
-	expected := t.expected(now)
-	if max(size, len(expected)+1) <= limit {
-		return layout{role: Direct, peers: rotate(t.addresses(), 2*maxDirectDaemons, round)}
+	expected := t.expectedAlive(now)
+	if max(fleetSize, len(expected)+1) <= limit {
+		return layout{role: Direct, peers: rotate(t.allAddresses(), 2*maxDirectDaemons, round)}
 	}
-	fittest := append(inHall(expected, t.self.Zone), &Peer{Heartbeat: Heartbeat{Identity: t.self}})
+	fittest := append(peersInHall(expected, t.self.Zone), &Peer{Heartbeat: Heartbeat{Identity: t.self}})
 	slices.SortFunc(fittest, compareRelays)
 	l := layout{role: Member, otherHalls: t.otherHallAddresses(expected, round)}
 	for i, p := range fittest {
@@ -161,7 +163,7 @@
 		case p.ID == t.self.ID && i < relaysPerHall:
 			l.role, l.rank = Relay, i
 		case p.ID == t.self.ID || i >= uplinkCount:
-		case i < relaysPerHall || round%standbyRoundInterval == 0:
+		case i < relaysPerHall || round%roundsPerStandbyReport == 0:
 			l.peers = append(l.peers, p.Address)
 		}
 		if p.ID != t.self.ID && i < relaysPerHall {
@@ -169,7 +171,7 @@
 			l.hallRelays = append(l.hallRelays, p.Identity)
 		}
 	}
-	if l.role == Member && previous.role == Relay && t.anyNew(l.hallRelays, previous.since, now) {
+	if l.role == Member && previous.role == Relay && t.hasNewRelay(l.hallRelays, previous.since, now) {
 		l.role = Relay
 	}
 	if l.role == Relay {
@@ -178,30 +180,30 @@
 	return l
 }
 
-// anyNew reports whether one of some daemons became known only recently, to a daemon that had been
-// a relay for a while by then. When a whole fleet starts, daemons that mistake themselves for
-// relays thus yield at once.
-func (t *Table) anyNew(ids []Identity, relaySince, now time.Time) bool {
-	return slices.ContainsFunc(ids, func(id Identity) bool {
+// hasNewRelay reports whether one of the relays became known within relayHandOverPeriod. It does not
+// count if this daemon had itself become a relay only shortly before. When a whole fleet starts,
+// daemons that wrongly assumed to be relays thus yield at once.
+func (t *Table) hasNewRelay(relays []Identity, relaySince, now time.Time) bool {
+	return slices.ContainsFunc(relays, func(id Identity) bool {
 		p, ok := t.peers[id.ID]
-		return ok && now.Sub(p.addedAt) < relayHandOver && p.addedAt.Sub(relaySince) > relayHandOver
+		return ok && now.Sub(p.addedAt) < relayHandOverPeriod && p.addedAt.Sub(relaySince) > relayHandOverPeriod
 	})
 }
 
-// expected returns the daemons that are not leaving and are alive or, if never heard yet, assumed
-// to be.
-func (t *Table) expected(now time.Time) []*Peer {
+// expectedAlive returns the daemons that are alive or assumed to be, except for those that are
+// leaving. Daemons that became known a moment ago are assumed to be alive.
+func (t *Table) expectedAlive(now time.Time) []*Peer {
 	all := t.alive(now)
 	for _, p := range t.peers {
-		if p.lastSeen().IsZero() && now.Sub(p.addedAt) < assumedAliveFor {
+		if p.lastSeen().IsZero() && now.Sub(p.addedAt) < assumedAliveTimeout {
 			all = append(all, p)
 		}
 	}
 	return slices.DeleteFunc(all, func(p *Peer) bool { return p.Leaving })
 }
 
-// inHall returns the daemons of a data hall.
-func inHall(all []*Peer, hall string) []*Peer {
+// peersInHall returns the peers that belong to a data hall.
+func peersInHall(all []*Peer, hall string) []*Peer {
 	var in []*Peer
 	for _, p := range all {
 		if p.Zone == hall {
@@ -211,8 +213,8 @@
 	return in
 }
 
-// addresses returns the addresses of all known daemons.
-func (t *Table) addresses() []string {
+// allAddresses returns the addresses of all known daemons.
+func (t *Table) allAddresses() []string {
 	all := make([]string, 0, len(t.peers))
 	for _, p := range t.peers {
 		all = append(all, p.Address)
@@ -221,14 +223,14 @@
 	return slices.Compact(all)
 }
 
-// hallAddresses returns the daemons of the own hall that a relay reports to: those alive or
-// assumed to be, and a few silent ones in turn.
+// hallAddresses returns the addresses in its own hall that a relay reports to. These are the daemons
+// alive or assumed to be, and a few silent ones in turn.
 func (t *Table) hallAddresses(now time.Time, round int) []string {
 	var living, silent []string
 	for _, p := range t.peers {
 		switch {
 		case p.Zone != t.self.Zone:
-		case now.Sub(p.lastSeen()) < reportedAliveTimeout || now.Sub(p.addedAt) < assumedAliveFor:
+		case now.Sub(p.lastSeen()) < reportedAliveTimeout || now.Sub(p.addedAt) < assumedAliveTimeout:
 			living = append(living, p.Address)
 		default:
 			silent = append(silent, p.Address)
@@ -238,8 +240,9 @@
 	return append(living, rotate(silent, probesPerRound, round)...)
 }
 
-// otherHallAddresses returns the fittest daemons of each other hall. If too few of a hall are
-// expected to be alive, its known daemons are tried in turn.
+// otherHallAddresses returns the addresses of the relays and any leader in other halls. If fewer
+// than relaysPerHall daemons of a hall are expected to be alive, it adds some of the hall's known
+// daemons in turn.
 func (t *Table) otherHallAddresses(expected []*Peer, round int) []string {
 	living := make(map[string][]*Peer)
 	known := make(map[string][]string)
--- a/serving/awake.go
+++ b/serving/awake.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// suspended returns the total time for which the machine was suspended, after state that depends
-// on it has been corrected. It must not be called with a lock held that afterSuspension takes.
+// suspended returns the total time for which the machine was suspended. If there was a new
+// suspension, it calls afterSuspension first. The caller must not hold a lock that afterSuspension
+// takes.
 func (s *Server) suspended() time.Duration {
 	s.awake.Check()
 	return s.opts.Suspended()
 }
 
-// afterSuspension corrects the age of all state after the machine was suspended, which the
-// monotonic clock does not count. Otherwise revoked keys could still be accepted, and a superseded
-// leader could go on.
+// afterSuspension adds the time for which the machine was suspended to the age of all state. The
+// monotonic clock does not count that time. Without the correction, revoked keys could still be
+// accepted and a superseded leader could continue.
 func (s *Server) afterSuspension(suspended time.Duration) {
 	s.logger.Warn("the machine was suspended", "ms", suspended.Milliseconds())
 	s.meter.Slept(suspended)
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -23,19 +23,20 @@
 	"quartzshelf.dev/relay"
 )
 
-// suspendableMachine counts the suspensions of a test's machine.
+// suspendableMachine holds the total time for which a simulated machine was suspended.
 type suspendableMachine struct{ total atomic.Int64 }
 
 func (s *suspendableMachine) suspended() time.Duration { return time.Duration(s.total.Load()) }
 
 func (s *suspendableMachine) add(suspended time.Duration) { s.total.Add(int64(suspended)) }
 
-// newSuspendableServer returns a daemon that has a configuration with one key, and its machine.
+// newSuspendableServer returns a daemon with a configuration and an empty worker list, and the
+// machine that it runs on.
 func newSuspendableServer(t *testing.T) (*Server, *suspendableMachine) {
 	t.Helper()
 	machine := &suspendableMachine{}
 	opts := optionsOf(t, &fakeStore{})
-	opts.Suspended, opts.Names = machine.suspended, crashingNames
+	opts.Suspended, opts.Names = machine.suspended, crashingHeaders
 	s, err := New(opts)
 	assert.NilError(t, err)
 	s.beliefs.Offer(crashingConfig(), time.Now())
@@ -44,20 +45,19 @@
 	return s, machine
 }
 
-// statusFor returns the status of a request with the key.
+// statusFor sends a request with a valid key to a daemon and returns the status of the response.
 func statusFor(s *Server) int {
 	answer := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/safe/", nil)
 	request.Host = "h"
-	request.Header.Set(crashingNames.Attempt, "request")
-	request.Header.Set(crashingNames.Key, "key")
+	request.Header.Set(crashingHeaders.Attempt, "request")
+	request.Header.Set(crashingHeaders.Key, "key")
 	s.relay.ServeHTTP(answer, request)
 	return answer.Code
 }
 
 // TestKeysRevokedDuringSuspension checks that a daemon rejects requests after a long suspension
-// until its configuration is confirmed again, since keys may have been revoked meanwhile and the
-// monotonic clock does not count the suspension.
+// until its configuration is confirmed again. Keys may have been revoked in the meantime.
 func TestKeysRevokedDuringSuspension(t *testing.T) {
 	s, machine := newSuspendableServer(t)
 	assert.Assert(t, !s.relay.BeliefTooOld(time.Now()))
@@ -69,7 +69,8 @@
 	assert.Assert(t, !s.relay.BeliefTooOld(time.Now()))
 }
 
-// TestShortSuspensionKeepsState checks that state stays valid within its bounds.
+// TestShortSuspensionKeepsState checks that the configuration stays valid after a suspension that is
+// shorter than the bound for revoked keys.
 func TestShortSuspensionKeepsState(t *testing.T) {
 	s, machine := newSuspendableServer(t)
 	machine.add(time.Second)
@@ -77,8 +78,8 @@
 	assert.Assert(t, !s.relay.BeliefTooOld(time.Now()))
 }
 
-// TestHallsCloseDuringSuspension suspends a machine past the time by which a closing hall has to
-// be empty.
+// TestHallsCloseDuringSuspension checks that a closing hall counts as closed after a suspension that
+// lasted longer than the bound for closing it.
 func TestHallsCloseDuringSuspension(t *testing.T) {
 	s, machine := newSuspendableServer(t)
 	s.halls = fleet.NewHalls(5 * time.Second)
@@ -90,8 +91,8 @@
 	assert.Equal(t, s.halls.View().State("z", time.Now()), fleet.HallClosed)
 }
 
-// TestFetchInterruptedBySuspension suspends a daemon while it fetches the configuration from a
-// peer. The peer's confirmation is then out of date.
+// TestFetchInterruptedBySuspension checks that a fetch of the configuration fails if the machine was
+// suspended during it. The peer's confirmation is then out of date.
 func TestFetchInterruptedBySuspension(t *testing.T) {
 	fetching, machine := newSuspendableServer(t)
 	fetching.opts.Decode = func([]byte) (*fleet.Config, error) { return fleet.NewConfig(fleet.Parts{Version: 2}), nil }
@@ -110,11 +111,11 @@
 	assert.Equal(t, fetching.beliefs.Version(), int64(2))
 }
 
-// gate blocks what arrives at a daemon while it is closed.
+// gate blocks the callers of pass while it is closed.
 type gate struct {
-	mu     sync.Mutex
-	closed bool
-	opened *sync.Cond
+	mu       sync.Mutex
+	isClosed bool
+	opened   *sync.Cond
 }
 
 func newGate() *gate {
@@ -123,23 +124,23 @@
 	return g
 }
 
-func (g *gate) set(closed bool) {
+func (g *gate) setClosed(closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = closed
+	g.isClosed = closed
 	g.opened.Broadcast()
 }
 
 func (g *gate) pass() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for g.closed {
+	for g.isClosed {
 		g.opened.Wait()
 	}
 }
 
-// startPair starts two daemons that exchange heartbeats, and returns the first, which runs on the
-// given machine. Its incoming datagrams pass the gate.
+// startPair starts two daemons that exchange heartbeats, and returns the first one. That one runs on
+// the given machine, and its incoming datagrams pass the gate.
 func startPair(t *testing.T, machine *suspendableMachine, inbox *gate) *Server {
 	t.Helper()
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
@@ -182,8 +183,8 @@
 	return suspendable
 }
 
-// TestQueuedHeartbeatsAfterSuspension checks that heartbeats received just before a suspension,
-// and read after it, do not count as fresh, and that a leader steps down.
+// TestQueuedHeartbeatsAfterSuspension checks that a leader steps down after a suspension. Heartbeats
+// that arrived before the suspension and are read after it must count as old.
 func TestQueuedHeartbeatsAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine, inbox := &suspendableMachine{}, newGate()
@@ -191,18 +192,18 @@
 		time.Sleep(6 * time.Second)
 		own, _, _ := s.elector.State()
 		assert.Assert(t, own != nil, "the daemon does not lead")
-		inbox.set(true)
+		inbox.setClosed(true)
 		time.Sleep(350 * time.Millisecond)
 		machine.add(time.Minute)
-		inbox.set(false)
+		inbox.setClosed(false)
 		synctest.Wait()
 		own, _, _ = s.elector.State()
 		assert.Assert(t, own == nil, "the leader did not step down")
 		assert.Assert(t, !s.agent.Table().HasCaughtUp(time.Now()), "peers are judged by outdated heartbeats")
 		alive := s.agent.Table().Alive(time.Now())
 		assert.Equal(t, len(alive), 1)
-		ago := time.Since(alive[0].SentAfter)
-		assert.Assert(t, ago >= time.Minute && ago < time.Minute+time.Second, "the queued heartbeat counts as sent %s ago", ago)
+		sentAgo := time.Since(alive[0].SentAfter)
+		assert.Assert(t, sentAgo >= time.Minute && sentAgo < time.Minute+time.Second, "the queued heartbeat counts as sent %s ago", sentAgo)
 	})
 }
 
@@ -266,19 +267,19 @@
 	<-s.follower.Done()
 }
 
-// TestRetriesAfterSuspension suspends a machine during the first attempt of a request. There must
-// be no second attempt, since the key may have been revoked, and connections to workers are opened
-// anew.
+// TestRetriesAfterSuspension suspends a machine during the first attempt of a request. There must be
+// no second attempt, because the key may have been revoked. Connections to workers from before a
+// suspension must not be used again.
 func TestRetriesAfterSuspension(t *testing.T) {
 	f := newCrashingFleet(t, 0, 2)
 	machine := &suspendableMachine{}
 	opts := optionsOf(t, &fakeStore{})
-	opts.Suspended, opts.Names, opts.Bounds.Budget = machine.suspended, crashingNames, relay.BudgetOptions{Ratio: 1, Window: 10 * time.Second, Extra: 100}
-	var dials, suspended atomic.Int64
+	opts.Suspended, opts.Names, opts.Bounds.Budget = machine.suspended, crashingHeaders, relay.BudgetOptions{Ratio: 1, Window: 10 * time.Second, Extra: 100}
+	var dials, suspendDuringDial atomic.Int64
 	opts.DialWorker = func(ctx context.Context, network, address string) (net.Conn, error) {
 		dials.Add(1)
-		if suspended.Load() > 0 {
-			machine.add(time.Duration(suspended.Load()))
+		if suspendDuringDial.Load() > 0 {
+			machine.add(time.Duration(suspendDuringDial.Load()))
 			return nil, errClosed
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, address)
@@ -297,13 +298,13 @@
 	for range count {
 		assert.Equal(t, statusFor(s), http.StatusOK)
 	}
-	opened := dials.Load()
-	assert.Assert(t, opened <= int64(len(f.heads)))
+	dialsBefore := dials.Load()
+	assert.Assert(t, dialsBefore <= int64(len(f.heads)))
 	machine.add(time.Second)
 	assert.Equal(t, statusFor(s), http.StatusOK)
-	assert.Equal(t, dials.Load(), opened+1, "a connection from before the suspension was used")
+	assert.Equal(t, dials.Load(), dialsBefore+1, "a connection from before the suspension was used")
 	s.relay.Slept()
-	suspended.Store(int64(time.Minute))
+	suspendDuringDial.Store(int64(time.Minute))
 	assert.Equal(t, statusFor(s), http.StatusServiceUnavailable)
-	assert.Equal(t, dials.Load(), opened+2, "the request was sent again with an unconfirmed key")
+	assert.Equal(t, dials.Load(), dialsBefore+2, "the request was sent again with an unconfirmed key")
 }
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -22,7 +22,7 @@
 	}
 	t := backpressure.NewTable(backpressure.Options{
 		Self: s.opts.Self.ID, Hall: s.opts.Self.Zone, Halls: halls, Members: s.limitShareHolders,
-		Bound: s.opts.Bounds.Limits, Changed: s.signalChanged,
+		Bound: s.opts.Bounds.Limits, Changed: s.onSignalChange,
 	})
 	s.meter.Gauge("workers_limited", func() float64 { return float64(t.Limited()) })
 	s.meter.Gauge("workers_leaving", func() float64 { return float64(t.Leaving()) })
@@ -30,19 +30,19 @@
 	return t
 }
 
-// limitShareHolders returns the daemons of the own data hall that share the request limits of
-// workers. There are none before the member list was read, and while daemons of an earlier version
-// ignore limits.
+// limitShareHolders returns the ids of the daemons in the own data hall that share the request limits
+// of workers. It returns none before the member list has been read, and none while limits must not
+// be shared.
 func (s *Server) limitShareHolders() []string {
-	if s.membersReadAt.Load() == nil || s.mustRereadMembers.Load() || !s.sharesLimits(time.Now()) {
+	if s.membersReadAt.Load() == nil || s.needsMemberReread.Load() || !s.canShareLimits(time.Now()) {
 		return nil
 	}
 	return s.agent.Table().FittestInHall(backpressure.MembersMost)
 }
 
-// signalChanged counts and logs a worker's signal. A worker that signals that it is leaving is
-// treated as leaving at once, without waiting for the worker list.
-func (s *Server) signalChanged(c backpressure.Change) {
+// onSignalChange counts and logs a worker's signal. A worker that signals that it is leaving is
+// marked as leaving at once, before the worker list shows it.
+func (s *Server) onSignalChange(c backpressure.Change) {
 	if c.Event == backpressure.Leaves {
 		s.inventory.Leave(c.Worker, c.Born)
 	}
@@ -55,8 +55,8 @@
 		"rest_ms", c.Rest.Milliseconds(), "by", c.By)
 }
 
-// mergeSignals merges the workers' signals that a peer reports. They are forwarded with the next
-// regular heartbeat.
+// mergeSignals adds the workers' signals that a peer reports. A leader or relay forwards them with
+// its next regular heartbeat.
 func (s *Server) mergeSignals(p *peers.Peer) {
 	at := p.SentAfter
 	if at.IsZero() {
@@ -65,8 +65,8 @@
 	s.signals.Merge(p.Signals, p.ID, at, p.HeardAt)
 }
 
-// watchSignals drops the signals of workers that are gone, and updates the daemons that share
-// limits, until ctx ends.
+// watchSignals regularly deletes the signals of workers that are no longer listed. It also updates
+// the shares of limits. It returns when ctx ends.
 func (s *Server) watchSignals(ctx context.Context) {
 	for ctx.Err() == nil {
 		view := s.inventory.View()
@@ -75,8 +75,8 @@
 			return listed && w.Born == born
 		}, time.Now())
 		s.signals.Look(time.Now())
-		// A worker that was removed from the list and listed again has lost its leaving mark, so
-		// it is set again.
+		// A worker that was removed from the list and added again is no longer marked as leaving, so
+		// it is marked again.
 		s.signals.EachLeaving(s.inventory.Leave)
 		pause.For(ctx, signalCheckInterval)
 	}
--- a/serving/crashing_test.go
+++ b/serving/crashing_test.go
@@ -23,20 +23,20 @@
 	"quartzshelf.dev/relay"
 )
 
-// The tests below guard against a request that crashes every worker that runs it and is sent again
-// and again, under new ids and by different daemons. What daemons know of failed attempts must be
-// shared by the fingerprint of the request, since limits that count by request id or daemon start
-// again with each copy.
+// The tests below guard against a request that crashes every worker that runs it and that the
+// client sends repeatedly, under new ids and to different daemons. Limits that count by request id
+// or by daemon would start again with each copy. Daemons must therefore share their records of
+// crashes by the fingerprint of the request.
 
-// crashingBody is the body of a request that crashes each worker that runs it, breakingBody that
-// of one whose connection breaks, waitingBody that of one that gets no response.
+// crashingBody is the body of a request that crashes each worker that runs it. The worker closes
+// the connection of a request with breakingBody, and never responds to one with waitingBody.
 const (
 	crashingBody = "ends each worker"
 	breakingBody = "ends its connection"
 	waitingBody  = "gets no answer"
 )
 
-var crashingNames = relay.Names{
+var crashingHeaders = relay.Names{
 	Attempt: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
 	LastEvent: "Last-Event-Id", Priority: "X-Priority",
@@ -50,37 +50,39 @@
 	mu      sync.Mutex
 	daemons []*crashingDaemon
 	heads   []*fleet.Worker
-	// ended counts the heads that crashed, sent the requests.
-	ended, sent atomic.Int64
-	// waiting counts the requests that are waiting at heads.
-	waiting atomic.Int64
+	// crashCount is the number of heads that crashed, sentCount the number of requests sent.
+	crashCount, sentCount atomic.Int64
+	// waitingCount is the number of requests with waitingBody that have reached a head.
+	waitingCount atomic.Int64
 }
 
-// crashingDaemon is a daemon of a crashingFleet. It runs only the tasks that routing needs.
+// crashingDaemon is a daemon of a crashingFleet. It runs only the tasks that are needed to route
+// requests.
 type crashingDaemon struct {
 	*Server
-	front *httptest.Server
+	frontServer *httptest.Server
 }
 
-func newCrashingFleet(t *testing.T, daemons, heads int) *crashingFleet {
+func newCrashingFleet(t *testing.T, daemonCount, headCount int) *crashingFleet {
 	t.Helper()
 	f := &crashingFleet{t: t}
-	for i := range heads {
+	for i := range headCount {
 		f.startHead(fmt.Sprintf("w%d", i))
 	}
-	for range daemons {
+	for range daemonCount {
 		f.startDaemon()
 	}
 	return f
 }
 
-// startHead starts a worker that is the head of an open replica and also accepts plain requests.
+// startHead starts a worker that is the head of an open replica. It also serves the service
+// "plain".
 func (f *crashingFleet) startHead(id string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	server := &http.Server{ReadHeaderTimeout: time.Minute}
-	end := sync.OnceFunc(func() {
-		f.ended.Add(1)
+	crash := sync.OnceFunc(func() {
+		f.crashCount.Add(1)
 		_ = server.Close()
 		f.unlist(id)
 	})
@@ -91,17 +93,17 @@
 		}
 		switch string(body) {
 		case crashingBody:
-			end()
+			crash()
 			panic(http.ErrAbortHandler)
 		case breakingBody:
 			panic(http.ErrAbortHandler)
 		case waitingBody:
-			f.waiting.Add(1)
+			f.waitingCount.Add(1)
 			<-r.Context().Done()
 			return
 		}
-		w.Header().Set(crashingNames.Attempt, r.Header.Get(crashingNames.Attempt))
-		w.Header().Set(crashingNames.Signature, id)
+		w.Header().Set(crashingHeaders.Attempt, r.Header.Get(crashingHeaders.Attempt))
+		w.Header().Set(crashingHeaders.Signature, id)
 		_, _ = io.WriteString(w, "id: 1\ndata: whole\n\n")
 	})
 	go func() { _ = server.Serve(listener) }()
@@ -119,8 +121,8 @@
 func (f *crashingFleet) unlist(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	gone := func(w *fleet.Worker) bool { return w.ID == id || w.ID == id+"-model" }
-	f.heads = slices.DeleteFunc(f.heads, gone)
+	isRemoved := func(w *fleet.Worker) bool { return w.ID == id || w.ID == id+"-model" }
+	f.heads = slices.DeleteFunc(f.heads, isRemoved)
 	for _, d := range f.daemons {
 		d.inventory.Apply([]fleet.Change{{ID: id}, {ID: id + "-model"}}, d.inventory.Position()+1, time.Now())
 	}
@@ -138,7 +140,7 @@
 	store := &fakeStore{}
 	self := peers.Identity{ID: fmt.Sprintf("daemon-%d", len(f.daemons)), Incarnation: 1, Zone: "z", Address: address, Front: address}
 	s, err := New(Options{
-		Self: self, Names: crashingNames, Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
+		Self: self, Names: crashingHeaders, Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
 		Bounds: Bounds{
 			Heartbeat: time.Second, Revoke: time.Hour, KeepEntries: time.Second,
 			Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000},
@@ -161,9 +163,9 @@
 	var tasks conc.WaitGroup
 	tasks.Go(func() { s.agent.Run(ctx) })
 	tasks.Go(func() { s.relay.Run(ctx) })
-	d := &crashingDaemon{Server: s, front: httptest.NewServer(s.relay)}
+	d := &crashingDaemon{Server: s, frontServer: httptest.NewServer(s.relay)}
 	f.t.Cleanup(func() {
-		d.front.Close()
+		d.frontServer.Close()
 		cancel()
 		tasks.Wait()
 	})
@@ -197,12 +199,12 @@
 // response.
 func (f *crashingFleet) send(d *crashingDaemon, path, key, body string) int {
 	f.t.Helper()
-	request, err := http.NewRequest(http.MethodPost, d.front.URL+path, strings.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, d.frontServer.URL+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
 	request.Host = "h"
-	request.Header.Set(crashingNames.Attempt, fmt.Sprintf("request-%d", f.sent.Add(1)))
-	request.Header.Set(crashingNames.Key, key)
-	request.Header.Set(crashingNames.Model, "m")
+	request.Header.Set(crashingHeaders.Attempt, fmt.Sprintf("request-%d", f.sentCount.Add(1)))
+	request.Header.Set(crashingHeaders.Key, key)
+	request.Header.Set(crashingHeaders.Model, "m")
 	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
 		return 0
@@ -214,15 +216,15 @@
 	return response.StatusCode
 }
 
-// heartbeatPeriod is long enough for each daemon to have received a heartbeat from the others.
-const heartbeatPeriod = 500 * time.Millisecond
+// heartbeatWait is long enough for each daemon to receive a heartbeat from the others.
+const heartbeatWait = 500 * time.Millisecond
 
-// maxCrashes is the maximum number of workers that a repeated request may crash: three before it
-// is quarantined, and three more by attempts already in flight.
+// maxCrashes is the maximum number of workers that a repeated request may crash. Three crashes
+// quarantine it, and attempts already in flight may cause three more.
 const maxCrashes = 6
 
-// TestRequestThatCrashesWorkers sends copies of the crashing request to daemons in turn, along
-// with other requests, which must succeed.
+// TestRequestThatCrashesWorkers sends copies of the crashing request to daemons in turn. They may
+// crash at most maxCrashes workers, and other requests must succeed in the meantime.
 func TestRequestThatCrashesWorkers(t *testing.T) {
 	tests := map[string]string{
 		"a stream":                      "/stream/",
@@ -238,9 +240,9 @@
 				d := f.daemons[i%len(f.daemons)]
 				assert.Assert(t, f.send(d, path, "key", crashingBody) != http.StatusOK)
 				assert.Equal(t, f.send(d, path, "key", "another body"), http.StatusOK)
-				time.Sleep(heartbeatPeriod)
+				time.Sleep(heartbeatWait)
 			}
-			assert.Assert(t, f.ended.Load() <= maxCrashes, "%d workers ended", f.ended.Load())
+			assert.Assert(t, f.crashCount.Load() <= maxCrashes, "%d workers ended", f.crashCount.Load())
 		})
 	}
 }
--- a/serving/discovery.go
+++ b/serving/discovery.go
@@ -13,39 +13,36 @@
 )
 
 const (
-	// firstDiscoveryPause and discoveryInterval are the pauses between attempts to discover other
-	// daemons: after the first attempt, and after later ones.
+	// firstDiscoveryPause is the pause after the first attempt to discover other daemons,
+	// discoveryInterval the pause after later ones.
 	firstDiscoveryPause = 400 * time.Millisecond
 	discoveryInterval   = time.Second
-	// discoverySpread is the period over which daemons that find an empty member list, as in the
-	// first start of a fleet, randomly spread their second attempt. Otherwise all of them would
-	// register at the same moment.
+	// discoverySpread is the maximum random delay before a daemon that found an empty member list
+	// registers. When a fleet first starts, all daemons would otherwise register at the same moment.
 	discoverySpread = 300 * time.Millisecond
-	// memberListTimeout limits a call to the member list as a whole; a call that makes no progress
-	// ends much sooner.
+	// memberListTimeout limits the duration of a call to the member list.
 	memberListTimeout = 3 * time.Second
-	// minRegistered is the number of daemons to be registered in each data hall. The
-	// minFittestRegistered fittest ones register in any case: from them a starting daemon learns
-	// the relays of the hall and the daemons that share limits. The others are discovered by their
-	// heartbeats and need not register.
+	// minRegistered is the number of daemons that should be registered in each data hall.
+	// minFittestRegistered is the number of the fittest daemons that always register, so that a
+	// starting daemon knows the relays and the daemons that share limits. Other daemons are
+	// discovered by their heartbeats.
 	minRegistered        = 32
 	minFittestRegistered = backpressure.MembersMost
-	// memberRereadDelay is the time after which the member list is read again after the first
-	// read, to find daemons that started at the same time. memberReadInterval is the interval
-	// afterwards; new daemons of the own hall are discovered by their heartbeats.
+	// memberRereadDelay is the time after which the member list is read again after the first read.
+	// It finds daemons that started at the same time. memberReadInterval is the interval between
+	// later reads.
 	memberRereadDelay  = 4 * time.Second
 	memberReadInterval = time.Minute
 )
 
-// discoverPeers reads the member list, again soon after the start and while no other daemon is
-// heard, and registers this daemon if needed, until ctx ends. Daemons that read the list later
-// report to this one.
+// discoverPeers reads the member list and registers this daemon in it if needed, until ctx ends. It
+// reads the list again soon after the start, and as long as no other daemon is alive.
 func (s *Server) discoverPeers(ctx context.Context) {
-	next, hasSpread := firstDiscoveryPause, false
-	s.mustRereadMembers.Store(true)
+	wait, hasSpread := firstDiscoveryPause, false
+	s.needsMemberReread.Store(true)
 	for ctx.Err() == nil {
 		now := time.Now()
-		if s.membersReadAt.Load() == nil || s.mustRereadMembers.Load() || len(s.agent.Table().Alive(now)) == 0 || s.memberReadDue(now) {
+		if s.membersReadAt.Load() == nil || s.needsMemberReread.Load() || len(s.agent.Table().Alive(now)) == 0 || s.isMemberReadDue(now) {
 			s.readMembers(ctx)
 		}
 		if s.membersReadAt.Load() != nil && len(s.hallMembers) == 0 && !hasSpread {
@@ -53,26 +50,26 @@
 			pause.For(ctx, rand.N(discoverySpread))
 			continue
 		}
-		// A daemon that registers reads the list again, so that of two daemons that register at
-		// the same time, the later one finds the other.
-		registered := s.registrationDue(time.Now()) && s.register(ctx)
-		s.mustRereadMembers.Store(registered)
+		// A daemon that registered reads the list again. If two daemons register at the same time,
+		// at least one of them thus finds the other.
+		registered := s.mustRegister(time.Now()) && s.register(ctx)
+		s.needsMemberReread.Store(registered)
 		s.readOtherHalls(ctx)
-		pause.For(ctx, next)
-		next = discoveryInterval
+		pause.For(ctx, wait)
+		wait = discoveryInterval
 	}
 }
 
-// registrationDue reports whether this daemon has to be added to the member list.
-func (s *Server) registrationDue(now time.Time) bool {
-	if !s.registration.at.IsZero() {
+// mustRegister reports whether this daemon has to be added to the member list.
+func (s *Server) mustRegister(now time.Time) bool {
+	if !s.registration.registeredAt.IsZero() {
 		return s.registration.mayBeLost(s.storeEra(), now)
 	}
 	readAt := s.membersReadAt.Load()
 	switch {
 	case readAt == nil:
-		return now.Sub(s.start) > memberListWait
-	case s.boundsWarmUp():
+		return now.Sub(s.startedAt) > memberListGracePeriod
+	case s.limitsWarmUp():
 		return true
 	case len(s.agent.Table().Alive(now)) == 0 && now.Sub(*readAt) > listenPeriod:
 		return true
@@ -80,9 +77,9 @@
 	return needsEntry(s.hallMembers, s.opts.Self)
 }
 
-// needsEntry reports whether a daemon should be added to its hall's part of the member list: the
-// list is short, or it lacks daemons at least as fit. A daemon listed with an earlier incarnation
-// can be found by that entry.
+// needsEntry reports whether a daemon should be added to its hall's part of the member list. It
+// should if the list is short or holds too few fitter daemons. It should not if the list already
+// holds the daemon's id and address, even with an earlier incarnation.
 func needsEntry(listed []peers.Identity, self peers.Identity) bool {
 	fitter := 0
 	for _, other := range listed {
@@ -107,16 +104,16 @@
 	return s.opts.Era()
 }
 
-// registration records when this daemon registered, and in which era of the store.
+// registration records when this daemon registered, and the value of storeEra at that time.
 type registration struct {
-	at  time.Time
-	era int64
+	registeredAt time.Time
+	era          int64
 }
 
-// mayBeLost reports whether the registration may have been lost: it was made shortly before the
-// store was restored from a copy. Older registrations are in the copy and need not be repeated.
+// mayBeLost reports whether the store may have lost the registration. That is the case if the store
+// was restored from a copy since, and the registration may be too recent to be in the copy.
 func (r registration) mayBeLost(era int64, now time.Time) bool {
-	return era > r.era && now.Sub(r.at) < maxCopyAge
+	return era > r.era && now.Sub(r.registeredAt) < maxCopyAge
 }
 
 func (s *Server) register(ctx context.Context) bool {
@@ -127,7 +124,7 @@
 		s.logger.Debug("registration in the member list failed", "error", err)
 		return false
 	}
-	s.registration = registration{at: now, era: s.storeEra()}
+	s.registration = registration{registeredAt: now, era: s.storeEra()}
 	return true
 }
 
@@ -137,11 +134,11 @@
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(s.opts.Regions)), isOwn)
 }
 
-// readMembers reads the member list of the own hall, and of others if needed.
+// readMembers reads the member list of the own hall, and those of other halls if needed.
 func (s *Server) readMembers(ctx context.Context) {
 	delay := memberReadInterval
-	if s.membersReadAt.Load() == nil || s.mustRereadMembers.Load() {
-		// Other daemons may be about to register.
+	if s.membersReadAt.Load() == nil || s.needsMemberReread.Load() {
+		// Other daemons may register soon.
 		delay = memberRereadDelay
 	}
 	if s.readHall(ctx, s.opts.Self.Zone) {
@@ -151,11 +148,10 @@
 	s.nextMemberRead = time.Now().Add(delay)
 }
 
-// readOtherHalls reads the member lists of the remaining data halls, after that of the own hall.
-// Members of a large fleet skip this, since their relays tell them of other halls; otherwise the
-// reads would grow with the square of the fleet.
+// readOtherHalls reads the member lists in unreadHalls, once that of the own hall has been read.
+// Members of a large fleet do not need the lists, because their relays report on other halls.
 func (s *Server) readOtherHalls(ctx context.Context) {
-	if s.membersReadAt.Load() == nil || s.mustRereadMembers.Load() {
+	if s.membersReadAt.Load() == nil || s.needsMemberReread.Load() {
 		return
 	}
 	for len(s.unreadHalls) > 0 {
@@ -164,16 +160,16 @@
 		}
 		s.unreadHalls = s.unreadHalls[1:]
 	}
-	s.allMembersRead.Store(true)
+	s.hasReadAllMembers.Store(true)
 }
 
-// needsAllHalls reports whether this daemon has to know the daemons of other data halls: if all
-// report to all, if it is a relay, or if the fleet shares the bounds of workers that warm up.
+// needsAllHalls reports whether this daemon has to know the daemons of other data halls. All daemons
+// must in a small fleet, or if requests to cold workers are limited. Otherwise only relays must.
 func (s *Server) needsAllHalls() bool {
-	return s.agent.Role() != peers.Member || s.boundsWarmUp()
+	return s.agent.Role() != peers.Member || s.limitsWarmUp()
 }
 
-// readHall reads the member list of a data hall.
+// readHall reads the member list of a data hall and reports whether that succeeded.
 func (s *Server) readHall(ctx context.Context, hall string) bool {
 	ctx, cancel := context.WithTimeout(ctx, memberListTimeout)
 	defer cancel()
@@ -189,7 +185,8 @@
 	if hall == s.opts.Self.Zone {
 		s.hallMembers = all
 	}
-	// Roles must be known before anything else is read from the store.
+	// The daemon's role decides whether it reads anything else from the store, so the role is
+	// updated first.
 	s.agent.UpdateLayout(now)
 	s.membersReadAt.CompareAndSwap(nil, &now)
 	return true
--- a/serving/entries.go
+++ b/serving/entries.go
@@ -9,7 +9,7 @@
 	"quartzshelf.dev/peers"
 )
 
-// Caller describes who asks for the addresses of daemons. Empty fields are unknown.
+// Caller describes a client that asks for the addresses of daemons. Empty fields are unknown.
 type Caller struct {
 	// Host is the host name that the requests will carry.
 	Host string
@@ -19,25 +19,24 @@
 
 // entry is a daemon whose address may be given to a caller.
 type entry struct {
-	front string
-	zone  string
-	ready bool
+	address string
+	hall    string
+	isReady bool
 }
 
-// Entries returns the addresses that a caller should use: daemons that are alive, ready and not
-// leaving, or ones that are not ready if there are no others. If any are ready in the caller's
-// region, or in the regions that the routes of its host allow, only those are returned. Callers
-// use a part of the addresses from the start, so the few known daemons of other halls come first:
-// a caller that keeps the addresses then still reaches some if this whole hall fails.
+// Entries returns the addresses of the daemons that a caller should use. It omits daemons that are
+// leaving. It prefers ready daemons, among them those in the caller's region or in the regions that
+// the routes of its host allow. Daemons of other halls come first, because callers use only the
+// first few addresses and should still reach a daemon if this hall fails.
 func (s *Server) Entries(c Caller) []string {
 	all := s.entries()
 	allowed := s.allowedRegions(c)
-	inRegion := func(e entry) bool { return allowed.Allows(s.regionOf(e.zone)) }
-	isReady := func(e entry) bool { return e.ready }
+	inRegion := func(e entry) bool { return allowed.Allows(s.regionOf(e.hall)) }
+	isReady := func(e entry) bool { return e.isReady }
 	inRegions := selectEntries(all, inRegion)
 	for _, candidates := range [][]entry{selectEntries(inRegions, isReady), selectEntries(all, isReady), inRegions, all} {
 		if len(candidates) > 0 {
-			return frontsOf(candidates)
+			return addressesOf(candidates)
 		}
 	}
 	return nil
@@ -55,24 +54,24 @@
 	return regions
 }
 
-// entries returns this daemon and all others that are alive and not leaving, those of other halls
-// first.
+// entries returns the entries of this daemon and of all others that are alive, except for those that
+// are leaving. Daemons of other halls come first, after this one.
 func (s *Server) entries() []entry {
 	var all []entry
-	if !s.leaving.Load() {
-		all = append(all, entry{front: s.opts.Self.Front, zone: s.opts.Self.Zone, ready: s.Ready()})
+	if !s.isLeaving.Load() {
+		all = append(all, entry{address: s.opts.Self.Front, hall: s.opts.Self.Zone, isReady: s.Ready()})
 	}
 	alive := s.agent.Table().Alive(time.Now())
 	slices.SortStableFunc(alive, func(a, b *peers.Peer) int { return cmp.Compare(s.hallOrder(a), s.hallOrder(b)) })
 	for _, p := range alive {
 		if !p.Leaving {
-			all = append(all, entry{front: p.Front, zone: p.Zone, ready: p.Ready})
+			all = append(all, entry{address: p.Front, hall: p.Zone, isReady: p.Ready})
 		}
 	}
 	return all
 }
 
-// hallOrder returns 1 for a daemon of the own hall, and 0 for any other, for sorting.
+// hallOrder returns the sort key of a peer, which is 1 in the own hall and 0 in any other.
 func (s *Server) hallOrder(p *peers.Peer) int {
 	if p.Zone == s.opts.Self.Zone {
 		return 1
@@ -90,10 +89,10 @@
 	return selected
 }
 
-func frontsOf(all []entry) []string {
-	fronts := make([]string, 0, len(all))
+func addressesOf(all []entry) []string {
+	addresses := make([]string, 0, len(all))
 	for _, e := range all {
-		fronts = append(fronts, e.front)
+		addresses = append(addresses, e.address)
 	}
-	return fronts
+	return addresses
 }
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -24,12 +24,13 @@
 	pathConfig    = "/configuration"
 	pathWorkers   = "/workers"
 	pathDecisions = "/decisions"
-	// headsParam is the query parameter that requests only the workers that requests go to.
-	// wholeListPosition is the position that requests the whole list.
+	// headsParam is the query parameter by which a peer asks only for group heads, to which requests
+	// are sent. wholeListPosition is the position by which it asks for the whole list.
 	headsParam        = "heads"
 	headsQuery        = headsParam + "=1"
 	wholeListPosition = -1
-	// fetchDelay gives this daemon's own reads of the store time to complete first.
+	// fetchDelay is the delay before each fetch. This daemon's own reads of the store may complete
+	// in the meantime.
 	fetchDelay = 150 * time.Millisecond
 	// fetchTimeout limits the duration of a request to a peer, maxFetchBytes the size of its
 	// response.
@@ -37,7 +38,7 @@
 	maxFetchBytes = 16 << 20
 )
 
-// fetcher fetches state that peers have and this daemon lacks.
+// fetcher fetches state that this daemon lacks from peers, and serves its own state to them.
 type fetcher struct {
 	server     *Server
 	client     *http.Client
@@ -45,7 +46,7 @@
 	compressed compressedConfig
 }
 
-// fetchRequest is a peer to fetch from, and when the fetch was requested.
+// fetchRequest holds the peer to fetch from, and the time when the fetch was requested.
 type fetchRequest struct {
 	*peers.Peer
 	requestedAt awake.Stamp
@@ -59,8 +60,8 @@
 	return f
 }
 
-// request schedules a fetch from a peer, unless one is pending already.
-func (f *fetcher) request(p *peers.Peer) {
+// schedule schedules a fetch from a peer, unless a fetch is pending already.
+func (f *fetcher) schedule(p *peers.Peer) {
 	select {
 	case f.requests <- fetchRequest{Peer: p, requestedAt: awake.NewStamp(f.server.opts.Suspended)}:
 	default:
@@ -105,8 +106,8 @@
 	return mux
 }
 
-// fetch fetches what is still missing. If it fails, it is requested again after the next
-// heartbeat.
+// fetch fetches whatever state this daemon still lacks compared with a peer. Failures are logged.
+// The next heartbeat of a peer schedules another fetch.
 func (f *fetcher) fetch(ctx context.Context, p fetchRequest) {
 	if p.ConfigVersion > f.server.beliefs.Version() {
 		f.logFailure(p, f.fetchConfig(ctx, p))
@@ -198,7 +199,7 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, failure.New(failure.Refused, "ask peer", p.ID, "status %d", response.StatusCode)
 	}
-	// The ages in the peer's heartbeat did not count the suspension.
+	// After a suspension, the ages in the peer's heartbeat are out of date.
 	if p.requestedAt.Interrupted() {
 		return nil, failure.New(failure.Unavailable, "ask peer", p.ID, "the machine was suspended during the call")
 	}
@@ -214,10 +215,11 @@
 	f.respond(w, r, config.Encoded(), func() ([]byte, error) { return f.compressed.get(config) })
 }
 
-// respond writes data to a peer, compressed if the peer accepts that.
-func (f *fetcher) respond(w http.ResponseWriter, r *http.Request, data []byte, pack func() ([]byte, error)) {
+// respond writes data to a peer. If the peer accepts gzip, it writes the result of compressed
+// instead.
+func (f *fetcher) respond(w http.ResponseWriter, r *http.Request, data []byte, compressed func() ([]byte, error)) {
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		compressed, err := pack()
+		compressed, err := compressed()
 		if err == nil {
 			w.Header().Set("Content-Encoding", "gzip")
 			data = compressed
@@ -225,7 +227,7 @@
 			f.server.logger.Warn("sending response to peer uncompressed", "path", r.URL.Path, "error", err)
 		}
 	}
-	// If the peer is gone, it asks again.
+	// A peer that does not receive the response asks again.
 	_, _ = w.Write(data)
 }
 
@@ -265,17 +267,17 @@
 }
 
 // get returns the encoded configuration as gzip.
-func (p *compressedConfig) get(config *fleet.Config) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.config == config {
-		return p.data, nil
+func (c *compressedConfig) get(config *fleet.Config) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.config == config {
+		return c.data, nil
 	}
 	data, err := compress(config.Encoded())
 	if err != nil {
 		return nil, err
 	}
-	p.config, p.data = config, data
+	c.config, c.data = config, data
 	return data, nil
 }
 
@@ -291,7 +293,7 @@
 		return
 	}
 	if !f.server.inventory.Complete() {
-		// The peer gets the list from another daemon.
+		// The peer has to get the list from another daemon.
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/serving/fetch_test.go
+++ b/serving/fetch_test.go
@@ -15,8 +15,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// TestConfigurationIsSentCompressed fetches two versions from a peer and checks the size of the
-// responses.
+// TestConfigurationIsSentCompressed fetches two versions of the configuration from a peer and checks
+// that the responses are compressed.
 func TestConfigurationIsSentCompressed(t *testing.T) {
 	provider, fetching := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 	var sent []int
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -25,8 +25,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// TestEarlierAnswers checks that this build reads all that daemons of the first format version
-// sent in responses, and still sends all of it.
+// TestEarlierAnswers checks that this build reads and still writes every field of the messages
+// that daemons of the first format version exchanged over HTTP.
 func TestEarlierAnswers(t *testing.T) {
 	tests := map[string]func() any{
 		"workers":   func() any { return &changesMessage{} },
@@ -50,13 +50,13 @@
 	}
 }
 
-// framing is the length of the header before the message in a datagram, in bytes.
-const framing = 17
+// headerBytes is the length of the header before the message in a datagram.
+const headerBytes = 17
 
-// toFirstFormat converts a datagram to the first format version by removing what later versions
-// added.
+// toFirstFormat converts a datagram to the first format version by removing the fields that later
+// versions added. It returns a datagram unchanged if that fails.
 func toFirstFormat(datagram []byte) []byte {
-	body, err := io.ReadAll(flate.NewReader(bytes.NewReader(datagram[framing:])))
+	body, err := io.ReadAll(flate.NewReader(bytes.NewReader(datagram[headerBytes:])))
 	if err != nil {
 		return datagram
 	}
@@ -66,7 +66,7 @@
 	if decoder.Decode(&m) != nil {
 		return datagram
 	}
-	dropAdded(m)
+	removeAddedFields(m)
 	body, err = json.Marshal(m)
 	if err != nil {
 		return datagram
@@ -79,11 +79,11 @@
 	// Writing to a buffer never fails.
 	_, _ = w.Write(body)
 	_ = w.Close()
-	return append(bytes.Clone(datagram[:framing]), packed.Bytes()...)
+	return append(bytes.Clone(datagram[:headerBytes]), packed.Bytes()...)
 }
 
-// dropAdded removes from a message the fields that later versions added.
-func dropAdded(m any) {
+// removeAddedFields removes from a message the fields that later versions added.
+func removeAddedFields(m any) {
 	fields, ok := m.(map[string]any)
 	if !ok {
 		return
@@ -121,10 +121,11 @@
 
 // mixedFleet is a fleet in three halls, in which some daemons use an earlier format version.
 type mixedFleet struct {
-	all []*Server
-	// early tells which daemons use the earlier version; end stops each of them.
-	early []bool
-	end   []context.CancelFunc
+	daemons []*Server
+	// usesEarlier holds, by the index of a daemon, whether it uses the earlier version. stops holds
+	// the functions that stop the daemons.
+	usesEarlier []bool
+	stops       []context.CancelFunc
 }
 
 func newMixedFleet(t *testing.T, perHall int, isEarly func(inHall int) bool) *mixedFleet {
@@ -145,18 +146,18 @@
 			Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read}, Logger: hclog.NewNullLogger(),
 		})
 		assert.NilError(t, err)
-		f.all, f.early = append(f.all, s), append(f.early, isEarly(i%perHall))
+		f.daemons, f.usesEarlier = append(f.daemons, s), append(f.usesEarlier, isEarly(i%perHall))
 	}
-	for _, s := range f.all {
-		for _, other := range f.all {
+	for _, s := range f.daemons {
+		for _, other := range f.daemons {
 			s.agent.Table().Learn(other.opts.Self, time.Now())
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		f.end = append(f.end, cancel)
+		f.stops = append(f.stops, cancel)
 		tasks.Go(func() { s.agent.Run(ctx) })
 	}
 	t.Cleanup(func() {
-		for _, end := range f.end {
+		for _, end := range f.stops {
 			end()
 		}
 		tasks.Wait()
@@ -169,16 +170,16 @@
 // assertFormat checks which version the daemons of this build consider the oldest in use.
 func (f *mixedFleet) assertFormat(t *testing.T, want int) {
 	t.Helper()
-	for i, s := range f.all {
-		if !f.early[i] {
+	for i, s := range f.daemons {
+		if !f.usesEarlier[i] {
 			assert.Equal(t, s.agent.Table().OldestFormat(time.Now()), want, "%s, a %s", s.opts.Self.ID, s.agent.Role())
 		}
 	}
 }
 
 // TestMixedFleetUsesOldestFormat runs daemons of an earlier version in a fleet with relays. All
-// others must learn of them, by relays of either version, and switch to this build's version once
-// none was heard for a while.
+// others must keep to the earlier version, even if the relays use the earlier one as well. Some time
+// after the earlier daemons stopped, they must switch to this build's version.
 func TestMixedFleetUsesOldestFormat(t *testing.T) {
 	tests := map[string]struct {
 		perHall int
@@ -195,8 +196,8 @@
 				f := newMixedFleet(t, test.perHall, test.isEarly)
 				time.Sleep(5 * time.Second)
 				f.assertFormat(t, peers.FormatFirst)
-				for i, end := range f.end {
-					if f.early[i] {
+				for i, end := range f.stops {
+					if f.usesEarlier[i] {
 						end()
 					}
 				}
@@ -209,33 +210,33 @@
 	}
 }
 
-// TestNoLimitSharesWithEarlierDaemons checks that, while a daemon of an earlier version, which
-// ignores limits, is in use, the others send nothing to a worker that reported a limit, and that
-// they share the limit afterwards.
+// TestNoLimitSharesWithEarlierDaemons checks that daemons send nothing to a worker that reported a
+// limit while a daemon of an earlier version is in use, because that one ignores limits. Afterwards
+// they must share the limit.
 func TestNoLimitSharesWithEarlierDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		signal := func(h http.Header, _ time.Duration) bool {
-			h.Set(signalNames.Asks.Limit, "1.5")
+			h.Set(signalHeaders.Asks.Limit, "1.5")
 			return true
 		}
-		limited, other := &signalHead{id: "limited", signal: signal, work: 30 * time.Millisecond}, &signalHead{id: "other", work: 30 * time.Millisecond}
+		limited, other := &signalHead{id: "limited", signal: signal, processingTime: 30 * time.Millisecond}, &signalHead{id: "other", processingTime: 30 * time.Millisecond}
 		f := newSignalFleet(t, 3, 2, limited, other)
 		for _, s := range f.daemons {
 			s.signals.Hear(&fleet.Worker{ID: "limited"}, backpressure.Signal{Limited: true, PerSecond: 1.5}, time.Now(), time.Now())
 			s.agent.Table().NoteFormat(peers.FormatFirst, time.Now())
 		}
-		f.load(30, 8*time.Second)
-		assert.Equal(t, limited.arrivalsBetween(0, 8*time.Second), 0)
-		f.load(30, 12*time.Second)
-		assert.Assert(t, limited.arrivalsBetween(12*time.Second, 20*time.Second) > 0)
+		f.sendLoad(30, 8*time.Second)
+		assert.Equal(t, limited.countArrivals(0, 8*time.Second), 0)
+		f.sendLoad(30, 12*time.Second)
+		assert.Assert(t, limited.countArrivals(12*time.Second, 20*time.Second) > 0)
 		assert.Equal(t, f.served, f.sent)
 	})
 }
 
-// TestToFirstFormat checks that dropAdded removes only the added fields.
+// TestToFirstFormat checks that removeAddedFields removes only the added fields.
 func TestToFirstFormat(t *testing.T) {
 	m := map[string]any{"id": "a", "hb": map[string]any{"f": 1, "bp": 1, "cv": 3}, "known": []any{map[string]any{"f": 1, "id": "b"}}}
-	dropAdded(m)
+	removeAddedFields(m)
 	data, err := json.Marshal(m)
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(data), `"f"`) && strings.Contains(string(data), `"cv":3`))
--- a/serving/halls.go
+++ b/serving/halls.go
@@ -7,25 +7,25 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallCheckInterval is the time between two checks whether a closed data hall is empty.
+// hallCheckInterval is the time between two checks of whether the closed data halls are empty.
 const hallCheckInterval = 100 * time.Millisecond
 
 // hallWatch tracks closed data halls for logs and metrics.
 type hallWatch struct {
 	server *Server
-	// closedAt holds when this daemon learned that a hall is to be closed.
-	closedAt map[string]time.Time
-	// states holds the state logged last, by hall. empty holds the closed halls with no requests
-	// of this daemon left.
-	states map[string]fleet.HallState
-	empty  map[string]bool
+	// closingSince holds, by hall, the time when this daemon learned that the hall is to be closed.
+	closingSince map[string]time.Time
+	// loggedStates holds, by hall, the state that was logged last. loggedEmpty holds the closed halls
+	// that were logged as empty, that is, without requests of this daemon in flight.
+	loggedStates map[string]fleet.HallState
+	loggedEmpty  map[string]bool
 }
 
-// watchHalls forwards changes of data halls and logs each hall's states until ctx ends.
+// watchHalls forwards and logs changes of the states of data halls until ctx ends.
 func (s *Server) watchHalls(ctx context.Context) {
 	w := &hallWatch{
-		server: s, closedAt: make(map[string]time.Time),
-		states: make(map[string]fleet.HallState), empty: make(map[string]bool),
+		server: s, closingSince: make(map[string]time.Time),
+		loggedStates: make(map[string]fleet.HallState), loggedEmpty: make(map[string]bool),
 	}
 	ticker := time.NewTicker(hallCheckInterval)
 	defer ticker.Stop()
@@ -43,26 +43,26 @@
 	}
 }
 
-// update logs the changes since its last call.
+// update logs the changes of data halls since its last call.
 func (w *hallWatch) update(view *fleet.HallView, now time.Time) {
 	for _, hall := range view.Closed() {
-		if _, known := w.closedAt[hall]; !known {
-			w.closedAt[hall] = now
+		if _, known := w.closingSince[hall]; !known {
+			w.closingSince[hall] = now
 		}
 	}
-	for hall, since := range w.closedAt {
+	for hall, since := range w.closingSince {
 		state := view.State(hall, now)
-		if w.states[hall] != state {
-			w.states[hall] = state
+		if w.loggedStates[hall] != state {
+			w.loggedStates[hall] = state
 			w.server.logger.Info("data hall is "+state.String(), "hall", hall, "ms", now.Sub(since).Milliseconds())
 		}
 		switch {
 		case state == fleet.HallOpen:
-			delete(w.closedAt, hall)
-			delete(w.states, hall)
-			delete(w.empty, hall)
-		case state == fleet.HallClosed && !w.empty[hall] && w.server.tracker.InFlightIn(hall) == 0:
-			w.empty[hall] = true
+			delete(w.closingSince, hall)
+			delete(w.loggedStates, hall)
+			delete(w.loggedEmpty, hall)
+		case state == fleet.HallClosed && !w.loggedEmpty[hall] && w.server.tracker.InFlightIn(hall) == 0:
+			w.loggedEmpty[hall] = true
 			w.server.logger.Info("data hall is empty", "hall", hall, "ms", now.Sub(since).Milliseconds())
 		}
 	}
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -11,24 +11,24 @@
 // fillHeartbeat sets this daemon's own state in a heartbeat.
 func (s *Server) fillHeartbeat(h *peers.Heartbeat, now time.Time) {
 	s.awake.Check()
-	h.Ready, h.Leaving, h.Complete = s.Ready(), s.leaving.Load(), s.inventory.Complete()
+	h.Ready, h.Leaving, h.Complete = s.Ready(), s.isLeaving.Load(), s.inventory.Complete()
 	version, confirmed := s.beliefs.State()
-	h.ConfigVersion, h.ConfigAge = version, age(confirmed, now)
-	h.WorkersPosition, h.WorkersAge = s.inventory.Position(), age(s.inventory.Confirmed(), now)
+	h.ConfigVersion, h.ConfigAge = version, ageMillis(confirmed, now)
+	h.WorkersPosition, h.WorkersAge = s.inventory.Position(), ageMillis(s.inventory.Confirmed(), now)
 	h.Halls = s.halls.Report(now)
 	h.Decided = s.inventory.Decided()
 	h.Leads, h.Highest, h.Grant = s.elector.State()
 	h.LeaderAge = s.agent.Table().LeaderAge(now)
 	h.Loads, h.Traffic = s.tracker.Loads(), s.tracker.Traffic()
 	h.Demand, h.PromptTokens = s.tracker.Demand()
-	h.Stalls = s.suspicions.current(now)
+	h.Stalls = s.suspicions.recentStalls(now)
 	h.Quarantine = s.relay.Guard().Table().Report(now, s.forwardsNews())
 	h.Signals = s.signals.Report(now, s.forwardsNews())
 }
 
-// age returns the time since t in milliseconds, as heartbeats hold it: at least 1, or
-// peers.NeverConfirmed if t is zero.
-func age(t, now time.Time) int64 {
+// ageMillis returns the time since t in milliseconds, for use in a heartbeat. It is at least 1. If t
+// is zero, it is peers.NeverConfirmed.
+func ageMillis(t, now time.Time) int64 {
 	if t.IsZero() {
 		return peers.NeverConfirmed
 	}
@@ -46,8 +46,8 @@
 	}
 	s.noteConfigVersion(p.ConfigVersion)
 	if own := s.inventory.Position(); own > 0 && fleet.EraOf(p.WorkersPosition) > fleet.EraOf(own) {
-		// Daemons that don't read the store learn from the positions of others that it was
-		// restored from a copy.
+		// The store was restored from a copy. Daemons that do not read it learn this from the
+		// positions of others.
 		s.beliefs.HoldCopy(p.HeardAt)
 	}
 	s.halls.Follow(p.Halls, p.SentAfter)
@@ -57,24 +57,26 @@
 	s.mergeQuarantine(p)
 	s.mergeSignals(p)
 	if s.isBehind(p) {
-		s.fetcher.request(p)
+		s.fetcher.schedule(p)
 	}
 }
 
-// isBehind reports whether a peer knows something that this daemon does not.
+// isBehind reports whether a peer has a newer configuration, later changes of the worker list or
+// later decisions than this daemon.
 func (s *Server) isBehind(p *peers.Peer) bool {
 	return p.ConfigVersion > s.beliefs.Version() || s.isBehindOnWorkers(p) || s.inventory.Decided().Before(p.Decided)
 }
 
-// isBehindOnWorkers reports whether a peer knows later changes of the worker list, or all workers
-// if this daemon needs them. A list from a peer that is behind cannot be used.
+// isBehindOnWorkers reports whether a fetch of the worker list from a peer would help. That is the
+// case if the peer knows later changes, or if this daemon still needs all workers and the peer, at
+// the same position, has them.
 func (s *Server) isBehindOnWorkers(p *peers.Peer) bool {
 	position := s.inventory.Position()
 	return p.WorkersPosition > position || p.WorkersPosition == position && p.Complete && s.inventory.AwaitsList()
 }
 
-// countsLoads reports whether the loads in a peer's heartbeat count here. Otherwise they arrive as
-// part of a summary.
+// countsLoads reports whether this daemon adds up the loads in a peer's heartbeat itself. Otherwise
+// they arrive as part of a summary.
 func (s *Server) countsLoads(p *peers.Peer) bool {
 	switch s.agent.Role() {
 	case peers.Relay:
@@ -85,7 +87,8 @@
 	return true
 }
 
-// onSuspicions processes a peer's suspicions. A relay forwards new ones at once.
+// onSuspicions processes the stalled replicas that a peer reports. Leaders and relays forward new
+// ones at once.
 func (s *Server) onSuspicions(p *peers.Peer) {
 	hasNew := false
 	for _, stall := range p.Stalls {
@@ -100,7 +103,7 @@
 	}
 }
 
-// onSummary processes a summary of the work of other daemons.
+// onSummary processes a relay's summary of a data hall, or of the whole fleet if hall is empty.
 func (s *Server) onSummary(hall string, summary peers.Summary, now time.Time) {
 	if summary.Traffic {
 		s.tracker.SetTraffic()
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -11,7 +11,7 @@
 	"quartzshelf.dev/peers"
 )
 
-// sendHeartbeat passes a heartbeat of one daemon to another.
+// sendHeartbeat passes a heartbeat of one daemon to another. The sender gets the id "sender".
 func sendHeartbeat(from, to *Server, now time.Time) {
 	h := peers.Heartbeat{Identity: from.opts.Self}
 	h.ID, h.Address = "sender", "127.0.0.1:1"
@@ -21,8 +21,8 @@
 	to.onHeartbeat(p)
 }
 
-// TestHeartbeatsTransferState checks each kind of state that a daemon which cannot read the store
-// learns from a peer's heartbeat.
+// TestHeartbeatsTransferState checks each kind of state that a daemon learns from a peer's
+// heartbeat. The daemon does not read the store.
 func TestHeartbeatsTransferState(t *testing.T) {
 	now := time.Now()
 	earlier := now.Add(-3 * time.Second)
@@ -46,7 +46,7 @@
 		},
 		"that there is a newer configuration": {
 			prepare: func(sender *Server) { sender.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now) },
-			isKnown: func(s *Server) bool { return len(s.fetcher.requests) == 1 && s.newestConfigHeard.Load() == 2 },
+			isKnown: func(s *Server) bool { return len(s.fetcher.requests) == 1 && s.newestPeerConfig.Load() == 2 },
 		},
 		"that there are changes of the worker list": {
 			prepare: func(sender *Server) { sender.inventory.Replace(nil, 2, now) },
@@ -85,14 +85,14 @@
 		},
 		"that a replica stalled": {
 			prepare: func(sender *Server) { sender.suspicions.add(peers.Stall{Replica: "r", Head: "w"}, now) },
-			isKnown: func(s *Server) bool { return len(s.suspicions.current(now)) == 1 },
+			isKnown: func(s *Server) bool { return len(s.suspicions.recentStalls(now)) == 1 },
 		},
 		"that the store was restored from a copy": {
 			prepare: func(sender *Server) {
 				sender.inventory.Replace(nil, fleet.PositionOf(1, 1), now)
 				sender.beliefs.Confirm(1, now)
 			},
-			// The restored store confirms nothing for a while.
+			// For a while after the restoration, reads do not confirm the configuration.
 			isKnown: func(s *Server) bool {
 				s.beliefs.Confirm(1, now)
 				return s.beliefs.Confirmed().Equal(earlier)
@@ -111,8 +111,8 @@
 	}
 }
 
-// newServerWithState returns a daemon that has a configuration and a worker list confirmed at a
-// time.
+// newServerWithState returns a daemon with a configuration and a worker list that were confirmed
+// at a time.
 func newServerWithState(t *testing.T, at time.Time) *Server {
 	t.Helper()
 	s := newServer(t, &fakeStore{})
--- a/serving/indirect.go
+++ b/serving/indirect.go
@@ -17,7 +17,7 @@
 
 const (
 	pathLeave = "/leave"
-	// indirectPeerCount is the number of peers that are asked to send an order.
+	// indirectPeerCount is the maximum number of peers that are asked to send an order.
 	indirectPeerCount = 6
 	// indirectTimeout limits the time for a peer's call to the worker.
 	indirectTimeout = 200 * time.Millisecond
@@ -25,7 +25,7 @@
 	maxOrderBytes = 64 << 10
 )
 
-// leaveMessage asks a peer to order a worker to leave its group.
+// leaveMessage is a request to a peer to send a worker the order to leave its group.
 type leaveMessage struct {
 	Worker fleet.Worker    `json:"worker"`
 	Fence  formation.Fence `json:"fence"`
@@ -38,15 +38,16 @@
 	Verdict formation.Verdict `json:"verdict"`
 }
 
-// leaveThroughPeers is a formation.IndirectLeave: several peers send the order at once, with the
-// same fence, and the first response counts.
+// leaveThroughPeers orders a worker to leave a group by way of several peers at once. It returns the
+// first verdict that a peer passes on. If all peers fail, it returns formation.Unfit and an error. It
+// is used as formation.Options.IndirectLeave.
 func (s *Server) leaveThroughPeers(ctx context.Context, w *fleet.Worker, fence formation.Fence, g formation.Group) (formation.Verdict, error) {
 	body, err := json.Marshal(leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch})
 	if err != nil {
 		return formation.Malformed, failure.At(failure.Invalid, "encode order", w.ID, err)
 	}
 	chosen := s.randomPeers()
-	answers := make(chan verdictMessage, len(chosen))
+	verdicts := make(chan verdictMessage, len(chosen))
 	failures := make(chan error, len(chosen))
 	for _, p := range chosen {
 		go func() {
@@ -55,13 +56,13 @@
 				failures <- err
 				return
 			}
-			answers <- m
+			verdicts <- m
 		}()
 	}
 	err = failure.New(failure.Unavailable, "send order through peers", w.ID, "no peer is alive")
 	for range chosen {
 		select {
-		case m := <-answers:
+		case m := <-verdicts:
 			return m.Verdict, nil
 		case err = <-failures:
 		}
@@ -69,7 +70,7 @@
 	return formation.Unfit, err
 }
 
-// randomPeers returns a random choice of live peers.
+// randomPeers returns up to indirectPeerCount random peers that are alive.
 func (s *Server) randomPeers() []*peers.Peer {
 	alive := s.agent.Table().Alive(time.Now())
 	rand.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
@@ -96,7 +97,8 @@
 	return m, nil
 }
 
-// serveLeave sends an order to a worker on behalf of a peer.
+// serveLeave handles a peer's leaveMessage: it sends the order to the worker and responds with the
+// verdict.
 func (s *Server) serveLeave(w http.ResponseWriter, r *http.Request) {
 	var m leaveMessage
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxOrderBytes)).Decode(&m); err != nil {
@@ -115,6 +117,6 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// If the peer is gone, it asks again.
+	// A peer that does not receive the response asks again.
 	_, _ = w.Write(data)
 }
--- a/serving/indirect_test.go
+++ b/serving/indirect_test.go
@@ -15,7 +15,7 @@
 	"quartzshelf.dev/peers"
 )
 
-// leaveOrders records orders to leave and returns a fixed result.
+// leaveOrders records orders to leave a group and returns a fixed result.
 type leaveOrders struct {
 	verdict  formation.Verdict
 	err      error
@@ -47,7 +47,7 @@
 			leader, peer := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 			peer.opts.Orders = formation.Orders{Leave: test.orders.leave}
 			if test.peer {
-				hearPeer(t, leader, servePeer(t, peer))
+				addPeer(t, leader, servePeer(t, peer))
 			}
 			verdict, err := leader.leaveThroughPeers(context.Background(), worker, 9, group)
 			assert.Equal(t, verdict, test.want)
@@ -70,8 +70,8 @@
 	return l.Addr().String()
 }
 
-// hearPeer makes a peer at an address known to a daemon.
-func hearPeer(t *testing.T, s *Server, address string) {
+// addPeer passes a heartbeat of a ready peer at an address to a daemon.
+func addPeer(t *testing.T, s *Server, address string) {
 	t.Helper()
 	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: address}, Ready: true}
 	assert.Assert(t, s.agent.Table().RecordHeartbeat(b, time.Now(), time.Now()))
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -9,7 +9,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// lead acts as leader for one term, until ctx ends.
+// lead acts as leader for the term of a claim, until ctx ends. first is passed on to the keeper as
+// formation.Term.First.
 func (s *Server) lead(ctx context.Context, claim peers.Claim, first bool) {
 	s.inventory.BeginTerm(claim.Term())
 	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: first, FirstLife: s.opts.FirstLife},
@@ -28,14 +29,14 @@
 		Config: s.beliefs.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
 		Demand: s.demand, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
-		Smoothed:  s.smoothedWork.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.hallOpen,
+		Smoothed:  s.smoothedWork.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
 		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
 		Awake: s.awake.Check, Counted: s.meter.Order, Logger: s.logger.Named("formation"),
 	}
 }
 
-// hallOpen reports whether a data hall accepts requests and is not being closed.
-func (s *Server) hallOpen(hall string) bool {
+// isHallOpen reports whether a data hall is neither closed nor being closed.
+func (s *Server) isHallOpen(hall string) bool {
 	return s.halls.View().State(hall, time.Now()) == fleet.HallOpen
 }
 
@@ -48,8 +49,8 @@
 // observeInterval is the time between two samples of the fleet's work.
 const observeInterval = time.Second
 
-// observeWork updates the smoothed work of the fleet until ctx ends, so that a new leader starts
-// with a current value.
+// observeWork updates smoothedWork until ctx ends. Every daemon does so, because a new leader needs a
+// current value at once.
 func (s *Server) observeWork(ctx context.Context) {
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
@@ -63,7 +64,7 @@
 	}
 }
 
-// demand returns the work of each model over all daemons.
+// demand returns the work of each model, summed over all daemons.
 func (s *Server) demand() map[string]formation.Work {
 	now := time.Now()
 	measured := s.agent.FleetSummary(now)
@@ -74,7 +75,8 @@
 	return all
 }
 
-// onStall processes a stalled replica that this daemon detected itself.
+// onStall logs a replica whose stall this daemon detected itself, and reports it to peers and to the
+// keeper.
 func (s *Server) onStall(r *fleet.Replica) {
 	now := time.Now()
 	s.logger.Warn("replica stalled", "replica", r.ID, "head", r.Head.ID)
@@ -83,12 +85,12 @@
 	s.agent.SendHeartbeat(now)
 }
 
-// suspect reports a suspicion to the keeper if this daemon leads.
+// suspect asks the keeper to inspect a replica if this daemon leads and an inspection is due.
 func (s *Server) suspect(replica string) {
 	s.mu.Lock()
 	keeper := s.keeper
 	s.mu.Unlock()
-	if keeper != nil && s.suspicions.due(replica, time.Now()) {
+	if keeper != nil && s.suspicions.startInspection(replica, time.Now()) {
 		keeper.Suspect(replica)
 	}
 }
--- a/serving/leaving_test.go
+++ b/serving/leaving_test.go
@@ -10,28 +10,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// The test below guards against requests being sent to a worker that has signaled in its responses
-// that it is leaving, while the worker list does not show it yet. Such requests would be cut off.
+// The test below guards against requests to a worker that has signaled in its responses that it is
+// leaving. They would be cut off when the worker stops. The worker list does not yet show that it
+// is leaving.
 
 const (
-	// leaveFrom is when heads start to signal that they are leaving. leaveBound is how soon after
-	// a daemon received such a response new requests must no longer be sent there.
-	leaveFrom  = 2 * time.Second
-	leaveBound = 2 * time.Second
+	// leaveSignalStart is when heads start to signal that they are leaving, counted from the start
+	// of the fleet. leaveBound is the time after that until no daemon may send them requests.
+	leaveSignalStart = 2 * time.Second
+	leaveBound       = 2 * time.Second
 )
 
-// leavingHeads returns eight heads, some of which signal from leaveFrom on that they are leaving.
-func leavingHeads(leaving int) []*signalHead {
+// leavingHeads returns eight heads. The first leavingCount of them signal from leaveSignalStart on
+// that they are leaving.
+func leavingHeads(leavingCount int) []*signalHead {
 	signal := func(h http.Header, at time.Duration) bool {
-		if at >= leaveFrom {
-			h.Set(signalNames.Asks.Leaving, "1")
+		if at >= leaveSignalStart {
+			h.Set(signalHeaders.Asks.Leaving, "1")
 		}
 		return true
 	}
 	var heads []*signalHead
 	for i := range 8 {
-		h := &signalHead{id: fmt.Sprint("head-", i), work: 300 * time.Millisecond}
-		if i < leaving {
+		h := &signalHead{id: fmt.Sprint("head-", i), processingTime: 300 * time.Millisecond}
+		if i < leavingCount {
 			h.signal = signal
 		}
 		heads = append(heads, h)
@@ -39,8 +41,8 @@
 	return heads
 }
 
-// TestLeavingSignalIsHonored lets heads signal only in responses that they are leaving, with
-// requests of each kind. All daemons must know after leaveBound, in fleets with relays as well.
+// TestLeavingSignalIsHonored lets three of eight heads signal in their responses that they are
+// leaving. After leaveBound no daemon may send requests to them, in fleets with relays as well.
 func TestLeavingSignalIsHonored(t *testing.T) {
 	tests := map[string]struct {
 		path           string
@@ -57,10 +59,10 @@
 				heads := leavingHeads(3)
 				f := newSignalFleet(t, test.halls, test.perHall, heads...)
 				f.path = test.path
-				f.load(60, leaveFrom+leaveBound+4*time.Second)
+				f.sendLoad(60, leaveSignalStart+leaveBound+4*time.Second)
 				for _, h := range heads[:3] {
-					assert.Assert(t, h.arrivalsBetween(0, leaveFrom) > 0)
-					late := h.arrivalsBetween(leaveFrom+leaveBound, time.Hour)
+					assert.Assert(t, h.countArrivals(0, leaveSignalStart) > 0)
+					late := h.countArrivals(leaveSignalStart+leaveBound, time.Hour)
 					assert.Equal(t, late, 0, "%s got requests long after it signaled that it is leaving", h.id)
 				}
 				assert.Equal(t, f.served, f.sent)
--- a/serving/limits_test.go
+++ b/serving/limits_test.go
@@ -11,57 +11,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// The test below guards against ignoring the request rate that a worker reports in its responses
-// as its limit for all daemons together.
+// The test below guards against daemons that ignore a worker's limit. A worker reports the limit in
+// its responses, as the rate of requests that it accepts from all daemons together.
 
 const (
-	// limitGrace is how long after a worker first reported a limit it has to be kept. limitNotice
-	// is how long a daemon may take to apply a limit that it received.
+	// limitGrace is how long after a worker first reported a limit the daemons may still exceed it.
+	// limitNotice is how long a daemon may take to apply a limit that it received.
 	limitGrace  = 3 * time.Second
 	limitNotice = 500 * time.Millisecond
-	// limitWindow is the period over which requests are counted.
+	// limitWindow is the length of the periods in which requests are counted.
 	limitWindow = 4 * time.Second
 )
 
-// maxAllowed is the number of requests that a worker that reported a limit may get within
-// limitWindow.
+// maxAllowed returns the number of requests that a worker may get within limitWindow if it reported
+// a limit of perSecond.
 func maxAllowed(perSecond float64) int {
 	const burst, slack = 1.5, 5
 	return int(burst*perSecond*limitWindow.Seconds()) + slack
 }
 
-// assertLimit checks that a worker that reported a limit from a given time on got no more than
-// that from the daemons that know of it.
-func assertLimit(t *testing.T, h *signalHead, named time.Duration, perSecond float64) {
+// assertLimit checks that daemons that received a head's limit kept it. The head first reported the
+// limit at the time reportedAt after the start of the fleet.
+func assertLimit(t *testing.T, h *signalHead, reportedAt time.Duration, perSecond float64) {
 	t.Helper()
-	all, first := h.arrivalsAfterSignal(limitNotice), 0
+	all, first := h.arrivalsAfterLimit(limitNotice), 0
 	for i, at := range all {
 		for at-all[first] >= limitWindow {
 			first++
 		}
-		if at >= named+limitGrace {
+		if at >= reportedAt+limitGrace {
 			assert.Assert(t, i-first+1 <= maxAllowed(perSecond), "%s got %d requests in the %s before %s", h.id, i-first+1, limitWindow, at)
 		}
 	}
 }
 
-// limitedCount is the number of heads that report a limit, limitNamed when they start to.
+// limitedCount is the number of heads that report a limit. They start to do so limitStart after the
+// start of the fleet.
 const (
 	limitedCount = 2
-	limitNamed   = 2 * time.Second
+	limitStart   = 2 * time.Second
 )
 
 // limitedHeads returns eight heads, the first limitedCount of which report a limit.
 func limitedHeads(perSecond float64) []*signalHead {
 	signal := func(h http.Header, at time.Duration) bool {
-		if at >= limitNamed {
-			h.Set(signalNames.Asks.Limit, strconv.FormatFloat(perSecond, 'f', -1, 64))
+		if at >= limitStart {
+			h.Set(signalHeaders.Asks.Limit, strconv.FormatFloat(perSecond, 'f', -1, 64))
 		}
 		return true
 	}
 	var heads []*signalHead
 	for i := range 8 {
-		h := &signalHead{id: fmt.Sprint("head-", i), work: 300 * time.Millisecond}
+		h := &signalHead{id: fmt.Sprint("head-", i), processingTime: 300 * time.Millisecond}
 		if i < limitedCount {
 			h.id, h.signal = fmt.Sprint("limited-", i), signal
 		}
@@ -70,8 +71,8 @@
 	return heads
 }
 
-// TestReportedLimitHolds lets two of eight heads report a limit after two seconds, in fleets with
-// and without relays.
+// TestReportedLimitHolds checks that daemons keep the limits that two of eight heads report, in
+// fleets with and without relays. They must also use at least half of what the limits allow.
 func TestReportedLimitHolds(t *testing.T) {
 	tests := map[string]struct {
 		halls, perHall int
@@ -92,14 +93,14 @@
 				const from, to = 6 * time.Second, 22 * time.Second
 				heads := limitedHeads(test.perSecond)
 				f := newSignalFleet(t, test.halls, test.perHall, heads...)
-				f.load(test.load, to)
-				came := 0
+				f.sendLoad(test.load, to)
+				received := 0
 				for _, h := range heads[:limitedCount] {
-					assertLimit(t, h, limitNamed, test.perSecond)
-					came += h.arrivalsBetween(from, to)
+					assertLimit(t, h, limitStart, test.perSecond)
+					received += h.countArrivals(from, to)
 				}
-				worth := limitedCount * test.perSecond * (to - from).Seconds()
-				assert.Assert(t, float64(came) >= worth/2, "the limited heads got %d requests, their limits allow %.1f", came, worth)
+				allowed := limitedCount * test.perSecond * (to - from).Seconds()
+				assert.Assert(t, float64(received) >= allowed/2, "the limited heads got %d requests, their limits allow %.1f", received, allowed)
 				assert.Equal(t, f.served, f.sent, "the other heads have free slots")
 			})
 		})
--- a/serving/news.go
+++ b/serving/news.go
@@ -12,15 +12,15 @@
 const (
 	// newsBatchDelay is how long news is collected before it is sent together.
 	newsBatchDelay = 40 * time.Millisecond
-	// changesPerNews and decisionsPerNews limit the worker list changes and decisions in a
-	// datagram, so that it fits into one network frame. Compressed, a change takes about 70 bytes
-	// and a decision about 60.
+	// changesPerNews is the maximum number of changes of the worker list in one datagram, and
+	// decisionsPerNews that of decisions. A datagram should fit into one network frame.
 	changesPerNews   = 14
 	decisionsPerNews = 16
 )
 
-// forwardNews forwards new changes and decisions once, while this daemon is leader or relay.
-// Daemons that miss some of it detect the gap from the positions in heartbeats and fetch it.
+// forwardNews sends new changes of the worker list and new decisions to peers while this daemon is a
+// leader or relay. It sends each only once. Daemons that miss some detect the gap from the positions
+// in heartbeats and fetch them.
 func (s *Server) forwardNews(ctx context.Context) {
 	var forwarded newsPosition
 	for ctx.Err() == nil {
@@ -36,9 +36,9 @@
 		case <-s.inventory.News():
 		}
 		if s.forwardsNews() {
-			var n news
-			n, forwarded = s.newsSince(forwarded)
-			s.agent.SendNews(n.all, n.members, s.isReader(), time.Now())
+			var unsent news
+			unsent, forwarded = s.newsSince(forwarded)
+			s.agent.SendNews(unsent.all, unsent.members, s.isReader(), time.Now())
 		} else {
 			forwarded = newsPosition{workers: s.inventory.Position(), decisions: s.inventory.Decided()}
 		}
@@ -46,17 +46,17 @@
 	}
 }
 
-// forwardsNews reports whether this daemon forwards what it learns.
+// forwardsNews reports whether this daemon forwards new state to others, as leaders and relays do.
 func (s *Server) forwardsNews() bool { return s.isReader() || s.agent.Role() == peers.Relay }
 
-// newsPosition is the position up to which the worker list and the decisions were forwarded.
+// newsPosition holds the positions up to which the worker list and the decisions were forwarded.
 type newsPosition struct {
 	workers   int64
 	decisions fleet.DecisionPosition
 }
 
-// news holds new information in parts that fit into a datagram each: all with the changes of all
-// workers, members with the changes of group heads only, which is all that most members need.
+// news holds news in parts that fit into a datagram each. all has the changes of all workers.
+// members is for members of the hall, most of which need only the changes of group heads.
 type news struct {
 	all, members []peers.News
 }
@@ -66,8 +66,8 @@
 	n.members = append(n.members, part)
 }
 
-// newsSince returns the news since a position, and the new position. After a full reload there is
-// no news; peers fetch what they lack.
+// newsSince returns the news since a position, and the new position. If the changes since then are
+// not available, it returns none, and peers have to fetch the state.
 func (s *Server) newsSince(from newsPosition) (news, newsPosition) {
 	var n news
 	decisions := s.inventory.DecisionsSince(from.decisions)
@@ -83,16 +83,15 @@
 	return n, newsPosition{workers: workers.To, decisions: fleet.DecisionPosition{Term: decisions.Term, Seq: decisions.To}}
 }
 
-// addWorkers adds changes of the worker list. Changes that cannot be split are left for peers to
-// fetch. Members that hold all workers get all changes, since with those of heads alone they would
-// fall behind and have to fetch the rest.
+// addWorkers adds changes of the worker list. Peers have to fetch changes that cannot be split.
+// Members that hold all workers get all changes, the others only those of group heads.
 func (s *Server) addWorkers(n *news, changes fleet.Delta) {
 	if s.inventory.Complete() {
 		parts, _ := changes.Split(changesPerNews)
 		for _, part := range parts {
 			n.all = append(n.all, peers.News{Workers: &part})
 		}
-		if s.boundsWarmUp() {
+		if s.limitsWarmUp() {
 			n.members = n.all
 			return
 		}
--- a/serving/news_test.go
+++ b/serving/news_test.go
@@ -23,7 +23,7 @@
 	return all
 }
 
-// newLeader returns a daemon that knows some workers and leads a term.
+// newLeader returns a daemon that has a list of workers and has begun a term as leader.
 func newLeader(t *testing.T, workers int) *Server {
 	t.Helper()
 	s := newServer(t, &fakeStore{})
@@ -32,8 +32,8 @@
 	return s
 }
 
-// TestNewsIsForwardedOnce checks that a leader forwards each change and decision once, in parts of
-// limited size, and nothing that was known before.
+// TestNewsIsForwardedOnce checks that a leader forwards each new change and decision exactly once,
+// in parts of limited size. It must not forward its initial state.
 func TestNewsIsForwardedOnce(t *testing.T) {
 	leader, follower := newLeader(t, 3), newServer(t, &fakeStore{})
 	follower.inventory.Replace(listWorkers(0, 3), 3, time.Now())
@@ -66,8 +66,8 @@
 	assert.Equal(t, len(n.all)+len(n.members), 0)
 }
 
-// TestMembersGetNewsInScope checks that forwarded news brings members to the leader's position
-// without a fetch, whether they hold only heads or all workers.
+// TestMembersGetNewsInScope checks that news brings members to the leader's position in the worker
+// list without a fetch. Members may hold only group heads or all workers.
 func TestMembersGetNewsInScope(t *testing.T) {
 	tests := map[string]struct {
 		bounded bool
@@ -80,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			leader, member := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 			if test.bounded {
-				warmUpFleet(leader)
+				setColdWorkers(leader)
 			}
 			member.inventory.SetScope(test.scope)
 			start := leader.inventory.Position()
@@ -106,7 +106,8 @@
 	}
 }
 
-// TestMissedNewsIsFetched lets a daemon miss news in several ways and fetch it from a peer.
+// TestMissedNewsIsFetched checks that a daemon that missed news is up to date after it fetched from
+// a peer.
 func TestMissedNewsIsFetched(t *testing.T) {
 	tests := map[string]func(leader, follower *Server){
 		"all of it": func(*Server, *Server) {},
--- a/serving/options.go
+++ b/serving/options.go
@@ -1,5 +1,5 @@
-// Package serving implements the daemon. It connects the followers of the configuration and the
-// worker list, the exchange with peers, leadership and the relaying of requests.
+// Package serving implements the daemon. It connects the packages that read the store, exchange
+// state with peers, elect a leader and relay requests.
 package serving
 
 import (
@@ -18,7 +18,8 @@
 	"quartzshelf.dev/relay"
 )
 
-// MemberList is the list in the store by which daemons discover each other after a start.
+// MemberList gives access to the list of daemons in the store. Starting daemons discover others by
+// it.
 type MemberList struct {
 	// Register adds this daemon to the list.
 	Register func(ctx context.Context, self peers.Identity) error
@@ -26,40 +27,42 @@
 	Read func(ctx context.Context, hall string) ([]peers.Identity, error)
 }
 
-// Bounds holds the limits that the operator guarantees to callers, as far as they concern the
-// daemon.
+// Bounds holds the time limits and other limits that the operator sets for the daemon.
 type Bounds struct {
-	// The time between the signal to stop and the process being killed.
+	// Grace is the time between the signal to stop and the process being killed.
 	Grace time.Duration
-	// The time after which a revoked key must be rejected everywhere; zero for no strict bound.
+	// Revoke is the time after which a revoked key must be rejected by all daemons; zero for no
+	// strict bound.
 	Revoke time.Duration
-	// The time after which a worker removed from the list must get no more requests; zero for no
-	// bound.
+	// Leave is the time after which a worker removed from the list must get no more requests; zero
+	// for no bound.
 	Leave time.Duration
-	// The interval at which workers update their entries in the list.
+	// Heartbeat is the interval at which workers update their entries in the list.
 	Heartbeat time.Duration
-	// How long a replica that lost a member stands still.
+	// Stall is how long a replica that lost a member may make no progress before it is dissolved.
 	Stall   time.Duration
 	Ceiling formation.Ceiling
-	// The number of bytes of requests and responses that the daemon may hold; zero for no limit.
+	// Held is the number of bytes of requests and responses that the daemon may hold in memory; zero
+	// for no limit.
 	Held   int64
 	Budget relay.BudgetOptions
-	// The time after the operator's order within which a closed data hall gets no more requests.
+	// Empty is the time within which a data hall must get no more requests after the operator closed
+	// it.
 	Empty time.Duration
-	// Plans take into account that BearHalls data halls may fail at once. HallWeight is the cost
-	// of the share of requests lost in such a failure, relative to requests lost now. Zero, the
-	// default, disables this.
+	// BearHalls is the number of data halls whose failure at the same time the leader's plans take
+	// into account. HallWeight is the cost of requests lost in such a failure, relative to requests
+	// lost now; zero makes plans ignore such failures.
 	BearHalls  int
 	HallWeight float64
 	WarmUp     WarmUpBound
-	// The bound on requests to workers that reported a limit.
+	// Limits is the bound on requests to workers that reported a limit.
 	Limits backpressure.Bound
-	// How long callers may keep a result of Entries.
+	// KeepEntries is how long callers may keep a result of Entries.
 	KeepEntries time.Duration
 }
 
-// WarmUpBound limits the requests that a cold worker gets in any one second from all daemons
-// together: Burst times the rate that its service declares, plus Slack.
+// WarmUpBound limits the number of requests that all daemons together send to a cold worker within
+// any one second. The limit is Burst times the rate that the worker's service declares, plus Slack.
 type WarmUpBound struct {
 	Burst, Slack float64
 }
@@ -67,7 +70,7 @@
 // Options configures a Server.
 type Options struct {
 	Self peers.Identity
-	// Reports that the process has been running since the fleet first started.
+	// FirstLife reports that this process has been running since the fleet first started.
 	FirstLife bool
 	// Regions maps each data hall to its region.
 	Regions map[string]string
@@ -77,8 +80,8 @@
 	Source   fleet.Source
 	Decode   func(data []byte) (*fleet.Config, error)
 	Registry leadership.Registry
-	// Era returns how many times the store was restored from a copy, as far as it reported; nil
-	// for a store that never is.
+	// Era returns how many times the store was restored from a copy, as far as the store has
+	// reported it. It is nil for a store that is never restored.
 	Era func() int64
 	// StoreCalls returns the number of calls to the store so far, by purpose; nil for a store that
 	// does not count them.
@@ -96,8 +99,8 @@
 	ServePeers func(ctx context.Context, handler http.Handler)
 	// DialWorker opens connections to workers; nil for TCP.
 	DialWorker func(ctx context.Context, network, address string) (net.Conn, error)
-	// Suspended returns the total time for which the machine was suspended; nil for a machine that
-	// never is.
+	// Suspended returns the total time for which the machine was suspended. It is nil for a machine
+	// that is never suspended.
 	Suspended func() time.Duration
 	// Metrics is the address that serves metrics; empty to disable them.
 	Metrics string
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// marksSyncInterval is the time between two checks of a leader for marks to store. It reads
-	// the stored marks every marksReadInterval, so that a mark that an operator removes is lifted.
+	// marksSyncInterval is the time between two checks by the leader for marks to store.
+	// marksReadInterval is the time between two reads of the stored marks, which detect the marks
+	// that an operator removed.
 	marksSyncInterval = 500 * time.Millisecond
 	marksReadInterval = 30 * time.Second
 	// marksRetryDelay is the delay before a failed read is tried again.
 	marksRetryDelay = 2 * time.Second
-	// marksLiftDelay is how long ago a mark must first have been read for its absence to mean that
-	// it was removed, since reads of the store may be a few seconds out of date.
+	// marksLiftDelay is the time after the first read of a mark before its absence from the store
+	// counts as a removal. Reads of the store may be a few seconds out of date.
 	marksLiftDelay = 10 * time.Second
 	// marksTimeout limits a call to the store of marks.
 	marksTimeout = time.Second
-	// storeSource is the source of marks from the store in logs.
+	// storeSource names the store as the source of a mark in logs.
 	storeSource = "store"
 )
 
@@ -57,8 +58,7 @@
 	until, firstReadAt time.Time
 }
 
-// syncMarks stores the marks that daemons set, until ctx ends, so that a request that crashes
-// workers stays quarantined after a restart of all daemons.
+// syncMarks keeps the stored marks up to date while this daemon leads, until ctx ends.
 func (s *Server) syncMarks(ctx context.Context) {
 	if s.opts.Marks.Read == nil || s.opts.Marks.Write == nil {
 		return
@@ -68,9 +68,8 @@
 		if s.isReader() {
 			k.sync(ctx, time.Now())
 		} else {
-			// Another leader may write in the meantime, or the store may lose writes, so a mark
-			// that is missing in this daemon's next term was not necessarily lifted by an
-			// operator.
+			// Another leader may remove marks in the meantime, or the store may lose them. If a mark
+			// is missing in this daemon's next term, that does not mean that an operator removed it.
 			k.nextRead = time.Time{}
 			clear(k.stored)
 		}
@@ -80,7 +79,8 @@
 
 func (k *markKeeper) guard() *guard.Guard { return k.server.relay.Guard() }
 
-// sync reads the stored marks if due, and writes changes.
+// sync reads the stored marks if a read is due, and writes changes to the store. It does nothing if
+// the read fails.
 func (k *markKeeper) sync(ctx context.Context, now time.Time) {
 	if !now.Before(k.nextRead) && !k.read(ctx, now) {
 		return
@@ -97,8 +97,8 @@
 	}
 }
 
-// read loads the stored marks and reports whether that succeeded. Marks that were removed from the
-// store are lifted, since an operator removed them.
+// read loads the stored marks and reports whether that succeeded. It lifts the marks that an operator
+// removed from the store.
 func (k *markKeeper) read(ctx context.Context, now time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
@@ -119,8 +119,8 @@
 	return true
 }
 
-// logRefused logs invalid records once. They are left in place: another version may understand
-// them.
+// logRefused logs invalid records once. They are not deleted, because another version may be able to
+// read them.
 func (k *markKeeper) logRefused(refused []error) {
 	text := ""
 	if len(refused) > 0 {
@@ -132,7 +132,8 @@
 	k.loggedRefusals = text
 }
 
-// liftRemoved lifts the marks that were read before and are no longer stored.
+// liftRemoved lifts the marks that are no longer stored, if they were first read at least
+// marksLiftDelay ago.
 func (k *markKeeper) liftRemoved(marks []quarantine.Mark, now time.Time) {
 	for f, mark := range k.stored {
 		isStored := slices.ContainsFunc(marks, func(m quarantine.Mark) bool { return m.Fingerprint == f })
@@ -144,12 +145,12 @@
 	}
 }
 
-// write stores a mark, or removes one.
+// write stores a mark, or removes it if its Until is zero.
 func (k *markKeeper) write(ctx context.Context, m quarantine.Mark) {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
 	if err := k.server.opts.Marks.Write(ctx, m); err != nil {
-		// The write may have succeeded all the same; the next sync repeats it.
+		// The next sync repeats the write, which may nevertheless have succeeded.
 		k.server.logger.Info("writing mark of quarantined request failed", "fingerprint", m.Fingerprint.String(), "error", err)
 		return
 	}
@@ -160,8 +161,8 @@
 	k.stored[m.Fingerprint] = storedMark{until: m.Until, firstReadAt: k.stored[m.Fingerprint].firstReadAt}
 }
 
-// mergeQuarantine merges a peer's records of requests that crash workers. A relay forwards changes
-// at once.
+// mergeQuarantine adds a peer's records of requests that crash workers. Leaders and relays forward
+// changes at once.
 func (s *Server) mergeQuarantine(p *peers.Peer) {
 	if s.relay.Guard().Merge(p.Quarantine, p.HeardAt, p.ID) && s.forwardsNews() {
 		s.agent.SendHeartbeat(time.Now())
