--- a/peers/agent.go
+++ b/peers/agent.go
@@ -231,7 +231,7 @@
 	clock := a.clock(now)
 	for _, m := range messages {
 		full := sync.OnceValue(func() []byte { return a.encodeDatagram(m, clock) })
-		brief := sync.OnceValue(func() []byte { return a.encodeDatagram(m.brief(), clock) })
+		brief := sync.OnceValue(func() []byte { return a.encodeDatagram(m.toBrief(), clock) })
 		for _, address := range addresses {
 			datagram := full
 			if a.clocks.hasAcknowledged(address, clock) {
@@ -242,13 +242,13 @@
 	}
 }
 
-// brief returns the message with the brief form of its heartbeat.
-func (m *message) brief() *message {
+// toBrief returns the message with the brief form of its heartbeat.
+func (m *message) toBrief() *message {
 	if m.Heartbeat == nil {
 		return m
 	}
 	short := *m
-	short.Heartbeat = m.Heartbeat.brief()
+	short.Heartbeat = m.Heartbeat.toBrief()
 	return &short
 }
 
--- a/peers/agent_test.go
+++ b/peers/agent_test.go
@@ -140,20 +140,20 @@
 		Identity: Identity{ID: "b", Incarnation: 1, Zone: "z", Address: "b:1", Front: "f"},
 		Grant:    Grant{Epoch: 7, Holders: []Holder{{ID: "b", Incarnation: 1}}}, ConfigVersion: 3,
 	}
-	receive(full.brief())
+	receive(full.toBrief())
 	assert.Equal(t, len(received), 0, "no full heartbeat was received before")
 	assert.Equal(t, a.clocks.latest("b:1"), int64(0), "a rejected heartbeat is not acknowledged")
 	receive(full)
 	changed := *full
 	changed.ConfigVersion = 4
-	receive(changed.brief())
+	receive(changed.toBrief())
 	assert.Equal(t, len(received), 2)
 	assert.Equal(t, received[1].ConfigVersion, int64(4))
 	assert.DeepEqual(t, received[1].Identity, full.Identity)
 	assert.DeepEqual(t, received[1].Grant, full.Grant)
 	restarted := *full
 	restarted.Incarnation = 2
-	receive(restarted.brief())
+	receive(restarted.toBrief())
 	assert.Equal(t, len(received), 2, "a new incarnation must send a full heartbeat first")
 	receive(&restarted)
 	assert.Equal(t, len(received), 3)
--- a/peers/clocks.go
+++ b/peers/clocks.go
@@ -28,11 +28,11 @@
 }
 
 // record stores a reading of a daemon's clock and the reading of this daemon's clock that it echoed.
-func (c *clocks) record(address string, theirs int64, ours time.Duration) {
+func (c *clocks) record(address string, received int64, echoed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.received[address] = theirs
-	c.acknowledged[address] = ours
+	c.received[address] = received
+	c.acknowledged[address] = echoed
 }
 
 // latest returns the newest reading of a daemon's clock, 0 if none was received.
--- a/peers/heartbeat.go
+++ b/peers/heartbeat.go
@@ -116,8 +116,8 @@
 	Traffic bool `json:"traffic,omitempty"`
 }
 
-// brief returns the heartbeat without the parts that its receiver already knows.
-func (h *Heartbeat) brief() *Heartbeat {
+// toBrief returns the heartbeat without the parts that its receiver already knows.
+func (h *Heartbeat) toBrief() *Heartbeat {
 	short := *h
 	short.Brief = true
 	short.Identity = Identity{ID: h.ID, Incarnation: h.Incarnation}
--- a/peers/loads.go
+++ b/peers/loads.go
@@ -10,7 +10,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Load is the number of requests, and of their prompt tokens, at a replica.
+// Load holds the numbers of requests in flight at a replica and of their unprocessed prompt tokens.
 type Load struct {
 	Replica  string `json:"r"`
 	InFlight int    `json:"n"`
@@ -102,14 +102,14 @@
 		}
 	}
 	slices.SortFunc(groups, func(a, b groupLoad) int { return cmp.Compare(a.epoch, b.epoch) })
-	last := make(map[string]int64)
+	lastEpochs := make(map[string]int64)
 	for _, g := range groups {
 		if packed.Groups == nil {
 			packed.Groups, packed.EventAges = make(map[string][]int64), make(map[string][]int64)
 		}
-		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-last[g.model], int64(g.InFlight), int64(g.Prefill))
+		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-lastEpochs[g.model], int64(g.InFlight), int64(g.Prefill))
 		packed.EventAges[g.model] = append(packed.EventAges[g.model], g.Moved/eventAgeUnitMillis)
-		last[g.model] = g.epoch
+		lastEpochs[g.model] = g.epoch
 	}
 	return json.Marshal(packed)
 }
--- a/peers/summaries.go
+++ b/peers/summaries.go
@@ -74,8 +74,8 @@
 	return total
 }
 
-// fleetSummary returns the summary of all daemons, from the best source that this daemon's role
-// gives it.
+// fleetSummary returns the summary of all daemons. A relay adds up the summaries of all halls, and a
+// member uses its relays' summary. Other daemons sum up the heartbeats that they received.
 func (a *Agent) fleetSummary(own *Heartbeat, now time.Time) Summary {
 	switch a.Role() {
 	case Relay:
--- a/peers/topology.go
+++ b/peers/topology.go
@@ -141,8 +141,8 @@
 	since time.Time
 }
 
-// layout computes the addresses to report to. size is the number of daemons in the fleet, round the
-// number of the current round.
+// layout computes the addresses to report to. fleetSize is the number of daemons in the fleet, round
+// the number of the current round.
 func (t *Table) layout(now time.Time, previous previousRole, fleetSize, round int) layout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,25 +226,25 @@
 // hallAddresses returns the addresses in its own hall that a relay reports to. These are the daemons
 // alive or assumed to be, and a few silent ones in turn.
 func (t *Table) hallAddresses(now time.Time, round int) []string {
-	var living, silent []string
+	var alive, silent []string
 	for _, p := range t.peers {
 		switch {
 		case p.Zone != t.self.Zone:
 		case now.Sub(p.lastSeen()) < reportedAliveTimeout || now.Sub(p.addedAt) < assumedAliveTimeout:
-			living = append(living, p.Address)
+			alive = append(alive, p.Address)
 		default:
 			silent = append(silent, p.Address)
 		}
 	}
-	slices.Sort(living)
-	return append(living, rotate(silent, probesPerRound, round)...)
+	slices.Sort(alive)
+	return append(alive, rotate(silent, probesPerRound, round)...)
 }
 
 // otherHallAddresses returns the addresses of the relays and any leader in other halls. If fewer
 // than relaysPerHall daemons of a hall are expected to be alive, it adds some of the hall's known
 // daemons in turn.
 func (t *Table) otherHallAddresses(expected []*Peer, round int) []string {
-	living := make(map[string][]*Peer)
+	alive := make(map[string][]*Peer)
 	known := make(map[string][]string)
 	for _, p := range t.peers {
 		if p.Zone != t.self.Zone {
@@ -253,13 +253,13 @@
 	}
 	var all []string
 	for _, p := range expected {
-		living[p.Zone] = append(living[p.Zone], p)
+		alive[p.Zone] = append(alive[p.Zone], p)
 		if p.Leads != nil && p.Zone != t.self.Zone {
 			all = append(all, p.Address)
 		}
 	}
 	for hall, addresses := range known {
-		fittest := living[hall]
+		fittest := alive[hall]
 		slices.SortFunc(fittest, compareRelays)
 		for _, p := range fittest[:min(len(fittest), relaysPerHall)] {
 			all = append(all, p.Address)
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -94,8 +94,8 @@
 // TestFetchInterruptedBySuspension checks that a fetch of the configuration fails if the machine was
 // suspended during it. The peer's confirmation is then out of date.
 func TestFetchInterruptedBySuspension(t *testing.T) {
-	fetching, machine := newSuspendableServer(t)
-	fetching.opts.Decode = func([]byte) (*fleet.Config, error) { return fleet.NewConfig(fleet.Parts{Version: 2}), nil }
+	requester, machine := newSuspendableServer(t)
+	requester.opts.Decode = func([]byte) (*fleet.Config, error) { return fleet.NewConfig(fleet.Parts{Version: 2}), nil }
 	provider := newServerWithState(t, time.Now())
 	heardAt := time.Now()
 	p := &peers.Peer{
@@ -104,14 +104,14 @@
 	}
 	request := fetchRequest{Peer: p, requestedAt: awake.NewStamp(machine.suspended)}
 	machine.add(time.Minute)
-	assert.ErrorContains(t, fetching.fetcher.fetchConfig(context.Background(), request), "suspended")
-	assert.Equal(t, fetching.beliefs.Version(), int64(1))
+	assert.ErrorContains(t, requester.fetcher.fetchConfig(context.Background(), request), "suspended")
+	assert.Equal(t, requester.beliefs.Version(), int64(1))
 	request.requestedAt = awake.NewStamp(machine.suspended)
-	assert.NilError(t, fetching.fetcher.fetchConfig(context.Background(), request))
-	assert.Equal(t, fetching.beliefs.Version(), int64(2))
+	assert.NilError(t, requester.fetcher.fetchConfig(context.Background(), request))
+	assert.Equal(t, requester.beliefs.Version(), int64(2))
 }
 
-// gate blocks the callers of pass while it is closed.
+// gate blocks the callers of waitUntilOpen while it is closed.
 type gate struct {
 	mu       sync.Mutex
 	isClosed bool
@@ -131,7 +131,7 @@
 	g.opened.Broadcast()
 }
 
-func (g *gate) pass() {
+func (g *gate) waitUntilOpen() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for g.isClosed {
@@ -140,7 +140,7 @@
 }
 
 // startPair starts two daemons that exchange heartbeats, and returns the first one. That one runs on
-// the given machine, and its incoming datagrams pass the gate.
+// the given machine, and its incoming datagrams pass inboxGate.
 func startPair(t *testing.T, machine *suspendableMachine, inboxGate *gate) *Server {
 	t.Helper()
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
@@ -156,31 +156,31 @@
 	receive := opts.Transport.Receive
 	opts.Transport.Receive = func(buffer []byte) (int, error) {
 		n, err := receive(buffer)
-		inboxGate.pass()
+		inboxGate.waitUntilOpen()
 		return n, err
 	}
-	suspendable, err := New(opts)
+	suspendableDaemon, err := New(opts)
 	assert.NilError(t, err)
 	other, err := New(optionsFor("other"))
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks conc.WaitGroup
 	now := time.Now()
-	for _, s := range []*Server{suspendable, other} {
+	for _, s := range []*Server{suspendableDaemon, other} {
 		setState(s, now)
 		s.membersReadAt.Store(&now)
-		s.agent.Table().Learn(suspendable.opts.Self, now)
+		s.agent.Table().Learn(suspendableDaemon.opts.Self, now)
 		s.agent.Table().Learn(other.opts.Self, now)
 		tasks.Go(func() { s.agent.Run(ctx) })
 	}
-	tasks.Go(func() { suspendable.elector.Run(ctx) })
+	tasks.Go(func() { suspendableDaemon.elector.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		tasks.Wait()
 		// Datagrams in transit arrive.
 		time.Sleep(time.Second)
 	})
-	return suspendable
+	return suspendableDaemon
 }
 
 // TestQueuedHeartbeatsAfterSuspension checks that a leader steps down after a suspension. Heartbeats
--- a/serving/discovery.go
+++ b/serving/discovery.go
@@ -138,7 +138,7 @@
 func (s *Server) readMembers(ctx context.Context) {
 	delay := memberReadInterval
 	if s.membersReadAt.Load() == nil || s.needsMemberReread.Load() {
-		// Other daemons may register soon.
+		// Other daemons may register soon, so the list is read again earlier than usual.
 		delay = memberRereadDelay
 	}
 	if s.readHall(ctx, s.opts.Self.Zone) {
--- a/serving/entries_test.go
+++ b/serving/entries_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestEntriesByRegion(t *testing.T) {
-	bound := &fleet.Route{Host: "bound.example", Prefix: "/", Regions: fleet.Regions{"west"}}
-	both := &fleet.Route{Host: "bound.example", Prefix: "/both/", Regions: fleet.Regions{"south", "west"}}
-	free := &fleet.Route{Host: "free.example", Prefix: "/"}
+	westRoute := &fleet.Route{Host: "bound.example", Prefix: "/", Regions: fleet.Regions{"west"}}
+	southWestRoute := &fleet.Route{Host: "bound.example", Prefix: "/both/", Regions: fleet.Regions{"south", "west"}}
+	unboundRoute := &fleet.Route{Host: "free.example", Prefix: "/"}
 	tests := map[string]struct {
 		caller Caller
 		// notReady holds the peers that are not ready.
@@ -34,7 +34,7 @@
 			s := newServer(t, &fakeStore{})
 			s.opts.Regions = map[string]string{"z": "east", "y": "west", "x": "south"}
 			setState(s, time.Now())
-			s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Routes: []*fleet.Route{bound, both, free}}), time.Now())
+			s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Routes: []*fleet.Route{westRoute, southWestRoute, unboundRoute}}), time.Now())
 			for id, hall := range map[string]string{"w": "y", "s": "x"} {
 				h := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id, Zone: hall}}
 				h.Ready = !slices.Contains(test.notReady, id)
--- a/serving/fetch_test.go
+++ b/serving/fetch_test.go
@@ -18,12 +18,12 @@
 // TestConfigurationIsSentCompressed fetches two versions of the configuration from a peer and checks
 // that the responses are compressed.
 func TestConfigurationIsSentCompressed(t *testing.T) {
-	provider, fetching := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
+	provider, requester := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 	var sent []int
 	recorder := httptest.NewServer(provider.fetcher.handler())
 	defer recorder.Close()
 	var decoded [][]byte
-	fetching.opts.Decode = func(data []byte) (*fleet.Config, error) {
+	requester.opts.Decode = func(data []byte) (*fleet.Config, error) {
 		decoded = append(decoded, data)
 		return fleet.NewConfig(fleet.Parts{Version: int64(len(decoded)), Encoded: data}), nil
 	}
@@ -31,8 +31,8 @@
 	for version := int64(1); version <= 2; version++ {
 		encoded := bytes.Repeat([]byte{'a' + byte(version)}, 50_000)
 		provider.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: version, Encoded: encoded}), time.Now())
-		assert.NilError(t, fetching.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: awake.NewStamp(awake.Never)}))
-		assert.Equal(t, fetching.beliefs.Version(), version)
+		assert.NilError(t, requester.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: awake.NewStamp(awake.Never)}))
+		assert.Equal(t, requester.beliefs.Version(), version)
 		assert.DeepEqual(t, decoded[version-1], encoded)
 
 		answer := httptest.NewRecorder()
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -27,7 +27,7 @@
 func (s *Server) formationOptions(claim peers.Claim) formation.Options {
 	return formation.Options{
 		Config: s.beliefs.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
-		Demand: s.demand, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
+		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
 		Smoothed:  s.smoothedWork.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
 		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
@@ -46,7 +46,7 @@
 	s.keeper = k
 }
 
-// observeInterval is the time between two samples of the fleet's work.
+// observeInterval is the time between two samples of the fleet's demand.
 const observeInterval = time.Second
 
 // observeWork updates smoothedWork until ctx ends. Every daemon does so, because a new leader needs a
@@ -59,13 +59,14 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.smoothedWork.Observe(s.demand(), now)
+			s.smoothedWork.Observe(s.demandByModel(), now)
 		}
 	}
 }
 
-// demand returns the work of each model, summed over all daemons.
-func (s *Server) demand() map[string]formation.Work {
+// demandByModel returns the fleet's demand for each model. Busy slots and prompt tokens are summed
+// over all daemons. Pauses are as this daemon measured them.
+func (s *Server) demandByModel() map[string]formation.Work {
 	now := time.Now()
 	measured := s.agent.FleetSummary(now)
 	all := make(map[string]formation.Work, len(measured.Demand))
--- a/serving/limits_test.go
+++ b/serving/limits_test.go
@@ -16,9 +16,9 @@
 
 const (
 	// limitGrace is how long after a worker first reported a limit the daemons may still exceed it.
-	// limitNotice is how long a daemon may take to apply a limit that it received.
-	limitGrace  = 3 * time.Second
-	limitNotice = 500 * time.Millisecond
+	// limitApplyTime is how long a daemon may take to apply a limit that it received.
+	limitGrace     = 3 * time.Second
+	limitApplyTime = 500 * time.Millisecond
 	// limitWindow is the length of the periods in which requests are counted.
 	limitWindow = 4 * time.Second
 )
@@ -34,7 +34,7 @@
 // limit at the time reportedAt after the start of the fleet.
 func assertLimit(t *testing.T, h *signalHead, reportedAt time.Duration, perSecond float64) {
 	t.Helper()
-	all, first := h.arrivalsAfterLimit(limitNotice), 0
+	all, first := h.arrivalsAfterLimit(limitApplyTime), 0
 	for i, at := range all {
 		for at-all[first] >= limitWindow {
 			first++
--- a/serving/news.go
+++ b/serving/news.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// newsBatchDelay is how long news is collected before it is sent together.
+	// newsBatchDelay is the delay between two sends of news. News that arrives in between is sent
+	// together.
 	newsBatchDelay = 40 * time.Millisecond
 	// changesPerNews is the maximum number of changes of the worker list in one datagram, and
 	// decisionsPerNews that of decisions. A datagram should fit into one network frame.
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -35,16 +35,16 @@
 		assert.Assert(t, f.send(f.daemons[i%2], "/safe/", "key", crashingBody) != http.StatusOK)
 	}
 	crashesBefore := f.crashCount.Load()
-	starting := f.startDaemon()
+	startingDaemon := f.startDaemon()
 	for range 20 {
-		if len(starting.relay.Guard().Table().Marks(time.Now())) > 0 {
+		if len(startingDaemon.relay.Guard().Table().Marks(time.Now())) > 0 {
 			break
 		}
 		time.Sleep(heartbeatWait / 2)
 	}
-	assert.Equal(t, f.send(starting, "/safe/", "key", crashingBody), http.StatusServiceUnavailable)
+	assert.Equal(t, f.send(startingDaemon, "/safe/", "key", crashingBody), http.StatusServiceUnavailable)
 	assert.Equal(t, f.crashCount.Load(), crashesBefore)
-	assert.Equal(t, f.send(starting, "/safe/", "other", "another body"), http.StatusOK)
+	assert.Equal(t, f.send(startingDaemon, "/safe/", "other", "another body"), http.StatusOK)
 }
 
 // TestQuarantineCutsOffPendingStreams checks that a stream waiting at a head is cut off when
--- a/serving/rests_test.go
+++ b/serving/rests_test.go
@@ -21,9 +21,9 @@
 	requestedRest        = 3 * time.Second
 	rejectFrom, rejectTo = 2 * time.Second, 6 * time.Second
 	// maxDuringRest is the number of requests that a daemon may send to a resting head. Requests
-	// within restNotice after the rejection do not count.
+	// within restApplyTime after the rejection do not count.
 	maxDuringRest = 2
-	restNotice    = 500 * time.Millisecond
+	restApplyTime = 500 * time.Millisecond
 )
 
 // assertRest checks that a head that rejected a daemon's request got at most maxDuringRest requests
@@ -38,7 +38,7 @@
 		}
 		received := 0
 		for _, a := range h.events {
-			if a.daemon == rejection.daemon && a.at >= rejection.at+restNotice && a.at < rejection.at+requestedRest {
+			if a.daemon == rejection.daemon && a.at >= rejection.at+restApplyTime && a.at < rejection.at+requestedRest {
 				received++
 			}
 		}
--- a/serving/server.go
+++ b/serving/server.go
@@ -33,7 +33,7 @@
 	// send a request just as the daemon closes the connection.
 	idleTimeout = time.Minute
 	// listenPeriod is how long a daemon waits for heartbeats of others after it first read the
-	// member list. Only then it may lead or assume to be alone.
+	// member list. Only after that may it lead, or assume that it is alone.
 	listenPeriod = 700 * time.Millisecond
 )
 
@@ -60,7 +60,7 @@
 	awake *awake.Watch
 	// suspicions holds the replicas that stalled recently.
 	suspicions *suspicions
-	// smoothedWork is the fleet's work of each model, averaged over time.
+	// smoothedWork averages the fleet's demand for each model over time.
 	smoothedWork formation.Smoother
 	isLeaving    atomic.Bool
 	// membersReadAt is when the member list of the own data hall was first read; nil before.
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -132,13 +132,13 @@
 func (h *signalHead) arrivalsAfterLimit(delay time.Duration) []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	first := make(map[string]time.Duration)
+	firstLimitAt := make(map[string]time.Duration)
 	var all []time.Duration
 	for _, a := range h.events {
-		limitReceivedAt, known := first[a.daemon]
+		limitReceivedAt, known := firstLimitAt[a.daemon]
 		switch {
 		case a.limitReceivedAt != never && !known:
-			first[a.daemon] = a.limitReceivedAt
+			firstLimitAt[a.daemon] = a.limitReceivedAt
 		case a.limitReceivedAt == never && known && a.at-limitReceivedAt >= delay:
 			all = append(all, a.at)
 		}
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -10,8 +10,8 @@
 const (
 	// startCheckInterval is the time between two checks of the progress of the start.
 	startCheckInterval = 20 * time.Millisecond
-	// startLogPeriod is how long after the start steps are logged. A daemon that is alone or gets no
-	// requests never reaches some of them.
+	// startLogPeriod is the period after the start in which steps are logged. A daemon that is alone
+	// or gets no requests never reaches some of them.
 	startLogPeriod = 10 * time.Second
 )
 
