--- a/peers/loads.go
+++ b/peers/loads.go
@@ -10,78 +10,80 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Load is work in flight at a replica.
+// Load holds the numbers of requests in flight at a replica and of their unprocessed prompt tokens.
 type Load struct {
 	Replica  string `json:"r"`
 	InFlight int    `json:"n"`
-	// Prefill is the number of prompt tokens of requests not yet begun.
+	// Prefill is the number of prompt tokens in requests whose answers have not started.
 	Prefill int `json:"p,omitempty"`
-	// Moved is how long ago the replica's newest event came, in milliseconds; zero if
-	// that is not known.
+	// Moved is the time since the latest event was received from the replica, in milliseconds. It
+	// is zero if unknown.
 	Moved int64 `json:"m,omitempty"`
 }
 
 const (
-	// movedUnit is the unit in which messages tell Moved, in milliseconds.
-	movedUnit = 10
-	// movedMost is the longest time that is told, in milliseconds: what has been silent
-	// for longer is suspected.
-	movedMost = 1500
+	// eventAgeUnitMillis is the resolution of Load.Moved in messages, in milliseconds.
+	eventAgeUnitMillis = 10
+	// maxEventAgeMillis is the longest time that Load.Moved reports, in milliseconds. Replicas that are
+	// silent for longer are suspected anyway.
+	maxEventAgeMillis = 1500
 )
 
-// MovedAgo returns what Load.Moved tells of the newest event of a replica.
-func MovedAgo(moved, now time.Time) int64 {
-	return toldMove(now.Sub(moved).Milliseconds() + 1)
+// MovedAgo returns the value of Load.Moved for a replica whose latest event was received at
+// eventAt.
+func MovedAgo(eventAt, now time.Time) int64 {
+	return roundEventAge(now.Sub(eventAt).Milliseconds() + 1)
 }
 
-// toldMove returns a time as Load.Moved tells it: rounded up, so that silence is never
-// hidden, and zero if it is too long ago.
-func toldMove(ms int64) int64 {
-	if ms <= 0 || ms > movedMost {
+// roundEventAge rounds a value of Load.Moved up to a multiple of eventAgeUnitMillis, because rounding
+// down would make a replica look less silent than it is. The result is zero if the value is out of
+// range.
+func roundEventAge(ms int64) int64 {
+	if ms <= 0 || ms > maxEventAgeMillis {
 		return 0
 	}
-	return (ms + movedUnit - 1) / movedUnit * movedUnit
+	return (ms + eventAgeUnitMillis - 1) / eventAgeUnitMillis * eventAgeUnitMillis
 }
 
-// newerMove returns the newer of two times that Load.Moved tells.
-func newerMove(a, b int64) int64 {
+// minKnownEventAge returns the smaller of two values of Load.Moved, ignoring unknown ones.
+func minKnownEventAge(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return a + b
 	}
 	return min(a, b)
 }
 
-// aged returns loads that were reported a time ago.
-func (l Loads) aged(age time.Duration) Loads {
+// withAgesIncreased returns the loads with event ages increased by age.
+func (l Loads) withAgesIncreased(age time.Duration) Loads {
 	older := slices.Clone(l)
 	for i := range older {
 		if older[i].Moved > 0 {
-			older[i].Moved = toldMove(older[i].Moved + age.Milliseconds())
+			older[i].Moved = roundEventAge(older[i].Moved + age.Milliseconds())
 		}
 	}
 	return older
 }
 
-// Loads is work at several replicas. In messages it is packed: the names of
-// groups are most of it otherwise.
+// Loads holds the loads of several replicas. Its encoding leaves out the names of groups, which
+// would take up most of the space.
 type Loads []Load
 
-// packedLoads is the form of Loads in messages.
+// packedLoads is the encoded form of Loads.
 type packedLoads struct {
-	// Groups holds three numbers for each group of a model, by rising epoch: how
-	// much higher the epoch is than the one before, requests in flight, prompt tokens.
+	// Groups holds three numbers for each group of a model, by ascending epoch. They are the
+	// difference to the previous epoch, Load.InFlight and Load.Prefill.
 	Groups map[string][]int64 `json:"g,omitempty"`
-	// Moved holds Load.Moved of each group in the same order, in units of movedUnit.
-	// It is a list of its own since daemons of earlier versions read Groups by threes.
-	Moved map[string][]int64 `json:"m,omitempty"`
+	// EventAges holds Load.Moved of each group in the same order, in units of eventAgeUnitMillis. It
+	// is a separate list because earlier versions expect three numbers per group in Groups.
+	EventAges map[string][]int64 `json:"m,omitempty"`
 	// Others holds the replicas that are not groups.
 	Others []Load `json:"o,omitempty"`
 }
 
-// perGroup is how many numbers packedLoads holds for a group.
-const perGroup = 3
+// valuesPerGroup is the number of values in packedLoads.Groups for each group.
+const valuesPerGroup = 3
 
-// groupLoad is the work at a group.
+// groupLoad is the load of a group, with the parts of the group's name.
 type groupLoad struct {
 	Load
 	model string
@@ -100,14 +102,14 @@
 		}
 	}
 	slices.SortFunc(groups, func(a, b groupLoad) int { return cmp.Compare(a.epoch, b.epoch) })
-	last := make(map[string]int64)
+	lastEpochs := make(map[string]int64)
 	for _, g := range groups {
 		if packed.Groups == nil {
-			packed.Groups, packed.Moved = make(map[string][]int64), make(map[string][]int64)
+			packed.Groups, packed.EventAges = make(map[string][]int64), make(map[string][]int64)
 		}
-		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-last[g.model], int64(g.InFlight), int64(g.Prefill))
-		packed.Moved[g.model] = append(packed.Moved[g.model], g.Moved/movedUnit)
-		last[g.model] = g.epoch
+		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-lastEpochs[g.model], int64(g.InFlight), int64(g.Prefill))
+		packed.EventAges[g.model] = append(packed.EventAges[g.model], g.Moved/eventAgeUnitMillis)
+		lastEpochs[g.model] = g.epoch
 	}
 	return json.Marshal(packed)
 }
@@ -119,31 +121,31 @@
 		return failure.At(failure.Remote, "decode loads", "", err)
 	}
 	all := packed.Others
-	for model, numbers := range packed.Groups {
-		epoch, moved := int64(0), packed.Moved[model]
-		for i := 0; len(numbers) >= perGroup; i++ {
-			epoch += numbers[0]
-			load := Load{Replica: fleet.KeyOf(model, epoch), InFlight: int(numbers[1]), Prefill: int(numbers[2])}
-			if i < len(moved) {
-				load.Moved = toldMove(moved[i] * movedUnit)
+	for model, values := range packed.Groups {
+		epoch, eventAges := int64(0), packed.EventAges[model]
+		for i := 0; len(values) >= valuesPerGroup; i++ {
+			epoch += values[0]
+			load := Load{Replica: fleet.KeyOf(model, epoch), InFlight: int(values[1]), Prefill: int(values[2])}
+			if i < len(eventAges) {
+				load.Moved = roundEventAge(eventAges[i] * eventAgeUnitMillis)
 			}
 			all = append(all, load)
-			numbers = numbers[perGroup:]
+			values = values[valuesPerGroup:]
 		}
 	}
 	*l = all
 	return nil
 }
 
-// sumLoads returns the work at each replica over several daemons, sorted by replica.
+// sumLoads adds up several daemons' loads of each replica. The result is sorted by replica.
 func sumLoads(all ...Loads) Loads {
 	byReplica := make(map[string]Load)
 	for _, loads := range all {
 		for _, l := range loads {
-			held := byReplica[l.Replica]
+			total := byReplica[l.Replica]
 			byReplica[l.Replica] = Load{
-				Replica: l.Replica, InFlight: held.InFlight + l.InFlight, Prefill: held.Prefill + l.Prefill,
-				Moved: newerMove(held.Moved, l.Moved),
+				Replica: l.Replica, InFlight: total.InFlight + l.InFlight, Prefill: total.Prefill + l.Prefill,
+				Moved: minKnownEventAge(total.Moved, l.Moved),
 			}
 		}
 	}
@@ -155,20 +157,21 @@
 	return sum
 }
 
-// Without returns the loads less those of one daemon that they include.
+// Without subtracts one daemon's own loads from a sum that includes them. Replicas without
+// remaining requests are omitted.
 func (l Loads) Without(own Loads) Loads {
 	byReplica := make(map[string]Load, len(own))
 	for _, o := range own {
 		byReplica[o.Replica] = o
 	}
-	rest := make(Loads, 0, len(l))
+	remaining := make(Loads, 0, len(l))
 	for _, load := range l {
 		o := byReplica[load.Replica]
 		load.InFlight = max(load.InFlight-o.InFlight, 0)
 		load.Prefill = max(load.Prefill-o.Prefill, 0)
 		if load.InFlight > 0 {
-			rest = append(rest, load)
+			remaining = append(remaining, load)
 		}
 	}
-	return rest
+	return remaining
 }
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -16,74 +16,76 @@
 	"quartzshelf.dev/fleet"
 )
 
-var errOff = errors.New("the daemon is off")
+var errDaemonOff = errors.New("the daemon is off")
 
 const (
-	// smallLink and largeLink are links of machines, in bytes a second: 20 and 200
+	// smallLink and largeLink are the bandwidths of machines, in bytes per second: 20 and 200
 	// Mbit/s.
 	smallLink = 20e6 / 8
 	largeLink = 200e6 / 8
-	// linkQueue is how long a datagram waits for a link at most, linkDelay how long
-	// it then travels.
-	linkQueue = 100 * time.Millisecond
-	linkDelay = 1400 * time.Microsecond
-	// replicas is how many replicas the daemons' requests go to.
-	replicas = 132
+	// maxQueueDelay is the longest time that a datagram waits for a link. linkDelay is the latency
+	// of the link.
+	maxQueueDelay = 100 * time.Millisecond
+	linkDelay     = 1400 * time.Microsecond
+	// replicaCount is the number of replicas that the daemons send requests to.
+	replicaCount = 132
 )
 
-// network joins simulated daemons by links of bounded rate, in virtual time.
+// network connects simulated daemons by links of limited bandwidth, in virtual time.
 type network struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	loss    float64
-	daemons map[string]*simDaemon
-	ctx     context.Context
+	mu       sync.Mutex
+	random   *rand.Rand
+	lossRate float64
+	daemons  map[string]*simDaemon
+	ctx      context.Context
 }
 
-// simDaemon is an agent and its link.
+// simDaemon is an agent with its link.
 type simDaemon struct {
-	net   *network
-	agent *Agent
-	rate  float64
-	inbox chan []byte
-	stop  context.CancelFunc
-	// off daemons neither send nor receive; freeAt is when the link is free again.
-	off    bool
-	freeAt time.Time
-	bytes  int
-	// lost counts datagrams that found the link full, largest is the longest one.
-	lost, largest int
-	leads         *Claim
-	leaving       bool
-	ready         bool
-	demand        float64
-	loads         Loads
-	news          []News
+	net      *network
+	agent    *Agent
+	linkRate float64
+	inbox    chan []byte
+	stop     context.CancelFunc
+	// isOff is set for a daemon that neither sends nor receives. linkIdleAt is when the daemon's
+	// link will have sent all queued datagrams.
+	isOff      bool
+	linkIdleAt time.Time
+	bytesSent  int
+	// dropped counts datagrams dropped at a full link. largestDatagram is the size of the largest
+	// datagram sent, in bytes.
+	dropped, largestDatagram int
+	claim                    *Claim
+	isLeaving                bool
+	isReady                  bool
+	demand                   float64
+	loads                    Loads
+	news                     []News
 }
 
 func newNetwork(ctx context.Context, seed uint64) *network {
 	return &network{random: rand.New(rand.NewPCG(seed, seed)), daemons: make(map[string]*simDaemon), ctx: ctx}
 }
 
-// add starts a daemon in a hall on a machine of some capacity.
+// add starts a daemon in a hall on a machine of the given capacity.
 func (n *network) add(t *testing.T, hall string, number, capacity int) *simDaemon {
 	t.Helper()
 	id := fmt.Sprintf("front-%s-%d", hall, number)
-	d := &simDaemon{net: n, rate: smallLink, inbox: make(chan []byte, 1<<14), ready: true, demand: 1}
+	d := &simDaemon{net: n, linkRate: smallLink, inbox: make(chan []byte, 1<<14), isReady: true, demand: 1}
 	if capacity > 200 {
-		d.rate = largeLink
+		d.linkRate = largeLink
 	}
 	n.mu.Lock()
 	for range 5 {
-		epoch := 1<<28 + n.random.Int64N(replicas)
+		epoch := 1<<28 + n.random.Int64N(replicaCount)
 		d.loads = append(d.loads, Load{Replica: fleet.KeyOf("model", epoch), InFlight: 1, Prefill: n.random.IntN(4000)})
 	}
 	n.mu.Unlock()
 	self := Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: hall, Address: id + ":1", Front: id + ":2", Capacity: capacity, Build: "01234567"}
 	agent, err := NewAgent(Options{
 		Self: self, Transport: Transport{Send: d.send, Receive: d.receive, Close: func() error { return nil }},
-		Compose: d.compose, Heard: func(*Peer) {}, News: func(_ *Peer, m *News) { d.take(m) },
-		Summed: func(string, Summary, time.Time) {}, Counted: func(string, int) {}, Logger: hclog.NewNullLogger(),
+		FillHeartbeat: d.fillHeartbeat, OnHeartbeat: func(*Peer) {}, OnNews: func(_ *Peer, m *News) { d.handleNews(m) },
+		OnSummary: func(string, Summary, time.Time) {}, OnSent: func(string, int) {}, Logger: hclog.NewNullLogger(),
 	})
 	assert.NilError(t, err)
 	d.agent = agent
@@ -96,15 +98,15 @@
 	return d
 }
 
-// fleet starts daemons in halls, the first few of each on larger machines, and lets
-// each know of all, as the store does.
-func (n *network) fleet(t *testing.T, halls, perHall, large int) []*simDaemon {
+// addFleet starts perHall daemons in each of several halls. The last largePerHall of each hall run on
+// larger machines. All daemons know each other's identities, as if read from the store.
+func (n *network) addFleet(t *testing.T, halls, perHall, largePerHall int) []*simDaemon {
 	t.Helper()
 	var all []*simDaemon
 	for hall := range halls {
 		for i := range perHall {
 			capacity := 192
-			if i >= perHall-large {
+			if i >= perHall-largePerHall {
 				capacity = 800
 			}
 			all = append(all, n.add(t, fmt.Sprintf("hall%d", hall), i, capacity))
@@ -118,23 +120,23 @@
 	return all
 }
 
-func (d *simDaemon) compose(h *Heartbeat, _ time.Time) {
+func (d *simDaemon) fillHeartbeat(h *Heartbeat, _ time.Time) {
 	d.net.mu.Lock()
 	defer d.net.mu.Unlock()
-	h.Ready, h.Leaving, h.Leads, h.ConfigAge, h.WorkersAge = d.ready, d.leaving, d.leads, 100, 100
+	h.Ready, h.Leaving, h.Leads, h.ConfigAge, h.WorkersAge = d.isReady, d.isLeaving, d.claim, 100, 100
 	h.Demand = map[string]float64{"m": d.demand}
 	h.Loads = d.loads
 }
 
-// take takes decisions, which a relay passes on if they are new to it.
-func (d *simDaemon) take(m *News) {
+// handleNews records decisions. A relay forwards those that are new to it.
+func (d *simDaemon) handleNews(m *News) {
 	d.net.mu.Lock()
-	known := d.leads != nil || slices.ContainsFunc(d.news, func(n News) bool { return n.Decisions.To == m.Decisions.To })
-	if !known {
+	isKnown := d.claim != nil || slices.ContainsFunc(d.news, func(n News) bool { return n.Decisions.To == m.Decisions.To })
+	if !isKnown {
 		d.news = append(d.news, *m)
 	}
 	d.net.mu.Unlock()
-	if !known && d.agent.Role() == Relay {
+	if !isKnown && d.agent.Role() == Relay {
 		d.agent.SendNews([]News{*m}, []News{*m}, false, time.Now())
 	}
 }
@@ -144,29 +146,29 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if d.freeAt.Before(now) {
-		d.freeAt = now
+	if d.linkIdleAt.Before(now) {
+		d.linkIdleAt = now
 	}
-	if d.freeAt.Sub(now) > linkQueue {
-		d.lost++
+	if d.linkIdleAt.Sub(now) > maxQueueDelay {
+		d.dropped++
 		return nil
 	}
-	d.freeAt = d.freeAt.Add(time.Duration(float64(len(datagram)) / d.rate * float64(time.Second)))
-	d.bytes += len(datagram)
-	d.largest = max(d.largest, len(datagram))
+	d.linkIdleAt = d.linkIdleAt.Add(time.Duration(float64(len(datagram)) / d.linkRate * float64(time.Second)))
+	d.bytesSent += len(datagram)
+	d.largestDatagram = max(d.largestDatagram, len(datagram))
 	other, ok := n.daemons[to]
-	if d.off || !ok || n.random.Float64() < n.loss {
+	if d.isOff || !ok || n.random.Float64() < n.lossRate {
 		return nil
 	}
-	held := slices.Clone(datagram)
-	time.AfterFunc(d.freeAt.Sub(now)+linkDelay, func() { other.arrive(held) })
+	copied := slices.Clone(datagram)
+	time.AfterFunc(d.linkIdleAt.Sub(now)+linkDelay, func() { other.enqueue(copied) })
 	return nil
 }
 
-func (d *simDaemon) arrive(datagram []byte) {
+func (d *simDaemon) enqueue(datagram []byte) {
 	d.net.mu.Lock()
 	defer d.net.mu.Unlock()
-	if !d.off {
+	if !d.isOff {
 		select {
 		case d.inbox <- datagram:
 		default:
@@ -179,42 +181,42 @@
 	case datagram := <-d.inbox:
 		return copy(buffer, datagram), nil
 	case <-d.net.ctx.Done():
-		return 0, errOff
+		return 0, errDaemonOff
 	}
 }
 
-// set changes what a daemon does.
-func (n *network) set(change func()) {
+// update runs change under the network's lock.
+func (n *network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// sent returns how many bytes each daemon sends a second, over a while.
-func (n *network) sent(all []*simDaemon, while time.Duration) map[*simDaemon]float64 {
+// sendRates returns how many bytes per second each daemon sends, averaged over a period.
+func (n *network) sendRates(all []*simDaemon, period time.Duration) map[*simDaemon]float64 {
 	before := make(map[*simDaemon]int)
-	n.set(func() {
+	n.update(func() {
 		for _, d := range all {
-			before[d] = d.bytes
+			before[d] = d.bytesSent
 		}
 	})
-	time.Sleep(while)
+	time.Sleep(period)
 	rates := make(map[*simDaemon]float64)
-	n.set(func() {
+	n.update(func() {
 		for _, d := range all {
-			rates[d] = float64(d.bytes-before[d]) / while.Seconds()
+			rates[d] = float64(d.bytesSent-before[d]) / period.Seconds()
 		}
 	})
 	return rates
 }
 
-// names returns the ids of the daemons that one takes for alive.
-func (d *simDaemon) names() []string {
-	var names []string
+// aliveIDs returns the ids of the daemons that this one considers alive.
+func (d *simDaemon) aliveIDs() []string {
+	var ids []string
 	for _, p := range d.agent.Table().Alive(time.Now()) {
-		names = append(names, p.ID)
+		ids = append(ids, p.ID)
 	}
-	return names
+	return ids
 }
 
 func (d *simDaemon) id() string { return d.agent.opts.Self.ID }
--- a/peers/reports.go
+++ b/peers/reports.go
@@ -6,24 +6,21 @@
 )
 
 const (
-	// reportedMost is how many daemons of its hall a relay reports on, the fittest first:
-	// callers take as many addresses from one answer, and the next relays are among them.
-	// Of a hall of 197 each status round is one datagram to each member rather than three,
-	// and the requests of a hall come to these, who keep more connections and know more.
-	reportedMost = 64
-	// statusesPerDatagram bounds the daemons that one datagram reports on: packed
-	// and deflated, one takes about ten bytes.
+	// maxReportedDaemons limits how many daemons of its hall a relay reports on, fittest first. It
+	// keeps the reports small in large halls.
+	maxReportedDaemons = 64
+	// statusesPerDatagram is the maximum number of statuses in one datagram. An encoded status
+	// takes about ten bytes.
 	statusesPerDatagram = 80
-	// knownPerRound is how many identities a relay passes on in a round: those of
-	// all 60 daemons of a hall within some six seconds from one relay.
-	knownPerRound = 4
-	// newFor is how long a daemon counts as new, so that its identity is passed on
-	// before those of others.
-	newFor = 3 * time.Second
+	// identitiesPerRound is the number of identities that a relay forwards in a round.
+	identitiesPerRound = 4
+	// newPeerPeriod is how long a daemon counts as new after it became known. Relays forward the
+	// identities of new daemons first.
+	newPeerPeriod = 3 * time.Second
 )
 
-// hallMessages returns what a relay passes on within its hall in a round: by
-// turns whom it hears, and the work of all daemons.
+// hallMessages returns the messages that a relay sends within its hall in a round. Even rounds
+// report on single daemons, odd ones hold the summary of the fleet.
 func (a *Agent) hallMessages(own *Heartbeat, now time.Time, round int) []*message {
 	if round%2 == 0 {
 		return a.statusMessages(own, now, round)
@@ -31,23 +28,24 @@
 	return a.summaryMessages(own, a.fleetSummary(own, now), func(m *message, s *Summary) { m.Fleet = s })
 }
 
-// acrossMessages returns what a relay tells those of other halls in a round.
-func (a *Agent) acrossMessages(own *Heartbeat, now time.Time, round int) []*message {
+// crossHallMessages returns the messages that a relay sends to relays of other halls in a round.
+// Even rounds hold only its heartbeat, odd ones also the summary of its hall.
+func (a *Agent) crossHallMessages(own *Heartbeat, now time.Time, round int) []*message {
 	if round%2 == 0 {
-		return []*message{a.message(own)}
+		return []*message{a.newMessage(own)}
 	}
 	return a.summaryMessages(own, a.hallSummary(own, now), func(m *message, s *Summary) { m.Hall = s })
 }
 
-// message returns a message that holds a heartbeat, or none if it is nil.
-func (a *Agent) message(own *Heartbeat) *message {
+// newMessage returns a message with a heartbeat, which may be nil.
+func (a *Agent) newMessage(own *Heartbeat) *message {
 	return &message{ID: a.opts.Self.ID, Incarnation: a.opts.Self.Incarnation, Heartbeat: own}
 }
 
 func (a *Agent) summaryMessages(own *Heartbeat, s Summary, put func(m *message, s *Summary)) []*message {
 	var all []*message
-	for i, part := range s.parts() {
-		m := a.message(nil)
+	for i, part := range s.split() {
+		m := a.newMessage(nil)
 		if i == 0 {
 			m.Heartbeat = own
 		}
@@ -58,32 +56,31 @@
 }
 
 func (a *Agent) statusMessages(own *Heartbeat, now time.Time, round int) []*message {
-	heard := a.table.heardOfLate(now)
-	first := a.message(own)
-	first.Known = someKnown(heard, now, round)
-	heard = reported(heard, a.opts.Self.Zone)
+	senders := a.table.recentSenders(now)
+	first := a.newMessage(own)
+	first.Identities = selectIdentities(senders, now, round)
+	senders = selectReported(senders, a.opts.Self.Zone)
 	all := []*message{first}
-	for len(heard) > 0 {
-		n := min(len(heard), statusesPerDatagram)
+	for len(senders) > 0 {
+		n := min(len(senders), statusesPerDatagram)
 		m := all[len(all)-1]
-		for _, p := range heard[:n] {
+		for _, p := range senders[:n] {
 			m.Statuses = append(m.Statuses, Status{
-				ID: p.ID, Life: lifeOf(p.Incarnation), Ready: p.Ready, Leaving: p.Leaving, Age: now.Sub(p.HeardAt).Milliseconds(),
+				ID: p.ID, ShortIncarnation: shortIncarnation(p.Incarnation), Ready: p.Ready, Leaving: p.Leaving, Age: now.Sub(p.HeardAt).Milliseconds(),
 			})
 		}
-		if heard = heard[n:]; len(heard) > 0 {
-			all = append(all, a.message(nil))
+		if senders = senders[n:]; len(senders) > 0 {
+			all = append(all, a.newMessage(nil))
 		}
 	}
 	return all
 }
 
-// reported returns the daemons that a relay reports on: all that leave, which callers must
-// not be sent to, and the fittest of its hall that stay. Daemons of other halls are named as
-// far as they are heard.
-func reported(heard []*Peer, hall string) []*Peer {
+// selectReported returns the daemons that a relay reports on. These are all of other halls, all
+// that are leaving, and the fittest of its hall among the rest.
+func selectReported(senders []*Peer, hall string) []*Peer {
 	var all, staying []*Peer
-	for _, p := range heard {
+	for _, p := range senders {
 		if p.Leaving || p.Zone != hall {
 			all = append(all, p)
 			continue
@@ -91,40 +88,41 @@
 		staying = append(staying, p)
 	}
 	slices.SortFunc(staying, compareRelays)
-	return append(all, staying[:min(len(staying), reportedMost)]...)
+	return append(all, staying[:min(len(staying), maxReportedDaemons)]...)
 }
 
-// heardOfLate returns the daemons that were themselves heard of late, sorted by id.
-func (t *Table) heardOfLate(now time.Time) []*Peer {
+// recentSenders returns the daemons whose heartbeats were received within aliveTimeout, sorted by
+// id.
+func (t *Table) recentSenders(now time.Time) []*Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []*Peer
 	for _, p := range t.alive(now) {
-		if t.isHeard(p, now) {
+		if t.hasRecentHeartbeat(p, now) {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// someKnown returns a few identities: of new daemons as long as there are any, and
-// of others by turns.
-func someKnown(heard []*Peer, now time.Time, round int) []Identity {
-	var fresh []*Peer
-	for _, p := range heard {
-		if now.Sub(p.addedAt) < newFor {
-			fresh = append(fresh, p)
+// selectIdentities returns the identities that a relay forwards in a round. It takes them from the
+// new daemons if there are any, otherwise from all of them in turn.
+func selectIdentities(senders []*Peer, now time.Time, round int) []Identity {
+	var candidates []*Peer
+	for _, p := range senders {
+		if now.Sub(p.addedAt) < newPeerPeriod {
+			candidates = append(candidates, p)
 		}
 	}
-	if len(fresh) == 0 {
-		fresh = heard
+	if len(candidates) == 0 {
+		candidates = senders
 	}
-	var some []Identity
-	for i := range min(knownPerRound, len(fresh)) {
-		identity := fresh[(round/2*knownPerRound+i)%len(fresh)].Identity
-		// Its own heartbeats tell these to all that need them.
+	var selected []Identity
+	for i := range min(identitiesPerRound, len(candidates)) {
+		identity := candidates[(round/2*identitiesPerRound+i)%len(candidates)].Identity
+		// Receivers get these fields from that daemon's own heartbeats.
 		identity.Format, identity.Build = Format{}, ""
-		some = append(some, identity)
+		selected = append(selected, identity)
 	}
-	return some
+	return selected
 }
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -8,34 +8,35 @@
 	"quartzshelf.dev/peers"
 )
 
-// compose fills in what this daemon reports of itself to its peers.
-func (s *Server) compose(h *peers.Heartbeat, now time.Time) {
+// fillHeartbeat sets this daemon's own state in a heartbeat.
+func (s *Server) fillHeartbeat(h *peers.Heartbeat, now time.Time) {
 	s.awake.Check()
-	h.Ready, h.Leaving, h.Complete = s.Ready(), s.leaving.Load(), s.inventory.Complete()
+	h.Ready, h.Leaving, h.Complete = s.Ready(), s.isLeaving.Load(), s.inventory.Complete()
 	version, confirmed := s.beliefs.State()
-	h.ConfigVersion, h.ConfigAge = version, age(confirmed, now)
-	h.WorkersPosition, h.WorkersAge = s.inventory.Position(), age(s.inventory.Confirmed(), now)
+	h.ConfigVersion, h.ConfigAge = version, ageMillis(confirmed, now)
+	h.WorkersPosition, h.WorkersAge = s.inventory.Position(), ageMillis(s.inventory.Confirmed(), now)
 	h.Halls = s.halls.Report(now)
 	h.Decided = s.inventory.Decided()
 	h.Leads, h.Highest, h.Grant = s.elector.State()
 	h.LeaderAge = s.agent.Table().LeaderAge(now)
 	h.Loads, h.Traffic = s.tracker.Loads(), s.tracker.Traffic()
-	h.Demand, h.Prompts = s.tracker.Demand()
-	h.Stalls = s.suspicions.current(now)
-	h.Quarantine = s.relay.Guard().Table().Report(now, s.passesOn())
-	h.Asked = s.signals.Report(now, s.passesOn())
+	h.Demand, h.PromptTokens = s.tracker.Demand()
+	h.Stalls = s.suspicions.recentStalls(now)
+	h.Quarantine = s.relay.Guard().Table().Report(now, s.forwardsNews())
+	h.Signals = s.signals.Report(now, s.forwardsNews())
 }
 
-// age returns how long ago a time was, in milliseconds.
-func age(t, now time.Time) int64 {
+// ageMillis returns the time since t in milliseconds, for use in a heartbeat. It is at least 1. If t
+// is zero, it is peers.NeverConfirmed.
+func ageMillis(t, now time.Time) int64 {
 	if t.IsZero() {
-		return peers.Never
+		return peers.NeverConfirmed
 	}
 	return now.Sub(t).Milliseconds() + 1
 }
 
-// heard takes what a peer reported of itself.
-func (s *Server) heard(p *peers.Peer) {
+// onHeartbeat processes a peer's heartbeat.
+func (s *Server) onHeartbeat(p *peers.Peer) {
 	s.elector.Hear(p)
 	if s.countsLoads(p) {
 		s.tracker.SetRemote(p.ID, peers.Summary{Daemons: 1, Loads: p.Loads}, p.HeardAt)
@@ -43,36 +44,39 @@
 	if p.Traffic {
 		s.tracker.SetTraffic()
 	}
-	s.hearVersion(p.ConfigVersion)
-	if own := s.inventory.Position(); own > 0 && fleet.EraOf(p.WorkersPosition) > fleet.EraOf(own) {
-		// Who does not read the store learns of a copy by the positions of others.
+	s.noteConfigVersion(p.ConfigVersion)
+	if ownPosition := s.inventory.Position(); ownPosition > 0 && fleet.EraOf(p.WorkersPosition) > fleet.EraOf(ownPosition) {
+		// The store was restored from a copy. Daemons that do not read it learn this from the
+		// positions of others.
 		s.beliefs.HoldCopy(p.HeardAt)
 	}
 	s.halls.Follow(p.Halls, p.SentAfter)
-	s.beliefs.Confirm(p.ConfigVersion, p.ConfigConfirmed())
-	s.inventory.Confirm(p.WorkersPosition, p.WorkersConfirmed())
-	s.suspected(p)
-	s.heardQuarantine(p)
-	s.heardAsked(p)
-	if s.lacks(p) {
-		s.fetcher.want(p)
+	s.beliefs.Confirm(p.ConfigVersion, p.ConfigConfirmedAt())
+	s.inventory.Confirm(p.WorkersPosition, p.WorkersConfirmedAt())
+	s.onSuspicions(p)
+	s.mergeQuarantine(p)
+	s.mergeSignals(p)
+	if s.isBehind(p) {
+		s.fetcher.schedule(p)
 	}
 }
 
-// lacks reports whether a peer knows something that this daemon does not.
-func (s *Server) lacks(p *peers.Peer) bool {
-	return p.ConfigVersion > s.beliefs.Version() || s.lacksWorkers(p) || s.inventory.Decided().Before(p.Decided)
+// isBehind reports whether a peer has a newer configuration, later changes of the worker list or
+// later decisions than this daemon.
+func (s *Server) isBehind(p *peers.Peer) bool {
+	return p.ConfigVersion > s.beliefs.Version() || s.isBehindOnWorkers(p) || s.inventory.Decided().Before(p.Decided)
 }
 
-// lacksWorkers reports whether a peer knows later changes of the worker list, or all workers
-// when this daemon needs them. The list of one that is behind could not be taken.
-func (s *Server) lacksWorkers(p *peers.Peer) bool {
-	own := s.inventory.Position()
-	return p.WorkersPosition > own || p.WorkersPosition == own && p.Complete && s.inventory.AwaitsList()
+// isBehindOnWorkers reports whether a fetch of the worker list from a peer would help. That is the
+// case if the peer knows later changes, or if this daemon still needs all workers and the peer, at
+// the same position, has them.
+func (s *Server) isBehindOnWorkers(p *peers.Peer) bool {
+	position := s.inventory.Position()
+	return p.WorkersPosition > position || p.WorkersPosition == position && p.Complete && s.inventory.AwaitsList()
 }
 
-// countsLoads reports whether a peer's own loads count here, rather than as a part
-// of a summary.
+// countsLoads reports whether this daemon adds up the loads in a peer's heartbeat itself. Otherwise
+// they arrive as part of a summary.
 func (s *Server) countsLoads(p *peers.Peer) bool {
 	switch s.agent.Role() {
 	case peers.Relay:
@@ -83,23 +87,24 @@
 	return true
 }
 
-// suspected takes a peer's suspicions. A relay passes new ones on at once.
-func (s *Server) suspected(p *peers.Peer) {
-	news := false
+// onSuspicions processes the stalled replicas that a peer reports. Leaders and relays forward new
+// ones at once.
+func (s *Server) onSuspicions(p *peers.Peer) {
+	hasNew := false
 	for _, stall := range p.Stalls {
 		at := p.HeardAt.Add(-time.Duration(stall.Age) * time.Millisecond)
-		news = s.suspicions.add(stall, at) || news
-		// Streams that moved a moment ago may have stopped by the next report.
+		hasNew = s.suspicions.add(stall, at) || hasNew
+		// Streams that were active until now may have stalled by the next report.
 		s.tracker.Suspect(stall.Replica, p.HeardAt)
 		s.suspect(stall.Replica)
 	}
-	if news && s.passesOn() {
-		s.agent.Send(time.Now())
+	if hasNew && s.forwardsNews() {
+		s.agent.SendHeartbeat(time.Now())
 	}
 }
 
-// summed takes a summary of the work of other daemons.
-func (s *Server) summed(hall string, summary peers.Summary, now time.Time) {
+// onSummary processes a relay's summary of a data hall, or of the whole fleet if hall is empty.
+func (s *Server) onSummary(hall string, summary peers.Summary, now time.Time) {
 	if summary.Traffic {
 		s.tracker.SetTraffic()
 	}
@@ -110,9 +115,9 @@
 	s.tracker.SetRemote(source, summary, now)
 }
 
-// changesMessage is what a daemon answers a peer that asks for the worker list.
+// changesMessage is the response to a peer that requests the worker list.
 type changesMessage struct {
 	fleet.Delta
-	// Whole tells that the changes are the whole list.
+	// Whole reports that the changes are the whole list.
 	Whole bool `json:"whole"`
 }
--- a/serving/indirect_test.go
+++ b/serving/indirect_test.go
@@ -15,51 +15,51 @@
 	"quartzshelf.dev/peers"
 )
 
-// leaveOrders takes orders to leave; the others are not given here.
+// leaveOrders records orders to leave a group and returns a fixed result.
 type leaveOrders struct {
-	verdict formation.Verdict
-	err     error
-	taken   chan leaveMessage
+	verdict  formation.Verdict
+	err      error
+	received chan leaveMessage
 }
 
 func (o *leaveOrders) leave(_ context.Context, w *fleet.Worker, fence formation.Fence, g formation.Group) (formation.Verdict, error) {
-	o.taken <- leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch}
+	o.received <- leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch}
 	return o.verdict, o.err
 }
 
-func TestOrdersByWayOfPeers(t *testing.T) {
+func TestOrdersThroughPeers(t *testing.T) {
 	worker := &fleet.Worker{ID: "w", Address: "127.0.0.1:1", Service: "s"}
 	group := formation.Group{Name: "m-r5", Epoch: 5}
 	tests := map[string]struct {
-		orders  *leaveOrders
-		peer    bool
-		want    formation.Verdict
-		failure bool
+		orders     *leaveOrders
+		hasPeer    bool
+		want       formation.Verdict
+		wantsError bool
 	}{
-		"the peer reaches it":         {orders: &leaveOrders{verdict: formation.Holds}, peer: true, want: formation.Holds},
-		"a higher term is known":      {orders: &leaveOrders{verdict: formation.Fenced}, peer: true, want: formation.Fenced},
-		"the peer does not reach it":  {orders: &leaveOrders{err: errors.New("silent")}, peer: true, want: formation.Unfit, failure: true},
-		"there is nobody to go about": {orders: &leaveOrders{}, want: formation.Unfit, failure: true},
+		"the peer reaches it":        {orders: &leaveOrders{verdict: formation.Holds}, hasPeer: true, want: formation.Holds},
+		"a higher term is known":     {orders: &leaveOrders{verdict: formation.Fenced}, hasPeer: true, want: formation.Fenced},
+		"the peer does not reach it": {orders: &leaveOrders{err: errors.New("silent")}, hasPeer: true, want: formation.Unfit, wantsError: true},
+		"there is no peer":           {orders: &leaveOrders{}, want: formation.Unfit, wantsError: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			test.orders.taken = make(chan leaveMessage, 1)
+			test.orders.received = make(chan leaveMessage, 1)
 			leader, peer := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 			peer.opts.Orders = formation.Orders{Leave: test.orders.leave}
-			if test.peer {
-				hearPeer(t, leader, servePeer(t, peer))
+			if test.hasPeer {
+				addPeer(t, leader, servePeer(t, peer))
 			}
 			verdict, err := leader.leaveThroughPeers(context.Background(), worker, 9, group)
 			assert.Equal(t, verdict, test.want)
-			assert.Equal(t, err != nil, test.failure)
-			if test.peer {
-				assert.DeepEqual(t, <-test.orders.taken, leaveMessage{Worker: *worker, Fence: 9, Group: "m-r5", Epoch: 5})
+			assert.Equal(t, err != nil, test.wantsError)
+			if test.hasPeer {
+				assert.DeepEqual(t, <-test.orders.received, leaveMessage{Worker: *worker, Fence: 9, Group: "m-r5", Epoch: 5})
 			}
 		})
 	}
 }
 
-// servePeer serves what a daemon gives its peers and returns its address.
+// servePeer serves a daemon's handler for peers and returns its address.
 func servePeer(t *testing.T, s *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,9 +70,9 @@
 	return l.Addr().String()
 }
 
-// hearPeer lets a daemon know a peer at an address.
-func hearPeer(t *testing.T, s *Server, address string) {
+// addPeer passes a heartbeat of a ready peer at an address to a daemon.
+func addPeer(t *testing.T, s *Server, address string) {
 	t.Helper()
 	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: address}, Ready: true}
-	assert.Assert(t, s.agent.Table().Hear(b, time.Now(), time.Now()))
+	assert.Assert(t, s.agent.Table().RecordHeartbeat(b, time.Now(), time.Now()))
 }
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -9,7 +9,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// lead runs a term of leadership until ctx ends.
+// lead acts as leader for the term of a claim, until ctx ends. first is passed on to the keeper as
+// formation.Term.First.
 func (s *Server) lead(ctx context.Context, claim peers.Claim, first bool) {
 	s.inventory.BeginTerm(claim.Term())
 	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: first, FirstLife: s.opts.FirstLife},
@@ -26,16 +27,16 @@
 func (s *Server) formationOptions(claim peers.Claim) formation.Options {
 	return formation.Options{
 		Config: s.beliefs.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
-		Demand: s.demand, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
+		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
-		Smoothed:  s.work.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.hallOpen,
+		Smoothed:  s.smoothedWork.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
 		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
 		Awake: s.awake.Check, Counted: s.meter.Order, Logger: s.logger.Named("formation"),
 	}
 }
 
-// hallOpen reports whether a data hall takes requests and stays open.
-func (s *Server) hallOpen(hall string) bool {
+// isHallOpen reports whether a data hall is neither closed nor being closed.
+func (s *Server) isHallOpen(hall string) bool {
 	return s.halls.View().State(hall, time.Now()) == fleet.HallOpen
 }
 
@@ -45,50 +46,52 @@
 	s.keeper = k
 }
 
-// observeEvery is how often a daemon that may come to lead looks at the work of the fleet.
-const observeEvery = time.Second
+// observeInterval is the time between two samples of the fleet's demand.
+const observeInterval = time.Second
 
-// observeWork keeps the smoothed work of the fleet until ctx ends, from which a term of
-// this daemon's would go on.
+// observeWork updates smoothedWork until ctx ends. Every daemon does so, because a new leader needs a
+// current value at once.
 func (s *Server) observeWork(ctx context.Context) {
-	ticker := time.NewTicker(observeEvery)
+	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.work.Observe(s.demand(), now)
+			s.smoothedWork.Observe(s.demandByModel(), now)
 		}
 	}
 }
 
-// demand returns the work of each model over all daemons.
-func (s *Server) demand() map[string]formation.Work {
+// demandByModel returns the fleet's demand for each model. Busy slots and prompt tokens are summed
+// over all daemons. Pauses are as this daemon measured them.
+func (s *Server) demandByModel() map[string]formation.Work {
 	now := time.Now()
-	measured := s.agent.Fleet(now)
+	measured := s.agent.FleetSummary(now)
 	all := make(map[string]formation.Work, len(measured.Demand))
 	for model, busy := range measured.Demand {
-		all[model] = formation.Work{Busy: busy, Prompts: measured.Prompts[model], Pause: s.tracker.Pause(model, now)}
+		all[model] = formation.Work{Busy: busy, Prompts: measured.PromptTokens[model], Pause: s.tracker.Pause(model, now)}
 	}
 	return all
 }
 
-// stalled takes a suspicion of this daemon's own.
-func (s *Server) stalled(r *fleet.Replica) {
+// onStall logs a replica whose stall this daemon detected itself, and reports it to peers and to the
+// keeper.
+func (s *Server) onStall(r *fleet.Replica) {
 	now := time.Now()
-	s.logger.Warn("replica fell silent", "replica", r.ID, "head", r.Head.ID)
+	s.logger.Warn("replica stalled", "replica", r.ID, "head", r.Head.ID)
 	s.suspicions.add(peers.Stall{Replica: r.ID, Head: r.Head.ID}, now)
 	s.suspect(r.ID)
-	s.agent.Send(now)
+	s.agent.SendHeartbeat(now)
 }
 
-// suspect tells the keeper of a suspicion if this daemon leads.
+// suspect asks the keeper to inspect a replica if this daemon leads and an inspection is due.
 func (s *Server) suspect(replica string) {
 	s.mu.Lock()
 	keeper := s.keeper
 	s.mu.Unlock()
-	if keeper != nil && s.suspicions.due(replica, time.Now()) {
+	if keeper != nil && s.suspicions.startInspection(replica, time.Now()) {
 		keeper.Suspect(replica)
 	}
 }
--- a/serving/news_test.go
+++ b/serving/news_test.go
@@ -13,39 +13,39 @@
 	"quartzshelf.dev/peers"
 )
 
-// listed returns changes that list some workers.
-func listed(from, count int) []fleet.Change {
+// newWorkerChanges returns changes that add workers to the list.
+func newWorkerChanges(first, count int) []fleet.Change {
 	var all []fleet.Change
-	for i := from; i < from+count; i++ {
+	for i := first; i < first+count; i++ {
 		id := fmt.Sprintf("w%d", i)
 		all = append(all, fleet.Change{ID: id, Worker: &fleet.Worker{ID: id, Service: "s"}})
 	}
 	return all
 }
 
-// leading returns a daemon that knows some workers and leads a term.
-func leading(t *testing.T, workers int) *Server {
+// newLeader returns a daemon that has a list of workers and has begun a term as leader.
+func newLeader(t *testing.T, workers int) *Server {
 	t.Helper()
 	s := newServer(t, &fakeStore{})
-	s.inventory.Replace(listed(0, workers), int64(workers), time.Now())
+	s.inventory.Replace(newWorkerChanges(0, workers), int64(workers), time.Now())
 	s.inventory.BeginTerm(1)
 	return s
 }
 
-// TestNewsIsPassedOnOnce follows what a leader passes on: each change and decision
-// once, in parts of a bounded size, and nothing of what was known before.
-func TestNewsIsPassedOnOnce(t *testing.T) {
-	leader, follower := leading(t, 3), newServer(t, &fakeStore{})
-	follower.inventory.Replace(listed(0, 3), 3, time.Now())
+// TestNewsIsForwardedOnce checks that a leader forwards each new change and decision exactly once,
+// in parts of limited size. It must not forward its initial state.
+func TestNewsIsForwardedOnce(t *testing.T) {
+	leader, follower := newLeader(t, 3), newServer(t, &fakeStore{})
+	follower.inventory.Replace(newWorkerChanges(0, 3), 3, time.Now())
 	follower.inventory.FollowDecisions(leader.inventory.DecisionsSince(fleet.DecisionPosition{}))
-	n, passed := leader.newsSince(newsPosition{})
-	assert.Equal(t, len(n.all)+len(n.members), 0, "what was there at the start is fetched by those that lack it")
+	n, forwarded := leader.newsSince(newsPosition{})
+	assert.Equal(t, len(n.all)+len(n.members), 0, "the initial state is fetched, not sent as news")
 	const count = 40
-	leader.inventory.Apply(listed(3, count), 3+count, time.Now())
+	leader.inventory.Apply(newWorkerChanges(3, count), 3+count, time.Now())
 	for i := range count {
 		leader.inventory.Decide(1, fleet.Announcement{Group: fmt.Sprint("g", i), Epoch: int64(i + 1), Head: "h"})
 	}
-	n, passed = leader.newsSince(passed)
+	n, forwarded = leader.newsSince(forwarded)
 	changes, decisions := 0, 0
 	for _, n := range n.all {
 		if n.Workers != nil {
@@ -56,59 +56,59 @@
 			assert.Assert(t, len(n.Decisions.All) <= decisionsPerNews)
 			decisions += len(n.Decisions.All)
 		}
-		follower.taken(&peers.Peer{}, &n)
+		follower.onNews(&peers.Peer{}, &n)
 	}
 	assert.Equal(t, changes, count)
 	assert.Equal(t, decisions, count)
 	assert.Equal(t, follower.inventory.Position(), leader.inventory.Position())
 	assert.Equal(t, follower.inventory.Decided(), leader.inventory.Decided())
-	n, _ = leader.newsSince(passed)
+	n, _ = leader.newsSince(forwarded)
 	assert.Equal(t, len(n.all)+len(n.members), 0)
 }
 
-// TestMembersAreToldWhatTheyHold: members hold heads alone, or all workers where requests to
-// those that warm up are bounded. What they are passed on brings them to the leader's position
-// without asking.
-func TestMembersAreToldWhatTheyHold(t *testing.T) {
+// TestMembersGetNewsInScope checks that news brings members to the leader's position in the worker
+// list without a fetch. Members may hold only group heads or all workers.
+func TestMembersGetNewsInScope(t *testing.T) {
 	tests := map[string]struct {
-		bounded bool
-		scope   fleet.Scope
+		limitsWarmUp bool
+		scope        fleet.Scope
 	}{
 		"heads alone": {scope: fleet.HeadsOnly},
-		"all workers": {bounded: true, scope: fleet.AllWorkers},
+		"all workers": {limitsWarmUp: true, scope: fleet.AllWorkers},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			leader, member := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
-			if test.bounded {
-				warmUpFleet(leader)
+			if test.limitsWarmUp {
+				setColdWorkers(leader)
 			}
 			member.inventory.SetScope(test.scope)
 			start := leader.inventory.Position()
 			leader.inventory.Apply(nil, start+1, time.Now())
 			whole, _ := leader.inventory.Since(-1)
 			member.inventory.Replace(whole.Changes, whole.To, time.Now())
-			_, passed := leader.newsSince(newsPosition{})
+			_, forwarded := leader.newsSince(newsPosition{})
 			const count = 40
 			var changes []fleet.Change
-			for _, c := range listed(100, count) {
+			for _, c := range newWorkerChanges(100, count) {
 				c.Worker.Domain = "d"
 				changes = append(changes, c)
 			}
 			leader.inventory.Apply(changes, start+1+count, time.Now())
-			n, _ := leader.newsSince(passed)
+			n, _ := leader.newsSince(forwarded)
 			for _, part := range n.members {
-				member.taken(&peers.Peer{}, &part)
+				member.onNews(&peers.Peer{}, &part)
 			}
 			assert.Equal(t, member.inventory.Position(), leader.inventory.Position())
-			_, held := member.inventory.View().Worker("w100")
-			assert.Equal(t, held, test.scope == fleet.AllWorkers)
+			_, isHeld := member.inventory.View().Worker("w100")
+			assert.Equal(t, isHeld, test.scope == fleet.AllWorkers)
 		})
 	}
 }
 
-// TestWhatWasMissedIsFetched lets a daemon miss news in several ways and ask a peer.
-func TestWhatWasMissedIsFetched(t *testing.T) {
+// TestMissedNewsIsFetched checks that a daemon that missed news is up to date after it fetched from
+// a peer.
+func TestMissedNewsIsFetched(t *testing.T) {
 	tests := map[string]func(leader, follower *Server){
 		"all of it": func(*Server, *Server) {},
 		"decisions of the term, but not the first": func(leader, follower *Server) {
@@ -123,14 +123,14 @@
 	}
 	for name, miss := range tests {
 		t.Run(name, func(t *testing.T) {
-			leader, follower := leading(t, 3), newServer(t, &fakeStore{})
+			leader, follower := newLeader(t, 3), newServer(t, &fakeStore{})
 			leader.inventory.Decide(1, fleet.Announcement{Group: "closed", Epoch: 1, Head: "h"})
 			miss(leader, follower)
 			p := &peers.Peer{Heartbeat: peers.Heartbeat{
 				Identity:        peers.Identity{ID: "leader", Address: servePeer(t, leader)},
 				WorkersPosition: leader.inventory.Position(), Decided: leader.inventory.Decided(),
 			}}
-			follower.fetcher.fetch(context.Background(), wish{Peer: p, wanted: awake.NewStamp(awake.Never)})
+			follower.fetcher.fetch(context.Background(), fetchRequest{Peer: p, requestedAt: awake.NewStamp(awake.Never)})
 			assert.Equal(t, follower.inventory.Position(), leader.inventory.Position())
 			assert.Equal(t, follower.inventory.Decided(), leader.inventory.Decided())
 			for _, group := range []string{"closed", "missed"} {
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -27,37 +27,37 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// TestDaemonThatStartsLaterKnows: a daemon that starts when a request is quarantined hears of
-// it from its peers, and refuses the request.
-func TestDaemonThatStartsLaterKnows(t *testing.T) {
+// TestStartingDaemonLearnsQuarantine checks that a starting daemon learns from its peers which
+// requests are quarantined, and refuses them.
+func TestStartingDaemonLearnsQuarantine(t *testing.T) {
 	f := newCrashingFleet(t, 2, 12)
 	for i := range 4 {
 		assert.Assert(t, f.send(f.daemons[i%2], "/safe/", "key", crashingBody) != http.StatusOK)
 	}
-	ended := f.ended.Load()
-	young := f.startDaemon()
+	crashesBefore := f.crashCount.Load()
+	startingDaemon := f.startDaemon()
 	for range 20 {
-		if len(young.relay.Guard().Table().Marks(time.Now())) > 0 {
+		if len(startingDaemon.relay.Guard().Table().Marks(time.Now())) > 0 {
 			break
 		}
-		time.Sleep(heartbeats / 2)
+		time.Sleep(heartbeatWait / 2)
 	}
-	assert.Equal(t, f.send(young, "/safe/", "key", crashingBody), http.StatusServiceUnavailable)
-	assert.Equal(t, f.ended.Load(), ended)
-	assert.Equal(t, f.send(young, "/safe/", "other", "another body"), http.StatusOK)
+	assert.Equal(t, f.send(startingDaemon, "/safe/", "key", crashingBody), http.StatusServiceUnavailable)
+	assert.Equal(t, f.crashCount.Load(), crashesBefore)
+	assert.Equal(t, f.send(startingDaemon, "/safe/", "other", "another body"), http.StatusOK)
 }
 
-// TestReportsCutOffWhatWaits: a stream that waits at a head is cut off when another daemon
-// quarantines its request.
-func TestReportsCutOffWhatWaits(t *testing.T) {
+// TestQuarantineCutsOffPendingStreams checks that a stream waiting at a head is cut off when
+// another daemon quarantines its request.
+func TestQuarantineCutsOffPendingStreams(t *testing.T) {
 	f := newCrashingFleet(t, 2, 2)
-	answered := make(chan int)
-	go func() { answered <- f.send(f.daemons[0], "/stream/", "key", waitingBody) }()
+	status := make(chan int)
+	go func() { status <- f.send(f.daemons[0], "/stream/", "key", waitingBody) }()
 	for range 100 {
-		if f.waiting.Load() > 0 {
+		if f.waitingCount.Load() > 0 {
 			break
 		}
-		time.Sleep(heartbeats / 100)
+		time.Sleep(heartbeatWait / 100)
 	}
 	waiting := quarantine.FingerprintOf("account", http.MethodPost, "h", "/stream/", []byte(waitingBody))
 	now := time.Now()
@@ -65,19 +65,19 @@
 		ended := now.Add(time.Duration(i-3) * time.Second)
 		f.daemons[1].relay.Guard().Blame(waiting, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended})
 	}
-	assert.Equal(t, <-answered, http.StatusBadGateway, "it may have run")
+	assert.Equal(t, <-status, http.StatusBadGateway, "it may have run")
 	assert.Equal(t, f.daemons[0].meter.Refusals()[reason.Quarantined], int64(1))
 }
 
-// TestAnotherLifeAtTheAddress: a worker whose address another life has by the time that
-// anybody looks has ended.
-func TestAnotherLifeAtTheAddress(t *testing.T) {
+// TestWorkerAddressReused checks that a worker counts as crashed if another worker responds at its
+// address.
+func TestWorkerAddressReused(t *testing.T) {
 	tests := map[string]struct {
-		err    error
-		blamed bool
+		err      error
+		isBlamed bool
 	}{
-		"it lives":                {},
-		"another has its address": {err: formation.ErrElsewhere, blamed: true},
+		"the worker is alive":            {},
+		"another worker has its address": {err: formation.ErrElsewhere, isBlamed: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -85,15 +85,15 @@
 			d := f.daemons[0]
 			d.opts.Orders.Ask = func(context.Context, *fleet.Worker) (formation.State, error) { return formation.State{}, test.err }
 			assert.Equal(t, f.send(d, "/once/", "key", breakingBody), http.StatusBadGateway)
-			assert.Equal(t, !d.relay.Guard().Table().Empty(), test.blamed)
+			assert.Equal(t, !d.relay.Guard().Table().Empty(), test.isBlamed)
 		})
 	}
 }
 
-// TestLeaderKeepsMarks runs a whole daemon that comes to lead: it reads what is kept.
-func TestLeaderKeepsMarks(t *testing.T) {
+// TestLeaderReadsMarks checks that a daemon that becomes leader reads the stored marks.
+func TestLeaderReadsMarks(t *testing.T) {
 	f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
-	marks := &fakeMarks{kept: map[quarantine.Fingerprint]quarantine.Mark{
+	marks := &fakeMarks{stored: map[quarantine.Fingerprint]quarantine.Mark{
 		f: {Fingerprint: f, MarkedAt: now, Until: now.Add(time.Hour), Rounds: 1},
 	}}
 	s := newServer(t, &fakeStore{})
@@ -111,19 +111,20 @@
 		if s.relay.Guard().Table().State(f, time.Now()).Quarantined {
 			break
 		}
-		time.Sleep(heartbeats / 10)
+		time.Sleep(heartbeatWait / 10)
 	}
 	assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined)
 	cancel()
 	<-s.Done()
 }
 
-// fakeNetwork carries datagrams between daemons in a test's own time.
+// fakeNetwork carries datagrams between daemons in virtual time. It loses the share lossRate of them
+// at random.
 type fakeNetwork struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	loss    float64
-	inboxes map[string]chan []byte
+	mu       sync.Mutex
+	random   *rand.Rand
+	lossRate float64
+	inboxes  map[string]chan []byte
 }
 
 func (n *fakeNetwork) inbox(address string) chan []byte {
@@ -135,20 +136,20 @@
 	return n.inboxes[address]
 }
 
-func (n *fakeNetwork) lost() bool {
+func (n *fakeNetwork) drawsLoss() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.random.Float64() < n.loss
+	return n.random.Float64() < n.lossRate
 }
 
-// transport returns what a daemon at an address sends and receives with.
+// transport returns the transport of a daemon at an address.
 func (n *fakeNetwork) transport(address string) peers.Transport {
 	inbox, closed := n.inbox(address), make(chan struct{})
 	return peers.Transport{
 		Send: func(to string, datagram []byte) error {
 			const delay = 1400 * time.Microsecond
 			copied := slices.Clone(datagram)
-			if !n.lost() {
+			if !n.drawsLoss() {
 				time.AfterFunc(delay, func() { n.inbox(to) <- copied })
 			}
 			return nil
@@ -168,24 +169,23 @@
 	}
 }
 
-// TestQuarantineReachesAllDaemons: three daemons of different halls see a crash each. Every
-// daemon knows within a second, also where relays pass reports on and links lose packets;
-// the bound is three seconds.
+// TestQuarantineReachesAllDaemons lets one daemon in each of three halls detect a crash. Every
+// daemon must know of the resulting quarantine within a second, also with relays and packet loss.
 func TestQuarantineReachesAllDaemons(t *testing.T) {
 	tests := map[string]struct {
-		perHall int
-		loss    float64
+		perHall  int
+		lossRate float64
 	}{
 		"a small fleet":                   {perHall: 2},
-		"a small fleet that loses 3 %":    {perHall: 2, loss: 0.03},
+		"a small fleet that loses 3 %":    {perHall: 2, lossRate: 0.03},
 		"a fleet with relays":             {perHall: 20},
-		"a fleet with relays, 3 % losses": {perHall: 20, loss: 0.03},
+		"a fleet with relays, 3 % losses": {perHall: 20, lossRate: 0.03},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const halls = 3
-				all := fakeFleet(t, halls, test.perHall, test.loss)
+				all := startFakeFleet(t, halls, test.perHall, test.lossRate)
 				time.Sleep(5 * time.Second)
 				f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
 				for hall := range halls {
@@ -195,21 +195,21 @@
 				}
 				time.Sleep(time.Second)
 				for _, s := range all {
-					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know", s.opts.Self.ID)
+					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
 				}
 			})
 		})
 	}
 }
 
-// TestMarkIsToldAtOnce: what quarantines a request does not wait for heartbeats, by way of
-// relays neither.
-func TestMarkIsToldAtOnce(t *testing.T) {
+// TestMarkIsSentAtOnce checks that daemons report a quarantine to their peers at once, rather than
+// with the next regular heartbeat. Relays must forward it at once, too.
+func TestMarkIsSentAtOnce(t *testing.T) {
 	tests := map[string]int{"a small fleet": 2, "a fleet with relays": 20}
 	for name, perHall := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				all := fakeFleet(t, 3, perHall, 0)
+				all := startFakeFleet(t, 3, perHall, 0)
 				time.Sleep(5 * time.Second)
 				f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
 				for i := range 3 {
@@ -219,19 +219,19 @@
 				const threeHops = 20 * time.Millisecond
 				time.Sleep(threeHops)
 				for _, s := range all {
-					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know", s.opts.Self.ID)
+					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
 				}
 			})
 		})
 	}
 }
 
-// fakeFleet starts the reporting of daemons that know of each other.
-func fakeFleet(t *testing.T, halls, perHall int, loss float64) []*Server {
+// startFakeFleet starts daemons that know of each other and exchange heartbeats.
+func startFakeFleet(t *testing.T, halls, perHall int, lossRate float64) []*Server {
 	t.Helper()
-	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), loss: loss, inboxes: make(map[string]chan []byte)}
+	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), lossRate: lossRate, inboxes: make(map[string]chan []byte)}
 	var all []*Server
-	var duties conc.WaitGroup
+	var tasks conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range halls * perHall {
 		id := fmt.Sprintf("daemon-%d", i)
@@ -248,39 +248,40 @@
 		for _, other := range all {
 			s.agent.Table().Learn(other.opts.Self, time.Now())
 		}
-		duties.Go(func() { s.agent.Run(ctx) })
+		tasks.Go(func() { s.agent.Run(ctx) })
 	}
 	t.Cleanup(func() {
 		cancel()
-		duties.Wait()
-		// Datagrams that are on their way arrive.
+		tasks.Wait()
+		// Datagrams in transit arrive.
 		time.Sleep(time.Second)
 	})
 	return all
 }
 
-// TestHeardOnlyIsNotToldAgain: a daemon that passes nothing on tells what it saw alone.
-func TestHeardOnlyIsNotToldAgain(t *testing.T) {
+// TestReceivedCrashesAreNotRepeated checks that a daemon that is neither leader nor relay reports
+// only crashes that it detected itself.
+func TestReceivedCrashesAreNotRepeated(t *testing.T) {
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	entry := quarantine.Entry{
 		Fingerprint: quarantine.FingerprintOf("a", "POST", "h", "/", nil),
 		Crashes:     []quarantine.CrashReport{{Worker: "w", Sent: 20, Ended: 10}},
 	}
-	s.heard(&peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b"}, Quarantine: []quarantine.Entry{entry}}, HeardAt: now})
+	s.onHeartbeat(&peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b"}, Quarantine: []quarantine.Entry{entry}}, HeardAt: now})
 	assert.Equal(t, s.relay.Guard().Table().State(entry.Fingerprint, now).Crashes, 1)
 	var h peers.Heartbeat
-	s.compose(&h, now)
+	s.fillHeartbeat(&h, now)
 	assert.Equal(t, len(h.Quarantine), 0)
 }
 
-// fakeMarks keeps marks as a test sets them.
+// fakeMarks is a store of marks in memory.
 type fakeMarks struct {
-	mu    sync.Mutex
-	kept  map[quarantine.Fingerprint]quarantine.Mark
-	away  bool
-	reads int
-	// refused is what is said of records that are no marks.
-	refused []error
+	mu            sync.Mutex
+	stored        map[quarantine.Fingerprint]quarantine.Mark
+	isUnavailable bool
+	reads         int
+	// invalid holds the errors that read returns for invalid records.
+	invalid []error
 }
 
 func (f *fakeMarks) store() MarkStore { return MarkStore{Read: f.read, Write: f.write} }
@@ -289,135 +290,135 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reads++
-	if f.away {
-		return nil, nil, errAway
+	if f.isUnavailable {
+		return nil, nil, errUnavailable
 	}
 	var all []quarantine.Mark
-	for _, m := range f.kept {
+	for _, m := range f.stored {
 		all = append(all, m)
 	}
-	return all, f.refused, nil
+	return all, f.invalid, nil
 }
 
 func (f *fakeMarks) write(_ context.Context, m quarantine.Mark) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
-		return errAway
+	if f.isUnavailable {
+		return errUnavailable
 	}
 	if m.Until.IsZero() {
-		delete(f.kept, m.Fingerprint)
+		delete(f.stored, m.Fingerprint)
 		return nil
 	}
-	f.kept[m.Fingerprint] = m
+	f.stored[m.Fingerprint] = m
 	return nil
 }
 
-// quarantineIn quarantines a request in a daemon.
-func quarantineIn(s *Server, f quarantine.Fingerprint, now time.Time) {
+// quarantineRequest quarantines a request in a daemon.
+func quarantineRequest(s *Server, f quarantine.Fingerprint, now time.Time) {
 	for i := range 3 {
 		ended := now.Add(time.Duration(i-3) * time.Second)
 		s.relay.Guard().Table().Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended}, now)
 	}
 }
 
-// TestMarksOutliveAllDaemons: a leader keeps what is quarantined; when all daemons have ended
-// at once, the next leader knows of it, and tells its peers.
-func TestMarksOutliveAllDaemons(t *testing.T) {
-	marks := &fakeMarks{kept: make(map[quarantine.Fingerprint]quarantine.Mark)}
+// TestMarksSurviveRestartOfAllDaemons checks that a leader stores the marks of quarantined requests.
+// After a restart of all daemons, the next leader must read them and report them to its peers.
+func TestMarksSurviveRestartOfAllDaemons(t *testing.T) {
+	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
-	keeper := func() (*Server, *markKeeper) {
+	newKeeper := func() (*Server, *markKeeper) {
 		s := newServer(t, &fakeStore{})
 		s.opts.Marks = marks.store()
-		return s, &markKeeper{server: s, kept: make(map[quarantine.Fingerprint]keptMark)}
+		return s, &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	}
-	before, k := keeper()
-	quarantineIn(before, f, now)
-	marks.away = true
-	k.look(context.Background(), now)
-	assert.Equal(t, len(marks.kept), 0)
-	marks.away = false
-	k.look(context.Background(), now.Add(readMarksAgain))
-	k.look(context.Background(), now.Add(2*readMarksAgain))
-	assert.Equal(t, len(marks.kept), 1)
-	assert.Equal(t, marks.reads, 2, "what is known is not read again and again")
+	before, k := newKeeper()
+	quarantineRequest(before, f, now)
+	marks.isUnavailable = true
+	k.sync(context.Background(), now)
+	assert.Equal(t, len(marks.stored), 0)
+	marks.isUnavailable = false
+	k.sync(context.Background(), now.Add(marksRetryDelay))
+	k.sync(context.Background(), now.Add(2*marksRetryDelay))
+	assert.Equal(t, len(marks.stored), 1)
+	assert.Equal(t, marks.reads, 2, "known marks are not read again")
 
-	after, k := keeper()
+	after, k := newKeeper()
 	assert.Assert(t, !after.relay.Guard().Table().State(f, now).Quarantined)
-	k.look(context.Background(), now)
+	k.sync(context.Background(), now)
 	assert.Assert(t, after.relay.Guard().Table().State(f, now).Quarantined)
 	var h peers.Heartbeat
-	after.compose(&h, now)
+	after.fillHeartbeat(&h, now)
 	assert.Equal(t, len(h.Quarantine), 1)
 }
 
-// TestRecordsThatAreNoMarks: what another writer put beside the marks keeps none from being
-// read or kept, and is told once.
-func TestRecordsThatAreNoMarks(t *testing.T) {
-	marks := &fakeMarks{kept: make(map[quarantine.Fingerprint]quarantine.Mark), refused: []error{errors.New("no mark")}}
+// TestInvalidMarkRecords checks that marks are read and written although the store holds an invalid
+// record. The invalid record must be logged only once.
+func TestInvalidMarkRecords(t *testing.T) {
+	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark), invalid: []error{errors.New("no mark")}}
 	var lines bytes.Buffer
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	s.opts.Marks, s.logger = marks.store(), hclog.New(&hclog.LoggerOptions{Output: &lines})
-	k := &markKeeper{server: s, kept: make(map[quarantine.Fingerprint]keptMark)}
-	quarantineIn(s, quarantine.FingerprintOf("a", "POST", "h", "/", nil), now)
-	k.look(context.Background(), now)
-	k.look(context.Background(), now.Add(readMarksEvery))
+	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
+	quarantineRequest(s, quarantine.FingerprintOf("a", "POST", "h", "/", nil), now)
+	k.sync(context.Background(), now)
+	k.sync(context.Background(), now.Add(marksReadInterval))
 	assert.Equal(t, marks.reads, 2)
-	assert.Equal(t, len(marks.kept), 1)
-	assert.Equal(t, strings.Count(lines.String(), "not understood"), 1)
+	assert.Equal(t, len(marks.stored), 1)
+	assert.Equal(t, strings.Count(lines.String(), "invalid records of quarantined requests"), 1)
 }
 
-// TestOperatorLiftsAMark: a mark that is removed from where it is kept is lifted at the next
-// reading, and one that ended by a completed run is removed there.
-func TestOperatorLiftsAMark(t *testing.T) {
-	marks := &fakeMarks{kept: make(map[quarantine.Fingerprint]quarantine.Mark)}
+// TestOperatorLiftsMark checks that a mark is lifted some time after an operator removed it from the
+// store. A mark that daemons clear after a successful run must be removed from the store.
+func TestOperatorLiftsMark(t *testing.T) {
+	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	s := newServer(t, &fakeStore{})
 	s.opts.Marks = marks.store()
-	k := &markKeeper{server: s, kept: make(map[quarantine.Fingerprint]keptMark)}
+	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	f, other, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), quarantine.FingerprintOf("b", "POST", "h", "/", nil), time.Now()
-	quarantineIn(s, f, now)
-	quarantineIn(s, other, now)
-	look := func(after time.Duration) { k.look(context.Background(), now.Add(after)) }
-	look(0)
-	assert.Equal(t, len(marks.kept), 2)
+	quarantineRequest(s, f, now)
+	quarantineRequest(s, other, now)
+	syncAfter := func(after time.Duration) { k.sync(context.Background(), now.Add(after)) }
+	syncAfter(0)
+	assert.Equal(t, len(marks.stored), 2)
 
-	held := marks.kept[f]
-	delete(marks.kept, f)
-	look(readMarksEvery)
-	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "an answer that is behind lifts nothing")
-	marks.kept[f] = held
-	look(2 * readMarksEvery)
-	delete(marks.kept, f)
-	marks.away = true
-	look(3 * readMarksEvery)
-	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "what can't be read lifts nothing")
-	marks.away = false
-	look(4 * readMarksEvery)
+	removed := marks.stored[f]
+	delete(marks.stored, f)
+	syncAfter(marksReadInterval)
+	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "a stale read lifts nothing")
+	marks.stored[f] = removed
+	syncAfter(2 * marksReadInterval)
+	delete(marks.stored, f)
+	marks.isUnavailable = true
+	syncAfter(3 * marksReadInterval)
+	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "a failed read lifts nothing")
+	marks.isUnavailable = false
+	syncAfter(4 * marksReadInterval)
 	assert.Assert(t, !s.relay.Guard().Table().State(f, now).Quarantined)
 	assert.Assert(t, s.relay.Guard().Table().State(other, now).Quarantined)
 
-	s.relay.Guard().Table().Clear(other, now.Add(4*readMarksEvery))
-	look(4 * readMarksEvery)
-	assert.Equal(t, len(marks.kept), 0)
+	s.relay.Guard().Table().Clear(other, now.Add(4*marksReadInterval))
+	syncAfter(4 * marksReadInterval)
+	assert.Equal(t, len(marks.stored), 0)
 }
 
 func TestReplacedWorker(t *testing.T) {
 	tests := map[string]struct {
-		err            error
-		replaced, fail bool
+		err                    error
+		isReplaced, wantsError bool
 	}{
-		"it answers":                   {},
-		"another has its address":      {err: formation.ErrElsewhere, replaced: true},
-		"a wrapped word of another":    {err: fmt.Errorf("ask: %w", formation.ErrElsewhere), replaced: true},
-		"nothing is known for certain": {err: errors.New("no answer"), fail: true},
+		"it responds":                    {},
+		"another worker has its address": {err: formation.ErrElsewhere, isReplaced: true},
+		"a wrapped error":                {err: fmt.Errorf("ask: %w", formation.ErrElsewhere), isReplaced: true},
+		"the state is unknown":           {err: errors.New("no answer"), wantsError: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, &fakeStore{})
 			s.opts.Orders.Ask = func(context.Context, *fleet.Worker) (formation.State, error) { return formation.State{}, test.err }
-			replaced, err := s.replaced(context.Background(), &fleet.Worker{ID: "w"})
-			assert.Equal(t, replaced, test.replaced)
-			assert.Equal(t, err != nil, test.fail)
+			replaced, err := s.isReplaced(context.Background(), &fleet.Worker{ID: "w"})
+			assert.Equal(t, replaced, test.isReplaced)
+			assert.Equal(t, err != nil, test.wantsError)
 		})
 	}
 }
--- a/serving/reader.go
+++ b/serving/reader.go
@@ -11,125 +11,117 @@
 )
 
 const (
-	// readAfter is how old a belief gets before a daemon that is told by others
-	// reads for itself, and readSpread by how much daemons differ in that, so
-	// that one comes first and tells the others.
-	readAfter  = 1100 * time.Millisecond
-	readSpread = 500 * time.Millisecond
-	// relayedLater is how much older beliefs are that come by way of a relay: a
-	// further heartbeat, and the one by which the relay knows its age.
-	relayedLater = 800 * time.Millisecond
-	// roleKnown is how long after it read who there is in its data hall a daemon's part in
-	// passing reports on is certain enough: a round of heartbeats, and some slack.
-	roleKnown = 250 * time.Millisecond
-	// meetFor is how long a daemon that could not read the member list waits for it before
-	// it reads other things.
-	meetFor = 1500 * time.Millisecond
-	// toldFor is how long after its start a member waits to be told by its relays before
-	// it reads for itself: relays read within a second, and tell a hall of 200 over 20
-	// Mbit/s within two.
-	toldFor = 4 * time.Second
-	// retriesPerSecond is how often all daemons together call the store again while it
-	// answers none of them: a small part of the calls that it bears. One answer is passed
-	// on to all.
-	retriesPerSecond = 200
+	// staleStateAge is the age of a daemon's state after which the daemon reads the store itself
+	// instead of waiting for updates from peers. Each daemon adds a delay of up to readSpread, so
+	// that one of them reads first and updates the others.
+	staleStateAge = 1100 * time.Millisecond
+	readSpread    = 500 * time.Millisecond
+	// relayDelay is added to staleStateAge for members, which get their state through a relay. It
+	// covers the relay's extra heartbeats.
+	relayDelay = 800 * time.Millisecond
+	// roleSettleTime is how long a daemon waits after reading its hall's member list before it
+	// relies on its role. It is slightly longer than a round of heartbeats.
+	roleSettleTime = 250 * time.Millisecond
+	// memberListGracePeriod is how long a daemon that cannot read the member list waits before it reads
+	// anything else.
+	memberListGracePeriod = 1500 * time.Millisecond
+	// relayStateTimeout is how long a starting member waits for state from its relays before it reads the
+	// store itself.
+	relayStateTimeout = 4 * time.Second
+	// storeRetriesPerSecond limits how often all daemons together retry a store that does not
+	// respond.
+	storeRetriesPerSecond = 200
 )
 
-// isReader reports whether this daemon reads the store for all: the leader does.
+// isReader reports whether this daemon reads the store on behalf of all others. That is the leader.
 func (s *Server) isReader() bool {
-	own, _, _ := s.elector.State()
-	return own != nil
+	claim, _, _ := s.elector.State()
+	return claim != nil
 }
 
-// scopeFor is how long a daemon that no longer relays keeps all workers.
-const scopeFor = 5 * time.Second
+// scopeRetention is how long a daemon keeps all workers in memory after it last needed them.
+const scopeRetention = 5 * time.Second
 
-// scopeLook is how often a daemon looks which workers it has to hold: as often as its part in
-// passing reports on may change.
-const scopeLook = 200 * time.Millisecond
+// scopeCheckInterval is the time between two checks of whether this daemon needs all workers.
+const scopeCheckInterval = 200 * time.Millisecond
 
-// watchScope decides which workers this daemon holds until ctx ends.
+// watchScope sets whether this daemon holds all workers or only group heads, until ctx ends.
 func (s *Server) watchScope(ctx context.Context) {
-	wantedAll := s.start
+	lastNeeded := s.startedAt
 	for ctx.Err() == nil {
 		now := time.Now()
 		switch {
 		case s.needsAllWorkers():
-			wantedAll = now
+			lastNeeded = now
 			s.inventory.SetScope(fleet.AllWorkers)
-		case s.inventory.Confirmed().IsZero() || now.Sub(wantedAll) > scopeFor:
+		case s.inventory.Confirmed().IsZero() || now.Sub(lastNeeded) > scopeRetention:
 			s.inventory.SetScope(fleet.HeadsOnly)
 		}
-		pause.For(ctx, scopeLook)
+		pause.For(ctx, scopeCheckInterval)
 	}
 }
 
-// needsAllWorkers reports whether this daemon has to know more workers than those that
-// requests go to: the leader does, relays may follow it, and which workers warm up is told
-// by all of them.
+// needsAllWorkers reports whether this daemon must hold all workers rather than only group heads.
+// In a large fleet only the leader and the relays must, unless requests to cold workers are limited.
 func (s *Server) needsAllWorkers() bool {
-	return s.isReader() || s.agent.Role() != peers.Member || s.boundsWarmUp()
+	return s.isReader() || s.agent.Role() != peers.Member || s.limitsWarmUp()
 }
 
-// reads reports whether this daemon is to read from the store what it last
-// knew to be the newest at the given time: while it leads, and when what peers
-// tell is too old. Terms often follow one another within a second; if all read
-// in between, a large fleet would call the store hundreds of times.
-func (s *Server) reads(confirmed time.Time) bool {
+// shouldRead reports whether this daemon should read from the store. The leader always should. Any
+// other daemon should if its state, last confirmed at the given time, is too old.
+func (s *Server) shouldRead(confirmed time.Time) bool {
 	switch {
 	case s.isReader():
 		return true
 	case confirmed.IsZero():
-		return s.readsFirst(time.Now())
+		return s.shouldReadInitially(time.Now())
 	}
-	return time.Since(confirmed) > readPatience(s.agent.Role(), s.readDelay)
+	return time.Since(confirmed) > maxStaleness(s.agent.Role(), s.readDelay)
 }
 
-// readsFirst reports whether a daemon that knows nothing yet is to read for itself. Daemons
-// that start together know from the member list which of them relay: these read, and tell
-// the others. When all of 986 daemons read 3,064 workers at once, each took longer than a
-// read may, and began anew.
-func (s *Server) readsFirst(now time.Time) bool {
-	met := s.metAt.Load()
+// shouldReadInitially reports whether a daemon without any state should read the store itself. When
+// many daemons start together, the member list shows which of them are relays. Only relays read at
+// once. Members wait for state from them, so that the store is not overloaded.
+func (s *Server) shouldReadInitially(now time.Time) bool {
+	readAt := s.membersReadAt.Load()
 	switch {
-	case met == nil:
-		return now.Sub(s.start) > meetFor+s.readDelay
-	case now.Sub(*met) < roleKnown || s.readTooSoon.Load():
+	case readAt == nil:
+		return now.Sub(s.startedAt) > memberListGracePeriod+s.readDelay
+	case now.Sub(*readAt) < roleSettleTime || s.needsMemberReread.Load():
 		return false
 	}
-	return s.agent.Role() != peers.Member || now.Sub(*met) > toldFor+spreadOver(s.agent.Daemons())
+	return s.agent.Role() != peers.Member || now.Sub(*readAt) > relayStateTimeout+retryInterval(s.agent.DaemonCount())
 }
 
-// retrySpread returns how far apart the calls of this daemon to a store that does not answer
-// are at least. The leader and the relays are few, and the others wait for what they learn:
-// spread like the rest, a leader of 986 would pause for five seconds after one lost answer.
+// retrySpread returns the minimum interval between this daemon's retries of a store that does not
+// respond. It is zero for the leader and the relays, because the other daemons depend on them.
 func (s *Server) retrySpread() time.Duration {
 	if s.isReader() || s.agent.Role() != peers.Member {
 		return 0
 	}
-	return spreadOver(s.agent.Daemons())
+	return retryInterval(s.agent.DaemonCount())
 }
 
-// spreadOver returns how far apart the calls of each of some daemons are for all of them
-// together to stay within retriesPerSecond.
-func spreadOver(daemons int) time.Duration {
-	return time.Duration(daemons) * time.Second / retriesPerSecond
+// retryInterval returns the interval between one daemon's retries, given the number of daemons. At
+// that interval, all daemons together make storeRetriesPerSecond retries per second.
+func retryInterval(daemons int) time.Duration {
+	return time.Duration(daemons) * time.Second / storeRetriesPerSecond
 }
 
-// readPatience returns how old a belief gets before a daemon reads for itself. Relays
-// hear the leader as daemons of a small fleet do: where it no longer reaches the store
-// they are the first to read, and pass on what they learn.
-func readPatience(role peers.Role, delay time.Duration) time.Duration {
+// maxStaleness returns the age of its state after which a daemon reads the store itself. If the
+// leader loses access to the store, relays read before members do.
+func maxStaleness(role peers.Role, delay time.Duration) time.Duration {
 	if role == peers.Member {
-		return readAfter + delay + relayedLater
+		return staleStateAge + delay + relayDelay
 	}
-	return readAfter + delay
+	return staleStateAge + delay
 }
 
-// readDelayOf returns a daemon's own part of readSpread.
+// readDelayOf returns the delay of a daemon's reads, between zero and readSpread. It depends only on
+// the daemon's id.
 func readDelayOf(id string) time.Duration {
 	h := fnv.New32a()
-	// Writing to a hash does not fail.
+	// Writing to a hash never fails.
 	_, _ = h.Write([]byte(id))
 	const steps = 16
 	return time.Duration(h.Sum32()%steps) * readSpread / steps
--- a/serving/start_test.go
+++ b/serving/start_test.go
@@ -24,60 +24,61 @@
 )
 
 const (
-	// storeRate is what the store of a fleet of 986 daemons sends in all, in bytes a second;
-	// smallRate and largeRate are the links of daemons, 20 Mbit/s and a gigabit.
-	storeRate = 500e6
-	smallRate = 20e6 / 8
-	largeRate = 1e9 / 8
-	// storeDelay is how long an answer of the store takes at least, storeSilence after which
-	// silence a call is given up.
+	// storeRate is the total send rate of the store in bytes per second. smallLinkRate and
+	// largeLinkRate are those of the daemons' links, 20 Mbit/s and 1 Gbit/s.
+	storeRate     = 500e6
+	smallLinkRate = 20e6 / 8
+	largeLinkRate = 1e9 / 8
+	// storeDelay is the minimum latency of the store. A call fails after storeTimeout if its response
+	// would be queued for longer.
 	storeDelay   = 4 * time.Millisecond
-	storeSilence = 700 * time.Millisecond
-	// workerBytes is the size of a worker's entry in an answer, pageWorkers how many fit one.
-	workerBytes = 300
-	pageWorkers = 500
-	// identityBytes is the same of a daemon, configBytes that of the configuration.
+	storeTimeout = 700 * time.Millisecond
+	// workerBytes is the size of a worker's entry in a response, in bytes. workersPerPage is the
+	// number of entries in a page.
+	workerBytes    = 300
+	workersPerPage = 500
+	// identityBytes is the size of a daemon's entry, configBytes that of the configuration, in
+	// bytes.
 	identityBytes = 220
 	configBytes   = 150_000
 )
 
 var errSilentStore = errors.New("the store is silent")
 
-// sharedStore is a store whose answers share its rate.
+// sharedStore is a store whose responses share its send rate.
 type sharedStore struct {
 	mu      sync.Mutex
-	freeAt  time.Time
+	idleAt  time.Time
 	workers []fleet.Change
 	members map[string][]peers.Identity
 	grant   peers.Grant
-	// changes are those of the worker list since the first list, version is that of the
-	// configuration.
-	changes []fleet.Change
-	version int64
-	bytes   int
-	calls   int
-	// purposes counts calls by what they are for.
-	purposes map[string]int
+	// changes holds the changes since the first worker list. version is the configuration's version.
+	changes   []fleet.Change
+	version   int64
+	bytesRead int
+	callCount int
+	// callsByPurpose holds the number of calls by purpose since the last reset.
+	callsByPurpose map[string]int
 }
 
-// count counts a call.
-func (s *sharedStore) count(purpose string) {
+// countCall counts a call with a purpose.
+func (s *sharedStore) countCall(purpose string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.purposes[purpose]++
+	s.callsByPurpose[purpose]++
 }
 
-// counted returns the calls so far, and begins anew.
-func (s *sharedStore) counted() map[string]int {
+// takeCounts returns the counts of calls and resets them.
+func (s *sharedStore) takeCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := s.purposes
-	s.purposes = make(map[string]int)
+	all := s.callsByPurpose
+	s.callsByPurpose = make(map[string]int)
 	return all
 }
 
-// set changes what the store holds.
-func (s *sharedStore) set(change func()) {
+// update runs change under the store's lock.
+func (s *sharedStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -91,7 +92,7 @@
 	return fleet.NewConfig(fleet.Parts{Version: s.version, Encoded: encoded})
 }
 
-// decodeVersion returns a configuration of the version that it was encoded with.
+// decodeVersion decodes a configuration that sharedStore.config encoded.
 func decodeVersion(data []byte) (*fleet.Config, error) {
 	var version int64
 	if _, err := fmt.Sscanf(string(data[:8]), "%d", &version); err != nil {
@@ -107,34 +108,36 @@
 	return s.changes[position-int64(len(s.workers)):]
 }
 
-// answer waits for an answer of some bytes over a link.
-func (s *sharedStore) answer(ctx context.Context, size int, link float64) error {
+// respond waits as long as a response of size bytes takes over a link with the given rate. It
+// returns an error if the store is too busy.
+func (s *sharedStore) respond(ctx context.Context, size int, linkRate float64) error {
 	s.mu.Lock()
 	now := time.Now()
-	if s.freeAt.Before(now) {
-		s.freeAt = now
+	if s.idleAt.Before(now) {
+		s.idleAt = now
 	}
-	queued := s.freeAt.Sub(now)
-	s.freeAt = s.freeAt.Add(secondsOf(float64(size) / storeRate))
-	s.bytes += size
-	s.calls++
+	queued := s.idleAt.Sub(now)
+	s.idleAt = s.idleAt.Add(fromSeconds(float64(size) / storeRate))
+	s.bytesRead += size
+	s.callCount++
 	s.mu.Unlock()
-	if queued > storeSilence {
-		time.Sleep(storeSilence)
+	if queued > storeTimeout {
+		time.Sleep(storeTimeout)
 		return errSilentStore
 	}
 	select {
-	case <-time.After(queued + storeDelay + secondsOf(float64(size)/link)):
+	case <-time.After(queued + storeDelay + fromSeconds(float64(size)/linkRate)):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func fromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// waitFor waits for news for a while and answers with what there is then.
-func (s *sharedStore) waitFor(ctx context.Context, wait time.Duration, size func() int, link float64) error {
+// waitForNews waits, at most for the given time, until size returns more than zero. Then it responds
+// like respond.
+func (s *sharedStore) waitForNews(ctx context.Context, wait time.Duration, size func() int, linkRate float64) error {
 	for until := time.Now().Add(wait); size() == 0 && time.Now().Before(until); {
 		select {
 		case <-time.After(storeDelay):
@@ -142,32 +145,32 @@
 			return ctx.Err()
 		}
 	}
-	return s.answer(ctx, 16+size(), link)
+	return s.respond(ctx, 16+size(), linkRate)
 }
 
-// source returns the store as a daemon with a link reads it.
-func (s *sharedStore) source(link float64) fleet.Source {
+// source returns the store's source for a daemon whose link has the given rate.
+func (s *sharedStore) source(linkRate float64) fleet.Source {
 	return fleet.Source{
 		ReadConfig: func(ctx context.Context) (fleet.ConfigNews, error) {
-			s.count("list configuration")
+			s.countCall("list configuration")
 			config := s.config()
-			return fleet.ConfigNews{Config: config, Next: config.Version()}, s.answer(ctx, configBytes, link)
+			return fleet.ConfigNews{Config: config, Next: config.Version()}, s.respond(ctx, configBytes, linkRate)
 		},
 		NextConfig: func(ctx context.Context, position int64, wait time.Duration) (fleet.ConfigNews, error) {
-			s.count("follow configuration")
-			err := s.waitFor(ctx, wait, func() int { return configBytes * int(s.config().Version()-position) }, link)
+			s.countCall("follow configuration")
+			err := s.waitForNews(ctx, wait, func() int { return configBytes * int(s.config().Version()-position) }, linkRate)
 			if config := s.config(); err == nil && config.Version() > position {
 				return fleet.ConfigNews{Config: config, Next: config.Version()}, nil
 			}
 			return fleet.ConfigNews{Next: position}, err
 		},
 		ReadWorkers: func(ctx context.Context, after string) (fleet.WorkerNews, error) {
-			s.count("list workers")
-			return s.readWorkers(ctx, after, link)
+			s.countCall("list workers")
+			return s.readWorkers(ctx, after, linkRate)
 		},
 		NextWorkers: func(ctx context.Context, position int64, wait time.Duration) (fleet.WorkerNews, error) {
-			s.count("follow workers")
-			err := s.waitFor(ctx, wait, func() int { return workerBytes * len(s.changesFrom(position)) }, link)
+			s.countCall("follow workers")
+			err := s.waitForNews(ctx, wait, func() int { return workerBytes * len(s.changesFrom(position)) }, linkRate)
 			changes := s.changesFrom(position)
 			return fleet.WorkerNews{Changes: changes, Next: position + int64(len(changes))}, err
 		},
@@ -175,7 +178,7 @@
 }
 
 // readWorkers returns a page of the whole list.
-func (s *sharedStore) readWorkers(ctx context.Context, after string, link float64) (fleet.WorkerNews, error) {
+func (s *sharedStore) readWorkers(ctx context.Context, after string, linkRate float64) (fleet.WorkerNews, error) {
 	first := 0
 	if after != "" {
 		if _, err := fmt.Sscanf(after, "w%d", &first); err != nil {
@@ -183,16 +186,16 @@
 		}
 		first++
 	}
-	page := s.workers[first:min(first+pageWorkers, len(s.workers))]
+	page := s.workers[first:min(first+workersPerPage, len(s.workers))]
 	news := fleet.WorkerNews{Changes: page, Next: int64(len(s.workers)), More: first+len(page) < len(s.workers), Last: page[len(page)-1].ID}
-	return news, s.answer(ctx, len(page)*workerBytes, link)
+	return news, s.respond(ctx, len(page)*workerBytes, linkRate)
 }
 
-func (s *sharedStore) memberList(link float64) MemberList {
+func (s *sharedStore) memberList(linkRate float64) MemberList {
 	return MemberList{
 		Register: func(ctx context.Context, self peers.Identity) error {
-			s.count("add members")
-			if err := s.answer(ctx, identityBytes, link); err != nil {
+			s.countCall("add members")
+			if err := s.respond(ctx, identityBytes, linkRate); err != nil {
 				return err
 			}
 			s.mu.Lock()
@@ -202,27 +205,27 @@
 			return nil
 		},
 		Read: func(ctx context.Context, hall string) ([]peers.Identity, error) {
-			s.count("list members")
+			s.countCall("list members")
 			s.mu.Lock()
 			all := s.members[hall]
 			s.mu.Unlock()
-			return all, s.answer(ctx, len(all)*identityBytes, link)
+			return all, s.respond(ctx, len(all)*identityBytes, linkRate)
 		},
 	}
 }
 
-func (s *sharedStore) registry(link float64) leadership.Registry {
+func (s *sharedStore) registry(linkRate float64) leadership.Registry {
 	return leadership.Registry{
 		Newest: func(ctx context.Context) (leadership.Found, error) {
-			s.count("list grants")
-			err := s.answer(ctx, identityBytes, link)
+			s.countCall("list grants")
+			err := s.respond(ctx, identityBytes, linkRate)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return leadership.Found{Grant: s.grant, Position: s.grant.Epoch}, err
 		},
 		Add: func(ctx context.Context, grant peers.Grant, position int64) (bool, error) {
-			s.count("add grants")
-			if err := s.answer(ctx, identityBytes, link); err != nil {
+			s.countCall("add grants")
+			if err := s.respond(ctx, identityBytes, linkRate); err != nil {
 				return false, err
 			}
 			s.mu.Lock()
@@ -236,46 +239,46 @@
 	}
 }
 
-// startHalls is how many data halls a startingFleet is in.
-const startHalls = 5
+// hallCount is the number of data halls of a startingFleet.
+const hallCount = 5
 
-// startingFleet is daemons that start together.
+// startingFleet is a fleet whose daemons start at about the same time.
 type startingFleet struct {
 	store   *sharedStore
 	network *fakeNetwork
-	all     []*Server
-	duties  conc.WaitGroup
+	daemons []*Server
+	tasks   conc.WaitGroup
 	cancel  context.CancelFunc
 	mu      sync.Mutex
-	// handlers serves what daemons ask each other, links their links, freeAt until when
-	// these are taken, by address.
-	handlers map[string]http.Handler
-	links    map[string]float64
-	freeAt   map[string]time.Time
-	asked    int
+	// These maps hold, by a daemon's address, the handler for requests of peers, the rate of its
+	// link, and the time when the link will have sent all queued responses.
+	handlers     map[string]http.Handler
+	linkRates    map[string]float64
+	linkIdleAt   map[string]time.Time
+	peerRequests int
 }
 
-// RoundTrip carries what a daemon asks another one, over the link of the one that answers.
+// RoundTrip carries a request between daemons, over the link of the responding one.
 func (f *startingFleet) RoundTrip(r *http.Request) (*http.Response, error) {
 	f.mu.Lock()
-	handler, link := f.handlers[r.URL.Host], f.links[r.URL.Host]
-	f.asked++
+	handler, linkRate := f.handlers[r.URL.Host], f.linkRates[r.URL.Host]
+	f.peerRequests++
 	f.mu.Unlock()
 	if handler == nil {
-		return nil, errAway
+		return nil, errUnavailable
 	}
 	recorder := httptest.NewRecorder()
 	r.Header.Set("Accept-Encoding", "identity")
 	handler.ServeHTTP(recorder, r)
 	f.mu.Lock()
 	from := time.Now()
-	if f.freeAt[r.URL.Host].After(from) {
-		from = f.freeAt[r.URL.Host]
+	if f.linkIdleAt[r.URL.Host].After(from) {
+		from = f.linkIdleAt[r.URL.Host]
 	}
-	// Such answers take a tenth of their size deflated.
-	const deflated = 10
-	f.freeAt[r.URL.Host] = from.Add(secondsOf(float64(recorder.Body.Len()) / deflated / link))
-	wait := time.Until(f.freeAt[r.URL.Host])
+	// Compression would reduce such responses to about a tenth of their size.
+	const compressionRatio = 10
+	f.linkIdleAt[r.URL.Host] = from.Add(fromSeconds(float64(recorder.Body.Len()) / compressionRatio / linkRate))
+	wait := time.Until(f.linkIdleAt[r.URL.Host])
 	f.mu.Unlock()
 	select {
 	case <-time.After(wait):
@@ -285,74 +288,75 @@
 	}
 }
 
-// start starts a daemon in a hall; the first ten of each are on large machines.
+// start starts a daemon in a hall. The first ten daemons of each hall run on large machines.
 func (f *startingFleet) start(ctx context.Context, t *testing.T, hall, number int) *Server {
 	t.Helper()
 	id := fmt.Sprintf("front-%d-%d", hall, number)
-	link, capacity := smallRate, 192
+	linkRate, capacity := smallLinkRate, 192
 	if number < 10 {
-		link, capacity = largeRate, 1600
+		linkRate, capacity = largeLinkRate, 1600
 	}
 	regions := map[string]string{}
-	for i := range startHalls {
+	for i := range hallCount {
 		regions[fmt.Sprint("hall-", i)] = "r"
 	}
 	s, err := New(Options{
 		Self:    peers.Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: fmt.Sprint("hall-", hall), Address: id, Front: id, Capacity: capacity},
 		Regions: regions, Bounds: Bounds{Heartbeat: time.Second, Revoke: 5 * time.Second, KeepEntries: time.Second},
-		Source: f.store.source(link), MemberList: f.store.memberList(link), Registry: f.store.registry(link),
+		Source: f.store.source(linkRate), MemberList: f.store.memberList(linkRate), Registry: f.store.registry(linkRate),
 		Decode:    decodeVersion,
 		Transport: f.network.transport(id), Ask: f,
 		ServePeers: func(ctx context.Context, handler http.Handler) {
 			f.mu.Lock()
-			f.handlers[id], f.links[id] = handler, link
+			f.handlers[id], f.linkRates[id] = handler, linkRate
 			f.mu.Unlock()
 			<-ctx.Done()
 		},
 		Logger: hclog.NewNullLogger(),
 	})
 	assert.NilError(t, err)
-	for _, run := range []func(context.Context){s.follower.Run, s.agent.Run, s.elector.Run, s.fetcher.run, s.passNews, s.meet, s.watchScope} {
-		f.duties.Go(func() { run(ctx) })
+	for _, run := range []func(context.Context){s.follower.Run, s.agent.Run, s.elector.Run, s.fetcher.run, s.forwardNews, s.discoverPeers, s.watchScope} {
+		f.tasks.Go(func() { run(ctx) })
 	}
 	return s
 }
 
-// startAll starts daemons in an order drawn by chance, within a while.
-func (f *startingFleet) startAll(t *testing.T, daemons int, within time.Duration) {
+// startAll starts daemons in random order, spread over a period.
+func (f *startingFleet) startAll(t *testing.T, daemonCount int, startPeriod time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	f.cancel, f.all = cancel, nil
+	f.cancel, f.daemons = cancel, nil
 	f.network = &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
 	random := rand.New(rand.NewPCG(7, 7))
-	for i, number := range random.Perm(daemons) {
-		// 1 ms for several daemons, or several for one.
-		pauses := func(n int) int { return int(within.Milliseconds()) * n / daemons }
-		time.Sleep(time.Duration(pauses(i+1)-pauses(i)) * time.Millisecond)
-		f.all = append(f.all, f.start(ctx, t, number%startHalls, number/startHalls))
+	for i, number := range random.Perm(daemonCount) {
+		// Pauses are rounded to whole milliseconds, so several daemons may start without a pause
+		// between them.
+		millisFor := func(n int) int { return int(startPeriod.Milliseconds()) * n / daemonCount }
+		time.Sleep(time.Duration(millisFor(i+1)-millisFor(i)) * time.Millisecond)
+		f.daemons = append(f.daemons, f.start(ctx, t, number%hallCount, number/hallCount))
 	}
 }
 
-// stop ends all daemons, and waits for the datagrams and calls that are on their way.
+// stop stops all daemons and waits for datagrams and calls in transit.
 func (f *startingFleet) stop() {
 	f.cancel()
-	f.duties.Wait()
+	f.tasks.Wait()
 	time.Sleep(time.Minute)
 }
 
-// states returns how many daemons are ready, lead, and know all workers.
-func (f *startingFleet) states() (ready, leaders, complete int) {
-	for _, s := range f.all {
+// countStates returns the numbers of daemons that are ready, that lead, and that have all workers.
+func (f *startingFleet) countStates() (ready, leaders, complete int) {
+	for _, s := range f.daemons {
 		own, _, _ := s.elector.State()
-		ready, leaders, complete = ready+count(s.Ready()), leaders+count(own != nil), complete+count(s.inventory.Complete())
+		ready, leaders, complete = ready+toInt(s.Ready()), leaders+toInt(own != nil), complete+toInt(s.inventory.Complete())
 	}
 	return ready, leaders, complete
 }
 
-// relays returns how many daemons of each data hall take themselves for relays.
-func (f *startingFleet) relays() map[string]int {
+// relaysByHall returns the number of relays in each data hall.
+func (f *startingFleet) relaysByHall() map[string]int {
 	relays := make(map[string]int)
-	for _, s := range f.all {
+	for _, s := range f.daemons {
 		if s.agent.Role() == peers.Relay {
 			relays[s.opts.Self.Zone]++
 		}
@@ -360,14 +364,12 @@
 	return relays
 }
 
-// TestLargeFleetReturns starts all daemons at once before a full list of workers, as after
-// the end of all: no step may cost daemons times workers at the store. All must be ready
-// within 5 s, one must lead, each data hall must have its two relays, and what the store is
-// read must stay below ten times the list, beside what each daemon reads of its own data hall.
-func TestLargeFleetReturns(t *testing.T) {
+// TestLargeFleetStarts starts all daemons of a large fleet at about the same time. All must be ready
+// within 5 s. It guards against every daemon reading the whole worker list from the store.
+func TestLargeFleetStarts(t *testing.T) {
 	tests := map[string]struct {
 		daemons, workers int
-		// within is the time over which the daemons start, in an order drawn by chance.
+		// within is the period over which the daemons start, in random order.
 		within time.Duration
 	}{
 		"986 daemons, 3,064 workers":                {daemons: 986, workers: 3064, within: 300 * time.Millisecond},
@@ -380,19 +382,19 @@
 				f := newStartingFleet(test.workers)
 				f.startAll(t, test.daemons, test.within)
 				time.Sleep(5 * time.Second)
-				f.check(t, test.daemons, test.workers)
-				// Looks at the member list, a registration and looks after that.
-				assert.Assert(t, 10*f.store.calls < 33*test.daemons, "%d calls", f.store.calls)
+				f.checkState(t, test.daemons, test.workers)
+				// Each daemon may read the member list a few times and register.
+				assert.Assert(t, 10*f.store.callCount < 33*test.daemons, "%d calls", f.store.callCount)
 				f.stop()
 			})
 		})
 	}
 }
 
-// TestLargeFleetReturnsAgain ends all daemons and starts them anew: the member list holds their
-// former lives. After 3 s all must be ready and one must lead; each daemon reads the list once,
-// and what relays and the leader read besides may be a fifth of that.
-func TestLargeFleetReturnsAgain(t *testing.T) {
+// TestLargeFleetRestarts stops all daemons and starts them again. The member list then holds their
+// former incarnations. All must be ready within 3 s, with little more than one call to the store per
+// daemon.
+func TestLargeFleetRestarts(t *testing.T) {
 	t.Parallel()
 	const daemons, workers = 986, 3064
 	synctest.Test(t, func(t *testing.T) {
@@ -400,69 +402,69 @@
 		f.startAll(t, daemons, 300*time.Millisecond)
 		time.Sleep(3 * time.Second)
 		f.stop()
-		f.store.set(func() { f.store.calls, f.store.bytes = 0, 0 })
-		f.store.counted()
+		f.store.update(func() { f.store.callCount, f.store.bytesRead = 0, 0 })
+		f.store.takeCounts()
 		f.startAll(t, daemons, 300*time.Millisecond)
 		time.Sleep(3 * time.Second)
-		f.check(t, daemons, workers)
-		assert.Assert(t, 10*f.store.calls < 12*daemons, "%d calls", f.store.calls)
+		f.checkState(t, daemons, workers)
+		assert.Assert(t, 10*f.store.callCount < 12*daemons, "%d calls", f.store.callCount)
 		f.stop()
 	})
 }
 
-// check checks that all daemons are ready, that one leads and two of each data hall relay, and
-// that reading cost the store no more than ten lists of workers and one of each daemon's hall.
-func (f *startingFleet) check(t *testing.T, daemons, workers int) {
+// checkState checks that all daemons are ready and that there are one leader and two relays in each
+// data hall. It also limits the bytes read from the store to ten worker lists, plus one member list
+// of a hall per daemon.
+func (f *startingFleet) checkState(t *testing.T, daemons, workers int) {
 	t.Helper()
-	ready, leaders, complete := f.states()
-	t.Logf("ready %d, leaders %d, complete %d, %d MB read, %d asked, calls %v", ready, leaders, complete, f.store.bytes>>20, f.asked, f.store.counted())
+	ready, leaders, complete := f.countStates()
+	t.Logf("ready %d, leaders %d, complete %d, %d MB read, %d asked, calls %v", ready, leaders, complete, f.store.bytesRead>>20, f.peerRequests, f.store.takeCounts())
 	assert.Equal(t, ready, daemons)
 	assert.Equal(t, leaders, 1)
-	assert.DeepEqual(t, f.relays(), map[string]int{"hall-0": 2, "hall-1": 2, "hall-2": 2, "hall-3": 2, "hall-4": 2})
-	list := workers * workerBytes
-	halved := daemons * (daemons/startHalls + 1) * identityBytes
-	assert.Assert(t, f.store.bytes < 10*list+halved, "%d MB read, the list is %d kB", f.store.bytes>>20, list>>10)
+	assert.DeepEqual(t, f.relaysByHall(), map[string]int{"hall-0": 2, "hall-1": 2, "hall-2": 2, "hall-3": 2, "hall-4": 2})
+	listBytes := workers * workerBytes
+	memberBytes := daemons * (daemons/hallCount + 1) * identityBytes
+	assert.Assert(t, f.store.bytesRead < 10*listBytes+memberBytes, "%d MB read, the list is %d kB", f.store.bytesRead>>20, listBytes>>10)
 }
 
-// TestCallsOfALargeFleet counts the calls to the store of a fleet that is up while nothing
-// happens, while replicas form and while configurations follow one another. One reads for
-// all: what others call for as well grows with the daemons. A daemon may make 0.05 calls a
-// second.
-func TestCallsOfALargeFleet(t *testing.T) {
+// TestStoreCallsOfLargeFleet checks that the daemons of a running fleet together make few calls to
+// the store. It does so while nothing changes, while replicas form and while the configuration
+// changes.
+func TestStoreCallsOfLargeFleet(t *testing.T) {
 	t.Parallel()
-	const daemons, span = 986, 3 * time.Second
+	const daemons, phaseLength = 986, 3 * time.Second
 	phases := []struct {
-		name   string
-		every  time.Duration
-		change func(s *sharedStore, step int)
+		name     string
+		interval time.Duration
+		change   func(s *sharedStore, step int)
 	}{
 		{"calm", time.Second, func(*sharedStore, int) {}},
-		{"replicas form", 40 * time.Millisecond, func(s *sharedStore, step int) { s.join(step*16, 16) }},
+		{"replicas form", 40 * time.Millisecond, func(s *sharedStore, step int) { s.advanceEpochs(step*16, 16) }},
 		{"configurations change", 320 * time.Millisecond, func(s *sharedStore, _ int) { s.version++ }},
 	}
 	synctest.Test(t, func(t *testing.T) {
 		f := newStartingFleet(3064)
 		f.startAll(t, daemons, 300*time.Millisecond)
 		time.Sleep(6 * time.Second)
-		f.store.counted()
+		f.store.takeCounts()
 		for _, phase := range phases {
-			for step := range int(span / phase.every) {
-				f.store.set(func() { phase.change(f.store, step) })
-				time.Sleep(phase.every)
+			for step := range int(phaseLength / phase.interval) {
+				f.store.update(func() { phase.change(f.store, step) })
+				time.Sleep(phase.interval)
 			}
-			calls, all := f.store.counted(), 0
+			calls, total := f.store.takeCounts(), 0
 			for _, n := range calls {
-				all += n
+				total += n
 			}
 			t.Logf("%s: %v", phase.name, calls)
-			assert.Check(t, float64(all) < 0.05*daemons*span.Seconds(), "%s: %d calls in %s: %v", phase.name, all, span, calls)
+			assert.Check(t, float64(total) < 0.05*daemons*phaseLength.Seconds(), "%s: %d calls in %s: %v", phase.name, total, phaseLength, calls)
 		}
 		f.stop()
 	})
 }
 
-func count(is bool) int {
-	if is {
+func toInt(condition bool) int {
+	if condition {
 		return 1
 	}
 	return 0
@@ -470,8 +472,8 @@
 
 func newStartingFleet(workers int) *startingFleet {
 	f := &startingFleet{
-		store:    &sharedStore{members: make(map[string][]peers.Identity), version: 1, purposes: make(map[string]int)},
-		handlers: make(map[string]http.Handler), links: make(map[string]float64), freeAt: make(map[string]time.Time),
+		store:    &sharedStore{members: make(map[string][]peers.Identity), version: 1, callsByPurpose: make(map[string]int)},
+		handlers: make(map[string]http.Handler), linkRates: make(map[string]float64), linkIdleAt: make(map[string]time.Time),
 	}
 	for n := range workers {
 		const size = 8
@@ -484,8 +486,8 @@
 	return f
 }
 
-// join changes some workers to the next state of their group. The mutex is held.
-func (s *sharedStore) join(first, count int) {
+// advanceEpochs moves some workers to a later epoch of their group. The caller must hold the mutex.
+func (s *sharedStore) advanceEpochs(first, count int) {
 	for i := range count {
 		w := *s.workers[(first+i)%len(s.workers)].Worker
 		w.Member.Epoch += int64(1 + first/len(s.workers))
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -8,47 +8,48 @@
 )
 
 const (
-	// startLook is how often a daemon looks how far its start has come.
-	startLook = 20 * time.Millisecond
-	// startFor is for how long it looks: a daemon that is alone, or that nobody calls,
-	// does not reach all steps.
-	startFor = 10 * time.Second
+	// startCheckInterval is the time between two checks of the progress of the start.
+	startCheckInterval = 20 * time.Millisecond
+	// startLogPeriod is the period after the start in which steps are logged. A daemon that is alone
+	// or gets no requests never reaches some of them.
+	startLogPeriod = 10 * time.Second
 )
 
-// startStep is a state that a daemon reaches once after its start.
+// startStep is a milestone of a daemon's start.
 type startStep struct {
-	name    string
-	reached func(now time.Time) bool
+	name      string
+	isReached func(now time.Time) bool
 }
 
-// startSteps are the states between the start of a daemon and its first answer, in the
-// order in which they are usually reached.
+// startSteps returns the milestones between the start of a daemon and its first response, in their
+// usual order.
 func (s *Server) startSteps() []startStep {
 	return []startStep{
 		{"configuration known", func(time.Time) bool { return s.beliefs.Config() != nil }},
 		{"worker list known", func(time.Time) bool { return !s.inventory.Confirmed().IsZero() }},
-		{"callers come here", func(time.Time) bool { return s.Ready() }},
-		{"daemons listed", func(time.Time) bool { return s.metAt.Load() != nil }},
+		{"ready for callers", func(time.Time) bool { return s.Ready() }},
+		{"daemons listed", func(time.Time) bool { return s.membersReadAt.Load() != nil }},
 		{"peers heard", func(now time.Time) bool { return len(s.agent.Table().Alive(now)) > 0 }},
-		{"loads of peers known", func(now time.Time) bool { return len(s.agent.Fleet(now).Loads) > len(s.tracker.Loads()) }},
+		{"loads of peers known", func(now time.Time) bool { return len(s.agent.FleetSummary(now).Loads) > len(s.tracker.Loads()) }},
 		{"leader known", func(time.Time) bool { _, highest, _ := s.elector.State(); return highest.Epoch > 0 }},
 		{"first answer", func(time.Time) bool { return s.relay.Answered() }},
 	}
 }
 
-// tellStart logs each step of the start as it is reached, until all are or startFor is over.
-func (s *Server) tellStart(ctx context.Context) {
-	began, left := time.Now(), s.startSteps()
-	for ctx.Err() == nil && len(left) > 0 && time.Since(began) < startFor {
-		now, rest := time.Now(), left[:0:0]
-		for _, step := range left {
-			if !step.reached(now) {
-				rest = append(rest, step)
+// logStart logs each step of the start as soon as it is reached. It returns when all are reached,
+// when startLogPeriod is over, or when ctx ends.
+func (s *Server) logStart(ctx context.Context) {
+	began, remaining := time.Now(), s.startSteps()
+	for ctx.Err() == nil && len(remaining) > 0 && time.Since(began) < startLogPeriod {
+		now, pending := time.Now(), remaining[:0:0]
+		for _, step := range remaining {
+			if !step.isReached(now) {
+				pending = append(pending, step)
 				continue
 			}
 			s.logger.Info("start: "+step.name, "ms", now.Sub(began).Milliseconds(), "workers", len(s.inventory.View().Workers()))
 		}
-		left = rest
-		pause.For(ctx, startLook)
+		remaining = pending
+		pause.For(ctx, startCheckInterval)
 	}
 }
--- a/serving/stop.go
+++ b/serving/stop.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// entryLives is how many times the given time some callers keep an answer
-	// that names addresses.
-	entryLives = 3
-	// graceMargin is how long before it would be killed the process ends.
+	// entryLifetimeFactor multiplies KeepEntries, because some callers keep addresses for longer.
+	entryLifetimeFactor = 3
+	// graceMargin is the time between the end of this process and the time when it would be killed.
 	graceMargin = 300 * time.Millisecond
-	// acceptMargin is how long after the last connection was taken its serving
-	// has begun for certain.
+	// acceptMargin is how long stop waits, after it stopped accepting connections, for the server to
+	// start serving the last one.
 	acceptMargin = 100 * time.Millisecond
 )
 
-// stop is the planned stop: peers and callers are told first, then callers
-// that kept an address are still served, then what is in flight may end.
+// stop shuts the daemon down gracefully. It first reports to peers that the daemon is leaving. Then
+// it continues to serve callers until they no longer use this daemon's address. At last it closes
+// the listener and waits for requests in flight.
 func (s *Server) stop(server *http.Server, front net.Listener) {
 	start := time.Now()
-	end := start.Add(s.opts.Bounds.Grace - graceMargin)
-	s.leaving.Store(true)
+	deadline := start.Add(s.opts.Bounds.Grace - graceMargin)
+	s.isLeaving.Store(true)
 	s.elector.Yield("the daemon leaves")
-	s.agent.Send(start)
-	s.logger.Info("stopping", "until", end)
-	void := start.Add(entryLives*s.opts.Bounds.KeepEntries + graceMargin)
-	if void.After(end) {
-		void = end
+	s.agent.SendHeartbeat(start)
+	s.logger.Info("stopping", "until", deadline)
+	addressExpiry := start.Add(entryLifetimeFactor*s.opts.Bounds.KeepEntries + graceMargin)
+	if addressExpiry.After(deadline) {
+		addressExpiry = deadline
 	}
-	time.Sleep(time.Until(void))
-	// The library does not wait for a connection that was taken in the moment
-	// in which it stops, so taking them ends first.
+	time.Sleep(time.Until(addressExpiry))
+	// Shutdown does not wait for a connection that is accepted at the same moment, so the listener
+	// is closed first.
 	_ = front.Close()
 	time.Sleep(acceptMargin)
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		s.logger.Warn("stopped with requests in flight", "error", err)
--- a/serving/suspicions.go
+++ b/serving/suspicions.go
@@ -8,67 +8,69 @@
 )
 
 const (
-	// stallFor is how long a suspicion of a replica is passed on to peers.
-	stallFor = time.Second
-	// lookEvery is the least time between two looks of a leader at the members of a
-	// suspected replica: as long as it waits for the answers of silent ones.
-	lookEvery = 400 * time.Millisecond
+	// suspicionLifetime is how long peers are told that a replica is suspected, after its stall was
+	// detected.
+	suspicionLifetime = time.Second
+	// inspectionInterval is the minimum time between two inspections of a suspected replica by the
+	// leader.
+	inspectionInterval = 400 * time.Millisecond
 )
 
-// suspicions holds the replicas that fell silent of late, here or at peers. It is
-// safe for concurrent use.
+// suspicions holds the replicas that stalled recently, as detected here or by peers. It is safe
+// for concurrent use.
 type suspicions struct {
-	mu   sync.Mutex
-	held map[string]suspicion
+	mu        sync.Mutex
+	byReplica map[string]suspicion
 }
 
 type suspicion struct {
 	peers.Stall
-	since time.Time
-	// lookAt is from when the leader looks at the replica again.
-	lookAt time.Time
+	detectedAt time.Time
+	// nextInspection is the earliest time at which the leader inspects the replica again.
+	nextInspection time.Time
 }
 
-func newSuspicions() *suspicions { return &suspicions{held: make(map[string]suspicion)} }
+func newSuspicions() *suspicions { return &suspicions{byReplica: make(map[string]suspicion)} }
 
-// add takes a suspicion since a time, and reports whether it is a new one.
-func (s *suspicions) add(stall peers.Stall, since time.Time) bool {
+// add records that a stall was detected at a time. It reports whether the suspicion is new, which
+// includes one that replaces an expired one.
+func (s *suspicions) add(stall peers.Stall, detectedAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.held[stall.Replica]
-	if known && !since.After(held.since) {
+	existing, known := s.byReplica[stall.Replica]
+	if known && !detectedAt.After(existing.detectedAt) {
 		return false
 	}
-	s.held[stall.Replica] = suspicion{Stall: stall, since: since, lookAt: held.lookAt}
-	return !known || since.Sub(held.since) > stallFor
+	s.byReplica[stall.Replica] = suspicion{Stall: stall, detectedAt: detectedAt, nextInspection: existing.nextInspection}
+	return !known || detectedAt.Sub(existing.detectedAt) > suspicionLifetime
 }
 
-// due reports whether a leader is to look at a suspected replica now, and notes that
-// it does.
-func (s *suspicions) due(replica string, now time.Time) bool {
+// startInspection reports whether the leader should inspect a suspected replica now. If so, it
+// records the inspection.
+func (s *suspicions) startInspection(replica string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.held[replica]
-	if !known || now.Before(held.lookAt) {
+	suspected, known := s.byReplica[replica]
+	if !known || now.Before(suspected.nextInspection) {
 		return false
 	}
-	held.lookAt = now.Add(lookEvery)
-	s.held[replica] = held
+	suspected.nextInspection = now.Add(inspectionInterval)
+	s.byReplica[replica] = suspected
 	return true
 }
 
-// current returns the suspicions of late, and forgets older ones.
-func (s *suspicions) current(now time.Time) []peers.Stall {
+// recentStalls returns the stalls detected within suspicionLifetime, and deletes older ones.
+func (s *suspicions) recentStalls(now time.Time) []peers.Stall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []peers.Stall
-	for id, held := range s.held {
-		age := now.Sub(held.since)
-		if age > stallFor {
-			delete(s.held, id)
+	for id, suspected := range s.byReplica {
+		age := now.Sub(suspected.detectedAt)
+		if age > suspicionLifetime {
+			delete(s.byReplica, id)
 			continue
 		}
-		stall := held.Stall
+		stall := suspected.Stall
 		stall.Age = age.Milliseconds()
 		all = append(all, stall)
 	}
