--- a/fleet/beliefs.go
+++ b/fleet/beliefs.go
@@ -6,75 +6,76 @@
 	"time"
 )
 
-// Beliefs holds the configuration in force. It only moves forwards. It is safe
-// for concurrent use.
+// Beliefs holds the configuration in force and when it was last confirmed to be the newest. The
+// version never decreases. It is safe for concurrent use.
 type Beliefs struct {
 	current atomic.Pointer[Config]
 	changed chan struct{}
 
 	mu        sync.Mutex
 	confirmed time.Time
-	// heldUntil is until when nothing confirms what is held, readsHeldUntil until when reads
-	// of this daemon alone do not.
-	heldUntil      time.Time
-	readsHeldUntil time.Time
+	// ignoreConfirmationsUntil is the time before which no confirmation counts. Confirmations by this daemon's own
+	// reads that were sent before ignoreReadsUntil do not count either.
+	ignoreConfirmationsUntil time.Time
+	ignoreReadsUntil         time.Time
 }
 
-// copyHold is how long after the source came back from a copy its newest configuration may
-// be an older one: its writers write again at their next heartbeat. Confirmed meanwhile, keys that
-// were taken away would run on.
-const copyHold = 2 * time.Second
+// restoreHoldDuration is how long after a restore of the source from a copy its newest configuration may be
+// outdated: writers repeat their writes at their next heartbeat. Confirming it in the meantime
+// would keep revoked keys valid.
+const restoreHoldDuration = 2 * time.Second
 
-// HoldCopy notes that the source came back from a copy at a time: what it shows for a while
-// confirms nothing. Before anything was confirmed there is nothing to hold.
+// HoldCopy notes that the source was restored from a copy at the given time, and ignores
+// confirmations for a while. It does nothing if no configuration has been confirmed yet.
 func (b *Beliefs) HoldCopy(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if until := at.Add(copyHold); !b.confirmed.IsZero() && until.After(b.heldUntil) {
-		b.heldUntil = until
+	if until := at.Add(restoreHoldDuration); !b.confirmed.IsZero() && until.After(b.ignoreConfirmationsUntil) {
+		b.ignoreConfirmationsUntil = until
 	}
 }
 
-// HoldReads notes that this daemon, which knows nothing yet, reads for the first time, from a
-// source that came back from a copy some time: it may just have done so. Who ran before may
-// know better, and is believed.
-func (b *Beliefs) HoldReads(at time.Time) {
+// HoldFirstReads ignores the confirmations of own reads that are sent within restoreHoldDuration of the given time.
+// It is used for the first read of a daemon from a source that was restored at an unknown time;
+// confirmations by peers that have run longer still count. It does nothing once a configuration has
+// been confirmed.
+func (b *Beliefs) HoldFirstReads(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.confirmed.IsZero() {
-		b.readsHeldUntil = at.Add(copyHold)
+		b.ignoreReadsUntil = at.Add(restoreHoldDuration)
 	}
 }
 
-// Slept notes that the machine was suspended for a while, which the steady clock does not
-// count: what is held is so much older.
-func (b *Beliefs) Slept(asleep time.Duration) {
+// Slept accounts for a suspension of the machine, which the monotonic clock does not count: the
+// last confirmation becomes that much older.
+func (b *Beliefs) Slept(suspended time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.confirmed.IsZero() {
-		b.confirmed = b.confirmed.Add(-asleep)
+		b.confirmed = b.confirmed.Add(-suspended)
 	}
 }
 
-// State returns the version in force and when it was last known to be the newest, of one
-// moment.
+// State returns a consistent pair of the version in force and the time at which it was last
+// confirmed to be the newest.
 func (b *Beliefs) State() (version int64, confirmed time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Version(), b.confirmed
 }
 
-// NewBeliefs returns beliefs without a configuration.
+// NewBeliefs returns Beliefs without a configuration.
 func NewBeliefs() *Beliefs { return &Beliefs{changed: make(chan struct{}, 1)} }
 
-// Changed receives after a newer configuration came into force; several may be
-// joined into one.
+// Changed receives after a newer configuration came into force. Several changes may be combined
+// into one signal.
 func (b *Beliefs) Changed() <-chan struct{} { return b.changed }
 
-// Config returns the configuration in force, or nil before the first.
+// Config returns the configuration in force, or nil if there is none yet.
 func (b *Beliefs) Config() *Config { return b.current.Load() }
 
-// Version returns the version in force, 0 before the first.
+// Version returns the version in force, or 0 if there is none yet.
 func (b *Beliefs) Version() int64 {
 	if c := b.current.Load(); c != nil {
 		return c.Version()
@@ -82,20 +83,20 @@
 	return 0
 }
 
-// Confirmed returns the latest time at which the configuration in force is
-// known to have been the newest: the sending of a read, never its answer.
+// Confirmed returns the latest time at which the configuration in force is known to have been the
+// newest. For a read this is when it was sent, not when it was answered.
 func (b *Beliefs) Confirmed() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.confirmed
 }
 
-// Offer takes a configuration that was read from its source by a read sent at
-// the given time. An older one than that in force is ignored.
+// Offer puts a configuration in force that was returned by a read sent at the given time, unless a
+// newer one is in force.
 func (b *Beliefs) Offer(c *Config, sent time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if held := b.current.Load(); held == nil || c.Version() > held.Version() {
+	if current := b.current.Load(); current == nil || c.Version() > current.Version() {
 		b.current.Store(c)
 		notify(b.changed)
 	}
@@ -104,7 +105,7 @@
 	}
 }
 
-// Confirm notes that the given version was the newest at the given time, by a peer's word.
+// Confirm notes that a peer reported the given version as the newest at the given time.
 func (b *Beliefs) Confirm(version int64, at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,7 +114,7 @@
 	}
 }
 
-// ConfirmRead notes that a read which was sent at the given time brought nothing newer.
+// ConfirmRead notes that a read sent at the given time returned no newer configuration.
 func (b *Beliefs) ConfirmRead(sent time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,13 +124,13 @@
 }
 
 func (b *Beliefs) confirmRead(sent time.Time) {
-	if !sent.Before(b.readsHeldUntil) {
+	if !sent.Before(b.ignoreReadsUntil) {
 		b.confirm(sent)
 	}
 }
 
 func (b *Beliefs) confirm(at time.Time) {
-	if time.Now().Before(b.heldUntil) {
+	if time.Now().Before(b.ignoreConfirmationsUntil) {
 		return
 	}
 	if at.After(b.confirmed) {
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet holds what a daemon believes of its surroundings: the
-// configuration in force, the workers, and the replicas that workers form. Its
-// types are values that readers share and never change.
+// Package fleet holds what a daemon knows of the fleet: the configuration in force, the workers,
+// and the replicas that workers form. Its types are values that are shared between readers and
+// never modified.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind tells how often a request of a route may run.
+// Kind says how requests of a route are answered, and whether they may run more than once.
 type Kind int
 
 // The kinds of routes.
@@ -19,37 +19,37 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by a series of events.
+	// Stream requests are answered by a stream of events.
 	Stream
 )
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a weighted share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says where the requests of a host and path prefix go, and how.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the maximum time to complete a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or its first event, is due.
+	// Objective is the target time to the answer, or to its first event for streams.
 	Objective time.Duration
-	// GapTarget is the longest pause between events that is still in time.
+	// GapTarget is the target for the longest pause between events.
 	GapTarget time.Duration
-	// Attempts is how many workers one request may be sent to.
+	// Attempts is the maximum number of workers that a request is sent to.
 	Attempts int
-	// Priority is the rank of the requests, 0 being the most urgent.
+	// Priority is the rank of the requests; 0 is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may go on at another worker.
+	// Resumable streams may continue at another worker.
 	Resumable bool
-	// Regions are those in which the route's requests may run.
+	// Regions are the regions in which the route's requests may run.
 	Regions Regions
 	Targets []Target
 }
@@ -59,7 +59,7 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Choose returns the service that takes a request; draw is uniform in [0, 1).
+// Choose picks a target by weight and returns its service; draw must be uniform in [0, 1).
 func (r *Route) Choose(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -78,39 +78,39 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Model is a model that a service's workers can form replicas of.
+// Model is a model of which a service's workers can form replicas.
 type Model struct {
 	Name string
 	// Size is the number of workers of one replica.
 	Size int
-	// Share is the model's part of the work before any was measured.
+	// Share is the model's assumed part of the load before any was measured.
 	Share float64
-	// Pace is a factor on all times of the model's replicas.
+	// Pace is a factor on all times of the model's replicas; 0 counts as 1.
 	Pace float64
-	// Load is how long its weights take from the store, Warm from the host.
+	// Load is how long loading the weights from the store takes, Warm from the host.
 	Load, Warm time.Duration
 }
 
 // Engine describes the model workers of a service.
 type Engine struct {
-	// Slots is the number of requests that a replica works on at once.
+	// Slots is the number of requests that a replica processes concurrently.
 	Slots int
-	// Capacity is the number of tokens that a replica's memory holds.
+	// Capacity is the number of tokens that fit in a replica's memory.
 	Capacity int
-	// PrefillPerSecond is the number of prompt tokens read in a second.
+	// PrefillPerSecond is the number of prompt tokens processed per second.
 	PrefillPerSecond float64
-	// Step is the time of a token step of one request, StepPerRequest what
-	// each request in the batch adds.
+	// Step is the duration of a decoding step with one request; StepPerRequest is added for each
+	// request in the batch.
 	Step, StepPerRequest time.Duration
 	// Stride is the number of steps in a pass.
 	Stride int
 	// UsualAnswer is the mean number of tokens of an answer.
 	UsualAnswer int
-	// LoadsPerSecond bounds the loads that may begin each second, LoadsAtOnce
-	// those that run side by side without slowing each other.
+	// LoadsPerSecond limits the weight loads started per second; LoadsAtOnce is how many can run
+	// concurrently without slowing each other down.
 	LoadsPerSecond float64
 	LoadsAtOnce    int
-	// Form is how long the opening of a replica takes.
+	// Form is how long it takes to open a replica.
 	Form   time.Duration
 	Models []Model
 }
@@ -125,61 +125,61 @@
 	return Model{}, false
 }
 
-// pace returns the factor of a model on all times of its replicas.
-func (e *Engine) pace(model string) float64 {
+// timeFactor returns the factor on all times of the replicas of a model.
+func (e *Engine) timeFactor(model string) float64 {
 	if m, ok := e.Model(model); ok && m.Pace > 0 {
 		return m.Pace
 	}
 	return 1
 }
 
-// PerToken returns the time in which a replica of a model reads a prompt token; zero if
-// it is not known.
+// PerToken returns how long a replica of a model takes to process one prompt token, or zero if
+// unknown.
 func (e *Engine) PerToken(model string) time.Duration {
 	if e.PrefillPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(e.pace(model) * float64(time.Second) / e.PrefillPerSecond)
+	return time.Duration(e.timeFactor(model) * float64(time.Second) / e.PrefillPerSecond)
 }
 
-// Pass returns the time of a pass of a replica of a model without requests, and what
-// each request in it adds.
+// Pass returns how long a pass of a replica of a model takes without requests, and what each
+// request adds.
 func (e *Engine) Pass(model string) (alone, each time.Duration) {
-	factor := e.pace(model) * float64(max(e.Stride, 1))
+	factor := e.timeFactor(model) * float64(max(e.Stride, 1))
 	return time.Duration(factor * float64(e.Step)), time.Duration(factor * float64(e.StepPerRequest))
 }
 
 // Service is a set of workers that requests are sent to.
 type Service struct {
 	Name string
-	// MaxConns is the number of connections that one worker accepts from all callers.
+	// MaxConns is the number of connections that one worker accepts from all callers together.
 	MaxConns int
-	// WarmUp bounds what workers take that have just started.
+	// WarmUp limits the requests to workers that have just started.
 	WarmUp WarmUp
-	// Engine is nil for services whose workers serve alone.
+	// Engine is nil for services whose workers do not form groups.
 	Engine *Engine
 }
 
-// WarmUp bounds the requests to a worker that is cold, as it is for some time after its
-// start. A worker that gets many more than it bears fails.
+// WarmUp limits the requests to a worker that is cold, as it is for some time after its start. A
+// cold worker fails under a higher rate.
 type WarmUp struct {
-	// PerSecond is how many requests a second a cold worker bears; zero for any number.
+	// PerSecond is the maximum request rate of a cold worker; zero means no limit.
 	PerSecond float64
-	// For is how long workers stay cold after a start.
+	// For is how long a worker stays cold after its start.
 	For time.Duration
 }
 
-// Tenant owns keys.
+// Tenant is the owner of a set of keys.
 type Tenant struct {
 	Name string
-	// Regions are those in which the tenant's requests may run.
+	// Regions are the regions in which the tenant's requests may run.
 	Regions Regions
-	// Priority takes precedence over the route's when Ranked is set.
+	// Priority takes precedence over the route's if Ranked is set.
 	Priority int
 	Ranked   bool
 }
 
-// Limits bounds what callers may send.
+// Limits are the limits on requests and connections of callers.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -187,7 +187,7 @@
 	IdleWait    time.Duration
 }
 
-// Config is one version of the configuration.
+// Config is one version of the configuration. It is immutable.
 type Config struct {
 	version  int64
 	routes   map[string][]*Route
@@ -197,19 +197,19 @@
 	encoded  []byte
 }
 
-// Parts is what a configuration is made of.
+// Parts holds the arguments of NewConfig.
 type Parts struct {
 	Version  int64
 	Routes   []*Route
 	Services []*Service
-	// Keys holds the tenants by key; nil when no keys are asked for.
+	// Keys holds the tenants by key; nil if no keys are required.
 	Keys   map[string]*Tenant
 	Limits Limits
-	// Encoded is the form in which the configuration was published.
+	// Encoded is the configuration as it was published.
 	Encoded []byte
 }
 
-// NewConfig returns a configuration made of parts.
+// NewConfig returns a configuration made of the given parts.
 func NewConfig(parts Parts) *Config {
 	c := &Config{
 		version: parts.Version, routes: make(map[string][]*Route), keys: parts.Keys,
@@ -228,18 +228,18 @@
 	return c
 }
 
-// Version returns the version, which grows with each change.
+// Version returns the version, which increases with each change.
 func (c *Config) Version() int64 { return c.version }
 
-// Limits returns the bounds on what callers may send.
+// Limits returns the limits on requests and connections of callers.
 func (c *Config) Limits() Limits { return c.limits }
 
-// Encoded returns the published form.
+// Encoded returns the configuration as it was published.
 func (c *Config) Encoded() []byte { return c.encoded }
 
-// Route returns the route with the longest prefix of path among those of host.
+// Route returns the route of the host with the longest prefix that matches path.
 func (c *Config) Route(host, path string) (*Route, bool) {
-	for _, r := range c.routes[hostOf(host)] {
+	for _, r := range c.routes[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -247,24 +247,24 @@
 	return nil, false
 }
 
-// hostOf returns a host as routes are held by it: without a port, in lower case.
-func hostOf(host string) string {
+// normalizeHost strips the port from a host and converts it to lower case.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// RegionsOf returns the regions in which all bound routes of a host may run; empty where
-// none is bound, or where they have none in common.
+// RegionsOf returns the intersection of the regions of all routes of a host that restrict them. It
+// is empty if no route does, or if the intersection is empty.
 func (c *Config) RegionsOf(host string) Regions {
 	var common Regions
-	bound := false
-	for _, r := range c.routes[hostOf(host)] {
+	restricted := false
+	for _, r := range c.routes[normalizeHost(host)] {
 		switch {
 		case len(r.Regions) == 0:
-		case !bound:
-			common, bound = slices.Clone(r.Regions), true
+		case !restricted:
+			common, restricted = slices.Clone(r.Regions), true
 		default:
 			common = slices.DeleteFunc(common, func(region string) bool { return !r.Regions.Allows(region) })
 		}
@@ -278,7 +278,7 @@
 	return s, ok
 }
 
-// Services returns all services, in no order.
+// Services returns all services in unspecified order.
 func (c *Config) Services() []*Service {
 	all := make([]*Service, 0, len(c.services))
 	for _, s := range c.services {
@@ -287,10 +287,10 @@
 	return all
 }
 
-// NeedsKeys reports whether requests carry keys.
+// NeedsKeys reports whether requests must carry a key.
 func (c *Config) NeedsKeys() bool { return c.keys != nil }
 
-// Tenant returns the tenant that holds a key.
+// Tenant returns the tenant that owns a key.
 func (c *Config) Tenant(key string) (*Tenant, bool) {
 	t, ok := c.keys[key]
 	return t, ok
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -7,24 +7,24 @@
 	"quartzshelf.dev/common/awake"
 )
 
-// configReader keeps the configuration, and which data halls are closed, up to date from their
+// configReader keeps the configuration and the states of the data halls up to date from their
 // source.
 type configReader struct {
 	*Follower
-	// position is from where to read on; negative to read the newest.
+	// position is where the next read starts; negative to read the newest configuration.
 	position int64
-	// era is that of the last read; negative before the first.
+	// era is the era of the last read; negative before the first one.
 	era int64
-	// readAgain is when everything is read anew after the source came back from a copy; the
-	// zero time for never.
-	readAgain time.Time
-	// refused tells that the newest configuration is not understood, so that the one in
-	// force is not confirmed: the newer one may have taken keys away.
-	refused bool
-	// behind tells that changes come faster than they are read one after the other.
-	behind bool
-	// newest is where the source ended at the last read of the newest.
-	newest int64
+	// rereadAt is when to read everything again after the source was restored from a copy; the
+	// zero time if there is no need.
+	rereadAt time.Time
+	// newestIsInvalid is set while the newest configuration is invalid. The one in force is then not
+	// confirmed, since the newer one may revoke keys.
+	newestIsInvalid bool
+	// isBehind is set while changes are published faster than sequential reads return them.
+	isBehind bool
+	// newestPosition is the end of the source at the last read of the newest configuration.
+	newestPosition int64
 }
 
 func newConfigReader(f *Follower) *configReader {
@@ -33,102 +33,102 @@
 
 // run reads until ctx ends.
 func (c *configReader) run(ctx context.Context) {
-	due := func() bool { return c.opts.Reads(c.opts.Beliefs.Confirmed()) }
-	c.follow(ctx, "configuration", due, c.next)
+	shouldRead := func() bool { return c.opts.Reads(c.opts.Beliefs.Confirmed()) }
+	c.poll(ctx, "configuration", shouldRead, c.readOnce)
 }
 
-// next reads once.
-func (c *configReader) next(ctx context.Context) error {
-	asked := awake.NewStamp(c.opts.Suspended)
-	if !c.readAgain.IsZero() && asked.Time().After(c.readAgain) {
-		c.position, c.readAgain = -1, time.Time{}
+// readOnce does one read and applies its result.
+func (c *configReader) readOnce(ctx context.Context) error {
+	sent := awake.NewStamp(c.opts.Suspended)
+	if !c.rereadAt.IsZero() && sent.Time().After(c.rereadAt) {
+		c.position, c.rereadAt = -1, time.Time{}
 	}
-	if c.behind {
+	if c.isBehind {
 		c.position = -1
 	}
-	followed := c.position >= 0
-	news, err := c.read(ctx)
+	incremental := c.position >= 0
+	news, err := c.fetch(ctx)
 	if err != nil {
 		return err
 	}
-	c.noteBehind(news, followed, asked.Time())
-	c.noteEras(news.Next, asked.Time())
+	c.updateBehind(news, incremental, sent.Time())
+	c.observeEra(news.Next, sent.Time())
 	c.position = news.Next
 	if news.Lost {
 		c.position = -1
 		return nil
 	}
-	c.take(news, asked.Time())
+	c.apply(news, sent.Time())
 	return nil
 }
 
-func (c *configReader) read(ctx context.Context) (ConfigNews, error) {
+func (c *configReader) fetch(ctx context.Context) (ConfigNews, error) {
 	if c.position < 0 {
-		ctx, cancel := context.WithTimeout(ctx, readMost)
+		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
 		return c.opts.Source.ReadConfig(ctx)
 	}
-	wait := newsWait
+	wait := pollWait
 	if c.opts.Beliefs.Config() == nil {
-		wait = firstWait
+		wait = firstConfigWait
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+readMost)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	return c.opts.Source.NextConfig(ctx, c.position, wait)
 }
 
-// noteBehind decides whether the newest is read next. Read one after the other, changes that
-// come faster than a slow source tells them would be known later and later.
-func (c *configReader) noteBehind(news ConfigNews, followed bool, sent time.Time) {
-	if followed {
-		c.behind = news.More
+// updateBehind decides whether the next read skips to the newest configuration. With a slow source,
+// reading each change in turn would fall further and further behind.
+func (c *configReader) updateBehind(news ConfigNews, incremental bool, sent time.Time) {
+	if incremental {
+		c.isBehind = news.More
 		return
 	}
-	grew := news.Next != c.newest
-	c.behind = c.behind && grew && time.Since(sent) > newsWait
-	c.newest = news.Next
+	grew := news.Next != c.newestPosition
+	c.isBehind = c.isBehind && grew && time.Since(sent) > pollWait
+	c.newestPosition = news.Next
 }
 
-// noteEras notes the era of a read.
-func (c *configReader) noteEras(position int64, sent time.Time) {
+// observeEra updates the era from a read, and schedules another full read if the source was restored.
+func (c *configReader) observeEra(position int64, sent time.Time) {
 	era := EraOf(position)
 	if c.era >= 0 && era > c.era {
-		c.readAgain = sent.Add(copySettles)
+		c.rereadAt = sent.Add(restoreSettleTime)
 	}
-	c.noteFirstEra(c.era, era)
-	c.noteEra(position)
+	c.holdFirstReads(c.era, era)
+	c.advanceEra(position)
 	c.era = era
 }
 
-// take takes what a read brought that was sent at a time.
-func (c *configReader) take(news ConfigNews, sent time.Time) {
+// apply applies the result of a read sent at the given time.
+func (c *configReader) apply(news ConfigNews, sent time.Time) {
 	if news.More {
-		// What is yet to be read may take keys away, or close data halls.
+		// The changes still to be read may revoke keys or close data halls.
 		sent = time.Time{}
 	}
-	c.takeHalls(news, sent)
+	c.applyHalls(news, sent)
 	switch {
 	case news.Refused != nil:
-		c.opts.Logger.Error("configuration not understood: the last one stays in force", "error", news.Refused)
-		c.refused = true
+		c.opts.Logger.Error("invalid configuration; keeping the last valid one", "error", news.Refused)
+		c.newestIsInvalid = true
 		if news.Config != nil {
 			c.opts.Beliefs.Offer(news.Config, time.Time{})
 		}
 	case news.Config != nil:
 		c.opts.Beliefs.Offer(news.Config, sent)
-		c.refused = false
-	case !c.refused:
+		c.newestIsInvalid = false
+	case !c.newestIsInvalid:
 		c.opts.Beliefs.ConfirmRead(sent)
 	}
 }
 
-// takeHalls takes what a read brought of closed data halls.
-func (c *configReader) takeHalls(news ConfigNews, sent time.Time) {
+// applyHalls applies the states of data halls that a read returned.
+func (c *configReader) applyHalls(news ConfigNews, sent time.Time) {
 	if c.opts.Halls == nil {
 		return
 	}
 	for _, err := range news.Halls.Refused {
-		c.opts.Logger.Error("entry of a data hall not understood: its last state stays", "error", err)
+		c.opts.Logger.Error("invalid data hall entry; keeping its last state", "error", err)
 	}
 	c.opts.Halls.Take(news.Halls, news.Next, sent)
 }
--- a/fleet/confirm_test.go
+++ b/fleet/confirmation_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestChangingListIsConfirmed lets the list change all the time, so that a follower
-// holds more than each report of its peer tells. The list counts as confirmed all the
-// same, and entries that go then are not doubted as after an outage.
+// TestChangingListIsConfirmed checks that a list which changes continuously counts as confirmed
+// although the follower is always ahead of its peer's reports, so that entries that disappear are
+// removed immediately.
 func TestChangingListIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := NewInventory(time.Second, 4*time.Second)
@@ -28,6 +28,6 @@
 		}
 		i.Follow(Delta{From: position, To: position + 1, Changes: []Change{{ID: "w"}}}, time.Now())
 		_, listed := i.View().Worker("w")
-		assert.Assert(t, !listed, "an entry that went is doubted")
+		assert.Assert(t, !listed, "a removed entry is tolerated")
 	})
 }
--- a/fleet/decisions.go
+++ b/fleet/decisions.go
@@ -2,128 +2,129 @@
 
 import "time"
 
-// maxDecisions is how many decisions are kept for peers that missed some: those
-// that form all replicas of 1,000 workers, twice.
-const maxDecisions = 512
+// maxKeptDecisions is how many decisions are kept for peers that missed some: twice the number needed
+// to form all replicas of 1,000 workers.
+const maxKeptDecisions = 512
 
-// DecisionPosition tells how far the decisions of a leader's term are known.
+// DecisionPosition says up to which decision of a leader's term the decisions are known.
 type DecisionPosition struct {
-	// Term is the term's number; later terms have higher ones.
+	// Term is the number of the term, which increases.
 	Term int64 `json:"t,omitempty"`
-	// Seq is how many decisions of the term are known, from its first on.
+	// Seq is the number of known decisions, counted from the start of the term.
 	Seq int64 `json:"s,omitempty"`
 }
 
-// Before reports whether p knows less than other.
+// Before reports whether p is an earlier position than other.
 func (p DecisionPosition) Before(other DecisionPosition) bool {
 	return p.Term < other.Term || p.Term == other.Term && p.Seq < other.Seq
 }
 
-// Decisions is decisions of one term that follow one another.
+// Decisions is a sequence of consecutive decisions of one term.
 type Decisions struct {
 	Term int64 `json:"t"`
-	// From and To are how many decisions of the term precede and include them.
+	// From is the number of decisions of the term before All, To the number up to its end.
 	From int64          `json:"f"`
 	To   int64          `json:"to"`
 	All  []Announcement `json:"all"`
-	// Whole tells that they are all that still matters, of earlier terms too.
+	// Whole marks a complete snapshot: All holds every decision that is still relevant, those of
+	// earlier terms included.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Split returns the decisions in parts of a bounded number.
-func (d Decisions) Split(most int) []Decisions {
+// Split divides the decisions into parts of at most the given number.
+func (d Decisions) Split(limit int) []Decisions {
 	var parts []Decisions
-	for first := 0; first < len(d.All); first += most {
-		last := min(first+most, len(d.All))
+	for first := 0; first < len(d.All); first += limit {
+		last := min(first+limit, len(d.All))
 		parts = append(parts, Decisions{Term: d.Term, From: d.From + int64(first), To: d.From + int64(last), All: d.All[first:last]})
 	}
 	return parts
 }
 
-// decisions holds the newest decisions of a term.
-type decisions struct {
-	at   DecisionPosition
-	last []Announcement
+// decisionLog holds the newest decisions of a term.
+type decisionLog struct {
+	position DecisionPosition
+	recent   []Announcement
 }
 
-// from returns how many decisions of the term precede those held.
-func (d *decisions) from() int64 { return d.at.Seq - int64(len(d.last)) }
+// firstSeq returns the number of decisions of the term before the first one held.
+func (d *decisionLog) firstSeq() int64 { return d.position.Seq - int64(len(d.recent)) }
 
-func (d *decisions) add(all []Announcement) {
-	d.at.Seq += int64(len(all))
-	d.last = append(d.last, all...)
-	d.last = d.last[max(len(d.last)-maxDecisions, 0):]
+func (d *decisionLog) add(all []Announcement) {
+	d.position.Seq += int64(len(all))
+	d.recent = append(d.recent, all...)
+	d.recent = d.recent[max(len(d.recent)-maxKeptDecisions, 0):]
 }
 
-// begin turns to a later term, of which nothing is known yet.
-func (d *decisions) begin(term int64) {
-	*d = decisions{at: DecisionPosition{Term: term}}
+// startTerm starts a later term without any decisions.
+func (d *decisionLog) startTerm(term int64) {
+	*d = decisionLog{position: DecisionPosition{Term: term}}
 }
 
-// Decided returns how far the decisions of the newest term are known.
+// Decided returns the position up to which the decisions of the newest term are known.
 func (i *Inventory) Decided() DecisionPosition {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.decided.at
+	return i.decisions.position
 }
 
-// BeginTerm notes that this daemon leads a term.
+// BeginTerm notes that this daemon leads the given term.
 func (i *Inventory) BeginTerm(term int64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if term > i.decided.at.Term {
-		i.decided.begin(term)
+	if term > i.decisions.position.Term {
+		i.decisions.startTerm(term)
 	}
 }
 
-// Decide takes a decision of this daemon's own in the term that it leads. One of a
-// term that was followed by another counts all the same, as a late one would.
+// Decide records a decision of this daemon in a term that it leads. A decision of a term that has
+// ended since is still announced, but not recorded in the sequence.
 func (i *Inventory) Decide(term int64, a Announcement) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if term == i.decided.at.Term {
-		i.decided.add([]Announcement{a})
+	if term == i.decisions.position.Term {
+		i.decisions.add([]Announcement{a})
 	}
 	i.announce([]Announcement{a}, time.Now())
-	notify(i.news)
+	notify(i.peerUpdates)
 }
 
-// FollowDecisions takes decisions of a leader. All of them count, whatever was
-// missed before them; the position moves only if none is missing.
+// FollowDecisions applies decisions of a leader. All of them are announced, but the position only
+// advances if no earlier decision is missing.
 func (i *Inventory) FollowDecisions(d Decisions) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.announce(d.All, time.Now())
-	known := i.decided.at
+	known := i.decisions.position
 	switch {
 	case d.Whole:
 		if to := (DecisionPosition{Term: d.Term, Seq: d.To}); known.Before(to) {
-			i.decided = decisions{at: to}
+			i.decisions = decisionLog{position: to}
 		}
 	case d.Term > known.Term && d.From == 0 && known.Term > 0:
-		i.decided.begin(d.Term)
-		i.decided.add(d.All)
+		i.decisions.startTerm(d.Term)
+		i.decisions.add(d.All)
 	case d.Term == known.Term && d.From <= known.Seq && known.Seq < d.To:
-		i.decided.add(d.All[known.Seq-d.From:])
+		i.decisions.add(d.All[known.Seq-d.From:])
 	}
 }
 
-// DecisionsSince returns what a peer lacks that knows the decisions up to a
-// position. One that has only just started gets all that matters.
+// DecisionsSince returns the decisions that a peer at the given position lacks. A peer without a
+// position, or one whose position cannot be continued, gets a complete snapshot.
 func (i *Inventory) DecisionsSince(p DecisionPosition) Decisions {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	d := Decisions{Term: i.decided.at.Term, To: i.decided.at.Seq}
+	d := Decisions{Term: i.decisions.position.Term, To: i.decisions.position.Seq}
 	if p.Term < d.Term && p.Term > 0 {
 		p = DecisionPosition{Term: d.Term}
 	}
-	if p.Term == d.Term && p.Term > 0 && p.Seq >= i.decided.from() && p.Seq <= d.To {
+	if p.Term == d.Term && p.Term > 0 && p.Seq >= i.decisions.firstSeq() && p.Seq <= d.To {
 		d.From = p.Seq
-		d.All = i.decided.last[p.Seq-i.decided.from():]
+		d.All = i.decisions.recent[p.Seq-i.decisions.firstSeq():]
 		return d
 	}
 	d.Whole = true
-	for _, a := range i.announced {
+	for _, a := range i.announcements {
 		d.All = append(d.All, a.Announcement)
 	}
 	return d
--- a/fleet/decisions_test.go
+++ b/fleet/decisions_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestDecisionsReachWhoMissedSome lets leaders of rising terms decide, and a
-// follower take some of what they pass on and now and then ask for the rest.
-func TestDecisionsReachWhoMissedSome(t *testing.T) {
+// TestFollowerCatchesUpOnMissedDecisions lets leaders of successive terms decide while a follower misses
+// some decisions and sometimes requests the rest.
+func TestFollowerCatchesUpOnMissedDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
 		term, count := int64(1), 0
@@ -26,7 +26,7 @@
 			case 1:
 				follower.FollowDecisions(leader.DecisionsSince(follower.Decided()))
 			case 2:
-				passOnSome(t, leader.DecisionsSince(passed), follower)
+				deliverSome(t, leader.DecisionsSince(passed), follower)
 				passed = leader.Decided()
 			default:
 				count++
@@ -37,8 +37,8 @@
 	})
 }
 
-// passOnSome lets a follower take some of the decisions that a leader passes on.
-func passOnSome(t *rapid.T, d Decisions, follower *Inventory) {
+// deliverSome delivers a random part of a leader's decisions to a follower.
+func deliverSome(t *rapid.T, d Decisions, follower *Inventory) {
 	if d.Whole {
 		return
 	}
@@ -49,8 +49,7 @@
 	}
 }
 
-// checkClosed checks that a follower which knows all of a term's decisions by its
-// position holds them.
+// checkClosed checks that a follower at the leader's position holds all decisions of the term.
 func checkClosed(t *rapid.T, leader, follower *Inventory, term int64) {
 	if leader.Decided().Before(follower.Decided()) {
 		t.Fatalf("the follower knows %v, the leader %v", follower.Decided(), leader.Decided())
@@ -65,8 +64,8 @@
 	}
 }
 
-// TestWhoJustStartedGetsAllThatMatters asks for decisions from several positions.
-func TestWhoJustStartedGetsAllThatMatters(t *testing.T) {
+// TestDecisionsSince requests decisions from several positions.
+func TestDecisionsSince(t *testing.T) {
 	i := NewInventory(time.Second, 0)
 	i.BeginTerm(3)
 	i.Decide(3, Announcement{Group: "a", Epoch: 1, Head: "h"})
--- a/fleet/delta_test.go
+++ b/fleet/delta_test.go
@@ -8,9 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPartsNeverTellOfMoreThanTheyHold lets a daemon lose the last part of a batch, ask
-// for what it lacks, and pass the answer on in parts, of which the last is lost again.
-func TestPartsNeverTellOfMoreThanTheyHold(t *testing.T) {
+// TestDeltaPartsHaveCorrectPositions checks that parts carry correct positions when a daemon lost
+// the last part of a batch, caught up, and passes the changes on in parts of which the last is lost
+// again.
+func TestDeltaPartsHaveCorrectPositions(t *testing.T) {
 	source := NewInventory(time.Second, 0)
 	relay, follower := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
 	var batch []Change
@@ -39,14 +40,13 @@
 	assert.Equal(t, len(follower.View().Workers()), 10)
 }
 
-// TestPositionsThatAreNotKnownAreNotTold splits changes among which entries were not
-// understood.
-func TestPositionsThatAreNotKnownAreNotTold(t *testing.T) {
-	d := Delta{From: 3, To: 9, Changes: make([]Change, 4)}.counted()
+// TestInexactDeltaIsNotSplit splits changes from which invalid entries were left out.
+func TestInexactDeltaIsNotSplit(t *testing.T) {
+	d := Delta{From: 3, To: 9, Changes: make([]Change, 4)}.withExactness()
 	_, ok := d.Split(3)
 	assert.Assert(t, !ok)
 	parts, ok := d.Split(4)
 	assert.Assert(t, ok)
 	assert.Equal(t, len(parts), 1)
-	assert.Equal(t, len(d.after(5).Changes), 4, "which of them are held is not known")
+	assert.Equal(t, len(d.since(5).Changes), 4, "an inexact delta is not trimmed")
 }
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPositionsAreComparedAsAPair draws eras and offsets.
-func TestPositionsAreComparedAsAPair(t *testing.T) {
+// TestPositionOrder draws eras and offsets.
+func TestPositionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, offset := rapid.Int64Range(0, MaxEra).Draw(t, "era"), rapid.Int64Range(0, offsetMask).Draw(t, "offset")
 		p := PositionOf(era, offset)
@@ -26,9 +26,9 @@
 	assert.Equal(t, EraOf(-1), int64(0))
 }
 
-// drilled returns an inventory that held workers up to a high offset, and then took what a
-// store tells that came back from a copy.
-func drilled(t *testing.T, copied ...Change) *Inventory {
+// restoredInventory returns an inventory that held workers up to a high offset and was then given the list of
+// a store that was restored from a copy.
+func restoredInventory(t *testing.T, copied ...Change) *Inventory {
 	t.Helper()
 	i := NewInventory(time.Second, 5*time.Second)
 	draining, lost := head("draining", "g", 1, Open), head("lost", "l", 2, Open)
@@ -39,8 +39,8 @@
 	return i
 }
 
-// confirmedFor lets time pass in which the list is read and does not change.
-func confirmedFor(i *Inventory, span time.Duration) {
+// confirmFor advances the time while the list is confirmed and does not change.
+func confirmFor(i *Inventory, span time.Duration) {
 	const every = 500 * time.Millisecond
 	for range span / every {
 		time.Sleep(every)
@@ -48,22 +48,22 @@
 	}
 }
 
-// TestListOfACopyIsJoined: the copy shows a worker as it was before it said that it leaves,
-// and lacks one that came after it. The first stays out of use, the second in use until it
-// has had time to write again; what comes in the new era counts.
-func TestListOfACopyIsJoined(t *testing.T) {
+// TestListOfRestoredStoreIsMerged checks the list of a restored store in which a worker is not marked as
+// leaving yet and another worker is missing. The first must stay unused, the second must stay in
+// use until it has had time to write again, and changes of the new era must apply.
+func TestListOfRestoredStoreIsMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := head("draining", "g", 1, Open)
 		before.Beat = 5
-		i := drilled(t, Change{ID: "draining", Worker: before})
-		assert.Equal(t, i.Position(), PositionOf(1, 40), "the lower offset of the new era is followed")
+		i := restoredInventory(t, Change{ID: "draining", Worker: before})
+		assert.Equal(t, i.Position(), PositionOf(1, 40), "the lower offset of the new era applies")
 		w, _ := i.View().Worker("draining")
 		assert.Assert(t, w.Draining)
 		_, held := i.View().Worker("lost")
 		assert.Assert(t, held)
 		i.Follow(Delta{From: 100, To: 102, Changes: []Change{{ID: "draining"}}}, time.Now())
-		assert.Equal(t, i.Position(), PositionOf(1, 40), "news of the era before are not joined on")
-		confirmedFor(i, 4*time.Second)
+		assert.Equal(t, i.Position(), PositionOf(1, 40), "changes of the previous era are ignored")
+		confirmFor(i, 4*time.Second)
 		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "draining"}}}, time.Now())
 		_, held = i.View().Worker("lost")
 		assert.Assert(t, !held, "it did not write again")
@@ -72,49 +72,49 @@
 	})
 }
 
-// TestChangesAfterACopyAreSeen: a worker leaves after the store came back at a lower offset.
-// Before eras were known nothing was taken until offsets had passed the old mark.
-func TestChangesAfterACopyAreSeen(t *testing.T) {
+// TestChangesApplyAfterRestore checks that changes apply after the store was restored to a lower
+// offset.
+func TestChangesApplyAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := head("w", "g", 1, Open)
-		i := drilled(t, Change{ID: "w", Worker: w})
-		confirmedFor(i, lapseWindow+time.Second)
+		i := restoredInventory(t, Change{ID: "w", Worker: w})
+		confirmFor(i, lapseWindow+time.Second)
 		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "w"}}}, time.Now())
 		_, held := i.View().Worker("w")
 		assert.Assert(t, !held)
 	})
 }
 
-// TestPeerOfTheEraBefore: it neither takes this daemon back nor is taken for newer, whatever
+// TestPeerOfPreviousEra checks that a peer of the previous era is not considered newer, whatever
 // its offset.
-func TestPeerOfTheEraBefore(t *testing.T) {
+func TestPeerOfPreviousEra(t *testing.T) {
 	source, member := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
 	list := []Change{{ID: "w", Worker: head("w", "g", 1, Open)}}
 	source.Replace(list, PositionOf(1, 3), time.Now())
 	member.Replace(list, 900, time.Now())
 	d, whole := source.Since(member.Position())
-	assert.Assert(t, whole, "positions of two eras are not joined")
+	assert.Assert(t, whole, "a delta never spans two eras")
 	member.Replace(d.Changes, d.To, time.Now())
 	assert.Equal(t, member.Position(), PositionOf(1, 3))
 	member.Replace(nil, 950, time.Now())
 	assert.Equal(t, member.Position(), PositionOf(1, 3))
 }
 
-// TestClosedHallsStayClosedOverACopy: the copy is from before the operator closed a hall.
-func TestClosedHallsStayClosedOverACopy(t *testing.T) {
+// TestClosedHallsStayClosedAfterRestore restores a copy that was made before an operator closed a
+// hall.
+func TestClosedHallsStayClosedAfterRestore(t *testing.T) {
 	h := NewHalls(0)
 	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 50, time.Now())
 	h.Take(HallNews{Whole: true}, PositionOf(1, 40), time.Now())
 	assert.Equal(t, h.View().State("a", time.Now()), HallClosed)
 	h.Take(HallNews{Whole: true}, PositionOf(1, 41), time.Now())
-	assert.Equal(t, h.View().State("a", time.Now()), HallOpen, "the operator's word did not come again")
+	assert.Equal(t, h.View().State("a", time.Now()), HallOpen, "the operator's command was not repeated")
 }
 
-// TestCopyConfirmsNoConfiguration: a newer configuration, which took a key away, was written
-// and lost with the store's last seconds before this daemon read it. That the copy shows the
-// version in force does not say that it is the newest, until its writer had time to write
-// again.
-func TestCopyConfirmsNoConfiguration(t *testing.T) {
+// TestRestoredStoreConfirmsNoConfiguration checks that a restored store does not confirm the version in
+// force until its writer had time to write again: a newer one that revoked a key may have been
+// lost.
+func TestRestoredStoreConfirmsNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBeliefs()
 		c := NewConfig(Parts{Version: 3})
@@ -125,7 +125,7 @@
 		b.Offer(c, time.Now())
 		b.Confirm(3, time.Now())
 		assert.Equal(t, b.Confirmed(), before)
-		time.Sleep(copyHold)
+		time.Sleep(restoreHoldDuration)
 		b.Confirm(3, time.Now())
 		assert.Assert(t, b.Confirmed().After(before))
 		fresh := NewBeliefs()
@@ -135,15 +135,15 @@
 	})
 }
 
-// TestFollowerHoldsWhatACopyShows lets a source come back from a copy while it is followed.
-func TestFollowerHoldsWhatACopyShows(t *testing.T) {
+// TestFollowerHoldsConfirmationsAfterRestore restores the source from a copy while it is being followed.
+func TestFollowerHoldsConfirmationsAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs := NewBeliefs()
-		stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
 		source.set(func() { source.era, source.lost = 1, true })
-		time.Sleep(copyHold - time.Second/2)
+		time.Sleep(restoreHoldDuration - time.Second/2)
 		held := time.Since(beliefs.Confirmed())
 		time.Sleep(time.Second)
 		again := time.Since(beliefs.Confirmed())
@@ -153,9 +153,9 @@
 	})
 }
 
-// TestFirstReadMayBeOfACopy: a daemon that started a moment ago knows by peers alone what was
-// in force in the era before. Its first read of either source is of a copy.
-func TestFirstReadMayBeOfACopy(t *testing.T) {
+// TestFirstReadOfRestoredStore checks a daemon that knows the previous era from peers only, and whose
+// first read returns a restored copy.
+func TestFirstReadOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2}
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
@@ -163,34 +163,34 @@
 		inventory.Replace(nil, PositionOf(1, 50), time.Now())
 		before := beliefs.Confirmed()
 		time.Sleep(time.Second)
-		stop := follow(source, beliefs, inventory)
-		time.Sleep(copyHold - time.Second/2)
+		stop := startFollower(source, beliefs, inventory)
+		time.Sleep(restoreHoldDuration - time.Second/2)
 		held := beliefs.Confirmed()
 		stop()
 		assert.Equal(t, held, before)
 	})
 }
 
-// TestFirstReadAfterAnOutageMayBeOfACopy: a daemon starts while the source is away, with nobody
-// to ask. What the source shows first may be of a copy: a key that was taken away just before
-// may be in force there until the operator has written again, so that it confirms nothing yet.
-func TestFirstReadAfterAnOutageMayBeOfACopy(t *testing.T) {
+// TestFirstReadAfterOutageMayBeOfRestoredStore checks that a daemon that starts during an outage, without
+// peers, does not confirm its first read: a revoked key may be valid again until the operator's
+// change has been repeated.
+func TestFirstReadAfterOutageMayBeOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2, down: true}
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
-		stop := follow(source, beliefs, inventory)
+		stop := startFollower(source, beliefs, inventory)
 		time.Sleep(1500 * time.Millisecond)
 		source.set(func() { source.down = false })
-		time.Sleep(copyHold - time.Second/2)
+		time.Sleep(restoreHoldDuration - time.Second/2)
 		held := beliefs.Confirmed()
 		stop()
-		assert.Assert(t, held.IsZero(), "confirmed before the operator can have written again")
+		assert.Assert(t, held.IsZero(), "confirmed before the operator's change could be repeated")
 	})
 }
 
-// TestWhoRanBeforeIsBelieved: a daemon that starts after the source came back from a copy some
-// time does not wait where a peer confirms what it read; nor does one whose source never did.
-func TestWhoRanBeforeIsBelieved(t *testing.T) {
+// TestPeerConfirmsAfterRestore checks that a daemon that starts after a restore does not wait if a
+// peer confirms its configuration, nor if the source was never restored.
+func TestPeerConfirmsAfterRestore(t *testing.T) {
 	tests := map[string]struct {
 		era     int64
 		peer    bool
@@ -205,13 +205,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				source := &fakeSource{version: 3, era: test.era}
 				beliefs := NewBeliefs()
-				stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
-				time.Sleep(copyHold / 4)
+				stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+				time.Sleep(restoreHoldDuration / 4)
 				if test.peer {
 					beliefs.Confirm(3, time.Now())
 				}
 				confirmed := beliefs.Confirmed()
-				time.Sleep(copyHold)
+				time.Sleep(restoreHoldDuration)
 				late := beliefs.Confirmed()
 				stop()
 				assert.Equal(t, confirmed.IsZero(), test.refused)
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -15,75 +15,74 @@
 
 // Timing of a follower.
 const (
-	// newsWait is how long a read waits for news. A waiting read confirms only
-	// the time at which it was sent, so this decides how old beliefs get: with
-	// two heartbeats on top, those of peers must stay younger than what makes them
-	// read for themselves.
-	newsWait = 300 * time.Millisecond
-	// firstWait is the same for the first configuration, which confirms nothing.
-	firstWait = 2 * time.Second
-	// readMost is how much longer than its wait a read may take while its answer comes: a
-	// source ends one that stands still much sooner.
-	readMost = 4 * time.Second
-	// listMost bounds the reading of a whole list, page by page. The source tells changes
-	// for twice that at least, from which the reading goes on.
-	listMost = 10 * time.Second
-	// listAgain is how long after a list that could not be taken another one is read: six
-	// tries within the three seconds by which answers of the store are known to be behind.
-	listAgain = 500 * time.Millisecond
-	// copySettles is how long after a source came back from a copy it has what was written
-	// before: writers write it again at their next heartbeat, each second or so.
-	copySettles = 5 * time.Second
-	// retryFirst and retryMost bound the pause after a failed read.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// idlePause is how often a follower that leaves reading to others looks
-	// whether it should read itself.
-	idlePause = 100 * time.Millisecond
-	// mergePause joins changes that come close upon one another into one read.
-	mergePause = 60 * time.Millisecond
+	// pollWait is how long a read waits for changes. A read confirms the time at which it was sent,
+	// so this bounds the age of what a daemon knows. With two heartbeats added it must stay below
+	// the age at which peers start to read the source themselves.
+	pollWait = 300 * time.Millisecond
+	// firstConfigWait replaces pollWait until there is a configuration that could be confirmed.
+	firstConfigWait = 2 * time.Second
+	// readTimeout is how long a read may take beyond its wait. The source aborts a stalled answer much
+	// sooner.
+	readTimeout = 4 * time.Second
+	// listTimeout is the time limit for reading a whole list page by page. The source keeps changes
+	// for at least twice as long, so reading can continue from there.
+	listTimeout = 10 * time.Second
+	// listRetryDelay is the delay before reading another list after one was rejected as outdated: six
+	// attempts within the three seconds by which the store's answers may lag.
+	listRetryDelay = 500 * time.Millisecond
+	// restoreSettleTime is how long after a restore from a copy the source is complete again: writers
+	// repeat their writes at their next heartbeat, about every second.
+	restoreSettleTime = 5 * time.Second
+	// minRetryDelay and maxRetryDelay are the first and the maximum delay after failed reads.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// idlePollInterval is how often a follower that relies on its peers checks whether it must read
+	// itself.
+	idlePollInterval = 100 * time.Millisecond
+	// coalesceDelay combines changes in quick succession into one read.
+	coalesceDelay = 60 * time.Millisecond
 )
 
-// ConfigNews is what a read of the configuration brought.
+// ConfigNews is the result of a read of the configuration.
 type ConfigNews struct {
-	// Config is nil when there was nothing new.
+	// Config is nil if there is nothing new.
 	Config *Config
-	// Next is the position to go on from.
+	// Next is the position at which to continue.
 	Next int64
-	// Lost says that the position is gone; everything is to be read anew.
+	// Lost says that the position is no longer available, so that everything must be read again.
 	Lost bool
-	// More tells that there was more to read at Next as this was read.
+	// More says that there was more to read at Next.
 	More bool
-	// Refused tells why the newest configuration was not understood, if it was not;
-	// Config is then the newest one that was, if there is news of it.
+	// Refused is why the newest configuration is invalid, or nil. Config then holds the newest
+	// valid one, if it is new.
 	Refused error
-	// Halls is what was read of closed data halls, which are published beside it.
+	// Halls holds the states of data halls, which are published along with the configuration.
 	Halls HallNews
 }
 
-// WorkerNews is what a read of the worker list brought.
+// WorkerNews is the result of a read of the worker list.
 type WorkerNews struct {
 	Changes []Change
 	Next    int64
 	Lost    bool
-	// More tells that there is more to read at once: after Last in a whole list, else at Next.
+	// More says that there is more to read now: after Last for a whole list, else at Next.
 	More bool
 	Last string
-	// Refused tells which entries were not understood; they are left out.
+	// Refused lists the errors of invalid entries, which are left out.
 	Refused []error
 }
 
-// Source is where the configuration and the worker list are published.
+// Source reads the published configuration and worker list.
 type Source struct {
 	// ReadConfig returns the newest configuration.
 	ReadConfig func(ctx context.Context) (ConfigNews, error)
-	// NextConfig waits for news after position.
+	// NextConfig waits for changes after position.
 	NextConfig func(ctx context.Context, position int64, wait time.Duration) (ConfigNews, error)
-	// ReadWorkers returns the workers after one as changes, as many as it likes; an empty id
-	// begins. Next is the position to go on from after the whole list if this is its
-	// first part.
+	// ReadWorkers returns a page of the worker list as changes, starting after the given id; an
+	// empty id starts from the beginning. The Next of the first page is the position at which to
+	// continue after the whole list.
 	ReadWorkers func(ctx context.Context, after string) (WorkerNews, error)
-	// NextWorkers waits for news after position.
+	// NextWorkers waits for changes after position.
 	NextWorkers func(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error)
 }
 
@@ -91,30 +90,29 @@
 type FollowerOptions struct {
 	Source  Source
 	Beliefs *Beliefs
-	// Halls takes the closed data halls; nil where none are published.
+	// Halls receives the states of data halls; nil if none are published.
 	Halls     *Halls
 	Inventory *Inventory
-	// Reads reports whether this daemon is to read now what it last knew to be
-	// the newest at the given time, rather than to be told by a peer.
+	// Reads reports whether this daemon must now read data that was last confirmed at the given
+	// time itself, rather than rely on its peers.
 	Reads func(confirmed time.Time) bool
-	// Spread returns how long failed reads are apart at least, so that a source which
-	// comes back is not called by a large fleet at once; nil for no such bound.
+	// Spread returns the minimum delay between failed reads, so that a large fleet does not call a
+	// recovering source all at once; nil for no minimum.
 	Spread func() time.Duration
-	// Suspended returns for how long the machine was suspended in all; nil for one that never
-	// is.
+	// Suspended returns the total time for which the machine was suspended; nil if it never is.
 	Suspended func() time.Duration
 	Logger    hclog.Logger
 }
 
-// Follower keeps beliefs and inventory up to date from their source.
+// Follower keeps the configuration, the data halls and the inventory up to date from their source.
 type Follower struct {
 	opts FollowerOptions
-	// era is one more than the newest era that was read, 0 before the first read.
+	// era is one more than the newest era read, or 0 before the first read.
 	era  atomic.Int64
 	done chan struct{}
 }
 
-// NewFollower returns a follower; Run makes it work.
+// NewFollower returns a follower that starts to read when Run is called.
 func NewFollower(opts FollowerOptions) *Follower {
 	if opts.Suspended == nil {
 		opts.Suspended = awake.Never
@@ -125,7 +123,7 @@
 // Done is closed when Run has returned.
 func (f *Follower) Done() <-chan struct{} { return f.done }
 
-// Run follows until ctx ends.
+// Run reads until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	defer close(f.done)
 	var group conc.WaitGroup
@@ -136,23 +134,23 @@
 
 func (f *Follower) followWorkers(ctx context.Context) {
 	position := int64(-1)
-	var list listing
-	f.follow(ctx, "worker list", f.workersDue, func(ctx context.Context) error {
+	var list pendingList
+	f.poll(ctx, "worker list", f.shouldReadWorkers, func(ctx context.Context) error {
 		if position < 0 || f.opts.Inventory.AwaitsList() {
 			done, err := f.readList(ctx, &list)
 			if done {
 				position = list.next
-				list = listing{}
-				f.pauseIfAwaited(ctx)
+				list = pendingList{}
+				f.delayListRetry(ctx)
 			}
 			return err
 		}
-		asked := awake.NewStamp(f.opts.Suspended)
-		// What peers told since the last read need not be read again.
+		sent := awake.NewStamp(f.opts.Suspended)
+		// Skip what peers have sent since the last read.
 		position = max(position, f.opts.Inventory.Position())
-		next, cancel := context.WithTimeout(ctx, newsWait+readMost)
+		next, cancel := context.WithTimeout(ctx, pollWait+readTimeout)
 		defer cancel()
-		news, err := f.opts.Source.NextWorkers(next, position, newsWait)
+		news, err := f.opts.Source.NextWorkers(next, position, pollWait)
 		switch {
 		case err != nil:
 			return err
@@ -160,46 +158,44 @@
 			position = -1
 			return nil
 		}
-		f.logRefused(news.Refused)
+		f.logInvalidEntries(news.Refused)
 		read := Delta{From: position, To: news.Next, Changes: news.Changes}
 		position = news.Next
 		if news.More {
-			f.opts.Inventory.TakePart(read, asked.Time())
+			f.opts.Inventory.ApplyPart(read, sent.Time())
 			return nil
 		}
-		f.opts.Inventory.Take(read, asked.Time())
-		pause.For(ctx, mergePause)
+		f.opts.Inventory.Take(read, sent.Time())
+		pause.For(ctx, coalesceDelay)
 		return nil
 	})
 }
 
-// pauseIfAwaited pauses if a list that was read could not be taken: it is behind what peers
-// told, as that of a source which shows what is some seconds old. Read again at once it would
-// be read 250 times a second.
-func (f *Follower) pauseIfAwaited(ctx context.Context) {
+// delayListRetry delays the next list if the one just read was rejected as older than what peers
+// sent. Without the delay a lagging source would be read without pause.
+func (f *Follower) delayListRetry(ctx context.Context) {
 	if f.opts.Inventory.AwaitsList() {
-		pause.For(ctx, listAgain)
+		pause.For(ctx, listRetryDelay)
 	}
 }
 
-// workersDue reports whether this daemon is to read the worker list now.
-func (f *Follower) workersDue() bool {
+// shouldReadWorkers reports whether this daemon must read the worker list now.
+func (f *Follower) shouldReadWorkers() bool {
 	return f.opts.Inventory.AwaitsList() || f.opts.Reads(f.opts.Inventory.Confirmed())
 }
 
-// noteFirstEra holds what the first read brings, before which no era was known, of a source
-// that came back from a copy some time.
-func (f *Follower) noteFirstEra(before, era int64) {
+// holdFirstReads ignores confirmations for a while if this is the first read and the source was
+// restored from a copy at an unknown time.
+func (f *Follower) holdFirstReads(before, era int64) {
 	if before < 0 && era > 0 {
-		f.opts.Beliefs.HoldReads(time.Now())
+		f.opts.Beliefs.HoldFirstReads(time.Now())
 	}
 }
 
-// noteEra takes the era of what was read of either source. A later one than was known, by a
-// read or by what peers told, says that the source came back from a copy: whichever of the two
-// is read first tells so, and a daemon that has only been told by peers so far holds what it
-// has as well.
-func (f *Follower) noteEra(position int64) {
+// advanceEra updates the era from a read of either list. An era that is later than any known from
+// reads or peers means that the source was restored from a copy; the configuration is then not
+// confirmed for a while, whichever list was read first.
+func (f *Follower) advanceEra(position int64) {
 	known := f.era.Load()
 	if own := f.opts.Inventory.Position(); own > 0 {
 		known = max(known, EraOf(own)+1)
@@ -211,68 +207,67 @@
 	f.era.Store(max(era, known))
 }
 
-// listing is a whole list as far as it was read. Parts that were read are kept when the
-// reading of one fails.
-type listing struct {
+// pendingList is a whole list that is being read. Pages are kept if the read of a later one fails.
+type pendingList struct {
 	changes []Change
-	// next is the position to go on from, which the first part told; sent is when that
-	// was asked for.
+	// next is the position at which to continue, as returned with the first page; sent is when that
+	// page was requested.
 	next int64
 	sent awake.Stamp
-	// after is the last worker read, empty before the first part.
+	// after is the id of the last worker read, empty before the first page.
 	after string
 }
 
-// readList reads the next part of a whole list, and takes the list when it has them all.
-func (f *Follower) readList(ctx context.Context, l *listing) (done bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, readMost)
+// readList reads the next page of a whole list, and applies the list once it is complete.
+func (f *Follower) readList(ctx context.Context, l *pendingList) (done bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	if l.after == "" || time.Since(l.sent.Time()) > listMost {
-		*l = listing{sent: awake.NewStamp(f.opts.Suspended)}
+	if l.after == "" || time.Since(l.sent.Time()) > listTimeout {
+		*l = pendingList{sent: awake.NewStamp(f.opts.Suspended)}
 	}
 	news, err := f.opts.Source.ReadWorkers(ctx, l.after)
 	if err != nil {
 		return false, err
 	}
-	f.logRefused(news.Refused)
+	f.logInvalidEntries(news.Refused)
 	switch {
 	case l.after == "":
 		l.next = news.Next
 	case EraOf(news.Next) != EraOf(l.next):
-		// The parts are of different lists.
-		*l = listing{}
+		// The pages belong to different eras.
+		*l = pendingList{}
 		return false, nil
 	}
 	l.changes, l.after = append(l.changes, news.Changes...), news.Last
 	if news.More {
 		return false, nil
 	}
-	f.noteEra(l.next)
+	f.advanceEra(l.next)
 	f.opts.Inventory.Replace(l.changes, l.next, l.sent.Time())
 	return true, nil
 }
 
-func (f *Follower) logRefused(all []error) {
+func (f *Follower) logInvalidEntries(all []error) {
 	for _, err := range all {
-		f.opts.Logger.Warn("entry of a worker not understood", "error", err)
+		f.opts.Logger.Warn("invalid worker entry skipped", "error", err)
 	}
 }
 
-// spread returns how long failed reads are apart at least.
-func (f *Follower) spread() time.Duration {
+// retrySpread returns the minimum delay between failed reads.
+func (f *Follower) retrySpread() time.Duration {
 	if f.opts.Spread == nil {
 		return 0
 	}
 	return f.opts.Spread()
 }
 
-// follow reads again and again while this daemon is to read, and pauses longer
-// and longer while reads fail. It logs each loss and return of the source once.
-func (f *Follower) follow(ctx context.Context, what string, due func() bool, read func(context.Context) error) {
-	backoff, lost := retryFirst, false
+// poll calls read whenever this daemon must read itself, with exponential backoff while reads
+// fail. It logs once when the source becomes unreachable and once when it is back.
+func (f *Follower) poll(ctx context.Context, what string, shouldRead func() bool, read func(context.Context) error) {
+	backoff, isUnreachable := minRetryDelay, false
 	for ctx.Err() == nil {
-		if !due() {
-			pause.For(ctx, idlePause)
+		if !shouldRead() {
+			pause.For(ctx, idlePollInterval)
 			continue
 		}
 		err := read(ctx)
@@ -280,18 +275,18 @@
 			return
 		}
 		if err == nil {
-			if lost {
-				f.opts.Logger.Info("source regained", "of", what)
+			if isUnreachable {
+				f.opts.Logger.Info("source reachable again", "of", what)
 			}
-			backoff, lost = retryFirst, false
+			backoff, isUnreachable = minRetryDelay, false
 			continue
 		}
-		if !lost {
-			f.opts.Logger.Warn("source lost", "of", what, "error", err)
-			lost = true
+		if !isUnreachable {
+			f.opts.Logger.Warn("source unreachable", "of", what, "error", err)
+			isUnreachable = true
 		}
-		backoff = max(backoff, f.spread())
+		backoff = max(backoff, f.retrySpread())
 		pause.For(ctx, backoff+rand.N(backoff))
-		backoff = min(2*backoff, max(retryMost, f.spread()))
+		backoff = min(2*backoff, max(maxRetryDelay, f.retrySpread()))
 	}
 }
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -5,63 +5,62 @@
 	"strings"
 )
 
-// The parts of a group's name: the model, nameMark and the epoch, then the
-// head's id and address, each after a headMark.
+// The name of a group consists of the model, epochSeparator and the epoch. The head's id and address may
+// follow, each after a headSeparator.
 const (
-	nameMark = "-r"
-	headMark = "!"
+	epochSeparator = "-r"
+	headSeparator  = "!"
 )
 
-// GroupName returns the name of a group. No two groups share an epoch, and so
-// no two share a name. Every member tells the name, so that a later leader
-// learns from any of them the model and where the head is, even if the head has
-// gone from the list.
+// GroupName returns the name of a group. Names are unique because epochs are. Every member reports
+// the name, so that a later leader learns the model and the head's address from any of them, even
+// if the head is no longer listed.
 func GroupName(model string, epoch int64, head *Worker) string {
-	name := model + nameMark + strconv.FormatInt(epoch, 36)
+	name := model + epochSeparator + strconv.FormatInt(epoch, 36)
 	if head == nil {
 		return name
 	}
-	return name + headMark + head.ID + headMark + head.Address
+	return name + headSeparator + head.ID + headSeparator + head.Address
 }
 
-// ModelOf returns the model that a group's name tells, or an empty string.
+// ModelOf returns the model in a group's name, or an empty string.
 func ModelOf(group string) string {
 	short := shortName(group)
-	i := strings.LastIndex(short, nameMark)
+	i := strings.LastIndex(short, epochSeparator)
 	if i < 0 {
 		return ""
 	}
 	return short[:i]
 }
 
-// HeadOf returns the id and the address of the head that a group's name tells,
-// and false if it tells none.
+// HeadOf returns the id and the address of the head in a group's name, and false if the name has
+// none.
 func HeadOf(group string) (id, address string, ok bool) {
-	_, rest, ok := strings.Cut(group, headMark)
+	_, rest, ok := strings.Cut(group, headSeparator)
 	if !ok {
 		return "", "", false
 	}
-	return strings.Cut(rest, headMark)
+	return strings.Cut(rest, headSeparator)
 }
 
 // shortName returns a group's name without its head.
 func shortName(group string) string {
-	short, _, _ := strings.Cut(group, headMark)
+	short, _, _ := strings.Cut(group, headSeparator)
 	return short
 }
 
-// GroupKey names a group in one epoch, without its head.
+// GroupKey returns the key of a group: its name without the head, and its epoch.
 func GroupKey(m Membership) string {
 	return shortName(m.Group) + "@" + strconv.FormatInt(m.Epoch, 10)
 }
 
-// KeyOf returns the key of a group of a model, as GroupKey does.
+// KeyOf returns the key of a model's group with the given epoch, as GroupKey does.
 func KeyOf(model string, epoch int64) string {
 	return GroupKey(Membership{Group: GroupName(model, epoch, nil), Epoch: epoch})
 }
 
-// SplitKey returns the model and the epoch that a group's key tells, and false for
-// one that KeyOf did not make.
+// SplitKey returns the model and the epoch of a group's key, and false for a key that KeyOf does
+// not return.
 func SplitKey(key string) (model string, epoch int64, ok bool) {
 	name, digits, found := strings.Cut(key, "@")
 	if !found {
--- a/fleet/halls.go
+++ b/fleet/halls.go
@@ -15,14 +15,14 @@
 const (
 	// HallOpen halls take requests.
 	HallOpen HallState = iota
-	// HallClosing halls are to be empty soon: until then they take what no other hall
-	// has room for.
+	// HallClosing halls are being emptied: they take only requests for which no other hall has
+	// room.
 	HallClosing
-	// HallClosed halls take nothing.
+	// HallClosed halls take no requests.
 	HallClosed
 )
 
-// String returns the state's name in logs and counters.
+// String returns the name of the state, as used in logs and counters.
 func (s HallState) String() string {
 	switch s {
 	case HallClosing:
@@ -34,60 +34,59 @@
 }
 
 const (
-	// hallMargin is how long before the bound a hall takes nothing more: a request that
-	// was sent just before reaches its worker within the time that a connection may take.
-	hallMargin = 600 * time.Millisecond
-	// closingPart is the part of the bound for which a hall may be closing at most.
-	// Replicas that are staged elsewhere stand sooner, so a longer wait gains nothing.
-	closingPart = 0.5
+	// closeMargin is how long before the deadline a hall stops to take requests: a request sent just
+	// before needs up to the connection timeout to reach its worker.
+	closeMargin = 600 * time.Millisecond
+	// maxClosingFraction is the maximum fraction of the deadline that a hall spends closing. Replicas
+	// staged elsewhere are ready sooner than that.
+	maxClosingFraction = 0.5
 )
 
-// HallChange is the operator's word about one data hall.
+// HallChange is an operator's command to close or open one data hall.
 type HallChange struct {
 	Hall   string
 	Closed bool
 }
 
-// HallNews is what a read brought of closed data halls.
+// HallNews is the result of a read of the closed data halls.
 type HallNews struct {
-	// Whole tells that halls without a change are open.
+	// Whole marks a complete list: halls without a change are open.
 	Whole   bool
 	Changes []HallChange
-	// Unclear names halls whose entry was not understood, Refused why. Their last
-	// state stays.
+	// Unclear names the halls whose entries are invalid; they keep their last state. Refused holds
+	// the errors.
 	Unclear []string
 	Refused []error
 }
 
-// ClosedHall is a closed data hall as daemons tell each other.
+// ClosedHall is a closed or closing data hall in a report to peers.
 type ClosedHall struct {
 	Hall string `json:"h"`
-	// Left is for how much longer it may take requests, in milliseconds.
+	// Left is for how much longer the hall may take requests, in milliseconds.
 	Left int64 `json:"l,omitempty"`
 }
 
-// HallReport is what a daemon knows of closed data halls, for its peers.
+// HallReport is what a daemon reports to its peers about closed data halls.
 type HallReport struct {
-	// Position orders reports: one with a higher position is newer.
+	// Position orders reports; a higher one is newer.
 	Position int64 `json:"p,omitempty"`
-	// Age is how long ago this was last known to be the newest, in milliseconds.
+	// Age is how long ago the report was last confirmed to be the newest, in milliseconds.
 	Age    int64        `json:"a"`
 	Closed []ClosedHall `json:"c,omitempty"`
 }
 
-// HallView is the state of the data halls at one moment. It is never changed; nil means
-// that all are open.
+// HallView is an immutable snapshot of the states of the data halls; nil means that all are open.
 type HallView struct {
-	// closeBy holds, by closed hall, until when it may take requests.
+	// closeBy holds until when each closed or closing hall may take requests.
 	closeBy map[string]time.Time
-	// openedAt holds when halls were opened again, as far as this daemon saw it.
+	// openedAt holds when halls were reopened, as observed by this daemon.
 	openedAt map[string]time.Time
 }
 
 // AllOpen reports whether no hall is closed or closing.
 func (v *HallView) AllOpen() bool { return v == nil || len(v.closeBy) == 0 }
 
-// State returns the state of a hall at a time. Halls that were never named are open.
+// State returns the state of a hall at the given time. Unknown halls are open.
 func (v *HallView) State(hall string, now time.Time) HallState {
 	if v.AllOpen() {
 		return HallOpen
@@ -102,8 +101,7 @@
 	return HallClosed
 }
 
-// OpenedAt returns when a hall was opened again; the zero time if this daemon did not
-// see it closed before.
+// OpenedAt returns when this daemon saw a closed hall reopen, or the zero time.
 func (v *HallView) OpenedAt(hall string) time.Time {
 	if v == nil {
 		return time.Time{}
@@ -124,58 +122,59 @@
 	return all
 }
 
-// Halls holds which data halls the operator closed. It only moves forwards. It is safe
-// for concurrent use.
+// Halls holds which data halls operators have closed. Older reads and reports are ignored. It is
+// safe for concurrent use.
 type Halls struct {
-	// bound is the time after the operator's word within which a hall must be empty.
-	bound   time.Duration
-	view    atomic.Pointer[HallView]
-	changed chan struct{}
+	// emptyWithin is the time within which a hall must be empty after an operator closed it.
+	emptyWithin time.Duration
+	view        atomic.Pointer[HallView]
+	changed     chan struct{}
 
 	mu       sync.Mutex
 	position int64
-	// confirmed is when what is held was last known to be the newest.
+	// confirmed is when the state was last confirmed to be the newest.
 	confirmed time.Time
 }
 
-// NewHalls returns halls that are all open. A closed one must be empty within bound of
-// the operator's word; with a bound of zero halls close at once.
+// NewHalls returns Halls that are all open. A hall must be empty within bound after an operator
+// closed it; with a bound of zero halls close immediately.
 func NewHalls(bound time.Duration) *Halls {
-	h := &Halls{bound: bound, changed: make(chan struct{}, 1)}
+	h := &Halls{emptyWithin: bound, changed: make(chan struct{}, 1)}
 	h.view.Store(&HallView{})
 	return h
 }
 
-// View returns the state of the halls as last known.
+// View returns the last known states of the halls.
 func (h *Halls) View() *HallView { return h.view.Load() }
 
-// Changed receives after changes; several may be joined into one.
+// Changed receives after changes. Several changes may be combined into one signal.
 func (h *Halls) Changed() <-chan struct{} { return h.changed }
 
-// Take takes what a read that was sent at a time brought, up to a position.
+// Take applies the result of a read that was sent at the given time and reached position.
 func (h *Halls) Take(news HallNews, position int64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if position < h.position {
 		return
 	}
-	closed := h.known()
-	// A copy of seconds ago may lack the operator's last word, which comes again.
-	copied := h.position > 0 && EraOf(position) > EraOf(h.position)
+	closed := h.closedHalls()
+	// After a restore from a copy the operator's last command may be missing until it is repeated.
+	restored := h.position > 0 && EraOf(position) > EraOf(h.position)
 	if news.Whole {
 		for hall := range closed {
-			closed[hall] = copied || slices.Contains(news.Unclear, hall)
+			closed[hall] = restored || slices.Contains(news.Unclear, hall)
 		}
 	}
 	for _, c := range news.Changes {
 		closed[c.Hall] = c.Closed
 	}
-	h.set(closed, func(string) time.Time { return h.closeBy(time.Now()) })
+	h.publish(closed, func(string) time.Time { return h.closingDeadline(time.Now()) })
 	h.position = position
 	h.confirm(sent)
 }
 
-// Follow takes a peer's report, whose age counts from a time before which it was not sent.
+// Follow applies a peer's report that was sent after the given time, from which its age counts. The
+// zero time confirms nothing.
 func (h *Halls) Follow(r HallReport, sentAfter time.Time) {
 	if r.Position <= 0 {
 		return
@@ -185,38 +184,38 @@
 	if r.Position > h.position {
 		now := time.Now()
 		closed, left := make(map[string]bool), make(map[string]int64)
-		for hall := range h.known() {
+		for hall := range h.closedHalls() {
 			closed[hall] = false
 		}
 		for _, c := range r.Closed {
-			closed[c.Hall], left[c.Hall] = true, min(max(c.Left, 0), h.bound.Milliseconds())
+			closed[c.Hall], left[c.Hall] = true, min(max(c.Left, 0), h.emptyWithin.Milliseconds())
 		}
-		h.set(closed, func(hall string) time.Time { return now.Add(time.Duration(left[hall]) * time.Millisecond) })
+		h.publish(closed, func(hall string) time.Time { return now.Add(time.Duration(left[hall]) * time.Millisecond) })
 		h.position = r.Position
 	}
-	// Whoever holds a later state held the newest one of that time as well.
+	// A later state includes the one that was the newest at the time of the report.
 	if !sentAfter.IsZero() {
 		h.confirm(sentAfter.Add(-time.Duration(r.Age) * time.Millisecond))
 	}
 }
 
-// Slept notes that the machine was suspended for a while, which the steady clock does not
-// count: halls that were closing close so much sooner, and what is held is so much older.
-func (h *Halls) Slept(asleep time.Duration) {
+// Slept accounts for a suspension of the machine, which the monotonic clock does not count: closing
+// halls close that much sooner, and the last confirmation becomes that much older.
+func (h *Halls) Slept(suspended time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.confirmed.IsZero() {
-		h.confirmed = h.confirmed.Add(-asleep)
+		h.confirmed = h.confirmed.Add(-suspended)
 	}
-	held := h.View()
-	next := &HallView{closeBy: make(map[string]time.Time), openedAt: held.openedAt}
-	for hall, closeBy := range held.closeBy {
-		next.closeBy[hall] = closeBy.Add(-asleep)
+	current := h.View()
+	next := &HallView{closeBy: make(map[string]time.Time), openedAt: current.openedAt}
+	for hall, closeBy := range current.closeBy {
+		next.closeBy[hall] = closeBy.Add(-suspended)
 	}
 	h.view.Store(next)
 }
 
-// Report returns what is known, for peers.
+// Report returns the state to send to peers.
 func (h *Halls) Report(now time.Time) HallReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -231,8 +230,8 @@
 	return r
 }
 
-// known returns the halls that are closed, as a copy.
-func (h *Halls) known() map[string]bool {
+// closedHalls returns the closed halls as a new map.
+func (h *Halls) closedHalls() map[string]bool {
 	closed := make(map[string]bool)
 	for hall := range h.View().closeBy {
 		closed[hall] = true
@@ -240,39 +239,39 @@
 	return closed
 }
 
-// closeBy returns until when a hall may take requests that is found closed now. The
-// operator's word came after what was held was last confirmed, so the bound counts from
-// there; where nothing was held before, the hall closes at once.
-func (h *Halls) closeBy(now time.Time) time.Time {
+// closingDeadline returns until when a hall that was just found closed may take requests. The operator
+// closed it after the last confirmation, so the bound counts from there. Without any earlier
+// confirmation the hall closes immediately.
+func (h *Halls) closingDeadline(now time.Time) time.Time {
 	if h.confirmed.IsZero() {
 		return now
 	}
-	latest := h.confirmed.Add(h.bound - hallMargin)
-	soon := now.Add(time.Duration(closingPart * float64(h.bound)))
+	latest := h.confirmed.Add(h.emptyWithin - closeMargin)
+	soon := now.Add(time.Duration(maxClosingFraction * float64(h.emptyWithin)))
 	if soon.Before(latest) {
 		return soon
 	}
 	return latest
 }
 
-// set publishes which halls are closed. Those that were closed before keep their deadline.
-// The mutex is held.
-func (h *Halls) set(closed map[string]bool, closeBy func(hall string) time.Time) {
-	held := h.View()
+// publish publishes which halls are closed. Halls that were closed before keep their deadline. The
+// mutex must be held.
+func (h *Halls) publish(closed map[string]bool, closeBy func(hall string) time.Time) {
+	current := h.View()
 	next := &HallView{closeBy: make(map[string]time.Time), openedAt: make(map[string]time.Time)}
-	for hall, at := range held.openedAt {
+	for hall, at := range current.openedAt {
 		next.openedAt[hall] = at
 	}
 	changed := false
 	for hall, isClosed := range closed {
-		before, was := held.closeBy[hall]
+		deadline, wasClosed := current.closeBy[hall]
 		switch {
-		case isClosed && was:
-			next.closeBy[hall] = before
+		case isClosed && wasClosed:
+			next.closeBy[hall] = deadline
 		case isClosed:
 			next.closeBy[hall] = closeBy(hall)
 			changed = true
-		case was:
+		case wasClosed:
 			next.openedAt[hall] = time.Now()
 			changed = true
 		}
--- a/fleet/halls_test.go
+++ b/fleet/halls_test.go
@@ -23,9 +23,9 @@
 
 func TestHallClosesWithinTheBound(t *testing.T) {
 	tests := map[string]struct {
-		// unread is for how long nothing had been read when the news came.
+		// unread is the time since the last read when the hall was found closed.
 		unread time.Duration
-		// closes is how long after the news the hall takes nothing more.
+		// closes is how long after that the hall stops to take requests.
 		closes time.Duration
 	}{
 		"read often":                    {unread: 300 * time.Millisecond, closes: 2500 * time.Millisecond},
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestClosedHallIsClosedAtOnceAfterAStart(t *testing.T) {
+func TestClosedHallIsClosedImmediatelyAfterStart(t *testing.T) {
 	h := NewHalls(emptyWithin)
 	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 7, time.Now())
 	assert.Equal(t, h.View().State("a", time.Now()), HallClosed)
@@ -68,19 +68,19 @@
 		assert.Assert(t, h.View().OpenedAt("b").IsZero())
 		time.Sleep(time.Second)
 		h.Take(HallNews{Whole: true}, 9, time.Now())
-		assert.Equal(t, h.View().State("b", time.Now()), HallOpen, "a whole list without it opens a hall")
+		assert.Equal(t, h.View().State("b", time.Now()), HallOpen, "a complete list without the hall opens it")
 		assert.Assert(t, h.View().AllOpen())
 	})
 }
 
-func TestUnclearEntryLeavesAHallAsItWas(t *testing.T) {
+func TestInvalidEntryKeepsHallState(t *testing.T) {
 	h := NewHalls(emptyWithin)
 	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 2, time.Now())
 	h.Take(HallNews{Whole: true, Unclear: []string{"a", "b"}}, 3, time.Now())
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 }
 
-func TestOlderNewsOfHallsIsIgnored(t *testing.T) {
+func TestOlderHallUpdatesAreIgnored(t *testing.T) {
 	h := NewHalls(emptyWithin)
 	h.Take(closing("a"), 5, time.Now())
 	h.Take(opening("a"), 4, time.Now())
@@ -90,9 +90,9 @@
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 }
 
-// TestPeersCloseAHallTogether: who hears of it from a peer closes it when the peer does,
-// give or take the way; nonsense in a report never keeps it open for longer than the bound.
-func TestPeersCloseAHallTogether(t *testing.T) {
+// TestPeersCloseHallAtTheSameTime checks that a daemon that learns of a closed hall from a peer closes
+// it at the same time, and that an invalid report never keeps the hall open beyond the bound.
+func TestPeersCloseHallAtTheSameTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := NewHalls(emptyWithin), NewHalls(emptyWithin), NewHalls(emptyWithin)
 		first.Take(HallNews{Whole: true}, 1, time.Now())
@@ -109,60 +109,60 @@
 	})
 }
 
-// hallPlay is an operator and daemons that read its words, or hear of them, now and then.
-type hallPlay struct {
-	closed   map[string]bool
-	changed  map[string]time.Time
-	words    []HallChange
-	daemons  []*Halls
-	readTo   []int
-	learntAt []time.Time
+// hallSimulation simulates an operator and daemons that read the operator's commands or receive reports.
+type hallSimulation struct {
+	closed    map[string]bool
+	changed   map[string]time.Time
+	commands  []HallChange
+	daemons   []*Halls
+	readTo    []int
+	updatedAt []time.Time
 }
 
-func newHallPlay(daemons int) *hallPlay {
-	p := &hallPlay{closed: make(map[string]bool), changed: make(map[string]time.Time)}
+func newHallSimulation(daemons int) *hallSimulation {
+	p := &hallSimulation{closed: make(map[string]bool), changed: make(map[string]time.Time)}
 	for range daemons {
 		h := NewHalls(emptyWithin)
 		h.Take(HallNews{Whole: true}, 1, time.Now())
 		p.daemons = append(p.daemons, h)
-		p.readTo, p.learntAt = append(p.readTo, 0), append(p.learntAt, time.Now())
+		p.readTo, p.updatedAt = append(p.readTo, 0), append(p.updatedAt, time.Now())
 	}
 	return p
 }
 
 // toggle closes an open hall, or opens a closed one.
-func (p *hallPlay) toggle(hall string) {
+func (p *hallSimulation) toggle(hall string) {
 	p.closed[hall], p.changed[hall] = !p.closed[hall], time.Now()
-	p.words = append(p.words, HallChange{Hall: hall, Closed: p.closed[hall]})
+	p.commands = append(p.commands, HallChange{Hall: hall, Closed: p.closed[hall]})
 }
 
-// read lets a daemon read what is new.
-func (p *hallPlay) read(daemon int) {
-	p.daemons[daemon].Take(HallNews{Changes: slices.Clone(p.words[p.readTo[daemon]:])}, int64(len(p.words)+1), time.Now())
-	p.readTo[daemon], p.learntAt[daemon] = len(p.words), time.Now()
+// read lets a daemon read the new commands.
+func (p *hallSimulation) read(daemon int) {
+	p.daemons[daemon].Take(HallNews{Changes: slices.Clone(p.commands[p.readTo[daemon]:])}, int64(len(p.commands)+1), time.Now())
+	p.readTo[daemon], p.updatedAt[daemon] = len(p.commands), time.Now()
 }
 
-// hear lets a daemon hear another one.
-func (p *hallPlay) hear(daemon, from int) {
+// receiveReport lets a daemon receive the report of another one.
+func (p *hallSimulation) receiveReport(daemon, from int) {
 	p.daemons[daemon].Follow(p.daemons[from].Report(time.Now()), time.Now())
 	if p.readTo[from] < p.readTo[daemon] {
 		return
 	}
 	p.readTo[daemon] = p.readTo[from]
-	if p.learntAt[from].After(p.learntAt[daemon]) {
-		p.learntAt[daemon] = p.learntAt[from]
+	if p.updatedAt[from].After(p.updatedAt[daemon]) {
+		p.updatedAt[daemon] = p.updatedAt[from]
 	}
 }
 
-// late returns the daemon and hall that are not closed though the daemon learnt after the
-// operator's word and the bound has passed; nothing if all is well.
-func (p *hallPlay) late() string {
+// overdue returns a daemon and a hall that is still not closed although the bound has passed and the
+// daemon was updated after the command; it is empty if there is none.
+func (p *hallSimulation) overdue() string {
 	for hall, closed := range p.closed {
 		if !closed || time.Since(p.changed[hall]) <= emptyWithin {
 			continue
 		}
 		for i, h := range p.daemons {
-			if p.learntAt[i].After(p.changed[hall]) && h.View().State(hall, time.Now()) != HallClosed {
+			if p.updatedAt[i].After(p.changed[hall]) && h.View().State(hall, time.Now()) != HallClosed {
 				return fmt.Sprint(i, hall)
 			}
 		}
@@ -170,9 +170,9 @@
 	return ""
 }
 
-// settled lets all daemons read, and returns a hall of which one of them holds another
-// state than the operator after the bound.
-func (p *hallPlay) settled() string {
+// disagreement lets all daemons read, waits for the bound, and returns a daemon and a hall whose state
+// is not what the operator set; it is empty if there is none.
+func (p *hallSimulation) disagreement() string {
 	for i := range p.daemons {
 		p.read(i)
 	}
@@ -187,14 +187,13 @@
 	return ""
 }
 
-// TestHallsAgree: whatever daemons read or hear, in any order and with gaps, none keeps a
-// hall open longer than the bound after the operator's word as long as it reads or hears
-// within that time, and all agree in the end.
+// TestHallsAgree checks that, in any order of reads and reports, no daemon that is updated within
+// the bound keeps a hall open for longer, and that all daemons agree in the end.
 func TestHallsAgree(outer *testing.T) {
 	const daemons = 3
 	rapid.Check(outer, func(t *rapid.T) {
 		synctest.Test(outer, func(*testing.T) {
-			p := newHallPlay(daemons)
+			p := newHallSimulation(daemons)
 			who := rapid.IntRange(0, daemons-1)
 			for range rapid.IntRange(1, 30).Draw(t, "steps") {
 				time.Sleep(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
@@ -204,16 +203,16 @@
 				case 1:
 					p.read(who.Draw(t, "daemon"))
 				case 2:
-					p.hear(who.Draw(t, "daemon"), who.Draw(t, "from"))
+					p.receiveReport(who.Draw(t, "daemon"), who.Draw(t, "from"))
 				}
-				assert.Equal(t, p.late(), "")
+				assert.Equal(t, p.overdue(), "")
 			}
-			assert.Equal(t, p.settled(), "")
+			assert.Equal(t, p.disagreement(), "")
 		})
 	})
 }
 
-func TestColdWorkersWarmUp(t *testing.T) {
+func TestColdUntil(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := NewInventory(1200*time.Millisecond, 0)
 		i.Apply([]Change{{ID: "h", Worker: &Worker{ID: "h", Service: "s", ColdLeft: 3000}}}, 1, time.Now())
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -7,180 +7,178 @@
 	"time"
 )
 
-// Change is one step of the worker list.
+// Change is the addition, update or removal of one worker in the list.
 type Change struct {
 	ID string `json:"id"`
-	// Worker is nil when the worker is no longer listed.
+	// Worker is nil if the worker was removed.
 	Worker *Worker `json:"worker,omitempty"`
-	// OfHead tells that the worker is a head, or was one until this change, once an inventory
-	// has taken it.
+	// OfHead is set by the inventory if the worker is a head, or was one before the change.
 	OfHead bool `json:"-"`
 }
 
-// Announcement is a leader's word about a group that the list may not show yet.
+// Announcement is a leader's decision about a group, sent ahead of the worker list.
 type Announcement struct {
 	Group   string `json:"group"`
 	Epoch   int64  `json:"epoch"`
 	Service string `json:"service"`
 	Model   string `json:"model"`
-	// Head is the member that takes the group's requests.
+	// Head is the member that receives the group's requests.
 	Head string `json:"head"`
-	// Open tells that the head takes requests; otherwise it must not get any.
+	// Open says that the head takes requests; otherwise it must not receive any.
 	Open bool `json:"open"`
 }
 
-// heldAnnouncement is an announcement that the list has not overtaken.
-type heldAnnouncement struct {
+// pendingAnnouncement is an announcement that the list has not superseded yet.
+type pendingAnnouncement struct {
 	Announcement
-	// forgetAt is when a closed group that no worker shows is forgotten.
-	forgetAt time.Time
+	// expiresAt is when the announcement expires if the list does not show the head.
+	expiresAt time.Time
 }
 
-// Inventory holds the workers as they are listed. It is safe for concurrent use.
+// Inventory holds the listed workers. It is safe for concurrent use.
 type Inventory struct {
-	mu        sync.Mutex
-	workers   map[string]*Worker
-	announced map[string]heldAnnouncement
-	position  int64
-	// scope is which workers are to be held, partial tells that only heads are.
+	mu            sync.Mutex
+	workers       map[string]*Worker
+	announcements map[string]pendingAnnouncement
+	position      int64
+	// scope is which workers are requested; headsOnly is set while only heads are held.
 	scope     Scope
-	partial   bool
+	headsOnly bool
 	confirmed time.Time
 	view      atomic.Pointer[View]
 	journal   []batch
-	decided   decisions
+	decisions decisionLog
 	changed   chan struct{}
-	// news receives when there is something new to pass on to peers.
-	news chan struct{}
-	// doubtFor is how long an entry that went right after an outage is doubted.
-	doubtFor time.Duration
-	// knownSince is when the first list was taken.
-	knownSince time.Time
-	// outageEnd is when the list was last regained after an outage.
+	// peerUpdates receives when there is something new to send to peers.
+	peerUpdates chan struct{}
+	// lapseGrace is how long a worker is kept whose entry disappeared right after an outage.
+	lapseGrace time.Duration
+	// firstListAt is when the first list was applied.
+	firstListAt time.Time
+	// outageEnd is when the list became available again after the last outage.
 	outageEnd time.Time
-	// lapsed holds the workers whose entries went right after an outage, with
-	// until when they count as listed all the same.
-	lapsed map[string]time.Time
+	// toleratedUntil holds the workers whose entries disappeared right after an outage, with the time until
+	// which they still count as listed.
+	toleratedUntil map[string]time.Time
 }
 
 const (
-	// outageAfter is how long the list must not have been confirmed for an outage.
-	outageAfter = 1600 * time.Millisecond
-	// lapseWindow is how long after an outage entries that go are doubted: they
-	// may have run out because their workers could not write either.
+	// outageThreshold is the time without a confirmation of the list that counts as an outage.
+	outageThreshold = 1600 * time.Millisecond
+	// lapseWindow is how long after an outage a missing entry may have expired only because its
+	// worker could not write either.
 	lapseWindow = 2500 * time.Millisecond
-	// lapseBeats is how many heartbeats such a worker has to write again, if
-	// the bound on leaving workers allows, less leaveMargin.
-	lapseBeats  = 3
-	leaveMargin = 300 * time.Millisecond
+	// lapseHeartbeats is how many heartbeats such a worker has to write again. The time is limited to
+	// the maximum for leaving workers less leaveMargin.
+	lapseHeartbeats = 3
+	leaveMargin     = 300 * time.Millisecond
 )
 
-// closedFor is how long a closed group is remembered that no worker shows: longer
-// than its members are usually cut off.
-const closedFor = 30 * time.Second
+// closedRetention is how long a closed group without listed workers is remembered: longer than its
+// members are usually disconnected.
+const closedRetention = 30 * time.Second
 
-// maxJournal is how many batches of changes are kept for peers.
-const maxJournal = 256
+// maxJournalBatches is how many batches of changes are kept for peers.
+const maxJournalBatches = 256
 
-// batch is the changes that led from one position to another.
+// batch holds the changes between two positions.
 type batch struct {
 	from, to int64
 	changes  []Change
 	exact    bool
-	// heads tells that only the changes of heads are among them.
-	heads bool
+	// headsOnly is set if the batch holds the changes of heads only.
+	headsOnly bool
 }
 
-// NewInventory returns an inventory without workers, which write to the list
-// at every heartbeat. A worker that left the list must get no more requests
-// after leaveBound; zero means that there is no such bound. An outage may have
-// been this daemon's alone, so entries are never doubted for longer.
+// NewInventory returns an empty inventory of workers that write to the list at every heartbeat. A
+// worker that left the list must get no more requests after leaveBound, so missing entries are
+// never tolerated for longer; zero means no such limit.
 func NewInventory(heartbeat, leaveBound time.Duration) *Inventory {
-	doubtFor := lapseBeats * heartbeat
+	lapseGrace := lapseHeartbeats * heartbeat
 	if leaveBound > 0 {
-		doubtFor = min(doubtFor, max(leaveBound-leaveMargin, 0))
+		lapseGrace = min(lapseGrace, max(leaveBound-leaveMargin, 0))
 	}
 	i := &Inventory{
-		doubtFor: doubtFor, lapsed: make(map[string]time.Time),
-		workers: make(map[string]*Worker), announced: make(map[string]heldAnnouncement),
-		changed: make(chan struct{}, 1), news: make(chan struct{}, 1),
+		lapseGrace: lapseGrace, toleratedUntil: make(map[string]time.Time),
+		workers: make(map[string]*Worker), announcements: make(map[string]pendingAnnouncement),
+		changed: make(chan struct{}, 1), peerUpdates: make(chan struct{}, 1),
 	}
 	i.view.Store(newView(nil, nil))
 	return i
 }
 
-// View returns the workers and replicas as last known.
+// View returns the last known workers and replicas.
 func (i *Inventory) View() *View { return i.view.Load() }
 
-// Changed receives after changes; several may be joined into one.
+// Changed receives after changes. Several changes may be combined into one signal.
 func (i *Inventory) Changed() <-chan struct{} { return i.changed }
 
-// News receives after changes and decisions that peers may lack; several may be
-// joined into one.
-func (i *Inventory) News() <-chan struct{} { return i.news }
+// News receives after changes and decisions that peers may lack. Several may be combined into one
+// signal.
+func (i *Inventory) News() <-chan struct{} { return i.peerUpdates }
 
-// Position returns one past the offset of the newest change applied.
+// Position returns the position after the newest change applied.
 func (i *Inventory) Position() int64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.position
 }
 
-// KnownSince returns when the first list was taken; the zero time before.
+// KnownSince returns when the first list was applied, or the zero time.
 func (i *Inventory) KnownSince() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.knownSince
+	return i.firstListAt
 }
 
-// Confirmed returns when the newest successful read of the list was sent.
+// Confirmed returns the latest time at which the list is known to have been the newest.
 func (i *Inventory) Confirmed() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.confirmed
 }
 
-// Replace takes a whole list, as changes from an empty one, which reaches up to position and was asked for
-// at sent. A list older than what is held is ignored, unless it is awaited and the changes
-// since were all followed: a list that changes while it is read is behind by then.
+// Replace applies a whole list that was requested at sent and is complete up to position. A list
+// older than the current one is ignored, unless a whole list is needed and all later changes are in
+// the journal: a list that changes while it is read is outdated by then.
 func (i *Inventory) Replace(all []Change, position int64, sent time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if position < i.position {
-		since, ok := i.journaled(position)
-		if !ok || since.Heads || !i.awaitsList() {
+		since, ok := i.journalSince(position)
+		if !ok || since.Heads || !i.needsList() {
 			return
 		}
 		all, position = slices.Concat(all, since.Changes), i.position
 	}
-	i.partial = i.scope == HeadsOnly
-	i.replace(all, position, sent)
+	i.headsOnly = i.scope == HeadsOnly
+	i.replaceList(all, position, sent)
 }
 
-// replace takes a list. The mutex is held.
-func (i *Inventory) replace(all []Change, position int64, sent time.Time) {
-	i.noteOutage(sent)
+// replaceList applies a list. The mutex must be held.
+func (i *Inventory) replaceList(all []Change, position int64, sent time.Time) {
+	i.detectOutage(sent)
 	held := i.workers
-	copied := i.position > 0 && EraOf(position) > EraOf(i.position)
-	if copied {
-		// What was lost with the store's last seconds comes again; until then it is doubted.
+	restored := i.position > 0 && EraOf(position) > EraOf(i.position)
+	if restored {
+		// Entries lost by the restore are written again. Until then missing entries are tolerated.
 		i.outageEnd = time.Now()
 	}
 	i.workers = make(map[string]*Worker, len(all))
 	for _, c := range all {
-		if c.Worker == nil || !i.keeps(c.Worker) {
+		if c.Worker == nil || !i.isInScope(c.Worker) {
 			delete(i.workers, c.ID)
 			continue
 		}
-		i.workers[c.ID] = c.Worker.following(held[c.ID])
-		if h, ok := held[c.ID]; copied && ok && c.Worker.isOlderThan(h) {
-			// A worker that said that it leaves has still said so.
+		i.workers[c.ID] = c.Worker.mergedWith(held[c.ID])
+		if h, ok := held[c.ID]; restored && ok && c.Worker.isOlderThan(h) {
+			// A worker that announced that it leaves does not return.
 			i.workers[c.ID] = h
 		}
-		delete(i.lapsed, c.ID)
+		delete(i.toleratedUntil, c.ID)
 	}
 	for id, w := range held {
-		if _, listed := i.workers[id]; !listed && i.lapses(id) {
+		if _, listed := i.workers[id]; !listed && i.tolerateMissing(id) {
 			i.workers[id] = w
 		}
 	}
@@ -189,66 +187,66 @@
 	i.publish()
 }
 
-// Take takes what a read that was sent at a time brought. A read that brought nothing
-// confirms what is held.
+// Take applies the result of a read that was sent at the given time. An empty result confirms the
+// current list.
 func (i *Inventory) Take(d Delta, sent time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.take(d.counted(), sent)
+	i.applyDelta(d.withExactness(), sent)
 }
 
-// TakePart takes a part of what there was as a read was sent at a time. It confirms nothing:
-// what follows may take workers away.
-func (i *Inventory) TakePart(d Delta, sent time.Time) {
+// ApplyPart applies part of the changes that were available when a read was sent. It confirms
+// nothing, since the remaining changes may remove workers.
+func (i *Inventory) ApplyPart(d Delta, sent time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.noteOutage(sent)
-	i.take(d.counted(), time.Time{})
+	i.detectOutage(sent)
+	i.applyDelta(d.withExactness(), time.Time{})
 }
 
-// Apply takes changes that lead from what is held to a position, by a read that was
-// sent at a time.
+// Apply applies changes that lead from the current position to the given one, returned by a read
+// that was sent at the given time.
 func (i *Inventory) Apply(changes []Change, position int64, sent time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.take(Delta{From: i.position, To: position, Changes: changes}.counted(), sent)
+	i.applyDelta(Delta{From: i.position, To: position, Changes: changes}.withExactness(), sent)
 }
 
-func (i *Inventory) take(d Delta, sent time.Time) {
+func (i *Inventory) applyDelta(d Delta, sent time.Time) {
 	if d.To < i.position {
 		return
 	}
-	d = d.after(i.position)
+	d = d.since(i.position)
 	changes, position := d.Changes, d.To
-	i.noteOutage(sent)
+	i.detectOutage(sent)
 	i.markHeads(changes)
 	if len(changes) > 0 || d.Heads {
-		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, exact: d.Exact, heads: d.Heads})
-		i.journal = i.journal[max(len(i.journal)-maxJournal, 0):]
+		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, exact: d.Exact, headsOnly: d.Heads})
+		i.journal = i.journal[max(len(i.journal)-maxJournalBatches, 0):]
 	}
 	for _, c := range changes {
 		if c.Worker == nil {
-			if _, held := i.workers[c.ID]; held && !i.lapses(c.ID) {
+			if _, held := i.workers[c.ID]; held && !i.tolerateMissing(c.ID) {
 				delete(i.workers, c.ID)
 			}
 			continue
 		}
-		delete(i.lapsed, c.ID)
-		if !i.keeps(c.Worker) {
+		delete(i.toleratedUntil, c.ID)
+		if !i.isInScope(c.Worker) {
 			delete(i.workers, c.ID)
 			continue
 		}
-		i.workers[c.ID] = c.Worker.following(i.workers[c.ID])
+		i.workers[c.ID] = c.Worker.mergedWith(i.workers[c.ID])
 	}
 	i.advance(position, sent)
-	if i.endLapses() || len(changes) > 0 {
+	if i.expireTolerated() || len(changes) > 0 {
 		i.publish()
 	}
 }
 
-// Since returns the changes that lead from a position to the current one, for
-// a peer. They may begin earlier, which does no harm: all of them are taken in
-// their order. Whole tells that they are the whole list instead.
+// Since returns the changes from a position to the current one, for a peer. They may start at an
+// earlier position; applying changes again in order is harmless. If whole is set, they are the
+// whole list instead.
 func (i *Inventory) Since(from int64) (d Delta, whole bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -256,7 +254,7 @@
 	if from == i.position {
 		return d, false
 	}
-	if held, ok := i.journaled(from); ok {
+	if held, ok := i.journalSince(from); ok {
 		return held, false
 	}
 	for id, w := range i.workers {
@@ -265,9 +263,9 @@
 	return d, true
 }
 
-// journaled returns the changes that led from a position, or from an earlier one, to the
-// current one, and false where they are not kept. The mutex is held.
-func (i *Inventory) journaled(from int64) (d Delta, ok bool) {
+// journalSince returns the changes from a position, or from an earlier one, to the current one, and
+// false if the journal does not reach back that far. The mutex must be held.
+func (i *Inventory) journalSince(from int64) (d Delta, ok bool) {
 	first := slices.IndexFunc(i.journal, func(b batch) bool { return b.from <= from && from < b.to })
 	if first < 0 {
 		return d, false
@@ -275,70 +273,69 @@
 	d = Delta{From: i.journal[first].from, To: i.position, Exact: true}
 	for _, b := range i.journal[first:] {
 		d.Changes = append(d.Changes, b.changes...)
-		d.Exact, d.Heads = d.Exact && b.exact, d.Heads || b.heads
+		d.Exact, d.Heads = d.Exact && b.exact, d.Heads || b.headsOnly
 	}
 	return d, true
 }
 
-// Follow takes a peer's newest changes, which were known to be the newest at
-// the given time, if they join on to what is held. Changes that are held
-// already do no harm, since all of them are taken in their order.
+// Follow applies a peer's newest changes, which were confirmed at the given time, if they continue
+// from the current position. They may overlap with changes that have been applied, since all are
+// applied in order.
 func (i *Inventory) Follow(d Delta, at time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if d.Heads && !i.partial {
-		// The changes of the other workers would be missed.
+	if d.Heads && !i.headsOnly {
+		// The changes of other workers would be missed.
 		return
 	}
 	if d.From <= i.position && i.position < d.To {
-		i.take(d, at)
+		i.applyDelta(d, at)
 	}
 }
 
-// Confirm notes that the list up to position is known, by a peer's report, to
-// have been the newest at the given time. Whoever holds later changes too held the
-// newest list of that time as well: while the list changes all the time, the position
-// of a heartbeat is seldom the one held.
+// Confirm notes that a peer reported the list up to position as the newest at the given time. A
+// later list includes it, so the confirmation also counts if this daemon is ahead of the report, as
+// it usually is while the list changes continuously.
 func (i *Inventory) Confirm(position int64, at time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if position <= i.position && i.position > 0 && at.After(i.confirmed) {
-		i.noteOutage(at)
+		i.detectOutage(at)
 		i.confirmed = at
 	}
-	if i.endLapses() {
+	if i.expireTolerated() {
 		i.publish()
 	}
 }
 
-// announce takes a leader's decisions about groups. The mutex is held.
+// announce records a leader's decisions about groups. The mutex must be held.
 func (i *Inventory) announce(all []Announcement, now time.Time) {
-	news := false
+	changed := false
 	for _, a := range all {
-		held, ok := i.announced[a.Group]
+		held, ok := i.announcements[a.Group]
 		if ok && (held.Epoch > a.Epoch || held.Open == a.Open || !held.Open) {
-			// A group that was closed never opens again.
+			// A closed group never opens again.
 			continue
 		}
-		i.announced[a.Group] = heldAnnouncement{Announcement: a, forgetAt: now.Add(closedFor)}
-		news = true
+		i.announcements[a.Group] = pendingAnnouncement{Announcement: a, expiresAt: now.Add(closedRetention)}
+		changed = true
 	}
-	if news {
+	if changed {
 		i.publish()
 	}
 }
 
-// Slept notes that the machine was suspended for a while, which the steady clock does not
-// count: the list is so much older.
-func (i *Inventory) Slept(asleep time.Duration) {
+// Slept accounts for a suspension of the machine, which the monotonic clock does not count: the
+// last confirmation becomes that much older.
+func (i *Inventory) Slept(suspended time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !i.confirmed.IsZero() {
-		i.confirmed = i.confirmed.Add(-asleep)
+		i.confirmed = i.confirmed.Add(-suspended)
 	}
 }
 
-// Leave notes that a life of a worker said elsewhere than in the list that it leaves.
+// Leave marks a worker as leaving if the given process of it announced so other than in the list.
 func (i *Inventory) Leave(worker string, born int64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -356,38 +353,38 @@
 func (i *Inventory) Closed(group string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	a, ok := i.announced[group]
+	a, ok := i.announcements[group]
 	return ok && !a.Open
 }
 
-// noteOutage notes the end of an outage if the list was not confirmed for long.
-func (i *Inventory) noteOutage(sent time.Time) {
-	if !i.confirmed.IsZero() && sent.Sub(i.confirmed) > outageAfter {
+// detectOutage records the end of an outage if the last confirmation is too old.
+func (i *Inventory) detectOutage(sent time.Time) {
+	if !i.confirmed.IsZero() && sent.Sub(i.confirmed) > outageThreshold {
 		i.outageEnd = time.Now()
 	}
 }
 
-// lapses reports whether an entry that went is doubted, so that its worker
-// still counts as listed for a while.
-func (i *Inventory) lapses(id string) bool {
+// tolerateMissing reports whether a missing entry is tolerated, so that its worker still counts as listed
+// for a while.
+func (i *Inventory) tolerateMissing(id string) bool {
 	now := time.Now()
-	if until, ok := i.lapsed[id]; ok {
+	if until, ok := i.toleratedUntil[id]; ok {
 		return now.Before(until)
 	}
 	if i.outageEnd.IsZero() || now.Sub(i.outageEnd) > lapseWindow {
 		return false
 	}
-	i.lapsed[id] = now.Add(i.doubtFor)
+	i.toleratedUntil[id] = now.Add(i.lapseGrace)
 	return true
 }
 
-// endLapses removes the workers that did not write again in time, and reports
-// whether there were any.
-func (i *Inventory) endLapses() bool {
+// expireTolerated removes the workers that did not write again in time, and reports whether there were
+// any.
+func (i *Inventory) expireTolerated() bool {
 	now, ended := time.Now(), false
-	for id, until := range i.lapsed {
+	for id, until := range i.toleratedUntil {
 		if now.After(until) {
-			delete(i.lapsed, id)
+			delete(i.toleratedUntil, id)
 			delete(i.workers, id)
 			ended = true
 		}
@@ -397,46 +394,45 @@
 
 func (i *Inventory) advance(position int64, sent time.Time) {
 	i.position = position
-	if i.knownSince.IsZero() {
-		i.knownSince = time.Now()
+	if i.firstListAt.IsZero() {
+		i.firstListAt = time.Now()
 	}
 	if sent.After(i.confirmed) {
 		i.confirmed = sent
 	}
 }
 
-// isOvertaken reports whether an announcement tells nothing more than the list. A
-// closed group is remembered while its head is not listed: one that was cut off
-// from the list comes back with the entry it had before, for a moment.
-func (i *Inventory) isOvertaken(a heldAnnouncement, now time.Time) bool {
+// isSuperseded reports whether the list supersedes an announcement. A closed group is remembered
+// while its head is not listed: a head that was disconnected from the list first returns with its
+// previous entry.
+func (i *Inventory) isSuperseded(a pendingAnnouncement, now time.Time) bool {
 	head, listed := i.workers[a.Head]
 	switch {
 	case listed && head.Member.Epoch > a.Epoch:
 		return true
 	case a.Open:
-		// Who holds heads alone learns of a new one when the list shows its group.
-		return !listed && (!i.partial || now.After(a.forgetAt))
+		// With heads alone a new head is unknown until the list shows its group.
+		return !listed && (!i.headsOnly || now.After(a.expiresAt))
 	case listed && head.Member.Epoch == a.Epoch:
 		return false
 	}
-	return now.After(a.forgetAt)
+	return now.After(a.expiresAt)
 }
 
-// publish makes the view anew and forgets announcements that the list has
-// overtaken.
+// publish stores a new view and drops the announcements that the list has superseded.
 func (i *Inventory) publish() {
 	now := time.Now()
-	for name, a := range i.announced {
-		if i.isOvertaken(a, now) {
-			delete(i.announced, name)
+	for name, a := range i.announcements {
+		if i.isSuperseded(a, now) {
+			delete(i.announcements, name)
 		}
 	}
-	i.view.Store(newView(i.workers, i.announced))
+	i.view.Store(newView(i.workers, i.announcements))
 	notify(i.changed)
-	notify(i.news)
+	notify(i.peerUpdates)
 }
 
-// notify makes a channel receive, unless it is about to anyway.
+// notify signals a channel unless a signal is already pending.
 func notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestClosedGroupsStayClosed: a worker that was cut off from the list comes back
-// with what it listed before, for a moment, though it has left that group since.
+// TestClosedGroupsStayClosed checks that a head that was disconnected from the list and returns
+// with its previous entry does not reopen its closed group.
 func TestClosedGroupsStayClosed(t *testing.T) {
 	tests := map[string]struct {
 		back Membership
@@ -80,21 +80,21 @@
 				i.Apply([]Change{{ID: "h", Worker: head("h", "g", 5, Open)}}, 1, time.Now())
 				i.Apply([]Change{{ID: "h"}}, 2, time.Now())
 				i.Decide(0, Announcement{Group: "g", Epoch: 5, Service: "s", Model: "m", Head: "h"})
-				time.Sleep(closedFor - time.Second)
+				time.Sleep(closedRetention - time.Second)
 				i.Apply([]Change{{ID: "h", Worker: head("h", test.back.Group, test.back.Epoch, test.back.State)}}, 3, time.Now())
 				assert.Equal(t, len(i.View().Replicas("s", "m")), test.want)
-				time.Sleep(closedFor)
+				time.Sleep(closedRetention)
 				i.Apply([]Change{{ID: "x", Worker: head("x", "", 0, "")}}, 4, time.Now())
 				assert.Equal(t, len(i.View().Replicas("s", "m")), test.want)
 				i.Apply([]Change{{ID: "h", Worker: head("h", "", 0, "")}}, 5, time.Now())
-				assert.Equal(t, len(i.announced), 0, "what is closed for long and not shown is forgotten")
+				assert.Equal(t, len(i.announcements), 0, "a closed group that is not listed is forgotten")
 			})
 		})
 	}
 }
 
-// TestModelIsRememberedAfterLeaving: a worker that left its group tells no
-// model, though it can take up the one it served without loading it again.
+// TestModelIsRememberedAfterLeaving checks that a worker which left its group, and reports no
+// model, still counts as having the model loaded.
 func TestModelIsRememberedAfterLeaving(t *testing.T) {
 	member, left := head("h", "g", 5, Open), head("h", "", 0, "")
 	left.Loaded = ""
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestPeersReachTheSameList draws changes and lets a second inventory follow
-// the first one, and a third one the second, by parts of what they lack, by all of it,
-// or by the whole list. No position may ever be beyond that of the first.
+// TestPeersReachTheSameList draws changes and lets a second inventory follow the first one, and a
+// third one the second, by some parts, by whole deltas or by whole lists. No position may exceed
+// that of the first.
 func TestPeersReachTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, relay := NewInventory(1200*time.Millisecond, 0), NewInventory(1200*time.Millisecond, 0)
@@ -142,8 +142,8 @@
 			now := time.Now()
 			switch step {
 			case 0, 1, 2:
-				// One read may bring several changes; entries that are not understood take
-				// positions without a change.
+				// A read may return several changes; invalid entries take positions without a
+				// change.
 				var changes []Change
 				for i := range rapid.IntRange(1, 6).Draw(t, "changes") {
 					id := fmt.Sprint((n + i) % 7)
@@ -174,7 +174,7 @@
 	})
 }
 
-// followSome lets a follower take some of the parts of what it lacks.
+// followSome delivers a random selection of the missing parts to a follower.
 func followSome(t *rapid.T, source, follower *Inventory, now time.Time) {
 	d, whole := source.Since(follower.Position())
 	if whole {
@@ -231,7 +231,7 @@
 	})
 }
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("down")
 
 // fakeSource publishes a configuration and fails while it is down.
 type fakeSource struct {
@@ -239,9 +239,9 @@
 	version int64
 	down    bool
 	lost    bool
-	// era is how often the source came back from a copy.
+	// era is how often the source was restored from a copy.
 	era int64
-	// refused tells that the newest configuration is not understood.
+	// refused is the error of the newest configuration, nil if it is valid.
 	refused error
 	calls   int
 	// lists counts the reads of whole lists.
@@ -263,13 +263,13 @@
 	defer s.mu.Unlock()
 	s.calls++
 	if s.down {
-		return ConfigNews{}, errDown
+		return ConfigNews{}, errUnavailable
 	}
 	if s.version == 0 {
 		return ConfigNews{}, nil
 	}
 	if s.refused != nil {
-		// The version before the newest one is understood.
+		// The version before the newest one is valid.
 		return ConfigNews{Config: NewConfig(Parts{Version: s.version - 1}), Refused: s.refused, Next: s.version}, nil
 	}
 	return ConfigNews{Config: NewConfig(Parts{Version: s.version}), Next: PositionOf(s.era, s.version)}, nil
@@ -292,14 +292,14 @@
 	case <-ctx.Done():
 	}
 	if down {
-		return ConfigNews{}, errDown
+		return ConfigNews{}, errUnavailable
 	}
 	return ConfigNews{Next: position}, nil
 }
 
 func (s *fakeSource) readWorkers(context.Context, string) (WorkerNews, error) {
 	s.set(func() { s.lists++ })
-	// An answer takes as long as the store's.
+	// This is how long an answer of the store takes.
 	time.Sleep(4 * time.Millisecond)
 	return WorkerNews{Next: 1, Changes: []Change{{ID: "w", Worker: head("w", "g", 1, Open)}}}, nil
 }
@@ -312,8 +312,8 @@
 	return WorkerNews{Next: position}, nil
 }
 
-// follow lets a follower read a source until the returned function is called.
-func follow(source *fakeSource, beliefs *Beliefs, inventory *Inventory) (stop func()) {
+// startFollower runs a follower of a source until the returned function is called.
+func startFollower(source *fakeSource, beliefs *Beliefs, inventory *Inventory) (stop func()) {
 	f := NewFollower(FollowerOptions{
 		Source: source.source(), Beliefs: beliefs, Inventory: inventory,
 		Reads: func(time.Time) bool { return true }, Logger: hclog.NewNullLogger(),
@@ -330,7 +330,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
-		stop := follow(source, beliefs, inventory)
+		stop := startFollower(source, beliefs, inventory)
 		time.Sleep(time.Second)
 		assert.Equal(t, beliefs.Version(), int64(3))
 		assert.Equal(t, len(inventory.View().Workers()), 1)
@@ -347,38 +347,37 @@
 	})
 }
 
-// TestConfigurationThatIsNotUnderstood stays out of force and is not taken for
-// the one in force either: it may have taken keys away.
-func TestConfigurationThatIsNotUnderstood(t *testing.T) {
+// TestInvalidConfigurationConfirmsNothing checks that an invalid configuration neither comes into
+// force nor confirms the one in force, since it may revoke keys.
+func TestInvalidConfigurationConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs := NewBeliefs()
-		stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
-		source.set(func() { source.version, source.refused = 5, errDown })
+		source.set(func() { source.version, source.refused = 5, errUnavailable })
 		time.Sleep(10 * time.Second)
 		behind, version := time.Since(beliefs.Confirmed()), beliefs.Version()
 		source.set(func() { source.version, source.refused = 6, nil })
 		time.Sleep(2 * time.Second)
 		fresh := time.Since(beliefs.Confirmed())
 		stop()
-		assert.Equal(t, version, int64(4), "the last good one")
-		assert.Assert(t, behind > 8*time.Second, "what is not understood confirms nothing")
+		assert.Equal(t, version, int64(4), "the last valid one")
+		assert.Assert(t, behind > 8*time.Second, "an invalid configuration confirms nothing")
 		assert.Equal(t, beliefs.Version(), int64(6))
 		assert.Assert(t, fresh < time.Second)
 	})
 }
 
-// TestFollowerWaitsForTheFirstConfiguration starts before the operator has
-// published anything.
+// TestFollowerWaitsForTheFirstConfiguration starts before the operator has published anything.
 func TestFollowerWaitsForTheFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{}
 		beliefs := NewBeliefs()
-		stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(10 * time.Second)
 		source.set(func() {
-			assert.Assert(t, source.calls <= 10, "%d calls for nothing", source.calls)
+			assert.Assert(t, source.calls <= 10, "%d calls without a configuration", source.calls)
 			source.version = 1
 		})
 		time.Sleep(3 * time.Second)
@@ -387,9 +386,9 @@
 	})
 }
 
-// TestDoubtEndsWithinTheBoundOnLeaving lets a daemon alone lose the list for a
-// while, and a worker leave right after it is back.
-func TestDoubtEndsWithinTheBoundOnLeaving(t *testing.T) {
+// TestMissingWorkerIsDroppedWithinLeaveBound checks that a worker which leaves right after an outage of
+// the list gets no more requests after the bound.
+func TestMissingWorkerIsDroppedWithinLeaveBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat, bound = 1200 * time.Millisecond, 2 * time.Second
 		i := NewInventory(heartbeat, bound)
@@ -407,24 +406,24 @@
 	})
 }
 
-func TestEntriesThatLapseInAnOutageAreDoubted(t *testing.T) {
+func TestMissingEntriesAreToleratedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat = time.Second
 		i := NewInventory(heartbeat, 0)
 		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}, {ID: "b", Worker: head("b", "h", 2, Open)}}, 2, time.Now())
 		time.Sleep(5 * time.Second)
 		i.Apply([]Change{{ID: "a"}, {ID: "b"}}, 4, time.Now())
-		assert.Equal(t, len(i.View().Replicas("s", "m")), 2, "right after an outage nobody is given up")
+		assert.Equal(t, len(i.View().Replicas("s", "m")), 2, "no worker is dropped right after an outage")
 		time.Sleep(heartbeat)
 		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}}, 5, time.Now())
-		for range lapseBeats {
+		for range lapseHeartbeats {
 			time.Sleep(heartbeat)
 			i.Confirm(5, time.Now())
 		}
 		_, listed := i.View().Worker("b")
-		assert.Assert(t, !listed, "who does not write again is gone")
+		assert.Assert(t, !listed, "a worker that does not write again is dropped")
 		i.Apply([]Change{{ID: "a"}}, 6, time.Now())
 		_, listed = i.View().Worker("a")
-		assert.Assert(t, !listed, "in calm times an entry that goes is believed")
+		assert.Assert(t, !listed, "a removed entry is dropped without an outage")
 	})
 }
--- a/fleet/leave_test.go
+++ b/fleet/leave_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLeave: a life of a worker that said that it leaves takes no more requests, whatever the
-// list tells of that life later; its next life does.
+// TestLeave checks that a worker process that announced that it leaves takes no more requests,
+// whatever the list reports of it later, and that its next process does.
 func TestLeave(t *testing.T) {
 	entry := func(born, beat int64, draining bool) *Worker {
 		return &Worker{ID: "w", Service: "plain", Born: born, Beat: beat, Draining: draining}
--- a/fleet/position.go
+++ b/fleet/position.go
@@ -1,12 +1,12 @@
 package fleet
 
-// A position tells how far something published is known: the offset in its log, and the era of
-// the store that gave the offset. A store that comes back from a copy begins a new era, in
-// which offsets of the one before are given out again. Positions are compared as a pair, the
-// era first, so both are one whole number: offsets take the lower bits. A source without eras
-// has the era 0, and its positions are its offsets.
+// A position combines the offset in a published log with the era of the store that assigned the
+// offset. A store that is restored from a copy begins a new era, in which it assigns offsets of the
+// previous one again. Positions are compared by era first, then by offset, so both are kept in one
+// integer with the offset in the lower bits. A source without eras has era 0, and its positions
+// equal its offsets.
 const (
-	// offsetBits leaves room for 10^12 records: at 10,000 a second three years.
+	// offsetBits leaves room for 10^12 records, or three years at 10,000 per second.
 	offsetBits = 40
 	offsetMask = 1<<offsetBits - 1
 	// MaxEra is the highest era that a position can hold.
@@ -16,7 +16,7 @@
 // PositionOf returns the position of an offset in an era.
 func PositionOf(era, offset int64) int64 { return era<<offsetBits | offset&offsetMask }
 
-// EraOf returns the era of a position; 0 for a negative one, which stands for none.
+// EraOf returns the era of a position, or 0 for a negative one, which means no position.
 func EraOf(position int64) int64 { return max(position, 0) >> offsetBits }
 
 // OffsetOf returns the offset of a position.
--- a/fleet/scope.go
+++ b/fleet/scope.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Scope is which workers an inventory holds.
+// Scope says which workers an inventory holds.
 type Scope int
 
 // The scopes.
 const (
-	// AllWorkers is what a leader needs, and those that may follow it soon.
+	// AllWorkers is needed by leaders and by daemons that may become leader soon.
 	AllWorkers Scope = iota
-	// HeadsOnly is the workers that requests can go to: enough to serve. Of 3,064 workers
-	// these are some 500, and most changes of the list are none of theirs.
+	// HeadsOnly covers the workers that requests can be sent to, which is enough to serve requests.
+	// They are a small part of all workers, and most changes of the list do not concern them.
 	HeadsOnly
 )
 
-// SetScope decides which workers are held from now on. Those that a wider scope lacks come
-// with the next whole list.
+// SetScope sets which workers are held. Workers missing from a wider scope are added with the next
+// whole list.
 func (i *Inventory) SetScope(s Scope) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -23,10 +23,10 @@
 		return
 	}
 	i.scope = s
-	if s == AllWorkers || i.partial {
+	if s == AllWorkers || i.headsOnly {
 		return
 	}
-	i.partial = true
+	i.headsOnly = true
 	for id, w := range i.workers {
 		if !w.isHead() {
 			delete(i.workers, id)
@@ -35,46 +35,46 @@
 	i.publish()
 }
 
-// Complete reports whether all workers are held that the list shows.
+// Complete reports whether all listed workers are held.
 func (i *Inventory) Complete() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return !i.partial && !i.confirmed.IsZero()
+	return !i.headsOnly && !i.confirmed.IsZero()
 }
 
-// AwaitsList reports whether a whole list is needed: only heads are held, and that is too
-// few.
+// AwaitsList reports whether a whole list is needed, because only heads are held but all workers
+// are requested.
 func (i *Inventory) AwaitsList() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.awaitsList()
+	return i.needsList()
 }
 
-func (i *Inventory) awaitsList() bool { return i.partial && i.scope == AllWorkers }
+func (i *Inventory) needsList() bool { return i.headsOnly && i.scope == AllWorkers }
 
-// Wants returns the scope that is to be asked for.
+// Wants returns the scope to request from peers.
 func (i *Inventory) Wants() Scope {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.scope
 }
 
-// ReplaceHeads takes a list of all heads from a peer, as Replace does a whole list. A
-// complete list is not replaced by it.
+// ReplaceHeads applies a peer's list of all heads, as Replace does a whole list. It never replaces
+// a complete list.
 func (i *Inventory) ReplaceHeads(all []Change, position int64, at time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if position < i.position || !i.partial && i.scope == AllWorkers && !i.confirmed.IsZero() {
+	if position < i.position || !i.headsOnly && i.scope == AllWorkers && !i.confirmed.IsZero() {
 		return
 	}
-	i.partial = true
-	i.replace(all, position, at)
+	i.headsOnly = true
+	i.replaceList(all, position, at)
 }
 
-// keeps reports whether a worker is held. The mutex is held.
-func (i *Inventory) keeps(w *Worker) bool { return !i.partial || w.isHead() }
+// isInScope reports whether the inventory holds a worker. The mutex must be held.
+func (i *Inventory) isInScope(w *Worker) bool { return !i.headsOnly || w.isHead() }
 
-// markHeads notes which changes matter to those that hold heads alone. The mutex is held.
+// markHeads sets OfHead on the changes that concern heads. The mutex must be held.
 func (i *Inventory) markHeads(changes []Change) {
 	heads := make(map[string]bool)
 	for n, c := range changes {
@@ -87,8 +87,7 @@
 	}
 }
 
-// HeadsSince returns, as Since does, what leads from a position to the current one for a
-// peer that holds heads alone.
+// HeadsSince is like Since for a peer that holds heads only.
 func (i *Inventory) HeadsSince(from int64) (d Delta, whole bool) {
 	d, whole = i.Since(from)
 	heads := Delta{From: d.From, To: d.To, Heads: true}
@@ -100,16 +99,16 @@
 	return heads, whole
 }
 
-// SplitHeads returns the changes of heads in parts of a bounded number, as Split does. Parts
-// without changes tell the position alone.
-func (d Delta) SplitHeads(most int) ([]Delta, bool) {
+// SplitHeads divides the changes of heads into parts of at most the given number, as Split does.
+// There is always at least one part; it may hold no changes and only advance the position.
+func (d Delta) SplitHeads(limit int) ([]Delta, bool) {
 	var parts []Delta
 	part := Delta{From: d.From, Heads: true}
 	for n, c := range d.Changes {
 		if !c.OfHead {
 			continue
 		}
-		if len(part.Changes) == most {
+		if len(part.Changes) == limit {
 			if !d.Exact {
 				return nil, false
 			}
--- a/fleet/scope_test.go
+++ b/fleet/scope_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawnWorker returns a worker of a group, its head or not, or one of none.
-func drawnWorker(t *rapid.T, id string, epoch int64) *Worker {
+// drawWorker returns the head or another member of a group, or a worker without a group.
+func drawWorker(t *rapid.T, id string, epoch int64) *Worker {
 	states := []GroupState{Joining, Ready, Open, Closing, Broken}
 	w := head(id, "g"+id, epoch, states[rapid.IntRange(0, len(states)-1).Draw(t, "state")])
 	w.Member.Rank = rapid.IntRange(0, 2).Draw(t, "rank")
@@ -21,9 +21,9 @@
 	return w
 }
 
-// TestHeadsFollowTheWholeList draws changes and lets an inventory that holds heads alone
-// follow one that holds all workers, by parts or by all of what it lacks, changing its scope
-// at any moment: it must end with the same replicas, and with all workers once it wants them.
+// TestHeadsFollowTheWholeList draws changes and lets an inventory of heads only follow one of all
+// workers, while its scope changes. In the end both must have the same heads, and the same workers
+// once all are requested.
 func TestHeadsFollowTheWholeList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, member := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
@@ -35,7 +35,7 @@
 				var changes []Change
 				for i := range rapid.IntRange(1, 6).Draw(t, "changes") {
 					id := fmt.Sprint((n + i) % 7)
-					changes = append(changes, Change{ID: id, Worker: drawnWorker(t, id, int64(10*n+i))})
+					changes = append(changes, Change{ID: id, Worker: drawWorker(t, id, int64(10*n+i))})
 				}
 				position += int64(len(changes) + max(step-1, 0))
 				source.Apply(changes, position, time.Now())
@@ -63,7 +63,7 @@
 	})
 }
 
-// followHeads lets a member take some of the parts of what it lacks.
+// followHeads delivers a random selection of the missing parts to a member.
 func followHeads(t *rapid.T, source, member *Inventory) {
 	d, whole := source.Since(member.Position())
 	if whole {
@@ -77,7 +77,7 @@
 	}
 }
 
-// catchUpHeads lets a member ask for what it lacks.
+// catchUpHeads lets a member request everything that it lacks.
 func catchUpHeads(source, member *Inventory) {
 	if member.Complete() {
 		catchUp(source, member, time.Now())
@@ -91,7 +91,7 @@
 	member.Follow(d, time.Now())
 }
 
-// checkHeads checks that a member holds all heads of a list and nobody else.
+// checkHeads checks that a member holds exactly the heads of a list.
 func checkHeads(t *rapid.T, source, member *Inventory) {
 	heads := 0
 	for id, w := range source.View().Workers() {
@@ -108,8 +108,9 @@
 	}
 }
 
-// TestCompleteListTakesNoHeads: who holds all workers would miss the changes of the others.
-func TestCompleteListTakesNoHeads(t *testing.T) {
+// TestCompleteListIgnoresHeadDeltas checks that an inventory of all workers ignores the changes of heads
+// only, since it would miss those of other workers.
+func TestCompleteListIgnoresHeadDeltas(t *testing.T) {
 	i := NewInventory(time.Second, 0)
 	i.Replace([]Change{{ID: "h", Worker: head("h", "g", 1, Open)}}, 1, time.Now())
 	i.Follow(Delta{From: 1, To: 3, Heads: true}, time.Now())
@@ -119,10 +120,9 @@
 	assert.Assert(t, i.Complete())
 }
 
-// TestHeadsAreFewOfAllChanges counts what a member of a fleet of 3,040 workers in groups of
-// eight is told of the start, in which each worker changes three times: what it holds and
-// hears must follow the groups, not the workers.
-func TestHeadsAreFewOfAllChanges(t *testing.T) {
+// TestHeadChangesGrowWithGroups checks that what a member that holds heads only receives and holds
+// grows with the number of groups, not of workers, when each worker changes three times.
+func TestHeadChangesGrowWithGroups(t *testing.T) {
 	tests := map[string]int{"3,040 workers": 3040, "6,200 workers": 6200}
 	for name, workers := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -150,9 +150,9 @@
 	}
 }
 
-// awaiting returns an inventory that held heads alone and wants all workers, while the list
-// changes: it has followed all changes since a list was asked for.
-func awaiting(source *Inventory) *Inventory {
+// needingList returns an inventory that holds heads only but requests all workers, and has followed
+// all changes since.
+func needingList(source *Inventory) *Inventory {
 	i := NewInventory(time.Second, 0)
 	i.SetScope(HeadsOnly)
 	whole, _ := source.Since(-1)
@@ -161,12 +161,12 @@
 	return i
 }
 
-// TestListBehindWhatWasFollowedIsTaken: the list changes while it is read, so that it is
-// behind the changes that were followed meanwhile. It is taken, with these.
-func TestListBehindWhatWasFollowedIsTaken(t *testing.T) {
+// TestOutdatedListIsCompletedFromJournal checks that a list which became outdated while it was read
+// is applied together with the changes that were followed since.
+func TestOutdatedListIsCompletedFromJournal(t *testing.T) {
 	source := NewInventory(time.Second, 0)
 	source.Replace([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}, {ID: "b", Worker: head("b", "h", 2, Open)}}, 2, time.Now())
-	i := awaiting(source)
+	i := needingList(source)
 	whole, _ := source.Since(-1)
 	member := head("c", "g", 1, Ready)
 	member.Member.Rank = 1
@@ -175,7 +175,7 @@
 	i.Follow(d, time.Now())
 	assert.Equal(t, i.Position(), int64(4))
 	i.Replace(whole.Changes, whole.To, time.Now())
-	assert.Assert(t, i.Complete(), "it awaits a list still")
+	assert.Assert(t, i.Complete(), "a list is still needed")
 	assert.Equal(t, i.Position(), int64(4))
 	_, left := i.View().Worker("b")
 	assert.Assert(t, !left, "a worker that left came back")
@@ -183,16 +183,16 @@
 	assert.Assert(t, joined)
 }
 
-// TestListThatCannotBeTakenIsNotReadAllTheTime: the source shows an older list for a while,
-// and only the changes of heads were followed since.
-func TestListThatCannotBeTakenIsNotReadAllTheTime(t *testing.T) {
+// TestRejectedListIsRetriedWithDelay checks the delay between reads while the source
+// returns an outdated list that cannot be completed from the journal.
+func TestRejectedListIsRetriedWithDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 1}
 		inventory := NewInventory(time.Second, 0)
 		inventory.SetScope(HeadsOnly)
 		inventory.Replace(nil, 50, time.Now())
 		inventory.SetScope(AllWorkers)
-		stop := follow(source, NewBeliefs(), inventory)
+		stop := startFollower(source, NewBeliefs(), inventory)
 		time.Sleep(3 * time.Second)
 		stop()
 		assert.Assert(t, inventory.AwaitsList())
--- a/fleet/behind_test.go
+++ b/fleet/slowsource_test.go
@@ -11,17 +11,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowSource is a source whose answers are slow and tell a few changes each.
+// slowSource is a source with slow answers that return a few changes each.
 type slowSource struct {
 	mu sync.Mutex
-	// published holds when each version came; the first is version 1. A worker comes with each.
+	// published holds when each version was published; the first one is version 1. A worker is
+	// added with each version.
 	published []time.Time
 }
 
 const (
-	slowAnswer = 1300 * time.Millisecond
-	// slowPart is how many changes an answer tells.
-	slowPart = 6
+	slowAnswerDelay = 1300 * time.Millisecond
+	// slowPageSize is the maximum number of changes in an answer.
+	slowPageSize = 6
 )
 
 // publish publishes versions until ctx ends.
@@ -34,7 +35,7 @@
 	}
 }
 
-// newest returns the newest version that was published before a time.
+// newest returns the newest version published before the given time.
 func (s *slowSource) newest(before time.Time) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,22 +46,21 @@
 	return int64(n)
 }
 
-// answer returns the newest version once an answer has come, of how it was when it was asked
-// for.
-func (s *slowSource) answer() int64 {
+// delayedNewest waits for slowAnswerDelay and returns the version that was the newest before the wait.
+func (s *slowSource) delayedNewest() int64 {
 	newest := s.newest(time.Now())
-	time.Sleep(slowAnswer)
+	time.Sleep(slowAnswerDelay)
 	return newest
 }
 
 func (s *slowSource) readConfig(context.Context) (ConfigNews, error) {
-	newest := s.answer()
+	newest := s.delayedNewest()
 	return ConfigNews{Config: NewConfig(Parts{Version: newest}), Next: newest, Halls: HallNews{Whole: true}}, nil
 }
 
 func (s *slowSource) nextConfig(_ context.Context, position int64, _ time.Duration) (ConfigNews, error) {
-	newest := s.answer()
-	next := min(position+slowPart, newest)
+	newest := s.delayedNewest()
+	next := min(position+slowPageSize, newest)
 	if next == position {
 		return ConfigNews{Next: next}, nil
 	}
@@ -68,22 +68,18 @@
 }
 
 func (s *slowSource) readWorkers(context.Context, string) (WorkerNews, error) {
-	return WorkerNews{Next: s.answer()}, nil
+	return WorkerNews{Next: s.delayedNewest()}, nil
 }
 
 func (s *slowSource) nextWorkers(_ context.Context, position int64, _ time.Duration) (WorkerNews, error) {
-	newest := s.answer()
-	next := min(position+slowPart, newest)
+	newest := s.delayedNewest()
+	next := min(position+slowPageSize, newest)
 	return WorkerNews{Next: next, More: next < newest}, nil
 }
 
-// TestWhoIsBehindKnowsIt: the operator changed the configuration ten times a second while the
-// store's answers took 1.3 s. Its readers took a few changes by each answer and counted them
-// as the newest ones: the fleet fell further behind with each second, rejected keys of new
-// client accounts, and served with routes and keys that had been taken away long before, as if
-// that had just been confirmed. Evidence: versions in the lines of rejected requests rose by
-// six each 1.3 s, while 25 came.
-func TestWhoIsBehindKnowsIt(t *testing.T) {
+// TestSlowReaderConfirmsOnlyWhatItRead guards against confirming outdated data while changes are published faster
+// than a slow source returns them.
+func TestSlowReaderConfirmsOnlyWhatItRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &slowSource{}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -102,15 +98,15 @@
 		for range 400 {
 			time.Sleep(50 * time.Millisecond)
 			version, confirmed := beliefs.State()
-			assert.Assert(t, source.newest(confirmed) <= version, "version %d was confirmed, %d was there", version, source.newest(confirmed))
+			assert.Assert(t, source.newest(confirmed) <= version, "version %d was confirmed, %d was published", version, source.newest(confirmed))
 			report := halls.Report(time.Now())
 			asOf := time.Now().Add(-time.Duration(report.Age) * time.Millisecond)
-			assert.Assert(t, report.Position == 0 || source.newest(asOf) <= report.Position, "halls of %d were confirmed, %d was there", report.Position, source.newest(asOf))
-			assert.Assert(t, source.newest(inventory.Confirmed()) <= inventory.Position(), "workers of %d were confirmed, %d were there", inventory.Position(), source.newest(inventory.Confirmed()))
+			assert.Assert(t, report.Position == 0 || source.newest(asOf) <= report.Position, "halls of %d were confirmed, %d was published", report.Position, source.newest(asOf))
+			assert.Assert(t, source.newest(inventory.Confirmed()) <= inventory.Position(), "workers of %d were confirmed, %d was published", inventory.Position(), source.newest(inventory.Confirmed()))
 		}
-		// Whoever comes to read anew knows by the second answer what was there before the first.
+		// A reader that skips to the newest version has it after two answers.
 		const answers = 2
-		assert.Assert(t, beliefs.Version() >= source.newest(time.Now().Add(-answers*slowAnswer)), "%d of %d is known", beliefs.Version(), source.newest(time.Now()))
+		assert.Assert(t, beliefs.Version() >= source.newest(time.Now().Add(-answers*slowAnswerDelay)), "%d of %d is known", beliefs.Version(), source.newest(time.Now()))
 		cancel()
 		<-f.Done()
 		time.Sleep(time.Second)
--- a/fleet/suspended_test.go
+++ b/fleet/suspended_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNewsOverASuspension: the same with changes that a read waited for.
-func TestNewsOverASuspension(t *testing.T) {
+// TestWaitingReadDuringSuspension checks that a waiting read during which the machine was suspended
+// confirms nothing as of after the suspension.
+func TestWaitingReadDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var asleep atomic.Int64
 		source := (&fakeSource{version: 3}).source()
@@ -31,16 +32,15 @@
 		time.Sleep(100 * time.Millisecond)
 		read := inventory.Confirmed()
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, inventory.Confirmed(), read, "a read confirmed what it told before a suspension")
+		assert.Equal(t, inventory.Confirmed(), read, "a read confirmed data from before a suspension")
 		cancel()
 		<-f.Done()
 	})
 }
 
-// TestReadsOverASuspension: a machine was suspended for a minute while its reads were under
-// way. Their answers told the state as of before, and were taken for a second old: the steady
-// clock stood still meanwhile.
-func TestReadsOverASuspension(t *testing.T) {
+// TestReadsDuringSuspension checks that reads during which the machine was suspended confirm what
+// they return only as of before the suspension.
+func TestReadsDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var asleep atomic.Int64
 		source := (&fakeSource{version: 3}).source()
@@ -66,7 +66,7 @@
 		assert.Equal(t, len(inventory.View().Workers()), 1)
 		assert.Assert(t, time.Since(inventory.Confirmed()) >= time.Minute, "confirmed %s ago", time.Since(inventory.Confirmed()))
 		time.Sleep(4 * time.Second)
-		assert.Assert(t, time.Since(beliefs.Confirmed()) < 4*time.Second, "reads that nothing interrupts confirm")
+		assert.Assert(t, time.Since(beliefs.Confirmed()) < 4*time.Second, "uninterrupted reads confirm")
 		cancel()
 		<-f.Done()
 	})
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -5,43 +5,42 @@
 	"slices"
 )
 
-// Replica is a group of workers, or a single worker of a service without an
-// engine, that takes requests.
+// Replica is a group of workers that takes requests, or a single worker of a service without
+// groups.
 type Replica struct {
-	// ID names the replica: group and epoch, or the worker.
+	// ID is the key of the group, or the id of the worker.
 	ID      string
 	Service string
 	// Model is empty for services without an engine.
 	Model string
-	// Head is the worker that takes the requests.
+	// Head is the worker that receives the requests.
 	Head *Worker
 }
 
-// View is the workers and replicas at one moment. It is never changed.
+// View is an immutable snapshot of the workers and replicas.
 type View struct {
 	workers  map[string]*Worker
 	replicas map[string][]*Replica
-	// leaving counts the replicas whose head leaves.
+	// leaving counts the replicas whose head is leaving.
 	leaving map[string]int
 }
 
-// newView derives the replicas from copies of what is listed and announced. A
-// replica whose head leaves takes no more requests. One whose other member
-// leaves does until its leader closes it: that member stays while the head has
-// work.
-func newView(workers map[string]*Worker, announced map[string]heldAnnouncement) *View {
+// newView derives the replicas from the listed workers and the announcements. A replica whose head
+// is leaving takes no more requests. If another member is leaving, the replica takes requests until
+// its leader closes it, since that member stays while the head has work.
+func newView(workers map[string]*Worker, announcements map[string]pendingAnnouncement) *View {
 	v := &View{workers: make(map[string]*Worker, len(workers)), replicas: make(map[string][]*Replica), leaving: make(map[string]int)}
 	for id, w := range workers {
 		v.workers[id] = w
 	}
-	byHead := make(map[string]Announcement, len(announced))
-	for _, a := range announced {
+	byHead := make(map[string]Announcement, len(announcements))
+	for _, a := range announcements {
 		if held, ok := byHead[a.Head]; !ok || held.Epoch < a.Epoch {
 			byHead[a.Head] = a.Announcement
 		}
 	}
 	for _, w := range workers {
-		r := replicaAt(w, byHead[w.ID])
+		r := replicaHeadedBy(w, byHead[w.ID])
 		if r == nil {
 			continue
 		}
@@ -58,16 +57,16 @@
 	return v
 }
 
-// replicaAt returns the replica that a worker heads, by the list or by a newer
-// announcement, or nil.
-func replicaAt(w *Worker, a Announcement) *Replica {
+// replicaHeadedBy returns the replica that a worker heads according to the list or a newer announcement,
+// or nil.
+func replicaHeadedBy(w *Worker, a Announcement) *Replica {
 	if w.Domain == "" {
 		return &Replica{ID: w.ID, Service: w.Service, Head: w}
 	}
 	m, model := w.Member, w.Loaded
 	if a.Group != "" && (a.Epoch > m.Epoch || a.Group == m.Group && a.Epoch == m.Epoch) {
-		listedAsOver := a.Epoch == m.Epoch && (m.State == Closing || m.State == Broken)
-		if !a.Open || listedAsOver {
+		listedAsEnded := a.Epoch == m.Epoch && (m.State == Closing || m.State == Broken)
+		if !a.Open || listedAsEnded {
 			return nil
 		}
 		m, model = Membership{Group: a.Group, Epoch: a.Epoch, State: Open}, a.Model
@@ -86,15 +85,15 @@
 	return w, ok
 }
 
-// Workers returns all workers by id. The map must not be changed.
+// Workers returns all workers by id. The map must not be modified.
 func (v *View) Workers() map[string]*Worker { return v.workers }
 
-// Replicas returns the replicas of a service that serve a model, sorted by id.
-// For services without an engine the model is empty.
+// Replicas returns the replicas of a service and model, sorted by id. The model is empty for
+// services without an engine.
 func (v *View) Replicas(service, model string) []*Replica {
 	return v.replicas[replicaKey(service, model)]
 }
 
-// Leaving returns how many replicas of a service and model take nothing more because
-// their head leaves.
+// Leaving returns the number of replicas of a service and model that take no more requests because
+// their head is leaving.
 func (v *View) Leaving(service, model string) int { return v.leaving[replicaKey(service, model)] }
--- a/fleet/worker.go
+++ b/fleet/worker.go
@@ -5,66 +5,66 @@
 	"time"
 )
 
-// GroupState is how far a worker is in its group.
+// GroupState is the state of a worker in its group.
 type GroupState string
 
 // The states of a worker in its group.
 const (
-	// Joining workers load weights or wait.
+	// Joining workers load weights, or wait for the other members.
 	Joining GroupState = "joining"
 	// Ready workers can be opened.
 	Ready GroupState = "ready"
 	// Open groups take requests at their head.
 	Open GroupState = "open"
-	// Closing groups end their work.
+	// Closing groups finish their work.
 	Closing GroupState = "closing"
 	// Broken groups have lost a member.
 	Broken GroupState = "broken"
 )
 
-// Membership is a worker's part in a group.
+// Membership is a worker's place in a group.
 type Membership struct {
-	// Group names the group; it is empty for a worker of none.
+	// Group is the name of the group, empty if the worker is in none.
 	Group string     `json:"group,omitempty"`
 	Epoch int64      `json:"epoch,omitempty"`
 	Rank  int        `json:"rank,omitempty"`
 	State GroupState `json:"state,omitempty"`
 }
 
-// Same reports whether both name the same group and epoch.
+// Same reports whether both have the same group and epoch.
 func (m Membership) Same(other Membership) bool {
 	return m.Group == other.Group && m.Epoch == other.Epoch
 }
 
-// Worker is one life of a worker as it describes itself.
+// Worker is the entry of one worker process, as the worker describes itself.
 type Worker struct {
-	// ID names the worker. A restarted one has another id, or the same and another Born.
+	// ID names the worker. A restarted worker has another id, or the same id and another Born.
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Domain is the fabric domain; replicas lie within one.
+	// Domain is the fabric domain. All workers of a replica belong to the same one.
 	Domain   string `json:"domain,omitempty"`
 	Slots    int    `json:"slots"`
 	Draining bool   `json:"draining,omitempty"`
-	// Born is when this life began, in Unix milliseconds; 0 if the worker does not tell.
+	// Born is when the process started, in Unix milliseconds; 0 if the worker does not report it.
 	Born int64 `json:"born,omitempty"`
-	// Beat counts the worker's heartbeats in this life up to this entry.
+	// Beat counts the heartbeats of the process up to this entry.
 	Beat int64 `json:"beat,omitempty"`
-	// ColdLeft is for how much longer the worker said that it is cold, in milliseconds.
+	// ColdLeft is for how much longer the worker reported to be cold, in milliseconds.
 	ColdLeft int64 `json:"cold,omitempty"`
-	// ColdUntil is when that ends, counted from when this daemon took the entry: late
-	// rather than early.
+	// ColdUntil is when the worker stops being cold. It counts from when this daemon received the
+	// entry, so it is late rather than early.
 	ColdUntil time.Time `json:"-"`
-	// Loaded is the model of the worker's last group in this life, empty for
-	// none: it joins another group of that model without loading anything.
+	// Loaded is the model of the last group of this process, empty for none. The worker can join
+	// another group of that model without loading weights.
 	Loaded string `json:"loaded,omitempty"`
-	// Staged lists the models on the worker's host.
+	// Staged lists the models whose weights are on the worker's host.
 	Staged []string   `json:"staged,omitempty"`
 	Member Membership `json:"member"`
 }
 
-// HasStaged reports whether the model lies on the worker's host.
+// HasStaged reports whether the model's weights are on the worker's host.
 func (w *Worker) HasStaged(model string) bool {
 	for _, s := range w.Staged {
 		if s == model {
@@ -74,34 +74,32 @@
 	return false
 }
 
-// isOlderThan reports whether an entry was written before another one of the same worker,
-// by what the worker itself tells in them.
+// isOlderThan reports whether the worker wrote this entry before the other one.
 func (w *Worker) isOlderThan(other *Worker) bool {
 	return cmp.Or(cmp.Compare(w.Born, other.Born), cmp.Compare(w.Beat, other.Beat)) < 0
 }
 
-// isHead reports whether requests may go to a worker: it is the head of a group, or belongs
+// isHead reports whether requests may be sent to the worker: it is the head of a group, or belongs
 // to a service without groups.
 func (w *Worker) isHead() bool {
 	return w.Domain == "" || w.Member.Group != "" && w.Member.Rank == 0
 }
 
-// following returns the worker's newest entry with what only an earlier one
-// tells. A worker that has left its group tells no model, but still holds the
-// one it served; one that said that it leaves, in the list or elsewhere, has said so for
-// this life.
-func (w *Worker) following(earlier *Worker) *Worker {
-	sameLife := earlier != nil && earlier.Born == w.Born
-	keepsLoaded := sameLife && w.Loaded == "" && earlier.Loaded != ""
-	leaves := sameLife && earlier.Draining && !w.Draining
-	if !keepsLoaded && !leaves && w.ColdLeft <= 0 {
+// mergedWith returns the worker's newest entry, completed from an earlier entry of the same process.
+// A worker that left its group reports no model but still holds the last one. A worker that
+// announced that it leaves, in the list or otherwise, stays marked as leaving.
+func (w *Worker) mergedWith(earlier *Worker) *Worker {
+	sameProcess := earlier != nil && earlier.Born == w.Born
+	keepsModel := sameProcess && w.Loaded == "" && earlier.Loaded != ""
+	isLeaving := sameProcess && earlier.Draining && !w.Draining
+	if !keepsModel && !isLeaving && w.ColdLeft <= 0 {
 		return w
 	}
 	merged := *w
-	if keepsLoaded {
+	if keepsModel {
 		merged.Loaded = earlier.Loaded
 	}
-	merged.Draining = w.Draining || leaves
+	merged.Draining = w.Draining || isLeaving
 	if w.ColdLeft > 0 {
 		merged.ColdUntil = time.Now().Add(time.Duration(w.ColdLeft) * time.Millisecond)
 	}
