--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog holds what the owners of fabric domains last reported, and
-// answers which replicas may serve now. A report carries how much longer its
-// replicas may serve; the catalog turns that into a deadline of this process,
-// so that a daemon that hears nothing more stops by itself.
+// Package catalog holds the newest reports of the owners of fabric domains, and determines which
+// replicas may serve now. A report says how much longer its replicas may serve; the catalog
+// converts this into a local deadline, so that a daemon that receives no more reports stops sending
+// requests.
 package catalog
 
 import (
@@ -17,47 +17,46 @@
 	"quartzshelf.dev/rpc"
 )
 
-// forgetAfter is how long a report outlives its deadline: it then still tells
-// operators what was last known.
-const forgetAfter = time.Hour
+// expiredReportRetention is how long a report is kept after its deadline, for operators to inspect.
+const expiredReportRetention = time.Hour
 
-// held is a report with the deadline of its replicas. The report is shared and
-// never changed; beat and loads are those of its newest renewal.
-type held struct {
+// storedReport is a report with the deadline of its replicas. The report is shared and never
+// modified; beat and loads are those of its newest renewal.
+type storedReport struct {
 	report   *rpc.DomainReport
 	token    token.Token
 	beat     uint64
 	loads    []uint32
 	deadline time.Time
-	forgetAt time.Time
+	removeAt time.Time
 }
 
-// digest returns what a peer needs to know to tell what it lacks.
-func (h *held) digest() *rpc.ReportDigest {
+// digest returns the summary by which peers decide what they lack.
+func (h *storedReport) digest() *rpc.ReportDigest {
 	return &rpc.ReportDigest{
 		Domain: h.report.Domain, Token: h.report.Token, Version: h.report.Version, Beat: h.beat,
 	}
 }
 
-// Catalog is safe for concurrent use.
+// Catalog holds the newest report of each domain. It is safe for concurrent use.
 type Catalog struct {
 	mu      sync.RWMutex
-	domains map[string]*held
-	// replicas is derived from domains, by deployment; stale tells that it must
-	// be derived anew.
+	domains map[string]*storedReport
+	// replicas holds the replicas by deployment, as derived from domains; isStale is set when they
+	// must be derived again.
 	replicas map[string][]Replica
-	stale    bool
+	isStale  bool
 }
 
 // New returns an empty catalog.
 func New() *Catalog {
 	return &Catalog{
-		domains:  make(map[string]*held),
+		domains:  make(map[string]*storedReport),
 		replicas: make(map[string][]Replica),
 	}
 }
 
-// Replica is one replica as its owner reported it.
+// Replica is one replica as reported by the owner of its domain.
 type Replica struct {
 	domain   string
 	dataHall string
@@ -66,25 +65,25 @@
 	load     Load
 }
 
-// Load is the load that a replica reported. It lags.
+// Load is the load that a replica last reported. It may be outdated.
 type Load struct {
 	queue, active, slots int
 }
 
-// Queue returns how many requests waited.
+// Queue returns the number of waiting requests.
 func (l Load) Queue() int { return l.queue }
 
-// Active returns how many requests the replica worked on.
+// Active returns the number of requests being processed.
 func (l Load) Active() int { return l.active }
 
-// Slots returns how many requests the replica works on at once.
+// Slots returns the number of requests that the replica can process concurrently.
 func (l Load) Slots() int { return l.slots }
 
 // ID returns the replica's name.
 func (r Replica) ID() string { return r.report.Id }
 
-// AssignedName returns the name by which the nodes know the replica: scripts
-// name theirs by themselves.
+// AssignedName returns the name of the replica in the nodes' assignments. It differs from ID for
+// replicas run by scripts, which choose their own names.
 func (r Replica) AssignedName() string {
 	if r.report.AssignedName != "" {
 		return r.report.AssignedName
@@ -104,7 +103,7 @@
 // Generation returns the replica's generation.
 func (r Replica) Generation() uint64 { return r.report.Generation }
 
-// Address returns the IP:port that answers requests.
+// Address returns the IP:port that serves requests.
 func (r Replica) Address() string { return r.report.LeaderAddress }
 
 // Nodes returns the ids of the replica's nodes.
@@ -113,10 +112,10 @@
 // Deadline returns until when the replica may serve.
 func (r Replica) Deadline() time.Time { return r.deadline }
 
-// Draining reports whether the replica takes no new work.
+// Draining reports whether the replica takes no new requests.
 func (r Replica) Draining() bool { return r.report.Draining }
 
-// Scripted reports whether scripts run the replica.
+// Scripted reports whether the replica is run by scripts.
 func (r Replica) Scripted() bool { return r.report.Scripted }
 
 // Reason returns why the replica does not serve.
@@ -128,18 +127,17 @@
 // Load returns the replica's load.
 func (r Replica) Load() Load { return r.load }
 
-// Listed reports whether the owner lists the replica as serving.
+// Listed reports whether the owner reports the replica as serving.
 func (r Replica) Listed() bool { return r.report.Serving }
 
-// MayServe reports whether the replica may be given new work at now. Callers
-// check right before they send; a pause after the check is bounded by the
-// engine, which refuses work meant for another generation, and otherwise by
-// nothing but the window.
+// MayServe reports whether the replica may be sent requests at the given time. Callers check
+// immediately before they send. If they are delayed after the check, engines still refuse requests
+// for another generation.
 func (r Replica) MayServe(now time.Time) bool {
 	return r.report.Serving && !r.report.Draining && now.Before(r.deadline)
 }
 
-// Serving returns the deployment's replicas that may serve at now.
+// Serving returns the deployment's replicas that may serve at the given time.
 func (c *Catalog) Serving(deployment string, now time.Time) []Replica {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -153,8 +151,8 @@
 	return serving
 }
 
-// Of returns the deployment's replicas, whether they may serve or not, sorted by name.
-// The slice is shared and must not be changed.
+// Of returns all replicas of the deployment, sorted by name. The slice is shared and must not be
+// modified.
 func (c *Catalog) Of(deployment string) []Replica {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -194,8 +192,7 @@
 	return Replica{}, false
 }
 
-// Reports returns the newest report of each domain, sorted by domain. They
-// must not be changed.
+// Reports returns the newest report of each domain, sorted by domain. They must not be modified.
 func (c *Catalog) Reports() []*rpc.DomainReport {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -218,7 +215,7 @@
 	return h.token, h.deadline, true
 }
 
-// Version returns the version of a domain's newest report, zero for none.
+// Version returns the version of a domain's newest report, or zero.
 func (c *Catalog) Version(domain string) uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -228,8 +225,7 @@
 	return 0
 }
 
-// Publish takes a report of this daemon's own, whose replicas may serve until
-// deadline.
+// Publish adds a report of this daemon, whose replicas may serve until deadline.
 func (c *Catalog) Publish(report *rpc.DomainReport, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,8 +244,8 @@
 	return digest
 }
 
-// Since implements membership.Reports. A report of which the peer has the
-// content is sent without it.
+// Since implements membership.Reports. If the peer already has a report's content, only the renewal
+// is returned.
 func (c *Catalog) Since(digest []*rpc.ReportDigest) []*rpc.DomainReport {
 	known := make(map[string]*rpc.ReportDigest, len(digest))
 	for _, d := range digest {
@@ -258,19 +254,19 @@
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	now := time.Now()
-	var news []*rpc.DomainReport
+	var missing []*rpc.DomainReport
 	for domain, h := range c.domains {
-		if r := h.newsFor(known[domain], now); r != nil {
-			news = append(news, r)
+		if r := h.reportFor(known[domain], now); r != nil {
+			missing = append(missing, r)
 		}
 	}
-	return news
+	return missing
 }
 
-// newsFor returns what a peer with the given digest lacks, or nil.
-func (h *held) newsFor(d *rpc.ReportDigest, now time.Time) *rpc.DomainReport {
+// reportFor returns what a peer with the given digest lacks, or nil.
+func (h *storedReport) reportFor(d *rpc.ReportDigest, now time.Time) *rpc.DomainReport {
 	remaining := uint64(max(h.deadline.Sub(now), 0).Microseconds())
-	if d != nil && compare(h.digest(), d) <= 0 {
+	if d != nil && compareDigests(h.digest(), d) <= 0 {
 		return nil
 	}
 	sameContent := d != nil && FromMessage(d.Token).Compare(h.token) == 0 && d.Version == h.report.Version
@@ -285,8 +281,8 @@
 	return r
 }
 
-// Merge implements membership.Reports. Remaining times count from base, which
-// lies before the sender worked them out, so deadlines err on the early side.
+// Merge implements membership.Reports. Remaining times count from base, which is earlier than when
+// the sender computed them, so deadlines are never too late.
 func (c *Catalog) Merge(reports []*rpc.DomainReport, base time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,37 +295,37 @@
 	c.rebuild()
 }
 
-// put takes a report if it is newer than the one held.
+// put adds a report if it is newer than the current one of its domain.
 func (c *Catalog) put(r *rpc.DomainReport, deadline time.Time) {
 	h, ok := c.domains[r.Domain]
-	news := &rpc.ReportDigest{Domain: r.Domain, Token: r.Token, Version: r.Version, Beat: r.Beat}
-	if ok && compare(news, h.digest()) <= 0 {
+	received := &rpc.ReportDigest{Domain: r.Domain, Token: r.Token, Version: r.Version, Beat: r.Beat}
+	if ok && compareDigests(received, h.digest()) <= 0 {
 		return
 	}
 	if r.Unchanged {
-		if !ok || compareContent(news, h.digest()) != 0 {
+		if !ok || compareContent(received, h.digest()) != 0 {
 			return
 		}
-		r, h = h.report, &held{beat: r.Beat, loads: r.Loads}
+		r, h = h.report, &storedReport{beat: r.Beat, loads: r.Loads}
 	} else {
-		h = &held{beat: r.Beat, loads: r.Loads}
+		h = &storedReport{beat: r.Beat, loads: r.Loads}
 	}
 	h.report, h.token, h.deadline = r, FromMessage(r.Token), deadline
-	h.forgetAt = deadline.Add(forgetAfter)
+	h.removeAt = deadline.Add(expiredReportRetention)
 	c.domains[r.Domain] = h
-	c.stale = true
+	c.isStale = true
 }
 
-// rebuild derives the replicas by deployment and drops what is long out of date.
+// rebuild derives the replicas by deployment and removes reports that expired long ago.
 func (c *Catalog) rebuild() {
-	if !c.stale {
+	if !c.isStale {
 		return
 	}
-	c.stale = false
+	c.isStale = false
 	now := time.Now()
 	c.replicas = make(map[string][]Replica)
 	for domain, h := range c.domains {
-		if now.After(h.forgetAt) {
+		if now.After(h.removeAt) {
 			delete(c.domains, domain)
 			continue
 		}
@@ -343,7 +339,7 @@
 }
 
 // replicas returns the replicas of the report, with their newest loads.
-func (h *held) replicas() []Replica {
+func (h *storedReport) replicas() []Replica {
 	all := make([]Replica, 0, len(h.report.Replicas))
 	for i, r := range h.report.Replicas {
 		all = append(all, Replica{
@@ -354,29 +350,29 @@
 	return all
 }
 
-// loadFields is how many numbers a report has for the load of one replica.
-const loadFields = 3
+// valuesPerLoad is the number of values in a report for the load of one replica.
+const valuesPerLoad = 3
 
-// loadOf returns the load of the report's replica with the given index.
+// loadOf returns the load of the replica with the given index in the report.
 func loadOf(loads []uint32, index int) Load {
-	first := index * loadFields
-	if first+loadFields > len(loads) {
+	first := index * valuesPerLoad
+	if first+valuesPerLoad > len(loads) {
 		return Load{}
 	}
 	return Load{queue: int(loads[first]), active: int(loads[first+1]), slots: int(loads[first+2])}
 }
 
-// FromMessage returns the token of a message; nil stands for the lowest.
+// FromMessage returns the token in a message; nil means the lowest token.
 func FromMessage(m *rpc.Token) token.Token {
 	return token.Token{Epoch: m.GetEpoch(), Rank: m.GetRank(), Sequence: m.GetSequence()}
 }
 
-// ToMessage returns a token as a message.
+// ToMessage returns the message for a token.
 func ToMessage(t token.Token) *rpc.Token {
 	return &rpc.Token{Epoch: t.Epoch, Rank: t.Rank, Sequence: t.Sequence}
 }
 
-func compare(a, b *rpc.ReportDigest) int {
+func compareDigests(a, b *rpc.ReportDigest) int {
 	return cmp.Or(compareContent(a, b), cmp.Compare(a.Beat, b.Beat))
 }
 
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestPermitRunsOut sends a report over three daemons, each of which takes a
-// while: the last one's deadline must not be later than the first one's.
-func TestPermitRunsOut(t *testing.T) {
+// TestDeadlineIsNotExtendedByRelaying passes a report through three daemons with delays: the
+// deadline of the last one must not be later than that of the first.
+func TestDeadlineIsNotExtendedByRelaying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := New(), New(), New()
 		deadline := time.Now().Add(6 * time.Second)
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestRenewalIsSmall sends a renewal to a daemon that has the content.
-func TestRenewalIsSmall(t *testing.T) {
+// TestRenewalOmitsKnownContent checks that a renewal omits the content if the receiver has it.
+func TestRenewalOmitsKnownContent(t *testing.T) {
 	from, to := New(), New()
 	from.Publish(report("d", 1, 1, 1), time.Now().Add(time.Second))
 	to.Merge(from.Since(nil), time.Now())
@@ -83,7 +83,7 @@
 	assert.Assert(t, time.Until(r.Deadline()) > 10*time.Second)
 }
 
-// fullReport is what the owner of a domain of 64 nodes reports.
+// fullReport returns the report of a domain of 64 nodes.
 func fullReport(domain string, beat uint64) *rpc.DomainReport {
 	r := &rpc.DomainReport{Domain: domain, Token: &rpc.Token{Epoch: 12345}, Version: 1, Beat: beat, DataHall: "hall-a", Owner: "entry-123"}
 	for i := range 4 {
--- a/catalog/endpoint.go
+++ b/catalog/endpoint.go
@@ -29,11 +29,11 @@
 // DataHall returns the node's data hall.
 func (e Endpoint) DataHall() string { return e.dataHall }
 
-// MayServe reports whether the endpoint may be given new work at now.
+// MayServe reports whether the endpoint may be sent requests at the given time.
 func (e Endpoint) MayServe(now time.Time) bool { return now.Before(e.deadline) }
 
-// Endpoints returns the service nodes that their owners found answering and
-// staying, sorted by name.
+// Endpoints returns the service nodes that answer their owner's probes and are not leaving, sorted
+// by name.
 func (c *Catalog) Endpoints() []Endpoint {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/cluster/log.go
+++ b/cluster/log.go
@@ -1,6 +1,5 @@
-// Package cluster holds the messages between daemons and what surrounds them (log
-// service, node list, nodes) and the interfaces by which these are reached. Its
-// types are messages and so have exported fields.
+// Package cluster defines the messages exchanged with the platform's log service, its node list and
+// the nodes, and the interfaces to access them.
 package cluster
 
 import (
@@ -10,31 +9,31 @@
 
 // Record is one entry of a log stream.
 type Record struct {
-	// Offset is the position in the stream, counted from zero.
+	// Offset is the position in the stream, starting at zero.
 	Offset int64 `json:"offset"`
-	// ID is the writer's unique name for the record; by it a writer finds its
-	// record when the answer to an append was lost.
+	// ID is a unique name chosen by the writer, who can find the record by it if the reply to an
+	// append is lost.
 	ID string `json:"id"`
-	// Time is when the log service appended the record, by its clock.
+	// Time is when the log service appended the record, by its own clock.
 	Time time.Time `json:"time"`
 	Data []byte    `json:"data"`
 }
 
-// Batch is the answer to a read.
+// Batch is the result of a read.
 type Batch struct {
 	Records []Record `json:"records"`
-	// Earliest is the lowest offset that the log still keeps.
+	// Earliest is the lowest offset that the log still holds.
 	Earliest int64 `json:"earliest"`
-	// Next is the offset that the next appended record will get.
+	// Next is the offset of the next record to be appended.
 	Next int64 `json:"next"`
 }
 
-// Log is the append-only service of the platform.
+// Log is the platform's append-only log service.
 type Log interface {
-	// Append adds records to the stream as one unit and returns the offset of
-	// the first. An error does not mean that nothing was appended.
+	// Append appends records to the stream atomically and returns the offset of the first. After an
+	// error the records may have been appended nevertheless.
 	Append(ctx context.Context, stream string, records []Record) (int64, error)
-	// Read returns up to limit records at or after from. With none there it
-	// waits up to wait for one to come.
+	// Read returns up to limit records starting at from. If there are none, it waits up to wait for
+	// the first one.
 	Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (Batch, error)
 }
--- a/eventlog/envelope.go
+++ b/eventlog/envelope.go
@@ -1,6 +1,5 @@
-// Package eventlog keeps folds of the platform's log streams: it follows a
-// stream, survives its limited retention by checkpoints, and settles appends
-// whose answers were lost.
+// Package eventlog folds the streams of the platform's log into state: it follows a stream, bridges
+// the log's limited retention with checkpoints, and resolves appends whose replies were lost.
 package eventlog
 
 import (
@@ -12,7 +11,7 @@
 	"quartzshelf.dev/cluster"
 )
 
-// envelopeKind tells what a log record of ours carries.
+// envelopeKind is the kind of content in a log record.
 type envelopeKind string
 
 const (
@@ -20,15 +19,15 @@
 	kindCheckpoint envelopeKind = "checkpoint"
 )
 
-// envelope is the outer form of every record that we append.
+// envelope is the encoding of every record that this package appends.
 type envelope struct {
 	Kind envelopeKind    `json:"kind"`
 	Data json.RawMessage `json:"data,omitempty"`
-	// Checkpoint is set on a checkpoint record only.
+	// Checkpoint is set on checkpoint records only.
 	Checkpoint []byte `json:"checkpoint,omitempty"`
 }
 
-// Checkpoint is the state of a fold after every record below Next.
+// Checkpoint is the state of a fold after every record before Next.
 type Checkpoint struct {
 	Next int64     `cbor:"1,keyasint"`
 	Time time.Time `cbor:"2,keyasint"`
@@ -39,30 +38,30 @@
 func (c Checkpoint) Encode() []byte {
 	data, err := cbor.Marshal(c)
 	if err != nil {
-		// Only unsupported types make Marshal fail, and Checkpoint has none.
+		// Marshal fails only for unsupported types, and Checkpoint has none.
 		panic(err)
 	}
 	return data
 }
 
-// DecodeCheckpoint decodes what Encode returned.
+// DecodeCheckpoint decodes the result of Encode.
 func DecodeCheckpoint(data []byte) (Checkpoint, error) {
 	var c Checkpoint
 	err := cbor.Unmarshal(data, &c)
 	return c, err
 }
 
-// NewRecord wraps data, which must be JSON, as a record with the given id.
+// NewRecord returns a record with the given id and data, which must be JSON.
 func NewRecord(id string, data json.RawMessage) (cluster.Record, error) {
-	return seal(id, envelope{Kind: kindRecord, Data: data})
+	return encodeEnvelope(id, envelope{Kind: kindRecord, Data: data})
 }
 
-// newCheckpointRecord wraps a checkpoint as a record with the given id.
+// newCheckpointRecord returns a record with the given id and checkpoint.
 func newCheckpointRecord(id string, c Checkpoint) (cluster.Record, error) {
-	return seal(id, envelope{Kind: kindCheckpoint, Checkpoint: c.Encode()})
+	return encodeEnvelope(id, envelope{Kind: kindCheckpoint, Checkpoint: c.Encode()})
 }
 
-func seal(id string, e envelope) (cluster.Record, error) {
+func encodeEnvelope(id string, e envelope) (cluster.Record, error) {
 	data, err := json.Marshal(e)
 	return cluster.Record{ID: id, Data: data}, err
 }
--- a/eventlog/fold.go
+++ b/eventlog/fold.go
@@ -8,39 +8,39 @@
 	"quartzshelf.dev/cluster"
 )
 
-// maxPending bounds the records kept while a fold waits for a checkpoint.
+// maxPending is the maximum number of records kept while a fold waits for a checkpoint.
 const maxPending = 100_000
 
-// State is what a stream folds into. Apply must be a function of the state and
-// of its arguments alone, so that every reader reaches the same state.
+// State is the result of folding a stream. Apply must depend only on the state and its arguments,
+// so that every reader reaches the same state.
 type State interface {
-	// Apply folds one record. Data that does not decode must be ignored.
+	// Apply folds one record. It must ignore data that does not decode.
 	Apply(record cluster.Record, data json.RawMessage)
-	// Checkpoint returns the state in a form that Restore takes.
+	// Checkpoint returns the state encoded for Restore.
 	Checkpoint() ([]byte, error)
 	// Restore replaces the state.
 	Restore(data []byte) error
 }
 
-// Fold feeds the records of a stream to a State, in order and each once, and
-// closes gaps that retention left by checkpoints. It is safe for concurrent
-// use; the State is only called with the fold's lock held.
+// Fold applies the records of a stream to a State, in order and exactly once, and skips gaps left
+// by the log's retention with the help of checkpoints. It is safe for concurrent use. The State is
+// called only while the fold is locked.
 type Fold struct {
 	mu      sync.Mutex
 	state   State
 	next    int64
 	time    time.Time
 	pending []cluster.Record
-	// checkpointAt and checkpointTime describe the newest checkpoint seen.
+	// checkpointAt and checkpointTime are the offset and log time of the newest checkpoint record.
 	checkpointAt   int64
 	checkpointTime time.Time
-	// watched holds the watchers of each record id that somebody waits for.
+	// watched holds the watches by record id.
 	watched map[string]*watch
 }
 
-// watch is closed when its record is folded. Several may wait for one record.
+// watch signals that a record was folded, to any number of holders.
 type watch struct {
-	seen    chan struct{}
+	folded  chan struct{}
 	holders int
 }
 
@@ -56,21 +56,21 @@
 	return f.next
 }
 
-// Watch returns a channel that is closed when the record with the given id is
-// folded. Call Unwatch when it is no longer of interest.
+// Watch returns a channel that is closed when the record with the given id is folded. The caller
+// must call Unwatch in the end.
 func (f *Fold) Watch(id string) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, ok := f.watched[id]
 	if !ok {
-		w = &watch{seen: make(chan struct{})}
+		w = &watch{folded: make(chan struct{})}
 		f.watched[id] = w
 	}
 	w.holders++
-	return w.seen
+	return w.folded
 }
 
-// Unwatch ends what one call of Watch began.
+// Unwatch releases the result of one call of Watch.
 func (f *Fold) Unwatch(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,16 +84,15 @@
 	}
 }
 
-// Waiting reports whether records are kept back until a checkpoint comes.
+// Waiting reports whether records are held back until a checkpoint closes a gap.
 func (f *Fold) Waiting() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.pending) > 0
 }
 
-// Add takes the next record of the stream. Records below Next are ignored, so
-// a repeated read does no harm. A record beyond Next is kept until a
-// checkpoint closes the gap.
+// Add folds the next record of the stream. Records before Next are ignored, so repeated reads are
+// harmless. Records beyond Next are held back until a checkpoint closes the gap.
 func (f *Fold) Add(record cluster.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,16 +115,16 @@
 	}
 }
 
-// Reset forgets the records kept back. The follower calls it when it reads the
-// stream anew from its earliest record.
+// Reset drops the records held back, for a follower that reads the stream again from its earliest
+// record.
 func (f *Fold) Reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pending = nil
 }
 
-// Install takes a checkpoint from a peer. It only moves forwards: a checkpoint
-// at or below Next is ignored. It reports whether the state changed.
+// Install restores a checkpoint from a peer unless it is at or before Next. It reports whether the
+// state changed.
 func (f *Fold) Install(c Checkpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +134,7 @@
 	return f.restore(c)
 }
 
-// Checkpoint returns the present state as a checkpoint.
+// Checkpoint returns the current state as a checkpoint.
 func (f *Fold) Checkpoint() (Checkpoint, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,15 +142,15 @@
 	return Checkpoint{Next: f.next, Time: f.time, Data: data}, err
 }
 
-// newestCheckpoint returns the offset (-1 for none) and log time of the newest
-// checkpoint record folded.
+// newestCheckpoint returns the offset and log time of the newest checkpoint record folded; the
+// offset is -1 if there is none.
 func (f *Fold) newestCheckpoint() (int64, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.checkpointAt, f.checkpointTime
 }
 
-// restore replaces the state by c and folds what was kept back after it.
+// restore replaces the state by c and folds the records held back that follow it.
 func (f *Fold) restore(c Checkpoint) bool {
 	if err := f.state.Restore(c.Data); err != nil {
 		return false
@@ -172,7 +171,7 @@
 	return true
 }
 
-// apply folds a record whose offset is Next.
+// apply folds the record at offset Next.
 func (f *Fold) apply(record cluster.Record) {
 	f.next = record.Offset + 1
 	if record.Time.After(f.time) {
@@ -190,7 +189,7 @@
 	}
 	if w, ok := f.watched[record.ID]; ok {
 		delete(f.watched, record.ID)
-		close(w.seen)
+		close(w.folded)
 	}
 }
 
--- a/eventlog/fold_test.go
+++ b/eventlog/fold_test.go
@@ -12,7 +12,7 @@
 	"quartzshelf.dev/cluster"
 )
 
-// listState keeps the records it was given.
+// listState collects the data of the records applied.
 type listState struct {
 	Seen []string `json:"seen"`
 }
@@ -35,8 +35,8 @@
 	return r
 }
 
-// TestTwoWatchersOfOneRecord fails when the second watcher takes the place of
-// the first: a claim then waits for its record until it gives up.
+// TestTwoWatchersOfOneRecord guards against a second watcher replacing the first, which would then
+// wait until its timeout.
 func TestTwoWatchersOfOneRecord(t *testing.T) {
 	f := NewFold(&listState{})
 	first, second := f.Watch("r0"), f.Watch("r0")
@@ -46,15 +46,14 @@
 		select {
 		case <-seen:
 		default:
-			t.Errorf("the %s watcher was not told", name)
+			t.Errorf("the %s watcher was not notified", name)
 		}
 	}
 }
 
-// TestFoldIsTheSameHoweverItIsRead draws a log with checkpoints, a retention
-// that cuts off its beginning, and reads that repeat and overlap. A fold that
-// started late must agree with one that saw everything.
-func TestFoldIsTheSameHoweverItIsRead(t *testing.T) {
+// TestFoldIsIndependentOfReads draws a log with checkpoints, a retention limit, and reads that
+// overlap. A fold that started late must reach the same state as one that read everything.
+func TestFoldIsIndependentOfReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := NewFold(&listState{})
 		var log []cluster.Record
@@ -89,8 +88,8 @@
 	})
 }
 
-// TestInstallNeverGoesBack keeps a peer's stale checkpoint from taking back
-// what is in force.
+// TestInstallNeverGoesBack checks that an outdated checkpoint from a peer does not replace newer
+// state.
 func TestInstallNeverGoesBack(t *testing.T) {
 	f := NewFold(&listState{})
 	f.Add(record(t, 0))
--- a/eventlog/follower.go
+++ b/eventlog/follower.go
@@ -10,17 +10,17 @@
 	"quartzshelf.dev/common/pause"
 )
 
-// Timing of a follower.
+// Timing and limits of a follower.
 const (
-	readLimit   = 500
-	readWait    = 2 * time.Second
-	readTimeout = 6 * time.Second
-	retryAfter  = 250 * time.Millisecond
-	// checkpointRecords is how many records may follow a checkpoint before the
-	// next one is written.
-	checkpointRecords = 2000
-	// checkpointFraction of the retention is the age at which a checkpoint is renewed.
-	checkpointFraction = 3
+	maxReadRecords = 500
+	readWait       = 2 * time.Second
+	readTimeout    = 6 * time.Second
+	retryDelay     = 250 * time.Millisecond
+	// maxRecordsSinceCheckpoint is the number of records after a checkpoint at which the next one
+	// is due.
+	maxRecordsSinceCheckpoint = 2000
+	// checkpointsPerRetention divides the retention into the age at which a checkpoint is renewed.
+	checkpointsPerRetention = 3
 )
 
 // FollowerOptions configures a Follower.
@@ -28,12 +28,12 @@
 	Log    cluster.Log
 	Stream string
 	State  State
-	// Retention is how long the log keeps a record.
+	// Retention is how long the log keeps records.
 	Retention time.Duration
 	// NewID returns a unique record id.
 	NewID func() string
-	// CheckpointDelay returns how long this daemon waits before it writes a
-	// checkpoint that is due, so that daemons seldom write the same one twice.
+	// CheckpointDelay returns how long this daemon waits before it writes a due checkpoint, so that
+	// daemons rarely write the same one twice.
 	CheckpointDelay func() time.Duration
 }
 
@@ -44,14 +44,14 @@
 	done chan struct{}
 
 	mu sync.Mutex
-	// confirmed is the start of the last read that succeeded.
-	confirmed time.Time
-	head      int64
-	caughtUp  chan struct{}
-	isCaught  bool
+	// confirmed is the start of the last successful read that reached the end of the log.
+	confirmed  time.Time
+	logEnd     int64
+	caughtUp   chan struct{}
+	isCaughtUp bool
 }
 
-// NewFollower returns a follower; Run makes it work.
+// NewFollower returns a follower that starts to read when Run is called.
 func NewFollower(opts FollowerOptions) *Follower {
 	return &Follower{
 		opts:     opts,
@@ -71,15 +71,13 @@
 	return f.done
 }
 
-// CaughtUp is closed once the fold has reached the head that the log had at
-// some read.
+// CaughtUp is closed once the fold has reached the end of the log as of some read.
 func (f *Follower) CaughtUp() <-chan struct{} {
 	return f.caughtUp
 }
 
-// Confirmed returns when the newest successful read of the log began: every
-// record appended before then is folded. It is the zero time before the fold
-// has caught up.
+// Confirmed returns the start of the newest successful read: every record appended before is
+// folded. It is the zero time until the fold has caught up.
 func (f *Follower) Confirmed() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,26 +90,26 @@
 	var checkpointDue time.Time
 	for ctx.Err() == nil {
 		if err := f.read(ctx); err != nil {
-			pause.For(ctx, retryAfter)
+			pause.For(ctx, retryDelay)
 			continue
 		}
-		checkpointDue = f.maybeCheckpoint(ctx, checkpointDue)
+		checkpointDue = f.writeCheckpointIfDue(ctx, checkpointDue)
 	}
 }
 
-// read does one read and folds what it returns.
+// read does one read and folds the records it returns.
 func (f *Follower) read(ctx context.Context) error {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	start := time.Now()
-	from := f.position()
-	batch, err := f.opts.Log.Read(readCtx, f.opts.Stream, from, readLimit, f.wait())
+	from := f.nextOffset()
+	batch, err := f.opts.Log.Read(readCtx, f.opts.Stream, from, maxReadRecords, f.maxWait())
 	if err != nil {
 		return err
 	}
 	if batch.Earliest > from {
 		f.fold.Reset()
-		batch, err = f.opts.Log.Read(readCtx, f.opts.Stream, batch.Earliest, readLimit, 0)
+		batch, err = f.opts.Log.Read(readCtx, f.opts.Stream, batch.Earliest, maxReadRecords, 0)
 		if err != nil {
 			return err
 		}
@@ -119,12 +117,12 @@
 	for _, record := range batch.Records {
 		f.fold.Add(record)
 	}
-	f.note(start, batch)
+	f.recordRead(start, batch)
 	return nil
 }
 
-// position returns the offset to read from next.
-func (f *Follower) position() int64 {
+// nextOffset returns the offset at which to read next.
+func (f *Follower) nextOffset() int64 {
 	f.fold.mu.Lock()
 	defer f.fold.mu.Unlock()
 	if n := len(f.fold.pending); n > 0 {
@@ -133,36 +131,36 @@
 	return f.fold.next
 }
 
-// wait returns how long a read may wait for news: not at all until caught up.
-func (f *Follower) wait() time.Duration {
+// maxWait returns how long a read may wait for records: not at all until the fold has caught up.
+func (f *Follower) maxWait() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.isCaught {
+	if f.isCaughtUp {
 		return readWait
 	}
 	return 0
 }
 
-// note records that a read which began at start returned batch.
-func (f *Follower) note(start time.Time, batch cluster.Batch) {
+// recordRead records that a read started at start returned batch.
+func (f *Follower) recordRead(start time.Time, batch cluster.Batch) {
 	next := f.fold.Next()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.head = max(f.head, batch.Next)
-	if next < f.head || f.fold.Waiting() {
+	f.logEnd = max(f.logEnd, batch.Next)
+	if next < f.logEnd || f.fold.Waiting() {
 		return
 	}
 	f.confirmed = start
-	if !f.isCaught {
-		f.isCaught = true
+	if !f.isCaughtUp {
+		f.isCaughtUp = true
 		close(f.caughtUp)
 	}
 }
 
-// maybeCheckpoint writes a checkpoint once one has been due for the daemon's
-// delay. It returns the deadline at which to write, zero for none due.
-func (f *Follower) maybeCheckpoint(ctx context.Context, due time.Time) time.Time {
-	if !f.checkpointNeeded() {
+// writeCheckpointIfDue writes a checkpoint if one has been due for the daemon's delay. It returns
+// when to write the next one, or the zero time if none is due.
+func (f *Follower) writeCheckpointIfDue(ctx context.Context, due time.Time) time.Time {
+	if !f.needsCheckpoint() {
 		return time.Time{}
 	}
 	now := time.Now()
@@ -178,31 +176,30 @@
 	}
 	record, err := newCheckpointRecord(f.opts.NewID(), c)
 	if err == nil {
-		// A lost answer needs no settling: the follower sees the checkpoint,
-		// or writes another one.
+		// A lost reply needs no handling: the follower reads the checkpoint, or writes another one.
 		_, _ = f.opts.Log.Append(ctx, f.opts.Stream, []cluster.Record{record})
 	}
 	return now.Add(readTimeout + f.opts.CheckpointDelay())
 }
 
-func (f *Follower) checkpointNeeded() bool {
+func (f *Follower) needsCheckpoint() bool {
 	if f.Confirmed().IsZero() {
 		return false
 	}
 	next := f.fold.Next()
 	at, written := f.fold.newestCheckpoint()
-	if next-1-at > checkpointRecords {
+	if next-1-at > maxRecordsSinceCheckpoint {
 		return true
 	}
 	if at < 0 {
-		written = f.fold.firstTime()
+		written = f.fold.checkpointAgeStart()
 	}
-	renewAt := written.Add(f.opts.Retention / checkpointFraction)
+	renewAt := written.Add(f.opts.Retention / checkpointsPerRetention)
 	return next > 0 && time.Now().After(renewAt)
 }
 
-// firstTime returns the time from which the first checkpoint's age counts.
-func (f *Fold) firstTime() time.Time {
+// checkpointAgeStart returns the time from which the age counts while there is no checkpoint.
+func (f *Fold) checkpointAgeStart() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.checkpointTime.IsZero() {
@@ -211,11 +208,9 @@
 	return f.checkpointTime
 }
 
-// Append adds data to the stream under id and returns once this follower has
-// folded it. When the answer of the log is lost, the log itself settles the
-// matter: Append waits for the record to show. An error of type
-// failure.Refused means that nothing was appended; after any other the record
-// may still appear.
+// Append appends data to the stream under id and returns once this follower has folded it. If the
+// log's reply is lost, Append waits for the record to appear. An error of type failure.Refused
+// means that nothing was appended; after any other error the record may still appear.
 func (f *Follower) Append(ctx context.Context, id string, data []byte) error {
 	record, err := NewRecord(id, data)
 	if err != nil {
@@ -224,18 +219,17 @@
 	return f.AppendRecords(ctx, []cluster.Record{record})
 }
 
-// AppendRecords appends records, which must not be empty, as one unit. See
-// Append for when it returns and what an error means.
+// AppendRecords appends a non-empty list of records atomically. It returns as Append does.
 func (f *Follower) AppendRecords(ctx context.Context, records []cluster.Record) error {
 	last := records[len(records)-1].ID
-	seen := f.fold.Watch(last)
+	folded := f.fold.Watch(last)
 	defer f.fold.Unwatch(last)
 	_, err := f.opts.Log.Append(ctx, f.opts.Stream, records)
 	if failure.Is(err, failure.Refused) {
 		return err
 	}
 	select {
-	case <-seen:
+	case <-folded:
 		return nil
 	case <-ctx.Done():
 		return failure.At(failure.Unavailable, "settle append", f.opts.Stream, ctx.Err())
--- a/eventlog/shared.go
+++ b/eventlog/shared.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// logSilence is for how long the log may not answer before a fold is asked of
-// peers.
-const logSilence = 4 * time.Second
+// staleAfter is how long after the last successful read a fold counts as stale.
+const staleAfter = 4 * time.Second
 
-// Shared lets daemons pass a fold on to each other while the log is out.
+// Shared exposes a fold to other daemons, which may need it while the log is unavailable.
 type Shared struct {
 	follower *Follower
 }
 
-// NewShared returns the shared form of what follower folds.
+// NewShared returns the Shared of follower's fold.
 func NewShared(follower *Follower) Shared {
 	return Shared{follower: follower}
 }
@@ -19,12 +18,12 @@
 // Next returns one past the highest offset folded.
 func (s Shared) Next() int64 { return s.follower.fold.Next() }
 
-// Stale reports whether the log has not been read for a while.
+// Stale reports whether the log has not been read recently.
 func (s Shared) Stale() bool {
-	return time.Since(s.follower.Confirmed()) > logSilence
+	return time.Since(s.follower.Confirmed()) > staleAfter
 }
 
-// Encoded returns the fold as a checkpoint.
+// Encoded returns the fold as an encoded checkpoint.
 func (s Shared) Encoded() ([]byte, error) {
 	checkpoint, err := s.follower.fold.Checkpoint()
 	if err != nil {
@@ -33,7 +32,7 @@
 	return checkpoint.Encode(), nil
 }
 
-// Install takes a checkpoint from a peer; one that is not newer changes nothing.
+// Install restores a checkpoint from a peer; one that is not newer changes nothing.
 func (s Shared) Install(data []byte) error {
 	checkpoint, err := DecodeCheckpoint(data)
 	if err != nil {
--- a/fleet/beliefs.go
+++ b/fleet/beliefs.go
@@ -14,15 +14,15 @@
 
 	mu        sync.Mutex
 	confirmed time.Time
-	// ignoreConfirmationsUntil is the time before which no confirmation counts. Confirmations by this daemon's own
-	// reads that were sent before ignoreReadsUntil do not count either.
+	// ignoreConfirmationsUntil is the time before which no confirmation counts. Confirmations by
+	// this daemon's own reads that were sent before ignoreReadsUntil do not count either.
 	ignoreConfirmationsUntil time.Time
 	ignoreReadsUntil         time.Time
 }
 
-// restoreHoldDuration is how long after a restore of the source from a copy its newest configuration may be
-// outdated: writers repeat their writes at their next heartbeat. Confirming it in the meantime
-// would keep revoked keys valid.
+// restoreHoldDuration is how long after a restore of the source from a copy its newest
+// configuration may be outdated: writers repeat their writes at their next heartbeat. Confirming it
+// in the meantime would keep revoked keys valid.
 const restoreHoldDuration = 2 * time.Second
 
 // HoldCopy notes that the source was restored from a copy at the given time, and ignores
@@ -35,10 +35,10 @@
 	}
 }
 
-// HoldFirstReads ignores the confirmations of own reads that are sent within restoreHoldDuration of the given time.
-// It is used for the first read of a daemon from a source that was restored at an unknown time;
-// confirmations by peers that have run longer still count. It does nothing once a configuration has
-// been confirmed.
+// HoldFirstReads ignores the confirmations of own reads that are sent within restoreHoldDuration of
+// the given time. It is used for the first read of a daemon from a source that was restored at an
+// unknown time; confirmations by peers that have run longer still count. It does nothing once a
+// configuration has been confirmed.
 func (b *Beliefs) HoldFirstReads(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -89,7 +89,8 @@
 	c.newestPosition = news.Next
 }
 
-// observeEra updates the era from a read, and schedules another full read if the source was restored.
+// observeEra updates the era from a read, and schedules another full read if the source was
+// restored.
 func (c *configReader) observeEra(position int64, sent time.Time) {
 	era := EraOf(position)
 	if c.era >= 0 && era > c.era {
--- a/fleet/decisions.go
+++ b/fleet/decisions.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxKeptDecisions is how many decisions are kept for peers that missed some: twice the number needed
-// to form all replicas of 1,000 workers.
+// maxKeptDecisions is how many decisions are kept for peers that missed some: twice the number
+// needed to form all replicas of 1,000 workers.
 const maxKeptDecisions = 512
 
 // DecisionPosition says up to which decision of a leader's term the decisions are known.
--- a/fleet/decisions_test.go
+++ b/fleet/decisions_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestFollowerCatchesUpOnMissedDecisions lets leaders of successive terms decide while a follower misses
-// some decisions and sometimes requests the rest.
+// TestFollowerCatchesUpOnMissedDecisions lets leaders of successive terms decide while a follower
+// misses some decisions and sometimes requests the rest.
 func TestFollowerCatchesUpOnMissedDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -26,8 +26,8 @@
 	assert.Equal(t, EraOf(-1), int64(0))
 }
 
-// restoredInventory returns an inventory that held workers up to a high offset and was then given the list of
-// a store that was restored from a copy.
+// restoredInventory returns an inventory that held workers up to a high offset and was then given
+// the list of a store that was restored from a copy.
 func restoredInventory(t *testing.T, copied ...Change) *Inventory {
 	t.Helper()
 	i := NewInventory(time.Second, 5*time.Second)
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestListOfRestoredStoreIsMerged checks the list of a restored store in which a worker is not marked as
-// leaving yet and another worker is missing. The first must stay unused, the second must stay in
-// use until it has had time to write again, and changes of the new era must apply.
+// TestListOfRestoredStoreIsMerged checks the list of a restored store in which a worker is not
+// marked as leaving yet and another worker is missing. The first must stay unused, the second must
+// stay in use until it has had time to write again, and changes of the new era must apply.
 func TestListOfRestoredStoreIsMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := head("draining", "g", 1, Open)
@@ -111,9 +111,9 @@
 	assert.Equal(t, h.View().State("a", time.Now()), HallOpen, "the operator's command was not repeated")
 }
 
-// TestRestoredStoreConfirmsNoConfiguration checks that a restored store does not confirm the version in
-// force until its writer had time to write again: a newer one that revoked a key may have been
-// lost.
+// TestRestoredStoreConfirmsNoConfiguration checks that a restored store does not confirm the
+// version in force until its writer had time to write again: a newer one that revoked a key may
+// have been lost.
 func TestRestoredStoreConfirmsNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBeliefs()
@@ -135,7 +135,8 @@
 	})
 }
 
-// TestFollowerHoldsConfirmationsAfterRestore restores the source from a copy while it is being followed.
+// TestFollowerHoldsConfirmationsAfterRestore restores the source from a copy while it is being
+// followed.
 func TestFollowerHoldsConfirmationsAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
@@ -153,8 +154,8 @@
 	})
 }
 
-// TestFirstReadOfRestoredStore checks a daemon that knows the previous era from peers only, and whose
-// first read returns a restored copy.
+// TestFirstReadOfRestoredStore checks a daemon that knows the previous era from peers only, and
+// whose first read returns a restored copy.
 func TestFirstReadOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2}
@@ -171,9 +172,9 @@
 	})
 }
 
-// TestFirstReadAfterOutageMayBeOfRestoredStore checks that a daemon that starts during an outage, without
-// peers, does not confirm its first read: a revoked key may be valid again until the operator's
-// change has been repeated.
+// TestFirstReadAfterOutageMayBeOfRestoredStore checks that a daemon that starts during an outage,
+// without peers, does not confirm its first read: a revoked key may be valid again until the
+// operator's change has been repeated.
 func TestFirstReadAfterOutageMayBeOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2, down: true}
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -21,17 +21,17 @@
 	pollWait = 300 * time.Millisecond
 	// firstConfigWait replaces pollWait until there is a configuration that could be confirmed.
 	firstConfigWait = 2 * time.Second
-	// readTimeout is how long a read may take beyond its wait. The source aborts a stalled answer much
-	// sooner.
+	// readTimeout is how long a read may take beyond its wait. The source aborts a stalled answer
+	// much sooner.
 	readTimeout = 4 * time.Second
 	// listTimeout is the time limit for reading a whole list page by page. The source keeps changes
 	// for at least twice as long, so reading can continue from there.
 	listTimeout = 10 * time.Second
-	// listRetryDelay is the delay before reading another list after one was rejected as outdated: six
-	// attempts within the three seconds by which the store's answers may lag.
+	// listRetryDelay is the delay before reading another list after one was rejected as outdated:
+	// six attempts within the three seconds by which the store's answers may lag.
 	listRetryDelay = 500 * time.Millisecond
-	// restoreSettleTime is how long after a restore from a copy the source is complete again: writers
-	// repeat their writes at their next heartbeat, about every second.
+	// restoreSettleTime is how long after a restore from a copy the source is complete again:
+	// writers repeat their writes at their next heartbeat, about every second.
 	restoreSettleTime = 5 * time.Second
 	// minRetryDelay and maxRetryDelay are the first and the maximum delay after failed reads.
 	minRetryDelay = 100 * time.Millisecond
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// The name of a group consists of the model, epochSeparator and the epoch. The head's id and address may
-// follow, each after a headSeparator.
+// The name of a group consists of the model, epochSeparator and the epoch. The head's id and
+// address may follow, each after a headSeparator.
 const (
 	epochSeparator = "-r"
 	headSeparator  = "!"
--- a/fleet/halls.go
+++ b/fleet/halls.go
@@ -37,8 +37,8 @@
 	// closeMargin is how long before the deadline a hall stops to take requests: a request sent just
 	// before needs up to the connection timeout to reach its worker.
 	closeMargin = 600 * time.Millisecond
-	// maxClosingFraction is the maximum fraction of the deadline that a hall spends closing. Replicas
-	// staged elsewhere are ready sooner than that.
+	// maxClosingFraction is the maximum fraction of the deadline that a hall spends closing.
+	// Replicas staged elsewhere are ready sooner than that.
 	maxClosingFraction = 0.5
 )
 
@@ -239,9 +239,9 @@
 	return closed
 }
 
-// closingDeadline returns until when a hall that was just found closed may take requests. The operator
-// closed it after the last confirmation, so the bound counts from there. Without any earlier
-// confirmation the hall closes immediately.
+// closingDeadline returns until when a hall that was just found closed may take requests. The
+// operator closed it after the last confirmation, so the bound counts from there. Without any
+// earlier confirmation the hall closes immediately.
 func (h *Halls) closingDeadline(now time.Time) time.Time {
 	if h.confirmed.IsZero() {
 		return now
--- a/fleet/halls_test.go
+++ b/fleet/halls_test.go
@@ -90,8 +90,9 @@
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 }
 
-// TestPeersCloseHallAtTheSameTime checks that a daemon that learns of a closed hall from a peer closes
-// it at the same time, and that an invalid report never keeps the hall open beyond the bound.
+// TestPeersCloseHallAtTheSameTime checks that a daemon that learns of a closed hall from a peer
+// closes it at the same time, and that an invalid report never keeps the hall open beyond the
+// bound.
 func TestPeersCloseHallAtTheSameTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := NewHalls(emptyWithin), NewHalls(emptyWithin), NewHalls(emptyWithin)
@@ -109,7 +110,8 @@
 	})
 }
 
-// hallSimulation simulates an operator and daemons that read the operator's commands or receive reports.
+// hallSimulation simulates an operator and daemons that read the operator's commands or receive
+// reports.
 type hallSimulation struct {
 	closed    map[string]bool
 	changed   map[string]time.Time
@@ -170,8 +172,8 @@
 	return ""
 }
 
-// disagreement lets all daemons read, waits for the bound, and returns a daemon and a hall whose state
-// is not what the operator set; it is empty if there is none.
+// disagreement lets all daemons read, waits for the bound, and returns a daemon and a hall whose
+// state is not what the operator set; it is empty if there is none.
 func (p *hallSimulation) disagreement() string {
 	for i := range p.daemons {
 		p.read(i)
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -57,8 +57,8 @@
 	firstListAt time.Time
 	// outageEnd is when the list became available again after the last outage.
 	outageEnd time.Time
-	// toleratedUntil holds the workers whose entries disappeared right after an outage, with the time until
-	// which they still count as listed.
+	// toleratedUntil holds the workers whose entries disappeared right after an outage, with the
+	// time until which they still count as listed.
 	toleratedUntil map[string]time.Time
 }
 
@@ -68,8 +68,8 @@
 	// lapseWindow is how long after an outage a missing entry may have expired only because its
 	// worker could not write either.
 	lapseWindow = 2500 * time.Millisecond
-	// lapseHeartbeats is how many heartbeats such a worker has to write again. The time is limited to
-	// the maximum for leaving workers less leaveMargin.
+	// lapseHeartbeats is how many heartbeats such a worker has to write again. The time is limited
+	// to the maximum for leaving workers less leaveMargin.
 	lapseHeartbeats = 3
 	leaveMargin     = 300 * time.Millisecond
 )
@@ -364,8 +364,8 @@
 	}
 }
 
-// tolerateMissing reports whether a missing entry is tolerated, so that its worker still counts as listed
-// for a while.
+// tolerateMissing reports whether a missing entry is tolerated, so that its worker still counts as
+// listed for a while.
 func (i *Inventory) tolerateMissing(id string) bool {
 	now := time.Now()
 	if until, ok := i.toleratedUntil[id]; ok {
@@ -378,8 +378,8 @@
 	return true
 }
 
-// expireTolerated removes the workers that did not write again in time, and reports whether there were
-// any.
+// expireTolerated removes the workers that did not write again in time, and reports whether there
+// were any.
 func (i *Inventory) expireTolerated() bool {
 	now, ended := time.Now(), false
 	for id, until := range i.toleratedUntil {
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -386,8 +386,8 @@
 	})
 }
 
-// TestMissingWorkerIsDroppedWithinLeaveBound checks that a worker which leaves right after an outage of
-// the list gets no more requests after the bound.
+// TestMissingWorkerIsDroppedWithinLeaveBound checks that a worker which leaves right after an
+// outage of the list gets no more requests after the bound.
 func TestMissingWorkerIsDroppedWithinLeaveBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat, bound = 1200 * time.Millisecond, 2 * time.Second
--- a/fleet/scope_test.go
+++ b/fleet/scope_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestCompleteListIgnoresHeadDeltas checks that an inventory of all workers ignores the changes of heads
-// only, since it would miss those of other workers.
+// TestCompleteListIgnoresHeadDeltas checks that an inventory of all workers ignores the changes of
+// heads only, since it would miss those of other workers.
 func TestCompleteListIgnoresHeadDeltas(t *testing.T) {
 	i := NewInventory(time.Second, 0)
 	i.Replace([]Change{{ID: "h", Worker: head("h", "g", 1, Open)}}, 1, time.Now())
--- a/fleet/slowsource_test.go
+++ b/fleet/slowsource_test.go
@@ -46,7 +46,8 @@
 	return int64(n)
 }
 
-// delayedNewest waits for slowAnswerDelay and returns the version that was the newest before the wait.
+// delayedNewest waits for slowAnswerDelay and returns the version that was the newest before the
+// wait.
 func (s *slowSource) delayedNewest() int64 {
 	newest := s.newest(time.Now())
 	time.Sleep(slowAnswerDelay)
@@ -77,8 +78,8 @@
 	return WorkerNews{Next: next, More: next < newest}, nil
 }
 
-// TestSlowReaderConfirmsOnlyWhatItRead guards against confirming outdated data while changes are published faster
-// than a slow source returns them.
+// TestSlowReaderConfirmsOnlyWhatItRead guards against confirming outdated data while changes are
+// published faster than a slow source returns them.
 func TestSlowReaderConfirmsOnlyWhatItRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &slowSource{}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -57,8 +57,8 @@
 	return v
 }
 
-// replicaHeadedBy returns the replica that a worker heads according to the list or a newer announcement,
-// or nil.
+// replicaHeadedBy returns the replica that a worker heads according to the list or a newer
+// announcement, or nil.
 func replicaHeadedBy(w *Worker, a Announcement) *Replica {
 	if w.Domain == "" {
 		return &Replica{ID: w.ID, Service: w.Service, Head: w}
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -15,56 +15,56 @@
 	"quartzshelf.dev/rpc"
 )
 
-// Timing of an agent.
+// Timing and limits of an agent.
 const (
-	// exchangeEvery is the time between exchanges in a fleet of up to
-	// smallFleet members; larger ones exchange largeFactor times less often.
-	exchangeEvery   = 500 * time.Millisecond
-	largeFactor     = 2
-	exchangeTimeout = 800 * time.Millisecond
-	probeEvery      = time.Second
-	probeTimeout    = 400 * time.Millisecond
-	// newsLimit is how many changed entries go with one exchange.
-	newsLimit = 32
-	// indirectProbes is how many others are asked to probe a silent member.
+	// exchangeInterval is the interval between exchanges in fleets of up to smallFleet members;
+	// larger fleets exchange largeFleetFactor times less often.
+	exchangeInterval = 500 * time.Millisecond
+	largeFleetFactor = 2
+	exchangeTimeout  = 800 * time.Millisecond
+	probeInterval    = time.Second
+	probeTimeout     = 400 * time.Millisecond
+	// maxChangesPerExchange is the maximum number of changed entries in one exchange.
+	maxChangesPerExchange = 32
+	// indirectProbes is how many other members are asked to probe an unresponsive one.
 	indirectProbes = 2
-	// DefaultSuspectFor is how long a suspected member may take to refute.
-	DefaultSuspectFor = 2 * time.Second
-	// seedRounds is after how many exchanges the seeds are tried again.
-	seedRounds = 20
-	// fullSyncRounds is how many exchanges with a differing table may pass
-	// before the whole table is sent.
+	// DefaultSuspicionTimeout is how long a suspected member has to refute the suspicion.
+	DefaultSuspicionTimeout = 2 * time.Second
+	// seedRoundInterval is the number of rounds between exchanges with the seeds.
+	seedRoundInterval = 20
+	// fullSyncRounds is the number of exchanges with a differing table after which the whole table
+	// is sent.
 	fullSyncRounds = 8
 )
 
-// Reports is the store of domain reports that spreads with membership.
+// Reports is the store of domain reports that spread with membership.
 type Reports interface {
-	// Digest lists what the store holds.
+	// Digest lists the reports held.
 	Digest() []*rpc.ReportDigest
-	// Since returns the reports that a holder of digest lacks.
+	// Since returns the reports that a peer with the given digest lacks.
 	Since(digest []*rpc.ReportDigest) []*rpc.DomainReport
-	// Merge takes reports; the time that they have left counts from base.
+	// Merge adds reports. Their remaining validity counts from base.
 	Merge(reports []*rpc.DomainReport, base time.Time)
 }
 
-// Configuration is the folded configuration as far as it spreads with membership.
+// Configuration is the configuration state that spreads with membership.
 type Configuration interface {
 	// Next returns one past the highest offset folded.
 	Next() int64
-	// Stale reports whether the log has not been read for a while, so that
-	// peers should give their configuration.
+	// Stale reports whether the log has not been read recently, so that peers should send their
+	// configuration.
 	Stale() bool
 	// Encoded returns the configuration as a checkpoint.
 	Encoded() ([]byte, error)
-	// Install takes a checkpoint from a peer.
+	// Install applies a checkpoint from a peer.
 	Install(data []byte) error
 }
 
-// Quarantine is what daemons know of requests that end workers, as far as it spreads with
-// membership. Both functions are nil where nothing is to spread.
+// Quarantine connects the records of requests that crash workers, which spread with membership.
+// Both functions may be nil.
 type Quarantine struct {
 	Report func() []*rpc.QuarantineEntry
-	// Merge takes what a peer reported just now.
+	// Merge adds the entries that a peer just sent.
 	Merge func(peer string, all []*rpc.QuarantineEntry)
 }
 
@@ -84,46 +84,46 @@
 // Options configures an Agent.
 type Options struct {
 	Self *rpc.Member
-	// Seeds returns addresses of daemons to begin with.
+	// Seeds returns the addresses of daemons to contact first.
 	Seeds func() []string
-	// Dial returns a client of the daemon at an address.
+	// Dial returns a client for the daemon at an address.
 	Dial          func(address string) rpc.Peer
 	Reports       Reports
 	Configuration Configuration
-	// Quarantine spreads what is known of requests that end workers.
-	Quarantine Quarantine
-	SuspectFor time.Duration
-	// Random must not be used elsewhere.
+	// Quarantine spreads the records of requests that crash workers.
+	Quarantine       Quarantine
+	SuspicionTimeout time.Duration
+	// Random must not be shared.
 	Random *rand.Rand
 }
 
-// Agent keeps a daemon's view of the fleet up to date.
+// Agent keeps a daemon's membership table up to date.
 type Agent struct {
 	opts  Options
 	table *Table
 	done  chan struct{}
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	mismatch int
-	rounds   int
-	// contacts holds, for each member, when it last answered.
-	contacts map[string]time.Time
-	// fleetNext is the highest configuration offset heard of, plus one.
+	mu                  sync.Mutex
+	random              *rand.Rand
+	mismatchedExchanges int
+	rounds              int
+	// lastAnswered holds when each member last answered.
+	lastAnswered map[string]time.Time
+	// fleetNext is one past the highest configuration offset that any peer reported.
 	fleetNext int64
 }
 
-// NewAgent returns an agent; Run makes it work.
+// NewAgent returns an agent that starts to work when Run is called.
 func NewAgent(opts Options) *Agent {
-	if opts.SuspectFor == 0 {
-		opts.SuspectFor = DefaultSuspectFor
+	if opts.SuspicionTimeout == 0 {
+		opts.SuspicionTimeout = DefaultSuspicionTimeout
 	}
 	return &Agent{
-		opts:     opts,
-		table:    NewTable(opts.Self, opts.SuspectFor),
-		random:   opts.Random,
-		contacts: make(map[string]time.Time),
-		done:     make(chan struct{}),
+		opts:         opts,
+		table:        NewTable(opts.Self, opts.SuspicionTimeout),
+		random:       opts.Random,
+		lastAnswered: make(map[string]time.Time),
+		done:         make(chan struct{}),
 	}
 }
 
@@ -133,18 +133,16 @@
 // Done is closed when Run has returned.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
-// FleetNext returns one past the highest configuration offset that any peer
-// was heard to hold.
+// FleetNext returns one past the highest configuration offset that any peer reported.
 func (a *Agent) FleetNext() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fleetNext
 }
 
-// Reached returns how many members, this one included, answered since the
-// given time, and how many members there are that have not departed. Dead
-// members count as members until they are forgotten, so that a minority that
-// was cut off does not take itself for the whole.
+// Reached returns how many members, this one included, answered since the given time, and how many
+// members have not left. Dead members count until they are removed from the table, so that a
+// disconnected minority does not mistake itself for the whole fleet.
 func (a *Agent) Reached(since time.Time) (reached, members int) {
 	all := a.table.Members()
 	self := a.table.Self().Id
@@ -155,7 +153,7 @@
 			continue
 		}
 		members++
-		if m.Id == self || !a.contacts[m.Id].Before(since) {
+		if m.Id == self || !a.lastAnswered[m.Id].Before(since) {
 			reached++
 		}
 	}
@@ -166,12 +164,12 @@
 func (a *Agent) Run(ctx context.Context) {
 	defer close(a.done)
 	var group conc.WaitGroup
-	group.Go(func() { every(ctx, exchangeEvery, a.exchangeRound) })
-	group.Go(func() { every(ctx, probeEvery, a.probeRound) })
+	group.Go(func() { runPeriodically(ctx, exchangeInterval, a.exchangeRound) })
+	group.Go(func() { runPeriodically(ctx, probeInterval, a.probeRound) })
 	group.Wait()
 }
 
-// exchangeRound exchanges with this round's peers side by side.
+// exchangeRound exchanges with this round's peers concurrently.
 func (a *Agent) exchangeRound(ctx context.Context) {
 	a.table.Expire()
 	addresses := a.roundAddresses()
@@ -182,21 +180,21 @@
 	group.Wait()
 }
 
-// roundAddresses returns the addresses of this round's peers, now and then or
-// when alone with the seeds.
+// roundAddresses returns the addresses of this round's peers. Every seedRoundInterval rounds, or if
+// no other member is alive, the seeds are included.
 func (a *Agent) roundAddresses() []string {
 	alive := a.table.Alive()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rounds++
-	if len(alive) > smallFleet && a.rounds%largeFactor != 0 {
+	if len(alive) > smallFleet && a.rounds%largeFleetFactor != 0 {
 		return nil
 	}
 	var addresses []string
 	for _, m := range exchangePeers(a.opts.Self, alive, a.random) {
 		addresses = append(addresses, m.PeerAddress)
 	}
-	if len(alive) > 1 && a.rounds%seedRounds != 0 {
+	if len(alive) > 1 && a.rounds%seedRoundInterval != 0 {
 		return addresses
 	}
 	for _, seed := range a.opts.Seeds() {
@@ -215,7 +213,7 @@
 	request := &rpc.ExchangeRequest{
 		From:            self.Id,
 		FromIncarnation: self.Incarnation,
-		Members:         a.outgoing(),
+		Members:         a.outgoingMembers(),
 		Reports:         a.opts.Reports.Digest(),
 		MembersHash:     a.table.Hash(),
 		ConfigNext:      uint64(a.opts.Configuration.Next()),
@@ -230,43 +228,43 @@
 	a.table.Merge(reply.Members)
 	a.opts.Reports.Merge(reply.Reports, start)
 	a.opts.Quarantine.merge(address, reply.Quarantine)
-	a.hearConfig(int64(reply.ConfigNext), reply.ConfigCheckpoint)
-	a.contact(address, start)
+	a.updateConfig(int64(reply.ConfigNext), reply.ConfigCheckpoint)
+	a.recordAnswer(address, start)
 	return nil
 }
 
-// outgoing returns the entries to send: those that changed, or all of them
-// when the tables have differed for long.
-func (a *Agent) outgoing() []*rpc.Member {
+// outgoingMembers returns the entries to send: the changed ones, or all if the tables have differed
+// for too many rounds.
+func (a *Agent) outgoingMembers() []*rpc.Member {
 	a.mu.Lock()
-	full := a.mismatch >= fullSyncRounds
+	full := a.mismatchedExchanges >= fullSyncRounds
 	if full {
-		a.mismatch = 0
+		a.mismatchedExchanges = 0
 	}
 	a.mu.Unlock()
 	if full {
 		return a.table.Members()
 	}
-	return a.table.News(newsLimit)
+	return a.table.PendingChanges(maxChangesPerExchange)
 }
 
-// contact notes that the member at address answered a call begun at start.
-func (a *Agent) contact(address string, start time.Time) {
+// recordAnswer records that the member at address answered a call started at start.
+func (a *Agent) recordAnswer(address string, start time.Time) {
 	members := a.table.Members()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range members {
 		if m.PeerAddress == address {
-			a.contacts[m.Id] = start
+			a.lastAnswered[m.Id] = start
 		}
 	}
 }
 
-// hearConfig notes a peer's configuration and installs it when it is newer.
-func (a *Agent) hearConfig(next int64, checkpoint []byte) {
+// updateConfig records a peer's configuration offset and installs its checkpoint, if any.
+func (a *Agent) updateConfig(next int64, checkpoint []byte) {
 	if len(checkpoint) > 0 {
-		// A checkpoint that does not decode changes nothing; the log or
-		// another peer brings the configuration.
+		// An invalid checkpoint changes nothing; the log or another peer provides the
+		// configuration.
 		_ = a.opts.Configuration.Install(checkpoint)
 	}
 	a.mu.Lock()
@@ -274,11 +272,11 @@
 	a.fleetNext = max(a.fleetNext, next)
 }
 
-// Exchange answers a peer's exchange. It is part of rpc.Peer.
+// Exchange implements rpc.Peer.
 func (a *Agent) Exchange(_ context.Context, request *rpc.ExchangeRequest) (*rpc.ExchangeReply, error) {
 	start := time.Now()
 	a.table.Merge(request.Members)
-	a.hearConfig(int64(request.ConfigNext), nil)
+	a.updateConfig(int64(request.ConfigNext), nil)
 	a.opts.Quarantine.merge(request.From, request.Quarantine)
 	reply := &rpc.ExchangeReply{
 		Quarantine: a.opts.Quarantine.report(),
@@ -295,37 +293,37 @@
 	return reply, nil
 }
 
-// membersFor returns the entries for a peer: all of them when the peer is new
-// to us or tables have differed for long, else those that changed.
+// membersFor returns the entries for a peer: the changed ones, or all if the peer is new or the
+// tables have differed for too many rounds.
 func (a *Agent) membersFor(request *rpc.ExchangeRequest) []*rpc.Member {
 	if request.MembersHash == a.table.Hash() {
 		a.mu.Lock()
-		a.mismatch = 0
+		a.mismatchedExchanges = 0
 		a.mu.Unlock()
 		return nil
 	}
 	a.mu.Lock()
-	a.mismatch++
-	full := a.mismatch >= fullSyncRounds
+	a.mismatchedExchanges++
+	full := a.mismatchedExchanges >= fullSyncRounds
 	a.mu.Unlock()
-	if full || a.needsAll(request) {
+	if full || a.needsFullTable(request) {
 		return a.table.Members()
 	}
-	news := a.table.News(newsLimit)
+	changed := a.table.PendingChanges(maxChangesPerExchange)
 	if m, ok := a.table.Member(request.From); ok && m.State != rpc.MemberState_ALIVE {
-		// The accused must hear of it to refute.
-		news = append(news, m)
+		// A suspected member must learn of the suspicion to refute it.
+		changed = append(changed, m)
 	}
-	return news
+	return changed
 }
 
-func (a *Agent) needsAll(request *rpc.ExchangeRequest) bool {
-	const strangers = 2
+func (a *Agent) needsFullTable(request *rpc.ExchangeRequest) bool {
+	const minVersion = 2
 	_, known := a.table.Member(request.From)
-	return !known || len(request.Members) > 0 && a.table.Version() < strangers
+	return !known || len(request.Members) > 0 && a.table.Version() < minVersion
 }
 
-// Probe answers a probe. It is part of rpc.Peer.
+// Probe implements rpc.Peer.
 func (a *Agent) Probe(ctx context.Context, request *rpc.ProbeRequest) (*rpc.ProbeReply, error) {
 	if request.Target == "" {
 		return a.answerProbe(request), nil
@@ -338,7 +336,7 @@
 	return &rpc.ProbeReply{Incarnation: a.table.Self().Incarnation, Reached: reached}, nil
 }
 
-// answerProbe tells that this daemon is alive and refutes an accusation.
+// answerProbe confirms that this daemon is alive and refutes a suspicion.
 func (a *Agent) answerProbe(request *rpc.ProbeRequest) *rpc.ProbeReply {
 	self := a.table.Self()
 	if request.AccusedIncarnation >= self.Incarnation {
@@ -350,17 +348,17 @@
 	return &rpc.ProbeReply{Incarnation: a.table.Self().Incarnation, Reached: true}
 }
 
-// probeRound probes this daemon's targets side by side.
+// probeRound probes this round's targets concurrently.
 func (a *Agent) probeRound(ctx context.Context) {
 	var group conc.WaitGroup
 	for _, m := range probeTargets(a.opts.Self, a.table.Alive()) {
-		group.Go(func() { a.check(ctx, m) })
+		group.Go(func() { a.probeOrSuspect(ctx, m) })
 	}
 	group.Wait()
 }
 
-// check probes m, then through others, and suspects it when nobody reaches it.
-func (a *Agent) check(ctx context.Context, m *rpc.Member) {
+// probeOrSuspect probes m directly, then through other members, and suspects it if all probes fail.
+func (a *Agent) probeOrSuspect(ctx context.Context, m *rpc.Member) {
 	if a.probe(ctx, m) == nil {
 		return
 	}
@@ -369,7 +367,7 @@
 	}
 }
 
-// reachedByOthers asks helpers, side by side, to probe a silent member.
+// reachedByOthers asks other members, concurrently, to probe an unresponsive one.
 func (a *Agent) reachedByOthers(ctx context.Context, target string) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
@@ -389,7 +387,7 @@
 	return reached.Load()
 }
 
-// probe asks m whether it is alive and takes a refutation from the answer.
+// probe asks m whether it is alive and applies a refutation in the answer.
 func (a *Agent) probe(ctx context.Context, m *rpc.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -402,7 +400,7 @@
 	if err != nil {
 		return failure.At(failure.Unavailable, "probe member", m.Id, err)
 	}
-	a.contact(m.PeerAddress, start)
+	a.recordAnswer(m.PeerAddress, start)
 	if reply.Incarnation > m.Incarnation {
 		renewed := proto.CloneOf(m)
 		renewed.Incarnation = reply.Incarnation
@@ -412,7 +410,7 @@
 	return nil
 }
 
-// helpers returns members to probe target through.
+// helpers returns the members through which to probe target.
 func (a *Agent) helpers(target string) []*rpc.Member {
 	candidates := slices.DeleteFunc(slices.Clone(a.table.Alive()), func(m *rpc.Member) bool {
 		return m.Id == target || m.Id == a.opts.Self.Id || m.State != rpc.MemberState_ALIVE
@@ -425,8 +423,8 @@
 	return candidates[:min(indirectProbes, len(candidates))]
 }
 
-// every calls work at once and then at each interval until ctx ends.
-func every(ctx context.Context, interval time.Duration, work func(context.Context)) {
+// runPeriodically calls work immediately and then at each interval until ctx ends.
+func runPeriodically(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// hallProbes and fleetProbes are how many members of the own data hall and
-	// of the whole fleet a daemon probes.
+	// hallProbes and fleetProbes are the numbers of members to probe in the daemon's own data hall
+	// and in the whole fleet.
 	hallProbes  = 2
 	fleetProbes = 1
-	// smallFleet is the size up to which every daemon exchanges with all others.
+	// smallFleet is the maximum fleet size in which every daemon exchanges with all others.
 	smallFleet = 9
-	// fanout is how many peers a daemon of a larger fleet exchanges with at a time.
+	// fanout is the number of peers per round in larger fleets.
 	fanout = 2
-	// farShare is the share of exchanges that leave the own data hall.
-	farShare = 0.25
+	// remoteHallShare is the share of exchanges that may leave the own data hall.
+	remoteHallShare = 0.25
 )
 
-// probeTargets returns the members that self probes: its successors on a ring
-// of hashes, in its data hall and over the fleet. Each member so has as many
-// probers as there are targets, and a change of the fleet moves few of them.
+// probeTargets returns the members that self probes: its successors on a hash ring of its data hall
+// and of the fleet. So every member is probed by as many others, and few targets change with the
+// membership.
 func probeTargets(self *rpc.Member, alive []*rpc.Member) []*rpc.Member {
 	local := make([]*rpc.Member, 0, len(alive))
 	for _, m := range alive {
@@ -42,11 +42,11 @@
 	return targets
 }
 
-// successors returns the n members that follow self on the ring of hashes.
+// successors returns the n members that follow self on the hash ring.
 func successors(self *rpc.Member, members []*rpc.Member, n int) []*rpc.Member {
 	ring := slices.Clone(members)
 	slices.SortFunc(ring, func(a, b *rpc.Member) int {
-		return cmp.Or(cmp.Compare(position(a.Id), position(b.Id)), cmp.Compare(a.Id, b.Id))
+		return cmp.Or(cmp.Compare(ringPosition(a.Id), ringPosition(b.Id)), cmp.Compare(a.Id, b.Id))
 	})
 	start := slices.IndexFunc(ring, func(m *rpc.Member) bool { return m.Id == self.Id })
 	var next []*rpc.Member
@@ -74,20 +74,20 @@
 	return chosen
 }
 
-// peerTries bounds the search for a random peer.
-const peerTries = 32
+// maxPeerAttempts limits the attempts to find a random peer.
+const maxPeerAttempts = 32
 
-// randomPeer returns a random member, mostly of the own data hall; nil when
-// chance brings none.
+// randomPeer returns a random member, preferably of the own data hall; nil if all attempts hit
+// self.
 func randomPeer(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) *rpc.Member {
-	far := random.Float64() < farShare
+	anyHall := random.Float64() < remoteHallShare
 	var fallback *rpc.Member
-	for range peerTries {
+	for range maxPeerAttempts {
 		m := alive[random.IntN(len(alive))]
 		if m.Id == self.Id {
 			continue
 		}
-		if far || m.DataHall == self.DataHall {
+		if anyHall || m.DataHall == self.DataHall {
 			return m
 		}
 		fallback = m
@@ -95,13 +95,13 @@
 	return fallback
 }
 
-// position returns the place of a member on the ring of hashes.
-func position(id string) uint64 {
+// ringPosition returns the position of a member on the hash ring.
+func ringPosition(id string) uint64 {
 	h := fnv.New64a()
 	// Writes to a hash never fail.
 	_, _ = h.Write([]byte(id))
 	sum := h.Sum64()
-	// FNV mixes the last bytes weakly, and ids differ there.
+	// FNV mixes the last bytes, in which ids differ, only weakly.
 	sum ^= sum >> 32
 	return sum * 0x9e3779b97f4a7c15
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -1,7 +1,6 @@
-// Package membership tells a daemon which other daemons there are and which of
-// them are alive. It follows the SWIM family of protocols: members probe a few
-// peers, suspect before they condemn, and an accused member refutes with a
-// higher incarnation.
+// Package membership tracks the daemons of the fleet and which of them are alive. It implements a
+// SWIM-style protocol: members probe a few peers, suspect unresponsive ones before declaring them
+// dead, and refute suspicions with a higher incarnation.
 package membership
 
 import (
@@ -18,59 +17,58 @@
 )
 
 const (
-	// forgetAfter is how long a dead member is remembered, so that its old
-	// messages stay refused.
-	forgetAfter = 10 * time.Minute
-	// spreadFactor times the logarithm of the fleet is how often a change is sent on.
-	spreadFactor = 3
+	// tombstoneRetention is how long a dead member is kept, so that its delayed messages are
+	// ignored.
+	tombstoneRetention = 10 * time.Minute
+	// sendFactor times the logarithm of the fleet size is how often a change is sent.
+	sendFactor = 3
 )
 
-// entry is what the table holds of one member. The member is replaced, never
-// changed, since readers share it.
+// entry is the table's record of one member. The member is replaced rather than modified, since
+// readers share it.
 type entry struct {
 	member *rpc.Member
-	// condemnAt is when a suspected member is taken for dead.
-	condemnAt time.Time
-	// forgetAt is when a dead or departed member is dropped.
-	forgetAt time.Time
-	// sends is how often the entry's last change is still to be sent on.
-	sends int
+	// declareDeadAt is when a suspected member is declared dead.
+	declareDeadAt time.Time
+	// removeAt is when a dead or departed member is removed.
+	removeAt time.Time
+	// remainingSends is how many more times the entry's last change is sent.
+	remainingSends int
 }
 
-// Table is the state of membership as one daemon sees it. It is safe for
-// concurrent use.
+// Table is the membership as seen by one daemon. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	self    *rpc.Member
 	entries map[string]*entry
 	version uint64
-	// views is what was derived from the entries at the version it names.
-	views views
-	// suspectFor is how long a suspected member may take to refute.
-	suspectFor time.Duration
+	// cache holds the lists that are derived from the entries.
+	cache derivedLists
+	// suspicionTimeout is how long a suspected member has to refute the suspicion.
+	suspicionTimeout time.Duration
 }
 
-// views are lists that are made once for each version of the table.
-type views struct {
+// derivedLists holds the lists that are derived once per version of the table.
+type derivedLists struct {
 	version uint64
-	made    bool
+	isBuilt bool
 	members []*rpc.Member
 	alive   []*rpc.Member
 	hash    uint64
 }
 
-// NewTable returns a table that knows self alone.
-func NewTable(self *rpc.Member, suspectFor time.Duration) *Table {
+// NewTable returns a table that contains only self.
+func NewTable(self *rpc.Member, suspicionTimeout time.Duration) *Table {
 	t := &Table{
-		self:       proto.CloneOf(self),
-		entries:    make(map[string]*entry),
-		suspectFor: suspectFor,
+		self:             proto.CloneOf(self),
+		entries:          make(map[string]*entry),
+		suspicionTimeout: suspicionTimeout,
 	}
-	t.entries[self.Id] = &entry{member: t.self, sends: 1}
+	t.entries[self.Id] = &entry{member: t.self, remainingSends: 1}
 	return t
 }
 
-// Self returns the daemon's own entry, which must not be changed.
+// Self returns the daemon's own entry, which must not be modified.
 func (t *Table) Self() *rpc.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,46 +93,46 @@
 	t.self = m
 	e := t.entries[m.Id]
 	e.member = m
-	t.touch(e)
+	t.markChanged(e)
 }
 
-// Members returns all entries but those of forgotten members, sorted by id.
-// The list is shared: it must not be changed.
+// Members returns all entries in the table, sorted by id. The list is shared and must not be
+// modified.
 func (t *Table) Members() []*rpc.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.view().members
+	return t.derived().members
 }
 
-// Alive returns the members that are neither dead nor departed, sorted by id;
-// suspected ones count as alive. The list is shared: it must not be changed.
+// Alive returns the members that are neither dead nor departed, sorted by id; suspected members are
+// included. The list is shared and must not be modified.
 func (t *Table) Alive() []*rpc.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.view().alive
+	return t.derived().alive
 }
 
-// view returns the lists of the present version.
-func (t *Table) view() *views {
-	if t.views.made && t.views.version == t.version {
-		return &t.views
+// derived returns the lists of the current version.
+func (t *Table) derived() *derivedLists {
+	if t.cache.isBuilt && t.cache.version == t.version {
+		return &t.cache
 	}
-	v := views{version: t.version, made: true, members: make([]*rpc.Member, 0, len(t.entries))}
+	v := derivedLists{version: t.version, isBuilt: true, members: make([]*rpc.Member, 0, len(t.entries))}
 	for _, e := range t.entries {
 		v.members = append(v.members, e.member)
 		v.hash += entryHash(e.member)
 	}
 	slices.SortFunc(v.members, func(a, b *rpc.Member) int { return strings.Compare(a.Id, b.Id) })
 	for _, m := range v.members {
-		if !gone(m.State) {
+		if !isGone(m.State) {
 			v.alive = append(v.alive, m)
 		}
 	}
-	t.views = v
-	return &t.views
+	t.cache = v
+	return &t.cache
 }
 
-// entryHash returns a hash of what a merge looks at.
+// entryHash returns a hash of the fields that merging considers.
 func entryHash(m *rpc.Member) uint64 {
 	h := fnv.New64a()
 	// Writes to a hash never fail.
@@ -152,7 +150,7 @@
 	return rpc.MemberState_DEAD
 }
 
-// Member returns the entry of a member, which must not be changed.
+// Member returns the entry of a member, which must not be modified.
 func (t *Table) Member(id string) (*rpc.Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,7 +161,7 @@
 	return e.member, true
 }
 
-// Version grows with every change of the table.
+// Version returns a number that increases with every change of the table.
 func (t *Table) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,10 +172,10 @@
 func (t *Table) Hash() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.view().hash
+	return t.derived().hash
 }
 
-// Merge takes the entries that another daemon sent.
+// Merge applies the entries that another daemon sent.
 func (t *Table) Merge(members []*rpc.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,24 +203,24 @@
 	wasSuspect := known && e.member.State == rpc.MemberState_SUSPECT
 	e.member = proto.CloneOf(m)
 	t.schedule(e, wasSuspect)
-	t.touch(e)
+	t.markChanged(e)
 }
 
-// schedule sets the deadlines that go with the entry's state.
+// schedule sets the deadlines for the entry's state.
 func (t *Table) schedule(e *entry, wasSuspect bool) {
 	now := time.Now()
 	switch e.member.State {
 	case rpc.MemberState_SUSPECT:
 		if !wasSuspect {
-			e.condemnAt = now.Add(t.suspectFor)
+			e.declareDeadAt = now.Add(t.suspicionTimeout)
 		}
 	case rpc.MemberState_DEAD, rpc.MemberState_LEFT:
-		e.forgetAt = now.Add(forgetAfter)
+		e.removeAt = now.Add(tombstoneRetention)
 	}
 }
 
-// refute answers an accusation or a trace of an earlier life of this daemon
-// with a higher incarnation.
+// refute raises this daemon's incarnation if another member suspects it or still lists an earlier
+// process of it.
 func (t *Table) refute(m *rpc.Member) {
 	accused := m.State != rpc.MemberState_ALIVE && m.Incarnation >= t.self.Incarnation
 	if !accused && m.Incarnation <= t.self.Incarnation {
@@ -236,23 +234,23 @@
 	t.setSelf(renewed)
 }
 
-// supersedes reports whether news replaces old.
-func supersedes(news, old *rpc.Member) bool {
-	if news.Incarnation != old.Incarnation {
-		return news.Incarnation > old.Incarnation
+// supersedes reports whether update replaces old.
+func supersedes(update, old *rpc.Member) bool {
+	if update.Incarnation != old.Incarnation {
+		return update.Incarnation > old.Incarnation
 	}
-	if news.State != old.State {
-		return news.State > old.State
+	if update.State != old.State {
+		return update.State > old.State
 	}
-	return news.Beat > old.Beat
+	return update.Beat > old.Beat
 }
 
 // Suspect marks a member that did not answer a probe.
 func (t *Table) Suspect(id string) {
-	t.mark(id, rpc.MemberState_SUSPECT)
+	t.raiseState(id, rpc.MemberState_SUSPECT)
 }
 
-func (t *Table) mark(id string, state rpc.MemberState) {
+func (t *Table) raiseState(id string, state rpc.MemberState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[id]
@@ -268,63 +266,64 @@
 	changed.State = state
 	e.member = changed
 	t.schedule(e, false)
-	t.touch(e)
+	t.markChanged(e)
 }
 
-// Leave marks this daemon as departed for good.
+// Leave marks this daemon as departed permanently.
 func (t *Table) Leave() {
 	t.UpdateSelf(func(m *rpc.Member) { m.State = rpc.MemberState_LEFT })
 }
 
-// Expire condemns suspects whose time is over and forgets the long dead.
+// Expire declares members dead whose suspicion timed out, and removes members that have been dead
+// or departed for long.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	for id, e := range t.entries {
 		switch {
-		case e.member.State == rpc.MemberState_SUSPECT && !now.Before(e.condemnAt):
+		case e.member.State == rpc.MemberState_SUSPECT && !now.Before(e.declareDeadAt):
 			t.setState(e, rpc.MemberState_DEAD)
-		case gone(e.member.State) && id != t.self.Id && !now.Before(e.forgetAt):
+		case isGone(e.member.State) && id != t.self.Id && !now.Before(e.removeAt):
 			delete(t.entries, id)
 			t.version++
 		}
 	}
 }
 
-// News returns up to limit entries whose last change is still to be sent on,
-// those sent least first, and counts them as sent.
-func (t *Table) News(limit int) []*rpc.Member {
+// PendingChanges returns up to limit changed entries that are still to be sent, the least sent ones
+// first, and counts them as sent.
+func (t *Table) PendingChanges(limit int) []*rpc.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fresh []*entry
+	var pending []*entry
 	for _, e := range t.entries {
-		if e.sends > 0 {
-			fresh = append(fresh, e)
+		if e.remainingSends > 0 {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.sends, a.sends), strings.Compare(a.member.Id, b.member.Id))
+	slices.SortFunc(pending, func(a, b *entry) int {
+		return cmp.Or(cmp.Compare(b.remainingSends, a.remainingSends), strings.Compare(a.member.Id, b.member.Id))
 	})
-	fresh = fresh[:min(limit, len(fresh))]
-	news := make([]*rpc.Member, 0, len(fresh))
-	for _, e := range fresh {
-		e.sends--
-		news = append(news, e.member)
+	pending = pending[:min(limit, len(pending))]
+	changes := make([]*rpc.Member, 0, len(pending))
+	for _, e := range pending {
+		e.remainingSends--
+		changes = append(changes, e.member)
 	}
-	return news
+	return changes
 }
 
-// touch notes that e changed, so that it spreads.
-func (t *Table) touch(e *entry) {
+// markChanged records a change of e and schedules it to be sent.
+func (t *Table) markChanged(e *entry) {
 	t.version++
 	rounds := 1
 	for n := len(t.entries); n > 1; n /= 2 {
 		rounds++
 	}
-	e.sends = spreadFactor * rounds
+	e.remainingSends = sendFactor * rounds
 }
 
-func gone(s rpc.MemberState) bool {
+func isGone(s rpc.MemberState) bool {
 	return s == rpc.MemberState_DEAD || s == rpc.MemberState_LEFT
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAccusedRefutes(t *testing.T) {
+func TestSuspectedMemberRefutes(t *testing.T) {
 	table := NewTable(member("a", 3, rpc.MemberState_ALIVE), time.Second)
 	table.Merge([]*rpc.Member{member("a", 3, rpc.MemberState_SUSPECT)})
 	assert.Equal(t, table.Self().Incarnation, uint64(4))
@@ -54,8 +54,8 @@
 	assert.Equal(t, table.Self().Incarnation, uint64(4))
 }
 
-// local is a fleet of agents in one process that counts the bytes of its calls.
-type local struct {
+// localFleet is a fleet of agents in one process that counts the calls and their bytes.
+type localFleet struct {
 	agents map[string]*Agent
 	bytes  int
 	calls  int
@@ -64,7 +64,7 @@
 // localPeer calls an agent of the same process.
 type localPeer struct {
 	rpc.Peer
-	fleet *local
+	fleet *localFleet
 	to    string
 }
 
@@ -87,14 +87,14 @@
 	return reply, err
 }
 
-// noReports has no domain reports.
+// noReports is an empty store of domain reports.
 type noReports struct{}
 
 func (noReports) Digest() []*rpc.ReportDigest                   { return nil }
 func (noReports) Since([]*rpc.ReportDigest) []*rpc.DomainReport { return nil }
 func (noReports) Merge([]*rpc.DomainReport, time.Time)          {}
 
-// noConfiguration has no configuration.
+// noConfiguration is an empty configuration.
 type noConfiguration struct{}
 
 func (noConfiguration) Next() int64              { return 0 }
@@ -102,8 +102,8 @@
 func (noConfiguration) Encoded() ([]byte, error) { return nil, nil }
 func (noConfiguration) Install([]byte) error     { return nil }
 
-func newLocal(n int) *local {
-	l := &local{agents: make(map[string]*Agent)}
+func newLocalFleet(n int) *localFleet {
+	l := &localFleet{agents: make(map[string]*Agent)}
 	var members []*rpc.Member
 	for i := range n {
 		m := member(fmt.Sprintf("entry-%03d", i), 1, rpc.MemberState_ALIVE)
@@ -118,15 +118,15 @@
 		})
 		a.table.Merge(members)
 		for range 200 {
-			a.table.News(n)
+			a.table.PendingChanges(n)
 		}
 		l.agents[m.Id] = a
 	}
 	return l
 }
 
-// round lets every agent exchange once, one after the other.
-func (l *local) round(ctx context.Context) {
+// round lets every agent exchange once, in turn.
+func (l *localFleet) round(ctx context.Context) {
 	for i := range len(l.agents) {
 		a := l.agents[fmt.Sprintf("entry-%03d", i)]
 		var addresses []string
@@ -139,8 +139,8 @@
 	}
 }
 
-// spread returns how many rounds a change at one member takes to reach all.
-func (l *local) spread(ctx context.Context) int {
+// roundsToReachAll returns how many rounds a change of one member takes to reach all members.
+func (l *localFleet) roundsToReachAll(ctx context.Context) int {
 	source := l.agents["entry-000"]
 	source.table.UpdateSelf(func(m *rpc.Member) { m.Leaving = true })
 	for round := 1; ; round++ {
@@ -157,23 +157,23 @@
 	}
 }
 
-// TestNewsReachesEverybody spreads a change through fleets of growing size.
-func TestNewsReachesEverybody(t *testing.T) {
+// TestChangeReachesAllMembers spreads a change through fleets of different sizes.
+func TestChangeReachesAllMembers(t *testing.T) {
 	for _, n := range []int{2, 9, 50, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				rounds := newLocal(n).spread(t.Context())
+				rounds := newLocalFleet(n).roundsToReachAll(t.Context())
 				assert.Assert(t, rounds <= 20, "%d rounds", rounds)
 			})
 		})
 	}
 }
 
-// TestQuarantineSpreads: what one member knows of requests that end workers reaches all, as
-// asked for and as answered.
+// TestQuarantineSpreads checks that quarantine entries of one member reach all members, in requests
+// and in replies.
 func TestQuarantineSpreads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLocal(50)
+		l := newLocalFleet(50)
 		known := make(map[string][]*rpc.QuarantineEntry)
 		for id, a := range l.agents {
 			a.opts.Quarantine = Quarantine{
@@ -190,11 +190,11 @@
 	})
 }
 
-// TestExchangeTellsBothWays: one exchange brings what either side knows to the other.
-func TestExchangeTellsBothWays(t *testing.T) {
+// TestExchangeIsBidirectional checks that one exchange brings each side's entries to the other.
+func TestExchangeIsBidirectional(t *testing.T) {
 	for _, knows := range []string{"entry-000", "entry-001"} {
 		t.Run(knows, func(t *testing.T) {
-			l := newLocal(2)
+			l := newLocalFleet(2)
 			known := map[string][]*rpc.QuarantineEntry{knows: {{Fingerprint: []byte("f")}}}
 			for id, a := range l.agents {
 				a.opts.Quarantine = Quarantine{
@@ -209,14 +209,14 @@
 	}
 }
 
-// BenchmarkRound measures one member's part of a round of exchanges in a quiet
-// fleet, and how many rounds a change takes to reach all.
+// BenchmarkRound measures one member's part of a round of exchanges without changes, and how many
+// rounds a change takes to reach all members.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{9, 50, 200, 970} {
 		b.Run(fmt.Sprint(n, " members"), func(b *testing.B) {
-			l := newLocal(n)
+			l := newLocalFleet(n)
 			ctx := context.Background()
-			rounds := l.spread(ctx)
+			rounds := l.roundsToReachAll(ctx)
 			l.bytes = 0
 			b.ReportAllocs()
 			b.ResetTimer()
