--- a/config/document.go
+++ b/config/document.go
@@ -1,6 +1,5 @@
-// Package config folds the configuration stream: documents with labels and
-// selectors that operators publish. The fold is deterministic, so every daemon
-// reaches the same verdict on every change.
+// Package config folds the configuration stream, in which operators publish documents with labels
+// and selectors. The fold is deterministic, so every daemon accepts and rejects the same changes.
 package config
 
 import (
@@ -25,7 +24,7 @@
 	KindDataHall   Kind = "DataHall"
 )
 
-// Kinds returns every kind.
+// Kinds returns all kinds.
 func Kinds() []Kind {
 	return []Kind{KindModel, KindAdapter, KindDeployment, KindAccount, KindService, KindNode, KindDataHall}
 }
@@ -39,17 +38,16 @@
 	return kind, nil
 }
 
-// Document is one object of the configuration. It is a message, hence its
-// exported fields.
+// Document is one object of the configuration, as published.
 type Document struct {
 	Kind   Kind              `json:"kind" yaml:"kind"`
 	Name   string            `json:"name" yaml:"name"`
 	Labels map[string]string `json:"labels,omitempty" yaml:"labels,omitempty"`
-	// Spec is JSON of the spec type of the kind.
+	// Spec is the JSON encoding of the spec type for Kind.
 	Spec json.RawMessage `json:"spec,omitempty" yaml:"-"`
 }
 
-// Key names an object.
+// Key identifies an object.
 type Key struct {
 	Kind Kind
 	Name string
@@ -60,87 +58,87 @@
 	return string(k.Kind) + "/" + k.Name
 }
 
-// Key returns the name of the object.
+// Key returns the key of the object.
 func (d Document) Key() Key {
 	return Key{Kind: d.Kind, Name: d.Name}
 }
 
-// ModelSpec describes a model.
+// ModelSpec is the spec of a Model document.
 type ModelSpec struct {
-	// Version names the weights.
+	// Version names the version of the weights.
 	Version string `json:"version" yaml:"version"`
-	// WeightsGB is the size of the weights over all nodes, in gigabytes.
+	// WeightsGB is the total size of the weights on all nodes of a replica, in gigabytes.
 	WeightsGB float64 `json:"weightsGB,omitempty" yaml:"weightsGB,omitempty"`
 }
 
-// AdapterSpec describes an adapter of a model.
+// AdapterSpec is the spec of an Adapter document.
 type AdapterSpec struct {
-	// ModelSelector picks the models that the adapter fits.
+	// ModelSelector selects the models that the adapter can be used with.
 	ModelSelector string `json:"modelSelector" yaml:"modelSelector"`
 }
 
-// ObjectiveSpec prices the two measures against each other.
+// ObjectiveSpec weighs the costs of downtime and of unused accelerators against each other.
 type ObjectiveSpec struct {
-	// Downtime is the price of a second in which a wanted replica does not serve.
+	// Downtime is the cost per second of a requested replica that does not serve.
 	Downtime float64 `json:"downtime,omitempty" yaml:"downtime,omitempty"`
-	// Stranded is the price of a second of one accelerator without a replica.
+	// Stranded is the cost per second of an accelerator that belongs to no replica.
 	Stranded float64 `json:"stranded,omitempty" yaml:"stranded,omitempty"`
 }
 
-// DeploymentSpec describes the replicas of a model.
+// DeploymentSpec is the spec of a Deployment document.
 type DeploymentSpec struct {
 	ModelSelector   string `json:"modelSelector" yaml:"modelSelector"`
 	NodeSelector    string `json:"nodeSelector,omitempty" yaml:"nodeSelector,omitempty"`
 	AdapterSelector string `json:"adapterSelector,omitempty" yaml:"adapterSelector,omitempty"`
 	AccountSelector string `json:"accountSelector,omitempty" yaml:"accountSelector,omitempty"`
-	// NodesPerReplica is how many nodes form a replica.
+	// NodesPerReplica is the number of nodes in a replica.
 	NodesPerReplica int `json:"nodesPerReplica" yaml:"nodesPerReplica"`
-	// Replicas is how many replicas are wanted; zero asks for as many as the
-	// selected nodes can hold.
+	// Replicas is the number of replicas to run; zero means as many as the selected nodes allow.
 	Replicas int `json:"replicas,omitempty" yaml:"replicas,omitempty"`
-	// Priority decides who gives up nodes to whom; higher is kept longer.
+	// Priority decides which deployments lose nodes to others; higher ones keep them longer.
 	Priority  int           `json:"priority,omitempty" yaml:"priority,omitempty"`
 	Objective ObjectiveSpec `json:"objective,omitempty" yaml:"objective,omitempty"`
-	// AllowedRegions are the regions in which its requests may run; all without it.
+	// AllowedRegions are the regions in which the deployment's requests may run; empty means all.
 	AllowedRegions Regions `json:"allowedRegions,omitempty" yaml:"allowedRegions,omitempty"`
 }
 
-// AccountSpec describes a client account.
+// AccountSpec is the spec of a ClientAccount document.
 type AccountSpec struct {
-	// KeyHashes are the lower-case hexadecimal SHA-256 hashes of its bearer keys.
+	// KeyHashes are the SHA-256 hashes of the account's bearer keys, in lower-case hexadecimal.
 	KeyHashes []string `json:"keyHashes" yaml:"keyHashes"`
-	// RequestsPerSecond is the limit over all daemons; zero is none.
+	// RequestsPerSecond is the rate limit over all daemons; zero means no limit.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty" yaml:"requestsPerSecond,omitempty"`
-	// Priority of its requests; lower is refused first under overload.
+	// Priority is the priority of the account's requests; under overload lower ones are refused
+	// first.
 	Priority int `json:"priority,omitempty" yaml:"priority,omitempty"`
-	// AllowedRegions are the regions in which its requests may run; all without it.
+	// AllowedRegions are the regions in which the account's requests may run; empty means all.
 	AllowedRegions Regions `json:"allowedRegions,omitempty" yaml:"allowedRegions,omitempty"`
 }
 
-// ServiceSpec describes a plain service.
+// ServiceSpec is the spec of a Service document, for a plain service.
 type ServiceSpec struct {
 	NodeSelector    string `json:"nodeSelector" yaml:"nodeSelector"`
 	AccountSelector string `json:"accountSelector,omitempty" yaml:"accountSelector,omitempty"`
-	// NotRepeatable lists calls that run at most once, as "METHOD /path/prefix".
+	// NotRepeatable lists the calls that must run at most once, as "METHOD /path/prefix".
 	NotRepeatable []string `json:"notRepeatable,omitempty" yaml:"notRepeatable,omitempty"`
-	// AllowedRegions are the regions in which its calls may run; all without it.
+	// AllowedRegions are the regions in which the service's calls may run; empty means all.
 	AllowedRegions Regions `json:"allowedRegions,omitempty" yaml:"allowedRegions,omitempty"`
 }
 
-// NodeSpec is empty: a node is described by its labels alone.
+// NodeSpec is the spec of a Node document. It is empty, since nodes are described by labels only.
 type NodeSpec struct{}
 
-// Labels that have a meaning of their own.
+// Labels with a predefined meaning.
 const (
 	// LabelDrain set to "true" on a node or a deployment moves work away from it.
 	LabelDrain = "quartzshelf/drain"
-	// LabelManagedBy set to ManagedByScripts on a node keeps our orders from it.
+	// LabelManagedBy set to ManagedByScripts on a node exempts it from the daemons' orders.
 	LabelManagedBy = "quartzshelf/managed-by"
-	// LabelDeployment names, on a node managed by scripts, the deployment it serves.
+	// LabelDeployment names the deployment that a node managed by scripts serves.
 	LabelDeployment = "quartzshelf/deployment"
-	// LabelReplica names, on a node managed by scripts, its replica.
+	// LabelReplica names the replica of a node managed by scripts.
 	LabelReplica = "quartzshelf/replica"
-	// LabelFenced set to "false" on a node says that it does not check tokens.
+	// LabelFenced set to "false" on a node means that it does not check tokens.
 	LabelFenced = "quartzshelf/fenced"
 	// LabelDomain, LabelDataHall and LabelKind are set from the node list.
 	LabelDomain   = "quartzshelf/domain"
@@ -148,11 +146,12 @@
 	LabelKind     = "quartzshelf/kind"
 )
 
-// ManagedByScripts is the value of LabelManagedBy for nodes run by scripts.
+// ManagedByScripts is the value of LabelManagedBy for nodes managed by scripts.
 const ManagedByScripts = "scripts"
 
 // LabelTrue and LabelFalse are the values of labels that switch something.
 const (
+	// LabelTrue and LabelFalse are the values of boolean labels.
 	LabelTrue  = "true"
 	LabelFalse = "false"
 )
@@ -163,7 +162,7 @@
 	MaxReplicaNodes = 32
 )
 
-// decodeSpec decodes the spec of d into a pointer to its spec type.
+// decodeSpec decodes the spec of d as type S; a missing spec is the zero value.
 func decodeSpec[S any](d Document) (S, error) {
 	var spec S
 	if len(d.Spec) == 0 {
@@ -173,8 +172,8 @@
 	return spec, err
 }
 
-// selector compiles text in the selector syntax of Kubernetes. Empty text
-// selects everything.
-func selector(text string) (labels.Selector, error) {
+// parseSelector parses a label selector in the syntax of Kubernetes. An empty text selects
+// everything.
+func parseSelector(text string) (labels.Selector, error) {
 	return labels.Parse(text)
 }
--- a/config/hall.go
+++ b/config/hall.go
@@ -9,12 +9,12 @@
 	"quartzshelf.dev/common/reason"
 )
 
-// DataHallSpec describes a data hall. A hall without a document is open and in no
+// DataHallSpec is the spec of a DataHall document. A hall without a document is open and has no
 // region.
 type DataHallSpec struct {
-	// Region is where the hall lies.
+	// Region is the region of the hall.
 	Region string `json:"region,omitempty" yaml:"region,omitempty"`
-	// Closed halls get no new requests; their replicas stay formed.
+	// Closed halls get no new requests; their replicas remain.
 	Closed bool `json:"closed,omitempty" yaml:"closed,omitempty"`
 }
 
@@ -27,7 +27,7 @@
 // Name returns the name of the hall.
 func (h Hall) Name() string { return h.name }
 
-// Region returns the region of the hall, empty for none.
+// Region returns the region of the hall, empty if it has none.
 func (h Hall) Region() string { return h.spec.Region }
 
 // Closed reports whether an operator closed the hall.
@@ -38,7 +38,7 @@
 	return Hall{name: d.Name, spec: spec}
 }
 
-// Regions are the regions in which a request may run; none allows all of them.
+// Regions are the regions in which a request may run; an empty list allows all.
 type Regions []string
 
 // Allow reports whether a request may run in the region.
@@ -49,8 +49,7 @@
 // Halls returns the data halls that have a document, sorted by name.
 func (v *View) Halls() []Hall { return v.halls }
 
-// Hall returns the data hall with the given name, open and in no region if it has
-// no document.
+// Hall returns the data hall with the given name. Without a document it is open and has no region.
 func (v *View) Hall(name string) Hall {
 	i, ok := slices.BinarySearchFunc(v.halls, name, func(h Hall, name string) int {
 		return strings.Compare(h.name, name)
@@ -61,8 +60,8 @@
 	return v.halls[i]
 }
 
-// KeptOut returns why a request must not go to a node in the data hall, or an empty
-// reason. All of the allowed regions bind.
+// KeptOut returns why a request must not be sent to a node in the data hall, or an empty reason.
+// The request must satisfy all of the allowed regions.
 func (v *View) KeptOut(hall string, allowed ...Regions) reason.Reason {
 	h := v.Hall(hall)
 	for _, regions := range allowed {
@@ -76,39 +75,39 @@
 	return ""
 }
 
-// hallWarnings returns what is probably not meant of the halls and regions.
+// hallWarnings returns warnings about deployments and accounts without a common region.
 func (v *View) hallWarnings() []string {
 	var warnings []string
 	for _, d := range v.deployments {
-		var apart []string
+		var disjoint []string
 		for _, a := range v.accounts {
-			if d.Allows(a) && !d.AllowedRegions().overlap(a.AllowedRegions()) {
-				apart = append(apart, a.name)
+			if d.Allows(a) && !d.AllowedRegions().overlaps(a.AllowedRegions()) {
+				disjoint = append(disjoint, a.name)
 			}
 		}
-		if len(apart) > 0 {
+		if len(disjoint) > 0 {
 			warnings = append(warnings, fmt.Sprintf(
 				"Deployment/%s: no data hall lies in a region that it and client account %s both allow (%d such accounts)",
-				d.name, apart[0], len(apart)))
+				d.name, disjoint[0], len(disjoint)))
 		}
 	}
 	return warnings
 }
 
-// overlap reports whether some region is allowed by both.
-func (r Regions) overlap(other Regions) bool {
+// overlaps reports whether both allow some region.
+func (r Regions) overlaps(other Regions) bool {
 	if len(r) == 0 || len(other) == 0 {
 		return true
 	}
 	return slices.ContainsFunc(r, func(region string) bool { return slices.Contains(other, region) })
 }
 
-// checkRegions refuses allowed regions in which no data hall lies: no request could
-// ever run there. Of several problems it returns that of the first object by name, so
-// that every daemon reports the same one.
+// checkRegions rejects allowed regions without a data hall, in which no request could run. Of
+// several problems it returns the first one in the order of keys, so that every daemon reports the
+// same.
 func checkRegions(objects map[Key]Object) error {
 	known := make(map[string]bool)
-	bound := make(map[Key]Regions)
+	restricted := make(map[Key]Regions)
 	for key, object := range objects {
 		switch key.Kind {
 		case KindDataHall:
@@ -117,17 +116,17 @@
 			}
 		case KindDeployment, KindAccount, KindService:
 			if regions := allowedRegions(object.document); len(regions) > 0 {
-				bound[key] = regions
+				restricted[key] = regions
 			}
 		}
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(bound), compareKeys) {
-		for i, region := range bound[key] {
+	for _, key := range slices.SortedFunc(maps.Keys(restricted), compareKeys) {
+		for i, region := range restricted[key] {
 			if !known[region] {
 				return &FieldError{
 					object: key, field: fmt.Sprintf("spec.allowedRegions[%d]", i),
 					problem: fmt.Sprintf("no DataHall document names the region %q, known regions are %s",
-						region, listed(slices.Sorted(maps.Keys(known)))),
+						region, joinOrNone(slices.Sorted(maps.Keys(known)))),
 				}
 			}
 		}
@@ -135,7 +134,7 @@
 	return nil
 }
 
-// allowedRegions returns the field of that name of a deployment, service or account.
+// allowedRegions returns the allowed regions of a deployment, service or account.
 func allowedRegions(d Document) Regions {
 	spec, _ := decodeSpec[struct {
 		AllowedRegions Regions `json:"allowedRegions"`
@@ -143,8 +142,8 @@
 	return spec.AllowedRegions
 }
 
-// listed returns names for a message.
-func listed(names []string) string {
+// joinOrNone joins names for a message.
+func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
@@ -163,8 +162,7 @@
 	}
 }
 
-// regions checks allowed regions. An empty list could be meant as all or as none, so
-// it is refused.
+// regions checks allowed regions. An empty list is rejected because it is ambiguous.
 func (c *checker) regions(regions []string) {
 	const field = "spec.allowedRegions"
 	if regions != nil && len(regions) == 0 {
--- a/config/hall_test.go
+++ b/config/hall_test.go
@@ -9,7 +9,7 @@
 	"quartzshelf.dev/common/reason"
 )
 
-// put returns a change that puts a document with the given spec, as JSON.
+// put returns a change that puts a document with the given JSON spec.
 func put(kind Kind, name, spec string, base int64) Change {
 	return Change{
 		Operation: OperationPut, Base: base,
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestBadHallsAndRegions(t *testing.T) {
+func TestHallAndRegionValidation(t *testing.T) {
 	account := `{"keyHashes":["` + HashKey("k") + `"],"allowedRegions":`
 	cases := map[string]struct {
 		change Change
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestKeptOut also goes through a checkpoint, by which a daemon that starts late gets
-// what is in force.
+// TestKeptOut also checks the state restored from a checkpoint, as used by a daemon that starts
+// late.
 func TestKeptOut(t *testing.T) {
 	before := NewState()
 	v := fold(t, before, 0, put(KindDataHall, "open", `{"region":"south"}`, 0),
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestRegionsThatNeverMeetAreWarnedOf(t *testing.T) {
+func TestDisjointRegionsWarning(t *testing.T) {
 	s := NewState()
 	v := fold(t, s, 0, put(KindDataHall, "a", `{"region":"south"}`, 0), put(KindDataHall, "b", `{"region":"north"}`, 0),
 		Change{Operation: OperationPut, Document: Document{Kind: KindModel, Name: "m", Labels: map[string]string{"f": "m"}, Spec: json.RawMessage(`{"version":"v1"}`)}},
--- a/config/object.go
+++ b/config/object.go
@@ -16,7 +16,7 @@
 // Name returns the name of the model.
 func (m Model) Name() string { return m.name }
 
-// Version returns the name of the weights.
+// Version returns the version of the weights.
 func (m Model) Version() string { return m.spec.Version }
 
 // Adapter is a compiled Adapter document.
@@ -37,22 +37,22 @@
 	accounts labels.Selector
 }
 
-// Name returns the name of the deployment, by which callers ask for it.
+// Name returns the name of the deployment, which callers request as the model.
 func (d Deployment) Name() string { return d.name }
 
-// Spec returns the deployment as written.
+// Spec returns the spec as published.
 func (d Deployment) Spec() DeploymentSpec { return d.spec }
 
-// AllowedRegions returns the regions in which its requests may run.
+// AllowedRegions returns the regions in which the deployment's requests may run.
 func (d Deployment) AllowedRegions() Regions { return d.spec.AllowedRegions }
 
-// Draining reports whether the deployment's label asks for it to stop.
+// Draining reports whether the deployment is labelled to be drained.
 func (d Deployment) Draining() bool { return d.labels[LabelDrain] == LabelTrue }
 
 // Allows reports whether the client account may use the deployment.
 func (d Deployment) Allows(a *Account) bool { return d.accounts.Matches(labels.Set(a.labels)) }
 
-// SelectsNode reports whether a node with the given labels may be part of a replica.
+// SelectsNode reports whether a node with the given labels can be part of a replica.
 func (d Deployment) SelectsNode(node map[string]string) bool {
 	return d.nodes.Matches(labels.Set(node))
 }
@@ -67,7 +67,7 @@
 // Name returns the name of the client account.
 func (a *Account) Name() string { return a.name }
 
-// RequestsPerSecond returns the limit over all daemons, zero for none.
+// RequestsPerSecond returns the rate limit over all daemons, zero for no limit.
 func (a *Account) RequestsPerSecond() float64 { return a.spec.RequestsPerSecond }
 
 // Priority returns the priority of the account's requests.
@@ -96,7 +96,7 @@
 // SelectsNode reports whether a node with the given labels runs the service.
 func (s Service) SelectsNode(node map[string]string) bool { return s.nodes.Matches(labels.Set(node)) }
 
-// Repeatable reports whether a call may be run more than once.
+// Repeatable reports whether a call may run more than once.
 func (s Service) Repeatable(method, path string) bool {
 	for _, call := range s.spec.NotRepeatable {
 		m, prefix, _ := strings.Cut(call, " ")
@@ -107,8 +107,7 @@
 	return true
 }
 
-// The constructors below are given valid documents, so that decoding and
-// compiling cannot fail.
+// The constructors below expect valid documents, so they ignore errors from decoding.
 
 func newModel(d Document) Model {
 	spec, _ := decodeSpec[ModelSpec](d)
@@ -117,17 +116,17 @@
 
 func newAdapter(d Document) Adapter {
 	spec, _ := decodeSpec[AdapterSpec](d)
-	return Adapter{name: d.Name, labels: d.Labels, models: mustSelector(spec.ModelSelector)}
+	return Adapter{name: d.Name, labels: d.Labels, models: compileSelector(spec.ModelSelector)}
 }
 
 func newDeployment(d Document) Deployment {
 	spec, _ := decodeSpec[DeploymentSpec](d)
 	return Deployment{
 		name: d.Name, labels: d.Labels, spec: spec,
-		models:   mustSelector(spec.ModelSelector),
-		nodes:    mustSelector(spec.NodeSelector),
-		adapters: mustSelector(spec.AdapterSelector),
-		accounts: mustSelector(spec.AccountSelector),
+		models:   compileSelector(spec.ModelSelector),
+		nodes:    compileSelector(spec.NodeSelector),
+		adapters: compileSelector(spec.AdapterSelector),
+		accounts: compileSelector(spec.AccountSelector),
 	}
 }
 
@@ -140,15 +139,14 @@
 	spec, _ := decodeSpec[ServiceSpec](d)
 	return Service{
 		name: d.Name, spec: spec,
-		nodes:    mustSelector(spec.NodeSelector),
-		accounts: mustSelector(spec.AccountSelector),
+		nodes:    compileSelector(spec.NodeSelector),
+		accounts: compileSelector(spec.AccountSelector),
 	}
 }
 
-// mustSelector compiles text that Validate has accepted; should it not
-// compile, nothing is selected.
-func mustSelector(text string) labels.Selector {
-	s, err := selector(text)
+// compileSelector compiles a selector that Validate has accepted. An invalid one selects nothing.
+func compileSelector(text string) labels.Selector {
+	s, err := parseSelector(text)
 	if err != nil {
 		return labels.Nothing()
 	}
--- a/config/parse.go
+++ b/config/parse.go
@@ -11,7 +11,7 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Position is a place in a file, counted from one.
+// Position is a line in a file, starting at one.
 type Position struct {
 	file string
 	line int
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s:%d", p.file, p.line)
 }
 
-// Parsed is a document with the place where it begins.
+// Parsed is a document with its position in a file.
 type Parsed struct {
 	document Document
 	position Position
@@ -31,10 +31,10 @@
 // Document returns the document.
 func (p Parsed) Document() Document { return p.document }
 
-// Position returns where the document begins.
+// Position returns where the document starts.
 func (p Parsed) Position() Position { return p.position }
 
-// yamlDocument is a document as it is written in YAML.
+// yamlDocument is the YAML form of a document.
 type yamlDocument struct {
 	Kind   string            `yaml:"kind"`
 	Name   string            `yaml:"name"`
@@ -42,8 +42,8 @@
 	Spec   map[string]any    `yaml:"spec"`
 }
 
-// ParseFile parses and checks the YAML documents in text. Errors name the
-// file, the line and the field.
+// ParseFile parses and validates the YAML documents in text. Errors contain the file, the line and
+// the field.
 func ParseFile(file, text string) ([]Parsed, error) {
 	tree, err := parser.ParseBytes([]byte(text), 0)
 	if err != nil {
@@ -83,20 +83,20 @@
 	return Parsed{document: d, position: position}, nil
 }
 
-// locate adds the line of the field that err names, or else of the document.
+// locate adds the line of the field that err is about, or else of the document.
 func locate(file string, body ast.Node, err error) error {
 	line := body.GetToken().Position.Line
 	var field *FieldError
 	if errors.As(err, &field) {
-		if node := find(body, field.Field()); node != nil {
+		if node := nodeAt(body, field.Field()); node != nil {
 			line = node.GetToken().Position.Line
 		}
 	}
 	return fmt.Errorf("%s: %w", Position{file: file, line: line}, err)
 }
 
-// find returns the node at a field path such as spec.keyHashes[0].
-func find(body ast.Node, field string) ast.Node {
+// nodeAt returns the node at a field path such as spec.keyHashes[0], or nil.
+func nodeAt(body ast.Node, field string) ast.Node {
 	path, err := yaml.PathString("$." + strings.TrimSpace(field))
 	if err != nil {
 		return nil
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestParseFileNamesFileLineAndField(t *testing.T) {
+func TestParseFileErrorPosition(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		want []string
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestParseFileTakesSeveralDocuments(t *testing.T) {
+func TestParseFileMultipleDocuments(t *testing.T) {
 	parsed, err := ParseFile("f.yaml", "# only a comment\n---\nkind: Model\nname: m\nspec: {version: v1}\n---\nkind: Node\nname: n\nlabels: {a: b}\n")
 	assert.NilError(t, err)
 	assert.Equal(t, len(parsed), 2)
--- a/config/record.go
+++ b/config/record.go
@@ -17,16 +17,15 @@
 	OperationDelete Operation = "delete"
 )
 
-// Change is one step of a record. Base is the revision of the object that the
-// change was made against, zero for an object that was not there.
+// Change is one operation on an object. Base is the revision of the object that the change is based
+// on, or zero if there was none.
 type Change struct {
 	Operation Operation `json:"operation"`
 	Document  Document  `json:"document"`
 	Base      int64     `json:"base"`
 }
 
-// ChangeSet is the content of a configuration record. It is accepted or
-// refused as a whole.
+// ChangeSet is the content of a configuration record. It is accepted or rejected as a whole.
 type ChangeSet struct {
 	Author  string   `json:"author,omitempty"`
 	Changes []Change `json:"changes"`
@@ -37,21 +36,21 @@
 	return json.Marshal(c)
 }
 
-// Verdict is what the fold decided on a change set.
+// Verdict is the result of folding a change set.
 type Verdict struct {
-	// Offset of the record; an accepted object's revision is Offset plus one.
+	// Offset is the offset of the record. Accepted objects get the revision Offset + 1.
 	Offset   int64    `json:"offset"`
 	ID       string   `json:"id"`
 	Author   string   `json:"author,omitempty"`
 	Time     string   `json:"time"`
 	Accepted bool     `json:"accepted"`
 	Objects  []string `json:"objects"`
-	// Problem is empty for an accepted change set.
+	// Problem is why the change set was rejected, empty if it was accepted.
 	Problem string `json:"problem,omitempty"`
 }
 
-// clashError says that an object changed since the writer read it.
-type clashError struct {
+// conflictError is returned if an object has changed since the revision that a change is based on.
+type conflictError struct {
 	object  Key
 	base    int64
 	current int64
@@ -59,12 +58,12 @@
 }
 
 // Error implements error.
-func (e *clashError) Error() string {
+func (e *conflictError) Error() string {
 	return fmt.Sprintf("%s was changed meanwhile: made against revision %d, now at %d, clashing in %s",
 		e.object, e.base, e.current, strings.Join(e.fields, ", "))
 }
 
-// differingFields returns the paths in which two documents differ, sorted.
+// differingFields returns the paths of the fields in which two documents differ, sorted.
 func differingFields(a, b Document) []string {
 	var fields []string
 	for name := range union(a.Labels, b.Labels) {
@@ -88,7 +87,7 @@
 func fieldsOf(spec json.RawMessage) map[string]json.RawMessage {
 	fields := make(map[string]json.RawMessage)
 	if len(spec) > 0 {
-		// A spec that is no object was refused by Validate.
+		// Validate rejects specs that are not objects.
 		_ = json.Unmarshal(spec, &fields)
 	}
 	return fields
--- a/config/state.go
+++ b/config/state.go
@@ -12,11 +12,11 @@
 	"quartzshelf.dev/eventlog"
 )
 
-// historyLimit is how many verdicts are kept for the operators.
+// historyLimit is the number of verdicts kept for operators.
 const historyLimit = 200
 
-// State folds the configuration stream. Readers take a View, which never
-// changes; the fold publishes a new one after each accepted change set.
+// State folds the configuration stream. Readers get an immutable View, which is replaced after each
+// accepted change set.
 type State struct {
 	view    atomic.Pointer[View]
 	history atomic.Pointer[[]Verdict]
@@ -48,31 +48,31 @@
 	verdict := Verdict{Offset: record.Offset, ID: record.ID, Time: record.Time.UTC().Format(time.RFC3339Nano)}
 	if err := json.Unmarshal(data, &set); err != nil {
 		verdict.Problem = "not a change set: " + err.Error()
-		s.remember(verdict)
+		s.record(verdict)
 		return
 	}
 	verdict.Author = set.Author
 	for _, c := range set.Changes {
 		verdict.Objects = append(verdict.Objects, c.Document.Key().String())
 	}
-	objects, err := s.View().with(set, record.Offset+1)
+	objects, err := s.View().apply(set, record.Offset+1)
 	if err != nil {
 		verdict.Problem = err.Error()
-		s.remember(verdict)
+		s.record(verdict)
 		return
 	}
 	verdict.Accepted = true
 	s.view.Store(newView(objects, record.Offset+1))
-	s.remember(verdict)
+	s.record(verdict)
 }
 
-// Try returns what the fold would say of set now, without changing anything.
+// Try returns the error with which set would be rejected now, or nil. It changes nothing.
 func (s *State) Try(set ChangeSet) error {
-	_, err := s.View().with(set, 0)
+	_, err := s.View().apply(set, 0)
 	return err
 }
 
-func (s *State) remember(v Verdict) {
+func (s *State) record(v Verdict) {
 	old := *s.history.Load()
 	if len(old) >= historyLimit {
 		old = old[len(old)-historyLimit+1:]
@@ -82,7 +82,7 @@
 	s.history.Store(&next)
 }
 
-// storedObject is an object inside a checkpoint.
+// storedObject is the encoding of an object in a checkpoint.
 type storedObject struct {
 	Document []byte `cbor:"1,keyasint"`
 	Revision int64  `cbor:"2,keyasint"`
--- a/config/validate.go
+++ b/config/validate.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Limits of single fields.
+// Limits on the values of fields.
 const (
 	maxName      = 63
 	maxReplicas  = 10_000
@@ -19,7 +19,7 @@
 	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// FieldError says what is wrong with one field of a document.
+// FieldError describes an invalid field of a document.
 type FieldError struct {
 	object  Key
 	field   string
@@ -28,13 +28,13 @@
 
 var _ error = (*FieldError)(nil)
 
-// Object returns the object whose field is wrong.
+// Object returns the key of the object.
 func (e *FieldError) Object() Key { return e.object }
 
-// Field returns the path of the field, as in spec.replicas.
+// Field returns the path of the field, such as spec.replicas.
 func (e *FieldError) Field() string { return e.field }
 
-// Problem returns what is wrong with the field.
+// Problem returns why the field is invalid.
 func (e *FieldError) Problem() string { return e.problem }
 
 // Error implements error.
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s: field %s: %s", e.object, e.field, e.problem)
 }
 
-// checker collects the first problem found in a document.
+// checker records the first problem found in a document.
 type checker struct {
 	object Key
 	err    *FieldError
@@ -55,7 +55,7 @@
 }
 
 func (c *checker) selector(field, text string) {
-	if _, err := selector(text); err != nil {
+	if _, err := parseSelector(text); err != nil {
 		c.fail(field, "bad selector: %v", err)
 	}
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-func (c *checker) between(field string, value, low, high int) {
+func (c *checker) inRange(field string, value, low, high int) {
 	if value < low || value > high {
 		c.fail(field, "%d is outside %d to %d", value, low, high)
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-// Validate checks one document by itself. The error is a *FieldError.
+// Validate checks a document independently of others. The error is a *FieldError.
 func Validate(d Document) error {
 	c := &checker{object: d.Key()}
 	if _, err := ParseKind(string(d.Kind)); err != nil {
@@ -112,24 +112,24 @@
 func (c *checker) spec(d Document) {
 	switch d.Kind {
 	case KindModel:
-		check(c, d, c.model)
+		checkSpec(c, d, c.model)
 	case KindAdapter:
-		check(c, d, func(s AdapterSpec) { c.selector("spec.modelSelector", s.ModelSelector) })
+		checkSpec(c, d, func(s AdapterSpec) { c.selector("spec.modelSelector", s.ModelSelector) })
 	case KindDeployment:
-		check(c, d, c.deployment)
+		checkSpec(c, d, c.deployment)
 	case KindAccount:
-		check(c, d, c.account)
+		checkSpec(c, d, c.account)
 	case KindService:
-		check(c, d, c.service)
+		checkSpec(c, d, c.service)
 	case KindNode:
-		check(c, d, func(NodeSpec) {})
+		checkSpec(c, d, func(NodeSpec) {})
 	case KindDataHall:
-		check(c, d, c.dataHall)
+		checkSpec(c, d, c.dataHall)
 	}
 }
 
-// check decodes the spec of d strictly and hands it to examine.
-func check[S any](c *checker, d Document, examine func(S)) {
+// checkSpec decodes the spec of d strictly and calls examine with it.
+func checkSpec[S any](c *checker, d Document, validate func(S)) {
 	var spec S
 	if len(d.Spec) > 0 {
 		decoder := json.NewDecoder(strings.NewReader(string(d.Spec)))
@@ -139,7 +139,7 @@
 			return
 		}
 	}
-	examine(spec)
+	validate(spec)
 }
 
 func (c *checker) model(s ModelSpec) {
@@ -153,8 +153,8 @@
 	c.selector("spec.nodeSelector", s.NodeSelector)
 	c.selector("spec.adapterSelector", s.AdapterSelector)
 	c.selector("spec.accountSelector", s.AccountSelector)
-	c.between("spec.nodesPerReplica", s.NodesPerReplica, MinReplicaNodes, MaxReplicaNodes)
-	c.between("spec.replicas", s.Replicas, 0, maxReplicas)
+	c.inRange("spec.nodesPerReplica", s.NodesPerReplica, MinReplicaNodes, MaxReplicaNodes)
+	c.inRange("spec.replicas", s.Replicas, 0, maxReplicas)
 	c.notNegative("spec.objective.downtime", s.Objective.Downtime)
 	c.notNegative("spec.objective.stranded", s.Objective.Stranded)
 	c.regions(s.AllowedRegions)
--- a/config/view.go
+++ b/config/view.go
@@ -12,7 +12,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Object is a document in force, with the revision that its last change got.
+// Object is a document in force with the revision of its last change.
 type Object struct {
 	document Document
 	revision int64
@@ -24,8 +24,7 @@
 // Revision returns the revision of the object's last change.
 func (o Object) Revision() int64 { return o.revision }
 
-// View is the configuration after some record. It never changes, so it may be
-// read without a lock.
+// View is an immutable snapshot of the configuration after some record.
 type View struct {
 	objects     map[Key]Object
 	revision    int64
@@ -39,7 +38,7 @@
 	halls       []Hall
 }
 
-// newView compiles objects, all of which are valid, into a view.
+// newView compiles objects, all of which must be valid, into a view.
 func newView(objects map[Key]Object, revision int64) *View {
 	v := &View{
 		objects:     objects,
@@ -76,12 +75,12 @@
 	}
 }
 
-// keys returns the names of all objects in a fixed order.
+// keys returns the keys of all objects, sorted.
 func (v *View) keys() []Key {
 	return slices.SortedFunc(maps.Keys(v.objects), compareKeys)
 }
 
-// compareKeys orders names by kind, then by name.
+// compareKeys orders keys by kind, then by name.
 func compareKeys(a, b Key) int {
 	return cmp.Or(strings.Compare(string(a.Kind), string(b.Kind)), strings.Compare(a.Name, b.Name))
 }
@@ -99,7 +98,7 @@
 	return all
 }
 
-// Object returns the object with the given name.
+// Object returns the object with the given key.
 func (v *View) Object(key Key) (Object, bool) {
 	o, ok := v.objects[key]
 	return o, ok
@@ -135,14 +134,14 @@
 // Accounts returns all client accounts, sorted by name.
 func (v *View) Accounts() []*Account { return v.accounts }
 
-// AccountByKey returns the client account to which a bearer key belongs.
+// AccountByKey returns the client account that owns a bearer key.
 func (v *View) AccountByKey(key string) (*Account, bool) {
 	a, ok := v.accountKeys[HashKey(key)]
 	return a, ok
 }
 
-// ModelOf returns the one model that the deployment selects, or an error that
-// says why there is not exactly one.
+// ModelOf returns the model that the deployment selects. It is an error if there is not exactly
+// one.
 func (v *View) ModelOf(d Deployment) (Model, error) {
 	var found []Model
 	for _, m := range v.models {
@@ -160,8 +159,8 @@
 	}
 }
 
-// AdaptersOf returns the names of the adapters that the deployment selects and
-// that fit its model, sorted.
+// AdaptersOf returns the names of the adapters that the deployment selects and that can be used
+// with its model, sorted.
 func (v *View) AdaptersOf(d Deployment, m Model) []string {
 	if d.spec.AdapterSelector == "" {
 		return nil
@@ -175,8 +174,8 @@
 	return names
 }
 
-// NodeLabels returns the labels of a node: those of the node list, over which
-// those that operators published are laid.
+// NodeLabels returns the labels of a node: those of the node list, overridden by those that
+// operators published.
 func (v *View) NodeLabels(node string, listed map[string]string) map[string]string {
 	all := maps.Clone(listed)
 	if all == nil {
@@ -186,7 +185,7 @@
 	return all
 }
 
-// Warnings returns what is allowed but probably not meant.
+// Warnings returns what is valid but probably not intended.
 func (v *View) Warnings() []string {
 	var warnings []string
 	for _, d := range v.deployments {
@@ -201,8 +200,8 @@
 	return append(warnings, v.hallWarnings()...)
 }
 
-// with returns the objects after set, or why set is refused.
-func (v *View) with(set ChangeSet, revision int64) (map[Key]Object, error) {
+// apply returns the objects after applying set, or the error with which set is rejected.
+func (v *View) apply(set ChangeSet, revision int64) (map[Key]Object, error) {
 	if len(set.Changes) == 0 {
 		return nil, fmt.Errorf("the change set is empty")
 	}
@@ -226,7 +225,7 @@
 	key := c.Document.Key()
 	current := v.objects[key]
 	if current.revision != c.Base {
-		return &clashError{
+		return &conflictError{
 			object: key, base: c.Base, current: current.revision,
 			fields: differingFields(current.document, c.Document),
 		}
@@ -248,10 +247,10 @@
 	return nil
 }
 
-// checkKeys refuses two client accounts with the same key: their answers could
-// not be told apart.
+// checkKeys rejects client accounts that have a key in common, since their requests could not be
+// told apart.
 func checkKeys(objects map[Key]Object) error {
-	holders := make(map[string]string)
+	owners := make(map[string]string)
 	for key, object := range objects {
 		if key.Kind != KindAccount {
 			continue
@@ -261,17 +260,17 @@
 			return err
 		}
 		for _, hash := range spec.KeyHashes {
-			if other, ok := holders[hash]; ok && other != key.Name {
+			if other, ok := owners[hash]; ok && other != key.Name {
 				first, second := min(other, key.Name), max(other, key.Name)
 				return fmt.Errorf("client accounts %s and %s have a key in common", first, second)
 			}
-			holders[hash] = key.Name
+			owners[hash] = key.Name
 		}
 	}
 	return nil
 }
 
-// HashKey returns the hash under which a bearer key is kept.
+// HashKey returns the hash by which a bearer key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/fleet/halls.go
+++ b/fleet/halls.go
@@ -254,8 +254,8 @@
 	return latest
 }
 
-// publish publishes which halls are closed. Halls that were closed before keep their deadline. The
-// mutex must be held.
+// publish stores a new view of the closed halls. Halls that were closed before keep their deadline.
+// The mutex must be held.
 func (h *Halls) publish(closed map[string]bool, closeBy func(hall string) time.Time) {
 	current := h.View()
 	next := &HallView{closeBy: make(map[string]time.Time), openedAt: make(map[string]time.Time)}
--- a/fleet/scope.go
+++ b/fleet/scope.go
@@ -100,7 +100,8 @@
 }
 
 // SplitHeads divides the changes of heads into parts of at most the given number, as Split does.
-// There is always at least one part; it may hold no changes and only advance the position.
+// There is always at least one part; it may hold no changes and only advance the position. It
+// returns false if several parts are needed but the delta is not exact.
 func (d Delta) SplitHeads(limit int) ([]Delta, bool) {
 	var parts []Delta
 	part := Delta{From: d.From, Heads: true}
