--- a/config/document.go
+++ b/config/document.go
@@ -149,9 +149,8 @@
 // ManagedByScripts is the value of LabelManagedBy for nodes managed by scripts.
 const ManagedByScripts = "scripts"
 
-// LabelTrue and LabelFalse are the values of labels that switch something.
+// Values of boolean labels.
 const (
-	// LabelTrue and LabelFalse are the values of boolean labels.
 	LabelTrue  = "true"
 	LabelFalse = "false"
 )
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -87,7 +87,7 @@
 	Share float64
 	// Pace is a factor on all times of the model's replicas; 0 counts as 1.
 	Pace float64
-	// Load is how long loading the weights from the store takes, Warm from the host.
+	// Times to load the weights from the store and from the host.
 	Load, Warm time.Duration
 }
 
@@ -106,8 +106,8 @@
 	Stride int
 	// UsualAnswer is the mean number of tokens of an answer.
 	UsualAnswer int
-	// LoadsPerSecond limits the weight loads started per second; LoadsAtOnce is how many can run
-	// concurrently without slowing each other down.
+	// Limits on loading weights: loads started per second, and concurrent loads that do not slow
+	// each other down.
 	LoadsPerSecond float64
 	LoadsAtOnce    int
 	// Form is how long it takes to open a replica.
@@ -174,7 +174,7 @@
 	Name string
 	// Regions are the regions in which the tenant's requests may run.
 	Regions Regions
-	// Priority takes precedence over the route's if Ranked is set.
+	// Priority takes precedence over the route's if the tenant has one.
 	Priority int
 	Ranked   bool
 }
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -47,18 +47,18 @@
 		c.position = -1
 	}
 	incremental := c.position >= 0
-	news, err := c.fetch(ctx)
+	update, err := c.fetch(ctx)
 	if err != nil {
 		return err
 	}
-	c.updateBehind(news, incremental, sent.Time())
-	c.observeEra(news.Next, sent.Time())
-	c.position = news.Next
-	if news.Lost {
+	c.updateBehind(update, incremental, sent.Time())
+	c.observeEra(update.Next, sent.Time())
+	c.position = update.Next
+	if update.Lost {
 		c.position = -1
 		return nil
 	}
-	c.apply(news, sent.Time())
+	c.apply(update, sent.Time())
 	return nil
 }
 
@@ -79,14 +79,14 @@
 
 // updateBehind decides whether the next read skips to the newest configuration. With a slow source,
 // reading each change in turn would fall further and further behind.
-func (c *configReader) updateBehind(news ConfigNews, incremental bool, sent time.Time) {
+func (c *configReader) updateBehind(update ConfigNews, incremental bool, sent time.Time) {
 	if incremental {
-		c.isBehind = news.More
+		c.isBehind = update.More
 		return
 	}
-	grew := news.Next != c.newestPosition
-	c.isBehind = c.isBehind && grew && time.Since(sent) > pollWait
-	c.newestPosition = news.Next
+	hasChanged := update.Next != c.newestPosition
+	c.isBehind = c.isBehind && hasChanged && time.Since(sent) > pollWait
+	c.newestPosition = update.Next
 }
 
 // observeEra updates the era from a read, and schedules another full read if the source was
@@ -102,21 +102,21 @@
 }
 
 // apply applies the result of a read sent at the given time.
-func (c *configReader) apply(news ConfigNews, sent time.Time) {
-	if news.More {
+func (c *configReader) apply(update ConfigNews, sent time.Time) {
+	if update.More {
 		// The changes still to be read may revoke keys or close data halls.
 		sent = time.Time{}
 	}
-	c.applyHalls(news, sent)
+	c.applyHalls(update, sent)
 	switch {
-	case news.Refused != nil:
-		c.opts.Logger.Error("invalid configuration; keeping the last valid one", "error", news.Refused)
+	case update.Refused != nil:
+		c.opts.Logger.Error("invalid configuration; keeping the last valid one", "error", update.Refused)
 		c.newestIsInvalid = true
-		if news.Config != nil {
-			c.opts.Beliefs.Offer(news.Config, time.Time{})
+		if update.Config != nil {
+			c.opts.Beliefs.Offer(update.Config, time.Time{})
 		}
-	case news.Config != nil:
-		c.opts.Beliefs.Offer(news.Config, sent)
+	case update.Config != nil:
+		c.opts.Beliefs.Offer(update.Config, sent)
 		c.newestIsInvalid = false
 	case !c.newestIsInvalid:
 		c.opts.Beliefs.ConfirmRead(sent)
@@ -124,12 +124,12 @@
 }
 
 // applyHalls applies the states of data halls that a read returned.
-func (c *configReader) applyHalls(news ConfigNews, sent time.Time) {
+func (c *configReader) applyHalls(update ConfigNews, sent time.Time) {
 	if c.opts.Halls == nil {
 		return
 	}
-	for _, err := range news.Halls.Refused {
+	for _, err := range update.Halls.Refused {
 		c.opts.Logger.Error("invalid data hall entry; keeping its last state", "error", err)
 	}
-	c.opts.Halls.Take(news.Halls, news.Next, sent)
+	c.opts.Halls.Take(update.Halls, update.Next, sent)
 }
--- a/fleet/confirmation_test.go
+++ b/fleet/confirmation_test.go
@@ -15,13 +15,13 @@
 func TestChangingListIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := NewInventory(time.Second, 4*time.Second)
-		i.Replace([]Change{{ID: "w", Worker: head("w", "g", 1, Open)}}, 1, time.Now())
+		i.Replace([]Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}, 1, time.Now())
 		position := int64(1)
 		for range 30 {
 			reported, at := position, time.Now()
 			time.Sleep(100 * time.Millisecond)
 			position++
-			change := Change{ID: fmt.Sprint(position), Worker: head(fmt.Sprint(position), "g", 1, Joining)}
+			change := Change{ID: fmt.Sprint(position), Worker: headWorker(fmt.Sprint(position), "g", 1, Joining)}
 			i.Follow(Delta{From: position - 1, To: position, Changes: []Change{change}}, time.Time{})
 			i.Confirm(reported, at)
 			assert.Assert(t, time.Since(i.Confirmed()) < time.Second, "not confirmed for %s", time.Since(i.Confirmed()))
--- a/fleet/delta.go
+++ b/fleet/delta.go
@@ -12,7 +12,7 @@
 	Heads bool `json:"heads,omitempty"`
 }
 
-// withExactness returns the delta with Exact set if it has one change for each position. No read
+// withExactness returns the delta, marked as exact if it has one change for each position. No read
 // returns more.
 func (d Delta) withExactness() Delta {
 	d.Exact = int64(len(d.Changes)) == d.To-d.From
--- a/fleet/delta_test.go
+++ b/fleet/delta_test.go
@@ -17,7 +17,7 @@
 	var batch []Change
 	for i := range 10 {
 		id := fmt.Sprint(i)
-		batch = append(batch, Change{ID: id, Worker: head(id, "g", 1, Open)})
+		batch = append(batch, Change{ID: id, Worker: headWorker(id, "g", 1, Open)})
 	}
 	source.Apply(batch, 10, time.Now())
 	d, _ := source.Since(0)
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -31,7 +31,7 @@
 func restoredInventory(t *testing.T, copied ...Change) *Inventory {
 	t.Helper()
 	i := NewInventory(time.Second, 5*time.Second)
-	draining, lost := head("draining", "g", 1, Open), head("lost", "l", 2, Open)
+	draining, lost := headWorker("draining", "g", 1, Open), headWorker("lost", "l", 2, Open)
 	draining.Draining, draining.Beat = true, 9
 	i.Replace([]Change{{ID: "draining", Worker: draining}, {ID: "lost", Worker: lost}}, 100, time.Now())
 	time.Sleep(time.Second)
@@ -53,7 +53,7 @@
 // stay in use until it has had time to write again, and changes of the new era must apply.
 func TestListOfRestoredStoreIsMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before := head("draining", "g", 1, Open)
+		before := headWorker("draining", "g", 1, Open)
 		before.Beat = 5
 		i := restoredInventory(t, Change{ID: "draining", Worker: before})
 		assert.Equal(t, i.Position(), PositionOf(1, 40), "the lower offset of the new era applies")
@@ -76,7 +76,7 @@
 // offset.
 func TestChangesApplyAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := head("w", "g", 1, Open)
+		w := headWorker("w", "g", 1, Open)
 		i := restoredInventory(t, Change{ID: "w", Worker: w})
 		confirmFor(i, lapseWindow+time.Second)
 		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "w"}}}, time.Now())
@@ -89,7 +89,7 @@
 // its offset.
 func TestPeerOfPreviousEra(t *testing.T) {
 	source, member := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
-	list := []Change{{ID: "w", Worker: head("w", "g", 1, Open)}}
+	list := []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}
 	source.Replace(list, PositionOf(1, 3), time.Now())
 	member.Replace(list, 900, time.Now())
 	d, whole := source.Since(member.Position())
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -150,18 +150,18 @@
 		position = max(position, f.opts.Inventory.Position())
 		next, cancel := context.WithTimeout(ctx, pollWait+readTimeout)
 		defer cancel()
-		news, err := f.opts.Source.NextWorkers(next, position, pollWait)
+		update, err := f.opts.Source.NextWorkers(next, position, pollWait)
 		switch {
 		case err != nil:
 			return err
-		case news.Lost:
+		case update.Lost:
 			position = -1
 			return nil
 		}
-		f.logInvalidEntries(news.Refused)
-		read := Delta{From: position, To: news.Next, Changes: news.Changes}
-		position = news.Next
-		if news.More {
+		f.logInvalidEntries(update.Refused)
+		read := Delta{From: position, To: update.Next, Changes: update.Changes}
+		position = update.Next
+		if update.More {
 			f.opts.Inventory.ApplyPart(read, sent.Time())
 			return nil
 		}
@@ -225,21 +225,21 @@
 	if l.after == "" || time.Since(l.sent.Time()) > listTimeout {
 		*l = pendingList{sent: awake.NewStamp(f.opts.Suspended)}
 	}
-	news, err := f.opts.Source.ReadWorkers(ctx, l.after)
+	update, err := f.opts.Source.ReadWorkers(ctx, l.after)
 	if err != nil {
 		return false, err
 	}
-	f.logInvalidEntries(news.Refused)
+	f.logInvalidEntries(update.Refused)
 	switch {
 	case l.after == "":
-		l.next = news.Next
-	case EraOf(news.Next) != EraOf(l.next):
+		l.next = update.Next
+	case EraOf(update.Next) != EraOf(l.next):
 		// The pages belong to different eras.
 		*l = pendingList{}
 		return false, nil
 	}
-	l.changes, l.after = append(l.changes, news.Changes...), news.Last
-	if news.More {
+	l.changes, l.after = append(l.changes, update.Changes...), update.Last
+	if update.More {
 		return false, nil
 	}
 	f.advanceEra(l.next)
--- a/fleet/halls.go
+++ b/fleet/halls.go
@@ -53,8 +53,8 @@
 	// Whole marks a complete list: halls without a change are open.
 	Whole   bool
 	Changes []HallChange
-	// Unclear names the halls whose entries are invalid; they keep their last state. Refused holds
-	// the errors.
+	// Unclear names the halls whose entries are invalid; they keep their last state. The errors are
+	// in Refused.
 	Unclear []string
 	Refused []error
 }
@@ -151,7 +151,7 @@
 func (h *Halls) Changed() <-chan struct{} { return h.changed }
 
 // Take applies the result of a read that was sent at the given time and reached position.
-func (h *Halls) Take(news HallNews, position int64, sent time.Time) {
+func (h *Halls) Take(update HallNews, position int64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if position < h.position {
@@ -160,12 +160,12 @@
 	closed := h.closedHalls()
 	// After a restore from a copy the operator's last command may be missing until it is repeated.
 	restored := h.position > 0 && EraOf(position) > EraOf(h.position)
-	if news.Whole {
+	if update.Whole {
 		for hall := range closed {
-			closed[hall] = restored || slices.Contains(news.Unclear, hall)
+			closed[hall] = restored || slices.Contains(update.Unclear, hall)
 		}
 	}
-	for _, c := range news.Changes {
+	for _, c := range update.Changes {
 		closed[c.Hall] = c.Closed
 	}
 	h.publish(closed, func(string) time.Time { return h.closingDeadline(time.Now()) })
@@ -247,9 +247,9 @@
 		return now
 	}
 	latest := h.confirmed.Add(h.emptyWithin - closeMargin)
-	soon := now.Add(time.Duration(maxClosingFraction * float64(h.emptyWithin)))
-	if soon.Before(latest) {
-		return soon
+	closingEnd := now.Add(time.Duration(maxClosingFraction * float64(h.emptyWithin)))
+	if closingEnd.Before(latest) {
+		return closingEnd
 	}
 	return latest
 }
--- a/fleet/halls_test.go
+++ b/fleet/halls_test.go
@@ -13,11 +13,11 @@
 
 const emptyWithin = 5 * time.Second
 
-func closing(hall string) HallNews {
+func closeUpdate(hall string) HallNews {
 	return HallNews{Changes: []HallChange{{Hall: hall, Closed: true}}}
 }
 
-func opening(hall string) HallNews {
+func openUpdate(hall string) HallNews {
 	return HallNews{Changes: []HallChange{{Hall: hall}}}
 }
 
@@ -38,7 +38,7 @@
 				h := NewHalls(emptyWithin)
 				h.Take(HallNews{Whole: true}, 1, time.Now())
 				time.Sleep(test.unread)
-				h.Take(closing("a"), 2, time.Now())
+				h.Take(closeUpdate("a"), 2, time.Now())
 				assert.Equal(t, h.View().State("b", time.Now()), HallOpen)
 				if test.closes > 0 {
 					time.Sleep(test.closes - time.Millisecond)
@@ -62,7 +62,7 @@
 		h := NewHalls(emptyWithin)
 		h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}, {Hall: "b", Closed: true}}}, 2, time.Now())
 		time.Sleep(time.Second)
-		h.Take(opening("a"), 3, time.Now())
+		h.Take(openUpdate("a"), 3, time.Now())
 		assert.Equal(t, h.View().State("a", time.Now()), HallOpen)
 		assert.Equal(t, h.View().OpenedAt("a"), time.Now())
 		assert.Assert(t, h.View().OpenedAt("b").IsZero())
@@ -82,8 +82,8 @@
 
 func TestOlderHallUpdatesAreIgnored(t *testing.T) {
 	h := NewHalls(emptyWithin)
-	h.Take(closing("a"), 5, time.Now())
-	h.Take(opening("a"), 4, time.Now())
+	h.Take(closeUpdate("a"), 5, time.Now())
+	h.Take(openUpdate("a"), 4, time.Now())
 	h.Follow(HallReport{Position: 4}, time.Now())
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 	h.Follow(HallReport{}, time.Now())
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := NewHalls(emptyWithin), NewHalls(emptyWithin), NewHalls(emptyWithin)
 		first.Take(HallNews{Whole: true}, 1, time.Now())
-		first.Take(closing("a"), 2, time.Now())
+		first.Take(closeUpdate("a"), 2, time.Now())
 		time.Sleep(time.Second)
 		second.Follow(first.Report(time.Now()), time.Now())
 		third.Follow(HallReport{Position: 2, Closed: []ClosedHall{{Hall: "a", Left: 1 << 40}}}, time.Now())
@@ -196,16 +196,16 @@
 	rapid.Check(outer, func(t *rapid.T) {
 		synctest.Test(outer, func(*testing.T) {
 			p := newHallSimulation(daemons)
-			who := rapid.IntRange(0, daemons-1)
+			daemonIndex := rapid.IntRange(0, daemons-1)
 			for range rapid.IntRange(1, 30).Draw(t, "steps") {
 				time.Sleep(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.IntRange(0, 2).Draw(t, "what") {
 				case 0:
 					p.toggle(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "hall"))
 				case 1:
-					p.read(who.Draw(t, "daemon"))
+					p.read(daemonIndex.Draw(t, "daemon"))
 				case 2:
-					p.receiveReport(who.Draw(t, "daemon"), who.Draw(t, "from"))
+					p.receiveReport(daemonIndex.Draw(t, "daemon"), daemonIndex.Draw(t, "from"))
 				}
 				assert.Equal(t, p.overdue(), "")
 			}
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -85,7 +85,7 @@
 type batch struct {
 	from, to int64
 	changes  []Change
-	exact    bool
+	isExact  bool
 	// headsOnly is set if the batch holds the changes of heads only.
 	headsOnly bool
 }
@@ -221,7 +221,7 @@
 	i.detectOutage(sent)
 	i.markHeads(changes)
 	if len(changes) > 0 || d.Heads {
-		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, exact: d.Exact, headsOnly: d.Heads})
+		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, isExact: d.Exact, headsOnly: d.Heads})
 		i.journal = i.journal[max(len(i.journal)-maxJournalBatches, 0):]
 	}
 	for _, c := range changes {
@@ -273,7 +273,7 @@
 	d = Delta{From: i.journal[first].from, To: i.position, Exact: true}
 	for _, b := range i.journal[first:] {
 		d.Changes = append(d.Changes, b.changes...)
-		d.Exact, d.Heads = d.Exact && b.exact, d.Heads || b.headsOnly
+		d.Exact, d.Heads = d.Exact && b.isExact, d.Heads || b.headsOnly
 	}
 	return d, true
 }
@@ -381,15 +381,15 @@
 // expireTolerated removes the workers that did not write again in time, and reports whether there
 // were any.
 func (i *Inventory) expireTolerated() bool {
-	now, ended := time.Now(), false
+	now, anyExpired := time.Now(), false
 	for id, until := range i.toleratedUntil {
 		if now.After(until) {
 			delete(i.toleratedUntil, id)
 			delete(i.workers, id)
-			ended = true
+			anyExpired = true
 		}
 	}
-	return ended
+	return anyExpired
 }
 
 func (i *Inventory) advance(position int64, sent time.Time) {
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-func head(id, group string, epoch int64, state GroupState) *Worker {
+func headWorker(id, group string, epoch int64, state GroupState) *Worker {
 	return &Worker{ID: id, Service: "s", Domain: "d", Loaded: "m", Member: Membership{Group: group, Epoch: epoch, State: state}}
 }
 
@@ -26,25 +26,25 @@
 	open := Announcement{Group: "g", Epoch: 5, Service: "s", Model: "m", Head: "h", Open: true}
 	closed := open
 	closed.Open = false
-	draining := head("x", "g", 5, Ready)
+	draining := headWorker("x", "g", 5, Ready)
 	draining.Draining, draining.Member.Rank = true, 1
-	leaving := head("h", "g", 5, Open)
+	leaving := headWorker("h", "g", 5, Open)
 	leaving.Draining = true
 	tests := map[string]struct {
 		workers   []*Worker
 		announced []Announcement
 		want      int
 	}{
-		"an open head":                        {workers: []*Worker{head("h", "g", 5, Open)}, want: 1},
-		"a ready head":                        {workers: []*Worker{head("h", "g", 5, Ready)}},
-		"announced before the list shows it":  {workers: []*Worker{head("h", "g", 5, Ready)}, announced: []Announcement{open}, want: 1},
-		"closed before the list shows it":     {workers: []*Worker{head("h", "g", 5, Open)}, announced: []Announcement{open, closed}},
-		"once closed it stays closed":         {workers: []*Worker{head("h", "g", 5, Open)}, announced: []Announcement{open, closed, open}},
-		"the list shows a later group":        {workers: []*Worker{head("h", "later", 6, Joining)}, announced: []Announcement{open}},
-		"a broken head is not opened by word": {workers: []*Worker{head("h", "g", 5, Broken)}, announced: []Announcement{open}},
+		"an open head":                        {workers: []*Worker{headWorker("h", "g", 5, Open)}, want: 1},
+		"a ready head":                        {workers: []*Worker{headWorker("h", "g", 5, Ready)}},
+		"announced before the list shows it":  {workers: []*Worker{headWorker("h", "g", 5, Ready)}, announced: []Announcement{open}, want: 1},
+		"closed before the list shows it":     {workers: []*Worker{headWorker("h", "g", 5, Open)}, announced: []Announcement{open, closed}},
+		"once closed it stays closed":         {workers: []*Worker{headWorker("h", "g", 5, Open)}, announced: []Announcement{open, closed, open}},
+		"the list shows a later group":        {workers: []*Worker{headWorker("h", "later", 6, Joining)}, announced: []Announcement{open}},
+		"a broken head is not opened by word": {workers: []*Worker{headWorker("h", "g", 5, Broken)}, announced: []Announcement{open}},
 		"the head drains":                     {workers: []*Worker{leaving}},
-		"another member drains":               {workers: []*Worker{head("h", "g", 5, Open), draining}, want: 1},
-		"closed since a member drains":        {workers: []*Worker{head("h", "g", 5, Open), draining}, announced: []Announcement{closed}},
+		"another member drains":               {workers: []*Worker{headWorker("h", "g", 5, Open), draining}, want: 1},
+		"closed since a member drains":        {workers: []*Worker{headWorker("h", "g", 5, Open), draining}, announced: []Announcement{closed}},
 		"a head that is not listed":           {announced: []Announcement{open}},
 	}
 	for name, test := range tests {
@@ -77,16 +77,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := NewInventory(1200*time.Millisecond, 0)
-				i.Apply([]Change{{ID: "h", Worker: head("h", "g", 5, Open)}}, 1, time.Now())
+				i.Apply([]Change{{ID: "h", Worker: headWorker("h", "g", 5, Open)}}, 1, time.Now())
 				i.Apply([]Change{{ID: "h"}}, 2, time.Now())
 				i.Decide(0, Announcement{Group: "g", Epoch: 5, Service: "s", Model: "m", Head: "h"})
 				time.Sleep(closedRetention - time.Second)
-				i.Apply([]Change{{ID: "h", Worker: head("h", test.back.Group, test.back.Epoch, test.back.State)}}, 3, time.Now())
+				i.Apply([]Change{{ID: "h", Worker: headWorker("h", test.back.Group, test.back.Epoch, test.back.State)}}, 3, time.Now())
 				assert.Equal(t, len(i.View().Replicas("s", "m")), test.want)
 				time.Sleep(closedRetention)
-				i.Apply([]Change{{ID: "x", Worker: head("x", "", 0, "")}}, 4, time.Now())
+				i.Apply([]Change{{ID: "x", Worker: headWorker("x", "", 0, "")}}, 4, time.Now())
 				assert.Equal(t, len(i.View().Replicas("s", "m")), test.want)
-				i.Apply([]Change{{ID: "h", Worker: head("h", "", 0, "")}}, 5, time.Now())
+				i.Apply([]Change{{ID: "h", Worker: headWorker("h", "", 0, "")}}, 5, time.Now())
 				assert.Equal(t, len(i.announcements), 0, "a closed group that is not listed is forgotten")
 			})
 		})
@@ -96,9 +96,9 @@
 // TestModelIsRememberedAfterLeaving checks that a worker which left its group, and reports no
 // model, still counts as having the model loaded.
 func TestModelIsRememberedAfterLeaving(t *testing.T) {
-	member, left := head("h", "g", 5, Open), head("h", "", 0, "")
+	member, left := headWorker("h", "g", 5, Open), headWorker("h", "", 0, "")
 	left.Loaded = ""
-	restarted := head("other life", "", 0, "")
+	restarted := headWorker("other life", "", 0, "")
 	restarted.Loaded = ""
 	list := func(workers ...*Worker) []Change {
 		var changes []Change
@@ -147,7 +147,7 @@
 				var changes []Change
 				for i := range rapid.IntRange(1, 6).Draw(t, "changes") {
 					id := fmt.Sprint((n + i) % 7)
-					changes = append(changes, Change{ID: id, Worker: head(id, "g", int64(10*n+i), Open)})
+					changes = append(changes, Change{ID: id, Worker: headWorker(id, "g", int64(10*n+i), Open)})
 				}
 				position += int64(len(changes) + max(step-1, 0))
 				source.Apply(changes, position, now)
@@ -169,8 +169,8 @@
 		}
 		catchUp(source, relay, time.Now())
 		catchUp(relay, follower, time.Now())
-		checkSame(t, source.View(), relay.View())
-		checkSame(t, source.View(), follower.View())
+		checkSameWorkers(t, source.View(), relay.View())
+		checkSameWorkers(t, source.View(), follower.View())
 	})
 }
 
@@ -188,7 +188,7 @@
 	}
 }
 
-func checkSame(t *rapid.T, a, b *View) {
+func checkSameWorkers(t *rapid.T, a, b *View) {
 	for id, w := range a.Workers() {
 		if other, ok := b.Worker(id); !ok || other != w {
 			t.Fatalf("worker %s differs", id)
@@ -301,7 +301,7 @@
 	s.set(func() { s.lists++ })
 	// This is how long an answer of the store takes.
 	time.Sleep(4 * time.Millisecond)
-	return WorkerNews{Next: 1, Changes: []Change{{ID: "w", Worker: head("w", "g", 1, Open)}}}, nil
+	return WorkerNews{Next: 1, Changes: []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}}, nil
 }
 
 func (s *fakeSource) nextWorkers(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error) {
@@ -392,7 +392,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat, bound = 1200 * time.Millisecond, 2 * time.Second
 		i := NewInventory(heartbeat, bound)
-		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}}, 1, time.Now())
+		i.Apply([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}}, 1, time.Now())
 		time.Sleep(6 * time.Second)
 		i.Confirm(1, time.Now())
 		time.Sleep(100 * time.Millisecond)
@@ -410,12 +410,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat = time.Second
 		i := NewInventory(heartbeat, 0)
-		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}, {ID: "b", Worker: head("b", "h", 2, Open)}}, 2, time.Now())
+		i.Apply([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}, {ID: "b", Worker: headWorker("b", "h", 2, Open)}}, 2, time.Now())
 		time.Sleep(5 * time.Second)
 		i.Apply([]Change{{ID: "a"}, {ID: "b"}}, 4, time.Now())
 		assert.Equal(t, len(i.View().Replicas("s", "m")), 2, "no worker is dropped right after an outage")
 		time.Sleep(heartbeat)
-		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}}, 5, time.Now())
+		i.Apply([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}}, 5, time.Now())
 		for range lapseHeartbeats {
 			time.Sleep(heartbeat)
 			i.Confirm(5, time.Now())
--- a/fleet/leave_test.go
+++ b/fleet/leave_test.go
@@ -10,39 +10,39 @@
 // TestLeave checks that a worker process that announced that it leaves takes no more requests,
 // whatever the list reports of it later, and that its next process does.
 func TestLeave(t *testing.T) {
-	entry := func(born, beat int64, draining bool) *Worker {
+	newEntry := func(born, beat int64, draining bool) *Worker {
 		return &Worker{ID: "w", Service: "plain", Born: born, Beat: beat, Draining: draining}
 	}
 	tests := map[string]struct {
-		play    func(i *Inventory)
+		update  func(i *Inventory)
 		serving int
 	}{
-		"it said nothing":        {play: func(*Inventory) {}, serving: 1},
-		"it leaves":              {play: func(i *Inventory) { i.Leave("w", 1) }},
-		"an earlier life left":   {play: func(i *Inventory) { i.Leave("w", 0) }, serving: 1},
-		"one that is not listed": {play: func(i *Inventory) { i.Leave("v", 1) }, serving: 1},
-		"it is listed as ready on": {play: func(i *Inventory) {
+		"it said nothing":        {update: func(*Inventory) {}, serving: 1},
+		"it leaves":              {update: func(i *Inventory) { i.Leave("w", 1) }},
+		"an earlier life left":   {update: func(i *Inventory) { i.Leave("w", 0) }, serving: 1},
+		"one that is not listed": {update: func(i *Inventory) { i.Leave("v", 1) }, serving: 1},
+		"it is listed as ready on": {update: func(i *Inventory) {
 			i.Leave("w", 1)
-			i.Apply([]Change{{ID: "w", Worker: entry(1, 2, false)}}, 2, time.Now())
+			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 2, false)}}, 2, time.Now())
 		}},
-		"the whole list says so": {play: func(i *Inventory) {
+		"the whole list says so": {update: func(i *Inventory) {
 			i.Leave("w", 1)
-			i.Replace([]Change{{ID: "w", Worker: entry(1, 2, false)}}, 2, time.Now())
+			i.Replace([]Change{{ID: "w", Worker: newEntry(1, 2, false)}}, 2, time.Now())
 		}},
-		"its next life is listed": {play: func(i *Inventory) {
+		"its next life is listed": {update: func(i *Inventory) {
 			i.Leave("w", 1)
-			i.Apply([]Change{{ID: "w", Worker: entry(2, 1, false)}}, 2, time.Now())
+			i.Apply([]Change{{ID: "w", Worker: newEntry(2, 1, false)}}, 2, time.Now())
 		}, serving: 1},
-		"the list said so, and not": {play: func(i *Inventory) {
-			i.Apply([]Change{{ID: "w", Worker: entry(1, 2, true)}}, 2, time.Now())
-			i.Apply([]Change{{ID: "w", Worker: entry(1, 1, false)}}, 3, time.Now())
+		"the list said so, and not": {update: func(i *Inventory) {
+			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 2, true)}}, 2, time.Now())
+			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 1, false)}}, 3, time.Now())
 		}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			i := NewInventory(time.Second, 0)
-			i.Apply([]Change{{ID: "w", Worker: entry(1, 1, false)}}, 1, time.Now())
-			test.play(i)
+			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 1, false)}}, 1, time.Now())
+			test.update(i)
 			assert.Equal(t, len(i.View().Replicas("plain", "")), test.serving)
 			assert.Equal(t, i.View().Leaving("plain", ""), 1-test.serving)
 		})
--- a/fleet/scope_test.go
+++ b/fleet/scope_test.go
@@ -13,7 +13,7 @@
 // drawWorker returns the head or another member of a group, or a worker without a group.
 func drawWorker(t *rapid.T, id string, epoch int64) *Worker {
 	states := []GroupState{Joining, Ready, Open, Closing, Broken}
-	w := head(id, "g"+id, epoch, states[rapid.IntRange(0, len(states)-1).Draw(t, "state")])
+	w := headWorker(id, "g"+id, epoch, states[rapid.IntRange(0, len(states)-1).Draw(t, "state")])
 	w.Member.Rank = rapid.IntRange(0, 2).Draw(t, "rank")
 	if rapid.IntRange(0, 4).Draw(t, "grouped") == 0 {
 		w.Member = Membership{}
@@ -56,7 +56,7 @@
 		member.SetScope(AllWorkers)
 		d, _ := source.Since(-1)
 		member.Replace(d.Changes, d.To, time.Now())
-		checkSame(t, source.View(), member.View())
+		checkSameWorkers(t, source.View(), member.View())
 		if !member.Complete() {
 			t.Fatalf("the list is not complete")
 		}
@@ -112,7 +112,7 @@
 // heads only, since it would miss those of other workers.
 func TestCompleteListIgnoresHeadDeltas(t *testing.T) {
 	i := NewInventory(time.Second, 0)
-	i.Replace([]Change{{ID: "h", Worker: head("h", "g", 1, Open)}}, 1, time.Now())
+	i.Replace([]Change{{ID: "h", Worker: headWorker("h", "g", 1, Open)}}, 1, time.Now())
 	i.Follow(Delta{From: 1, To: 3, Heads: true}, time.Now())
 	assert.Equal(t, i.Position(), int64(1))
 	i.ReplaceHeads(nil, 5, time.Now())
@@ -129,11 +129,11 @@
 			const size = 8
 			source := NewInventory(time.Second, 0)
 			source.Replace(nil, 0, time.Now())
-			heard, position := 0, int64(0)
+			received, position := 0, int64(0)
 			for _, state := range []GroupState{Joining, Ready, Open} {
 				var changes []Change
 				for n := range workers {
-					w := head(fmt.Sprint("w", n), fmt.Sprint("g", n/size), 1, state)
+					w := headWorker(fmt.Sprint("w", n), fmt.Sprint("g", n/size), 1, state)
 					w.Member.Rank = n % size
 					changes = append(changes, Change{ID: w.ID, Worker: w})
 				}
@@ -141,10 +141,10 @@
 				position += int64(len(changes))
 				source.Apply(changes, position, time.Now())
 				d, _ := source.HeadsSince(from)
-				heard += len(d.Changes)
+				received += len(d.Changes)
 			}
 			held, _ := source.HeadsSince(-1)
-			assert.Assert(t, heard <= 3*(workers/size+1), "%d changes", heard)
+			assert.Assert(t, received <= 3*(workers/size+1), "%d changes", received)
 			assert.Assert(t, len(held.Changes) <= workers/size+1, "%d held", len(held.Changes))
 		})
 	}
@@ -165,10 +165,10 @@
 // is applied together with the changes that were followed since.
 func TestOutdatedListIsCompletedFromJournal(t *testing.T) {
 	source := NewInventory(time.Second, 0)
-	source.Replace([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}, {ID: "b", Worker: head("b", "h", 2, Open)}}, 2, time.Now())
+	source.Replace([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}, {ID: "b", Worker: headWorker("b", "h", 2, Open)}}, 2, time.Now())
 	i := needingList(source)
 	whole, _ := source.Since(-1)
-	member := head("c", "g", 1, Ready)
+	member := headWorker("c", "g", 1, Ready)
 	member.Member.Rank = 1
 	source.Apply([]Change{{ID: "b"}, {ID: "c", Worker: member}}, 4, time.Now())
 	d, _ := source.Since(2)
--- a/fleet/worker.go
+++ b/fleet/worker.go
@@ -38,7 +38,7 @@
 
 // Worker is the entry of one worker process, as the worker describes itself.
 type Worker struct {
-	// ID names the worker. A restarted worker has another id, or the same id and another Born.
+	// ID names the worker. A restarted worker has another id, or the same id and another start time.
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -145,13 +145,13 @@
 	source.table.UpdateSelf(func(m *rpc.Member) { m.Leaving = true })
 	for round := 1; ; round++ {
 		l.round(ctx)
-		heard := 0
+		reached := 0
 		for _, a := range l.agents {
 			if m, ok := a.table.Member("entry-000"); ok && m.Leaving {
-				heard++
+				reached++
 			}
 		}
-		if heard == len(l.agents) {
+		if reached == len(l.agents) {
 			return round
 		}
 	}
@@ -202,8 +202,8 @@
 					Merge:  func(_ string, all []*rpc.QuarantineEntry) { known[id] = all },
 				}
 			}
-			asks := l.agents["entry-000"]
-			assert.NilError(t, asks.exchange(t.Context(), l.agents["entry-001"].opts.Self.PeerAddress))
+			requester := l.agents["entry-000"]
+			assert.NilError(t, requester.exchange(t.Context(), l.agents["entry-001"].opts.Self.PeerAddress))
 			assert.Equal(t, len(known), 2)
 		})
 	}
