--- a/membership/agent.go
+++ b/membership/agent.go
@@ -180,8 +180,8 @@
 	group.Wait()
 }
 
-// roundAddresses returns the addresses of this round's peers. Every seedRoundInterval rounds, or if
-// no other member is alive, the seeds are included.
+// roundAddresses returns the addresses of this round's peers; none in the rounds that a large fleet
+// skips. Every seedRoundInterval rounds, or if no other member is alive, the seeds are included.
 func (a *Agent) roundAddresses() []string {
 	alive := a.table.Alive()
 	a.mu.Lock()
