--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog holds the newest reports of the owners of fabric domains, and determines which
-// replicas may serve now. A report says how much longer its replicas may serve; the catalog
-// converts this into a local deadline, so that a daemon that receives no more reports stops sending
-// requests.
+// Package catalog holds the newest report of each fabric domain, and determines which replicas may
+// serve now. The owner of a domain is the daemon that reports the domain's nodes and replicas. A
+// report says how much longer its replicas may serve, which the catalog converts into a local
+// deadline. A daemon that receives no more reports therefore stops sending requests.
 package catalog
 
 import (
@@ -20,18 +20,21 @@
 // expiredReportRetention is how long a report is kept after its deadline, for operators to inspect.
 const expiredReportRetention = time.Hour
 
-// storedReport is a report with the deadline of its replicas. The report is shared and never
-// modified; beat and loads are those of its newest renewal.
+// storedReport is a report with the data of its newest renewal.
 type storedReport struct {
-	report   *rpc.DomainReport
-	token    token.Token
-	beat     uint64
-	loads    []uint32
+	// report is shared and never modified.
+	report *rpc.DomainReport
+	token  token.Token
+	// beat is the number of the newest renewal.
+	beat uint64
+	// loads holds the loads in the newest renewal, valuesPerLoad values for each replica.
+	loads []uint32
+	// deadline is until when the replicas may serve.
 	deadline time.Time
 	removeAt time.Time
 }
 
-// digest returns the summary by which peers decide what they lack.
+// digest returns a summary by which a peer can tell whether the report is newer than its own.
 func (h *storedReport) digest() *rpc.ReportDigest {
 	return &rpc.ReportDigest{
 		Domain: h.report.Domain, Token: h.report.Token, Version: h.report.Version, Beat: h.beat,
@@ -42,10 +45,10 @@
 type Catalog struct {
 	mu      sync.RWMutex
 	domains map[string]*storedReport
-	// replicas holds the replicas by deployment, as derived from domains; isStale is set when they
-	// must be derived again.
+	// replicas holds the replicas by deployment, as derived from domains.
 	replicas map[string][]Replica
-	isStale  bool
+	// isStale is set if domains has changed since replicas was derived.
+	isStale bool
 }
 
 // New returns an empty catalog.
@@ -100,7 +103,7 @@
 // Deployment returns the deployment of the replica.
 func (r Replica) Deployment() string { return r.report.Deployment }
 
-// Generation returns the replica's generation.
+// Generation returns the replica's generation. Engines refuse requests for other generations.
 func (r Replica) Generation() uint64 { return r.report.Generation }
 
 // Address returns the IP:port that serves requests.
@@ -109,7 +112,7 @@
 // Nodes returns the ids of the replica's nodes.
 func (r Replica) Nodes() []string { return r.report.Nodes }
 
-// Deadline returns until when the replica may serve.
+// Deadline returns the time after which the replica may no longer serve.
 func (r Replica) Deadline() time.Time { return r.deadline }
 
 // Draining reports whether the replica takes no new requests.
@@ -118,7 +121,7 @@
 // Scripted reports whether the replica is run by scripts.
 func (r Replica) Scripted() bool { return r.report.Scripted }
 
-// Reason returns why the replica does not serve.
+// Reason returns the reason that the owner reports for a replica that does not serve.
 func (r Replica) Reason() string { return r.report.Reason }
 
 // ModelVersion returns the version of the model that the replica runs.
@@ -130,9 +133,9 @@
 // Listed reports whether the owner reports the replica as serving.
 func (r Replica) Listed() bool { return r.report.Serving }
 
-// MayServe reports whether the replica may be sent requests at the given time. Callers check
-// immediately before they send. If they are delayed after the check, engines still refuse requests
-// for another generation.
+// MayServe reports whether the replica may be sent requests at the given time. It must be called
+// immediately before a request is sent. If sending is delayed after the call, engines still refuse
+// requests for another generation.
 func (r Replica) MayServe(now time.Time) bool {
 	return r.report.Serving && !r.report.Draining && now.Before(r.deadline)
 }
@@ -225,7 +228,8 @@
 	return 0
 }
 
-// Publish adds a report of this daemon, whose replicas may serve until deadline.
+// Publish adds a report that this daemon made as owner of the domain. The replicas in it may serve
+// until deadline.
 func (c *Catalog) Publish(report *rpc.DomainReport, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,7 +237,7 @@
 	c.rebuild()
 }
 
-// Digest implements membership.Reports.
+// Digest returns the digests of all reports. It implements membership.Reports.
 func (c *Catalog) Digest() []*rpc.ReportDigest {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -244,9 +248,9 @@
 	return digest
 }
 
-// Since implements membership.Reports. If the peer already has a report's content, only the renewal
-// is returned.
-func (c *Catalog) Since(digest []*rpc.ReportDigest) []*rpc.DomainReport {
+// MissingFrom returns the reports that are newer than those in a peer's digest. If the peer already
+// has a report's content, only the renewal is returned. It implements membership.Reports.
+func (c *Catalog) MissingFrom(digest []*rpc.ReportDigest) []*rpc.DomainReport {
 	known := make(map[string]*rpc.ReportDigest, len(digest))
 	for _, d := range digest {
 		known[d.Domain] = d
@@ -263,7 +267,8 @@
 	return missing
 }
 
-// reportFor returns what a peer with the given digest lacks, or nil.
+// reportFor returns the report, or only its renewal, for a peer whose digest of the domain is d. It
+// returns nil if the peer has the newest renewal.
 func (h *storedReport) reportFor(d *rpc.ReportDigest, now time.Time) *rpc.DomainReport {
 	remaining := uint64(max(h.deadline.Sub(now), 0).Microseconds())
 	if d != nil && compareDigests(h.digest(), d) <= 0 {
@@ -281,8 +286,9 @@
 	return r
 }
 
-// Merge implements membership.Reports. Remaining times count from base, which is earlier than when
-// the sender computed them, so deadlines are never too late.
+// Merge adds reports that a peer sent. The remaining times in them count from base. This must be a
+// time before the peer computed them, so that deadlines are never too late. It implements
+// membership.Reports.
 func (c *Catalog) Merge(reports []*rpc.DomainReport, base time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -316,7 +322,8 @@
 	c.isStale = true
 }
 
-// rebuild derives the replicas by deployment and removes reports that expired long ago.
+// rebuild derives the replicas by deployment if the reports have changed. It also removes reports
+// whose retention has ended.
 func (c *Catalog) rebuild() {
 	if !c.isStale {
 		return
@@ -350,7 +357,7 @@
 	return all
 }
 
-// valuesPerLoad is the number of values in a report for the load of one replica.
+// valuesPerLoad is the number of values that encode the load of one replica in a report.
 const valuesPerLoad = 3
 
 // loadOf returns the load of the replica with the given index in the report.
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -21,8 +21,8 @@
 
 func TestNewerReportWins(t *testing.T) {
 	cases := map[string]struct {
-		news []*rpc.DomainReport
-		want uint64
+		reports []*rpc.DomainReport
+		want    uint64
 	}{
 		"an older epoch is ignored":           {[]*rpc.DomainReport{report("d", 2, 1, 1), report("d", 1, 9, 9)}, 2},
 		"a newer epoch wins":                  {[]*rpc.DomainReport{report("d", 1, 9, 9), report("d", 2, 1, 1)}, 2},
@@ -31,7 +31,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			catalog := New()
-			for _, r := range c.news {
+			for _, r := range c.reports {
 				catalog.Merge([]*rpc.DomainReport{r}, time.Now())
 			}
 			r, ok := catalog.Replica("d-0")
@@ -41,22 +41,22 @@
 	}
 }
 
-// TestDeadlineIsNotExtendedByRelaying passes a report through three daemons with delays: the
-// deadline of the last one must not be later than that of the first.
+// TestDeadlineIsNotExtendedByRelaying checks that a report that passes through three daemons with
+// delays has no later deadline at the last daemon than at the first.
 func TestDeadlineIsNotExtendedByRelaying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := New(), New(), New()
 		deadline := time.Now().Add(6 * time.Second)
 		first.Publish(report("d", 1, 1, 1), deadline)
-		pass := func(from, to *Catalog) {
+		deliver := func(from, to *Catalog) {
 			base := time.Now()
 			time.Sleep(300 * time.Millisecond)
-			news := from.Since(to.Digest())
+			missing := from.MissingFrom(to.Digest())
 			time.Sleep(700 * time.Millisecond)
-			to.Merge(news, base)
+			to.Merge(missing, base)
 		}
-		pass(first, second)
-		pass(second, third)
+		deliver(first, second)
+		deliver(second, third)
 		r, ok := third.Replica("d-0")
 		assert.Assert(t, ok)
 		assert.Assert(t, !r.Deadline().After(deadline))
@@ -66,24 +66,25 @@
 	})
 }
 
-// TestRenewalOmitsKnownContent checks that a renewal omits the content if the receiver has it.
+// TestRenewalOmitsKnownContent checks that a renewal omits the report's content if the receiver has
+// it.
 func TestRenewalOmitsKnownContent(t *testing.T) {
 	from, to := New(), New()
 	from.Publish(report("d", 1, 1, 1), time.Now().Add(time.Second))
-	to.Merge(from.Since(nil), time.Now())
+	to.Merge(from.MissingFrom(nil), time.Now())
 	renewed := report("d", 1, 1, 2)
 	renewed.Loads = []uint32{3, 2, 16}
 	from.Publish(renewed, time.Now().Add(time.Minute))
-	news := from.Since(to.Digest())
-	assert.Equal(t, len(news), 1)
-	assert.Assert(t, news[0].Unchanged && len(news[0].Replicas) == 0)
-	to.Merge(news, time.Now())
+	missing := from.MissingFrom(to.Digest())
+	assert.Equal(t, len(missing), 1)
+	assert.Assert(t, missing[0].Unchanged && len(missing[0].Replicas) == 0)
+	to.Merge(missing, time.Now())
 	r, _ := to.Replica("d-0")
 	assert.Equal(t, r.Load().Queue(), 3)
 	assert.Assert(t, time.Until(r.Deadline()) > 10*time.Second)
 }
 
-// fullReport returns the report of a domain of 64 nodes.
+// fullReport returns the report of a domain with 64 nodes that form four replicas.
 func fullReport(domain string, beat uint64) *rpc.DomainReport {
 	r := &rpc.DomainReport{Domain: domain, Token: &rpc.Token{Epoch: 12345}, Version: 1, Beat: beat, DataHall: "hall-a", Owner: "entry-123"}
 	for i := range 4 {
@@ -102,7 +103,7 @@
 	return r
 }
 
-// BenchmarkRenewals measures one exchange in which every domain has a renewal.
+// BenchmarkRenewals measures one exchange of reports in which every domain has a renewal.
 func BenchmarkRenewals(b *testing.B) {
 	for _, domains := range []int{3, 25, 50, 100} {
 		b.Run(fmt.Sprint(domains, " domains"), func(b *testing.B) {
@@ -110,12 +111,12 @@
 			for i := range domains {
 				from.Publish(fullReport(fmt.Sprint("fabric-", i), 1), time.Now().Add(time.Hour))
 			}
-			full := 0
-			for _, r := range from.Since(nil) {
-				full += proto.Size(r)
+			fullBytes := 0
+			for _, r := range from.MissingFrom(nil) {
+				fullBytes += proto.Size(r)
 			}
-			to.Merge(from.Since(nil), time.Now())
-			bytes, digest := 0, 0
+			to.Merge(from.MissingFrom(nil), time.Now())
+			replyBytes, digestBytes := 0, 0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
@@ -125,13 +126,13 @@
 				}
 				b.StartTimer()
 				q := &rpc.ExchangeRequest{Reports: to.Digest()}
-				reply := &rpc.ExchangeReply{Reports: from.Since(q.Reports)}
+				reply := &rpc.ExchangeReply{Reports: from.MissingFrom(q.Reports)}
 				to.Merge(reply.Reports, time.Now())
-				bytes, digest = proto.Size(reply), proto.Size(q)
+				replyBytes, digestBytes = proto.Size(reply), proto.Size(q)
 			}
-			b.ReportMetric(float64(bytes), "renewal-bytes")
-			b.ReportMetric(float64(digest), "digest-bytes")
-			b.ReportMetric(float64(full), "full-bytes")
+			b.ReportMetric(float64(replyBytes), "renewal-bytes")
+			b.ReportMetric(float64(digestBytes), "digest-bytes")
+			b.ReportMetric(float64(fullBytes), "full-bytes")
 		})
 	}
 }
--- a/cluster/log.go
+++ b/cluster/log.go
@@ -11,8 +11,8 @@
 type Record struct {
 	// Offset is the position in the stream, starting at zero.
 	Offset int64 `json:"offset"`
-	// ID is a unique name chosen by the writer, who can find the record by it if the reply to an
-	// append is lost.
+	// ID is a unique name chosen by the writer. If the reply to an append is lost, the writer can find
+	// out by the name whether the record was appended.
 	ID string `json:"id"`
 	// Time is when the log service appended the record, by its own clock.
 	Time time.Time `json:"time"`
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -35,17 +35,20 @@
 	Nodes(ctx context.Context) ([]ListedNode, error)
 }
 
-// Phase is the progress of the assignment on a node.
+// Phase is how far a node has got with its assignment.
 type Phase string
 
 // The phases of a node.
 const (
-	PhaseIdle    Phase = "idle"
+	// PhaseIdle nodes have no assignment.
+	PhaseIdle Phase = "idle"
+	// PhaseLoading nodes load the model of their assignment.
 	PhaseLoading Phase = "loading"
-	PhaseReady   Phase = "ready"
+	// PhaseReady nodes have loaded the model.
+	PhaseReady Phase = "ready"
 )
 
-// Assignment says which replica a node belongs to. The zero value means none.
+// Assignment describes the replica that a node belongs to. The zero value means none.
 type Assignment struct {
 	Replica    string   `json:"replica,omitempty"`
 	Generation uint64   `json:"generation,omitempty"`
@@ -62,18 +65,20 @@
 	return a.Replica == ""
 }
 
-// Name returns REPLICA@GENERATION, the value of HeaderAssignment.
+// Name returns the assignment as REPLICA@GENERATION, the form used in HeaderAssignment.
 func (a Assignment) Name() string {
 	return fmt.Sprintf("%s@%d", a.Replica, a.Generation)
 }
 
-// Same reports whether both are for the same generation of the same replica.
+// Same reports whether a and other are for the same generation of the same replica.
 func (a Assignment) Same(other Assignment) bool {
 	return a.Replica == other.Replica && a.Generation == other.Generation
 }
 
 // Order instructs a node to take an assignment.
 type Order struct {
+	// Token is the fence of the order. A node refuses an order unless its token is higher than that
+	// of the last order accepted.
 	Token      token.Token `json:"token"`
 	Assignment Assignment  `json:"assignment"`
 	// Preload lists model versions whose weights the node should fetch in the background.
@@ -82,9 +87,11 @@
 
 // Load is the load that a node reports. It may be outdated.
 type Load struct {
+	// Queue is the number of waiting requests, Active the number of those being processed.
 	Queue  int `json:"queue"`
 	Active int `json:"active"`
-	Slots  int `json:"slots"`
+	// Slots is the number of requests that can be processed concurrently.
+	Slots int `json:"slots"`
 }
 
 // NodeState is a node's reply to a probe or an order.
@@ -93,11 +100,11 @@
 	Token      token.Token `json:"token"`
 	Assignment Assignment  `json:"assignment"`
 	Phase      Phase       `json:"phase"`
-	// Start identifies the node's process; it changes with a restart.
+	// Start identifies the node's process. It changes when the process restarts.
 	Start string `json:"start"`
 	// Cached lists the model versions whose weights the node holds.
 	Cached []string `json:"cached"`
-	// Preloading lists the versions that the node is fetching in the background.
+	// Preloading lists the model versions whose weights the node is fetching in the background.
 	Preloading []string `json:"preloading,omitempty"`
 	Load       Load     `json:"load"`
 }
@@ -122,7 +129,7 @@
 	// HeaderRequest carries the id of a request; the answer repeats it.
 	HeaderRequest = "Engine-Request"
 	// HeaderAssignment carries the replica and generation that a request is for, as
-	// REPLICA@GENERATION; an engine with another assignment refuses it.
+	// REPLICA@GENERATION. An engine with another assignment refuses the request.
 	HeaderAssignment = "Engine-Assignment"
 	// HeaderStarted is "no" in a refusal if nothing has been executed.
 	HeaderStarted = "Engine-Started"
--- a/config/document.go
+++ b/config/document.go
@@ -1,5 +1,6 @@
-// Package config folds the configuration stream, in which operators publish documents with labels
-// and selectors. The fold is deterministic, so every daemon accepts and rejects the same changes.
+// Package config holds the configuration, which consists of documents with labels and selectors.
+// Operators publish changes of the documents to a log stream. Every daemon applies the same records
+// in the same order, and so accepts and rejects the same changes.
 package config
 
 import (
@@ -95,7 +96,8 @@
 	NodesPerReplica int `json:"nodesPerReplica" yaml:"nodesPerReplica"`
 	// Replicas is the number of replicas to run; zero means as many as the selected nodes allow.
 	Replicas int `json:"replicas,omitempty" yaml:"replicas,omitempty"`
-	// Priority decides which deployments lose nodes to others; higher ones keep them longer.
+	// Priority determines which deployments lose nodes to others. Those with a lower priority lose
+	// them first.
 	Priority  int           `json:"priority,omitempty" yaml:"priority,omitempty"`
 	Objective ObjectiveSpec `json:"objective,omitempty" yaml:"objective,omitempty"`
 	// AllowedRegions are the regions in which the deployment's requests may run; empty means all.
@@ -108,8 +110,8 @@
 	KeyHashes []string `json:"keyHashes" yaml:"keyHashes"`
 	// RequestsPerSecond is the rate limit over all daemons; zero means no limit.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty" yaml:"requestsPerSecond,omitempty"`
-	// Priority is the priority of the account's requests; under overload lower ones are refused
-	// first.
+	// Priority is the priority of the account's requests. Under overload, requests with a lower
+	// priority are refused first.
 	Priority int `json:"priority,omitempty" yaml:"priority,omitempty"`
 	// AllowedRegions are the regions in which the account's requests may run; empty means all.
 	AllowedRegions Regions `json:"allowedRegions,omitempty" yaml:"allowedRegions,omitempty"`
@@ -130,17 +132,18 @@
 
 // Labels with a predefined meaning.
 const (
-	// LabelDrain set to "true" on a node or a deployment moves work away from it.
+	// LabelDrain set to "true" on a node or a deployment requests that it be drained.
 	LabelDrain = "quartzshelf/drain"
-	// LabelManagedBy set to ManagedByScripts on a node exempts it from the daemons' orders.
+	// LabelManagedBy set to ManagedByScripts on a node means that scripts manage it, so that daemons
+	// send it no orders.
 	LabelManagedBy = "quartzshelf/managed-by"
 	// LabelDeployment names the deployment that a node managed by scripts serves.
 	LabelDeployment = "quartzshelf/deployment"
 	// LabelReplica names the replica of a node managed by scripts.
 	LabelReplica = "quartzshelf/replica"
-	// LabelFenced set to "false" on a node means that it does not check tokens.
+	// LabelFenced set to "false" on a node means that it does not check the tokens of orders.
 	LabelFenced = "quartzshelf/fenced"
-	// LabelDomain, LabelDataHall and LabelKind are set from the node list.
+	// LabelDomain, LabelDataHall and LabelKind hold a node's values in the node list.
 	LabelDomain   = "quartzshelf/domain"
 	LabelDataHall = "quartzshelf/data-hall"
 	LabelKind     = "quartzshelf/kind"
@@ -161,7 +164,7 @@
 	MaxReplicaNodes = 32
 )
 
-// decodeSpec decodes the spec of d as type S; a missing spec is the zero value.
+// decodeSpec decodes the spec of d as type S. It returns the zero value if d has no spec.
 func decodeSpec[S any](d Document) (S, error) {
 	var spec S
 	if len(d.Spec) == 0 {
--- a/config/hall.go
+++ b/config/hall.go
@@ -14,11 +14,11 @@
 type DataHallSpec struct {
 	// Region is the region of the hall.
 	Region string `json:"region,omitempty" yaml:"region,omitempty"`
-	// Closed halls get no new requests; their replicas remain.
+	// Closed is set if the hall gets no new requests. Its replicas remain.
 	Closed bool `json:"closed,omitempty" yaml:"closed,omitempty"`
 }
 
-// Hall is a compiled DataHall document.
+// Hall is a data hall as described by its document.
 type Hall struct {
 	name string
 	spec DataHallSpec
@@ -60,8 +60,8 @@
 	return v.halls[i]
 }
 
-// KeptOut returns why a request must not be sent to a node in the data hall, or an empty reason.
-// The request must satisfy all of the allowed regions.
+// KeptOut returns why a request must not be sent to a node in the data hall, or an empty reason if
+// it may be. The hall's region must be allowed by each of the given lists.
 func (v *View) KeptOut(hall string, allowed ...Regions) reason.Reason {
 	h := v.Hall(hall)
 	for _, regions := range allowed {
@@ -75,7 +75,8 @@
 	return ""
 }
 
-// hallWarnings returns warnings about deployments and accounts without a common region.
+// hallWarnings returns a warning for each deployment that has no allowed region in common with some
+// account that may use it.
 func (v *View) hallWarnings() []string {
 	var warnings []string
 	for _, d := range v.deployments {
@@ -94,7 +95,7 @@
 	return warnings
 }
 
-// overlaps reports whether both allow some region.
+// overlaps reports whether r and other allow a common region.
 func (r Regions) overlaps(other Regions) bool {
 	if len(r) == 0 || len(other) == 0 {
 		return true
@@ -102,9 +103,8 @@
 	return slices.ContainsFunc(r, func(region string) bool { return slices.Contains(other, region) })
 }
 
-// checkRegions rejects allowed regions without a data hall, in which no request could run. Of
-// several problems it returns the first one in the order of keys, so that every daemon reports the
-// same.
+// checkRegions returns an error if an object allows a region that no data hall lies in. Of several
+// errors it returns the first one in the order of keys, so that every daemon reports the same.
 func checkRegions(objects map[Key]Object) error {
 	known := make(map[string]bool)
 	restricted := make(map[Key]Regions)
@@ -142,7 +142,7 @@
 	return spec.AllowedRegions
 }
 
-// joinOrNone joins names for a message.
+// joinOrNone joins names with commas, or returns "none" if there are no names.
 func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
@@ -150,28 +150,30 @@
 	return strings.Join(names, ", ")
 }
 
-func (c *checker) dataHall(s DataHallSpec) {
+func (c *checker) checkDataHall(s DataHallSpec) {
 	if s.Region != "" {
-		c.region("spec.region", s.Region)
+		c.checkRegion("spec.region", s.Region)
 	}
 }
 
-func (c *checker) region(field, region string) {
-	if len(region) > maxName || !namePattern.MatchString(region) {
-		c.fail(field, "%q must be at most %d lower-case letters, digits, dots and dashes", region, maxName)
+// checkRegion checks the name of a region.
+func (c *checker) checkRegion(field, region string) {
+	if len(region) > maxNameLength || !namePattern.MatchString(region) {
+		c.addProblem(field, "%q must be at most %d lower-case letters, digits, dots and dashes", region, maxNameLength)
 	}
 }
 
-// regions checks allowed regions. An empty list is rejected because it is ambiguous.
-func (c *checker) regions(regions []string) {
+// checkAllowedRegions checks a list of allowed regions. An empty list is invalid because it could
+// mean all regions or none.
+func (c *checker) checkAllowedRegions(regions []string) {
 	const field = "spec.allowedRegions"
 	if regions != nil && len(regions) == 0 {
-		c.fail(field, "must name a region, or be left out to allow all")
+		c.addProblem(field, "must name a region, or be left out to allow all")
 	}
 	for i, region := range regions {
-		c.region(fmt.Sprintf("%s[%d]", field, i), region)
+		c.checkRegion(fmt.Sprintf("%s[%d]", field, i), region)
 		if slices.Index(regions, region) != i {
-			c.fail(fmt.Sprintf("%s[%d]", field, i), "%q is named twice", region)
+			c.addProblem(fmt.Sprintf("%s[%d]", field, i), "%q is named twice", region)
 		}
 	}
 }
--- a/config/object.go
+++ b/config/object.go
@@ -6,7 +6,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Model is a compiled Model document.
+// Model is a model as described by its document.
 type Model struct {
 	name   string
 	labels map[string]string
@@ -19,14 +19,14 @@
 // Version returns the version of the weights.
 func (m Model) Version() string { return m.spec.Version }
 
-// Adapter is a compiled Adapter document.
+// Adapter is an adapter as described by its document, with parsed selectors.
 type Adapter struct {
 	name   string
 	labels map[string]string
 	models labels.Selector
 }
 
-// Deployment is a compiled Deployment document.
+// Deployment is a deployment as described by its document, with parsed selectors.
 type Deployment struct {
 	name     string
 	labels   map[string]string
@@ -46,7 +46,7 @@
 // AllowedRegions returns the regions in which the deployment's requests may run.
 func (d Deployment) AllowedRegions() Regions { return d.spec.AllowedRegions }
 
-// Draining reports whether the deployment is labelled to be drained.
+// Draining reports whether LabelDrain requests that the deployment be drained.
 func (d Deployment) Draining() bool { return d.labels[LabelDrain] == LabelTrue }
 
 // Allows reports whether the client account may use the deployment.
@@ -57,7 +57,7 @@
 	return d.nodes.Matches(labels.Set(node))
 }
 
-// Account is a compiled ClientAccount document.
+// Account is a client account as described by its document.
 type Account struct {
 	name   string
 	labels map[string]string
@@ -76,7 +76,7 @@
 // AllowedRegions returns the regions in which the account's requests may run.
 func (a *Account) AllowedRegions() Regions { return a.spec.AllowedRegions }
 
-// Service is a compiled Service document.
+// Service is a service as described by its document, with parsed selectors.
 type Service struct {
 	name     string
 	spec     ServiceSpec
@@ -107,7 +107,7 @@
 	return true
 }
 
-// The constructors below expect valid documents, so they ignore errors from decoding.
+// The functions below expect documents that Validate has accepted, so they ignore decoding errors.
 
 func newModel(d Document) Model {
 	spec, _ := decodeSpec[ModelSpec](d)
@@ -144,7 +144,8 @@
 	}
 }
 
-// compileSelector compiles a selector that Validate has accepted. An invalid one selects nothing.
+// compileSelector parses a selector that Validate has accepted. An invalid selector selects
+// nothing.
 func compileSelector(text string) labels.Selector {
 	s, err := parseSelector(text)
 	if err != nil {
--- a/config/parse.go
+++ b/config/parse.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s:%d", p.file, p.line)
 }
 
-// Parsed is a document with its position in a file.
+// Parsed is a document that was parsed from a file, with its position there.
 type Parsed struct {
 	document Document
 	position Position
@@ -78,13 +78,14 @@
 		d.Spec = spec
 	}
 	if err := Validate(d); err != nil {
-		return Parsed{}, locate(file, body, err)
+		return Parsed{}, addLocation(file, body, err)
 	}
 	return Parsed{document: d, position: position}, nil
 }
 
-// locate adds the line of the field that err is about, or else of the document.
-func locate(file string, body ast.Node, err error) error {
+// addLocation adds the file and a line to err. This is the line of the field that err is about, or
+// else the first line of the document.
+func addLocation(file string, body ast.Node, err error) error {
 	line := body.GetToken().Position.Line
 	var field *FieldError
 	if errors.As(err, &field) {
@@ -95,7 +96,7 @@
 	return fmt.Errorf("%s: %w", Position{file: file, line: line}, err)
 }
 
-// nodeAt returns the node at a field path such as spec.keyHashes[0], or nil.
+// nodeAt returns the YAML node at a field path such as spec.keyHashes[0], or nil if there is none.
 func nodeAt(body ast.Node, field string) ast.Node {
 	path, err := yaml.PathString("$." + strings.TrimSpace(field))
 	if err != nil {
--- a/config/record.go
+++ b/config/record.go
@@ -13,19 +13,23 @@
 
 // The operations.
 const (
-	OperationPut    Operation = "put"
+	// OperationPut adds or replaces an object.
+	OperationPut Operation = "put"
+	// OperationDelete removes an object.
 	OperationDelete Operation = "delete"
 )
 
-// Change is one operation on an object. Base is the revision of the object that the change is based
-// on, or zero if there was none.
+// Change is one operation on an object.
 type Change struct {
 	Operation Operation `json:"operation"`
 	Document  Document  `json:"document"`
-	Base      int64     `json:"base"`
+	// Base is the revision of the object that the author changed, or zero if the object did not exist.
+	// The change is rejected if the object has another revision by now.
+	Base int64 `json:"base"`
 }
 
-// ChangeSet is the content of a configuration record. It is accepted or rejected as a whole.
+// ChangeSet is the content of a record in the configuration stream. It is accepted or rejected as a
+// whole.
 type ChangeSet struct {
 	Author  string   `json:"author,omitempty"`
 	Changes []Change `json:"changes"`
@@ -36,7 +40,7 @@
 	return json.Marshal(c)
 }
 
-// Verdict is the result of folding a change set.
+// Verdict is the result of applying a change set: whether it was accepted, or else why not.
 type Verdict struct {
 	// Offset is the offset of the record. Accepted objects get the revision Offset + 1.
 	Offset   int64    `json:"offset"`
@@ -49,7 +53,7 @@
 	Problem string `json:"problem,omitempty"`
 }
 
-// conflictError is returned if an object has changed since the revision that a change is based on.
+// conflictError is the error for a change whose object has another revision than Change.Base.
 type conflictError struct {
 	object  Key
 	base    int64
@@ -63,16 +67,17 @@
 		e.object, e.base, e.current, strings.Join(e.fields, ", "))
 }
 
-// differingFields returns the paths of the fields in which two documents differ, sorted.
+// differingFields returns the paths of the fields in which two documents differ, sorted. If they do
+// not differ, it returns a single message that says so.
 func differingFields(a, b Document) []string {
 	var fields []string
-	for name := range union(a.Labels, b.Labels) {
+	for name := range unionOfNames(a.Labels, b.Labels) {
 		if a.Labels[name] != b.Labels[name] {
 			fields = append(fields, "labels."+name)
 		}
 	}
 	specA, specB := fieldsOf(a.Spec), fieldsOf(b.Spec)
-	for name := range union(specA, specB) {
+	for name := range unionOfNames(specA, specB) {
 		if !bytes.Equal(specA[name], specB[name]) {
 			fields = append(fields, "spec."+name)
 		}
@@ -84,6 +89,7 @@
 	return fields
 }
 
+// fieldsOf returns the top-level fields of a spec.
 func fieldsOf(spec json.RawMessage) map[string]json.RawMessage {
 	fields := make(map[string]json.RawMessage)
 	if len(spec) > 0 {
@@ -93,7 +99,8 @@
 	return fields
 }
 
-func union[V any](a, b map[string]V) map[string]struct{} {
+// unionOfNames returns the keys of both maps.
+func unionOfNames[V any](a, b map[string]V) map[string]struct{} {
 	names := make(map[string]struct{}, len(a)+len(b))
 	for name := range a {
 		names[name] = struct{}{}
--- a/config/state.go
+++ b/config/state.go
@@ -15,8 +15,8 @@
 // historyLimit is the number of verdicts kept for operators.
 const historyLimit = 200
 
-// State folds the configuration stream. Readers get an immutable View, which is replaced after each
-// accepted change set.
+// State is the configuration as built from the records of the configuration stream. Readers get an
+// immutable View, which is replaced after each accepted change set.
 type State struct {
 	view    atomic.Pointer[View]
 	history atomic.Pointer[[]Verdict]
@@ -42,13 +42,14 @@
 	return *s.history.Load()
 }
 
-// Apply implements eventlog.State.
+// Apply applies the change set in a record if it is valid, and records a verdict on it. It
+// implements eventlog.State.
 func (s *State) Apply(record cluster.Record, data json.RawMessage) {
 	var set ChangeSet
 	verdict := Verdict{Offset: record.Offset, ID: record.ID, Time: record.Time.UTC().Format(time.RFC3339Nano)}
 	if err := json.Unmarshal(data, &set); err != nil {
 		verdict.Problem = "not a change set: " + err.Error()
-		s.record(verdict)
+		s.addVerdict(verdict)
 		return
 	}
 	verdict.Author = set.Author
@@ -58,21 +59,23 @@
 	objects, err := s.View().apply(set, record.Offset+1)
 	if err != nil {
 		verdict.Problem = err.Error()
-		s.record(verdict)
+		s.addVerdict(verdict)
 		return
 	}
 	verdict.Accepted = true
 	s.view.Store(newView(objects, record.Offset+1))
-	s.record(verdict)
+	s.addVerdict(verdict)
 }
 
-// Try returns the error with which set would be rejected now, or nil. It changes nothing.
-func (s *State) Try(set ChangeSet) error {
+// CheckChangeSet returns the error with which Apply would reject set now, or nil. It changes
+// nothing.
+func (s *State) CheckChangeSet(set ChangeSet) error {
 	_, err := s.View().apply(set, 0)
 	return err
 }
 
-func (s *State) record(v Verdict) {
+// addVerdict adds a verdict to the history and drops the oldest one beyond historyLimit.
+func (s *State) addVerdict(v Verdict) {
 	old := *s.history.Load()
 	if len(old) >= historyLimit {
 		old = old[len(old)-historyLimit+1:]
@@ -88,12 +91,13 @@
 	Revision int64  `cbor:"2,keyasint"`
 }
 
+// storedState is the encoding of a State in a checkpoint.
 type storedState struct {
 	Objects  []storedObject `cbor:"1,keyasint"`
 	Revision int64          `cbor:"2,keyasint"`
 }
 
-// Checkpoint implements eventlog.State.
+// Checkpoint returns the encoded objects, without the history. It implements eventlog.State.
 func (s *State) Checkpoint() ([]byte, error) {
 	view := s.View()
 	stored := storedState{Revision: view.Revision()}
@@ -107,7 +111,7 @@
 	return cbor.Marshal(stored)
 }
 
-// Restore implements eventlog.State.
+// Restore replaces the objects by those in a checkpoint. It implements eventlog.State.
 func (s *State) Restore(data []byte) error {
 	var stored storedState
 	if err := cbor.Unmarshal(data, &stored); err != nil {
--- a/config/state_test.go
+++ b/config/state_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkFold measures one change of one object among many.
+// BenchmarkFold measures how long it takes to apply a change of one object among many.
 func BenchmarkFold(b *testing.B) {
 	for _, objects := range []int{100, 1000, 7000} {
 		b.Run(fmt.Sprint(objects, " objects"), func(b *testing.B) {
--- a/config/validate.go
+++ b/config/validate.go
@@ -9,9 +9,9 @@
 
 // Limits on the values of fields.
 const (
-	maxName      = 63
-	maxReplicas  = 10_000
-	hashHexChars = 64
+	maxNameLength = 63
+	maxReplicas   = 10_000
+	hashHexChars  = 64
 )
 
 var (
@@ -48,141 +48,142 @@
 	err    *FieldError
 }
 
-func (c *checker) fail(field, format string, args ...any) {
+// addProblem records a problem unless one has been recorded before.
+func (c *checker) addProblem(field, format string, args ...any) {
 	if c.err == nil {
 		c.err = &FieldError{object: c.object, field: field, problem: fmt.Sprintf(format, args...)}
 	}
 }
 
-func (c *checker) selector(field, text string) {
+func (c *checker) checkSelector(field, text string) {
 	if _, err := parseSelector(text); err != nil {
-		c.fail(field, "bad selector: %v", err)
+		c.addProblem(field, "bad selector: %v", err)
 	}
 }
 
-func (c *checker) required(field, text string) {
+func (c *checker) checkRequired(field, text string) {
 	if text == "" {
-		c.fail(field, "must not be empty")
+		c.addProblem(field, "must not be empty")
 	}
 }
 
-func (c *checker) inRange(field string, value, low, high int) {
+func (c *checker) checkRange(field string, value, low, high int) {
 	if value < low || value > high {
-		c.fail(field, "%d is outside %d to %d", value, low, high)
+		c.addProblem(field, "%d is outside %d to %d", value, low, high)
 	}
 }
 
-func (c *checker) notNegative(field string, value float64) {
+func (c *checker) checkNotNegative(field string, value float64) {
 	if value < 0 {
-		c.fail(field, "%g is negative", value)
+		c.addProblem(field, "%g is negative", value)
 	}
 }
 
-// Validate checks a document independently of others. The error is a *FieldError.
+// Validate checks a document without regard to other documents. The error is a *FieldError.
 func Validate(d Document) error {
 	c := &checker{object: d.Key()}
 	if _, err := ParseKind(string(d.Kind)); err != nil {
-		c.fail("kind", "%v", err)
+		c.addProblem("kind", "%v", err)
 		return c.err
 	}
-	if len(d.Name) > maxName || !namePattern.MatchString(d.Name) {
-		c.fail("name", "%q must be at most %d lower-case letters, digits, dots and dashes", d.Name, maxName)
+	if len(d.Name) > maxNameLength || !namePattern.MatchString(d.Name) {
+		c.addProblem("name", "%q must be at most %d lower-case letters, digits, dots and dashes", d.Name, maxNameLength)
 	}
-	c.labels(d.Labels)
-	c.spec(d)
+	c.checkLabels(d.Labels)
+	c.checkSpec(d)
 	if c.err != nil {
 		return c.err
 	}
 	return nil
 }
 
-func (c *checker) labels(all map[string]string) {
+func (c *checker) checkLabels(all map[string]string) {
 	for name, value := range all {
 		for _, text := range []string{name, value} {
 			if strings.ContainsAny(text, " ,=!()\t\n") {
-				c.fail("labels", "%q has a character that selectors cannot name", text)
+				c.addProblem("labels", "%q has a character that selectors cannot name", text)
 			}
 		}
 		if name == "" {
-			c.fail("labels", "a label has no name")
+			c.addProblem("labels", "a label has no name")
 		}
 	}
 }
 
-func (c *checker) spec(d Document) {
+func (c *checker) checkSpec(d Document) {
 	switch d.Kind {
 	case KindModel:
-		checkSpec(c, d, c.model)
+		decodeAndCheck(c, d, c.checkModel)
 	case KindAdapter:
-		checkSpec(c, d, func(s AdapterSpec) { c.selector("spec.modelSelector", s.ModelSelector) })
+		decodeAndCheck(c, d, func(s AdapterSpec) { c.checkSelector("spec.modelSelector", s.ModelSelector) })
 	case KindDeployment:
-		checkSpec(c, d, c.deployment)
+		decodeAndCheck(c, d, c.checkDeployment)
 	case KindAccount:
-		checkSpec(c, d, c.account)
+		decodeAndCheck(c, d, c.checkAccount)
 	case KindService:
-		checkSpec(c, d, c.service)
+		decodeAndCheck(c, d, c.checkService)
 	case KindNode:
-		checkSpec(c, d, func(NodeSpec) {})
+		decodeAndCheck(c, d, func(NodeSpec) {})
 	case KindDataHall:
-		checkSpec(c, d, c.dataHall)
+		decodeAndCheck(c, d, c.checkDataHall)
 	}
 }
 
-// checkSpec decodes the spec of d strictly and calls examine with it.
-func checkSpec[S any](c *checker, d Document, validate func(S)) {
+// decodeAndCheck decodes the spec of d and calls validate with it. Unknown fields are a problem.
+func decodeAndCheck[S any](c *checker, d Document, validate func(S)) {
 	var spec S
 	if len(d.Spec) > 0 {
 		decoder := json.NewDecoder(strings.NewReader(string(d.Spec)))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&spec); err != nil {
-			c.fail("spec", "%v", err)
+			c.addProblem("spec", "%v", err)
 			return
 		}
 	}
 	validate(spec)
 }
 
-func (c *checker) model(s ModelSpec) {
-	c.required("spec.version", s.Version)
-	c.notNegative("spec.weightsGB", s.WeightsGB)
+func (c *checker) checkModel(s ModelSpec) {
+	c.checkRequired("spec.version", s.Version)
+	c.checkNotNegative("spec.weightsGB", s.WeightsGB)
 }
 
-func (c *checker) deployment(s DeploymentSpec) {
-	c.required("spec.modelSelector", s.ModelSelector)
-	c.selector("spec.modelSelector", s.ModelSelector)
-	c.selector("spec.nodeSelector", s.NodeSelector)
-	c.selector("spec.adapterSelector", s.AdapterSelector)
-	c.selector("spec.accountSelector", s.AccountSelector)
-	c.inRange("spec.nodesPerReplica", s.NodesPerReplica, MinReplicaNodes, MaxReplicaNodes)
-	c.inRange("spec.replicas", s.Replicas, 0, maxReplicas)
-	c.notNegative("spec.objective.downtime", s.Objective.Downtime)
-	c.notNegative("spec.objective.stranded", s.Objective.Stranded)
-	c.regions(s.AllowedRegions)
+func (c *checker) checkDeployment(s DeploymentSpec) {
+	c.checkRequired("spec.modelSelector", s.ModelSelector)
+	c.checkSelector("spec.modelSelector", s.ModelSelector)
+	c.checkSelector("spec.nodeSelector", s.NodeSelector)
+	c.checkSelector("spec.adapterSelector", s.AdapterSelector)
+	c.checkSelector("spec.accountSelector", s.AccountSelector)
+	c.checkRange("spec.nodesPerReplica", s.NodesPerReplica, MinReplicaNodes, MaxReplicaNodes)
+	c.checkRange("spec.replicas", s.Replicas, 0, maxReplicas)
+	c.checkNotNegative("spec.objective.downtime", s.Objective.Downtime)
+	c.checkNotNegative("spec.objective.stranded", s.Objective.Stranded)
+	c.checkAllowedRegions(s.AllowedRegions)
 }
 
-func (c *checker) account(s AccountSpec) {
+func (c *checker) checkAccount(s AccountSpec) {
 	if len(s.KeyHashes) == 0 {
-		c.fail("spec.keyHashes", "must name at least one key")
+		c.addProblem("spec.keyHashes", "must name at least one key")
 	}
 	for i, hash := range s.KeyHashes {
 		if !hashPattern.MatchString(hash) {
-			c.fail(fmt.Sprintf("spec.keyHashes[%d]", i),
+			c.addProblem(fmt.Sprintf("spec.keyHashes[%d]", i),
 				"must be a SHA-256 hash of %d lower-case hexadecimal digits", hashHexChars)
 		}
 	}
-	c.notNegative("spec.requestsPerSecond", s.RequestsPerSecond)
-	c.regions(s.AllowedRegions)
+	c.checkNotNegative("spec.requestsPerSecond", s.RequestsPerSecond)
+	c.checkAllowedRegions(s.AllowedRegions)
 }
 
-func (c *checker) service(s ServiceSpec) {
-	c.required("spec.nodeSelector", s.NodeSelector)
-	c.selector("spec.nodeSelector", s.NodeSelector)
-	c.selector("spec.accountSelector", s.AccountSelector)
-	c.regions(s.AllowedRegions)
+func (c *checker) checkService(s ServiceSpec) {
+	c.checkRequired("spec.nodeSelector", s.NodeSelector)
+	c.checkSelector("spec.nodeSelector", s.NodeSelector)
+	c.checkSelector("spec.accountSelector", s.AccountSelector)
+	c.checkAllowedRegions(s.AllowedRegions)
 	for i, call := range s.NotRepeatable {
 		method, path, ok := strings.Cut(call, " ")
 		if !ok || method == "" || !strings.HasPrefix(path, "/") {
-			c.fail(fmt.Sprintf("spec.notRepeatable[%d]", i), "%q must be METHOD /path", call)
+			c.addProblem(fmt.Sprintf("spec.notRepeatable[%d]", i), "%q must be METHOD /path", call)
 		}
 	}
 }
--- a/config/view.go
+++ b/config/view.go
@@ -24,7 +24,7 @@
 // Revision returns the revision of the object's last change.
 func (o Object) Revision() int64 { return o.revision }
 
-// View is an immutable snapshot of the configuration after some record.
+// View is an immutable snapshot of the configuration. Its lists are sorted by name.
 type View struct {
 	objects     map[Key]Object
 	revision    int64
@@ -33,12 +33,14 @@
 	deployments []Deployment
 	accounts    []*Account
 	services    []Service
+	// accountKeys holds the accounts by the hashes of their bearer keys.
 	accountKeys map[string]*Account
-	nodeLabels  map[string]map[string]string
-	halls       []Hall
+	// nodeLabels holds the labels of nodes with a Node document, by node.
+	nodeLabels map[string]map[string]string
+	halls      []Hall
 }
 
-// newView compiles objects, all of which must be valid, into a view.
+// newView returns a view of the given objects, which must be valid.
 func newView(objects map[Key]Object, revision int64) *View {
 	v := &View{
 		objects:     objects,
@@ -46,12 +48,13 @@
 		accountKeys: make(map[string]*Account),
 		nodeLabels:  make(map[string]map[string]string),
 	}
-	for _, key := range v.keys() {
+	for _, key := range v.sortedKeys() {
 		v.compile(objects[key].document)
 	}
 	return v
 }
 
+// compile adds an object, with its selectors parsed, to the list of its kind.
 func (v *View) compile(d Document) {
 	switch d.Kind {
 	case KindModel:
@@ -75,8 +78,8 @@
 	}
 }
 
-// keys returns the keys of all objects, sorted.
-func (v *View) keys() []Key {
+// sortedKeys returns the keys of all objects, ordered by compareKeys.
+func (v *View) sortedKeys() []Key {
 	return slices.SortedFunc(maps.Keys(v.objects), compareKeys)
 }
 
@@ -90,7 +93,7 @@
 
 // Objects returns all objects, sorted by kind and name.
 func (v *View) Objects() []Object {
-	keys := v.keys()
+	keys := v.sortedKeys()
 	all := make([]Object, 0, len(keys))
 	for _, key := range keys {
 		all = append(all, v.objects[key])
@@ -140,8 +143,8 @@
 	return a, ok
 }
 
-// ModelOf returns the model that the deployment selects. It is an error if there is not exactly
-// one.
+// ModelOf returns the model that the deployment selects. It returns an error unless the selector
+// matches exactly one.
 func (v *View) ModelOf(d Deployment) (Model, error) {
 	var found []Model
 	for _, m := range v.models {
@@ -185,7 +188,7 @@
 	return all
 }
 
-// Warnings returns what is valid but probably not intended.
+// Warnings returns warnings about what is valid in the configuration but probably not intended.
 func (v *View) Warnings() []string {
 	var warnings []string
 	for _, d := range v.deployments {
@@ -200,7 +203,8 @@
 	return append(warnings, v.hallWarnings()...)
 }
 
-// apply returns the objects after applying set, or the error with which set is rejected.
+// apply returns the objects that result from set, or the error with which set is rejected. Changed
+// objects get the given revision. The view stays as it is.
 func (v *View) apply(set ChangeSet, revision int64) (map[Key]Object, error) {
 	if len(set.Changes) == 0 {
 		return nil, fmt.Errorf("the change set is empty")
@@ -212,7 +216,7 @@
 			return nil, err
 		}
 	}
-	if err := checkKeys(objects); err != nil {
+	if err := checkBearerKeys(objects); err != nil {
 		return nil, err
 	}
 	if err := checkRegions(objects); err != nil {
@@ -221,6 +225,8 @@
 	return objects, nil
 }
 
+// applyChange applies one change of a set to objects. The base of the change is compared with the
+// object's revision in the view.
 func (v *View) applyChange(objects map[Key]Object, c Change, revision int64) error {
 	key := c.Document.Key()
 	current := v.objects[key]
@@ -247,9 +253,9 @@
 	return nil
 }
 
-// checkKeys rejects client accounts that have a key in common, since their requests could not be
-// told apart.
-func checkKeys(objects map[Key]Object) error {
+// checkBearerKeys returns an error if two client accounts have a bearer key in common, since their
+// requests could not be distinguished.
+func checkBearerKeys(objects map[Key]Object) error {
 	owners := make(map[string]string)
 	for key, object := range objects {
 		if key.Kind != KindAccount {
--- a/eventlog/envelope.go
+++ b/eventlog/envelope.go
@@ -1,5 +1,7 @@
-// Package eventlog folds the streams of the platform's log into state: it follows a stream, bridges
-// the log's limited retention with checkpoints, and resolves appends whose replies were lost.
+// Package eventlog builds state from the streams of the platform's log. It reads a stream record by
+// record and applies (folds) each one to the state. Checkpoints of the state replace records that
+// the log no longer keeps. The package also appends records, and finds out the outcome of an append
+// whose reply was lost.
 package eventlog
 
 import (
@@ -11,7 +13,7 @@
 	"quartzshelf.dev/cluster"
 )
 
-// envelopeKind is the kind of content in a log record.
+// envelopeKind says whether a log record holds data or a checkpoint.
 type envelopeKind string
 
 const (
@@ -27,11 +29,13 @@
 	Checkpoint []byte `json:"checkpoint,omitempty"`
 }
 
-// Checkpoint is the state of a fold after every record before Next.
+// Checkpoint is the state of a fold after all records with offsets below Next.
 type Checkpoint struct {
-	Next int64     `cbor:"1,keyasint"`
+	Next int64 `cbor:"1,keyasint"`
+	// Time is the latest log time of these records.
 	Time time.Time `cbor:"2,keyasint"`
-	Data []byte    `cbor:"3,keyasint"`
+	// Data is the result of State.Checkpoint.
+	Data []byte `cbor:"3,keyasint"`
 }
 
 // Encode returns the checkpoint as CBOR.
@@ -44,19 +48,19 @@
 	return data
 }
 
-// DecodeCheckpoint decodes the result of Encode.
+// DecodeCheckpoint decodes a checkpoint that Encode encoded.
 func DecodeCheckpoint(data []byte) (Checkpoint, error) {
 	var c Checkpoint
 	err := cbor.Unmarshal(data, &c)
 	return c, err
 }
 
-// NewRecord returns a record with the given id and data, which must be JSON.
+// NewRecord returns a log record with the given id and data. The data must be JSON.
 func NewRecord(id string, data json.RawMessage) (cluster.Record, error) {
 	return encodeEnvelope(id, envelope{Kind: kindRecord, Data: data})
 }
 
-// newCheckpointRecord returns a record with the given id and checkpoint.
+// newCheckpointRecord returns a log record with the given id that holds a checkpoint.
 func newCheckpointRecord(id string, c Checkpoint) (cluster.Record, error) {
 	return encodeEnvelope(id, envelope{Kind: kindCheckpoint, Checkpoint: c.Encode()})
 }
--- a/eventlog/fold.go
+++ b/eventlog/fold.go
@@ -8,45 +8,51 @@
 	"quartzshelf.dev/cluster"
 )
 
-// maxPending is the maximum number of records kept while a fold waits for a checkpoint.
+// maxPending is the maximum number of records that a fold holds back while it waits for a
+// checkpoint.
 const maxPending = 100_000
 
-// State is the result of folding a stream. Apply must depend only on the state and its arguments,
-// so that every reader reaches the same state.
+// State is a state built from the records of a stream. The effect of Apply must depend only on the
+// state and the arguments, so that every reader of the stream reaches the same state.
 type State interface {
-	// Apply folds one record. It must ignore data that does not decode.
+	// Apply applies one record with the given content. It must ignore data that does not decode.
 	Apply(record cluster.Record, data json.RawMessage)
 	// Checkpoint returns the state encoded for Restore.
 	Checkpoint() ([]byte, error)
-	// Restore replaces the state.
+	// Restore replaces the state by one that Checkpoint returned.
 	Restore(data []byte) error
 }
 
-// Fold applies the records of a stream to a State, in order and exactly once, and skips gaps left
-// by the log's retention with the help of checkpoints. It is safe for concurrent use. The State is
-// called only while the fold is locked.
+// Fold applies the records of a stream to a State, each once and in order. If the log no longer
+// keeps some records, it restores a checkpoint that includes them. It is safe for concurrent use.
+// The State is called only while the fold is locked.
 type Fold struct {
-	mu      sync.Mutex
-	state   State
-	next    int64
-	time    time.Time
+	mu    sync.Mutex
+	state State
+	// next is one past the highest offset folded.
+	next int64
+	// time is the latest log time of the records folded.
+	time time.Time
+	// pending holds the records that are held back until a checkpoint closes a gap before them.
 	pending []cluster.Record
 	// checkpointAt and checkpointTime are the offset and log time of the newest checkpoint record.
 	checkpointAt   int64
 	checkpointTime time.Time
-	// watched holds the watches by record id.
-	watched map[string]*watch
+	// watches holds the watches by record id.
+	watches map[string]*watch
 }
 
-// watch signals that a record was folded, to any number of holders.
+// watch signals that a record was folded. Callers of Watch with the same record id share it.
 type watch struct {
-	folded  chan struct{}
+	// folded is closed when the record is folded.
+	folded chan struct{}
+	// holders is the number of callers that share the watch.
 	holders int
 }
 
 // NewFold returns a fold of state that starts at offset zero.
 func NewFold(state State) *Fold {
-	return &Fold{state: state, checkpointAt: -1, watched: make(map[string]*watch)}
+	return &Fold{state: state, checkpointAt: -1, watches: make(map[string]*watch)}
 }
 
 // Next returns one past the highest offset folded.
@@ -57,42 +63,42 @@
 }
 
 // Watch returns a channel that is closed when the record with the given id is folded. The caller
-// must call Unwatch in the end.
+// must call Unwatch once it no longer needs the channel.
 func (f *Fold) Watch(id string) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w, ok := f.watched[id]
+	w, ok := f.watches[id]
 	if !ok {
 		w = &watch{folded: make(chan struct{})}
-		f.watched[id] = w
+		f.watches[id] = w
 	}
 	w.holders++
 	return w.folded
 }
 
-// Unwatch releases the result of one call of Watch.
+// Unwatch releases the channel that one call of Watch returned.
 func (f *Fold) Unwatch(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w, ok := f.watched[id]
+	w, ok := f.watches[id]
 	if !ok {
 		return
 	}
 	w.holders--
 	if w.holders == 0 {
-		delete(f.watched, id)
+		delete(f.watches, id)
 	}
 }
 
-// Waiting reports whether records are held back until a checkpoint closes a gap.
-func (f *Fold) Waiting() bool {
+// HasPending reports whether records are held back until a checkpoint closes a gap.
+func (f *Fold) HasPending() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.pending) > 0
 }
 
-// Add folds the next record of the stream. Records before Next are ignored, so repeated reads are
-// harmless. Records beyond Next are held back until a checkpoint closes the gap.
+// Add folds a record if its offset is Next. Records with lower offsets are ignored, so repeated
+// reads are harmless. Records with higher offsets are held back until a checkpoint closes the gap.
 func (f *Fold) Add(record cluster.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,12 +116,12 @@
 		f.pending = nil
 	}
 	f.pending = append(f.pending, record)
-	if c, ok := checkpointOf(record); ok && c.Next >= f.pending[0].Offset {
+	if c, ok := decodeCheckpointRecord(record); ok && c.Next >= f.pending[0].Offset {
 		f.restore(c)
 	}
 }
 
-// Reset drops the records held back, for a follower that reads the stream again from its earliest
+// Reset drops the records held back. It is called before the stream is read again from its earliest
 // record.
 func (f *Fold) Reset() {
 	f.mu.Lock()
@@ -123,8 +129,8 @@
 	f.pending = nil
 }
 
-// Install restores a checkpoint from a peer unless it is at or before Next. It reports whether the
-// state changed.
+// Install restores a checkpoint from a peer if it includes records that have not been folded. It
+// reports whether the state changed.
 func (f *Fold) Install(c Checkpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,7 +148,7 @@
 	return Checkpoint{Next: f.next, Time: f.time, Data: data}, err
 }
 
-// newestCheckpoint returns the offset and log time of the newest checkpoint record folded; the
+// newestCheckpoint returns the offset and log time of the newest checkpoint record folded. The
 // offset is -1 if there is none.
 func (f *Fold) newestCheckpoint() (int64, time.Time) {
 	f.mu.Lock()
@@ -150,7 +156,8 @@
 	return f.checkpointAt, f.checkpointTime
 }
 
-// restore replaces the state by c and folds the records held back that follow it.
+// restore replaces the state by checkpoint c, then folds the records held back up to the next gap.
+// It reports whether c was valid.
 func (f *Fold) restore(c Checkpoint) bool {
 	if err := f.state.Restore(c.Data); err != nil {
 		return false
@@ -171,7 +178,7 @@
 	return true
 }
 
-// apply folds the record at offset Next.
+// apply folds the record at offset Next and signals its watch.
 func (f *Fold) apply(record cluster.Record) {
 	f.next = record.Offset + 1
 	if record.Time.After(f.time) {
@@ -187,13 +194,14 @@
 	case kindRecord:
 		f.state.Apply(record, e.Data)
 	}
-	if w, ok := f.watched[record.ID]; ok {
-		delete(f.watched, record.ID)
+	if w, ok := f.watches[record.ID]; ok {
+		delete(f.watches, record.ID)
 		close(w.folded)
 	}
 }
 
-func checkpointOf(record cluster.Record) (Checkpoint, bool) {
+// decodeCheckpointRecord returns the checkpoint in a record, and false if the record holds none.
+func decodeCheckpointRecord(record cluster.Record) (Checkpoint, bool) {
 	var e envelope
 	if json.Unmarshal(record.Data, &e) != nil || e.Kind != kindCheckpoint {
 		return Checkpoint{}, false
--- a/eventlog/fold_test.go
+++ b/eventlog/fold_test.go
@@ -35,8 +35,8 @@
 	return r
 }
 
-// TestTwoWatchersOfOneRecord guards against a second watcher replacing the first, which would then
-// wait until its timeout.
+// TestTwoWatchersOfOneRecord checks that two watchers of a record are notified. The second one must
+// not replace the first, which would then wait until its timeout.
 func TestTwoWatchersOfOneRecord(t *testing.T) {
 	f := NewFold(&listState{})
 	first, second := f.Watch("r0"), f.Watch("r0")
@@ -51,8 +51,9 @@
 	}
 }
 
-// TestFoldIsIndependentOfReads draws a log with checkpoints, a retention limit, and reads that
-// overlap. A fold that started late must reach the same state as one that read everything.
+// TestFoldIsIndependentOfReads checks that a fold that started after the log dropped its first
+// records reaches the same state as one that read all. The log, its checkpoints and the reads,
+// which overlap, are random.
 func TestFoldIsIndependentOfReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := NewFold(&listState{})
@@ -88,8 +89,8 @@
 	})
 }
 
-// TestInstallNeverGoesBack checks that an outdated checkpoint from a peer does not replace newer
-// state.
+// TestInstallNeverGoesBack checks that an outdated checkpoint from a peer does not replace the
+// newer state.
 func TestInstallNeverGoesBack(t *testing.T) {
 	f := NewFold(&listState{})
 	f.Add(record(t, 0))
--- a/eventlog/follower.go
+++ b/eventlog/follower.go
@@ -12,14 +12,18 @@
 
 // Timing and limits of a follower.
 const (
+	// maxReadRecords is the maximum number of records in a read.
 	maxReadRecords = 500
-	readWait       = 2 * time.Second
-	readTimeout    = 6 * time.Second
-	retryDelay     = 250 * time.Millisecond
-	// maxRecordsSinceCheckpoint is the number of records after a checkpoint at which the next one
-	// is due.
+	// readWait is how long a read waits for new records, once the fold has caught up.
+	readWait = 2 * time.Second
+	// readTimeout is the time limit of a read, including its wait.
+	readTimeout = 6 * time.Second
+	// retryDelay is the delay after a failed read.
+	retryDelay = 250 * time.Millisecond
+	// maxRecordsSinceCheckpoint is the number of records after a checkpoint beyond which another
+	// checkpoint is due.
 	maxRecordsSinceCheckpoint = 2000
-	// checkpointsPerRetention divides the retention into the age at which a checkpoint is renewed.
+	// checkpointsPerRetention is the number of checkpoints to write within the log's retention.
 	checkpointsPerRetention = 3
 )
 
@@ -32,8 +36,8 @@
 	Retention time.Duration
 	// NewID returns a unique record id.
 	NewID func() string
-	// CheckpointDelay returns how long this daemon waits before it writes a due checkpoint, so that
-	// daemons rarely write the same one twice.
+	// CheckpointDelay returns how long this daemon waits before it writes a checkpoint that is due.
+	// It should differ between daemons, so that they rarely write the same checkpoint twice.
 	CheckpointDelay func() time.Duration
 }
 
@@ -45,9 +49,12 @@
 
 	mu sync.Mutex
 	// confirmed is the start of the last successful read that reached the end of the log.
-	confirmed  time.Time
-	logEnd     int64
-	caughtUp   chan struct{}
+	confirmed time.Time
+	// logEnd is one past the highest offset in the log, as returned by any read.
+	logEnd int64
+	// caughtUp is closed when isCaughtUp is set.
+	caughtUp chan struct{}
+	// isCaughtUp is set once the fold has reached the end of the log.
 	isCaughtUp bool
 }
 
@@ -66,18 +73,20 @@
 	return f.fold
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (f *Follower) Done() <-chan struct{} {
 	return f.done
 }
 
-// CaughtUp is closed once the fold has reached the end of the log as of some read.
+// CaughtUp returns a channel that is closed once the fold has reached the end of the log for the
+// first time.
 func (f *Follower) CaughtUp() <-chan struct{} {
 	return f.caughtUp
 }
 
-// Confirmed returns the start of the newest successful read: every record appended before is
-// folded. It is the zero time until the fold has caught up.
+// Confirmed returns the start of the last successful read that reached the end of the log. All
+// records appended before that time have been folded. It is the zero time until the fold has caught
+// up.
 func (f *Follower) Confirmed() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +106,8 @@
 	}
 }
 
-// read does one read and folds the records it returns.
+// read reads the next records and folds them. If the log no longer keeps those, it reads from the
+// earliest record.
 func (f *Follower) read(ctx context.Context) error {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -131,7 +141,8 @@
 	return f.fold.next
 }
 
-// maxWait returns how long a read may wait for records: not at all until the fold has caught up.
+// maxWait returns how long a read may wait for records. Reads do not wait until the fold has caught
+// up.
 func (f *Follower) maxWait() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,13 +152,14 @@
 	return 0
 }
 
-// recordRead records that a read started at start returned batch.
+// recordRead updates the state of the follower after a read that was started at the given time and
+// returned batch.
 func (f *Follower) recordRead(start time.Time, batch cluster.Batch) {
 	next := f.fold.Next()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.logEnd = max(f.logEnd, batch.Next)
-	if next < f.logEnd || f.fold.Waiting() {
+	if next < f.logEnd || f.fold.HasPending() {
 		return
 	}
 	f.confirmed = start
@@ -157,8 +169,9 @@
 	}
 }
 
-// writeCheckpointIfDue writes a checkpoint if one has been due for the daemon's delay. It returns
-// when to write the next one, or the zero time if none is due.
+// writeCheckpointIfDue writes a checkpoint if one is needed and the time due has passed. It returns
+// when to write the next one, or the zero time if none is needed. A zero due means that the time
+// has yet to be set.
 func (f *Follower) writeCheckpointIfDue(ctx context.Context, due time.Time) time.Time {
 	if !f.needsCheckpoint() {
 		return time.Time{}
@@ -176,29 +189,32 @@
 	}
 	record, err := newCheckpointRecord(f.opts.NewID(), c)
 	if err == nil {
-		// A lost reply needs no handling: the follower reads the checkpoint, or writes another one.
+		// Errors need no handling. Another checkpoint is written unless this one is found in the log.
 		_, _ = f.opts.Log.Append(ctx, f.opts.Stream, []cluster.Record{record})
 	}
 	return now.Add(readTimeout + f.opts.CheckpointDelay())
 }
 
+// needsCheckpoint reports whether a checkpoint should be written, because the newest one is too old
+// or too many records follow it.
 func (f *Follower) needsCheckpoint() bool {
 	if f.Confirmed().IsZero() {
 		return false
 	}
 	next := f.fold.Next()
-	at, written := f.fold.newestCheckpoint()
-	if next-1-at > maxRecordsSinceCheckpoint {
+	checkpointOffset, checkpointTime := f.fold.newestCheckpoint()
+	if next-1-checkpointOffset > maxRecordsSinceCheckpoint {
 		return true
 	}
-	if at < 0 {
-		written = f.fold.checkpointAgeStart()
+	if checkpointOffset < 0 {
+		checkpointTime = f.fold.checkpointAgeStart()
 	}
-	renewAt := written.Add(f.opts.Retention / checkpointsPerRetention)
+	renewAt := checkpointTime.Add(f.opts.Retention / checkpointsPerRetention)
 	return next > 0 && time.Now().After(renewAt)
 }
 
-// checkpointAgeStart returns the time from which the age counts while there is no checkpoint.
+// checkpointAgeStart returns the time from which the age of the missing checkpoint counts while
+// none has been folded. This is the log time of the newest record at the first call.
 func (f *Fold) checkpointAgeStart() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,9 +224,10 @@
 	return f.checkpointTime
 }
 
-// Append appends data to the stream under id and returns once this follower has folded it. If the
-// log's reply is lost, Append waits for the record to appear. An error of type failure.Refused
-// means that nothing was appended; after any other error the record may still appear.
+// Append appends a record with the given id and data to the stream, and returns once this follower
+// has folded it. If the log's reply is lost, Append waits for the record to appear in the log. An
+// error of type failure.Refused means that nothing was appended. After any other error the record
+// may still appear.
 func (f *Follower) Append(ctx context.Context, id string, data []byte) error {
 	record, err := NewRecord(id, data)
 	if err != nil {
@@ -219,7 +236,8 @@
 	return f.AppendRecords(ctx, []cluster.Record{record})
 }
 
-// AppendRecords appends a non-empty list of records atomically. It returns as Append does.
+// AppendRecords appends a non-empty list of records atomically, and returns once this follower has
+// folded the last one. Its errors are those of Append.
 func (f *Follower) AppendRecords(ctx context.Context, records []cluster.Record) error {
 	last := records[len(records)-1].ID
 	folded := f.fold.Watch(last)
--- a/eventlog/shared.go
+++ b/eventlog/shared.go
@@ -5,21 +5,22 @@
 // staleAfter is how long after the last successful read a fold counts as stale.
 const staleAfter = 4 * time.Second
 
-// Shared exposes a fold to other daemons, which may need it while the log is unavailable.
+// Shared gives access to the fold of a follower in the form in which daemons exchange it while the
+// log is unavailable. It implements membership.Configuration.
 type Shared struct {
 	follower *Follower
 }
 
-// NewShared returns the Shared of follower's fold.
+// NewShared returns a Shared with the fold of the given follower.
 func NewShared(follower *Follower) Shared {
 	return Shared{follower: follower}
 }
 
-// Next returns one past the highest offset folded.
+// Next returns one past the highest offset folded by the follower.
 func (s Shared) Next() int64 { return s.follower.fold.Next() }
 
-// Stale reports whether the log has not been read recently.
-func (s Shared) Stale() bool {
+// IsStale reports whether the log has not been read recently.
+func (s Shared) IsStale() bool {
 	return time.Since(s.follower.Confirmed()) > staleAfter
 }
 
@@ -32,7 +33,8 @@
 	return checkpoint.Encode(), nil
 }
 
-// Install restores a checkpoint from a peer; one that is not newer changes nothing.
+// Install restores an encoded checkpoint from a peer if it is newer than the fold. It returns an
+// error if the checkpoint does not decode.
 func (s Shared) Install(data []byte) error {
 	checkpoint, err := DecodeCheckpoint(data)
 	if err != nil {
--- a/fleet/beliefs.go
+++ b/fleet/beliefs.go
@@ -14,19 +14,19 @@
 
 	mu        sync.Mutex
 	confirmed time.Time
-	// ignoreConfirmationsUntil is the time before which no confirmation counts. Confirmations by
-	// this daemon's own reads that were sent before ignoreReadsUntil do not count either.
+	// ignoreConfirmationsUntil is the time before which every confirmation is ignored.
 	ignoreConfirmationsUntil time.Time
-	ignoreReadsUntil         time.Time
+	// ignoreReadsUntil is the earliest send time of a read of this daemon whose confirmation counts.
+	ignoreReadsUntil time.Time
 }
 
-// restoreHoldDuration is how long after a restore of the source from a copy its newest
-// configuration may be outdated: writers repeat their writes at their next heartbeat. Confirming it
-// in the meantime would keep revoked keys valid.
+// restoreHoldDuration is how long confirmations are ignored after the source was restored from a
+// copy. The copy may lack a newer configuration that revokes keys, until its writer repeats the
+// write at its next heartbeat.
 const restoreHoldDuration = 2 * time.Second
 
-// HoldCopy notes that the source was restored from a copy at the given time, and ignores
-// confirmations for a while. It does nothing if no configuration has been confirmed yet.
+// HoldCopy ignores all confirmations until restoreHoldDuration after the given time, at which the
+// source was restored from a copy. It does nothing if no configuration has been confirmed yet.
 func (b *Beliefs) HoldCopy(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,9 +35,9 @@
 	}
 }
 
-// HoldFirstReads ignores the confirmations of own reads that are sent within restoreHoldDuration of
-// the given time. It is used for the first read of a daemon from a source that was restored at an
-// unknown time; confirmations by peers that have run longer still count. It does nothing once a
+// HoldFirstReads ignores the confirmations of this daemon's reads that are sent within
+// restoreHoldDuration after the given time. Confirmations by peers still count. A daemon calls it
+// at its first read if the source was restored at an unknown time. It does nothing once a
 // configuration has been confirmed.
 func (b *Beliefs) HoldFirstReads(at time.Time) {
 	b.mu.Lock()
@@ -47,8 +47,8 @@
 	}
 }
 
-// Slept accounts for a suspension of the machine, which the monotonic clock does not count: the
-// last confirmation becomes that much older.
+// Slept moves the time of the last confirmation back by the time for which the machine was
+// suspended. The monotonic clock does not count that time.
 func (b *Beliefs) Slept(suspended time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,8 +68,8 @@
 // NewBeliefs returns Beliefs without a configuration.
 func NewBeliefs() *Beliefs { return &Beliefs{changed: make(chan struct{}, 1)} }
 
-// Changed receives after a newer configuration came into force. Several changes may be combined
-// into one signal.
+// Changed returns a channel that receives after a newer configuration came into force. Several
+// changes may be combined into one signal.
 func (b *Beliefs) Changed() <-chan struct{} { return b.changed }
 
 // Config returns the configuration in force, or nil if there is none yet.
@@ -91,8 +91,8 @@
 	return b.confirmed
 }
 
-// Offer puts a configuration in force that was returned by a read sent at the given time, unless a
-// newer one is in force.
+// Offer puts c in force unless a newer configuration is. A read that was sent at the given time
+// returned c, and thereby confirms it.
 func (b *Beliefs) Offer(c *Config, sent time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Kind says how requests of a route are answered, and whether they may run more than once.
+// Kind is the kind of a route. It determines how requests are answered and whether they may run
+// more than once.
 type Kind int
 
 // The kinds of routes.
@@ -39,11 +40,11 @@
 	Timeout time.Duration
 	// Objective is the target time to the answer, or to its first event for streams.
 	Objective time.Duration
-	// GapTarget is the target for the longest pause between events.
+	// GapTarget is the target for the longest pause between two events of a stream.
 	GapTarget time.Duration
 	// Attempts is the maximum number of workers that a request is sent to.
 	Attempts int
-	// Priority is the rank of the requests; 0 is the most urgent.
+	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int
 	// Public routes require no key.
 	Public bool
@@ -83,11 +84,13 @@
 	Name string
 	// Size is the number of workers of one replica.
 	Size int
-	// Share is the model's assumed part of the load before any was measured.
+	// Share is the assumed fraction of the service's load that the model gets, used until the load
+	// has been measured.
 	Share float64
-	// Pace is a factor on all times of the model's replicas; 0 counts as 1.
+	// Pace is the factor by which the engine's processing times are multiplied for this model; 0
+	// counts as 1.
 	Pace float64
-	// Times to load the weights from the store and from the host.
+	// Load is how long it takes to load the weights from the store, Warm from the worker's host.
 	Load, Warm time.Duration
 }
 
@@ -95,19 +98,19 @@
 type Engine struct {
 	// Slots is the number of requests that a replica processes concurrently.
 	Slots int
-	// Capacity is the number of tokens that fit in a replica's memory.
+	// Capacity is the number of tokens that fit in a replica's KV cache.
 	Capacity int
 	// PrefillPerSecond is the number of prompt tokens processed per second.
 	PrefillPerSecond float64
-	// Step is the duration of a decoding step with one request; StepPerRequest is added for each
+	// Step is the duration of a decoding step of an empty batch. StepPerRequest is added for each
 	// request in the batch.
 	Step, StepPerRequest time.Duration
-	// Stride is the number of steps in a pass.
+	// Stride is the number of decoding steps in a pass.
 	Stride int
 	// UsualAnswer is the mean number of tokens of an answer.
 	UsualAnswer int
-	// Limits on loading weights: loads started per second, and concurrent loads that do not slow
-	// each other down.
+	// LoadsPerSecond is how many loads of weights may start per second. LoadsAtOnce is how many can
+	// run concurrently without slowing each other down.
 	LoadsPerSecond float64
 	LoadsAtOnce    int
 	// Form is how long it takes to open a replica.
@@ -133,8 +136,8 @@
 	return 1
 }
 
-// PerToken returns how long a replica of a model takes to process one prompt token, or zero if
-// unknown.
+// PerToken returns how long a replica of a model takes to process one prompt token, or zero if that
+// is unknown.
 func (e *Engine) PerToken(model string) time.Duration {
 	if e.PrefillPerSecond <= 0 {
 		return 0
@@ -142,8 +145,8 @@
 	return time.Duration(e.timeFactor(model) * float64(time.Second) / e.PrefillPerSecond)
 }
 
-// Pass returns how long a pass of a replica of a model takes without requests, and what each
-// request adds.
+// Pass returns the duration of a pass of a model's replica without requests, and the time that each
+// request in the batch adds.
 func (e *Engine) Pass(model string) (alone, each time.Duration) {
 	factor := e.timeFactor(model) * float64(max(e.Stride, 1))
 	return time.Duration(factor * float64(e.Step)), time.Duration(factor * float64(e.StepPerRequest))
@@ -160,8 +163,8 @@
 	Engine *Engine
 }
 
-// WarmUp limits the requests to a worker that is cold, as it is for some time after its start. A
-// cold worker fails under a higher rate.
+// WarmUp limits the request rate of a cold worker, which would fail under a higher rate. A worker
+// is cold for some time after its start.
 type WarmUp struct {
 	// PerSecond is the maximum request rate of a cold worker; zero means no limit.
 	PerSecond float64
@@ -174,17 +177,20 @@
 	Name string
 	// Regions are the regions in which the tenant's requests may run.
 	Regions Regions
-	// Priority takes precedence over the route's if the tenant has one.
+	// Priority replaces the route's priority if Ranked is set.
 	Priority int
-	Ranked   bool
+	// Ranked is set if the tenant has a priority.
+	Ranked bool
 }
 
 // Limits are the limits on requests and connections of callers.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderWait  time.Duration
-	IdleWait    time.Duration
+	// HeaderWait is the maximum time to receive the headers of a request.
+	HeaderWait time.Duration
+	// IdleWait is how long an idle connection is kept open.
+	IdleWait time.Duration
 }
 
 // Config is one version of the configuration. It is immutable.
@@ -202,7 +208,7 @@
 	Version  int64
 	Routes   []*Route
 	Services []*Service
-	// Keys holds the tenants by key; nil if no keys are required.
+	// Keys holds the owner of each key; nil means that no keys are required.
 	Keys   map[string]*Tenant
 	Limits Limits
 	// Encoded is the configuration as it was published.
@@ -255,8 +261,8 @@
 	return strings.ToLower(host)
 }
 
-// RegionsOf returns the intersection of the regions of all routes of a host that restrict them. It
-// is empty if no route does, or if the intersection is empty.
+// RegionsOf returns the regions that all routes of a host allow. The result is empty if no route
+// restricts the regions, but also if the routes have no region in common.
 func (c *Config) RegionsOf(host string) Regions {
 	var common Regions
 	restricted := false
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -11,19 +11,20 @@
 // source.
 type configReader struct {
 	*Follower
-	// position is where the next read starts; negative to read the newest configuration.
+	// position is where the next read starts. A negative position makes the next read return the
+	// newest configuration.
 	position int64
-	// era is the era of the last read; negative before the first one.
+	// era is the source's era as of the last read, or negative before the first read.
 	era int64
-	// rereadAt is when to read everything again after the source was restored from a copy; the
-	// zero time if there is no need.
+	// rereadAt is when to read everything again because the source was restored from a copy. It is
+	// the zero time if no such read is due.
 	rereadAt time.Time
-	// newestIsInvalid is set while the newest configuration is invalid. The one in force is then not
-	// confirmed, since the newer one may revoke keys.
+	// newestIsInvalid is set while the newest configuration is invalid. Reads then do not confirm
+	// the configuration in force, since the newer one may revoke keys.
 	newestIsInvalid bool
 	// isBehind is set while changes are published faster than sequential reads return them.
 	isBehind bool
-	// newestPosition is the end of the source at the last read of the newest configuration.
+	// newestPosition is the position after the newest configuration when that was last read.
 	newestPosition int64
 }
 
@@ -51,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	c.updateBehind(update, incremental, sent.Time())
+	c.updateIsBehind(update, incremental, sent.Time())
 	c.observeEra(update.Next, sent.Time())
 	c.position = update.Next
 	if update.Lost {
@@ -62,6 +63,7 @@
 	return nil
 }
 
+// fetch reads the newest configuration, or waits for changes after the current position.
 func (c *configReader) fetch(ctx context.Context) (ConfigNews, error) {
 	if c.position < 0 {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -77,9 +79,9 @@
 	return c.opts.Source.NextConfig(ctx, c.position, wait)
 }
 
-// updateBehind decides whether the next read skips to the newest configuration. With a slow source,
-// reading each change in turn would fall further and further behind.
-func (c *configReader) updateBehind(update ConfigNews, incremental bool, sent time.Time) {
+// updateIsBehind sets isBehind from the result of a read. While isBehind is set, reads skip to the
+// newest configuration. Reading each change in turn from a slow source would fall further behind.
+func (c *configReader) updateIsBehind(update ConfigNews, incremental bool, sent time.Time) {
 	if incremental {
 		c.isBehind = update.More
 		return
@@ -89,8 +91,8 @@
 	c.newestPosition = update.Next
 }
 
-// observeEra updates the era from a read, and schedules another full read if the source was
-// restored.
+// observeEra updates the era from a read that was sent at the given time. If the source was
+// restored since the previous read, it schedules another full read.
 func (c *configReader) observeEra(position int64, sent time.Time) {
 	era := EraOf(position)
 	if c.era >= 0 && era > c.era {
@@ -104,7 +106,7 @@
 // apply applies the result of a read sent at the given time.
 func (c *configReader) apply(update ConfigNews, sent time.Time) {
 	if update.More {
-		// The changes still to be read may revoke keys or close data halls.
+		// The remaining changes may revoke keys or close data halls, so nothing is confirmed.
 		sent = time.Time{}
 	}
 	c.applyHalls(update, sent)
--- a/fleet/confirmation_test.go
+++ b/fleet/confirmation_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestChangingListIsConfirmed checks that a list which changes continuously counts as confirmed
-// although the follower is always ahead of its peer's reports, so that entries that disappear are
-// removed immediately.
+// TestChangingListIsConfirmed checks that reports of a peer confirm the list although the follower
+// is always ahead of them, as it is while the list changes continuously. An entry that disappears
+// is then removed immediately.
 func TestChangingListIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := NewInventory(time.Second, 4*time.Second)
--- a/fleet/decisions.go
+++ b/fleet/decisions.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxKeptDecisions is how many decisions are kept for peers that missed some: twice the number
-// needed to form all replicas of 1,000 workers.
+// maxKeptDecisions is the maximum number of decisions kept for peers that missed some.
 const maxKeptDecisions = 512
 
-// DecisionPosition says up to which decision of a leader's term the decisions are known.
+// DecisionPosition is a position in the sequence of a leader's decisions. All decisions before it
+// are known.
 type DecisionPosition struct {
-	// Term is the number of the term, which increases.
+	// Term is the number of the leader's term. A later term has a higher number.
 	Term int64 `json:"t,omitempty"`
-	// Seq is the number of known decisions, counted from the start of the term.
+	// Seq is the number of decisions of the term that are known.
 	Seq int64 `json:"s,omitempty"`
 }
 
@@ -22,16 +22,17 @@
 // Decisions is a sequence of consecutive decisions of one term.
 type Decisions struct {
 	Term int64 `json:"t"`
-	// From is the number of decisions of the term before All, To the number up to its end.
-	From int64          `json:"f"`
-	To   int64          `json:"to"`
-	All  []Announcement `json:"all"`
-	// Whole marks a complete snapshot: All holds every decision that is still relevant, those of
-	// earlier terms included.
+	// From is the number of decisions of the term that precede All.
+	From int64 `json:"f"`
+	// To is the number of decisions of the term up to the end of All.
+	To  int64          `json:"to"`
+	All []Announcement `json:"all"`
+	// Whole marks a complete snapshot. All then holds every decision that is still relevant,
+	// including those of earlier terms.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Split divides the decisions into parts of at most the given number.
+// Split divides the decisions into parts of at most limit decisions each.
 func (d Decisions) Split(limit int) []Decisions {
 	var parts []Decisions
 	for first := 0; first < len(d.All); first += limit {
@@ -47,8 +48,8 @@
 	recent   []Announcement
 }
 
-// firstSeq returns the number of decisions of the term before the first one held.
-func (d *decisionLog) firstSeq() int64 { return d.position.Seq - int64(len(d.recent)) }
+// seqBeforeFirst returns the number of decisions of the term that precede the recent ones.
+func (d *decisionLog) seqBeforeFirst() int64 { return d.position.Seq - int64(len(d.recent)) }
 
 func (d *decisionLog) add(all []Announcement) {
 	d.position.Seq += int64(len(all))
@@ -56,7 +57,7 @@
 	d.recent = d.recent[max(len(d.recent)-maxKeptDecisions, 0):]
 }
 
-// startTerm starts a later term without any decisions.
+// startTerm empties the log and moves it to the start of a later term.
 func (d *decisionLog) startTerm(term int64) {
 	*d = decisionLog{position: DecisionPosition{Term: term}}
 }
@@ -77,8 +78,8 @@
 	}
 }
 
-// Decide records a decision of this daemon in a term that it leads. A decision of a term that has
-// ended since is still announced, but not recorded in the sequence.
+// Decide records and announces a decision that this daemon made as leader of the given term. If a
+// later term is known by now, the decision is announced but not recorded.
 func (i *Inventory) Decide(term int64, a Announcement) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -89,8 +90,8 @@
 	notify(i.peerUpdates)
 }
 
-// FollowDecisions applies decisions of a leader. All of them are announced, but the position only
-// advances if no earlier decision is missing.
+// FollowDecisions applies decisions that a peer sent. All of them are announced. The position
+// advances only if no earlier decision of their term is missing.
 func (i *Inventory) FollowDecisions(d Decisions) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -109,8 +110,8 @@
 	}
 }
 
-// DecisionsSince returns the decisions that a peer at the given position lacks. A peer without a
-// position, or one whose position cannot be continued, gets a complete snapshot.
+// DecisionsSince returns the decisions that a peer at position p lacks. It returns a complete
+// snapshot if p is zero, or if the kept decisions do not continue from p.
 func (i *Inventory) DecisionsSince(p DecisionPosition) Decisions {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -118,9 +119,9 @@
 	if p.Term < d.Term && p.Term > 0 {
 		p = DecisionPosition{Term: d.Term}
 	}
-	if p.Term == d.Term && p.Term > 0 && p.Seq >= i.decisions.firstSeq() && p.Seq <= d.To {
+	if p.Term == d.Term && p.Term > 0 && p.Seq >= i.decisions.seqBeforeFirst() && p.Seq <= d.To {
 		d.From = p.Seq
-		d.All = i.decisions.recent[p.Seq-i.decisions.firstSeq():]
+		d.All = i.decisions.recent[p.Seq-i.decisions.seqBeforeFirst():]
 		return d
 	}
 	d.Whole = true
--- a/fleet/decisions_test.go
+++ b/fleet/decisions_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestFollowerCatchesUpOnMissedDecisions lets leaders of successive terms decide while a follower
-// misses some decisions and sometimes requests the rest.
+// TestFollowerCatchesUpOnMissedDecisions checks that a follower that has reached the leader's
+// position lacks none of its decisions, although some were lost before and requested again later.
 func TestFollowerCatchesUpOnMissedDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
 		term, count := int64(1), 0
 		leader.BeginTerm(term)
-		passed := leader.Decided()
+		delivered := leader.Decided()
 		follower.FollowDecisions(leader.DecisionsSince(follower.Decided()))
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 6), 1, 60).Draw(t, "steps") {
 			switch step {
@@ -26,19 +26,19 @@
 			case 1:
 				follower.FollowDecisions(leader.DecisionsSince(follower.Decided()))
 			case 2:
-				deliverSome(t, leader.DecisionsSince(passed), follower)
-				passed = leader.Decided()
+				deliverSomeDecisions(t, leader.DecisionsSince(delivered), follower)
+				delivered = leader.Decided()
 			default:
 				count++
 				leader.Decide(term, Announcement{Group: fmt.Sprint("g", count), Epoch: int64(count), Head: "h"})
 			}
-			checkClosed(t, leader, follower, term)
+			checkClosedGroups(t, leader, follower, term)
 		}
 	})
 }
 
-// deliverSome delivers a random part of a leader's decisions to a follower.
-func deliverSome(t *rapid.T, d Decisions, follower *Inventory) {
+// deliverSomeDecisions delivers a random selection of a leader's decisions to a follower.
+func deliverSomeDecisions(t *rapid.T, d Decisions, follower *Inventory) {
 	if d.Whole {
 		return
 	}
@@ -49,8 +49,9 @@
 	}
 }
 
-// checkClosed checks that a follower at the leader's position holds all decisions of the term.
-func checkClosed(t *rapid.T, leader, follower *Inventory, term int64) {
+// checkClosedGroups checks that a follower is never ahead of the leader. A follower at the leader's
+// position must have closed all groups that the leader closed in the term.
+func checkClosedGroups(t *rapid.T, leader, follower *Inventory, term int64) {
 	if leader.Decided().Before(follower.Decided()) {
 		t.Fatalf("the follower knows %v, the leader %v", follower.Decided(), leader.Decided())
 	}
@@ -64,7 +65,7 @@
 	}
 }
 
-// TestDecisionsSince requests decisions from several positions.
+// TestDecisionsSince checks from which positions a peer gets a snapshot, and how many decisions.
 func TestDecisionsSince(t *testing.T) {
 	i := NewInventory(time.Second, 0)
 	i.BeginTerm(3)
--- a/fleet/delta.go
+++ b/fleet/delta.go
@@ -5,40 +5,39 @@
 	From    int64    `json:"from"`
 	To      int64    `json:"to"`
 	Changes []Change `json:"changes"`
-	// Exact says that there is one change for each position, so that the delta can be divided. It
-	// is false if invalid entries were left out.
-	Exact bool `json:"exact,omitempty"`
-	// Heads says that the delta holds the changes of heads only.
+	// IsExact is set if there is one change for each position, so that the delta can be split. It is
+	// not set if invalid entries were left out.
+	IsExact bool `json:"exact,omitempty"`
+	// Heads is set if the delta holds only changes of heads.
 	Heads bool `json:"heads,omitempty"`
 }
 
-// withExactness returns the delta, marked as exact if it has one change for each position. No read
-// returns more.
+// withExactness returns the delta with IsExact set if it has one change for each position.
 func (d Delta) withExactness() Delta {
-	d.Exact = int64(len(d.Changes)) == d.To-d.From
+	d.IsExact = int64(len(d.Changes)) == d.To-d.From
 	return d
 }
 
-// since returns the delta without the changes up to a position, if it is exact. Otherwise it
-// returns all changes; applying a change twice is harmless.
+// since returns the delta without the changes up to a position if it is exact. Otherwise it returns
+// the whole delta, since applying a change twice is harmless.
 func (d Delta) since(position int64) Delta {
-	if d.Exact && d.From < position && position <= d.To {
+	if d.IsExact && d.From < position && position <= d.To {
 		d.Changes, d.From = d.Changes[position-d.From:], position
 	}
 	return d
 }
 
-// Split divides the delta into parts of at most the given number of changes. It returns false if
-// several parts are needed but the delta is not exact: a part with too high a position would make
-// its receiver skip changes.
+// Split divides the delta into parts of at most limit changes each. It returns false if several
+// parts are needed but the delta is not exact. The positions of the parts would then be unknown,
+// and a receiver of a part with too high a position would skip changes.
 func (d Delta) Split(limit int) ([]Delta, bool) {
-	if len(d.Changes) > limit && !d.Exact {
+	if len(d.Changes) > limit && !d.IsExact {
 		return nil, false
 	}
 	var parts []Delta
 	for len(d.Changes) > limit {
 		to := d.From + int64(limit)
-		parts = append(parts, Delta{From: d.From, To: to, Changes: d.Changes[:limit], Exact: true})
+		parts = append(parts, Delta{From: d.From, To: to, Changes: d.Changes[:limit], IsExact: true})
 		d.From, d.Changes = to, d.Changes[limit:]
 	}
 	if len(d.Changes) > 0 {
--- a/fleet/delta_test.go
+++ b/fleet/delta_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDeltaPartsHaveCorrectPositions checks that parts carry correct positions when a daemon lost
-// the last part of a batch, caught up, and passes the changes on in parts of which the last is lost
-// again.
+// TestDeltaPartsHaveCorrectPositions checks the positions of the parts that a daemon passes on
+// after it lost part of a batch itself and caught up. A follower that gets only the first of these
+// parts must still catch up on the rest.
 func TestDeltaPartsHaveCorrectPositions(t *testing.T) {
 	source := NewInventory(time.Second, 0)
 	relay, follower := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
@@ -40,7 +40,8 @@
 	assert.Equal(t, len(follower.View().Workers()), 10)
 }
 
-// TestInexactDeltaIsNotSplit splits changes from which invalid entries were left out.
+// TestInexactDeltaIsNotSplit checks that a delta from which invalid entries were left out is
+// neither split nor trimmed.
 func TestInexactDeltaIsNotSplit(t *testing.T) {
 	d := Delta{From: 3, To: 9, Changes: make([]Change, 4)}.withExactness()
 	_, ok := d.Split(3)
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPositionOrder draws eras and offsets.
+// TestPositionOrder checks that a position keeps its era and offset, and that positions of a later
+// era are higher.
 func TestPositionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, offset := rapid.Int64Range(0, MaxEra).Draw(t, "era"), rapid.Int64Range(0, offsetMask).Draw(t, "offset")
@@ -26,9 +27,9 @@
 	assert.Equal(t, EraOf(-1), int64(0))
 }
 
-// restoredInventory returns an inventory that held workers up to a high offset and was then given
-// the list of a store that was restored from a copy.
-func restoredInventory(t *testing.T, copied ...Change) *Inventory {
+// newRestoredInventory returns an inventory to which the list of a restored store was applied. The
+// previous list had two workers and a higher offset.
+func newRestoredInventory(t *testing.T, copied ...Change) *Inventory {
 	t.Helper()
 	i := NewInventory(time.Second, 5*time.Second)
 	draining, lost := headWorker("draining", "g", 1, Open), headWorker("lost", "l", 2, Open)
@@ -39,7 +40,7 @@
 	return i
 }
 
-// confirmFor advances the time while the list is confirmed and does not change.
+// confirmFor confirms the unchanged list at a regular interval for the given time.
 func confirmFor(i *Inventory, span time.Duration) {
 	const every = 500 * time.Millisecond
 	for range span / every {
@@ -48,45 +49,45 @@
 	}
 }
 
-// TestListOfRestoredStoreIsMerged checks the list of a restored store in which a worker is not
-// marked as leaving yet and another worker is missing. The first must stay unused, the second must
-// stay in use until it has had time to write again, and changes of the new era must apply.
+// TestListOfRestoredStoreIsMerged applies a restored list in which one worker is no longer marked
+// as leaving and another one is missing. The first worker must stay marked. The second one must
+// stay listed until it has had time to write again.
 func TestListOfRestoredStoreIsMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before := headWorker("draining", "g", 1, Open)
-		before.Beat = 5
-		i := restoredInventory(t, Change{ID: "draining", Worker: before})
+		olderEntry := headWorker("draining", "g", 1, Open)
+		olderEntry.Beat = 5
+		i := newRestoredInventory(t, Change{ID: "draining", Worker: olderEntry})
 		assert.Equal(t, i.Position(), PositionOf(1, 40), "the lower offset of the new era applies")
 		w, _ := i.View().Worker("draining")
 		assert.Assert(t, w.Draining)
-		_, held := i.View().Worker("lost")
-		assert.Assert(t, held)
+		_, isListed := i.View().Worker("lost")
+		assert.Assert(t, isListed)
 		i.Follow(Delta{From: 100, To: 102, Changes: []Change{{ID: "draining"}}}, time.Now())
 		assert.Equal(t, i.Position(), PositionOf(1, 40), "changes of the previous era are ignored")
 		confirmFor(i, 4*time.Second)
 		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "draining"}}}, time.Now())
-		_, held = i.View().Worker("lost")
-		assert.Assert(t, !held, "it did not write again")
-		_, held = i.View().Worker("draining")
-		assert.Assert(t, !held)
+		_, isListed = i.View().Worker("lost")
+		assert.Assert(t, !isListed, "it did not write again")
+		_, isListed = i.View().Worker("draining")
+		assert.Assert(t, !isListed)
 	})
 }
 
-// TestChangesApplyAfterRestore checks that changes apply after the store was restored to a lower
-// offset.
+// TestChangesApplyAfterRestore checks that a change applies although its offset is lower than the
+// highest one before the restore.
 func TestChangesApplyAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := headWorker("w", "g", 1, Open)
-		i := restoredInventory(t, Change{ID: "w", Worker: w})
-		confirmFor(i, lapseWindow+time.Second)
+		i := newRestoredInventory(t, Change{ID: "w", Worker: w})
+		confirmFor(i, postOutageWindow+time.Second)
 		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "w"}}}, time.Now())
-		_, held := i.View().Worker("w")
-		assert.Assert(t, !held)
+		_, isListed := i.View().Worker("w")
+		assert.Assert(t, !isListed)
 	})
 }
 
-// TestPeerOfPreviousEra checks that a peer of the previous era is not considered newer, whatever
-// its offset.
+// TestPeerOfPreviousEra checks that a list of the previous era is older than one of the current era
+// even if its offset is higher.
 func TestPeerOfPreviousEra(t *testing.T) {
 	source, member := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
 	list := []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}
@@ -100,8 +101,8 @@
 	assert.Equal(t, member.Position(), PositionOf(1, 3))
 }
 
-// TestClosedHallsStayClosedAfterRestore restores a copy that was made before an operator closed a
-// hall.
+// TestClosedHallsStayClosedAfterRestore checks that a hall stays closed at first if the source was
+// restored from a copy made before the operator closed it.
 func TestClosedHallsStayClosedAfterRestore(t *testing.T) {
 	h := NewHalls(0)
 	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 50, time.Now())
@@ -111,9 +112,9 @@
 	assert.Equal(t, h.View().State("a", time.Now()), HallOpen, "the operator's command was not repeated")
 }
 
-// TestRestoredStoreConfirmsNoConfiguration checks that a restored store does not confirm the
-// version in force until its writer had time to write again: a newer one that revoked a key may
-// have been lost.
+// TestRestoredStoreConfirmsNoConfiguration checks that after the store was restored from a copy,
+// the configuration is not confirmed until restoreHoldDuration has passed. The restore may have
+// lost a newer version that revoked a key, and its author needs time to publish it again.
 func TestRestoredStoreConfirmsNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBeliefs()
@@ -135,27 +136,27 @@
 	})
 }
 
-// TestFollowerHoldsConfirmationsAfterRestore restores the source from a copy while it is being
-// followed.
+// TestFollowerHoldsConfirmationsAfterRestore checks that a follower ignores confirmations for a
+// while when its source is restored from a copy.
 func TestFollowerHoldsConfirmationsAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs := NewBeliefs()
 		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
-		source.set(func() { source.era, source.lost = 1, true })
+		source.set(func() { source.era, source.positionLost = 1, true })
 		time.Sleep(restoreHoldDuration - time.Second/2)
-		held := time.Since(beliefs.Confirmed())
+		ageDuringHold := time.Since(beliefs.Confirmed())
 		time.Sleep(time.Second)
-		again := time.Since(beliefs.Confirmed())
+		ageAfterHold := time.Since(beliefs.Confirmed())
 		stop()
-		assert.Assert(t, held > time.Second, "confirmed %s before", held)
-		assert.Assert(t, again < time.Second, "confirmed %s before", again)
+		assert.Assert(t, ageDuringHold > time.Second, "confirmed %s before", ageDuringHold)
+		assert.Assert(t, ageAfterHold < time.Second, "confirmed %s before", ageAfterHold)
 	})
 }
 
-// TestFirstReadOfRestoredStore checks a daemon that knows the previous era from peers only, and
-// whose first read returns a restored copy.
+// TestFirstReadOfRestoredStore checks that the first read of a daemon confirms nothing if it
+// returns a later era than the peers reported.
 func TestFirstReadOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2}
@@ -166,15 +167,15 @@
 		time.Sleep(time.Second)
 		stop := startFollower(source, beliefs, inventory)
 		time.Sleep(restoreHoldDuration - time.Second/2)
-		held := beliefs.Confirmed()
+		duringHold := beliefs.Confirmed()
 		stop()
-		assert.Equal(t, held, before)
+		assert.Equal(t, duringHold, before)
 	})
 }
 
-// TestFirstReadAfterOutageMayBeOfRestoredStore checks that a daemon that starts during an outage,
-// without peers, does not confirm its first read: a revoked key may be valid again until the
-// operator's change has been repeated.
+// TestFirstReadAfterOutageMayBeOfRestoredStore checks that the first read of a daemon confirms
+// nothing if the daemon started without peers during an outage. The store may have been restored,
+// so that a revoked key is valid until the operator's change is repeated.
 func TestFirstReadAfterOutageMayBeOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2, down: true}
@@ -183,22 +184,23 @@
 		time.Sleep(1500 * time.Millisecond)
 		source.set(func() { source.down = false })
 		time.Sleep(restoreHoldDuration - time.Second/2)
-		held := beliefs.Confirmed()
+		duringHold := beliefs.Confirmed()
 		stop()
-		assert.Assert(t, held.IsZero(), "confirmed before the operator's change could be repeated")
+		assert.Assert(t, duringHold.IsZero(), "confirmed before the operator's change could be repeated")
 	})
 }
 
-// TestPeerConfirmsAfterRestore checks that a daemon that starts after a restore does not wait if a
-// peer confirms its configuration, nor if the source was never restored.
+// TestPeerConfirmsAfterRestore checks when a daemon that just started has a confirmed
+// configuration. It must not wait if a peer confirms the configuration, or if the source was never
+// restored.
 func TestPeerConfirmsAfterRestore(t *testing.T) {
 	tests := map[string]struct {
-		era     int64
-		peer    bool
-		refused bool
+		era           int64
+		peerConfirms  bool
+		isUnconfirmed bool
 	}{
-		"alone":                     {era: 2, refused: true},
-		"a peer ran before":         {era: 2, peer: true},
+		"alone":                     {era: 2, isUnconfirmed: true},
+		"a peer ran before":         {era: 2, peerConfirms: true},
 		"the source never was lost": {era: 0},
 	}
 	for name, test := range tests {
@@ -208,15 +210,15 @@
 				beliefs := NewBeliefs()
 				stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 				time.Sleep(restoreHoldDuration / 4)
-				if test.peer {
+				if test.peerConfirms {
 					beliefs.Confirm(3, time.Now())
 				}
 				confirmed := beliefs.Confirmed()
 				time.Sleep(restoreHoldDuration)
-				late := beliefs.Confirmed()
+				afterHold := beliefs.Confirmed()
 				stop()
-				assert.Equal(t, confirmed.IsZero(), test.refused)
-				assert.Assert(t, !late.IsZero(), "the hold ends")
+				assert.Equal(t, confirmed.IsZero(), test.isUnconfirmed)
+				assert.Assert(t, !afterHold.IsZero(), "the hold ends")
 			})
 		})
 	}
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -15,23 +15,22 @@
 
 // Timing of a follower.
 const (
-	// pollWait is how long a read waits for changes. A read confirms the time at which it was sent,
-	// so this bounds the age of what a daemon knows. With two heartbeats added it must stay below
-	// the age at which peers start to read the source themselves.
+	// pollWait is how long a read waits for changes. It adds to the age of the last confirmation,
+	// since a read confirms data as of when it was sent. Peers read the source themselves from some
+	// age on, which must exceed pollWait plus two heartbeats.
 	pollWait = 300 * time.Millisecond
 	// firstConfigWait replaces pollWait until there is a configuration that could be confirmed.
 	firstConfigWait = 2 * time.Second
-	// readTimeout is how long a read may take beyond its wait. The source aborts a stalled answer
-	// much sooner.
+	// readTimeout is the time limit of a read, not including its wait for changes.
 	readTimeout = 4 * time.Second
-	// listTimeout is the time limit for reading a whole list page by page. The source keeps changes
-	// for at least twice as long, so reading can continue from there.
+	// listTimeout is the time limit for reading all pages of a whole list. It must be shorter than
+	// the time for which the source keeps changes, so that the changes since the first page can
+	// still be read.
 	listTimeout = 10 * time.Second
-	// listRetryDelay is the delay before reading another list after one was rejected as outdated:
-	// six attempts within the three seconds by which the store's answers may lag.
+	// listRetryDelay is the delay before reading another list after one was rejected as outdated.
 	listRetryDelay = 500 * time.Millisecond
-	// restoreSettleTime is how long after a restore from a copy the source is complete again:
-	// writers repeat their writes at their next heartbeat, about every second.
+	// restoreSettleTime is how long after a restore from a copy the source may be incomplete.
+	// Writers repeat their writes at their next heartbeat.
 	restoreSettleTime = 5 * time.Second
 	// minRetryDelay and maxRetryDelay are the first and the maximum delay after failed reads.
 	minRetryDelay = 100 * time.Millisecond
@@ -39,7 +38,8 @@
 	// idlePollInterval is how often a follower that relies on its peers checks whether it must read
 	// itself.
 	idlePollInterval = 100 * time.Millisecond
-	// coalesceDelay combines changes in quick succession into one read.
+	// coalesceDelay is the delay between reads of the worker list, so that one read returns all
+	// changes in quick succession.
 	coalesceDelay = 60 * time.Millisecond
 )
 
@@ -49,12 +49,13 @@
 	Config *Config
 	// Next is the position at which to continue.
 	Next int64
-	// Lost says that the position is no longer available, so that everything must be read again.
+	// Lost is set if the source no longer keeps the changes after the requested position, so that
+	// everything must be read again.
 	Lost bool
-	// More says that there was more to read at Next.
+	// More is set if there is more to read at once, starting at Next.
 	More bool
-	// Refused is why the newest configuration is invalid, or nil. Config then holds the newest
-	// valid one, if it is new.
+	// Refused is the error of the newest configuration, or nil if that is valid. If there is an
+	// error, Config is the newest valid configuration, or nil if that is not new.
 	Refused error
 	// Halls holds the states of data halls, which are published along with the configuration.
 	Halls HallNews
@@ -63,10 +64,15 @@
 // WorkerNews is the result of a read of the worker list.
 type WorkerNews struct {
 	Changes []Change
-	Next    int64
-	Lost    bool
-	// More says that there is more to read now: after Last for a whole list, else at Next.
+	// Next is the position at which to continue.
+	Next int64
+	// Lost is set if the source no longer keeps the changes after the requested position, so that
+	// the whole list must be read again.
+	Lost bool
+	// More is set if there is more to read at once. While a whole list is read, the next page starts
+	// after the id in Last; otherwise the next read continues at Next.
 	More bool
+	// Last is the id of the last worker in a page of a whole list.
 	Last string
 	// Refused lists the errors of invalid entries, which are left out.
 	Refused []error
@@ -78,9 +84,9 @@
 	ReadConfig func(ctx context.Context) (ConfigNews, error)
 	// NextConfig waits for changes after position.
 	NextConfig func(ctx context.Context, position int64, wait time.Duration) (ConfigNews, error)
-	// ReadWorkers returns a page of the worker list as changes, starting after the given id; an
-	// empty id starts from the beginning. The Next of the first page is the position at which to
-	// continue after the whole list.
+	// ReadWorkers returns a page of the worker list as changes, starting after the given id. An
+	// empty id starts from the beginning. After the last page, NextWorkers continues at the Next of
+	// the first page.
 	ReadWorkers func(ctx context.Context, after string) (WorkerNews, error)
 	// NextWorkers waits for changes after position.
 	NextWorkers func(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error)
@@ -93,11 +99,11 @@
 	// Halls receives the states of data halls; nil if none are published.
 	Halls     *Halls
 	Inventory *Inventory
-	// Reads reports whether this daemon must now read data that was last confirmed at the given
-	// time itself, rather than rely on its peers.
+	// Reads reports whether this daemon must read the source itself, rather than rely on its peers,
+	// for data that was last confirmed at the given time.
 	Reads func(confirmed time.Time) bool
-	// Spread returns the minimum delay between failed reads, so that a large fleet does not call a
-	// recovering source all at once; nil for no minimum.
+	// Spread returns the minimum delay after a failed read, so that a large fleet does not call a
+	// recovering source all at once. A nil function means no minimum.
 	Spread func() time.Duration
 	// Suspended returns the total time for which the machine was suspended; nil if it never is.
 	Suspended func() time.Duration
@@ -107,9 +113,9 @@
 // Follower keeps the configuration, the data halls and the inventory up to date from their source.
 type Follower struct {
 	opts FollowerOptions
-	// era is one more than the newest era read, or 0 before the first read.
-	era  atomic.Int64
-	done chan struct{}
+	// eraPlusOne is one more than the newest era read, or 0 before the first read.
+	eraPlusOne atomic.Int64
+	done       chan struct{}
 }
 
 // NewFollower returns a follower that starts to read when Run is called.
@@ -120,7 +126,7 @@
 	return &Follower{opts: opts, done: make(chan struct{})}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (f *Follower) Done() <-chan struct{} { return f.done }
 
 // Run reads until ctx ends.
@@ -132,6 +138,7 @@
 	group.Wait()
 }
 
+// followWorkers keeps the inventory up to date until ctx ends.
 func (f *Follower) followWorkers(ctx context.Context) {
 	position := int64(-1)
 	var list pendingList
@@ -171,8 +178,8 @@
 	})
 }
 
-// delayListRetry delays the next list if the one just read was rejected as older than what peers
-// sent. Without the delay a lagging source would be read without pause.
+// delayListRetry waits for listRetryDelay if a whole list is still needed after one was read. This
+// is so if the list was older than what peers have sent.
 func (f *Follower) delayListRetry(ctx context.Context) {
 	if f.opts.Inventory.AwaitsList() {
 		pause.For(ctx, listRetryDelay)
@@ -184,19 +191,20 @@
 	return f.opts.Inventory.AwaitsList() || f.opts.Reads(f.opts.Inventory.Confirmed())
 }
 
-// holdFirstReads ignores confirmations for a while if this is the first read and the source was
-// restored from a copy at an unknown time.
+// holdFirstReads ignores confirmations by reads for a while if this was the first read and its era
+// shows that the source was once restored from a copy. before is the previous era, negative at the
+// first read.
 func (f *Follower) holdFirstReads(before, era int64) {
 	if before < 0 && era > 0 {
 		f.opts.Beliefs.HoldFirstReads(time.Now())
 	}
 }
 
-// advanceEra updates the era from a read of either list. An era that is later than any known from
-// reads or peers means that the source was restored from a copy; the configuration is then not
-// confirmed for a while, whichever list was read first.
+// advanceEra updates the era from the position that a read of the configuration or of the worker
+// list returned. If the era is later than any known from reads or peers, the source was restored
+// from a copy, and confirmations of the configuration are ignored for a while.
 func (f *Follower) advanceEra(position int64) {
-	known := f.era.Load()
+	known := f.eraPlusOne.Load()
 	if own := f.opts.Inventory.Position(); own > 0 {
 		known = max(known, EraOf(own)+1)
 	}
@@ -204,15 +212,16 @@
 	if known > 0 && era > known {
 		f.opts.Beliefs.HoldCopy(time.Now())
 	}
-	f.era.Store(max(era, known))
+	f.eraPlusOne.Store(max(era, known))
 }
 
-// pendingList is a whole list that is being read. Pages are kept if the read of a later one fails.
+// pendingList holds the pages of a whole list that have been read so far. They are kept if reading
+// a later page fails.
 type pendingList struct {
 	changes []Change
-	// next is the position at which to continue, as returned with the first page; sent is when that
-	// page was requested.
+	// next is the position at which to continue after the list, as returned with the first page.
 	next int64
+	// sent is when the first page was requested.
 	sent awake.Stamp
 	// after is the id of the last worker read, empty before the first page.
 	after string
@@ -253,16 +262,17 @@
 	}
 }
 
-// retrySpread returns the minimum delay between failed reads.
-func (f *Follower) retrySpread() time.Duration {
+// spreadDelay returns the minimum delay after a failed read.
+func (f *Follower) spreadDelay() time.Duration {
 	if f.opts.Spread == nil {
 		return 0
 	}
 	return f.opts.Spread()
 }
 
-// poll calls read whenever this daemon must read itself, with exponential backoff while reads
-// fail. It logs once when the source becomes unreachable and once when it is back.
+// poll calls read repeatedly until ctx ends, except while shouldRead reports false. Failed reads
+// are retried with exponential backoff. It logs when the source becomes unreachable and when it is
+// reachable again.
 func (f *Follower) poll(ctx context.Context, what string, shouldRead func() bool, read func(context.Context) error) {
 	backoff, isUnreachable := minRetryDelay, false
 	for ctx.Err() == nil {
@@ -285,8 +295,8 @@
 			f.opts.Logger.Warn("source unreachable", "of", what, "error", err)
 			isUnreachable = true
 		}
-		backoff = max(backoff, f.retrySpread())
+		backoff = max(backoff, f.spreadDelay())
 		pause.For(ctx, backoff+rand.N(backoff))
-		backoff = min(2*backoff, max(maxRetryDelay, f.retrySpread()))
+		backoff = min(2*backoff, max(maxRetryDelay, f.spreadDelay()))
 	}
 }
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -12,9 +12,9 @@
 	headSeparator  = "!"
 )
 
-// GroupName returns the name of a group. Names are unique because epochs are. Every member reports
-// the name, so that a later leader learns the model and the head's address from any of them, even
-// if the head is no longer listed.
+// GroupName returns the name of a group, which is unique because its epoch is. Every member reports
+// the name. A later leader can therefore obtain the model and the head's address from any member,
+// even if the head is no longer listed. A nil head is left out.
 func GroupName(model string, epoch int64, head *Worker) string {
 	name := model + epochSeparator + strconv.FormatInt(epoch, 36)
 	if head == nil {
@@ -23,7 +23,7 @@
 	return name + headSeparator + head.ID + headSeparator + head.Address
 }
 
-// ModelOf returns the model in a group's name, or an empty string.
+// ModelOf returns the model in a group's name, or an empty string if the name has none.
 func ModelOf(group string) string {
 	short := shortName(group)
 	i := strings.LastIndex(short, epochSeparator)
--- a/fleet/halls.go
+++ b/fleet/halls.go
@@ -15,8 +15,7 @@
 const (
 	// HallOpen halls take requests.
 	HallOpen HallState = iota
-	// HallClosing halls are being emptied: they take only requests for which no other hall has
-	// room.
+	// HallClosing halls are being emptied. They take only requests for which no other hall has room.
 	HallClosing
 	// HallClosed halls take no requests.
 	HallClosed
@@ -34,11 +33,12 @@
 }
 
 const (
-	// closeMargin is how long before the deadline a hall stops to take requests: a request sent just
-	// before needs up to the connection timeout to reach its worker.
+	// closeMargin is the minimum time between the close of a hall and the end of Halls.emptyWithin.
+	// It must exceed the connection timeout, so that requests sent before the close have reached
+	// their workers or failed by then.
 	closeMargin = 600 * time.Millisecond
-	// maxClosingFraction is the maximum fraction of the deadline that a hall spends closing.
-	// Replicas staged elsewhere are ready sooner than that.
+	// maxClosingFraction is the maximum time that a hall spends closing, as a fraction of
+	// Halls.emptyWithin. It must leave enough time for replicas in other halls to become ready.
 	maxClosingFraction = 0.5
 )
 
@@ -50,36 +50,37 @@
 
 // HallNews is the result of a read of the closed data halls.
 type HallNews struct {
-	// Whole marks a complete list: halls without a change are open.
+	// Whole marks a complete list. Halls that it does not mention are open.
 	Whole   bool
 	Changes []HallChange
-	// Unclear names the halls whose entries are invalid; they keep their last state. The errors are
-	// in Refused.
+	// Unclear names the halls whose entries are invalid. They keep their last state.
 	Unclear []string
+	// Refused holds the errors of the invalid entries.
 	Refused []error
 }
 
 // ClosedHall is a closed or closing data hall in a report to peers.
 type ClosedHall struct {
 	Hall string `json:"h"`
-	// Left is for how much longer the hall may take requests, in milliseconds.
-	Left int64 `json:"l,omitempty"`
+	// RemainingMillis is how much longer the hall may take requests, in milliseconds.
+	RemainingMillis int64 `json:"l,omitempty"`
 }
 
 // HallReport is what a daemon reports to its peers about closed data halls.
 type HallReport struct {
 	// Position orders reports; a higher one is newer.
 	Position int64 `json:"p,omitempty"`
-	// Age is how long ago the report was last confirmed to be the newest, in milliseconds.
-	Age    int64        `json:"a"`
-	Closed []ClosedHall `json:"c,omitempty"`
+	// AgeMillis is the time since the reported state was last confirmed to be the newest, in
+	// milliseconds.
+	AgeMillis int64        `json:"a"`
+	Closed    []ClosedHall `json:"c,omitempty"`
 }
 
 // HallView is an immutable snapshot of the states of the data halls; nil means that all are open.
 type HallView struct {
-	// closeBy holds until when each closed or closing hall may take requests.
+	// closeBy holds, by hall, when a closing hall stops taking requests or a closed one stopped.
 	closeBy map[string]time.Time
-	// openedAt holds when halls were reopened, as observed by this daemon.
+	// openedAt holds, by hall, when this daemon found a closed hall reopened.
 	openedAt map[string]time.Time
 }
 
@@ -101,7 +102,7 @@
 	return HallClosed
 }
 
-// OpenedAt returns when this daemon saw a closed hall reopen, or the zero time.
+// OpenedAt returns when this daemon found a closed hall reopened, or the zero time if it never did.
 func (v *HallView) OpenedAt(hall string) time.Time {
 	if v == nil {
 		return time.Time{}
@@ -122,22 +123,23 @@
 	return all
 }
 
-// Halls holds which data halls operators have closed. Older reads and reports are ignored. It is
-// safe for concurrent use.
+// Halls holds the states of the data halls. It ignores reads and reports that are older than its
+// state. It is safe for concurrent use.
 type Halls struct {
 	// emptyWithin is the time within which a hall must be empty after an operator closed it.
 	emptyWithin time.Duration
 	view        atomic.Pointer[HallView]
 	changed     chan struct{}
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// position is the position up to which operators' commands are included.
 	position int64
 	// confirmed is when the state was last confirmed to be the newest.
 	confirmed time.Time
 }
 
-// NewHalls returns Halls that are all open. A hall must be empty within bound after an operator
-// closed it; with a bound of zero halls close immediately.
+// NewHalls returns Halls that are all open. After an operator closes a hall, the hall must be empty
+// within bound. If bound is zero, halls close immediately.
 func NewHalls(bound time.Duration) *Halls {
 	h := &Halls{emptyWithin: bound, changed: make(chan struct{}, 1)}
 	h.view.Store(&HallView{})
@@ -147,10 +149,12 @@
 // View returns the last known states of the halls.
 func (h *Halls) View() *HallView { return h.view.Load() }
 
-// Changed receives after changes. Several changes may be combined into one signal.
+// Changed returns a channel that receives after changes. Several changes may be combined into one
+// signal.
 func (h *Halls) Changed() <-chan struct{} { return h.changed }
 
-// Take applies the result of a read that was sent at the given time and reached position.
+// Take applies the result of a read that was sent at the given time. The result includes all
+// commands up to position.
 func (h *Halls) Take(update HallNews, position int64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,7 +162,8 @@
 		return
 	}
 	closed := h.closedHalls()
-	// After a restore from a copy the operator's last command may be missing until it is repeated.
+	// If the source was restored from a copy, the operator's last command may be missing until it is
+	// repeated.
 	restored := h.position > 0 && EraOf(position) > EraOf(h.position)
 	if update.Whole {
 		for hall := range closed {
@@ -173,8 +178,8 @@
 	h.confirm(sent)
 }
 
-// Follow applies a peer's report that was sent after the given time, from which its age counts. The
-// zero time confirms nothing.
+// Follow applies a peer's report that was sent after the given time. The age of the report counts
+// from sentAfter. With a zero sentAfter the report confirms nothing.
 func (h *Halls) Follow(r HallReport, sentAfter time.Time) {
 	if r.Position <= 0 {
 		return
@@ -188,19 +193,20 @@
 			closed[hall] = false
 		}
 		for _, c := range r.Closed {
-			closed[c.Hall], left[c.Hall] = true, min(max(c.Left, 0), h.emptyWithin.Milliseconds())
+			closed[c.Hall], left[c.Hall] = true, min(max(c.RemainingMillis, 0), h.emptyWithin.Milliseconds())
 		}
 		h.publish(closed, func(hall string) time.Time { return now.Add(time.Duration(left[hall]) * time.Millisecond) })
 		h.position = r.Position
 	}
-	// A later state includes the one that was the newest at the time of the report.
+	// This daemon's state may be newer than the reported one. It then includes the reported state, so
+	// that the confirmation also applies to it.
 	if !sentAfter.IsZero() {
-		h.confirm(sentAfter.Add(-time.Duration(r.Age) * time.Millisecond))
+		h.confirm(sentAfter.Add(-time.Duration(r.AgeMillis) * time.Millisecond))
 	}
 }
 
-// Slept accounts for a suspension of the machine, which the monotonic clock does not count: closing
-// halls close that much sooner, and the last confirmation becomes that much older.
+// Slept moves the time of the last confirmation and the deadlines of closing halls back by the time
+// for which the machine was suspended. The monotonic clock does not count that time.
 func (h *Halls) Slept(suspended time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -222,9 +228,9 @@
 	if h.position <= 0 {
 		return HallReport{}
 	}
-	r := HallReport{Position: h.position, Age: now.Sub(h.confirmed).Milliseconds() + 1}
+	r := HallReport{Position: h.position, AgeMillis: now.Sub(h.confirmed).Milliseconds() + 1}
 	for hall, closeBy := range h.View().closeBy {
-		r.Closed = append(r.Closed, ClosedHall{Hall: hall, Left: max(closeBy.Sub(now).Milliseconds(), 0)})
+		r.Closed = append(r.Closed, ClosedHall{Hall: hall, RemainingMillis: max(closeBy.Sub(now).Milliseconds(), 0)})
 	}
 	slices.SortFunc(r.Closed, func(a, b ClosedHall) int { return strings.Compare(a.Hall, b.Hall) })
 	return r
@@ -239,9 +245,9 @@
 	return closed
 }
 
-// closingDeadline returns until when a hall that was just found closed may take requests. The
-// operator closed it after the last confirmation, so the bound counts from there. Without any
-// earlier confirmation the hall closes immediately.
+// closingDeadline returns when a hall that was just found closed stops taking requests. The
+// operator closed it after the last confirmation, so emptyWithin counts from that time. If nothing
+// has been confirmed yet, the hall closes immediately.
 func (h *Halls) closingDeadline(now time.Time) time.Time {
 	if h.confirmed.IsZero() {
 		return now
@@ -254,8 +260,8 @@
 	return latest
 }
 
-// publish stores a new view of the closed halls. Halls that were closed before keep their deadline.
-// The mutex must be held.
+// publish stores a new view if the set of closed halls has changed. Halls that were closed before
+// keep their deadline; closeBy returns the deadline of the others. The mutex must be held.
 func (h *Halls) publish(closed map[string]bool, closeBy func(hall string) time.Time) {
 	current := h.View()
 	next := &HallView{closeBy: make(map[string]time.Time), openedAt: make(map[string]time.Time)}
--- a/fleet/halls_test.go
+++ b/fleet/halls_test.go
@@ -23,25 +23,25 @@
 
 func TestHallClosesWithinTheBound(t *testing.T) {
 	tests := map[string]struct {
-		// unread is the time since the last read when the hall was found closed.
-		unread time.Duration
-		// closes is how long after that the hall stops to take requests.
-		closes time.Duration
+		// sinceLastRead is the time between the last read and the one that finds the hall closed.
+		sinceLastRead time.Duration
+		// closesAfter is how long after being found closed the hall stops taking requests.
+		closesAfter time.Duration
 	}{
-		"read often":                    {unread: 300 * time.Millisecond, closes: 2500 * time.Millisecond},
-		"not read for three seconds":    {unread: 3 * time.Second, closes: 1400 * time.Millisecond},
-		"not read for as long as it is": {unread: 10 * time.Second, closes: 0},
+		"read often":                    {sinceLastRead: 300 * time.Millisecond, closesAfter: 2500 * time.Millisecond},
+		"not read for three seconds":    {sinceLastRead: 3 * time.Second, closesAfter: 1400 * time.Millisecond},
+		"not read for as long as it is": {sinceLastRead: 10 * time.Second, closesAfter: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := NewHalls(emptyWithin)
 				h.Take(HallNews{Whole: true}, 1, time.Now())
-				time.Sleep(test.unread)
+				time.Sleep(test.sinceLastRead)
 				h.Take(closeUpdate("a"), 2, time.Now())
 				assert.Equal(t, h.View().State("b", time.Now()), HallOpen)
-				if test.closes > 0 {
-					time.Sleep(test.closes - time.Millisecond)
+				if test.closesAfter > 0 {
+					time.Sleep(test.closesAfter - time.Millisecond)
 					assert.Equal(t, h.View().State("a", time.Now()), HallClosing)
 					time.Sleep(time.Millisecond)
 				}
@@ -90,9 +90,9 @@
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 }
 
-// TestPeersCloseHallAtTheSameTime checks that a daemon that learns of a closed hall from a peer
-// closes it at the same time, and that an invalid report never keeps the hall open beyond the
-// bound.
+// TestPeersCloseHallAtTheSameTime checks that a daemon that receives a peer's report of a closing
+// hall closes the hall at the same time as the peer. A report with an excessive remaining time must
+// not keep the hall open beyond the bound.
 func TestPeersCloseHallAtTheSameTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := NewHalls(emptyWithin), NewHalls(emptyWithin), NewHalls(emptyWithin)
@@ -100,7 +100,7 @@
 		first.Take(closeUpdate("a"), 2, time.Now())
 		time.Sleep(time.Second)
 		second.Follow(first.Report(time.Now()), time.Now())
-		third.Follow(HallReport{Position: 2, Closed: []ClosedHall{{Hall: "a", Left: 1 << 40}}}, time.Now())
+		third.Follow(HallReport{Position: 2, Closed: []ClosedHall{{Hall: "a", RemainingMillis: 1 << 40}}}, time.Now())
 		assert.Equal(t, second.View().State("a", time.Now()), HallClosing)
 		time.Sleep(1500 * time.Millisecond)
 		assert.Equal(t, first.View().State("a", time.Now()), HallClosed)
@@ -110,19 +110,22 @@
 	})
 }
 
-// hallSimulation simulates an operator and daemons that read the operator's commands or receive
-// reports.
+// hallSimulation simulates an operator and daemons. The daemons read the operator's commands or
+// receive each other's reports.
 type hallSimulation struct {
+	// closed and changedAt hold what the operator last commanded for each hall, and when.
 	closed    map[string]bool
-	changed   map[string]time.Time
+	changedAt map[string]time.Time
 	commands  []HallChange
 	daemons   []*Halls
-	readTo    []int
+	// readTo holds, by daemon, the number of commands that are included in its state.
+	readTo []int
+	// updatedAt holds, by daemon, when its state was the newest.
 	updatedAt []time.Time
 }
 
 func newHallSimulation(daemons int) *hallSimulation {
-	p := &hallSimulation{closed: make(map[string]bool), changed: make(map[string]time.Time)}
+	p := &hallSimulation{closed: make(map[string]bool), changedAt: make(map[string]time.Time)}
 	for range daemons {
 		h := NewHalls(emptyWithin)
 		h.Take(HallNews{Whole: true}, 1, time.Now())
@@ -134,7 +137,7 @@
 
 // toggle closes an open hall, or opens a closed one.
 func (p *hallSimulation) toggle(hall string) {
-	p.closed[hall], p.changed[hall] = !p.closed[hall], time.Now()
+	p.closed[hall], p.changedAt[hall] = !p.closed[hall], time.Now()
 	p.commands = append(p.commands, HallChange{Hall: hall, Closed: p.closed[hall]})
 }
 
@@ -156,15 +159,15 @@
 	}
 }
 
-// overdue returns a daemon and a hall that is still not closed although the bound has passed and the
-// daemon was updated after the command; it is empty if there is none.
-func (p *hallSimulation) overdue() string {
+// findOverdue returns a daemon and a hall that the daemon should have closed by now, or an empty
+// string. Only commands since which the daemon was updated count.
+func (p *hallSimulation) findOverdue() string {
 	for hall, closed := range p.closed {
-		if !closed || time.Since(p.changed[hall]) <= emptyWithin {
+		if !closed || time.Since(p.changedAt[hall]) <= emptyWithin {
 			continue
 		}
 		for i, h := range p.daemons {
-			if p.updatedAt[i].After(p.changed[hall]) && h.View().State(hall, time.Now()) != HallClosed {
+			if p.updatedAt[i].After(p.changedAt[hall]) && h.View().State(hall, time.Now()) != HallClosed {
 				return fmt.Sprint(i, hall)
 			}
 		}
@@ -172,9 +175,9 @@
 	return ""
 }
 
-// disagreement lets all daemons read, waits for the bound, and returns a daemon and a hall whose
-// state is not what the operator set; it is empty if there is none.
-func (p *hallSimulation) disagreement() string {
+// findDisagreement lets all daemons read and waits until closed halls must be empty. It then
+// returns a daemon and a hall whose state is not what the operator commanded, or an empty string.
+func (p *hallSimulation) findDisagreement() string {
 	for i := range p.daemons {
 		p.read(i)
 	}
@@ -189,8 +192,8 @@
 	return ""
 }
 
-// TestHallsAgree checks that, in any order of reads and reports, no daemon that is updated within
-// the bound keeps a hall open for longer, and that all daemons agree in the end.
+// TestHallsAgree checks random sequences of reads and reports. A daemon that was updated after a
+// command must have closed the hall within the bound, and all daemons must agree in the end.
 func TestHallsAgree(outer *testing.T) {
 	const daemons = 3
 	rapid.Check(outer, func(t *rapid.T) {
@@ -207,9 +210,9 @@
 				case 2:
 					p.receiveReport(daemonIndex.Draw(t, "daemon"), daemonIndex.Draw(t, "from"))
 				}
-				assert.Equal(t, p.overdue(), "")
+				assert.Equal(t, p.findOverdue(), "")
 			}
-			assert.Equal(t, p.disagreement(), "")
+			assert.Equal(t, p.findDisagreement(), "")
 		})
 	})
 }
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -12,11 +12,12 @@
 	ID string `json:"id"`
 	// Worker is nil if the worker was removed.
 	Worker *Worker `json:"worker,omitempty"`
-	// OfHead is set by the inventory if the worker is a head, or was one before the change.
+	// OfHead is set by the inventory if the worker is a head after the change or was one before it.
 	OfHead bool `json:"-"`
 }
 
-// Announcement is a leader's decision about a group, sent ahead of the worker list.
+// Announcement is a leader's decision to open or close a group. Peers receive it before the worker
+// list shows the change.
 type Announcement struct {
 	Group   string `json:"group"`
 	Epoch   int64  `json:"epoch"`
@@ -24,26 +25,31 @@
 	Model   string `json:"model"`
 	// Head is the member that receives the group's requests.
 	Head string `json:"head"`
-	// Open says that the head takes requests; otherwise it must not receive any.
+	// Open is set if the head takes requests. Otherwise the group is closed, and its head must not be
+	// sent any.
 	Open bool `json:"open"`
 }
 
 // pendingAnnouncement is an announcement that the list has not superseded yet.
 type pendingAnnouncement struct {
 	Announcement
-	// expiresAt is when the announcement expires if the list does not show the head.
+	// expiresAt is when the announcement is dropped if the list does not show the head.
 	expiresAt time.Time
 }
 
 // Inventory holds the listed workers. It is safe for concurrent use.
 type Inventory struct {
-	mu            sync.Mutex
-	workers       map[string]*Worker
+	mu      sync.Mutex
+	workers map[string]*Worker
+	// announcements holds the pending announcements by group.
 	announcements map[string]pendingAnnouncement
-	position      int64
-	// scope is which workers are requested; headsOnly is set while only heads are held.
-	scope     Scope
+	// position is the position after the newest change applied.
+	position int64
+	// scope says which workers are requested.
+	scope Scope
+	// headsOnly is set while only heads are held.
 	headsOnly bool
+	// confirmed is the latest time at which the list is known to have been the newest.
 	confirmed time.Time
 	view      atomic.Pointer[View]
 	journal   []batch
@@ -51,8 +57,8 @@
 	changed   chan struct{}
 	// peerUpdates receives when there is something new to send to peers.
 	peerUpdates chan struct{}
-	// lapseGrace is how long a worker is kept whose entry disappeared right after an outage.
-	lapseGrace time.Duration
+	// missingGrace is how long a worker is kept if its entry disappears right after an outage.
+	missingGrace time.Duration
 	// firstListAt is when the first list was applied.
 	firstListAt time.Time
 	// outageEnd is when the list became available again after the last outage.
@@ -63,19 +69,22 @@
 }
 
 const (
-	// outageThreshold is the time without a confirmation of the list that counts as an outage.
+	// outageThreshold is the age of the last confirmation from which an outage of the list is
+	// assumed.
 	outageThreshold = 1600 * time.Millisecond
-	// lapseWindow is how long after an outage a missing entry may have expired only because its
-	// worker could not write either.
-	lapseWindow = 2500 * time.Millisecond
-	// lapseHeartbeats is how many heartbeats such a worker has to write again. The time is limited
-	// to the maximum for leaving workers less leaveMargin.
-	lapseHeartbeats = 3
-	leaveMargin     = 300 * time.Millisecond
+	// postOutageWindow is how long after an outage the disappearance of entries is tolerated. Such
+	// an entry may have expired only because its worker could not write during the outage.
+	postOutageWindow = 2500 * time.Millisecond
+	// missingGraceHeartbeats is the number of heartbeats within which the worker of a missing entry
+	// must write again.
+	missingGraceHeartbeats = 3
+	// leaveMargin is how long before the leave bound of NewInventory a missing entry is dropped at
+	// the latest.
+	leaveMargin = 300 * time.Millisecond
 )
 
-// closedRetention is how long a closed group without listed workers is remembered: longer than its
-// members are usually disconnected.
+// closedRetention is how long a closed group is remembered while its head is not listed. It should
+// exceed the time for which workers are usually disconnected.
 const closedRetention = 30 * time.Second
 
 // maxJournalBatches is how many batches of changes are kept for peers.
@@ -90,16 +99,16 @@
 	headsOnly bool
 }
 
-// NewInventory returns an empty inventory of workers that write to the list at every heartbeat. A
-// worker that left the list must get no more requests after leaveBound, so missing entries are
-// never tolerated for longer; zero means no such limit.
+// NewInventory returns an empty inventory. heartbeat is the interval at which workers write to the
+// list. leaveBound is the time after which a worker that left the list must get no more requests,
+// or zero for no limit; missing entries are not tolerated for longer.
 func NewInventory(heartbeat, leaveBound time.Duration) *Inventory {
-	lapseGrace := lapseHeartbeats * heartbeat
+	lapseGrace := missingGraceHeartbeats * heartbeat
 	if leaveBound > 0 {
 		lapseGrace = min(lapseGrace, max(leaveBound-leaveMargin, 0))
 	}
 	i := &Inventory{
-		lapseGrace: lapseGrace, toleratedUntil: make(map[string]time.Time),
+		missingGrace: lapseGrace, toleratedUntil: make(map[string]time.Time),
 		workers: make(map[string]*Worker), announcements: make(map[string]pendingAnnouncement),
 		changed: make(chan struct{}, 1), peerUpdates: make(chan struct{}, 1),
 	}
@@ -110,11 +119,12 @@
 // View returns the last known workers and replicas.
 func (i *Inventory) View() *View { return i.view.Load() }
 
-// Changed receives after changes. Several changes may be combined into one signal.
+// Changed returns a channel that receives after changes. Several changes may be combined into one
+// signal.
 func (i *Inventory) Changed() <-chan struct{} { return i.changed }
 
-// News receives after changes and decisions that peers may lack. Several may be combined into one
-// signal.
+// News returns a channel that receives after changes and decisions that peers may lack. Several may
+// be combined into one signal.
 func (i *Inventory) News() <-chan struct{} { return i.peerUpdates }
 
 // Position returns the position after the newest change applied.
@@ -139,8 +149,8 @@
 }
 
 // Replace applies a whole list that was requested at sent and is complete up to position. A list
-// older than the current one is ignored, unless a whole list is needed and all later changes are in
-// the journal: a list that changes while it is read is outdated by then.
+// older than the current position is ignored, unless a whole list is needed and the journal holds
+// all changes made since. These changes are then applied on top.
 func (i *Inventory) Replace(all []Change, position int64, sent time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -155,13 +165,13 @@
 	i.replaceList(all, position, sent)
 }
 
-// replaceList applies a list. The mutex must be held.
+// replaceList replaces the workers by a whole list. The mutex must be held.
 func (i *Inventory) replaceList(all []Change, position int64, sent time.Time) {
 	i.detectOutage(sent)
 	held := i.workers
 	restored := i.position > 0 && EraOf(position) > EraOf(i.position)
 	if restored {
-		// Entries lost by the restore are written again. Until then missing entries are tolerated.
+		// Missing entries are tolerated until their workers have had time to write again.
 		i.outageEnd = time.Now()
 	}
 	i.workers = make(map[string]*Worker, len(all))
@@ -172,7 +182,7 @@
 		}
 		i.workers[c.ID] = c.Worker.mergedWith(held[c.ID])
 		if h, ok := held[c.ID]; restored && ok && c.Worker.isOlderThan(h) {
-			// A worker that announced that it leaves does not return.
+			// The restored entry is outdated; it may lack that the worker is leaving.
 			i.workers[c.ID] = h
 		}
 		delete(i.toleratedUntil, c.ID)
@@ -195,7 +205,7 @@
 	i.applyDelta(d.withExactness(), sent)
 }
 
-// ApplyPart applies part of the changes that were available when a read was sent. It confirms
+// ApplyPart applies the result of a read that did not return all available changes. It confirms
 // nothing, since the remaining changes may remove workers.
 func (i *Inventory) ApplyPart(d Delta, sent time.Time) {
 	i.mu.Lock()
@@ -204,8 +214,8 @@
 	i.applyDelta(d.withExactness(), time.Time{})
 }
 
-// Apply applies changes that lead from the current position to the given one, returned by a read
-// that was sent at the given time.
+// Apply applies the changes between the current position and the given one. A read that was sent at
+// the given time returned them.
 func (i *Inventory) Apply(changes []Change, position int64, sent time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -221,7 +231,7 @@
 	i.detectOutage(sent)
 	i.markHeads(changes)
 	if len(changes) > 0 || d.Heads {
-		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, isExact: d.Exact, headsOnly: d.Heads})
+		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, isExact: d.IsExact, headsOnly: d.Heads})
 		i.journal = i.journal[max(len(i.journal)-maxJournalBatches, 0):]
 	}
 	for _, c := range changes {
@@ -244,9 +254,9 @@
 	}
 }
 
-// Since returns the changes from a position to the current one, for a peer. They may start at an
-// earlier position; applying changes again in order is harmless. If whole is set, they are the
-// whole list instead.
+// Since returns the changes that a peer at the given position lacks. The delta may start at an
+// earlier position, since applying changes again in order is harmless. If whole is set, the delta
+// holds the whole list.
 func (i *Inventory) Since(from int64) (d Delta, whole bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -263,24 +273,24 @@
 	return d, true
 }
 
-// journalSince returns the changes from a position, or from an earlier one, to the current one, and
-// false if the journal does not reach back that far. The mutex must be held.
+// journalSince returns the changes from the given position, or from an earlier one, to the current
+// position. It returns false if the journal does not reach back that far. The mutex must be held.
 func (i *Inventory) journalSince(from int64) (d Delta, ok bool) {
 	first := slices.IndexFunc(i.journal, func(b batch) bool { return b.from <= from && from < b.to })
 	if first < 0 {
 		return d, false
 	}
-	d = Delta{From: i.journal[first].from, To: i.position, Exact: true}
+	d = Delta{From: i.journal[first].from, To: i.position, IsExact: true}
 	for _, b := range i.journal[first:] {
 		d.Changes = append(d.Changes, b.changes...)
-		d.Exact, d.Heads = d.Exact && b.isExact, d.Heads || b.headsOnly
+		d.IsExact, d.Heads = d.IsExact && b.isExact, d.Heads || b.headsOnly
 	}
 	return d, true
 }
 
-// Follow applies a peer's newest changes, which were confirmed at the given time, if they continue
-// from the current position. They may overlap with changes that have been applied, since all are
-// applied in order.
+// Follow applies a delta from a peer if it starts at or before the current position. The peer's
+// list was confirmed at the given time. Changes that were applied before are applied again, which
+// is harmless.
 func (i *Inventory) Follow(d Delta, at time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -293,9 +303,9 @@
 	}
 }
 
-// Confirm notes that a peer reported the list up to position as the newest at the given time. A
-// later list includes it, so the confirmation also counts if this daemon is ahead of the report, as
-// it usually is while the list changes continuously.
+// Confirm notes that a peer reported the list up to position as the newest at the given time. The
+// report also counts if this daemon is at a later position, since its list then includes the
+// peer's.
 func (i *Inventory) Confirm(position int64, at time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -308,7 +318,8 @@
 	}
 }
 
-// announce records a leader's decisions about groups. The mutex must be held.
+// announce records a leader's decisions about groups and publishes a new view if any of them is
+// new. The mutex must be held.
 func (i *Inventory) announce(all []Announcement, now time.Time) {
 	changed := false
 	for _, a := range all {
@@ -325,8 +336,8 @@
 	}
 }
 
-// Slept accounts for a suspension of the machine, which the monotonic clock does not count: the
-// last confirmation becomes that much older.
+// Slept moves the time of the last confirmation back by the time for which the machine was
+// suspended. The monotonic clock does not count that time.
 func (i *Inventory) Slept(suspended time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -335,7 +346,8 @@
 	}
 }
 
-// Leave marks a worker as leaving if the given process of it announced so other than in the list.
+// Leave marks a worker as leaving after its process announced this by other means than the list.
+// born is the start time of that process; other processes of the worker are not marked.
 func (i *Inventory) Leave(worker string, born int64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -357,29 +369,30 @@
 	return ok && !a.Open
 }
 
-// detectOutage records the end of an outage if the last confirmation is too old.
+// detectOutage records that an outage ends now if a read or report as of sent is the first
+// confirmation for longer than outageThreshold.
 func (i *Inventory) detectOutage(sent time.Time) {
 	if !i.confirmed.IsZero() && sent.Sub(i.confirmed) > outageThreshold {
 		i.outageEnd = time.Now()
 	}
 }
 
-// tolerateMissing reports whether a missing entry is tolerated, so that its worker still counts as
-// listed for a while.
+// tolerateMissing reports whether the worker of a missing entry still counts as listed. This is so
+// for missingGrace if the entry disappeared within postOutageWindow after an outage.
 func (i *Inventory) tolerateMissing(id string) bool {
 	now := time.Now()
 	if until, ok := i.toleratedUntil[id]; ok {
 		return now.Before(until)
 	}
-	if i.outageEnd.IsZero() || now.Sub(i.outageEnd) > lapseWindow {
+	if i.outageEnd.IsZero() || now.Sub(i.outageEnd) > postOutageWindow {
 		return false
 	}
-	i.toleratedUntil[id] = now.Add(i.lapseGrace)
+	i.toleratedUntil[id] = now.Add(i.missingGrace)
 	return true
 }
 
-// expireTolerated removes the workers that did not write again in time, and reports whether there
-// were any.
+// expireTolerated removes the workers whose missing entries are no longer tolerated. It reports
+// whether there were any.
 func (i *Inventory) expireTolerated() bool {
 	now, anyExpired := time.Now(), false
 	for id, until := range i.toleratedUntil {
@@ -392,6 +405,7 @@
 	return anyExpired
 }
 
+// advance sets the position, and updates the time of the last confirmation.
 func (i *Inventory) advance(position int64, sent time.Time) {
 	i.position = position
 	if i.firstListAt.IsZero() {
@@ -402,16 +416,16 @@
 	}
 }
 
-// isSuperseded reports whether the list supersedes an announcement. A closed group is remembered
-// while its head is not listed: a head that was disconnected from the list first returns with its
-// previous entry.
+// isSuperseded reports whether an announcement is no longer needed because of the list. A closed
+// group is remembered for a while after its head disappeared. The head may return with an entry
+// from before the group was closed.
 func (i *Inventory) isSuperseded(a pendingAnnouncement, now time.Time) bool {
 	head, listed := i.workers[a.Head]
 	switch {
 	case listed && head.Member.Epoch > a.Epoch:
 		return true
 	case a.Open:
-		// With heads alone a new head is unknown until the list shows its group.
+		// If only heads are held, a new head is unknown until the list shows its group.
 		return !listed && (!i.headsOnly || now.After(a.expiresAt))
 	case listed && head.Member.Epoch == a.Epoch:
 		return false
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -63,15 +63,15 @@
 	}
 }
 
-// TestClosedGroupsStayClosed checks that a head that was disconnected from the list and returns
-// with its previous entry does not reopen its closed group.
+// TestClosedGroupsStayClosed checks that a closed group is not reopened by its head, which
+// disappeared from the list and returns with an entry from before the group was closed.
 func TestClosedGroupsStayClosed(t *testing.T) {
 	tests := map[string]struct {
-		back Membership
-		want int
+		returnsWith Membership
+		want        int
 	}{
-		"as it was before the cut": {back: Membership{Group: "g", Epoch: 5, State: Open}},
-		"in a later group":         {back: Membership{Group: "later", Epoch: 6, State: Open}, want: 1},
+		"as it was before the cut": {returnsWith: Membership{Group: "g", Epoch: 5, State: Open}},
+		"in a later group":         {returnsWith: Membership{Group: "later", Epoch: 6, State: Open}, want: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 				i.Apply([]Change{{ID: "h"}}, 2, time.Now())
 				i.Decide(0, Announcement{Group: "g", Epoch: 5, Service: "s", Model: "m", Head: "h"})
 				time.Sleep(closedRetention - time.Second)
-				i.Apply([]Change{{ID: "h", Worker: headWorker("h", test.back.Group, test.back.Epoch, test.back.State)}}, 3, time.Now())
+				i.Apply([]Change{{ID: "h", Worker: headWorker("h", test.returnsWith.Group, test.returnsWith.Epoch, test.returnsWith.State)}}, 3, time.Now())
 				assert.Equal(t, len(i.View().Replicas("s", "m")), test.want)
 				time.Sleep(closedRetention)
 				i.Apply([]Change{{ID: "x", Worker: headWorker("x", "", 0, "")}}, 4, time.Now())
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestModelIsRememberedAfterLeaving checks that a worker which left its group, and reports no
-// model, still counts as having the model loaded.
+// TestModelIsRememberedAfterLeaving checks that a worker that left its group still counts as having
+// the group's model loaded, although its entry names no model.
 func TestModelIsRememberedAfterLeaving(t *testing.T) {
 	member, left := headWorker("h", "g", 5, Open), headWorker("h", "", 0, "")
 	left.Loaded = ""
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestPeersReachTheSameList draws changes and lets a second inventory follow the first one, and a
-// third one the second, by some parts, by whole deltas or by whole lists. No position may exceed
-// that of the first.
+// TestPeersReachTheSameList checks a chain of three inventories of which each follows the previous
+// one. They receive random parts of deltas, whole deltas or whole lists. All must end with the same
+// workers, and none may have a higher position than the first one.
 func TestPeersReachTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, relay := NewInventory(1200*time.Millisecond, 0), NewInventory(1200*time.Millisecond, 0)
@@ -155,9 +155,9 @@
 				position++
 				source.Apply([]Change{{ID: fmt.Sprint(n % 7)}}, position, now)
 			case 4, 5:
-				followSome(t, source, relay, now)
+				deliverSomeParts(t, source, relay, now)
 			case 6, 7:
-				followSome(t, relay, follower, now)
+				deliverSomeParts(t, relay, follower, now)
 			case 8:
 				catchUp(source, relay, now)
 			default:
@@ -174,8 +174,8 @@
 	})
 }
 
-// followSome delivers a random selection of the missing parts to a follower.
-func followSome(t *rapid.T, source, follower *Inventory, now time.Time) {
+// deliverSomeParts delivers a random selection of the missing parts to a follower.
+func deliverSomeParts(t *rapid.T, source, follower *Inventory, now time.Time) {
 	d, whole := source.Since(follower.Position())
 	if whole {
 		return
@@ -233,19 +233,22 @@
 
 var errUnavailable = errors.New("down")
 
-// fakeSource publishes a configuration and fails while it is down.
+// fakeSource is a source with a configuration and one worker. Its configuration reads fail while it
+// is down.
 type fakeSource struct {
 	mu      sync.Mutex
 	version int64
 	down    bool
-	lost    bool
+	// positionLost makes the next call of nextConfig report that the position is lost.
+	positionLost bool
 	// era is how often the source was restored from a copy.
 	era int64
-	// refused is the error of the newest configuration, nil if it is valid.
-	refused error
-	calls   int
-	// lists counts the reads of whole lists.
-	lists int
+	// invalidErr is the error of the newest configuration, nil if it is valid.
+	invalidErr error
+	// configCalls counts the reads of the configuration.
+	configCalls int
+	// listReads counts the reads of whole lists.
+	listReads int
 }
 
 func (s *fakeSource) set(change func()) {
@@ -261,25 +264,25 @@
 func (s *fakeSource) readConfig(context.Context) (ConfigNews, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
+	s.configCalls++
 	if s.down {
 		return ConfigNews{}, errUnavailable
 	}
 	if s.version == 0 {
 		return ConfigNews{}, nil
 	}
-	if s.refused != nil {
+	if s.invalidErr != nil {
 		// The version before the newest one is valid.
-		return ConfigNews{Config: NewConfig(Parts{Version: s.version - 1}), Refused: s.refused, Next: s.version}, nil
+		return ConfigNews{Config: NewConfig(Parts{Version: s.version - 1}), Refused: s.invalidErr, Next: s.version}, nil
 	}
 	return ConfigNews{Config: NewConfig(Parts{Version: s.version}), Next: PositionOf(s.era, s.version)}, nil
 }
 
 func (s *fakeSource) nextConfig(ctx context.Context, position int64, wait time.Duration) (ConfigNews, error) {
 	s.mu.Lock()
-	down, lost, version := s.down, s.lost, s.version
-	s.lost = false
-	s.calls++
+	down, lost, version := s.down, s.positionLost, s.version
+	s.positionLost = false
+	s.configCalls++
 	s.mu.Unlock()
 	switch {
 	case lost:
@@ -298,8 +301,8 @@
 }
 
 func (s *fakeSource) readWorkers(context.Context, string) (WorkerNews, error) {
-	s.set(func() { s.lists++ })
-	// This is how long an answer of the store takes.
+	s.set(func() { s.listReads++ })
+	// The delay stands for the latency of the store.
 	time.Sleep(4 * time.Millisecond)
 	return WorkerNews{Next: 1, Changes: []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}}, nil
 }
@@ -312,7 +315,7 @@
 	return WorkerNews{Next: position}, nil
 }
 
-// startFollower runs a follower of a source until the returned function is called.
+// startFollower runs a follower of a source until the returned function stop is called.
 func startFollower(source *fakeSource, beliefs *Beliefs, inventory *Inventory) (stop func()) {
 	f := NewFollower(FollowerOptions{
 		Source: source.source(), Beliefs: beliefs, Inventory: inventory,
@@ -340,36 +343,37 @@
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, time.Since(beliefs.Confirmed()) > 8*time.Second, "a failed read confirms nothing")
 
-		source.set(func() { source.down, source.version, source.lost = false, 5, true })
+		source.set(func() { source.down, source.version, source.positionLost = false, 5, true })
 		time.Sleep(4 * time.Second)
 		assert.Equal(t, beliefs.Version(), int64(5))
 		stop()
 	})
 }
 
-// TestInvalidConfigurationConfirmsNothing checks that an invalid configuration neither comes into
-// force nor confirms the one in force, since it may revoke keys.
+// TestInvalidConfigurationConfirmsNothing checks that an invalid configuration does not come into
+// force. It must not confirm the one in force either, since it may revoke keys.
 func TestInvalidConfigurationConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs := NewBeliefs()
 		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
-		source.set(func() { source.version, source.refused = 5, errUnavailable })
+		source.set(func() { source.version, source.invalidErr = 5, errUnavailable })
 		time.Sleep(10 * time.Second)
-		behind, version := time.Since(beliefs.Confirmed()), beliefs.Version()
-		source.set(func() { source.version, source.refused = 6, nil })
+		ageWhileInvalid, version := time.Since(beliefs.Confirmed()), beliefs.Version()
+		source.set(func() { source.version, source.invalidErr = 6, nil })
 		time.Sleep(2 * time.Second)
-		fresh := time.Since(beliefs.Confirmed())
+		ageAfterwards := time.Since(beliefs.Confirmed())
 		stop()
 		assert.Equal(t, version, int64(4), "the last valid one")
-		assert.Assert(t, behind > 8*time.Second, "an invalid configuration confirms nothing")
+		assert.Assert(t, ageWhileInvalid > 8*time.Second, "an invalid configuration confirms nothing")
 		assert.Equal(t, beliefs.Version(), int64(6))
-		assert.Assert(t, fresh < time.Second)
+		assert.Assert(t, ageAfterwards < time.Second)
 	})
 }
 
-// TestFollowerWaitsForTheFirstConfiguration starts before the operator has published anything.
+// TestFollowerWaitsForTheFirstConfiguration checks that a follower started before the first
+// configuration is published reads the source rarely, and finds the configuration once published.
 func TestFollowerWaitsForTheFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{}
@@ -377,7 +381,7 @@
 		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(10 * time.Second)
 		source.set(func() {
-			assert.Assert(t, source.calls <= 10, "%d calls without a configuration", source.calls)
+			assert.Assert(t, source.configCalls <= 10, "%d calls without a configuration", source.configCalls)
 			source.version = 1
 		})
 		time.Sleep(3 * time.Second)
@@ -386,8 +390,8 @@
 	})
 }
 
-// TestMissingWorkerIsDroppedWithinLeaveBound checks that a worker which leaves right after an
-// outage of the list gets no more requests after the bound.
+// TestMissingWorkerIsDroppedWithinLeaveBound checks that a worker that leaves right after an outage
+// of the list gets no more requests once the leave bound has passed.
 func TestMissingWorkerIsDroppedWithinLeaveBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat, bound = 1200 * time.Millisecond, 2 * time.Second
@@ -416,7 +420,7 @@
 		assert.Equal(t, len(i.View().Replicas("s", "m")), 2, "no worker is dropped right after an outage")
 		time.Sleep(heartbeat)
 		i.Apply([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}}, 5, time.Now())
-		for range lapseHeartbeats {
+		for range missingGraceHeartbeats {
 			time.Sleep(heartbeat)
 			i.Confirm(5, time.Now())
 		}
--- a/fleet/leave_test.go
+++ b/fleet/leave_test.go
@@ -7,20 +7,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLeave checks that a worker process that announced that it leaves takes no more requests,
-// whatever the list reports of it later, and that its next process does.
+// TestLeave checks that a worker process takes no more requests after it announced that it leaves,
+// even if the list later shows it as ready. A restarted process must take requests again.
 func TestLeave(t *testing.T) {
 	newEntry := func(born, beat int64, draining bool) *Worker {
 		return &Worker{ID: "w", Service: "plain", Born: born, Beat: beat, Draining: draining}
 	}
 	tests := map[string]struct {
-		update  func(i *Inventory)
-		serving int
+		update      func(i *Inventory)
+		wantServing int
 	}{
-		"it said nothing":        {update: func(*Inventory) {}, serving: 1},
+		"it said nothing":        {update: func(*Inventory) {}, wantServing: 1},
 		"it leaves":              {update: func(i *Inventory) { i.Leave("w", 1) }},
-		"an earlier life left":   {update: func(i *Inventory) { i.Leave("w", 0) }, serving: 1},
-		"one that is not listed": {update: func(i *Inventory) { i.Leave("v", 1) }, serving: 1},
+		"an earlier life left":   {update: func(i *Inventory) { i.Leave("w", 0) }, wantServing: 1},
+		"one that is not listed": {update: func(i *Inventory) { i.Leave("v", 1) }, wantServing: 1},
 		"it is listed as ready on": {update: func(i *Inventory) {
 			i.Leave("w", 1)
 			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 2, false)}}, 2, time.Now())
@@ -32,7 +32,7 @@
 		"its next life is listed": {update: func(i *Inventory) {
 			i.Leave("w", 1)
 			i.Apply([]Change{{ID: "w", Worker: newEntry(2, 1, false)}}, 2, time.Now())
-		}, serving: 1},
+		}, wantServing: 1},
 		"the list said so, and not": {update: func(i *Inventory) {
 			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 2, true)}}, 2, time.Now())
 			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 1, false)}}, 3, time.Now())
@@ -43,8 +43,8 @@
 			i := NewInventory(time.Second, 0)
 			i.Apply([]Change{{ID: "w", Worker: newEntry(1, 1, false)}}, 1, time.Now())
 			test.update(i)
-			assert.Equal(t, len(i.View().Replicas("plain", "")), test.serving)
-			assert.Equal(t, i.View().Leaving("plain", ""), 1-test.serving)
+			assert.Equal(t, len(i.View().Replicas("plain", "")), test.wantServing)
+			assert.Equal(t, i.View().Leaving("plain", ""), 1-test.wantServing)
 		})
 	}
 }
--- a/fleet/position.go
+++ b/fleet/position.go
@@ -1,12 +1,11 @@
 package fleet
 
-// A position combines the offset in a published log with the era of the store that assigned the
-// offset. A store that is restored from a copy begins a new era, in which it assigns offsets of the
-// previous one again. Positions are compared by era first, then by offset, so both are kept in one
-// integer with the offset in the lower bits. A source without eras has era 0, and its positions
-// equal its offsets.
+// A position is an integer that combines an offset in a published log with the era of the store
+// that assigned the offset. A store that is restored from a copy begins a new era, in which it may
+// assign the same offsets again. The offset is in the lower bits, so positions of a later era are
+// higher. A source without eras has era 0, and its positions equal its offsets.
 const (
-	// offsetBits leaves room for 10^12 records, or three years at 10,000 per second.
+	// offsetBits is the number of bits for the offset, enough for 10^12 records.
 	offsetBits = 40
 	offsetMask = 1<<offsetBits - 1
 	// MaxEra is the highest era that a position can hold.
--- a/fleet/scope.go
+++ b/fleet/scope.go
@@ -7,15 +7,15 @@
 
 // The scopes.
 const (
-	// AllWorkers is needed by leaders and by daemons that may become leader soon.
+	// AllWorkers is the scope of leaders and of daemons that may become leader soon.
 	AllWorkers Scope = iota
-	// HeadsOnly covers the workers that requests can be sent to, which is enough to serve requests.
-	// They are a small part of all workers, and most changes of the list do not concern them.
+	// HeadsOnly is the scope of daemons that only serve requests. It covers the workers that requests
+	// can be sent to, which are a small part of all workers.
 	HeadsOnly
 )
 
-// SetScope sets which workers are held. Workers missing from a wider scope are added with the next
-// whole list.
+// SetScope sets which workers are requested. For HeadsOnly, other workers are dropped immediately.
+// For AllWorkers, the missing workers are added with the next whole list.
 func (i *Inventory) SetScope(s Scope) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -42,8 +42,8 @@
 	return !i.headsOnly && !i.confirmed.IsZero()
 }
 
-// AwaitsList reports whether a whole list is needed, because only heads are held but all workers
-// are requested.
+// AwaitsList reports whether a whole list is needed. This is so while only heads are held although
+// all workers are requested.
 func (i *Inventory) AwaitsList() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -59,8 +59,9 @@
 	return i.scope
 }
 
-// ReplaceHeads applies a peer's list of all heads, as Replace does a whole list. It never replaces
-// a complete list.
+// ReplaceHeads replaces the workers by a peer's list of all heads that was confirmed at the given
+// time. It ignores lists older than the current position, and does nothing if all workers are held
+// and requested.
 func (i *Inventory) ReplaceHeads(all []Change, position int64, at time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -71,7 +72,8 @@
 	i.replaceList(all, position, at)
 }
 
-// isInScope reports whether the inventory holds a worker. The mutex must be held.
+// isInScope reports whether the inventory should hold a worker: any worker, or heads only. The
+// mutex must be held.
 func (i *Inventory) isInScope(w *Worker) bool { return !i.headsOnly || w.isHead() }
 
 // markHeads sets OfHead on the changes that concern heads. The mutex must be held.
@@ -87,7 +89,8 @@
 	}
 }
 
-// HeadsSince is like Since for a peer that holds heads only.
+// HeadsSince returns what Since returns, limited to the changes of heads, for a peer that holds
+// heads only.
 func (i *Inventory) HeadsSince(from int64) (d Delta, whole bool) {
 	d, whole = i.Since(from)
 	heads := Delta{From: d.From, To: d.To, Heads: true}
@@ -99,9 +102,9 @@
 	return heads, whole
 }
 
-// SplitHeads divides the changes of heads into parts of at most the given number, as Split does.
-// There is always at least one part; it may hold no changes and only advance the position. It
-// returns false if several parts are needed but the delta is not exact.
+// SplitHeads divides the changes of heads into parts of at most limit changes each, and leaves out
+// other changes. If no change is of a head, the only part is empty and just advances the position.
+// It returns false if several parts are needed but the delta is not exact.
 func (d Delta) SplitHeads(limit int) ([]Delta, bool) {
 	var parts []Delta
 	part := Delta{From: d.From, Heads: true}
@@ -110,7 +113,7 @@
 			continue
 		}
 		if len(part.Changes) == limit {
-			if !d.Exact {
+			if !d.IsExact {
 				return nil, false
 			}
 			part.To = d.From + int64(n)
--- a/fleet/scope_test.go
+++ b/fleet/scope_test.go
@@ -21,9 +21,9 @@
 	return w
 }
 
-// TestHeadsFollowTheWholeList draws changes and lets an inventory of heads only follow one of all
-// workers, while its scope changes. In the end both must have the same heads, and the same workers
-// once all are requested.
+// TestHeadsFollowTheWholeList checks an inventory that follows another one while its scope changes
+// between heads and all workers. With HeadsOnly it must end with the same heads, and with
+// AllWorkers with the same workers.
 func TestHeadsFollowTheWholeList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, member := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
@@ -43,7 +43,7 @@
 				position++
 				source.Apply([]Change{{ID: fmt.Sprint(n % 7)}}, position, time.Now())
 			case 4:
-				followHeads(t, source, member)
+				deliverSomeHeadParts(t, source, member)
 			case 5:
 				member.SetScope([]Scope{AllWorkers, HeadsOnly}[rapid.IntRange(0, 1).Draw(t, "scope")])
 			default:
@@ -63,8 +63,8 @@
 	})
 }
 
-// followHeads delivers a random selection of the missing parts to a member.
-func followHeads(t *rapid.T, source, member *Inventory) {
+// deliverSomeHeadParts delivers a random selection of the missing parts to a member.
+func deliverSomeHeadParts(t *rapid.T, source, member *Inventory) {
 	d, whole := source.Since(member.Position())
 	if whole {
 		return
@@ -77,7 +77,8 @@
 	}
 }
 
-// catchUpHeads lets a member request everything that it lacks.
+// catchUpHeads brings a member to the source's position, with heads only unless it holds all
+// workers.
 func catchUpHeads(source, member *Inventory) {
 	if member.Complete() {
 		catchUp(source, member, time.Now())
@@ -120,8 +121,8 @@
 	assert.Assert(t, i.Complete())
 }
 
-// TestHeadChangesGrowWithGroups checks that what a member that holds heads only receives and holds
-// grows with the number of groups, not of workers, when each worker changes three times.
+// TestHeadChangesGrowWithGroups checks that the number of changes and workers sent to a member with
+// HeadsOnly depends on the number of groups, not of workers. Each worker changes three times.
 func TestHeadChangesGrowWithGroups(t *testing.T) {
 	tests := map[string]int{"3,040 workers": 3040, "6,200 workers": 6200}
 	for name, workers := range tests {
@@ -143,16 +144,16 @@
 				d, _ := source.HeadsSince(from)
 				received += len(d.Changes)
 			}
-			held, _ := source.HeadsSince(-1)
+			allHeads, _ := source.HeadsSince(-1)
 			assert.Assert(t, received <= 3*(workers/size+1), "%d changes", received)
-			assert.Assert(t, len(held.Changes) <= workers/size+1, "%d held", len(held.Changes))
+			assert.Assert(t, len(allHeads.Changes) <= workers/size+1, "%d held", len(allHeads.Changes))
 		})
 	}
 }
 
-// needingList returns an inventory that holds heads only but requests all workers, and has followed
-// all changes since.
-func needingList(source *Inventory) *Inventory {
+// newInventoryNeedingList returns an inventory that needs a whole list. It holds the heads of the
+// source and requests all workers.
+func newInventoryNeedingList(source *Inventory) *Inventory {
 	i := NewInventory(time.Second, 0)
 	i.SetScope(HeadsOnly)
 	whole, _ := source.Since(-1)
@@ -161,12 +162,12 @@
 	return i
 }
 
-// TestOutdatedListIsCompletedFromJournal checks that a list which became outdated while it was read
-// is applied together with the changes that were followed since.
+// TestOutdatedListIsCompletedFromJournal checks that a list that became outdated while it was read
+// is applied together with the later changes in the journal.
 func TestOutdatedListIsCompletedFromJournal(t *testing.T) {
 	source := NewInventory(time.Second, 0)
 	source.Replace([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}, {ID: "b", Worker: headWorker("b", "h", 2, Open)}}, 2, time.Now())
-	i := needingList(source)
+	i := newInventoryNeedingList(source)
 	whole, _ := source.Since(-1)
 	member := headWorker("c", "g", 1, Ready)
 	member.Member.Rank = 1
@@ -183,8 +184,8 @@
 	assert.Assert(t, joined)
 }
 
-// TestRejectedListIsRetriedWithDelay checks the delay between reads while the source
-// returns an outdated list that cannot be completed from the journal.
+// TestRejectedListIsRetriedWithDelay checks that a whole list is not read continuously while the
+// source returns an outdated one that the journal cannot complete.
 func TestRejectedListIsRetriedWithDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 1}
@@ -196,6 +197,6 @@
 		time.Sleep(3 * time.Second)
 		stop()
 		assert.Assert(t, inventory.AwaitsList())
-		assert.Assert(t, source.lists > 0 && source.lists <= 10, "read %d times in 3 s", source.lists)
+		assert.Assert(t, source.listReads > 0 && source.listReads <= 10, "read %d times in 3 s", source.listReads)
 	})
 }
--- a/fleet/slowsource_test.go
+++ b/fleet/slowsource_test.go
@@ -11,11 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowSource is a source with slow answers that return a few changes each.
+// slowSource is a source that answers slowly and returns at most slowPageSize changes at once.
 type slowSource struct {
 	mu sync.Mutex
-	// published holds when each version was published; the first one is version 1. A worker is
-	// added with each version.
+	// published holds the publication times of the versions, starting with version 1.
 	published []time.Time
 }
 
@@ -25,7 +24,7 @@
 	slowPageSize = 6
 )
 
-// publish publishes versions until ctx ends.
+// publish publishes a version at each interval until ctx ends.
 func (s *slowSource) publish(ctx context.Context, every time.Duration) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -35,8 +34,8 @@
 	}
 }
 
-// newest returns the newest version published before the given time.
-func (s *slowSource) newest(before time.Time) int64 {
+// newestBefore returns the newest version published before the given time.
+func (s *slowSource) newestBefore(before time.Time) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -46,21 +45,21 @@
 	return int64(n)
 }
 
-// delayedNewest waits for slowAnswerDelay and returns the version that was the newest before the
+// readNewestSlowly waits for slowAnswerDelay and returns the version that was the newest before the
 // wait.
-func (s *slowSource) delayedNewest() int64 {
-	newest := s.newest(time.Now())
+func (s *slowSource) readNewestSlowly() int64 {
+	newest := s.newestBefore(time.Now())
 	time.Sleep(slowAnswerDelay)
 	return newest
 }
 
 func (s *slowSource) readConfig(context.Context) (ConfigNews, error) {
-	newest := s.delayedNewest()
+	newest := s.readNewestSlowly()
 	return ConfigNews{Config: NewConfig(Parts{Version: newest}), Next: newest, Halls: HallNews{Whole: true}}, nil
 }
 
 func (s *slowSource) nextConfig(_ context.Context, position int64, _ time.Duration) (ConfigNews, error) {
-	newest := s.delayedNewest()
+	newest := s.readNewestSlowly()
 	next := min(position+slowPageSize, newest)
 	if next == position {
 		return ConfigNews{Next: next}, nil
@@ -69,16 +68,16 @@
 }
 
 func (s *slowSource) readWorkers(context.Context, string) (WorkerNews, error) {
-	return WorkerNews{Next: s.delayedNewest()}, nil
+	return WorkerNews{Next: s.readNewestSlowly()}, nil
 }
 
 func (s *slowSource) nextWorkers(_ context.Context, position int64, _ time.Duration) (WorkerNews, error) {
-	newest := s.delayedNewest()
+	newest := s.readNewestSlowly()
 	next := min(position+slowPageSize, newest)
 	return WorkerNews{Next: next, More: next < newest}, nil
 }
 
-// TestSlowReaderConfirmsOnlyWhatItRead guards against confirming outdated data while changes are
+// TestSlowReaderConfirmsOnlyWhatItRead checks that outdated data is not confirmed while changes are
 // published faster than a slow source returns them.
 func TestSlowReaderConfirmsOnlyWhatItRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -99,15 +98,15 @@
 		for range 400 {
 			time.Sleep(50 * time.Millisecond)
 			version, confirmed := beliefs.State()
-			assert.Assert(t, source.newest(confirmed) <= version, "version %d was confirmed, %d was published", version, source.newest(confirmed))
+			assert.Assert(t, source.newestBefore(confirmed) <= version, "version %d was confirmed, %d was published", version, source.newestBefore(confirmed))
 			report := halls.Report(time.Now())
-			asOf := time.Now().Add(-time.Duration(report.Age) * time.Millisecond)
-			assert.Assert(t, report.Position == 0 || source.newest(asOf) <= report.Position, "halls of %d were confirmed, %d was published", report.Position, source.newest(asOf))
-			assert.Assert(t, source.newest(inventory.Confirmed()) <= inventory.Position(), "workers of %d were confirmed, %d was published", inventory.Position(), source.newest(inventory.Confirmed()))
+			asOf := time.Now().Add(-time.Duration(report.AgeMillis) * time.Millisecond)
+			assert.Assert(t, report.Position == 0 || source.newestBefore(asOf) <= report.Position, "halls of %d were confirmed, %d was published", report.Position, source.newestBefore(asOf))
+			assert.Assert(t, source.newestBefore(inventory.Confirmed()) <= inventory.Position(), "workers of %d were confirmed, %d was published", inventory.Position(), source.newestBefore(inventory.Confirmed()))
 		}
-		// A reader that skips to the newest version has it after two answers.
+		// Two answers are enough to skip to the newest version.
 		const answers = 2
-		assert.Assert(t, beliefs.Version() >= source.newest(time.Now().Add(-answers*slowAnswerDelay)), "%d of %d is known", beliefs.Version(), source.newest(time.Now()))
+		assert.Assert(t, beliefs.Version() >= source.newestBefore(time.Now().Add(-answers*slowAnswerDelay)), "%d of %d is known", beliefs.Version(), source.newestBefore(time.Now()))
 		cancel()
 		<-f.Done()
 		time.Sleep(time.Second)
--- a/fleet/suspended_test.go
+++ b/fleet/suspended_test.go
@@ -11,52 +11,52 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWaitingReadDuringSuspension checks that a waiting read during which the machine was suspended
-// confirms nothing as of after the suspension.
+// TestWaitingReadDuringSuspension checks that a read confirms nothing new if the machine was
+// suspended while the read waited for changes.
 func TestWaitingReadDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asleep atomic.Int64
+		var suspended atomic.Int64
 		source := (&fakeSource{version: 3}).source()
 		next := source.NextWorkers
 		source.NextWorkers = func(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error) {
-			asleep.Add(int64(time.Minute))
+			suspended.Add(int64(time.Minute))
 			return next(ctx, position, wait)
 		}
 		inventory := NewInventory(time.Second, 0)
 		f := NewFollower(FollowerOptions{
 			Source: source, Beliefs: NewBeliefs(), Inventory: inventory, Reads: func(time.Time) bool { return true },
-			Suspended: func() time.Duration { return time.Duration(asleep.Load()) }, Logger: hclog.NewNullLogger(),
+			Suspended: func() time.Duration { return time.Duration(suspended.Load()) }, Logger: hclog.NewNullLogger(),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
-		read := inventory.Confirmed()
+		confirmedBefore := inventory.Confirmed()
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, inventory.Confirmed(), read, "a read confirmed data from before a suspension")
+		assert.Equal(t, inventory.Confirmed(), confirmedBefore, "a read confirmed data from before a suspension")
 		cancel()
 		<-f.Done()
 	})
 }
 
-// TestReadsDuringSuspension checks that reads during which the machine was suspended confirm what
-// they return only as of before the suspension.
+// TestReadsDuringSuspension checks reads during which the machine was suspended. They must confirm
+// their results only as of a time before the suspension.
 func TestReadsDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asleep atomic.Int64
+		var suspended atomic.Int64
 		source := (&fakeSource{version: 3}).source()
 		readConfig, readWorkers := source.ReadConfig, source.ReadWorkers
 		source.ReadConfig = func(ctx context.Context) (ConfigNews, error) {
-			asleep.Add(int64(time.Minute))
+			suspended.Add(int64(time.Minute))
 			return readConfig(ctx)
 		}
 		source.ReadWorkers = func(ctx context.Context, after string) (WorkerNews, error) {
-			asleep.Add(int64(time.Minute))
+			suspended.Add(int64(time.Minute))
 			return readWorkers(ctx, after)
 		}
 		beliefs, inventory := NewBeliefs(), NewInventory(time.Second, 0)
 		f := NewFollower(FollowerOptions{
 			Source: source, Beliefs: beliefs, Inventory: inventory, Reads: func(time.Time) bool { return true },
-			Suspended: func() time.Duration { return time.Duration(asleep.Load()) }, Logger: hclog.NewNullLogger(),
+			Suspended: func() time.Duration { return time.Duration(suspended.Load()) }, Logger: hclog.NewNullLogger(),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -5,8 +5,7 @@
 	"slices"
 )
 
-// Replica is a group of workers that takes requests, or a single worker of a service without
-// groups.
+// Replica is an open group of workers, or a single worker of a service without groups.
 type Replica struct {
 	// ID is the key of the group, or the id of the worker.
 	ID      string
@@ -27,7 +26,7 @@
 
 // newView derives the replicas from the listed workers and the announcements. A replica whose head
 // is leaving takes no more requests. If another member is leaving, the replica takes requests until
-// its leader closes it, since that member stays while the head has work.
+// its leader closes it, since a leaving member stays while its head has requests in flight.
 func newView(workers map[string]*Worker, announcements map[string]pendingAnnouncement) *View {
 	v := &View{workers: make(map[string]*Worker, len(workers)), replicas: make(map[string][]*Replica), leaving: make(map[string]int)}
 	for id, w := range workers {
--- a/fleet/worker.go
+++ b/fleet/worker.go
@@ -10,15 +10,15 @@
 
 // The states of a worker in its group.
 const (
-	// Joining workers load weights, or wait for the other members.
+	// Joining workers load weights or wait for the other members of their group.
 	Joining GroupState = "joining"
-	// Ready workers can be opened.
+	// Ready workers have loaded the weights, so that their group can be opened.
 	Ready GroupState = "ready"
-	// Open groups take requests at their head.
+	// Open workers belong to a group that takes requests at its head.
 	Open GroupState = "open"
-	// Closing groups finish their work.
+	// Closing workers belong to a group that takes no new requests and finishes those in flight.
 	Closing GroupState = "closing"
-	// Broken groups have lost a member.
+	// Broken workers belong to a group that has lost a member.
 	Broken GroupState = "broken"
 )
 
@@ -31,7 +31,7 @@
 	State GroupState `json:"state,omitempty"`
 }
 
-// Same reports whether both have the same group and epoch.
+// Same reports whether m and other have the same group and epoch.
 func (m Membership) Same(other Membership) bool {
 	return m.Group == other.Group && m.Epoch == other.Epoch
 }
@@ -51,13 +51,14 @@
 	Born int64 `json:"born,omitempty"`
 	// Beat counts the heartbeats of the process up to this entry.
 	Beat int64 `json:"beat,omitempty"`
-	// ColdLeft is for how much longer the worker reported to be cold, in milliseconds.
+	// ColdLeft is how much longer the worker expected to be cold when it wrote the entry, in
+	// milliseconds.
 	ColdLeft int64 `json:"cold,omitempty"`
-	// ColdUntil is when the worker stops being cold. It counts from when this daemon received the
-	// entry, so it is late rather than early.
+	// ColdUntil is when this daemon considers the worker no longer cold. It is ColdLeft after the
+	// entry was received, and so rather too late than too early.
 	ColdUntil time.Time `json:"-"`
-	// Loaded is the model of the last group of this process, empty for none. The worker can join
-	// another group of that model without loading weights.
+	// Loaded is the model of the process's last group, or empty if it was in none. The worker can
+	// join another group of that model without loading weights.
 	Loaded string `json:"loaded,omitempty"`
 	// Staged lists the models whose weights are on the worker's host.
 	Staged []string   `json:"staged,omitempty"`
@@ -79,15 +80,15 @@
 	return cmp.Or(cmp.Compare(w.Born, other.Born), cmp.Compare(w.Beat, other.Beat)) < 0
 }
 
-// isHead reports whether requests may be sent to the worker: it is the head of a group, or belongs
-// to a service without groups.
+// isHead reports whether the worker is the head of a group or belongs to a service without groups.
+// Requests are sent to such workers only.
 func (w *Worker) isHead() bool {
 	return w.Domain == "" || w.Member.Group != "" && w.Member.Rank == 0
 }
 
-// mergedWith returns the worker's newest entry, completed from an earlier entry of the same process.
-// A worker that left its group reports no model but still holds the last one. A worker that
-// announced that it leaves, in the list or otherwise, stays marked as leaving.
+// mergedWith returns entry w completed from an earlier entry of the same process. If w names no
+// loaded model, the earlier one is kept, since a worker that left its group still holds the
+// weights. A worker that was marked as leaving stays so. ColdUntil is set if the worker is cold.
 func (w *Worker) mergedWith(earlier *Worker) *Worker {
 	sameProcess := earlier != nil && earlier.Born == w.Born
 	keepsModel := sameProcess && w.Loaded == "" && earlier.Loaded != ""
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -17,54 +17,56 @@
 
 // Timing and limits of an agent.
 const (
-	// exchangeInterval is the interval between exchanges in fleets of up to smallFleet members;
-	// larger fleets exchange largeFleetFactor times less often.
+	// exchangeInterval is the interval between rounds of exchanges.
 	exchangeInterval = 500 * time.Millisecond
+	// largeFleetFactor is the number of rounds per exchange in fleets of more than smallFleet
+	// members. Smaller fleets exchange in every round.
 	largeFleetFactor = 2
 	exchangeTimeout  = 800 * time.Millisecond
 	probeInterval    = time.Second
 	probeTimeout     = 400 * time.Millisecond
 	// maxChangesPerExchange is the maximum number of changed entries in one exchange.
 	maxChangesPerExchange = 32
-	// indirectProbes is how many other members are asked to probe an unresponsive one.
+	// indirectProbes is the number of other members that are asked to probe an unresponsive one.
 	indirectProbes = 2
 	// DefaultSuspicionTimeout is how long a suspected member has to refute the suspicion.
 	DefaultSuspicionTimeout = 2 * time.Second
 	// seedRoundInterval is the number of rounds between exchanges with the seeds.
 	seedRoundInterval = 20
-	// fullSyncRounds is the number of exchanges with a differing table after which the whole table
-	// is sent.
+	// fullSyncRounds is the number of exchanges in a row in which the two tables differ before the
+	// whole table is sent.
 	fullSyncRounds = 8
 )
 
-// Reports is the store of domain reports that spread with membership.
+// Reports is a store of domain reports, which daemons send each other in exchanges.
 type Reports interface {
-	// Digest lists the reports held.
+	// Digest returns a summary of the reports held, by which a peer finds out which ones are missing.
 	Digest() []*rpc.ReportDigest
-	// Since returns the reports that a peer with the given digest lacks.
-	Since(digest []*rpc.ReportDigest) []*rpc.DomainReport
-	// Merge adds reports. Their remaining validity counts from base.
+	// MissingFrom returns the reports that are newer than those in a peer's digest.
+	MissingFrom(digest []*rpc.ReportDigest) []*rpc.DomainReport
+	// Merge adds reports from a peer. The remaining times in them count from base.
 	Merge(reports []*rpc.DomainReport, base time.Time)
 }
 
-// Configuration is the configuration state that spreads with membership.
+// Configuration is the configuration of this daemon, which daemons send each other in exchanges.
 type Configuration interface {
-	// Next returns one past the highest offset folded.
+	// Next returns one past the offset of the newest log record that the configuration includes.
 	Next() int64
-	// Stale reports whether the log has not been read recently, so that peers should send their
+	// IsStale reports whether the log has not been read recently, so that peers should send their
 	// configuration.
-	Stale() bool
+	IsStale() bool
 	// Encoded returns the configuration as a checkpoint.
 	Encoded() ([]byte, error)
 	// Install applies a checkpoint from a peer.
 	Install(data []byte) error
 }
 
-// Quarantine connects the records of requests that crash workers, which spread with membership.
-// Both functions may be nil.
+// Quarantine gives access to the records of requests that crash workers, which daemons send each
+// other in exchanges. Both functions may be nil.
 type Quarantine struct {
+	// Report returns the entries to send.
 	Report func() []*rpc.QuarantineEntry
-	// Merge adds the entries that a peer just sent.
+	// Merge adds the entries that a peer sent.
 	Merge func(peer string, all []*rpc.QuarantineEntry)
 }
 
@@ -90,10 +92,11 @@
 	Dial          func(address string) rpc.Peer
 	Reports       Reports
 	Configuration Configuration
-	// Quarantine spreads the records of requests that crash workers.
-	Quarantine       Quarantine
+	Quarantine    Quarantine
+	// SuspicionTimeout is how long a suspected member has to refute the suspicion; zero means
+	// DefaultSuspicionTimeout.
 	SuspicionTimeout time.Duration
-	// Random must not be shared.
+	// Random is the source of random numbers. It must not be used elsewhere.
 	Random *rand.Rand
 }
 
@@ -103,11 +106,14 @@
 	table *Table
 	done  chan struct{}
 
-	mu                  sync.Mutex
-	random              *rand.Rand
+	mu     sync.Mutex
+	random *rand.Rand
+	// mismatchedExchanges counts the exchanges with differing tables since the table last equalled a
+	// peer's or was last sent as a whole.
 	mismatchedExchanges int
-	rounds              int
-	// lastAnswered holds when each member last answered.
+	// rounds counts the rounds of exchanges.
+	rounds int
+	// lastAnswered holds, by member id, the start of the last call that the member answered.
 	lastAnswered map[string]time.Time
 	// fleetNext is one past the highest configuration offset that any peer reported.
 	fleetNext int64
@@ -130,7 +136,7 @@
 // Table returns the membership table.
 func (a *Agent) Table() *Table { return a.table }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
 // FleetNext returns one past the highest configuration offset that any peer reported.
@@ -140,9 +146,9 @@
 	return a.fleetNext
 }
 
-// Reached returns how many members, this one included, answered since the given time, and how many
-// members have not left. Dead members count until they are removed from the table, so that a
-// disconnected minority does not mistake itself for the whole fleet.
+// Reached returns how many members answered since the given time, and the number of all members.
+// This daemon counts as reached. Members that have left count in neither number, but dead ones
+// count as members, so that a disconnected minority does not mistake itself for the whole fleet.
 func (a *Agent) Reached(since time.Time) (reached, members int) {
 	all := a.table.Members()
 	self := a.table.Self().Id
@@ -180,8 +186,9 @@
 	group.Wait()
 }
 
-// roundAddresses returns the addresses of this round's peers; none in the rounds that a large fleet
-// skips. Every seedRoundInterval rounds, or if no other member is alive, the seeds are included.
+// roundAddresses returns the addresses of the daemons to exchange with in this round. Large fleets
+// skip some rounds, in which it returns none. The seeds are included every seedRoundInterval
+// rounds, and whenever no other member is alive.
 func (a *Agent) roundAddresses() []string {
 	alive := a.table.Alive()
 	a.mu.Lock()
@@ -205,7 +212,8 @@
 	return addresses
 }
 
-// exchange does one exchange with the daemon at address.
+// exchange sends membership changes and digests to the daemon at address. It merges the members,
+// reports, quarantine entries and configuration in the reply.
 func (a *Agent) exchange(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -217,7 +225,7 @@
 		Reports:         a.opts.Reports.Digest(),
 		MembersHash:     a.table.Hash(),
 		ConfigNext:      uint64(a.opts.Configuration.Next()),
-		WantConfig:      a.opts.Configuration.Stale(),
+		WantConfig:      a.opts.Configuration.IsStale(),
 		Quarantine:      a.opts.Quarantine.report(),
 	}
 	start := time.Now()
@@ -233,22 +241,23 @@
 	return nil
 }
 
-// outgoingMembers returns the entries to send: the changed ones, or all if the tables have differed
-// for too many rounds.
+// outgoingMembers returns the member entries to send in a request. These are the changed ones, or
+// all after fullSyncRounds exchanges in which the tables differed.
 func (a *Agent) outgoingMembers() []*rpc.Member {
 	a.mu.Lock()
-	full := a.mismatchedExchanges >= fullSyncRounds
-	if full {
+	sendAll := a.mismatchedExchanges >= fullSyncRounds
+	if sendAll {
 		a.mismatchedExchanges = 0
 	}
 	a.mu.Unlock()
-	if full {
+	if sendAll {
 		return a.table.Members()
 	}
 	return a.table.PendingChanges(maxChangesPerExchange)
 }
 
-// recordAnswer records that the member at address answered a call started at start.
+// recordAnswer records that the member at address answered a call that was started at the given
+// time.
 func (a *Agent) recordAnswer(address string, start time.Time) {
 	members := a.table.Members()
 	a.mu.Lock()
@@ -260,7 +269,8 @@
 	}
 }
 
-// updateConfig records a peer's configuration offset and installs its checkpoint, if any.
+// updateConfig records the configuration offset that a peer reported, and installs the peer's
+// checkpoint if there is one.
 func (a *Agent) updateConfig(next int64, checkpoint []byte) {
 	if len(checkpoint) > 0 {
 		// An invalid checkpoint changes nothing; the log or another peer provides the
@@ -272,7 +282,7 @@
 	a.fleetNext = max(a.fleetNext, next)
 }
 
-// Exchange implements rpc.Peer.
+// Exchange implements rpc.Peer. It merges a peer's request and returns what the peer lacks.
 func (a *Agent) Exchange(_ context.Context, request *rpc.ExchangeRequest) (*rpc.ExchangeReply, error) {
 	start := time.Now()
 	a.table.Merge(request.Members)
@@ -280,7 +290,7 @@
 	a.opts.Quarantine.merge(request.From, request.Quarantine)
 	reply := &rpc.ExchangeReply{
 		Quarantine: a.opts.Quarantine.report(),
-		Reports:    a.opts.Reports.Since(request.Reports),
+		Reports:    a.opts.Reports.MissingFrom(request.Reports),
 		ConfigNext: uint64(a.opts.Configuration.Next()),
 	}
 	reply.Members = a.membersFor(request)
@@ -293,8 +303,9 @@
 	return reply, nil
 }
 
-// membersFor returns the entries for a peer: the changed ones, or all if the peer is new or the
-// tables have differed for too many rounds.
+// membersFor returns the member entries to send in a reply. There are none if the tables are equal.
+// Otherwise they are the changed ones, or all if the peer needs the full table or after
+// fullSyncRounds exchanges in which the tables differed.
 func (a *Agent) membersFor(request *rpc.ExchangeRequest) []*rpc.Member {
 	if request.MembersHash == a.table.Hash() {
 		a.mu.Lock()
@@ -304,9 +315,9 @@
 	}
 	a.mu.Lock()
 	a.mismatchedExchanges++
-	full := a.mismatchedExchanges >= fullSyncRounds
+	sendAll := a.mismatchedExchanges >= fullSyncRounds
 	a.mu.Unlock()
-	if full || a.needsFullTable(request) {
+	if sendAll || a.needsFullTable(request) {
 		return a.table.Members()
 	}
 	changed := a.table.PendingChanges(maxChangesPerExchange)
@@ -317,13 +328,16 @@
 	return changed
 }
 
+// needsFullTable reports whether a peer must get all entries. This is so if the peer is unknown, or
+// if it sent entries while this daemon's table has hardly changed since the start.
 func (a *Agent) needsFullTable(request *rpc.ExchangeRequest) bool {
 	const minVersion = 2
 	_, known := a.table.Member(request.From)
 	return !known || len(request.Members) > 0 && a.table.Version() < minVersion
 }
 
-// Probe implements rpc.Peer.
+// Probe implements rpc.Peer. It answers for this daemon, or probes the request's target if there is
+// one.
 func (a *Agent) Probe(ctx context.Context, request *rpc.ProbeRequest) (*rpc.ProbeReply, error) {
 	if request.Target == "" {
 		return a.answerProbe(request), nil
@@ -336,14 +350,15 @@
 	return &rpc.ProbeReply{Incarnation: a.table.Self().Incarnation, Reached: reached}, nil
 }
 
-// answerProbe confirms that this daemon is alive and refutes a suspicion.
+// answerProbe confirms that this daemon is alive. If the prober suspects it, it raises its
+// incarnation to refute the suspicion.
 func (a *Agent) answerProbe(request *rpc.ProbeRequest) *rpc.ProbeReply {
 	self := a.table.Self()
 	if request.AccusedIncarnation >= self.Incarnation {
-		accused := proto.CloneOf(self)
-		accused.State = rpc.MemberState_SUSPECT
-		accused.Incarnation = request.AccusedIncarnation
-		a.table.Merge([]*rpc.Member{accused})
+		accusation := proto.CloneOf(self)
+		accusation.State = rpc.MemberState_SUSPECT
+		accusation.Incarnation = request.AccusedIncarnation
+		a.table.Merge([]*rpc.Member{accusation})
 	}
 	return &rpc.ProbeReply{Incarnation: a.table.Self().Incarnation, Reached: true}
 }
@@ -357,7 +372,8 @@
 	group.Wait()
 }
 
-// probeOrSuspect probes m directly, then through other members, and suspects it if all probes fail.
+// probeOrSuspect probes m directly, then through other members, and marks it as suspected if all
+// probes fail.
 func (a *Agent) probeOrSuspect(ctx context.Context, m *rpc.Member) {
 	if a.probe(ctx, m) == nil {
 		return
@@ -367,13 +383,14 @@
 	}
 }
 
-// reachedByOthers asks other members, concurrently, to probe an unresponsive one.
+// reachedByOthers asks other members to probe an unresponsive one, and reports whether any of them
+// reached it.
 func (a *Agent) reachedByOthers(ctx context.Context, target string) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
 	var reached atomic.Bool
 	var group conc.WaitGroup
-	for _, helper := range a.helpers(target) {
+	for _, helper := range a.chooseHelpers(target) {
 		group.Go(func() {
 			request := &rpc.ProbeRequest{From: a.opts.Self.Id, Target: target}
 			reply, err := a.opts.Dial(helper.PeerAddress).Probe(ctx, request)
@@ -387,7 +404,8 @@
 	return reached.Load()
 }
 
-// probe asks m whether it is alive and applies a refutation in the answer.
+// probe sends a probe to m and returns an error if m does not answer. If m answers with a higher
+// incarnation, the table lists it as alive again.
 func (a *Agent) probe(ctx context.Context, m *rpc.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -410,8 +428,8 @@
 	return nil
 }
 
-// helpers returns the members through which to probe target.
-func (a *Agent) helpers(target string) []*rpc.Member {
+// chooseHelpers returns random members through which to probe target.
+func (a *Agent) chooseHelpers(target string) []*rpc.Member {
 	candidates := slices.DeleteFunc(slices.Clone(a.table.Alive()), func(m *rpc.Member) bool {
 		return m.Id == target || m.Id == a.opts.Self.Id || m.State != rpc.MemberState_ALIVE
 	})
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -16,15 +16,16 @@
 	fleetProbes = 1
 	// smallFleet is the maximum fleet size in which every daemon exchanges with all others.
 	smallFleet = 9
-	// fanout is the number of peers per round in larger fleets.
+	// fanout is the maximum number of peers per round of exchanges in larger fleets.
 	fanout = 2
-	// remoteHallShare is the share of exchanges that may leave the own data hall.
+	// remoteHallShare is the probability that a peer is chosen from all data halls rather than from
+	// the daemon's own.
 	remoteHallShare = 0.25
 )
 
-// probeTargets returns the members that self probes: its successors on a hash ring of its data hall
-// and of the fleet. So every member is probed by as many others, and few targets change with the
-// membership.
+// probeTargets returns the members that self probes. They are its successors on two hash rings, one
+// of its data hall and one of the fleet. This spreads the probes evenly over the members, and a
+// change of the membership changes few targets.
 func probeTargets(self *rpc.Member, alive []*rpc.Member) []*rpc.Member {
 	local := make([]*rpc.Member, 0, len(alive))
 	for _, m := range alive {
@@ -59,7 +60,8 @@
 	return next
 }
 
-// exchangePeers returns the members to exchange with in this round.
+// exchangePeers returns the members to exchange with in this round: all other members of a small
+// fleet, or up to fanout random ones.
 func exchangePeers(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) []*rpc.Member {
 	if len(alive) <= smallFleet {
 		return slices.DeleteFunc(slices.Clone(alive), func(m *rpc.Member) bool { return m.Id == self.Id })
@@ -74,11 +76,11 @@
 	return chosen
 }
 
-// maxPeerAttempts limits the attempts to find a random peer.
+// maxPeerAttempts is the maximum number of random draws to find a peer.
 const maxPeerAttempts = 32
 
-// randomPeer returns a random member, preferably of the own data hall; nil if all attempts hit
-// self.
+// randomPeer returns a random member other than self, mostly of the same data hall. It returns nil
+// if all draws hit self.
 func randomPeer(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) *rpc.Member {
 	anyHall := random.Float64() < remoteHallShare
 	var fallback *rpc.Member
@@ -101,7 +103,7 @@
 	// Writes to a hash never fail.
 	_, _ = h.Write([]byte(id))
 	sum := h.Sum64()
-	// FNV mixes the last bytes, in which ids differ, only weakly.
+	// Ids often differ in their last bytes only, which FNV mixes weakly. Mix them further.
 	sum ^= sum >> 32
 	return sum * 0x9e3779b97f4a7c15
 }
