--- a/membership/table.go
+++ b/membership/table.go
@@ -17,30 +17,32 @@
 )
 
 const (
-	// tombstoneRetention is how long a dead member is kept, so that its delayed messages are
-	// ignored.
+	// tombstoneRetention is how long a dead or departed member is kept, so that outdated entries of it
+	// are ignored.
 	tombstoneRetention = 10 * time.Minute
-	// sendFactor times the logarithm of the fleet size is how often a change is sent.
+	// sendFactor is multiplied by the logarithm of the fleet size to get the number of times that a
+	// change is sent.
 	sendFactor = 3
 )
 
-// entry is the table's record of one member. The member is replaced rather than modified, since
-// readers share it.
+// entry is the table's record of one member. The member is shared with readers, so it is replaced
+// rather than modified.
 type entry struct {
 	member *rpc.Member
 	// declareDeadAt is when a suspected member is declared dead.
 	declareDeadAt time.Time
 	// removeAt is when a dead or departed member is removed.
 	removeAt time.Time
-	// remainingSends is how many more times the entry's last change is sent.
+	// remainingSends is the number of times that the entry's last change is still to be sent.
 	remainingSends int
 }
 
-// Table is the membership as seen by one daemon. It is safe for concurrent use.
+// Table holds what one daemon knows of all daemons. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	self    *rpc.Member
 	entries map[string]*entry
+	// version increases with every change.
 	version uint64
 	// cache holds the lists that are derived from the entries.
 	cache derivedLists
@@ -48,7 +50,7 @@
 	suspicionTimeout time.Duration
 }
 
-// derivedLists holds the lists that are derived once per version of the table.
+// derivedLists holds what is computed from the entries once per version of the table.
 type derivedLists struct {
 	version uint64
 	isBuilt bool
@@ -75,7 +77,8 @@
 	return t.self
 }
 
-// UpdateSelf changes the daemon's own entry and spreads the change.
+// UpdateSelf changes the daemon's own entry by the given function, and schedules the change to be
+// sent.
 func (t *Table) UpdateSelf(change func(*rpc.Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +91,7 @@
 	t.setSelf(changed)
 }
 
-// setSelf replaces the daemon's own entry and spreads it.
+// setSelf replaces the daemon's own entry and schedules it to be sent.
 func (t *Table) setSelf(m *rpc.Member) {
 	t.self = m
 	e := t.entries[m.Id]
@@ -101,7 +104,7 @@
 func (t *Table) Members() []*rpc.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.derived().members
+	return t.deriveLists().members
 }
 
 // Alive returns the members that are neither dead nor departed, sorted by id; suspected members are
@@ -109,11 +112,11 @@
 func (t *Table) Alive() []*rpc.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.derived().alive
+	return t.deriveLists().alive
 }
 
-// derived returns the lists of the current version.
-func (t *Table) derived() *derivedLists {
+// deriveLists returns the lists of the current version. It builds them if the table has changed.
+func (t *Table) deriveLists() *derivedLists {
 	if t.cache.isBuilt && t.cache.version == t.version {
 		return &t.cache
 	}
@@ -132,7 +135,7 @@
 	return &t.cache
 }
 
-// entryHash returns a hash of the fields that merging considers.
+// entryHash returns a hash of the fields by which supersedes compares entries.
 func entryHash(m *rpc.Member) uint64 {
 	h := fnv.New64a()
 	// Writes to a hash never fail.
@@ -172,7 +175,7 @@
 func (t *Table) Hash() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.derived().hash
+	return t.deriveLists().hash
 }
 
 // Merge applies the entries that another daemon sent.
@@ -202,12 +205,13 @@
 	}
 	wasSuspect := known && e.member.State == rpc.MemberState_SUSPECT
 	e.member = proto.CloneOf(m)
-	t.schedule(e, wasSuspect)
+	t.setDeadlines(e, wasSuspect)
 	t.markChanged(e)
 }
 
-// schedule sets the deadlines for the entry's state.
-func (t *Table) schedule(e *entry, wasSuspect bool) {
+// setDeadlines sets when the entry is declared dead or removed, according to its state. An existing
+// deadline of a suspected member is kept.
+func (t *Table) setDeadlines(e *entry, wasSuspect bool) {
 	now := time.Now()
 	switch e.member.State {
 	case rpc.MemberState_SUSPECT:
@@ -219,11 +223,11 @@
 	}
 }
 
-// refute raises this daemon's incarnation if another member suspects it or still lists an earlier
-// process of it.
+// refute raises this daemon's incarnation if m, a received entry of this daemon, does not list it
+// as alive or has a higher incarnation. The latter is an entry of an earlier process.
 func (t *Table) refute(m *rpc.Member) {
-	accused := m.State != rpc.MemberState_ALIVE && m.Incarnation >= t.self.Incarnation
-	if !accused && m.Incarnation <= t.self.Incarnation {
+	isAccused := m.State != rpc.MemberState_ALIVE && m.Incarnation >= t.self.Incarnation
+	if !isAccused && m.Incarnation <= t.self.Incarnation {
 		return
 	}
 	if t.self.State == rpc.MemberState_LEFT {
@@ -234,7 +238,7 @@
 	t.setSelf(renewed)
 }
 
-// supersedes reports whether update replaces old.
+// supersedes reports whether update is newer than old.
 func supersedes(update, old *rpc.Member) bool {
 	if update.Incarnation != old.Incarnation {
 		return update.Incarnation > old.Incarnation
@@ -250,6 +254,7 @@
 	t.raiseState(id, rpc.MemberState_SUSPECT)
 }
 
+// raiseState sets the state of another member unless that is in the same or a later state.
 func (t *Table) raiseState(id string, state rpc.MemberState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -260,12 +265,12 @@
 	t.setState(e, state)
 }
 
-// setState moves an entry to a later state and spreads the change.
+// setState sets the state of an entry and schedules the change to be sent.
 func (t *Table) setState(e *entry, state rpc.MemberState) {
 	changed := proto.CloneOf(e.member)
 	changed.State = state
 	e.member = changed
-	t.schedule(e, false)
+	t.setDeadlines(e, false)
 	t.markChanged(e)
 }
 
@@ -274,8 +279,8 @@
 	t.UpdateSelf(func(m *rpc.Member) { m.State = rpc.MemberState_LEFT })
 }
 
-// Expire declares members dead whose suspicion timed out, and removes members that have been dead
-// or departed for long.
+// Expire declares suspected members dead after the suspicion timeout. It removes members that have
+// been dead or departed for tombstoneRetention.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -291,8 +296,8 @@
 	}
 }
 
-// PendingChanges returns up to limit changed entries that are still to be sent, the least sent ones
-// first, and counts them as sent.
+// PendingChanges returns up to limit entries with changes that are still to be sent, and counts
+// them as sent once. Those with the most remaining sends come first.
 func (t *Table) PendingChanges(limit int) []*rpc.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -21,8 +21,8 @@
 func TestMerge(t *testing.T) {
 	alive, suspect, dead := rpc.MemberState_ALIVE, rpc.MemberState_SUSPECT, rpc.MemberState_DEAD
 	cases := map[string]struct {
-		news []*rpc.Member
-		want rpc.MemberState
+		updates []*rpc.Member
+		want    rpc.MemberState
 	}{
 		"suspicion holds over old life sign":  {[]*rpc.Member{member("b", 1, alive), member("b", 1, suspect), member("b", 1, alive)}, suspect},
 		"refutation with higher incarnation":  {[]*rpc.Member{member("b", 1, suspect), member("b", 2, alive)}, alive},
@@ -38,7 +38,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable(member("a", 1, alive), time.Second)
-			for _, m := range c.news {
+			for _, m := range c.updates {
 				table.Merge([]*rpc.Member{m})
 			}
 			assert.Equal(t, table.State("b"), c.want)
@@ -54,7 +54,8 @@
 	assert.Equal(t, table.Self().Incarnation, uint64(4))
 }
 
-// localFleet is a fleet of agents in one process that counts the calls and their bytes.
+// localFleet is a fleet of agents in one process. It counts the calls between them and the bytes
+// sent.
 type localFleet struct {
 	agents map[string]*Agent
 	bytes  int
@@ -90,15 +91,15 @@
 // noReports is an empty store of domain reports.
 type noReports struct{}
 
-func (noReports) Digest() []*rpc.ReportDigest                   { return nil }
-func (noReports) Since([]*rpc.ReportDigest) []*rpc.DomainReport { return nil }
-func (noReports) Merge([]*rpc.DomainReport, time.Time)          {}
+func (noReports) Digest() []*rpc.ReportDigest                         { return nil }
+func (noReports) MissingFrom([]*rpc.ReportDigest) []*rpc.DomainReport { return nil }
+func (noReports) Merge([]*rpc.DomainReport, time.Time)                {}
 
 // noConfiguration is an empty configuration.
 type noConfiguration struct{}
 
 func (noConfiguration) Next() int64              { return 0 }
-func (noConfiguration) Stale() bool              { return false }
+func (noConfiguration) IsStale() bool            { return false }
 func (noConfiguration) Encoded() ([]byte, error) { return nil, nil }
 func (noConfiguration) Install([]byte) error     { return nil }
 
@@ -125,7 +126,7 @@
 	return l
 }
 
-// round lets every agent exchange once, in turn.
+// round lets every agent in turn run its exchanges of one round.
 func (l *localFleet) round(ctx context.Context) {
 	for i := range len(l.agents) {
 		a := l.agents[fmt.Sprintf("entry-%03d", i)]
@@ -157,7 +158,8 @@
 	}
 }
 
-// TestChangeReachesAllMembers spreads a change through fleets of different sizes.
+// TestChangeReachesAllMembers checks that a change reaches all members within a number of rounds,
+// in fleets of different sizes.
 func TestChangeReachesAllMembers(t *testing.T) {
 	for _, n := range []int{2, 9, 50, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -169,8 +171,7 @@
 	}
 }
 
-// TestQuarantineSpreads checks that quarantine entries of one member reach all members, in requests
-// and in replies.
+// TestQuarantineSpreads checks that the quarantine entries of one member reach all members.
 func TestQuarantineSpreads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLocalFleet(50)
@@ -190,12 +191,13 @@
 	})
 }
 
-// TestExchangeIsBidirectional checks that one exchange brings each side's entries to the other.
+// TestExchangeIsBidirectional checks that one exchange sends the quarantine entries of either side
+// to the other.
 func TestExchangeIsBidirectional(t *testing.T) {
-	for _, knows := range []string{"entry-000", "entry-001"} {
-		t.Run(knows, func(t *testing.T) {
+	for _, holder := range []string{"entry-000", "entry-001"} {
+		t.Run(holder, func(t *testing.T) {
 			l := newLocalFleet(2)
-			known := map[string][]*rpc.QuarantineEntry{knows: {{Fingerprint: []byte("f")}}}
+			known := map[string][]*rpc.QuarantineEntry{holder: {{Fingerprint: []byte("f")}}}
 			for id, a := range l.agents {
 				a.opts.Quarantine = Quarantine{
 					Report: func() []*rpc.QuarantineEntry { return known[id] },
@@ -209,8 +211,8 @@
 	}
 }
 
-// BenchmarkRound measures one member's part of a round of exchanges without changes, and how many
-// rounds a change takes to reach all members.
+// BenchmarkRound measures the time and bytes per member of a round of exchanges without changes. It
+// also reports how many rounds a change takes to reach all members.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{9, 50, 200, 970} {
 		b.Run(fmt.Sprint(n, " members"), func(b *testing.B) {
