--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -251,16 +251,16 @@
 // MissingFrom returns the reports that are newer than those in a peer's digest. If the peer already
 // has a report's content, only the renewal is returned. It implements membership.Reports.
 func (c *Catalog) MissingFrom(digest []*rpc.ReportDigest) []*rpc.DomainReport {
-	known := make(map[string]*rpc.ReportDigest, len(digest))
+	peerDigests := make(map[string]*rpc.ReportDigest, len(digest))
 	for _, d := range digest {
-		known[d.Domain] = d
+		peerDigests[d.Domain] = d
 	}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	now := time.Now()
 	var missing []*rpc.DomainReport
 	for domain, h := range c.domains {
-		if r := h.reportFor(known[domain], now); r != nil {
+		if r := h.reportFor(peerDigests[domain], now); r != nil {
 			missing = append(missing, r)
 		}
 	}
@@ -274,8 +274,8 @@
 	if d != nil && compareDigests(h.digest(), d) <= 0 {
 		return nil
 	}
-	sameContent := d != nil && FromMessage(d.Token).Compare(h.token) == 0 && d.Version == h.report.Version
-	if sameContent {
+	peerHasContent := d != nil && FromMessage(d.Token).Compare(h.token) == 0 && d.Version == h.report.Version
+	if peerHasContent {
 		return &rpc.DomainReport{
 			Domain: h.report.Domain, Token: h.report.Token, Version: h.report.Version,
 			Beat: h.beat, RemainingMicros: remaining, Unchanged: true, Loads: h.loads,
--- a/config/hall.go
+++ b/config/hall.go
@@ -106,27 +106,27 @@
 // checkRegions returns an error if an object allows a region that no data hall lies in. Of several
 // errors it returns the first one in the order of keys, so that every daemon reports the same.
 func checkRegions(objects map[Key]Object) error {
-	known := make(map[string]bool)
-	restricted := make(map[Key]Regions)
+	knownRegions := make(map[string]bool)
+	allowedByObject := make(map[Key]Regions)
 	for key, object := range objects {
 		switch key.Kind {
 		case KindDataHall:
 			if region := newHall(object.document).Region(); region != "" {
-				known[region] = true
+				knownRegions[region] = true
 			}
 		case KindDeployment, KindAccount, KindService:
 			if regions := allowedRegions(object.document); len(regions) > 0 {
-				restricted[key] = regions
+				allowedByObject[key] = regions
 			}
 		}
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(restricted), compareKeys) {
-		for i, region := range restricted[key] {
-			if !known[region] {
+	for _, key := range slices.SortedFunc(maps.Keys(allowedByObject), compareKeys) {
+		for i, region := range allowedByObject[key] {
+			if !knownRegions[region] {
 				return &FieldError{
 					object: key, field: fmt.Sprintf("spec.allowedRegions[%d]", i),
 					problem: fmt.Sprintf("no DataHall document names the region %q, known regions are %s",
-						region, joinOrNone(slices.Sorted(maps.Keys(known)))),
+						region, joinOrNone(slices.Sorted(maps.Keys(knownRegions)))),
 				}
 			}
 		}
--- a/config/state.go
+++ b/config/state.go
@@ -76,12 +76,12 @@
 
 // addVerdict adds a verdict to the history and drops the oldest one beyond historyLimit.
 func (s *State) addVerdict(v Verdict) {
-	old := *s.history.Load()
-	if len(old) >= historyLimit {
-		old = old[len(old)-historyLimit+1:]
+	kept := *s.history.Load()
+	if len(kept) >= historyLimit {
+		kept = kept[len(kept)-historyLimit+1:]
 	}
-	next := make([]Verdict, 0, len(old)+1)
-	next = append(append(next, old...), v)
+	next := make([]Verdict, 0, len(kept)+1)
+	next = append(append(next, kept...), v)
 	s.history.Store(&next)
 }
 
--- a/config/validate.go
+++ b/config/validate.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// decodeAndCheck decodes the spec of d and calls validate with it. Unknown fields are a problem.
+// decodeAndCheck decodes the spec of d and calls validate with it. It records a problem if the spec
+// does not decode or has unknown fields.
 func decodeAndCheck[S any](c *checker, d Document, validate func(S)) {
 	var spec S
 	if len(d.Spec) > 0 {
--- a/eventlog/fold.go
+++ b/eventlog/fold.go
@@ -35,9 +35,9 @@
 	time time.Time
 	// pending holds the records that are held back until a checkpoint closes a gap before them.
 	pending []cluster.Record
-	// checkpointAt and checkpointTime are the offset and log time of the newest checkpoint record.
-	checkpointAt   int64
-	checkpointTime time.Time
+	// checkpointOffset and checkpointTime are the offset and log time of the newest checkpoint record.
+	checkpointOffset int64
+	checkpointTime   time.Time
 	// watches holds the watches by record id.
 	watches map[string]*watch
 }
@@ -52,7 +52,7 @@
 
 // NewFold returns a fold of state that starts at offset zero.
 func NewFold(state State) *Fold {
-	return &Fold{state: state, checkpointAt: -1, watches: make(map[string]*watch)}
+	return &Fold{state: state, checkpointOffset: -1, watches: make(map[string]*watch)}
 }
 
 // Next returns one past the highest offset folded.
@@ -153,7 +153,7 @@
 func (f *Fold) newestCheckpoint() (int64, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.checkpointAt, f.checkpointTime
+	return f.checkpointOffset, f.checkpointTime
 }
 
 // restore replaces the state by checkpoint c, then folds the records held back up to the next gap.
@@ -190,7 +190,7 @@
 	}
 	switch e.Kind {
 	case kindCheckpoint:
-		f.checkpointAt, f.checkpointTime = record.Offset, record.Time
+		f.checkpointOffset, f.checkpointTime = record.Offset, record.Time
 	case kindRecord:
 		f.state.Apply(record, e.Data)
 	}
--- a/eventlog/fold_test.go
+++ b/eventlog/fold_test.go
@@ -42,9 +42,9 @@
 	first, second := f.Watch("r0"), f.Watch("r0")
 	f.Unwatch("r0")
 	f.Add(record(t, 0))
-	for name, seen := range map[string]<-chan struct{}{"first": first, "second": second} {
+	for name, folded := range map[string]<-chan struct{}{"first": first, "second": second} {
 		select {
-		case <-seen:
+		case <-folded:
 		default:
 			t.Errorf("the %s watcher was not notified", name)
 		}
@@ -56,14 +56,14 @@
 // which overlap, are random.
 func TestFoldIsIndependentOfReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := NewFold(&listState{})
+		completeFold := NewFold(&listState{})
 		var log []cluster.Record
 		lastCheckpoint := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "records") {
 			next := int64(len(log))
 			r := record(t, next)
 			if rapid.IntRange(0, 5).Draw(t, "kind") == 0 {
-				c, err := whole.Checkpoint()
+				c, err := completeFold.Checkpoint()
 				assert.NilError(t, err)
 				r, err = newCheckpointRecord(fmt.Sprint("c", next), c)
 				assert.NilError(t, err)
@@ -71,21 +71,21 @@
 				lastCheckpoint = c.Next
 			}
 			log = append(log, r)
-			whole.Add(r)
+			completeFold.Add(r)
 		}
-		late := NewFold(&listState{})
+		lateFold := NewFold(&listState{})
 		from := rapid.Int64Range(0, lastCheckpoint).Draw(t, "earliest")
-		for late.Next() < int64(len(log)) {
+		for lateFold.Next() < int64(len(log)) {
 			end := rapid.Int64Range(from, int64(len(log))).Draw(t, "end")
 			for _, r := range log[from:end] {
-				late.Add(r)
+				lateFold.Add(r)
 			}
 			if end == int64(len(log)) {
 				break
 			}
 		}
-		assert.DeepEqual(t, late.state.(*listState).Seen, whole.state.(*listState).Seen)
-		assert.Equal(t, late.Next(), whole.Next())
+		assert.DeepEqual(t, lateFold.state.(*listState).Seen, completeFold.state.(*listState).Seen)
+		assert.Equal(t, lateFold.Next(), completeFold.Next())
 	})
 }
 
--- a/eventlog/follower.go
+++ b/eventlog/follower.go
@@ -213,8 +213,8 @@
 	return next > 0 && time.Now().After(renewAt)
 }
 
-// checkpointAgeStart returns the time from which the age of the missing checkpoint counts while
-// none has been folded. This is the log time of the newest record at the first call.
+// checkpointAgeStart returns a time that replaces the time of the newest checkpoint while there is
+// no checkpoint. It is the log time of the newest record when the function was first called.
 func (f *Fold) checkpointAgeStart() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/eventlog/shared.go
+++ b/eventlog/shared.go
@@ -5,8 +5,8 @@
 // staleAfter is how long after the last successful read a fold counts as stale.
 const staleAfter = 4 * time.Second
 
-// Shared gives access to the fold of a follower in the form in which daemons exchange it while the
-// log is unavailable. It implements membership.Configuration.
+// Shared lets daemons copy the fold of a follower from each other, so that they get the newest
+// state even if they cannot read the log. It implements membership.Configuration.
 type Shared struct {
 	follower *Follower
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -66,12 +66,12 @@
 	for _, t := range r.Targets {
 		total += max(t.Weight, 0)
 	}
-	left := int(draw * float64(total))
+	remaining := int(draw * float64(total))
 	for _, t := range r.Targets {
-		if left < t.Weight {
+		if remaining < t.Weight {
 			return t.Service
 		}
-		left -= max(t.Weight, 0)
+		remaining -= max(t.Weight, 0)
 	}
 	if len(r.Targets) == 0 {
 		return ""
@@ -102,8 +102,8 @@
 	Capacity int
 	// PrefillPerSecond is the number of prompt tokens processed per second.
 	PrefillPerSecond float64
-	// Step is the duration of a decoding step of an empty batch. StepPerRequest is added for each
-	// request in the batch.
+	// Step is the base duration of a decoding step. StepPerRequest is added for each request in the
+	// batch.
 	Step, StepPerRequest time.Duration
 	// Stride is the number of decoding steps in a pass.
 	Stride int
@@ -128,7 +128,7 @@
 	return Model{}, false
 }
 
-// timeFactor returns the factor on all times of the replicas of a model.
+// timeFactor returns the factor by which the processing times are multiplied for a model.
 func (e *Engine) timeFactor(model string) float64 {
 	if m, ok := e.Model(model); ok && m.Pace > 0 {
 		return m.Pace
@@ -145,9 +145,9 @@
 	return time.Duration(e.timeFactor(model) * float64(time.Second) / e.PrefillPerSecond)
 }
 
-// Pass returns the duration of a pass of a model's replica without requests, and the time that each
-// request in the batch adds.
-func (e *Engine) Pass(model string) (alone, each time.Duration) {
+// Pass returns the base duration of a pass of a model's replica, and the time that each request in
+// the batch adds.
+func (e *Engine) Pass(model string) (base, perRequest time.Duration) {
 	factor := e.timeFactor(model) * float64(max(e.Stride, 1))
 	return time.Duration(factor * float64(e.Step)), time.Duration(factor * float64(e.StepPerRequest))
 }
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -47,12 +47,12 @@
 	if c.isBehind {
 		c.position = -1
 	}
-	incremental := c.position >= 0
+	isIncremental := c.position >= 0
 	update, err := c.fetch(ctx)
 	if err != nil {
 		return err
 	}
-	c.updateIsBehind(update, incremental, sent.Time())
+	c.updateIsBehind(update, isIncremental, sent.Time())
 	c.observeEra(update.Next, sent.Time())
 	c.position = update.Next
 	if update.Lost {
@@ -81,8 +81,8 @@
 
 // updateIsBehind sets isBehind from the result of a read. While isBehind is set, reads skip to the
 // newest configuration. Reading each change in turn from a slow source would fall further behind.
-func (c *configReader) updateIsBehind(update ConfigNews, incremental bool, sent time.Time) {
-	if incremental {
+func (c *configReader) updateIsBehind(update ConfigNews, isIncremental bool, sent time.Time) {
+	if isIncremental {
 		c.isBehind = update.More
 		return
 	}
--- a/fleet/decisions.go
+++ b/fleet/decisions.go
@@ -96,17 +96,17 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.announce(d.All, time.Now())
-	known := i.decisions.position
+	current := i.decisions.position
 	switch {
 	case d.Whole:
-		if to := (DecisionPosition{Term: d.Term, Seq: d.To}); known.Before(to) {
+		if to := (DecisionPosition{Term: d.Term, Seq: d.To}); current.Before(to) {
 			i.decisions = decisionLog{position: to}
 		}
-	case d.Term > known.Term && d.From == 0 && known.Term > 0:
+	case d.Term > current.Term && d.From == 0 && current.Term > 0:
 		i.decisions.startTerm(d.Term)
 		i.decisions.add(d.All)
-	case d.Term == known.Term && d.From <= known.Seq && known.Seq < d.To:
-		i.decisions.add(d.All[known.Seq-d.From:])
+	case d.Term == current.Term && d.From <= current.Seq && current.Seq < d.To:
+		i.decisions.add(d.All[current.Seq-d.From:])
 	}
 }
 
--- a/fleet/decisions_test.go
+++ b/fleet/decisions_test.go
@@ -14,7 +14,7 @@
 func TestFollowerCatchesUpOnMissedDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
-		term, count := int64(1), 0
+		term, decided := int64(1), 0
 		leader.BeginTerm(term)
 		delivered := leader.Decided()
 		follower.FollowDecisions(leader.DecisionsSince(follower.Decided()))
@@ -29,8 +29,8 @@
 				deliverSomeDecisions(t, leader.DecisionsSince(delivered), follower)
 				delivered = leader.Decided()
 			default:
-				count++
-				leader.Decide(term, Announcement{Group: fmt.Sprint("g", count), Epoch: int64(count), Head: "h"})
+				decided++
+				leader.Decide(term, Announcement{Group: fmt.Sprint("g", decided), Epoch: int64(decided), Head: "h"})
 			}
 			checkClosedGroups(t, leader, follower, term)
 		}
--- a/fleet/delta.go
+++ b/fleet/delta.go
@@ -18,8 +18,8 @@
 	return d
 }
 
-// since returns the delta without the changes up to a position if it is exact. Otherwise it returns
-// the whole delta, since applying a change twice is harmless.
+// since returns the delta without the changes up to a position. It returns a delta that is not
+// exact unchanged, because applying a change twice is harmless.
 func (d Delta) since(position int64) Delta {
 	if d.IsExact && d.From < position && position <= d.To {
 		d.Changes, d.From = d.Changes[position-d.From:], position
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -42,9 +42,9 @@
 
 // confirmFor confirms the unchanged list at a regular interval for the given time.
 func confirmFor(i *Inventory, span time.Duration) {
-	const every = 500 * time.Millisecond
-	for range span / every {
-		time.Sleep(every)
+	const interval = 500 * time.Millisecond
+	for range span / interval {
+		time.Sleep(interval)
 		i.Confirm(i.Position(), time.Now())
 	}
 }
@@ -120,19 +120,19 @@
 		b := NewBeliefs()
 		c := NewConfig(Parts{Version: 3})
 		b.Offer(c, time.Now())
-		before := b.Confirmed()
+		confirmedBefore := b.Confirmed()
 		time.Sleep(time.Second)
 		b.HoldCopy(time.Now())
 		b.Offer(c, time.Now())
 		b.Confirm(3, time.Now())
-		assert.Equal(t, b.Confirmed(), before)
+		assert.Equal(t, b.Confirmed(), confirmedBefore)
 		time.Sleep(restoreHoldDuration)
 		b.Confirm(3, time.Now())
-		assert.Assert(t, b.Confirmed().After(before))
-		fresh := NewBeliefs()
-		fresh.HoldCopy(time.Now())
-		fresh.Offer(c, time.Now())
-		assert.Assert(t, !fresh.Confirmed().IsZero(), "a daemon that has just started has nothing to hold")
+		assert.Assert(t, b.Confirmed().After(confirmedBefore))
+		unconfirmed := NewBeliefs()
+		unconfirmed.HoldCopy(time.Now())
+		unconfirmed.Offer(c, time.Now())
+		assert.Assert(t, !unconfirmed.Confirmed().IsZero(), "a daemon that has just started has nothing to hold")
 	})
 }
 
@@ -163,26 +163,26 @@
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
 		beliefs.Offer(NewConfig(Parts{Version: 3}), time.Now())
 		inventory.Replace(nil, PositionOf(1, 50), time.Now())
-		before := beliefs.Confirmed()
+		confirmedBefore := beliefs.Confirmed()
 		time.Sleep(time.Second)
 		stop := startFollower(source, beliefs, inventory)
 		time.Sleep(restoreHoldDuration - time.Second/2)
 		duringHold := beliefs.Confirmed()
 		stop()
-		assert.Equal(t, duringHold, before)
+		assert.Equal(t, duringHold, confirmedBefore)
 	})
 }
 
 // TestFirstReadAfterOutageMayBeOfRestoredStore checks that the first read of a daemon confirms
-// nothing if the daemon started without peers during an outage. The store may have been restored,
-// so that a revoked key is valid until the operator's change is repeated.
+// nothing if the daemon started without peers during an outage. The store may have been restored
+// from a copy that lacks the revocation of a key.
 func TestFirstReadAfterOutageMayBeOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source := &fakeSource{version: 3, era: 2, down: true}
+		source := &fakeSource{version: 3, era: 2, isDown: true}
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
 		stop := startFollower(source, beliefs, inventory)
 		time.Sleep(1500 * time.Millisecond)
-		source.set(func() { source.down = false })
+		source.set(func() { source.isDown = false })
 		time.Sleep(restoreHoldDuration - time.Second/2)
 		duringHold := beliefs.Confirmed()
 		stop()
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -15,9 +15,9 @@
 
 // Timing of a follower.
 const (
-	// pollWait is how long a read waits for changes. It adds to the age of the last confirmation,
-	// since a read confirms data as of when it was sent. Peers read the source themselves from some
-	// age on, which must exceed pollWait plus two heartbeats.
+	// pollWait is how long a read waits for changes. A read confirms data as of when it was sent, so
+	// the confirmation may be pollWait old when the read returns. The age at which peers start to
+	// read the source themselves must exceed pollWait plus two heartbeats.
 	pollWait = 300 * time.Millisecond
 	// firstConfigWait replaces pollWait until there is a configuration that could be confirmed.
 	firstConfigWait = 2 * time.Second
@@ -192,10 +192,10 @@
 }
 
 // holdFirstReads ignores confirmations by reads for a while if this was the first read and its era
-// shows that the source was once restored from a copy. before is the previous era, negative at the
-// first read.
-func (f *Follower) holdFirstReads(before, era int64) {
-	if before < 0 && era > 0 {
+// shows that the source was once restored from a copy. previousEra is negative at
+// the first read.
+func (f *Follower) holdFirstReads(previousEra, era int64) {
+	if previousEra < 0 && era > 0 {
 		f.opts.Beliefs.HoldFirstReads(time.Now())
 	}
 }
@@ -204,15 +204,15 @@
 // list returned. If the era is later than any known from reads or peers, the source was restored
 // from a copy, and confirmations of the configuration are ignored for a while.
 func (f *Follower) advanceEra(position int64) {
-	known := f.eraPlusOne.Load()
-	if own := f.opts.Inventory.Position(); own > 0 {
-		known = max(known, EraOf(own)+1)
+	knownPlusOne := f.eraPlusOne.Load()
+	if ownPosition := f.opts.Inventory.Position(); ownPosition > 0 {
+		knownPlusOne = max(knownPlusOne, EraOf(ownPosition)+1)
 	}
-	era := EraOf(position) + 1
-	if known > 0 && era > known {
+	eraPlusOne := EraOf(position) + 1
+	if knownPlusOne > 0 && eraPlusOne > knownPlusOne {
 		f.opts.Beliefs.HoldCopy(time.Now())
 	}
-	f.eraPlusOne.Store(max(era, known))
+	f.eraPlusOne.Store(max(eraPlusOne, knownPlusOne))
 }
 
 // pendingList holds the pages of a whole list that have been read so far. They are kept if reading
@@ -273,7 +273,7 @@
 // poll calls read repeatedly until ctx ends, except while shouldRead reports false. Failed reads
 // are retried with exponential backoff. It logs when the source becomes unreachable and when it is
 // reachable again.
-func (f *Follower) poll(ctx context.Context, what string, shouldRead func() bool, read func(context.Context) error) {
+func (f *Follower) poll(ctx context.Context, dataName string, shouldRead func() bool, read func(context.Context) error) {
 	backoff, isUnreachable := minRetryDelay, false
 	for ctx.Err() == nil {
 		if !shouldRead() {
@@ -286,13 +286,13 @@
 		}
 		if err == nil {
 			if isUnreachable {
-				f.opts.Logger.Info("source reachable again", "of", what)
+				f.opts.Logger.Info("source reachable again", "of", dataName)
 			}
 			backoff, isUnreachable = minRetryDelay, false
 			continue
 		}
 		if !isUnreachable {
-			f.opts.Logger.Warn("source unreachable", "of", what, "error", err)
+			f.opts.Logger.Warn("source unreachable", "of", dataName, "error", err)
 			isUnreachable = true
 		}
 		backoff = max(backoff, f.spreadDelay())
--- a/fleet/group.go
+++ b/fleet/group.go
@@ -54,7 +54,7 @@
 	return shortName(m.Group) + "@" + strconv.FormatInt(m.Epoch, 10)
 }
 
-// KeyOf returns the key of a model's group with the given epoch, as GroupKey does.
+// KeyOf returns the key of a group from its model and epoch. It equals the result of GroupKey.
 func KeyOf(model string, epoch int64) string {
 	return GroupKey(Membership{Group: GroupName(model, epoch, nil), Epoch: epoch})
 }
--- a/fleet/halls.go
+++ b/fleet/halls.go
@@ -78,9 +78,10 @@
 
 // HallView is an immutable snapshot of the states of the data halls; nil means that all are open.
 type HallView struct {
-	// closeBy holds, by hall, when a closing hall stops taking requests or a closed one stopped.
+	// closeBy holds the time at which each closing hall stops taking requests, or each closed hall
+	// stopped. Open halls have none.
 	closeBy map[string]time.Time
-	// openedAt holds, by hall, when this daemon found a closed hall reopened.
+	// openedAt holds the time at which this daemon found each reopened hall open.
 	openedAt map[string]time.Time
 }
 
@@ -164,10 +165,10 @@
 	closed := h.closedHalls()
 	// If the source was restored from a copy, the operator's last command may be missing until it is
 	// repeated.
-	restored := h.position > 0 && EraOf(position) > EraOf(h.position)
+	isRestored := h.position > 0 && EraOf(position) > EraOf(h.position)
 	if update.Whole {
 		for hall := range closed {
-			closed[hall] = restored || slices.Contains(update.Unclear, hall)
+			closed[hall] = isRestored || slices.Contains(update.Unclear, hall)
 		}
 	}
 	for _, c := range update.Changes {
@@ -188,14 +189,14 @@
 	defer h.mu.Unlock()
 	if r.Position > h.position {
 		now := time.Now()
-		closed, left := make(map[string]bool), make(map[string]int64)
+		closed, remainingMillis := make(map[string]bool), make(map[string]int64)
 		for hall := range h.closedHalls() {
 			closed[hall] = false
 		}
 		for _, c := range r.Closed {
-			closed[c.Hall], left[c.Hall] = true, min(max(c.RemainingMillis, 0), h.emptyWithin.Milliseconds())
+			closed[c.Hall], remainingMillis[c.Hall] = true, min(max(c.RemainingMillis, 0), h.emptyWithin.Milliseconds())
 		}
-		h.publish(closed, func(hall string) time.Time { return now.Add(time.Duration(left[hall]) * time.Millisecond) })
+		h.publish(closed, func(hall string) time.Time { return now.Add(time.Duration(remainingMillis[hall]) * time.Millisecond) })
 		h.position = r.Position
 	}
 	// This daemon's state may be newer than the reported one. It then includes the reported state, so
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -63,8 +63,8 @@
 	firstListAt time.Time
 	// outageEnd is when the list became available again after the last outage.
 	outageEnd time.Time
-	// toleratedUntil holds the workers whose entries disappeared right after an outage, with the
-	// time until which they still count as listed.
+	// toleratedUntil holds, for each worker whose entry disappeared right after an outage, the time
+	// until which the worker still counts as listed.
 	toleratedUntil map[string]time.Time
 }
 
@@ -78,8 +78,8 @@
 	// missingGraceHeartbeats is the number of heartbeats within which the worker of a missing entry
 	// must write again.
 	missingGraceHeartbeats = 3
-	// leaveMargin is how long before the leave bound of NewInventory a missing entry is dropped at
-	// the latest.
+	// leaveMargin is subtracted from the leave bound of NewInventory to get the maximum time for
+	// which a missing entry is tolerated.
 	leaveMargin = 300 * time.Millisecond
 )
 
@@ -100,15 +100,15 @@
 }
 
 // NewInventory returns an empty inventory. heartbeat is the interval at which workers write to the
-// list. leaveBound is the time after which a worker that left the list must get no more requests,
-// or zero for no limit; missing entries are not tolerated for longer.
+// list. leaveBound is the time after which a worker that left the list must get no more requests.
+// It limits how long missing entries are tolerated; zero means no limit.
 func NewInventory(heartbeat, leaveBound time.Duration) *Inventory {
-	lapseGrace := missingGraceHeartbeats * heartbeat
+	missingGrace := missingGraceHeartbeats * heartbeat
 	if leaveBound > 0 {
-		lapseGrace = min(lapseGrace, max(leaveBound-leaveMargin, 0))
+		missingGrace = min(missingGrace, max(leaveBound-leaveMargin, 0))
 	}
 	i := &Inventory{
-		missingGrace: lapseGrace, toleratedUntil: make(map[string]time.Time),
+		missingGrace: missingGrace, toleratedUntil: make(map[string]time.Time),
 		workers: make(map[string]*Worker), announcements: make(map[string]pendingAnnouncement),
 		changed: make(chan struct{}, 1), peerUpdates: make(chan struct{}, 1),
 	}
@@ -169,8 +169,8 @@
 func (i *Inventory) replaceList(all []Change, position int64, sent time.Time) {
 	i.detectOutage(sent)
 	held := i.workers
-	restored := i.position > 0 && EraOf(position) > EraOf(i.position)
-	if restored {
+	isRestored := i.position > 0 && EraOf(position) > EraOf(i.position)
+	if isRestored {
 		// Missing entries are tolerated until their workers have had time to write again.
 		i.outageEnd = time.Now()
 	}
@@ -181,8 +181,8 @@
 			continue
 		}
 		i.workers[c.ID] = c.Worker.mergedWith(held[c.ID])
-		if h, ok := held[c.ID]; restored && ok && c.Worker.isOlderThan(h) {
-			// The restored entry is outdated; it may lack that the worker is leaving.
+		if h, ok := held[c.ID]; isRestored && ok && c.Worker.isOlderThan(h) {
+			// The restored entry is outdated. It may not yet mark the worker as leaving.
 			i.workers[c.ID] = h
 		}
 		delete(i.toleratedUntil, c.ID)
@@ -377,8 +377,9 @@
 	}
 }
 
-// tolerateMissing reports whether the worker of a missing entry still counts as listed. This is so
-// for missingGrace if the entry disappeared within postOutageWindow after an outage.
+// tolerateMissing reports whether the worker of a missing entry still counts as listed. If the
+// entry disappeared within postOutageWindow after an outage, the first call starts a period of
+// missingGrace in which it does.
 func (i *Inventory) tolerateMissing(id string) bool {
 	now := time.Now()
 	if until, ok := i.toleratedUntil[id]; ok {
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -96,8 +96,8 @@
 // TestModelIsRememberedAfterLeaving checks that a worker that left its group still counts as having
 // the group's model loaded, although its entry names no model.
 func TestModelIsRememberedAfterLeaving(t *testing.T) {
-	member, left := headWorker("h", "g", 5, Open), headWorker("h", "", 0, "")
-	left.Loaded = ""
+	member, entryAfterLeaving := headWorker("h", "g", 5, Open), headWorker("h", "", 0, "")
+	entryAfterLeaving.Loaded = ""
 	restarted := headWorker("other life", "", 0, "")
 	restarted.Loaded = ""
 	list := func(workers ...*Worker) []Change {
@@ -108,10 +108,10 @@
 		return changes
 	}
 	tests := map[string]func(i *Inventory){
-		"by a change":     func(i *Inventory) { i.Apply(list(left, restarted), 2, time.Now()) },
-		"by a whole list": func(i *Inventory) { i.Replace(list(left, restarted), 2, time.Now()) },
+		"by a change":     func(i *Inventory) { i.Apply(list(entryAfterLeaving, restarted), 2, time.Now()) },
+		"by a whole list": func(i *Inventory) { i.Replace(list(entryAfterLeaving, restarted), 2, time.Now()) },
 		"by a peer's delta": func(i *Inventory) {
-			i.Follow(Delta{From: 1, To: 2, Changes: list(left, restarted)}, time.Now())
+			i.Follow(Delta{From: 1, To: 2, Changes: list(entryAfterLeaving, restarted)}, time.Now())
 		},
 	}
 	for name, leave := range tests {
@@ -122,7 +122,7 @@
 			w, ok := i.View().Worker("h")
 			assert.Assert(t, ok)
 			assert.Equal(t, w.Loaded, "m")
-			assert.Equal(t, left.Loaded, "", "the entry itself was changed")
+			assert.Equal(t, entryAfterLeaving.Loaded, "", "the entry itself was changed")
 			w, _ = i.View().Worker("other life")
 			assert.Equal(t, w.Loaded, "")
 		})
@@ -238,7 +238,7 @@
 type fakeSource struct {
 	mu      sync.Mutex
 	version int64
-	down    bool
+	isDown  bool
 	// positionLost makes the next call of nextConfig report that the position is lost.
 	positionLost bool
 	// era is how often the source was restored from a copy.
@@ -265,7 +265,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configCalls++
-	if s.down {
+	if s.isDown {
 		return ConfigNews{}, errUnavailable
 	}
 	if s.version == 0 {
@@ -280,7 +280,7 @@
 
 func (s *fakeSource) nextConfig(ctx context.Context, position int64, wait time.Duration) (ConfigNews, error) {
 	s.mu.Lock()
-	down, lost, version := s.down, s.positionLost, s.version
+	down, lost, version := s.isDown, s.positionLost, s.version
 	s.positionLost = false
 	s.configCalls++
 	s.mu.Unlock()
@@ -339,11 +339,11 @@
 		assert.Equal(t, len(inventory.View().Workers()), 1)
 		assert.Assert(t, time.Since(beliefs.Confirmed()) <= time.Second)
 
-		source.set(func() { source.down = true })
+		source.set(func() { source.isDown = true })
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, time.Since(beliefs.Confirmed()) > 8*time.Second, "a failed read confirms nothing")
 
-		source.set(func() { source.down, source.version, source.positionLost = false, 5, true })
+		source.set(func() { source.isDown, source.version, source.positionLost = false, 5, true })
 		time.Sleep(4 * time.Second)
 		assert.Equal(t, beliefs.Version(), int64(5))
 		stop()
@@ -401,8 +401,8 @@
 		i.Confirm(1, time.Now())
 		time.Sleep(100 * time.Millisecond)
 		i.Apply([]Change{{ID: "a"}}, 2, time.Now())
-		left := time.Now()
-		for time.Since(left) < bound-100*time.Millisecond {
+		leftAt := time.Now()
+		for time.Since(leftAt) < bound-100*time.Millisecond {
 			time.Sleep(100 * time.Millisecond)
 			i.Confirm(2, time.Now())
 		}
--- a/fleet/scope.go
+++ b/fleet/scope.go
@@ -42,8 +42,8 @@
 	return !i.headsOnly && !i.confirmed.IsZero()
 }
 
-// AwaitsList reports whether a whole list is needed. This is so while only heads are held although
-// all workers are requested.
+// AwaitsList reports whether a whole list is needed, because all workers are requested but only
+// heads are held.
 func (i *Inventory) AwaitsList() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -72,20 +72,20 @@
 	i.replaceList(all, position, at)
 }
 
-// isInScope reports whether the inventory should hold a worker: any worker, or heads only. The
-// mutex must be held.
+// isInScope reports whether the inventory should hold a worker. It holds all workers unless
+// headsOnly is set. The mutex must be held.
 func (i *Inventory) isInScope(w *Worker) bool { return !i.headsOnly || w.isHead() }
 
 // markHeads sets OfHead on the changes that concern heads. The mutex must be held.
 func (i *Inventory) markHeads(changes []Change) {
 	heads := make(map[string]bool)
 	for n, c := range changes {
-		before, known := heads[c.ID]
-		if held, ok := i.workers[c.ID]; !known && ok {
-			before = held.isHead()
+		wasHead, changedBefore := heads[c.ID]
+		if held, ok := i.workers[c.ID]; !changedBefore && ok {
+			wasHead = held.isHead()
 		}
-		now := c.Worker != nil && c.Worker.isHead()
-		changes[n].OfHead, heads[c.ID] = before || now, now
+		isHead := c.Worker != nil && c.Worker.isHead()
+		changes[n].OfHead, heads[c.ID] = wasHead || isHead, isHead
 	}
 }
 
--- a/fleet/scope_test.go
+++ b/fleet/scope_test.go
@@ -21,9 +21,9 @@
 	return w
 }
 
-// TestHeadsFollowTheWholeList checks an inventory that follows another one while its scope changes
-// between heads and all workers. With HeadsOnly it must end with the same heads, and with
-// AllWorkers with the same workers.
+// TestHeadsFollowTheWholeList checks an inventory that follows a complete one while its scope
+// changes at random. In the end it must hold the same heads, and the same workers after all are
+// requested.
 func TestHeadsFollowTheWholeList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, member := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
@@ -178,8 +178,8 @@
 	i.Replace(whole.Changes, whole.To, time.Now())
 	assert.Assert(t, i.Complete(), "a list is still needed")
 	assert.Equal(t, i.Position(), int64(4))
-	_, left := i.View().Worker("b")
-	assert.Assert(t, !left, "a worker that left came back")
+	_, isListed := i.View().Worker("b")
+	assert.Assert(t, !isListed, "a worker that left came back")
 	_, joined := i.View().Worker("c")
 	assert.Assert(t, joined)
 }
--- a/fleet/slowsource_test.go
+++ b/fleet/slowsource_test.go
@@ -25,12 +25,12 @@
 )
 
 // publish publishes a version at each interval until ctx ends.
-func (s *slowSource) publish(ctx context.Context, every time.Duration) {
+func (s *slowSource) publish(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		s.published = append(s.published, time.Now())
 		s.mu.Unlock()
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
 
@@ -100,8 +100,8 @@
 			version, confirmed := beliefs.State()
 			assert.Assert(t, source.newestBefore(confirmed) <= version, "version %d was confirmed, %d was published", version, source.newestBefore(confirmed))
 			report := halls.Report(time.Now())
-			asOf := time.Now().Add(-time.Duration(report.AgeMillis) * time.Millisecond)
-			assert.Assert(t, report.Position == 0 || source.newestBefore(asOf) <= report.Position, "halls of %d were confirmed, %d was published", report.Position, source.newestBefore(asOf))
+			confirmedAt := time.Now().Add(-time.Duration(report.AgeMillis) * time.Millisecond)
+			assert.Assert(t, report.Position == 0 || source.newestBefore(confirmedAt) <= report.Position, "halls of %d were confirmed, %d was published", report.Position, source.newestBefore(confirmedAt))
 			assert.Assert(t, source.newestBefore(inventory.Confirmed()) <= inventory.Position(), "workers of %d were confirmed, %d was published", inventory.Position(), source.newestBefore(inventory.Confirmed()))
 		}
 		// Two answers are enough to skip to the newest version.
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -19,12 +19,12 @@
 const (
 	// exchangeInterval is the interval between rounds of exchanges.
 	exchangeInterval = 500 * time.Millisecond
-	// largeFleetFactor is the number of rounds per exchange in fleets of more than smallFleet
-	// members. Smaller fleets exchange in every round.
-	largeFleetFactor = 2
-	exchangeTimeout  = 800 * time.Millisecond
-	probeInterval    = time.Second
-	probeTimeout     = 400 * time.Millisecond
+	// roundsPerLargeFleetExchange is the number of rounds per exchange in fleets of more than
+	// smallFleet members. Smaller fleets exchange in every round.
+	roundsPerLargeFleetExchange = 2
+	exchangeTimeout             = 800 * time.Millisecond
+	probeInterval               = time.Second
+	probeTimeout                = 400 * time.Millisecond
 	// maxChangesPerExchange is the maximum number of changed entries in one exchange.
 	maxChangesPerExchange = 32
 	// indirectProbes is the number of other members that are asked to probe an unresponsive one.
@@ -38,7 +38,7 @@
 	fullSyncRounds = 8
 )
 
-// Reports is a store of domain reports, which daemons send each other in exchanges.
+// Reports is a store of domain reports. Exchanges send peers the reports that they lack.
 type Reports interface {
 	// Digest returns a summary of the reports held, by which a peer finds out which ones are missing.
 	Digest() []*rpc.ReportDigest
@@ -48,7 +48,8 @@
 	Merge(reports []*rpc.DomainReport, base time.Time)
 }
 
-// Configuration is the configuration of this daemon, which daemons send each other in exchanges.
+// Configuration gives access to this daemon's configuration. Exchanges send it to peers that
+// request it.
 type Configuration interface {
 	// Next returns one past the offset of the newest log record that the configuration includes.
 	Next() int64
@@ -61,8 +62,8 @@
 	Install(data []byte) error
 }
 
-// Quarantine gives access to the records of requests that crash workers, which daemons send each
-// other in exchanges. Both functions may be nil.
+// Quarantine gives access to this daemon's records of requests that crash workers. Exchanges send
+// them to peers. Both functions may be nil.
 type Quarantine struct {
 	// Report returns the entries to send.
 	Report func() []*rpc.QuarantineEntry
@@ -115,8 +116,8 @@
 	rounds int
 	// lastAnswered holds, by member id, the start of the last call that the member answered.
 	lastAnswered map[string]time.Time
-	// fleetNext is one past the highest configuration offset that any peer reported.
-	fleetNext int64
+	// fleetConfigNext is one past the highest configuration offset that any peer reported.
+	fleetConfigNext int64
 }
 
 // NewAgent returns an agent that starts to work when Run is called.
@@ -143,7 +144,7 @@
 func (a *Agent) FleetNext() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fleetNext
+	return a.fleetConfigNext
 }
 
 // Reached returns how many members answered since the given time, and the number of all members.
@@ -194,7 +195,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rounds++
-	if len(alive) > smallFleet && a.rounds%largeFleetFactor != 0 {
+	if len(alive) > smallFleet && a.rounds%roundsPerLargeFleetExchange != 0 {
 		return nil
 	}
 	var addresses []string
@@ -279,7 +280,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fleetNext = max(a.fleetNext, next)
+	a.fleetConfigNext = max(a.fleetConfigNext, next)
 }
 
 // Exchange implements rpc.Peer. It merges a peer's request and returns what the peer lacks.
@@ -350,8 +351,8 @@
 	return &rpc.ProbeReply{Incarnation: a.table.Self().Incarnation, Reached: reached}, nil
 }
 
-// answerProbe confirms that this daemon is alive. If the prober suspects it, it raises its
-// incarnation to refute the suspicion.
+// answerProbe confirms that this daemon is alive. If the prober suspects this daemon, it raises the
+// daemon's incarnation to refute the suspicion.
 func (a *Agent) answerProbe(request *rpc.ProbeRequest) *rpc.ProbeReply {
 	self := a.table.Self()
 	if request.AccusedIncarnation >= self.Incarnation {
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -82,14 +82,14 @@
 // randomPeer returns a random member other than self, mostly of the same data hall. It returns nil
 // if all draws hit self.
 func randomPeer(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) *rpc.Member {
-	anyHall := random.Float64() < remoteHallShare
+	allowAnyHall := random.Float64() < remoteHallShare
 	var fallback *rpc.Member
 	for range maxPeerAttempts {
 		m := alive[random.IntN(len(alive))]
 		if m.Id == self.Id {
 			continue
 		}
-		if anyHall || m.DataHall == self.DataHall {
+		if allowAnyHall || m.DataHall == self.DataHall {
 			return m
 		}
 		fallback = m
--- a/membership/table.go
+++ b/membership/table.go
@@ -77,7 +77,7 @@
 	return t.self
 }
 
-// UpdateSelf changes the daemon's own entry by the given function, and schedules the change to be
+// UpdateSelf changes the daemon's own entry with the given function, and schedules the change to be
 // sent.
 func (t *Table) UpdateSelf(change func(*rpc.Member)) {
 	t.mu.Lock()
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -175,19 +175,19 @@
 func TestQuarantineSpreads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLocalFleet(50)
-		known := make(map[string][]*rpc.QuarantineEntry)
+		entriesByAgent := make(map[string][]*rpc.QuarantineEntry)
 		for id, a := range l.agents {
 			a.opts.Quarantine = Quarantine{
-				Report: func() []*rpc.QuarantineEntry { return known[id] },
-				Merge:  func(_ string, all []*rpc.QuarantineEntry) { known[id] = all },
+				Report: func() []*rpc.QuarantineEntry { return entriesByAgent[id] },
+				Merge:  func(_ string, all []*rpc.QuarantineEntry) { entriesByAgent[id] = all },
 			}
 		}
-		known["entry-000"] = []*rpc.QuarantineEntry{{Fingerprint: []byte("f")}}
+		entriesByAgent["entry-000"] = []*rpc.QuarantineEntry{{Fingerprint: []byte("f")}}
 		rounds := 0
-		for ; len(known) < len(l.agents) && rounds < 20; rounds++ {
+		for ; len(entriesByAgent) < len(l.agents) && rounds < 20; rounds++ {
 			l.round(t.Context())
 		}
-		assert.Equal(t, len(known), len(l.agents), "after %d rounds", rounds)
+		assert.Equal(t, len(entriesByAgent), len(l.agents), "after %d rounds", rounds)
 	})
 }
 
@@ -197,16 +197,16 @@
 	for _, holder := range []string{"entry-000", "entry-001"} {
 		t.Run(holder, func(t *testing.T) {
 			l := newLocalFleet(2)
-			known := map[string][]*rpc.QuarantineEntry{holder: {{Fingerprint: []byte("f")}}}
+			entriesByAgent := map[string][]*rpc.QuarantineEntry{holder: {{Fingerprint: []byte("f")}}}
 			for id, a := range l.agents {
 				a.opts.Quarantine = Quarantine{
-					Report: func() []*rpc.QuarantineEntry { return known[id] },
-					Merge:  func(_ string, all []*rpc.QuarantineEntry) { known[id] = all },
+					Report: func() []*rpc.QuarantineEntry { return entriesByAgent[id] },
+					Merge:  func(_ string, all []*rpc.QuarantineEntry) { entriesByAgent[id] = all },
 				}
 			}
 			requester := l.agents["entry-000"]
 			assert.NilError(t, requester.exchange(t.Context(), l.agents["entry-001"].opts.Self.PeerAddress))
-			assert.Equal(t, len(known), 2)
+			assert.Equal(t, len(entriesByAgent), 2)
 		})
 	}
 }
