--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -129,10 +129,10 @@
 		time.Sleep(restoreHoldDuration)
 		b.Confirm(3, time.Now())
 		assert.Assert(t, b.Confirmed().After(confirmedBefore))
-		unconfirmed := NewBeliefs()
-		unconfirmed.HoldCopy(time.Now())
-		unconfirmed.Offer(c, time.Now())
-		assert.Assert(t, !unconfirmed.Confirmed().IsZero(), "a daemon that has just started has nothing to hold")
+		newBeliefs := NewBeliefs()
+		newBeliefs.HoldCopy(time.Now())
+		newBeliefs.Offer(c, time.Now())
+		assert.Assert(t, !newBeliefs.Confirmed().IsZero(), "a daemon that has just started has nothing to hold")
 	})
 }
 
