--- a/fleet/decisions_test.go
+++ b/fleet/decisions_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestDecisionsReachWhoMissedSome lets leaders of rising terms decide, and a
-// follower take some of what they pass on and now and then ask for the rest.
-func TestDecisionsReachWhoMissedSome(t *testing.T) {
+// TestFollowerCatchesUpOnMissedDecisions checks that a follower that has reached the leader's
+// position lacks none of its decisions, although some were lost before and requested again later.
+func TestFollowerCatchesUpOnMissedDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
-		term, count := int64(1), 0
+		term, decided := int64(1), 0
 		leader.BeginTerm(term)
-		passed := leader.Decided()
+		delivered := leader.Decided()
 		follower.FollowDecisions(leader.DecisionsSince(follower.Decided()))
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 6), 1, 60).Draw(t, "steps") {
 			switch step {
@@ -26,19 +26,19 @@
 			case 1:
 				follower.FollowDecisions(leader.DecisionsSince(follower.Decided()))
 			case 2:
-				passOnSome(t, leader.DecisionsSince(passed), follower)
-				passed = leader.Decided()
+				deliverSomeDecisions(t, leader.DecisionsSince(delivered), follower)
+				delivered = leader.Decided()
 			default:
-				count++
-				leader.Decide(term, Announcement{Group: fmt.Sprint("g", count), Epoch: int64(count), Head: "h"})
+				decided++
+				leader.Decide(term, Announcement{Group: fmt.Sprint("g", decided), Epoch: int64(decided), Head: "h"})
 			}
-			checkClosed(t, leader, follower, term)
+			checkClosedGroups(t, leader, follower, term)
 		}
 	})
 }
 
-// passOnSome lets a follower take some of the decisions that a leader passes on.
-func passOnSome(t *rapid.T, d Decisions, follower *Inventory) {
+// deliverSomeDecisions delivers a random selection of a leader's decisions to a follower.
+func deliverSomeDecisions(t *rapid.T, d Decisions, follower *Inventory) {
 	if d.Whole {
 		return
 	}
@@ -49,9 +49,9 @@
 	}
 }
 
-// checkClosed checks that a follower which knows all of a term's decisions by its
-// position holds them.
-func checkClosed(t *rapid.T, leader, follower *Inventory, term int64) {
+// checkClosedGroups checks that a follower is never ahead of the leader. A follower at the leader's
+// position must have closed all groups that the leader closed in the term.
+func checkClosedGroups(t *rapid.T, leader, follower *Inventory, term int64) {
 	if leader.Decided().Before(follower.Decided()) {
 		t.Fatalf("the follower knows %v, the leader %v", follower.Decided(), leader.Decided())
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestWhoJustStartedGetsAllThatMatters asks for decisions from several positions.
-func TestWhoJustStartedGetsAllThatMatters(t *testing.T) {
+// TestDecisionsSince checks from which positions a peer gets a snapshot, and how many decisions.
+func TestDecisionsSince(t *testing.T) {
 	i := NewInventory(time.Second, 0)
 	i.BeginTerm(3)
 	i.Decide(3, Announcement{Group: "a", Epoch: 1, Head: "h"})
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-func head(id, group string, epoch int64, state GroupState) *Worker {
+func headWorker(id, group string, epoch int64, state GroupState) *Worker {
 	return &Worker{ID: id, Service: "s", Domain: "d", Loaded: "m", Member: Membership{Group: group, Epoch: epoch, State: state}}
 }
 
@@ -26,25 +26,25 @@
 	open := Announcement{Group: "g", Epoch: 5, Service: "s", Model: "m", Head: "h", Open: true}
 	closed := open
 	closed.Open = false
-	draining := head("x", "g", 5, Ready)
+	draining := headWorker("x", "g", 5, Ready)
 	draining.Draining, draining.Member.Rank = true, 1
-	leaving := head("h", "g", 5, Open)
+	leaving := headWorker("h", "g", 5, Open)
 	leaving.Draining = true
 	tests := map[string]struct {
 		workers   []*Worker
 		announced []Announcement
 		want      int
 	}{
-		"an open head":                        {workers: []*Worker{head("h", "g", 5, Open)}, want: 1},
-		"a ready head":                        {workers: []*Worker{head("h", "g", 5, Ready)}},
-		"announced before the list shows it":  {workers: []*Worker{head("h", "g", 5, Ready)}, announced: []Announcement{open}, want: 1},
-		"closed before the list shows it":     {workers: []*Worker{head("h", "g", 5, Open)}, announced: []Announcement{open, closed}},
-		"once closed it stays closed":         {workers: []*Worker{head("h", "g", 5, Open)}, announced: []Announcement{open, closed, open}},
-		"the list shows a later group":        {workers: []*Worker{head("h", "later", 6, Joining)}, announced: []Announcement{open}},
-		"a broken head is not opened by word": {workers: []*Worker{head("h", "g", 5, Broken)}, announced: []Announcement{open}},
+		"an open head":                        {workers: []*Worker{headWorker("h", "g", 5, Open)}, want: 1},
+		"a ready head":                        {workers: []*Worker{headWorker("h", "g", 5, Ready)}},
+		"announced before the list shows it":  {workers: []*Worker{headWorker("h", "g", 5, Ready)}, announced: []Announcement{open}, want: 1},
+		"closed before the list shows it":     {workers: []*Worker{headWorker("h", "g", 5, Open)}, announced: []Announcement{open, closed}},
+		"once closed it stays closed":         {workers: []*Worker{headWorker("h", "g", 5, Open)}, announced: []Announcement{open, closed, open}},
+		"the list shows a later group":        {workers: []*Worker{headWorker("h", "later", 6, Joining)}, announced: []Announcement{open}},
+		"a broken head is not opened by word": {workers: []*Worker{headWorker("h", "g", 5, Broken)}, announced: []Announcement{open}},
 		"the head drains":                     {workers: []*Worker{leaving}},
-		"another member drains":               {workers: []*Worker{head("h", "g", 5, Open), draining}, want: 1},
-		"closed since a member drains":        {workers: []*Worker{head("h", "g", 5, Open), draining}, announced: []Announcement{closed}},
+		"another member drains":               {workers: []*Worker{headWorker("h", "g", 5, Open), draining}, want: 1},
+		"closed since a member drains":        {workers: []*Worker{headWorker("h", "g", 5, Open), draining}, announced: []Announcement{closed}},
 		"a head that is not listed":           {announced: []Announcement{open}},
 	}
 	for name, test := range tests {
@@ -63,42 +63,42 @@
 	}
 }
 
-// TestClosedGroupsStayClosed: a worker that was cut off from the list comes back
-// with what it listed before, for a moment, though it has left that group since.
+// TestClosedGroupsStayClosed checks that a closed group is not reopened by its head, which
+// disappeared from the list and returns with an entry from before the group was closed.
 func TestClosedGroupsStayClosed(t *testing.T) {
 	tests := map[string]struct {
-		back Membership
-		want int
+		returnsWith Membership
+		want        int
 	}{
-		"as it was before the cut": {back: Membership{Group: "g", Epoch: 5, State: Open}},
-		"in a later group":         {back: Membership{Group: "later", Epoch: 6, State: Open}, want: 1},
+		"as it was before the cut": {returnsWith: Membership{Group: "g", Epoch: 5, State: Open}},
+		"in a later group":         {returnsWith: Membership{Group: "later", Epoch: 6, State: Open}, want: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := NewInventory(1200*time.Millisecond, 0)
-				i.Apply([]Change{{ID: "h", Worker: head("h", "g", 5, Open)}}, 1, time.Now())
+				i.Apply([]Change{{ID: "h", Worker: headWorker("h", "g", 5, Open)}}, 1, time.Now())
 				i.Apply([]Change{{ID: "h"}}, 2, time.Now())
 				i.Decide(0, Announcement{Group: "g", Epoch: 5, Service: "s", Model: "m", Head: "h"})
-				time.Sleep(closedFor - time.Second)
-				i.Apply([]Change{{ID: "h", Worker: head("h", test.back.Group, test.back.Epoch, test.back.State)}}, 3, time.Now())
+				time.Sleep(closedRetention - time.Second)
+				i.Apply([]Change{{ID: "h", Worker: headWorker("h", test.returnsWith.Group, test.returnsWith.Epoch, test.returnsWith.State)}}, 3, time.Now())
 				assert.Equal(t, len(i.View().Replicas("s", "m")), test.want)
-				time.Sleep(closedFor)
-				i.Apply([]Change{{ID: "x", Worker: head("x", "", 0, "")}}, 4, time.Now())
+				time.Sleep(closedRetention)
+				i.Apply([]Change{{ID: "x", Worker: headWorker("x", "", 0, "")}}, 4, time.Now())
 				assert.Equal(t, len(i.View().Replicas("s", "m")), test.want)
-				i.Apply([]Change{{ID: "h", Worker: head("h", "", 0, "")}}, 5, time.Now())
-				assert.Equal(t, len(i.announced), 0, "what is closed for long and not shown is forgotten")
+				i.Apply([]Change{{ID: "h", Worker: headWorker("h", "", 0, "")}}, 5, time.Now())
+				assert.Equal(t, len(i.announcements), 0, "a closed group that is not listed is forgotten")
 			})
 		})
 	}
 }
 
-// TestModelIsRememberedAfterLeaving: a worker that left its group tells no
-// model, though it can take up the one it served without loading it again.
+// TestModelIsRememberedAfterLeaving checks that a worker that left its group still counts as having
+// the group's model loaded, although its entry names no model.
 func TestModelIsRememberedAfterLeaving(t *testing.T) {
-	member, left := head("h", "g", 5, Open), head("h", "", 0, "")
-	left.Loaded = ""
-	restarted := head("other life", "", 0, "")
+	member, entryAfterLeaving := headWorker("h", "g", 5, Open), headWorker("h", "", 0, "")
+	entryAfterLeaving.Loaded = ""
+	restarted := headWorker("other life", "", 0, "")
 	restarted.Loaded = ""
 	list := func(workers ...*Worker) []Change {
 		var changes []Change
@@ -108,10 +108,10 @@
 		return changes
 	}
 	tests := map[string]func(i *Inventory){
-		"by a change":     func(i *Inventory) { i.Apply(list(left, restarted), 2, time.Now()) },
-		"by a whole list": func(i *Inventory) { i.Replace(list(left, restarted), 2, time.Now()) },
+		"by a change":     func(i *Inventory) { i.Apply(list(entryAfterLeaving, restarted), 2, time.Now()) },
+		"by a whole list": func(i *Inventory) { i.Replace(list(entryAfterLeaving, restarted), 2, time.Now()) },
 		"by a peer's delta": func(i *Inventory) {
-			i.Follow(Delta{From: 1, To: 2, Changes: list(left, restarted)}, time.Now())
+			i.Follow(Delta{From: 1, To: 2, Changes: list(entryAfterLeaving, restarted)}, time.Now())
 		},
 	}
 	for name, leave := range tests {
@@ -122,16 +122,16 @@
 			w, ok := i.View().Worker("h")
 			assert.Assert(t, ok)
 			assert.Equal(t, w.Loaded, "m")
-			assert.Equal(t, left.Loaded, "", "the entry itself was changed")
+			assert.Equal(t, entryAfterLeaving.Loaded, "", "the entry itself was changed")
 			w, _ = i.View().Worker("other life")
 			assert.Equal(t, w.Loaded, "")
 		})
 	}
 }
 
-// TestPeersReachTheSameList draws changes and lets a second inventory follow
-// the first one, and a third one the second, by parts of what they lack, by all of it,
-// or by the whole list. No position may ever be beyond that of the first.
+// TestPeersReachTheSameList checks a chain of three inventories of which each follows the previous
+// one. They receive random parts of deltas, whole deltas or whole lists. All must end with the same
+// workers, and none may have a higher position than the first one.
 func TestPeersReachTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, relay := NewInventory(1200*time.Millisecond, 0), NewInventory(1200*time.Millisecond, 0)
@@ -142,12 +142,12 @@
 			now := time.Now()
 			switch step {
 			case 0, 1, 2:
-				// One read may bring several changes; entries that are not understood take
-				// positions without a change.
+				// A read may return several changes; invalid entries take positions without a
+				// change.
 				var changes []Change
 				for i := range rapid.IntRange(1, 6).Draw(t, "changes") {
 					id := fmt.Sprint((n + i) % 7)
-					changes = append(changes, Change{ID: id, Worker: head(id, "g", int64(10*n+i), Open)})
+					changes = append(changes, Change{ID: id, Worker: headWorker(id, "g", int64(10*n+i), Open)})
 				}
 				position += int64(len(changes) + max(step-1, 0))
 				source.Apply(changes, position, now)
@@ -155,9 +155,9 @@
 				position++
 				source.Apply([]Change{{ID: fmt.Sprint(n % 7)}}, position, now)
 			case 4, 5:
-				followSome(t, source, relay, now)
+				deliverSomeParts(t, source, relay, now)
 			case 6, 7:
-				followSome(t, relay, follower, now)
+				deliverSomeParts(t, relay, follower, now)
 			case 8:
 				catchUp(source, relay, now)
 			default:
@@ -169,13 +169,13 @@
 		}
 		catchUp(source, relay, time.Now())
 		catchUp(relay, follower, time.Now())
-		checkSame(t, source.View(), relay.View())
-		checkSame(t, source.View(), follower.View())
+		checkSameWorkers(t, source.View(), relay.View())
+		checkSameWorkers(t, source.View(), follower.View())
 	})
 }
 
-// followSome lets a follower take some of the parts of what it lacks.
-func followSome(t *rapid.T, source, follower *Inventory, now time.Time) {
+// deliverSomeParts delivers a random selection of the missing parts to a follower.
+func deliverSomeParts(t *rapid.T, source, follower *Inventory, now time.Time) {
 	d, whole := source.Since(follower.Position())
 	if whole {
 		return
@@ -188,7 +188,7 @@
 	}
 }
 
-func checkSame(t *rapid.T, a, b *View) {
+func checkSameWorkers(t *rapid.T, a, b *View) {
 	for id, w := range a.Workers() {
 		if other, ok := b.Worker(id); !ok || other != w {
 			t.Fatalf("worker %s differs", id)
@@ -231,21 +231,24 @@
 	})
 }
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("down")
 
-// fakeSource publishes a configuration and fails while it is down.
+// fakeSource is a source with a configuration and one worker. Its configuration reads fail while it
+// is down.
 type fakeSource struct {
 	mu      sync.Mutex
 	version int64
-	down    bool
-	lost    bool
-	// era is how often the source came back from a copy.
+	isDown  bool
+	// positionLost makes the next call of nextConfig report that the position is lost.
+	positionLost bool
+	// era is how often the source was restored from a copy.
 	era int64
-	// refused tells that the newest configuration is not understood.
-	refused error
-	calls   int
-	// lists counts the reads of whole lists.
-	lists int
+	// invalidErr is the error of the newest configuration, nil if it is valid.
+	invalidErr error
+	// configCalls counts the reads of the configuration.
+	configCalls int
+	// listReads counts the reads of whole lists.
+	listReads int
 }
 
 func (s *fakeSource) set(change func()) {
@@ -261,25 +264,25 @@
 func (s *fakeSource) readConfig(context.Context) (ConfigNews, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
-	if s.down {
-		return ConfigNews{}, errDown
+	s.configCalls++
+	if s.isDown {
+		return ConfigNews{}, errUnavailable
 	}
 	if s.version == 0 {
 		return ConfigNews{}, nil
 	}
-	if s.refused != nil {
-		// The version before the newest one is understood.
-		return ConfigNews{Config: NewConfig(Parts{Version: s.version - 1}), Refused: s.refused, Next: s.version}, nil
+	if s.invalidErr != nil {
+		// The version before the newest one is valid.
+		return ConfigNews{Config: NewConfig(Parts{Version: s.version - 1}), Refused: s.invalidErr, Next: s.version}, nil
 	}
 	return ConfigNews{Config: NewConfig(Parts{Version: s.version}), Next: PositionOf(s.era, s.version)}, nil
 }
 
 func (s *fakeSource) nextConfig(ctx context.Context, position int64, wait time.Duration) (ConfigNews, error) {
 	s.mu.Lock()
-	down, lost, version := s.down, s.lost, s.version
-	s.lost = false
-	s.calls++
+	down, lost, version := s.isDown, s.positionLost, s.version
+	s.positionLost = false
+	s.configCalls++
 	s.mu.Unlock()
 	switch {
 	case lost:
@@ -292,16 +295,16 @@
 	case <-ctx.Done():
 	}
 	if down {
-		return ConfigNews{}, errDown
+		return ConfigNews{}, errUnavailable
 	}
 	return ConfigNews{Next: position}, nil
 }
 
 func (s *fakeSource) readWorkers(context.Context, string) (WorkerNews, error) {
-	s.set(func() { s.lists++ })
-	// An answer takes as long as the store's.
+	s.set(func() { s.listReads++ })
+	// The delay stands for the latency of the store.
 	time.Sleep(4 * time.Millisecond)
-	return WorkerNews{Next: 1, Changes: []Change{{ID: "w", Worker: head("w", "g", 1, Open)}}}, nil
+	return WorkerNews{Next: 1, Changes: []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}}, nil
 }
 
 func (s *fakeSource) nextWorkers(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error) {
@@ -312,8 +315,8 @@
 	return WorkerNews{Next: position}, nil
 }
 
-// follow lets a follower read a source until the returned function is called.
-func follow(source *fakeSource, beliefs *Beliefs, inventory *Inventory) (stop func()) {
+// startFollower runs a follower of a source until the returned function stop is called.
+func startFollower(source *fakeSource, beliefs *Beliefs, inventory *Inventory) (stop func()) {
 	f := NewFollower(FollowerOptions{
 		Source: source.source(), Beliefs: beliefs, Inventory: inventory,
 		Reads: func(time.Time) bool { return true }, Logger: hclog.NewNullLogger(),
@@ -330,55 +333,55 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
-		stop := follow(source, beliefs, inventory)
+		stop := startFollower(source, beliefs, inventory)
 		time.Sleep(time.Second)
 		assert.Equal(t, beliefs.Version(), int64(3))
 		assert.Equal(t, len(inventory.View().Workers()), 1)
 		assert.Assert(t, time.Since(beliefs.Confirmed()) <= time.Second)
 
-		source.set(func() { source.down = true })
+		source.set(func() { source.isDown = true })
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, time.Since(beliefs.Confirmed()) > 8*time.Second, "a failed read confirms nothing")
 
-		source.set(func() { source.down, source.version, source.lost = false, 5, true })
+		source.set(func() { source.isDown, source.version, source.positionLost = false, 5, true })
 		time.Sleep(4 * time.Second)
 		assert.Equal(t, beliefs.Version(), int64(5))
 		stop()
 	})
 }
 
-// TestConfigurationThatIsNotUnderstood stays out of force and is not taken for
-// the one in force either: it may have taken keys away.
-func TestConfigurationThatIsNotUnderstood(t *testing.T) {
+// TestInvalidConfigurationConfirmsNothing checks that an invalid configuration does not come into
+// force. It must not confirm the one in force either, since it may revoke keys.
+func TestInvalidConfigurationConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs := NewBeliefs()
-		stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
-		source.set(func() { source.version, source.refused = 5, errDown })
+		source.set(func() { source.version, source.invalidErr = 5, errUnavailable })
 		time.Sleep(10 * time.Second)
-		behind, version := time.Since(beliefs.Confirmed()), beliefs.Version()
-		source.set(func() { source.version, source.refused = 6, nil })
+		ageWhileInvalid, version := time.Since(beliefs.Confirmed()), beliefs.Version()
+		source.set(func() { source.version, source.invalidErr = 6, nil })
 		time.Sleep(2 * time.Second)
-		fresh := time.Since(beliefs.Confirmed())
+		ageAfterwards := time.Since(beliefs.Confirmed())
 		stop()
-		assert.Equal(t, version, int64(4), "the last good one")
-		assert.Assert(t, behind > 8*time.Second, "what is not understood confirms nothing")
+		assert.Equal(t, version, int64(4), "the last valid one")
+		assert.Assert(t, ageWhileInvalid > 8*time.Second, "an invalid configuration confirms nothing")
 		assert.Equal(t, beliefs.Version(), int64(6))
-		assert.Assert(t, fresh < time.Second)
+		assert.Assert(t, ageAfterwards < time.Second)
 	})
 }
 
-// TestFollowerWaitsForTheFirstConfiguration starts before the operator has
-// published anything.
+// TestFollowerWaitsForTheFirstConfiguration checks that a follower started before the first
+// configuration is published reads the source rarely, and finds the configuration once published.
 func TestFollowerWaitsForTheFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{}
 		beliefs := NewBeliefs()
-		stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(10 * time.Second)
 		source.set(func() {
-			assert.Assert(t, source.calls <= 10, "%d calls for nothing", source.calls)
+			assert.Assert(t, source.configCalls <= 10, "%d calls without a configuration", source.configCalls)
 			source.version = 1
 		})
 		time.Sleep(3 * time.Second)
@@ -387,19 +390,19 @@
 	})
 }
 
-// TestDoubtEndsWithinTheBoundOnLeaving lets a daemon alone lose the list for a
-// while, and a worker leave right after it is back.
-func TestDoubtEndsWithinTheBoundOnLeaving(t *testing.T) {
+// TestMissingWorkerIsDroppedWithinLeaveBound checks that a worker that leaves right after an outage
+// of the list gets no more requests once the leave bound has passed.
+func TestMissingWorkerIsDroppedWithinLeaveBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat, bound = 1200 * time.Millisecond, 2 * time.Second
 		i := NewInventory(heartbeat, bound)
-		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}}, 1, time.Now())
+		i.Apply([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}}, 1, time.Now())
 		time.Sleep(6 * time.Second)
 		i.Confirm(1, time.Now())
 		time.Sleep(100 * time.Millisecond)
 		i.Apply([]Change{{ID: "a"}}, 2, time.Now())
-		left := time.Now()
-		for time.Since(left) < bound-100*time.Millisecond {
+		leftAt := time.Now()
+		for time.Since(leftAt) < bound-100*time.Millisecond {
 			time.Sleep(100 * time.Millisecond)
 			i.Confirm(2, time.Now())
 		}
@@ -407,24 +410,24 @@
 	})
 }
 
-func TestEntriesThatLapseInAnOutageAreDoubted(t *testing.T) {
+func TestMissingEntriesAreToleratedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat = time.Second
 		i := NewInventory(heartbeat, 0)
-		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}, {ID: "b", Worker: head("b", "h", 2, Open)}}, 2, time.Now())
+		i.Apply([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}, {ID: "b", Worker: headWorker("b", "h", 2, Open)}}, 2, time.Now())
 		time.Sleep(5 * time.Second)
 		i.Apply([]Change{{ID: "a"}, {ID: "b"}}, 4, time.Now())
-		assert.Equal(t, len(i.View().Replicas("s", "m")), 2, "right after an outage nobody is given up")
+		assert.Equal(t, len(i.View().Replicas("s", "m")), 2, "no worker is dropped right after an outage")
 		time.Sleep(heartbeat)
-		i.Apply([]Change{{ID: "a", Worker: head("a", "g", 1, Open)}}, 5, time.Now())
-		for range lapseBeats {
+		i.Apply([]Change{{ID: "a", Worker: headWorker("a", "g", 1, Open)}}, 5, time.Now())
+		for range missingGraceHeartbeats {
 			time.Sleep(heartbeat)
 			i.Confirm(5, time.Now())
 		}
 		_, listed := i.View().Worker("b")
-		assert.Assert(t, !listed, "who does not write again is gone")
+		assert.Assert(t, !listed, "a worker that does not write again is dropped")
 		i.Apply([]Change{{ID: "a"}}, 6, time.Now())
 		_, listed = i.View().Worker("a")
-		assert.Assert(t, !listed, "in calm times an entry that goes is believed")
+		assert.Assert(t, !listed, "a removed entry is dropped without an outage")
 	})
 }
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -15,56 +15,59 @@
 	"quartzshelf.dev/rpc"
 )
 
-// Timing of an agent.
+// Timing and limits of an agent.
 const (
-	// exchangeEvery is the time between exchanges in a fleet of up to
-	// smallFleet members; larger ones exchange largeFactor times less often.
-	exchangeEvery   = 500 * time.Millisecond
-	largeFactor     = 2
-	exchangeTimeout = 800 * time.Millisecond
-	probeEvery      = time.Second
-	probeTimeout    = 400 * time.Millisecond
-	// newsLimit is how many changed entries go with one exchange.
-	newsLimit = 32
-	// indirectProbes is how many others are asked to probe a silent member.
+	// exchangeInterval is the interval between rounds of exchanges.
+	exchangeInterval = 500 * time.Millisecond
+	// roundsPerLargeFleetExchange is the number of rounds per exchange in fleets of more than
+	// smallFleet members. Smaller fleets exchange in every round.
+	roundsPerLargeFleetExchange = 2
+	exchangeTimeout             = 800 * time.Millisecond
+	probeInterval               = time.Second
+	probeTimeout                = 400 * time.Millisecond
+	// maxChangesPerExchange is the maximum number of changed entries in one exchange.
+	maxChangesPerExchange = 32
+	// indirectProbes is the number of other members that are asked to probe an unresponsive one.
 	indirectProbes = 2
-	// DefaultSuspectFor is how long a suspected member may take to refute.
-	DefaultSuspectFor = 2 * time.Second
-	// seedRounds is after how many exchanges the seeds are tried again.
-	seedRounds = 20
-	// fullSyncRounds is how many exchanges with a differing table may pass
-	// before the whole table is sent.
+	// DefaultSuspicionTimeout is how long a suspected member has to refute the suspicion.
+	DefaultSuspicionTimeout = 2 * time.Second
+	// seedRoundInterval is the number of rounds between exchanges with the seeds.
+	seedRoundInterval = 20
+	// fullSyncRounds is the number of exchanges in a row in which the two tables differ before the
+	// whole table is sent.
 	fullSyncRounds = 8
 )
 
-// Reports is the store of domain reports that spreads with membership.
+// Reports is a store of domain reports. Exchanges send peers the reports that they lack.
 type Reports interface {
-	// Digest lists what the store holds.
+	// Digest returns a summary of the reports held, by which a peer finds out which ones are missing.
 	Digest() []*rpc.ReportDigest
-	// Since returns the reports that a holder of digest lacks.
-	Since(digest []*rpc.ReportDigest) []*rpc.DomainReport
-	// Merge takes reports; the time that they have left counts from base.
+	// MissingFrom returns the reports that are newer than those in a peer's digest.
+	MissingFrom(digest []*rpc.ReportDigest) []*rpc.DomainReport
+	// Merge adds reports from a peer. The remaining times in them count from base.
 	Merge(reports []*rpc.DomainReport, base time.Time)
 }
 
-// Configuration is the folded configuration as far as it spreads with membership.
+// Configuration gives access to this daemon's configuration. Exchanges send it to peers that
+// request it.
 type Configuration interface {
-	// Next returns one past the highest offset folded.
+	// Next returns one past the offset of the newest log record that the configuration includes.
 	Next() int64
-	// Stale reports whether the log has not been read for a while, so that
-	// peers should give their configuration.
-	Stale() bool
+	// IsStale reports whether the log has not been read recently, so that peers should send their
+	// configuration.
+	IsStale() bool
 	// Encoded returns the configuration as a checkpoint.
 	Encoded() ([]byte, error)
-	// Install takes a checkpoint from a peer.
+	// Install applies a checkpoint from a peer.
 	Install(data []byte) error
 }
 
-// Quarantine is what daemons know of requests that end workers, as far as it spreads with
-// membership. Both functions are nil where nothing is to spread.
+// Quarantine gives access to this daemon's records of requests that crash workers. Exchanges send
+// them to peers. Both functions may be nil.
 type Quarantine struct {
+	// Report returns the entries to send.
 	Report func() []*rpc.QuarantineEntry
-	// Merge takes what a peer reported just now.
+	// Merge adds the entries that a peer sent.
 	Merge func(peer string, all []*rpc.QuarantineEntry)
 }
 
@@ -84,67 +87,69 @@
 // Options configures an Agent.
 type Options struct {
 	Self *rpc.Member
-	// Seeds returns addresses of daemons to begin with.
+	// Seeds returns the addresses of daemons to contact first.
 	Seeds func() []string
-	// Dial returns a client of the daemon at an address.
+	// Dial returns a client for the daemon at an address.
 	Dial          func(address string) rpc.Peer
 	Reports       Reports
 	Configuration Configuration
-	// Quarantine spreads what is known of requests that end workers.
-	Quarantine Quarantine
-	SuspectFor time.Duration
-	// Random must not be used elsewhere.
+	Quarantine    Quarantine
+	// SuspicionTimeout is how long a suspected member has to refute the suspicion; zero means
+	// DefaultSuspicionTimeout.
+	SuspicionTimeout time.Duration
+	// Random is the source of random numbers. It must not be used elsewhere.
 	Random *rand.Rand
 }
 
-// Agent keeps a daemon's view of the fleet up to date.
+// Agent keeps a daemon's membership table up to date.
 type Agent struct {
 	opts  Options
 	table *Table
 	done  chan struct{}
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	mismatch int
-	rounds   int
-	// contacts holds, for each member, when it last answered.
-	contacts map[string]time.Time
-	// fleetNext is the highest configuration offset heard of, plus one.
-	fleetNext int64
+	mu     sync.Mutex
+	random *rand.Rand
+	// mismatchedExchanges counts the exchanges with differing tables since the table last equalled a
+	// peer's or was last sent as a whole.
+	mismatchedExchanges int
+	// rounds counts the rounds of exchanges.
+	rounds int
+	// lastAnswered holds, by member id, the start of the last call that the member answered.
+	lastAnswered map[string]time.Time
+	// fleetConfigNext is one past the highest configuration offset that any peer reported.
+	fleetConfigNext int64
 }
 
-// NewAgent returns an agent; Run makes it work.
+// NewAgent returns an agent that starts to work when Run is called.
 func NewAgent(opts Options) *Agent {
-	if opts.SuspectFor == 0 {
-		opts.SuspectFor = DefaultSuspectFor
+	if opts.SuspicionTimeout == 0 {
+		opts.SuspicionTimeout = DefaultSuspicionTimeout
 	}
 	return &Agent{
-		opts:     opts,
-		table:    NewTable(opts.Self, opts.SuspectFor),
-		random:   opts.Random,
-		contacts: make(map[string]time.Time),
-		done:     make(chan struct{}),
+		opts:         opts,
+		table:        NewTable(opts.Self, opts.SuspicionTimeout),
+		random:       opts.Random,
+		lastAnswered: make(map[string]time.Time),
+		done:         make(chan struct{}),
 	}
 }
 
 // Table returns the membership table.
 func (a *Agent) Table() *Table { return a.table }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
-// FleetNext returns one past the highest configuration offset that any peer
-// was heard to hold.
+// FleetNext returns one past the highest configuration offset that any peer reported.
 func (a *Agent) FleetNext() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fleetNext
+	return a.fleetConfigNext
 }
 
-// Reached returns how many members, this one included, answered since the
-// given time, and how many members there are that have not departed. Dead
-// members count as members until they are forgotten, so that a minority that
-// was cut off does not take itself for the whole.
+// Reached returns how many members answered since the given time, and the number of all members.
+// This daemon counts as reached. Members that have left count in neither number, but dead ones
+// count as members, so that a disconnected minority does not mistake itself for the whole fleet.
 func (a *Agent) Reached(since time.Time) (reached, members int) {
 	all := a.table.Members()
 	self := a.table.Self().Id
@@ -155,7 +160,7 @@
 			continue
 		}
 		members++
-		if m.Id == self || !a.contacts[m.Id].Before(since) {
+		if m.Id == self || !a.lastAnswered[m.Id].Before(since) {
 			reached++
 		}
 	}
@@ -166,12 +171,12 @@
 func (a *Agent) Run(ctx context.Context) {
 	defer close(a.done)
 	var group conc.WaitGroup
-	group.Go(func() { every(ctx, exchangeEvery, a.exchangeRound) })
-	group.Go(func() { every(ctx, probeEvery, a.probeRound) })
+	group.Go(func() { runPeriodically(ctx, exchangeInterval, a.exchangeRound) })
+	group.Go(func() { runPeriodically(ctx, probeInterval, a.probeRound) })
 	group.Wait()
 }
 
-// exchangeRound exchanges with this round's peers side by side.
+// exchangeRound exchanges with this round's peers concurrently.
 func (a *Agent) exchangeRound(ctx context.Context) {
 	a.table.Expire()
 	addresses := a.roundAddresses()
@@ -182,21 +187,22 @@
 	group.Wait()
 }
 
-// roundAddresses returns the addresses of this round's peers, now and then or
-// when alone with the seeds.
+// roundAddresses returns the addresses of the daemons to exchange with in this round. Large fleets
+// skip some rounds, in which it returns none. The seeds are included every seedRoundInterval
+// rounds, and whenever no other member is alive.
 func (a *Agent) roundAddresses() []string {
 	alive := a.table.Alive()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rounds++
-	if len(alive) > smallFleet && a.rounds%largeFactor != 0 {
+	if len(alive) > smallFleet && a.rounds%roundsPerLargeFleetExchange != 0 {
 		return nil
 	}
 	var addresses []string
 	for _, m := range exchangePeers(a.opts.Self, alive, a.random) {
 		addresses = append(addresses, m.PeerAddress)
 	}
-	if len(alive) > 1 && a.rounds%seedRounds != 0 {
+	if len(alive) > 1 && a.rounds%seedRoundInterval != 0 {
 		return addresses
 	}
 	for _, seed := range a.opts.Seeds() {
@@ -207,7 +213,8 @@
 	return addresses
 }
 
-// exchange does one exchange with the daemon at address.
+// exchange sends membership changes and digests to the daemon at address. It merges the members,
+// reports, quarantine entries and configuration in the reply.
 func (a *Agent) exchange(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -215,11 +222,11 @@
 	request := &rpc.ExchangeRequest{
 		From:            self.Id,
 		FromIncarnation: self.Incarnation,
-		Members:         a.outgoing(),
+		Members:         a.outgoingMembers(),
 		Reports:         a.opts.Reports.Digest(),
 		MembersHash:     a.table.Hash(),
 		ConfigNext:      uint64(a.opts.Configuration.Next()),
-		WantConfig:      a.opts.Configuration.Stale(),
+		WantConfig:      a.opts.Configuration.IsStale(),
 		Quarantine:      a.opts.Quarantine.report(),
 	}
 	start := time.Now()
@@ -230,59 +237,61 @@
 	a.table.Merge(reply.Members)
 	a.opts.Reports.Merge(reply.Reports, start)
 	a.opts.Quarantine.merge(address, reply.Quarantine)
-	a.hearConfig(int64(reply.ConfigNext), reply.ConfigCheckpoint)
-	a.contact(address, start)
+	a.updateConfig(int64(reply.ConfigNext), reply.ConfigCheckpoint)
+	a.recordAnswer(address, start)
 	return nil
 }
 
-// outgoing returns the entries to send: those that changed, or all of them
-// when the tables have differed for long.
-func (a *Agent) outgoing() []*rpc.Member {
+// outgoingMembers returns the member entries to send in a request. These are the changed ones, or
+// all after fullSyncRounds exchanges in which the tables differed.
+func (a *Agent) outgoingMembers() []*rpc.Member {
 	a.mu.Lock()
-	full := a.mismatch >= fullSyncRounds
-	if full {
-		a.mismatch = 0
+	sendAll := a.mismatchedExchanges >= fullSyncRounds
+	if sendAll {
+		a.mismatchedExchanges = 0
 	}
 	a.mu.Unlock()
-	if full {
+	if sendAll {
 		return a.table.Members()
 	}
-	return a.table.News(newsLimit)
+	return a.table.PendingChanges(maxChangesPerExchange)
 }
 
-// contact notes that the member at address answered a call begun at start.
-func (a *Agent) contact(address string, start time.Time) {
+// recordAnswer records that the member at address answered a call that was started at the given
+// time.
+func (a *Agent) recordAnswer(address string, start time.Time) {
 	members := a.table.Members()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range members {
 		if m.PeerAddress == address {
-			a.contacts[m.Id] = start
+			a.lastAnswered[m.Id] = start
 		}
 	}
 }
 
-// hearConfig notes a peer's configuration and installs it when it is newer.
-func (a *Agent) hearConfig(next int64, checkpoint []byte) {
+// updateConfig records the configuration offset that a peer reported, and installs the peer's
+// checkpoint if there is one.
+func (a *Agent) updateConfig(next int64, checkpoint []byte) {
 	if len(checkpoint) > 0 {
-		// A checkpoint that does not decode changes nothing; the log or
-		// another peer brings the configuration.
+		// An invalid checkpoint changes nothing; the log or another peer provides the
+		// configuration.
 		_ = a.opts.Configuration.Install(checkpoint)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fleetNext = max(a.fleetNext, next)
+	a.fleetConfigNext = max(a.fleetConfigNext, next)
 }
 
-// Exchange answers a peer's exchange. It is part of rpc.Peer.
+// Exchange implements rpc.Peer. It merges a peer's request and returns what the peer lacks.
 func (a *Agent) Exchange(_ context.Context, request *rpc.ExchangeRequest) (*rpc.ExchangeReply, error) {
 	start := time.Now()
 	a.table.Merge(request.Members)
-	a.hearConfig(int64(request.ConfigNext), nil)
+	a.updateConfig(int64(request.ConfigNext), nil)
 	a.opts.Quarantine.merge(request.From, request.Quarantine)
 	reply := &rpc.ExchangeReply{
 		Quarantine: a.opts.Quarantine.report(),
-		Reports:    a.opts.Reports.Since(request.Reports),
+		Reports:    a.opts.Reports.MissingFrom(request.Reports),
 		ConfigNext: uint64(a.opts.Configuration.Next()),
 	}
 	reply.Members = a.membersFor(request)
@@ -295,37 +304,41 @@
 	return reply, nil
 }
 
-// membersFor returns the entries for a peer: all of them when the peer is new
-// to us or tables have differed for long, else those that changed.
+// membersFor returns the member entries to send in a reply. There are none if the tables are equal.
+// Otherwise they are the changed ones, or all if the peer needs the full table or after
+// fullSyncRounds exchanges in which the tables differed.
 func (a *Agent) membersFor(request *rpc.ExchangeRequest) []*rpc.Member {
 	if request.MembersHash == a.table.Hash() {
 		a.mu.Lock()
-		a.mismatch = 0
+		a.mismatchedExchanges = 0
 		a.mu.Unlock()
 		return nil
 	}
 	a.mu.Lock()
-	a.mismatch++
-	full := a.mismatch >= fullSyncRounds
+	a.mismatchedExchanges++
+	sendAll := a.mismatchedExchanges >= fullSyncRounds
 	a.mu.Unlock()
-	if full || a.needsAll(request) {
+	if sendAll || a.needsFullTable(request) {
 		return a.table.Members()
 	}
-	news := a.table.News(newsLimit)
+	changed := a.table.PendingChanges(maxChangesPerExchange)
 	if m, ok := a.table.Member(request.From); ok && m.State != rpc.MemberState_ALIVE {
-		// The accused must hear of it to refute.
-		news = append(news, m)
+		// A suspected member must learn of the suspicion to refute it.
+		changed = append(changed, m)
 	}
-	return news
+	return changed
 }
 
-func (a *Agent) needsAll(request *rpc.ExchangeRequest) bool {
-	const strangers = 2
+// needsFullTable reports whether a peer must get all entries. This is so if the peer is unknown, or
+// if it sent entries while this daemon's table has hardly changed since the start.
+func (a *Agent) needsFullTable(request *rpc.ExchangeRequest) bool {
+	const minVersion = 2
 	_, known := a.table.Member(request.From)
-	return !known || len(request.Members) > 0 && a.table.Version() < strangers
+	return !known || len(request.Members) > 0 && a.table.Version() < minVersion
 }
 
-// Probe answers a probe. It is part of rpc.Peer.
+// Probe implements rpc.Peer. It answers for this daemon, or probes the request's target if there is
+// one.
 func (a *Agent) Probe(ctx context.Context, request *rpc.ProbeRequest) (*rpc.ProbeReply, error) {
 	if request.Target == "" {
 		return a.answerProbe(request), nil
@@ -338,29 +351,31 @@
 	return &rpc.ProbeReply{Incarnation: a.table.Self().Incarnation, Reached: reached}, nil
 }
 
-// answerProbe tells that this daemon is alive and refutes an accusation.
+// answerProbe confirms that this daemon is alive. If the prober suspects this daemon, it raises the
+// daemon's incarnation to refute the suspicion.
 func (a *Agent) answerProbe(request *rpc.ProbeRequest) *rpc.ProbeReply {
 	self := a.table.Self()
 	if request.AccusedIncarnation >= self.Incarnation {
-		accused := proto.CloneOf(self)
-		accused.State = rpc.MemberState_SUSPECT
-		accused.Incarnation = request.AccusedIncarnation
-		a.table.Merge([]*rpc.Member{accused})
+		accusation := proto.CloneOf(self)
+		accusation.State = rpc.MemberState_SUSPECT
+		accusation.Incarnation = request.AccusedIncarnation
+		a.table.Merge([]*rpc.Member{accusation})
 	}
 	return &rpc.ProbeReply{Incarnation: a.table.Self().Incarnation, Reached: true}
 }
 
-// probeRound probes this daemon's targets side by side.
+// probeRound probes this round's targets concurrently.
 func (a *Agent) probeRound(ctx context.Context) {
 	var group conc.WaitGroup
 	for _, m := range probeTargets(a.opts.Self, a.table.Alive()) {
-		group.Go(func() { a.check(ctx, m) })
+		group.Go(func() { a.probeOrSuspect(ctx, m) })
 	}
 	group.Wait()
 }
 
-// check probes m, then through others, and suspects it when nobody reaches it.
-func (a *Agent) check(ctx context.Context, m *rpc.Member) {
+// probeOrSuspect probes m directly, then through other members, and marks it as suspected if all
+// probes fail.
+func (a *Agent) probeOrSuspect(ctx context.Context, m *rpc.Member) {
 	if a.probe(ctx, m) == nil {
 		return
 	}
@@ -369,13 +384,14 @@
 	}
 }
 
-// reachedByOthers asks helpers, side by side, to probe a silent member.
+// reachedByOthers asks other members to probe an unresponsive one, and reports whether any of them
+// reached it.
 func (a *Agent) reachedByOthers(ctx context.Context, target string) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
 	var reached atomic.Bool
 	var group conc.WaitGroup
-	for _, helper := range a.helpers(target) {
+	for _, helper := range a.chooseHelpers(target) {
 		group.Go(func() {
 			request := &rpc.ProbeRequest{From: a.opts.Self.Id, Target: target}
 			reply, err := a.opts.Dial(helper.PeerAddress).Probe(ctx, request)
@@ -389,7 +405,8 @@
 	return reached.Load()
 }
 
-// probe asks m whether it is alive and takes a refutation from the answer.
+// probe sends a probe to m and returns an error if m does not answer. If m answers with a higher
+// incarnation, the table lists it as alive again.
 func (a *Agent) probe(ctx context.Context, m *rpc.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -402,7 +419,7 @@
 	if err != nil {
 		return failure.At(failure.Unavailable, "probe member", m.Id, err)
 	}
-	a.contact(m.PeerAddress, start)
+	a.recordAnswer(m.PeerAddress, start)
 	if reply.Incarnation > m.Incarnation {
 		renewed := proto.CloneOf(m)
 		renewed.Incarnation = reply.Incarnation
@@ -412,8 +429,8 @@
 	return nil
 }
 
-// helpers returns members to probe target through.
-func (a *Agent) helpers(target string) []*rpc.Member {
+// chooseHelpers returns random members through which to probe target.
+func (a *Agent) chooseHelpers(target string) []*rpc.Member {
 	candidates := slices.DeleteFunc(slices.Clone(a.table.Alive()), func(m *rpc.Member) bool {
 		return m.Id == target || m.Id == a.opts.Self.Id || m.State != rpc.MemberState_ALIVE
 	})
@@ -425,8 +442,8 @@
 	return candidates[:min(indirectProbes, len(candidates))]
 }
 
-// every calls work at once and then at each interval until ctx ends.
-func every(ctx context.Context, interval time.Duration, work func(context.Context)) {
+// runPeriodically calls work immediately and then at each interval until ctx ends.
+func runPeriodically(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
