--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -16,11 +16,11 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			w := unlistedWorld(1, workers/20, 20)
 			for _, s := range w.workers {
-				w.list(s)
+				w.publish(s)
 			}
 			options := w.options()
 			k := NewKeeper(options, Term{Epoch: 1}, func() {})
-			serve(w)
+			openGroups(w)
 			w.traffic = true
 			ctx := context.Background()
 			now := time.Now()
@@ -31,8 +31,8 @@
 	}
 }
 
-// serve puts the workers of each domain into open groups of four.
-func serve(w *world) {
+// openGroups puts the workers of each domain into open groups of four.
+func openGroups(w *world) {
 	var changes []fleet.Change
 	members := make(map[string]int)
 	for _, s := range w.workers {
@@ -48,6 +48,6 @@
 			Member: fleet.Membership{Group: group, Epoch: int64(n/4 + 1), Rank: n % 4, State: state},
 		}})
 	}
-	w.position++
-	w.inventory.Apply(changes, w.position, time.Now())
+	w.listPosition++
+	w.inventory.Apply(changes, w.listPosition, time.Now())
 }
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -10,9 +10,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestReplicasAfterALoss: so many replicas are wanted that the others read the prompts of
+// TestReplicasForLoss: so many replicas are wanted that the others read the prompts of
 // a lost one within a pause that callers bear.
-func TestReplicasAfterALoss(t *testing.T) {
+func TestReplicasForLoss(t *testing.T) {
 	const ms = time.Millisecond
 	e := &fleet.Engine{
 		Slots: 30, Stride: 7, PrefillPerSecond: 50000, Step: 6 * ms, StepPerRequest: 45 * time.Microsecond,
@@ -35,32 +35,32 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := afterLoss(e, test.model, test.work)
+			got := replicasForLoss(e, test.model, test.work)
 			assert.Assert(t, test.least <= got && got <= test.most, "%.2f", got)
 		})
 	}
-	assert.Equal(t, afterLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "times of zero")
+	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "times of zero")
 }
 
-// TestLaterLeaderGoesByWhatIsMeasured: leaders that follow one another must not each turn
+// TestLaterLeaderUsesMeasuredDemand: leaders that follow one another must not each turn
 // replicas to what the models' shares say, and then back.
-func TestLaterLeaderGoesByWhatIsMeasured(t *testing.T) {
+func TestLaterLeaderUsesMeasuredDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
-		w.pending.Go(func() { w.readList(60 * time.Second) })
-		formed(w)
+		w.pending.Go(func() { w.confirmList(60 * time.Second) })
+		formAndStop(w)
 		w.mu.Lock()
 		w.demand = map[string]Work{"big": {Busy: 40}, "small": {Busy: 2}}
 		w.mu.Unlock()
-		_, stop := term(w, 2)
+		_, stop := startTerm(w, 2)
 		time.Sleep(20 * time.Second)
 		stop()
-		settled := w.serving()
-		_, stop = term(w, 3)
+		settled := w.countServing()
+		_, stop = startTerm(w, 3)
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.serving(), settled)
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.countServing(), settled)
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -12,13 +12,13 @@
 // and by then frees its members. A head that answers neither orders nor questions
 // may still live, but daemons have been told to send it nothing, and what its
 // members leave does not move: they are freed without its word.
-func (k *Keeper) dissolve(ctx context.Context, o *observed, head *fleet.Worker) {
+func (k *Keeper) dissolve(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	k.announceClosed(o, head)
-	k.release(ctx, o, head)
+	k.releaseMembers(ctx, o, head)
 }
 
-// release frees the members of a group that takes no requests.
-func (k *Keeper) release(ctx context.Context, o *observed, head *fleet.Worker) {
+// releaseMembers frees the members of a group that takes no requests.
+func (k *Keeper) releaseMembers(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	unreachableSince := time.Time{}
 	for ctx.Err() == nil {
 		verdict, ok := k.leave(ctx, o.group, head)
@@ -27,16 +27,16 @@
 		case ok && verdict == Fenced:
 			return
 		case ok:
-			k.retire(o, head, confirmed)
+			k.retire(o, head, retiredConfirmed)
 			return
 		case unreachableSince.IsZero():
-			unreachableSince = now.Add(-orderTries * orderTimeout)
+			unreachableSince = now.Add(-maxOrderAttempts * orderTimeout)
 		}
-		if k.isSilent(head.ID) || k.gone(head, unreachableSince, now) {
-			k.retire(o, head, assumed)
+		if k.isUnresponsive(head.ID) || k.isPresumedGone(head, unreachableSince, now) {
+			k.retire(o, head, retiredAssumed)
 			return
 		}
-		pause.For(ctx, tickEvery)
+		pause.For(ctx, tickInterval)
 	}
 }
 
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, indirectTimeout)
 	defer cancel()
-	verdict, err := k.opts.IndirectLeave(ctx, head, k.fence(), g)
+	verdict, err := k.opts.IndirectLeave(ctx, head, k.nextFence(), g)
 	if err != nil {
 		return Unfit, false
 	}
@@ -60,49 +60,49 @@
 
 // leaveDirectly orders a worker to leave a group, and reports whether it answered.
 func (k *Keeper) leaveDirectly(ctx context.Context, g Group, w *fleet.Worker) (Verdict, bool) {
-	verdict, ok := k.order(ctx, "leave", w, func(ctx context.Context, fence Fence) (Verdict, error) {
+	verdict, ok := k.sendOrder(ctx, "leave", w, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Leave(ctx, w, fence, g)
 	})
 	if ok {
-		k.left(w.ID, g, verdict)
+		k.recordLeft(w.ID, g, verdict)
 	}
 	return verdict, ok
 }
 
-// gone reports whether a head that does not answer is taken to have ended: it is
+// isPresumedGone reports whether a head that does not answer is taken to have ended: it is
 // not listed although the list is fresh, or it had time to break while nobody
 // could read the list.
-func (k *Keeper) gone(head *fleet.Worker, since, now time.Time) bool {
+func (k *Keeper) isPresumedGone(head *fleet.Worker, since, now time.Time) bool {
 	_, listed := k.opts.Inventory.View().Worker(head.ID)
-	fresh := now.Sub(k.opts.Inventory.Confirmed()) < listFresh
+	fresh := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
 	silence := now.Sub(since)
 	if fresh {
-		return !listed && silence > lostHead
+		return !listed && silence > lostHeadTimeout
 	}
-	return silence > k.opts.StallAfter+lostHead
+	return silence > k.opts.StallAfter+lostHeadTimeout
 }
 
-func (k *Keeper) retire(o *observed, head *fleet.Worker, how retirement) {
-	k.opts.Logger.Info("replica dissolved", "replica", o.key, "head", head.ID, "confirmed", how == confirmed)
+func (k *Keeper) retire(o *observedGroup, head *fleet.Worker, how retirement) {
+	k.opts.Logger.Info("replica dissolved", "replica", o.key, "head", head.ID, "confirmed", how == retiredConfirmed)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.retired[o.key] = how
-	if how == confirmed {
-		k.dissolved[o.key] = dissolution{at: time.Now(), shown: o.state}
+	k.retirements[o.key] = how
+	if how == retiredConfirmed {
+		k.dissolutions[o.key] = dissolution{at: time.Now(), lastState: o.state}
 	}
-	delete(k.headless, o.key)
+	delete(k.headlessSince, o.key)
 }
 
-func (k *Keeper) announceClosed(o *observed, head *fleet.Worker) {
+func (k *Keeper) announceClosed(o *observedGroup, head *fleet.Worker) {
 	k.opts.Announced(fleet.Announcement{
 		Group: o.group.Name, Epoch: o.group.Epoch, Service: head.Service, Model: o.group.Model, Head: head.ID,
 	})
 }
 
-// end dissolves a group that is closed already; one whose members are all there
+// drainOrDissolve dissolves a group that is closed already; one whose members are all there
 // may have requests to end.
-func (k *Keeper) end(ctx context.Context, o *observed) {
-	if o.whole() {
+func (k *Keeper) drainOrDissolve(ctx context.Context, o *observedGroup) {
+	if o.isComplete() {
 		k.drain(ctx, o)
 		return
 	}
@@ -110,40 +110,40 @@
 }
 
 // drain lets a group's requests end before it is dissolved.
-func (k *Keeper) drain(ctx context.Context, o *observed) {
+func (k *Keeper) drain(ctx context.Context, o *observedGroup) {
 	k.opts.Logger.Info("draining replica", "replica", o.key)
 	k.announceClosed(o, o.head)
-	deadline := time.Now().Add(drainMost)
-	verdict, ok := k.order(ctx, "close", o.head, func(ctx context.Context, fence Fence) (Verdict, error) {
+	deadline := time.Now().Add(maxDrainTime)
+	verdict, ok := k.sendOrder(ctx, "close", o.head, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Close(ctx, o.head, fence, o.group)
 	})
-	k.began(o.head.ID, verdict)
-	nextAsk := time.Now().Add(askEvery)
+	k.recordBegun(o.head.ID, verdict)
+	nextAsk := time.Now().Add(queryInterval)
 	// An earlier leader may have closed it.
 	closing := ok && (verdict.Accepted() || o.state == fleet.Closing)
-	for closing && ctx.Err() == nil && time.Now().Before(deadline) && !k.drained(ctx, o, &nextAsk) {
-		pause.For(ctx, tickEvery)
+	for closing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextAsk) {
+		pause.For(ctx, tickInterval)
 	}
 	k.dissolve(ctx, o, o.head)
 }
 
-// drained reports whether a closed group's requests have ended, by the list or,
+// isDrained reports whether a closed group's requests have ended, by the list or,
 // while that is stale or does not show the head, by the head itself.
-func (k *Keeper) drained(ctx context.Context, o *observed, nextAsk *time.Time) bool {
+func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextAsk *time.Time) bool {
 	closed := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
-	listed, there := k.opts.Inventory.View().Worker(o.head.ID)
-	if there && listed.Member.Same(closed) && listed.Member.State == fleet.Ready {
+	listed, isListed := k.opts.Inventory.View().Worker(o.head.ID)
+	if isListed && listed.Member.Same(closed) && listed.Member.State == fleet.Ready {
 		return true
 	}
-	if !there && !k.mayLive(o.head.ID) {
+	if !isListed && !k.mayBeAlive(o.head.ID) {
 		return true
 	}
 	now := time.Now()
-	told := there && now.Sub(k.opts.Inventory.Confirmed()) <= listStale
-	if told || now.Before(*nextAsk) {
+	isListCurrent := isListed && now.Sub(k.opts.Inventory.Confirmed()) <= listStaleAge
+	if isListCurrent || now.Before(*nextAsk) {
 		return false
 	}
-	*nextAsk = now.Add(askEvery)
-	state, ok := k.ask(ctx, o.head)
+	*nextAsk = now.Add(queryInterval)
+	state, ok := k.queryState(ctx, o.head)
 	return ok && (!state.Member.Same(closed) || state.Member.State == fleet.Ready)
 }
--- a/formation/ended.go
+++ b/formation/ended.go
@@ -10,46 +10,46 @@
 // ErrElsewhere tells that another worker answered at a worker's address.
 var ErrElsewhere = errors.New("another worker has the address")
 
-// noteEnded notes that a worker's life has ended: another one answered at its address. The
+// recordDisplaced notes that a worker's life has ended: another one answered at its address. The
 // list may show it for some time yet, and does so all the while the store is away. Formed
 // into groups again and again, a few such workers made a leader begin 450 groups a second,
 // none of which came to serve.
-func (k *Keeper) noteEnded(w *fleet.Worker) {
+func (k *Keeper) recordDisplaced(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ended[w.ID] {
+	if k.displaced[w.ID] {
 		return
 	}
-	k.ended[w.ID] = true
+	k.displaced[w.ID] = true
 	if a, ok := k.absent[w.ID]; ok {
-		a.ended = true
+		a.isGone = true
 	}
 	k.opts.Logger.Info("worker has ended: another one has its address", "worker", w.ID)
 }
 
-// interruption is what a worker holds for certain after a group that it was to join was
+// interruptedJoin is what a worker holds for certain after a group that it was to join was
 // given up: no model of its own, and what is staged on its host.
-type interruption struct {
+type interruptedJoin struct {
 	staged []string
 	at     time.Time
 }
 
-// noteInterrupted notes that the members of a group may have been cut off while they
+// recordInterruptedJoins notes that the members of a group may have been cut off while they
 // joined it: they may have lost what they served before and not have the new model. Taken
 // for warm, they would load without being counted. Those that served the model last have
 // nothing to lose. The keeper's mutex is held.
-func (k *Keeper) noteInterrupted(g Group, now time.Time) {
+func (k *Keeper) recordInterruptedJoins(g Group, now time.Time) {
 	for _, id := range g.Members {
-		w, ok := k.former[id]
+		w, ok := k.knownWorkers[id]
 		if !ok {
 			continue
 		}
-		switch k.freeOf(w).warmth(g.Model) {
+		switch k.asFreeWorker(w).warmth(g.Model) {
 		case Hot:
 		case Staged:
-			k.interrupted[id] = interruption{staged: []string{g.Model}, at: now}
+			k.interruptedJoins[id] = interruptedJoin{staged: []string{g.Model}, at: now}
 		default:
-			k.interrupted[id] = interruption{at: now}
+			k.interruptedJoins[id] = interruptedJoin{at: now}
 		}
 	}
 }
--- a/formation/ended_test.go
+++ b/formation/ended_test.go
@@ -10,16 +10,16 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestEndedWorkersAreLeftAlone: four idle workers were started anew, and the list shows
+// TestDisplacedWorkersGetNoMoreOrders: four idle workers were started anew, and the list shows
 // their former lives. No group may be formed of these again and again.
-func TestEndedWorkersAreLeftAlone(t *testing.T) {
+func TestDisplacedWorkersGetNoMoreOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(4 * time.Second)
 		for _, id := range []string{"w0-10", "w0-11", "w0-12", "w0-13"} {
 			w.mu.Lock()
-			w.elsewhere[id] = true
+			w.displaced[id] = true
 			w.mu.Unlock()
 			w.add(id, "d0")
 		}
@@ -27,16 +27,16 @@
 		stop()
 		// A join and a leave each, before that is known.
 		w.mu.Lock()
-		assert.Assert(t, w.answered > 0 && w.answered <= 4, "%d orders", w.answered)
+		assert.Assert(t, w.displacedOrders > 0 && w.displacedOrders <= 4, "%d orders", w.displacedOrders)
 		w.mu.Unlock()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestInterruptedJoinsAreNotTakenForWarm: what a worker holds after a join that was cut off
+// TestInterruptedJoinsAreNotAssumedWarm: what a worker holds after a join that was cut off
 // is not certain until the list was confirmed after it.
-func TestInterruptedJoinsAreNotTakenForWarm(t *testing.T) {
+func TestInterruptedJoinsAreNotAssumedWarm(t *testing.T) {
 	tests := map[string]struct {
 		loaded, staged string
 		// big and small are how warm it is then for these models.
@@ -57,14 +57,14 @@
 				}
 				w.inventory.Apply([]fleet.Change{{ID: "a", Worker: entry}}, 1, time.Now())
 				k := NewKeeper(w.options(), Term{Epoch: 1}, func() {})
-				k.former["a"] = entry
-				before := k.freeOf(entry)
-				k.noteInterrupted(Group{Model: "big", Members: []string{"a", "unknown"}}, time.Now())
-				assert.Equal(t, k.freeOf(entry).warmth("big"), test.big)
-				assert.Equal(t, k.freeOf(entry).warmth("small"), test.small)
-				time.Sleep(2 * settleFor)
+				k.knownWorkers["a"] = entry
+				before := k.asFreeWorker(entry)
+				k.recordInterruptedJoins(Group{Model: "big", Members: []string{"a", "unknown"}}, time.Now())
+				assert.Equal(t, k.asFreeWorker(entry).warmth("big"), test.big)
+				assert.Equal(t, k.asFreeWorker(entry).warmth("small"), test.small)
+				time.Sleep(2 * listSettleTime)
 				w.inventory.Confirm(1, time.Now())
-				assert.DeepEqual(t, k.freeOf(entry), before)
+				assert.DeepEqual(t, k.asFreeWorker(entry), before)
 			})
 		})
 	}
--- a/formation/exchange_test.go
+++ b/formation/exchange_test.go
@@ -11,102 +11,102 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestTradeForWhatCanStand: groups are given up only for a group that can stand, and no
+// TestTradeOnlyForFeasibleGroups: groups are given up only for a group that can stand, and no
 // more of a model at once than the rest can carry.
-func TestTradeForWhatCanStand(t *testing.T) {
+func TestTradeOnlyForFeasibleGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
 	needs := []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 8, Have: 8}}
-	warm := []Free{{ID: "a", Domain: "d", Loaded: "big"}, {ID: "b", Domain: "d", Loaded: "big"}}
-	group := func(key, domain string, cold int) Standing {
-		return Standing{Key: key, Domain: domain, Model: "small", Members: 2, Cold: map[string]int{"big": cold}}
+	warm := []FreeWorker{{ID: "a", Domain: "d", Loaded: "big"}, {ID: "b", Domain: "d", Loaded: "big"}}
+	group := func(key, domain string, cold int) ServingGroup {
+		return ServingGroup{Key: key, Domain: domain, Model: "small", Members: 2, Cold: map[string]int{"big": cold}}
 	}
 	tests := map[string]struct {
 		needs    []Need
-		free     []Free
-		standing []Standing
+		free     []FreeWorker
+		standing []ServingGroup
 		down     map[string]int
 		maxLoads int
 		want     []string
 	}{
-		"warm members":                   {free: warm, standing: []Standing{group("s", "d", 0)}, want: []string{"s"}},
-		"a member that has to load":      {free: warm, standing: []Standing{group("s", "d", 1)}, maxLoads: 9},
-		"idle workers that have to load": {free: []Free{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}}, standing: []Standing{group("s", "d", 0)}, maxLoads: 9},
+		"warm members":                   {free: warm, standing: []ServingGroup{group("s", "d", 0)}, want: []string{"s"}},
+		"a member that has to load":      {free: warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 9},
+		"idle workers that have to load": {free: []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}}, standing: []ServingGroup{group("s", "d", 0)}, maxLoads: 9},
 		"idle workers in doubt": {
-			free:     []Free{{ID: "a", Domain: "d", Loaded: "big", Doubted: true}, {ID: "b", Domain: "d", Loaded: "big"}},
-			standing: []Standing{group("s", "d", 0)}, maxLoads: 9,
+			free:     []FreeWorker{{ID: "a", Domain: "d", Loaded: "big", Unreliable: true}, {ID: "b", Domain: "d", Loaded: "big"}},
+			standing: []ServingGroup{group("s", "d", 0)}, maxLoads: 9,
 		},
-		"the warm one of two groups": {free: warm, standing: []Standing{group("s", "d", 1), group("t", "d", 0)}, want: []string{"t"}},
+		"the warm one of two groups": {free: warm, standing: []ServingGroup{group("s", "d", 1), group("t", "d", 0)}, want: []string{"t"}},
 		"the domain with the fewest groups": {
-			free: warm, standing: []Standing{group("s", "c", 0), group("t", "c", 0), group("u", "d", 0)}, want: []string{"u"},
+			free: warm, standing: []ServingGroup{group("s", "c", 0), group("t", "c", 0), group("u", "d", 0)}, want: []string{"u"},
 		},
 		"loads where half of what is wanted lacks": {
 			needs: []Need{{Model: big, Want: 9, Have: 3}, {Model: small, Want: 8, Have: 8}},
-			free:  warm, standing: []Standing{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
+			free:  warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
 		},
 		"loads where others have more than is wanted": {
 			needs: []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 6, Have: 9}},
-			free:  warm, standing: []Standing{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
+			free:  warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
 		},
 		"no loads may begin": {
 			needs: []Need{{Model: big, Want: 9, Have: 3}, {Model: small, Want: 8, Have: 8}},
-			free:  warm, standing: []Standing{group("s", "d", 1)},
+			free:  warm, standing: []ServingGroup{group("s", "d", 1)},
 		},
-		"a quarter of the groups is down": {free: warm, standing: []Standing{group("s", "d", 0)}, down: map[string]int{"small": 2}},
-		"less than a quarter is down":     {free: warm, standing: []Standing{group("s", "d", 0)}, down: map[string]int{"small": 1}, want: []string{"s"}},
+		"a quarter of the groups is down": {free: warm, standing: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 2}},
+		"less than a quarter is down":     {free: warm, standing: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 1}, want: []string{"s"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if test.needs == nil {
 				test.needs = needs
 			}
-			trader := newTrader(test.needs, test.free, test.standing)
+			trader := newTradeFinder(test.needs, test.free, test.standing)
 			trader.down, trader.maxLoads = test.down, test.maxLoads
-			x, ok := trader.best()
+			x, ok := trader.bestTrade()
 			assert.Equal(t, ok, test.want != nil)
-			assert.DeepEqual(t, x.Keys, test.want)
+			assert.DeepEqual(t, x.GroupKeys, test.want)
 		})
 	}
 }
 
-// TestExchangeInsteadOfLoads: a planned group whose members would wait for a load gives way
+// TestTradeInsteadOfLoads: a planned group whose members would wait for a load gives way
 // to an exchange that makes it of warm members.
-func TestExchangeInsteadOfLoads(t *testing.T) {
+func TestTradeInsteadOfLoads(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
 	needs := []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 5, Have: 8}}
-	survivors := []Free{
+	survivors := []FreeWorker{
 		{ID: "a", Domain: "d", Loaded: "big"}, {ID: "b", Domain: "d", Loaded: "big"}, {ID: "c", Domain: "d", Loaded: "big"}, {ID: "e", Domain: "d"},
 	}
-	group := func(domain string, cold int) Standing {
-		return Standing{Key: "s", Domain: domain, Model: "small", Members: 2, Cold: map[string]int{"big": cold}}
+	group := func(domain string, cold int) ServingGroup {
+		return ServingGroup{Key: "s", Domain: domain, Model: "small", Members: 2, Cold: map[string]int{"big": cold}}
 	}
 	tests := map[string]struct {
 		needs    []Need
-		standing []Standing
+		standing []ServingGroup
 		want     []string
 	}{
-		"a warm group in the domain":   {needs: needs, standing: []Standing{group("d", 0)}, want: []string{"s"}},
-		"one of its members is warm":   {needs: needs, standing: []Standing{group("d", 1)}, want: []string{"s"}},
-		"none of its members is warm":  {needs: needs, standing: []Standing{group("d", 2)}},
-		"a group of another domain":    {needs: needs, standing: []Standing{group("c", 0)}},
+		"a warm group in the domain":   {needs: needs, standing: []ServingGroup{group("d", 0)}, want: []string{"s"}},
+		"one of its members is warm":   {needs: needs, standing: []ServingGroup{group("d", 1)}, want: []string{"s"}},
+		"none of its members is warm":  {needs: needs, standing: []ServingGroup{group("d", 2)}},
+		"a group of another domain":    {needs: needs, standing: []ServingGroup{group("c", 0)}},
 		"no other group":               {needs: needs},
-		"a group that can't be spared": {needs: []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 10, Have: 8}}, standing: []Standing{group("d", 0)}},
+		"a group that can't be spared": {needs: []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 10, Have: 8}}, standing: []ServingGroup{group("d", 0)}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x, ok := newTrader(test.needs, survivors, test.standing).instead(newFormation(big, survivors))
+			x, ok := newTradeFinder(test.needs, survivors, test.standing).tradeInsteadOf(newFormation(big, survivors))
 			assert.Equal(t, ok, test.want != nil)
 			if ok {
-				assert.DeepEqual(t, x.Keys, test.want)
+				assert.DeepEqual(t, x.GroupKeys, test.want)
 			}
 		})
 	}
-	_, ok := newTrader(needs, survivors, []Standing{group("d", 0)}).instead(Formation{Model: big, Members: []string{"a"}})
+	_, ok := newTradeFinder(needs, survivors, []ServingGroup{group("d", 0)}).tradeInsteadOf(Formation{Model: big, Members: []string{"a"}})
 	assert.Assert(t, !ok, "a group that needs no load")
 }
 
-// TestTradeMindsTheHalls: of two domains that give as much, the one is taken whose hall
+// TestTradeSpreadsOverHalls: of two domains that give as much, the one is taken whose hall
 // holds fewer groups of the model.
-func TestTradeMindsTheHalls(t *testing.T) {
+func TestTradeSpreadsOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4}, fleet.Model{Name: "small", Size: 4}
 	for name, test := range map[string]struct {
 		bear int
@@ -116,45 +116,45 @@
 		"the loss of a hall": {bear: 1, want: []string{"t"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			trader := newTrader([]Need{{Model: big, Want: 4, Have: 3}, {Model: small, Want: 4, Have: 8}}, nil, []Standing{
+			trader := newTradeFinder([]Need{{Model: big, Want: 4, Have: 3}, {Model: small, Want: 4, Have: 8}}, nil, []ServingGroup{
 				{Key: "s", Domain: "d", Hall: "h0", Model: "small", Members: 4}, {Key: "t", Domain: "e", Hall: "h1", Model: "small", Members: 4},
 			})
-			trader.value.halls = Halls{Bear: test.bear, Weight: hallWeight}
+			trader.value.hallLoss = HallLossPolicy{MaxLost: test.bear, Weight: hallWeight}
 			trader.value.serving = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
-			x, ok := trader.best()
+			x, ok := trader.bestTrade()
 			assert.Assert(t, ok)
-			assert.DeepEqual(t, x.Keys, test.want)
+			assert.DeepEqual(t, x.GroupKeys, test.want)
 		})
 	}
 }
 
-// TestTradeCountsAllItGets: a large group gives the members of several small ones, so
+// TestTradeCountsAllFormedGroups: a large group gives the members of several small ones, so
 // that no second one is given up for the same lack.
-func TestTradeCountsAllItGets(t *testing.T) {
+func TestTradeCountsAllFormedGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	needs := []Need{{Model: big, Want: 1, Have: 4}, {Model: small, Want: 6, Have: 3}}
-	x, ok := Trade(needs, nil, []Standing{
+	x, ok := FindTrade(needs, nil, []ServingGroup{
 		{Key: "a", Domain: "d", Model: "big", Members: 16}, {Key: "b", Domain: "d", Model: "big", Members: 16},
 	})
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, x.Keys, []string{"a"})
-	assert.Equal(t, x.Gets, 3)
+	assert.DeepEqual(t, x.GroupKeys, []string{"a"})
+	assert.Equal(t, x.Formed, 3)
 	x.apply(needs)
 	assert.Equal(t, needs[1].Have, 6)
 }
 
-// mayLoad reports whether members that load count for an exchange.
-func mayLoad(needs []Need, x Exchange) bool {
+// mayUseColdMembers reports whether members that load count for an exchange.
+func mayUseColdMembers(needs []Need, x Trade) bool {
 	to := needs[slices.IndexFunc(needs, func(n Need) bool { return n.Model.Name == x.Model })]
-	return to.share(0) <= coldTradeShare || x.surplus(needs)
+	return to.coverageWith(0) <= coldTradeMaxCoverage || x.isSurplus(needs)
 }
 
 // drawStanding draws the groups that needs tell of, in a few domains.
-func drawStanding(t *rapid.T, needs []Need) []Standing {
-	var all []Standing
+func drawStanding(t *rapid.T, needs []Need) []ServingGroup {
+	var all []ServingGroup
 	for i, n := range needs {
 		for g := range n.Have {
-			s := Standing{
+			s := ServingGroup{
 				Key: fmt.Sprintf("g%d-%d", i, g), Domain: fmt.Sprint("d", rapid.IntRange(0, 3).Draw(t, "domain")),
 				Model: n.Model.Name, Members: n.Model.Size, Cold: make(map[string]int),
 			}
@@ -167,52 +167,52 @@
 	return all
 }
 
-// members returns how many members an exchange makes free, idle workers included.
-func (x Exchange) members(in Input, standing []Standing) int {
-	loads, members := mayLoad(in.Needs, x), 0
+// countMembers returns how many members an exchange makes free, idle workers included.
+func (x Trade) countMembers(in Input, standing []ServingGroup) int {
+	loads, members := mayUseColdMembers(in.Needs, x), 0
 	for _, f := range in.Free {
-		if f.Domain == x.Domain && !f.Doubted && (f.warmth(x.Model) <= Staged || loads) {
+		if f.Domain == x.Domain && !f.Unreliable && (f.warmth(x.Model) <= Staged || loads) {
 			members++
 		}
 	}
 	for _, s := range standing {
 		switch {
-		case !slices.Contains(x.Keys, s.Key):
+		case !slices.Contains(x.GroupKeys, s.Key):
 		case loads:
 			members += s.Members
 		default:
-			members += s.warm(x.Model)
+			members += s.countWarm(x.Model)
 		}
 	}
 	return members
 }
 
-// TestTradeHolds checks what must hold of every exchange: groups of one domain, none
+// TestTradeInvariants checks what must hold of every exchange: groups of one domain, none
 // twice, enough members for what it gets, and givers that stay better off.
-func TestTradeHolds(t *testing.T) {
+func TestTradeInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		standing := drawStanding(t, in.Needs)
-		x, ok := Trade(in.Needs, in.Free, standing)
+		x, ok := FindTrade(in.Needs, in.Free, standing)
 		if !ok {
 			return
 		}
 		given := make(map[string]int)
 		for _, s := range standing {
-			if slices.Contains(x.Keys, s.Key) {
+			if slices.Contains(x.GroupKeys, s.Key) {
 				assert.Equal(t, s.Domain, x.Domain)
 				given[s.Model]++
 			}
 		}
-		assert.Equal(t, len(slices.Compact(slices.Sorted(slices.Values(x.Keys)))), len(x.Keys))
+		assert.Equal(t, len(slices.Compact(slices.Sorted(slices.Values(x.GroupKeys)))), len(x.GroupKeys))
 		assert.DeepEqual(t, given, x.Given)
 		to := in.Needs[slices.IndexFunc(in.Needs, func(n Need) bool { return n.Model.Name == x.Model })]
-		assert.Assert(t, !to.met() && x.Gets >= 1 && len(x.Keys) > 0 && given[x.Model] == 0)
-		members := x.members(in, standing)
-		assert.Assert(t, members >= x.Gets*to.Model.Size, "%d members for %d groups", members, x.Gets)
+		assert.Assert(t, !to.isMet() && x.Formed >= 1 && len(x.GroupKeys) > 0 && given[x.Model] == 0)
+		members := x.countMembers(in, standing)
+		assert.Assert(t, members >= x.Formed*to.Model.Size, "%d members for %d groups", members, x.Formed)
 		for _, n := range in.Needs {
 			count := given[n.Model.Name]
-			assert.Assert(t, count == 0 || n.share(-count) >= tradeMargin*to.share(1))
+			assert.Assert(t, count == 0 || n.coverageWith(-count) >= tradeMargin*to.coverageWith(1))
 		}
 	})
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -11,62 +11,62 @@
 	"quartzshelf.dev/fleet"
 )
 
-// beginForm begins the forming of a group. The keeper's mutex is held.
-func (k *Keeper) beginForm(ctx context.Context, s *fleet.Service, f Formation) {
-	epoch := int64(k.next())
-	head := k.former[f.Members[0]]
+// startForming begins the forming of a group. The keeper's mutex is held.
+func (k *Keeper) startForming(ctx context.Context, s *fleet.Service, f Formation) {
+	epoch := int64(k.nextFenceLocked())
+	head := k.knownWorkers[f.Members[0]]
 	g := Group{Name: fleet.GroupName(f.Model.Name, epoch, head), Epoch: epoch, Model: f.Model.Name, Members: f.Members}
 	var members []*fleet.Worker
 	for _, id := range f.Members {
-		members = append(members, k.former[id])
+		members = append(members, k.knownWorkers[id])
 	}
-	k.formed[g.Key()] = g
-	k.heads[g.Key()] = g.Members[0]
+	k.formedGroups[g.Key()] = g
+	k.headIDs[g.Key()] = g.Members[0]
 	for _, w := range members {
-		k.noteLoad(w, f.Model)
+		k.recordLoad(w, f.Model)
 	}
 	k.opts.Logger.Info("forming replica", "replica", g.Key(), "model", g.Model, "members", g.Members, "loads", f.Loads)
-	k.begin(ctx, g.Key(), members, func(ctx context.Context) { k.form(ctx, s, f, g, members) })
+	k.startOperation(ctx, g.Key(), members, func(ctx context.Context) { k.form(ctx, s, f, g, members) })
 }
 
 // form joins the members, waits until each was seen ready under this name,
 // epoch and list, and only then opens the head.
-func (k *Keeper) form(term context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
+func (k *Keeper) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
 	start := time.Now()
-	expected := joinSlack + f.Model.Warm
+	expected := joinGracePeriod + f.Model.Warm
 	if f.Loads > 0 {
-		expected += slowLoads * f.Model.Load
+		expected += loadTimeFactor * f.Model.Load
 	}
-	defer k.loadsEnded(f.Members)
-	ctx, cancel := context.WithDeadline(term, start.Add(expected))
+	defer k.clearLoads(f.Members)
+	ctx, cancel := context.WithDeadline(termCtx, start.Add(expected))
 	defer cancel()
 	if !k.join(ctx, g, members) || !k.awaitReady(ctx, g, members) {
 		// Nobody was told to open it, so that it is not announced as closed: its head may serve
 		// in another group, against which daemons would hold that.
-		k.giveUp(term, g, "a member did not become ready", func(o *observed) { k.release(term, o, members[0]) })
+		k.abandon(termCtx, g, "a member did not become ready", func(o *observedGroup) { k.releaseMembers(termCtx, o, members[0]) })
 		return
 	}
-	k.trust(members)
+	k.clearUnreliable(members)
 	if !k.open(ctx, s.Name, g, members[0]) {
-		k.giveUp(term, g, "the head was not opened", func(o *observed) { k.dissolve(term, o, members[0]) })
+		k.abandon(termCtx, g, "the head was not opened", func(o *observedGroup) { k.dissolve(termCtx, o, members[0]) })
 		return
 	}
 	k.opts.Logger.Info("replica opened", "replica", g.Key(), "model", g.Model,
 		"head", g.Members[0], "ms", time.Since(start).Milliseconds())
 }
 
-// giveUp ends a group that could not be formed: end makes certain that it is never opened by a
+// abandon ends a group that could not be formed: end makes certain that it is never opened by a
 // late order, and frees its members. When the term has ended, the group is left to the next
 // leader.
-func (k *Keeper) giveUp(term context.Context, g Group, why string, end func(o *observed)) {
-	if term.Err() != nil {
+func (k *Keeper) abandon(termCtx context.Context, g Group, reason string, dissolve func(o *observedGroup)) {
+	if termCtx.Err() != nil {
 		return
 	}
-	k.opts.Logger.Warn("forming given up", "replica", g.Key(), "model", g.Model, "reason", why)
+	k.opts.Logger.Warn("forming given up", "replica", g.Key(), "model", g.Model, "reason", reason)
 	k.mu.Lock()
-	k.noteInterrupted(g, time.Now())
+	k.recordInterruptedJoins(g, time.Now())
 	k.mu.Unlock()
-	end(&observed{key: g.Key(), group: g})
+	dissolve(&observedGroup{key: g.Key(), group: g})
 }
 
 // join orders each member into the group, side by side, and reports whether all
@@ -77,7 +77,7 @@
 		p.Go(func() bool {
 			joined := k.joinMember(ctx, g, w)
 			if !joined {
-				k.doubt(ctx, g, w)
+				k.markUnreliable(ctx, g, w)
 			}
 			return joined
 		})
@@ -89,7 +89,7 @@
 // doubts those that are gone, or else all that were not seen ready in time.
 func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	seen := make(map[string]bool)
-	nextAsk := time.Now().Add(askEvery)
+	nextAsk := time.Now().Add(queryInterval)
 	for ctx.Err() == nil {
 		view := k.opts.Inventory.View()
 		for _, w := range members {
@@ -101,16 +101,16 @@
 			return true
 		}
 		if now := time.Now(); now.After(nextAsk) {
-			nextAsk = now.Add(askEvery)
-			k.askReady(ctx, g, k.untold(members, view, now), seen)
+			nextAsk = now.Add(queryInterval)
+			k.queryReady(ctx, g, k.unlistedMembers(members, view, now), seen)
 		}
-		if lost := k.lost(members); len(lost) > 0 {
-			k.doubt(ctx, g, lost...)
+		if lost := k.goneMembers(members); len(lost) > 0 {
+			k.markUnreliable(ctx, g, lost...)
 			return false
 		}
-		pause.For(ctx, tickEvery/4)
+		pause.For(ctx, tickInterval/4)
 	}
-	k.doubt(ctx, g, slices.DeleteFunc(slices.Clone(members), func(w *fleet.Worker) bool { return seen[w.ID] })...)
+	k.markUnreliable(ctx, g, slices.DeleteFunc(slices.Clone(members), func(w *fleet.Worker) bool { return seen[w.ID] })...)
 	return false
 }
 
@@ -118,10 +118,10 @@
 	return m.Group == g.Name && m.Epoch == g.Epoch && m.State == fleet.Ready
 }
 
-// untold returns the members of which the list does not tell now: all while it is old,
+// unlistedMembers returns the members of which the list does not tell now: all while it is old,
 // else those that left it.
-func (k *Keeper) untold(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
-	if now.Sub(k.opts.Inventory.Confirmed()) > listStale {
+func (k *Keeper) unlistedMembers(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
+	if now.Sub(k.opts.Inventory.Confirmed()) > listStaleAge {
 		return members
 	}
 	var left []*fleet.Worker
@@ -133,21 +133,21 @@
 	return left
 }
 
-// askReady asks the members that were not seen ready.
-func (k *Keeper) askReady(ctx context.Context, g Group, members []*fleet.Worker, seen map[string]bool) {
+// queryReady asks the members that were not seen ready.
+func (k *Keeper) queryReady(ctx context.Context, g Group, members []*fleet.Worker, seen map[string]bool) {
 	for _, w := range members {
 		if seen[w.ID] {
 			continue
 		}
-		if state, ok := k.ask(ctx, w); ok && isReadyIn(state.Member, g) {
+		if state, ok := k.queryState(ctx, w); ok && isReadyIn(state.Member, g) {
 			seen[w.ID] = true
 		}
 	}
 }
 
-// lost returns the members that are gone or leaving. One that left the list but answers
+// goneMembers returns the members that are gone or leaving. One that left the list but answers
 // is neither: who has just left it is noted first, which the next look would do too late.
-func (k *Keeper) lost(members []*fleet.Worker) []*fleet.Worker {
+func (k *Keeper) goneMembers(members []*fleet.Worker) []*fleet.Worker {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	view := k.opts.Inventory.View()
@@ -156,7 +156,7 @@
 	for _, w := range members {
 		listed, ok := view.Worker(w.ID)
 		switch {
-		case !ok && !k.isAbsent(w.ID), ok && listed.Draining, k.silentNow(w.ID):
+		case !ok && !k.isAbsent(w.ID), ok && listed.Draining, k.isUnresponsiveLocked(w.ID):
 			all = append(all, w)
 		}
 	}
@@ -165,15 +165,15 @@
 
 // open opens a group whose members are all ready, and announces it.
 func (k *Keeper) open(ctx context.Context, service string, g Group, head *fleet.Worker) bool {
-	verdict, ok := k.order(ctx, "open", head, func(ctx context.Context, fence Fence) (Verdict, error) {
+	verdict, ok := k.sendOrder(ctx, "open", head, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Open(ctx, head, fence, g)
 	})
 	if !ok || !verdict.Accepted() {
 		return false
 	}
-	k.began(head.ID, verdict)
+	k.recordBegun(head.ID, verdict)
 	opening := k.openingTime(service)
-	k.noteOpened(head.ID, g, time.Now().Add(opening+settleFor))
+	k.recordOpened(head.ID, g, time.Now().Add(opening+listSettleTime))
 	pause.For(ctx, opening)
 	k.opts.Announced(fleet.Announcement{
 		Group: g.Name, Epoch: g.Epoch, Service: service, Model: g.Model, Head: head.ID, Open: true,
@@ -181,12 +181,12 @@
 	return true
 }
 
-// noteOpened notes that a head took the order to open. The list, and the head's
+// recordOpened notes that a head took the order to open. The list, and the head's
 // reports, show it ready for some time yet.
-func (k *Keeper) noteOpened(head string, g Group, listedBy time.Time) {
+func (k *Keeper) recordOpened(head string, g Group, listedBy time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.known[head] = observation{at: listedBy, state: State{
+	k.observations[head] = observation{at: listedBy, state: State{
 		Member: fleet.Membership{Group: g.Name, Epoch: g.Epoch, State: fleet.Open}, Loaded: g.Model, Staged: []string{g.Model},
 	}}
 }
@@ -201,14 +201,14 @@
 	return 0
 }
 
-// reopen opens a group that an earlier leader formed.
-func (k *Keeper) reopen(ctx context.Context, o *observed) {
+// openInherited opens a group that an earlier leader formed.
+func (k *Keeper) openInherited(ctx context.Context, o *observedGroup) {
 	g := o.group
 	if len(g.Members) == 0 {
 		g.Members = []string{o.head.ID}
 	}
 	head := o.head
 	if !k.open(ctx, head.Service, g, head) {
-		k.giveUp(ctx, g, "a group of an earlier leader was not opened", func(o *observed) { k.dissolve(ctx, o, head) })
+		k.abandon(ctx, g, "a group of an earlier leader was not opened", func(o *observedGroup) { k.dissolve(ctx, o, head) })
 	}
 }
--- a/formation/free.go
+++ b/formation/free.go
@@ -25,24 +25,24 @@
 // Costs of giving a worker to a group. A load outweighs any number of quicker joins,
 // and a worker that did not become ready of late outweighs any number of loads.
 const (
-	loadCost  = 1 << 8
-	doubtCost = 1 << 16
+	loadCost       = 1 << 8
+	unreliableCost = 1 << 16
 )
 
-// Free is a worker that can be ordered into a new group.
-type Free struct {
+// FreeWorker is a worker that can be ordered into a new group.
+type FreeWorker struct {
 	ID     string
 	Domain string
 	Loaded string
 	Staged []string
 	// Hall is its data hall.
 	Hall string
-	// Doubted tells that it did not become ready in a group of late: it is taken only
+	// Unreliable tells that it did not become ready in a group of late: it is taken only
 	// where others are too few.
-	Doubted bool
+	Unreliable bool
 }
 
-func (f Free) warmth(model string) Warmth {
+func (f FreeWorker) warmth(model string) Warmth {
 	switch {
 	case f.Loaded == model:
 		return Hot
@@ -55,39 +55,39 @@
 }
 
 // cost returns what a worker costs in a group of the model.
-func (f Free) cost(model string) int {
+func (f FreeWorker) cost(model string) int {
 	cost := int(f.warmth(model))
 	if f.warmth(model) > Staged {
 		cost += loadCost
 	}
-	if f.Doubted {
-		cost += doubtCost
+	if f.Unreliable {
+		cost += unreliableCost
 	}
 	return cost
 }
 
-// ranked is a worker with what it costs in a group of one model.
-type ranked struct {
+// rankedWorker is a worker with what it costs in a group of one model.
+type rankedWorker struct {
 	id    string
 	index int
 	cost  int
 }
 
-// warmest returns the warmest workers for a group of the model and a cost by
+// warmestWorkers returns the warmest workers for a group of the model and a cost by
 // which domains compare; nil when there are too few.
-func warmest(m fleet.Model, workers []Free, limit Warmth) ([]Free, int) {
+func warmestWorkers(m fleet.Model, workers []FreeWorker, limit Warmth) ([]FreeWorker, int) {
 	if m.Size <= 0 || len(workers) < m.Size {
 		return nil, 0
 	}
-	all := make([]ranked, len(workers))
+	all := make([]rankedWorker, len(workers))
 	for i, w := range workers {
-		all[i] = ranked{id: w.ID, index: i, cost: w.cost(m.Name)}
+		all[i] = rankedWorker{id: w.ID, index: i, cost: w.cost(m.Name)}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(all, func(a, b rankedWorker) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.id, b.id))
 	})
 	cost := 0
-	chosen := make([]Free, 0, m.Size)
+	chosen := make([]FreeWorker, 0, m.Size)
 	for _, r := range all[:m.Size] {
 		w := workers[r.index]
 		warmth := w.warmth(m.Name)
@@ -95,8 +95,8 @@
 			return nil, 0
 		}
 		cost += int(warmth)
-		if w.Doubted {
-			cost += doubtCost
+		if w.Unreliable {
+			cost += unreliableCost
 		}
 		chosen = append(chosen, w)
 	}
--- a/formation/fresh_test.go
+++ b/formation/fresh_test.go
@@ -10,45 +10,45 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNewFleetIsFormedOfAllItsWorkers lists workers one after the other: they must form
+// TestNewFleetWaitsForFullList lists workers one after the other: they must form
 // nearly as many replicas of each model as when all are listed at once.
-func TestNewFleetIsFormedOfAllItsWorkers(t *testing.T) {
+func TestNewFleetWaitsForFullList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const domains, perDomain, every = 8, 11, 40 * time.Millisecond
 		atOnce := newWorld(3, domains, perDomain)
-		_, stop := term(atOnce, 1)
+		_, stop := startTerm(atOnce, 1)
 		time.Sleep(8 * time.Second)
 		stop()
 		atOnce.pending.Wait()
-		want := atOnce.serving()
+		want := atOnce.countServing()
 
 		w := unlistedWorld(3, domains, perDomain)
-		_, stop = term(w, 1)
+		_, stop = startTerm(w, 1)
 		ids := slices.Sorted(maps.Keys(w.workers))
 		w.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 		for _, id := range ids {
 			w.mu.Lock()
-			w.list(w.workers[id])
+			w.publish(w.workers[id])
 			w.mu.Unlock()
 			time.Sleep(every)
 		}
 		time.Sleep(5 * time.Second)
 		stop()
 		w.pending.Wait()
-		for model, count := range w.serving() {
+		for model, count := range w.countServing() {
 			assert.Assert(t, float64(count) >= 0.88*float64(want[model]), "%d replicas of %s, %v when listed at once", count, model, want)
 		}
 	})
 }
 
-// TestGrowingListIsNotAwaitedForLong lists further workers all the time, and lets
+// TestWaitForGrowingListIsBounded lists further workers all the time, and lets
 // requests come while the list grows.
-func TestGrowingListIsNotAwaitedForLong(t *testing.T) {
+func TestWaitForGrowingListIsBounded(t *testing.T) {
 	tests := map[string]struct {
 		traffic bool
 		within  time.Duration
 	}{
-		"before the first request": {within: listMost + 3*time.Second},
+		"before the first request": {within: maxListWait + 3*time.Second},
 		"requests come":            {traffic: true, within: 3 * time.Second},
 	}
 	for name, test := range tests {
@@ -56,21 +56,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := unlistedWorld(4, 4, 60)
 				w.loadsPerSecond = 100
-				_, stop := term(w, 1)
+				_, stop := startTerm(w, 1)
 				w.mu.Lock()
 				w.traffic = test.traffic
 				w.mu.Unlock()
 				start := time.Now()
 				for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 					w.mu.Lock()
-					w.list(w.workers[id])
+					w.publish(w.workers[id])
 					w.mu.Unlock()
 					time.Sleep(50 * time.Millisecond)
 					if time.Since(start) > test.within {
 						break
 					}
 				}
-				formed := w.forming()
+				formed := w.countGrouped()
 				stop()
 				w.pending.Wait()
 				assert.Assert(t, formed > 0, "nothing was formed within %s", test.within)
@@ -79,8 +79,8 @@
 	}
 }
 
-// forming counts the workers that are in a group.
-func (w *world) forming() int {
+// countGrouped counts the workers that are in a group.
+func (w *world) countGrouped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	count := 0
--- a/formation/give.go
+++ b/formation/give.go
@@ -7,45 +7,45 @@
 	"quartzshelf.dev/fleet"
 )
 
-// order gives an order until it is answered, each time with a new fence so
+// sendOrder gives an order until it is answered, each time with a new fence so
 // that an earlier one that comes late is void. It reports whether an answer
 // came.
-func (k *Keeper) order(ctx context.Context, what string, w *fleet.Worker, give func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
-	refused, most := 0, orderTries
-	if k.isSilent(w.ID) {
-		most = silentTries
+func (k *Keeper) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
+	fencedCount, maxAttempts := 0, maxOrderAttempts
+	if k.isUnresponsive(w.ID) {
+		maxAttempts = unresponsiveAttempts
 	}
-	for tries := range most {
-		verdict, err := k.tryOrder(ctx, give)
-		k.noteTry(what, w, tries+1, verdict, err)
+	for tries := range maxAttempts {
+		verdict, err := k.sendOrderOnce(ctx, send)
+		k.recordAttempt(order, w, tries+1, verdict, err)
 		switch {
-		case err == nil && verdict == Fenced && refused == 0:
+		case err == nil && verdict == Fenced && fencedCount == 0:
 			// Another order of this term may have overtaken it.
-			refused++
+			fencedCount++
 			continue
 		case err == nil:
-			k.checkTerm(what, w, verdict)
+			k.checkTerm(order, w, verdict)
 			if verdict == Elsewhere {
-				k.noteEnded(w)
+				k.recordDisplaced(w)
 			}
 			return verdict, true
 		}
-		k.forgetPosition(w.ID)
+		k.forgetOrderState(w.ID)
 		if ctx.Err() != nil {
 			return Unfit, false
 		}
 	}
-	k.opts.Logger.Warn("order not answered", "order", what, "worker", w.ID, "tries", most)
-	if _, lives := k.ask(ctx, w); !lives && ctx.Err() == nil {
-		k.fellSilent(w.ID)
+	k.opts.Logger.Warn("order not answered", "order", order, "worker", w.ID, "tries", maxAttempts)
+	if _, responds := k.queryState(ctx, w); !responds && ctx.Err() == nil {
+		k.markUnresponsive(w.ID)
 	}
 	return Unfit, false
 }
 
-// tryOrder gives an order once, as soon as few enough calls are under way.
-func (k *Keeper) tryOrder(ctx context.Context, give func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
-	k.calls <- struct{}{}
-	defer func() { <-k.calls }()
+// sendOrderOnce gives an order once, as soon as few enough calls are under way.
+func (k *Keeper) sendOrderOnce(ctx context.Context, send func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
+	k.callSlots <- struct{}{}
+	defer func() { <-k.callSlots }()
 	if k.opts.Awake != nil {
 		k.opts.Awake()
 	}
@@ -54,31 +54,31 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return give(ctx, k.fence())
+	return send(ctx, k.nextFence())
 }
 
 // checkTerm ends the term if a worker refused an order for its fence.
-func (k *Keeper) checkTerm(what string, w *fleet.Worker, verdict Verdict) {
+func (k *Keeper) checkTerm(order string, w *fleet.Worker, verdict Verdict) {
 	if verdict != Fenced {
 		return
 	}
-	k.opts.Logger.Warn("order refused: another leader has a higher term", "order", what, "worker", w.ID)
-	k.outdone()
+	k.opts.Logger.Warn("order refused: another leader has a higher term", "order", order, "worker", w.ID)
+	k.onSuperseded()
 }
 
-// ask asks a worker for its state.
-func (k *Keeper) ask(ctx context.Context, w *fleet.Worker) (State, bool) {
-	k.calls <- struct{}{}
-	defer func() { <-k.calls }()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// queryState asks a worker for its state.
+func (k *Keeper) queryState(ctx context.Context, w *fleet.Worker) (State, bool) {
+	k.callSlots <- struct{}{}
+	defer func() { <-k.callSlots }()
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	state, err := k.opts.Orders.Ask(ctx, w)
 	if errors.Is(err, ErrElsewhere) {
-		k.noteEnded(w)
+		k.recordDisplaced(w)
 	}
 	if err != nil {
 		return State{}, false
 	}
-	k.learn(w.ID, state)
+	k.recordState(w.ID, state)
 	return state, true
 }
--- a/formation/give_test.go
+++ b/formation/give_test.go
@@ -10,9 +10,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestOrdersRefusedForTheirFence tells orders that another one of the same term
+// TestFencedOrders tells orders that another one of the same term
 // overtook from those of a leader that was replaced.
-func TestOrdersRefusedForTheirFence(t *testing.T) {
+func TestFencedOrders(t *testing.T) {
 	tests := map[string]struct {
 		verdicts []Verdict
 		want     Verdict
@@ -31,7 +31,7 @@
 				k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended = true })
 				next := 0
 				last := Fence(0)
-				verdict, ok := k.order(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
+				verdict, ok := k.sendOrder(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
 					assert.Assert(t, f > last, "each try has a higher fence")
 					last = f
 					next++
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestFencesNeverFall uses up the fences of a term: it ends, and none is lower
+// TestFencesNeverDecrease uses up the fences of a term: it ends, and none is lower
 // than an earlier one.
-func TestFencesNeverFall(t *testing.T) {
+func TestFencesNeverDecrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 1)
 		ended := make(chan struct{}, 10)
@@ -56,7 +56,7 @@
 		k.sequence = maxSequence - 2
 		last := Fence(0)
 		for range 5 {
-			f := k.fence()
+			f := k.nextFence()
 			assert.Assert(t, f >= last, "%d after %d", f, last)
 			last = f
 		}
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -9,176 +9,178 @@
 	"quartzshelf.dev/fleet"
 )
 
-// observed is a group as its members show it.
-type observed struct {
+// observedGroup is a group as its members show it.
+type observedGroup struct {
 	key   string
 	group Group
 	model fleet.Model
-	// known tells that the model is one of the service's.
-	known   bool
-	head    *fleet.Worker
-	state   fleet.GroupState
-	members []*fleet.Worker
-	// ready counts the members that were seen ready, the head included.
-	ready    int
-	draining bool
-	// lost tells that a listed member does not answer.
-	lost bool
-	// absent counts the members that left the list but still answer.
-	absent int
+	// isModelKnown tells that the model is one of the service's.
+	isModelKnown bool
+	head         *fleet.Worker
+	state        fleet.GroupState
+	members      []*fleet.Worker
+	// readyCount counts the members that were seen ready, the head included.
+	readyCount int
+	isDraining bool
+	// hasLostMember tells that a listed member does not answer.
+	hasLostMember bool
+	// absentCount counts the members that left the list but still answer.
+	absentCount int
 }
 
-// whole reports whether every member is there.
-func (o *observed) whole() bool { return o.known && o.head != nil && len(o.members) == o.model.Size }
+// isComplete reports whether every member is there.
+func (o *observedGroup) isComplete() bool {
+	return o.isModelKnown && o.head != nil && len(o.members) == o.model.Size
+}
 
-// settle returns how long a group that lacks members is left alone after it was
+// settleTime returns how long a group that lacks members is left alone after it was
 // first seen. In a young process the list may yet be incomplete.
-func (k *Keeper) settle(now time.Time) time.Duration {
-	if now.Sub(k.opts.ListSince()) < youngFor {
-		return settleYoung
+func (k *Keeper) settleTime(now time.Time) time.Duration {
+	if now.Sub(k.opts.ListSince()) < youngListAge {
+		return youngListSettleTime
 	}
-	return settleFor
+	return listSettleTime
 }
 
 // isForming reports whether members have yet to become ready.
-func (o *observed) isForming() bool {
-	return o.ready < len(o.members) && (o.state == fleet.Joining || o.state == fleet.Ready)
+func (o *observedGroup) isForming() bool {
+	return o.readyCount < len(o.members) && (o.state == fleet.Joining || o.state == fleet.Ready)
 }
 
-// seenSince returns since when a group has been known.
-func (k *Keeper) seenSince(o *observed, now time.Time) time.Time {
-	since, ok := k.seen[o.key]
+// firstSeen returns since when a group has been known.
+func (k *Keeper) firstSeen(o *observedGroup, now time.Time) time.Time {
+	since, ok := k.groupSeenSince[o.key]
 	if !ok {
 		since = now
-		k.seen[o.key] = now
+		k.groupSeenSince[o.key] = now
 	}
 	return since
 }
 
 // groups returns the groups of a service as its workers show them, sorted by key.
-func (k *Keeper) groups(s *fleet.Service, view *fleet.View) []*observed {
-	byKey := make(map[string]*observed)
-	for w := range k.present(view) {
-		m := k.member(w)
+func (k *Keeper) groups(s *fleet.Service, view *fleet.View) []*observedGroup {
+	byKey := make(map[string]*observedGroup)
+	for w := range k.presentWorkers(view) {
+		m := k.membershipOf(w)
 		if w.Service != s.Name || m.Group == "" {
 			continue
 		}
 		key := fleet.GroupKey(m)
 		o, ok := byKey[key]
 		if !ok {
-			o = &observed{key: key, group: Group{Name: m.Group, Epoch: m.Epoch}}
+			o = &observedGroup{key: key, group: Group{Name: m.Group, Epoch: m.Epoch}}
 			byKey[key] = o
 		}
 		k.addMember(o, w, m)
 	}
-	all := make([]*observed, 0, len(byKey))
+	all := make([]*observedGroup, 0, len(byKey))
 	for _, o := range byKey {
-		k.complete(s.Engine, o)
+		k.resolveModel(s.Engine, o)
 		all = append(all, o)
 	}
-	slices.SortFunc(all, func(a, b *observed) int { return cmp.Compare(a.key, b.key) })
+	slices.SortFunc(all, func(a, b *observedGroup) int { return cmp.Compare(a.key, b.key) })
 	return all
 }
 
-func (k *Keeper) addMember(o *observed, w *fleet.Worker, m fleet.Membership) {
-	if k.silentNow(w.ID) {
-		o.lost = true
+func (k *Keeper) addMember(o *observedGroup, w *fleet.Worker, m fleet.Membership) {
+	if k.isUnresponsiveLocked(w.ID) {
+		o.hasLostMember = true
 	} else {
 		o.members = append(o.members, w)
 	}
 	if k.isAbsent(w.ID) {
-		o.absent++
+		o.absentCount++
 	}
-	o.draining = o.draining || w.Draining
+	o.isDraining = o.isDraining || w.Draining
 	if m.State != fleet.Joining {
-		o.ready++
+		o.readyCount++
 	}
 	if m.Rank == 0 {
 		o.head, o.state = w, m.State
-		k.heads[o.key] = w.ID
+		k.headIDs[o.key] = w.ID
 	}
 }
 
-// complete works out the group's model and members.
-func (k *Keeper) complete(e *fleet.Engine, o *observed) {
-	if formed, ok := k.formed[o.key]; ok {
+// resolveModel works out the group's model and members.
+func (k *Keeper) resolveModel(e *fleet.Engine, o *observedGroup) {
+	if formed, ok := k.formedGroups[o.key]; ok {
 		o.group = formed
 	}
 	name := o.group.Model
 	if name == "" {
 		name = fleet.ModelOf(o.group.Name)
 	}
-	o.model, o.known = e.Model(name)
+	o.model, o.isModelKnown = e.Model(name)
 	o.group.Model = name
 }
 
-// mend begins what has to be done about a group. The keeper's mutex is held.
-func (k *Keeper) mend(ctx context.Context, o *observed, now time.Time) {
-	age := now.Sub(k.seenSince(o, now))
-	k.noteReturn(o, now)
-	if o.head != nil && o.state != fleet.Broken && !k.silentNow(o.head.ID) && k.retired[o.key] == assumed {
+// repair begins what has to be done about a group. The keeper's mutex is held.
+func (k *Keeper) repair(ctx context.Context, o *observedGroup, now time.Time) {
+	age := now.Sub(k.firstSeen(o, now))
+	k.detectReturn(o, now)
+	if o.head != nil && o.state != fleet.Broken && !k.isUnresponsiveLocked(o.head.ID) && k.retirements[o.key] == retiredAssumed {
 		// The head is back after all.
-		delete(k.retired, o.key)
+		delete(k.retirements, o.key)
 	}
-	if k.operating[o.key] || k.retired[o.key] != 0 || k.anyBusy(o.members) {
+	if k.busyGroups[o.key] || k.retirements[o.key] != 0 || k.hasBusyWorker(o.members) {
 		return
 	}
 	switch {
 	case o.head == nil:
-		k.mendHeadless(ctx, o, now)
+		k.repairHeadless(ctx, o, now)
 	case k.opts.Inventory.Closed(o.group.Name):
 		// Daemons were told so, by this leader or an earlier one, and never use it
 		// again, whatever its head shows. Requests may still be under way there.
-		k.begin(ctx, o.key, o.members, func(ctx context.Context) { k.end(ctx, o) })
+		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
 	case k.isAbsent(o.head.ID):
-		k.mendAbsentHead(ctx, o)
-	case o.state == fleet.Open && o.whole() && !o.draining:
+		k.repairAbsentHead(ctx, o)
+	case o.state == fleet.Open && o.isComplete() && !o.isDraining:
 		// All is well, also if a member left the list: what it does for the group does
 		// not pass through the list. Dissolving all such groups when a tenth of the
 		// workers lost the store took half of the replicas out for two seconds.
-	case o.state == fleet.Open && o.whole():
-		k.mendLeaving(ctx, o, now)
-	case age < k.settle(now) && !o.lost:
+	case o.state == fleet.Open && o.isComplete():
+		k.dissolveLeaving(ctx, o, now)
+	case age < k.settleTime(now) && !o.hasLostMember:
 		// The list may show its members one after the other.
-	case o.whole() && !o.draining && o.isForming() && age < joinSlack+slowLoads*o.model.Load:
+	case o.isComplete() && !o.isDraining && o.isForming() && age < joinGracePeriod+loadTimeFactor*o.model.Load:
 		// An earlier leader began it; its members still load.
-	case o.whole() && !o.draining && o.ready == o.model.Size && o.state == fleet.Ready:
+	case o.isComplete() && !o.isDraining && o.readyCount == o.model.Size && o.state == fleet.Ready:
 		// An earlier leader formed it and did not come to open it.
-		k.begin(ctx, o.key, o.members, func(ctx context.Context) { k.reopen(ctx, o) })
+		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.openInherited(ctx, o) })
 	default:
-		k.begin(ctx, o.key, o.members, func(ctx context.Context) { k.dissolve(ctx, o, o.head) })
+		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.dissolve(ctx, o, o.head) })
 	}
 }
 
-// mendHeadless frees the members of a group whose head is not listed: at once
+// repairHeadless frees the members of a group whose head is not listed: at once
 // when the head confirms, else when it must be gone. A head that is cut off
 // from the list may still serve, so it is asked first. Only a group that an
 // operator made by hand may not tell where its head is; it is left to break.
-func (k *Keeper) mendHeadless(ctx context.Context, o *observed, now time.Time) {
-	since, ok := k.headless[o.key]
+func (k *Keeper) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
+	since, ok := k.headlessSince[o.key]
 	if !ok {
-		k.headless[o.key] = now
+		k.headlessSince[o.key] = now
 		since = now
 	}
-	head, seen := k.former[k.heads[o.key]]
-	if !seen && now.Sub(since) < k.settle(now) {
+	head, seen := k.knownWorkers[k.headIDs[o.key]]
+	if !seen && now.Sub(since) < k.settleTime(now) {
 		// The list may yet show it.
 		return
 	}
 	if !seen {
-		head = headByName(o)
+		head = headFromName(o)
 	}
 	if head != nil {
-		k.begin(ctx, o.key, nil, func(ctx context.Context) { k.dissolve(ctx, o, head) })
+		k.startOperation(ctx, o.key, nil, func(ctx context.Context) { k.dissolve(ctx, o, head) })
 		return
 	}
 	if now.Sub(since) > k.opts.StallAfter {
-		k.retired[o.key] = assumed
+		k.retirements[o.key] = retiredAssumed
 	}
 }
 
-// headByName returns the head that a group's name tells, or nil.
-func headByName(o *observed) *fleet.Worker {
+// headFromName returns the head that a group's name tells, or nil.
+func headFromName(o *observedGroup) *fleet.Worker {
 	id, address, ok := fleet.HeadOf(o.group.Name)
 	if !ok || len(o.members) == 0 {
 		return nil
@@ -186,73 +188,73 @@
 	return &fleet.Worker{ID: id, Address: address, Service: o.members[0].Service, Domain: o.members[0].Domain}
 }
 
-func (k *Keeper) anyBusy(members []*fleet.Worker) bool {
+func (k *Keeper) hasBusyWorker(members []*fleet.Worker) bool {
 	return slices.ContainsFunc(members, func(w *fleet.Worker) bool {
-		return k.busy[w.ID]
+		return k.busyWorkers[w.ID]
 	})
 }
 
-// begin runs an operation about a group and its members. The keeper's mutex is
+// startOperation runs an operation about a group and its members. The keeper's mutex is
 // held.
-func (k *Keeper) begin(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
-	k.operating[key] = true
+func (k *Keeper) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
+	k.busyGroups[key] = true
 	for _, w := range members {
-		k.busy[w.ID] = true
+		k.busyWorkers[w.ID] = true
 	}
-	k.group.Go(func() {
+	k.tasks.Go(func() {
 		operation(ctx)
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		delete(k.operating, key)
+		delete(k.busyGroups, key)
 		for _, w := range members {
-			delete(k.busy, w.ID)
+			delete(k.busyWorkers, w.ID)
 		}
 	})
 }
 
-// free returns the workers of a service that can be ordered into a new group.
-func (k *Keeper) free(s *fleet.Service, groups []*observed, view *fleet.View) []Free {
+// freeWorkers returns the workers of a service that can be ordered into a new group.
+func (k *Keeper) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
 	held := make(map[string]bool)
 	for _, o := range groups {
-		if k.retired[o.key] != 0 {
+		if k.retirements[o.key] != 0 {
 			continue
 		}
 		for _, w := range o.members {
 			held[w.ID] = true
 		}
 	}
-	var all []Free
+	var all []FreeWorker
 	for id, w := range view.Workers() {
-		if w.Service != s.Name || w.Draining || k.busy[id] || k.silentNow(id) || k.pausedNow(id) || held[id] || !k.halls.usable(w.Zone) {
+		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isPaused(id) || held[id] || !k.halls.isUsable(w.Zone) {
 			continue
 		}
-		if _, loading := k.loading[id]; loading {
+		if _, loading := k.activeLoads[id]; loading {
 			continue
 		}
-		all = append(all, k.freeOf(w))
+		all = append(all, k.asFreeWorker(w))
 	}
-	slices.SortFunc(all, func(a, b Free) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b FreeWorker) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// freeOf returns a worker as the planner sees it: by the list, once that was confirmed
+// asFreeWorker returns a worker as the planner sees it: by the list, once that was confirmed
 // after what the keeper knows better.
-func (k *Keeper) freeOf(w *fleet.Worker) Free {
-	if i, ok := k.interrupted[w.ID]; ok {
-		if !k.opts.Inventory.Confirmed().After(i.at.Add(settleFor)) {
-			return Free{ID: w.ID, Domain: w.Domain, Staged: i.staged, Hall: w.Zone, Doubted: k.doubted(w.ID)}
+func (k *Keeper) asFreeWorker(w *fleet.Worker) FreeWorker {
+	if i, ok := k.interruptedJoins[w.ID]; ok {
+		if !k.opts.Inventory.Confirmed().After(i.at.Add(listSettleTime)) {
+			return FreeWorker{ID: w.ID, Domain: w.Domain, Staged: i.staged, Hall: w.Zone, Unreliable: k.isUnreliable(w.ID)}
 		}
-		delete(k.interrupted, w.ID)
+		delete(k.interruptedJoins, w.ID)
 	}
-	return Free{ID: w.ID, Domain: w.Domain, Loaded: k.loaded(w), Staged: w.Staged, Hall: w.Zone, Doubted: k.doubted(w.ID)}
+	return FreeWorker{ID: w.ID, Domain: w.Domain, Loaded: k.loadedModel(w), Staged: w.Staged, Hall: w.Zone, Unreliable: k.isUnreliable(w.ID)}
 }
 
-// loaded returns the model that a worker was set up for last.
-func (k *Keeper) loaded(w *fleet.Worker) string {
-	if k.isOver(w) {
-		return k.known[w.ID].state.Loaded
+// loadedModel returns the model that a worker was set up for last.
+func (k *Keeper) loadedModel(w *fleet.Worker) string {
+	if k.isPastIncarnation(w) {
+		return k.observations[w.ID].state.Loaded
 	}
-	if o, ok := k.known[w.ID]; ok && o.state.Loaded != "" && o.at.After(k.opts.Inventory.Confirmed()) {
+	if o, ok := k.observations[w.ID]; ok && o.state.Loaded != "" && o.at.After(k.opts.Inventory.Confirmed()) {
 		return o.state.Loaded
 	}
 	return w.Loaded
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -6,10 +6,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallSettle is how long after a data hall was closed or opened no group is given up for
+// hallSettleTime is how long after a data hall was closed or opened no group is given up for
 // another model: one that is closed by mistake and opened again within a second must not
 // cost any. New groups of idle workers are formed at once.
-const hallSettle = time.Second
+const hallSettleTime = time.Second
 
 // hallStates is which data halls may be used for new groups.
 type hallStates struct {
@@ -17,8 +17,8 @@
 	closed map[string]bool
 }
 
-// usable reports whether workers of a hall may be used, and its replicas count.
-func (h *hallStates) usable(hall string) bool { return !h.closed[hall] }
+// isUsable reports whether workers of a hall may be used, and its replicas count.
+func (h *hallStates) isUsable(hall string) bool { return !h.closed[hall] }
 
 // refreshHalls notes which halls are closed. If all that have workers are, what is there
 // is kept as it is. The keeper's mutex is held.
@@ -27,13 +27,13 @@
 	for hall := range closed {
 		if !k.halls.closed[hall] {
 			k.opts.Logger.Info("data hall is closed for new replicas", "hall", hall)
-			k.settledAt = now.Add(hallSettle)
+			k.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
 	for hall := range k.halls.closed {
 		if !closed[hall] {
 			k.opts.Logger.Info("data hall is open for new replicas", "hall", hall)
-			k.settledAt = now.Add(hallSettle)
+			k.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
 	k.halls.closed = closed
@@ -60,10 +60,10 @@
 	return closed
 }
 
-// reserve returns what a plan weighs for the loss of data halls: nothing without a weight.
-func (k *Keeper) reserve() Halls {
+// hallLossPolicy returns what a plan weighs for the loss of data halls: nothing without a weight.
+func (k *Keeper) hallLossPolicy() HallLossPolicy {
 	if k.opts.HallWeight <= 0 {
-		return Halls{}
+		return HallLossPolicy{}
 	}
-	return Halls{Bear: k.opts.BearHalls, Weight: k.opts.HallWeight}
+	return HallLossPolicy{MaxLost: k.opts.BearHalls, Weight: k.opts.HallWeight}
 }
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -28,7 +28,7 @@
 			panic(err)
 		}
 		s.zone = fmt.Sprintf("h%d", domain%2)
-		w.list(s)
+		w.publish(s)
 	}
 	return w, closed
 }
@@ -39,7 +39,7 @@
 	defer w.mu.Unlock()
 	all := make(map[string]map[string]bool)
 	for _, s := range w.workers {
-		if s.dead || s.group.Name == "" || s.rank != 0 {
+		if s.isDead || s.group.Name == "" || s.rank != 0 {
 			continue
 		}
 		at := s.zone + " " + s.group.Model
@@ -51,15 +51,15 @@
 	return all
 }
 
-// TestClosedHall closes a data hall: its groups stay formed and what is wanted is formed
+// TestGroupsOfClosedHallAreReplaced closes a data hall: its groups stay formed and what is wanted is formed
 // in the other one.
-func TestClosedHall(t *testing.T) {
+func TestGroupsOfClosedHallAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := hallWorld(4, 8)
 		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
-		_, _, stop := serving(w, "big")
-		w.pending.Go(func() { w.readList(80 * time.Second) })
-		time.Sleep(firstFor + 20*time.Second)
+		_, _, stop := startServing(w, "big")
+		w.pending.Go(func() { w.confirmList(80 * time.Second) })
+		time.Sleep(sharePeriod + 20*time.Second)
 		before := w.groupsByHall()
 		assert.Assert(t, len(before["h0 big"]) < 3, "%v", before)
 		closed.Store(true)
@@ -74,18 +74,18 @@
 		stop()
 		assert.DeepEqual(t, w.groupsByHall(), after)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestHallClosedForAMomentCostsNothing closes a hall and opens it again within a second.
-func TestHallClosedForAMomentCostsNothing(t *testing.T) {
+// TestBrieflyClosedHallKeepsGroups closes a hall and opens it again within a second.
+func TestBrieflyClosedHallKeepsGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := hallWorld(4, 8)
 		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
-		_, _, stop := serving(w, "big")
-		w.pending.Go(func() { w.readList(60 * time.Second) })
-		time.Sleep(firstFor + 20*time.Second)
+		_, _, stop := startServing(w, "big")
+		w.pending.Go(func() { w.confirmList(60 * time.Second) })
+		time.Sleep(sharePeriod + 20*time.Second)
 		before := w.groupsByHall()
 		for range 3 {
 			closed.Store(true)
@@ -97,7 +97,7 @@
 		stop()
 		assert.DeepEqual(t, w.groupsByHall(), before)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
@@ -106,33 +106,33 @@
 	mended := func(open func(string) bool) map[string]int {
 		w, _ := hallWorld(2, 10)
 		w.hallOpen = open
-		_, g, stop := serving(w, "big")
+		_, g, stop := startServing(w, "big")
 		w.kill(g.Members[2])
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
-		return w.serving()
+		assert.DeepEqual(t, w.violations, []string(nil))
+		return w.countServing()
 	}
 	synctest.Test(t, func(t *testing.T) {
 		assert.DeepEqual(t, mended(func(string) bool { return false }), mended(nil))
 	})
 }
 
-// blank returns workers that hold nothing in domains that lie in turn in two halls.
-func blank(domains, perDomain int) []Free {
-	var all []Free
+// blankWorkers returns workers that hold nothing in domains that lie in turn in two halls.
+func blankWorkers(domains, perDomain int) []FreeWorker {
+	var all []FreeWorker
 	for d := range domains {
 		for i := range perDomain {
-			all = append(all, Free{ID: fmt.Sprintf("w%d-%02d", d, i), Domain: fmt.Sprint("d", d), Hall: fmt.Sprint("h", d%2)})
+			all = append(all, FreeWorker{ID: fmt.Sprintf("w%d-%02d", d, i), Domain: fmt.Sprint("d", d), Hall: fmt.Sprint("h", d%2)})
 		}
 	}
 	return all
 }
 
-// TestReplicasLieOverTheHalls forms a fleet anew: with a hall's loss to bear, no hall
+// TestReplicasAreSpreadOverHalls forms a fleet anew: with a hall's loss to bear, no hall
 // holds all replicas of a model.
-func TestReplicasLieOverTheHalls(t *testing.T) {
+func TestReplicasAreSpreadOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
 		bear    int
@@ -147,8 +147,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			in := Input{
-				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: blank(2, 37),
-				MaxLoads: unbounded, MaxStagings: unbounded, Halls: Halls{Bear: test.bear, Weight: hallWeight}, Growing: test.growing,
+				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: blankWorkers(2, 37),
+				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.bear, Weight: hallWeight}, ListGrowing: test.growing,
 			}
 			formations, _ := Plan(in)
 			halls := make(map[string]string)
--- a/formation/inherit_test.go
+++ b/formation/inherit_test.go
@@ -9,47 +9,47 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDemandLivesThroughAChangeOfLeader: a new leader whose peers have yet to report goes
+// TestDemandSurvivesLeaderChange: a new leader whose peers have yet to report goes
 // on with the work it knew before its term.
-func TestDemandLivesThroughAChangeOfLeader(t *testing.T) {
+func TestDemandSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
 		w.traffic = true
 		w.demand = map[string]Work{"big": {Busy: 10}}
 		w.smoothed = func() map[string]Work { return map[string]Work{"big": {Busy: 40, Prompts: 8000}} }
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
-		k.smoothDemand()
-		assert.Assert(t, k.smooth["big"].Busy > 39 && k.smooth["big"].Prompts > 7000, "%v", k.smooth["big"])
+		k.updateSmoothedWork()
+		assert.Assert(t, k.smoothedWork["big"].Busy > 39 && k.smoothedWork["big"].Prompts > 7000, "%v", k.smoothedWork["big"])
 	})
 }
 
-// TestNewLeaderGivesNothingUpAtOnce: in its first second a new leader may not know the
+// TestNewLeaderDelaysTrades: in its first second a new leader may not know the
 // work of all daemons.
-func TestNewLeaderGivesNothingUpAtOnce(t *testing.T) {
+func TestNewLeaderDelaysTrades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
-		w.pending.Go(func() { w.readList(60 * time.Second) })
-		formed(w)
-		settled := w.serving()
+		w.pending.Go(func() { w.confirmList(60 * time.Second) })
+		formAndStop(w)
+		settled := w.countServing()
 		w.mu.Lock()
 		w.demand = map[string]Work{"big": {Busy: 40}, "small": {}}
 		w.mu.Unlock()
-		_, stop := term(w, 2)
-		time.Sleep(settleFor - 100*time.Millisecond)
-		during := w.serving()
+		_, stop := startTerm(w, 2)
+		time.Sleep(listSettleTime - 100*time.Millisecond)
+		during := w.countServing()
 		time.Sleep(10 * time.Second)
 		stop()
 		assert.DeepEqual(t, during, settled)
-		assert.Assert(t, w.serving()["big"] > settled["big"])
+		assert.Assert(t, w.countServing()["big"] > settled["big"])
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestSmootherIsFedAtAnyInterval: work that is measured each second is smoothed as by a
+// TestSmootherIsIndependentOfInterval: work that is measured each second is smoothed as by a
 // leader that looks ten times as often.
-func TestSmootherIsFedAtAnyInterval(t *testing.T) {
-	for name, every := range map[string]time.Duration{"each tick": tickEvery, "each second": time.Second, "each five seconds": 5 * time.Second} {
+func TestSmootherIsIndependentOfInterval(t *testing.T) {
+	for name, every := range map[string]time.Duration{"each tick": tickInterval, "each second": time.Second, "each five seconds": 5 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			var s Smoother
 			now := time.Time{}.Add(time.Hour)
@@ -71,7 +71,7 @@
 	assert.Equal(t, len(s.Work()), 0)
 }
 
-// TestGroupsOfTheOtherLeaderAreShown: two leaders began within 20 ms of each other, as daemons
+// TestGroupsOfConcurrentLeaderStayVisible: two leaders began within 20 ms of each other, as daemons
 // of an earlier and of this build do that start side by side. Half of all requests were refused for want of a
 // replica for as long as the test lasted, 40 s, though all groups were open.
 //
@@ -85,26 +85,26 @@
 //
 // The evidence: with a millisecond between the leaders, up to all five groups of a model serve
 // that are not shown, each at a head that the second leader had planned for a group.
-func TestGroupsOfTheOtherLeaderAreShown(t *testing.T) {
+func TestGroupsOfConcurrentLeaderStayVisible(t *testing.T) {
 	for _, later := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond} {
 		t.Run(later.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(1, 2, 10)
-				w.pending.Go(func() { w.readList(30 * time.Second) })
-				_, stopFirst := term(w, 1)
+				w.pending.Go(func() { w.confirmList(30 * time.Second) })
+				_, stopFirst := startTerm(w, 1)
 				time.Sleep(later)
-				_, stop := term(w, 2)
+				_, stop := startTerm(w, 2)
 				time.Sleep(200 * time.Millisecond)
 				stopFirst()
 				time.Sleep(10 * time.Second)
-				served, view := w.serving(), w.inventory.View()
+				served, view := w.countServing(), w.inventory.View()
 				stop()
 				w.pending.Wait()
 				for model, count := range served {
 					assert.Equal(t, len(view.Replicas("models", model)), count, "%s", model)
 				}
 				assert.Assert(t, served["big"] > 0 && served["small"] > 0)
-				assert.DeepEqual(t, w.broken, []string(nil))
+				assert.DeepEqual(t, w.violations, []string(nil))
 			})
 		})
 	}
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -12,44 +12,44 @@
 
 // Timing of a keeper.
 const (
-	tickEvery = 100 * time.Millisecond
-	// callsAtOnce bounds the calls to workers that are under way, and the connections for
+	tickInterval = 100 * time.Millisecond
+	// maxConcurrentCalls bounds the calls to workers that are under way, and the connections for
 	// them.
-	callsAtOnce = 64
+	maxConcurrentCalls = 64
 	// orderTimeout bounds an order, askTimeout a question to a worker.
 	orderTimeout = 200 * time.Millisecond
-	askTimeout   = 200 * time.Millisecond
+	queryTimeout = 200 * time.Millisecond
 	// indirectTimeout bounds an order through other daemons.
 	indirectTimeout = 500 * time.Millisecond
-	// orderTries is how often an order that got no answer is given, each time
+	// maxOrderAttempts is how often an order that got no answer is given, each time
 	// with a new fence.
-	orderTries = 6
-	// askEvery is how often a worker is asked while its list entry is awaited.
-	askEvery = 250 * time.Millisecond
-	// joinSlack is how much longer than expected a join may take.
-	joinSlack = 3 * time.Second
-	// slowLoads is a factor on loading times, since loads slow each other.
-	slowLoads = 4
-	// settleFor is how long after an operation the list may lag behind it.
-	settleFor = time.Second
-	// settleYoung is the same in a process that has known the list for less
+	maxOrderAttempts = 6
+	// queryInterval is how often a worker is asked while its list entry is awaited.
+	queryInterval = 250 * time.Millisecond
+	// joinGracePeriod is how much longer than expected a join may take.
+	joinGracePeriod = 3 * time.Second
+	// loadTimeFactor is a factor on loading times, since loads slow each other.
+	loadTimeFactor = 4
+	// listSettleTime is how long after an operation the list may lag behind it.
+	listSettleTime = time.Second
+	// youngListSettleTime is the same in a process that has known the list for less
 	// than youngFor.
-	settleYoung = 4 * time.Second
-	youngFor    = 10 * time.Second
-	// drainMost is how long a group's requests may hold up its dissolution.
-	drainMost = 8 * time.Second
-	// reviveEvery is how often a worker that was silent is asked again.
-	reviveEvery = 2 * time.Second
-	// lostHead is how long a head must be unreachable, and unlisted, before its
+	youngListSettleTime = 4 * time.Second
+	youngListAge        = 10 * time.Second
+	// maxDrainTime is how long a group's requests may hold up its dissolution.
+	maxDrainTime = 8 * time.Second
+	// unresponsiveQueryInterval is how often a worker that was silent is asked again.
+	unresponsiveQueryInterval = 2 * time.Second
+	// lostHeadTimeout is how long a head must be unreachable, and unlisted, before its
 	// members are freed without its answer.
-	lostHead = 1200 * time.Millisecond
-	// listStale is how old the list may be before workers are asked what it would
+	lostHeadTimeout = 1200 * time.Millisecond
+	// listStaleAge is how old the list may be before workers are asked what it would
 	// tell. The leader reads it with waits of 0.3 s, so two reads have failed.
-	listStale = 800 * time.Millisecond
-	// listFresh is how old the list may be to prove that a worker is gone.
-	listFresh = 4 * time.Second
-	// reportEvery is the time between two lines about what is wanted and there.
-	reportEvery = 3 * time.Second
+	listStaleAge = 800 * time.Millisecond
+	// maxListAge is how old the list may be to prove that a worker is gone.
+	maxListAge = 4 * time.Second
+	// reportInterval is the time between two lines about what is wanted and there.
+	reportInterval = 3 * time.Second
 )
 
 // Term is what a leader leads under.
@@ -67,105 +67,105 @@
 type Keeper struct {
 	opts Options
 	term Term
-	// fresh tells that nothing served when the term began.
-	fresh    bool
-	outdone  func()
-	group    conc.WaitGroup
-	done     chan struct{}
-	suspects chan string
+	// isNewFleet tells that nothing served when the term began.
+	isNewFleet   bool
+	onSuperseded func()
+	tasks        conc.WaitGroup
+	done         chan struct{}
+	suspects     chan string
 
 	mu       sync.Mutex
 	sequence int64
-	// known holds what workers told directly, by id.
-	known map[string]observation
-	// busy holds the workers that an operation is about.
-	busy map[string]bool
-	// operating holds the groups that an operation is about.
-	operating map[string]bool
-	// examining holds the replicas whose members are being asked.
-	examining map[string]bool
-	// retired holds the groups that no longer hold their members: the head
+	// observations holds what workers told directly, by id.
+	observations map[string]observation
+	// busyWorkers holds the workers that an operation is about.
+	busyWorkers map[string]bool
+	// busyGroups holds the groups that an operation is about.
+	busyGroups map[string]bool
+	// examinedReplicas holds the replicas whose members are being asked.
+	examinedReplicas map[string]bool
+	// retirements holds the groups that no longer hold their members: the head
 	// confirmed that it left, or it answers nobody.
-	retired map[string]retirement
-	// dissolved holds the groups whose head confirmed that it left.
-	dissolved map[string]dissolution
-	// heads holds, by group, the head that the list showed.
-	heads map[string]string
-	// formed holds the groups formed in this term, by key.
-	formed map[string]Group
-	// silent holds the workers that do not answer, with when to ask again.
-	silent map[string]time.Time
-	// positions holds, by worker, how many orders it has begun and its group.
-	positions map[string]position
-	// lives holds when the present lives of workers began.
-	lives map[string]life
-	// former holds all workers that were ever listed.
-	former map[string]*fleet.Worker
-	// seenView is the list as the last look found it, absent holds the workers that
+	retirements map[string]retirement
+	// dissolutions holds the groups whose head confirmed that it left.
+	dissolutions map[string]dissolution
+	// headIDs holds, by group, the head that the list showed.
+	headIDs map[string]string
+	// formedGroups holds the groups formed in this term, by key.
+	formedGroups map[string]Group
+	// unresponsive holds the workers that do not answer, with when to ask again.
+	unresponsive map[string]time.Time
+	// orderStates holds, by worker, how many orders it has begun and its group.
+	orderStates map[string]orderState
+	// incarnations holds when the present lives of workers began.
+	incarnations map[string]incarnation
+	// knownWorkers holds all workers that were ever listed.
+	knownWorkers map[string]*fleet.Worker
+	// lastView is the list as the last look found it, absent holds the workers that
 	// left it while in a group.
-	seenView *fleet.View
+	lastView *fleet.View
 	absent   map[string]*absence
-	// ended holds the workers at whose address another one answered.
-	ended map[string]bool
-	// interrupted holds the workers that may have been cut off while they joined a group.
-	interrupted map[string]interruption
-	// headless holds since when groups have had no listed head.
-	headless map[string]time.Time
-	// loading holds the loads that workers make, by worker.
-	loading map[string]load
-	// seen holds since when groups have been known.
-	seen   map[string]time.Time
-	loads  map[string]*loads
-	smooth map[string]Work
+	// displaced holds the workers at whose address another one answered.
+	displaced map[string]bool
+	// interruptedJoins holds the workers that may have been cut off while they joined a group.
+	interruptedJoins map[string]interruptedJoin
+	// headlessSince holds since when groups have had no listed head.
+	headlessSince map[string]time.Time
+	// activeLoads holds the loads that workers make, by worker.
+	activeLoads map[string]activeLoad
+	// groupSeenSince holds since when groups have been known.
+	groupSeenSince map[string]time.Time
+	loadBudgets    map[string]*loadBudget
+	smoothedWork   map[string]Work
 	// trafficSince is when this leader first knew of requests.
 	trafficSince time.Time
-	// leaveBy holds, by group, until when one with a leaving member may serve.
-	leaveBy map[string]time.Time
-	// leaveNext holds, by model, when the next of these is dissolved.
-	leaveNext map[string]time.Time
-	// stageNext holds when workers that refused to stage may be asked again.
-	stageNext map[string]time.Time
-	// growths holds how the list of a new fleet grows, by service.
-	growths map[string]*growth
-	// calls bounds the calls to workers that are under way.
-	calls chan struct{}
+	// leaveDeadlines holds, by group, until when one with a leaving member may serve.
+	leaveDeadlines map[string]time.Time
+	// nextLeaveDissolution holds, by model, when the next of these is dissolved.
+	nextLeaveDissolution map[string]time.Time
+	// stageRetryAt holds when workers that refused to stage may be asked again.
+	stageRetryAt map[string]time.Time
+	// listGrowths holds how the list of a new fleet grows, by service.
+	listGrowths map[string]*listGrowth
+	// callSlots bounds the calls to workers that are under way.
+	callSlots chan struct{}
 	// idleSince holds since when workers have had nothing to do at the start.
 	idleSince map[string]time.Time
-	// reportNext is when what is wanted and there is logged again.
-	reportNext time.Time
-	// tradeNext is when groups may be given up for another model again, trades
+	// nextReport is when what is wanted and there is logged again.
+	nextReport time.Time
+	// nextTrade is when groups may be given up for another model again, trades
 	// holds those whose groups may yet serve.
-	tradeNext time.Time
-	trades    []Exchange
-	// doubts holds, by worker that kept a group from being formed, until when others are
+	nextTrade    time.Time
+	activeTrades []Trade
+	// unreliableUntil holds, by worker that kept a group from being formed, until when others are
 	// preferred.
-	doubts map[string]time.Time
+	unreliableUntil map[string]time.Time
 	// releaseAt holds, by domain, when idle workers that can't make a group of a model
 	// that is short serve another one.
 	releaseAt map[string]time.Time
 	halls     hallStates
-	// settledAt is when groups may be given up for another model: not before reports of
+	// tradesAllowedAt is when groups may be given up for another model: not before reports of
 	// all daemons came to a new leader, nor just after a data hall was closed or opened.
-	settledAt time.Time
-	// oversized holds the models that are known to be larger than any domain.
-	oversized map[string]bool
+	tradesAllowedAt time.Time
+	// reportedOversized holds the models that are known to be larger than any domain.
+	reportedOversized map[string]bool
 }
 
-// load is a load of a model's weights that counts until its end is seen or its
+// activeLoad is a load of a model's weights that counts until its end is seen or its
 // time is up.
-type load struct {
-	model string
-	until time.Time
+type activeLoad struct {
+	model     string
+	expiresAt time.Time
 }
 
 // retirement says how it is known that a group's head takes no more requests.
 type retirement int
 
 const (
-	// assumed retirements rest on the head's silence.
-	assumed retirement = iota + 1
-	// confirmed retirements rest on the head's own word.
-	confirmed
+	// retiredAssumed retirements rest on the head's silence.
+	retiredAssumed retirement = iota + 1
+	// retiredConfirmed retirements rest on the head's own word.
+	retiredConfirmed
 )
 
 // observation is what a worker told directly.
@@ -181,43 +181,43 @@
 func NewKeeper(opts Options, term Term, outdone func()) *Keeper {
 	view := opts.Inventory.View()
 	k := &Keeper{
-		opts: opts, term: term, outdone: outdone,
+		opts: opts, term: term, onSuperseded: outdone,
 		done: make(chan struct{}), suspects: make(chan string, 64),
-		known:       make(map[string]observation),
-		positions:   make(map[string]position),
-		busy:        make(map[string]bool),
-		operating:   make(map[string]bool),
-		examining:   make(map[string]bool),
-		retired:     make(map[string]retirement),
-		dissolved:   make(map[string]dissolution),
-		heads:       make(map[string]string),
-		formed:      make(map[string]Group),
-		silent:      make(map[string]time.Time),
-		former:      make(map[string]*fleet.Worker),
-		lives:       make(map[string]life),
-		seenView:    view,
-		absent:      make(map[string]*absence),
-		ended:       make(map[string]bool),
-		interrupted: make(map[string]interruption),
-		headless:    make(map[string]time.Time),
-		loading:     make(map[string]load),
-		seen:        make(map[string]time.Time),
-		loads:       make(map[string]*loads),
-		smooth:      make(map[string]Work),
-		leaveBy:     make(map[string]time.Time),
-		leaveNext:   make(map[string]time.Time),
-		stageNext:   make(map[string]time.Time),
-		growths:     make(map[string]*growth),
-		calls:       make(chan struct{}, callsAtOnce),
-		doubts:      make(map[string]time.Time),
-		releaseAt:   make(map[string]time.Time),
-		oversized:   make(map[string]bool),
+		observations:         make(map[string]observation),
+		orderStates:          make(map[string]orderState),
+		busyWorkers:          make(map[string]bool),
+		busyGroups:           make(map[string]bool),
+		examinedReplicas:     make(map[string]bool),
+		retirements:          make(map[string]retirement),
+		dissolutions:         make(map[string]dissolution),
+		headIDs:              make(map[string]string),
+		formedGroups:         make(map[string]Group),
+		unresponsive:         make(map[string]time.Time),
+		knownWorkers:         make(map[string]*fleet.Worker),
+		incarnations:         make(map[string]incarnation),
+		lastView:             view,
+		absent:               make(map[string]*absence),
+		displaced:            make(map[string]bool),
+		interruptedJoins:     make(map[string]interruptedJoin),
+		headlessSince:        make(map[string]time.Time),
+		activeLoads:          make(map[string]activeLoad),
+		groupSeenSince:       make(map[string]time.Time),
+		loadBudgets:          make(map[string]*loadBudget),
+		smoothedWork:         make(map[string]Work),
+		leaveDeadlines:       make(map[string]time.Time),
+		nextLeaveDissolution: make(map[string]time.Time),
+		stageRetryAt:         make(map[string]time.Time),
+		listGrowths:          make(map[string]*listGrowth),
+		callSlots:            make(chan struct{}, maxConcurrentCalls),
+		unreliableUntil:      make(map[string]time.Time),
+		releaseAt:            make(map[string]time.Time),
+		reportedOversized:    make(map[string]bool),
 	}
-	k.inheritDemand()
+	k.inheritSmoothedWork()
 	if !term.First {
-		k.settledAt = time.Now().Add(settleFor)
+		k.tradesAllowedAt = time.Now().Add(listSettleTime)
 	}
-	k.fresh = k.isFresh(view)
+	k.isNewFleet = k.fleetNeverServed(view)
 	return k
 }
 
@@ -236,15 +236,15 @@
 // Run leads until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	defer close(k.done)
-	defer k.group.Wait()
-	ticker := time.NewTicker(tickEvery)
+	defer k.tasks.Wait()
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ticker.C:
 		case <-k.opts.Inventory.Changed():
 		case replica := <-k.suspects:
-			k.examine(ctx, replica)
+			k.examineReplica(ctx, replica)
 		case <-ctx.Done():
 			return
 		}
@@ -262,9 +262,9 @@
 	defer k.mu.Unlock()
 	// It is read under the mutex, so that no look goes back to an earlier list.
 	view := k.opts.Inventory.View()
-	k.refresh(view)
+	k.refreshWorkers(view)
 	k.refreshAbsent(view, now)
-	k.askAbsent(ctx, now)
+	k.queryAbsent(ctx, now)
 	for _, s := range config.Services() {
 		if s.Engine != nil {
 			k.tickService(ctx, s, view, now)
@@ -275,122 +275,122 @@
 func (k *Keeper) tickService(ctx context.Context, s *fleet.Service, view *fleet.View, now time.Time) {
 	groups := k.groups(s, view)
 	for _, g := range groups {
-		k.mend(ctx, g, now)
+		k.repair(ctx, g, now)
 	}
 	k.refreshHalls(s, view, now)
-	budget := k.budget(s, now)
-	needs, serving := k.needs(s, groups, view)
-	free := k.free(s, groups, view)
-	if !now.Before(k.reportNext) {
-		k.reportNext = now.Add(reportEvery)
-		k.report(needs, free)
-		k.noteOversized(s, view, now)
+	budget := k.budgetOf(s, now)
+	needs, serving := k.computeNeeds(s, groups, view)
+	free := k.freeWorkers(s, groups, view)
+	if !now.Before(k.nextReport) {
+		k.nextReport = now.Add(reportInterval)
+		k.logReplicas(needs, free)
+		k.warnOversizedModels(s, view, now)
 	}
-	counted := k.traffic()
-	forGroups, forIdle := k.room(s, view, budget, now)
+	counted := k.hasTraffic()
+	forGroups, forIdle := k.allowedLoads(s, view, budget, now)
 	in := Input{
-		Needs: needs, Free: free, Warm: k.warm(s, view),
+		Needs: needs, Free: free, Warm: k.countWarm(s, view),
 		MaxLoads: forGroups, MaxStagings: forIdle,
-		Growing: !counted && k.listGrows(s, view, now),
-		Halls:   k.reserve(), Serving: serving, Released: k.released(needs, free, now), Trading: k.endTrades(),
+		ListGrowing: !counted && k.isListGrowing(s, view, now),
+		HallLoss:    k.hallLossPolicy(), Serving: serving, Released: k.releasedDomains(needs, free, now), Trading: k.clearFinishedTrades(),
 	}
 	formations, stagings := Plan(in)
 	if counted {
-		formations = k.insteadOfLoads(ctx, in, formations, groups, now)
+		formations = k.replaceLoadsByTrades(ctx, in, formations, groups, now)
 	}
 	for _, f := range formations {
-		budget.take(f.Loads, counted, now)
-		k.beginForm(ctx, s, f)
+		budget.record(f.Loads, counted, now)
+		k.startForming(ctx, s, f)
 	}
 	if len(formations) == 0 && counted {
-		k.trade(ctx, in, groups, now)
+		k.startTrades(ctx, in, groups, now)
 	}
 	if !counted {
-		stagings = append(k.longIdle(stagings, now), k.seconds(s, view)...)
+		stagings = append(k.longIdleOnly(stagings, now), k.secondModelStagings(s, view)...)
 	}
-	for _, stage := range k.due(stagings, now) {
+	for _, stage := range k.withoutRecentlyRefused(stagings, now) {
 		model, _ := s.Engine.Model(stage.Model)
-		budget.take(1, counted, now)
-		k.beginStage(ctx, k.former[stage.Worker], model)
+		budget.record(1, counted, now)
+		k.startStaging(ctx, k.knownWorkers[stage.Worker], model)
 	}
-	k.revive(ctx, view, now)
+	k.queryUnresponsive(ctx, view, now)
 }
 
-// report logs what is wanted and there.
-func (k *Keeper) report(needs []Need, free []Free) {
+// logReplicas logs what is wanted and there.
+func (k *Keeper) logReplicas(needs []Need, free []FreeWorker) {
 	for _, n := range needs {
 		k.opts.Logger.Info("replicas", "model", n.Model.Name, "want", n.Want, "have", n.Have,
-			"work", k.smooth[n.Model.Name].Busy, "prompts", int(k.smooth[n.Model.Name].Prompts), "idle_workers", len(free))
+			"work", k.smoothedWork[n.Model.Name].Busy, "prompts", int(k.smoothedWork[n.Model.Name].Prompts), "idle_workers", len(free))
 	}
 }
 
-// traffic reports whether requests come to the fleet, or may. A later leader
+// hasTraffic reports whether requests come to the fleet, or may. A later leader
 // takes a fleet for new only if nothing in it served when its term began.
-func (k *Keeper) traffic() bool { return !k.fresh || k.opts.Traffic() }
+func (k *Keeper) hasTraffic() bool { return !k.isNewFleet || k.opts.Traffic() }
 
-// isFresh reports whether nothing has served yet. A process that started later may follow
+// fleetNeverServed reports whether nothing has served yet. A process that started later may follow
 // daemons that all ended at once while no replica was open, so that nobody is left who heard
 // of requests: for it, what workers hold shows that the fleet is not new. Without that such
 // a leader would begin more loads at once than may be.
-func (k *Keeper) isFresh(view *fleet.View) bool {
+func (k *Keeper) fleetNeverServed(view *fleet.View) bool {
 	if k.term.First {
 		return true
 	}
 	for _, w := range view.Workers() {
-		if served(w) || !k.term.FirstLife && holdsModel(w) {
+		if hasServed(w) || !k.term.FirstLife && hasModel(w) {
 			return false
 		}
 	}
 	return true
 }
 
-// served reports whether a worker shows that its group was opened.
-func served(w *fleet.Worker) bool {
+// hasServed reports whether a worker shows that its group was opened.
+func hasServed(w *fleet.Worker) bool {
 	return w.Member.State == fleet.Open || w.Member.State == fleet.Closing || w.Member.State == fleet.Broken
 }
 
-// holdsModel reports whether a leader has given a worker something to do.
-func holdsModel(w *fleet.Worker) bool {
+// hasModel reports whether a leader has given a worker something to do.
+func hasModel(w *fleet.Worker) bool {
 	return w.Member.Group != "" || w.Loaded != "" || len(w.Staged) > 0
 }
 
-// refresh notes who is listed and forgets the silence of those who left.
-func (k *Keeper) refresh(view *fleet.View) {
+// refreshWorkers notes who is listed and forgets the silence of those who left.
+func (k *Keeper) refreshWorkers(view *fleet.View) {
 	for id, w := range view.Workers() {
-		k.former[id] = w
-		k.noteListed(w)
+		k.knownWorkers[id] = w
+		k.recordListedIncarnation(w)
 	}
-	for id := range k.silent {
+	for id := range k.unresponsive {
 		if _, listed := view.Worker(id); !listed {
-			delete(k.silent, id)
+			delete(k.unresponsive, id)
 		}
 	}
 }
 
-// fence returns the fence of the next order.
-func (k *Keeper) fence() Fence {
+// nextFence returns the fence of the next order.
+func (k *Keeper) nextFence() Fence {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.next()
+	return k.nextFenceLocked()
 }
 
-// next returns the fence of the next order while the mutex is held. A term that
+// nextFenceLocked returns the fence of the next order while the mutex is held. A term that
 // has no more of them ends, since a fence must never be lower than an earlier
 // one; the orders on their way repeat the last.
-func (k *Keeper) next() Fence {
+func (k *Keeper) nextFenceLocked() Fence {
 	if k.sequence == maxSequence {
-		go k.outdone()
+		go k.onSuperseded()
 	} else {
 		k.sequence++
 	}
 	return NewFence(k.term.Epoch, k.term.Rank, k.sequence)
 }
 
-// member returns what is known of a worker's group: by its own word if that is
+// membershipOf returns what is known of a worker's group: by its own word if that is
 // newer than the list.
-func (k *Keeper) member(w *fleet.Worker) fleet.Membership {
-	o, ok := k.known[w.ID]
-	if k.isOver(w) {
+func (k *Keeper) membershipOf(w *fleet.Worker) fleet.Membership {
+	o, ok := k.observations[w.ID]
+	if k.isPastIncarnation(w) {
 		return o.state.Member
 	}
 	if !ok || o.state.Member.Epoch < w.Member.Epoch {
@@ -402,26 +402,26 @@
 	if o.state.Member.Same(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
 		return w.Member
 	}
-	if o.state.Member.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(settleFor)) {
+	if o.state.Member.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(listSettleTime)) {
 		return w.Member
 	}
 	return o.state.Member
 }
 
-// learn notes what a worker told.
-func (k *Keeper) learn(id string, s State) {
+// recordState notes what a worker told.
+func (k *Keeper) recordState(id string, s State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.noteReported(id, s.Born) {
+	if !k.recordReportedIncarnation(id, s.Born) {
 		return
 	}
-	delete(k.silent, id)
+	delete(k.unresponsive, id)
 	now := time.Now()
-	k.reported(id, s, now)
-	held, ok := k.known[id]
+	k.recordReport(id, s, now)
+	held, ok := k.observations[id]
 	outdated := held.state.Member.Epoch > s.Member.Epoch || held.at.After(now) && held.state.Member.Same(s.Member)
 	if ok && outdated {
 		return
 	}
-	k.known[id] = observation{state: s, at: now}
+	k.observations[id] = observation{state: s, at: now}
 }
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -15,8 +15,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// term runs a keeper until the returned function is called.
-func term(w *world, epoch int64) (k *Keeper, stop func()) {
+// startTerm runs a keeper until the returned function is called.
+func startTerm(w *world, epoch int64) (k *Keeper, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	k = NewKeeper(w.options(), Term{Epoch: epoch, First: epoch == 1}, cancel)
 	go k.Run(ctx)
@@ -26,10 +26,10 @@
 	}
 }
 
-// formed lets a first leader form a fleet and end, then lets requests come, and
+// formAndStop lets a first leader form a fleet and end, then lets requests come, and
 // returns a head of a big group.
-func formed(w *world) *simWorker {
-	_, stop := term(w, 1)
+func formAndStop(w *world) *simWorker {
+	_, stop := startTerm(w, 1)
 	time.Sleep(8 * time.Second)
 	stop()
 	w.mu.Lock()
@@ -38,11 +38,11 @@
 	return w.headOf("big")
 }
 
-// serving lets a first leader form a fleet, then requests come, and returns the
+// startServing lets a first leader form a fleet, then requests come, and returns the
 // group of a head of a model. The leader goes on until the returned function is
 // called.
-func serving(w *world, model string) (k *Keeper, g Group, stop func()) {
-	k, stop = term(w, 1)
+func startServing(w *world, model string) (k *Keeper, g Group, stop func()) {
+	k, stop = startTerm(w, 1)
 	time.Sleep(8 * time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,30 +53,30 @@
 func TestFleetIsFormedBeforeTheFirstRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
-		serving := w.serving()
+		assert.DeepEqual(t, w.violations, []string(nil))
+		serving := w.countServing()
 		// No domain keeps enough idle workers for another group.
 		assert.Equal(t, serving["big"], 2)
 		assert.Equal(t, serving["small"], 5)
 	})
 }
 
-// TestServingWorkersBringASecondModel: before the first request loads are quick,
+// TestServingWorkersStageSecondModel: before the first request loads are quick,
 // so that workers can turn to the other model without a load later.
-func TestServingWorkersBringASecondModel(t *testing.T) {
+func TestServingWorkersStageSecondModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		formed(w)
+		formAndStop(w)
 		w.pending.Wait()
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for id, s := range w.workers {
 			if s.group.Name != "" {
-				assert.Assert(t, s.staged != "" && s.staged != s.last, "%s serves %s and holds %q", id, s.last, s.staged)
+				assert.Assert(t, s.staged != "" && s.staged != s.lastModel, "%s serves %s and holds %q", id, s.lastModel, s.staged)
 			}
 		}
 	})
@@ -85,14 +85,14 @@
 func TestLostMemberIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		k, g, stop := serving(w, "big")
+		k, g, stop := startServing(w, "big")
 		w.kill(g.Members[2])
 		k.Suspect(g.Key())
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, w.serving()["big"], 2)
+		assert.Equal(t, w.countServing()["big"], 2)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
@@ -101,33 +101,33 @@
 func TestLeavingMembersDoNotStopAllGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
-		left := w.leaveBig()
+		left := w.drainBigMembers()
 		assert.Equal(t, len(left), 2)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			assert.Assert(t, len(w.inventory.View().Replicas("models", "big")) >= 1, "no replica takes requests")
 		}
-		still := w.servingWith(left)
+		still := w.servingMembersOf(left)
 		stop()
 		assert.Equal(t, len(still), 0, "%v still serve", still)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestGroupsAreMendedWhileTheListIsAway closes a group just before the list stops
+// TestGroupsAreRepairedWhileListIsUnavailable closes a group just before the list stops
 // showing anything, and looks when its workers serve again.
-func TestGroupsAreMendedWhileTheListIsAway(t *testing.T) {
+func TestGroupsAreRepairedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
-		_, old, stop := serving(w, "big")
+		_, old, stop := startServing(w, "big")
 		w.mu.Lock()
 		leaving := w.workers[old.Members[1]]
-		leaving.draining = true
-		w.list(leaving)
-		w.away = true
+		leaving.isDraining = true
+		w.publish(leaving)
+		w.isListFrozen = true
 		w.mu.Unlock()
 		// Its requests take a second to end; joining again with an idle worker or
 		// one of a traded group takes three at the most.
@@ -138,40 +138,40 @@
 		stop()
 		assert.Assert(t, now != old.Name, "the head still waits for the list")
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestReadyMembersAreAskedWhileTheListIsAway begins a term that knows the list
+// TestReadyMembersAreQueriedWhileListIsUnavailable begins a term that knows the list
 // but sees nothing new of it.
-func TestReadyMembersAreAskedWhileTheListIsAway(t *testing.T) {
+func TestReadyMembersAreQueriedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
-		w.away = true
+		w.isListFrozen = true
 		time.Sleep(time.Second)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		// Loads before the first request take 1.2 s, opening 0.3.
 		time.Sleep(3 * time.Second)
-		serving := w.serving()["big"]
+		serving := w.countServing()["big"]
 		stop()
 		assert.Assert(t, serving >= 1)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestTradesFollowOneAnother makes the large model short by several groups while
+// TestTradesRunOneAtATime makes the large model short by several groups while
 // the requests of a group take long to end.
-func TestTradesFollowOneAnother(t *testing.T) {
+func TestTradesRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 24)
-		w.demand, w.closing = map[string]Work{"big": {Busy: 40}}, 3*time.Second
-		_, stop := term(w, 1)
+		w.demand, w.drainTime = map[string]Work{"big": {Busy: 40}}, 3*time.Second
+		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
 		w.mu.Lock()
 		w.traffic = true
 		w.mu.Unlock()
-		before, most := w.serving()["big"], 0
+		before, most := w.countServing()["big"], 0
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
 			closing := 0
@@ -185,18 +185,18 @@
 			most = max(most, closing)
 		}
 		assert.Equal(t, most, 2, "two small groups make a large one")
-		assert.Assert(t, w.serving()["big"] > before)
+		assert.Assert(t, w.countServing()["big"] > before)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-func TestNewLeaderAdoptsWhatStandsAndWhatLoads(t *testing.T) {
+func TestNewLeaderAdoptsExistingGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
 		w.traffic = true
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(2 * time.Second)
 		stop()
 		w.mu.Lock()
@@ -208,7 +208,7 @@
 		}
 		w.mu.Unlock()
 		assert.Assert(t, len(names) > 0)
-		_, stop = term(w, 2)
+		_, stop = startTerm(w, 2)
 		time.Sleep(15 * time.Second)
 		stop()
 		w.pending.Wait()
@@ -218,13 +218,13 @@
 			delete(names, s.group.Name)
 		}
 		assert.Equal(t, len(names), 0, "groups that loaded were dissolved")
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestNothingPartialAndNothingTwice kills workers, leaves orders unanswered and
+// TestNoPartialGroupsAndNoWorkersUsedTwice kills workers, leaves orders unanswered and
 // carries them out late, replaces leaders, and lets old ones go on.
-func TestNothingPartialAndNothingTwice(outer *testing.T) {
+func TestNoPartialGroupsAndNoWorkersUsedTwice(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		late := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
@@ -239,16 +239,16 @@
 	})
 }
 
-// rebornListed is how long the list takes to show a worker that has started again under its
+// restartListDelays is how long the list takes to show a worker that has started again under its
 // id, by step from 6 on: at once, within a heartbeat, and while the list is behind.
-var rebornListed = []time.Duration{50 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
+var restartListDelays = []time.Duration{50 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 
-// TestNothingTwiceWhileWorkersComeBack draws rebirths under the same id as well.
-func TestNothingTwiceWhileWorkersComeBack(outer *testing.T) {
+// TestNoWorkersUsedTwiceAcrossRestarts draws rebirths under the same id as well.
+func TestNoWorkersUsedTwiceAcrossRestarts(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		late := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
-		steps := rapid.SliceOfN(rapid.IntRange(0, 5+len(rebornListed)), 4, 16).Draw(t, "steps")
+		steps := rapid.SliceOfN(rapid.IntRange(0, 5+len(restartListDelays)), 4, 16).Draw(t, "steps")
 		var problems []string
 		synctest.Test(outer, func(*testing.T) {
 			problems = runSchedule(newWorld(seed, 2, 10), late, steps)
@@ -261,9 +261,9 @@
 
 // runSchedule plays one schedule of faults and returns what was wrong.
 func runSchedule(w *world, late float64, steps []int) []string {
-	w.late = late
+	w.lateFraction = late
 	epoch := int64(1)
-	k, stop := term(w, epoch)
+	k, stop := startTerm(w, epoch)
 	var stops []func()
 	for i, step := range steps {
 		time.Sleep(time.Duration(300+400*step) * time.Millisecond)
@@ -278,18 +278,18 @@
 			// The old leader does not know that it was replaced.
 			stops = append(stops, stop)
 			epoch++
-			k, stop = term(w, epoch)
+			k, stop = startTerm(w, epoch)
 		case step == 4:
 			stop()
 			epoch++
-			k, stop = term(w, epoch)
+			k, stop = startTerm(w, epoch)
 		case step > 5:
 			id := fmt.Sprintf("w%d-%d", i%2, (i*7+step)%10)
 			if w.isDead(id) {
 				continue
 			}
 			groups := w.groupsOf(id)
-			w.rebear(id, rebornListed[step-6])
+			w.restart(id, restartListDelays[step-6])
 			for _, g := range groups {
 				k.Suspect(g)
 			}
@@ -300,17 +300,17 @@
 		}
 	}
 	w.mu.Lock()
-	w.late = 0
+	w.lateFraction = 0
 	w.mu.Unlock()
 	time.Sleep(30 * time.Second)
 	for _, end := range append(stops, stop) {
 		end()
 	}
 	w.pending.Wait()
-	if alive := w.alive(); alive >= 14 && len(w.serving()) == 0 {
-		w.broken = append(w.broken, fmt.Sprintf("nothing serves though %d workers live", alive))
+	if alive := w.countAlive(); alive >= 14 && len(w.countServing()) == 0 {
+		w.violations = append(w.violations, fmt.Sprintf("nothing serves though %d workers live", alive))
 	}
-	return w.broken
+	return w.violations
 }
 
 func (w *world) groupsOf(id string) []string {
@@ -325,30 +325,30 @@
 func (w *world) isDead(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.workers[id].dead
+	return w.workers[id].isDead
 }
 
-func (w *world) alive() int {
+func (w *world) countAlive() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
 	for _, s := range w.workers {
-		if !s.dead {
+		if !s.isDead {
 			n++
 		}
 	}
 	return n
 }
 
-// TestHeadThatIsCutOffFromTheListKeepsItsMembers loses the entries of a whole
+// TestUnlistedHeadKeepsItsMembers loses the entries of a whole
 // group, whose head serves on, and brings them back one by one.
-func TestHeadThatIsCutOffFromTheListKeepsItsMembers(t *testing.T) {
+func TestUnlistedHeadKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
 		stop()
-		_, stop = term(w, 2)
+		_, stop = startTerm(w, 2)
 		time.Sleep(time.Second)
 		w.mu.Lock()
 		w.traffic = true
@@ -364,57 +364,57 @@
 		}
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestHeadThatWasGoneBeforeTheTermKeepsItsMembers lets a leader come after the
+// TestHeadUnlistedBeforeTermKeepsItsMembers lets a leader come after the
 // entry of a head has gone: it never saw the head in the list, yet the head
 // serves on.
-func TestHeadThatWasGoneBeforeTheTermKeepsItsMembers(t *testing.T) {
+func TestHeadUnlistedBeforeTermKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		head := formed(w)
-		w.pending.Go(func() { w.readList(25 * time.Second) })
+		head := formAndStop(w)
+		w.pending.Go(func() { w.confirmList(25 * time.Second) })
 		time.Sleep(4 * time.Second)
 		w.unlist(head.id)
-		_, stop := term(w, 2)
+		_, stop := startTerm(w, 2)
 		time.Sleep(15 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestHeadThatOnlyOthersReachKeepsItsMembers cuts a head off from the list and
+// TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers cuts a head off from the list and
 // from the leader, while other daemons reach it.
-func TestHeadThatOnlyOthersReachKeepsItsMembers(t *testing.T) {
+func TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
-		w.pending.Go(func() { w.readList(25 * time.Second) })
+		w.pending.Go(func() { w.confirmList(25 * time.Second) })
 		time.Sleep(4 * time.Second)
 		w.mu.Lock()
 		w.traffic = true
 		head := w.headOf("big")
-		w.cut[head.id] = true
+		w.unreachableByLeader[head.id] = true
 		w.mu.Unlock()
 		w.unlist(head.id)
 		time.Sleep(15 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// readList confirms the list again and again for a while, as a reader does.
-func (w *world) readList(howLong time.Duration) {
+// confirmList confirms the list again and again for a while, as a reader does.
+func (w *world) confirmList(howLong time.Duration) {
 	const every = 100 * time.Millisecond
 	for range howLong / every {
 		time.Sleep(every)
 		w.mu.Lock()
-		w.inventory.Apply(nil, w.position, time.Now())
+		w.inventory.Apply(nil, w.listPosition, time.Now())
 		w.mu.Unlock()
 	}
 }
@@ -433,15 +433,15 @@
 func (w *world) unlist(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.position++
-	w.inventory.Apply([]fleet.Change{{ID: id}}, w.position, time.Now())
+	w.listPosition++
+	w.inventory.Apply([]fleet.Change{{ID: id}}, w.listPosition, time.Now())
 }
 
 // relist brings a worker's entry back.
 func (w *world) relist(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.list(w.workers[id])
+	w.publish(w.workers[id])
 }
 
 // TestLaterLeaderBoundsLoads lets a leader come second to a fleet of which some
@@ -451,67 +451,67 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
 		w.mu.Lock()
-		w.serveWith("w0-0", "w0-1")
+		w.openSmallGroup("w0-0", "w0-1")
 		w.mu.Unlock()
-		_, stop := term(w, 2)
+		_, stop := startTerm(w, 2)
 		time.Sleep(time.Second)
-		assert.Assert(t, w.joining() <= 7, "%d loads run at once", w.joining())
+		assert.Assert(t, w.countJoining() <= 7, "%d loads run at once", w.countJoining())
 		stop()
 		w.pending.Wait()
 	})
 }
 
-// TestLaterLeaderOfAFleetThatServedBoundsLoads: all daemons ended at once while no replica was
+// TestLaterLeaderOfUsedFleetBoundsLoads: all daemons ended at once while no replica was
 // left, so that nobody knows that requests came before; what lies on hosts shows that groups
 // were formed. The leader takes the fleet for new: in the soak it began 16 loads within 5 s
 // where 8 may, and more than are allowed is a broken promise. A second leader right at the
 // start, when nothing lies anywhere, must still be quick.
-func TestLaterLeaderOfAFleetThatServedBoundsLoads(t *testing.T) {
+func TestLaterLeaderOfUsedFleetBoundsLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
-		w.stageSome()
-		_, stop := term(w, 3)
+		w.stageOnEveryFourth()
+		_, stop := startTerm(w, 3)
 		time.Sleep(time.Second)
-		loads := w.loading()
+		loads := w.countLoading()
 		stop()
 		w.pending.Wait()
 		assert.Assert(t, loads <= 7, "%d loads run at once", loads)
 	})
 }
 
-// TestLaterLeaderOfTheFirstLifeIsQuick lets a leader come second while the first one's loads
+// TestLeaderRunningSinceFleetStartDoesNotBoundLoads lets a leader come second while the first one's loads
 // are under way: it has run since the fleet first started and knows that no request came.
-func TestLaterLeaderOfTheFirstLifeIsQuick(t *testing.T) {
+func TestLeaderRunningSinceFleetStartDoesNotBoundLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
-		w.stageSome()
+		w.stageOnEveryFourth()
 		ctx, stop := context.WithCancel(context.Background())
 		k := NewKeeper(w.options(), Term{Epoch: 2, FirstLife: true}, stop)
 		go k.Run(ctx)
 		time.Sleep(time.Second)
-		assert.Assert(t, w.joining() > 7, "only %d loads run at once", w.joining())
+		assert.Assert(t, w.countJoining() > 7, "only %d loads run at once", w.countJoining())
 		stop()
 		<-k.Done()
 		w.pending.Wait()
 	})
 }
 
-// TestLaterLeaderOfANewFleetIsQuick lets a leader come second right at the
+// TestLaterLeaderOfNewFleetDoesNotBoundLoads lets a leader come second right at the
 // start, when nothing serves yet.
-func TestLaterLeaderOfANewFleetIsQuick(t *testing.T) {
+func TestLaterLeaderOfNewFleetDoesNotBoundLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
-		_, stop := term(w, 2)
+		_, stop := startTerm(w, 2)
 		time.Sleep(time.Second)
-		assert.Assert(t, w.joining() > 7, "only %d loads run at once", w.joining())
+		assert.Assert(t, w.countJoining() > 7, "only %d loads run at once", w.countJoining())
 		stop()
 		w.pending.Wait()
 	})
 }
 
-// serveWith makes two workers an open group, as orders to join and to open would.
+// openSmallGroup makes two workers an open group, as orders to join and to open would.
 // The mutex is held.
-func (w *world) serveWith(head, other string) {
+func (w *world) openSmallGroup(head, other string) {
 	g := Group{Name: fleet.GroupName("small", 1, nil), Epoch: 1, Model: "small", Members: []string{head, other}}
 	for rank, id := range g.Members {
 		s := w.workers[id]
@@ -521,37 +521,37 @@
 			s.state = fleet.Open
 			s.orders++
 		}
-		w.list(s)
+		w.publish(s)
 	}
 }
 
-// stageSome lets a model lie on the host of every fourth worker.
-func (w *world) stageSome() {
+// stageOnEveryFourth lets a model lie on the host of every fourth worker.
+func (w *world) stageOnEveryFourth() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, id := range slices.Sorted(maps.Keys(w.workers)) {
 		if i%4 == 0 {
 			w.workers[id].staged = "small"
-			w.list(w.workers[id])
+			w.publish(w.workers[id])
 		}
 	}
 }
 
-// loading counts the workers that load weights from the store: those that join a group of a
+// countLoading counts the workers that load weights from the store: those that join a group of a
 // model that lies on their host, or that they served last, do not.
-func (w *world) loading() int {
+func (w *world) countLoading() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
 	for _, s := range w.workers {
-		if s.state == fleet.Joining && s.staged != s.group.Model && s.last != s.group.Model || s.staging {
+		if s.state == fleet.Joining && s.staged != s.group.Model && s.lastModel != s.group.Model || s.isStaging {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *world) joining() int {
+func (w *world) countJoining() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -563,31 +563,31 @@
 	return n
 }
 
-// TestLateJoinsOfALaterLeaderTakeNobodyAway lets two leaders lead a new fleet at
+// TestLateJoinsOfLaterLeaderDoNotStealWorkers lets two leaders lead a new fleet at
 // once. Every order of the later one is carried out seconds late, when the
 // earlier one, which does not know of it, has formed and opened its groups.
-func TestLateJoinsOfALaterLeaderTakeNobodyAway(t *testing.T) {
+func TestLateJoinsOfLaterLeaderDoNotStealWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		w.lateFrom = 2
-		_, stopLater := term(w, 2)
-		_, stopEarlier := term(w, 1)
+		w.lateFromEpoch = 2
+		_, stopLater := startTerm(w, 2)
+		_, stopEarlier := startTerm(w, 1)
 		time.Sleep(20 * time.Second)
 		stopLater()
 		stopEarlier()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestWorkerThatAnEarlierLeaderTookIsLeftAlone lets a leader form a group with a
+// TestWorkerTakenByEarlierLeaderIsNotStolen lets a leader form a group with a
 // worker that, unseen by it, an earlier leader has just taken into an open one.
-func TestWorkerThatAnEarlierLeaderTookIsLeftAlone(t *testing.T) {
+func TestWorkerTakenByEarlierLeaderIsNotStolen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
 		view := w.inventory.View()
 		w.mu.Lock()
-		w.serveWith("w0-0", "w0-1")
+		w.openSmallGroup("w0-0", "w0-1")
 		w.mu.Unlock()
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
 		taken, _ := view.Worker("w0-1")
@@ -596,25 +596,25 @@
 		g := Group{Name: "small-r2", Epoch: int64(NewFence(2, 0, 1)), Model: "small", Members: []string{taken.ID, free.ID}}
 		assert.Assert(t, !k.join(context.Background(), g, members))
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestYoungLeaderMendsWhatIsKnownToBeBroken lets a member die under a leader
+// TestNewProcessRepairsKnownBrokenGroup lets a member die under a leader
 // whose process has not known the list for long.
-func TestYoungLeaderMendsWhatIsKnownToBeBroken(t *testing.T) {
+func TestNewProcessRepairsKnownBrokenGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		g := formed(w).group
-		w.young = true
-		k, stop := term(w, 2)
+		g := formAndStop(w).group
+		w.hasYoungList = true
+		k, stop := startTerm(w, 2)
 		time.Sleep(200 * time.Millisecond)
 		w.kill(g.Members[2])
 		k.Suspect(g.Key())
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, w.serving()["big"], 2)
+		assert.Equal(t, w.countServing()["big"], 2)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -11,11 +11,11 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestNothingTwiceWithoutFences plays the schedules of
-// TestNothingPartialAndNothingTwice with workers that do not look at fences:
+// TestNoWorkersUsedTwiceWithoutFences plays the schedules of
+// TestNoPartialGroupsAndNoWorkersUsedTwice with workers that do not look at fences:
 // what protects them from late orders and from earlier leaders must not rest on
 // fences alone.
-func TestNothingTwiceWithoutFences(outer *testing.T) {
+func TestNoWorkersUsedTwiceWithoutFences(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		late := rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.8}).Draw(t, "late")
@@ -23,7 +23,7 @@
 		var problems []string
 		synctest.Test(outer, func(*testing.T) {
 			w := newWorld(seed, 2, 10)
-			w.fenceless = true
+			w.ignoresFences = true
 			problems = runSchedule(w, late, steps)
 		})
 		if len(problems) > 0 {
@@ -41,8 +41,8 @@
 		var problems []string
 		synctest.Test(outer, func(*testing.T) {
 			w := newWorld(seed, 4, 10)
-			w.fenceless, w.late = true, 0.8
-			_, stop := term(w, 1)
+			w.ignoresFences, w.lateFraction = true, 0.8
+			_, stop := startTerm(w, 1)
 			time.Sleep(quiet)
 			w.mu.Lock()
 			w.traffic = true
@@ -50,7 +50,7 @@
 			time.Sleep(30 * time.Second)
 			stop()
 			w.pending.Wait()
-			problems = w.broken
+			problems = w.violations
 		})
 		if len(problems) > 0 {
 			t.Fatalf("broken: %v", problems)
@@ -58,37 +58,37 @@
 	})
 }
 
-// TestLateOrdersBringNoGroupBack plays what the incident TWO showed. A head's
+// TestLateOrdersDoNotReviveDissolvedGroup plays what the incident TWO showed. A head's
 // first orders to join and to open get no answer; later tries are taken, the
 // group serves, loses its other member and is dissolved, which the head
 // confirms. Then the first tries are carried out.
-func TestLateOrdersBringNoGroupBack(t *testing.T) {
+func TestLateOrdersDoNotReviveDissolvedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
-		w.fenceless = true
+		w.ignoresFences = true
 		w.delays["join w0-0"] = []time.Duration{8 * time.Second}
 		w.delays["open w0-0"] = []time.Duration{8 * time.Second}
-		k, stop := term(w, 1)
+		k, stop := startTerm(w, 1)
 		time.Sleep(4 * time.Second)
 		w.mu.Lock()
 		w.traffic = true
 		w.mu.Unlock()
-		served := w.memberOf("w0-0")
+		served := w.membershipOf("w0-0")
 		w.kill("w0-1")
 		k.Suspect(fleet.GroupKey(served))
 		time.Sleep(2 * time.Second)
-		dissolved := w.memberOf("w0-0")
+		dissolved := w.membershipOf("w0-0")
 		time.Sleep(5 * time.Second)
-		later := w.memberOf("w0-0")
+		later := w.membershipOf("w0-0")
 		w.add("w0-2", "d0")
 		time.Sleep(20 * time.Second)
-		serving := w.serving()
+		serving := w.countServing()
 		stop()
 		w.pending.Wait()
 		assert.Equal(t, served.State, fleet.Open)
 		assert.Equal(t, dissolved.Group, "", "the group is not dissolved")
 		assert.Equal(t, later.Group, "", "the head is in its dissolved group again")
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 		assert.Equal(t, serving["small"], 1)
 	})
 }
@@ -99,83 +99,83 @@
 func TestGroupIsOpenedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		_, stop := term(w, 1)
-		w.pending.Go(func() { w.readList(8 * time.Second) })
+		_, stop := startTerm(w, 1)
+		w.pending.Go(func() { w.confirmList(8 * time.Second) })
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, len(w.opened) >= 7)
-		for group, orders := range w.opened {
+		assert.Assert(t, len(w.openOrders) >= 7)
+		for group, orders := range w.openOrders {
 			assert.Equal(t, orders, 1, group)
 		}
 	})
 }
 
-// TestMembersOfADeadHeadServeSoon kills the head of a large group without a word.
+// TestMembersOfDeadHeadAreReusedPromptly kills the head of a large group without a word.
 // The list shows it for another 3.6 s.
-func TestMembersOfADeadHeadServeSoon(t *testing.T) {
+func TestMembersOfDeadHeadAreReusedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 7)
 		w.demand = map[string]Work{"big": {Busy: 5}}
-		k, old, stop := serving(w, "big")
+		k, old, stop := startServing(w, "big")
 		w.kill(old.Members[0])
 		k.Suspect(old.Key())
 		time.Sleep(3400 * time.Millisecond)
-		survivor := w.memberOf(old.Members[1])
+		survivor := w.membershipOf(old.Members[1])
 		stop()
 		w.pending.Wait()
 		assert.Assert(t, survivor.Group != old.Name, "a survivor still waits for its dead head")
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestHeadThatComesBackLeavesItsClosedGroup lets a head fall silent for some
+// TestReturningHeadLeavesClosedGroup lets a head fall silent for some
 // seconds. Daemons are told that its group is closed and never use it again, so it
 // must not be taken for one that serves, even if its members are all there still.
-func TestHeadThatComesBackLeavesItsClosedGroup(t *testing.T) {
+func TestReturningHeadLeavesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
-		k, old, stop := serving(w, "small")
-		w.darken(old.Members[0], true)
+		k, old, stop := startServing(w, "small")
+		w.setUnreachable(old.Members[0], true)
 		k.Suspect(old.Key())
 		time.Sleep(3 * time.Second)
-		w.darken(old.Members[0], false)
+		w.setUnreachable(old.Members[0], false)
 		time.Sleep(8 * time.Second)
-		head := w.memberOf(old.Members[0])
+		head := w.membershipOf(old.Members[0])
 		stop()
 		w.pending.Wait()
 		assert.Assert(t, head.Group != old.Name, "the closed group still holds its workers")
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestLaterLeaderDissolvesWhatWasClosed lets a leader end after it announced that
+// TestLaterLeaderDissolvesClosedGroup lets a leader end after it announced that
 // a group is closed, and before its head left it.
-func TestLaterLeaderDissolvesWhatWasClosed(t *testing.T) {
+func TestLaterLeaderDissolvesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		old := formed(w).group
+		old := formAndStop(w).group
 		w.inventory.Decide(0, fleet.Announcement{
 			Group: old.Name, Epoch: old.Epoch, Service: "models", Model: old.Model, Head: old.Members[0],
 		})
-		_, stop := term(w, 2)
+		_, stop := startTerm(w, 2)
 		time.Sleep(3 * time.Second)
-		head := w.memberOf(old.Members[0])
+		head := w.membershipOf(old.Members[0])
 		serving := len(w.inventory.View().Replicas("models", "big"))
 		stop()
 		w.pending.Wait()
 		assert.Assert(t, head.Group != old.Name, "the closed group still holds its workers")
 		assert.Equal(t, serving, 2)
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestWorkersThatLoadAreLeftAlone lets a leader come while idle workers bring a
+// TestStagingWorkerIsNotRetriedContinuously lets a leader come while idle workers bring a
 // model to their hosts, which the list does not tell.
-func TestWorkersThatLoadAreLeftAlone(t *testing.T) {
+func TestStagingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 5)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
 		stop()
 		w.mu.Lock()
@@ -183,29 +183,29 @@
 		w.mu.Unlock()
 		w.add("new", "d0")
 		w.mu.Lock()
-		w.workers["new"].staging = true
+		w.workers["new"].isStaging = true
 		w.mu.Unlock()
-		_, stop = term(w, 2)
+		_, stop = startTerm(w, 2)
 		time.Sleep(6 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, w.workers["new"].stages >= 1)
-		assert.Assert(t, w.workers["new"].stages <= 3, "%d orders in six seconds", w.workers["new"].stages)
+		assert.Assert(t, w.workers["new"].stageOrders >= 1)
+		assert.Assert(t, w.workers["new"].stageOrders <= 3, "%d orders in six seconds", w.workers["new"].stageOrders)
 	})
 }
 
-// memberOf returns the part that a worker has in a group.
-func (w *world) memberOf(id string) fleet.Membership {
+// membershipOf returns the part that a worker has in a group.
+func (w *world) membershipOf(id string) fleet.Membership {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.workers[id].member()
 }
 
-// darken keeps everybody from reaching a worker, or ends that.
-func (w *world) darken(id string, dark bool) {
+// setUnreachable keeps everybody from reaching a worker, or ends that.
+func (w *world) setUnreachable(id string, dark bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dark[id] = dark
+	w.unreachable[id] = dark
 }
 
 // add brings an empty worker.
@@ -214,5 +214,5 @@
 	defer w.mu.Unlock()
 	s := &simWorker{id: id, domain: domain}
 	w.workers[id] = s
-	w.list(s)
+	w.publish(s)
 }
--- a/formation/leaving.go
+++ b/formation/leaving.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// leaveWithin bounds how long a group serves on after a member other than
+	// maxLeaveDelay bounds how long a group serves on after a member other than
 	// its head said that it leaves: such a member stays for ten seconds at most
 	// while the head has work, and the requests in flight need some of them.
-	leaveWithin = 6 * time.Second
-	// leaveEvery is the least time between the dissolutions of two such groups
+	maxLeaveDelay = 6 * time.Second
+	// leaveInterval is the least time between the dissolutions of two such groups
 	// of one model: as long as draining and joining again take.
-	leaveEvery = 3 * time.Second
+	leaveInterval = 3 * time.Second
 )
 
-// mendLeaving dissolves a group with a leaving member. Groups of one model are
+// dissolveLeaving dissolves a group with a leaving member. Groups of one model are
 // dissolved one after the other, so that the rest serve meanwhile, but none
 // later than the member stays. A head that leaves can't wait: it takes no more
 // requests.
-func (k *Keeper) mendLeaving(ctx context.Context, o *observed, now time.Time) {
-	deadline, ok := k.leaveBy[o.key]
+func (k *Keeper) dissolveLeaving(ctx context.Context, o *observedGroup, now time.Time) {
+	deadline, ok := k.leaveDeadlines[o.key]
 	if !ok {
-		deadline = now.Add(leaveWithin)
-		k.leaveBy[o.key] = deadline
+		deadline = now.Add(maxLeaveDelay)
+		k.leaveDeadlines[o.key] = deadline
 	}
-	if !o.head.Draining && now.Before(deadline) && now.Before(k.leaveNext[o.model.Name]) {
+	if !o.head.Draining && now.Before(deadline) && now.Before(k.nextLeaveDissolution[o.model.Name]) {
 		return
 	}
-	k.leaveNext[o.model.Name] = now.Add(leaveEvery)
-	k.begin(ctx, o.key, o.members, func(ctx context.Context) { k.drain(ctx, o) })
+	k.nextLeaveDissolution[o.model.Name] = now.Add(leaveInterval)
+	k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drain(ctx, o) })
 }
--- a/formation/lives.go
+++ b/formation/lives.go
@@ -2,66 +2,66 @@
 
 import "quartzshelf.dev/fleet"
 
-// life tells when the present life of a worker began, in Unix milliseconds. A worker may end
+// incarnation tells when the present life of a worker began, in Unix milliseconds. A worker may end
 // and start again under its id; it then holds nothing of before but what lies on its host, is
 // a member of no group, and counts orders anew.
-type life struct {
+type incarnation struct {
 	// listed is what the list shows, newest the present life as far as the list or the worker
 	// itself told: whichever tells first is believed.
 	listed, newest int64
 }
 
-// noteListed takes the life that the list shows. Entries of the list come in the order in
+// recordListedIncarnation takes the life that the list shows. Entries of the list come in the order in
 // which they were written, so a life that differs is a later one, also if the worker's clock
 // was set back meanwhile. The keeper's mutex is held.
-func (k *Keeper) noteListed(w *fleet.Worker) {
+func (k *Keeper) recordListedIncarnation(w *fleet.Worker) {
 	if w.Born == 0 {
 		return
 	}
-	l, known := k.lives[w.ID]
+	l, known := k.incarnations[w.ID]
 	if known && w.Born == l.listed {
 		return
 	}
 	if known && w.Born != l.newest {
-		k.forgetLife(w.ID)
+		k.forgetIncarnation(w.ID)
 	}
-	k.lives[w.ID] = life{listed: w.Born, newest: w.Born}
+	k.incarnations[w.ID] = incarnation{listed: w.Born, newest: w.Born}
 }
 
-// noteReported takes the life that a worker's own answer tells, and reports whether the answer
+// recordReportedIncarnation takes the life that a worker's own answer tells, and reports whether the answer
 // counts. One of a life before came late. The keeper's mutex is held.
-func (k *Keeper) noteReported(id string, born int64) bool {
-	l, known := k.lives[id]
+func (k *Keeper) recordReportedIncarnation(id string, born int64) bool {
+	l, known := k.incarnations[id]
 	switch {
 	case born == 0 || known && born == l.newest:
 		return true
 	case known && born < l.newest:
 		return false
 	case known:
-		k.forgetLife(id)
+		k.forgetIncarnation(id)
 	}
-	k.lives[id] = life{listed: l.listed, newest: born}
+	k.incarnations[id] = incarnation{listed: l.listed, newest: born}
 	return true
 }
 
-// isOver reports whether an entry of the list is of a life that is over. The keeper's mutex
+// isPastIncarnation reports whether an entry of the list is of a life that is over. The keeper's mutex
 // is held.
-func (k *Keeper) isOver(w *fleet.Worker) bool {
-	l, known := k.lives[w.ID]
+func (k *Keeper) isPastIncarnation(w *fleet.Worker) bool {
+	l, known := k.incarnations[w.ID]
 	return known && w.Born != 0 && w.Born != l.newest
 }
 
-// forgetLife forgets what was known of a worker's life that is over: its part in groups, its
+// forgetIncarnation forgets what was known of a worker's life that is over: its part in groups, its
 // position, its loads, and its silence. The keeper's mutex is held.
-func (k *Keeper) forgetLife(id string) {
+func (k *Keeper) forgetIncarnation(id string) {
 	k.opts.Logger.Info("worker has started again under its id", "worker", id)
-	delete(k.known, id)
-	delete(k.positions, id)
-	delete(k.silent, id)
+	delete(k.observations, id)
+	delete(k.orderStates, id)
+	delete(k.unresponsive, id)
 	delete(k.absent, id)
-	delete(k.ended, id)
-	delete(k.interrupted, id)
-	delete(k.loading, id)
-	delete(k.stageNext, id)
-	delete(k.doubts, id)
+	delete(k.displaced, id)
+	delete(k.interruptedJoins, id)
+	delete(k.activeLoads, id)
+	delete(k.stageRetryAt, id)
+	delete(k.unreliableUntil, id)
 }
--- a/formation/loads_test.go
+++ b/formation/loads_test.go
@@ -26,30 +26,30 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			var l loads
-			l.limit(Ceiling{Window: 5 * time.Second, Over: 1.1}, 5, 7, true, now)
-			l.take(5, false, now.Add(-test.before))
+			var l loadBudget
+			l.configure(Ceiling{Window: 5 * time.Second, Over: 1.1}, 5, 7, true, now)
+			l.record(5, false, now.Add(-test.before))
 			assert.Equal(t, l.available(now), test.want)
-			l.take(1, true, now)
+			l.record(1, true, now)
 			assert.Equal(t, l.available(now), test.want-1, "what was counted is counted once")
 		})
 	}
 }
 
-// TestRefusedStageGivesNothingBack: before the first request a load takes nothing
+// TestRefusedStagingDoesNotRefundBudget: before the first request a load takes nothing
 // from the bound, so that a stage which is refused must not add to it. A leader of
 // a fleet that others led before begins with an empty bound.
-func TestRefusedStageGivesNothingBack(t *testing.T) {
+func TestRefusedStagingDoesNotRefundBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
 		service, _ := simConfig(w.loadsPerSecond).Service("models")
 		now := time.Now()
 		worker, _ := w.inventory.View().Worker("w0-0")
-		w.workers["w0-0"].staging = true
-		budget := k.budget(service, now)
+		w.workers["w0-0"].isStaging = true
+		budget := k.budgetOf(service, now)
 		for range 5 {
-			budget.take(1, false, now)
+			budget.record(1, false, now)
 			assert.Assert(t, !k.stage(context.Background(), worker, simModels[0]))
 		}
 		w.pending.Wait()
@@ -57,9 +57,9 @@
 	})
 }
 
-// TestRoomForLoads: what joins warm loads nothing, and idle workers leave room for the
+// TestAllowedLoads: what joins warm loads nothing, and idle workers leave room for the
 // loads that groups lack.
-func TestRoomForLoads(t *testing.T) {
+func TestAllowedLoads(t *testing.T) {
 	joining := func(id, loaded, staged string) *fleet.Worker {
 		w := &fleet.Worker{
 			ID: id, Service: "models", Domain: "d", Loaded: loaded,
@@ -102,14 +102,14 @@
 			w.inventory.Apply(changes, 1, time.Now())
 			options := w.options()
 			k := NewKeeper(options, Term{Epoch: 1, First: true}, func() {})
-			k.fresh = false
+			k.isNewFleet = false
 			for i := range test.staging {
-				k.loading[fmt.Sprintf("s%d", i)] = load{model: "big", until: time.Now().Add(time.Hour)}
+				k.activeLoads[fmt.Sprintf("s%d", i)] = activeLoad{model: "big", expiresAt: time.Now().Add(time.Hour)}
 			}
 			service, _ := options.Config().Service("models")
 			now := time.Now()
-			bound := &loads{burst: 100, tokens: 100, filledAt: now}
-			groups, idle := k.room(service, w.inventory.View(), bound, now)
+			bound := &loadBudget{burst: 100, tokens: 100, refilledAt: now}
+			groups, idle := k.allowedLoads(service, w.inventory.View(), bound, now)
 			assert.Equal(t, groups, test.groups)
 			assert.Equal(t, idle, test.forIdle)
 		})
--- a/formation/oversized.go
+++ b/formation/oversized.go
@@ -6,9 +6,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// noteOversized says once of each model that no domain has enough workers for it.
-func (k *Keeper) noteOversized(s *fleet.Service, view *fleet.View, now time.Time) {
-	if now.Sub(k.opts.ListSince()) < youngFor {
+// warnOversizedModels says once of each model that no domain has enough workers for it.
+func (k *Keeper) warnOversizedModels(s *fleet.Service, view *fleet.View, now time.Time) {
+	if now.Sub(k.opts.ListSince()) < youngListAge {
 		return
 	}
 	workers, largest := make(map[string]int), 0
@@ -19,8 +19,8 @@
 		}
 	}
 	for _, m := range s.Engine.Models {
-		if m.Size > largest && largest > 0 && !k.oversized[m.Name] {
-			k.oversized[m.Name] = true
+		if m.Size > largest && largest > 0 && !k.reportedOversized[m.Name] {
+			k.reportedOversized[m.Name] = true
 			k.opts.Logger.Warn("model is larger than any fabric domain", "model", m.Name, "size", m.Size, "largest_domain", largest)
 		}
 	}
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// sameValue is below which two divisions earn the same, so that the one with the
+	// valueEpsilon is below which two divisions earn the same, so that the one with the
 	// fewer and quicker moves is taken; sums of floats differ by less.
-	sameValue = 1e-9
-	// passes is how often each domain is divided anew by what the others do now, where
+	valueEpsilon = 1e-9
+	// maxPasses is how often each domain is divided anew by what the others do now, where
 	// there are others: the second pass sees what the first changed elsewhere. Each costs
 	// as much as the search of all domains.
-	passes = 2
+	maxPasses = 2
 )
 
 // division is what becomes of a domain's free workers, by model.
@@ -31,55 +31,55 @@
 // earns the most. It searches each domain exactly, by the numbers of groups, while the
 // others stay; domains are taken in turn until none gains.
 type partition struct {
-	value  *valuation
-	models []fleet.Model
+	valuation *valuation
+	models    []fleet.Model
 	// replicas holds by model what serves on the mean over the horizon, groups how many
 	// there are, and added where the new ones are, all of them with what is planned.
-	replicas []float64
-	groups   []int
-	added    []map[string]int
-	loads    int
-	maxLoads int
-	// beyond tells which domains may form more than is wanted, fixed which ones form what
+	replicas    []float64
+	groups      []int
+	addedByHall []map[string]int
+	loads       int
+	maxLoads    int
+	// allowsSurplus tells which domains may form more than is wanted, fixed which ones form what
 	// is planned.
-	beyond, fixed func(domain string) bool
+	allowsSurplus, isFixed func(domain string) bool
 }
 
 func newPartition(needs []Need, in Input) *partition {
 	p := &partition{
-		value:    &valuation{needs: needs, halls: in.Halls, serving: in.Serving},
-		maxLoads: in.MaxLoads,
+		valuation: &valuation{needs: needs, hallLoss: in.HallLoss, serving: in.Serving},
+		maxLoads:  in.MaxLoads,
 	}
 	for _, n := range needs {
 		p.models = append(p.models, n.Model)
 		p.replicas = append(p.replicas, float64(n.Have))
 		p.groups = append(p.groups, n.Have)
-		p.added = append(p.added, make(map[string]int))
+		p.addedByHall = append(p.addedByHall, make(map[string]int))
 	}
 	return p
 }
 
-// earned returns what all replicas earn together.
-func (p *partition) earned() float64 {
+// totalValue returns what all replicas earn together.
+func (p *partition) totalValue() float64 {
 	total := 0.0
-	for i, n := range p.value.needs {
-		total += p.value.model(n, p.replicas[i], p.value.worst(n.Model.Name, p.added[i]))
+	for i, n := range p.valuation.needs {
+		total += p.valuation.valueOf(n, p.replicas[i], p.valuation.worstHallLoss(n.Model.Name, p.addedByHall[i]))
 	}
 	return total
 }
 
-// count adds a division to what is planned, or takes it away.
-func (p *partition) count(d division, hall string, sign int) {
+// addDivision adds a division to what is planned, or takes it away.
+func (p *partition) addDivision(d division, hall string, sign int) {
 	for i, m := range p.models {
-		p.replicas[i] += float64(sign) * (float64(d.warm[i])*part(m, false) + float64(d.loading[i])*part(m, true))
+		p.replicas[i] += float64(sign) * (float64(d.warm[i])*servingFraction(m, false) + float64(d.loading[i])*servingFraction(m, true))
 		p.groups[i] += sign * (d.warm[i] + d.loading[i])
-		p.added[i][hall] += sign * (d.warm[i] + d.loading[i])
+		p.addedByHall[i][hall] += sign * (d.warm[i] + d.loading[i])
 	}
 	p.loads += sign * d.loads
 }
 
 // divisionOf returns the division that groups make.
-func (p *partition) divisionOf(formations []Formation, workers map[string]Free) division {
+func (p *partition) divisionOf(formations []Formation, workers map[string]FreeWorker) division {
 	d := division{warm: make([]int, len(p.models)), loading: make([]int, len(p.models)), formations: formations}
 	for _, f := range formations {
 		i := slices.IndexFunc(p.models, func(m fleet.Model) bool { return m.Name == f.Model.Name })
@@ -99,8 +99,8 @@
 
 // improve returns groups that earn at least as much as the given ones, with no more
 // loads than may begin.
-func (p *partition) improve(formations []Formation, free map[string][]Free) []Formation {
-	workers := make(map[string]Free)
+func (p *partition) improve(formations []Formation, free map[string][]FreeWorker) []Formation {
+	workers := make(map[string]FreeWorker)
 	planned := make(map[string][]Formation)
 	for _, list := range free {
 		for _, w := range list {
@@ -114,11 +114,11 @@
 	divisions := make(map[string]division)
 	for domain, list := range free {
 		divisions[domain] = p.divisionOf(planned[domain], workers)
-		p.count(divisions[domain], hallOf(list), 1)
+		p.addDivision(divisions[domain], hallOf(list), 1)
 	}
 	changed := false
-	for range min(passes, len(free)) {
-		if !p.pass(free, divisions) {
+	for range min(maxPasses, len(free)) {
+		if !p.improvePass(free, divisions) {
 			break
 		}
 		changed = true
@@ -133,14 +133,14 @@
 	return all
 }
 
-// pass divides each domain anew, and reports whether any gained.
-func (p *partition) pass(free map[string][]Free, divisions map[string]division) bool {
+// improvePass divides each domain anew, and reports whether any gained.
+func (p *partition) improvePass(free map[string][]FreeWorker, divisions map[string]division) bool {
 	changed := false
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
-		if p.fixed(domain) {
+		if p.isFixed(domain) {
 			continue
 		}
-		if d, ok := p.better(domain, free[domain], divisions[domain]); ok {
+		if d, ok := p.betterDivision(domain, free[domain], divisions[domain]); ok {
 			divisions[domain] = d
 			changed = true
 		}
@@ -149,24 +149,24 @@
 }
 
 // hallOf returns the data hall of a domain: that of its first worker.
-func hallOf(workers []Free) string {
+func hallOf(workers []FreeWorker) string {
 	if len(workers) == 0 {
 		return ""
 	}
 	return workers[0].Hall
 }
 
-// better divides a domain anew while the others stay, and reports whether that earns
+// betterDivision divides a domain anew while the others stay, and reports whether that earns
 // more than the held division, or as much by fewer and quicker moves.
-func (p *partition) better(domain string, workers []Free, held division) (division, bool) {
+func (p *partition) betterDivision(domain string, workers []FreeWorker, current division) (division, bool) {
 	hall := hallOf(workers)
-	p.count(held, hall, -1)
-	s := p.newSearch(domain, workers, held)
-	s.from(0, 0)
+	p.addDivision(current, hall, -1)
+	s := p.newSearch(domain, workers, current)
+	s.explore(0, 0)
 	found := s.found
 	if found {
-		held = s.division()
+		current = s.division()
 	}
-	p.count(held, hall, 1)
-	return held, found
+	p.addDivision(current, hall, 1)
+	return current, found
 }
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -16,7 +16,7 @@
 func drawInput(t *rapid.T) Input {
 	in := Input{
 		Serving: make(map[string]map[string]int), Released: make(map[string]bool), Trading: make(map[string]string),
-		Warm: make(map[string]map[string]int), Halls: Halls{Bear: rapid.IntRange(0, 2).Draw(t, "bear"), Weight: hallWeight},
+		Warm: make(map[string]map[string]int), HallLoss: HallLossPolicy{MaxLost: rapid.IntRange(0, 2).Draw(t, "bear"), Weight: hallWeight},
 	}
 	names := []string{""}
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
@@ -34,9 +34,9 @@
 		}
 		in.Released[domain] = rapid.Bool().Draw(t, "released")
 		for i := range rapid.IntRange(0, 20).Draw(t, "workers") {
-			f := Free{
+			f := FreeWorker{
 				ID: fmt.Sprintf("%s-%02d", domain, i), Domain: domain, Hall: fmt.Sprint("h", d%2),
-				Loaded: model.Draw(t, "loaded"), Doubted: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
+				Loaded: model.Draw(t, "loaded"), Unreliable: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
 			}
 			if staged := model.Draw(t, "staged"); staged != "" {
 				f.Staged = []string{staged}
@@ -49,23 +49,23 @@
 	return in
 }
 
-// earnedBy returns what groups earn, by the stated value.
-func earnedBy(in Input, formations []Formation) float64 {
+// valueOfGroups returns what groups earn, by the stated value.
+func valueOfGroups(in Input, formations []Formation) float64 {
 	p := newPartition(in.Needs, in)
-	workers := make(map[string]Free)
+	workers := make(map[string]FreeWorker)
 	for _, f := range in.Free {
 		workers[f.ID] = f
 	}
 	for _, f := range formations {
-		p.count(p.divisionOf([]Formation{f}, workers), workers[f.Members[0]].Hall, 1)
+		p.addDivision(p.divisionOf([]Formation{f}, workers), workers[f.Members[0]].Hall, 1)
 	}
-	return p.earned()
+	return p.totalValue()
 }
 
-// TestPlanHolds checks what must hold of every plan: no worker twice, no group across
+// TestPlanInvariants checks what must hold of every plan: no worker twice, no group across
 // domains, the right number of members, no more loads than may begin, and never worse
 // than groups that are formed one after the other.
-func TestPlanHolds(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		formations, stagings := Plan(in)
@@ -91,25 +91,25 @@
 		}
 		assert.Assert(t, loads+len(stagings) <= max(in.MaxLoads, 0), "%d loads and %d stagings of %d", loads, len(stagings), in.MaxLoads)
 		simple := newPlanner(in).formations()
-		assert.Assert(t, earnedBy(in, formations) >= earnedBy(in, simple)-sameValue)
+		assert.Assert(t, valueOfGroups(in, formations) >= valueOfGroups(in, simple)-valueEpsilon)
 	})
 }
 
-// TestDomainsWaitForExchanges: while groups of a domain are given up for a model, nothing
+// TestDomainsWaitForTrades: while groups of a domain are given up for a model, nothing
 // else is formed there, and nothing that loads.
-func TestDomainsWaitForExchanges(t *testing.T) {
+func TestDomainsWaitForTrades(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 3}, fleet.Model{Name: "small", Size: 2}
-	worker := func(id, loaded string) Free { return Free{ID: id, Domain: "d", Loaded: loaded} }
+	worker := func(id, loaded string) FreeWorker { return FreeWorker{ID: id, Domain: "d", Loaded: loaded} }
 	tests := map[string]struct {
-		free    []Free
+		free    []FreeWorker
 		trading map[string]string
 		want    []string
 	}{
-		"no exchange":             {free: []Free{worker("a", "small"), worker("b", "small")}, want: []string{"a", "b"}},
-		"for another model":       {free: []Free{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"d": "big"}},
-		"in another domain":       {free: []Free{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"e": "big"}, want: []string{"a", "b"}},
-		"a member has to load":    {free: []Free{worker("a", "big"), worker("b", "big"), worker("c", "")}, trading: map[string]string{"d": "big"}},
-		"members that are enough": {free: []Free{worker("a", "big"), worker("b", "big"), worker("c", "big")}, trading: map[string]string{"d": "big"}, want: []string{"a", "b", "c"}},
+		"no exchange":             {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, want: []string{"a", "b"}},
+		"for another model":       {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"d": "big"}},
+		"in another domain":       {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"e": "big"}, want: []string{"a", "b"}},
+		"a member has to load":    {free: []FreeWorker{worker("a", "big"), worker("b", "big"), worker("c", "")}, trading: map[string]string{"d": "big"}},
+		"members that are enough": {free: []FreeWorker{worker("a", "big"), worker("b", "big"), worker("c", "big")}, trading: map[string]string{"d": "big"}, want: []string{"a", "b", "c"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestSupplyIsTheCheapest compares who is given to which model with all ways to do it.
-func TestSupplyIsTheCheapest(t *testing.T) {
+// TestAssignmentIsCheapest compares who is given to which model with all ways to do it.
+func TestAssignmentIsCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		var models []fleet.Model
@@ -134,20 +134,20 @@
 			models = append(models, n.Model)
 		}
 		workers := in.Free[:min(len(in.Free), 6)]
-		s := newSupply(models, workers)
+		s := newAssignment(models, workers)
 		wanted := make([]int, len(models))
 		for i := range models {
 			wanted[i] = rapid.IntRange(0, 2).Draw(t, "wanted")
-			if !s.give(i, wanted[i]) {
+			if !s.assign(i, wanted[i]) {
 				wanted[i] = 0
 			}
 		}
-		assert.Equal(t, s.cost(), cheapestOf(models, workers, wanted))
+		assert.Equal(t, s.totalCost(), minimumCost(models, workers, wanted))
 	})
 }
 
-// cheapestOf tries all ways to give workers to models.
-func cheapestOf(models []fleet.Model, workers []Free, wanted []int) int {
+// minimumCost tries all ways to give workers to models.
+func minimumCost(models []fleet.Model, workers []FreeWorker, wanted []int) int {
 	if len(workers) == 0 {
 		for _, count := range wanted {
 			if count > 0 {
@@ -156,14 +156,14 @@
 		}
 		return 0
 	}
-	best := cheapestOf(models, workers[1:], wanted)
+	best := minimumCost(models, workers[1:], wanted)
 	for i, m := range models {
 		if wanted[i] == 0 {
 			continue
 		}
 		rest := slices.Clone(wanted)
 		rest[i]--
-		best = min(best, workers[0].cost(m.Name)+cheapestOf(models, workers[1:], rest))
+		best = min(best, workers[0].cost(m.Name)+minimumCost(models, workers[1:], rest))
 	}
 	return best
 }
@@ -181,7 +181,7 @@
 				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoad, Warm: simWarm}, Want: 100 / float64(size), Have: 60 / size})
 			}
 			for i := range workers {
-				f := Free{ID: fmt.Sprintf("w%02d", i), Domain: "d", Loaded: fmt.Sprint("m", i%len(sizes))}
+				f := FreeWorker{ID: fmt.Sprintf("w%02d", i), Domain: "d", Loaded: fmt.Sprint("m", i%len(sizes))}
 				if i%5 > 0 {
 					f.Staged = []string{fmt.Sprint("m", i%2)}
 				}
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -17,19 +17,19 @@
 	Have int
 }
 
-// met reports whether no further replica is wanted.
-func (n Need) met() bool { return float64(n.Have) >= n.Want }
+// isMet reports whether no further replica is wanted.
+func (n Need) isMet() bool { return float64(n.Have) >= n.Want }
 
-// share returns which part of what is wanted there would be with more replicas.
-func (n Need) share(more int) float64 {
+// coverageWith returns which part of what is wanted there would be with more replicas.
+func (n Need) coverageWith(more int) float64 {
 	if n.Want <= 0 {
 		return math.Inf(1)
 	}
 	return float64(n.Have+more) / n.Want
 }
 
-// short returns how short the model is; higher is shorter.
-func (n Need) short() float64 { return n.Want / float64(n.Have+1) }
+// shortage returns how short the model is; higher is shorter.
+func (n Need) shortage() float64 { return n.Want / float64(n.Have+1) }
 
 // Formation is a group to form.
 type Formation struct {
@@ -43,20 +43,20 @@
 type Input struct {
 	Needs []Need
 	// Free holds the workers that can be ordered.
-	Free []Free
+	Free []FreeWorker
 	// Warm counts, by domain and model, the workers that are warm for the
 	// model, those in groups included.
 	Warm map[string]map[string]int
 	// MaxLoads is how many loads from the store may begin, MaxStagings how many of
 	// them for idle workers.
 	MaxLoads, MaxStagings int
-	// Growing tells that further workers are about to be listed: the shortest model
+	// ListGrowing tells that further workers are about to be listed: the shortest model
 	// then waits for enough of them in one domain, and the others wait for it.
-	Growing bool
-	// Halls is what the plan weighs for the loss of data halls, Serving counts by model
+	ListGrowing bool
+	// HallLoss is what the plan weighs for the loss of data halls, Serving counts by model
 	// and hall the replicas that Needs tells of.
-	Halls   Halls
-	Serving map[string]map[string]int
+	HallLoss HallLossPolicy
+	Serving  map[string]map[string]int
 	// Released tells the domains whose idle workers can't complete a group of a model
 	// that is short, and serve another one meanwhile.
 	Released map[string]bool
@@ -78,10 +78,10 @@
 func Plan(in Input) ([]Formation, []Staging) {
 	p := newPlanner(in)
 	all := p.formations()
-	if !in.Growing && len(all) > 0 {
+	if !in.ListGrowing && len(all) > 0 {
 		all = p.improved(in, all)
 	}
-	if p.waiting {
+	if p.isWaitingForLoads {
 		return all, nil
 	}
 	return all, p.stagings()
@@ -90,17 +90,17 @@
 func newPlanner(in Input) *planner {
 	p := &planner{
 		needs: slices.Clone(in.Needs), byDomain: byDomain(in.Free), warm: in.Warm,
-		maxLoads: in.MaxLoads, maxStagings: in.MaxStagings, growing: in.Growing,
-		released: in.Released, trading: in.Trading, halls: in.Halls, inHall: make(map[string]map[string]int),
+		maxLoads: in.MaxLoads, maxStagings: in.MaxStagings, listGrowing: in.ListGrowing,
+		released: in.Released, trading: in.Trading, hallLoss: in.HallLoss, hallCounts: make(map[string]map[string]int),
 	}
 	for model, halls := range in.Serving {
-		p.inHall[model] = maps.Clone(halls)
+		p.hallCounts[model] = maps.Clone(halls)
 	}
 	return p
 }
 
-func byDomain(free []Free) map[string][]Free {
-	all := make(map[string][]Free)
+func byDomain(free []FreeWorker) map[string][]FreeWorker {
+	all := make(map[string][]FreeWorker)
 	for _, f := range free {
 		all[f.Domain] = append(all[f.Domain], f)
 	}
@@ -111,9 +111,9 @@
 // their members out of those that are left.
 func (p *planner) improved(in Input, planned []Formation) []Formation {
 	part := newPartition(in.Needs, in)
-	part.fixed = func(domain string) bool { return in.Trading[domain] != "" }
-	part.beyond = func(domain string) bool { return p.beyond && p.mayExceed(domain) }
-	if p.waiting {
+	part.isFixed = func(domain string) bool { return in.Trading[domain] != "" }
+	part.allowsSurplus = func(domain string) bool { return p.isPlanningSurplus && p.allowsSurplus(domain) }
+	if p.isWaitingForLoads {
 		// Loads are kept for the group that waits for them.
 		part.maxLoads = 0
 	}
@@ -128,14 +128,14 @@
 		}
 	}
 	for domain, workers := range free {
-		p.byDomain[domain] = slices.DeleteFunc(workers, func(w Free) bool { return taken[w.ID] })
+		p.byDomain[domain] = slices.DeleteFunc(workers, func(w FreeWorker) bool { return taken[w.ID] })
 	}
 	return all
 }
 
-// mayExceed reports whether a domain may form more than is wanted.
-func (p *planner) mayExceed(domain string) bool {
-	short := slices.ContainsFunc(p.needs, func(n Need) bool { return !n.met() })
+// allowsSurplus reports whether a domain may form more than is wanted.
+func (p *planner) allowsSurplus(domain string) bool {
+	short := slices.ContainsFunc(p.needs, func(n Need) bool { return !n.isMet() })
 	return !short || p.released[domain]
 }
 
@@ -146,9 +146,9 @@
 		limit  Warmth
 		beyond bool
 	}{{limit: Staged}, {limit: ColdOther}, {limit: Staged, beyond: true}} {
-		p.beyond = step.beyond
+		p.isPlanningSurplus = step.beyond
 		for {
-			f, ok := p.next(step.limit)
+			f, ok := p.nextFormation(step.limit)
 			if !ok {
 				break
 			}
@@ -163,21 +163,21 @@
 // planner holds what is left while a plan is made.
 type planner struct {
 	needs    []Need
-	byDomain map[string][]Free
+	byDomain map[string][]FreeWorker
 	warm     map[string]map[string]int
 	maxLoads int
 	// maxStagings is how many of the loads may be for idle workers.
 	maxStagings int
-	growing     bool
-	// beyond tells that groups beyond what is wanted are being planned.
-	beyond bool
-	// waiting tells that a wanted group waits for its loads.
-	waiting  bool
-	released map[string]bool
-	trading  map[string]string
-	halls    Halls
-	// inHall counts by model and data hall the groups that stand or are planned.
-	inHall map[string]map[string]int
+	listGrowing bool
+	// isPlanningSurplus tells that groups beyond what is wanted are being planned.
+	isPlanningSurplus bool
+	// isWaitingForLoads tells that a wanted group waits for its loads.
+	isWaitingForLoads bool
+	released          map[string]bool
+	trading           map[string]string
+	hallLoss          HallLossPolicy
+	// hallCounts counts by model and data hall the groups that stand or are planned.
+	hallCounts map[string]map[string]int
 }
 
 // affinity returns how much better a domain suits a model than others.
@@ -193,21 +193,21 @@
 	return total
 }
 
-// next forms one group out of workers at least as warm as limit and takes its
+// nextFormation forms one group out of workers at least as warm as limit and takes its
 // members out of those that are left.
-func (p *planner) next(limit Warmth) (Formation, bool) {
+func (p *planner) nextFormation(limit Warmth) (Formation, bool) {
 	needs, byDomain := p.needs, p.byDomain
 	order := make([]int, len(needs))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(needs[b].short(), needs[a].short()) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(needs[b].shortage(), needs[a].shortage()) })
 	for _, i := range order {
-		if needs[i].met() != p.beyond {
+		if needs[i].isMet() != p.isPlanningSurplus {
 			continue
 		}
 		domain, chosen := p.bestDomain(needs[i].Model, limit)
-		if chosen == nil && p.growing && limit == ColdOther {
+		if chosen == nil && p.listGrowing && limit == ColdOther {
 			return Formation{}, false
 		}
 		if chosen == nil {
@@ -215,19 +215,19 @@
 		}
 		f := newFormation(needs[i].Model, chosen)
 		if f.Loads > max(p.maxLoads, 0) {
-			p.waiting = true
+			p.isWaitingForLoads = true
 			return Formation{}, false
 		}
 		needs[i].Have++
-		p.warmed(domain, f)
-		p.placed(f.Model.Name, chosen[0].Hall)
-		byDomain[domain] = slices.DeleteFunc(byDomain[domain], func(w Free) bool { return slices.Contains(f.Members, w.ID) })
+		p.countWarmed(domain, f)
+		p.countPlaced(f.Model.Name, chosen[0].Hall)
+		byDomain[domain] = slices.DeleteFunc(byDomain[domain], func(w FreeWorker) bool { return slices.Contains(f.Members, w.ID) })
 		return f, true
 	}
 	return Formation{}, false
 }
 
-func newFormation(m fleet.Model, chosen []Free) Formation {
+func newFormation(m fleet.Model, chosen []FreeWorker) Formation {
 	f := Formation{Model: m}
 	for _, c := range chosen {
 		f.Members = append(f.Members, c.ID)
@@ -238,16 +238,16 @@
 	return f
 }
 
-// placed counts a new group in the hall of its head.
-func (p *planner) placed(model, hall string) {
-	if p.inHall[model] == nil {
-		p.inHall[model] = make(map[string]int)
+// countPlaced counts a new group in the hall of its head.
+func (p *planner) countPlaced(model, hall string) {
+	if p.hallCounts[model] == nil {
+		p.hallCounts[model] = make(map[string]int)
 	}
-	p.inHall[model][hall]++
+	p.hallCounts[model][hall]++
 }
 
-// warmed counts the members of a new group as warm for its model.
-func (p *planner) warmed(domain string, f Formation) {
+// countWarmed counts the members of a new group as warm for its model.
+func (p *planner) countWarmed(domain string, f Formation) {
 	if p.warm == nil {
 		p.warm = make(map[string]map[string]int)
 	}
@@ -261,24 +261,24 @@
 type fit struct {
 	// cost is what its members do to serve the model, crowd how many groups of it the
 	// domain's hall holds already.
-	cost, crowd, affinity int
+	cost, crowding, affinity int
 }
 
-func (f fit) better(o fit) bool {
-	return cmp.Or(cmp.Compare(f.cost, o.cost), cmp.Compare(f.crowd, o.crowd), cmp.Compare(o.affinity, f.affinity)) < 0
+func (f fit) isBetter(o fit) bool {
+	return cmp.Or(cmp.Compare(f.cost, o.cost), cmp.Compare(f.crowding, o.crowding), cmp.Compare(o.affinity, f.affinity)) < 0
 }
 
-// crowd returns how many groups of a model a hall holds, if the loss of halls counts.
-func (p *planner) crowd(model, hall string) int {
-	if p.halls.Bear <= 0 {
+// hallCrowding returns how many groups of a model a hall holds, if the loss of halls counts.
+func (p *planner) hallCrowding(model, hall string) int {
+	if p.hallLoss.MaxLost <= 0 {
 		return 0
 	}
-	return p.inHall[model][hall]
+	return p.hallCounts[model][hall]
 }
 
-// reserved reports whether the workers of a domain wait for those of groups that are being
+// isReserved reports whether the workers of a domain wait for those of groups that are being
 // given up.
-func (p *planner) reserved(domain, model string, limit Warmth) bool {
+func (p *planner) isReserved(domain, model string, limit Warmth) bool {
 	to, trading := p.trading[domain]
 	return trading && (to != model || limit > Staged)
 }
@@ -286,20 +286,20 @@
 // bestDomain returns the warmest workers for a group of the model, and their
 // domain; nil when no domain has enough. Among equals the domain that suits the
 // model best is taken.
-func (p *planner) bestDomain(m fleet.Model, limit Warmth) (string, []Free) {
-	var best []Free
+func (p *planner) bestDomain(m fleet.Model, limit Warmth) (string, []FreeWorker) {
+	var best []FreeWorker
 	var bestName string
 	var bestFit fit
 	for _, name := range slices.Sorted(maps.Keys(p.byDomain)) {
-		if p.beyond && !p.mayExceed(name) || p.reserved(name, m.Name, limit) {
+		if p.isPlanningSurplus && !p.allowsSurplus(name) || p.isReserved(name, m.Name, limit) {
 			continue
 		}
-		chosen, cost := warmest(m, p.byDomain[name], limit)
+		chosen, cost := warmestWorkers(m, p.byDomain[name], limit)
 		if chosen == nil {
 			continue
 		}
-		fit := fit{cost: cost, crowd: p.crowd(m.Name, chosen[0].Hall), affinity: p.affinity(name, m.Name)}
-		if best == nil || fit.better(bestFit) {
+		fit := fit{cost: cost, crowding: p.hallCrowding(m.Name, chosen[0].Hall), affinity: p.affinity(name, m.Name)}
+		if best == nil || fit.isBetter(bestFit) {
 			best, bestName, bestFit = chosen, name, fit
 		}
 	}
--- a/formation/position.go
+++ b/formation/position.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// joinLooks is how often a worker is looked at for one join: once as a rule,
+	// maxJoinAttempts is how often a worker is looked at for one join: once as a rule,
 	// again if an order that the leader did not know of came before.
-	joinLooks = 4
-	// lookPause is the pause before the next look. Reports lag by some hundred
+	maxJoinAttempts = 4
+	// joinRetryPause is the pause before the next look. Reports lag by some hundred
 	// milliseconds (report_lag_ms of the settings is 200), so that three of them
 	// show what the last order changed.
-	lookPause = 100 * time.Millisecond
-	// reportSettle is how long after an answered order a worker's reports may
+	joinRetryPause = 100 * time.Millisecond
+	// reportSettleTime is how long after an answered order a worker's reports may
 	// still tell of the time before it: twice the lag.
-	reportSettle = 400 * time.Millisecond
+	reportSettleTime = 400 * time.Millisecond
 )
 
-// position is what is known of a worker from its last report, or from its
+// orderState is what is known of a worker from its last report, or from its
 // answers since: how many orders it has begun, and the group it is in.
 //
 // A worker carries a join out only if it has begun no other order since the
@@ -29,11 +29,11 @@
 // workers look at fences. Of all tries of a join at most one is therefore ever
 // carried out, and none after an order of another leader or a later order of
 // this one.
-type position struct {
+type orderState struct {
 	orders int64
 	member fleet.Membership
-	// reportsFrom is from when reports are newer than the last answered order.
-	reportsFrom time.Time
+	// trustReportsFrom is from when reports are newer than the last answered order.
+	trustReportsFrom time.Time
 }
 
 // joinMember orders one worker into a group and reports whether it took the
@@ -42,8 +42,8 @@
 // serves, even if a dissolved group should serve again.
 func (k *Keeper) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
 	wanted := fleet.Membership{Group: g.Name, Epoch: g.Epoch}
-	for range joinLooks {
-		at, ok := k.positionOf(ctx, w)
+	for range maxJoinAttempts {
+		at, ok := k.orderStateOf(ctx, w)
 		switch {
 		case !ok:
 			return false
@@ -56,18 +56,18 @@
 			}
 			continue
 		}
-		verdict, ok := k.order(ctx, "join", w, func(ctx context.Context, fence Fence) (Verdict, error) {
+		verdict, ok := k.sendOrder(ctx, "join", w, func(ctx context.Context, fence Fence) (Verdict, error) {
 			return k.opts.Orders.Join(ctx, w, fence, at.orders, g)
 		})
 		switch {
 		case ok && verdict == Begun:
-			k.setPosition(w.ID, at.orders+1, wanted)
+			k.setOrderState(w.ID, at.orders+1, wanted)
 			return true
 		case !ok || verdict != Unfit:
 			return ok && verdict.Accepted()
 		}
-		k.forgetPosition(w.ID)
-		pause.For(ctx, lookPause)
+		k.forgetOrderState(w.ID)
+		pause.For(ctx, joinRetryPause)
 	}
 	return false
 }
@@ -77,7 +77,7 @@
 // leader.
 func (k *Keeper) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
 	k.mu.Lock()
-	dissolved := k.retired[fleet.GroupKey(m)] != 0
+	dissolved := k.retirements[fleet.GroupKey(m)] != 0
 	k.mu.Unlock()
 	if !dissolved {
 		k.opts.Logger.Info("worker is taken", "worker", w.ID, "replica", fleet.GroupKey(m))
@@ -87,64 +87,64 @@
 	return ok && verdict.Accepted()
 }
 
-// positionOf returns a worker's position, and asks for it if it is not known.
-func (k *Keeper) positionOf(ctx context.Context, w *fleet.Worker) (position, bool) {
+// orderStateOf returns a worker's position, and asks for it if it is not known.
+func (k *Keeper) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
 	k.mu.Lock()
-	held, ok := k.positions[w.ID]
+	held, ok := k.orderStates[w.ID]
 	k.mu.Unlock()
 	if ok {
 		return held, true
 	}
-	state, ok := k.ask(ctx, w)
-	return position{orders: state.Orders, member: state.Member}, ok
+	state, ok := k.queryState(ctx, w)
+	return orderState{orders: state.Orders, member: state.Member}, ok
 }
 
-// reported takes the position that a worker reported, unless an order was
+// recordReport takes the position that a worker reported, unless an order was
 // answered so shortly before that the report may not tell of it. The keeper's
 // mutex is held.
-func (k *Keeper) reported(id string, s State, now time.Time) {
-	if held, ok := k.positions[id]; ok && now.Before(held.reportsFrom) {
+func (k *Keeper) recordReport(id string, s State, now time.Time) {
+	if held, ok := k.orderStates[id]; ok && now.Before(held.trustReportsFrom) {
 		return
 	}
-	k.positions[id] = position{orders: s.Orders, member: s.Member}
+	k.orderStates[id] = orderState{orders: s.Orders, member: s.Member}
 }
 
-// setPosition notes a worker's position after an answered order.
-func (k *Keeper) setPosition(id string, orders int64, m fleet.Membership) {
+// setOrderState notes a worker's position after an answered order.
+func (k *Keeper) setOrderState(id string, orders int64, membership fleet.Membership) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.answered(id, orders, m)
+	k.setOrderStateLocked(id, orders, membership)
 }
 
-// answered does the same while the keeper's mutex is held.
-func (k *Keeper) answered(id string, orders int64, m fleet.Membership) {
-	k.positions[id] = position{orders: orders, member: m, reportsFrom: time.Now().Add(reportSettle)}
+// setOrderStateLocked does the same while the keeper's mutex is held.
+func (k *Keeper) setOrderStateLocked(id string, orders int64, m fleet.Membership) {
+	k.orderStates[id] = orderState{orders: orders, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
 
-// began notes an order that a worker took without changing its group. Workers
+// recordBegun notes an order that a worker took without changing its group. Workers
 // count only what they begin.
-func (k *Keeper) began(id string, verdict Verdict) {
+func (k *Keeper) recordBegun(id string, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if held, ok := k.positions[id]; ok && verdict == Begun {
-		k.answered(id, held.orders+1, held.member)
+	if held, ok := k.orderStates[id]; ok && verdict == Begun {
+		k.setOrderStateLocked(id, held.orders+1, held.member)
 	}
 }
 
-// left notes that a worker took an order to leave a group. It counts only if the
+// recordLeft notes that a worker took an order to leave a group. It counts only if the
 // worker was in it.
-func (k *Keeper) left(id string, g Group, verdict Verdict) {
+func (k *Keeper) recordLeft(id string, g Group, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, ok := k.positions[id]
+	held, ok := k.orderStates[id]
 	if ok && verdict.Accepted() && held.member.Same(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
-		k.answered(id, held.orders+1, fleet.Membership{})
+		k.setOrderStateLocked(id, held.orders+1, fleet.Membership{})
 	}
 }
 
-// forgetPosition notes that a worker may have begun an order, or may yet.
-func (k *Keeper) forgetPosition(id string) {
+// forgetOrderState notes that a worker may have begun an order, or may yet.
+func (k *Keeper) forgetOrderState(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.positions, id)
+	delete(k.orderStates, id)
 }
--- a/formation/smoother.go
+++ b/formation/smoother.go
@@ -12,28 +12,28 @@
 // be fed at any interval: once a second is enough, since changes of the work are
 // followed over several seconds.
 type Smoother struct {
-	mu   sync.Mutex
-	held map[string]Work
-	at   time.Time
+	mu        sync.Mutex
+	work      map[string]Work
+	updatedAt time.Time
 }
 
 // Observe takes the work that was measured now.
 func (s *Smoother) Observe(measured map[string]Work, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held == nil {
-		s.held = make(map[string]Work)
+	if s.work == nil {
+		s.work = make(map[string]Work)
 	}
-	ticks := max(now.Sub(s.at).Seconds()/tickEvery.Seconds(), 0)
-	if now.After(s.at) {
-		s.at = now
+	ticks := max(now.Sub(s.updatedAt).Seconds()/tickInterval.Seconds(), 0)
+	if now.After(s.updatedAt) {
+		s.updatedAt = now
 	}
 	for model, w := range measured {
-		held, ok := s.held[model]
+		held, ok := s.work[model]
 		if !ok {
 			held = w
 		}
-		s.held[model] = held.toward(w, ticks)
+		s.work[model] = held.smoothedToward(w, ticks)
 	}
 }
 
@@ -41,20 +41,20 @@
 func (s *Smoother) Work() map[string]Work {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.held)
+	return maps.Clone(s.work)
 }
 
-// toward returns work as smoothed over so many ticks in which another one was measured.
-func (w Work) toward(measured Work, ticks float64) Work {
+// smoothedToward returns work as smoothed over so many ticks in which another one was measured.
+func (w Work) smoothedToward(measured Work, ticks float64) Work {
 	return Work{
-		Busy: smoothed(w.Busy, measured.Busy, ticks), Prompts: smoothed(w.Prompts, measured.Prompts, ticks), Pause: measured.Pause,
+		Busy: smoothValue(w.Busy, measured.Busy, ticks), Prompts: smoothValue(w.Prompts, measured.Prompts, ticks), Pause: measured.Pause,
 	}
 }
 
-func smoothed(held, measured, ticks float64) float64 {
-	weight := demandFall
+func smoothValue(held, measured, ticks float64) float64 {
+	weight := demandFallWeight
 	if measured > held {
-		weight = demandRise
+		weight = demandRiseWeight
 	}
 	return measured + math.Pow(1-weight, ticks)*(held-measured)
 }
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -8,9 +8,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// longIdle returns the stagings of workers that have been idle for a while: at
+// longIdleOnly returns the stagings of workers that have been idle for a while: at
 // the start, most workers are about to be formed into a group.
-func (k *Keeper) longIdle(stagings []Staging, now time.Time) []Staging {
+func (k *Keeper) longIdleOnly(stagings []Staging, now time.Time) []Staging {
 	var all []Staging
 	idle := make(map[string]time.Time)
 	for _, s := range stagings {
@@ -19,7 +19,7 @@
 			since = now
 		}
 		idle[s.Worker] = since
-		if now.Sub(since) > settleFor {
+		if now.Sub(since) > listSettleTime {
 			all = append(all, s)
 		}
 	}
@@ -27,27 +27,27 @@
 	return all
 }
 
-// seconds returns what workers that serve one model should bring to their hosts
+// secondModelStagings returns what workers that serve one model should bring to their hosts
 // while loads are not bounded: another model, so that they can turn to it fast.
 // What they serve they take up again without their host's help.
-func (k *Keeper) seconds(s *fleet.Service, view *fleet.View) []Staging {
+func (k *Keeper) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
 	var all []Staging
 	for id, w := range view.Workers() {
-		m := k.member(w)
-		_, loading := k.loading[id]
-		if w.Service != s.Name || w.Draining || loading || k.busy[id] || m.State != fleet.Open && m.State != fleet.Ready {
+		m := k.membershipOf(w)
+		_, loading := k.activeLoads[id]
+		if w.Service != s.Name || w.Draining || loading || k.busyWorkers[id] || m.State != fleet.Open && m.State != fleet.Ready {
 			continue
 		}
 		own := fleet.ModelOf(m.Group)
-		if other := largestOther(s.Engine, own); other != "" && !w.HasStaged(other) {
+		if other := largestOtherModel(s.Engine, own); other != "" && !w.HasStaged(other) {
 			all = append(all, Staging{Worker: id, Model: other})
 		}
 	}
 	return all
 }
 
-// largestOther returns the model with the largest share of the work but for one.
-func largestOther(e *fleet.Engine, own string) string {
+// largestOtherModel returns the model with the largest share of the work but for one.
+func largestOtherModel(e *fleet.Engine, own string) string {
 	best, share := "", -1.0
 	for _, m := range e.Models {
 		if m.Name != own && m.Share > share {
@@ -57,12 +57,12 @@
 	return best
 }
 
-// stagePause is how long a worker that refused to stage is left alone. It refuses
+// stageRetryDelay is how long a worker that refused to stage is left alone. It refuses
 // while it loads, which a leader that came later does not know of.
-const stagePause = 2 * time.Second
+const stageRetryDelay = 2 * time.Second
 
-// unbounded is how many loads may begin while they are not bounded.
-const unbounded = 1 << 20
+// unlimitedLoads is how many loads may begin while they are not bounded.
+const unlimitedLoads = 1 << 20
 
 // loadsOver is how many loads for groups may run side by side, and stagingPart how many
 // loads in all may run when an idle worker begins one for no group yet, in multiples of
@@ -71,46 +71,46 @@
 // them. Stagings of all idle workers at once kept groups that lacked one load waiting for
 // six seconds.
 const (
-	loadsOver   = 1.5
-	stagingPart = 0.5
+	groupLoadFactor = 1.5
+	idleLoadFactor  = 0.5
 )
 
-// room returns how many loads may begin now for groups, and how many for idle workers.
+// allowedLoads returns how many loads may begin now for groups, and how many for idle workers.
 // Before the first request loads are quick and not bounded.
-func (k *Keeper) room(s *fleet.Service, view *fleet.View, budget *loads, now time.Time) (forGroups, forIdle int) {
-	if !k.traffic() {
-		return unbounded, unbounded
+func (k *Keeper) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (forGroups, forIdle int) {
+	if !k.hasTraffic() {
+		return unlimitedLoads, unlimitedLoads
 	}
-	running, available := float64(k.running(s, view, now)), budget.available(now)
+	running, available := float64(k.countRunningLoads(s, view, now)), budget.available(now)
 	atOnce := float64(s.Engine.LoadsAtOnce)
-	return min(int(loadsOver*atOnce-running), available), min(int(stagingPart*atOnce-running), available)
+	return min(int(groupLoadFactor*atOnce-running), available), min(int(idleLoadFactor*atOnce-running), available)
 }
 
-// running returns how many workers of a service load weights from the store.
-func (k *Keeper) running(s *fleet.Service, view *fleet.View, now time.Time) int {
+// countRunningLoads returns how many workers of a service load weights from the store.
+func (k *Keeper) countRunningLoads(s *fleet.Service, view *fleet.View, now time.Time) int {
 	count := 0
 	for id, w := range view.Workers() {
-		l, loading := k.loading[id]
-		if loading && (now.After(l.until) || w.HasStaged(l.model)) {
-			delete(k.loading, id)
+		l, loading := k.activeLoads[id]
+		if loading && (now.After(l.expiresAt) || w.HasStaged(l.model)) {
+			delete(k.activeLoads, id)
 			loading = false
 		}
-		if loading || w.Service == s.Name && k.joinLoads(w) {
+		if loading || w.Service == s.Name && k.isLoadingForJoin(w) {
 			count++
 		}
 	}
 	return count
 }
 
-// joinLoads reports whether a worker that joins a group loads weights for it, also one
+// isLoadingForJoin reports whether a worker that joins a group loads weights for it, also one
 // that an earlier leader ordered to.
-func (k *Keeper) joinLoads(w *fleet.Worker) bool {
-	m := k.member(w)
-	return m.State == fleet.Joining && k.freeOf(w).warmth(fleet.ModelOf(m.Group)) > Staged
+func (k *Keeper) isLoadingForJoin(w *fleet.Worker) bool {
+	m := k.membershipOf(w)
+	return m.State == fleet.Joining && k.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
 }
 
-// warm counts the workers that are warm for models, by domain.
-func (k *Keeper) warm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
+// countWarm counts the workers that are warm for models, by domain.
+func (k *Keeper) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for _, w := range view.Workers() {
 		if w.Service != s.Name || w.Draining {
@@ -120,7 +120,7 @@
 			counts[w.Domain] = make(map[string]int)
 		}
 		for _, m := range s.Engine.Models {
-			if k.freeOf(w).warmth(m.Name) <= Staged || fleet.ModelOf(k.member(w).Group) == m.Name {
+			if k.asFreeWorker(w).warmth(m.Name) <= Staged || fleet.ModelOf(k.membershipOf(w).Group) == m.Name {
 				counts[w.Domain][m.Name]++
 			}
 		}
@@ -128,48 +128,48 @@
 	return counts
 }
 
-// budget returns the bound on loads of a service.
-func (k *Keeper) budget(s *fleet.Service, now time.Time) *loads {
-	l, ok := k.loads[s.Name]
+// budgetOf returns the bound on loads of a service.
+func (k *Keeper) budgetOf(s *fleet.Service, now time.Time) *loadBudget {
+	l, ok := k.loadBudgets[s.Name]
 	if !ok {
-		l = &loads{}
-		k.loads[s.Name] = l
+		l = &loadBudget{}
+		k.loadBudgets[s.Name] = l
 	}
 	burst := s.Engine.LoadsAtOnce
 	for _, m := range s.Engine.Models {
 		burst = max(burst, m.Size)
 	}
-	l.limit(k.opts.Ceiling, s.Engine.LoadsPerSecond, float64(burst), k.term.First, now)
+	l.configure(k.opts.Ceiling, s.Engine.LoadsPerSecond, float64(burst), k.term.First, now)
 	return l
 }
 
-// noteLoad counts a load if the worker has to make one for the model. The
+// recordLoad counts a load if the worker has to make one for the model. The
 // keeper's mutex is held.
-func (k *Keeper) noteLoad(w *fleet.Worker, m fleet.Model) {
-	if k.freeOf(w).warmth(m.Name) > Staged {
-		k.loading[w.ID] = load{model: m.Name, until: time.Now().Add(slowLoads * m.Load)}
+func (k *Keeper) recordLoad(w *fleet.Worker, m fleet.Model) {
+	if k.asFreeWorker(w).warmth(m.Name) > Staged {
+		k.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
 	}
 }
 
-// loadsEnded ends the count of the loads of workers.
-func (k *Keeper) loadsEnded(ids []string) {
+// clearLoads ends the count of the loads of workers.
+func (k *Keeper) clearLoads(ids []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, id := range ids {
-		delete(k.loading, id)
+		delete(k.activeLoads, id)
 	}
 }
 
-// beginStage begins to bring a model to the host of an idle worker. The
+// startStaging begins to bring a model to the host of an idle worker. The
 // keeper's mutex is held.
-func (k *Keeper) beginStage(ctx context.Context, w *fleet.Worker, m fleet.Model) {
-	k.noteLoad(w, m)
+func (k *Keeper) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
+	k.recordLoad(w, m)
 	k.opts.Logger.Info("staging", "worker", w.ID, "model", m.Name)
-	k.group.Go(func() {
+	k.tasks.Go(func() {
 		if k.stage(ctx, w, m) {
 			return
 		}
-		k.loadsEnded([]string{w.ID})
+		k.clearLoads([]string{w.ID})
 		if ctx.Err() == nil {
 			k.opts.Logger.Warn("staging not taken", "worker", w.ID, "model", m.Name)
 		}
@@ -180,35 +180,35 @@
 // took the order. It takes it once at most, so that no load begins that was not
 // counted.
 func (k *Keeper) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
-	at, ok := k.positionOf(ctx, w)
+	at, ok := k.orderStateOf(ctx, w)
 	if !ok {
 		return false
 	}
-	verdict, ok := k.order(ctx, "stage", w, func(ctx context.Context, fence Fence) (Verdict, error) {
+	verdict, ok := k.sendOrder(ctx, "stage", w, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Stage(ctx, w, fence, at.orders, m.Name)
 	})
 	switch {
 	case !ok:
 		return false
 	case verdict == Unfit:
-		k.forgetPosition(w.ID)
-		k.stageRefused(w)
+		k.forgetOrderState(w.ID)
+		k.recordStageRefusal(w)
 	}
-	k.began(w.ID, verdict)
+	k.recordBegun(w.ID, verdict)
 	return verdict.Accepted()
 }
 
-// stageRefused notes that a worker took no order to stage, as one that loads
+// recordStageRefusal notes that a worker took no order to stage, as one that loads
 // already, and is not asked again at once. The load stays counted though none
 // began: it may have been ordered while loads did not count.
-func (k *Keeper) stageRefused(w *fleet.Worker) {
+func (k *Keeper) recordStageRefusal(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.stageNext[w.ID] = time.Now().Add(stagePause)
+	k.stageRetryAt[w.ID] = time.Now().Add(stageRetryDelay)
 }
 
-// due returns the stagings whose workers did not refuse one of late. The keeper's
+// withoutRecentlyRefused returns the stagings whose workers did not refuse one of late. The keeper's
 // mutex is held.
-func (k *Keeper) due(stagings []Staging, now time.Time) []Staging {
-	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(k.stageNext[s.Worker]) })
+func (k *Keeper) withoutRecentlyRefused(stagings []Staging, now time.Time) []Staging {
+	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(k.stageRetryAt[s.Worker]) })
 }
--- a/formation/stagings.go
+++ b/formation/stagings.go
@@ -22,7 +22,7 @@
 			if model == "" || len(all) >= min(p.maxLoads, p.maxStagings) {
 				break
 			}
-			if f.warmth(model) > Staged && !p.awaited(f) {
+			if f.warmth(model) > Staged && !p.isWarmForShortModel(f) {
 				all = append(all, Staging{Worker: f.ID, Model: model})
 			}
 		}
@@ -30,9 +30,9 @@
 	return all
 }
 
-// awaited reports whether a worker is warm for a model that is short.
-func (p *planner) awaited(f Free) bool {
-	return slices.ContainsFunc(p.needs, func(n Need) bool { return !n.met() && f.warmth(n.Model.Name) <= Staged })
+// isWarmForShortModel reports whether a worker is warm for a model that is short.
+func (p *planner) isWarmForShortModel(f FreeWorker) bool {
+	return slices.ContainsFunc(p.needs, func(n Need) bool { return !n.isMet() && f.warmth(n.Model.Name) <= Staged })
 }
 
 // mainModel returns the model that most workers of a domain are warm for.
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// survivorsWait is how long idle workers of a domain wait for what they lack of a group
+// survivorReleaseDelay is how long idle workers of a domain wait for what they lack of a group
 // of a model that is short. Members of a group that ends are freed one after the other,
 // and a trade that completes them is found in the next look; what is left then joins
 // groups of another model within half a second.
-const survivorsWait = 300 * time.Millisecond
+const survivorReleaseDelay = 300 * time.Millisecond
 
 const (
-	// releaseShare is the part of what is wanted of a model above which survivors don't
+	// releaseMaxCoverage is the part of what is wanted of a model above which survivors don't
 	// turn to it. With a quarter more than is wanted, fillTarget of the slots leaves 0.56
 	// of them busy.
-	releaseShare = 1.25
-	// releaseBeyond is how many groups more than are wanted there must be as well: of few
+	releaseMaxCoverage = 1.25
+	// releaseMaxSurplus is how many groups more than are wanted there must be as well: of few
 	// groups one is much.
-	releaseBeyond = 2
+	releaseMaxSurplus = 2
 )
 
-// released returns the domains whose idle workers are too few for a group of any model
+// releasedDomains returns the domains whose idle workers are too few for a group of any model
 // that is short, and have been for a while: they may form groups beyond what is wanted
 // of another model. The way back is a trade, once the missing member is there and warm.
 // The keeper's mutex is held.
-func (k *Keeper) released(needs []Need, free []Free, now time.Time) map[string]bool {
+func (k *Keeper) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
 	released, waiting := make(map[string]bool), make(map[string]bool)
 	for domain, workers := range byDomain(free) {
-		if !lacksMembers(needs, len(workers)) || k.trading(domain) {
+		if !lacksMembers(needs, len(workers)) || k.isTrading(domain) {
 			continue
 		}
 		waiting[domain] = true
 		at, ok := k.releaseAt[domain]
 		if !ok {
-			at = now.Add(survivorsWait)
+			at = now.Add(survivorReleaseDelay)
 			k.releaseAt[domain] = at
 		}
 		released[domain] = !now.Before(at)
@@ -47,10 +47,10 @@
 	return released
 }
 
-// trading reports whether groups of a domain are being given up for another model: those
+// isTrading reports whether groups of a domain are being given up for another model: those
 // that are dissolved first wait for the others.
-func (k *Keeper) trading(domain string) bool {
-	return slices.ContainsFunc(k.trades, func(x Exchange) bool { return x.Domain == domain })
+func (k *Keeper) isTrading(domain string) bool {
+	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
 // lacksMembers reports whether some model is short, and workers are too few for a group
@@ -60,9 +60,9 @@
 	for _, n := range needs {
 		fits := n.Model.Size > 0 && n.Model.Size <= workers
 		switch {
-		case n.share(0) >= releaseShare && float64(n.Have) >= n.Want+releaseBeyond:
+		case n.coverageWith(0) >= releaseMaxCoverage && float64(n.Have) >= n.Want+releaseMaxSurplus:
 			// More of it earns nothing, and must be given up again.
-		case n.met():
+		case n.isMet():
 			other = other || fits
 		case fits:
 			return false
