--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -16,7 +16,7 @@
 	defer w.mu.Unlock()
 	counts := make(map[string]int)
 	for _, s := range w.workers {
-		if s.domain == domain && !s.dead && s.group.Name != "" && s.rank == 0 {
+		if s.domain == domain && !s.isDead && s.group.Name != "" && s.rank == 0 {
 			counts[s.group.Model]++
 		}
 	}
@@ -29,36 +29,36 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 3, 4)
 		w.demand = map[string]Work{"big": {Busy: 7}, "small": {Busy: 1}}
-		_, big, stop := serving(w, "big")
-		w.pending.Go(func() { w.readList(50 * time.Second) })
-		time.Sleep(firstFor + 8*time.Second)
+		_, big, stop := startServing(w, "big")
+		w.pending.Go(func() { w.confirmList(50 * time.Second) })
+		time.Sleep(sharePeriod + 8*time.Second)
 		w.mu.Lock()
 		domain := w.workers[big.Members[0]].domain
 		w.mu.Unlock()
-		before := w.serving()["small"]
+		before := w.countServing()["small"]
 		w.kill(big.Members[2])
 		// The list shows the loss after 3.6 s; the head confirms that it left at once.
 		time.Sleep(3600*time.Millisecond + time.Second)
 		assert.DeepEqual(t, w.groupsIn(domain), map[string]int{"small": 1})
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, w.serving()["small"], before+1)
+		assert.Equal(t, w.countServing()["small"], before+1)
 
-		w.arrive(domain, "big")
+		w.addStagedWorker(domain, "big")
 		time.Sleep(6 * time.Second)
 		stop()
 		assert.DeepEqual(t, w.groupsIn(domain), map[string]int{"big": 1})
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// arrive lists a new worker that has a model on its host.
-func (w *world) arrive(domain, model string) {
+// addStagedWorker lists a new worker that has a model on its host.
+func (w *world) addStagedWorker(domain, model string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &simWorker{id: "new-" + domain, domain: domain, staged: model}
 	w.workers[s.id] = s
-	w.list(s)
+	w.publish(s)
 }
 
 // TestLacksMembers tells which idle workers wait for others.
@@ -87,50 +87,50 @@
 	}
 }
 
-// TestMemberThatNeverBecomesReadyIsNotTakenAgain: a worker that takes its orders and does
+// TestNeverReadyMemberIsAvoided: a worker that takes its orders and does
 // not become ready holds one forming up, not each that follows.
-func TestMemberThatNeverBecomesReadyIsNotTakenAgain(t *testing.T) {
+func TestNeverReadyMemberIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := unlistedWorld(1, 1, 5)
 		for _, s := range w.workers {
 			s.staged = "big"
-			w.list(s)
+			w.publish(s)
 		}
-		w.workers["w0-0"].mute = true
-		w.pending.Go(func() { w.readList(10 * time.Second) })
-		k, stop := term(w, 1)
+		w.workers["w0-0"].neverReady = true
+		w.pending.Go(func() { w.confirmList(10 * time.Second) })
+		k, stop := startTerm(w, 1)
 		// A warm join may take 4.2 s, the next one 1.5 s.
 		time.Sleep(7 * time.Second)
 		k.mu.Lock()
-		doubted := k.doubted("w0-0")
+		doubted := k.isUnreliable("w0-0")
 		k.mu.Unlock()
 		assert.Assert(t, doubted)
-		assert.Equal(t, w.serving()["big"], 1)
-		time.Sleep(doubtFor)
+		assert.Equal(t, w.countServing()["big"], 1)
+		time.Sleep(unreliablePeriod)
 		k.mu.Lock()
-		doubted = k.doubted("w0-0")
+		doubted = k.isUnreliable("w0-0")
 		k.mu.Unlock()
 		stop()
 		assert.Assert(t, !doubted)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestDoubtedWorkersAreTakenLast: they are used where others are too few.
-func TestDoubtedWorkersAreTakenLast(t *testing.T) {
+// TestUnreliableWorkersAreChosenLast: they are used where others are too few.
+func TestUnreliableWorkersAreChosenLast(t *testing.T) {
 	big := fleet.Model{Name: "big", Size: 2, Load: simLoad, Warm: simWarm}
-	worker := func(id, domain string, doubted bool) Free {
-		return Free{ID: id, Domain: domain, Loaded: "big", Doubted: doubted}
+	worker := func(id, domain string, doubted bool) FreeWorker {
+		return FreeWorker{ID: id, Domain: domain, Loaded: "big", Unreliable: doubted}
 	}
 	tests := map[string]struct {
-		free []Free
+		free []FreeWorker
 		want []string
 	}{
-		"others are there":           {free: []Free{worker("a", "d", true), worker("b", "d", false), worker("c", "d", false)}, want: []string{"b", "c"}},
-		"others are there, but cold": {free: []Free{worker("a", "d", true), worker("b", "d", false), {ID: "c", Domain: "d"}}, want: []string{"b", "c"}},
-		"others in another domain":   {free: []Free{worker("a", "d", true), worker("b", "d", false), worker("c", "e", false), worker("f", "e", false)}, want: []string{"c", "f"}},
-		"too few others":             {free: []Free{worker("a", "d", true), worker("b", "d", false)}, want: []string{"b", "a"}},
+		"others are there":           {free: []FreeWorker{worker("a", "d", true), worker("b", "d", false), worker("c", "d", false)}, want: []string{"b", "c"}},
+		"others are there, but cold": {free: []FreeWorker{worker("a", "d", true), worker("b", "d", false), {ID: "c", Domain: "d"}}, want: []string{"b", "c"}},
+		"others in another domain":   {free: []FreeWorker{worker("a", "d", true), worker("b", "d", false), worker("c", "e", false), worker("f", "e", false)}, want: []string{"c", "f"}},
+		"too few others":             {free: []FreeWorker{worker("a", "d", true), worker("b", "d", false)}, want: []string{"b", "a"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -141,64 +141,64 @@
 	}
 }
 
-// TestExchangeReleasesNobody: workers of an exchange whose other groups still drain are
+// TestTradingDomainIsNotReleased: workers of an exchange whose other groups still drain are
 // not survivors.
-func TestExchangeReleasesNobody(t *testing.T) {
+func TestTradingDomainIsNotReleased(t *testing.T) {
 	needs := []Need{{Model: fleet.Model{Name: "big", Size: 4}, Want: 2}, {Model: fleet.Model{Name: "small", Size: 2}, Want: 1, Have: 2}}
-	free := []Free{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "e"}, {ID: "f", Domain: "e"}}
+	free := []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "e"}, {ID: "f", Domain: "e"}}
 	k := NewKeeper(newWorld(1, 1, 0).options(), Term{Epoch: 1}, func() {})
-	k.trades = []Exchange{{Model: "big", Domain: "d"}}
+	k.activeTrades = []Trade{{Model: "big", Domain: "d"}}
 	now := time.Now()
-	assert.DeepEqual(t, k.released(needs, free, now), map[string]bool{"e": false})
-	now = now.Add(survivorsWait)
-	assert.DeepEqual(t, k.released(needs, free, now), map[string]bool{"e": true})
-	k.trades = nil
-	assert.DeepEqual(t, k.released(needs, free, now), map[string]bool{"d": false, "e": true})
+	assert.DeepEqual(t, k.releasedDomains(needs, free, now), map[string]bool{"e": false})
+	now = now.Add(survivorReleaseDelay)
+	assert.DeepEqual(t, k.releasedDomains(needs, free, now), map[string]bool{"e": true})
+	k.activeTrades = nil
+	assert.DeepEqual(t, k.releasedDomains(needs, free, now), map[string]bool{"d": false, "e": true})
 }
 
-// TestSurvivorsDoNotWaitForALoad: where a new worker has to load, a group of another model
+// TestSurvivorsAreCompletedByTrade: where a new worker has to load, a group of another model
 // that is not needed completes the survivors.
-func TestSurvivorsDoNotWaitForALoad(t *testing.T) {
+func TestSurvivorsAreCompletedByTrade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
 		w.demand = map[string]Work{"big": {Busy: 1}, "small": {}}
-		_, big, stop := serving(w, "big")
-		w.pending.Go(func() { w.readList(60 * time.Second) })
-		time.Sleep(firstFor + 2*time.Second)
+		_, big, stop := startServing(w, "big")
+		w.pending.Go(func() { w.confirmList(60 * time.Second) })
+		time.Sleep(sharePeriod + 2*time.Second)
 		w.kill(big.Members[2])
 		// The loss is known after 4 s. The new worker refuses to stage a model beforehand.
 		time.Sleep(3950 * time.Millisecond)
-		w.arrive("d0", "")
+		w.addStagedWorker("d0", "")
 		w.mu.Lock()
-		w.workers["new-d0"].staging = true
+		w.workers["new-d0"].isStaging = true
 		w.mu.Unlock()
 		// Giving up a group takes 1.5 s, joining 1.5 s, and a load 12 s.
 		time.Sleep(5 * time.Second)
-		serving := w.serving()
+		serving := w.countServing()
 		stop()
 		assert.Equal(t, serving["big"], 1, "%v", serving)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestWorkersThatRefuseHoldNobodyUp: a listed worker whose address refuses connections fails
+// TestRefusingWorkerIsNotRetriedContinuously: a listed worker whose address refuses connections fails
 // each forming at once; its partners must not be ordered anew in each look, since they may
 // begin a load each time.
-func TestWorkersThatRefuseHoldNobodyUp(t *testing.T) {
+func TestRefusingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := unlistedWorld(1, 1, 4)
 		for _, s := range w.workers {
 			s.staged = "big"
-			w.list(s)
+			w.publish(s)
 		}
-		w.refusing["w0-0"] = true
-		w.pending.Go(func() { w.readList(6 * time.Second) })
-		_, stop := term(w, 1)
+		w.refusesQueries["w0-0"] = true
+		w.pending.Go(func() { w.confirmList(6 * time.Second) })
+		_, stop := startTerm(w, 1)
 		time.Sleep(5 * time.Second)
 		stop()
 		w.pending.Wait()
 		// Four partners at most in each of five seconds, with the models they turn to meanwhile.
-		assert.Assert(t, w.given["join"] <= 40, "%v", w.given)
+		assert.Assert(t, w.attempts["join"] <= 40, "%v", w.attempts)
 	})
 }
--- a/formation/suspended_test.go
+++ b/formation/suspended_test.go
@@ -11,9 +11,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestNoOrderAfterASuspension: the leader's machine was suspended past its term while another
+// TestNoOrdersAfterSuspension: the leader's machine was suspended past its term while another
 // daemon led. When it woke, it went on with the orders that it was about to give.
-func TestNoOrderAfterASuspension(t *testing.T) {
+func TestNoOrdersAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 6)
 		ctx, stop := context.WithCancel(context.Background())
@@ -27,7 +27,7 @@
 		k := NewKeeper(opts, Term{Epoch: 1, First: true}, stop)
 		suspended = true
 		given := 0
-		verdict, _ := k.order(ctx, "join", &fleet.Worker{ID: "w0-0"}, func(context.Context, Fence) (Verdict, error) {
+		verdict, _ := k.sendOrder(ctx, "join", &fleet.Worker{ID: "w0-0"}, func(context.Context, Fence) (Verdict, error) {
 			given++
 			return Begun, nil
 		})
--- a/formation/trade_test.go
+++ b/formation/trade_test.go
@@ -13,41 +13,41 @@
 	small := fleet.Model{Name: "small", Size: 2}
 	tests := map[string]struct {
 		needs    []Need
-		free     []Free
-		standing []Standing
+		free     []FreeWorker
+		standing []ServingGroup
 		want     []string
 	}{
 		"nothing is short": {
 			needs:    []Need{{Model: big, Want: 1, Have: 1}, {Model: small, Want: 1, Have: 3}},
-			standing: []Standing{{Key: "s", Domain: "d", Model: "small", Members: 2}},
+			standing: []ServingGroup{{Key: "s", Domain: "d", Model: "small", Members: 2}},
 		},
 		"a surplus group gives its members": {
 			needs:    []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 2, Have: 4}},
-			free:     []Free{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "d"}},
-			standing: []Standing{{Key: "s", Domain: "d", Model: "small", Members: 2}},
+			free:     []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "d"}},
+			standing: []ServingGroup{{Key: "s", Domain: "d", Model: "small", Members: 2}},
 			want:     []string{"s"},
 		},
 		"a model that is short gives to one that is shorter": {
 			needs:    []Need{{Model: big, Want: 8, Have: 2}, {Model: small, Want: 14, Have: 12}},
-			free:     []Free{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}},
-			standing: []Standing{{Key: "s", Domain: "d", Model: "small", Members: 2}},
+			free:     []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}},
+			standing: []ServingGroup{{Key: "s", Domain: "d", Model: "small", Members: 2}},
 			want:     []string{"s"},
 		},
 		"no model gives so much that it is the shorter one": {
 			needs: []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 2, Have: 3}},
-			standing: []Standing{
+			standing: []ServingGroup{
 				{Key: "s", Domain: "d", Model: "small", Members: 2}, {Key: "t", Domain: "d", Model: "small", Members: 2},
 			},
 		},
 		"never across domains": {
 			needs:    []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 1, Have: 3}},
-			free:     []Free{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "d"}},
-			standing: []Standing{{Key: "s", Domain: "e", Model: "small", Members: 2}},
+			free:     []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "d"}},
+			standing: []ServingGroup{{Key: "s", Domain: "e", Model: "small", Members: 2}},
 		},
 		"the domain that gives the fewest groups": {
 			needs: []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 1, Have: 9}},
-			free:  []Free{{ID: "a", Domain: "e"}, {ID: "b", Domain: "e"}},
-			standing: []Standing{
+			free:  []FreeWorker{{ID: "a", Domain: "e"}, {ID: "b", Domain: "e"}},
+			standing: []ServingGroup{
 				{Key: "s", Domain: "d", Model: "small", Members: 2}, {Key: "t", Domain: "d", Model: "small", Members: 2},
 				{Key: "u", Domain: "e", Model: "small", Members: 2},
 			},
@@ -56,9 +56,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x, ok := Trade(test.needs, test.free, test.standing)
+			x, ok := FindTrade(test.needs, test.free, test.standing)
 			assert.Equal(t, ok, test.want != nil)
-			assert.DeepEqual(t, x.Keys, test.want)
+			assert.DeepEqual(t, x.GroupKeys, test.want)
 		})
 	}
 }
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -12,24 +12,24 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestTradesKeepPaceWithTheFleet turns the work of a fleet to one model: one that is
+// TestTradeRateScalesWithFleet turns the work of a fleet to one model: one that is
 // twice as large turns twice as many replicas in the same time.
-func TestTradesKeepPaceWithTheFleet(t *testing.T) {
+func TestTradeRateScalesWithFleet(t *testing.T) {
 	gained := func(domains int) int {
 		w := newWorld(5, domains, 8)
-		_, stop := term(w, 1)
+		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
-		before := w.serving()["big"]
+		before := w.countServing()["big"]
 		w.mu.Lock()
 		w.traffic = true
 		w.demand = map[string]Work{"big": {Busy: 100 * float64(domains)}, "small": {Busy: 1}}
 		w.mu.Unlock()
 		// The shares of the models count for a while beside the measured work.
-		time.Sleep(firstFor + 10*time.Second)
-		after := w.serving()["big"]
+		time.Sleep(sharePeriod + 10*time.Second)
+		after := w.countServing()["big"]
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 		return after - before
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -39,9 +39,9 @@
 	})
 }
 
-// TestSurplusExchangesDoNotWait: what is there beyond what is wanted is given though
+// TestSurplusTradesDoNotWait: what is there beyond what is wanted is given though
 // another exchange went a moment ago; what is wanted is not.
-func TestSurplusExchangesDoNotWait(t *testing.T) {
+func TestSurplusTradesDoNotWait(t *testing.T) {
 	tests := map[string]struct {
 		// want is how many small groups are wanted of the four that are there.
 		want float64
@@ -61,21 +61,21 @@
 				service, _ := config.Service("models")
 				w.mu.Lock()
 				for i, id := range []string{"w0-0", "w0-2", "w0-4", "w0-6"} {
-					w.putInto(id, fmt.Sprintf("w0-%d", 2*i+1), int64(i+1))
+					w.openTradableGroup(id, fmt.Sprintf("w0-%d", 2*i+1), int64(i+1))
 				}
 				w.mu.Unlock()
 				ctx, cancel := context.WithCancel(context.Background())
 				k := NewKeeper(w.options(), Term{Epoch: 9}, func() {})
 				now := time.Now()
-				k.settledAt, k.tradeNext = now, now.Add(time.Hour)
+				k.tradesAllowedAt, k.nextTrade = now, now.Add(time.Hour)
 				k.mu.Lock()
 				groups := k.groups(service, w.inventory.View())
 				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.want, Have: 4}}
-				k.trade(ctx, Input{Needs: needs, MaxLoads: 9}, groups, now)
-				trades := len(k.trades)
+				k.startTrades(ctx, Input{Needs: needs, MaxLoads: 9}, groups, now)
+				trades := len(k.activeTrades)
 				k.mu.Unlock()
 				cancel()
-				k.group.Wait()
+				k.tasks.Wait()
 				w.pending.Wait()
 				assert.Equal(t, len(groups), 4)
 				assert.Equal(t, trades, test.trades)
@@ -84,16 +84,16 @@
 	}
 }
 
-// putInto lists two workers as an open group of the small model that has the large one
+// openTradableGroup lists two workers as an open group of the small model that has the large one
 // on its hosts. The mutex is held.
-func (w *world) putInto(head, other string, epoch int64) {
+func (w *world) openTradableGroup(head, other string, epoch int64) {
 	g := Group{Name: fleet.GroupName("small", epoch, nil), Epoch: epoch, Model: "small", Members: []string{head, other}}
 	for rank, id := range g.Members {
 		s := w.workers[id]
-		s.group, s.epoch, s.rank, s.state, s.last, s.staged = g, epoch, rank, fleet.Ready, "small", "big"
+		s.group, s.epoch, s.rank, s.state, s.lastModel, s.staged = g, epoch, rank, fleet.Ready, "small", "big"
 		if rank == 0 {
 			s.state = fleet.Open
 		}
-		w.list(s)
+		w.publish(s)
 	}
 }
--- a/formation/want_test.go
+++ b/formation/want_test.go
@@ -9,11 +9,11 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestWantForALossIsBounded: prompts that add up because replicas are slow must not turn
+// TestReplicasForLossAreBounded: prompts that add up because replicas are slow must not turn
 // more workers to a model than its share of the fleet.
-func TestWantForALossIsBounded(t *testing.T) {
+func TestReplicasForLossAreBounded(t *testing.T) {
 	k := NewKeeper(newWorld(1, 1, 0).options(), Term{Epoch: 2}, func() {})
-	k.fresh = false
+	k.isNewFleet = false
 	e := &fleet.Engine{Slots: 30, Stride: 7, PrefillPerSecond: 50000, Step: 6 * time.Millisecond}
 	m := fleet.Model{Name: "big", Size: 16, Share: 0.5, Pace: 1}
 	for name, test := range map[string]struct {
@@ -26,8 +26,8 @@
 		"nothing is known yet": {least: 1, most: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k.smooth["big"] = test.work
-			got := k.want(e, m, 222)
+			k.smoothedWork["big"] = test.work
+			got := k.wantedReplicas(e, m, 222)
 			assert.Assert(t, test.least <= got && got <= test.most, "%.2f", got)
 		})
 	}
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -21,25 +21,25 @@
 type simWorker struct {
 	id, domain string
 	// zone is its data hall; mute tells that it takes orders and becomes ready in no group.
-	zone     string
-	mute     bool
-	dead     bool
-	draining bool
+	zone       string
+	neverReady bool
+	isDead     bool
+	isDraining bool
 	// born is when its life began, beat counts its entries in that life.
-	born, beat int64
-	fence      Fence
-	epoch      int64
-	group      Group
-	state      fleet.GroupState
-	rank       int
-	last       string
-	staged     string
-	// staging tells that it loads to its host, stages counts orders to do so.
-	staging bool
-	stages  int
+	born, entryNumber int64
+	fence             Fence
+	epoch             int64
+	group             Group
+	state             fleet.GroupState
+	rank              int
+	lastModel         string
+	staged            string
+	// isStaging tells that it loads to its host, stages counts orders to do so.
+	isStaging   bool
+	stageOrders int
 	// orders counts the orders begun, states holds what reports told of when.
-	orders int64
-	states []timedState
+	orders  int64
+	reports []timedState
 }
 
 // timedState is what a worker's reports tell from a time on.
@@ -55,55 +55,55 @@
 
 // world is a set of simulated workers that checks what must always hold.
 type world struct {
-	mu        sync.Mutex
-	random    *rand.Rand
-	workers   map[string]*simWorker
-	inventory *fleet.Inventory
-	position  int64
+	mu           sync.Mutex
+	random       *rand.Rand
+	workers      map[string]*simWorker
+	inventory    *fleet.Inventory
+	listPosition int64
 	// wasReady holds, by group key and member, who was ever ready.
 	wasReady map[string]bool
-	// late is the part of the orders that get no answer and are carried out later.
-	late float64
-	// fenceless workers do not look at fences.
-	fenceless bool
+	// lateFraction is the part of the orders that get no answer and are carried out later.
+	lateFraction float64
+	// ignoresFences workers do not look at fences.
+	ignoresFences bool
 	// delays holds, by order and worker, how late the next tries of an order are
 	// carried out; they get no answer then.
 	delays map[string][]time.Duration
-	// lateFrom is the epoch from which on all orders are late; 0 for none.
-	lateFrom int64
-	traffic  bool
+	// lateFromEpoch is the epoch from which on all orders are late; 0 for none.
+	lateFromEpoch int64
+	traffic       bool
 	// demand is the measured work by model, closing how long a group's requests
 	// take to end.
-	demand  map[string]Work
-	closing time.Duration
-	// opening is how long until the list shows an opened group, opened counts the
+	demand    map[string]Work
+	drainTime time.Duration
+	// openDelay is how long until the list shows an opened group, opened counts the
 	// orders to open by group.
-	opening time.Duration
-	opened  map[string]int
-	// away tells that the list shows nothing new.
-	away bool
-	// cut holds the workers that leaders do not reach, though other daemons do.
-	cut map[string]bool
-	// dark holds the workers that nobody reaches.
-	dark map[string]bool
-	// elsewhere holds the workers at whose address another one answers, answered counts
+	openDelay  time.Duration
+	openOrders map[string]int
+	// isListFrozen tells that the list shows nothing new.
+	isListFrozen bool
+	// unreachableByLeader holds the workers that leaders do not reach, though other daemons do.
+	unreachableByLeader map[string]bool
+	// unreachable holds the workers that nobody reaches.
+	unreachable map[string]bool
+	// displaced holds the workers at whose address another one answers, answered counts
 	// the orders that it was given.
-	elsewhere map[string]bool
-	answered  int
-	// young tells that leaders have not known the list for long.
-	young bool
+	displaced       map[string]bool
+	displacedOrders int
+	// hasYoungList tells that leaders have not known the list for long.
+	hasYoungList bool
 	// loadsPerSecond bounds the loads that may begin, loads holds when they did.
 	loadsPerSecond float64
 	loads          []time.Time
 	// smoothed is the work that daemons knew before a term, hallOpen which halls are open.
 	smoothed func() map[string]Work
-	// refusing holds workers that nobody reaches, which shows at once.
-	refusing map[string]bool
-	// given counts the tries of orders.
-	given    map[string]int
-	hallOpen func(hall string) bool
-	broken   []string
-	pending  sync.WaitGroup
+	// refusesQueries holds workers that nobody reaches, which shows at once.
+	refusesQueries map[string]bool
+	// attempts counts the tries of orders.
+	attempts   map[string]int
+	hallOpen   func(hall string) bool
+	violations []string
+	pending    sync.WaitGroup
 }
 
 const (
@@ -135,7 +135,7 @@
 func newWorld(seed uint64, domains, perDomain int) *world {
 	w := unlistedWorld(seed, domains, perDomain)
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		w.list(w.workers[id])
+		w.publish(w.workers[id])
 	}
 	return w
 }
@@ -144,10 +144,10 @@
 func unlistedWorld(seed uint64, domains, perDomain int) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, seed)), workers: make(map[string]*simWorker),
-		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, closing: time.Second,
-		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), cut: make(map[string]bool), dark: make(map[string]bool), elsewhere: make(map[string]bool),
-		refusing: make(map[string]bool), given: make(map[string]int),
-		delays: make(map[string][]time.Duration), opening: simForm + simDelivery, opened: make(map[string]int), loadsPerSecond: 5,
+		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, drainTime: time.Second,
+		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), unreachableByLeader: make(map[string]bool), unreachable: make(map[string]bool), displaced: make(map[string]bool),
+		refusesQueries: make(map[string]bool), attempts: make(map[string]int),
+		delays: make(map[string][]time.Duration), openDelay: simForm + simDelivery, openOrders: make(map[string]int), loadsPerSecond: 5,
 	}
 	for d := range domains {
 		for i := range perDomain {
@@ -165,83 +165,83 @@
 		Demand:  func() map[string]Work { return w.demand },
 		Traffic: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.traffic },
 		ListSince: func() time.Time {
-			if w.young {
+			if w.hasYoungList {
 				return time.Now()
 			}
 			return time.Time{}
 		},
 		Announced:  func(a fleet.Announcement) { w.inventory.Decide(0, a) },
-		Counted:    w.count,
+		Counted:    w.countAttempt,
 		StallAfter: 6 * time.Second, Ceiling: simCeiling,
 		Smoothed: w.smoothed, HallOpen: w.hallOpen,
 		Logger: hclog.NewNullLogger(),
 	}
 }
 
-// note keeps what a worker's reports are to tell once their lag is over. The
+// recordState keeps what a worker's reports are to tell once their lag is over. The
 // mutex is held.
-func (w *world) note(s *simWorker) {
-	s.states = append(s.states, timedState{from: time.Now().Add(simLag), state: State{
-		Member: s.member(), Loaded: s.last, Staged: []string{s.staged}, Orders: s.orders, Born: s.born,
+func (w *world) recordState(s *simWorker) {
+	s.reports = append(s.reports, timedState{from: time.Now().Add(simLag), state: State{
+		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orders, Born: s.born,
 	}})
 }
 
-// report returns what a worker tells now. The mutex is held.
-func (s *simWorker) report(now time.Time) State {
-	for len(s.states) > 1 && !s.states[1].from.After(now) {
-		s.states = s.states[1:]
+// reportedState returns what a worker tells now. The mutex is held.
+func (s *simWorker) reportedState(now time.Time) State {
+	for len(s.reports) > 1 && !s.reports[1].from.After(now) {
+		s.reports = s.reports[1:]
 	}
-	if len(s.states) == 0 || s.states[0].from.After(now) {
+	if len(s.reports) == 0 || s.reports[0].from.After(now) {
 		return State{}
 	}
-	return s.states[0].state
+	return s.reports[0].state
 }
 
-// list writes a worker's entry into the list. The mutex is held.
-func (w *world) list(s *simWorker) {
-	w.note(s)
-	if w.away {
+// publish writes a worker's entry into the list. The mutex is held.
+func (w *world) publish(s *simWorker) {
+	w.recordState(s)
+	if w.isListFrozen {
 		return
 	}
-	w.position++
+	w.listPosition++
 	change := fleet.Change{ID: s.id}
-	if !s.dead {
+	if !s.isDead {
 		entry := &fleet.Worker{
-			ID: s.id, Service: "models", Address: s.id, Domain: s.domain, Zone: s.zone, Slots: 10, Draining: s.draining,
-			Member: s.member(), Born: s.born, Beat: s.beat,
+			ID: s.id, Service: "models", Address: s.id, Domain: s.domain, Zone: s.zone, Slots: 10, Draining: s.isDraining,
+			Member: s.member(), Born: s.born, Beat: s.entryNumber,
 		}
-		s.beat++
+		s.entryNumber++
 		if s.group.Name != "" {
 			// Who is in no group tells no model.
-			entry.Loaded = s.last
+			entry.Loaded = s.lastModel
 		}
 		if s.staged != "" {
 			entry.Staged = []string{s.staged}
 		}
 		change.Worker = entry
 	}
-	w.inventory.Apply([]fleet.Change{change}, w.position, time.Now())
+	w.inventory.Apply([]fleet.Change{change}, w.listPosition, time.Now())
 }
 
-// leaveBig lets requests come and a member of each large group, not its head,
+// drainBigMembers lets requests come and a member of each large group, not its head,
 // say that it leaves. It returns these members.
-func (w *world) leaveBig() []string {
+func (w *world) drainBigMembers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.traffic = true
 	var left []string
 	for id, s := range w.workers {
 		if s.group.Model == "big" && s.rank == 1 {
-			s.draining = true
-			w.list(s)
+			s.isDraining = true
+			w.publish(s)
 			left = append(left, id)
 		}
 	}
 	return left
 }
 
-// servingWith returns which of the workers are members of open groups.
-func (w *world) servingWith(ids []string) []string {
+// servingMembersOf returns which of the workers are members of open groups.
+func (w *world) servingMembersOf(ids []string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var all []string
@@ -262,12 +262,12 @@
 func (w *world) kill(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.workers[id].dead = true
+	w.workers[id].isDead = true
 	w.pending.Go(func() {
 		time.Sleep(3600 * time.Millisecond)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.list(w.workers[id])
+		w.publish(w.workers[id])
 	})
 }
 
@@ -275,7 +275,7 @@
 // late at all. The mutex is held.
 func (w *world) delay(what, id string, fence Fence) (time.Duration, bool) {
 	drawn := time.Duration(2+w.random.IntN(10)) * time.Second
-	late := w.random.Float64() < w.late || w.lateFrom > 0 && fence >= NewFence(w.lateFrom, 0, 0)
+	late := w.random.Float64() < w.lateFraction || w.lateFromEpoch > 0 && fence >= NewFence(w.lateFromEpoch, 0, 0)
 	key := what + " " + id
 	if set := w.delays[key]; len(set) > 0 {
 		w.delays[key] = set[1:]
@@ -284,27 +284,27 @@
 	return drawn, late
 }
 
-// run carries an order out, now or later, and returns its answer.
-func (w *world) run(ctx context.Context, what, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
+// execute carries an order out, now or later, and returns its answer.
+func (w *world) execute(ctx context.Context, what, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[id]
-	if w.elsewhere[id] {
-		w.answered++
+	if w.displaced[id] {
+		w.displacedOrders++
 		w.mu.Unlock()
 		return Elsewhere, nil
 	}
-	dead := s.dead || w.cut[id] || w.dark[id]
+	dead := s.isDead || w.unreachableByLeader[id] || w.unreachable[id]
 	delay, late := w.delay(what, id, fence)
 	life := s.born
 	w.mu.Unlock()
 	apply := func() Verdict {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if s.dead || s.born != life {
+		if s.isDead || s.born != life {
 			// What an earlier life was ordered ended with it.
 			return Unfit
 		}
-		if !w.fenceless && fence < s.fence {
+		if !w.ignoresFences && fence < s.fence {
 			return Fenced
 		}
 		s.fence = fence
@@ -312,7 +312,7 @@
 		if verdict == Begun {
 			s.orders++
 		}
-		w.note(s)
+		w.recordState(s)
 		return verdict
 	}
 	if late && !dead {
@@ -335,7 +335,7 @@
 }
 
 func (w *world) join(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, g Group) (Verdict, error) {
-	return w.run(ctx, "join", worker.ID, fence, func(s *simWorker) Verdict {
+	return w.execute(ctx, "join", worker.ID, fence, func(s *simWorker) Verdict {
 		if orders != s.orders {
 			return Unfit
 		}
@@ -345,34 +345,34 @@
 		if s.group.Name == g.Name {
 			return Holds
 		}
-		w.checkTwo(s, g)
+		w.checkNotServing(s, g)
 		s.epoch, s.group, s.state, s.rank = g.Epoch, g, fleet.Joining, slices.Index(g.Members, s.id)
 		wait := simLoad
 		switch g.Model {
-		case s.last:
+		case s.lastModel:
 			wait = simHot
 		case s.staged:
 			wait = simWarm
 		}
 		if wait == simLoad {
-			wait = w.load()
+			wait = w.startLoad()
 		}
-		w.list(s)
-		if s.mute {
+		w.publish(s)
+		if s.neverReady {
 			return Begun
 		}
-		w.later(wait, s, g, func() {
-			s.state, s.last, s.staged = fleet.Ready, g.Model, g.Model
+		w.changeLater(wait, s, g, func() {
+			s.state, s.lastModel, s.staged = fleet.Ready, g.Model, g.Model
 			w.wasReady[g.Key()+s.id] = true
 		})
 		return Begun
 	})
 }
 
-// load returns how long a load from the weight store takes, and checks the bound
+// startLoad returns how long a load from the weight store takes, and checks the bound
 // on those that begin. Before the first request loads are quick and do not count.
 // The mutex is held.
-func (w *world) load() time.Duration {
+func (w *world) startLoad() time.Duration {
 	if !w.traffic {
 		return simLoad / 10
 	}
@@ -384,64 +384,64 @@
 			within++
 		}
 	}
-	most := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingSlack
+	most := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingAllowance
 	if float64(within) > most {
-		w.broken = append(w.broken, fmt.Sprintf("%d loads began within %s", within, simCeiling.Window))
+		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", within, simCeiling.Window))
 	}
 	return simLoad
 }
 
-// later changes a worker after a time if it is still in the group.
-func (w *world) later(wait time.Duration, s *simWorker, g Group, change func()) {
+// changeLater changes a worker after a time if it is still in the group.
+func (w *world) changeLater(wait time.Duration, s *simWorker, g Group, change func()) {
 	w.pending.Go(func() {
 		time.Sleep(wait)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !s.dead && s.group.Name == g.Name {
+		if !s.isDead && s.group.Name == g.Name {
 			change()
-			w.list(s)
+			w.publish(s)
 		}
 	})
 }
 
 func (w *world) open(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
-	w.opened[g.Key()]++
+	w.openOrders[g.Key()]++
 	w.mu.Unlock()
-	return w.run(ctx, "open", worker.ID, fence, func(s *simWorker) Verdict {
+	return w.execute(ctx, "open", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.rank != 0 || s.state != fleet.Ready && s.state != fleet.Open {
 			return Unfit
 		}
 		if s.state == fleet.Open {
 			return Holds
 		}
-		w.checkPartial(s)
-		w.later(w.opening, s, g, func() { s.state = fleet.Open })
+		w.checkComplete(s)
+		w.changeLater(w.openDelay, s, g, func() { s.state = fleet.Open })
 		return Begun
 	})
 }
 
 func (w *world) closeGroup(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
-	return w.run(ctx, "close", worker.ID, fence, func(s *simWorker) Verdict {
+	return w.execute(ctx, "close", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.state != fleet.Open {
 			return Unfit
 		}
 		s.state = fleet.Closing
-		w.list(s)
-		w.later(w.closing, s, g, func() { s.state = fleet.Ready })
+		w.publish(s)
+		w.changeLater(w.drainTime, s, g, func() { s.state = fleet.Ready })
 		return Begun
 	})
 }
 
 func (w *world) leaveGroup(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
-	return w.run(ctx, "leave", worker.ID, fence, func(s *simWorker) Verdict { return w.leave(s, g) })
+	return w.execute(ctx, "leave", worker.ID, fence, func(s *simWorker) Verdict { return w.leave(s, g) })
 }
 
 // indirectLeave reaches the workers that leaders do not.
 func (w *world) indirectLeave(ctx context.Context, worker *fleet.Worker, _ Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[worker.ID]
-	if !s.dead && !w.dark[s.id] {
+	if !s.isDead && !w.unreachable[s.id] {
 		defer w.mu.Unlock()
 		return w.leave(s, g), nil
 	}
@@ -455,26 +455,26 @@
 	if s.group.Name == g.Name {
 		s.group, s.state, s.rank = Group{}, "", 0
 		s.orders++
-		w.note(s)
-		w.list(s)
+		w.recordState(s)
+		w.publish(s)
 	}
 	return Holds
 }
 
 func (w *world) stage(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, model string) (Verdict, error) {
-	return w.run(ctx, "stage", worker.ID, fence, func(s *simWorker) Verdict {
+	return w.execute(ctx, "stage", worker.ID, fence, func(s *simWorker) Verdict {
 		if orders != s.orders {
 			return Unfit
 		}
-		s.stages++
+		s.stageOrders++
 		switch {
-		case s.staging:
+		case s.isStaging:
 			return Unfit
 		case s.staged == model:
 			return Holds
 		}
-		s.staging = true
-		wait, life := w.load(), s.born
+		s.isStaging = true
+		wait, life := w.startLoad(), s.born
 		w.pending.Go(func() {
 			time.Sleep(wait)
 			w.mu.Lock()
@@ -482,77 +482,77 @@
 			if s.born != life {
 				return
 			}
-			s.staged, s.staging = model, false
-			w.list(s)
+			s.staged, s.isStaging = model, false
+			w.publish(s)
 		})
 		return Begun
 	})
 }
 
-// count counts a try of an order.
-func (w *world) count(order, _ string) {
+// countAttempt counts a try of an order.
+func (w *world) countAttempt(order, _ string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.given[order]++
+	w.attempts[order]++
 }
 
 func (w *world) ask(ctx context.Context, worker *fleet.Worker) (State, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.workers[worker.ID]
-	if w.elsewhere[worker.ID] {
+	if w.displaced[worker.ID] {
 		return State{}, ErrElsewhere
 	}
-	if w.refusing[worker.ID] {
+	if w.refusesQueries[worker.ID] {
 		return State{}, errSilent
 	}
-	if s.dead || w.cut[worker.ID] || w.dark[worker.ID] {
+	if s.isDead || w.unreachableByLeader[worker.ID] || w.unreachable[worker.ID] {
 		w.mu.Unlock()
 		<-ctx.Done()
 		w.mu.Lock()
 		return State{}, errSilent
 	}
-	return s.report(time.Now()), nil
+	return s.reportedState(time.Now()), nil
 }
 
-// checkPartial notes a group that is opened although a member was never ready.
-func (w *world) checkPartial(head *simWorker) {
+// checkComplete notes a group that is opened although a member was never ready.
+func (w *world) checkComplete(head *simWorker) {
 	model := simModels[slices.IndexFunc(simModels, func(m fleet.Model) bool { return m.Name == head.group.Model })]
 	if len(head.group.Members) != model.Size {
-		w.broken = append(w.broken, fmt.Sprintf("%s opened with %d members", head.group.Name, len(head.group.Members)))
+		w.violations = append(w.violations, fmt.Sprintf("%s opened with %d members", head.group.Name, len(head.group.Members)))
 	}
 	for _, id := range head.group.Members {
 		if !w.wasReady[head.group.Key()+id] {
-			w.broken = append(w.broken, fmt.Sprintf("%s opened though %s was never ready", head.group.Name, id))
+			w.violations = append(w.violations, fmt.Sprintf("%s opened though %s was never ready", head.group.Name, id))
 		}
 	}
 }
 
-// checkTwo notes a worker that joins a group while another serves with it.
-func (w *world) checkTwo(s *simWorker, g Group) {
+// checkNotServing notes a worker that joins a group while another serves with it.
+func (w *world) checkNotServing(s *simWorker, g Group) {
 	if len(s.group.Members) == 0 {
 		return
 	}
 	head := w.workers[s.group.Members[0]]
 	serving := head.state == fleet.Open || head.state == fleet.Closing
-	if !head.dead && head.group.Name == s.group.Name && serving {
-		w.broken = append(w.broken, fmt.Sprintf("%s joins %s while %s serves", s.id, g.Name, s.group.Name))
+	if !head.isDead && head.group.Name == s.group.Name && serving {
+		w.violations = append(w.violations, fmt.Sprintf("%s joins %s while %s serves", s.id, g.Name, s.group.Name))
 	}
 }
 
-// serving counts the open groups whose members are all there.
-func (w *world) serving() map[string]int {
+// countServing counts the open groups whose members are all there.
+func (w *world) countServing() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	counts := make(map[string]int)
 	for _, s := range w.workers {
-		if s.dead || s.state != fleet.Open || s.rank != 0 {
+		if s.isDead || s.state != fleet.Open || s.rank != 0 {
 			continue
 		}
 		whole := true
 		for _, id := range s.group.Members {
 			m := w.workers[id]
-			whole = whole && !m.dead && m.group.Name == s.group.Name
+			whole = whole && !m.isDead && m.group.Name == s.group.Name
 		}
 		if whole {
 			counts[s.group.Model]++
