--- a/formation/absent.go
+++ b/formation/absent.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// absentQueryInterval is how often a worker that left the list while its group serves
-	// is asked whether it lives. One that has ended keeps its group standing still for
-	// that long and its two unanswered questions, unless callers report it sooner.
+	// absentQueryInterval is the time between queries to a worker that left the list while its
+	// group serves. A crashed worker stalls its group for this long plus two unanswered queries,
+	// unless a caller reports it sooner.
 	absentQueryInterval = 500 * time.Millisecond
-	// maxAbsence bounds how long such a worker is asked. One that is only cut off
-	// from the store is usually listed again within this time.
+	// maxAbsence bounds how long such a worker is queried. One that is only cut off from the store
+	// is usually listed again within this time.
 	maxAbsence = 30 * time.Second
 )
 
-// absence is what is known of a worker that left the list while it belonged to a
-// group that may serve. The list does not tell whether such a worker crashed, is about
-// to end, or merely does not reach the store; its own answers do.
+// absence describes a worker that left the list while it belonged to a group that may serve. The
+// list cannot tell whether the worker crashed, is about to shut down, or merely lost its
+// connection to the store; its own answers can.
 type absence struct {
 	worker *fleet.Worker
 	since  time.Time
-	// nextQuery is when it is asked next, endAt until when it is.
+	// nextQuery is when the worker is queried next; queries stop at queryUntil.
 	nextQuery  time.Time
 	queryUntil time.Time
-	// hasAnswered tells that it answered since it left the list.
+	// hasAnswered reports whether it answered since it left the list.
 	hasAnswered bool
-	// isGone tells that it does not answer: it counts as gone.
+	// isGone reports whether it failed to answer; it is then treated as dead.
 	isGone bool
 }
 
-// refreshAbsent notes who left the list while in a group that may serve, and who came
-// back. The keeper's mutex is held.
+// refreshAbsent records the workers that left the list while in a group that may serve, and
+// forgets those that are listed again. The caller must hold k.mu.
 func (k *Keeper) refreshAbsent(view *fleet.View, now time.Time) {
 	if view == k.lastView {
 		return
@@ -60,22 +60,22 @@
 	k.absent[w.ID] = &absence{worker: w, since: now, nextQuery: now, queryUntil: now.Add(maxAbsence)}
 }
 
-// isAbsent reports whether a worker that the list does not show counts as a member of
-// its group all the same. The keeper's mutex is held.
+// isAbsent reports whether an unlisted worker is still treated as a member of its group. The
+// caller must hold k.mu.
 func (k *Keeper) isAbsent(id string) bool {
 	a, ok := k.absent[id]
 	return ok && !a.isGone
 }
 
-// mayBeAlive does the same for callers that do not hold the mutex.
+// mayBeAlive is isAbsent for callers that do not hold k.mu.
 func (k *Keeper) mayBeAlive(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.isAbsent(id)
 }
 
-// presentWorkers iterates over the workers that are listed, and those that left the list but count
-// as members of their groups. The keeper's mutex is held.
+// presentWorkers iterates over the listed workers and the unlisted ones that are still treated as
+// members of their groups. The caller must hold k.mu.
 func (k *Keeper) presentWorkers(view *fleet.View) iter.Seq[*fleet.Worker] {
 	return func(yield func(*fleet.Worker) bool) {
 		for _, w := range view.Workers() {
@@ -91,9 +91,9 @@
 	}
 }
 
-// repairAbsentHead ends a group whose head left the list but may live: callers send it
-// nothing more, and what is under way there may end first. Until the head has answered
-// once, nothing is done. The keeper's mutex is held.
+// repairAbsentHead drains a group whose head left the list but may be alive: callers send it no
+// new requests, and requests in flight may finish. Nothing is done until the head has answered
+// once. The caller must hold k.mu.
 func (k *Keeper) repairAbsentHead(ctx context.Context, o *observedGroup) {
 	if !k.absent[o.head.ID].hasAnswered {
 		return
@@ -101,8 +101,7 @@
 	k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
 }
 
-// queryAbsent asks the workers that left the list whether they live. The keeper's mutex
-// is held.
+// queryAbsent queries the workers that left the list. The caller must hold k.mu.
 func (k *Keeper) queryAbsent(ctx context.Context, now time.Time) {
 	for _, a := range k.absent {
 		if a.isGone || now.Before(a.nextQuery) {
@@ -117,8 +116,7 @@
 	}
 }
 
-// checkAbsent asks one worker that left the list, and notes that it ended if it does
-// not answer.
+// checkAbsent queries one worker that left the list, and marks it as gone if it does not answer.
 func (k *Keeper) checkAbsent(ctx context.Context, a *absence) {
 	answers := k.isResponsive(ctx, a.worker)
 	if ctx.Err() != nil {
--- a/formation/absent_test.go
+++ b/formation/absent_test.go
@@ -10,7 +10,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// nonHeadMembers returns a member that is not the head of each group of a model.
+// nonHeadMembers returns one member other than the head of each group of a model.
 func (w *world) nonHeadMembers(model string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -23,9 +23,8 @@
 	return all
 }
 
-// TestUnlistedMembersKeepServing: a cut between some workers and the store takes a member
-// of each group off the list, while all of them serve. Callers must find every replica
-// all the time.
+// TestUnlistedMembersKeepServing guards against taking groups out of service when some of their
+// members lose only their connection to the store.
 func TestUnlistedMembersKeepServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -53,8 +52,8 @@
 	})
 }
 
-// TestUnlistedMemberThatDiesIsReplaced: a member leaves the list without a word,
-// serves on, and ends two seconds later, which nobody reports.
+// TestUnlistedMemberThatDiesIsReplaced covers a member that leaves the list, keeps serving and
+// dies later without anybody reporting it.
 func TestUnlistedMemberThatDiesIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -66,7 +65,7 @@
 		w.mu.Lock()
 		w.workers[g.Members[1]].isDead = true
 		w.mu.Unlock()
-		// It is asked within half a second, twice for 0.2 s each.
+		// It is queried within half a second, twice with a timeout of 0.2 s.
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, w.membershipOf(g.Members[0]).Group != g.Name, "the group stands still")
 		stop()
@@ -75,8 +74,8 @@
 	})
 }
 
-// TestUnlistedHeadDrainsItsRequests: callers send nothing to a head that left the list,
-// but what is under way there ends before its members go elsewhere.
+// TestUnlistedHeadDrainsItsRequests checks that a head that left the list gets no new requests,
+// and that its requests finish before its members are reused.
 func TestUnlistedHeadDrainsItsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -95,7 +94,7 @@
 	})
 }
 
-// TestDeadUnlistedHeadFreesItsMembers: one that does not answer is gone.
+// TestDeadUnlistedHeadFreesItsMembers covers an unlisted head that does not answer.
 func TestDeadUnlistedHeadFreesItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -113,8 +112,8 @@
 	})
 }
 
-// TestFormingContinuesWithUnlistedMember: the members of a group that is being formed
-// are asked where the list does not tell of them.
+// TestFormingContinuesWithUnlistedMember checks that members of a group being formed are queried
+// directly if the list does not show them.
 func TestFormingContinuesWithUnlistedMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
@@ -136,14 +135,8 @@
 	})
 }
 
-// TestNewlyUnlistedMemberIsNotLost: a group was given up, 2 times in 300, whose member had
-// left the list while it joined.
-//
-// The order of events: the list loses the member; the forming of the group looks at the new
-// list before the leader's next look has noted that the member is off it; not listed and not
-// known as off the list, it counts as gone.
-//
-// The evidence: with the forming's look put right after the change, as here, each run fails.
+// TestNewlyUnlistedMemberIsNotLost guards against a race: forming a group read a list without the
+// member before a tick had recorded the member as absent, and took it for lost.
 func TestNewlyUnlistedMemberIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
--- a/formation/supply.go
+++ b/formation/assignment.go
@@ -7,16 +7,15 @@
 	"quartzshelf.dev/fleet"
 )
 
-// assignment is the workers of a domain in classes, given to models: workers that are alike
-// for every model are counted and not told apart.
+// assignment assigns a domain's workers to models. Workers with the same costs for every model
+// form a class; they are counted, not distinguished.
 type assignment struct {
 	models []fleet.Model
-	// members holds the workers by class, sorted by name; costs what a worker of a
-	// class costs by model.
+	// members holds the workers by class, sorted by ID; costs holds the cost of a worker by class
+	// and model.
 	members [][]FreeWorker
 	costs   [][]int
-	// unassigned counts by class the workers that no model has, given by class and model
-	// those that one has.
+	// unassigned counts the unassigned workers by class, assigned the others by class and model.
 	unassigned []int
 	assigned   [][]int
 }
@@ -45,7 +44,7 @@
 	return s
 }
 
-// countUnassigned returns how many workers no model has.
+// countUnassigned returns the number of unassigned workers.
 func (s *assignment) countUnassigned() int {
 	total := 0
 	for _, left := range s.unassigned {
@@ -65,7 +64,7 @@
 	return total
 }
 
-// copyFrom makes s the same as another supply of the same workers.
+// copyFrom copies another assignment of the same workers.
 func (s *assignment) copyFrom(o *assignment) {
 	copy(s.unassigned, o.unassigned)
 	for c := range s.assigned {
@@ -73,7 +72,7 @@
 	}
 }
 
-// clone returns a supply of the same workers that can be given otherwise.
+// clone returns an independent copy.
 func (s *assignment) clone() *assignment {
 	other := &assignment{models: s.models, members: s.members, costs: s.costs, unassigned: slices.Clone(s.unassigned)}
 	for _, given := range s.assigned {
@@ -82,16 +81,16 @@
 	return other
 }
 
-// step is how a model gets one more worker the cheapest way: one of a class that no
-// model has (from is -1), or of one that another model has, which then gets another.
+// step is the cheapest way for a model to get one more worker: an unassigned one (from is -1), or
+// one assigned to another model, which then gets a replacement.
 type step struct {
 	cost, class, from int
 	isReachable       bool
 }
 
-// assign gives a model more workers at the least cost over all models, which may change
-// who has which. Giving along cheapest paths keeps the whole the cheapest (successive
-// shortest paths). It reports whether there were enough.
+// assign assigns more workers to a model at the lowest total cost, possibly reassigning others.
+// Augmenting along shortest paths keeps the total cost minimal (successive shortest paths
+// algorithm). It reports whether there were enough workers.
 func (s *assignment) assign(model, count int) bool {
 	if s.countUnassigned() < count {
 		return false
@@ -116,7 +115,7 @@
 	return true
 }
 
-// cheapestSteps returns for each model how it gets one more worker the cheapest way.
+// cheapestSteps returns, for each model, the cheapest way to get one more worker.
 func (s *assignment) cheapestSteps() []step {
 	steps := make([]step, len(s.models))
 	for c, left := range s.unassigned {
@@ -134,8 +133,7 @@
 	return steps
 }
 
-// relax improves the steps by one exchange between models, and reports whether any
-// improved.
+// relax improves the steps by one reassignment between models, and reports whether any improved.
 func (s *assignment) relax(steps []step) bool {
 	better := false
 	for c, given := range s.assigned {
@@ -148,7 +146,7 @@
 	return better
 }
 
-// relaxFrom does so for workers of one class that a model has.
+// relaxFrom is relax for the workers of one class that are assigned to one model.
 func (s *assignment) relaxFrom(steps []step, class, from int) bool {
 	better := false
 	for to := range s.models {
@@ -161,7 +159,7 @@
 	return better
 }
 
-// stepCapacity returns how many workers can go the way that leads to a model.
+// stepCapacity returns how many workers can be moved along the path to a model.
 func (s *assignment) stepCapacity(steps []step, model int) int {
 	amount := 1 << 30
 	for at := model; at >= 0; at = steps[at].from {
@@ -177,7 +175,7 @@
 	return amount
 }
 
-// countLoads returns how many workers of a model load for it.
+// countLoads returns how many workers assigned to a model must load it.
 func (s *assignment) countLoads(model int) int {
 	total := 0
 	for c, given := range s.assigned {
@@ -188,7 +186,7 @@
 	return total
 }
 
-// totalCost returns what all that is given costs.
+// totalCost returns the cost of all assigned workers.
 func (s *assignment) totalCost() int {
 	total := 0
 	for c, given := range s.assigned {
@@ -199,8 +197,8 @@
 	return total
 }
 
-// formations returns the groups of what is given. The quickest workers of a model are
-// put together, so that as few groups as possible wait for loads.
+// formations returns the assigned groups. The cheapest workers of a model are put together, so
+// that as few groups as possible wait for loads.
 func (s *assignment) formations() []Formation {
 	var all []Formation
 	next := make([]int, len(s.members))
@@ -217,7 +215,7 @@
 	return all
 }
 
-// classesByCost returns the classes from the cheapest for a model to the dearest.
+// classesByCost returns the classes in order of increasing cost for a model.
 func (s *assignment) classesByCost(model int) []int {
 	order := make([]int, len(s.costs))
 	for i := range order {
--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -9,8 +9,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// BenchmarkTick measures one look at a fleet in which one worker changed, at several
-// sizes. All workers are in groups that serve.
+// BenchmarkTick measures one tick of a fleet of several sizes, with all workers in serving groups.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{760, 3000, 6200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// targetUtilization is the part of a replica's slots that should be busy.
+	// targetUtilization is the fraction of a replica's slots that should be busy.
 	targetUtilization = 0.7
-	// demandRiseWeight and demandFall are the parts of a newly measured demand in the
-	// smoothed one, at each tick, when it is higher and when it is lower.
+	// demandRiseWeight and demandFallWeight are the weights of a new measurement in the smoothed
+	// demand, per tick, when it is higher and when it is lower.
 	demandRiseWeight = 0.04
 	demandFallWeight = 0.01
-	// sharePeriod is how long after the first request to a new fleet the models' shares
-	// count beside the measured work. A later leader goes by what is measured: where
-	// each one counted the shares anew, terms of ten seconds made replicas turn from
-	// one model to the other and back.
+	// sharePeriod is how long after the first request to a new fleet the models' configured shares
+	// are considered in addition to the measured work. Later leaders use only the measured work:
+	// if each applied the shares again, frequent leader changes would make replicas switch models
+	// back and forth.
 	sharePeriod = 10 * time.Second
-	// spareReplicas is how many replicas more than the measured demand are wanted.
+	// spareReplicas is the number of replicas wanted beyond the measured demand.
 	spareReplicas = 1
-	// rereadPauseShare is the part of what a pause leaves beside two passes in which the others
-	// read the prompts of a replica that is lost. Callers choose at random, so that some
-	// replica gets twice the mean, and new prompts come meanwhile.
+	// rereadPauseShare is the fraction of the allowed pause, less two passes, in which the
+	// remaining replicas must read the prompts of a lost replica. It leaves room for uneven load,
+	// since callers choose replicas at random, and for new prompts.
 	rereadPauseShare = 0.25
 )
 
-// Work is the measured work of a model over all daemons.
+// Work is the measured work of a model, summed over all daemons.
 type Work struct {
-	// Busy is how many slots are taken, Prompts how many prompt tokens the requests
-	// there have.
+	// Busy is the number of occupied slots, Prompts the number of prompt tokens of the requests in
+	// them.
 	Busy, Prompts float64
-	// Pause is the longest pause that all its callers bear; zero if none is known.
+	// Pause is the longest pause that all callers of the model tolerate; zero if unknown.
 	Pause time.Duration
 }
 
-// replicasForLoss returns how many replicas a model needs so that the requests of one that is
-// lost can go on at the others, which then read their prompts, without a pause that
-// callers there don't bear.
+// replicasForLoss returns how many replicas a model needs so that, if one is lost, its requests
+// can continue at the others, which have to read the prompts again, without a pause longer than
+// callers tolerate. It returns 0 if that pause is too short to allow it.
 func replicasForLoss(e *fleet.Engine, model string, w Work) float64 {
 	pass, perRequest := e.Pass(model)
 	allowed := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
@@ -47,12 +47,12 @@
 		return 0
 	}
 	reading := w.Prompts * e.PerToken(model).Seconds()
-	// The prompts of one of n replicas are read by n-1 others.
+	// The prompts of one of n replicas are read by the n-1 others.
 	return (1 + math.Sqrt(1+4*reading/allowed)) / 2
 }
 
-// computeNeeds returns what is wanted and there of each model, and where that is: by model and
-// data hall. Groups in closed halls don't count.
+// computeNeeds returns the wanted and available replicas of each model, and the available ones by
+// model and data hall. Groups in closed halls are not counted.
 func (k *Keeper) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
 	workers := countWorkers(s, view)
 	have, serving := make(map[string]int), make(map[string]map[string]int)
@@ -86,7 +86,7 @@
 	return all, serving
 }
 
-// countWorkers returns how many workers of a service are listed.
+// countWorkers returns the number of listed workers of a service.
 func countWorkers(s *fleet.Service, view *fleet.View) int {
 	workers := 0
 	for _, w := range view.Workers() {
@@ -97,14 +97,14 @@
 	return workers
 }
 
-// wantedReplicas returns the wanted number of replicas: by the measured work, or by the
-// model's share before any was measured.
+// wantedReplicas returns the wanted number of replicas, based on the measured work, or on the
+// model's configured share before there is any traffic.
 func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workers int) float64 {
 	byShare := m.Share * float64(workers) / float64(max(m.Size, 1))
 	work := k.smoothedWork[m.Name]
 	byDemand := work.Busy/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
-	// Where replicas run slowly, requests stay longer and their prompts add up: the
-	// plan for the whole fleet bounds what is wanted for a loss, or the other models pay.
+	// Slow replicas hold requests longer, so prompts accumulate. Capping at the model's share
+	// keeps this from starving the other models.
 	byDemand = max(byDemand, min(replicasForLoss(e, m.Name, work), byShare))
 	now := time.Now()
 	switch {
@@ -119,8 +119,8 @@
 	return byDemand
 }
 
-// inheritSmoothedWork takes over the smoothed work that this daemon knew before the term, so
-// that what is wanted does not jump with each leader.
+// inheritSmoothedWork adopts the smoothed work that this daemon tracked before the term, so that
+// the wanted replicas do not jump with each new leader.
 func (k *Keeper) inheritSmoothedWork() {
 	if k.opts.Smoothed != nil {
 		maps.Copy(k.smoothedWork, k.opts.Smoothed())
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestReplicasForLoss: so many replicas are wanted that the others read the prompts of
-// a lost one within a pause that callers bear.
+// TestReplicasForLoss checks that enough replicas are wanted for the others to read the prompts of
+// a lost one within the pause that callers tolerate.
 func TestReplicasForLoss(t *testing.T) {
 	const ms = time.Millisecond
 	e := &fleet.Engine{
@@ -23,8 +23,8 @@
 		work        Work
 		least, most float64
 	}{
-		// 60 streams of 1,500 tokens are read in 1.8 s; a pause of 300 ms leaves some
-		// 200 ms beside two passes, a quarter of which n-1 replicas have for an n-th.
+		// 60 streams of 1,500 tokens are read in 1.8 s. A pause of 300 ms leaves about 200 ms
+		// besides two passes, a quarter of which the other n-1 replicas have for a lost one.
 		"large prompts":       {model: "big", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, least: 6, most: 7},
 		"twice the work":      {model: "big", work: Work{Busy: 120, Prompts: 180000, Pause: 300 * ms}, least: 8.5, most: 9.5},
 		"a faster model":      {model: "small", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, least: 4, most: 5},
@@ -42,8 +42,8 @@
 	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "times of zero")
 }
 
-// TestLaterLeaderUsesMeasuredDemand: leaders that follow one another must not each turn
-// replicas to what the models' shares say, and then back.
+// TestLaterLeaderUsesMeasuredDemand guards against each new leader applying the models' shares
+// again, which made replicas switch models back and forth.
 func TestLaterLeaderUsesMeasuredDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
--- a/formation/ended.go
+++ b/formation/displaced.go
@@ -7,13 +7,12 @@
 	"quartzshelf.dev/fleet"
 )
 
-// ErrElsewhere tells that another worker answered at a worker's address.
+// ErrElsewhere reports that another worker answered at a worker's address.
 var ErrElsewhere = errors.New("another worker has the address")
 
-// recordDisplaced notes that a worker's life has ended: another one answered at its address. The
-// list may show it for some time yet, and does so all the while the store is away. Formed
-// into groups again and again, a few such workers made a leader begin 450 groups a second,
-// none of which came to serve.
+// recordDisplaced records that another worker answered at a worker's address, so the original has
+// ended. The list may show it for some time, and indefinitely while the store is unavailable;
+// without this record it would be put into new groups again and again.
 func (k *Keeper) recordDisplaced(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -27,17 +26,17 @@
 	k.opts.Logger.Info("worker has ended: another one has its address", "worker", w.ID)
 }
 
-// interruptedJoin is what a worker holds for certain after a group that it was to join was
-// given up: no model of its own, and what is staged on its host.
+// interruptedJoin is the known state of a worker whose join was abandoned: no loaded model, and
+// what is staged on its host.
 type interruptedJoin struct {
 	staged []string
 	at     time.Time
 }
 
-// recordInterruptedJoins notes that the members of a group may have been cut off while they
-// joined it: they may have lost what they served before and not have the new model. Taken
-// for warm, they would load without being counted. Those that served the model last have
-// nothing to lose. The keeper's mutex is held.
+// recordInterruptedJoins records that the members of an abandoned group may have been interrupted
+// while joining: they may have lost the previous model without having the new one. If they were
+// assumed warm, their loads would not be counted. Members that already served the model are not
+// affected. The caller must hold k.mu.
 func (k *Keeper) recordInterruptedJoins(g Group, now time.Time) {
 	for _, id := range g.Members {
 		w, ok := k.knownWorkers[id]
--- a/formation/ended_test.go
+++ b/formation/displaced_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestDisplacedWorkersGetNoMoreOrders: four idle workers were started anew, and the list shows
-// their former lives. No group may be formed of these again and again.
+// TestDisplacedWorkersGetNoMoreOrders covers idle workers that were replaced while the list still
+// shows them. They must not be put into groups again and again.
 func TestDisplacedWorkersGetNoMoreOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
@@ -25,7 +25,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		stop()
-		// A join and a leave each, before that is known.
+		// One join and one leave each, until the displacement is known.
 		w.mu.Lock()
 		assert.Assert(t, w.displacedOrders > 0 && w.displacedOrders <= 4, "%d orders", w.displacedOrders)
 		w.mu.Unlock()
@@ -34,12 +34,12 @@
 	})
 }
 
-// TestInterruptedJoinsAreNotAssumedWarm: what a worker holds after a join that was cut off
-// is not certain until the list was confirmed after it.
+// TestInterruptedJoinsAreNotAssumedWarm checks that a worker whose join was interrupted is not
+// assumed to hold a model until the list has been confirmed afterwards.
 func TestInterruptedJoinsAreNotAssumedWarm(t *testing.T) {
 	tests := map[string]struct {
 		loaded, staged string
-		// big and small are how warm it is then for these models.
+		// big and small are the expected warmth for these models.
 		big, small Warmth
 	}{
 		"it served the model last":    {loaded: "big", staged: "small", big: Hot, small: Staged},
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -8,10 +8,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// dissolve makes certain that the head takes no more requests for the group,
-// and by then frees its members. A head that answers neither orders nor questions
-// may still live, but daemons have been told to send it nothing, and what its
-// members leave does not move: they are freed without its word.
+// dissolve ensures that the head takes no more requests for the group, and then frees the members.
+// A head that does not respond at all may still be alive, but daemons have been told not to use
+// it, and a group does not progress without its members, so they are freed without its
+// confirmation.
 func (k *Keeper) dissolve(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	k.announceClosed(o, head)
 	k.releaseMembers(ctx, o, head)
@@ -40,8 +40,8 @@
 	}
 }
 
-// leave lets a head leave its group, and reports whether it answered. A head
-// that this daemon does not reach may still serve others, so they try too.
+// leave orders a head to leave its group, and reports whether it answered. If this daemon cannot
+// reach the head, other daemons try, since it may still serve through them.
 func (k *Keeper) leave(ctx context.Context, g Group, head *fleet.Worker) (Verdict, bool) {
 	verdict, ok := k.leaveDirectly(ctx, g, head)
 	if ok || ctx.Err() != nil {
@@ -69,9 +69,8 @@
 	return verdict, ok
 }
 
-// isPresumedGone reports whether a head that does not answer is taken to have ended: it is
-// not listed although the list is fresh, or it had time to break while nobody
-// could read the list.
+// isPresumedGone reports whether an unreachable head is presumed dead: it is not listed although
+// the list is recent, or it had enough time to break its group while the list was unavailable.
 func (k *Keeper) isPresumedGone(head *fleet.Worker, since, now time.Time) bool {
 	_, listed := k.opts.Inventory.View().Worker(head.ID)
 	fresh := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
@@ -99,8 +98,8 @@
 	})
 }
 
-// drainOrDissolve dissolves a group that is closed already; one whose members are all there
-// may have requests to end.
+// drainOrDissolve dissolves a group that is already closed. If all members are present it is
+// drained first, as it may have requests in flight.
 func (k *Keeper) drainOrDissolve(ctx context.Context, o *observedGroup) {
 	if o.isComplete() {
 		k.drain(ctx, o)
@@ -109,7 +108,7 @@
 	k.dissolve(ctx, o, o.head)
 }
 
-// drain lets a group's requests end before it is dissolved.
+// drain lets a group's requests finish before the group is dissolved.
 func (k *Keeper) drain(ctx context.Context, o *observedGroup) {
 	k.opts.Logger.Info("draining replica", "replica", o.key)
 	k.announceClosed(o, o.head)
@@ -127,8 +126,8 @@
 	k.dissolve(ctx, o, o.head)
 }
 
-// isDrained reports whether a closed group's requests have ended, by the list or,
-// while that is stale or does not show the head, by the head itself.
+// isDrained reports whether a closed group's requests have finished, according to the list or, if
+// that is stale or does not show the head, to the head itself.
 func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextAsk *time.Time) bool {
 	closed := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
 	listed, isListed := k.opts.Inventory.View().Worker(o.head.ID)
--- a/formation/form.go
+++ b/formation/form.go
@@ -11,7 +11,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// startForming begins the forming of a group. The keeper's mutex is held.
+// startForming starts forming a group. The caller must hold k.mu.
 func (k *Keeper) startForming(ctx context.Context, s *fleet.Service, f Formation) {
 	epoch := int64(k.nextFenceLocked())
 	head := k.knownWorkers[f.Members[0]]
@@ -29,8 +29,8 @@
 	k.startOperation(ctx, g.Key(), members, func(ctx context.Context) { k.form(ctx, s, f, g, members) })
 }
 
-// form joins the members, waits until each was seen ready under this name,
-// epoch and list, and only then opens the head.
+// form orders the members to join, waits until each is ready with the same group name, epoch and
+// member list, and only then opens the head.
 func (k *Keeper) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
 	start := time.Now()
 	expected := joinGracePeriod + f.Model.Warm
@@ -41,8 +41,8 @@
 	ctx, cancel := context.WithDeadline(termCtx, start.Add(expected))
 	defer cancel()
 	if !k.join(ctx, g, members) || !k.awaitReady(ctx, g, members) {
-		// Nobody was told to open it, so that it is not announced as closed: its head may serve
-		// in another group, against which daemons would hold that.
+		// The group was never opened, so it is not announced as closed: its head may already serve
+		// in another group, and daemons would apply the announcement to that one.
 		k.abandon(termCtx, g, "a member did not become ready", func(o *observedGroup) { k.releaseMembers(termCtx, o, members[0]) })
 		return
 	}
@@ -55,9 +55,9 @@
 		"head", g.Members[0], "ms", time.Since(start).Milliseconds())
 }
 
-// abandon ends a group that could not be formed: end makes certain that it is never opened by a
-// late order, and frees its members. When the term has ended, the group is left to the next
-// leader.
+// abandon ends a group that could not be formed. The dissolve function must ensure that a late
+// order cannot open the group, and free its members. If the term has ended, the group is left to
+// the next leader.
 func (k *Keeper) abandon(termCtx context.Context, g Group, reason string, dissolve func(o *observedGroup)) {
 	if termCtx.Err() != nil {
 		return
@@ -69,8 +69,7 @@
 	dissolve(&observedGroup{key: g.Key(), group: g})
 }
 
-// join orders each member into the group, side by side, and reports whether all
-// took it.
+// join orders all members into the group concurrently and reports whether all of them accepted.
 func (k *Keeper) join(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	p := pool.NewWithResults[bool]()
 	for _, w := range members {
@@ -85,8 +84,8 @@
 	return !slices.Contains(p.Wait(), false)
 }
 
-// awaitReady waits until every member was seen ready in the group. If it gives up, it
-// doubts those that are gone, or else all that were not seen ready in time.
+// awaitReady waits until every member is ready in the group. On failure it marks the members that
+// are gone as unreliable, or on timeout those that did not become ready.
 func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	seen := make(map[string]bool)
 	nextAsk := time.Now().Add(queryInterval)
@@ -102,7 +101,7 @@
 		}
 		if now := time.Now(); now.After(nextAsk) {
 			nextAsk = now.Add(queryInterval)
-			k.queryReady(ctx, g, k.unlistedMembers(members, view, now), seen)
+			k.queryReady(ctx, g, k.membersToQuery(members, view, now), seen)
 		}
 		if lost := k.goneMembers(members); len(lost) > 0 {
 			k.markUnreliable(ctx, g, lost...)
@@ -118,9 +117,9 @@
 	return m.Group == g.Name && m.Epoch == g.Epoch && m.State == fleet.Ready
 }
 
-// unlistedMembers returns the members of which the list does not tell now: all while it is old,
-// else those that left it.
-func (k *Keeper) unlistedMembers(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
+// membersToQuery returns the members whose state the list does not show: all of them if it is
+// stale, otherwise those that left it.
+func (k *Keeper) membersToQuery(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
 	if now.Sub(k.opts.Inventory.Confirmed()) > listStaleAge {
 		return members
 	}
@@ -133,7 +132,7 @@
 	return left
 }
 
-// queryReady asks the members that were not seen ready.
+// queryReady queries the members that are not known to be ready.
 func (k *Keeper) queryReady(ctx context.Context, g Group, members []*fleet.Worker, seen map[string]bool) {
 	for _, w := range members {
 		if seen[w.ID] {
@@ -145,8 +144,8 @@
 	}
 }
 
-// goneMembers returns the members that are gone or leaving. One that left the list but answers
-// is neither: who has just left it is noted first, which the next look would do too late.
+// goneMembers returns the members that are gone or draining. A member that left the list but still
+// answers is neither, so absences are refreshed first rather than at the next tick.
 func (k *Keeper) goneMembers(members []*fleet.Worker) []*fleet.Worker {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -181,17 +180,17 @@
 	return true
 }
 
-// recordOpened notes that a head took the order to open. The list, and the head's
-// reports, show it ready for some time yet.
-func (k *Keeper) recordOpened(head string, g Group, listedBy time.Time) {
+// recordOpened records that a head accepted the order to open. The list and the head's own reports
+// show it as ready for a while longer.
+func (k *Keeper) recordOpened(head string, g Group, confirmedAfter time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.observations[head] = observation{at: listedBy, state: State{
+	k.observations[head] = observation{at: confirmedAfter, state: State{
 		Member: fleet.Membership{Group: g.Name, Epoch: g.Epoch, State: fleet.Open}, Loaded: g.Model, Staged: []string{g.Model},
 	}}
 }
 
-// openingTime returns how long the opening of a group takes.
+// openingTime returns how long opening a group takes.
 func (k *Keeper) openingTime(service string) time.Duration {
 	if c := k.opts.Config(); c != nil {
 		if s, ok := c.Service(service); ok && s.Engine != nil {
--- a/formation/free.go
+++ b/formation/free.go
@@ -7,23 +7,23 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Warmth says how much a worker has to do to serve a model.
+// Warmth classifies how much work a worker needs before it can serve a model.
 type Warmth int
 
-// The warmths, from the quickest to the slowest.
+// Warmth levels, from quickest to slowest.
 const (
-	// Hot workers were set up for the model last.
+	// Hot workers served the model last.
 	Hot Warmth = iota
-	// Staged workers have it on their host.
+	// Staged workers have the model on their host.
 	Staged
-	// Cold workers load it and were set up for none.
+	// Cold workers must load the model and hold no other.
 	Cold
-	// ColdOther workers load it and lose another.
+	// ColdOther workers must load the model and hold another one, which they lose.
 	ColdOther
 )
 
-// Costs of giving a worker to a group. A load outweighs any number of quicker joins,
-// and a worker that did not become ready of late outweighs any number of loads.
+// Costs of using a worker in a group. A load outweighs any number of joins without one, and an
+// unreliable worker outweighs any number of loads.
 const (
 	loadCost       = 1 << 8
 	unreliableCost = 1 << 16
@@ -35,10 +35,10 @@
 	Domain string
 	Loaded string
 	Staged []string
-	// Hall is its data hall.
+	// Hall is the worker's data hall.
 	Hall string
-	// Unreliable tells that it did not become ready in a group of late: it is taken only
-	// where others are too few.
+	// Unreliable reports whether the worker recently failed to become ready; it is used only where
+	// there are too few others.
 	Unreliable bool
 }
 
@@ -54,7 +54,7 @@
 	return ColdOther
 }
 
-// cost returns what a worker costs in a group of the model.
+// cost returns the cost of using the worker in a group of the model.
 func (f FreeWorker) cost(model string) int {
 	cost := int(f.warmth(model))
 	if f.warmth(model) > Staged {
@@ -66,15 +66,15 @@
 	return cost
 }
 
-// rankedWorker is a worker with what it costs in a group of one model.
+// rankedWorker is a worker's cost in a group of one model.
 type rankedWorker struct {
 	id    string
 	index int
 	cost  int
 }
 
-// warmestWorkers returns the warmest workers for a group of the model and a cost by
-// which domains compare; nil when there are too few.
+// warmestWorkers returns the warmest workers for a group of the model and their total cost, by
+// which domains are compared. It returns nil if there are too few workers.
 func warmestWorkers(m fleet.Model, workers []FreeWorker, limit Warmth) ([]FreeWorker, int) {
 	if m.Size <= 0 || len(workers) < m.Size {
 		return nil, 0
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -9,32 +9,32 @@
 	"quartzshelf.dev/fleet"
 )
 
-// observedGroup is a group as its members show it.
+// observedGroup is a group as reported by its members.
 type observedGroup struct {
 	key   string
 	group Group
 	model fleet.Model
-	// isModelKnown tells that the model is one of the service's.
+	// isModelKnown reports whether the service has the model.
 	isModelKnown bool
 	head         *fleet.Worker
 	state        fleet.GroupState
 	members      []*fleet.Worker
-	// readyCount counts the members that were seen ready, the head included.
+	// readyCount is the number of members seen ready, including the head.
 	readyCount int
 	isDraining bool
-	// hasLostMember tells that a listed member does not answer.
+	// hasLostMember reports whether a listed member does not answer.
 	hasLostMember bool
-	// absentCount counts the members that left the list but still answer.
+	// absentCount is the number of members that left the list but still answer.
 	absentCount int
 }
 
-// isComplete reports whether every member is there.
+// isComplete reports whether every member is present.
 func (o *observedGroup) isComplete() bool {
 	return o.isModelKnown && o.head != nil && len(o.members) == o.model.Size
 }
 
-// settleTime returns how long a group that lacks members is left alone after it was
-// first seen. In a young process the list may yet be incomplete.
+// settleTime returns how long an incomplete group is left alone after it was first seen. Shortly
+// after the process started the list itself may be incomplete.
 func (k *Keeper) settleTime(now time.Time) time.Duration {
 	if now.Sub(k.opts.ListSince()) < youngListAge {
 		return youngListSettleTime
@@ -42,12 +42,12 @@
 	return listSettleTime
 }
 
-// isForming reports whether members have yet to become ready.
+// isForming reports whether some members are not ready yet.
 func (o *observedGroup) isForming() bool {
 	return o.readyCount < len(o.members) && (o.state == fleet.Joining || o.state == fleet.Ready)
 }
 
-// firstSeen returns since when a group has been known.
+// firstSeen returns when a group was first seen.
 func (k *Keeper) firstSeen(o *observedGroup, now time.Time) time.Time {
 	since, ok := k.groupSeenSince[o.key]
 	if !ok {
@@ -57,7 +57,7 @@
 	return since
 }
 
-// groups returns the groups of a service as its workers show them, sorted by key.
+// groups returns the groups of a service as reported by its workers, sorted by key.
 func (k *Keeper) groups(s *fleet.Service, view *fleet.View) []*observedGroup {
 	byKey := make(map[string]*observedGroup)
 	for w := range k.presentWorkers(view) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// resolveModel works out the group's model and members.
+// resolveModel determines the group's model and members.
 func (k *Keeper) resolveModel(e *fleet.Engine, o *observedGroup) {
 	if formed, ok := k.formedGroups[o.key]; ok {
 		o.group = formed
@@ -114,12 +114,12 @@
 	o.group.Model = name
 }
 
-// repair begins what has to be done about a group. The keeper's mutex is held.
+// repair starts the operation that a group needs, if any. The caller must hold k.mu.
 func (k *Keeper) repair(ctx context.Context, o *observedGroup, now time.Time) {
 	age := now.Sub(k.firstSeen(o, now))
 	k.detectReturn(o, now)
 	if o.head != nil && o.state != fleet.Broken && !k.isUnresponsiveLocked(o.head.ID) && k.retirements[o.key] == retiredAssumed {
-		// The head is back after all.
+		// The head has returned.
 		delete(k.retirements, o.key)
 	}
 	if k.busyGroups[o.key] || k.retirements[o.key] != 0 || k.hasBusyWorker(o.members) {
@@ -129,33 +129,33 @@
 	case o.head == nil:
 		k.repairHeadless(ctx, o, now)
 	case k.opts.Inventory.Closed(o.group.Name):
-		// Daemons were told so, by this leader or an earlier one, and never use it
-		// again, whatever its head shows. Requests may still be under way there.
+		// Daemons never use a closed group again, whatever its head reports. Requests may still be
+		// in flight there.
 		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
 	case k.isAbsent(o.head.ID):
 		k.repairAbsentHead(ctx, o)
 	case o.state == fleet.Open && o.isComplete() && !o.isDraining:
-		// All is well, also if a member left the list: what it does for the group does
-		// not pass through the list. Dissolving all such groups when a tenth of the
-		// workers lost the store took half of the replicas out for two seconds.
+		// Healthy, even if a member left the list: its work for the group does not depend on the
+		// list. Dissolving such groups would take out many replicas whenever workers lose the
+		// store.
 	case o.state == fleet.Open && o.isComplete():
 		k.dissolveLeaving(ctx, o, now)
 	case age < k.settleTime(now) && !o.hasLostMember:
-		// The list may show its members one after the other.
+		// The list may show the members one after another.
 	case o.isComplete() && !o.isDraining && o.isForming() && age < joinGracePeriod+loadTimeFactor*o.model.Load:
-		// An earlier leader began it; its members still load.
+		// An earlier leader started the group and its members are still loading.
 	case o.isComplete() && !o.isDraining && o.readyCount == o.model.Size && o.state == fleet.Ready:
-		// An earlier leader formed it and did not come to open it.
+		// An earlier leader formed the group but did not open it.
 		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.openInherited(ctx, o) })
 	default:
 		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.dissolve(ctx, o, o.head) })
 	}
 }
 
-// repairHeadless frees the members of a group whose head is not listed: at once
-// when the head confirms, else when it must be gone. A head that is cut off
-// from the list may still serve, so it is asked first. Only a group that an
-// operator made by hand may not tell where its head is; it is left to break.
+// repairHeadless frees the members of a group whose head is not listed: immediately if the head
+// confirms, otherwise once it must be gone. A head that is cut off from the list may still serve,
+// so it is contacted first. If the head is unknown, which is only possible for a group that an
+// operator created by hand, the group is left to break by itself.
 func (k *Keeper) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
 	since, ok := k.headlessSince[o.key]
 	if !ok {
@@ -164,7 +164,7 @@
 	}
 	head, seen := k.knownWorkers[k.headIDs[o.key]]
 	if !seen && now.Sub(since) < k.settleTime(now) {
-		// The list may yet show it.
+		// The list may still show the head.
 		return
 	}
 	if !seen {
@@ -179,7 +179,7 @@
 	}
 }
 
-// headFromName returns the head that a group's name tells, or nil.
+// headFromName returns the head that is encoded in the group's name, or nil.
 func headFromName(o *observedGroup) *fleet.Worker {
 	id, address, ok := fleet.HeadOf(o.group.Name)
 	if !ok || len(o.members) == 0 {
@@ -194,8 +194,8 @@
 	})
 }
 
-// startOperation runs an operation about a group and its members. The keeper's mutex is
-// held.
+// startOperation runs an operation on a group and its members in the background. The caller must
+// hold k.mu.
 func (k *Keeper) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
 	k.busyGroups[key] = true
 	for _, w := range members {
@@ -237,8 +237,8 @@
 	return all
 }
 
-// asFreeWorker returns a worker as the planner sees it: by the list, once that was confirmed
-// after what the keeper knows better.
+// asFreeWorker returns the planner's view of a worker. The list is used once it has been confirmed
+// after more recent information of the keeper's own.
 func (k *Keeper) asFreeWorker(w *fleet.Worker) FreeWorker {
 	if i, ok := k.interruptedJoins[w.ID]; ok {
 		if !k.opts.Inventory.Confirmed().After(i.at.Add(listSettleTime)) {
@@ -249,7 +249,7 @@
 	return FreeWorker{ID: w.ID, Domain: w.Domain, Loaded: k.loadedModel(w), Staged: w.Staged, Hall: w.Zone, Unreliable: k.isUnreliable(w.ID)}
 }
 
-// loadedModel returns the model that a worker was set up for last.
+// loadedModel returns the model that a worker served last.
 func (k *Keeper) loadedModel(w *fleet.Worker) string {
 	if k.isPastIncarnation(w) {
 		return k.observations[w.ID].state.Loaded
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -6,22 +6,22 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallSettleTime is how long after a data hall was closed or opened no group is given up for
-// another model: one that is closed by mistake and opened again within a second must not
-// cost any. New groups of idle workers are formed at once.
+// hallSettleTime is how long after a data hall was closed or opened no group is traded for another
+// model, so that a hall closed briefly by mistake costs no groups. New groups are formed from idle
+// workers without this delay.
 const hallSettleTime = time.Second
 
-// hallStates is which data halls may be used for new groups.
+// hallStates records which data halls may be used for new groups.
 type hallStates struct {
-	// closed holds the halls that are closed while an open one has workers.
+	// closed holds the halls that are closed. It is empty if no hall that has workers is open.
 	closed map[string]bool
 }
 
-// isUsable reports whether workers of a hall may be used, and its replicas count.
+// isUsable reports whether a hall's workers may be used and its replicas counted.
 func (h *hallStates) isUsable(hall string) bool { return !h.closed[hall] }
 
-// refreshHalls notes which halls are closed. If all that have workers are, what is there
-// is kept as it is. The keeper's mutex is held.
+// refreshHalls updates which halls are closed. If all halls with workers are closed, none is
+// treated as closed. The caller must hold k.mu.
 func (k *Keeper) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
 	closed := k.closedHalls(s, view)
 	for hall := range closed {
@@ -60,7 +60,8 @@
 	return closed
 }
 
-// hallLossPolicy returns what a plan weighs for the loss of data halls: nothing without a weight.
+// hallLossPolicy returns how plans account for the loss of data halls; the zero value if no weight
+// is configured.
 func (k *Keeper) hallLossPolicy() HallLossPolicy {
 	if k.opts.HallWeight <= 0 {
 		return HallLossPolicy{}
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -12,12 +12,11 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallWeight is the weight of the loss of halls in these tests: a plan gives a hundredth of
-// today's share for a twentieth of what is left after a hall's loss.
+// hallWeight is the weight of hall losses in these tests.
 const hallWeight = 0.2
 
-// hallWorld returns a world of listed domains, which lie in turn in the halls "h0" and
-// "h1". The second is closed while the returned flag is set.
+// hallWorld returns a world of listed domains that alternate between the halls "h0" and "h1". The
+// second hall is closed while the returned flag is set.
 func hallWorld(domains, perDomain int) (*world, *atomic.Bool) {
 	w := unlistedWorld(1, domains, perDomain)
 	closed := new(atomic.Bool)
@@ -51,8 +50,8 @@
 	return all
 }
 
-// TestGroupsOfClosedHallAreReplaced closes a data hall: its groups stay formed and what is wanted is formed
-// in the other one.
+// TestGroupsOfClosedHallAreReplaced closes a data hall: its groups stay formed, and the wanted
+// replicas are formed in the other hall.
 func TestGroupsOfClosedHallAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := hallWorld(4, 8)
@@ -101,7 +100,7 @@
 	})
 }
 
-// TestAllHallsClosed: where no hall is open, what is there is mended as ever.
+// TestAllHallsClosed checks that groups are repaired as usual when no hall is open.
 func TestAllHallsClosed(t *testing.T) {
 	mended := func(open func(string) bool) map[string]int {
 		w, _ := hallWorld(2, 10)
@@ -119,7 +118,7 @@
 	})
 }
 
-// blankWorkers returns workers that hold nothing in domains that lie in turn in two halls.
+// blankWorkers returns workers without any model, in domains that alternate between two halls.
 func blankWorkers(domains, perDomain int) []FreeWorker {
 	var all []FreeWorker
 	for d := range domains {
@@ -130,14 +129,14 @@
 	return all
 }
 
-// TestReplicasAreSpreadOverHalls forms a fleet anew: with a hall's loss to bear, no hall
-// holds all replicas of a model.
+// TestReplicasAreSpreadOverHalls forms a new fleet. If the loss of a hall must be tolerated, no
+// hall may hold all replicas of a model.
 func TestReplicasAreSpreadOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
 		bear    int
 		growing bool
-		// most is how many of the two large groups one hall holds.
+		// most is the highest number of the two large groups in one hall.
 		most int
 	}{
 		"no loss to bear":    {most: 2},
--- a/formation/lives.go
+++ b/formation/incarnations.go
@@ -2,18 +2,18 @@
 
 import "quartzshelf.dev/fleet"
 
-// incarnation tells when the present life of a worker began, in Unix milliseconds. A worker may end
-// and start again under its id; it then holds nothing of before but what lies on its host, is
-// a member of no group, and counts orders anew.
+// incarnation records when a worker's current process started, in Unix milliseconds. A worker may
+// restart under its ID; it then keeps only what is staged on its host, belongs to no group, and
+// counts orders from zero.
 type incarnation struct {
-	// listed is what the list shows, newest the present life as far as the list or the worker
-	// itself told: whichever tells first is believed.
+	// listed is the incarnation in the list; newest is the latest one known from the list or the
+	// worker itself, whichever is first to report it.
 	listed, newest int64
 }
 
-// recordListedIncarnation takes the life that the list shows. Entries of the list come in the order in
-// which they were written, so a life that differs is a later one, also if the worker's clock
-// was set back meanwhile. The keeper's mutex is held.
+// recordListedIncarnation records the incarnation in a list entry. Entries arrive in the order in
+// which they were written, so a different incarnation is a later one, even if the worker's clock
+// was set back. The caller must hold k.mu.
 func (k *Keeper) recordListedIncarnation(w *fleet.Worker) {
 	if w.Born == 0 {
 		return
@@ -28,8 +28,9 @@
 	k.incarnations[w.ID] = incarnation{listed: w.Born, newest: w.Born}
 }
 
-// recordReportedIncarnation takes the life that a worker's own answer tells, and reports whether the answer
-// counts. One of a life before came late. The keeper's mutex is held.
+// recordReportedIncarnation records the incarnation in a worker's own answer, and reports whether
+// the answer is current. A late answer of an earlier incarnation is not. The caller must hold
+// k.mu.
 func (k *Keeper) recordReportedIncarnation(id string, born int64) bool {
 	l, known := k.incarnations[id]
 	switch {
@@ -44,15 +45,15 @@
 	return true
 }
 
-// isPastIncarnation reports whether an entry of the list is of a life that is over. The keeper's mutex
-// is held.
+// isPastIncarnation reports whether a list entry belongs to an earlier incarnation. The caller
+// must hold k.mu.
 func (k *Keeper) isPastIncarnation(w *fleet.Worker) bool {
 	l, known := k.incarnations[w.ID]
 	return known && w.Born != 0 && w.Born != l.newest
 }
 
-// forgetIncarnation forgets what was known of a worker's life that is over: its part in groups, its
-// position, its loads, and its silence. The keeper's mutex is held.
+// forgetIncarnation discards the state of a worker's earlier incarnation. The caller must hold
+// k.mu.
 func (k *Keeper) forgetIncarnation(id string) {
 	k.opts.Logger.Info("worker has started again under its id", "worker", id)
 	delete(k.observations, id)
--- a/formation/inherit_test.go
+++ b/formation/inherit_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDemandSurvivesLeaderChange: a new leader whose peers have yet to report goes
-// on with the work it knew before its term.
+// TestDemandSurvivesLeaderChange checks that a new leader whose peers have not reported yet starts
+// with the work that it tracked before its term.
 func TestDemandSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
@@ -23,8 +23,8 @@
 	})
 }
 
-// TestNewLeaderDelaysTrades: in its first second a new leader may not know the
-// work of all daemons.
+// TestNewLeaderDelaysTrades checks that a new leader trades no groups in its first second, when it
+// may not know the work of all daemons.
 func TestNewLeaderDelaysTrades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
@@ -46,8 +46,8 @@
 	})
 }
 
-// TestSmootherIsIndependentOfInterval: work that is measured each second is smoothed as by a
-// leader that looks ten times as often.
+// TestSmootherIsIndependentOfInterval checks that measurements taken each second are smoothed as
+// by a leader that ticks ten times as often.
 func TestSmootherIsIndependentOfInterval(t *testing.T) {
 	for name, every := range map[string]time.Duration{"each tick": tickInterval, "each second": time.Second, "each five seconds": 5 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -58,11 +58,11 @@
 				now = now.Add(every)
 				s.Observe(map[string]Work{"big": {Busy: 50, Pause: time.Second}}, now)
 			}
-			// (1-demandFall)^100 of the difference is left.
+			// (1-demandFallWeight)^100 of the difference remains.
 			got := s.Work()["big"]
 			assert.Assert(t, math.Abs(got.Busy-68.3) < 0.1, "%.2f", got.Busy)
 			assert.Equal(t, got.Pause, time.Second)
-			// A clock that steps back changes nothing.
+			// A clock that steps back has no effect.
 			s.Observe(map[string]Work{"big": {}}, now.Add(-time.Hour))
 			assert.Equal(t, s.Work()["big"].Busy, got.Busy)
 		})
@@ -71,20 +71,10 @@
 	assert.Equal(t, len(s.Work()), 0)
 }
 
-// TestGroupsOfConcurrentLeaderStayVisible: two leaders began within 20 ms of each other, as daemons
-// of an earlier and of this build do that start side by side. Half of all requests were refused for want of a
-// replica for as long as the test lasted, 40 s, though all groups were open.
-//
-// The order of events: the first leader orders joins; the second one, whose term outdoes the
-// first, plans the same groups, and the workers refuse its joins, as they join others. It gives
-// its groups up and takes the first one's over. To have given up a group was announced as its
-// closing, by its head and its higher epoch; each daemon then held that against the group in
-// which the head serves.
-//
-// The cause: a group that nobody was told to open was announced as closed when it was given up.
-//
-// The evidence: with a millisecond between the leaders, up to all five groups of a model serve
-// that are not shown, each at a head that the second leader had planned for a group.
+// TestGroupsOfConcurrentLeaderStayVisible covers two leaders that start almost simultaneously and
+// plan the same groups. When the second one abandons groups that it never opened, it must not
+// announce them as closed: daemons would apply that to the first leader's groups with the same
+// heads.
 func TestGroupsOfConcurrentLeaderStayVisible(t *testing.T) {
 	for _, later := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond} {
 		t.Run(later.String(), func(t *testing.T) {
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -10,64 +10,63 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Timing of a keeper.
+// Intervals, timeouts and limits of a Keeper.
 const (
 	tickInterval = 100 * time.Millisecond
-	// maxConcurrentCalls bounds the calls to workers that are under way, and the connections for
-	// them.
+	// maxConcurrentCalls bounds the concurrent calls to workers, and so the connections for them.
 	maxConcurrentCalls = 64
-	// orderTimeout bounds an order, askTimeout a question to a worker.
+	// orderTimeout is the timeout of an order to a worker, queryTimeout that of a state query.
 	orderTimeout = 200 * time.Millisecond
 	queryTimeout = 200 * time.Millisecond
-	// indirectTimeout bounds an order through other daemons.
+	// indirectTimeout is the timeout of an order through other daemons.
 	indirectTimeout = 500 * time.Millisecond
-	// maxOrderAttempts is how often an order that got no answer is given, each time
-	// with a new fence.
+	// maxOrderAttempts is how often an unanswered order is sent, each time with a new fence.
 	maxOrderAttempts = 6
-	// queryInterval is how often a worker is asked while its list entry is awaited.
+	// queryInterval is the time between state queries while an update of the list is awaited.
 	queryInterval = 250 * time.Millisecond
 	// joinGracePeriod is how much longer than expected a join may take.
 	joinGracePeriod = 3 * time.Second
-	// loadTimeFactor is a factor on loading times, since loads slow each other.
+	// loadTimeFactor is applied to expected load times, since concurrent loads slow each other
+	// down.
 	loadTimeFactor = 4
-	// listSettleTime is how long after an operation the list may lag behind it.
+	// listSettleTime is how long the list may lag behind an operation.
 	listSettleTime = time.Second
-	// youngListSettleTime is the same in a process that has known the list for less
-	// than youngFor.
+	// youngListSettleTime replaces listSettleTime in a process that has known the list for less
+	// than youngListAge.
 	youngListSettleTime = 4 * time.Second
 	youngListAge        = 10 * time.Second
-	// maxDrainTime is how long a group's requests may hold up its dissolution.
+	// maxDrainTime is how long requests in flight may delay a group's dissolution.
 	maxDrainTime = 8 * time.Second
-	// unresponsiveQueryInterval is how often a worker that was silent is asked again.
+	// unresponsiveQueryInterval is the time between queries to an unresponsive worker.
 	unresponsiveQueryInterval = 2 * time.Second
-	// lostHeadTimeout is how long a head must be unreachable, and unlisted, before its
-	// members are freed without its answer.
+	// lostHeadTimeout is how long a head must be unreachable and unlisted before its members are
+	// freed without its confirmation.
 	lostHeadTimeout = 1200 * time.Millisecond
-	// listStaleAge is how old the list may be before workers are asked what it would
-	// tell. The leader reads it with waits of 0.3 s, so two reads have failed.
+	// listStaleAge is the age of the list beyond which workers are queried directly. The leader
+	// reads the list with waits of 0.3 s, so two reads have failed by then.
 	listStaleAge = 800 * time.Millisecond
 	// maxListAge is how old the list may be to prove that a worker is gone.
 	maxListAge = 4 * time.Second
-	// reportInterval is the time between two lines about what is wanted and there.
+	// reportInterval is the time between log lines about wanted and available replicas.
 	reportInterval = 3 * time.Second
 )
 
-// Term is what a leader leads under.
+// Term identifies a leader's term.
 type Term struct {
 	Epoch int64
 	Rank  int
-	// First tells that nobody led the fleet before.
+	// First reports whether the fleet never had a leader before.
 	First bool
-	// FirstLife tells that this process has run since the fleet first started, so that it
-	// has heard of requests if any came.
+	// FirstLife reports whether this process has been running since the fleet first started, and
+	// so would know of any earlier requests.
 	FirstLife bool
 }
 
-// Keeper forms and mends replicas for one term.
+// Keeper forms and repairs replicas for the duration of one term.
 type Keeper struct {
 	opts Options
 	term Term
-	// isNewFleet tells that nothing served when the term began.
+	// isNewFleet reports whether nothing had served when the term began.
 	isNewFleet   bool
 	onSuperseded func()
 	tasks        conc.WaitGroup
@@ -76,112 +75,111 @@
 
 	mu       sync.Mutex
 	sequence int64
-	// observations holds what workers told directly, by id.
+	// observations holds the state that workers reported directly, by worker ID.
 	observations map[string]observation
-	// busyWorkers holds the workers that an operation is about.
+	// busyWorkers holds the workers that a running operation involves.
 	busyWorkers map[string]bool
-	// busyGroups holds the groups that an operation is about.
+	// busyGroups holds the groups that a running operation involves.
 	busyGroups map[string]bool
-	// examinedReplicas holds the replicas whose members are being asked.
+	// examinedReplicas holds the replicas whose members are being queried.
 	examinedReplicas map[string]bool
-	// retirements holds the groups that no longer hold their members: the head
-	// confirmed that it left, or it answers nobody.
+	// retirements holds the groups that no longer hold their members: the head confirmed that it
+	// left, or cannot be reached by anybody.
 	retirements map[string]retirement
 	// dissolutions holds the groups whose head confirmed that it left.
 	dissolutions map[string]dissolution
-	// headIDs holds, by group, the head that the list showed.
+	// headIDs holds the listed head of each group, by group key.
 	headIDs map[string]string
 	// formedGroups holds the groups formed in this term, by key.
 	formedGroups map[string]Group
-	// unresponsive holds the workers that do not answer, with when to ask again.
+	// unresponsive holds, by unresponsive worker, when to query it again.
 	unresponsive map[string]time.Time
-	// orderStates holds, by worker, how many orders it has begun and its group.
+	// orderStates holds each worker's order count and group.
 	orderStates map[string]orderState
-	// incarnations holds when the present lives of workers began.
+	// incarnations holds the current incarnation of each worker.
 	incarnations map[string]incarnation
 	// knownWorkers holds all workers that were ever listed.
 	knownWorkers map[string]*fleet.Worker
-	// lastView is the list as the last look found it, absent holds the workers that
-	// left it while in a group.
+	// lastView is the list at the previous tick; absent holds the workers that left the list while
+	// in a group.
 	lastView *fleet.View
 	absent   map[string]*absence
 	// displaced holds the workers at whose address another one answered.
 	displaced map[string]bool
-	// interruptedJoins holds the workers that may have been cut off while they joined a group.
+	// interruptedJoins holds the workers that may have been interrupted while joining a group.
 	interruptedJoins map[string]interruptedJoin
 	// headlessSince holds since when groups have had no listed head.
 	headlessSince map[string]time.Time
-	// activeLoads holds the loads that workers make, by worker.
+	// activeLoads holds the running loads, by worker.
 	activeLoads map[string]activeLoad
-	// groupSeenSince holds since when groups have been known.
+	// groupSeenSince holds when groups were first seen.
 	groupSeenSince map[string]time.Time
 	loadBudgets    map[string]*loadBudget
 	smoothedWork   map[string]Work
-	// trafficSince is when this leader first knew of requests.
+	// trafficSince is when this leader first learned of requests.
 	trafficSince time.Time
-	// leaveDeadlines holds, by group, until when one with a leaving member may serve.
+	// leaveDeadlines holds until when a group with a leaving member may keep serving.
 	leaveDeadlines map[string]time.Time
-	// nextLeaveDissolution holds, by model, when the next of these is dissolved.
+	// nextLeaveDissolution holds, by model, when the next such group may be dissolved.
 	nextLeaveDissolution map[string]time.Time
-	// stageRetryAt holds when workers that refused to stage may be asked again.
+	// stageRetryAt holds when workers that refused to stage may be ordered again.
 	stageRetryAt map[string]time.Time
-	// listGrowths holds how the list of a new fleet grows, by service.
+	// listGrowths tracks the growth of a new fleet's list, by service.
 	listGrowths map[string]*listGrowth
-	// callSlots bounds the calls to workers that are under way.
+	// callSlots is a semaphore that bounds concurrent calls to workers.
 	callSlots chan struct{}
-	// idleSince holds since when workers have had nothing to do at the start.
+	// idleSince holds since when workers of a new fleet have been idle.
 	idleSince map[string]time.Time
-	// nextReport is when what is wanted and there is logged again.
+	// nextReport is when wanted and available replicas are logged next.
 	nextReport time.Time
-	// nextTrade is when groups may be given up for another model again, trades
-	// holds those whose groups may yet serve.
+	// nextTrade is when groups may be traded for another model again; activeTrades holds the
+	// trades whose groups are not dissolved yet.
 	nextTrade    time.Time
 	activeTrades []Trade
-	// unreliableUntil holds, by worker that kept a group from being formed, until when others are
-	// preferred.
+	// unreliableUntil holds, by worker that prevented a group from forming, until when other
+	// workers are preferred.
 	unreliableUntil map[string]time.Time
-	// releaseAt holds, by domain, when idle workers that can't make a group of a model
-	// that is short serve another one.
+	// releaseAt holds, by domain, when idle workers that are too few for a model that is short may
+	// serve another one.
 	releaseAt map[string]time.Time
 	halls     hallStates
-	// tradesAllowedAt is when groups may be given up for another model: not before reports of
-	// all daemons came to a new leader, nor just after a data hall was closed or opened.
+	// tradesAllowedAt is when groups may be traded for another model: a new leader first waits for
+	// the reports of all daemons, and a data hall that was closed or opened delays trades briefly.
 	tradesAllowedAt time.Time
-	// reportedOversized holds the models that are known to be larger than any domain.
+	// reportedOversized holds the models that were reported as larger than any domain.
 	reportedOversized map[string]bool
 }
 
-// activeLoad is a load of a model's weights that counts until its end is seen or its
-// time is up.
+// activeLoad is a load of a model's weights. It counts until its end is observed or it expires.
 type activeLoad struct {
 	model     string
 	expiresAt time.Time
 }
 
-// retirement says how it is known that a group's head takes no more requests.
+// retirement tells how it is known that a group's head takes no more requests.
 type retirement int
 
 const (
-	// retiredAssumed retirements rest on the head's silence.
+	// retiredAssumed means that the head does not respond.
 	retiredAssumed retirement = iota + 1
-	// retiredConfirmed retirements rest on the head's own word.
+	// retiredConfirmed means that the head confirmed it.
 	retiredConfirmed
 )
 
-// observation is what a worker told directly.
+// observation is a state that a worker reported directly.
 type observation struct {
 	state State
-	// at is the time it told of: what the list shows counts again once it was
-	// confirmed after that. It lies ahead for what the worker will do by then.
+	// at is the time the state refers to: once the list has been confirmed after it, the list is
+	// preferred. It lies in the future for a state that the worker is expected to reach.
 	at time.Time
 }
 
-// NewKeeper returns a keeper for a term. It calls outdone when a worker shows
-// that another leader has a higher term.
-func NewKeeper(opts Options, term Term, outdone func()) *Keeper {
+// NewKeeper returns a Keeper for a term. It calls onSuperseded when a worker reports a leader with a
+// higher term.
+func NewKeeper(opts Options, term Term, onSuperseded func()) *Keeper {
 	view := opts.Inventory.View()
 	k := &Keeper{
-		opts: opts, term: term, onSuperseded: outdone,
+		opts: opts, term: term, onSuperseded: onSuperseded,
 		done: make(chan struct{}), suspects: make(chan string, 64),
 		observations:         make(map[string]observation),
 		orderStates:          make(map[string]orderState),
@@ -221,19 +219,19 @@
 	return k
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (k *Keeper) Done() <-chan struct{} { return k.done }
 
-// Suspect tells that requests at a replica fell silent.
+// Suspect reports that requests at a replica have stopped receiving data. It does not block.
 func (k *Keeper) Suspect(replica string) {
 	select {
 	case k.suspects <- replica:
 	default:
-		// So many suspicions come again.
+		// The queue is full; suspicions are repeated, so this one can be dropped.
 	}
 }
 
-// Run leads until ctx ends.
+// Run forms and repairs replicas until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
 	defer close(k.done)
 	defer k.tasks.Wait()
@@ -252,7 +250,7 @@
 	}
 }
 
-// tick looks at every service whose workers form groups.
+// tick checks every service whose workers form groups.
 func (k *Keeper) tick(ctx context.Context, now time.Time) {
 	config := k.opts.Config()
 	if config == nil {
@@ -260,7 +258,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// It is read under the mutex, so that no look goes back to an earlier list.
+	// Reading it under the mutex ensures that views are processed in order.
 	view := k.opts.Inventory.View()
 	k.refreshWorkers(view)
 	k.refreshAbsent(view, now)
@@ -316,7 +314,7 @@
 	k.queryUnresponsive(ctx, view, now)
 }
 
-// logReplicas logs what is wanted and there.
+// logReplicas logs the wanted and available replicas.
 func (k *Keeper) logReplicas(needs []Need, free []FreeWorker) {
 	for _, n := range needs {
 		k.opts.Logger.Info("replicas", "model", n.Model.Name, "want", n.Want, "have", n.Have,
@@ -324,14 +322,14 @@
 	}
 }
 
-// hasTraffic reports whether requests come to the fleet, or may. A later leader
-// takes a fleet for new only if nothing in it served when its term began.
+// hasTraffic reports whether requests have reached the fleet, or may have. A later leader
+// considers the fleet new only if nothing had served when its term began.
 func (k *Keeper) hasTraffic() bool { return !k.isNewFleet || k.opts.Traffic() }
 
-// fleetNeverServed reports whether nothing has served yet. A process that started later may follow
-// daemons that all ended at once while no replica was open, so that nobody is left who heard
-// of requests: for it, what workers hold shows that the fleet is not new. Without that such
-// a leader would begin more loads at once than may be.
+// fleetNeverServed reports whether nothing has served yet. If all daemons ended at once while no
+// replica was open, no process remembers earlier requests. A process that started later therefore
+// also requires that no worker holds a model; otherwise it would start more loads at once than
+// allowed.
 func (k *Keeper) fleetNeverServed(view *fleet.View) bool {
 	if k.term.First {
 		return true
@@ -344,17 +342,17 @@
 	return true
 }
 
-// hasServed reports whether a worker shows that its group was opened.
+// hasServed reports whether a worker's state shows that its group was opened.
 func hasServed(w *fleet.Worker) bool {
 	return w.Member.State == fleet.Open || w.Member.State == fleet.Closing || w.Member.State == fleet.Broken
 }
 
-// hasModel reports whether a leader has given a worker something to do.
+// hasModel reports whether a worker has a group, or a loaded or staged model.
 func hasModel(w *fleet.Worker) bool {
 	return w.Member.Group != "" || w.Loaded != "" || len(w.Staged) > 0
 }
 
-// refreshWorkers notes who is listed and forgets the silence of those who left.
+// refreshWorkers records the listed workers and drops unlisted ones from the unresponsive set.
 func (k *Keeper) refreshWorkers(view *fleet.View) {
 	for id, w := range view.Workers() {
 		k.knownWorkers[id] = w
@@ -374,9 +372,9 @@
 	return k.nextFenceLocked()
 }
 
-// nextFenceLocked returns the fence of the next order while the mutex is held. A term that
-// has no more of them ends, since a fence must never be lower than an earlier
-// one; the orders on their way repeat the last.
+// nextFenceLocked is nextFence for callers that hold k.mu. A term that has used up its fences
+// ends, since a fence must never be lower than an earlier one; orders still in flight repeat the
+// last fence.
 func (k *Keeper) nextFenceLocked() Fence {
 	if k.sequence == maxSequence {
 		go k.onSuperseded()
@@ -386,8 +384,8 @@
 	return NewFence(k.term.Epoch, k.term.Rank, k.sequence)
 }
 
-// membershipOf returns what is known of a worker's group: by its own word if that is
-// newer than the list.
+// membershipOf returns a worker's known group membership: its own report if that is newer than the
+// list.
 func (k *Keeper) membershipOf(w *fleet.Worker) fleet.Membership {
 	o, ok := k.observations[w.ID]
 	if k.isPastIncarnation(w) {
@@ -408,7 +406,7 @@
 	return o.state.Member
 }
 
-// recordState notes what a worker told.
+// recordState records a state that a worker reported.
 func (k *Keeper) recordState(id string, s State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// formAndStop lets a first leader form a fleet and end, then lets requests come, and
-// returns a head of a big group.
+// formAndStop lets a first leader form a fleet and stop, starts traffic, and returns a head of a
+// big group.
 func formAndStop(w *world) *simWorker {
 	_, stop := startTerm(w, 1)
 	time.Sleep(8 * time.Second)
@@ -38,9 +38,8 @@
 	return w.headOf("big")
 }
 
-// startServing lets a first leader form a fleet, then requests come, and returns the
-// group of a head of a model. The leader goes on until the returned function is
-// called.
+// startServing lets a first leader form a fleet, starts traffic, and returns a group of the model.
+// The leader continues until the returned function is called.
 func startServing(w *world, model string) (k *Keeper, g Group, stop func()) {
 	k, stop = startTerm(w, 1)
 	time.Sleep(8 * time.Second)
@@ -59,14 +58,14 @@
 		w.pending.Wait()
 		assert.DeepEqual(t, w.violations, []string(nil))
 		serving := w.countServing()
-		// No domain keeps enough idle workers for another group.
+		// No domain has enough idle workers left for another group.
 		assert.Equal(t, serving["big"], 2)
 		assert.Equal(t, serving["small"], 5)
 	})
 }
 
-// TestServingWorkersStageSecondModel: before the first request loads are quick,
-// so that workers can turn to the other model without a load later.
+// TestServingWorkersStageSecondModel checks that workers stage another model while loads are still
+// quick, so that they can switch to it later without a load.
 func TestServingWorkersStageSecondModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -96,8 +95,8 @@
 	})
 }
 
-// TestLeavingMembersDoNotStopAllGroups lets a member of each large group say
-// that it leaves at the same moment.
+// TestLeavingMembersDoNotStopAllGroups announces at the same moment that a member of each large
+// group leaves.
 func TestLeavingMembersDoNotStopAllGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -117,8 +116,8 @@
 	})
 }
 
-// TestGroupsAreRepairedWhileListIsUnavailable closes a group just before the list stops
-// showing anything, and looks when its workers serve again.
+// TestGroupsAreRepairedWhileListIsUnavailable makes a member leave just before the list stops
+// being updated, and checks that the group is replaced nevertheless.
 func TestGroupsAreRepairedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
@@ -129,8 +128,8 @@
 		w.publish(leaving)
 		w.isListFrozen = true
 		w.mu.Unlock()
-		// Its requests take a second to end; joining again with an idle worker or
-		// one of a traded group takes three at the most.
+		// Draining takes a second; joining again with an idle worker or one of a traded group
+		// takes three at most.
 		time.Sleep(2500 * time.Millisecond)
 		w.mu.Lock()
 		now := w.workers[old.Members[0]].group.Name
@@ -142,15 +141,15 @@
 	})
 }
 
-// TestReadyMembersAreQueriedWhileListIsUnavailable begins a term that knows the list
-// but sees nothing new of it.
+// TestReadyMembersAreQueriedWhileListIsUnavailable starts a term with a list that is not updated
+// anymore.
 func TestReadyMembersAreQueriedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
 		w.isListFrozen = true
 		time.Sleep(time.Second)
 		_, stop := startTerm(w, 1)
-		// Loads before the first request take 1.2 s, opening 0.3.
+		// Loads before the first request take 1.2 s, opening 0.3 s.
 		time.Sleep(3 * time.Second)
 		serving := w.countServing()["big"]
 		stop()
@@ -160,8 +159,7 @@
 	})
 }
 
-// TestTradesRunOneAtATime makes the large model short by several groups while
-// the requests of a group take long to end.
+// TestTradesRunOneAtATime makes the large model short by several groups while draining is slow.
 func TestTradesRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 24)
@@ -222,8 +220,8 @@
 	})
 }
 
-// TestNoPartialGroupsAndNoWorkersUsedTwice kills workers, leaves orders unanswered and
-// carries them out late, replaces leaders, and lets old ones go on.
+// TestNoPartialGroupsAndNoWorkersUsedTwice kills workers, delays orders past their timeout,
+// replaces leaders, and lets superseded leaders continue.
 func TestNoPartialGroupsAndNoWorkersUsedTwice(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -239,11 +237,11 @@
 	})
 }
 
-// restartListDelays is how long the list takes to show a worker that has started again under its
-// id, by step from 6 on: at once, within a heartbeat, and while the list is behind.
+// restartListDelays holds how long the list takes to show a restarted worker, for steps from 6 on:
+// immediately, within a heartbeat, and while the list lags.
 var restartListDelays = []time.Duration{50 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 
-// TestNoWorkersUsedTwiceAcrossRestarts draws rebirths under the same id as well.
+// TestNoWorkersUsedTwiceAcrossRestarts also draws restarts of workers under the same ID.
 func TestNoWorkersUsedTwiceAcrossRestarts(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -259,7 +257,7 @@
 	})
 }
 
-// runSchedule plays one schedule of faults and returns what was wrong.
+// runSchedule runs a schedule of faults and returns the violations.
 func runSchedule(w *world, late float64, steps []int) []string {
 	w.lateFraction = late
 	epoch := int64(1)
@@ -275,7 +273,7 @@
 				k.Suspect(g)
 			}
 		case step == 3:
-			// The old leader does not know that it was replaced.
+			// The old leader does not know that it was superseded.
 			stops = append(stops, stop)
 			epoch++
 			k, stop = startTerm(w, epoch)
@@ -340,8 +338,8 @@
 	return n
 }
 
-// TestUnlistedHeadKeepsItsMembers loses the entries of a whole
-// group, whose head serves on, and brings them back one by one.
+// TestUnlistedHeadKeepsItsMembers removes the list entries of a whole group whose head keeps
+// serving, and restores them one by one.
 func TestUnlistedHeadKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
@@ -368,9 +366,8 @@
 	})
 }
 
-// TestHeadUnlistedBeforeTermKeepsItsMembers lets a leader come after the
-// entry of a head has gone: it never saw the head in the list, yet the head
-// serves on.
+// TestHeadUnlistedBeforeTermKeepsItsMembers starts a leader that never saw the head in the list,
+// although the head keeps serving.
 func TestHeadUnlistedBeforeTermKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -386,8 +383,8 @@
 	})
 }
 
-// TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers cuts a head off from the list and
-// from the leader, while other daemons reach it.
+// TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers cuts a head off from the list and from the
+// leader, while other daemons reach it.
 func TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -408,7 +405,7 @@
 	})
 }
 
-// confirmList confirms the list again and again for a while, as a reader does.
+// confirmList confirms the list periodically for a while, as a reader does.
 func (w *world) confirmList(howLong time.Duration) {
 	const every = 100 * time.Millisecond
 	for range howLong / every {
@@ -419,7 +416,7 @@
 	}
 }
 
-// headOf returns the head of a group of a model. The mutex is held.
+// headOf returns the head of a group of a model. The caller must hold w.mu.
 func (w *world) headOf(model string) *simWorker {
 	for _, s := range w.workers {
 		if s.group.Model == model && s.rank == 0 {
@@ -429,7 +426,7 @@
 	return nil
 }
 
-// unlist takes a worker's entry from the list though it goes on.
+// unlist removes a running worker's entry from the list.
 func (w *world) unlist(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -437,16 +434,15 @@
 	w.inventory.Apply([]fleet.Change{{ID: id}}, w.listPosition, time.Now())
 }
 
-// relist brings a worker's entry back.
+// relist restores a worker's entry.
 func (w *world) relist(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.publish(w.workers[id])
 }
 
-// TestLaterLeaderBoundsLoads lets a leader come second to a fleet of which some
-// part serves, and that nobody has sent requests to as far as it knows: it must
-// not take it for new.
+// TestLaterLeaderBoundsLoads starts a second leader that has not heard of any requests, in a fleet
+// where a group serves. It must not treat the fleet as new.
 func TestLaterLeaderBoundsLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -461,11 +457,9 @@
 	})
 }
 
-// TestLaterLeaderOfUsedFleetBoundsLoads: all daemons ended at once while no replica was
-// left, so that nobody knows that requests came before; what lies on hosts shows that groups
-// were formed. The leader takes the fleet for new: in the soak it began 16 loads within 5 s
-// where 8 may, and more than are allowed is a broken promise. A second leader right at the
-// start, when nothing lies anywhere, must still be quick.
+// TestLaterLeaderOfUsedFleetBoundsLoads covers a restart of all daemons while no replica is open,
+// so that no process knows of earlier requests. Staged models show that the fleet is not new, and
+// loads must stay within the limit.
 func TestLaterLeaderOfUsedFleetBoundsLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -479,8 +473,9 @@
 	})
 }
 
-// TestLeaderRunningSinceFleetStartDoesNotBoundLoads lets a leader come second while the first one's loads
-// are under way: it has run since the fleet first started and knows that no request came.
+// TestLeaderRunningSinceFleetStartDoesNotBoundLoads starts a second leader while loads of the
+// first one run. It has been running since the fleet first started and knows that there were no
+// requests.
 func TestLeaderRunningSinceFleetStartDoesNotBoundLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -496,8 +491,7 @@
 	})
 }
 
-// TestLaterLeaderOfNewFleetDoesNotBoundLoads lets a leader come second right at the
-// start, when nothing serves yet.
+// TestLaterLeaderOfNewFleetDoesNotBoundLoads starts a second leader when nothing serves yet.
 func TestLaterLeaderOfNewFleetDoesNotBoundLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -509,8 +503,8 @@
 	})
 }
 
-// openSmallGroup makes two workers an open group, as orders to join and to open would.
-// The mutex is held.
+// openSmallGroup makes two workers an open group, as orders to join and open would. The caller
+// must hold w.mu.
 func (w *world) openSmallGroup(head, other string) {
 	g := Group{Name: fleet.GroupName("small", 1, nil), Epoch: 1, Model: "small", Members: []string{head, other}}
 	for rank, id := range g.Members {
@@ -525,7 +519,7 @@
 	}
 }
 
-// stageOnEveryFourth lets a model lie on the host of every fourth worker.
+// stageOnEveryFourth stages a model on the host of every fourth worker.
 func (w *world) stageOnEveryFourth() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -537,8 +531,8 @@
 	}
 }
 
-// countLoading counts the workers that load weights from the store: those that join a group of a
-// model that lies on their host, or that they served last, do not.
+// countLoading counts the workers that load weights from the store. Workers that join a group of a
+// model that is staged on their host, or that they served last, do not load.
 func (w *world) countLoading() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -563,9 +557,9 @@
 	return n
 }
 
-// TestLateJoinsOfLaterLeaderDoNotStealWorkers lets two leaders lead a new fleet at
-// once. Every order of the later one is carried out seconds late, when the
-// earlier one, which does not know of it, has formed and opened its groups.
+// TestLateJoinsOfLaterLeaderDoNotStealWorkers runs two concurrent leaders in a new fleet. All
+// orders of the later one are carried out seconds late, when the earlier one has opened its
+// groups.
 func TestLateJoinsOfLaterLeaderDoNotStealWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -580,8 +574,8 @@
 	})
 }
 
-// TestWorkerTakenByEarlierLeaderIsNotStolen lets a leader form a group with a
-// worker that, unseen by it, an earlier leader has just taken into an open one.
+// TestWorkerTakenByEarlierLeaderIsNotStolen forms a group with a worker that an earlier leader has
+// just put into an open group, which the list does not show yet.
 func TestWorkerTakenByEarlierLeaderIsNotStolen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
@@ -600,8 +594,8 @@
 	})
 }
 
-// TestNewProcessRepairsKnownBrokenGroup lets a member die under a leader
-// whose process has not known the list for long.
+// TestNewProcessRepairsKnownBrokenGroup kills a member under a leader whose process has known the
+// list only for a short time.
 func TestNewProcessRepairsKnownBrokenGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -11,10 +11,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestNoWorkersUsedTwiceWithoutFences plays the schedules of
-// TestNoPartialGroupsAndNoWorkersUsedTwice with workers that do not look at fences:
-// what protects them from late orders and from earlier leaders must not rest on
-// fences alone.
+// TestNoWorkersUsedTwiceWithoutFences repeats TestNoPartialGroupsAndNoWorkersUsedTwice with
+// workers that ignore fences: the protection against late orders and earlier leaders must not
+// depend on fences alone.
 func TestNoWorkersUsedTwiceWithoutFences(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -32,8 +31,8 @@
 	})
 }
 
-// TestLateLoadsStayWithinTheBound lets requests come to a new fleet while orders
-// given before, when loads did not count, have yet to be carried out.
+// TestLateLoadsStayWithinTheBound starts traffic in a new fleet while orders sent before, when
+// loads did not count, have not been carried out yet.
 func TestLateLoadsStayWithinTheBound(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -58,10 +57,9 @@
 	})
 }
 
-// TestLateOrdersDoNotReviveDissolvedGroup plays what the incident TWO showed. A head's
-// first orders to join and to open get no answer; later tries are taken, the
-// group serves, loses its other member and is dissolved, which the head
-// confirms. Then the first tries are carried out.
+// TestLateOrdersDoNotReviveDissolvedGroup delays a head's first orders to join and open, which are
+// then retried successfully. The delayed attempts are carried out after the group was dissolved
+// with the head's confirmation, and must have no effect.
 func TestLateOrdersDoNotReviveDissolvedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
@@ -93,9 +91,8 @@
 	})
 }
 
-// TestGroupIsOpenedOnce: the list shows a group open only some time after its
-// head took the order. A second order to open is needless, and a group for which
-// that one gets no answer was dissolved.
+// TestGroupIsOpenedOnce guards against a second order to open while the list does not show yet
+// that the group is open: if that order got no answer, the group would be dissolved.
 func TestGroupIsOpenedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -111,8 +108,8 @@
 	})
 }
 
-// TestMembersOfDeadHeadAreReusedPromptly kills the head of a large group without a word.
-// The list shows it for another 3.6 s.
+// TestMembersOfDeadHeadAreReusedPromptly kills the head of a large group; the list still shows it
+// for 3.6 s.
 func TestMembersOfDeadHeadAreReusedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 7)
@@ -129,9 +126,9 @@
 	})
 }
 
-// TestReturningHeadLeavesClosedGroup lets a head fall silent for some
-// seconds. Daemons are told that its group is closed and never use it again, so it
-// must not be taken for one that serves, even if its members are all there still.
+// TestReturningHeadLeavesClosedGroup makes a head unreachable for some seconds. Its group was
+// announced as closed and is never used again, so it must be dissolved even if all its members are
+// present.
 func TestReturningHeadLeavesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
@@ -149,8 +146,8 @@
 	})
 }
 
-// TestLaterLeaderDissolvesClosedGroup lets a leader end after it announced that
-// a group is closed, and before its head left it.
+// TestLaterLeaderDissolvesClosedGroup covers a leader that ends after it announced a group as
+// closed and before the head left it.
 func TestLaterLeaderDissolvesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -170,8 +167,8 @@
 	})
 }
 
-// TestStagingWorkerIsNotRetriedContinuously lets a leader come while idle workers bring a
-// model to their hosts, which the list does not tell.
+// TestStagingWorkerIsNotRetriedContinuously starts a leader while an idle worker is staging a
+// model, which the list does not show.
 func TestStagingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 5)
@@ -194,21 +191,21 @@
 	})
 }
 
-// membershipOf returns the part that a worker has in a group.
+// membershipOf returns a worker's group membership.
 func (w *world) membershipOf(id string) fleet.Membership {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.workers[id].member()
 }
 
-// setUnreachable keeps everybody from reaching a worker, or ends that.
+// setUnreachable makes a worker unreachable for everybody, or reachable again.
 func (w *world) setUnreachable(id string, dark bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unreachable[id] = dark
 }
 
-// add brings an empty worker.
+// add adds a worker without any model.
 func (w *world) add(id, domain string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/formation/leaving.go
+++ b/formation/leaving.go
@@ -6,19 +6,18 @@
 )
 
 const (
-	// maxLeaveDelay bounds how long a group serves on after a member other than
-	// its head said that it leaves: such a member stays for ten seconds at most
-	// while the head has work, and the requests in flight need some of them.
+	// maxLeaveDelay bounds how long a group keeps serving after a member other than its head
+	// announced that it leaves. Such a member stays for at most ten seconds while the head has
+	// work, and requests in flight need part of that time.
 	maxLeaveDelay = 6 * time.Second
-	// leaveInterval is the least time between the dissolutions of two such groups
-	// of one model: as long as draining and joining again take.
+	// leaveInterval is the minimum time between dissolving two such groups of one model: about as
+	// long as draining and joining again take.
 	leaveInterval = 3 * time.Second
 )
 
-// dissolveLeaving dissolves a group with a leaving member. Groups of one model are
-// dissolved one after the other, so that the rest serve meanwhile, but none
-// later than the member stays. A head that leaves can't wait: it takes no more
-// requests.
+// dissolveLeaving dissolves a group with a leaving member. Groups of one model are dissolved one
+// at a time so that the others keep serving, but none later than its member stays. A group whose
+// head leaves is dissolved immediately, since it takes no more requests.
 func (k *Keeper) dissolveLeaving(ctx context.Context, o *observedGroup, now time.Time) {
 	deadline, ok := k.leaveDeadlines[o.key]
 	if !ok {
--- a/formation/fresh_test.go
+++ b/formation/listgrowth_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNewFleetWaitsForFullList lists workers one after the other: they must form
-// nearly as many replicas of each model as when all are listed at once.
+// TestNewFleetWaitsForFullList lists workers one after another. Nearly as many replicas of each
+// model must be formed as when all workers are listed at once.
 func TestNewFleetWaitsForFullList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const domains, perDomain, every = 8, 11, 40 * time.Millisecond
@@ -41,8 +41,7 @@
 	})
 }
 
-// TestWaitForGrowingListIsBounded lists further workers all the time, and lets
-// requests come while the list grows.
+// TestWaitForGrowingListIsBounded keeps adding workers, without traffic or with it.
 func TestWaitForGrowingListIsBounded(t *testing.T) {
 	tests := map[string]struct {
 		traffic bool
--- a/formation/loads.go
+++ b/formation/loadbudget.go
@@ -3,38 +3,36 @@
 import "time"
 
 const (
-	// ceilingAllowance is what the bound on loads allows beyond its rate.
+	// ceilingAllowance is the number of loads that the limit allows in addition to its rate.
 	ceilingAllowance = 3
-	// ceilingMargin keeps the loads of a window a little under the bound.
+	// ceilingMargin keeps the loads in a window slightly below the limit.
 	ceilingMargin = 0.5
-	// trafficNoticeDelay is how long after the first request to the fleet a leader
-	// knows of it. Loads that begin in between count, though it thought not.
+	// trafficNoticeDelay bounds how long a leader may not know of the first request to the fleet.
+	// Loads that begin in this time count against the limit after all.
 	trafficNoticeDelay = time.Second
 )
 
-// Ceiling bounds the loads that may begin in any window of time.
+// Ceiling limits the loads that may begin in any window of time.
 type Ceiling struct {
 	// Window is the length of the window.
 	Window time.Duration
-	// Over is a factor on the services' rates of loads.
+	// Over is a factor on the services' load rates.
 	Over float64
 }
 
-// loadBudget is a token bucket over the loads from the weight store. A leader begins
-// with an empty one unless the fleet is new, so that two leaders in succession
-// stay within the bound together.
+// loadBudget is a token bucket for loads from the weight store. Unless the fleet is new, a leader
+// starts with an empty bucket, so that two successive leaders together stay within the limit.
 type loadBudget struct {
 	perSecond  float64
 	burst      float64
 	tokens     float64
 	refilledAt time.Time
-	// uncountedAt holds when loads began that did not count as far as was known.
+	// uncountedAt holds the start times of recent loads that were not counted.
 	uncountedAt []time.Time
 }
 
-// configure sets the bounds for a service whose loads may begin at the given rate;
-// burst is how many should be able to begin at once. A first call fills the
-// bucket if full is set.
+// configure sets the limits for a service whose loads may begin at the given rate; burst is how
+// many may begin at once. The first call fills the bucket if full is set.
 func (l *loadBudget) configure(c Ceiling, perSecond, burst float64, full bool, now time.Time) {
 	window := c.Window.Seconds()
 	maxPerWindow := perSecond*window*c.Over + ceilingAllowance - ceilingMargin
@@ -48,7 +46,7 @@
 	}
 }
 
-// available returns how many loads may begin now that they count.
+// available returns how many counted loads may begin now.
 func (l *loadBudget) available(now time.Time) int {
 	for _, at := range l.uncountedAt {
 		if now.Sub(at) < trafficNoticeDelay {
@@ -61,7 +59,7 @@
 	return int(l.tokens)
 }
 
-// record notes that loads begin, and whether they count as far as is known.
+// record records that n loads begin, and whether they count.
 func (l *loadBudget) record(n int, counted bool, now time.Time) {
 	if counted {
 		l.tokens -= float64(n)
--- a/formation/loads_test.go
+++ b/formation/loadbudget_test.go
@@ -12,8 +12,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLoadsBeforeTheFirstRequestMayCount lets loads begin shortly before the
-// leader learns that requests come.
+// TestLoadsBeforeTheFirstRequestMayCount starts loads shortly before the leader learns of the
+// first request.
 func TestLoadsBeforeTheFirstRequestMayCount(t *testing.T) {
 	tests := map[string]struct {
 		before time.Duration
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestRefusedStagingDoesNotRefundBudget: before the first request a load takes nothing
-// from the bound, so that a stage which is refused must not add to it. A leader of
-// a fleet that others led before begins with an empty bound.
+// TestRefusedStagingDoesNotRefundBudget covers staging before the first request: loads do not
+// reduce the budget then, so a refused one must not increase it. A later leader starts with an
+// empty budget.
 func TestRefusedStagingDoesNotRefundBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestAllowedLoads: what joins warm loads nothing, and idle workers leave room for the
-// loads that groups lack.
+// TestAllowedLoads checks that members that join warm do not count as loads, and that idle workers
+// leave capacity for groups.
 func TestAllowedLoads(t *testing.T) {
 	joining := func(id, loaded, staged string) *fleet.Worker {
 		w := &fleet.Worker{
@@ -72,7 +72,7 @@
 	}
 	tests := map[string]struct {
 		workers []*fleet.Worker
-		// staging is how many workers bring a model to their hosts.
+		// staging is the number of workers that stage a model.
 		staging         int
 		groups, forIdle int
 	}{
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -1,6 +1,6 @@
-// Package formation decides which workers form replicas, gives them their
-// orders, and mends what breaks. One daemon at a time leads it; fencing tokens
-// make every order of an earlier leader, and every late one, void.
+// Package formation decides which workers form replicas, sends them their orders, and repairs
+// broken replicas. One daemon at a time acts as leader; fencing tokens void late orders and those
+// of earlier leaders.
 package formation
 
 import (
@@ -9,8 +9,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Fence orders commands over the life of the fleet: a worker refuses one that
-// is lower than the highest it has seen.
+// Fence is a fencing token that orders commands over the lifetime of the fleet: a worker rejects a
+// command whose fence is lower than the highest it has seen.
 type Fence int64
 
 const (
@@ -20,31 +20,31 @@
 	maxRank      = 1<<rankBits - 1
 )
 
-// NewFence returns the fence of the numbered command of a term.
+// NewFence returns the fence of a term's command with the given sequence number.
 func NewFence(epoch int64, rank int, sequence int64) Fence {
 	return Fence(epoch<<(rankBits+sequenceBits) | int64(rank&maxRank)<<sequenceBits | sequence&maxSequence)
 }
 
-// Verdict is how a worker took an order.
+// Verdict is a worker's response to an order.
 type Verdict int
 
-// The verdicts.
+// Possible verdicts.
 const (
-	// Begun orders are being carried out.
+	// Begun means that the worker has started to carry out the order.
 	Begun Verdict = iota
-	// Holds says that the order is carried out, or was before.
+	// Holds means that the order is being carried out, or was before.
 	Holds
-	// Unfit orders do not fit the worker's state.
+	// Unfit means that the order does not fit the worker's state.
 	Unfit
-	// Fenced orders came after one with a higher fence.
+	// Fenced means that the worker has seen a higher fence.
 	Fenced
-	// Elsewhere says that another worker has the address.
+	// Elsewhere means that another worker has the address.
 	Elsewhere
-	// Malformed orders were not understood.
+	// Malformed means that the order was not understood.
 	Malformed
 )
 
-// String returns the verdict's name in logs and counters.
+// String returns the verdict's name in logs and metrics.
 func (v Verdict) String() string {
 	switch v {
 	case Begun:
@@ -63,51 +63,51 @@
 	return "unknown"
 }
 
-// Accepted reports whether the worker carries the order out or has done so.
+// Accepted reports whether the worker carries out the order or has done so.
 func (v Verdict) Accepted() bool { return v == Begun || v == Holds }
 
-// Group names a group towards a worker.
+// Group identifies a group in orders to workers.
 type Group struct {
 	Name  string
 	Epoch int64
 	Model string
-	// Members are worker ids; the first one is the head.
+	// Members holds the worker IDs, the head first.
 	Members []string
 }
 
-// Key returns the group's name in its epoch.
+// Key returns the group's name combined with its epoch.
 func (g Group) Key() string {
 	return fleet.GroupKey(fleet.Membership{Group: g.Name, Epoch: g.Epoch})
 }
 
-// State is what a worker told of itself when asked.
+// State is a worker's state as reported by itself.
 type State struct {
 	Member fleet.Membership
 	Loaded string
 	Staged []string
-	// Orders is how many orders the worker has begun in its life.
+	// Orders is how many orders the worker has begun since it started.
 	Orders int64
-	// Born is when that life began, in Unix milliseconds; 0 if the worker does not tell.
+	// Born is when the worker started, in Unix milliseconds; 0 if it does not report it.
 	Born int64
 }
 
-// Orders reaches workers. An error of a function says that no answer came: the
-// order may have been taken, or may be carried out later.
+// Orders holds the functions that send orders to workers. An error means that no answer arrived:
+// the order may have been carried out, or may be later.
 type Orders struct {
-	// Join and Stage are carried out only by a worker that has begun just so many
-	// orders; to any other one they are Unfit.
+	// Join and Stage are carried out only by a worker that has begun exactly the given number of
+	// orders; any other worker answers Unfit.
 	Join func(ctx context.Context, w *fleet.Worker, fence Fence, orders int64, g Group) (Verdict, error)
-	// Stage brings a model's weights to the worker's host, beside its work.
+	// Stage brings a model's weights to the worker's host without interrupting its work.
 	Stage func(ctx context.Context, w *fleet.Worker, fence Fence, orders int64, model string) (Verdict, error)
 	Open  func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
-	// Close lets the group's requests end and takes no new ones.
+	// Close stops the group from taking new requests and lets those in flight finish.
 	Close func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
 	Leave func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
-	// Ask returns the worker's state, which may lag by some hundred milliseconds. The
-	// error is ErrElsewhere if another worker answered.
+	// Ask returns the worker's state, which may lag by some hundred milliseconds. The error is
+	// ErrElsewhere if another worker answered.
 	Ask func(ctx context.Context, w *fleet.Worker) (State, error)
 }
 
-// IndirectLeave orders a worker to leave a group through any other daemon that
-// reaches it. An error says that no answer came by any of them.
+// IndirectLeave orders a worker to leave a group through any other daemon that can reach it. An
+// error means that none of them got an answer.
 type IndirectLeave func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
--- a/formation/position.go
+++ b/formation/orderstate.go
@@ -9,37 +9,33 @@
 )
 
 const (
-	// maxJoinAttempts is how often a worker is looked at for one join: once as a rule,
-	// again if an order that the leader did not know of came before.
+	// maxJoinAttempts is how often a join is attempted per worker. One attempt is enough unless an
+	// order that the leader does not know of came first.
 	maxJoinAttempts = 4
-	// joinRetryPause is the pause before the next look. Reports lag by some hundred
-	// milliseconds (report_lag_ms of the settings is 200), so that three of them
-	// show what the last order changed.
+	// joinRetryPause is the pause between attempts. Reports lag by up to 200 ms (report_lag_ms in
+	// the settings), so that all attempts together outlast the lag.
 	joinRetryPause = 100 * time.Millisecond
-	// reportSettleTime is how long after an answered order a worker's reports may
-	// still tell of the time before it: twice the lag.
+	// reportSettleTime is how long a worker's reports may still describe the time before an
+	// answered order: twice the lag.
 	reportSettleTime = 400 * time.Millisecond
 )
 
-// orderState is what is known of a worker from its last report, or from its
-// answers since: how many orders it has begun, and the group it is in.
+// orderState is a worker's order count and group, as known from its last report or its answers
+// since.
 //
-// A worker carries a join out only if it has begun no other order since the
-// position that the join names. This holds at every deployment, whether or not
-// workers look at fences. Of all tries of a join at most one is therefore ever
-// carried out, and none after an order of another leader or a later order of
-// this one.
+// A worker carries out a join only if it has begun exactly as many orders as the join says,
+// whether or not workers check fences. Therefore at most one of several attempts of a join is ever
+// carried out, and none after an order of another leader or a later order of this one.
 type orderState struct {
 	orders int64
 	member fleet.Membership
-	// trustReportsFrom is from when reports are newer than the last answered order.
+	// trustReportsFrom is when reports can be trusted to include the last answered order.
 	trustReportsFrom time.Time
 }
 
-// joinMember orders one worker into a group and reports whether it took the
-// order. A worker joins only out of no group: if it is still in one that was
-// dissolved it leaves that first, so that it is never taken out of a group that
-// serves, even if a dissolved group should serve again.
+// joinMember orders a worker into a group and reports whether it accepted. A worker joins only if
+// it is in no group: if it is still in a dissolved one it leaves that first, so that it is never
+// taken out of a group that serves, even if a dissolved group should serve again.
 func (k *Keeper) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
 	wanted := fleet.Membership{Group: g.Name, Epoch: g.Epoch}
 	for range maxJoinAttempts {
@@ -48,7 +44,7 @@
 		case !ok:
 			return false
 		case at.member.Same(wanted):
-			// A try that got no answer was carried out.
+			// An unanswered attempt was carried out.
 			return true
 		case at.member.Group != "":
 			if !k.leaveDissolved(ctx, w, at.member) {
@@ -72,9 +68,8 @@
 	return false
 }
 
-// leaveDissolved lets a worker leave the group it is in if that was dissolved,
-// and reports whether it left. Who is in another group was taken by another
-// leader.
+// leaveDissolved orders a worker to leave its group if that was dissolved, and reports whether it
+// left. A worker in any other group was taken by another leader.
 func (k *Keeper) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
 	k.mu.Lock()
 	dissolved := k.retirements[fleet.GroupKey(m)] != 0
@@ -87,7 +82,7 @@
 	return ok && verdict.Accepted()
 }
 
-// orderStateOf returns a worker's position, and asks for it if it is not known.
+// orderStateOf returns a worker's order state, querying the worker if it is not known.
 func (k *Keeper) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
 	k.mu.Lock()
 	held, ok := k.orderStates[w.ID]
@@ -99,9 +94,8 @@
 	return orderState{orders: state.Orders, member: state.Member}, ok
 }
 
-// recordReport takes the position that a worker reported, unless an order was
-// answered so shortly before that the report may not tell of it. The keeper's
-// mutex is held.
+// recordReport records the order state that a worker reported, unless an order was answered so
+// recently that the report may not include it. The caller must hold k.mu.
 func (k *Keeper) recordReport(id string, s State, now time.Time) {
 	if held, ok := k.orderStates[id]; ok && now.Before(held.trustReportsFrom) {
 		return
@@ -109,20 +103,20 @@
 	k.orderStates[id] = orderState{orders: s.Orders, member: s.Member}
 }
 
-// setOrderState notes a worker's position after an answered order.
+// setOrderState sets a worker's order state after an answered order.
 func (k *Keeper) setOrderState(id string, orders int64, membership fleet.Membership) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.setOrderStateLocked(id, orders, membership)
 }
 
-// setOrderStateLocked does the same while the keeper's mutex is held.
+// setOrderStateLocked is setOrderState for callers that hold k.mu.
 func (k *Keeper) setOrderStateLocked(id string, orders int64, m fleet.Membership) {
 	k.orderStates[id] = orderState{orders: orders, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
 
-// recordBegun notes an order that a worker took without changing its group. Workers
-// count only what they begin.
+// recordBegun records an accepted order that does not change the worker's group. Workers count
+// only orders that they begin.
 func (k *Keeper) recordBegun(id string, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -131,8 +125,8 @@
 	}
 }
 
-// recordLeft notes that a worker took an order to leave a group. It counts only if the
-// worker was in it.
+// recordLeft records an accepted order to leave a group. It counts only if the worker was in that
+// group.
 func (k *Keeper) recordLeft(id string, g Group, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -142,7 +136,7 @@
 	}
 }
 
-// forgetOrderState notes that a worker may have begun an order, or may yet.
+// forgetOrderState discards a worker's order state because it may have begun an order, or may yet.
 func (k *Keeper) forgetOrderState(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/sight.go
+++ b/formation/outcomes.go
@@ -6,12 +6,11 @@
 	"quartzshelf.dev/fleet"
 )
 
-// unanswered is the outcome of an order, as counted, that got no answer in time.
+// unanswered is the outcome counted for an order that got no answer in time.
 const unanswered = "unanswered"
 
-// recordAttempt counts one try of an order. What does not go as usual is logged: an
-// answer after tries without one, any of which may be carried out later, and a
-// refusal.
+// recordAttempt counts one attempt of an order. It logs rejections, and answers after unanswered
+// attempts, which may still be carried out.
 func (k *Keeper) recordAttempt(order string, w *fleet.Worker, tries int, verdict Verdict, err error) {
 	if err != nil {
 		k.opts.Counted(order, unanswered)
@@ -24,17 +23,16 @@
 	}
 }
 
-// dissolution is what is remembered of a group whose head confirmed that it left.
+// dissolution describes a group whose head confirmed that it left.
 type dissolution struct {
 	at time.Time
-	// lastState is the state that the head showed last in the group.
+	// lastState is the last state that the head reported in the group.
 	lastState fleet.GroupState
 }
 
-// detectReturn logs and counts each new state that a head shows in a group which
-// it left by its own word. The list may lag and repeat the old state once; a
-// head that shows "joining", "ready" and "open" in turn has come back. The
-// keeper's mutex is held.
+// detectReturn logs and counts each new state that a head reports in a group that it confirmed to
+// have left. A lagging list may repeat the old state once; a head that reports "joining", "ready"
+// and "open" in turn has returned. The caller must hold k.mu.
 func (k *Keeper) detectReturn(o *observedGroup, now time.Time) {
 	d, ok := k.dissolutions[o.key]
 	if !ok || o.head == nil || o.state == d.lastState {
@@ -44,7 +42,7 @@
 	d.lastState = o.state
 	k.dissolutions[o.key] = d
 	if first && o.state != fleet.Open {
-		// What it was dissolved from; a group that could not be formed shows it late.
+		// The state before the dissolution, which a group that could not be formed shows late.
 		return
 	}
 	k.opts.Counted("leave", "returned")
--- a/formation/oversized.go
+++ b/formation/oversized.go
@@ -6,7 +6,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// warnOversizedModels says once of each model that no domain has enough workers for it.
+// warnOversizedModels logs a warning, once per model, if no domain has enough workers for it.
 func (k *Keeper) warnOversizedModels(s *fleet.Service, view *fleet.View, now time.Time) {
 	if now.Sub(k.opts.ListSince()) < youngListAge {
 		return
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// valueEpsilon is below which two divisions earn the same, so that the one with the
-	// fewer and quicker moves is taken; sums of floats differ by less.
+	// valueEpsilon is the difference in value below which two divisions are considered equal, so
+	// that fewer and cheaper moves decide. Rounding errors are smaller.
 	valueEpsilon = 1e-9
-	// maxPasses is how often each domain is divided anew by what the others do now, where
-	// there are others: the second pass sees what the first changed elsewhere. Each costs
-	// as much as the search of all domains.
+	// maxPasses is how often each domain is divided anew given the current plans of the others.
+	// The second pass takes the changes of the first into account; each pass costs as much as
+	// searching all domains.
 	maxPasses = 2
 )
 
-// division is what becomes of a domain's free workers, by model.
+// division is a plan for a domain's free workers, with counts by model.
 type division struct {
 	// warm and loading count the new groups that need no load and those that do.
 	warm, loading []int
-	// loads is how many workers load, cost what all moves cost, placed how many workers
-	// the groups have.
+	// loads is how many workers load, cost the total cost of the assignments, placed how many
+	// workers the groups have.
 	loads, cost, placed int
 	formations          []Formation
 }
 
-// partition divides the free workers of domains into groups so that the whole fleet
-// earns the most. It searches each domain exactly, by the numbers of groups, while the
-// others stay; domains are taken in turn until none gains.
+// partition divides the free workers of domains into groups so that the value for the whole fleet
+// is as high as possible. It searches each domain exactly, by the numbers of groups, while the
+// others stay unchanged, and goes through the domains repeatedly until none improves or maxPasses
+// is reached.
 type partition struct {
 	valuation *valuation
 	models    []fleet.Model
-	// replicas holds by model what serves on the mean over the horizon, groups how many
-	// there are, and added where the new ones are, all of them with what is planned.
+	// These include what is planned, by model: replicas is the mean number serving over the
+	// horizon, groups the number of groups, addedByHall the new groups by data hall.
 	replicas    []float64
 	groups      []int
 	addedByHall []map[string]int
 	loads       int
 	maxLoads    int
-	// allowsSurplus tells which domains may form more than is wanted, fixed which ones form what
-	// is planned.
+	// allowsSurplus reports whether a domain may form more groups than wanted, isFixed whether its
+	// plan must not change.
 	allowsSurplus, isFixed func(domain string) bool
 }
 
@@ -59,7 +60,7 @@
 	return p
 }
 
-// totalValue returns what all replicas earn together.
+// totalValue returns the value of all replicas together.
 func (p *partition) totalValue() float64 {
 	total := 0.0
 	for i, n := range p.valuation.needs {
@@ -68,7 +69,7 @@
 	return total
 }
 
-// addDivision adds a division to what is planned, or takes it away.
+// addDivision adds a division to the plan, or removes it if sign is -1.
 func (p *partition) addDivision(d division, hall string, sign int) {
 	for i, m := range p.models {
 		p.replicas[i] += float64(sign) * (float64(d.warm[i])*servingFraction(m, false) + float64(d.loading[i])*servingFraction(m, true))
@@ -78,7 +79,7 @@
 	p.loads += sign * d.loads
 }
 
-// divisionOf returns the division that groups make.
+// divisionOf returns the division that consists of the given groups.
 func (p *partition) divisionOf(formations []Formation, workers map[string]FreeWorker) division {
 	d := division{warm: make([]int, len(p.models)), loading: make([]int, len(p.models)), formations: formations}
 	for _, f := range formations {
@@ -97,8 +98,8 @@
 	return d
 }
 
-// improve returns groups that earn at least as much as the given ones, with no more
-// loads than may begin.
+// improve returns groups with at least the value of the given ones, with no more loads than may
+// begin.
 func (p *partition) improve(formations []Formation, free map[string][]FreeWorker) []Formation {
 	workers := make(map[string]FreeWorker)
 	planned := make(map[string][]Formation)
@@ -133,7 +134,7 @@
 	return all
 }
 
-// improvePass divides each domain anew, and reports whether any gained.
+// improvePass divides each domain anew and reports whether any improved.
 func (p *partition) improvePass(free map[string][]FreeWorker, divisions map[string]division) bool {
 	changed := false
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
@@ -148,7 +149,7 @@
 	return changed
 }
 
-// hallOf returns the data hall of a domain: that of its first worker.
+// hallOf returns the data hall of a domain's workers: that of the first one.
 func hallOf(workers []FreeWorker) string {
 	if len(workers) == 0 {
 		return ""
@@ -156,8 +157,9 @@
 	return workers[0].Hall
 }
 
-// betterDivision divides a domain anew while the others stay, and reports whether that earns
-// more than the held division, or as much by fewer and quicker moves.
+// betterDivision divides a domain anew while the others stay unchanged, and reports whether the
+// result has a higher value than the current division, or the same value with fewer or cheaper
+// moves.
 func (p *partition) betterDivision(domain string, workers []FreeWorker, current division) (division, bool) {
 	hall := hallOf(workers)
 	p.addDivision(current, hall, -1)
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// drawInput draws a fleet of a few domains whose workers hold any models, and what is
-// wanted of one to four models.
+// drawInput draws a fleet of a few domains whose workers hold arbitrary models, and the needs of
+// one to four models.
 func drawInput(t *rapid.T) Input {
 	in := Input{
 		Serving: make(map[string]map[string]int), Released: make(map[string]bool), Trading: make(map[string]string),
@@ -49,7 +49,7 @@
 	return in
 }
 
-// valueOfGroups returns what groups earn, by the stated value.
+// valueOfGroups returns the value of the given groups.
 func valueOfGroups(in Input, formations []Formation) float64 {
 	p := newPartition(in.Needs, in)
 	workers := make(map[string]FreeWorker)
@@ -62,9 +62,9 @@
 	return p.totalValue()
 }
 
-// TestPlanInvariants checks what must hold of every plan: no worker twice, no group across
-// domains, the right number of members, no more loads than may begin, and never worse
-// than groups that are formed one after the other.
+// TestPlanInvariants checks every plan: no worker is used twice, groups lie within one domain and
+// have the right size, loads stay within the limit, and the value is at least that of groups
+// formed one after another.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestDomainsWaitForTrades: while groups of a domain are given up for a model, nothing
-// else is formed there, and nothing that loads.
+// TestDomainsWaitForTrades checks that while groups of a domain are traded for a model, no groups
+// of other models and none that load are formed there.
 func TestDomainsWaitForTrades(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 3}, fleet.Model{Name: "small", Size: 2}
 	worker := func(id, loaded string) FreeWorker { return FreeWorker{ID: id, Domain: "d", Loaded: loaded} }
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestAssignmentIsCheapest compares who is given to which model with all ways to do it.
+// TestAssignmentIsCheapest compares an assignment with all possible ones.
 func TestAssignmentIsCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
@@ -146,7 +146,7 @@
 	})
 }
 
-// minimumCost tries all ways to give workers to models.
+// minimumCost returns the lowest cost of all possible assignments.
 func minimumCost(models []fleet.Model, workers []FreeWorker, wanted []int) int {
 	if len(workers) == 0 {
 		for _, count := range wanted {
@@ -168,8 +168,8 @@
 	return best
 }
 
-// BenchmarkPlan measures the plan of one domain all of whose workers are free, of
-// several models and cache states.
+// BenchmarkPlan measures planning for one domain of free workers with several models and cache
+// states.
 func BenchmarkPlan(b *testing.B) {
 	for name, sizes := range map[string][]int{"37 workers, 16 and 4": {16, 4}, "64 workers, 16 and 4": {16, 4}, "64 workers, 16, 8, 4 and 2": {16, 8, 4, 2}, "64 workers, 13, 7, 5, 3 and 2": {13, 7, 5, 3, 2}} {
 		b.Run(name, func(b *testing.B) {
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -9,10 +9,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Need is how much of a model is wanted and there.
+// Need is the demand for a model and its current supply.
 type Need struct {
 	Model fleet.Model
-	// Want is the wanted number of replicas, Have what serves or is being formed.
+	// Want is the wanted number of replicas, Have the number serving or being formed.
 	Want float64
 	Have int
 }
@@ -20,7 +20,7 @@
 // isMet reports whether no further replica is wanted.
 func (n Need) isMet() bool { return float64(n.Have) >= n.Want }
 
-// coverageWith returns which part of what is wanted there would be with more replicas.
+// coverageWith returns the fraction of the wanted replicas that would exist with more of them.
 func (n Need) coverageWith(more int) float64 {
 	if n.Want <= 0 {
 		return math.Inf(1)
@@ -39,42 +39,41 @@
 	Loads int
 }
 
-// Input is what a plan is made from.
+// Input is the input of a plan.
 type Input struct {
 	Needs []Need
-	// Free holds the workers that can be ordered.
+	// Free holds the workers that can be ordered into groups.
 	Free []FreeWorker
-	// Warm counts, by domain and model, the workers that are warm for the
-	// model, those in groups included.
+	// Warm counts, by domain and model, the workers that are warm for the model, including those
+	// in groups.
 	Warm map[string]map[string]int
-	// MaxLoads is how many loads from the store may begin, MaxStagings how many of
-	// them for idle workers.
+	// MaxLoads is how many loads from the store may begin, MaxStagings how many of them may be for
+	// idle workers.
 	MaxLoads, MaxStagings int
-	// ListGrowing tells that further workers are about to be listed: the shortest model
-	// then waits for enough of them in one domain, and the others wait for it.
+	// ListGrowing reports whether more workers are about to be listed: the shortest model then
+	// waits for enough of them in one domain, and the other models wait for it.
 	ListGrowing bool
-	// HallLoss is what the plan weighs for the loss of data halls, Serving counts by model
-	// and hall the replicas that Needs tells of.
+	// HallLoss tells how the plan accounts for the loss of data halls. Serving counts the replicas
+	// in Needs by model and hall.
 	HallLoss HallLossPolicy
 	Serving  map[string]map[string]int
-	// Released tells the domains whose idle workers can't complete a group of a model
-	// that is short, and serve another one meanwhile.
+	// Released holds the domains whose idle workers cannot complete a group of a model that is
+	// short, and may serve another one in the meantime.
 	Released map[string]bool
-	// Trading holds, by domain, the model for which groups there are being given up: until
-	// they are, nothing else is formed there, and nothing that loads.
+	// Trading holds, by domain, the model for which groups are being traded there. Until the trade
+	// ends, only groups of that model that need no load are formed in the domain.
 	Trading map[string]string
 }
 
-// Plan returns the groups to form now, and what idle workers should bring to
-// their hosts so that they are warm when they are needed. Groups lie within
-// one domain. What needs no load is formed first, the shortest model first;
-// then what needs loads; then, when no model is short, more than is wanted out of
-// all that is left: a broken group is mended by survivors of others or by a
-// trade, which measures better than idle spares. A model that waits for its
-// loads is not overtaken by a less short one that needs fewer, and workers that
-// were given up for a model are not taken back before they make a group of it.
-// Domains are kept to one model as far as possible: the survivors of broken
-// groups then make whole ones. What comes of this is then improved domain by domain.
+// Plan returns the groups to form now, and the models that idle workers should stage so that they
+// are warm when needed. Groups lie within one domain.
+//
+// Groups that need no load are formed first, for the shortest model first, then groups that need
+// loads. If no model is short, the remaining warm workers form surplus groups: a broken group is
+// repaired by survivors of others or by a trade rather than by idle spares. A model that waits for
+// loads is not overtaken by a less short one that needs fewer, and workers that were traded for a
+// model are reserved for it. Domains are kept to one model as far as possible, so that the
+// survivors of broken groups can form complete ones. The result is then improved domain by domain.
 func Plan(in Input) ([]Formation, []Staging) {
 	p := newPlanner(in)
 	all := p.formations()
@@ -107,14 +106,14 @@
 	return all
 }
 
-// improved returns groups that earn at least as much as the planned ones, and takes
-// their members out of those that are left.
+// improved returns groups with at least the value of the planned ones, and removes their members
+// from the remaining workers.
 func (p *planner) improved(in Input, planned []Formation) []Formation {
 	part := newPartition(in.Needs, in)
 	part.isFixed = func(domain string) bool { return in.Trading[domain] != "" }
 	part.allowsSurplus = func(domain string) bool { return p.isPlanningSurplus && p.allowsSurplus(domain) }
 	if p.isWaitingForLoads {
-		// Loads are kept for the group that waits for them.
+		// The available loads are kept for the group that waits for them.
 		part.maxLoads = 0
 	}
 	free := byDomain(in.Free)
@@ -133,13 +132,13 @@
 	return all
 }
 
-// allowsSurplus reports whether a domain may form more than is wanted.
+// allowsSurplus reports whether a domain may form more groups than wanted.
 func (p *planner) allowsSurplus(domain string) bool {
 	short := slices.ContainsFunc(p.needs, func(n Need) bool { return !n.isMet() })
 	return !short || p.released[domain]
 }
 
-// formations forms groups one after the other, each out of the best domain.
+// formations forms groups one after another, each in the most suitable domain.
 func (p *planner) formations() []Formation {
 	var all []Formation
 	for _, step := range []struct {
@@ -160,7 +159,7 @@
 	return all
 }
 
-// planner holds what is left while a plan is made.
+// planner holds the remaining workers and limits while a plan is made.
 type planner struct {
 	needs    []Need
 	byDomain map[string][]FreeWorker
@@ -169,18 +168,18 @@
 	// maxStagings is how many of the loads may be for idle workers.
 	maxStagings int
 	listGrowing bool
-	// isPlanningSurplus tells that groups beyond what is wanted are being planned.
+	// isPlanningSurplus reports whether groups beyond the wanted number are being planned.
 	isPlanningSurplus bool
-	// isWaitingForLoads tells that a wanted group waits for its loads.
+	// isWaitingForLoads reports whether a wanted group has to wait for loads.
 	isWaitingForLoads bool
 	released          map[string]bool
 	trading           map[string]string
 	hallLoss          HallLossPolicy
-	// hallCounts counts by model and data hall the groups that stand or are planned.
+	// hallCounts counts existing and planned groups by model and data hall.
 	hallCounts map[string]map[string]int
 }
 
-// affinity returns how much better a domain suits a model than others.
+// affinity returns how well a domain suits a model compared with other models.
 func (p *planner) affinity(domain, model string) int {
 	total := 0
 	for name, count := range p.warm[domain] {
@@ -193,8 +192,8 @@
 	return total
 }
 
-// nextFormation forms one group out of workers at least as warm as limit and takes its
-// members out of those that are left.
+// nextFormation forms one group out of workers at least as warm as limit and removes its members
+// from the remaining workers.
 func (p *planner) nextFormation(limit Warmth) (Formation, bool) {
 	needs, byDomain := p.needs, p.byDomain
 	order := make([]int, len(needs))
@@ -238,7 +237,7 @@
 	return f
 }
 
-// countPlaced counts a new group in the hall of its head.
+// countPlaced counts a new group in its head's hall.
 func (p *planner) countPlaced(model, hall string) {
 	if p.hallCounts[model] == nil {
 		p.hallCounts[model] = make(map[string]int)
@@ -257,10 +256,10 @@
 	p.warm[domain][f.Model.Name] += f.Loads
 }
 
-// fit says how well a domain suits a new group.
+// fit tells how well a domain suits a new group.
 type fit struct {
-	// cost is what its members do to serve the model, crowd how many groups of it the
-	// domain's hall holds already.
+	// cost is the cost of the members, crowding the number of groups of the model in the domain's
+	// hall.
 	cost, crowding, affinity int
 }
 
@@ -268,7 +267,8 @@
 	return cmp.Or(cmp.Compare(f.cost, o.cost), cmp.Compare(f.crowding, o.crowding), cmp.Compare(o.affinity, f.affinity)) < 0
 }
 
-// hallCrowding returns how many groups of a model a hall holds, if the loss of halls counts.
+// hallCrowding returns the number of groups of a model in a hall, or 0 if the loss of halls is not
+// considered.
 func (p *planner) hallCrowding(model, hall string) int {
 	if p.hallLoss.MaxLost <= 0 {
 		return 0
@@ -276,16 +276,14 @@
 	return p.hallCounts[model][hall]
 }
 
-// isReserved reports whether the workers of a domain wait for those of groups that are being
-// given up.
+// isReserved reports whether a domain's workers are reserved for an ongoing trade.
 func (p *planner) isReserved(domain, model string, limit Warmth) bool {
 	to, trading := p.trading[domain]
 	return trading && (to != model || limit > Staged)
 }
 
-// bestDomain returns the warmest workers for a group of the model, and their
-// domain; nil when no domain has enough. Among equals the domain that suits the
-// model best is taken.
+// bestDomain returns the domain with the warmest workers for a group of the model, and these
+// workers; nil if no domain has enough. Ties are decided by how well the domain suits the model.
 func (p *planner) bestDomain(m fleet.Model, limit Warmth) (string, []FreeWorker) {
 	var best []FreeWorker
 	var bestName string
--- a/formation/plan_test.go
+++ b/formation/plan_test.go
@@ -23,7 +23,7 @@
 		free     []FreeWorker
 		warm     map[string]map[string]int
 		maxLoads int
-		// keptBack is how many of the loads are not for idle workers.
+		// keptBack is how many of the loads must not be used for idle workers.
 		keptBack int
 		want     [][]string
 		staged   []Staging
--- a/formation/reborn_test.go
+++ b/formation/restart_test.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// restart ends a worker and starts it again under its id, after which the list shows it after
-// a while. It holds what lies on its host, and knows nothing.
+// restart restarts a worker under its ID. It keeps only what is staged on its host. The list shows
+// the restart after the given delay.
 func (w *world) restart(id string, listed time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -21,7 +21,7 @@
 	s.group, s.state, s.epoch, s.rank, s.fence, s.orders, s.lastModel = Group{}, "", 0, 0, 0, 0, ""
 	s.isStaging, s.reports, s.entryNumber = false, nil, 0
 	w.recordState(s)
-	// Reports of the new life tell at once what holds since its start.
+	// Reports of the new incarnation are current from its start.
 	s.reports[0].from = time.Now()
 	w.pending.Go(func() {
 		time.Sleep(listed)
@@ -31,9 +31,9 @@
 	})
 }
 
-// TestRestartedWorkersAreReused: a member of an open group ends and starts again under its
-// id, so that the list never lacks it. It is a member no more: its group is mended, and the
-// worker is used again.
+// TestRestartedWorkersAreReused covers a member of an open group that restarts under its ID, so
+// that the list shows it all the time. It is no longer a member: its group must be repaired and
+// the worker reused.
 func TestRestartedWorkersAreReused(t *testing.T) {
 	tests := map[string]restartCase{
 		"a member":                         {rank: 2, listedAfter: 50 * time.Millisecond},
@@ -52,14 +52,15 @@
 	}
 }
 
-// restartCase is a worker of an open group that ends and starts again under its id.
+// restartCase describes the restart of a worker in an open group.
 type restartCase struct {
 	rank int
-	// listedAfter is how long after that the list shows it.
+	// listedAfter is the time until the list shows the restart.
 	listedAfter time.Duration
-	// restartsTwice lets it end once more, changes lets another leader follow.
+	// restartsTwice restarts the worker a second time; changesLeader replaces the leader
+	// afterwards.
 	restartsTwice, changesLeader bool
-	// setsClockBack sets its clock back between the lives.
+	// setsClockBack sets the worker's clock back before the restart.
 	setsClockBack bool
 }
 
@@ -84,7 +85,7 @@
 		stop()
 		_, stop = startTerm(w, 3)
 	}
-	// Sooner than the head itself would break the group, after six seconds.
+	// Less than the six seconds after which the head breaks the group by itself.
 	time.Sleep(repairTimeout)
 	got := countServingWorkers(w.countServing())
 	w.mu.Lock()
@@ -97,10 +98,10 @@
 	assert.DeepEqual(t, w.violations, []string(nil))
 }
 
-// repairTimeout is how long a group takes to be mended after a crash, and the list to show it.
+// repairTimeout bounds the time until a group is repaired after a crash and listed.
 const repairTimeout = 5 * time.Second
 
-// countServingWorkers returns how many workers are members of serving groups.
+// countServingWorkers returns the number of workers in serving groups.
 func countServingWorkers(serving map[string]int) int {
 	count := 0
 	for _, m := range simModels {
@@ -109,8 +110,8 @@
 	return count
 }
 
-// TestPastIncarnationIsIgnored: the list shows the earlier life for a while after the
-// worker itself told of the new one.
+// TestPastIncarnationIsIgnored covers a list that still shows the previous incarnation after the
+// worker itself reported a new one.
 func TestPastIncarnationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
--- a/formation/search.go
+++ b/formation/search.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// search looks through the numbers of groups of each model that a domain's free workers
-// can form.
+// search explores the numbers of groups of each model that a domain's free workers can form.
 type search struct {
 	*partition
-	// order holds the models by size, the largest first; limits how many groups of
-	// each may be formed.
+	// order holds the model indexes by decreasing size; limits is the maximum number of groups of
+	// each.
 	order, limits []int
 	maxLoads      int
-	// assignments holds by depth of the search who is given to whom, counts the groups.
+	// assignments holds the assignment at each depth of the search, counts the numbers of groups.
 	assignments []*assignment
 	counts      []int
-	// modelValues holds by model, groups without and with loads, what the model earns.
+	// modelValues holds a model's value, by model, groups without loads and groups with loads.
 	modelValues [][][]float64
-	// maxValues holds by model and groups what the model earns at most with them.
+	// maxValues holds the highest value of a model, by model and number of groups.
 	maxValues [][]float64
-	// upperBounds holds by depth and workers what the models from there on earn at most.
+	// upperBounds holds the highest total value of the models from a depth on, by depth and number
+	// of workers.
 	upperBounds [][]float64
-	// value, cost and placed are those of the best division so far, best its supply.
+	// value, cost, placed and best describe the best division so far.
 	value        float64
 	cost, placed int
 	found        bool
@@ -37,7 +37,7 @@
 	}
 	allowsSurplus := p.allowsSurplus(domain)
 	if allowsSurplus {
-		// What is formed beyond what is wanted loads nothing.
+		// Surplus groups must not need loads.
 		s.maxLoads = current.loads
 	}
 	initial := newAssignment(p.models, workers)
@@ -63,8 +63,8 @@
 	return s
 }
 
-// modelValues returns what a model earns with more groups in a hall, by how many of them need
-// no load and how many do, of which there are no more than loads.
+// modelValues returns a model's value with more groups in a hall, by the number of groups that
+// need no load and the number that do, which is at most loads.
 func (p *partition) modelValues(i, limit, loads int, hall string) [][]float64 {
 	n, m := p.valuation.needs[i], p.models[i]
 	table := make([][]float64, limit+1)
@@ -80,7 +80,7 @@
 	return table
 }
 
-// divisionValue returns what a division earns.
+// divisionValue returns the value of a division.
 func (s *search) divisionValue(warm, loading []int) float64 {
 	total := 0.0
 	for _, i := range s.order {
@@ -89,9 +89,9 @@
 	return total
 }
 
-// computeBounds works out what the models of the search from each depth on earn at most with a
-// number of workers, as if each model could take the workers that suit it best. It is
-// the recurrence of the knapsack problem.
+// computeBounds computes upper bounds for the value of the models from each depth on, by number of
+// workers, as if each model could have the workers that suit it best. It is the knapsack
+// recurrence.
 func (s *search) computeBounds(all *assignment) {
 	workers := all.countUnassigned()
 	s.maxValues = make([][]float64, len(s.models))
@@ -112,8 +112,8 @@
 	}
 }
 
-// maxModelValues returns what a model earns by its new groups when so many workers need no
-// load for it.
+// maxModelValues returns a model's value by number of new groups if the given number of workers
+// need no load for it.
 func (s *search) maxModelValues(i, warm int) []float64 {
 	size := s.models[i].Size
 	var all []float64
@@ -128,8 +128,8 @@
 	return all
 }
 
-// explore tries the numbers of groups of the models from the given depth on that may earn
-// as much as the best so far, where the models before earn what is told.
+// explore tries the numbers of groups of the models from the given depth on that can reach the
+// best value so far; the models before contribute earned.
 func (s *search) explore(depth int, earned float64) {
 	now := s.assignments[depth]
 	if depth == len(s.order) {
@@ -153,7 +153,7 @@
 	s.counts[i] = 0
 }
 
-// countLoads returns how many workers a supply lets load.
+// countLoads returns how many workers load in an assignment.
 func (s *search) countLoads(supply *assignment) int {
 	total := 0
 	for i := range s.models {
@@ -162,8 +162,8 @@
 	return total
 }
 
-// considerAssignment keeps a division if it is the best so far. Of those that earn the same, one
-// that leaves fewer workers idle is better, then one with fewer and quicker moves.
+// considerAssignment keeps an assignment if it is the best so far. For equal values it prefers the
+// one that leaves fewer workers idle, then the one with fewer and cheaper moves.
 func (s *search) considerAssignment(supply *assignment) {
 	total, placed := 0.0, 0
 	for _, i := range s.order {
@@ -183,8 +183,8 @@
 	s.best.copyFrom(supply)
 }
 
-// countLoadingGroups returns how many groups of a model have members that load: as few as
-// can be, since these are put together.
+// countLoadingGroups returns how many groups of a model have members that load. Loading members
+// are put together, so this is the minimum.
 func (s *search) countLoadingGroups(supply *assignment, i int) int {
 	size := s.models[i].Size
 	return (supply.countLoads(i) + size - 1) / size
--- a/formation/give.go
+++ b/formation/send.go
@@ -7,9 +7,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// sendOrder gives an order until it is answered, each time with a new fence so
-// that an earlier one that comes late is void. It reports whether an answer
-// came.
+// sendOrder sends an order until it is answered, each time with a new fence so that earlier
+// attempts that arrive late are void. It reports whether an answer arrived.
 func (k *Keeper) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
 	fencedCount, maxAttempts := 0, maxOrderAttempts
 	if k.isUnresponsive(w.ID) {
@@ -20,7 +19,7 @@
 		k.recordAttempt(order, w, tries+1, verdict, err)
 		switch {
 		case err == nil && verdict == Fenced && fencedCount == 0:
-			// Another order of this term may have overtaken it.
+			// A concurrent order of this term may have overtaken it.
 			fencedCount++
 			continue
 		case err == nil:
@@ -42,7 +41,7 @@
 	return Unfit, false
 }
 
-// sendOrderOnce gives an order once, as soon as few enough calls are under way.
+// sendOrderOnce sends an order once, after waiting for a free call slot.
 func (k *Keeper) sendOrderOnce(ctx context.Context, send func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
 	k.callSlots <- struct{}{}
 	defer func() { <-k.callSlots }()
@@ -57,7 +56,7 @@
 	return send(ctx, k.nextFence())
 }
 
-// checkTerm ends the term if a worker refused an order for its fence.
+// checkTerm ends the term if a worker rejected an order because of its fence.
 func (k *Keeper) checkTerm(order string, w *fleet.Worker, verdict Verdict) {
 	if verdict != Fenced {
 		return
@@ -66,7 +65,7 @@
 	k.onSuperseded()
 }
 
-// queryState asks a worker for its state.
+// queryState queries a worker's state.
 func (k *Keeper) queryState(ctx context.Context, w *fleet.Worker) (State, bool) {
 	k.callSlots <- struct{}{}
 	defer func() { <-k.callSlots }()
--- a/formation/give_test.go
+++ b/formation/send_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestFencedOrders tells orders that another one of the same term
-// overtook from those of a leader that was replaced.
+// TestFencedOrders checks that an order overtaken by another one of the same term is retried,
+// while one of a superseded leader ends the term.
 func TestFencedOrders(t *testing.T) {
 	tests := map[string]struct {
 		verdicts []Verdict
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestFencesNeverDecrease uses up the fences of a term: it ends, and none is lower
-// than an earlier one.
+// TestFencesNeverDecrease uses up the fences of a term: the term ends, and no fence is lower than
+// an earlier one.
 func TestFencesNeverDecrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 1)
--- a/formation/smoother.go
+++ b/formation/smoother.go
@@ -7,17 +7,16 @@
 	"time"
 )
 
-// Smoother keeps the smoothed work of each model as a daemon knows it, whether it leads
-// or not, so that a new leader goes on where the last one was (Options.Smoothed). It may
-// be fed at any interval: once a second is enough, since changes of the work are
-// followed over several seconds.
+// Smoother tracks the smoothed work of each model on a daemon, whether it leads or not, so that a
+// new leader continues where the last one stopped (see Options.Smoothed). It may be updated at any
+// interval; once a second is enough, since demand is smoothed over several seconds.
 type Smoother struct {
 	mu        sync.Mutex
 	work      map[string]Work
 	updatedAt time.Time
 }
 
-// Observe takes the work that was measured now.
+// Observe adds a measurement taken now.
 func (s *Smoother) Observe(measured map[string]Work, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +43,8 @@
 	return maps.Clone(s.work)
 }
 
-// smoothedToward returns work as smoothed over so many ticks in which another one was measured.
+// smoothedToward returns the work after it was smoothed toward a measurement for a number of
+// ticks.
 func (w Work) smoothedToward(measured Work, ticks float64) Work {
 	return Work{
 		Busy: smoothValue(w.Busy, measured.Busy, ticks), Prompts: smoothValue(w.Prompts, measured.Prompts, ticks), Pause: measured.Pause,
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -8,8 +8,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// longIdleOnly returns the stagings of workers that have been idle for a while: at
-// the start, most workers are about to be formed into a group.
+// longIdleOnly returns the stagings of workers that have been idle for a while: in a new fleet,
+// most idle workers are about to be put into a group.
 func (k *Keeper) longIdleOnly(stagings []Staging, now time.Time) []Staging {
 	var all []Staging
 	idle := make(map[string]time.Time)
@@ -27,9 +27,9 @@
 	return all
 }
 
-// secondModelStagings returns what workers that serve one model should bring to their hosts
-// while loads are not bounded: another model, so that they can turn to it fast.
-// What they serve they take up again without their host's help.
+// secondModelStagings returns, for workers that serve one model, another one to stage while loads
+// are not limited, so that they can switch quickly. They need no staged copy to resume the model
+// they serve.
 func (k *Keeper) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
 	var all []Staging
 	for id, w := range view.Workers() {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// largestOtherModel returns the model with the largest share of the work but for one.
+// largestOtherModel returns the model with the largest configured share, except for the given one.
 func largestOtherModel(e *fleet.Engine, own string) string {
 	best, share := "", -1.0
 	for _, m := range e.Models {
@@ -57,26 +57,25 @@
 	return best
 }
 
-// stageRetryDelay is how long a worker that refused to stage is left alone. It refuses
-// while it loads, which a leader that came later does not know of.
+// stageRetryDelay is how long a worker that refused to stage is left alone. It refuses while it
+// loads, which a new leader does not know.
 const stageRetryDelay = 2 * time.Second
 
-// unlimitedLoads is how many loads may begin while they are not bounded.
+// unlimitedLoads is the number of loads that may begin while they are not limited.
 const unlimitedLoads = 1 << 20
 
-// loadsOver is how many loads for groups may run side by side, and stagingPart how many
-// loads in all may run when an idle worker begins one for no group yet, in multiples of
-// those that run without slowing each other. Loads beyond that share the same bandwidth:
-// a group that waits for the loads of others to end serves later than one that slows
-// them. Stagings of all idle workers at once kept groups that lacked one load waiting for
-// six seconds.
+// Limits on concurrent loads, in multiples of the number that do not slow each other down:
+// groupLoadFactor for loads for groups, idleLoadFactor for all loads if one is to begin for an
+// idle worker. Loads beyond 1 share the same bandwidth, but a group that waits for others to
+// finish serves later than one that slows them. Idle workers get less, so that groups do not wait
+// for their loads.
 const (
 	groupLoadFactor = 1.5
 	idleLoadFactor  = 0.5
 )
 
 // allowedLoads returns how many loads may begin now for groups, and how many for idle workers.
-// Before the first request loads are quick and not bounded.
+// Before the first request loads are quick and not limited.
 func (k *Keeper) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (forGroups, forIdle int) {
 	if !k.hasTraffic() {
 		return unlimitedLoads, unlimitedLoads
@@ -102,14 +101,14 @@
 	return count
 }
 
-// isLoadingForJoin reports whether a worker that joins a group loads weights for it, also one
-// that an earlier leader ordered to.
+// isLoadingForJoin reports whether a worker that joins a group loads weights for it, including one
+// that an earlier leader ordered to join.
 func (k *Keeper) isLoadingForJoin(w *fleet.Worker) bool {
 	m := k.membershipOf(w)
 	return m.State == fleet.Joining && k.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
 }
 
-// countWarm counts the workers that are warm for models, by domain.
+// countWarm counts the workers that are warm for each model, by domain.
 func (k *Keeper) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for _, w := range view.Workers() {
@@ -128,7 +127,7 @@
 	return counts
 }
 
-// budgetOf returns the bound on loads of a service.
+// budgetOf returns the load budget of a service.
 func (k *Keeper) budgetOf(s *fleet.Service, now time.Time) *loadBudget {
 	l, ok := k.loadBudgets[s.Name]
 	if !ok {
@@ -143,15 +142,14 @@
 	return l
 }
 
-// recordLoad counts a load if the worker has to make one for the model. The
-// keeper's mutex is held.
+// recordLoad records a load if the worker needs one for the model. The caller must hold k.mu.
 func (k *Keeper) recordLoad(w *fleet.Worker, m fleet.Model) {
 	if k.asFreeWorker(w).warmth(m.Name) > Staged {
 		k.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
 	}
 }
 
-// clearLoads ends the count of the loads of workers.
+// clearLoads removes the recorded loads of workers.
 func (k *Keeper) clearLoads(ids []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -160,8 +158,7 @@
 	}
 }
 
-// startStaging begins to bring a model to the host of an idle worker. The
-// keeper's mutex is held.
+// startStaging starts staging a model on an idle worker's host. The caller must hold k.mu.
 func (k *Keeper) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
 	k.recordLoad(w, m)
 	k.opts.Logger.Info("staging", "worker", w.ID, "model", m.Name)
@@ -176,9 +173,8 @@
 	})
 }
 
-// stage orders a worker to bring a model to its host, and reports whether it
-// took the order. It takes it once at most, so that no load begins that was not
-// counted.
+// stage orders a worker to stage a model, and reports whether it accepted. The worker accepts the
+// order at most once, so that no uncounted load begins.
 func (k *Keeper) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
 	at, ok := k.orderStateOf(ctx, w)
 	if !ok {
@@ -198,17 +194,17 @@
 	return verdict.Accepted()
 }
 
-// recordStageRefusal notes that a worker took no order to stage, as one that loads
-// already, and is not asked again at once. The load stays counted though none
-// began: it may have been ordered while loads did not count.
+// recordStageRefusal records that a worker refused to stage, for example because it already loads,
+// so that it is not ordered again immediately. The load stays counted although none began: it may
+// have been ordered while loads were not counted.
 func (k *Keeper) recordStageRefusal(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stageRetryAt[w.ID] = time.Now().Add(stageRetryDelay)
 }
 
-// withoutRecentlyRefused returns the stagings whose workers did not refuse one of late. The keeper's
-// mutex is held.
+// withoutRecentlyRefused returns the stagings whose workers did not recently refuse one. The
+// caller must hold k.mu.
 func (k *Keeper) withoutRecentlyRefused(stagings []Staging, now time.Time) []Staging {
 	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(k.stageRetryAt[s.Worker]) })
 }
--- a/formation/stagings.go
+++ b/formation/stagings.go
@@ -5,15 +5,14 @@
 	"slices"
 )
 
-// Staging is a model to bring to the host of an idle worker.
+// Staging is a model to stage on an idle worker's host.
 type Staging struct {
 	Worker string
 	Model  string
 }
 
-// stagings returns what the workers that are left should bring to their hosts:
-// the model that most of their domain is warm for. Workers that are warm for a model that
-// is short keep it.
+// stagings returns what the remaining workers should stage: the model that most of their domain is
+// warm for. Workers that are warm for a model that is short keep it.
 func (p *planner) stagings() []Staging {
 	var all []Staging
 	for _, domain := range slices.Sorted(maps.Keys(p.byDomain)) {
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -23,8 +23,8 @@
 	return counts
 }
 
-// TestSurvivorsServeAnotherModel lets a member of a large group end in a domain that has
-// nobody to take its place: the others serve the small model until one comes.
+// TestSurvivorsServeAnotherModel kills a member of a large group in a domain without a
+// replacement: the others serve the small model until a new worker arrives.
 func TestSurvivorsServeAnotherModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 3, 4)
@@ -37,7 +37,7 @@
 		w.mu.Unlock()
 		before := w.countServing()["small"]
 		w.kill(big.Members[2])
-		// The list shows the loss after 3.6 s; the head confirms that it left at once.
+		// The list shows the loss after 3.6 s; the head then confirms immediately that it left.
 		time.Sleep(3600*time.Millisecond + time.Second)
 		assert.DeepEqual(t, w.groupsIn(domain), map[string]int{"small": 1})
 		time.Sleep(2 * time.Second)
@@ -52,7 +52,7 @@
 	})
 }
 
-// addStagedWorker lists a new worker that has a model on its host.
+// addStagedWorker lists a new worker that has a model staged on its host.
 func (w *world) addStagedWorker(domain, model string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,7 +61,7 @@
 	w.publish(s)
 }
 
-// TestLacksMembers tells which idle workers wait for others.
+// TestLacksMembers checks which idle workers have to wait for others.
 func TestLacksMembers(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestNeverReadyMemberIsAvoided: a worker that takes its orders and does
-// not become ready holds one forming up, not each that follows.
+// TestNeverReadyMemberIsAvoided checks that a worker that accepts its orders but never becomes
+// ready delays one group only.
 func TestNeverReadyMemberIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := unlistedWorld(1, 1, 5)
@@ -117,7 +117,8 @@
 	})
 }
 
-// TestUnreliableWorkersAreChosenLast: they are used where others are too few.
+// TestUnreliableWorkersAreChosenLast checks that unreliable workers are used only where there are
+// too few others.
 func TestUnreliableWorkersAreChosenLast(t *testing.T) {
 	big := fleet.Model{Name: "big", Size: 2, Load: simLoad, Warm: simWarm}
 	worker := func(id, domain string, doubted bool) FreeWorker {
@@ -141,8 +142,8 @@
 	}
 }
 
-// TestTradingDomainIsNotReleased: workers of an exchange whose other groups still drain are
-// not survivors.
+// TestTradingDomainIsNotReleased checks that freed workers of an ongoing trade, whose other groups
+// are still draining, are not released to other models.
 func TestTradingDomainIsNotReleased(t *testing.T) {
 	needs := []Need{{Model: fleet.Model{Name: "big", Size: 4}, Want: 2}, {Model: fleet.Model{Name: "small", Size: 2}, Want: 1, Have: 2}}
 	free := []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "e"}, {ID: "f", Domain: "e"}}
@@ -156,8 +157,8 @@
 	assert.DeepEqual(t, k.releasedDomains(needs, free, now), map[string]bool{"d": false, "e": true})
 }
 
-// TestSurvivorsAreCompletedByTrade: where a new worker has to load, a group of another model
-// that is not needed completes the survivors.
+// TestSurvivorsAreCompletedByTrade checks that a surplus group of another model completes the
+// survivors if a new worker would have to load.
 func TestSurvivorsAreCompletedByTrade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
@@ -172,7 +173,7 @@
 		w.mu.Lock()
 		w.workers["new-d0"].isStaging = true
 		w.mu.Unlock()
-		// Giving up a group takes 1.5 s, joining 1.5 s, and a load 12 s.
+		// Draining a group takes 1.5 s, joining 1.5 s, and a load 12 s.
 		time.Sleep(5 * time.Second)
 		serving := w.countServing()
 		stop()
@@ -182,9 +183,9 @@
 	})
 }
 
-// TestRefusingWorkerIsNotRetriedContinuously: a listed worker whose address refuses connections fails
-// each forming at once; its partners must not be ordered anew in each look, since they may
-// begin a load each time.
+// TestRefusingWorkerIsNotRetriedContinuously covers a listed worker that refuses connections, so
+// that every group with it fails immediately. Its partners must not get orders at every tick,
+// since they might start a load each time.
 func TestRefusingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := unlistedWorld(1, 1, 4)
@@ -198,7 +199,8 @@
 		time.Sleep(5 * time.Second)
 		stop()
 		w.pending.Wait()
-		// Four partners at most in each of five seconds, with the models they turn to meanwhile.
+		// At most four partners in each of five seconds, plus the groups of other models that they
+		// form in between.
 		assert.Assert(t, w.attempts["join"] <= 40, "%v", w.attempts)
 	})
 }
--- a/formation/suspended_test.go
+++ b/formation/suspension_test.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestNoOrdersAfterSuspension: the leader's machine was suspended past its term while another
-// daemon led. When it woke, it went on with the orders that it was about to give.
+// TestNoOrdersAfterSuspension covers a leader whose machine was suspended past the end of its
+// term. After it resumes it must not send the orders that it was about to send.
 func TestNoOrdersAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 6)
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -8,21 +8,20 @@
 )
 
 const (
-	// tradeMargin is by how much a model that gives must be better off afterwards
-	// than the one that gets, lest replicas go back and forth.
+	// tradeMargin is the factor by which a donor's coverage must exceed the recipient's after a
+	// trade, to prevent replicas from switching back and forth.
 	tradeMargin = 1.1
-	// loadPenalty is what a second of a load costs, as a part of a model's requests, beside
-	// what its group doesn't serve meanwhile: the loads of others take longer. It is small
-	// against what one group of a dozen earns, so that it only chooses among exchanges.
+	// loadPenalty is the cost of a second of loading, as a fraction of a model's requests, for
+	// slowing down other loads. It is small compared with the value of a group, so that it only
+	// decides between similar trades.
 	loadPenalty = 1e-5
-	// coldTradeMaxCoverage is the part of what is wanted at or below which a model gets groups
-	// whose members have yet to load it. At fillTarget of it all its slots are busy; at
-	// half of it requests are refused for longer than a load takes. Groups
-	// beyond what is wanted are given for such members at any share.
+	// coldTradeMaxCoverage is the coverage up to which a model gets groups whose members have to
+	// load it. At half of what is wanted, requests would be refused for longer than a load takes.
+	// Surplus groups are traded for cold members at any coverage.
 	coldTradeMaxCoverage = 0.5
-	// maxDownFraction is the part of a model's groups that trades may hold down at once. One
-	// exchange is always allowed; beside it the rest of the model carries a third more
-	// at most, which the slots that fillTarget leaves free take.
+	// maxDownFraction is the fraction of a model's groups that trades may take down at once. One
+	// trade is always allowed. The other groups then carry at most a third more, for which
+	// targetUtilization leaves room.
 	maxDownFraction = 0.25
 )
 
@@ -32,7 +31,7 @@
 	Domain  string
 	Model   string
 	Members int
-	// Hall is the data hall of its head.
+	// Hall is the head's data hall.
 	Hall string
 	// Cold counts, by model, the members that would have to load it.
 	Cold map[string]int
@@ -41,18 +40,18 @@
 // countWarm returns how many members need no load for a model.
 func (s ServingGroup) countWarm(model string) int { return s.Members - s.Cold[model] }
 
-// Trade is groups of one domain to give up so that a group of a model that is
-// short can be formed.
+// Trade is a set of groups of one domain to dissolve so that groups of a model that is short can
+// be formed.
 type Trade struct {
 	Model     string
 	Domain    string
 	GroupKeys []string
-	// Given counts the groups by their models, Gets is how many are formed of Model.
+	// Given counts the dissolved groups by model, Formed the groups that Model gets.
 	Given  map[string]int
 	Formed int
 }
 
-// apply counts in needs what the exchange gives and gets.
+// apply updates needs with the groups that the trade dissolves and forms.
 func (x Trade) apply(needs []Need) {
 	for i, n := range needs {
 		needs[i].Have -= x.Given[n.Model.Name]
@@ -62,7 +61,7 @@
 	}
 }
 
-// isSurplus reports whether the models that give keep what is wanted of them.
+// isSurplus reports whether the donors still meet their needs after the trade.
 func (x Trade) isSurplus(needs []Need) bool {
 	for _, n := range needs {
 		if given := x.Given[n.Model.Name]; given > 0 && n.coverageWith(-given) < 1 {
@@ -72,29 +71,28 @@
 	return true
 }
 
-// countDown counts the groups that the exchange holds down.
+// countDown adds the groups that the trade takes down.
 func (x Trade) countDown(down map[string]int) {
 	for model, count := range x.Given {
 		down[model] += count
 	}
 }
 
-// FindTrade returns the groups to dissolve so that a model that is short can be
-// formed: groups, within one domain, of models that stay better off than it. It
-// returns false when nothing is short or nothing can be done. Members that need no
-// load are taken, unless the model lacks half of what is wanted, or others have more
-// than that.
+// FindTrade returns the groups to dissolve, within one domain, so that a model that is short can
+// be formed. The donors keep a better coverage than the recipient. Cold members are used only if
+// the recipient has at most half of what is wanted, or if the donors have a surplus. It returns
+// false if no model is short or no trade helps.
 func FindTrade(needs []Need, free []FreeWorker, standing []ServingGroup) (Trade, bool) {
 	return newTradeFinder(needs, free, standing).bestTrade()
 }
 
-// tradeFinder finds exchanges.
+// tradeFinder finds trades.
 type tradeFinder struct {
 	needs    []Need
 	value    *valuation
 	free     map[string][]FreeWorker
 	standing map[string][]ServingGroup
-	// down counts, by model, the groups that earlier exchanges hold down.
+	// down counts, by model, the groups that ongoing trades take down.
 	down map[string]int
 	// maxLoads is how many loads may begin.
 	maxLoads int
@@ -111,7 +109,7 @@
 	return t
 }
 
-// bestTrade returns the exchange for the shortest model that can be helped.
+// bestTrade returns the best trade for the shortest model that a trade can help.
 func (t *tradeFinder) bestTrade() (Trade, bool) {
 	short := slices.Clone(t.needs)
 	slices.SortStableFunc(short, func(a, b Need) int { return cmp.Compare(b.shortage(), a.shortage()) })
@@ -126,8 +124,8 @@
 	return Trade{}, false
 }
 
-// bestTradeFor returns the exchange for a model that earns the most over all domains; of
-// equal ones that with the fewest groups.
+// bestTradeFor returns the most valuable trade for a model over all domains; among equal ones,
+// that with the fewest groups.
 func (t *tradeFinder) bestTradeFor(n Need) (Trade, bool) {
 	var best *tradeSearch
 	for _, domain := range slices.Sorted(maps.Keys(t.standing)) {
@@ -145,8 +143,8 @@
 	return best.trade(), true
 }
 
-// tradeInsteadOf returns an exchange of the domain of a planned group whose members load, if it
-// gives them warm members and earns more.
+// tradeInsteadOf returns a trade in the domain of a planned group whose members would load, if it
+// provides warm members and has a higher value.
 func (t *tradeFinder) tradeInsteadOf(f Formation) (Trade, bool) {
 	i := slices.IndexFunc(t.needs, func(n Need) bool { return n.Model.Name == f.Model.Name })
 	if f.Loads == 0 || i < 0 {
@@ -165,8 +163,8 @@
 	return Trade{}, false
 }
 
-// completesSurvivors reports whether an exchange gives one group to at least as many idle workers
-// as it has members: the survivors of a group that lost some.
+// completesSurvivors reports whether a trade adds a single group to at least as many idle workers
+// as that group has members. These are the survivors of a broken group.
 func (t *tradeFinder) completesSurvivors(x Trade) bool {
 	if len(x.GroupKeys) != 1 {
 		return false
@@ -175,8 +173,8 @@
 	return len(t.free[x.Domain]) >= t.standing[x.Domain][i].Members
 }
 
-// tradeSearch is the search for the groups of one domain that a model gets the members of:
-// over how many groups each other model gives.
+// tradeSearch searches a domain for the groups whose members a model should get, by the number of
+// groups that each other model gives.
 type tradeSearch struct {
 	*tradeFinder
 	recipient   Need
@@ -184,12 +182,12 @@
 	allowsLoads bool
 	// idleCount is how many idle workers of the domain can be members.
 	idleCount int
-	// donors holds the models that can give, groups by giver what they can give, the
-	// best first; counts is how many of them are given.
+	// donors holds the models that can give groups; groups the groups that each can give, best
+	// first; counts how many of them are chosen.
 	donors []Need
 	groups [][]ServingGroup
 	counts []int
-	// found, gain, keys, given and gets are those of the best exchange so far.
+	// found, gain, keys, given and formed describe the best trade so far.
 	found  bool
 	gain   float64
 	keys   []string
@@ -215,9 +213,9 @@
 	return g
 }
 
-// donatableGroups returns the groups of a domain that a model can give to another one and stay
-// better off, within the budget of what is held down. Those with the most warm members
-// come first.
+// donatableGroups returns the groups of a domain that a donor can give while keeping a better
+// coverage than the recipient, within the limit on groups that are down. Those with the most warm
+// members come first.
 func (t *tradeFinder) donatableGroups(from, to Need, domain string) []ServingGroup {
 	if from.Model.Name == to.Model.Name {
 		return nil
@@ -242,7 +240,7 @@
 	return all[:most]
 }
 
-// explore tries how many groups each giver from the given one on gives.
+// explore tries the numbers of groups that the donors from the given one on can give.
 func (g *tradeSearch) explore(giver int) {
 	if giver == len(g.donors) {
 		g.considerChoice()
@@ -252,14 +250,14 @@
 		g.counts[giver] = count
 		g.explore(giver + 1)
 		if g.idleCount+g.countFreed() >= g.recipient.Model.Size {
-			// More would be given than it takes.
+			// More groups than needed would be given.
 			break
 		}
 	}
 	g.counts[giver] = 0
 }
 
-// chosenGroups returns the groups that are given.
+// chosenGroups returns the chosen groups.
 func (g *tradeSearch) chosenGroups() []ServingGroup {
 	var all []ServingGroup
 	for i, count := range g.counts {
@@ -268,7 +266,7 @@
 	return all
 }
 
-// countFreed returns how many members become free that can serve the model.
+// countFreed returns how many freed members can serve the model.
 func (g *tradeSearch) countFreed() int {
 	total := 0
 	for i, count := range g.counts {
@@ -283,7 +281,7 @@
 	return total
 }
 
-// considerChoice keeps what is given now if it is the best so far.
+// considerChoice keeps the chosen groups if they are the best trade so far.
 func (g *tradeSearch) considerChoice() {
 	members, chosen := g.idleCount+g.countFreed(), g.chosenGroups()
 	size := g.recipient.Model.Size
@@ -315,7 +313,7 @@
 	}
 }
 
-// isSurplus reports whether the givers keep what is wanted of them.
+// isSurplus reports whether the donors still meet their needs.
 func (g *tradeSearch) isSurplus() bool {
 	for i, o := range g.donors {
 		if g.counts[i] > 0 && o.coverageWith(-g.counts[i]) < 1 {
@@ -325,7 +323,7 @@
 	return true
 }
 
-// countLoads returns how many members of one new group have to load, at least.
+// countLoads returns the minimum number of members of one new group that have to load.
 func (g *tradeSearch) countLoads(chosen []ServingGroup) int {
 	warm := 0
 	for _, f := range g.free[g.domain] {
@@ -339,8 +337,8 @@
 	return max(g.recipient.Model.Size-warm, 0)
 }
 
-// valueGained returns what the exchange earns: more of the model that gets once its groups
-// serve, less of those that give.
+// valueGained returns the value of the trade: what the recipient gains once its groups serve, less
+// what the donors lose.
 func (g *tradeSearch) valueGained(gets int) float64 {
 	hall := g.standing[g.domain][0].Hall
 	gain := func(n Need, groups int, part float64) float64 {
@@ -354,8 +352,8 @@
 	return total
 }
 
-// isBetter reports whether an exchange is better than another one: it earns more, or takes
-// fewer groups.
+// isBetter reports whether a trade is better than another one: it gains more, or takes fewer
+// groups.
 func (g *tradeSearch) isBetter(o *tradeSearch) bool {
 	if math.Abs(g.gain-o.gain) > valueEpsilon {
 		return g.gain > o.gain
--- a/formation/exchange_test.go
+++ b/formation/tradesearch_test.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestTradeOnlyForFeasibleGroups: groups are given up only for a group that can stand, and no
-// more of a model at once than the rest can carry.
+// TestTradeOnlyForFeasibleGroups checks that groups are traded only for a group that can be
+// formed, and that no more of a model are taken down at once than the others can compensate.
 func TestTradeOnlyForFeasibleGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
 	needs := []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 8, Have: 8}}
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestTradeInsteadOfLoads: a planned group whose members would wait for a load gives way
-// to an exchange that makes it of warm members.
+// TestTradeInsteadOfLoads checks that a planned group whose members would have to load is replaced
+// by a trade that provides warm members.
 func TestTradeInsteadOfLoads(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
 	needs := []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 5, Have: 8}}
@@ -104,7 +104,7 @@
 	assert.Assert(t, !ok, "a group that needs no load")
 }
 
-// TestTradeSpreadsOverHalls: of two domains that give as much, the one is taken whose hall
+// TestTradeSpreadsOverHalls checks that of two equivalent domains the one is chosen whose hall
 // holds fewer groups of the model.
 func TestTradeSpreadsOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4}, fleet.Model{Name: "small", Size: 4}
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestTradeCountsAllFormedGroups: a large group gives the members of several small ones, so
-// that no second one is given up for the same lack.
+// TestTradeCountsAllFormedGroups covers a large group whose members form several small ones: no
+// second group may be traded for the same shortage.
 func TestTradeCountsAllFormedGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	needs := []Need{{Model: big, Want: 1, Have: 4}, {Model: small, Want: 6, Have: 3}}
@@ -143,14 +143,14 @@
 	assert.Equal(t, needs[1].Have, 6)
 }
 
-// mayUseColdMembers reports whether members that load count for an exchange.
+// mayUseColdMembers reports whether a trade may use members that have to load.
 func mayUseColdMembers(needs []Need, x Trade) bool {
 	to := needs[slices.IndexFunc(needs, func(n Need) bool { return n.Model.Name == x.Model })]
 	return to.coverageWith(0) <= coldTradeMaxCoverage || x.isSurplus(needs)
 }
 
-// drawStanding draws the groups that needs tell of, in a few domains.
-func drawStanding(t *rapid.T, needs []Need) []ServingGroup {
+// drawServingGroups draws the groups counted in needs, spread over a few domains.
+func drawServingGroups(t *rapid.T, needs []Need) []ServingGroup {
 	var all []ServingGroup
 	for i, n := range needs {
 		for g := range n.Have {
@@ -167,7 +167,7 @@
 	return all
 }
 
-// countMembers returns how many members an exchange makes free, idle workers included.
+// countMembers returns how many members a trade makes available, including idle workers.
 func (x Trade) countMembers(in Input, standing []ServingGroup) int {
 	loads, members := mayUseColdMembers(in.Needs, x), 0
 	for _, f := range in.Free {
@@ -187,12 +187,12 @@
 	return members
 }
 
-// TestTradeInvariants checks what must hold of every exchange: groups of one domain, none
-// twice, enough members for what it gets, and givers that stay better off.
+// TestTradeInvariants checks every trade: the groups are distinct and of one domain, there are
+// enough members for the groups formed, and the donors keep a better coverage.
 func TestTradeInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
-		standing := drawStanding(t, in.Needs)
+		standing := drawServingGroups(t, in.Needs)
 		x, ok := FindTrade(in.Needs, in.Free, standing)
 		if !ok {
 			return
--- a/formation/trading.go
+++ b/formation/trading.go
@@ -11,16 +11,14 @@
 const (
 	// tradeInterval is the time between two rounds of trades.
 	tradeInterval = 2 * time.Second
-	// groupsPerTrade is how many groups a fleet has for each trade under way, so that
-	// a fleet of any size turns to another model at the same pace, and most of it
-	// serves meanwhile: a trade takes one or two groups out for some two seconds.
+	// groupsPerTrade is the number of groups per concurrent trade. Fleets of any size thus switch
+	// models at the same relative rate, and most of the fleet keeps serving.
 	groupsPerTrade = 32
 )
 
-// startTrades dissolves surplus groups of one model in favour of another that is
-// short. What trades under way give and get is counted already. Those that complete
-// the survivors of a group with one other group don't wait for their turn, nor do
-// those that give no more than is there beyond what is wanted.
+// startTrades dissolves groups of one model in favor of another that is short. The effects of
+// ongoing trades are already counted. Trades that complete the survivors of a group with one other
+// group, and trades that only give surplus groups, are not rate limited.
 func (k *Keeper) startTrades(ctx context.Context, in Input, groups []*observedGroup, now time.Time) {
 	needs, free := slices.Clone(in.Needs), in.Free
 	if now.Before(k.tradesAllowedAt) {
@@ -50,8 +48,8 @@
 	}
 }
 
-// clearFinishedTrades forgets the exchanges whose groups are dissolved, and returns the domains of
-// the others with the models that get their members.
+// clearFinishedTrades removes the trades whose groups are dissolved, and returns the recipient
+// models of the others by domain.
 func (k *Keeper) clearFinishedTrades() map[string]string {
 	k.activeTrades = slices.DeleteFunc(k.activeTrades, func(x Trade) bool {
 		return !slices.ContainsFunc(x.GroupKeys, func(key string) bool { return k.busyGroups[key] })
@@ -63,8 +61,8 @@
 	return recipients
 }
 
-// applyActiveTrades counts in needs what trades under way give and get, and returns how many
-// groups of each model they hold down.
+// applyActiveTrades applies the ongoing trades to needs, and returns how many groups of each model
+// they take down.
 func (k *Keeper) applyActiveTrades(needs []Need) map[string]int {
 	down := make(map[string]int)
 	for _, x := range k.activeTrades {
@@ -74,9 +72,9 @@
 	return down
 }
 
-// replaceLoadsByTrades returns the planned groups but for those that would wait for the loads of
-// some members, where giving up groups of the domain gives them warm ones and earns more:
-// a load, in which all members wait, takes many times as long as an exchange.
+// replaceLoadsByTrades returns the planned groups, except for those that would wait for loads and
+// are replaced by a trade in their domain. A trade must provide warm members and have a higher
+// value; it takes much less time than a load, for which all members wait.
 func (k *Keeper) replaceLoadsByTrades(ctx context.Context, in Input, planned []Formation, groups []*observedGroup, now time.Time) []Formation {
 	loads := slices.ContainsFunc(planned, func(f Formation) bool { return f.Loads > 0 })
 	if !loads || now.Before(k.tradesAllowedAt) {
@@ -116,7 +114,7 @@
 	return slices.DeleteFunc(slices.Clone(free), func(f FreeWorker) bool { return taken[f.ID] })
 }
 
-// startTrade dissolves the groups of an exchange.
+// startTrade dissolves the groups of a trade.
 func (k *Keeper) startTrade(ctx context.Context, x Trade, byKey map[string]*observedGroup) {
 	for _, key := range x.GroupKeys {
 		o := byKey[key]
@@ -125,8 +123,8 @@
 	}
 }
 
-// tradableGroups returns the groups that serve and may be given up, by key and as the
-// planner sees them.
+// tradableGroups returns the groups that serve and may be traded, by key and as the planner sees
+// them.
 func (k *Keeper) tradableGroups(groups []*observedGroup) (map[string]*observedGroup, []ServingGroup) {
 	byKey := make(map[string]*observedGroup)
 	var all []ServingGroup
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -12,8 +12,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestTradeRateScalesWithFleet turns the work of a fleet to one model: one that is
-// twice as large turns twice as many replicas in the same time.
+// TestTradeRateScalesWithFleet shifts the demand to one model: a fleet four times as large must
+// gain at least twice as many replicas of it in the same time.
 func TestTradeRateScalesWithFleet(t *testing.T) {
 	gained := func(domains int) int {
 		w := newWorld(5, domains, 8)
@@ -24,7 +24,7 @@
 		w.traffic = true
 		w.demand = map[string]Work{"big": {Busy: 100 * float64(domains)}, "small": {Busy: 1}}
 		w.mu.Unlock()
-		// The shares of the models count for a while beside the measured work.
+		// At first the models' shares are considered in addition to the measured work.
 		time.Sleep(sharePeriod + 10*time.Second)
 		after := w.countServing()["big"]
 		stop()
@@ -39,13 +39,13 @@
 	})
 }
 
-// TestSurplusTradesDoNotWait: what is there beyond what is wanted is given though
-// another exchange went a moment ago; what is wanted is not.
+// TestSurplusTradesDoNotWait checks that surplus groups are traded without waiting for the trade
+// interval, and that others are not.
 func TestSurplusTradesDoNotWait(t *testing.T) {
 	tests := map[string]struct {
-		// want is how many small groups are wanted of the four that are there.
+		// want is how many of the four small groups are wanted.
 		want float64
-		// trades is how many exchanges begin.
+		// trades is the expected number of trades.
 		trades int
 	}{
 		"beyond what is wanted":   {want: 1, trades: 1},
@@ -84,8 +84,8 @@
 	}
 }
 
-// openTradableGroup lists two workers as an open group of the small model that has the large one
-// on its hosts. The mutex is held.
+// openTradableGroup lists two workers as an open group of the small model with the big model
+// staged. The caller must hold w.mu.
 func (w *world) openTradableGroup(head, other string, epoch int64) {
 	g := Group{Name: fleet.GroupName("small", epoch, nil), Epoch: epoch, Model: "small", Members: []string{head, other}}
 	for rank, id := range g.Members {
--- a/formation/doubt.go
+++ b/formation/unreliable.go
@@ -8,19 +8,17 @@
 	"quartzshelf.dev/fleet"
 )
 
-// unreliablePeriod is how long a worker that kept a group from being formed is used only where
-// others are too few. A forming that is given up took joinSlack and a warm join; twice
-// that spares the second try, and a worker that
-// has to load is through with it.
+// unreliablePeriod is how long a worker that prevented a group from forming is used only where
+// there are too few others. It is about twice the time until a failed forming is abandoned.
 const unreliablePeriod = 9 * time.Second
 
-// unreliablePause is how long such a worker is not used at all. One that fails at once would be
-// ordered into a new group in each look, ten times a second, and its partners may begin a
-// load each time.
+// unreliablePause is how long such a worker is not used at all. Without it, a worker that fails
+// immediately would be put into a new group at every tick, and its partners might start a load
+// each time.
 const unreliablePause = time.Second
 
-// markUnreliable notes the workers because of which a group was not formed. A term that ends,
-// which cancels the context, proves nothing about them.
+// markUnreliable records the workers that prevented a group from forming. If the context is
+// canceled because the term ends, they are not at fault.
 func (k *Keeper) markUnreliable(ctx context.Context, g Group, workers ...*fleet.Worker) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
@@ -34,7 +32,7 @@
 	}
 }
 
-// clearUnreliable forgets the doubts about workers that became ready.
+// clearUnreliable clears the unreliable mark of workers that became ready.
 func (k *Keeper) clearUnreliable(workers []*fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -43,14 +41,15 @@
 	}
 }
 
-// isPaused reports whether a worker kept a group from being formed a moment ago. The
-// keeper's mutex is held.
+// isPaused reports whether a worker is temporarily excluded from new groups. The caller must hold
+// k.mu.
 func (k *Keeper) isPaused(id string) bool {
 	until, ok := k.unreliableUntil[id]
 	return ok && time.Now().Before(until.Add(unreliablePause-unreliablePeriod))
 }
 
-// isUnreliable reports whether others are preferred to a worker. The keeper's mutex is held.
+// isUnreliable reports whether other workers are preferred over this one. The caller must hold
+// k.mu.
 func (k *Keeper) isUnreliable(id string) bool {
 	until, ok := k.unreliableUntil[id]
 	if !ok {
--- a/formation/suspect.go
+++ b/formation/unresponsive.go
@@ -9,12 +9,12 @@
 	"quartzshelf.dev/fleet"
 )
 
-// unresponsiveAttempts is how often a worker must not answer to count as silent, and how
-// often a silent one is given an order.
+// unresponsiveAttempts is the number of unanswered queries after which a worker counts as
+// unresponsive, and the number of attempts of an order to such a worker.
 const unresponsiveAttempts = 2
 
-// examineReplica asks the members of a suspected replica whether they live. Those
-// that do not answer count as lost, which makes the next tick mend the group.
+// examineReplica queries the members of a suspected replica. Those that do not answer are marked
+// as unresponsive, so that the next tick repairs the group.
 func (k *Keeper) examineReplica(ctx context.Context, replica string) {
 	members := k.startExamination(replica)
 	if members == nil {
@@ -32,7 +32,8 @@
 	})
 }
 
-// startExamination returns the members of a replica that is not being looked at yet.
+// startExamination returns the members of a replica to examine, or nil if it is already being
+// examined, operated on or broken.
 func (k *Keeper) startExamination(replica string) []*fleet.Worker {
 	view := k.opts.Inventory.View()
 	k.mu.Lock()
@@ -66,8 +67,7 @@
 	k.markUnresponsive(w.ID)
 }
 
-// isResponsive reports whether a worker answers one of as many questions as it may leave
-// unanswered.
+// isResponsive reports whether a worker answers a query within unresponsiveAttempts attempts.
 func (k *Keeper) isResponsive(ctx context.Context, w *fleet.Worker) bool {
 	for range unresponsiveAttempts {
 		if _, ok := k.queryState(ctx, w); ok {
@@ -77,7 +77,7 @@
 	return false
 }
 
-// markUnresponsive notes that a worker does not answer.
+// markUnresponsive records that a worker does not answer.
 func (k *Keeper) markUnresponsive(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -94,14 +94,14 @@
 	return k.isUnresponsiveLocked(id)
 }
 
-// isUnresponsiveLocked does the same while the keeper's mutex is held.
+// isUnresponsiveLocked is isUnresponsive for callers that hold k.mu.
 func (k *Keeper) isUnresponsiveLocked(id string) bool {
 	_, silent := k.unresponsive[id]
 	a, absent := k.absent[id]
 	return silent || absent && a.isGone || k.displaced[id]
 }
 
-// queryUnresponsive asks silent workers again now and then. The keeper's mutex is held.
+// queryUnresponsive queries unresponsive workers from time to time. The caller must hold k.mu.
 func (k *Keeper) queryUnresponsive(ctx context.Context, view *fleet.View, now time.Time) {
 	for id, at := range k.unresponsive {
 		w, listed := view.Worker(id)
--- a/formation/value.go
+++ b/formation/value.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// horizon is how far a plan looks ahead: about two loads from the weight store, so that
-	// a group which has to load still counts.
+	// horizon is how far a plan looks ahead: about two loads from the weight store, so that a
+	// group that has to load still has value.
 	horizon = 30 * time.Second
-	// saturation says how fast the served part of a model's requests rises with its
-	// replicas: at what is wanted 1-exp(-3) = 0.95 of them find a place at once, and
-	// at fillTarget of it, where every slot would be busy, 0.88.
+	// saturation determines how fast the fraction of served requests rises with the replicas: with
+	// all wanted replicas, 1-exp(-3) = 0.95 of the requests find a slot immediately, and with
+	// targetUtilization of them, where all slots would be busy, 0.88.
 	saturation = 3
-	// workerLossProbability is the chance that a worker is lost while the planned groups are formed.
+	// workerLossProbability is the probability that a worker is lost while the planned groups are
+	// formed.
 	workerLossProbability = 0.01
 )
 
-// HallLossPolicy is what a plan weighs for the loss of data halls.
+// HallLossPolicy tells how a plan accounts for the loss of data halls.
 type HallLossPolicy struct {
-	// MaxLost is how many halls may be lost at once; zero leaves the term out.
+	// MaxLost is how many halls may be lost at once; zero disables the consideration.
 	MaxLost int
-	// Weight is what a share of requests that such a loss takes costs, beside one that
-	// is lost now.
+	// Weight is the weight of requests lost with a hall, relative to requests lost now.
 	Weight float64
 }
 
-// valuation says what numbers of replicas earn: the sum over the models of the served
-// part of their requests, now, after the loss of a worker and after that of halls.
+// valuation computes the value of numbers of replicas: the sum over the models of the fraction of
+// requests served, now, after the loss of a worker and after the loss of halls.
 type valuation struct {
 	needs    []Need
 	hallLoss HallLossPolicy
-	// serving counts, by model and hall, the replicas that stand or are being formed.
+	// serving counts, by model and hall, the replicas that exist or are being formed.
 	serving map[string]map[string]int
 }
 
-// servedShare returns the part of a model's requests that n replicas serve in time.
+// servedShare returns the fraction of a model's requests that the replicas serve in time.
 func (n Need) servedShare(replicas float64) float64 {
 	if n.Want <= 0 || replicas <= 0 {
 		return 0
@@ -46,8 +46,8 @@
 	return 1 - math.Exp(-saturation*replicas/n.Want)
 }
 
-// valueOf returns what a model earns with replicas, on the mean over the horizon, where
-// lost are those that the worst halls take.
+// valueOf returns a model's value with a mean number of replicas over the horizon, of which the
+// worst hall losses take lost.
 func (v *valuation) valueOf(n Need, replicas, lost float64) float64 {
 	now := n.servedShare(replicas)
 	lossProbability := min(workerLossProbability*float64(n.Model.Size)*replicas, 1)
@@ -58,8 +58,8 @@
 	return value
 }
 
-// worstHallLoss returns how many replicas of a model the worst halls hold, with more in one
-// hall than serve today.
+// worstHallLoss returns how many replicas of a model the worst hall losses take, after adding the
+// replicas in more, by hall.
 func (v *valuation) worstHallLoss(model string, more map[string]int) float64 {
 	if v.hallLoss.MaxLost <= 0 {
 		return 0
@@ -81,7 +81,7 @@
 	return float64(total)
 }
 
-// servingFraction returns which part of the horizon a new group of a model serves.
+// servingFraction returns the fraction of the horizon during which a new group of a model serves.
 func servingFraction(m fleet.Model, loads bool) float64 {
 	ready := m.Warm
 	if loads {
