--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -17,15 +17,15 @@
 
 var errSilent = errors.New("no answer")
 
-// simWorker is a worker as the rules describe it, in virtual time.
+// simWorker simulates a worker in virtual time.
 type simWorker struct {
 	id, domain string
-	// zone is its data hall; mute tells that it takes orders and becomes ready in no group.
+	// zone is its data hall; neverReady makes it accept joins without becoming ready.
 	zone       string
 	neverReady bool
 	isDead     bool
 	isDraining bool
-	// born is when its life began, beat counts its entries in that life.
+	// born identifies its incarnation; entryNumber counts the list entries of that incarnation.
 	born, entryNumber int64
 	fence             Fence
 	epoch             int64
@@ -34,72 +34,72 @@
 	rank              int
 	lastModel         string
 	staged            string
-	// isStaging tells that it loads to its host, stages counts orders to do so.
+	// isStaging reports whether it is staging a model; stageOrders counts the orders to stage.
 	isStaging   bool
 	stageOrders int
-	// orders counts the orders begun, states holds what reports told of when.
+	// orders counts the orders it has begun; reports holds its reports by time.
 	orders  int64
 	reports []timedState
 }
 
-// timedState is what a worker's reports tell from a time on.
+// timedState is the state that a worker reports from a time on.
 type timedState struct {
 	from  time.Time
 	state State
 }
 
-// member returns the worker's part in its group.
+// member returns the worker's group membership.
 func (s *simWorker) member() fleet.Membership {
 	return fleet.Membership{Group: s.group.Name, Epoch: s.group.Epoch, Rank: s.rank, State: s.state}
 }
 
-// world is a set of simulated workers that checks what must always hold.
+// world is a set of simulated workers that checks invariants.
 type world struct {
 	mu           sync.Mutex
 	random       *rand.Rand
 	workers      map[string]*simWorker
 	inventory    *fleet.Inventory
 	listPosition int64
-	// wasReady holds, by group key and member, who was ever ready.
+	// wasReady holds the workers that were ever ready, by group key and worker ID.
 	wasReady map[string]bool
-	// lateFraction is the part of the orders that get no answer and are carried out later.
+	// lateFraction is the fraction of orders that get no answer and are carried out later.
 	lateFraction float64
-	// ignoresFences workers do not look at fences.
+	// ignoresFences makes workers ignore fences.
 	ignoresFences bool
-	// delays holds, by order and worker, how late the next tries of an order are
-	// carried out; they get no answer then.
+	// delays holds, by order and worker, the delays of the next attempts of an order, which get no
+	// answer.
 	delays map[string][]time.Duration
 	// lateFromEpoch is the epoch from which on all orders are late; 0 for none.
 	lateFromEpoch int64
 	traffic       bool
-	// demand is the measured work by model, closing how long a group's requests
-	// take to end.
+	// demand is the measured work by model, drainTime how long a group takes to drain.
 	demand    map[string]Work
 	drainTime time.Duration
-	// openDelay is how long until the list shows an opened group, opened counts the
+	// openDelay is the time until the list shows that a group is open; openOrders counts the
 	// orders to open by group.
 	openDelay  time.Duration
 	openOrders map[string]int
-	// isListFrozen tells that the list shows nothing new.
+	// isListFrozen reports whether the list is not updated anymore.
 	isListFrozen bool
-	// unreachableByLeader holds the workers that leaders do not reach, though other daemons do.
+	// unreachableByLeader holds the workers that other daemons can reach but leaders cannot.
 	unreachableByLeader map[string]bool
-	// unreachable holds the workers that nobody reaches.
+	// unreachable holds the workers that nobody can reach.
 	unreachable map[string]bool
-	// displaced holds the workers at whose address another one answers, answered counts
-	// the orders that it was given.
+	// displaced holds the workers at whose address another one answers; displacedOrders counts the
+	// orders that the other one got.
 	displaced       map[string]bool
 	displacedOrders int
-	// hasYoungList tells that leaders have not known the list for long.
+	// hasYoungList reports whether leaders have known the list only for a short time.
 	hasYoungList bool
-	// loadsPerSecond bounds the loads that may begin, loads holds when they did.
+	// loadsPerSecond limits the loads that may begin; loads holds their start times.
 	loadsPerSecond float64
 	loads          []time.Time
-	// smoothed is the work that daemons knew before a term, hallOpen which halls are open.
+	// smoothed returns the work that daemons tracked before a term; hallOpen reports whether a
+	// hall is open.
 	smoothed func() map[string]Work
-	// refusesQueries holds workers that nobody reaches, which shows at once.
+	// refusesQueries holds workers whose state queries fail immediately.
 	refusesQueries map[string]bool
-	// attempts counts the tries of orders.
+	// attempts counts the attempts of orders.
 	attempts   map[string]int
 	hallOpen   func(hall string) bool
 	violations []string
@@ -112,9 +112,9 @@
 	simHot  = 200 * time.Millisecond
 	simForm = 300 * time.Millisecond
 	simLag  = 200 * time.Millisecond
-	// simBorn is when workers were born, in Unix milliseconds.
+	// simBorn is when workers started, in Unix milliseconds.
 	simBorn = 1_700_000_000_000
-	// simDelivery is how long the list takes to show a change.
+	// simDelivery is the time until the list shows a change.
 	simDelivery = 30 * time.Millisecond
 )
 
@@ -131,7 +131,7 @@
 	}}}})
 }
 
-// newWorld returns a world whose workers are all listed.
+// newWorld returns a world in which all workers are listed.
 func newWorld(seed uint64, domains, perDomain int) *world {
 	w := unlistedWorld(seed, domains, perDomain)
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
@@ -140,7 +140,7 @@
 	return w
 }
 
-// unlistedWorld returns a world whose workers have yet to be listed.
+// unlistedWorld returns a world in which no worker is listed yet.
 func unlistedWorld(seed uint64, domains, perDomain int) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, seed)), workers: make(map[string]*simWorker),
@@ -178,15 +178,15 @@
 	}
 }
 
-// recordState keeps what a worker's reports are to tell once their lag is over. The
-// mutex is held.
+// recordState records a worker's state for reports, which show it after a lag. The caller must
+// hold w.mu.
 func (w *world) recordState(s *simWorker) {
 	s.reports = append(s.reports, timedState{from: time.Now().Add(simLag), state: State{
 		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orders, Born: s.born,
 	}})
 }
 
-// reportedState returns what a worker tells now. The mutex is held.
+// reportedState returns the state that a worker reports now. The caller must hold w.mu.
 func (s *simWorker) reportedState(now time.Time) State {
 	for len(s.reports) > 1 && !s.reports[1].from.After(now) {
 		s.reports = s.reports[1:]
@@ -197,7 +197,7 @@
 	return s.reports[0].state
 }
 
-// publish writes a worker's entry into the list. The mutex is held.
+// publish writes a worker's entry to the list. The caller must hold w.mu.
 func (w *world) publish(s *simWorker) {
 	w.recordState(s)
 	if w.isListFrozen {
@@ -212,7 +212,7 @@
 		}
 		s.entryNumber++
 		if s.group.Name != "" {
-			// Who is in no group tells no model.
+			// A worker without a group does not report a model.
 			entry.Loaded = s.lastModel
 		}
 		if s.staged != "" {
@@ -223,8 +223,8 @@
 	w.inventory.Apply([]fleet.Change{change}, w.listPosition, time.Now())
 }
 
-// drainBigMembers lets requests come and a member of each large group, not its head,
-// say that it leaves. It returns these members.
+// drainBigMembers starts traffic and marks one member of each large group, not its head, as
+// leaving. It returns these members.
 func (w *world) drainBigMembers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -258,7 +258,7 @@
 	return all
 }
 
-// kill ends a worker without a word; the list shows it later.
+// kill makes a worker stop abruptly; the list shows it later.
 func (w *world) kill(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -271,8 +271,7 @@
 	})
 }
 
-// delay returns how late a try of an order is carried out, and whether it is
-// late at all. The mutex is held.
+// delay returns the delay of an order, and whether it is late at all. The caller must hold w.mu.
 func (w *world) delay(what, id string, fence Fence) (time.Duration, bool) {
 	drawn := time.Duration(2+w.random.IntN(10)) * time.Second
 	late := w.random.Float64() < w.lateFraction || w.lateFromEpoch > 0 && fence >= NewFence(w.lateFromEpoch, 0, 0)
@@ -284,7 +283,7 @@
 	return drawn, late
 }
 
-// execute carries an order out, now or later, and returns its answer.
+// execute carries out an order, immediately or later, and returns the answer.
 func (w *world) execute(ctx context.Context, what, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[id]
@@ -301,7 +300,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if s.isDead || s.born != life {
-			// What an earlier life was ordered ended with it.
+			// Orders to an earlier incarnation end with it.
 			return Unfit
 		}
 		if !w.ignoresFences && fence < s.fence {
@@ -329,7 +328,7 @@
 	return apply(), nil
 }
 
-// orders returns the functions by which leaders reach the workers.
+// orders returns the functions that leaders use to reach the workers.
 func (w *world) orders() Orders {
 	return Orders{Join: w.join, Stage: w.stage, Open: w.open, Close: w.closeGroup, Leave: w.leaveGroup, Ask: w.ask}
 }
@@ -369,9 +368,8 @@
 	})
 }
 
-// startLoad returns how long a load from the weight store takes, and checks the bound
-// on those that begin. Before the first request loads are quick and do not count.
-// The mutex is held.
+// startLoad returns how long a load from the weight store takes, and checks the limit on loads.
+// Before the first request loads are quick and not counted. The caller must hold w.mu.
 func (w *world) startLoad() time.Duration {
 	if !w.traffic {
 		return simLoad / 10
@@ -391,7 +389,7 @@
 	return simLoad
 }
 
-// changeLater changes a worker after a time if it is still in the group.
+// changeLater applies a change to a worker after a delay if it is still in the group.
 func (w *world) changeLater(wait time.Duration, s *simWorker, g Group, change func()) {
 	w.pending.Go(func() {
 		time.Sleep(wait)
@@ -437,7 +435,7 @@
 	return w.execute(ctx, "leave", worker.ID, fence, func(s *simWorker) Verdict { return w.leave(s, g) })
 }
 
-// indirectLeave reaches the workers that leaders do not.
+// indirectLeave also reaches workers that leaders cannot reach.
 func (w *world) indirectLeave(ctx context.Context, worker *fleet.Worker, _ Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[worker.ID]
@@ -450,7 +448,7 @@
 	return Unfit, errSilent
 }
 
-// leave lets a worker leave a group. The mutex is held.
+// leave removes a worker from a group. The caller must hold w.mu.
 func (w *world) leave(s *simWorker, g Group) Verdict {
 	if s.group.Name == g.Name {
 		s.group, s.state, s.rank = Group{}, "", 0
@@ -489,7 +487,7 @@
 	})
 }
 
-// countAttempt counts a try of an order.
+// countAttempt counts an attempt of an order.
 func (w *world) countAttempt(order, _ string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -515,7 +513,7 @@
 	return s.reportedState(time.Now()), nil
 }
 
-// checkComplete notes a group that is opened although a member was never ready.
+// checkComplete records a violation if a group is opened without all members having been ready.
 func (w *world) checkComplete(head *simWorker) {
 	model := simModels[slices.IndexFunc(simModels, func(m fleet.Model) bool { return m.Name == head.group.Model })]
 	if len(head.group.Members) != model.Size {
@@ -528,7 +526,8 @@
 	}
 }
 
-// checkNotServing notes a worker that joins a group while another serves with it.
+// checkNotServing records a violation if a worker joins a group while another group that serves
+// needs it.
 func (w *world) checkNotServing(s *simWorker, g Group) {
 	if len(s.group.Members) == 0 {
 		return
@@ -540,7 +539,7 @@
 	}
 }
 
-// countServing counts the open groups whose members are all there.
+// countServing counts the open groups whose members are all present, by model.
 func (w *world) countServing() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
