--- a/formation/assignment.go
+++ b/formation/assignment.go
@@ -47,8 +47,8 @@
 // countUnassigned returns the number of unassigned workers.
 func (s *assignment) countUnassigned() int {
 	total := 0
-	for _, left := range s.unassigned {
-		total += left
+	for _, count := range s.unassigned {
+		total += count
 	}
 	return total
 }
@@ -75,8 +75,8 @@
 // clone returns an independent copy.
 func (s *assignment) clone() *assignment {
 	other := &assignment{models: s.models, members: s.members, costs: s.costs, unassigned: slices.Clone(s.unassigned)}
-	for _, given := range s.assigned {
-		other.assigned = append(other.assigned, slices.Clone(given))
+	for _, assigned := range s.assigned {
+		other.assigned = append(other.assigned, slices.Clone(assigned))
 	}
 	return other
 }
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -129,10 +129,10 @@
 
 func (k *Keeper) updateSmoothedWork() {
 	for model, measured := range k.opts.Demand() {
-		held, ok := k.smoothedWork[model]
+		previous, ok := k.smoothedWork[model]
 		if !ok {
-			held = measured
+			previous = measured
 		}
-		k.smoothedWork[model] = held.smoothedToward(measured, 1)
+		k.smoothedWork[model] = previous.smoothedToward(measured, 1)
 	}
 }
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -39,7 +39,7 @@
 			assert.Assert(t, test.least <= got && got <= test.most, "%.2f", got)
 		})
 	}
-	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "times of zero")
+	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "engine without times")
 }
 
 // TestLaterLeaderUsesMeasuredDemand guards against each new leader applying the models' shares
--- a/formation/displaced.go
+++ b/formation/displaced.go
@@ -8,7 +8,7 @@
 )
 
 // ErrElsewhere reports that another worker answered at a worker's address.
-var ErrElsewhere = errors.New("another worker has the address")
+var ErrElsewhere = errors.New("another worker answered at the address")
 
 // recordDisplaced records that another worker answered at a worker's address, so the original has
 // ended. The list may show it for some time, and indefinitely while the store is unavailable;
@@ -23,7 +23,7 @@
 	if a, ok := k.absent[w.ID]; ok {
 		a.isGone = true
 	}
-	k.opts.Logger.Info("worker has ended: another one has its address", "worker", w.ID)
+	k.opts.Logger.Info("worker replaced: another one answers at its address", "worker", w.ID)
 }
 
 // interruptedJoin is the known state of a worker whose join was abandoned: no loaded model, and
--- a/formation/displaced_test.go
+++ b/formation/displaced_test.go
@@ -42,10 +42,10 @@
 		// big and small are the expected warmth for these models.
 		big, small Warmth
 	}{
-		"it served the model last":    {loaded: "big", staged: "small", big: Hot, small: Staged},
-		"it had the model staged":     {loaded: "small", staged: "big", big: Staged, small: ColdOther},
-		"it had to load it":           {loaded: "small", staged: "small", big: Cold, small: Cold},
-		"it had to load it, as a new": {big: Cold, small: Cold},
+		"it served the model last":      {loaded: "big", staged: "small", big: Hot, small: Staged},
+		"it had the model staged":       {loaded: "small", staged: "big", big: Staged, small: ColdOther},
+		"it had to load it":             {loaded: "small", staged: "small", big: Cold, small: Cold},
+		"it had to load it, new worker": {big: Cold, small: Cold},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return Unfit, false
 	}
-	k.opts.Logger.Info("order given through another daemon", "order", "leave", "worker", head.ID)
+	k.opts.Logger.Info("order sent through another daemon", "order", "leave", "worker", head.ID)
 	k.checkTerm("leave", head, verdict)
 	return verdict, true
 }
@@ -73,12 +73,12 @@
 // the list is recent, or it had enough time to break its group while the list was unavailable.
 func (k *Keeper) isPresumedGone(head *fleet.Worker, since, now time.Time) bool {
 	_, listed := k.opts.Inventory.View().Worker(head.ID)
-	fresh := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
-	silence := now.Sub(since)
-	if fresh {
-		return !listed && silence > lostHeadTimeout
+	isListRecent := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
+	unreachableFor := now.Sub(since)
+	if isListRecent {
+		return !listed && unreachableFor > lostHeadTimeout
 	}
-	return silence > k.opts.StallAfter+lostHeadTimeout
+	return unreachableFor > k.opts.StallAfter+lostHeadTimeout
 }
 
 func (k *Keeper) retire(o *observedGroup, head *fleet.Worker, how retirement) {
@@ -117,10 +117,10 @@
 		return k.opts.Orders.Close(ctx, o.head, fence, o.group)
 	})
 	k.recordBegun(o.head.ID, verdict)
-	nextAsk := time.Now().Add(queryInterval)
+	nextQuery := time.Now().Add(queryInterval)
 	// An earlier leader may have closed it.
 	closing := ok && (verdict.Accepted() || o.state == fleet.Closing)
-	for closing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextAsk) {
+	for closing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextQuery) {
 		pause.For(ctx, tickInterval)
 	}
 	k.dissolve(ctx, o, o.head)
@@ -128,10 +128,10 @@
 
 // isDrained reports whether a closed group's requests have finished, according to the list or, if
 // that is stale or does not show the head, to the head itself.
-func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextAsk *time.Time) bool {
+func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
 	closed := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
-	listed, isListed := k.opts.Inventory.View().Worker(o.head.ID)
-	if isListed && listed.Member.Same(closed) && listed.Member.State == fleet.Ready {
+	headEntry, isListed := k.opts.Inventory.View().Worker(o.head.ID)
+	if isListed && headEntry.Member.Same(closed) && headEntry.Member.State == fleet.Ready {
 		return true
 	}
 	if !isListed && !k.mayBeAlive(o.head.ID) {
@@ -139,10 +139,10 @@
 	}
 	now := time.Now()
 	isListCurrent := isListed && now.Sub(k.opts.Inventory.Confirmed()) <= listStaleAge
-	if isListCurrent || now.Before(*nextAsk) {
+	if isListCurrent || now.Before(*nextQuery) {
 		return false
 	}
-	*nextAsk = now.Add(queryInterval)
+	*nextQuery = now.Add(queryInterval)
 	state, ok := k.queryState(ctx, o.head)
 	return ok && (!state.Member.Same(closed) || state.Member.State == fleet.Ready)
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -88,7 +88,7 @@
 // are gone as unreliable, or on timeout those that did not become ready.
 func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	seen := make(map[string]bool)
-	nextAsk := time.Now().Add(queryInterval)
+	nextQuery := time.Now().Add(queryInterval)
 	for ctx.Err() == nil {
 		view := k.opts.Inventory.View()
 		for _, w := range members {
@@ -99,8 +99,8 @@
 		if len(seen) == len(members) {
 			return true
 		}
-		if now := time.Now(); now.After(nextAsk) {
-			nextAsk = now.Add(queryInterval)
+		if now := time.Now(); now.After(nextQuery) {
+			nextQuery = now.Add(queryInterval)
 			k.queryReady(ctx, g, k.membersToQuery(members, view, now), seen)
 		}
 		if lost := k.goneMembers(members); len(lost) > 0 {
@@ -123,13 +123,13 @@
 	if now.Sub(k.opts.Inventory.Confirmed()) > listStaleAge {
 		return members
 	}
-	var left []*fleet.Worker
+	var unlisted []*fleet.Worker
 	for _, w := range members {
 		if _, listed := view.Worker(w.ID); !listed {
-			left = append(left, w)
+			unlisted = append(unlisted, w)
 		}
 	}
-	return left
+	return unlisted
 }
 
 // queryReady queries the members that are not known to be ready.
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -134,20 +134,20 @@
 func TestReplicasAreSpreadOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
-		bear    int
+		maxLost int
 		growing bool
 		// most is the highest number of the two large groups in one hall.
 		most int
 	}{
-		"no loss to bear":    {most: 2},
-		"the loss of a hall": {bear: 1, most: 1},
-		"the loss of a hall, while workers are yet to come": {bear: 1, growing: true, most: 1},
+		"no tolerated loss":  {most: 2},
+		"the loss of a hall": {maxLost: 1, most: 1},
+		"the loss of a hall, while workers are yet to come": {maxLost: 1, growing: true, most: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			in := Input{
 				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: blankWorkers(2, 37),
-				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.bear, Weight: hallWeight}, ListGrowing: test.growing,
+				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.maxLost, Weight: hallWeight}, ListGrowing: test.growing,
 			}
 			formations, _ := Plan(in)
 			halls := make(map[string]string)
--- a/formation/incarnations.go
+++ b/formation/incarnations.go
@@ -55,7 +55,7 @@
 // forgetIncarnation discards the state of a worker's earlier incarnation. The caller must hold
 // k.mu.
 func (k *Keeper) forgetIncarnation(id string) {
-	k.opts.Logger.Info("worker has started again under its id", "worker", id)
+	k.opts.Logger.Info("worker restarted under its ID", "worker", id)
 	delete(k.observations, id)
 	delete(k.orderStates, id)
 	delete(k.unresponsive, id)
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -286,22 +286,22 @@
 	}
 	counted := k.hasTraffic()
 	forGroups, forIdle := k.allowedLoads(s, view, budget, now)
-	in := Input{
+	input := Input{
 		Needs: needs, Free: free, Warm: k.countWarm(s, view),
 		MaxLoads: forGroups, MaxStagings: forIdle,
 		ListGrowing: !counted && k.isListGrowing(s, view, now),
 		HallLoss:    k.hallLossPolicy(), Serving: serving, Released: k.releasedDomains(needs, free, now), Trading: k.clearFinishedTrades(),
 	}
-	formations, stagings := Plan(in)
+	formations, stagings := Plan(input)
 	if counted {
-		formations = k.replaceLoadsByTrades(ctx, in, formations, groups, now)
+		formations = k.replaceLoadsByTrades(ctx, input, formations, groups, now)
 	}
 	for _, f := range formations {
 		budget.record(f.Loads, counted, now)
 		k.startForming(ctx, s, f)
 	}
 	if len(formations) == 0 && counted {
-		k.startTrades(ctx, in, groups, now)
+		k.startTrades(ctx, input, groups, now)
 	}
 	if !counted {
 		stagings = append(k.longIdleOnly(stagings, now), k.secondModelStagings(s, view)...)
@@ -416,8 +416,8 @@
 	delete(k.unresponsive, id)
 	now := time.Now()
 	k.recordReport(id, s, now)
-	held, ok := k.observations[id]
-	outdated := held.state.Member.Epoch > s.Member.Epoch || held.at.After(now) && held.state.Member.Same(s.Member)
+	previous, ok := k.observations[id]
+	outdated := previous.state.Member.Epoch > s.Member.Epoch || previous.at.After(now) && previous.state.Member.Same(s.Member)
 	if ok && outdated {
 		return
 	}
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -232,7 +232,7 @@
 			problems = runSchedule(newWorld(seed, 2, 10), late, steps)
 		})
 		if len(problems) > 0 {
-			t.Fatalf("broken: %v", problems)
+			t.Fatalf("violations: %v", problems)
 		}
 	})
 }
@@ -252,14 +252,14 @@
 			problems = runSchedule(newWorld(seed, 2, 10), late, steps)
 		})
 		if len(problems) > 0 {
-			t.Fatalf("broken: %v", problems)
+			t.Fatalf("violations: %v", problems)
 		}
 	})
 }
 
 // runSchedule runs a schedule of faults and returns the violations.
-func runSchedule(w *world, late float64, steps []int) []string {
-	w.lateFraction = late
+func runSchedule(w *world, lateFraction float64, steps []int) []string {
+	w.lateFraction = lateFraction
 	epoch := int64(1)
 	k, stop := startTerm(w, epoch)
 	var stops []func()
@@ -306,7 +306,7 @@
 	}
 	w.pending.Wait()
 	if alive := w.countAlive(); alive >= 14 && len(w.countServing()) == 0 {
-		w.violations = append(w.violations, fmt.Sprintf("nothing serves though %d workers live", alive))
+		w.violations = append(w.violations, fmt.Sprintf("no group serves although %d workers are alive", alive))
 	}
 	return w.violations
 }
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -26,7 +26,7 @@
 			problems = runSchedule(w, late, steps)
 		})
 		if len(problems) > 0 {
-			t.Fatalf("broken: %v", problems)
+			t.Fatalf("violations: %v", problems)
 		}
 	})
 }
@@ -52,7 +52,7 @@
 			problems = w.violations
 		})
 		if len(problems) > 0 {
-			t.Fatalf("broken: %v", problems)
+			t.Fatalf("violations: %v", problems)
 		}
 	})
 }
@@ -199,10 +199,10 @@
 }
 
 // setUnreachable makes a worker unreachable for everybody, or reachable again.
-func (w *world) setUnreachable(id string, dark bool) {
+func (w *world) setUnreachable(id string, isUnreachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unreachable[id] = dark
+	w.unreachable[id] = isUnreachable
 }
 
 // add adds a worker without any model.
--- a/formation/loadbudget_test.go
+++ b/formation/loadbudget_test.go
@@ -31,7 +31,7 @@
 			l.record(5, false, now.Add(-test.before))
 			assert.Equal(t, l.available(now), test.want)
 			l.record(1, true, now)
-			assert.Equal(t, l.available(now), test.want-1, "what was counted is counted once")
+			assert.Equal(t, l.available(now), test.want-1, "a load must be counted once")
 		})
 	}
 }
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -39,25 +39,25 @@
 func (k *Keeper) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
 	wanted := fleet.Membership{Group: g.Name, Epoch: g.Epoch}
 	for range maxJoinAttempts {
-		at, ok := k.orderStateOf(ctx, w)
+		current, ok := k.orderStateOf(ctx, w)
 		switch {
 		case !ok:
 			return false
-		case at.member.Same(wanted):
+		case current.member.Same(wanted):
 			// An unanswered attempt was carried out.
 			return true
-		case at.member.Group != "":
-			if !k.leaveDissolved(ctx, w, at.member) {
+		case current.member.Group != "":
+			if !k.leaveDissolved(ctx, w, current.member) {
 				return false
 			}
 			continue
 		}
 		verdict, ok := k.sendOrder(ctx, "join", w, func(ctx context.Context, fence Fence) (Verdict, error) {
-			return k.opts.Orders.Join(ctx, w, fence, at.orders, g)
+			return k.opts.Orders.Join(ctx, w, fence, current.orders, g)
 		})
 		switch {
 		case ok && verdict == Begun:
-			k.setOrderState(w.ID, at.orders+1, wanted)
+			k.setOrderState(w.ID, current.orders+1, wanted)
 			return true
 		case !ok || verdict != Unfit:
 			return ok && verdict.Accepted()
@@ -75,7 +75,7 @@
 	dissolved := k.retirements[fleet.GroupKey(m)] != 0
 	k.mu.Unlock()
 	if !dissolved {
-		k.opts.Logger.Info("worker is taken", "worker", w.ID, "replica", fleet.GroupKey(m))
+		k.opts.Logger.Info("worker belongs to another group", "worker", w.ID, "replica", fleet.GroupKey(m))
 		return false
 	}
 	verdict, ok := k.leaveDirectly(ctx, Group{Name: m.Group, Epoch: m.Epoch}, w)
@@ -85,10 +85,10 @@
 // orderStateOf returns a worker's order state, querying the worker if it is not known.
 func (k *Keeper) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
 	k.mu.Lock()
-	held, ok := k.orderStates[w.ID]
+	known, ok := k.orderStates[w.ID]
 	k.mu.Unlock()
 	if ok {
-		return held, true
+		return known, true
 	}
 	state, ok := k.queryState(ctx, w)
 	return orderState{orders: state.Orders, member: state.Member}, ok
@@ -97,7 +97,7 @@
 // recordReport records the order state that a worker reported, unless an order was answered so
 // recently that the report may not include it. The caller must hold k.mu.
 func (k *Keeper) recordReport(id string, s State, now time.Time) {
-	if held, ok := k.orderStates[id]; ok && now.Before(held.trustReportsFrom) {
+	if current, ok := k.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
 		return
 	}
 	k.orderStates[id] = orderState{orders: s.Orders, member: s.Member}
--- a/formation/outcomes.go
+++ b/formation/outcomes.go
@@ -11,15 +11,15 @@
 
 // recordAttempt counts one attempt of an order. It logs rejections, and answers after unanswered
 // attempts, which may still be carried out.
-func (k *Keeper) recordAttempt(order string, w *fleet.Worker, tries int, verdict Verdict, err error) {
+func (k *Keeper) recordAttempt(order string, w *fleet.Worker, attempts int, verdict Verdict, err error) {
 	if err != nil {
 		k.opts.Counted(order, unanswered)
-		k.opts.Logger.Debug("order got no answer", "order", order, "worker", w.ID, "try", tries, "error", err)
+		k.opts.Logger.Debug("order got no answer", "order", order, "worker", w.ID, "try", attempts, "error", err)
 		return
 	}
 	k.opts.Counted(order, verdict.String())
-	if tries > 1 || !verdict.Accepted() {
-		k.opts.Logger.Info("order answered", "order", order, "worker", w.ID, "tries", tries, "verdict", verdict.String())
+	if attempts > 1 || !verdict.Accepted() {
+		k.opts.Logger.Info("order answered", "order", order, "worker", w.ID, "tries", attempts, "verdict", verdict.String())
 	}
 }
 
@@ -46,6 +46,6 @@
 		return
 	}
 	k.opts.Counted("leave", "returned")
-	k.opts.Logger.Warn("dissolved replica shown again", "replica", o.key, "head", o.head.ID,
+	k.opts.Logger.Warn("dissolved replica reported again", "replica", o.key, "head", o.head.ID,
 		"state", string(o.state), "after_ms", now.Sub(d.at).Milliseconds())
 }
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -32,8 +32,8 @@
 // others stay unchanged, and goes through the domains repeatedly until none improves or maxPasses
 // is reached.
 type partition struct {
-	valuation *valuation
-	models    []fleet.Model
+	value  *valuation
+	models []fleet.Model
 	// These include what is planned, by model: replicas is the mean number serving over the
 	// horizon, groups the number of groups, addedByHall the new groups by data hall.
 	replicas    []float64
@@ -48,8 +48,8 @@
 
 func newPartition(needs []Need, in Input) *partition {
 	p := &partition{
-		valuation: &valuation{needs: needs, hallLoss: in.HallLoss, serving: in.Serving},
-		maxLoads:  in.MaxLoads,
+		value:    &valuation{needs: needs, hallLoss: in.HallLoss, serving: in.Serving},
+		maxLoads: in.MaxLoads,
 	}
 	for _, n := range needs {
 		p.models = append(p.models, n.Model)
@@ -63,8 +63,8 @@
 // totalValue returns the value of all replicas together.
 func (p *partition) totalValue() float64 {
 	total := 0.0
-	for i, n := range p.valuation.needs {
-		total += p.valuation.valueOf(n, p.replicas[i], p.valuation.worstHallLoss(n.Model.Name, p.addedByHall[i]))
+	for i, n := range p.value.needs {
+		total += p.value.valueOf(n, p.replicas[i], p.value.worstHallLoss(n.Model.Name, p.addedByHall[i]))
 	}
 	return total
 }
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -105,7 +105,7 @@
 		trading map[string]string
 		want    []string
 	}{
-		"no exchange":             {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, want: []string{"a", "b"}},
+		"no trade":                {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, want: []string{"a", "b"}},
 		"for another model":       {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"d": "big"}},
 		"in another domain":       {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"e": "big"}, want: []string{"a", "b"}},
 		"a member has to load":    {free: []FreeWorker{worker("a", "big"), worker("b", "big"), worker("c", "")}, trading: map[string]string{"d": "big"}},
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -109,17 +109,17 @@
 // improved returns groups with at least the value of the planned ones, and removes their members
 // from the remaining workers.
 func (p *planner) improved(in Input, planned []Formation) []Formation {
-	part := newPartition(in.Needs, in)
-	part.isFixed = func(domain string) bool { return in.Trading[domain] != "" }
-	part.allowsSurplus = func(domain string) bool { return p.isPlanningSurplus && p.allowsSurplus(domain) }
+	plan := newPartition(in.Needs, in)
+	plan.isFixed = func(domain string) bool { return in.Trading[domain] != "" }
+	plan.allowsSurplus = func(domain string) bool { return p.isPlanningSurplus && p.allowsSurplus(domain) }
 	if p.isWaitingForLoads {
 		// The available loads are kept for the group that waits for them.
-		part.maxLoads = 0
+		plan.maxLoads = 0
 	}
 	free := byDomain(in.Free)
-	all := part.improve(planned, free)
-	p.maxStagings -= part.loads - (in.MaxLoads - p.maxLoads)
-	p.maxLoads = in.MaxLoads - part.loads
+	all := plan.improve(planned, free)
+	p.maxStagings -= plan.loads - (in.MaxLoads - p.maxLoads)
+	p.maxLoads = in.MaxLoads - plan.loads
 	taken := make(map[string]bool)
 	for _, f := range all {
 		for _, id := range f.Members {
@@ -278,8 +278,8 @@
 
 // isReserved reports whether a domain's workers are reserved for an ongoing trade.
 func (p *planner) isReserved(domain, model string, limit Warmth) bool {
-	to, trading := p.trading[domain]
-	return trading && (to != model || limit > Staged)
+	recipient, isTrading := p.trading[domain]
+	return isTrading && (recipient != model || limit > Staged)
 }
 
 // bestDomain returns the domain with the warmest workers for a group of the model, and these
--- a/formation/plan_test.go
+++ b/formation/plan_test.go
@@ -66,7 +66,7 @@
 			free: []FreeWorker{worker("a", "d1", ""), worker("b", "d1", ""), worker("c", "d2", ""), worker("e", "d2", "")},
 			want: [][]string{{"c", "e"}},
 		},
-		"no worker stays idle for lack of want": {
+		"idle workers form surplus groups": {
 			needs: []Need{{Model: small, Want: 1, Have: 1}},
 			free: []FreeWorker{
 				worker("a", "d", "small"), worker("b", "d", "small"), worker("c", "d", "small"), worker("e", "d", "small"),
@@ -83,7 +83,7 @@
 			free: []FreeWorker{worker("a", "d", "small"), worker("b", "d", "small"), worker("c", "d", ""), worker("e", "d", "")},
 			want: [][]string{{"a", "b"}},
 		},
-		"an idle worker brings its domain's model to its host": {
+		"an idle worker stages its domain's model": {
 			needs: []Need{{Model: big, Want: 1, Have: 1}}, maxLoads: 1,
 			warm:   map[string]map[string]int{"d": {"big": 3}},
 			free:   []FreeWorker{worker("a", "d", ""), worker("b", "d", "")},
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -13,7 +13,7 @@
 
 // restart restarts a worker under its ID. It keeps only what is staged on its host. The list shows
 // the restart after the given delay.
-func (w *world) restart(id string, listed time.Duration) {
+func (w *world) restart(id string, listedAfter time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.workers[id]
@@ -24,7 +24,7 @@
 	// Reports of the new incarnation are current from its start.
 	s.reports[0].from = time.Now()
 	w.pending.Go(func() {
-		time.Sleep(listed)
+		time.Sleep(listedAfter)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.publish(s)
@@ -40,8 +40,8 @@
 		"the head":                         {listedAfter: 50 * time.Millisecond},
 		"a member, within a heartbeat":     {rank: 1, listedAfter: 1200 * time.Millisecond},
 		"a member, twice":                  {rank: 1, listedAfter: 50 * time.Millisecond, restartsTwice: true},
-		"a member, the list away":          {rank: 1, listedAfter: 3 * time.Second},
-		"the head, the list away":          {listedAfter: 3 * time.Second},
+		"a member, list unavailable":       {rank: 1, listedAfter: 3 * time.Second},
+		"the head, list unavailable":       {listedAfter: 3 * time.Second},
 		"a member, and the leader":         {rank: 3, listedAfter: 300 * time.Millisecond, changesLeader: true},
 		"a member whose clock is set back": {rank: 1, listedAfter: 50 * time.Millisecond, setsClockBack: true},
 	}
@@ -89,12 +89,12 @@
 	time.Sleep(repairTimeout)
 	got := countServingWorkers(w.countServing())
 	w.mu.Lock()
-	again := w.workers[id].group.Name
+	newGroup := w.workers[id].group.Name
 	w.mu.Unlock()
 	stop()
 	w.pending.Wait()
 	assert.Assert(t, got >= want, "%d workers serve, %d before", got, want)
-	assert.Assert(t, again != group.Name)
+	assert.Assert(t, newGroup != group.Name)
 	assert.DeepEqual(t, w.violations, []string(nil))
 }
 
@@ -121,10 +121,10 @@
 		k.recordListedIncarnation(listed)
 		assert.Equal(t, k.membershipOf(listed), m)
 		k.recordState("w0-1", State{Born: 2000, Staged: []string{"big"}})
-		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "the list shows a life that is over")
+		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "the list shows a past incarnation")
 		assert.Equal(t, k.asFreeWorker(listed).Loaded, "")
 		k.recordState("w0-1", State{Born: 1000, Member: m})
-		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "a late report of the life before")
+		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "late report of a past incarnation")
 		next := *listed
 		next.Born, next.Member = 2000, fleet.Membership{Group: "h", Epoch: 7, State: fleet.Joining}
 		k.recordListedIncarnation(&next)
--- a/formation/search.go
+++ b/formation/search.go
@@ -45,7 +45,7 @@
 		s.assignments = append(s.assignments, initial.clone())
 	}
 	s.best = initial.clone()
-	for i, n := range p.valuation.needs {
+	for i, n := range p.value.needs {
 		if n.Model.Size <= 0 {
 			continue
 		}
@@ -66,14 +66,14 @@
 // modelValues returns a model's value with more groups in a hall, by the number of groups that
 // need no load and the number that do, which is at most loads.
 func (p *partition) modelValues(i, limit, loads int, hall string) [][]float64 {
-	n, m := p.valuation.needs[i], p.models[i]
+	n, m := p.value.needs[i], p.models[i]
 	table := make([][]float64, limit+1)
 	for warm := range table {
 		table[warm] = make([]float64, min(limit-warm, loads)+1)
 		for loading := range table[warm] {
 			p.addedByHall[i][hall] += warm + loading
 			replicas := p.replicas[i] + float64(warm)*servingFraction(m, false) + float64(loading)*servingFraction(m, true)
-			table[warm][loading] = p.valuation.valueOf(n, replicas, p.valuation.worstHallLoss(m.Name, p.addedByHall[i]))
+			table[warm][loading] = p.value.valueOf(n, replicas, p.value.worstHallLoss(m.Name, p.addedByHall[i]))
 			p.addedByHall[i][hall] -= warm + loading
 		}
 	}
@@ -131,19 +131,19 @@
 // explore tries the numbers of groups of the models from the given depth on that can reach the
 // best value so far; the models before contribute earned.
 func (s *search) explore(depth int, earned float64) {
-	now := s.assignments[depth]
+	current := s.assignments[depth]
 	if depth == len(s.order) {
-		s.considerAssignment(now)
+		s.considerAssignment(current)
 		return
 	}
 	i := s.order[depth]
-	next, left := s.assignments[depth+1], now.countUnassigned()
+	next, left := s.assignments[depth+1], current.countUnassigned()
 	for count := min(len(s.maxValues[i])-1, left/s.models[i].Size); count >= 0; count-- {
 		best := earned + s.maxValues[i][count]
 		if best+s.upperBounds[depth+1][left-count*s.models[i].Size] < s.value-valueEpsilon {
 			continue
 		}
-		next.copyFrom(now)
+		next.copyFrom(current)
 		if !next.assign(i, count*s.models[i].Size) || s.countLoads(next) > max(s.maxLoads, 0) {
 			continue
 		}
@@ -154,40 +154,40 @@
 }
 
 // countLoads returns how many workers load in an assignment.
-func (s *search) countLoads(supply *assignment) int {
+func (s *search) countLoads(candidate *assignment) int {
 	total := 0
 	for i := range s.models {
-		total += supply.countLoads(i)
+		total += candidate.countLoads(i)
 	}
 	return total
 }
 
 // considerAssignment keeps an assignment if it is the best so far. For equal values it prefers the
 // one that leaves fewer workers idle, then the one with fewer and cheaper moves.
-func (s *search) considerAssignment(supply *assignment) {
+func (s *search) considerAssignment(candidate *assignment) {
 	total, placed := 0.0, 0
 	for _, i := range s.order {
-		loading := s.countLoadingGroups(supply, i)
+		loading := s.countLoadingGroups(candidate, i)
 		total += s.modelValues[i][s.counts[i]-loading][loading]
 		placed += s.counts[i] * s.models[i].Size
 	}
 	if total < s.value-valueEpsilon {
 		return
 	}
-	cost := supply.totalCost()
-	same := total <= s.value+valueEpsilon
-	if same && cmp.Or(cmp.Compare(placed, s.placed), cmp.Compare(s.cost, cost)) <= 0 {
+	cost := candidate.totalCost()
+	isSameValue := total <= s.value+valueEpsilon
+	if isSameValue && cmp.Or(cmp.Compare(placed, s.placed), cmp.Compare(s.cost, cost)) <= 0 {
 		return
 	}
 	s.value, s.cost, s.placed, s.found = total, cost, placed, true
-	s.best.copyFrom(supply)
+	s.best.copyFrom(candidate)
 }
 
 // countLoadingGroups returns how many groups of a model have members that load. Loading members
 // are put together, so this is the minimum.
-func (s *search) countLoadingGroups(supply *assignment, i int) int {
+func (s *search) countLoadingGroups(candidate *assignment, i int) int {
 	size := s.models[i].Size
-	return (supply.countLoads(i) + size - 1) / size
+	return (candidate.countLoads(i) + size - 1) / size
 }
 
 // division returns the best division found.
--- a/formation/send.go
+++ b/formation/send.go
@@ -14,9 +14,9 @@
 	if k.isUnresponsive(w.ID) {
 		maxAttempts = unresponsiveAttempts
 	}
-	for tries := range maxAttempts {
+	for attempt := range maxAttempts {
 		verdict, err := k.sendOrderOnce(ctx, send)
-		k.recordAttempt(order, w, tries+1, verdict, err)
+		k.recordAttempt(order, w, attempt+1, verdict, err)
 		switch {
 		case err == nil && verdict == Fenced && fencedCount == 0:
 			// A concurrent order of this term may have overtaken it.
--- a/formation/send_test.go
+++ b/formation/send_test.go
@@ -18,9 +18,9 @@
 		want     Verdict
 		ends     bool
 	}{
-		"taken at once":                    {verdicts: []Verdict{Begun}, want: Begun},
+		"accepted at once":                 {verdicts: []Verdict{Begun}, want: Begun},
 		"overtaken by another of the term": {verdicts: []Verdict{Fenced, Begun}, want: Begun},
-		"outdone by a later leader":        {verdicts: []Verdict{Fenced, Fenced}, want: Fenced, ends: true},
+		"superseded by a later leader":     {verdicts: []Verdict{Fenced, Fenced}, want: Fenced, ends: true},
 		"does not fit":                     {verdicts: []Verdict{Unfit}, want: Unfit},
 	}
 	for name, test := range tests {
@@ -32,7 +32,7 @@
 				next := 0
 				last := Fence(0)
 				verdict, ok := k.sendOrder(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
-					assert.Assert(t, f > last, "each try has a higher fence")
+					assert.Assert(t, f > last, "each attempt must have a higher fence")
 					last = f
 					next++
 					return test.verdicts[next-1], nil
--- a/formation/smoother.go
+++ b/formation/smoother.go
@@ -28,11 +28,11 @@
 		s.updatedAt = now
 	}
 	for model, w := range measured {
-		held, ok := s.work[model]
+		previous, ok := s.work[model]
 		if !ok {
-			held = w
+			previous = w
 		}
-		s.work[model] = held.smoothedToward(w, ticks)
+		s.work[model] = previous.smoothedToward(w, ticks)
 	}
 }
 
@@ -51,10 +51,10 @@
 	}
 }
 
-func smoothValue(held, measured, ticks float64) float64 {
+func smoothValue(previous, measured, ticks float64) float64 {
 	weight := demandFallWeight
-	if measured > held {
+	if measured > previous {
 		weight = demandRiseWeight
 	}
-	return measured + math.Pow(1-weight, ticks)*(held-measured)
+	return measured + math.Pow(1-weight, ticks)*(previous-measured)
 }
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -176,12 +176,12 @@
 // stage orders a worker to stage a model, and reports whether it accepted. The worker accepts the
 // order at most once, so that no uncounted load begins.
 func (k *Keeper) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
-	at, ok := k.orderStateOf(ctx, w)
+	current, ok := k.orderStateOf(ctx, w)
 	if !ok {
 		return false
 	}
 	verdict, ok := k.sendOrder(ctx, "stage", w, func(ctx context.Context, fence Fence) (Verdict, error) {
-		return k.opts.Orders.Stage(ctx, w, fence, at.orders, m.Name)
+		return k.opts.Orders.Stage(ctx, w, fence, current.orders, m.Name)
 	})
 	switch {
 	case !ok:
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -82,29 +82,29 @@
 // be formed. The donors keep a better coverage than the recipient. Cold members are used only if
 // the recipient has at most half of what is wanted, or if the donors have a surplus. It returns
 // false if no model is short or no trade helps.
-func FindTrade(needs []Need, free []FreeWorker, standing []ServingGroup) (Trade, bool) {
-	return newTradeFinder(needs, free, standing).bestTrade()
+func FindTrade(needs []Need, free []FreeWorker, servingGroups []ServingGroup) (Trade, bool) {
+	return newTradeFinder(needs, free, servingGroups).bestTrade()
 }
 
 // tradeFinder finds trades.
 type tradeFinder struct {
-	needs    []Need
-	value    *valuation
-	free     map[string][]FreeWorker
-	standing map[string][]ServingGroup
+	needs         []Need
+	value         *valuation
+	free          map[string][]FreeWorker
+	servingGroups map[string][]ServingGroup
 	// down counts, by model, the groups that ongoing trades take down.
 	down map[string]int
 	// maxLoads is how many loads may begin.
 	maxLoads int
 }
 
-func newTradeFinder(needs []Need, free []FreeWorker, standing []ServingGroup) *tradeFinder {
+func newTradeFinder(needs []Need, free []FreeWorker, servingGroups []ServingGroup) *tradeFinder {
 	t := &tradeFinder{
 		needs: needs, value: &valuation{needs: needs}, free: byDomain(free),
-		standing: make(map[string][]ServingGroup), maxLoads: math.MaxInt,
+		servingGroups: make(map[string][]ServingGroup), maxLoads: math.MaxInt,
 	}
-	for _, s := range standing {
-		t.standing[s.Domain] = append(t.standing[s.Domain], s)
+	for _, s := range servingGroups {
+		t.servingGroups[s.Domain] = append(t.servingGroups[s.Domain], s)
 	}
 	return t
 }
@@ -128,7 +128,7 @@
 // that with the fewest groups.
 func (t *tradeFinder) bestTradeFor(n Need) (Trade, bool) {
 	var best *tradeSearch
-	for _, domain := range slices.Sorted(maps.Keys(t.standing)) {
+	for _, domain := range slices.Sorted(maps.Keys(t.servingGroups)) {
 		for _, cold := range []bool{false, true} {
 			g := t.newTradeSearch(n, domain, cold)
 			g.explore(0)
@@ -169,8 +169,8 @@
 	if len(x.GroupKeys) != 1 {
 		return false
 	}
-	i := slices.IndexFunc(t.standing[x.Domain], func(s ServingGroup) bool { return s.Key == x.GroupKeys[0] })
-	return len(t.free[x.Domain]) >= t.standing[x.Domain][i].Members
+	i := slices.IndexFunc(t.servingGroups[x.Domain], func(s ServingGroup) bool { return s.Key == x.GroupKeys[0] })
+	return len(t.free[x.Domain]) >= t.servingGroups[x.Domain][i].Members
 }
 
 // tradeSearch searches a domain for the groups whose members a model should get, by the number of
@@ -195,10 +195,10 @@
 	formed int
 }
 
-func (t *tradeFinder) newTradeSearch(n Need, domain string, cold bool) *tradeSearch {
-	g := &tradeSearch{tradeFinder: t, recipient: n, domain: domain, allowsLoads: cold}
+func (t *tradeFinder) newTradeSearch(n Need, domain string, allowsLoads bool) *tradeSearch {
+	g := &tradeSearch{tradeFinder: t, recipient: n, domain: domain, allowsLoads: allowsLoads}
 	for _, f := range t.free[domain] {
-		if !f.Unreliable && (cold || f.warmth(n.Model.Name) <= Staged) {
+		if !f.Unreliable && (allowsLoads || f.warmth(n.Model.Name) <= Staged) {
 			g.idleCount++
 		}
 	}
@@ -216,45 +216,45 @@
 // donatableGroups returns the groups of a domain that a donor can give while keeping a better
 // coverage than the recipient, within the limit on groups that are down. Those with the most warm
 // members come first.
-func (t *tradeFinder) donatableGroups(from, to Need, domain string) []ServingGroup {
-	if from.Model.Name == to.Model.Name {
+func (t *tradeFinder) donatableGroups(donor, recipient Need, domain string) []ServingGroup {
+	if donor.Model.Name == recipient.Model.Name {
 		return nil
 	}
 	var all []ServingGroup
-	for _, s := range t.standing[domain] {
-		if s.Model == from.Model.Name {
+	for _, s := range t.servingGroups[domain] {
+		if s.Model == donor.Model.Name {
 			all = append(all, s)
 		}
 	}
 	slices.SortFunc(all, func(a, b ServingGroup) int {
-		return cmp.Or(cmp.Compare(b.countWarm(to.Model.Name), a.countWarm(to.Model.Name)), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(b.countWarm(recipient.Model.Name), a.countWarm(recipient.Model.Name)), cmp.Compare(a.Key, b.Key))
 	})
-	enough := tradeMargin * to.coverageWith(1)
-	most := 0
-	for most < len(all) && from.coverageWith(-most-1) >= enough {
-		most++
+	minCoverage := tradeMargin * recipient.coverageWith(1)
+	maxGiven := 0
+	for maxGiven < len(all) && donor.coverageWith(-maxGiven-1) >= minCoverage {
+		maxGiven++
 	}
-	if down := t.down[from.Model.Name]; down > 0 {
-		most = min(most, max(int(maxDownFraction*float64(from.Have+down))-down, 0))
+	if down := t.down[donor.Model.Name]; down > 0 {
+		maxGiven = min(maxGiven, max(int(maxDownFraction*float64(donor.Have+down))-down, 0))
 	}
-	return all[:most]
+	return all[:maxGiven]
 }
 
 // explore tries the numbers of groups that the donors from the given one on can give.
-func (g *tradeSearch) explore(giver int) {
-	if giver == len(g.donors) {
+func (g *tradeSearch) explore(donor int) {
+	if donor == len(g.donors) {
 		g.considerChoice()
 		return
 	}
-	for count := range len(g.groups[giver]) + 1 {
-		g.counts[giver] = count
-		g.explore(giver + 1)
+	for count := range len(g.groups[donor]) + 1 {
+		g.counts[donor] = count
+		g.explore(donor + 1)
 		if g.idleCount+g.countFreed() >= g.recipient.Model.Size {
 			// More groups than needed would be given.
 			break
 		}
 	}
-	g.counts[giver] = 0
+	g.counts[donor] = 0
 }
 
 // chosenGroups returns the chosen groups.
@@ -291,8 +291,8 @@
 	if g.allowsLoads && g.recipient.coverageWith(0) > coldTradeMaxCoverage && !g.isSurplus() {
 		return
 	}
-	gets := max(min(members/size, int(math.Ceil(g.recipient.Want))-g.recipient.Have), 1)
-	gain := g.valueGained(gets)
+	formed := max(min(members/size, int(math.Ceil(g.recipient.Want))-g.recipient.Have), 1)
+	gain := g.valueGained(formed)
 	if g.allowsLoads {
 		gain -= loadPenalty * float64(g.countLoads(chosen)) * g.recipient.Model.Load.Seconds()
 	}
@@ -301,11 +301,11 @@
 		keys[i] = s.Key
 	}
 	slices.Sort(keys)
-	next := &tradeSearch{gain: gain, keys: keys}
-	if gain <= 0 || g.found && !next.isBetter(g) {
+	candidate := &tradeSearch{gain: gain, keys: keys}
+	if gain <= 0 || g.found && !candidate.isBetter(g) {
 		return
 	}
-	g.found, g.gain, g.keys, g.formed, g.given = true, gain, keys, gets, make(map[string]int)
+	g.found, g.gain, g.keys, g.formed, g.given = true, gain, keys, formed, make(map[string]int)
 	for i, o := range g.donors {
 		if g.counts[i] > 0 {
 			g.given[o.Model.Name] = g.counts[i]
@@ -339,13 +339,13 @@
 
 // valueGained returns the value of the trade: what the recipient gains once its groups serve, less
 // what the donors lose.
-func (g *tradeSearch) valueGained(gets int) float64 {
-	hall := g.standing[g.domain][0].Hall
+func (g *tradeSearch) valueGained(formed int) float64 {
+	hall := g.servingGroups[g.domain][0].Hall
 	gain := func(n Need, groups int, part float64) float64 {
 		before, after := g.value.worstHallLoss(n.Model.Name, nil), g.value.worstHallLoss(n.Model.Name, map[string]int{hall: groups})
 		return g.value.valueOf(n, float64(n.Have)+float64(groups)*part, after) - g.value.valueOf(n, float64(n.Have), before)
 	}
-	total := gain(g.recipient, gets, servingFraction(g.recipient.Model, g.allowsLoads))
+	total := gain(g.recipient, formed, servingFraction(g.recipient.Model, g.allowsLoads))
 	for i, o := range g.donors {
 		total += gain(o, -g.counts[i], 1)
 	}
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -31,7 +31,7 @@
 		"warm members":                   {free: warm, standing: []ServingGroup{group("s", "d", 0)}, want: []string{"s"}},
 		"a member that has to load":      {free: warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 9},
 		"idle workers that have to load": {free: []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}}, standing: []ServingGroup{group("s", "d", 0)}, maxLoads: 9},
-		"idle workers in doubt": {
+		"unreliable idle workers": {
 			free:     []FreeWorker{{ID: "a", Domain: "d", Loaded: "big", Unreliable: true}, {ID: "b", Domain: "d", Loaded: "big"}},
 			standing: []ServingGroup{group("s", "d", 0)}, maxLoads: 9,
 		},
@@ -39,11 +39,11 @@
 		"the domain with the fewest groups": {
 			free: warm, standing: []ServingGroup{group("s", "c", 0), group("t", "c", 0), group("u", "d", 0)}, want: []string{"u"},
 		},
-		"loads where half of what is wanted lacks": {
+		"loads if at most half of what is wanted exists": {
 			needs: []Need{{Model: big, Want: 9, Have: 3}, {Model: small, Want: 8, Have: 8}},
 			free:  warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
 		},
-		"loads where others have more than is wanted": {
+		"loads if others have a surplus": {
 			needs: []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 6, Have: 9}},
 			free:  warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
 		},
@@ -101,7 +101,7 @@
 		})
 	}
 	_, ok := newTradeFinder(needs, survivors, []ServingGroup{group("d", 0)}).tradeInsteadOf(Formation{Model: big, Members: []string{"a"}})
-	assert.Assert(t, !ok, "a group that needs no load")
+	assert.Assert(t, !ok, "a group that needs no load is not replaced")
 }
 
 // TestTradeSpreadsOverHalls checks that of two equivalent domains the one is chosen whose hall
@@ -109,17 +109,17 @@
 func TestTradeSpreadsOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4}, fleet.Model{Name: "small", Size: 4}
 	for name, test := range map[string]struct {
-		bear int
-		want []string
+		maxLost int
+		want    []string
 	}{
-		"no loss to bear":    {want: []string{"s"}},
-		"the loss of a hall": {bear: 1, want: []string{"t"}},
+		"no tolerated loss":  {want: []string{"s"}},
+		"the loss of a hall": {maxLost: 1, want: []string{"t"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			trader := newTradeFinder([]Need{{Model: big, Want: 4, Have: 3}, {Model: small, Want: 4, Have: 8}}, nil, []ServingGroup{
 				{Key: "s", Domain: "d", Hall: "h0", Model: "small", Members: 4}, {Key: "t", Domain: "e", Hall: "h1", Model: "small", Members: 4},
 			})
-			trader.value.hallLoss = HallLossPolicy{MaxLost: test.bear, Weight: hallWeight}
+			trader.value.hallLoss = HallLossPolicy{MaxLost: test.maxLost, Weight: hallWeight}
 			trader.value.serving = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
 			x, ok := trader.bestTrade()
 			assert.Assert(t, ok)
@@ -168,14 +168,14 @@
 }
 
 // countMembers returns how many members a trade makes available, including idle workers.
-func (x Trade) countMembers(in Input, standing []ServingGroup) int {
+func (x Trade) countMembers(in Input, servingGroups []ServingGroup) int {
 	loads, members := mayUseColdMembers(in.Needs, x), 0
 	for _, f := range in.Free {
 		if f.Domain == x.Domain && !f.Unreliable && (f.warmth(x.Model) <= Staged || loads) {
 			members++
 		}
 	}
-	for _, s := range standing {
+	for _, s := range servingGroups {
 		switch {
 		case !slices.Contains(x.GroupKeys, s.Key):
 		case loads:
@@ -192,13 +192,13 @@
 func TestTradeInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
-		standing := drawServingGroups(t, in.Needs)
-		x, ok := FindTrade(in.Needs, in.Free, standing)
+		servingGroups := drawServingGroups(t, in.Needs)
+		x, ok := FindTrade(in.Needs, in.Free, servingGroups)
 		if !ok {
 			return
 		}
 		given := make(map[string]int)
-		for _, s := range standing {
+		for _, s := range servingGroups {
 			if slices.Contains(x.GroupKeys, s.Key) {
 				assert.Equal(t, s.Domain, x.Domain)
 				given[s.Model]++
@@ -208,7 +208,7 @@
 		assert.DeepEqual(t, given, x.Given)
 		to := in.Needs[slices.IndexFunc(in.Needs, func(n Need) bool { return n.Model.Name == x.Model })]
 		assert.Assert(t, !to.isMet() && x.Formed >= 1 && len(x.GroupKeys) > 0 && given[x.Model] == 0)
-		members := x.countMembers(in, standing)
+		members := x.countMembers(in, servingGroups)
 		assert.Assert(t, members >= x.Formed*to.Model.Size, "%d members for %d groups", members, x.Formed)
 		for _, n := range in.Needs {
 			count := given[n.Model.Name]
--- a/formation/trading.go
+++ b/formation/trading.go
@@ -24,13 +24,13 @@
 	if now.Before(k.tradesAllowedAt) {
 		return
 	}
-	byKey, standing := k.tradableGroups(groups)
-	maxTrades := max(len(standing)/groupsPerTrade, 1)
+	byKey, servingGroups := k.tradableGroups(groups)
+	maxTrades := max(len(servingGroups)/groupsPerTrade, 1)
 	nextTrade := k.nextTrade
 	defer func() { k.nextTrade = nextTrade }()
 	down := k.applyActiveTrades(needs)
 	for {
-		t := newTradeFinder(needs, free, standing)
+		t := newTradeFinder(needs, free, servingGroups)
 		t.down, t.maxLoads = down, in.MaxLoads
 		t.value.hallLoss, t.value.serving = in.HallLoss, in.Serving
 		x, ok := t.bestTrade()
@@ -43,7 +43,7 @@
 		x.apply(needs)
 		x.countDown(down)
 		free = slices.DeleteFunc(slices.Clone(free), func(f FreeWorker) bool { return f.Domain == x.Domain })
-		standing = slices.DeleteFunc(standing, func(s ServingGroup) bool { return s.Domain == x.Domain })
+		servingGroups = slices.DeleteFunc(servingGroups, func(s ServingGroup) bool { return s.Domain == x.Domain })
 		k.startTrade(ctx, x, byKey)
 	}
 }
@@ -76,16 +76,16 @@
 // are replaced by a trade in their domain. A trade must provide warm members and have a higher
 // value; it takes much less time than a load, for which all members wait.
 func (k *Keeper) replaceLoadsByTrades(ctx context.Context, in Input, planned []Formation, groups []*observedGroup, now time.Time) []Formation {
-	loads := slices.ContainsFunc(planned, func(f Formation) bool { return f.Loads > 0 })
-	if !loads || now.Before(k.tradesAllowedAt) {
+	needsLoads := slices.ContainsFunc(planned, func(f Formation) bool { return f.Loads > 0 })
+	if !needsLoads || now.Before(k.tradesAllowedAt) {
 		return planned
 	}
-	byKey, standing := k.tradableGroups(groups)
+	byKey, servingGroups := k.tradableGroups(groups)
 	needs := slices.Clone(in.Needs)
 	down := k.applyActiveTrades(needs)
 	var kept []Formation
 	for i, f := range planned {
-		t := newTradeFinder(needs, withoutMembers(in.Free, kept, planned[i+1:]), standing)
+		t := newTradeFinder(needs, withoutMembers(in.Free, kept, planned[i+1:]), servingGroups)
 		t.down = down
 		x, ok := t.tradeInsteadOf(f)
 		if !ok || k.isTrading(x.Domain) {
@@ -95,7 +95,7 @@
 		k.activeTrades = append(k.activeTrades, x)
 		x.apply(needs)
 		x.countDown(down)
-		standing = slices.DeleteFunc(standing, func(s ServingGroup) bool { return s.Domain == x.Domain })
+		servingGroups = slices.DeleteFunc(servingGroups, func(s ServingGroup) bool { return s.Domain == x.Domain })
 		k.startTrade(ctx, x, byKey)
 	}
 	return kept
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -23,11 +23,11 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	until := time.Now().Add(unreliablePeriod)
+	preferOthersUntil := time.Now().Add(unreliablePeriod)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, w := range workers {
-		k.unreliableUntil[w.ID] = until
+		k.unreliableUntil[w.ID] = preferOthersUntil
 		k.opts.Logger.Warn("member did not become ready", "worker", w.ID, "domain", w.Domain, "replica", g.Key())
 	}
 }
--- a/formation/wantedreplicas_test.go
+++ b/formation/wantedreplicas_test.go
@@ -21,7 +21,7 @@
 		least, most float64
 	}{
 		"usual work":           {work: Work{Busy: 40, Prompts: 60000, Pause: 300 * time.Millisecond}, least: 5, most: 6},
-		"prompts that add up":  {work: Work{Busy: 80, Prompts: 200000, Pause: 300 * time.Millisecond}, least: 6.9, most: 7},
+		"accumulated prompts":  {work: Work{Busy: 80, Prompts: 200000, Pause: 300 * time.Millisecond}, least: 6.9, most: 7},
 		"more than the share":  {work: Work{Busy: 210, Prompts: 200000, Pause: 300 * time.Millisecond}, least: 11, most: 11},
 		"nothing is known yet": {least: 1, most: 1},
 	} {
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -292,14 +292,14 @@
 		w.mu.Unlock()
 		return Elsewhere, nil
 	}
-	dead := s.isDead || w.unreachableByLeader[id] || w.unreachable[id]
+	isUnreachable := s.isDead || w.unreachableByLeader[id] || w.unreachable[id]
 	delay, late := w.delay(what, id, fence)
-	life := s.born
+	incarnation := s.born
 	w.mu.Unlock()
 	apply := func() Verdict {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if s.isDead || s.born != life {
+		if s.isDead || s.born != incarnation {
 			// Orders to an earlier incarnation end with it.
 			return Unfit
 		}
@@ -314,13 +314,13 @@
 		w.recordState(s)
 		return verdict
 	}
-	if late && !dead {
+	if late && !isUnreachable {
 		w.pending.Go(func() {
 			time.Sleep(delay)
 			apply()
 		})
 	}
-	if dead || late {
+	if isUnreachable || late {
 		<-ctx.Done()
 		return Unfit, errSilent
 	}
@@ -472,12 +472,12 @@
 			return Holds
 		}
 		s.isStaging = true
-		wait, life := w.startLoad(), s.born
+		wait, incarnation := w.startLoad(), s.born
 		w.pending.Go(func() {
 			time.Sleep(wait)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if s.born != life {
+			if s.born != incarnation {
 				return
 			}
 			s.staged, s.isStaging = model, false
@@ -521,7 +521,7 @@
 	}
 	for _, id := range head.group.Members {
 		if !w.wasReady[head.group.Key()+id] {
-			w.violations = append(w.violations, fmt.Sprintf("%s opened though %s was never ready", head.group.Name, id))
+			w.violations = append(w.violations, fmt.Sprintf("%s opened although %s was never ready", head.group.Name, id))
 		}
 	}
 }
@@ -535,7 +535,7 @@
 	head := w.workers[s.group.Members[0]]
 	serving := head.state == fleet.Open || head.state == fleet.Closing
 	if !head.isDead && head.group.Name == s.group.Name && serving {
-		w.violations = append(w.violations, fmt.Sprintf("%s joins %s while %s serves", s.id, g.Name, s.group.Name))
+		w.violations = append(w.violations, fmt.Sprintf("%s joins %s while %s needs it to serve", s.id, g.Name, s.group.Name))
 	}
 }
 
