--- a/formation/absent.go
+++ b/formation/absent.go
@@ -29,7 +29,8 @@
 	queryUntil time.Time
 	// hasAnswered reports whether it answered since it left the list.
 	hasAnswered bool
-	// isGone reports whether it failed to answer; it is then treated as dead.
+	// isGone reports whether it is treated as dead, because it did not answer or stayed unlisted
+	// for too long.
 	isGone bool
 }
 
--- a/formation/absent_test.go
+++ b/formation/absent_test.go
@@ -30,9 +30,9 @@
 		w := newWorld(1, 2, 10)
 		w.pending.Go(func() { w.confirmList(20 * time.Second) })
 		_, _, stop := startServing(w, "big")
-		cut := append(w.nonHeadMembers("big"), w.nonHeadMembers("small")...)
-		assert.Equal(t, len(cut), 7)
-		for _, id := range cut {
+		unlisted := append(w.nonHeadMembers("big"), w.nonHeadMembers("small")...)
+		assert.Equal(t, len(unlisted), 7)
+		for _, id := range unlisted {
 			w.unlist(id)
 		}
 		for range 60 {
@@ -41,7 +41,7 @@
 			assert.Equal(t, len(view.Replicas("models", "big")), 2)
 			assert.Equal(t, len(view.Replicas("models", "small")), 5)
 		}
-		for _, id := range cut {
+		for _, id := range unlisted {
 			w.relist(id)
 		}
 		time.Sleep(2 * time.Second)
--- a/formation/assignment.go
+++ b/formation/assignment.go
@@ -27,7 +27,7 @@
 		for i, m := range models {
 			costs[i] = w.cost(m.Name)
 		}
-		class := slices.IndexFunc(s.costs, func(held []int) bool { return slices.Equal(held, costs) })
+		class := slices.IndexFunc(s.costs, func(other []int) bool { return slices.Equal(other, costs) })
 		if class < 0 {
 			class = len(s.costs)
 			s.costs = append(s.costs, costs)
@@ -118,9 +118,9 @@
 // cheapestSteps returns, for each model, the cheapest way to get one more worker.
 func (s *assignment) cheapestSteps() []step {
 	steps := make([]step, len(s.models))
-	for c, left := range s.unassigned {
+	for c, count := range s.unassigned {
 		for m := range s.models {
-			if left > 0 && (!steps[m].isReachable || s.costs[c][m] < steps[m].cost) {
+			if count > 0 && (!steps[m].isReachable || s.costs[c][m] < steps[m].cost) {
 				steps[m] = step{cost: s.costs[c][m], class: c, from: -1, isReachable: true}
 			}
 		}
@@ -161,26 +161,26 @@
 
 // stepCapacity returns how many workers can be moved along the path to a model.
 func (s *assignment) stepCapacity(steps []step, model int) int {
-	amount := 1 << 30
+	capacity := 1 << 30
 	for at := model; at >= 0; at = steps[at].from {
 		switch st := steps[at]; {
 		case !st.isReachable:
 			return 0
 		case st.from < 0:
-			amount = min(amount, s.unassigned[st.class])
+			capacity = min(capacity, s.unassigned[st.class])
 		default:
-			amount = min(amount, s.assigned[st.class][st.from])
+			capacity = min(capacity, s.assigned[st.class][st.from])
 		}
 	}
-	return amount
+	return capacity
 }
 
 // countLoads returns how many workers assigned to a model must load it.
 func (s *assignment) countLoads(model int) int {
 	total := 0
-	for c, given := range s.assigned {
+	for c, assigned := range s.assigned {
 		if s.costs[c][model]%unreliableCost >= loadCost {
-			total += given[model]
+			total += assigned[model]
 		}
 	}
 	return total
@@ -189,8 +189,8 @@
 // totalCost returns the cost of all assigned workers.
 func (s *assignment) totalCost() int {
 	total := 0
-	for c, given := range s.assigned {
-		for m, count := range given {
+	for c, assigned := range s.assigned {
+		for m, count := range assigned {
 			total += count * s.costs[c][m]
 		}
 	}
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -214,18 +214,18 @@
 
 // freeWorkers returns the workers of a service that can be ordered into a new group.
 func (k *Keeper) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
-	held := make(map[string]bool)
+	inGroup := make(map[string]bool)
 	for _, o := range groups {
 		if k.retirements[o.key] != 0 {
 			continue
 		}
 		for _, w := range o.members {
-			held[w.ID] = true
+			inGroup[w.ID] = true
 		}
 	}
 	var all []FreeWorker
 	for id, w := range view.Workers() {
-		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isPaused(id) || held[id] || !k.halls.isUsable(w.Zone) {
+		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isPaused(id) || inGroup[id] || !k.halls.isUsable(w.Zone) {
 			continue
 		}
 		if _, loading := k.activeLoads[id]; loading {
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -41,11 +41,11 @@
 		if s.isDead || s.group.Name == "" || s.rank != 0 {
 			continue
 		}
-		at := s.zone + " " + s.group.Model
-		if all[at] == nil {
-			all[at] = make(map[string]bool)
+		key := s.zone + " " + s.group.Model
+		if all[key] == nil {
+			all[key] = make(map[string]bool)
 		}
-		all[at][s.group.Name] = true
+		all[key][s.group.Name] = true
 	}
 	return all
 }
@@ -102,7 +102,7 @@
 
 // TestAllHallsClosed checks that groups are repaired as usual when no hall is open.
 func TestAllHallsClosed(t *testing.T) {
-	mended := func(open func(string) bool) map[string]int {
+	servingAfterLoss := func(open func(string) bool) map[string]int {
 		w, _ := hallWorld(2, 10)
 		w.hallOpen = open
 		_, g, stop := startServing(w, "big")
@@ -114,7 +114,7 @@
 		return w.countServing()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		assert.DeepEqual(t, mended(func(string) bool { return false }), mended(nil))
+		assert.DeepEqual(t, servingAfterLoss(func(string) bool { return false }), servingAfterLoss(nil))
 	})
 }
 
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -174,8 +174,8 @@
 	at time.Time
 }
 
-// NewKeeper returns a Keeper for a term. It calls onSuperseded when a worker reports a leader with a
-// higher term.
+// NewKeeper returns a Keeper for a term. It calls onSuperseded when a worker reports a leader with
+// a higher term.
 func NewKeeper(opts Options, term Term, onSuperseded func()) *Keeper {
 	view := opts.Inventory.View()
 	k := &Keeper{
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -102,13 +102,13 @@
 		w := newWorld(1, 2, 10)
 		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
-		left := w.drainBigMembers()
-		assert.Equal(t, len(left), 2)
+		leaving := w.drainBigMembers()
+		assert.Equal(t, len(leaving), 2)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			assert.Assert(t, len(w.inventory.View().Replicas("models", "big")) >= 1, "no replica takes requests")
 		}
-		still := w.servingMembersOf(left)
+		still := w.servingMembersOf(leaving)
 		stop()
 		assert.Equal(t, len(still), 0, "%v still serve", still)
 		w.pending.Wait()
@@ -132,10 +132,10 @@
 		// takes three at most.
 		time.Sleep(2500 * time.Millisecond)
 		w.mu.Lock()
-		now := w.workers[old.Members[0]].group.Name
+		newGroup := w.workers[old.Members[0]].group.Name
 		w.mu.Unlock()
 		stop()
-		assert.Assert(t, now != old.Name, "the head still waits for the list")
+		assert.Assert(t, newGroup != old.Name, "the head still waits for the list")
 		w.pending.Wait()
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -120,8 +120,8 @@
 func (k *Keeper) recordBegun(id string, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if held, ok := k.orderStates[id]; ok && verdict == Begun {
-		k.setOrderStateLocked(id, held.orders+1, held.member)
+	if current, ok := k.orderStates[id]; ok && verdict == Begun {
+		k.setOrderStateLocked(id, current.orders+1, current.member)
 	}
 }
 
@@ -130,9 +130,9 @@
 func (k *Keeper) recordLeft(id string, g Group, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, ok := k.orderStates[id]
-	if ok && verdict.Accepted() && held.member.Same(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
-		k.setOrderStateLocked(id, held.orders+1, fleet.Membership{})
+	current, ok := k.orderStates[id]
+	if ok && verdict.Accepted() && current.member.Same(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
+		k.setOrderStateLocked(id, current.orders+1, fleet.Membership{})
 	}
 }
 
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -129,9 +129,9 @@
 		next.Born, next.Member = 2000, fleet.Membership{Group: "h", Epoch: 7, State: fleet.Joining}
 		k.recordListedIncarnation(&next)
 		assert.Equal(t, k.membershipOf(&next).Group, "h")
-		for n, told := range []int64{0, 0, 1500, 1500} {
+		for n, born := range []int64{0, 0, 1500, 1500} {
 			other := next
-			other.Born = told
+			other.Born = born
 			k.recordListedIncarnation(&other)
 			assert.Equal(t, k.membershipOf(&other).Group, "h", fmt.Sprint("entry ", n))
 		}
--- a/formation/search.go
+++ b/formation/search.go
@@ -102,12 +102,12 @@
 		best := s.maxModelValues(i, all.countWarm(i))
 		s.maxValues[i] = best
 		s.upperBounds[depth] = make([]float64, workers+1)
-		for left := range s.upperBounds[depth] {
-			most := math.Inf(-1)
-			for count := 0; count < len(best) && count*s.models[i].Size <= left; count++ {
-				most = max(most, best[count]+s.upperBounds[depth+1][left-count*s.models[i].Size])
+		for remaining := range s.upperBounds[depth] {
+			highest := math.Inf(-1)
+			for count := 0; count < len(best) && count*s.models[i].Size <= remaining; count++ {
+				highest = max(highest, best[count]+s.upperBounds[depth+1][remaining-count*s.models[i].Size])
 			}
-			s.upperBounds[depth][left] = most
+			s.upperBounds[depth][remaining] = highest
 		}
 	}
 }
@@ -137,10 +137,10 @@
 		return
 	}
 	i := s.order[depth]
-	next, left := s.assignments[depth+1], current.countUnassigned()
-	for count := min(len(s.maxValues[i])-1, left/s.models[i].Size); count >= 0; count-- {
+	next, remaining := s.assignments[depth+1], current.countUnassigned()
+	for count := min(len(s.maxValues[i])-1, remaining/s.models[i].Size); count >= 0; count-- {
 		best := earned + s.maxValues[i][count]
-		if best+s.upperBounds[depth+1][left-count*s.models[i].Size] < s.value-valueEpsilon {
+		if best+s.upperBounds[depth+1][remaining-count*s.models[i].Size] < s.value-valueEpsilon {
 			continue
 		}
 		next.copyFrom(current)
--- a/formation/send_test.go
+++ b/formation/send_test.go
@@ -29,18 +29,18 @@
 				w := newWorld(1, 1, 1)
 				ended := false
 				k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended = true })
-				next := 0
+				sent := 0
 				last := Fence(0)
 				verdict, ok := k.sendOrder(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
 					assert.Assert(t, f > last, "each attempt must have a higher fence")
 					last = f
-					next++
-					return test.verdicts[next-1], nil
+					sent++
+					return test.verdicts[sent-1], nil
 				})
 				assert.Assert(t, ok)
 				assert.Equal(t, verdict, test.want)
 				assert.Equal(t, ended, test.ends)
-				assert.Equal(t, next, len(test.verdicts))
+				assert.Equal(t, sent, len(test.verdicts))
 			})
 		})
 	}
--- a/formation/stagings.go
+++ b/formation/stagings.go
@@ -36,10 +36,10 @@
 
 // mainModel returns the model that most workers of a domain are warm for.
 func (p *planner) mainModel(domain string) string {
-	best, most := "", 0
+	best, highest := "", 0
 	for _, n := range p.needs {
-		if count := p.warm[domain][n.Model.Name]; count > most {
-			best, most = n.Model.Name, count
+		if count := p.warm[domain][n.Model.Name]; count > highest {
+			best, highest = n.Model.Name, count
 		}
 	}
 	return best
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -29,12 +29,12 @@
 			continue
 		}
 		waiting[domain] = true
-		at, ok := k.releaseAt[domain]
+		releaseAt, ok := k.releaseAt[domain]
 		if !ok {
-			at = now.Add(survivorReleaseDelay)
-			k.releaseAt[domain] = at
+			releaseAt = now.Add(survivorReleaseDelay)
+			k.releaseAt[domain] = releaseAt
 		}
-		released[domain] = !now.Before(at)
+		released[domain] = !now.Before(releaseAt)
 	}
 	for domain := range k.releaseAt {
 		if !waiting[domain] {
--- a/formation/suspension_test.go
+++ b/formation/suspension_test.go
@@ -26,12 +26,12 @@
 		}
 		k := NewKeeper(opts, Term{Epoch: 1, First: true}, stop)
 		suspended = true
-		given := 0
+		sent := 0
 		verdict, _ := k.sendOrder(ctx, "join", &fleet.Worker{ID: "w0-0"}, func(context.Context, Fence) (Verdict, error) {
-			given++
+			sent++
 			return Begun, nil
 		})
-		assert.Equal(t, given, 0)
+		assert.Equal(t, sent, 0)
 		assert.Assert(t, verdict != Begun)
 		go k.Run(ctx)
 		time.Sleep(10 * time.Second)
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -59,9 +59,9 @@
 			if test.needs == nil {
 				test.needs = needs
 			}
-			trader := newTradeFinder(test.needs, test.free, test.standing)
-			trader.down, trader.maxLoads = test.down, test.maxLoads
-			x, ok := trader.bestTrade()
+			finder := newTradeFinder(test.needs, test.free, test.standing)
+			finder.down, finder.maxLoads = test.down, test.maxLoads
+			x, ok := finder.bestTrade()
 			assert.Equal(t, ok, test.want != nil)
 			assert.DeepEqual(t, x.GroupKeys, test.want)
 		})
@@ -116,12 +116,12 @@
 		"the loss of a hall": {maxLost: 1, want: []string{"t"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			trader := newTradeFinder([]Need{{Model: big, Want: 4, Have: 3}, {Model: small, Want: 4, Have: 8}}, nil, []ServingGroup{
+			finder := newTradeFinder([]Need{{Model: big, Want: 4, Have: 3}, {Model: small, Want: 4, Have: 8}}, nil, []ServingGroup{
 				{Key: "s", Domain: "d", Hall: "h0", Model: "small", Members: 4}, {Key: "t", Domain: "e", Hall: "h1", Model: "small", Members: 4},
 			})
-			trader.value.hallLoss = HallLossPolicy{MaxLost: test.maxLost, Weight: hallWeight}
-			trader.value.serving = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
-			x, ok := trader.bestTrade()
+			finder.value.hallLoss = HallLossPolicy{MaxLost: test.maxLost, Weight: hallWeight}
+			finder.value.serving = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
+			x, ok := finder.bestTrade()
 			assert.Assert(t, ok)
 			assert.DeepEqual(t, x.GroupKeys, test.want)
 		})
--- a/formation/unresponsive.go
+++ b/formation/unresponsive.go
@@ -96,16 +96,16 @@
 
 // isUnresponsiveLocked is isUnresponsive for callers that hold k.mu.
 func (k *Keeper) isUnresponsiveLocked(id string) bool {
-	_, silent := k.unresponsive[id]
+	_, unresponsive := k.unresponsive[id]
 	a, absent := k.absent[id]
-	return silent || absent && a.isGone || k.displaced[id]
+	return unresponsive || absent && a.isGone || k.displaced[id]
 }
 
 // queryUnresponsive queries unresponsive workers from time to time. The caller must hold k.mu.
 func (k *Keeper) queryUnresponsive(ctx context.Context, view *fleet.View, now time.Time) {
-	for id, at := range k.unresponsive {
+	for id, nextQuery := range k.unresponsive {
 		w, listed := view.Worker(id)
-		if !listed || now.Before(at) {
+		if !listed || now.Before(nextQuery) {
 			continue
 		}
 		k.unresponsive[id] = now.Add(unresponsiveQueryInterval)
--- a/formation/value.go
+++ b/formation/value.go
@@ -49,11 +49,11 @@
 // valueOf returns a model's value with a mean number of replicas over the horizon, of which the
 // worst hall losses take lost.
 func (v *valuation) valueOf(n Need, replicas, lost float64) float64 {
-	now := n.servedShare(replicas)
+	current := n.servedShare(replicas)
 	lossProbability := min(workerLossProbability*float64(n.Model.Size)*replicas, 1)
-	value := now + lossProbability*(n.servedShare(replicas-1)-now)
+	value := current + lossProbability*(n.servedShare(replicas-1)-current)
 	if v.hallLoss.MaxLost > 0 {
-		value += v.hallLoss.Weight * (n.servedShare(replicas-lost) - now)
+		value += v.hallLoss.Weight * (n.servedShare(replicas-lost) - current)
 	}
 	return value
 }
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -382,8 +382,8 @@
 			within++
 		}
 	}
-	most := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingAllowance
-	if float64(within) > most {
+	limit := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingAllowance
+	if float64(within) > limit {
 		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", within, simCeiling.Window))
 	}
 	return simLoad
