--- a/formation/absent.go
+++ b/formation/absent.go
@@ -10,24 +10,25 @@
 
 const (
 	// absentQueryInterval is the time between queries to a worker that left the list while its
-	// group serves. A crashed worker stalls its group for this long plus two unanswered queries,
-	// unless a caller reports it sooner.
+	// group serves. A crash of such a worker is detected within this time plus two unanswered
+	// queries. Callers may report it sooner.
 	absentQueryInterval = 500 * time.Millisecond
-	// maxAbsence bounds how long such a worker is queried. One that is only cut off from the store
-	// is usually listed again within this time.
+	// maxAbsence is the time after which such a worker is treated as gone if it is still not
+	// listed, even if it answers. A worker that only lost its connection to the store is usually
+	// listed again sooner.
 	maxAbsence = 30 * time.Second
 )
 
 // absence describes a worker that left the list while it belonged to a group that may serve. The
-// list cannot tell whether the worker crashed, is about to shut down, or merely lost its
-// connection to the store; its own answers can.
+// list does not show whether the worker crashed, is about to shut down or only lost its connection
+// to the store. The worker is therefore queried directly.
 type absence struct {
-	worker *fleet.Worker
-	since  time.Time
-	// nextQuery is when the worker is queried next; queries stop at queryUntil.
+	worker        *fleet.Worker
+	unlistedSince time.Time
+	// nextQuery is the time of the next query to the worker. It is not queried after queryUntil.
 	nextQuery  time.Time
 	queryUntil time.Time
-	// hasAnswered reports whether it answered since it left the list.
+	// hasAnswered reports whether the worker has answered since it left the list.
 	hasAnswered bool
 	// isGone reports whether it is treated as dead, because it did not answer or stayed unlisted
 	// for too long.
@@ -58,7 +59,7 @@
 	if m.Group == "" || k.retirements[fleet.GroupKey(m)] != 0 || k.isUnresponsiveLocked(w.ID) {
 		return
 	}
-	k.absent[w.ID] = &absence{worker: w, since: now, nextQuery: now, queryUntil: now.Add(maxAbsence)}
+	k.absent[w.ID] = &absence{worker: w, unlistedSince: now, nextQuery: now, queryUntil: now.Add(maxAbsence)}
 }
 
 // isAbsent reports whether an unlisted worker is still treated as a member of its group. The
@@ -92,9 +93,9 @@
 	}
 }
 
-// repairAbsentHead drains a group whose head left the list but may be alive: callers send it no
-// new requests, and requests in flight may finish. Nothing is done until the head has answered
-// once. The caller must hold k.mu.
+// repairAbsentHead drains a group whose head left the list but still answers. Callers send the
+// group no new requests, and requests in flight may finish. Nothing is done until the head has
+// answered once. The caller must hold k.mu.
 func (k *Keeper) repairAbsentHead(ctx context.Context, o *observedGroup) {
 	if !k.absent[o.head.ID].hasAnswered {
 		return
@@ -132,5 +133,5 @@
 	}
 	a.isGone = true
 	k.opts.Logger.Info("worker that left the list does not answer", "worker", a.worker.ID,
-		"ms", time.Since(a.since).Milliseconds())
+		"ms", time.Since(a.unlistedSince).Milliseconds())
 }
--- a/formation/absent_test.go
+++ b/formation/absent_test.go
@@ -23,7 +23,7 @@
 	return all
 }
 
-// TestUnlistedMembersKeepServing guards against taking groups out of service when some of their
+// TestUnlistedMembersKeepServing checks that groups are not taken out of service when some of their
 // members lose only their connection to the store.
 func TestUnlistedMembersKeepServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestUnlistedMemberThatDiesIsReplaced covers a member that leaves the list, keeps serving and
-// dies later without anybody reporting it.
+// TestUnlistedMemberThatDiesIsReplaced covers a member that leaves the list, keeps serving and dies
+// later. No caller reports its group as suspect.
 func TestUnlistedMemberThatDiesIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -65,7 +65,7 @@
 		w.mu.Lock()
 		w.workers[g.Members[1]].isDead = true
 		w.mu.Unlock()
-		// It is queried within half a second, twice with a timeout of 0.2 s.
+		// The member is queried within half a second, twice with a timeout of 0.2 s.
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, w.membershipOf(g.Members[0]).Group != g.Name, "the group was not dissolved")
 		stop()
@@ -94,7 +94,8 @@
 	})
 }
 
-// TestDeadUnlistedHeadFreesItsMembers covers an unlisted head that does not answer.
+// TestDeadUnlistedHeadFreesItsMembers checks that the members of an unlisted head are freed if the
+// head does not answer.
 func TestDeadUnlistedHeadFreesItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -135,8 +136,8 @@
 	})
 }
 
-// TestNewlyUnlistedMemberIsNotLost guards against a race: forming a group read a list without the
-// member before a tick had recorded the member as absent, and took it for lost.
+// TestNewlyUnlistedMemberIsNotLost checks that forming a group does not treat a member as lost if
+// the member left the list after the last tick.
 func TestNewlyUnlistedMemberIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
--- a/formation/assignment.go
+++ b/formation/assignment.go
@@ -7,17 +7,18 @@
 	"quartzshelf.dev/fleet"
 )
 
-// assignment assigns a domain's workers to models. Workers with the same costs for every model
-// form a class; they are counted, not distinguished.
+// assignment is an assignment of a domain's workers to models. Workers that have the same cost for
+// each model form a class. Within a class only the number of workers matters.
 type assignment struct {
 	models []fleet.Model
-	// members holds the workers by class, sorted by ID; costs holds the cost of a worker by class
-	// and model.
-	members [][]FreeWorker
-	costs   [][]int
-	// unassigned counts the unassigned workers by class, assigned the others by class and model.
-	unassigned []int
-	assigned   [][]int
+	// workersByClass holds the workers of each class, sorted by ID. costs holds the cost of a
+	// worker, by its class and the model that it is assigned to.
+	workersByClass [][]FreeWorker
+	costs          [][]int
+	// unassignedCounts holds the number of unassigned workers by class. assignedCounts holds the
+	// number of assigned workers by class and model.
+	unassignedCounts []int
+	assignedCounts   [][]int
 }
 
 func newAssignment(models []fleet.Model, workers []FreeWorker) *assignment {
@@ -31,14 +32,14 @@
 		if class < 0 {
 			class = len(s.costs)
 			s.costs = append(s.costs, costs)
-			s.members = append(s.members, nil)
-			s.assigned = append(s.assigned, make([]int, len(models)))
-			s.unassigned = append(s.unassigned, 0)
+			s.workersByClass = append(s.workersByClass, nil)
+			s.assignedCounts = append(s.assignedCounts, make([]int, len(models)))
+			s.unassignedCounts = append(s.unassignedCounts, 0)
 		}
-		s.members[class] = append(s.members[class], w)
-		s.unassigned[class]++
+		s.workersByClass[class] = append(s.workersByClass[class], w)
+		s.unassignedCounts[class]++
 	}
-	for _, members := range s.members {
+	for _, members := range s.workersByClass {
 		slices.SortFunc(members, func(a, b FreeWorker) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return s
@@ -47,16 +48,16 @@
 // countUnassigned returns the number of unassigned workers.
 func (s *assignment) countUnassigned() int {
 	total := 0
-	for _, count := range s.unassigned {
+	for _, count := range s.unassignedCounts {
 		total += count
 	}
 	return total
 }
 
-// countWarm returns how many workers need no load for a model.
+// countWarm returns how many workers, assigned or not, need no load for a model.
 func (s *assignment) countWarm(model int) int {
 	total := 0
-	for c, members := range s.members {
+	for c, members := range s.workersByClass {
 		if s.costs[c][model]%unreliableCost < loadCost {
 			total += len(members)
 		}
@@ -66,31 +67,31 @@
 
 // copyFrom copies another assignment of the same workers.
 func (s *assignment) copyFrom(o *assignment) {
-	copy(s.unassigned, o.unassigned)
-	for c := range s.assigned {
-		copy(s.assigned[c], o.assigned[c])
+	copy(s.unassignedCounts, o.unassignedCounts)
+	for c := range s.assignedCounts {
+		copy(s.assignedCounts[c], o.assignedCounts[c])
 	}
 }
 
 // clone returns an independent copy.
 func (s *assignment) clone() *assignment {
-	other := &assignment{models: s.models, members: s.members, costs: s.costs, unassigned: slices.Clone(s.unassigned)}
-	for _, assigned := range s.assigned {
-		other.assigned = append(other.assigned, slices.Clone(assigned))
+	other := &assignment{models: s.models, workersByClass: s.workersByClass, costs: s.costs, unassignedCounts: slices.Clone(s.unassignedCounts)}
+	for _, assigned := range s.assignedCounts {
+		other.assignedCounts = append(other.assignedCounts, slices.Clone(assigned))
 	}
 	return other
 }
 
-// step is the cheapest way for a model to get one more worker: an unassigned one (from is -1), or
-// one assigned to another model, which then gets a replacement.
+// step describes the cheapest way for a model to get one more worker of a class. The worker is
+// either unassigned (fromModel is -1) or assigned to fromModel, which then gets a replacement.
 type step struct {
-	cost, class, from int
-	isReachable       bool
+	cost, class, fromModel int
+	isReachable            bool
 }
 
-// assign assigns more workers to a model at the lowest total cost, possibly reassigning others.
-// Augmenting along shortest paths keeps the total cost minimal (successive shortest paths
-// algorithm). It reports whether there were enough workers.
+// assign assigns count more workers to a model at the lowest total cost. It may reassign other
+// workers to this end. It uses the successive shortest paths algorithm, which keeps the total cost
+// minimal. It returns false if there are too few workers.
 func (s *assignment) assign(model, count int) bool {
 	if s.countUnassigned() < count {
 		return false
@@ -102,13 +103,13 @@
 			return false
 		}
 		count -= amount
-		for at := model; at >= 0; at = steps[at].from {
+		for at := model; at >= 0; at = steps[at].fromModel {
 			st := steps[at]
-			s.assigned[st.class][at] += amount
-			if st.from < 0 {
-				s.unassigned[st.class] -= amount
+			s.assignedCounts[st.class][at] += amount
+			if st.fromModel < 0 {
+				s.unassignedCounts[st.class] -= amount
 			} else {
-				s.assigned[st.class][st.from] -= amount
+				s.assignedCounts[st.class][st.fromModel] -= amount
 			}
 		}
 	}
@@ -118,10 +119,10 @@
 // cheapestSteps returns, for each model, the cheapest way to get one more worker.
 func (s *assignment) cheapestSteps() []step {
 	steps := make([]step, len(s.models))
-	for c, count := range s.unassigned {
+	for c, count := range s.unassignedCounts {
 		for m := range s.models {
 			if count > 0 && (!steps[m].isReachable || s.costs[c][m] < steps[m].cost) {
-				steps[m] = step{cost: s.costs[c][m], class: c, from: -1, isReachable: true}
+				steps[m] = step{cost: s.costs[c][m], class: c, fromModel: -1, isReachable: true}
 			}
 		}
 	}
@@ -133,43 +134,46 @@
 	return steps
 }
 
-// relax improves the steps by one reassignment between models, and reports whether any improved.
+// relax lowers the costs of the steps by one more reassignment between models. It reports whether
+// any step became cheaper.
 func (s *assignment) relax(steps []step) bool {
-	better := false
-	for c, given := range s.assigned {
+	hasImproved := false
+	for c, given := range s.assignedCounts {
 		for from, count := range given {
 			if count > 0 && steps[from].isReachable {
-				better = s.relaxFrom(steps, c, from) || better
+				hasImproved = s.relaxFrom(steps, c, from) || hasImproved
 			}
 		}
 	}
-	return better
+	return hasImproved
 }
 
-// relaxFrom is relax for the workers of one class that are assigned to one model.
+// relaxFrom does the same as relax, but only for the workers of one class that are assigned to one
+// model.
 func (s *assignment) relaxFrom(steps []step, class, from int) bool {
-	better := false
+	hasImproved := false
 	for to := range s.models {
 		cost := steps[from].cost + s.costs[class][to] - s.costs[class][from]
 		if to != from && (!steps[to].isReachable || cost < steps[to].cost) {
-			steps[to] = step{cost: cost, class: class, from: from, isReachable: true}
-			better = true
+			steps[to] = step{cost: cost, class: class, fromModel: from, isReachable: true}
+			hasImproved = true
 		}
 	}
-	return better
+	return hasImproved
 }
 
-// stepCapacity returns how many workers can be moved along the path to a model.
+// stepCapacity returns how many workers a model can get by following the steps from it back to
+// unassigned workers.
 func (s *assignment) stepCapacity(steps []step, model int) int {
 	capacity := 1 << 30
-	for at := model; at >= 0; at = steps[at].from {
+	for at := model; at >= 0; at = steps[at].fromModel {
 		switch st := steps[at]; {
 		case !st.isReachable:
 			return 0
-		case st.from < 0:
-			capacity = min(capacity, s.unassigned[st.class])
+		case st.fromModel < 0:
+			capacity = min(capacity, s.unassignedCounts[st.class])
 		default:
-			capacity = min(capacity, s.assigned[st.class][st.from])
+			capacity = min(capacity, s.assignedCounts[st.class][st.fromModel])
 		}
 	}
 	return capacity
@@ -178,7 +182,7 @@
 // countLoads returns how many workers assigned to a model must load it.
 func (s *assignment) countLoads(model int) int {
 	total := 0
-	for c, assigned := range s.assigned {
+	for c, assigned := range s.assignedCounts {
 		if s.costs[c][model]%unreliableCost >= loadCost {
 			total += assigned[model]
 		}
@@ -189,7 +193,7 @@
 // totalCost returns the cost of all assigned workers.
 func (s *assignment) totalCost() int {
 	total := 0
-	for c, assigned := range s.assigned {
+	for c, assigned := range s.assignedCounts {
 		for m, count := range assigned {
 			total += count * s.costs[c][m]
 		}
@@ -197,16 +201,16 @@
 	return total
 }
 
-// formations returns the assigned groups. The cheapest workers of a model are put together, so
-// that as few groups as possible wait for loads.
+// formations returns the groups that the assigned workers form. The cheapest workers of a model are
+// put together, so that as few groups as possible wait for loads.
 func (s *assignment) formations() []Formation {
 	var all []Formation
-	next := make([]int, len(s.members))
+	next := make([]int, len(s.workersByClass))
 	for i, m := range s.models {
 		var chosen []FreeWorker
 		for _, c := range s.classesByCost(i) {
-			chosen = append(chosen, s.members[c][next[c]:next[c]+s.assigned[c][i]]...)
-			next[c] += s.assigned[c][i]
+			chosen = append(chosen, s.workersByClass[c][next[c]:next[c]+s.assignedCounts[c][i]]...)
+			next[c] += s.assignedCounts[c][i]
 		}
 		for members := range slices.Chunk(chosen, max(m.Size, 1)) {
 			all = append(all, newFormation(m, members))
--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -20,7 +20,7 @@
 			options := w.options()
 			k := NewKeeper(options, Term{Epoch: 1}, func() {})
 			openGroups(w)
-			w.traffic = true
+			w.hasTraffic = true
 			ctx := context.Background()
 			now := time.Now()
 			for b.Loop() {
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -11,35 +11,36 @@
 const (
 	// targetUtilization is the fraction of a replica's slots that should be busy.
 	targetUtilization = 0.7
-	// demandRiseWeight and demandFallWeight are the weights of a new measurement in the smoothed
-	// demand, per tick, when it is higher and when it is lower.
+	// demandRiseWeight is the weight of a new measurement in the smoothed work, per tick, if the
+	// measurement is higher than the smoothed value. demandFallWeight is the weight if it is lower.
 	demandRiseWeight = 0.04
 	demandFallWeight = 0.01
-	// sharePeriod is how long after the first request to a new fleet the models' configured shares
-	// are considered in addition to the measured work. Later leaders use only the measured work:
-	// if each applied the shares again, frequent leader changes would make replicas switch models
-	// back and forth.
+	// sharePeriod is the time after the first request to a new fleet in which the models'
+	// configured shares are considered in addition to the measured work. Later leaders use only the
+	// measured work. Otherwise, each leader change would make replicas switch models back and
+	// forth.
 	sharePeriod = 10 * time.Second
-	// spareReplicas is the number of replicas wanted beyond the measured demand.
+	// spareReplicas is the number of replicas wanted in addition to those needed for the measured
+	// work.
 	spareReplicas = 1
-	// rereadPauseShare is the fraction of the allowed pause, less two passes, in which the
-	// remaining replicas must read the prompts of a lost replica. It leaves room for uneven load,
-	// since callers choose replicas at random, and for new prompts.
+	// rereadPauseShare is the fraction of the tolerated pause, less the duration of two forward
+	// passes, in which the remaining replicas must read the prompts of a lost replica. The rest is
+	// a reserve for uneven load and for new prompts.
 	rereadPauseShare = 0.25
 )
 
 // Work is the measured work of a model, summed over all daemons.
 type Work struct {
-	// Busy is the number of occupied slots, Prompts the number of prompt tokens of the requests in
-	// them.
+	// Busy is the number of occupied slots. Prompts is the number of prompt tokens of the requests
+	// in these slots.
 	Busy, Prompts float64
 	// Pause is the longest pause that all callers of the model tolerate; zero if unknown.
 	Pause time.Duration
 }
 
-// replicasForLoss returns how many replicas a model needs so that, if one is lost, its requests
-// can continue at the others, which have to read the prompts again, without a pause longer than
-// callers tolerate. It returns 0 if that pause is too short to allow it.
+// replicasForLoss returns how many replicas a model needs to tolerate the loss of one. The other
+// replicas must read the prompts of its requests again and continue these requests within the pause
+// that callers tolerate. It returns 0 if that pause is too short for any number of replicas.
 func replicasForLoss(e *fleet.Engine, model string, w Work) float64 {
 	pass, perRequest := e.Pass(model)
 	allowed := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
@@ -51,39 +52,39 @@
 	return (1 + math.Sqrt(1+4*reading/allowed)) / 2
 }
 
-// computeNeeds returns the wanted and available replicas of each model, and the available ones by
-// model and data hall. Groups in closed halls are not counted.
+// computeNeeds returns the wanted and the available number of replicas of each model, and the
+// available number by model and data hall. Groups in closed halls do not count as available.
 func (k *Keeper) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
 	workers := countWorkers(s, view)
-	have, serving := make(map[string]int), make(map[string]map[string]int)
+	replicaCounts, replicasByHall := make(map[string]int), make(map[string]map[string]int)
 	count := func(model, hall string) {
 		if !k.halls.isUsable(hall) {
 			return
 		}
-		if serving[model] == nil {
-			serving[model] = make(map[string]int)
+		if replicasByHall[model] == nil {
+			replicasByHall[model] = make(map[string]int)
 		}
-		serving[model][hall]++
-		have[model]++
+		replicasByHall[model][hall]++
+		replicaCounts[model]++
 	}
-	isComplete := make(map[string]bool)
+	completeGroups := make(map[string]bool)
 	for _, o := range groups {
-		isComplete[o.key] = o.isComplete()
+		completeGroups[o.key] = o.isComplete()
 		if o.isComplete() && k.retirements[o.key] == 0 {
 			count(o.model.Name, o.head.Zone)
 		}
 	}
 	for key, g := range k.formedGroups {
-		if k.busyGroups[key] && !isComplete[key] {
+		if k.busyGroups[key] && !completeGroups[key] {
 			count(g.Model, k.knownWorkers[g.Members[0]].Zone)
 		}
 	}
 	k.updateSmoothedWork()
 	var all []Need
 	for _, m := range s.Engine.Models {
-		all = append(all, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workers), Have: have[m.Name]})
+		all = append(all, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workers), Have: replicaCounts[m.Name]})
 	}
-	return all, serving
+	return all, replicasByHall
 }
 
 // countWorkers returns the number of listed workers of a service.
@@ -97,14 +98,14 @@
 	return workers
 }
 
-// wantedReplicas returns the wanted number of replicas, based on the measured work, or on the
-// model's configured share before there is any traffic.
+// wantedReplicas returns the wanted number of replicas of a model. It is based on the measured work
+// or, before there is any traffic, on the model's configured share.
 func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workers int) float64 {
 	byShare := m.Share * float64(workers) / float64(max(m.Size, 1))
 	work := k.smoothedWork[m.Name]
 	byDemand := work.Busy/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
-	// Slow replicas hold requests longer, so prompts accumulate. Capping at the model's share
-	// keeps this from starving the other models.
+	// If replicas are slow, their prompts accumulate. This limit keeps the model from taking
+	// workers away from other models for that reason.
 	byDemand = max(byDemand, min(replicasForLoss(e, m.Name, work), byShare))
 	now := time.Now()
 	switch {
@@ -119,8 +120,8 @@
 	return byDemand
 }
 
-// inheritSmoothedWork adopts the smoothed work that this daemon tracked before the term, so that
-// the wanted replicas do not jump with each new leader.
+// inheritSmoothedWork starts the term with the smoothed work that this daemon tracked before. The
+// wanted replicas then do not change abruptly with each new leader.
 func (k *Keeper) inheritSmoothedWork() {
 	if k.opts.Smoothed != nil {
 		maps.Copy(k.smoothedWork, k.opts.Smoothed())
--- a/formation/displaced_test.go
+++ b/formation/displaced_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestDisplacedWorkersGetNoMoreOrders covers idle workers that were replaced while the list still
-// shows them. They must not be put into groups again and again.
+// TestDisplacedWorkersGetNoMoreOrders checks that idle workers that were replaced, but are still
+// listed, are not put into groups repeatedly.
 func TestDisplacedWorkersGetNoMoreOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
@@ -25,7 +25,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		stop()
-		// One join and one leave each, until the displacement is known.
+		// Each worker gets one join and one leave before it is known to be displaced.
 		w.mu.Lock()
 		assert.Assert(t, w.displacedOrders > 0 && w.displacedOrders <= 4, "%d orders", w.displacedOrders)
 		w.mu.Unlock()
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -8,16 +8,16 @@
 	"quartzshelf.dev/fleet"
 )
 
-// dissolve ensures that the head takes no more requests for the group, and then frees the members.
-// A head that does not respond at all may still be alive, but daemons have been told not to use
-// it, and a group does not progress without its members, so they are freed without its
-// confirmation.
+// dissolve announces that a group is closed, and then frees its members. If the head does not
+// respond, they are freed without its confirmation. This is safe because daemons no longer send
+// requests to the head, and the group makes no progress without its members.
 func (k *Keeper) dissolve(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	k.announceClosed(o, head)
 	k.releaseMembers(ctx, o, head)
 }
 
-// releaseMembers frees the members of a group that takes no requests.
+// releaseMembers orders the head to leave a group that takes no requests. It frees the members once
+// the head has confirmed or is presumed dead.
 func (k *Keeper) releaseMembers(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	unreachableSince := time.Time{}
 	for ctx.Err() == nil {
@@ -40,8 +40,9 @@
 	}
 }
 
-// leave orders a head to leave its group, and reports whether it answered. If this daemon cannot
-// reach the head, other daemons try, since it may still serve through them.
+// leave orders the head of a group to leave it, and reports whether the head answered. If this
+// daemon cannot reach the head, other daemons send the order, since the group may still serve
+// through them.
 func (k *Keeper) leave(ctx context.Context, g Group, head *fleet.Worker) (Verdict, bool) {
 	verdict, ok := k.leaveDirectly(ctx, g, head)
 	if ok || ctx.Err() != nil {
@@ -69,8 +70,9 @@
 	return verdict, ok
 }
 
-// isPresumedGone reports whether an unreachable head is presumed dead: it is not listed although
-// the list is recent, or it had enough time to break its group while the list was unavailable.
+// isPresumedGone reports whether a head that has been unreachable since the given time is presumed
+// dead. If the list is recent, the head must also be missing from it. Otherwise, the head must have
+// been unreachable for so long that its group has broken.
 func (k *Keeper) isPresumedGone(head *fleet.Worker, since, now time.Time) bool {
 	_, listed := k.opts.Inventory.View().Worker(head.ID)
 	isListRecent := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
@@ -98,8 +100,8 @@
 	})
 }
 
-// drainOrDissolve dissolves a group that is already closed. If all members are present it is
-// drained first, as it may have requests in flight.
+// drainOrDissolve drains a group if all its members are present, since it may have requests in
+// flight. Otherwise, it dissolves the group immediately.
 func (k *Keeper) drainOrDissolve(ctx context.Context, o *observedGroup) {
 	if o.isComplete() {
 		k.drain(ctx, o)
@@ -108,7 +110,8 @@
 	k.dissolve(ctx, o, o.head)
 }
 
-// drain lets a group's requests finish before the group is dissolved.
+// drain closes a group, waits for its requests to finish, at most for maxDrainTime, and then
+// dissolves it.
 func (k *Keeper) drain(ctx context.Context, o *observedGroup) {
 	k.opts.Logger.Info("draining replica", "replica", o.key)
 	k.announceClosed(o, o.head)
@@ -126,8 +129,8 @@
 	k.dissolve(ctx, o, o.head)
 }
 
-// isDrained reports whether a closed group's requests have finished, according to the list or, if
-// that is stale or does not show the head, to the head itself.
+// isDrained reports whether a closed group's requests have finished. It uses the list. If the list
+// is stale or does not show the head, it queries the head, but not before nextQuery.
 func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
 	closed := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
 	headEntry, isListed := k.opts.Inventory.View().Worker(o.head.ID)
--- a/formation/form.go
+++ b/formation/form.go
@@ -25,24 +25,24 @@
 	for _, w := range members {
 		k.recordLoad(w, f.Model)
 	}
-	k.opts.Logger.Info("forming replica", "replica", g.Key(), "model", g.Model, "members", g.Members, "loads", f.Loads)
+	k.opts.Logger.Info("forming replica", "replica", g.Key(), "model", g.Model, "members", g.Members, "loads", f.LoadCount)
 	k.startOperation(ctx, g.Key(), members, func(ctx context.Context) { k.form(ctx, s, f, g, members) })
 }
 
-// form orders the members to join, waits until each is ready with the same group name, epoch and
-// member list, and only then opens the head.
+// form orders the members to join, and waits until each of them is ready in the group. It then
+// opens the group. If any of this fails, it abandons the group.
 func (k *Keeper) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
 	start := time.Now()
 	expected := joinGracePeriod + f.Model.Warm
-	if f.Loads > 0 {
+	if f.LoadCount > 0 {
 		expected += loadTimeFactor * f.Model.Load
 	}
 	defer k.clearLoads(f.Members)
 	ctx, cancel := context.WithDeadline(termCtx, start.Add(expected))
 	defer cancel()
 	if !k.join(ctx, g, members) || !k.awaitReady(ctx, g, members) {
-		// The group was never opened, so it is not announced as closed: its head may already serve
-		// in another group, and daemons would apply the announcement to that one.
+		// The group was never opened, so it must not be announced as closed. Its head may already
+		// serve in another group, and daemons would apply the announcement to that one.
 		k.abandon(termCtx, g, "a member did not become ready", func(o *observedGroup) { k.releaseMembers(termCtx, o, members[0]) })
 		return
 	}
@@ -55,9 +55,9 @@
 		"head", g.Members[0], "ms", time.Since(start).Milliseconds())
 }
 
-// abandon ends a group that could not be formed. The dissolve function must ensure that a late
-// order cannot open the group, and free its members. If the term has ended, the group is left to
-// the next leader.
+// abandon logs that a group could not be formed, and calls the dissolve function. That function
+// must free the members and ensure that a late order cannot open the group. If the term has ended,
+// abandon does nothing, and the next leader handles the group.
 func (k *Keeper) abandon(termCtx context.Context, g Group, reason string, dissolve func(o *observedGroup)) {
 	if termCtx.Err() != nil {
 		return
@@ -84,8 +84,8 @@
 	return !slices.Contains(p.Wait(), false)
 }
 
-// awaitReady waits until every member is ready in the group. On failure it marks the members that
-// are gone as unreliable, or on timeout those that did not become ready.
+// awaitReady waits until every member is ready in the group. It fails if a member is gone or ctx is
+// done, and marks the members that caused the failure as unreliable.
 func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	seen := make(map[string]bool)
 	nextQuery := time.Now().Add(queryInterval)
@@ -117,8 +117,8 @@
 	return m.Group == g.Name && m.Epoch == g.Epoch && m.State == fleet.Ready
 }
 
-// membersToQuery returns the members whose state the list does not show: all of them if it is
-// stale, otherwise those that left it.
+// membersToQuery returns the members whose current state the list does not show. These are all
+// members if the list is stale, and otherwise the unlisted ones.
 func (k *Keeper) membersToQuery(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
 	if now.Sub(k.opts.Inventory.Confirmed()) > listStaleAge {
 		return members
@@ -144,8 +144,8 @@
 	}
 }
 
-// goneMembers returns the members that are gone or draining. A member that left the list but still
-// answers is neither, so absences are refreshed first rather than at the next tick.
+// goneMembers returns the members that are gone, unresponsive or draining. It refreshes the
+// absences first, since a member that left the list after the last tick may still answer.
 func (k *Keeper) goneMembers(members []*fleet.Worker) []*fleet.Worker {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -162,7 +162,8 @@
 	return all
 }
 
-// open opens a group whose members are all ready, and announces it.
+// open orders the head to open a group whose members are all ready, and announces the group as
+// open. It reports whether the head accepted the order.
 func (k *Keeper) open(ctx context.Context, service string, g Group, head *fleet.Worker) bool {
 	verdict, ok := k.sendOrder(ctx, "open", head, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Open(ctx, head, fence, g)
@@ -180,8 +181,9 @@
 	return true
 }
 
-// recordOpened records that a head accepted the order to open. The list and the head's own reports
-// show it as ready for a while longer.
+// recordOpened records that a head accepted the order to open its group. The list and the head's
+// reports still show the group as ready for a while. The record takes precedence until the list has
+// been confirmed after confirmedAfter.
 func (k *Keeper) recordOpened(head string, g Group, confirmedAfter time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -200,7 +202,7 @@
 	return 0
 }
 
-// openInherited opens a group that an earlier leader formed.
+// openInherited opens a group that an earlier leader formed but did not open.
 func (k *Keeper) openInherited(ctx context.Context, o *observedGroup) {
 	g := o.group
 	if len(g.Members) == 0 {
--- a/formation/free.go
+++ b/formation/free.go
@@ -7,23 +7,23 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Warmth classifies how much work a worker needs before it can serve a model.
+// Warmth classifies how quickly a worker can start to serve a model. Lower values are warmer.
 type Warmth int
 
 // Warmth levels, from quickest to slowest.
 const (
-	// Hot workers served the model last.
+	// Hot means that the worker served the model last.
 	Hot Warmth = iota
-	// Staged workers have the model on their host.
+	// Staged means that the model's weights are on the worker's host.
 	Staged
-	// Cold workers must load the model and hold no other.
+	// Cold means that the worker must load the model and holds no other one.
 	Cold
-	// ColdOther workers must load the model and hold another one, which they lose.
+	// ColdOther means that the worker must load the model and loses another one that it holds.
 	ColdOther
 )
 
-// Costs of using a worker in a group. A load outweighs any number of joins without one, and an
-// unreliable worker outweighs any number of loads.
+// Costs that are added to the Warmth of a worker that must load or is unreliable. One load costs
+// more than the joins of many warm workers. One unreliable worker costs more than many loads.
 const (
 	loadCost       = 1 << 8
 	unreliableCost = 1 << 16
@@ -31,24 +31,24 @@
 
 // FreeWorker is a worker that can be ordered into a new group.
 type FreeWorker struct {
-	ID     string
-	Domain string
-	Loaded string
-	Staged []string
+	ID           string
+	Domain       string
+	LoadedModel  string
+	StagedModels []string
 	// Hall is the worker's data hall.
 	Hall string
-	// Unreliable reports whether the worker recently failed to become ready; it is used only where
-	// there are too few others.
-	Unreliable bool
+	// IsUnreliable reports whether the worker recently failed to become ready. It is then used only
+	// if there are too few other workers.
+	IsUnreliable bool
 }
 
 func (f FreeWorker) warmth(model string) Warmth {
 	switch {
-	case f.Loaded == model:
+	case f.LoadedModel == model:
 		return Hot
-	case slices.Contains(f.Staged, model):
+	case slices.Contains(f.StagedModels, model):
 		return Staged
-	case f.Loaded == "" && len(f.Staged) == 0:
+	case f.LoadedModel == "" && len(f.StagedModels) == 0:
 		return Cold
 	}
 	return ColdOther
@@ -60,22 +60,24 @@
 	if f.warmth(model) > Staged {
 		cost += loadCost
 	}
-	if f.Unreliable {
+	if f.IsUnreliable {
 		cost += unreliableCost
 	}
 	return cost
 }
 
-// rankedWorker is a worker's cost in a group of one model.
+// rankedWorker is a worker with its cost for a group of a given model. index is its position in the
+// unsorted list of workers.
 type rankedWorker struct {
 	id    string
 	index int
 	cost  int
 }
 
-// warmestWorkers returns the warmest workers for a group of the model and their total cost, by
-// which domains are compared. It returns nil if there are too few workers.
-func warmestWorkers(m fleet.Model, workers []FreeWorker, limit Warmth) ([]FreeWorker, int) {
+// warmestWorkers returns the cheapest workers for a group of the model, and a total cost by which
+// domains are compared. It returns nil if there are too few workers that are no colder than the
+// given limit.
+func warmestWorkers(m fleet.Model, workers []FreeWorker, coldest Warmth) ([]FreeWorker, int) {
 	if m.Size <= 0 || len(workers) < m.Size {
 		return nil, 0
 	}
@@ -91,11 +93,11 @@
 	for _, r := range all[:m.Size] {
 		w := workers[r.index]
 		warmth := w.warmth(m.Name)
-		if warmth > limit {
+		if warmth > coldest {
 			return nil, 0
 		}
 		cost += int(warmth)
-		if w.Unreliable {
+		if w.IsUnreliable {
 			cost += unreliableCost
 		}
 		chosen = append(chosen, w)
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -14,15 +14,15 @@
 	key   string
 	group Group
 	model fleet.Model
-	// isModelKnown reports whether the service has the model.
+	// isModelKnown reports whether the service is configured with the model.
 	isModelKnown bool
 	head         *fleet.Worker
 	state        fleet.GroupState
 	members      []*fleet.Worker
-	// readyCount is the number of members seen ready, including the head.
+	// readyCount is the number of members that are no longer joining, including the head.
 	readyCount int
 	isDraining bool
-	// hasLostMember reports whether a listed member does not answer.
+	// hasLostMember reports whether some member does not answer.
 	hasLostMember bool
 	// absentCount is the number of members that left the list but still answer.
 	absentCount int
@@ -33,8 +33,8 @@
 	return o.isModelKnown && o.head != nil && len(o.members) == o.model.Size
 }
 
-// settleTime returns how long an incomplete group is left alone after it was first seen. Shortly
-// after the process started the list itself may be incomplete.
+// settleTime returns how long an incomplete group is left unchanged after it was first seen. It is
+// longer shortly after the process started, because the list itself may be incomplete then.
 func (k *Keeper) settleTime(now time.Time) time.Duration {
 	if now.Sub(k.opts.ListSince()) < youngListAge {
 		return youngListSettleTime
@@ -47,7 +47,7 @@
 	return o.readyCount < len(o.members) && (o.state == fleet.Joining || o.state == fleet.Ready)
 }
 
-// firstSeen returns when a group was first seen.
+// firstSeen returns the time when a group was first seen, and records it for a new group.
 func (k *Keeper) firstSeen(o *observedGroup, now time.Time) time.Time {
 	since, ok := k.groupSeenSince[o.key]
 	if !ok {
@@ -57,8 +57,8 @@
 	return since
 }
 
-// groups returns the groups of a service as reported by its workers, sorted by key.
-func (k *Keeper) groups(s *fleet.Service, view *fleet.View) []*observedGroup {
+// observeGroups returns the groups of a service as reported by its workers, sorted by key.
+func (k *Keeper) observeGroups(s *fleet.Service, view *fleet.View) []*observedGroup {
 	byKey := make(map[string]*observedGroup)
 	for w := range k.presentWorkers(view) {
 		m := k.membershipOf(w)
@@ -119,7 +119,7 @@
 	age := now.Sub(k.firstSeen(o, now))
 	k.detectReturn(o, now)
 	if o.head != nil && o.state != fleet.Broken && !k.isUnresponsiveLocked(o.head.ID) && k.retirements[o.key] == retiredAssumed {
-		// The head has returned.
+		// The head answers again.
 		delete(k.retirements, o.key)
 	}
 	if k.busyGroups[o.key] || k.retirements[o.key] != 0 || k.hasBusyWorker(o.members) {
@@ -129,15 +129,15 @@
 	case o.head == nil:
 		k.repairHeadless(ctx, o, now)
 	case k.opts.Inventory.Closed(o.group.Name):
-		// Daemons never use a closed group again, whatever its head reports. Requests may still be
-		// in flight there.
+		// Daemons never send requests to a closed group again, whatever its head reports. Earlier
+		// requests may still be in flight.
 		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
 	case k.isAbsent(o.head.ID):
 		k.repairAbsentHead(ctx, o)
 	case o.state == fleet.Open && o.isComplete() && !o.isDraining:
-		// Healthy, even if a member left the list: its work for the group does not depend on the
-		// list. Dissolving such groups would take out many replicas whenever workers lose the
-		// store.
+		// The group is healthy, even if a member left the list, because members work for their
+		// group without the list. Dissolving such groups would take many replicas out of service
+		// whenever workers lose their connection to the store.
 	case o.state == fleet.Open && o.isComplete():
 		k.dissolveLeaving(ctx, o, now)
 	case age < k.settleTime(now) && !o.hasLostMember:
@@ -152,22 +152,22 @@
 	}
 }
 
-// repairHeadless frees the members of a group whose head is not listed: immediately if the head
-// confirms, otherwise once it must be gone. A head that is cut off from the list may still serve,
-// so it is contacted first. If the head is unknown, which is only possible for a group that an
-// operator created by hand, the group is left to break by itself.
+// repairHeadless frees the members of a group whose head is not listed. It contacts the head first,
+// because a head that lost its connection to the store may still serve. The head is unknown only if
+// an operator created the group by hand. The members of such a group are freed after StallAfter,
+// when the group has broken by itself.
 func (k *Keeper) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
 	since, ok := k.headlessSince[o.key]
 	if !ok {
 		k.headlessSince[o.key] = now
 		since = now
 	}
-	head, seen := k.knownWorkers[k.headIDs[o.key]]
-	if !seen && now.Sub(since) < k.settleTime(now) {
+	head, isKnown := k.knownWorkers[k.headIDs[o.key]]
+	if !isKnown && now.Sub(since) < k.settleTime(now) {
 		// The list may still show the head.
 		return
 	}
-	if !seen {
+	if !isKnown {
 		head = headFromName(o)
 	}
 	if head != nil {
@@ -212,7 +212,7 @@
 	})
 }
 
-// freeWorkers returns the workers of a service that can be ordered into a new group.
+// freeWorkers returns the workers of a service that can be put into a new group.
 func (k *Keeper) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
 	inGroup := make(map[string]bool)
 	for _, o := range groups {
@@ -225,7 +225,7 @@
 	}
 	var all []FreeWorker
 	for id, w := range view.Workers() {
-		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isPaused(id) || inGroup[id] || !k.halls.isUsable(w.Zone) {
+		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isExcluded(id) || inGroup[id] || !k.halls.isUsable(w.Zone) {
 			continue
 		}
 		if _, loading := k.activeLoads[id]; loading {
@@ -237,16 +237,16 @@
 	return all
 }
 
-// asFreeWorker returns the planner's view of a worker. The list is used once it has been confirmed
-// after more recent information of the keeper's own.
+// asFreeWorker returns the planner's view of a worker. An interrupted join and the worker's own
+// reports take precedence over the list until the list has been confirmed after them.
 func (k *Keeper) asFreeWorker(w *fleet.Worker) FreeWorker {
 	if i, ok := k.interruptedJoins[w.ID]; ok {
 		if !k.opts.Inventory.Confirmed().After(i.at.Add(listSettleTime)) {
-			return FreeWorker{ID: w.ID, Domain: w.Domain, Staged: i.staged, Hall: w.Zone, Unreliable: k.isUnreliable(w.ID)}
+			return FreeWorker{ID: w.ID, Domain: w.Domain, StagedModels: i.staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
 		}
 		delete(k.interruptedJoins, w.ID)
 	}
-	return FreeWorker{ID: w.ID, Domain: w.Domain, Loaded: k.loadedModel(w), Staged: w.Staged, Hall: w.Zone, Unreliable: k.isUnreliable(w.ID)}
+	return FreeWorker{ID: w.ID, Domain: w.Domain, LoadedModel: k.loadedModel(w), StagedModels: w.Staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
 }
 
 // loadedModel returns the model that a worker served last.
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -6,14 +6,14 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallSettleTime is how long after a data hall was closed or opened no group is traded for another
-// model, so that a hall closed briefly by mistake costs no groups. New groups are formed from idle
-// workers without this delay.
+// hallSettleTime is the time after a data hall was closed or opened in which no group is traded for
+// another model. A hall that is closed briefly by mistake thus causes no trades. Groups are still
+// formed from idle workers during this time.
 const hallSettleTime = time.Second
 
 // hallStates records which data halls may be used for new groups.
 type hallStates struct {
-	// closed holds the halls that are closed. It is empty if no hall that has workers is open.
+	// closed holds the closed halls. It is empty if all halls that have workers are closed.
 	closed map[string]bool
 }
 
@@ -60,8 +60,8 @@
 	return closed
 }
 
-// hallLossPolicy returns how plans account for the loss of data halls; the zero value if no weight
-// is configured.
+// hallLossPolicy returns how plans account for the loss of data halls. If no weight is configured,
+// it returns the zero value, which disables this.
 func (k *Keeper) hallLossPolicy() HallLossPolicy {
 	if k.opts.HallWeight <= 0 {
 		return HallLossPolicy{}
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -12,11 +12,11 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallWeight is the weight of hall losses in these tests.
-const hallWeight = 0.2
+// hallLossWeight is the weight of requests lost with a hall in these tests.
+const hallLossWeight = 0.2
 
-// hallWorld returns a world of listed domains that alternate between the halls "h0" and "h1". The
-// second hall is closed while the returned flag is set.
+// hallWorld returns a world of listed workers whose domains alternate between the halls "h0" and
+// "h1". Hall "h1" is closed while the returned flag is set.
 func hallWorld(domains, perDomain int) (*world, *atomic.Bool) {
 	w := unlistedWorld(1, domains, perDomain)
 	closed := new(atomic.Bool)
@@ -50,8 +50,8 @@
 	return all
 }
 
-// TestGroupsOfClosedHallAreReplaced closes a data hall: its groups stay formed, and the wanted
-// replicas are formed in the other hall.
+// TestGroupsOfClosedHallAreReplaced checks that the wanted replicas are formed in the other hall
+// when a data hall is closed, and that the groups of the closed hall stay formed.
 func TestGroupsOfClosedHallAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := hallWorld(4, 8)
@@ -77,7 +77,8 @@
 	})
 }
 
-// TestBrieflyClosedHallKeepsGroups closes a hall and opens it again within a second.
+// TestBrieflyClosedHallKeepsGroups checks that no groups change when a hall is closed and opened
+// again within a second.
 func TestBrieflyClosedHallKeepsGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := hallWorld(4, 8)
@@ -129,14 +130,14 @@
 	return all
 }
 
-// TestReplicasAreSpreadOverHalls forms a new fleet. If the loss of a hall must be tolerated, no
-// hall may hold all replicas of a model.
+// TestReplicasAreSpreadOverHalls checks that no hall gets all replicas of a model in a new fleet if
+// the loss of a hall must be tolerated.
 func TestReplicasAreSpreadOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
 		maxLost int
 		growing bool
-		// most is the highest number of the two large groups in one hall.
+		// most is the maximum number of large groups, out of two, in one hall.
 		most int
 	}{
 		"no tolerated loss":  {most: 2},
@@ -147,7 +148,7 @@
 		t.Run(name, func(t *testing.T) {
 			in := Input{
 				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: blankWorkers(2, 37),
-				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.maxLost, Weight: hallWeight}, ListGrowing: test.growing,
+				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}, IsListGrowing: test.growing,
 			}
 			formations, _ := Plan(in)
 			halls := make(map[string]string)
--- a/formation/incarnations.go
+++ b/formation/incarnations.go
@@ -2,13 +2,13 @@
 
 import "quartzshelf.dev/fleet"
 
-// incarnation records when a worker's current process started, in Unix milliseconds. A worker may
-// restart under its ID; it then keeps only what is staged on its host, belongs to no group, and
-// counts orders from zero.
+// incarnation holds start times of a worker's process, in Unix milliseconds. A worker may restart
+// under the same ID. Its new process keeps only what is staged on the host. It belongs to no group,
+// and counts orders from zero.
 type incarnation struct {
-	// listed is the incarnation in the list; newest is the latest one known from the list or the
-	// worker itself, whichever is first to report it.
-	listed, newest int64
+	// listedStart is the start time in the list. newestStart is the start time of the latest
+	// incarnation that the list or the worker itself has reported.
+	listedStart, newestStart int64
 }
 
 // recordListedIncarnation records the incarnation in a list entry. Entries arrive in the order in
@@ -19,29 +19,28 @@
 		return
 	}
 	l, known := k.incarnations[w.ID]
-	if known && w.Born == l.listed {
+	if known && w.Born == l.listedStart {
 		return
 	}
-	if known && w.Born != l.newest {
+	if known && w.Born != l.newestStart {
 		k.forgetIncarnation(w.ID)
 	}
-	k.incarnations[w.ID] = incarnation{listed: w.Born, newest: w.Born}
+	k.incarnations[w.ID] = incarnation{listedStart: w.Born, newestStart: w.Born}
 }
 
-// recordReportedIncarnation records the incarnation in a worker's own answer, and reports whether
-// the answer is current. A late answer of an earlier incarnation is not. The caller must hold
-// k.mu.
+// recordReportedIncarnation records the incarnation in a worker's own answer. It returns false if
+// the answer is a late one of an earlier incarnation. The caller must hold k.mu.
 func (k *Keeper) recordReportedIncarnation(id string, born int64) bool {
 	l, known := k.incarnations[id]
 	switch {
-	case born == 0 || known && born == l.newest:
+	case born == 0 || known && born == l.newestStart:
 		return true
-	case known && born < l.newest:
+	case known && born < l.newestStart:
 		return false
 	case known:
 		k.forgetIncarnation(id)
 	}
-	k.incarnations[id] = incarnation{listed: l.listed, newest: born}
+	k.incarnations[id] = incarnation{listedStart: l.listedStart, newestStart: born}
 	return true
 }
 
@@ -49,7 +48,7 @@
 // must hold k.mu.
 func (k *Keeper) isPastIncarnation(w *fleet.Worker) bool {
 	l, known := k.incarnations[w.ID]
-	return known && w.Born != 0 && w.Born != l.newest
+	return known && w.Born != 0 && w.Born != l.newestStart
 }
 
 // forgetIncarnation discards the state of a worker's earlier incarnation. The caller must hold
--- a/formation/inherit_test.go
+++ b/formation/inherit_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDemandSurvivesLeaderChange checks that a new leader whose peers have not reported yet starts
-// with the work that it tracked before its term.
+// TestDemandSurvivesLeaderChange checks that a new leader starts with the work that it tracked
+// before its term, even if its peers have not reported yet.
 func TestDemandSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
-		w.traffic = true
+		w.hasTraffic = true
 		w.demand = map[string]Work{"big": {Busy: 10}}
 		w.smoothed = func() map[string]Work { return map[string]Work{"big": {Busy: 40, Prompts: 8000}} }
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
@@ -46,19 +46,19 @@
 	})
 }
 
-// TestSmootherIsIndependentOfInterval checks that measurements taken each second are smoothed as
-// by a leader that ticks ten times as often.
+// TestSmootherIsIndependentOfInterval checks that measurements are smoothed equally over a period,
+// whatever the interval between them.
 func TestSmootherIsIndependentOfInterval(t *testing.T) {
-	for name, every := range map[string]time.Duration{"each tick": tickInterval, "each second": time.Second, "each five seconds": 5 * time.Second} {
+	for name, interval := range map[string]time.Duration{"each tick": tickInterval, "each second": time.Second, "each five seconds": 5 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			var s Smoother
 			now := time.Time{}.Add(time.Hour)
 			s.Observe(map[string]Work{"big": {Busy: 100, Pause: time.Second}}, now)
-			for range 10 * time.Second / every {
-				now = now.Add(every)
+			for range 10 * time.Second / interval {
+				now = now.Add(interval)
 				s.Observe(map[string]Work{"big": {Busy: 50, Pause: time.Second}}, now)
 			}
-			// (1-demandFallWeight)^100 of the difference remains.
+			// After 100 ticks, (1-demandFallWeight)^100 of the difference remains.
 			got := s.Work()["big"]
 			assert.Assert(t, math.Abs(got.Busy-68.3) < 0.1, "%.2f", got.Busy)
 			assert.Equal(t, got.Pause, time.Second)
@@ -72,17 +72,17 @@
 }
 
 // TestGroupsOfConcurrentLeaderStayVisible covers two leaders that start almost simultaneously and
-// plan the same groups. When the second one abandons groups that it never opened, it must not
-// announce them as closed: daemons would apply that to the first leader's groups with the same
-// heads.
+// plan the same groups. The second leader abandons groups that it never opened. It must not
+// announce them as closed, because daemons would apply that to the first leader's groups with the
+// same heads.
 func TestGroupsOfConcurrentLeaderStayVisible(t *testing.T) {
-	for _, later := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond} {
-		t.Run(later.String(), func(t *testing.T) {
+	for _, startDelay := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond} {
+		t.Run(startDelay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(1, 2, 10)
 				w.pending.Go(func() { w.confirmList(30 * time.Second) })
 				_, stopFirst := startTerm(w, 1)
-				time.Sleep(later)
+				time.Sleep(startDelay)
 				_, stop := startTerm(w, 2)
 				time.Sleep(200 * time.Millisecond)
 				stopFirst()
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -20,34 +20,35 @@
 	queryTimeout = 200 * time.Millisecond
 	// indirectTimeout is the timeout of an order through other daemons.
 	indirectTimeout = 500 * time.Millisecond
-	// maxOrderAttempts is how often an unanswered order is sent, each time with a new fence.
+	// maxOrderAttempts is the maximum number of attempts to send an order that is not answered.
+	// Each attempt has a new fence.
 	maxOrderAttempts = 6
 	// queryInterval is the time between state queries while an update of the list is awaited.
 	queryInterval = 250 * time.Millisecond
-	// joinGracePeriod is how much longer than expected a join may take.
+	// joinGracePeriod is the time that a join may take in addition to its expected duration.
 	joinGracePeriod = 3 * time.Second
-	// loadTimeFactor is applied to expected load times, since concurrent loads slow each other
-	// down.
+	// loadTimeFactor is the factor by which a load may exceed its expected duration, since
+	// concurrent loads slow each other down.
 	loadTimeFactor = 4
-	// listSettleTime is how long the list may lag behind an operation.
+	// listSettleTime is the maximum time until the list shows the effect of an operation.
 	listSettleTime = time.Second
-	// youngListSettleTime replaces listSettleTime in a process that has known the list for less
-	// than youngListAge.
+	// youngListSettleTime replaces listSettleTime in a process that received the list less than
+	// youngListAge ago.
 	youngListSettleTime = 4 * time.Second
 	youngListAge        = 10 * time.Second
-	// maxDrainTime is how long requests in flight may delay a group's dissolution.
+	// maxDrainTime is the maximum time for which requests in flight delay a group's dissolution.
 	maxDrainTime = 8 * time.Second
 	// unresponsiveQueryInterval is the time between queries to an unresponsive worker.
 	unresponsiveQueryInterval = 2 * time.Second
-	// lostHeadTimeout is how long a head must be unreachable and unlisted before its members are
-	// freed without its confirmation.
+	// lostHeadTimeout is the time for which a head must be unreachable and unlisted before its
+	// members are freed without its confirmation.
 	lostHeadTimeout = 1200 * time.Millisecond
-	// listStaleAge is the age of the list beyond which workers are queried directly. The leader
-	// reads the list with waits of 0.3 s, so two reads have failed by then.
+	// listStaleAge is the age of the list beyond which workers are queried directly. It is longer
+	// than two reads of the list by the leader take.
 	listStaleAge = 800 * time.Millisecond
-	// maxListAge is how old the list may be to prove that a worker is gone.
+	// maxListAge is the maximum age of a list that is used to determine whether a worker is gone.
 	maxListAge = 4 * time.Second
-	// reportInterval is the time between log lines about wanted and available replicas.
+	// reportInterval is the time between log messages about wanted and available replicas.
 	reportInterval = 3 * time.Second
 )
 
@@ -57,8 +58,8 @@
 	Rank  int
 	// First reports whether the fleet never had a leader before.
 	First bool
-	// FirstLife reports whether this process has been running since the fleet first started, and
-	// so would know of any earlier requests.
+	// FirstLife reports whether this process has been running since the fleet was started for the
+	// first time. It has then observed any earlier requests.
 	FirstLife bool
 }
 
@@ -66,15 +67,15 @@
 type Keeper struct {
 	opts Options
 	term Term
-	// isNewFleet reports whether nothing had served when the term began.
+	// isNewFleet reports whether no replica had served when the term began.
 	isNewFleet   bool
 	onSuperseded func()
 	tasks        conc.WaitGroup
 	done         chan struct{}
 	suspects     chan string
 
-	mu       sync.Mutex
-	sequence int64
+	mu           sync.Mutex
+	lastSequence int64
 	// observations holds the state that workers reported directly, by worker ID.
 	observations map[string]observation
 	// busyWorkers holds the workers that a running operation involves.
@@ -83,80 +84,86 @@
 	busyGroups map[string]bool
 	// examinedReplicas holds the replicas whose members are being queried.
 	examinedReplicas map[string]bool
-	// retirements holds the groups that no longer hold their members: the head confirmed that it
-	// left, or cannot be reached by anybody.
+	// retirements holds the groups whose members are free, by group key. The head confirmed that it
+	// left the group, or no daemon can reach it.
 	retirements map[string]retirement
-	// dissolutions holds the groups whose head confirmed that it left.
+	// dissolutions holds the groups whose head confirmed that it left, by group key.
 	dissolutions map[string]dissolution
-	// headIDs holds the listed head of each group, by group key.
+	// headIDs holds the worker ID of each group's head, by group key.
 	headIDs map[string]string
 	// formedGroups holds the groups formed in this term, by key.
 	formedGroups map[string]Group
-	// unresponsive holds, by unresponsive worker, when to query it again.
+	// unresponsive holds the time of the next query to each unresponsive worker, by worker ID.
 	unresponsive map[string]time.Time
-	// orderStates holds each worker's order count and group.
+	// orderStates holds the order count and group of each worker, by worker ID.
 	orderStates map[string]orderState
 	// incarnations holds the current incarnation of each worker.
 	incarnations map[string]incarnation
 	// knownWorkers holds all workers that were ever listed.
 	knownWorkers map[string]*fleet.Worker
-	// lastView is the list at the previous tick; absent holds the workers that left the list while
-	// in a group.
+	// lastView is the list at the previous tick. absent holds the workers that left the list while
+	// in a group, by worker ID.
 	lastView *fleet.View
 	absent   map[string]*absence
 	// displaced holds the workers at whose address another one answered.
 	displaced map[string]bool
 	// interruptedJoins holds the workers that may have been interrupted while joining a group.
 	interruptedJoins map[string]interruptedJoin
-	// headlessSince holds since when groups have had no listed head.
+	// headlessSince holds the time since which a group has had no listed head, by group key.
 	headlessSince map[string]time.Time
-	// activeLoads holds the running loads, by worker.
+	// activeLoads holds the running loads, by worker ID.
 	activeLoads map[string]activeLoad
-	// groupSeenSince holds when groups were first seen.
+	// groupSeenSince holds the time when each group was first seen, by group key.
 	groupSeenSince map[string]time.Time
 	loadBudgets    map[string]*loadBudget
 	smoothedWork   map[string]Work
-	// trafficSince is when this leader first learned of requests.
+	// trafficSince is the time when this leader first detected requests to the fleet.
 	trafficSince time.Time
-	// leaveDeadlines holds until when a group with a leaving member may keep serving.
+	// leaveDeadlines holds the time until which a group with a leaving member may keep serving, by
+	// group key.
 	leaveDeadlines map[string]time.Time
-	// nextLeaveDissolution holds, by model, when the next such group may be dissolved.
+	// nextLeaveDissolution holds the time from which the next group with a leaving member may be
+	// dissolved, by model.
 	nextLeaveDissolution map[string]time.Time
-	// stageRetryAt holds when workers that refused to stage may be ordered again.
+	// stageRetryAt holds the time from which a worker that refused to stage may be ordered again,
+	// by worker ID.
 	stageRetryAt map[string]time.Time
 	// listGrowths tracks the growth of a new fleet's list, by service.
 	listGrowths map[string]*listGrowth
 	// callSlots is a semaphore that bounds concurrent calls to workers.
 	callSlots chan struct{}
-	// idleSince holds since when workers of a new fleet have been idle.
+	// idleSince holds the time since which each worker of a new fleet has been idle, by worker ID.
 	idleSince map[string]time.Time
-	// nextReport is when wanted and available replicas are logged next.
+	// nextReport is the time when wanted and available replicas are logged next.
 	nextReport time.Time
-	// nextTrade is when groups may be traded for another model again; activeTrades holds the
-	// trades whose groups are not dissolved yet.
+	// nextTrade is the time from which groups may be traded for another model again. activeTrades
+	// holds the trades whose groups are not dissolved yet.
 	nextTrade    time.Time
 	activeTrades []Trade
-	// unreliableUntil holds, by worker that prevented a group from forming, until when other
-	// workers are preferred.
+	// unreliableUntil holds the time until which other workers are preferred to a worker that
+	// prevented a group from forming, by worker ID.
 	unreliableUntil map[string]time.Time
-	// releaseAt holds, by domain, when idle workers that are too few for a model that is short may
-	// serve another one.
+	// releaseAt holds the time from which the idle workers of a domain may serve another model, by
+	// domain. These workers are too few for a group of a model that is short.
 	releaseAt map[string]time.Time
 	halls     hallStates
-	// tradesAllowedAt is when groups may be traded for another model: a new leader first waits for
-	// the reports of all daemons, and a data hall that was closed or opened delays trades briefly.
+	// tradesAllowedAt is the time from which groups may be traded for another model. A new leader
+	// first waits for the reports of all daemons. Trades are also delayed briefly after a data hall
+	// was closed or opened.
 	tradesAllowedAt time.Time
-	// reportedOversized holds the models that were reported as larger than any domain.
+	// reportedOversized holds the models for which a warning was logged that they are larger than
+	// any domain.
 	reportedOversized map[string]bool
 }
 
-// activeLoad is a load of a model's weights. It counts until its end is observed or it expires.
+// activeLoad is a load of a model's weights. It counts as running until it is observed to be
+// complete or expires.
 type activeLoad struct {
 	model     string
 	expiresAt time.Time
 }
 
-// retirement tells how it is known that a group's head takes no more requests.
+// retirement is the reason why a group is assumed to take no more requests.
 type retirement int
 
 const (
@@ -169,8 +176,8 @@
 // observation is a state that a worker reported directly.
 type observation struct {
 	state State
-	// at is the time the state refers to: once the list has been confirmed after it, the list is
-	// preferred. It lies in the future for a state that the worker is expected to reach.
+	// at is the time that the state refers to. The list is preferred once it has been confirmed
+	// after that time. The time lies in the future if the worker is expected to reach the state.
 	at time.Time
 }
 
@@ -227,7 +234,7 @@
 	select {
 	case k.suspects <- replica:
 	default:
-		// The queue is full; suspicions are repeated, so this one can be dropped.
+		// The queue is full. This report can be dropped, since suspicions are reported repeatedly.
 	}
 }
 
@@ -258,7 +265,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// Reading it under the mutex ensures that views are processed in order.
+	// The view is read under the mutex, so that views are processed in order.
 	view := k.opts.Inventory.View()
 	k.refreshWorkers(view)
 	k.refreshAbsent(view, now)
@@ -271,44 +278,44 @@
 }
 
 func (k *Keeper) tickService(ctx context.Context, s *fleet.Service, view *fleet.View, now time.Time) {
-	groups := k.groups(s, view)
+	groups := k.observeGroups(s, view)
 	for _, g := range groups {
 		k.repair(ctx, g, now)
 	}
 	k.refreshHalls(s, view, now)
 	budget := k.budgetOf(s, now)
-	needs, serving := k.computeNeeds(s, groups, view)
-	free := k.freeWorkers(s, groups, view)
+	needs, replicasByHall := k.computeNeeds(s, groups, view)
+	freeWorkers := k.freeWorkers(s, groups, view)
 	if !now.Before(k.nextReport) {
 		k.nextReport = now.Add(reportInterval)
-		k.logReplicas(needs, free)
+		k.logReplicas(needs, freeWorkers)
 		k.warnOversizedModels(s, view, now)
 	}
-	counted := k.hasTraffic()
+	hasTraffic := k.hasTraffic()
 	forGroups, forIdle := k.allowedLoads(s, view, budget, now)
 	input := Input{
-		Needs: needs, Free: free, Warm: k.countWarm(s, view),
+		Needs: needs, Free: freeWorkers, WarmCounts: k.countWarm(s, view),
 		MaxLoads: forGroups, MaxStagings: forIdle,
-		ListGrowing: !counted && k.isListGrowing(s, view, now),
-		HallLoss:    k.hallLossPolicy(), Serving: serving, Released: k.releasedDomains(needs, free, now), Trading: k.clearFinishedTrades(),
+		IsListGrowing: !hasTraffic && k.isListGrowing(s, view, now),
+		HallLoss:      k.hallLossPolicy(), ReplicasByHall: replicasByHall, ReleasedDomains: k.releasedDomains(needs, freeWorkers, now), TradeRecipients: k.clearFinishedTrades(),
 	}
 	formations, stagings := Plan(input)
-	if counted {
+	if hasTraffic {
 		formations = k.replaceLoadsByTrades(ctx, input, formations, groups, now)
 	}
 	for _, f := range formations {
-		budget.record(f.Loads, counted, now)
+		budget.record(f.LoadCount, hasTraffic, now)
 		k.startForming(ctx, s, f)
 	}
-	if len(formations) == 0 && counted {
+	if len(formations) == 0 && hasTraffic {
 		k.startTrades(ctx, input, groups, now)
 	}
-	if !counted {
-		stagings = append(k.longIdleOnly(stagings, now), k.secondModelStagings(s, view)...)
+	if !hasTraffic {
+		stagings = append(k.keepLongIdle(stagings, now), k.secondModelStagings(s, view)...)
 	}
-	for _, stage := range k.withoutRecentlyRefused(stagings, now) {
+	for _, stage := range k.dropRecentlyRefused(stagings, now) {
 		model, _ := s.Engine.Model(stage.Model)
-		budget.record(1, counted, now)
+		budget.record(1, hasTraffic, now)
 		k.startStaging(ctx, k.knownWorkers[stage.Worker], model)
 	}
 	k.queryUnresponsive(ctx, view, now)
@@ -322,14 +329,14 @@
 	}
 }
 
-// hasTraffic reports whether requests have reached the fleet, or may have. A later leader
-// considers the fleet new only if nothing had served when its term began.
+// hasTraffic reports whether requests have reached the fleet. This is assumed if a replica had
+// served when the term began.
 func (k *Keeper) hasTraffic() bool { return !k.isNewFleet || k.opts.Traffic() }
 
-// fleetNeverServed reports whether nothing has served yet. If all daemons ended at once while no
-// replica was open, no process remembers earlier requests. A process that started later therefore
-// also requires that no worker holds a model; otherwise it would start more loads at once than
-// allowed.
+// fleetNeverServed reports whether no replica has served yet. The list shows which groups were
+// opened. A process that started later than the fleet also requires that no worker holds a model.
+// Otherwise, if all daemons restarted while no replica was open, it would treat the fleet as new
+// and start more loads at once than allowed.
 func (k *Keeper) fleetNeverServed(view *fleet.View) bool {
 	if k.term.First {
 		return true
@@ -352,7 +359,7 @@
 	return w.Member.Group != "" || w.Loaded != "" || len(w.Staged) > 0
 }
 
-// refreshWorkers records the listed workers and drops unlisted ones from the unresponsive set.
+// refreshWorkers records the listed workers, and removes unlisted ones from the unresponsive set.
 func (k *Keeper) refreshWorkers(view *fleet.View) {
 	for id, w := range view.Workers() {
 		k.knownWorkers[id] = w
@@ -372,20 +379,20 @@
 	return k.nextFenceLocked()
 }
 
-// nextFenceLocked is nextFence for callers that hold k.mu. A term that has used up its fences
-// ends, since a fence must never be lower than an earlier one; orders still in flight repeat the
-// last fence.
+// nextFenceLocked is nextFence for callers that hold k.mu. Once the term has used up its fences, it
+// ends the term and returns the last fence again, since a fence must never be lower than an earlier
+// one.
 func (k *Keeper) nextFenceLocked() Fence {
-	if k.sequence == maxSequence {
+	if k.lastSequence == maxSequence {
 		go k.onSuperseded()
 	} else {
-		k.sequence++
+		k.lastSequence++
 	}
-	return NewFence(k.term.Epoch, k.term.Rank, k.sequence)
+	return NewFence(k.term.Epoch, k.term.Rank, k.lastSequence)
 }
 
-// membershipOf returns a worker's known group membership: its own report if that is newer than the
-// list.
+// membershipOf returns a worker's group membership according to the list or, if that is newer, the
+// worker's own report.
 func (k *Keeper) membershipOf(w *fleet.Worker) fleet.Membership {
 	o, ok := k.observations[w.ID]
 	if k.isPastIncarnation(w) {
@@ -394,7 +401,7 @@
 	if !ok || o.state.Member.Epoch < w.Member.Epoch {
 		return w.Member
 	}
-	if a, absent := k.absent[w.ID]; absent && o.at.After(a.since) {
+	if a, absent := k.absent[w.ID]; absent && o.at.After(a.unlistedSince) {
 		return o.state.Member
 	}
 	if o.state.Member.Same(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
@@ -406,7 +413,7 @@
 	return o.state.Member
 }
 
-// recordState records a state that a worker reported.
+// recordState records a state that a worker reported, unless a newer one is known.
 func (k *Keeper) recordState(id string, s State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -26,15 +26,15 @@
 	}
 }
 
-// formAndStop lets a first leader form a fleet and stop, starts traffic, and returns a head of a
-// big group.
+// formAndStop lets a first leader form a fleet and stop, starts traffic, and returns the head of a
+// group of the model "big".
 func formAndStop(w *world) *simWorker {
 	_, stop := startTerm(w, 1)
 	time.Sleep(8 * time.Second)
 	stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.traffic = true
+	w.hasTraffic = true
 	return w.headOf("big")
 }
 
@@ -45,7 +45,7 @@
 	time.Sleep(8 * time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.traffic = true
+	w.hasTraffic = true
 	return k, w.headOf(model).group, stop
 }
 
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestLeavingMembersDoNotStopAllGroups announces at the same moment that a member of each large
-// group leaves.
+// TestLeavingMembersDoNotStopAllGroups checks that some replica of the large model always serves
+// when one member of each of its groups announces at the same moment that it is leaving.
 func TestLeavingMembersDoNotStopAllGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -108,16 +108,16 @@
 			time.Sleep(100 * time.Millisecond)
 			assert.Assert(t, len(w.inventory.View().Replicas("models", "big")) >= 1, "no replica takes requests")
 		}
-		still := w.servingMembersOf(leaving)
+		stillServing := w.servingMembersOf(leaving)
 		stop()
-		assert.Equal(t, len(still), 0, "%v still serve", still)
+		assert.Equal(t, len(stillServing), 0, "%v still serve", stillServing)
 		w.pending.Wait()
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestGroupsAreRepairedWhileListIsUnavailable makes a member leave just before the list stops
-// being updated, and checks that the group is replaced nevertheless.
+// TestGroupsAreRepairedWhileListIsUnavailable checks that a group is replaced if one of its members
+// announces that it is leaving just before the list stops being updated.
 func TestGroupsAreRepairedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
@@ -128,8 +128,8 @@
 		w.publish(leaving)
 		w.isListFrozen = true
 		w.mu.Unlock()
-		// Draining takes a second; joining again with an idle worker or one of a traded group
-		// takes three at most.
+		// Draining takes one second. Joining again, with an idle worker or one of a traded group,
+		// takes three seconds at most.
 		time.Sleep(2500 * time.Millisecond)
 		w.mu.Lock()
 		newGroup := w.workers[old.Members[0]].group.Name
@@ -141,8 +141,8 @@
 	})
 }
 
-// TestReadyMembersAreQueriedWhileListIsUnavailable starts a term with a list that is not updated
-// anymore.
+// TestReadyMembersAreQueriedWhileListIsUnavailable checks that groups are formed although the list
+// is no longer updated.
 func TestReadyMembersAreQueriedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
@@ -159,7 +159,8 @@
 	})
 }
 
-// TestTradesRunOneAtATime makes the large model short by several groups while draining is slow.
+// TestTradesRunOneAtATime checks that only one trade runs at a time when the large model is short
+// by several groups and draining is slow.
 func TestTradesRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 24)
@@ -167,9 +168,9 @@
 		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
 		w.mu.Lock()
-		w.traffic = true
+		w.hasTraffic = true
 		w.mu.Unlock()
-		before, most := w.countServing()["big"], 0
+		before, maxClosing := w.countServing()["big"], 0
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
 			closing := 0
@@ -180,9 +181,9 @@
 				}
 			}
 			w.mu.Unlock()
-			most = max(most, closing)
+			maxClosing = max(maxClosing, closing)
 		}
-		assert.Equal(t, most, 2, "two small groups make a large one")
+		assert.Equal(t, maxClosing, 2, "two small groups make a large one")
 		assert.Assert(t, w.countServing()["big"] > before)
 		stop()
 		w.pending.Wait()
@@ -193,7 +194,7 @@
 func TestNewLeaderAdoptsExistingGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		w.traffic = true
+		w.hasTraffic = true
 		_, stop := startTerm(w, 1)
 		time.Sleep(2 * time.Second)
 		stop()
@@ -220,16 +221,17 @@
 	})
 }
 
-// TestNoPartialGroupsAndNoWorkersUsedTwice kills workers, delays orders past their timeout,
-// replaces leaders, and lets superseded leaders continue.
+// TestNoPartialGroupsAndNoWorkersUsedTwice checks the invariants of the world while workers are
+// killed, orders are delayed past their timeout and leaders are replaced. Superseded leaders may
+// continue for a while.
 func TestNoPartialGroupsAndNoWorkersUsedTwice(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		late := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
+		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 16).Draw(t, "steps")
 		var problems []string
 		synctest.Test(outer, func(*testing.T) {
-			problems = runSchedule(newWorld(seed, 2, 10), late, steps)
+			problems = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
 		})
 		if len(problems) > 0 {
 			t.Fatalf("violations: %v", problems)
@@ -237,19 +239,20 @@
 	})
 }
 
-// restartListDelays holds how long the list takes to show a restarted worker, for steps from 6 on:
-// immediately, within a heartbeat, and while the list lags.
+// restartListDelays holds the delays after which the list shows a restarted worker, for the steps
+// from 6 on. The worker is listed immediately, within a heartbeat, or late because the list lags.
 var restartListDelays = []time.Duration{50 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 
-// TestNoWorkersUsedTwiceAcrossRestarts also draws restarts of workers under the same ID.
+// TestNoWorkersUsedTwiceAcrossRestarts repeats the previous test with workers that also restart
+// under the same ID.
 func TestNoWorkersUsedTwiceAcrossRestarts(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		late := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
+		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5+len(restartListDelays)), 4, 16).Draw(t, "steps")
 		var problems []string
 		synctest.Test(outer, func(*testing.T) {
-			problems = runSchedule(newWorld(seed, 2, 10), late, steps)
+			problems = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
 		})
 		if len(problems) > 0 {
 			t.Fatalf("violations: %v", problems)
@@ -257,7 +260,8 @@
 	})
 }
 
-// runSchedule runs a schedule of faults and returns the violations.
+// runSchedule injects one fault for each step, or starts traffic, and returns the violated
+// invariants.
 func runSchedule(w *world, lateFraction float64, steps []int) []string {
 	w.lateFraction = lateFraction
 	epoch := int64(1)
@@ -293,7 +297,7 @@
 			}
 		default:
 			w.mu.Lock()
-			w.traffic = true
+			w.hasTraffic = true
 			w.mu.Unlock()
 		}
 	}
@@ -301,8 +305,8 @@
 	w.lateFraction = 0
 	w.mu.Unlock()
 	time.Sleep(30 * time.Second)
-	for _, end := range append(stops, stop) {
-		end()
+	for _, stopTerm := range append(stops, stop) {
+		stopTerm()
 	}
 	w.pending.Wait()
 	if alive := w.countAlive(); alive >= 14 && len(w.countServing()) == 0 {
@@ -338,8 +342,8 @@
 	return n
 }
 
-// TestUnlistedHeadKeepsItsMembers removes the list entries of a whole group whose head keeps
-// serving, and restores them one by one.
+// TestUnlistedHeadKeepsItsMembers checks that a group is not dissolved while its head serves but
+// its list entries are missing, nor while the entries return one by one.
 func TestUnlistedHeadKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
@@ -349,7 +353,7 @@
 		_, stop = startTerm(w, 2)
 		time.Sleep(time.Second)
 		w.mu.Lock()
-		w.traffic = true
+		w.hasTraffic = true
 		g := w.headOf("big").group
 		w.mu.Unlock()
 		for _, id := range g.Members {
@@ -366,8 +370,8 @@
 	})
 }
 
-// TestHeadUnlistedBeforeTermKeepsItsMembers starts a leader that never saw the head in the list,
-// although the head keeps serving.
+// TestHeadUnlistedBeforeTermKeepsItsMembers checks that a leader does not free the members of a
+// head that still serves, although it never saw the head in the list.
 func TestHeadUnlistedBeforeTermKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -383,8 +387,8 @@
 	})
 }
 
-// TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers cuts a head off from the list and from the
-// leader, while other daemons reach it.
+// TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers covers a head that is not listed and that the
+// leader cannot reach, while other daemons can.
 func TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -393,7 +397,7 @@
 		w.pending.Go(func() { w.confirmList(25 * time.Second) })
 		time.Sleep(4 * time.Second)
 		w.mu.Lock()
-		w.traffic = true
+		w.hasTraffic = true
 		head := w.headOf("big")
 		w.unreachableByLeader[head.id] = true
 		w.mu.Unlock()
@@ -405,11 +409,12 @@
 	})
 }
 
-// confirmList confirms the list periodically for a while, as a reader does.
-func (w *world) confirmList(howLong time.Duration) {
-	const every = 100 * time.Millisecond
-	for range howLong / every {
-		time.Sleep(every)
+// confirmList confirms the list at regular intervals for the given duration, as a reader of the
+// list does.
+func (w *world) confirmList(duration time.Duration) {
+	const interval = 100 * time.Millisecond
+	for range duration / interval {
+		time.Sleep(interval)
 		w.mu.Lock()
 		w.inventory.Apply(nil, w.listPosition, time.Now())
 		w.mu.Unlock()
@@ -441,7 +446,7 @@
 	w.publish(w.workers[id])
 }
 
-// TestLaterLeaderBoundsLoads starts a second leader that has not heard of any requests, in a fleet
+// TestLaterLeaderBoundsLoads covers a second leader that does not know of any requests, in a fleet
 // where a group serves. It must not treat the fleet as new.
 func TestLaterLeaderBoundsLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -458,8 +463,8 @@
 }
 
 // TestLaterLeaderOfUsedFleetBoundsLoads covers a restart of all daemons while no replica is open,
-// so that no process knows of earlier requests. Staged models show that the fleet is not new, and
-// loads must stay within the limit.
+// after which no process knows of earlier requests. Staged models show that the fleet is not new,
+// so the loads must stay within the limit.
 func TestLaterLeaderOfUsedFleetBoundsLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -473,9 +478,9 @@
 	})
 }
 
-// TestLeaderRunningSinceFleetStartDoesNotBoundLoads starts a second leader while loads of the
-// first one run. It has been running since the fleet first started and knows that there were no
-// requests.
+// TestLeaderRunningSinceFleetStartDoesNotBoundLoads covers a second leader that starts while loads
+// of the first one run. Its process has been running since the fleet was started for the first
+// time. It therefore knows that there were no requests.
 func TestLeaderRunningSinceFleetStartDoesNotBoundLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -491,7 +496,8 @@
 	})
 }
 
-// TestLaterLeaderOfNewFleetDoesNotBoundLoads starts a second leader when nothing serves yet.
+// TestLaterLeaderOfNewFleetDoesNotBoundLoads covers a second leader that starts before any replica
+// serves.
 func TestLaterLeaderOfNewFleetDoesNotBoundLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -558,8 +564,8 @@
 }
 
 // TestLateJoinsOfLaterLeaderDoNotStealWorkers runs two concurrent leaders in a new fleet. All
-// orders of the later one are carried out seconds late, when the earlier one has opened its
-// groups.
+// orders of the later leader are carried out some seconds late, when the earlier leader has already
+// opened its groups.
 func TestLateJoinsOfLaterLeaderDoNotStealWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -574,8 +580,8 @@
 	})
 }
 
-// TestWorkerTakenByEarlierLeaderIsNotStolen forms a group with a worker that an earlier leader has
-// just put into an open group, which the list does not show yet.
+// TestWorkerTakenByEarlierLeaderIsNotStolen checks that a group is not formed with a worker that an
+// earlier leader has just put into an open group, even if the list does not show that group yet.
 func TestWorkerTakenByEarlierLeaderIsNotStolen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
@@ -594,8 +600,8 @@
 	})
 }
 
-// TestNewProcessRepairsKnownBrokenGroup kills a member under a leader whose process has known the
-// list only for a short time.
+// TestNewProcessRepairsKnownBrokenGroup checks that a leader repairs a group with a dead member
+// without waiting for the list, even if its process received the list only recently.
 func TestNewProcessRepairsKnownBrokenGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -11,19 +11,19 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestNoWorkersUsedTwiceWithoutFences repeats TestNoPartialGroupsAndNoWorkersUsedTwice with
-// workers that ignore fences: the protection against late orders and earlier leaders must not
-// depend on fences alone.
+// TestNoWorkersUsedTwiceWithoutFences repeats TestNoPartialGroupsAndNoWorkersUsedTwice with workers
+// that ignore fences. The protection against late orders and earlier leaders must not depend on
+// fences alone.
 func TestNoWorkersUsedTwiceWithoutFences(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		late := rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.8}).Draw(t, "late")
+		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.8}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 16).Draw(t, "steps")
 		var problems []string
 		synctest.Test(outer, func(*testing.T) {
 			w := newWorld(seed, 2, 10)
 			w.ignoresFences = true
-			problems = runSchedule(w, late, steps)
+			problems = runSchedule(w, lateFraction, steps)
 		})
 		if len(problems) > 0 {
 			t.Fatalf("violations: %v", problems)
@@ -31,20 +31,21 @@
 	})
 }
 
-// TestLateLoadsStayWithinTheBound starts traffic in a new fleet while orders sent before, when
-// loads did not count, have not been carried out yet.
+// TestLateLoadsStayWithinTheBound checks that loads stay within the limit when traffic starts in a
+// new fleet. Some orders that were sent before, when loads did not count, are carried out only
+// afterwards.
 func TestLateLoadsStayWithinTheBound(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		quiet := time.Duration(rapid.IntRange(1, 8).Draw(t, "quiet")) * time.Second
+		timeBeforeTraffic := time.Duration(rapid.IntRange(1, 8).Draw(t, "quiet")) * time.Second
 		var problems []string
 		synctest.Test(outer, func(*testing.T) {
 			w := newWorld(seed, 4, 10)
 			w.ignoresFences, w.lateFraction = true, 0.8
 			_, stop := startTerm(w, 1)
-			time.Sleep(quiet)
+			time.Sleep(timeBeforeTraffic)
 			w.mu.Lock()
-			w.traffic = true
+			w.hasTraffic = true
 			w.mu.Unlock()
 			time.Sleep(30 * time.Second)
 			stop()
@@ -58,8 +59,8 @@
 }
 
 // TestLateOrdersDoNotReviveDissolvedGroup delays a head's first orders to join and open, which are
-// then retried successfully. The delayed attempts are carried out after the group was dissolved
-// with the head's confirmation, and must have no effect.
+// then retried successfully. The delayed attempts arrive after the head has confirmed that the
+// group is dissolved. They must have no effect.
 func TestLateOrdersDoNotReviveDissolvedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
@@ -69,7 +70,7 @@
 		k, stop := startTerm(w, 1)
 		time.Sleep(4 * time.Second)
 		w.mu.Lock()
-		w.traffic = true
+		w.hasTraffic = true
 		w.mu.Unlock()
 		served := w.membershipOf("w0-0")
 		w.kill("w0-1")
@@ -91,8 +92,8 @@
 	})
 }
 
-// TestGroupIsOpenedOnce guards against a second order to open while the list does not show yet
-// that the group is open: if that order got no answer, the group would be dissolved.
+// TestGroupIsOpenedOnce checks that a group gets only one order to open, even while the list does
+// not show yet that it is open. If a second order got no answer, the group would be dissolved.
 func TestGroupIsOpenedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -108,8 +109,8 @@
 	})
 }
 
-// TestMembersOfDeadHeadAreReusedPromptly kills the head of a large group; the list still shows it
-// for 3.6 s.
+// TestMembersOfDeadHeadAreReusedPromptly checks that the members of a dead head are reused before
+// the list shows its death, which takes 3.6 s.
 func TestMembersOfDeadHeadAreReusedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 7)
@@ -126,9 +127,9 @@
 	})
 }
 
-// TestReturningHeadLeavesClosedGroup makes a head unreachable for some seconds. Its group was
-// announced as closed and is never used again, so it must be dissolved even if all its members are
-// present.
+// TestReturningHeadLeavesClosedGroup covers a head that is unreachable for some seconds. Daemons
+// never use its group again, since it was announced as closed. It must therefore be dissolved, even
+// if all its members are present.
 func TestReturningHeadLeavesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
@@ -146,8 +147,8 @@
 	})
 }
 
-// TestLaterLeaderDissolvesClosedGroup covers a leader that ends after it announced a group as
-// closed and before the head left it.
+// TestLaterLeaderDissolvesClosedGroup covers a leader whose term ends after it announced a group as
+// closed, but before the head left the group.
 func TestLaterLeaderDissolvesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -167,8 +168,8 @@
 	})
 }
 
-// TestStagingWorkerIsNotRetriedContinuously starts a leader while an idle worker is staging a
-// model, which the list does not show.
+// TestStagingWorkerIsNotRetriedContinuously covers a leader that starts while an idle worker is
+// staging a model. The list does not show the staging.
 func TestStagingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 5)
@@ -176,7 +177,7 @@
 		time.Sleep(8 * time.Second)
 		stop()
 		w.mu.Lock()
-		w.traffic = true
+		w.hasTraffic = true
 		w.mu.Unlock()
 		w.add("new", "d0")
 		w.mu.Lock()
--- a/formation/leaving.go
+++ b/formation/leaving.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// maxLeaveDelay bounds how long a group keeps serving after a member other than its head
-	// announced that it leaves. Such a member stays for at most ten seconds while the head has
-	// work, and requests in flight need part of that time.
+	// maxLeaveDelay is the maximum time for which a group keeps serving after a member other than
+	// its head announced that it is leaving. Such a member stays for up to ten seconds. The group
+	// must be drained within that time.
 	maxLeaveDelay = 6 * time.Second
-	// leaveInterval is the minimum time between dissolving two such groups of one model: about as
-	// long as draining and joining again take.
+	// leaveInterval is the time between two dissolutions of groups of one model because of leaving
+	// members, unless maxLeaveDelay requires an earlier one. Draining a group and forming another
+	// one take about as long.
 	leaveInterval = 3 * time.Second
 )
 
-// dissolveLeaving dissolves a group with a leaving member. Groups of one model are dissolved one
-// at a time so that the others keep serving, but none later than its member stays. A group whose
-// head leaves is dissolved immediately, since it takes no more requests.
+// dissolveLeaving dissolves a group with a leaving member. If another group of the model was
+// dissolved shortly before, it waits so that the model keeps serving, but not longer than
+// maxLeaveDelay. A group whose head is leaving is dissolved immediately, since it takes no more
+// requests.
 func (k *Keeper) dissolveLeaving(ctx context.Context, o *observedGroup, now time.Time) {
 	deadline, ok := k.leaveDeadlines[o.key]
 	if !ok {
--- a/formation/listgrowth.go
+++ b/formation/listgrowth.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// listQuietPeriod is how long the list of a new fleet must stop growing to be considered
-	// complete.
+	// listQuietPeriod is the time without new workers after which the list of a new fleet is
+	// considered complete.
 	listQuietPeriod = 400 * time.Millisecond
-	// maxListWait bounds the wait for a complete list.
+	// maxListWait is the maximum time to wait for a complete list.
 	maxListWait = 5 * time.Second
 )
 
-// listGrowth tracks how a service's part of the worker list grows in a new fleet.
+// listGrowth tracks how many workers of a service are listed in a new fleet. The list is considered
+// complete at completeAt, and at the latest at deadline.
 type listGrowth struct {
-	workers  int
-	quietAt  time.Time
-	deadline time.Time
+	workerCount int
+	completeAt  time.Time
+	deadline    time.Time
 }
 
-// isListGrowing reports whether workers of a new fleet are still being listed. If groups were
-// formed right away, the smallest model would take most domains before any has enough workers for
-// a larger one. Waiting for the complete list lets all loads begin at once, which saves more time
-// than the wait costs.
+// isListGrowing reports whether more workers of a new fleet are expected to be listed. If groups
+// were formed before the list is complete, the smallest model would take most domains before any of
+// them has enough workers for a larger model.
 func (k *Keeper) isListGrowing(s *fleet.Service, view *fleet.View, now time.Time) bool {
 	workers := countWorkers(s, view)
 	g, ok := k.listGrowths[s.Name]
@@ -32,8 +32,8 @@
 		g = &listGrowth{deadline: now.Add(maxListWait)}
 		k.listGrowths[s.Name] = g
 	}
-	if workers > g.workers {
-		g.workers, g.quietAt = workers, now.Add(listQuietPeriod)
+	if workers > g.workerCount {
+		g.workerCount, g.completeAt = workers, now.Add(listQuietPeriod)
 	}
-	return now.Before(g.quietAt) && now.Before(g.deadline)
+	return now.Before(g.completeAt) && now.Before(g.deadline)
 }
--- a/formation/listgrowth_test.go
+++ b/formation/listgrowth_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNewFleetWaitsForFullList lists workers one after another. Nearly as many replicas of each
-// model must be formed as when all workers are listed at once.
+// TestNewFleetWaitsForFullList checks that nearly as many replicas of each model are formed when
+// workers are listed one after another as when they are all listed at once.
 func TestNewFleetWaitsForFullList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const domains, perDomain, every = 8, 11, 40 * time.Millisecond
+		const domains, perDomain, listInterval = 8, 11, 40 * time.Millisecond
 		atOnce := newWorld(3, domains, perDomain)
 		_, stop := startTerm(atOnce, 1)
 		time.Sleep(8 * time.Second)
@@ -30,7 +30,7 @@
 			w.mu.Lock()
 			w.publish(w.workers[id])
 			w.mu.Unlock()
-			time.Sleep(every)
+			time.Sleep(listInterval)
 		}
 		time.Sleep(5 * time.Second)
 		stop()
@@ -41,7 +41,8 @@
 	})
 }
 
-// TestWaitForGrowingListIsBounded keeps adding workers, without traffic or with it.
+// TestWaitForGrowingListIsBounded checks that groups are formed although workers keep being added,
+// with and without traffic.
 func TestWaitForGrowingListIsBounded(t *testing.T) {
 	tests := map[string]struct {
 		traffic bool
@@ -57,7 +58,7 @@
 				w.loadsPerSecond = 100
 				_, stop := startTerm(w, 1)
 				w.mu.Lock()
-				w.traffic = test.traffic
+				w.hasTraffic = test.traffic
 				w.mu.Unlock()
 				start := time.Now()
 				for _, id := range slices.Sorted(maps.Keys(w.workers)) {
--- a/formation/loadbudget.go
+++ b/formation/loadbudget.go
@@ -3,20 +3,22 @@
 import "time"
 
 const (
-	// ceilingAllowance is the number of loads that the limit allows in addition to its rate.
+	// ceilingAllowance is the number of loads per window that the limit allows in addition to the
+	// load rate.
 	ceilingAllowance = 3
-	// ceilingMargin keeps the loads in a window slightly below the limit.
+	// ceilingMargin is the number of loads per window by which the budget stays below the limit.
 	ceilingMargin = 0.5
-	// trafficNoticeDelay bounds how long a leader may not know of the first request to the fleet.
-	// Loads that begin in this time count against the limit after all.
+	// trafficNoticeDelay is the maximum time until a leader learns of the first request to the
+	// fleet. Loads that began within this time before the leader learned of the request count
+	// against the limit.
 	trafficNoticeDelay = time.Second
 )
 
-// Ceiling limits the loads that may begin in any window of time.
+// Ceiling limits the number of loads that may begin in any window of time.
 type Ceiling struct {
 	// Window is the length of the window.
 	Window time.Duration
-	// Over is a factor on the services' load rates.
+	// Over is the factor by which the services' load rates are multiplied to get the limit.
 	Over float64
 }
 
@@ -27,20 +29,21 @@
 	burst      float64
 	tokens     float64
 	refilledAt time.Time
-	// uncountedAt holds the start times of recent loads that were not counted.
-	uncountedAt []time.Time
+	// uncountedStarts holds the start times of recent loads for which no token was taken.
+	uncountedStarts []time.Time
 }
 
-// configure sets the limits for a service whose loads may begin at the given rate; burst is how
-// many may begin at once. The first call fills the bucket if full is set.
-func (l *loadBudget) configure(c Ceiling, perSecond, burst float64, full bool, now time.Time) {
+// configure sets the limits for a service. perSecond is the rate at which its loads may begin.
+// burst is the number of loads that may begin at once. If startsFull is set, the first call fills
+// the bucket.
+func (l *loadBudget) configure(c Ceiling, perSecond, burst float64, startsFull bool, now time.Time) {
 	window := c.Window.Seconds()
 	maxPerWindow := perSecond*window*c.Over + ceilingAllowance - ceilingMargin
 	l.burst = min(burst, maxPerWindow)
 	l.perSecond = min(perSecond, (maxPerWindow-l.burst)/window)
 	if l.refilledAt.IsZero() {
 		l.refilledAt = now
-		if full {
+		if startsFull {
 			l.tokens = l.burst
 		}
 	}
@@ -48,24 +51,25 @@
 
 // available returns how many counted loads may begin now.
 func (l *loadBudget) available(now time.Time) int {
-	for _, at := range l.uncountedAt {
+	for _, at := range l.uncountedStarts {
 		if now.Sub(at) < trafficNoticeDelay {
 			l.tokens--
 		}
 	}
-	l.uncountedAt = nil
+	l.uncountedStarts = nil
 	l.tokens = min(l.burst, l.tokens+now.Sub(l.refilledAt).Seconds()*l.perSecond)
 	l.refilledAt = now
 	return int(l.tokens)
 }
 
-// record records that n loads begin, and whether they count.
-func (l *loadBudget) record(n int, counted bool, now time.Time) {
-	if counted {
+// record records that n loads begin. It takes a token for each load if isCounted is set. Otherwise,
+// it keeps their start times, since they may have to be counted later.
+func (l *loadBudget) record(n int, isCounted bool, now time.Time) {
+	if isCounted {
 		l.tokens -= float64(n)
 		return
 	}
 	for range n {
-		l.uncountedAt = append(l.uncountedAt, now)
+		l.uncountedStarts = append(l.uncountedStarts, now)
 	}
 }
--- a/formation/loadbudget_test.go
+++ b/formation/loadbudget_test.go
@@ -12,8 +12,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLoadsBeforeTheFirstRequestMayCount starts loads shortly before the leader learns of the
-// first request.
+// TestLoadsBeforeTheFirstRequestMayCount checks which loads count that began before the leader
+// learned of the first request.
 func TestLoadsBeforeTheFirstRequestMayCount(t *testing.T) {
 	tests := map[string]struct {
 		before time.Duration
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestRefusedStagingDoesNotRefundBudget covers staging before the first request: loads do not
-// reduce the budget then, so a refused one must not increase it. A later leader starts with an
+// TestRefusedStagingDoesNotRefundBudget checks that a refused staging does not increase the load
+// budget. Before the first request, loads do not reduce the budget. A later leader starts with an
 // empty budget.
 func TestRefusedStagingDoesNotRefundBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	}
 	tests := map[string]struct {
 		workers []*fleet.Worker
-		// staging is the number of workers that stage a model.
+		// staging is the number of workers that are staging a model.
 		staging         int
 		groups, forIdle int
 	}{
@@ -90,7 +90,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, 1, 0)
-			w.traffic = true
+			w.hasTraffic = true
 			var changes []fleet.Change
 			for _, worker := range test.workers {
 				changes = append(changes, fleet.Change{ID: worker.ID, Worker: worker})
@@ -108,8 +108,8 @@
 			}
 			service, _ := options.Config().Service("models")
 			now := time.Now()
-			bound := &loadBudget{burst: 100, tokens: 100, refilledAt: now}
-			groups, idle := k.allowedLoads(service, w.inventory.View(), bound, now)
+			budget := &loadBudget{burst: 100, tokens: 100, refilledAt: now}
+			groups, idle := k.allowedLoads(service, w.inventory.View(), budget, now)
 			assert.Equal(t, groups, test.groups)
 			assert.Equal(t, idle, test.forIdle)
 		})
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -1,6 +1,6 @@
 // Package formation decides which workers form replicas, sends them their orders, and repairs
-// broken replicas. One daemon at a time acts as leader; fencing tokens void late orders and those
-// of earlier leaders.
+// broken replicas. One daemon at a time acts as leader. Workers reject late orders and orders of
+// earlier leaders by their fencing tokens.
 package formation
 
 import (
@@ -32,15 +32,15 @@
 const (
 	// Begun means that the worker has started to carry out the order.
 	Begun Verdict = iota
-	// Holds means that the order is being carried out, or was before.
+	// Holds means that the worker is already carrying out the order, or has done so before.
 	Holds
-	// Unfit means that the order does not fit the worker's state.
+	// Unfit means that the order cannot be carried out in the worker's current state.
 	Unfit
 	// Fenced means that the worker has seen a higher fence.
 	Fenced
-	// Elsewhere means that another worker has the address.
+	// Elsewhere means that another worker answered at the address.
 	Elsewhere
-	// Malformed means that the order was not understood.
+	// Malformed means that the worker could not parse the order.
 	Malformed
 )
 
@@ -85,17 +85,17 @@
 	Member fleet.Membership
 	Loaded string
 	Staged []string
-	// Orders is how many orders the worker has begun since it started.
+	// Orders is the number of orders that the worker has begun since it started.
 	Orders int64
-	// Born is when the worker started, in Unix milliseconds; 0 if it does not report it.
+	// Born is the time when the worker started, in Unix milliseconds; 0 if it does not report it.
 	Born int64
 }
 
-// Orders holds the functions that send orders to workers. An error means that no answer arrived:
-// the order may have been carried out, or may be later.
+// Orders holds the functions that send orders to workers. An error means that no answer arrived.
+// The order may nevertheless have been carried out, or may be carried out later.
 type Orders struct {
-	// Join and Stage are carried out only by a worker that has begun exactly the given number of
-	// orders; any other worker answers Unfit.
+	// Join orders a worker to join a group. Join and Stage are carried out only by a worker that
+	// has begun exactly the given number of orders. Any other worker answers Unfit.
 	Join func(ctx context.Context, w *fleet.Worker, fence Fence, orders int64, g Group) (Verdict, error)
 	// Stage brings a model's weights to the worker's host without interrupting its work.
 	Stage func(ctx context.Context, w *fleet.Worker, fence Fence, orders int64, model string) (Verdict, error)
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// maxJoinAttempts is how often a join is attempted per worker. One attempt is enough unless an
-	// order that the leader does not know of came first.
+	// maxJoinAttempts is the maximum number of attempts to let a worker join a group. More than one
+	// is needed only if the worker has begun an order that the leader does not know of.
 	maxJoinAttempts = 4
-	// joinRetryPause is the pause between attempts. Reports lag by up to 200 ms (report_lag_ms in
-	// the settings), so that all attempts together outlast the lag.
+	// joinRetryPause is the pause after an attempt that the worker answered with Unfit. Its reports
+	// lag by up to 200 ms (report_lag_ms in the settings). The pauses of all attempts together are
+	// longer than that.
 	joinRetryPause = 100 * time.Millisecond
-	// reportSettleTime is how long a worker's reports may still describe the time before an
-	// answered order: twice the lag.
+	// reportSettleTime is the time after an answered order in which the worker's reports may still
+	// show the state before it. It is twice the lag.
 	reportSettleTime = 400 * time.Millisecond
 )
 
-// orderState is a worker's order count and group, as known from its last report or its answers
-// since.
+// orderState holds the number of orders that a worker has begun, and its group. It is based on the
+// worker's last report and its answers since then.
 //
-// A worker carries out a join only if it has begun exactly as many orders as the join says,
-// whether or not workers check fences. Therefore at most one of several attempts of a join is ever
-// carried out, and none after an order of another leader or a later order of this one.
+// A worker carries out a join only if it has begun exactly as many orders as the join specifies,
+// whether or not it checks fences. Therefore, at most one of several attempts of a join is carried
+// out, and none after the worker has begun another order.
 type orderState struct {
 	orders int64
 	member fleet.Membership
-	// trustReportsFrom is when reports can be trusted to include the last answered order.
+	// trustReportsFrom is the time from which reports include the last answered order.
 	trustReportsFrom time.Time
 }
 
-// joinMember orders a worker into a group and reports whether it accepted. A worker joins only if
-// it is in no group: if it is still in a dissolved one it leaves that first, so that it is never
-// taken out of a group that serves, even if a dissolved group should serve again.
+// joinMember orders a worker to join a group, and reports whether it accepted. A worker that is
+// still in a dissolved group must leave that group first. A worker in any other group does not
+// join, since that group may serve.
 func (k *Keeper) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
 	wanted := fleet.Membership{Group: g.Name, Epoch: g.Epoch}
 	for range maxJoinAttempts {
@@ -68,8 +69,9 @@
 	return false
 }
 
-// leaveDissolved orders a worker to leave its group if that was dissolved, and reports whether it
-// left. A worker in any other group was taken by another leader.
+// leaveDissolved orders a worker to leave its group if that group was dissolved, and reports
+// whether it left. It returns false for any other group, since another leader put the worker into
+// it.
 func (k *Keeper) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
 	k.mu.Lock()
 	dissolved := k.retirements[fleet.GroupKey(m)] != 0
@@ -82,7 +84,7 @@
 	return ok && verdict.Accepted()
 }
 
-// orderStateOf returns a worker's order state, querying the worker if it is not known.
+// orderStateOf returns a worker's order state. If the state is not known, it queries the worker.
 func (k *Keeper) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
 	k.mu.Lock()
 	known, ok := k.orderStates[w.ID]
@@ -94,8 +96,8 @@
 	return orderState{orders: state.Orders, member: state.Member}, ok
 }
 
-// recordReport records the order state that a worker reported, unless an order was answered so
-// recently that the report may not include it. The caller must hold k.mu.
+// recordReport records the order state that a worker reported. It ignores the report if an order
+// was answered so recently that the report may not include it. The caller must hold k.mu.
 func (k *Keeper) recordReport(id string, s State, now time.Time) {
 	if current, ok := k.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
 		return
@@ -115,8 +117,8 @@
 	k.orderStates[id] = orderState{orders: orders, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
 
-// recordBegun records an accepted order that does not change the worker's group. Workers count
-// only orders that they begin.
+// recordBegun increments a worker's order count if it began an order that does not change its
+// group. Workers count only orders that they begin.
 func (k *Keeper) recordBegun(id string, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -125,8 +127,8 @@
 	}
 }
 
-// recordLeft records an accepted order to leave a group. It counts only if the worker was in that
-// group.
+// recordLeft records that a worker accepted an order to leave a group. It has no effect if the
+// worker was not in that group.
 func (k *Keeper) recordLeft(id string, g Group, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -136,7 +138,8 @@
 	}
 }
 
-// forgetOrderState discards a worker's order state because it may have begun an order, or may yet.
+// forgetOrderState discards a worker's order state. It is called when the worker may have begun an
+// order that the leader does not know of, or may still begin one.
 func (k *Keeper) forgetOrderState(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/outcomes.go
+++ b/formation/outcomes.go
@@ -6,14 +6,14 @@
 	"quartzshelf.dev/fleet"
 )
 
-// unanswered is the outcome counted for an order that got no answer in time.
-const unanswered = "unanswered"
+// outcomeUnanswered is the outcome that is counted for an order without an answer in time.
+const outcomeUnanswered = "unanswered"
 
-// recordAttempt counts one attempt of an order. It logs rejections, and answers after unanswered
-// attempts, which may still be carried out.
+// recordAttempt counts the outcome of one attempt of an order. It also logs answers that are
+// rejections, and answers that follow unanswered attempts, since those may still be carried out.
 func (k *Keeper) recordAttempt(order string, w *fleet.Worker, attempts int, verdict Verdict, err error) {
 	if err != nil {
-		k.opts.Counted(order, unanswered)
+		k.opts.Counted(order, outcomeUnanswered)
 		k.opts.Logger.Debug("order got no answer", "order", order, "worker", w.ID, "try", attempts, "error", err)
 		return
 	}
@@ -30,19 +30,20 @@
 	lastState fleet.GroupState
 }
 
-// detectReturn logs and counts each new state that a head reports in a group that it confirmed to
-// have left. A lagging list may repeat the old state once; a head that reports "joining", "ready"
-// and "open" in turn has returned. The caller must hold k.mu.
+// detectReturn logs and counts each new state that a head reports for a group after confirming that
+// it left. A lagging list may show the old state once more. A head that reports further states has
+// returned to the group. The caller must hold k.mu.
 func (k *Keeper) detectReturn(o *observedGroup, now time.Time) {
 	d, ok := k.dissolutions[o.key]
 	if !ok || o.head == nil || o.state == d.lastState {
 		return
 	}
-	first := d.lastState == ""
+	isFirstState := d.lastState == ""
 	d.lastState = o.state
 	k.dissolutions[o.key] = d
-	if first && o.state != fleet.Open {
-		// The state before the dissolution, which a group that could not be formed shows late.
+	if isFirstState && o.state != fleet.Open {
+		// This may be the state before the dissolution, which a lagging list shows late for a group
+		// that was never opened.
 		return
 	}
 	k.opts.Counted("leave", "returned")
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	// valueEpsilon is the difference in value below which two divisions are considered equal, so
-	// that fewer and cheaper moves decide. Rounding errors are smaller.
+	// valueEpsilon is the difference in value up to which two divisions are considered equal. It is
+	// larger than rounding errors.
 	valueEpsilon = 1e-9
-	// maxPasses is how often each domain is divided anew given the current plans of the others.
-	// The second pass takes the changes of the first into account; each pass costs as much as
-	// searching all domains.
+	// maxPasses is the maximum number of times that each domain is divided anew. The second pass
+	// takes into account how the first one changed the other domains.
 	maxPasses = 2
 )
 
 // division is a plan for a domain's free workers, with counts by model.
 type division struct {
-	// warm and loading count the new groups that need no load and those that do.
-	warm, loading []int
-	// loads is how many workers load, cost the total cost of the assignments, placed how many
-	// workers the groups have.
-	loads, cost, placed int
-	formations          []Formation
+	// warmCounts and loadingCounts hold the number of new groups of each model that need no load,
+	// and of those that do.
+	warmCounts, loadingCounts []int
+	// loadCount is the number of workers that load, cost the total cost of the assigned workers,
+	// and placedWorkers the number of workers in groups.
+	loadCount, cost, placedWorkers int
+	formations                     []Formation
 }
 
-// partition divides the free workers of domains into groups so that the value for the whole fleet
-// is as high as possible. It searches each domain exactly, by the numbers of groups, while the
-// others stay unchanged, and goes through the domains repeatedly until none improves or maxPasses
-// is reached.
+// partition divides the free workers of all domains into groups so that the value for the whole
+// fleet is as high as possible. It searches for the best division of one domain while the others
+// stay unchanged. It goes through the domains until none of them improves, at most maxPasses times.
 type partition struct {
 	value  *valuation
 	models []fleet.Model
-	// These include what is planned, by model: replicas is the mean number serving over the
-	// horizon, groups the number of groups, addedByHall the new groups by data hall.
-	replicas    []float64
-	groups      []int
-	addedByHall []map[string]int
-	loads       int
-	maxLoads    int
-	// allowsSurplus reports whether a domain may form more groups than wanted, isFixed whether its
-	// plan must not change.
+	// These counts by model include the planned groups. meanReplicas is the mean number of serving
+	// replicas over the planning horizon, groupCounts the number of groups, and addedByHall the
+	// number of new groups by data hall.
+	meanReplicas []float64
+	groupCounts  []int
+	addedByHall  []map[string]int
+	plannedLoads int
+	maxLoads     int
+	// allowsSurplus reports whether a domain may form more groups than wanted. isFixed reports
+	// whether its plan must not change.
 	allowsSurplus, isFixed func(domain string) bool
 }
 
 func newPartition(needs []Need, in Input) *partition {
 	p := &partition{
-		value:    &valuation{needs: needs, hallLoss: in.HallLoss, serving: in.Serving},
+		value:    &valuation{needs: needs, hallLoss: in.HallLoss, replicasByHall: in.ReplicasByHall},
 		maxLoads: in.MaxLoads,
 	}
 	for _, n := range needs {
 		p.models = append(p.models, n.Model)
-		p.replicas = append(p.replicas, float64(n.Have))
-		p.groups = append(p.groups, n.Have)
+		p.meanReplicas = append(p.meanReplicas, float64(n.Have))
+		p.groupCounts = append(p.groupCounts, n.Have)
 		p.addedByHall = append(p.addedByHall, make(map[string]int))
 	}
 	return p
@@ -64,7 +64,7 @@
 func (p *partition) totalValue() float64 {
 	total := 0.0
 	for i, n := range p.value.needs {
-		total += p.value.valueOf(n, p.replicas[i], p.value.worstHallLoss(n.Model.Name, p.addedByHall[i]))
+		total += p.value.valueOf(n, p.meanReplicas[i], p.value.worstHallLoss(n.Model.Name, p.addedByHall[i]))
 	}
 	return total
 }
@@ -72,25 +72,25 @@
 // addDivision adds a division to the plan, or removes it if sign is -1.
 func (p *partition) addDivision(d division, hall string, sign int) {
 	for i, m := range p.models {
-		p.replicas[i] += float64(sign) * (float64(d.warm[i])*servingFraction(m, false) + float64(d.loading[i])*servingFraction(m, true))
-		p.groups[i] += sign * (d.warm[i] + d.loading[i])
-		p.addedByHall[i][hall] += sign * (d.warm[i] + d.loading[i])
+		p.meanReplicas[i] += float64(sign) * (float64(d.warmCounts[i])*servingFraction(m, false) + float64(d.loadingCounts[i])*servingFraction(m, true))
+		p.groupCounts[i] += sign * (d.warmCounts[i] + d.loadingCounts[i])
+		p.addedByHall[i][hall] += sign * (d.warmCounts[i] + d.loadingCounts[i])
 	}
-	p.loads += sign * d.loads
+	p.plannedLoads += sign * d.loadCount
 }
 
 // divisionOf returns the division that consists of the given groups.
 func (p *partition) divisionOf(formations []Formation, workers map[string]FreeWorker) division {
-	d := division{warm: make([]int, len(p.models)), loading: make([]int, len(p.models)), formations: formations}
+	d := division{warmCounts: make([]int, len(p.models)), loadingCounts: make([]int, len(p.models)), formations: formations}
 	for _, f := range formations {
 		i := slices.IndexFunc(p.models, func(m fleet.Model) bool { return m.Name == f.Model.Name })
-		if f.Loads > 0 {
-			d.loading[i]++
+		if f.LoadCount > 0 {
+			d.loadingCounts[i]++
 		} else {
-			d.warm[i]++
+			d.warmCounts[i]++
 		}
-		d.loads += f.Loads
-		d.placed += len(f.Members)
+		d.loadCount += f.LoadCount
+		d.placedWorkers += len(f.Members)
 		for _, id := range f.Members {
 			d.cost += workers[id].cost(f.Model.Name)
 		}
@@ -98,8 +98,8 @@
 	return d
 }
 
-// improve returns groups with at least the value of the given ones, with no more loads than may
-// begin.
+// improve returns groups whose total value is at least that of the given ones. They need no more
+// loads than may begin.
 func (p *partition) improve(formations []Formation, free map[string][]FreeWorker) []Formation {
 	workers := make(map[string]FreeWorker)
 	planned := make(map[string][]Formation)
@@ -134,7 +134,7 @@
 	return all
 }
 
-// improvePass divides each domain anew and reports whether any improved.
+// improvePass divides each domain anew, and reports whether any division improved.
 func (p *partition) improvePass(free map[string][]FreeWorker, divisions map[string]division) bool {
 	changed := false
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
@@ -157,9 +157,9 @@
 	return workers[0].Hall
 }
 
-// betterDivision divides a domain anew while the others stay unchanged, and reports whether the
-// result has a higher value than the current division, or the same value with fewer or cheaper
-// moves.
+// betterDivision divides a domain anew while the others stay unchanged. It reports whether the
+// result has a higher value than the current division, or the same value and fewer idle workers, or
+// else a lower cost.
 func (p *partition) betterDivision(domain string, workers []FreeWorker, current division) (division, bool) {
 	hall := hallOf(workers)
 	p.addDivision(current, hall, -1)
@@ -167,7 +167,7 @@
 	s.explore(0, 0)
 	found := s.found
 	if found {
-		current = s.division()
+		current = s.bestDivision()
 	}
 	p.addDivision(current, hall, 1)
 	return current, found
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -11,35 +11,35 @@
 	"quartzshelf.dev/fleet"
 )
 
-// drawInput draws a fleet of a few domains whose workers hold arbitrary models, and the needs of
-// one to four models.
+// drawInput draws the input for a fleet of a few domains, whose workers hold arbitrary models, and
+// the needs of one to four models.
 func drawInput(t *rapid.T) Input {
 	in := Input{
-		Serving: make(map[string]map[string]int), Released: make(map[string]bool), Trading: make(map[string]string),
-		Warm: make(map[string]map[string]int), HallLoss: HallLossPolicy{MaxLost: rapid.IntRange(0, 2).Draw(t, "bear"), Weight: hallWeight},
+		ReplicasByHall: make(map[string]map[string]int), ReleasedDomains: make(map[string]bool), TradeRecipients: make(map[string]string),
+		WarmCounts: make(map[string]map[string]int), HallLoss: HallLossPolicy{MaxLost: rapid.IntRange(0, 2).Draw(t, "bear"), Weight: hallLossWeight},
 	}
 	names := []string{""}
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
 		m := fleet.Model{Name: fmt.Sprint("m", i), Size: rapid.IntRange(0, 9).Draw(t, "size"), Load: simLoad, Warm: simWarm}
 		n := Need{Model: m, Want: rapid.Float64Range(0, 9).Draw(t, "want"), Have: rapid.IntRange(0, 9).Draw(t, "have")}
 		in.Needs = append(in.Needs, n)
-		in.Serving[m.Name] = map[string]int{"h0": n.Have / 2, "h1": n.Have - n.Have/2}
+		in.ReplicasByHall[m.Name] = map[string]int{"h0": n.Have / 2, "h1": n.Have - n.Have/2}
 		names = append(names, m.Name)
 	}
 	model := rapid.SampledFrom(names)
 	for d := range rapid.IntRange(0, 4).Draw(t, "domains") {
 		domain := fmt.Sprint("d", d)
 		if rapid.IntRange(0, 3).Draw(t, "trading") == 0 {
-			in.Trading[domain] = in.Needs[0].Model.Name
+			in.TradeRecipients[domain] = in.Needs[0].Model.Name
 		}
-		in.Released[domain] = rapid.Bool().Draw(t, "released")
+		in.ReleasedDomains[domain] = rapid.Bool().Draw(t, "released")
 		for i := range rapid.IntRange(0, 20).Draw(t, "workers") {
 			f := FreeWorker{
 				ID: fmt.Sprintf("%s-%02d", domain, i), Domain: domain, Hall: fmt.Sprint("h", d%2),
-				Loaded: model.Draw(t, "loaded"), Unreliable: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
+				LoadedModel: model.Draw(t, "loaded"), IsUnreliable: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
 			}
 			if staged := model.Draw(t, "staged"); staged != "" {
-				f.Staged = []string{staged}
+				f.StagedModels = []string{staged}
 			}
 			in.Free = append(in.Free, f)
 		}
@@ -62,35 +62,35 @@
 	return p.totalValue()
 }
 
-// TestPlanInvariants checks every plan: no worker is used twice, groups lie within one domain and
-// have the right size, loads stay within the limit, and the value is at least that of groups
-// formed one after another.
+// TestPlanInvariants checks that no worker is used twice, that groups lie within one domain and
+// have the right size, and that loads stay within the limit. The value must be at least that of
+// groups formed one after another.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		formations, stagings := Plan(in)
-		domains, taken := make(map[string]string), make(map[string]bool)
+		domains, used := make(map[string]string), make(map[string]bool)
 		for _, f := range in.Free {
 			domains[f.ID] = f.Domain
 		}
-		take := func(id string) {
-			assert.Assert(t, !taken[id], "%s is taken twice", id)
-			taken[id] = true
+		markUsed := func(id string) {
+			assert.Assert(t, !used[id], "%s is taken twice", id)
+			used[id] = true
 		}
 		loads := 0
 		for _, f := range formations {
 			assert.Equal(t, len(f.Members), f.Model.Size)
-			loads += f.Loads
+			loads += f.LoadCount
 			for _, id := range f.Members {
-				take(id)
+				markUsed(id)
 				assert.Equal(t, domains[id], domains[f.Members[0]])
 			}
 		}
 		for _, s := range stagings {
-			take(s.Worker)
+			markUsed(s.Worker)
 		}
 		assert.Assert(t, loads+len(stagings) <= max(in.MaxLoads, 0), "%d loads and %d stagings of %d", loads, len(stagings), in.MaxLoads)
-		simple := newPlanner(in).formations()
+		simple := newPlanner(in).planFormations()
 		assert.Assert(t, valueOfGroups(in, formations) >= valueOfGroups(in, simple)-valueEpsilon)
 	})
 }
@@ -99,7 +99,7 @@
 // of other models and none that load are formed there.
 func TestDomainsWaitForTrades(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 3}, fleet.Model{Name: "small", Size: 2}
-	worker := func(id, loaded string) FreeWorker { return FreeWorker{ID: id, Domain: "d", Loaded: loaded} }
+	worker := func(id, loaded string) FreeWorker { return FreeWorker{ID: id, Domain: "d", LoadedModel: loaded} }
 	tests := map[string]struct {
 		free    []FreeWorker
 		trading map[string]string
@@ -114,7 +114,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			formations, _ := Plan(Input{
-				Needs: []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 2, Have: 1}}, Free: test.free, MaxLoads: 9, Trading: test.trading,
+				Needs: []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 2, Have: 1}}, Free: test.free, MaxLoads: 9, TradeRecipients: test.trading,
 			})
 			var got []string
 			for _, f := range formations {
@@ -125,7 +125,8 @@
 	}
 }
 
-// TestAssignmentIsCheapest compares an assignment with all possible ones.
+// TestAssignmentIsCheapest compares the cost of an assignment with the minimum over all possible
+// ones.
 func TestAssignmentIsCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
@@ -168,8 +169,7 @@
 	return best
 }
 
-// BenchmarkPlan measures planning for one domain of free workers with several models and cache
-// states.
+// BenchmarkPlan measures planning for one domain of free workers that hold different models.
 func BenchmarkPlan(b *testing.B) {
 	for name, sizes := range map[string][]int{"37 workers, 16 and 4": {16, 4}, "64 workers, 16 and 4": {16, 4}, "64 workers, 16, 8, 4 and 2": {16, 8, 4, 2}, "64 workers, 13, 7, 5, 3 and 2": {13, 7, 5, 3, 2}} {
 		b.Run(name, func(b *testing.B) {
@@ -181,9 +181,9 @@
 				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoad, Warm: simWarm}, Want: 100 / float64(size), Have: 60 / size})
 			}
 			for i := range workers {
-				f := FreeWorker{ID: fmt.Sprintf("w%02d", i), Domain: "d", Loaded: fmt.Sprint("m", i%len(sizes))}
+				f := FreeWorker{ID: fmt.Sprintf("w%02d", i), Domain: "d", LoadedModel: fmt.Sprint("m", i%len(sizes))}
 				if i%5 > 0 {
-					f.Staged = []string{fmt.Sprint("m", i%2)}
+					f.StagedModels = []string{fmt.Sprint("m", i%2)}
 				}
 				in.Free = append(in.Free, f)
 			}
--- a/formation/plan_test.go
+++ b/formation/plan_test.go
@@ -12,9 +12,9 @@
 	big := fleet.Model{Name: "big", Size: 3}
 	small := fleet.Model{Name: "small", Size: 2}
 	worker := func(id, domain, loaded string) FreeWorker {
-		f := FreeWorker{ID: id, Domain: domain, Loaded: loaded}
+		f := FreeWorker{ID: id, Domain: domain, LoadedModel: loaded}
 		if loaded != "" {
-			f.Staged = []string{loaded}
+			f.StagedModels = []string{loaded}
 		}
 		return f
 	}
@@ -23,7 +23,7 @@
 		free     []FreeWorker
 		warm     map[string]map[string]int
 		maxLoads int
-		// keptBack is how many of the loads must not be used for idle workers.
+		// keptBack is the number of the loads that must not be used for idle workers.
 		keptBack int
 		want     [][]string
 		staged   []Staging
@@ -106,7 +106,7 @@
 		t.Run(name, func(t *testing.T) {
 			var got [][]string
 			formations, stagings := Plan(Input{
-				Needs: test.needs, Free: test.free, Warm: test.warm, MaxLoads: test.maxLoads, MaxStagings: test.maxLoads - test.keptBack,
+				Needs: test.needs, Free: test.free, WarmCounts: test.warm, MaxLoads: test.maxLoads, MaxStagings: test.maxLoads - test.keptBack,
 			})
 			for _, f := range formations {
 				got = append(got, f.Members)
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -21,7 +21,7 @@
 	s.group, s.state, s.epoch, s.rank, s.fence, s.orders, s.lastModel = Group{}, "", 0, 0, 0, 0, ""
 	s.isStaging, s.reports, s.entryNumber = false, nil, 0
 	w.recordState(s)
-	// Reports of the new incarnation are current from its start.
+	// The new incarnation's reports are current from its start.
 	s.reports[0].from = time.Now()
 	w.pending.Go(func() {
 		time.Sleep(listedAfter)
@@ -31,9 +31,9 @@
 	})
 }
 
-// TestRestartedWorkersAreReused covers a member of an open group that restarts under its ID, so
-// that the list shows it all the time. It is no longer a member: its group must be repaired and
-// the worker reused.
+// TestRestartedWorkersAreReused covers a member of an open group that restarts under its ID. The
+// list shows the worker all the time, but it no longer belongs to the group. The group must be
+// repaired and the worker reused.
 func TestRestartedWorkersAreReused(t *testing.T) {
 	tests := map[string]restartCase{
 		"a member":                         {rank: 2, listedAfter: 50 * time.Millisecond},
@@ -57,7 +57,7 @@
 	rank int
 	// listedAfter is the time until the list shows the restart.
 	listedAfter time.Duration
-	// restartsTwice restarts the worker a second time; changesLeader replaces the leader
+	// restartsTwice restarts the worker a second time. changesLeader replaces the leader
 	// afterwards.
 	restartsTwice, changesLeader bool
 	// setsClockBack sets the worker's clock back before the restart.
@@ -85,7 +85,7 @@
 		stop()
 		_, stop = startTerm(w, 3)
 	}
-	// Less than the six seconds after which the head breaks the group by itself.
+	// This is less than the six seconds after which the head breaks the group by itself.
 	time.Sleep(repairTimeout)
 	got := countServingWorkers(w.countServing())
 	w.mu.Lock()
@@ -98,7 +98,7 @@
 	assert.DeepEqual(t, w.violations, []string(nil))
 }
 
-// repairTimeout bounds the time until a group is repaired after a crash and listed.
+// repairTimeout is the maximum time from a crash until the list shows the repaired group.
 const repairTimeout = 5 * time.Second
 
 // countServingWorkers returns the number of workers in serving groups.
@@ -122,7 +122,7 @@
 		assert.Equal(t, k.membershipOf(listed), m)
 		k.recordState("w0-1", State{Born: 2000, Staged: []string{"big"}})
 		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "the list shows a past incarnation")
-		assert.Equal(t, k.asFreeWorker(listed).Loaded, "")
+		assert.Equal(t, k.asFreeWorker(listed).LoadedModel, "")
 		k.recordState("w0-1", State{Born: 1000, Member: m})
 		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "late report of a past incarnation")
 		next := *listed
--- a/formation/search.go
+++ b/formation/search.go
@@ -6,73 +6,78 @@
 	"slices"
 )
 
-// search explores the numbers of groups of each model that a domain's free workers can form.
+// search looks for the best division of a domain's free workers. It tries the possible numbers of
+// groups of each model.
 type search struct {
 	*partition
-	// order holds the model indexes by decreasing size; limits is the maximum number of groups of
-	// each.
-	order, limits []int
-	maxLoads      int
-	// assignments holds the assignment at each depth of the search, counts the numbers of groups.
+	// order holds the model indexes by decreasing size. maxCounts holds the maximum number of
+	// groups of each model.
+	order, maxCounts []int
+	maxLoads         int
+	// assignments holds the assignment at each depth of the search. counts holds the number of
+	// groups chosen for each model.
 	assignments []*assignment
 	counts      []int
-	// modelValues holds a model's value, by model, groups without loads and groups with loads.
+	// modelValues holds the value of a model, by model, number of groups without loads and number
+	// of groups with loads.
 	modelValues [][][]float64
-	// maxValues holds the highest value of a model, by model and number of groups.
+	// maxValues holds the highest possible value of a model, by model and number of groups.
 	maxValues [][]float64
-	// upperBounds holds the highest total value of the models from a depth on, by depth and number
-	// of workers.
+	// upperBounds holds the highest possible total value of the models from a depth on, by depth
+	// and number of available workers.
 	upperBounds [][]float64
-	// value, cost, placed and best describe the best division so far.
-	value        float64
-	cost, placed int
-	found        bool
-	best         *assignment
+	// bestValue, bestCost, bestPlacedWorkers and bestAssignment describe the best division so far.
+	// found reports whether it is better than the current one.
+	bestValue                   float64
+	bestCost, bestPlacedWorkers int
+	found                       bool
+	bestAssignment              *assignment
 }
 
 func (p *partition) newSearch(domain string, workers []FreeWorker, current division) *search {
 	s := &search{
-		partition: p, maxLoads: max(p.maxLoads-p.loads, current.loads),
-		limits: make([]int, len(p.models)), counts: make([]int, len(p.models)), modelValues: make([][][]float64, len(p.models)),
+		partition: p, maxLoads: max(p.maxLoads-p.plannedLoads, current.loadCount),
+		maxCounts: make([]int, len(p.models)), counts: make([]int, len(p.models)), modelValues: make([][][]float64, len(p.models)),
 	}
 	allowsSurplus := p.allowsSurplus(domain)
 	if allowsSurplus {
 		// Surplus groups must not need loads.
-		s.maxLoads = current.loads
+		s.maxLoads = current.loadCount
 	}
 	initial := newAssignment(p.models, workers)
 	for range len(p.models) + 1 {
 		s.assignments = append(s.assignments, initial.clone())
 	}
-	s.best = initial.clone()
+	s.bestAssignment = initial.clone()
 	for i, n := range p.value.needs {
 		if n.Model.Size <= 0 {
 			continue
 		}
 		s.order = append(s.order, i)
-		s.limits[i] = len(workers) / n.Model.Size
+		s.maxCounts[i] = len(workers) / n.Model.Size
 		if !allowsSurplus {
-			wanted := max(int(math.Ceil(n.Want))-p.groups[i], current.warm[i]+current.loading[i])
-			s.limits[i] = min(s.limits[i], max(wanted, 0))
+			wanted := max(int(math.Ceil(n.Want))-p.groupCounts[i], current.warmCounts[i]+current.loadingCounts[i])
+			s.maxCounts[i] = min(s.maxCounts[i], max(wanted, 0))
 		}
-		s.modelValues[i] = p.modelValues(i, s.limits[i], max(s.maxLoads, 0), hallOf(workers))
+		s.modelValues[i] = p.modelValues(i, s.maxCounts[i], max(s.maxLoads, 0), hallOf(workers))
 	}
 	slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(p.models[b].Size, p.models[a].Size) })
 	s.computeBounds(initial)
-	s.value, s.cost, s.placed = s.divisionValue(current.warm, current.loading), current.cost, current.placed
+	s.bestValue, s.bestCost, s.bestPlacedWorkers = s.divisionValue(current.warmCounts, current.loadingCounts), current.cost, current.placedWorkers
 	return s
 }
 
-// modelValues returns a model's value with more groups in a hall, by the number of groups that
-// need no load and the number that do, which is at most loads.
-func (p *partition) modelValues(i, limit, loads int, hall string) [][]float64 {
+// modelValues returns the value of a model with new groups in a hall. The value is indexed by the
+// number of groups that need no load and the number that do. Together they are at most maxGroups,
+// and the latter are at most maxLoads.
+func (p *partition) modelValues(i, maxGroups, maxLoads int, hall string) [][]float64 {
 	n, m := p.value.needs[i], p.models[i]
-	table := make([][]float64, limit+1)
+	table := make([][]float64, maxGroups+1)
 	for warm := range table {
-		table[warm] = make([]float64, min(limit-warm, loads)+1)
+		table[warm] = make([]float64, min(maxGroups-warm, maxLoads)+1)
 		for loading := range table[warm] {
 			p.addedByHall[i][hall] += warm + loading
-			replicas := p.replicas[i] + float64(warm)*servingFraction(m, false) + float64(loading)*servingFraction(m, true)
+			replicas := p.meanReplicas[i] + float64(warm)*servingFraction(m, false) + float64(loading)*servingFraction(m, true)
 			table[warm][loading] = p.value.valueOf(n, replicas, p.value.worstHallLoss(m.Name, p.addedByHall[i]))
 			p.addedByHall[i][hall] -= warm + loading
 		}
@@ -89,9 +94,9 @@
 	return total
 }
 
-// computeBounds computes upper bounds for the value of the models from each depth on, by number of
-// workers, as if each model could have the workers that suit it best. It is the knapsack
-// recurrence.
+// computeBounds computes upper bounds for the total value of the models from each depth on, by
+// number of available workers. It assumes that each model gets the workers that suit it best, and
+// uses the knapsack recurrence.
 func (s *search) computeBounds(all *assignment) {
 	workers := all.countUnassigned()
 	s.maxValues = make([][]float64, len(s.models))
@@ -99,21 +104,21 @@
 	s.upperBounds[len(s.order)] = make([]float64, workers+1)
 	for depth := len(s.order) - 1; depth >= 0; depth-- {
 		i := s.order[depth]
-		best := s.maxModelValues(i, all.countWarm(i))
-		s.maxValues[i] = best
+		values := s.maxModelValues(i, all.countWarm(i))
+		s.maxValues[i] = values
 		s.upperBounds[depth] = make([]float64, workers+1)
 		for remaining := range s.upperBounds[depth] {
 			highest := math.Inf(-1)
-			for count := 0; count < len(best) && count*s.models[i].Size <= remaining; count++ {
-				highest = max(highest, best[count]+s.upperBounds[depth+1][remaining-count*s.models[i].Size])
+			for count := 0; count < len(values) && count*s.models[i].Size <= remaining; count++ {
+				highest = max(highest, values[count]+s.upperBounds[depth+1][remaining-count*s.models[i].Size])
 			}
 			s.upperBounds[depth][remaining] = highest
 		}
 	}
 }
 
-// maxModelValues returns a model's value by number of new groups if the given number of workers
-// need no load for it.
+// maxModelValues returns the highest possible value of a model by its number of new groups. The
+// given number of workers need no load for it.
 func (s *search) maxModelValues(i, warm int) []float64 {
 	size := s.models[i].Size
 	var all []float64
@@ -128,9 +133,9 @@
 	return all
 }
 
-// explore tries the numbers of groups of the models from the given depth on that can reach the
-// best value so far; the models before contribute earned.
-func (s *search) explore(depth int, earned float64) {
+// explore tries the numbers of groups of the models from the given depth on, except for those that
+// cannot reach the best value so far. valueSoFar is the total value of the models at lower depths.
+func (s *search) explore(depth int, valueSoFar float64) {
 	current := s.assignments[depth]
 	if depth == len(s.order) {
 		s.considerAssignment(current)
@@ -139,8 +144,8 @@
 	i := s.order[depth]
 	next, remaining := s.assignments[depth+1], current.countUnassigned()
 	for count := min(len(s.maxValues[i])-1, remaining/s.models[i].Size); count >= 0; count-- {
-		best := earned + s.maxValues[i][count]
-		if best+s.upperBounds[depth+1][remaining-count*s.models[i].Size] < s.value-valueEpsilon {
+		value := valueSoFar + s.maxValues[i][count]
+		if value+s.upperBounds[depth+1][remaining-count*s.models[i].Size] < s.bestValue-valueEpsilon {
 			continue
 		}
 		next.copyFrom(current)
@@ -148,7 +153,7 @@
 			continue
 		}
 		s.counts[i] = count
-		s.explore(depth+1, best)
+		s.explore(depth+1, value)
 	}
 	s.counts[i] = 0
 }
@@ -163,24 +168,24 @@
 }
 
 // considerAssignment keeps an assignment if it is the best so far. For equal values it prefers the
-// one that leaves fewer workers idle, then the one with fewer and cheaper moves.
+// one that leaves fewer workers idle, then the one with the lower cost.
 func (s *search) considerAssignment(candidate *assignment) {
-	total, placed := 0.0, 0
+	value, placedWorkers := 0.0, 0
 	for _, i := range s.order {
 		loading := s.countLoadingGroups(candidate, i)
-		total += s.modelValues[i][s.counts[i]-loading][loading]
-		placed += s.counts[i] * s.models[i].Size
+		value += s.modelValues[i][s.counts[i]-loading][loading]
+		placedWorkers += s.counts[i] * s.models[i].Size
 	}
-	if total < s.value-valueEpsilon {
+	if value < s.bestValue-valueEpsilon {
 		return
 	}
 	cost := candidate.totalCost()
-	isSameValue := total <= s.value+valueEpsilon
-	if isSameValue && cmp.Or(cmp.Compare(placed, s.placed), cmp.Compare(s.cost, cost)) <= 0 {
+	isSameValue := value <= s.bestValue+valueEpsilon
+	if isSameValue && cmp.Or(cmp.Compare(placedWorkers, s.bestPlacedWorkers), cmp.Compare(s.bestCost, cost)) <= 0 {
 		return
 	}
-	s.value, s.cost, s.placed, s.found = total, cost, placed, true
-	s.best.copyFrom(candidate)
+	s.bestValue, s.bestCost, s.bestPlacedWorkers, s.found = value, cost, placedWorkers, true
+	s.bestAssignment.copyFrom(candidate)
 }
 
 // countLoadingGroups returns how many groups of a model have members that load. Loading members
@@ -190,13 +195,13 @@
 	return (candidate.countLoads(i) + size - 1) / size
 }
 
-// division returns the best division found.
-func (s *search) division() division {
+// bestDivision returns the best division found.
+func (s *search) bestDivision() division {
 	workers := make(map[string]FreeWorker)
-	for _, members := range s.best.members {
+	for _, members := range s.bestAssignment.workersByClass {
 		for _, w := range members {
 			workers[w.ID] = w
 		}
 	}
-	return s.divisionOf(s.best.formations(), workers)
+	return s.divisionOf(s.bestAssignment.formations(), workers)
 }
--- a/formation/send.go
+++ b/formation/send.go
@@ -7,8 +7,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// sendOrder sends an order until it is answered, each time with a new fence so that earlier
-// attempts that arrive late are void. It reports whether an answer arrived.
+// sendOrder sends an order until it is answered, at most maxOrderAttempts times. Each attempt has a
+// new fence, so that workers reject earlier attempts that arrive late. It reports whether an answer
+// arrived. If not, it marks a worker that does not answer a query either as unresponsive.
 func (k *Keeper) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
 	fencedCount, maxAttempts := 0, maxOrderAttempts
 	if k.isUnresponsive(w.ID) {
@@ -56,7 +57,7 @@
 	return send(ctx, k.nextFence())
 }
 
-// checkTerm ends the term if a worker rejected an order because of its fence.
+// checkTerm ends the term if a worker rejected an order because it had seen a higher fence.
 func (k *Keeper) checkTerm(order string, w *fleet.Worker, verdict Verdict) {
 	if verdict != Fenced {
 		return
--- a/formation/send_test.go
+++ b/formation/send_test.go
@@ -53,7 +53,7 @@
 		w := newWorld(1, 1, 1)
 		ended := make(chan struct{}, 10)
 		k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended <- struct{}{} })
-		k.sequence = maxSequence - 2
+		k.lastSequence = maxSequence - 2
 		last := Fence(0)
 		for range 5 {
 			f := k.nextFence()
--- a/formation/smoother.go
+++ b/formation/smoother.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Smoother tracks the smoothed work of each model on a daemon, whether it leads or not, so that a
-// new leader continues where the last one stopped (see Options.Smoothed). It may be updated at any
-// interval; once a second is enough, since demand is smoothed over several seconds.
+// Smoother tracks the smoothed work of each model on a daemon, whether or not the daemon is the
+// leader. A new leader starts with this work (see Options.Smoothed). Observe may be called at any
+// interval. One second is short enough, since work is smoothed over several seconds.
 type Smoother struct {
 	mu        sync.Mutex
 	work      map[string]Work
@@ -43,8 +43,7 @@
 	return maps.Clone(s.work)
 }
 
-// smoothedToward returns the work after it was smoothed toward a measurement for a number of
-// ticks.
+// smoothedToward returns the work after smoothing it toward a measurement for a number of ticks.
 func (w Work) smoothedToward(measured Work, ticks float64) Work {
 	return Work{
 		Busy: smoothValue(w.Busy, measured.Busy, ticks), Prompts: smoothValue(w.Prompts, measured.Prompts, ticks), Pause: measured.Pause,
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -8,28 +8,28 @@
 	"quartzshelf.dev/fleet"
 )
 
-// longIdleOnly returns the stagings of workers that have been idle for a while: in a new fleet,
-// most idle workers are about to be put into a group.
-func (k *Keeper) longIdleOnly(stagings []Staging, now time.Time) []Staging {
+// keepLongIdle returns the stagings whose workers have been idle for longer than listSettleTime. In
+// a new fleet, most other idle workers are about to be put into a group.
+func (k *Keeper) keepLongIdle(stagings []Staging, now time.Time) []Staging {
 	var all []Staging
-	idle := make(map[string]time.Time)
+	idleSince := make(map[string]time.Time)
 	for _, s := range stagings {
 		since, ok := k.idleSince[s.Worker]
 		if !ok {
 			since = now
 		}
-		idle[s.Worker] = since
+		idleSince[s.Worker] = since
 		if now.Sub(since) > listSettleTime {
 			all = append(all, s)
 		}
 	}
-	k.idleSince = idle
+	k.idleSince = idleSince
 	return all
 }
 
-// secondModelStagings returns, for workers that serve one model, another one to stage while loads
-// are not limited, so that they can switch quickly. They need no staged copy to resume the model
-// they serve.
+// secondModelStagings returns a second model to stage for each worker that serves one, so that it
+// can quickly switch to the other. It is used only while loads are not limited. A worker needs no
+// staged copy of the model that it serves.
 func (k *Keeper) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
 	var all []Staging
 	for id, w := range view.Workers() {
@@ -57,25 +57,24 @@
 	return best
 }
 
-// stageRetryDelay is how long a worker that refused to stage is left alone. It refuses while it
-// loads, which a new leader does not know.
+// stageRetryDelay is the time for which a worker that refused to stage gets no new order to stage.
+// It refuses while it is loading, which a new leader may not know.
 const stageRetryDelay = 2 * time.Second
 
 // unlimitedLoads is the number of loads that may begin while they are not limited.
 const unlimitedLoads = 1 << 20
 
-// Limits on concurrent loads, in multiples of the number that do not slow each other down:
-// groupLoadFactor for loads for groups, idleLoadFactor for all loads if one is to begin for an
-// idle worker. Loads beyond 1 share the same bandwidth, but a group that waits for others to
-// finish serves later than one that slows them. Idle workers get less, so that groups do not wait
-// for their loads.
+// Limits on concurrent loads, as multiples of LoadsAtOnce, the number of loads that do not slow
+// each other down. Loads for groups may exceed that number, since a slowed load still ends sooner
+// than one that has to wait. A load for an idle worker begins only if fewer loads are running, so
+// that groups do not have to wait for it.
 const (
 	groupLoadFactor = 1.5
 	idleLoadFactor  = 0.5
 )
 
 // allowedLoads returns how many loads may begin now for groups, and how many for idle workers.
-// Before the first request loads are quick and not limited.
+// Before the first request, loads are quick and not limited.
 func (k *Keeper) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (forGroups, forIdle int) {
 	if !k.hasTraffic() {
 		return unlimitedLoads, unlimitedLoads
@@ -101,8 +100,8 @@
 	return count
 }
 
-// isLoadingForJoin reports whether a worker that joins a group loads weights for it, including one
-// that an earlier leader ordered to join.
+// isLoadingForJoin reports whether a worker is loading weights to join a group, even if an earlier
+// leader ordered it to join.
 func (k *Keeper) isLoadingForJoin(w *fleet.Worker) bool {
 	m := k.membershipOf(w)
 	return m.State == fleet.Joining && k.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
@@ -142,7 +141,7 @@
 	return l
 }
 
-// recordLoad records a load if the worker needs one for the model. The caller must hold k.mu.
+// recordLoad records a load if the worker must load the model. The caller must hold k.mu.
 func (k *Keeper) recordLoad(w *fleet.Worker, m fleet.Model) {
 	if k.asFreeWorker(w).warmth(m.Name) > Staged {
 		k.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
@@ -194,17 +193,17 @@
 	return verdict.Accepted()
 }
 
-// recordStageRefusal records that a worker refused to stage, for example because it already loads,
-// so that it is not ordered again immediately. The load stays counted although none began: it may
-// have been ordered while loads were not counted.
+// recordStageRefusal records that a worker refused to stage, for example because it is already
+// loading, so that it is not ordered again immediately. The load budget is not refunded, since it
+// is not reduced while loads are not counted.
 func (k *Keeper) recordStageRefusal(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stageRetryAt[w.ID] = time.Now().Add(stageRetryDelay)
 }
 
-// withoutRecentlyRefused returns the stagings whose workers did not recently refuse one. The
+// dropRecentlyRefused returns the stagings whose workers did not recently refuse to stage. The
 // caller must hold k.mu.
-func (k *Keeper) withoutRecentlyRefused(stagings []Staging, now time.Time) []Staging {
+func (k *Keeper) dropRecentlyRefused(stagings []Staging, now time.Time) []Staging {
 	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(k.stageRetryAt[s.Worker]) })
 }
--- a/formation/stagings.go
+++ b/formation/stagings.go
@@ -11,9 +11,10 @@
 	Model  string
 }
 
-// stagings returns what the remaining workers should stage: the model that most of their domain is
-// warm for. Workers that are warm for a model that is short keep it.
-func (p *planner) stagings() []Staging {
+// planStagings returns the models that the remaining workers should stage. For each of them, it is
+// the model that most workers of its domain are warm for. Workers that are warm for a model that is
+// short keep that model.
+func (p *planner) planStagings() []Staging {
 	var all []Staging
 	for _, domain := range slices.Sorted(maps.Keys(p.byDomain)) {
 		model := p.mainModel(domain)
@@ -38,7 +39,7 @@
 func (p *planner) mainModel(domain string) string {
 	best, highest := "", 0
 	for _, n := range p.needs {
-		if count := p.warm[domain][n.Model.Name]; count > highest {
+		if count := p.warmCounts[domain][n.Model.Name]; count > highest {
 			best, highest = n.Model.Name, count
 		}
 	}
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// survivorReleaseDelay is how long idle workers of a domain wait to be completed to a group of a
-// model that is short. The members of a group that ends are freed one after another, and a trade
-// that completes them is found at the next tick.
+// survivorReleaseDelay is the time for which idle workers of a domain wait for missing members of a
+// group of a model that is short. More members may become free during this time, or a trade may
+// provide them.
 const survivorReleaseDelay = 300 * time.Millisecond
 
 const (
-	// releaseMaxCoverage is the coverage of a model above which survivors do not form more groups
-	// of it. At 1.25, with targetUtilization, 56 % of its slots are busy.
+	// releaseMaxCoverage is the ratio of available to wanted replicas from which survivors form no
+	// more groups of a model. The model must also have releaseMaxSurplus surplus groups.
 	releaseMaxCoverage = 1.25
-	// releaseMaxSurplus is how many surplus groups the model must have in addition: for a small
-	// number of groups the coverage alone says little.
+	// releaseMaxSurplus is the number of groups beyond the wanted number from which
+	// releaseMaxCoverage applies. For few groups the ratio alone is not meaningful.
 	releaseMaxSurplus = 2
 )
 
-// releasedDomains returns the domains whose idle workers have been too few for a group of any
-// model that is short for a while. They may form surplus groups of another model, and are traded
-// back once the missing members are available and warm. The caller must hold k.mu.
+// releasedDomains returns the domains whose idle workers have been too few for a group of any short
+// model for longer than survivorReleaseDelay. These workers may form surplus groups of another
+// model. The groups are traded back once the missing members are available and warm. The caller
+// must hold k.mu.
 func (k *Keeper) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
-	released, waiting := make(map[string]bool), make(map[string]bool)
-	for domain, workers := range byDomain(free) {
+	released, isWaiting := make(map[string]bool), make(map[string]bool)
+	for domain, workers := range groupByDomain(free) {
 		if !lacksMembers(needs, len(workers)) || k.isTrading(domain) {
 			continue
 		}
-		waiting[domain] = true
+		isWaiting[domain] = true
 		releaseAt, ok := k.releaseAt[domain]
 		if !ok {
 			releaseAt = now.Add(survivorReleaseDelay)
@@ -37,35 +38,35 @@
 		released[domain] = !now.Before(releaseAt)
 	}
 	for domain := range k.releaseAt {
-		if !waiting[domain] {
+		if !isWaiting[domain] {
 			delete(k.releaseAt, domain)
 		}
 	}
 	return released
 }
 
-// isTrading reports whether groups of a domain are being traded for another model. Members that
-// become free first wait for the others.
+// isTrading reports whether groups of a domain are being traded for another model. Members that are
+// already free then wait for the others.
 func (k *Keeper) isTrading(domain string) bool {
 	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
-// lacksMembers reports whether some model is short, and the workers are too few for a group of any
-// model that is short, but enough for a group of another one.
+// lacksMembers reports whether the workers are too few for a group of any short model, but enough
+// for a group of another model. It is false if no model is short.
 func lacksMembers(needs []Need, workers int) bool {
-	short, other := false, false
+	isAnyShort, canFormOther := false, false
 	for _, n := range needs {
 		fits := n.Model.Size > 0 && n.Model.Size <= workers
 		switch {
 		case n.coverageWith(0) >= releaseMaxCoverage && float64(n.Have) >= n.Want+releaseMaxSurplus:
 			// Another group would add no value and would have to be traded back.
 		case n.isMet():
-			other = other || fits
+			canFormOther = canFormOther || fits
 		case fits:
 			return false
 		default:
-			short = true
+			isAnyShort = true
 		}
 	}
-	return short && other
+	return isAnyShort && canFormOther
 }
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -23,8 +23,8 @@
 	return counts
 }
 
-// TestSurvivorsServeAnotherModel kills a member of a large group in a domain without a
-// replacement: the others serve the small model until a new worker arrives.
+// TestSurvivorsServeAnotherModel kills a member of a large group in a domain without a replacement.
+// The other members must serve the small model until a new worker arrives.
 func TestSurvivorsServeAnotherModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 3, 4)
@@ -61,7 +61,7 @@
 	w.publish(s)
 }
 
-// TestLacksMembers checks which idle workers have to wait for others.
+// TestLacksMembers checks in which cases idle workers lack members for a group of a short model.
 func TestLacksMembers(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
@@ -99,14 +99,14 @@
 		w.workers["w0-0"].neverReady = true
 		w.pending.Go(func() { w.confirmList(10 * time.Second) })
 		k, stop := startTerm(w, 1)
-		// A warm join may take 4.2 s, the next one 1.5 s.
+		// The first attempt to join warm may take 4.2 s, the next one 1.5 s.
 		time.Sleep(7 * time.Second)
 		k.mu.Lock()
 		unreliable := k.isUnreliable("w0-0")
 		k.mu.Unlock()
 		assert.Assert(t, unreliable)
 		assert.Equal(t, w.countServing()["big"], 1)
-		time.Sleep(unreliablePeriod)
+		time.Sleep(unreliableDuration)
 		k.mu.Lock()
 		unreliable = k.isUnreliable("w0-0")
 		k.mu.Unlock()
@@ -121,8 +121,8 @@
 // too few others.
 func TestUnreliableWorkersAreChosenLast(t *testing.T) {
 	big := fleet.Model{Name: "big", Size: 2, Load: simLoad, Warm: simWarm}
-	worker := func(id, domain string, doubted bool) FreeWorker {
-		return FreeWorker{ID: id, Domain: domain, Loaded: "big", Unreliable: doubted}
+	worker := func(id, domain string, isUnreliable bool) FreeWorker {
+		return FreeWorker{ID: id, Domain: domain, LoadedModel: "big", IsUnreliable: isUnreliable}
 	}
 	tests := map[string]struct {
 		free []FreeWorker
@@ -148,7 +148,7 @@
 	needs := []Need{{Model: fleet.Model{Name: "big", Size: 4}, Want: 2}, {Model: fleet.Model{Name: "small", Size: 2}, Want: 1, Have: 2}}
 	free := []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "e"}, {ID: "f", Domain: "e"}}
 	k := NewKeeper(newWorld(1, 1, 0).options(), Term{Epoch: 1}, func() {})
-	k.activeTrades = []Trade{{Model: "big", Domain: "d"}}
+	k.activeTrades = []Trade{{Recipient: "big", Domain: "d"}}
 	now := time.Now()
 	assert.DeepEqual(t, k.releasedDomains(needs, free, now), map[string]bool{"e": false})
 	now = now.Add(survivorReleaseDelay)
@@ -167,7 +167,7 @@
 		w.pending.Go(func() { w.confirmList(60 * time.Second) })
 		time.Sleep(sharePeriod + 2*time.Second)
 		w.kill(big.Members[2])
-		// The loss is known after 4 s. The new worker refuses to stage a model beforehand.
+		// The loss is detected after 4 s. The new worker refuses to stage a model before.
 		time.Sleep(3950 * time.Millisecond)
 		w.addStagedWorker("d0", "")
 		w.mu.Lock()
@@ -184,8 +184,8 @@
 }
 
 // TestRefusingWorkerIsNotRetriedContinuously covers a listed worker that refuses connections, so
-// that every group with it fails immediately. Its partners must not get orders at every tick,
-// since they might start a load each time.
+// that every group with it fails immediately. Its partners must not get orders at every tick, since
+// they might start a load each time.
 func TestRefusingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := unlistedWorld(1, 1, 4)
@@ -199,8 +199,8 @@
 		time.Sleep(5 * time.Second)
 		stop()
 		w.pending.Wait()
-		// At most four partners in each of five seconds, plus the groups of other models that they
-		// form in between.
+		// Up to four partners get orders once per second for five seconds. They also form groups of
+		// other models in between.
 		assert.Assert(t, w.attempts["join"] <= 40, "%v", w.attempts)
 	})
 }
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -9,98 +9,97 @@
 
 const (
 	// tradeMargin is the factor by which a donor's coverage must exceed the recipient's after a
-	// trade, to prevent replicas from switching back and forth.
+	// trade. It prevents replicas from switching back and forth between models.
 	tradeMargin = 1.1
-	// loadPenalty is the cost of a second of loading, as a fraction of a model's requests, for
-	// slowing down other loads. It is small compared with the value of a group, so that it only
+	// loadPenalty is the value that is deducted for each second of loading by each member, since a
+	// load slows down other loads. It is small compared with the value of a group, so that it only
 	// decides between similar trades.
 	loadPenalty = 1e-5
-	// coldTradeMaxCoverage is the coverage up to which a model gets groups whose members have to
-	// load it. At half of what is wanted, requests would be refused for longer than a load takes.
-	// Surplus groups are traded for cold members at any coverage.
+	// coldTradeMaxCoverage is the highest coverage at which a model may get groups whose members
+	// have to load it. If only surplus groups are dissolved, there is no such limit.
 	coldTradeMaxCoverage = 0.5
-	// maxDownFraction is the fraction of a model's groups that trades may take down at once. One
-	// trade is always allowed. The other groups then carry at most a third more, for which
-	// targetUtilization leaves room.
+	// maxDownFraction is the maximum fraction of a model's groups that trades may take out of
+	// service at once. A single trade is always allowed.
 	maxDownFraction = 0.25
 )
 
-// ServingGroup is a group that serves.
+// ServingGroup is a group that takes requests.
 type ServingGroup struct {
-	Key     string
-	Domain  string
-	Model   string
-	Members int
+	Key         string
+	Domain      string
+	Model       string
+	MemberCount int
 	// Hall is the head's data hall.
 	Hall string
-	// Cold counts, by model, the members that would have to load it.
-	Cold map[string]int
+	// ColdCounts holds the number of members that would have to load a model, by model.
+	ColdCounts map[string]int
 }
 
 // countWarm returns how many members need no load for a model.
-func (s ServingGroup) countWarm(model string) int { return s.Members - s.Cold[model] }
+func (s ServingGroup) countWarm(model string) int { return s.MemberCount - s.ColdCounts[model] }
 
-// Trade is a set of groups of one domain to dissolve so that groups of a model that is short can
-// be formed.
+// Trade is a set of groups of one domain to dissolve, so that groups of the recipient, a model that
+// is short, can be formed.
 type Trade struct {
-	Model     string
+	Recipient string
 	Domain    string
 	GroupKeys []string
-	// Given counts the dissolved groups by model, Formed the groups that Model gets.
-	Given  map[string]int
-	Formed int
+	// DissolvedCounts holds the number of dissolved groups by model. FormedCount is the number of
+	// groups that the recipient gets.
+	DissolvedCounts map[string]int
+	FormedCount     int
 }
 
-// apply updates needs with the groups that the trade dissolves and forms.
-func (x Trade) apply(needs []Need) {
+// applyTo updates needs with the groups that the trade dissolves and forms.
+func (x Trade) applyTo(needs []Need) {
 	for i, n := range needs {
-		needs[i].Have -= x.Given[n.Model.Name]
-		if n.Model.Name == x.Model {
-			needs[i].Have += x.Formed
+		needs[i].Have -= x.DissolvedCounts[n.Model.Name]
+		if n.Model.Name == x.Recipient {
+			needs[i].Have += x.FormedCount
 		}
 	}
 }
 
-// isSurplus reports whether the donors still meet their needs after the trade.
-func (x Trade) isSurplus(needs []Need) bool {
+// takesOnlySurplus reports whether the donors still have all wanted replicas after the trade.
+func (x Trade) takesOnlySurplus(needs []Need) bool {
 	for _, n := range needs {
-		if given := x.Given[n.Model.Name]; given > 0 && n.coverageWith(-given) < 1 {
+		if dissolved := x.DissolvedCounts[n.Model.Name]; dissolved > 0 && n.coverageWith(-dissolved) < 1 {
 			return false
 		}
 	}
 	return true
 }
 
-// countDown adds the groups that the trade takes down.
-func (x Trade) countDown(down map[string]int) {
-	for model, count := range x.Given {
+// addDownCounts adds the number of groups that the trade takes out of service, by model.
+func (x Trade) addDownCounts(down map[string]int) {
+	for model, count := range x.DissolvedCounts {
 		down[model] += count
 	}
 }
 
-// FindTrade returns the groups to dissolve, within one domain, so that a model that is short can
-// be formed. The donors keep a better coverage than the recipient. Cold members are used only if
-// the recipient has at most half of what is wanted, or if the donors have a surplus. It returns
-// false if no model is short or no trade helps.
+// FindTrade returns the best trade for the model with the greatest shortage that a trade can help.
+// All dissolved groups are in one domain. The donors keep a better coverage than the recipient.
+// Members that have to load are used only if the recipient has at most half of its wanted replicas,
+// or if the donors have a surplus. It returns false if there is no such trade.
 func FindTrade(needs []Need, free []FreeWorker, servingGroups []ServingGroup) (Trade, bool) {
 	return newTradeFinder(needs, free, servingGroups).bestTrade()
 }
 
-// tradeFinder finds trades.
+// tradeFinder finds the best trade for given needs, idle workers and serving groups.
 type tradeFinder struct {
 	needs         []Need
 	value         *valuation
 	free          map[string][]FreeWorker
 	servingGroups map[string][]ServingGroup
-	// down counts, by model, the groups that ongoing trades take down.
-	down map[string]int
-	// maxLoads is how many loads may begin.
+	// downCounts holds the number of groups that ongoing trades take out of service, by model.
+	downCounts map[string]int
+	// maxLoads is the maximum number of loads that may begin.
 	maxLoads int
 }
 
 func newTradeFinder(needs []Need, free []FreeWorker, servingGroups []ServingGroup) *tradeFinder {
 	t := &tradeFinder{
-		needs: needs, value: &valuation{needs: needs}, free: byDomain(free),
+		needs: needs, value: &valuation{needs: needs}, free: groupByDomain(free),
 		servingGroups: make(map[string][]ServingGroup), maxLoads: math.MaxInt,
 	}
 	for _, s := range servingGroups {
@@ -124,8 +123,8 @@
 	return Trade{}, false
 }
 
-// bestTradeFor returns the most valuable trade for a model over all domains; among equal ones,
-// that with the fewest groups.
+// bestTradeFor returns the most valuable trade for a model over all domains. Among equally valuable
+// ones it prefers the one with the fewest groups.
 func (t *tradeFinder) bestTradeFor(n Need) (Trade, bool) {
 	var best *tradeSearch
 	for _, domain := range slices.Sorted(maps.Keys(t.servingGroups)) {
@@ -143,11 +142,11 @@
 	return best.trade(), true
 }
 
-// tradeInsteadOf returns a trade in the domain of a planned group whose members would load, if it
-// provides warm members and has a higher value.
+// tradeInsteadOf returns a trade that replaces a planned group whose members would have to load.
+// The trade must be in the same domain, provide warm members and have a higher value.
 func (t *tradeFinder) tradeInsteadOf(f Formation) (Trade, bool) {
 	i := slices.IndexFunc(t.needs, func(n Need) bool { return n.Model.Name == f.Model.Name })
-	if f.Loads == 0 || i < 0 {
+	if f.LoadCount == 0 || i < 0 {
 		return Trade{}, false
 	}
 	for domain, workers := range t.free {
@@ -163,58 +162,58 @@
 	return Trade{}, false
 }
 
-// completesSurvivors reports whether a trade adds a single group to at least as many idle workers
-// as that group has members. These are the survivors of a broken group.
+// completesSurvivors reports whether a trade adds the members of a single group to at least as many
+// idle workers. These idle workers are likely to be the survivors of a broken group.
 func (t *tradeFinder) completesSurvivors(x Trade) bool {
 	if len(x.GroupKeys) != 1 {
 		return false
 	}
 	i := slices.IndexFunc(t.servingGroups[x.Domain], func(s ServingGroup) bool { return s.Key == x.GroupKeys[0] })
-	return len(t.free[x.Domain]) >= t.servingGroups[x.Domain][i].Members
+	return len(t.free[x.Domain]) >= t.servingGroups[x.Domain][i].MemberCount
 }
 
-// tradeSearch searches a domain for the groups whose members a model should get, by the number of
-// groups that each other model gives.
+// tradeSearch searches a domain for the groups to dissolve so that their members can serve the
+// recipient. It tries the possible numbers of groups of each donor model.
 type tradeSearch struct {
 	*tradeFinder
 	recipient   Need
 	domain      string
 	allowsLoads bool
-	// idleCount is how many idle workers of the domain can be members.
+	// idleCount is the number of idle workers of the domain that can be members of a new group.
 	idleCount int
-	// donors holds the models that can give groups; groups the groups that each can give, best
-	// first; counts how many of them are chosen.
-	donors []Need
-	groups [][]ServingGroup
-	counts []int
-	// found, gain, keys, given and formed describe the best trade so far.
-	found  bool
-	gain   float64
-	keys   []string
-	given  map[string]int
-	formed int
+	// donors holds the models that can give up groups. groups holds these groups by donor, the best
+	// first. chosenCounts holds how many of them are chosen, by donor.
+	donors       []Need
+	groups       [][]ServingGroup
+	chosenCounts []int
+	// found, gain, keys, dissolvedCounts and formedCount describe the best trade so far.
+	found           bool
+	gain            float64
+	keys            []string
+	dissolvedCounts map[string]int
+	formedCount     int
 }
 
 func (t *tradeFinder) newTradeSearch(n Need, domain string, allowsLoads bool) *tradeSearch {
 	g := &tradeSearch{tradeFinder: t, recipient: n, domain: domain, allowsLoads: allowsLoads}
 	for _, f := range t.free[domain] {
-		if !f.Unreliable && (allowsLoads || f.warmth(n.Model.Name) <= Staged) {
+		if !f.IsUnreliable && (allowsLoads || f.warmth(n.Model.Name) <= Staged) {
 			g.idleCount++
 		}
 	}
-	for _, o := range t.needs {
-		groups := t.donatableGroups(o, n, domain)
+	for _, donor := range t.needs {
+		groups := t.donatableGroups(donor, n, domain)
 		if len(groups) > 0 {
-			g.donors = append(g.donors, o)
+			g.donors = append(g.donors, donor)
 			g.groups = append(g.groups, groups)
 		}
 	}
-	g.counts = make([]int, len(g.donors))
+	g.chosenCounts = make([]int, len(g.donors))
 	return g
 }
 
-// donatableGroups returns the groups of a domain that a donor can give while keeping a better
-// coverage than the recipient, within the limit on groups that are down. Those with the most warm
+// donatableGroups returns the groups of a domain that a donor can give up while keeping a better
+// coverage than the recipient. Their number is limited by maxDownFraction. Those with the most warm
 // members come first.
 func (t *tradeFinder) donatableGroups(donor, recipient Need, domain string) []ServingGroup {
 	if donor.Model.Name == recipient.Model.Name {
@@ -230,49 +229,49 @@
 		return cmp.Or(cmp.Compare(b.countWarm(recipient.Model.Name), a.countWarm(recipient.Model.Name)), cmp.Compare(a.Key, b.Key))
 	})
 	minCoverage := tradeMargin * recipient.coverageWith(1)
-	maxGiven := 0
-	for maxGiven < len(all) && donor.coverageWith(-maxGiven-1) >= minCoverage {
-		maxGiven++
+	maxGroups := 0
+	for maxGroups < len(all) && donor.coverageWith(-maxGroups-1) >= minCoverage {
+		maxGroups++
 	}
-	if down := t.down[donor.Model.Name]; down > 0 {
-		maxGiven = min(maxGiven, max(int(maxDownFraction*float64(donor.Have+down))-down, 0))
+	if down := t.downCounts[donor.Model.Name]; down > 0 {
+		maxGroups = min(maxGroups, max(int(maxDownFraction*float64(donor.Have+down))-down, 0))
 	}
-	return all[:maxGiven]
+	return all[:maxGroups]
 }
 
-// explore tries the numbers of groups that the donors from the given one on can give.
+// explore tries the numbers of groups that the donors from the given index on can give up.
 func (g *tradeSearch) explore(donor int) {
 	if donor == len(g.donors) {
 		g.considerChoice()
 		return
 	}
 	for count := range len(g.groups[donor]) + 1 {
-		g.counts[donor] = count
+		g.chosenCounts[donor] = count
 		g.explore(donor + 1)
 		if g.idleCount+g.countFreed() >= g.recipient.Model.Size {
-			// More groups than needed would be given.
+			// With more groups chosen, more than needed would be dissolved.
 			break
 		}
 	}
-	g.counts[donor] = 0
+	g.chosenCounts[donor] = 0
 }
 
 // chosenGroups returns the chosen groups.
 func (g *tradeSearch) chosenGroups() []ServingGroup {
 	var all []ServingGroup
-	for i, count := range g.counts {
+	for i, count := range g.chosenCounts {
 		all = append(all, g.groups[i][:count]...)
 	}
 	return all
 }
 
-// countFreed returns how many freed members can serve the model.
+// countFreed returns how many members of the chosen groups can serve the recipient.
 func (g *tradeSearch) countFreed() int {
 	total := 0
-	for i, count := range g.counts {
+	for i, count := range g.chosenCounts {
 		for _, s := range g.groups[i][:count] {
 			if g.allowsLoads {
-				total += s.Members
+				total += s.MemberCount
 			} else {
 				total += s.countWarm(g.recipient.Model.Name)
 			}
@@ -288,7 +287,7 @@
 	if members < size || len(chosen) == 0 || g.allowsLoads && g.countLoads(chosen) > g.maxLoads {
 		return
 	}
-	if g.allowsLoads && g.recipient.coverageWith(0) > coldTradeMaxCoverage && !g.isSurplus() {
+	if g.allowsLoads && g.recipient.coverageWith(0) > coldTradeMaxCoverage && !g.takesOnlySurplus() {
 		return
 	}
 	formed := max(min(members/size, int(math.Ceil(g.recipient.Want))-g.recipient.Have), 1)
@@ -305,18 +304,19 @@
 	if gain <= 0 || g.found && !candidate.isBetter(g) {
 		return
 	}
-	g.found, g.gain, g.keys, g.formed, g.given = true, gain, keys, formed, make(map[string]int)
+	g.found, g.gain, g.keys, g.formedCount, g.dissolvedCounts = true, gain, keys, formed, make(map[string]int)
 	for i, o := range g.donors {
-		if g.counts[i] > 0 {
-			g.given[o.Model.Name] = g.counts[i]
+		if g.chosenCounts[i] > 0 {
+			g.dissolvedCounts[o.Model.Name] = g.chosenCounts[i]
 		}
 	}
 }
 
-// isSurplus reports whether the donors still meet their needs.
-func (g *tradeSearch) isSurplus() bool {
+// takesOnlySurplus reports whether the donors still have all wanted replicas without the chosen
+// groups.
+func (g *tradeSearch) takesOnlySurplus() bool {
 	for i, o := range g.donors {
-		if g.counts[i] > 0 && o.coverageWith(-g.counts[i]) < 1 {
+		if g.chosenCounts[i] > 0 && o.coverageWith(-g.chosenCounts[i]) < 1 {
 			return false
 		}
 	}
@@ -337,8 +337,8 @@
 	return max(g.recipient.Model.Size-warm, 0)
 }
 
-// valueGained returns the value of the trade: what the recipient gains once its groups serve, less
-// what the donors lose.
+// valueGained returns the value of the trade, which is the recipient's gain once its groups serve,
+// less the donors' loss.
 func (g *tradeSearch) valueGained(formed int) float64 {
 	hall := g.servingGroups[g.domain][0].Hall
 	gain := func(n Need, groups int, part float64) float64 {
@@ -347,12 +347,12 @@
 	}
 	total := gain(g.recipient, formed, servingFraction(g.recipient.Model, g.allowsLoads))
 	for i, o := range g.donors {
-		total += gain(o, -g.counts[i], 1)
+		total += gain(o, -g.chosenCounts[i], 1)
 	}
 	return total
 }
 
-// isBetter reports whether a trade is better than another one: it gains more, or takes fewer
+// isBetter reports whether a trade gains more than another one, or gains the same with fewer
 // groups.
 func (g *tradeSearch) isBetter(o *tradeSearch) bool {
 	if math.Abs(g.gain-o.gain) > valueEpsilon {
@@ -362,5 +362,5 @@
 }
 
 func (g *tradeSearch) trade() Trade {
-	return Trade{Model: g.recipient.Model.Name, Domain: g.domain, GroupKeys: g.keys, Given: g.given, Formed: g.formed}
+	return Trade{Recipient: g.recipient.Model.Name, Domain: g.domain, GroupKeys: g.keys, DissolvedCounts: g.dissolvedCounts, FormedCount: g.formedCount}
 }
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -11,56 +11,56 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestTradeOnlyForFeasibleGroups checks that groups are traded only for a group that can be
-// formed, and that no more of a model are taken down at once than the others can compensate.
+// TestTradeOnlyForFeasibleGroups checks that groups are traded only for a group that can be formed.
+// It also checks that a trade does not take too many groups of a model out of service.
 func TestTradeOnlyForFeasibleGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
 	needs := []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 8, Have: 8}}
-	warm := []FreeWorker{{ID: "a", Domain: "d", Loaded: "big"}, {ID: "b", Domain: "d", Loaded: "big"}}
+	warm := []FreeWorker{{ID: "a", Domain: "d", LoadedModel: "big"}, {ID: "b", Domain: "d", LoadedModel: "big"}}
 	group := func(key, domain string, cold int) ServingGroup {
-		return ServingGroup{Key: key, Domain: domain, Model: "small", Members: 2, Cold: map[string]int{"big": cold}}
+		return ServingGroup{Key: key, Domain: domain, Model: "small", MemberCount: 2, ColdCounts: map[string]int{"big": cold}}
 	}
 	tests := map[string]struct {
-		needs    []Need
-		free     []FreeWorker
-		standing []ServingGroup
-		down     map[string]int
-		maxLoads int
-		want     []string
+		needs         []Need
+		free          []FreeWorker
+		servingGroups []ServingGroup
+		down          map[string]int
+		maxLoads      int
+		want          []string
 	}{
-		"warm members":                   {free: warm, standing: []ServingGroup{group("s", "d", 0)}, want: []string{"s"}},
-		"a member that has to load":      {free: warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 9},
-		"idle workers that have to load": {free: []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}}, standing: []ServingGroup{group("s", "d", 0)}, maxLoads: 9},
+		"warm members":                   {free: warm, servingGroups: []ServingGroup{group("s", "d", 0)}, want: []string{"s"}},
+		"a member that has to load":      {free: warm, servingGroups: []ServingGroup{group("s", "d", 1)}, maxLoads: 9},
+		"idle workers that have to load": {free: []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}}, servingGroups: []ServingGroup{group("s", "d", 0)}, maxLoads: 9},
 		"unreliable idle workers": {
-			free:     []FreeWorker{{ID: "a", Domain: "d", Loaded: "big", Unreliable: true}, {ID: "b", Domain: "d", Loaded: "big"}},
-			standing: []ServingGroup{group("s", "d", 0)}, maxLoads: 9,
+			free:          []FreeWorker{{ID: "a", Domain: "d", LoadedModel: "big", IsUnreliable: true}, {ID: "b", Domain: "d", LoadedModel: "big"}},
+			servingGroups: []ServingGroup{group("s", "d", 0)}, maxLoads: 9,
 		},
-		"the warm one of two groups": {free: warm, standing: []ServingGroup{group("s", "d", 1), group("t", "d", 0)}, want: []string{"t"}},
+		"the warm one of two groups": {free: warm, servingGroups: []ServingGroup{group("s", "d", 1), group("t", "d", 0)}, want: []string{"t"}},
 		"the domain with the fewest groups": {
-			free: warm, standing: []ServingGroup{group("s", "c", 0), group("t", "c", 0), group("u", "d", 0)}, want: []string{"u"},
+			free: warm, servingGroups: []ServingGroup{group("s", "c", 0), group("t", "c", 0), group("u", "d", 0)}, want: []string{"u"},
 		},
 		"loads if at most half of what is wanted exists": {
 			needs: []Need{{Model: big, Want: 9, Have: 3}, {Model: small, Want: 8, Have: 8}},
-			free:  warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
+			free:  warm, servingGroups: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
 		},
 		"loads if others have a surplus": {
 			needs: []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 6, Have: 9}},
-			free:  warm, standing: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
+			free:  warm, servingGroups: []ServingGroup{group("s", "d", 1)}, maxLoads: 1, want: []string{"s"},
 		},
 		"no loads may begin": {
 			needs: []Need{{Model: big, Want: 9, Have: 3}, {Model: small, Want: 8, Have: 8}},
-			free:  warm, standing: []ServingGroup{group("s", "d", 1)},
+			free:  warm, servingGroups: []ServingGroup{group("s", "d", 1)},
 		},
-		"a quarter of the groups is down": {free: warm, standing: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 2}},
-		"less than a quarter is down":     {free: warm, standing: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 1}, want: []string{"s"}},
+		"a quarter of the groups is down": {free: warm, servingGroups: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 2}},
+		"less than a quarter is down":     {free: warm, servingGroups: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 1}, want: []string{"s"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if test.needs == nil {
 				test.needs = needs
 			}
-			finder := newTradeFinder(test.needs, test.free, test.standing)
-			finder.down, finder.maxLoads = test.down, test.maxLoads
+			finder := newTradeFinder(test.needs, test.free, test.servingGroups)
+			finder.downCounts, finder.maxLoads = test.down, test.maxLoads
 			x, ok := finder.bestTrade()
 			assert.Equal(t, ok, test.want != nil)
 			assert.DeepEqual(t, x.GroupKeys, test.want)
@@ -74,26 +74,26 @@
 	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
 	needs := []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 5, Have: 8}}
 	survivors := []FreeWorker{
-		{ID: "a", Domain: "d", Loaded: "big"}, {ID: "b", Domain: "d", Loaded: "big"}, {ID: "c", Domain: "d", Loaded: "big"}, {ID: "e", Domain: "d"},
+		{ID: "a", Domain: "d", LoadedModel: "big"}, {ID: "b", Domain: "d", LoadedModel: "big"}, {ID: "c", Domain: "d", LoadedModel: "big"}, {ID: "e", Domain: "d"},
 	}
 	group := func(domain string, cold int) ServingGroup {
-		return ServingGroup{Key: "s", Domain: domain, Model: "small", Members: 2, Cold: map[string]int{"big": cold}}
+		return ServingGroup{Key: "s", Domain: domain, Model: "small", MemberCount: 2, ColdCounts: map[string]int{"big": cold}}
 	}
 	tests := map[string]struct {
-		needs    []Need
-		standing []ServingGroup
-		want     []string
+		needs         []Need
+		servingGroups []ServingGroup
+		want          []string
 	}{
-		"a warm group in the domain":   {needs: needs, standing: []ServingGroup{group("d", 0)}, want: []string{"s"}},
-		"one of its members is warm":   {needs: needs, standing: []ServingGroup{group("d", 1)}, want: []string{"s"}},
-		"none of its members is warm":  {needs: needs, standing: []ServingGroup{group("d", 2)}},
-		"a group of another domain":    {needs: needs, standing: []ServingGroup{group("c", 0)}},
+		"a warm group in the domain":   {needs: needs, servingGroups: []ServingGroup{group("d", 0)}, want: []string{"s"}},
+		"one of its members is warm":   {needs: needs, servingGroups: []ServingGroup{group("d", 1)}, want: []string{"s"}},
+		"none of its members is warm":  {needs: needs, servingGroups: []ServingGroup{group("d", 2)}},
+		"a group of another domain":    {needs: needs, servingGroups: []ServingGroup{group("c", 0)}},
 		"no other group":               {needs: needs},
-		"a group that can't be spared": {needs: []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 10, Have: 8}}, standing: []ServingGroup{group("d", 0)}},
+		"a group that can't be spared": {needs: []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 10, Have: 8}}, servingGroups: []ServingGroup{group("d", 0)}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			x, ok := newTradeFinder(test.needs, survivors, test.standing).tradeInsteadOf(newFormation(big, survivors))
+			x, ok := newTradeFinder(test.needs, survivors, test.servingGroups).tradeInsteadOf(newFormation(big, survivors))
 			assert.Equal(t, ok, test.want != nil)
 			if ok {
 				assert.DeepEqual(t, x.GroupKeys, test.want)
@@ -104,8 +104,8 @@
 	assert.Assert(t, !ok, "a group that needs no load is not replaced")
 }
 
-// TestTradeSpreadsOverHalls checks that of two equivalent domains the one is chosen whose hall
-// holds fewer groups of the model.
+// TestTradeSpreadsOverHalls checks that, of two equivalent domains, a trade uses the one whose hall
+// holds fewer groups of the recipient.
 func TestTradeSpreadsOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4}, fleet.Model{Name: "small", Size: 4}
 	for name, test := range map[string]struct {
@@ -117,10 +117,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			finder := newTradeFinder([]Need{{Model: big, Want: 4, Have: 3}, {Model: small, Want: 4, Have: 8}}, nil, []ServingGroup{
-				{Key: "s", Domain: "d", Hall: "h0", Model: "small", Members: 4}, {Key: "t", Domain: "e", Hall: "h1", Model: "small", Members: 4},
+				{Key: "s", Domain: "d", Hall: "h0", Model: "small", MemberCount: 4}, {Key: "t", Domain: "e", Hall: "h1", Model: "small", MemberCount: 4},
 			})
-			finder.value.hallLoss = HallLossPolicy{MaxLost: test.maxLost, Weight: hallWeight}
-			finder.value.serving = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
+			finder.value.hallLoss = HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}
+			finder.value.replicasByHall = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
 			x, ok := finder.bestTrade()
 			assert.Assert(t, ok)
 			assert.DeepEqual(t, x.GroupKeys, test.want)
@@ -128,25 +128,25 @@
 	}
 }
 
-// TestTradeCountsAllFormedGroups covers a large group whose members form several small ones: no
-// second group may be traded for the same shortage.
+// TestTradeCountsAllFormedGroups checks that no second group is traded for the same shortage if the
+// members of one large group form several small ones.
 func TestTradeCountsAllFormedGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	needs := []Need{{Model: big, Want: 1, Have: 4}, {Model: small, Want: 6, Have: 3}}
 	x, ok := FindTrade(needs, nil, []ServingGroup{
-		{Key: "a", Domain: "d", Model: "big", Members: 16}, {Key: "b", Domain: "d", Model: "big", Members: 16},
+		{Key: "a", Domain: "d", Model: "big", MemberCount: 16}, {Key: "b", Domain: "d", Model: "big", MemberCount: 16},
 	})
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, x.GroupKeys, []string{"a"})
-	assert.Equal(t, x.Formed, 3)
-	x.apply(needs)
+	assert.Equal(t, x.FormedCount, 3)
+	x.applyTo(needs)
 	assert.Equal(t, needs[1].Have, 6)
 }
 
 // mayUseColdMembers reports whether a trade may use members that have to load.
 func mayUseColdMembers(needs []Need, x Trade) bool {
-	to := needs[slices.IndexFunc(needs, func(n Need) bool { return n.Model.Name == x.Model })]
-	return to.coverageWith(0) <= coldTradeMaxCoverage || x.isSurplus(needs)
+	recipient := needs[slices.IndexFunc(needs, func(n Need) bool { return n.Model.Name == x.Recipient })]
+	return recipient.coverageWith(0) <= coldTradeMaxCoverage || x.takesOnlySurplus(needs)
 }
 
 // drawServingGroups draws the groups counted in needs, spread over a few domains.
@@ -156,10 +156,10 @@
 		for g := range n.Have {
 			s := ServingGroup{
 				Key: fmt.Sprintf("g%d-%d", i, g), Domain: fmt.Sprint("d", rapid.IntRange(0, 3).Draw(t, "domain")),
-				Model: n.Model.Name, Members: n.Model.Size, Cold: make(map[string]int),
+				Model: n.Model.Name, MemberCount: n.Model.Size, ColdCounts: make(map[string]int),
 			}
 			for _, o := range needs {
-				s.Cold[o.Model.Name] = rapid.IntRange(0, n.Model.Size).Draw(t, "cold")
+				s.ColdCounts[o.Model.Name] = rapid.IntRange(0, n.Model.Size).Draw(t, "cold")
 			}
 			all = append(all, s)
 		}
@@ -171,7 +171,7 @@
 func (x Trade) countMembers(in Input, servingGroups []ServingGroup) int {
 	loads, members := mayUseColdMembers(in.Needs, x), 0
 	for _, f := range in.Free {
-		if f.Domain == x.Domain && !f.Unreliable && (f.warmth(x.Model) <= Staged || loads) {
+		if f.Domain == x.Domain && !f.IsUnreliable && (f.warmth(x.Recipient) <= Staged || loads) {
 			members++
 		}
 	}
@@ -179,16 +179,16 @@
 		switch {
 		case !slices.Contains(x.GroupKeys, s.Key):
 		case loads:
-			members += s.Members
+			members += s.MemberCount
 		default:
-			members += s.countWarm(x.Model)
+			members += s.countWarm(x.Recipient)
 		}
 	}
 	return members
 }
 
-// TestTradeInvariants checks every trade: the groups are distinct and of one domain, there are
-// enough members for the groups formed, and the donors keep a better coverage.
+// TestTradeInvariants checks that the traded groups are distinct and in one domain, that they
+// provide enough members, and that the donors keep a better coverage than the recipient.
 func TestTradeInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
@@ -197,22 +197,22 @@
 		if !ok {
 			return
 		}
-		given := make(map[string]int)
+		dissolvedCounts := make(map[string]int)
 		for _, s := range servingGroups {
 			if slices.Contains(x.GroupKeys, s.Key) {
 				assert.Equal(t, s.Domain, x.Domain)
-				given[s.Model]++
+				dissolvedCounts[s.Model]++
 			}
 		}
 		assert.Equal(t, len(slices.Compact(slices.Sorted(slices.Values(x.GroupKeys)))), len(x.GroupKeys))
-		assert.DeepEqual(t, given, x.Given)
-		to := in.Needs[slices.IndexFunc(in.Needs, func(n Need) bool { return n.Model.Name == x.Model })]
-		assert.Assert(t, !to.isMet() && x.Formed >= 1 && len(x.GroupKeys) > 0 && given[x.Model] == 0)
+		assert.DeepEqual(t, dissolvedCounts, x.DissolvedCounts)
+		recipient := in.Needs[slices.IndexFunc(in.Needs, func(n Need) bool { return n.Model.Name == x.Recipient })]
+		assert.Assert(t, !recipient.isMet() && x.FormedCount >= 1 && len(x.GroupKeys) > 0 && dissolvedCounts[x.Recipient] == 0)
 		members := x.countMembers(in, servingGroups)
-		assert.Assert(t, members >= x.Formed*to.Model.Size, "%d members for %d groups", members, x.Formed)
+		assert.Assert(t, members >= x.FormedCount*recipient.Model.Size, "%d members for %d groups", members, x.FormedCount)
 		for _, n := range in.Needs {
-			count := given[n.Model.Name]
-			assert.Assert(t, count == 0 || n.coverageWith(-count) >= tradeMargin*to.coverageWith(1))
+			count := dissolvedCounts[n.Model.Name]
+			assert.Assert(t, count == 0 || n.coverageWith(-count) >= tradeMargin*recipient.coverageWith(1))
 		}
 	})
 }
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -12,8 +12,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestTradeRateScalesWithFleet shifts the demand to one model: a fleet four times as large must
-// gain at least twice as many replicas of it in the same time.
+// TestTradeRateScalesWithFleet shifts the demand to one model. A fleet that is four times as large
+// must gain at least twice as many replicas of it in the same time.
 func TestTradeRateScalesWithFleet(t *testing.T) {
 	gained := func(domains int) int {
 		w := newWorld(5, domains, 8)
@@ -21,7 +21,7 @@
 		time.Sleep(8 * time.Second)
 		before := w.countServing()["big"]
 		w.mu.Lock()
-		w.traffic = true
+		w.hasTraffic = true
 		w.demand = map[string]Work{"big": {Busy: 100 * float64(domains)}, "small": {Busy: 1}}
 		w.mu.Unlock()
 		// At first the models' shares are considered in addition to the measured work.
@@ -69,7 +69,7 @@
 				now := time.Now()
 				k.tradesAllowedAt, k.nextTrade = now, now.Add(time.Hour)
 				k.mu.Lock()
-				groups := k.groups(service, w.inventory.View())
+				groups := k.observeGroups(service, w.inventory.View())
 				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.want, Have: 4}}
 				k.startTrades(ctx, Input{Needs: needs, MaxLoads: 9}, groups, now)
 				trades := len(k.activeTrades)
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -8,22 +8,22 @@
 	"quartzshelf.dev/fleet"
 )
 
-// unreliablePeriod is how long a worker that prevented a group from forming is used only where
-// there are too few others. It is about twice the time until a failed forming is abandoned.
-const unreliablePeriod = 9 * time.Second
+// unreliableDuration is the time for which a worker that prevented a group from forming is used
+// only if there are too few other workers.
+const unreliableDuration = 9 * time.Second
 
-// unreliablePause is how long such a worker is not used at all. Without it, a worker that fails
-// immediately would be put into a new group at every tick, and its partners might start a load
-// each time.
-const unreliablePause = time.Second
+// exclusionPeriod is the time for which a worker that prevented a group from forming is not used at
+// all. Otherwise, a worker that fails immediately would be put into a new group at every tick, and
+// its partners might start a load each time.
+const exclusionPeriod = time.Second
 
-// markUnreliable records the workers that prevented a group from forming. If the context is
-// canceled because the term ends, they are not at fault.
+// markUnreliable records the workers that prevented a group from forming. It records nothing if the
+// context was canceled, since the group then failed because the term ended.
 func (k *Keeper) markUnreliable(ctx context.Context, g Group, workers ...*fleet.Worker) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	preferOthersUntil := time.Now().Add(unreliablePeriod)
+	preferOthersUntil := time.Now().Add(unreliableDuration)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, w := range workers {
@@ -41,11 +41,11 @@
 	}
 }
 
-// isPaused reports whether a worker is temporarily excluded from new groups. The caller must hold
+// isExcluded reports whether a worker is temporarily excluded from new groups. The caller must hold
 // k.mu.
-func (k *Keeper) isPaused(id string) bool {
+func (k *Keeper) isExcluded(id string) bool {
 	until, ok := k.unreliableUntil[id]
-	return ok && time.Now().Before(until.Add(unreliablePause-unreliablePeriod))
+	return ok && time.Now().Before(until.Add(exclusionPeriod-unreliableDuration))
 }
 
 // isUnreliable reports whether other workers are preferred over this one. The caller must hold
--- a/formation/unresponsive.go
+++ b/formation/unresponsive.go
@@ -9,8 +9,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// unresponsiveAttempts is the number of unanswered queries after which a worker counts as
-// unresponsive, and the number of attempts of an order to such a worker.
+// unresponsiveAttempts is the number of unanswered queries after which a worker is considered
+// unresponsive. It is also the maximum number of attempts of an order to an unresponsive worker.
 const unresponsiveAttempts = 2
 
 // examineReplica queries the members of a suspected replica. Those that do not answer are marked
@@ -32,8 +32,8 @@
 	})
 }
 
-// startExamination returns the members of a replica to examine, or nil if it is already being
-// examined, operated on or broken.
+// startExamination marks a replica as being examined and returns its members. It returns nil if the
+// replica is already being examined, has a running operation or is known to be broken.
 func (k *Keeper) startExamination(replica string) []*fleet.Worker {
 	view := k.opts.Inventory.View()
 	k.mu.Lock()
@@ -101,7 +101,8 @@
 	return unresponsive || absent && a.isGone || k.displaced[id]
 }
 
-// queryUnresponsive queries unresponsive workers from time to time. The caller must hold k.mu.
+// queryUnresponsive queries each unresponsive worker once per unresponsiveQueryInterval. The caller
+// must hold k.mu.
 func (k *Keeper) queryUnresponsive(ctx context.Context, view *fleet.View, now time.Time) {
 	for id, nextQuery := range k.unresponsive {
 		w, listed := view.Worker(id)
--- a/formation/value.go
+++ b/formation/value.go
@@ -9,33 +9,36 @@
 )
 
 const (
-	// horizon is how far a plan looks ahead: about two loads from the weight store, so that a
-	// group that has to load still has value.
-	horizon = 30 * time.Second
-	// saturation determines how fast the fraction of served requests rises with the replicas: with
-	// all wanted replicas, 1-exp(-3) = 0.95 of the requests find a slot immediately, and with
-	// targetUtilization of them, where all slots would be busy, 0.88.
+	// planningHorizon is the period for which a plan is valued. It is about twice the duration of a
+	// load from the weight store, so that a group that has to load still has value.
+	planningHorizon = 30 * time.Second
+	// saturation determines how quickly the fraction of served requests rises with the number of
+	// replicas. With all wanted replicas, 1-exp(-saturation) of the requests, about 0.95, find a
+	// slot immediately.
 	saturation = 3
 	// workerLossProbability is the probability that a worker is lost while the planned groups are
 	// formed.
 	workerLossProbability = 0.01
 )
 
-// HallLossPolicy tells how a plan accounts for the loss of data halls.
+// HallLossPolicy specifies how a plan accounts for the loss of data halls.
 type HallLossPolicy struct {
-	// MaxLost is how many halls may be lost at once; zero disables the consideration.
+	// MaxLost is the number of halls whose simultaneous loss a plan accounts for. Zero disables
+	// this.
 	MaxLost int
 	// Weight is the weight of requests lost with a hall, relative to requests lost now.
 	Weight float64
 }
 
-// valuation computes the value of numbers of replicas: the sum over the models of the fraction of
-// requests served, now, after the loss of a worker and after the loss of halls.
+// valuation computes the value of a plan, which is the sum of the values of all models. The value
+// of a model is the fraction of its requests that are served. It is adjusted for the possible loss
+// of a worker and of halls.
 type valuation struct {
 	needs    []Need
 	hallLoss HallLossPolicy
-	// serving counts, by model and hall, the replicas that exist or are being formed.
-	serving map[string]map[string]int
+	// replicasByHall holds the number of replicas that serve or are being formed, by model and
+	// hall.
+	replicasByHall map[string]map[string]int
 }
 
 // servedShare returns the fraction of a model's requests that the replicas serve in time.
@@ -46,30 +49,30 @@
 	return 1 - math.Exp(-saturation*replicas/n.Want)
 }
 
-// valueOf returns a model's value with a mean number of replicas over the horizon, of which the
-// worst hall losses take lost.
-func (v *valuation) valueOf(n Need, replicas, lost float64) float64 {
+// valueOf returns a model's value with the given mean number of replicas over the planning horizon.
+// hallLoss is the number of these replicas that the worst hall losses would take out of service.
+func (v *valuation) valueOf(n Need, replicas, hallLoss float64) float64 {
 	current := n.servedShare(replicas)
 	lossProbability := min(workerLossProbability*float64(n.Model.Size)*replicas, 1)
 	value := current + lossProbability*(n.servedShare(replicas-1)-current)
 	if v.hallLoss.MaxLost > 0 {
-		value += v.hallLoss.Weight * (n.servedShare(replicas-lost) - current)
+		value += v.hallLoss.Weight * (n.servedShare(replicas-hallLoss) - current)
 	}
 	return value
 }
 
-// worstHallLoss returns how many replicas of a model the worst hall losses take, after adding the
-// replicas in more, by hall.
-func (v *valuation) worstHallLoss(model string, more map[string]int) float64 {
+// worstHallLoss returns how many replicas of a model are lost if the MaxLost halls with the most
+// replicas are lost. The replicas in added, by hall, are included.
+func (v *valuation) worstHallLoss(model string, added map[string]int) float64 {
 	if v.hallLoss.MaxLost <= 0 {
 		return 0
 	}
 	var counts []int
-	for hall, count := range v.serving[model] {
-		counts = append(counts, max(count+more[hall], 0))
+	for hall, count := range v.replicasByHall[model] {
+		counts = append(counts, max(count+added[hall], 0))
 	}
-	for hall, count := range more {
-		if _, counted := v.serving[model][hall]; !counted {
+	for hall, count := range added {
+		if _, counted := v.replicasByHall[model][hall]; !counted {
 			counts = append(counts, max(count, 0))
 		}
 	}
@@ -81,11 +84,12 @@
 	return float64(total)
 }
 
-// servingFraction returns the fraction of the horizon during which a new group of a model serves.
-func servingFraction(m fleet.Model, loads bool) float64 {
+// servingFraction returns the fraction of the planning horizon during which a new group of a model
+// serves.
+func servingFraction(m fleet.Model, needsLoads bool) float64 {
 	ready := m.Warm
-	if loads {
+	if needsLoads {
 		ready += m.Load
 	}
-	return max(1-ready.Seconds()/horizon.Seconds(), 0.1)
+	return max(1-ready.Seconds()/planningHorizon.Seconds(), 0.1)
 }
