--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -15,17 +15,18 @@
 	"quartzshelf.dev/fleet"
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // simWorker simulates a worker in virtual time.
 type simWorker struct {
 	id, domain string
-	// zone is its data hall; neverReady makes it accept joins without becoming ready.
+	// zone is the worker's data hall. neverReady makes it accept joins without becoming ready.
 	zone       string
 	neverReady bool
 	isDead     bool
 	isDraining bool
-	// born identifies its incarnation; entryNumber counts the list entries of that incarnation.
+	// born identifies the worker's incarnation. entryNumber counts the list entries of that
+	// incarnation.
 	born, entryNumber int64
 	fence             Fence
 	epoch             int64
@@ -34,15 +35,16 @@
 	rank              int
 	lastModel         string
 	staged            string
-	// isStaging reports whether it is staging a model; stageOrders counts the orders to stage.
+	// isStaging reports whether the worker is staging a model. stageOrders counts the orders to
+	// stage.
 	isStaging   bool
 	stageOrders int
-	// orders counts the orders it has begun; reports holds its reports by time.
+	// orders counts the orders that the worker has begun. reports holds its reports by time.
 	orders  int64
 	reports []timedState
 }
 
-// timedState is the state that a worker reports from a time on.
+// timedState is the state that a worker reports from a certain time on.
 type timedState struct {
 	from  time.Time
 	state State
@@ -53,53 +55,53 @@
 	return fleet.Membership{Group: s.group.Name, Epoch: s.group.Epoch, Rank: s.rank, State: s.state}
 }
 
-// world is a set of simulated workers that checks invariants.
+// world is a set of simulated workers. It checks invariants and records their violations.
 type world struct {
 	mu           sync.Mutex
 	random       *rand.Rand
 	workers      map[string]*simWorker
 	inventory    *fleet.Inventory
 	listPosition int64
-	// wasReady holds the workers that were ever ready, by group key and worker ID.
+	// wasReady holds the workers that have been ready, by group key and worker ID.
 	wasReady map[string]bool
 	// lateFraction is the fraction of orders that get no answer and are carried out later.
 	lateFraction float64
 	// ignoresFences makes workers ignore fences.
 	ignoresFences bool
-	// delays holds, by order and worker, the delays of the next attempts of an order, which get no
-	// answer.
+	// delays holds the delays of the next attempts of an order, by order and worker. These attempts
+	// get no answer.
 	delays map[string][]time.Duration
-	// lateFromEpoch is the epoch from which on all orders are late; 0 for none.
+	// lateFromEpoch is the epoch from which all orders are late. Zero means none.
 	lateFromEpoch int64
-	traffic       bool
-	// demand is the measured work by model, drainTime how long a group takes to drain.
+	hasTraffic    bool
+	// demand is the measured work by model. drainTime is the time that draining a group takes.
 	demand    map[string]Work
 	drainTime time.Duration
-	// openDelay is the time until the list shows that a group is open; openOrders counts the
-	// orders to open by group.
+	// openDelay is the time until the list shows that a group is open. openOrders counts the orders
+	// to open by group.
 	openDelay  time.Duration
 	openOrders map[string]int
-	// isListFrozen reports whether the list is not updated anymore.
+	// isListFrozen reports whether the list is no longer updated.
 	isListFrozen bool
 	// unreachableByLeader holds the workers that other daemons can reach but leaders cannot.
 	unreachableByLeader map[string]bool
 	// unreachable holds the workers that nobody can reach.
 	unreachable map[string]bool
-	// displaced holds the workers at whose address another one answers; displacedOrders counts the
-	// orders that the other one got.
+	// displaced holds the workers at whose address another one answers. displacedOrders counts the
+	// orders that such other workers got.
 	displaced       map[string]bool
 	displacedOrders int
-	// hasYoungList reports whether leaders have known the list only for a short time.
+	// hasYoungList reports whether leaders received the list only a short time ago.
 	hasYoungList bool
-	// loadsPerSecond limits the loads that may begin; loads holds their start times.
+	// loadsPerSecond is the maximum rate at which loads may begin. loads holds their start times.
 	loadsPerSecond float64
 	loads          []time.Time
-	// smoothed returns the work that daemons tracked before a term; hallOpen reports whether a
-	// hall is open.
+	// smoothed returns the work that daemons tracked before a term. hallOpen reports whether a hall
+	// is open.
 	smoothed func() map[string]Work
 	// refusesQueries holds workers whose state queries fail immediately.
 	refusesQueries map[string]bool
-	// attempts counts the attempts of orders.
+	// attempts counts the attempts of each kind of order.
 	attempts   map[string]int
 	hallOpen   func(hall string) bool
 	violations []string
@@ -112,10 +114,10 @@
 	simHot  = 200 * time.Millisecond
 	simForm = 300 * time.Millisecond
 	simLag  = 200 * time.Millisecond
-	// simBorn is when workers started, in Unix milliseconds.
-	simBorn = 1_700_000_000_000
-	// simDelivery is the time until the list shows a change.
-	simDelivery = 30 * time.Millisecond
+	// simStartTime is the time when workers started, in Unix milliseconds.
+	simStartTime = 1_700_000_000_000
+	// simListDelay is the time until the list shows a change.
+	simListDelay = 30 * time.Millisecond
 )
 
 var simCeiling = Ceiling{Window: 5 * time.Second, Over: 1.1}
@@ -147,11 +149,11 @@
 		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, drainTime: time.Second,
 		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), unreachableByLeader: make(map[string]bool), unreachable: make(map[string]bool), displaced: make(map[string]bool),
 		refusesQueries: make(map[string]bool), attempts: make(map[string]int),
-		delays: make(map[string][]time.Duration), openDelay: simForm + simDelivery, openOrders: make(map[string]int), loadsPerSecond: 5,
+		delays: make(map[string][]time.Duration), openDelay: simForm + simListDelay, openOrders: make(map[string]int), loadsPerSecond: 5,
 	}
 	for d := range domains {
 		for i := range perDomain {
-			s := &simWorker{id: fmt.Sprintf("w%d-%d", d, i), domain: fmt.Sprintf("d%d", d), born: simBorn}
+			s := &simWorker{id: fmt.Sprintf("w%d-%d", d, i), domain: fmt.Sprintf("d%d", d), born: simStartTime}
 			w.workers[s.id] = s
 		}
 	}
@@ -163,7 +165,7 @@
 	return Options{
 		Config: func() *fleet.Config { return config }, Inventory: w.inventory, Orders: w.orders(), IndirectLeave: w.indirectLeave,
 		Demand:  func() map[string]Work { return w.demand },
-		Traffic: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.traffic },
+		Traffic: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.hasTraffic },
 		ListSince: func() time.Time {
 			if w.hasYoungList {
 				return time.Now()
@@ -178,7 +180,7 @@
 	}
 }
 
-// recordState records a worker's state for reports, which show it after a lag. The caller must
+// recordState records a worker's state for its reports, which show it after simLag. The caller must
 // hold w.mu.
 func (w *world) recordState(s *simWorker) {
 	s.reports = append(s.reports, timedState{from: time.Now().Add(simLag), state: State{
@@ -223,24 +225,24 @@
 	w.inventory.Apply([]fleet.Change{change}, w.listPosition, time.Now())
 }
 
-// drainBigMembers starts traffic and marks one member of each large group, not its head, as
-// leaving. It returns these members.
+// drainBigMembers starts traffic and marks one member other than the head of each large group as
+// leaving. It returns the IDs of these members.
 func (w *world) drainBigMembers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.traffic = true
-	var left []string
+	w.hasTraffic = true
+	var leaving []string
 	for id, s := range w.workers {
 		if s.group.Model == "big" && s.rank == 1 {
 			s.isDraining = true
 			w.publish(s)
-			left = append(left, id)
+			leaving = append(leaving, id)
 		}
 	}
-	return left
+	return leaving
 }
 
-// servingMembersOf returns which of the workers are members of open groups.
+// servingMembersOf returns those of the given workers that are members of open groups.
 func (w *world) servingMembersOf(ids []string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -258,7 +260,7 @@
 	return all
 }
 
-// kill makes a worker stop abruptly; the list shows it later.
+// kill stops a worker abruptly. The list shows this after 3.6 s.
 func (w *world) kill(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -271,20 +273,21 @@
 	})
 }
 
-// delay returns the delay of an order, and whether it is late at all. The caller must hold w.mu.
-func (w *world) delay(what, id string, fence Fence) (time.Duration, bool) {
-	drawn := time.Duration(2+w.random.IntN(10)) * time.Second
-	late := w.random.Float64() < w.lateFraction || w.lateFromEpoch > 0 && fence >= NewFence(w.lateFromEpoch, 0, 0)
-	key := what + " " + id
-	if set := w.delays[key]; len(set) > 0 {
-		w.delays[key] = set[1:]
-		return set[0], true
+// delay returns the delay of an order if it is late, and whether it is late. The caller must hold
+// w.mu.
+func (w *world) delay(order, id string, fence Fence) (time.Duration, bool) {
+	randomDelay := time.Duration(2+w.random.IntN(10)) * time.Second
+	isLate := w.random.Float64() < w.lateFraction || w.lateFromEpoch > 0 && fence >= NewFence(w.lateFromEpoch, 0, 0)
+	key := order + " " + id
+	if delays := w.delays[key]; len(delays) > 0 {
+		w.delays[key] = delays[1:]
+		return delays[0], true
 	}
-	return drawn, late
+	return randomDelay, isLate
 }
 
-// execute carries out an order, immediately or later, and returns the answer.
-func (w *world) execute(ctx context.Context, what, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
+// execute carries out an order, either immediately or after its delay, and returns the answer.
+func (w *world) execute(ctx context.Context, order, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[id]
 	if w.displaced[id] {
@@ -293,14 +296,14 @@
 		return Elsewhere, nil
 	}
 	isUnreachable := s.isDead || w.unreachableByLeader[id] || w.unreachable[id]
-	delay, late := w.delay(what, id, fence)
+	delay, isLate := w.delay(order, id, fence)
 	incarnation := s.born
 	w.mu.Unlock()
 	apply := func() Verdict {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if s.isDead || s.born != incarnation {
-			// Orders to an earlier incarnation end with it.
+			// Orders to an earlier incarnation are dropped.
 			return Unfit
 		}
 		if !w.ignoresFences && fence < s.fence {
@@ -314,15 +317,15 @@
 		w.recordState(s)
 		return verdict
 	}
-	if late && !isUnreachable {
+	if isLate && !isUnreachable {
 		w.pending.Go(func() {
 			time.Sleep(delay)
 			apply()
 		})
 	}
-	if isUnreachable || late {
+	if isUnreachable || isLate {
 		<-ctx.Done()
-		return Unfit, errSilent
+		return Unfit, errNoAnswer
 	}
 	time.Sleep(2 * time.Millisecond)
 	return apply(), nil
@@ -371,20 +374,20 @@
 // startLoad returns how long a load from the weight store takes, and checks the limit on loads.
 // Before the first request loads are quick and not counted. The caller must hold w.mu.
 func (w *world) startLoad() time.Duration {
-	if !w.traffic {
+	if !w.hasTraffic {
 		return simLoad / 10
 	}
 	now := time.Now()
 	w.loads = append(w.loads, now)
-	within := 0
+	recentLoads := 0
 	for _, at := range w.loads {
 		if now.Sub(at) < simCeiling.Window {
-			within++
+			recentLoads++
 		}
 	}
 	limit := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingAllowance
-	if float64(within) > limit {
-		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", within, simCeiling.Window))
+	if float64(recentLoads) > limit {
+		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", recentLoads, simCeiling.Window))
 	}
 	return simLoad
 }
@@ -435,7 +438,7 @@
 	return w.execute(ctx, "leave", worker.ID, fence, func(s *simWorker) Verdict { return w.leave(s, g) })
 }
 
-// indirectLeave also reaches workers that leaders cannot reach.
+// indirectLeave sends an order to leave, also to workers that leaders cannot reach.
 func (w *world) indirectLeave(ctx context.Context, worker *fleet.Worker, _ Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[worker.ID]
@@ -445,7 +448,7 @@
 	}
 	w.mu.Unlock()
 	<-ctx.Done()
-	return Unfit, errSilent
+	return Unfit, errNoAnswer
 }
 
 // leave removes a worker from a group. The caller must hold w.mu.
@@ -502,18 +505,18 @@
 		return State{}, ErrElsewhere
 	}
 	if w.refusesQueries[worker.ID] {
-		return State{}, errSilent
+		return State{}, errNoAnswer
 	}
 	if s.isDead || w.unreachableByLeader[worker.ID] || w.unreachable[worker.ID] {
 		w.mu.Unlock()
 		<-ctx.Done()
 		w.mu.Lock()
-		return State{}, errSilent
+		return State{}, errNoAnswer
 	}
 	return s.reportedState(time.Now()), nil
 }
 
-// checkComplete records a violation if a group is opened without all members having been ready.
+// checkComplete records a violation if a group is opened before all its members have been ready.
 func (w *world) checkComplete(head *simWorker) {
 	model := simModels[slices.IndexFunc(simModels, func(m fleet.Model) bool { return m.Name == head.group.Model })]
 	if len(head.group.Members) != model.Size {
@@ -526,8 +529,8 @@
 	}
 }
 
-// checkNotServing records a violation if a worker joins a group while another group that serves
-// needs it.
+// checkNotServing records a violation if a worker joins a group while it is needed by another group
+// that serves.
 func (w *world) checkNotServing(s *simWorker, g Group) {
 	if len(s.group.Members) == 0 {
 		return
@@ -539,7 +542,7 @@
 	}
 }
 
-// countServing counts the open groups whose members are all present, by model.
+// countServing returns the number of open groups whose members are all present, by model.
 func (w *world) countServing() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -548,12 +551,12 @@
 		if s.isDead || s.state != fleet.Open || s.rank != 0 {
 			continue
 		}
-		whole := true
+		isComplete := true
 		for _, id := range s.group.Members {
 			m := w.workers[id]
-			whole = whole && !m.isDead && m.group.Name == s.group.Name
+			isComplete = isComplete && !m.isDead && m.group.Name == s.group.Name
 		}
-		if whole {
+		if isComplete {
 			counts[s.group.Model]++
 		}
 	}
