--- a/formation/absent.go
+++ b/formation/absent.go
@@ -13,9 +13,9 @@
 	// group serves. A crash of such a worker is detected within this time plus two unanswered
 	// queries. Callers may report it sooner.
 	absentQueryInterval = 500 * time.Millisecond
-	// maxAbsence is the time after which such a worker is treated as gone if it is still not
-	// listed, even if it answers. A worker that only lost its connection to the store is usually
-	// listed again sooner.
+	// maxAbsence is the time after which a worker that left the list while its group serves is
+	// treated as gone, even if it answers. A worker that only lost its connection to the store is
+	// usually listed again sooner.
 	maxAbsence = 30 * time.Second
 )
 
@@ -30,13 +30,13 @@
 	queryUntil time.Time
 	// hasAnswered reports whether the worker has answered since it left the list.
 	hasAnswered bool
-	// isGone reports whether it is treated as dead, because it did not answer or stayed unlisted
-	// for too long.
+	// isGone reports whether the worker is treated as dead, because it did not answer or has not
+	// been listed again for too long.
 	isGone bool
 }
 
-// refreshAbsent records the workers that left the list while in a group that may serve, and
-// forgets those that are listed again. The caller must hold k.mu.
+// refreshAbsent records the workers that left the list while in a group that may serve, and removes
+// the records of those that are listed again. The caller must hold k.mu.
 func (k *Keeper) refreshAbsent(view *fleet.View, now time.Time) {
 	if view == k.lastView {
 		return
@@ -69,7 +69,7 @@
 	return ok && !a.isGone
 }
 
-// mayBeAlive is isAbsent for callers that do not hold k.mu.
+// mayBeAlive is the same as isAbsent, for callers that do not hold k.mu.
 func (k *Keeper) mayBeAlive(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -103,7 +103,8 @@
 	k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
 }
 
-// queryAbsent queries the workers that left the list. The caller must hold k.mu.
+// queryAbsent starts the queries that are due to workers that left the list. It marks those that
+// have been absent for too long as gone. The caller must hold k.mu.
 func (k *Keeper) queryAbsent(ctx context.Context, now time.Time) {
 	for _, a := range k.absent {
 		if a.isGone || now.Before(a.nextQuery) {
--- a/formation/assignment.go
+++ b/formation/assignment.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// clone returns an independent copy.
+// clone returns a copy that can be changed independently.
 func (s *assignment) clone() *assignment {
 	other := &assignment{models: s.models, workersByClass: s.workersByClass, costs: s.costs, unassignedCounts: slices.Clone(s.unassignedCounts)}
 	for _, assigned := range s.assignedCounts {
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// targetUtilization is the fraction of a replica's slots that should be busy.
+	// targetUtilization is the intended fraction of busy slots in a replica.
 	targetUtilization = 0.7
 	// demandRiseWeight is the weight of a new measurement in the smoothed work, per tick, if the
 	// measurement is higher than the smoothed value. demandFallWeight is the weight if it is lower.
@@ -34,7 +34,7 @@
 	// Busy is the number of occupied slots. Prompts is the number of prompt tokens of the requests
 	// in these slots.
 	Busy, Prompts float64
-	// Pause is the longest pause that all callers of the model tolerate; zero if unknown.
+	// Pause is the longest pause that all callers of the model tolerate. It is zero if unknown.
 	Pause time.Duration
 }
 
@@ -43,13 +43,13 @@
 // that callers tolerate. It returns 0 if that pause is too short for any number of replicas.
 func replicasForLoss(e *fleet.Engine, model string, w Work) float64 {
 	pass, perRequest := e.Pass(model)
-	allowed := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
-	if allowed <= 0 {
+	allowedSeconds := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
+	if allowedSeconds <= 0 {
 		return 0
 	}
-	reading := w.Prompts * e.PerToken(model).Seconds()
+	readSeconds := w.Prompts * e.PerToken(model).Seconds()
 	// The prompts of one of n replicas are read by the n-1 others.
-	return (1 + math.Sqrt(1+4*reading/allowed)) / 2
+	return (1 + math.Sqrt(1+4*readSeconds/allowedSeconds)) / 2
 }
 
 // computeNeeds returns the wanted and the available number of replicas of each model, and the
@@ -57,7 +57,7 @@
 func (k *Keeper) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
 	workers := countWorkers(s, view)
 	replicaCounts, replicasByHall := make(map[string]int), make(map[string]map[string]int)
-	count := func(model, hall string) {
+	addReplica := func(model, hall string) {
 		if !k.halls.isUsable(hall) {
 			return
 		}
@@ -71,20 +71,20 @@
 	for _, o := range groups {
 		completeGroups[o.key] = o.isComplete()
 		if o.isComplete() && k.retirements[o.key] == 0 {
-			count(o.model.Name, o.head.Zone)
+			addReplica(o.model.Name, o.head.Zone)
 		}
 	}
 	for key, g := range k.formedGroups {
 		if k.busyGroups[key] && !completeGroups[key] {
-			count(g.Model, k.knownWorkers[g.Members[0]].Zone)
+			addReplica(g.Model, k.knownWorkers[g.Members[0]].Zone)
 		}
 	}
 	k.updateSmoothedWork()
-	var all []Need
+	var needs []Need
 	for _, m := range s.Engine.Models {
-		all = append(all, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workers), Have: replicaCounts[m.Name]})
+		needs = append(needs, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workers), Have: replicaCounts[m.Name]})
 	}
-	return all, replicasByHall
+	return needs, replicasByHall
 }
 
 // countWorkers returns the number of listed workers of a service.
--- a/formation/displaced.go
+++ b/formation/displaced.go
@@ -29,8 +29,8 @@
 // interruptedJoin is the assumed state of a worker whose join was abandoned at the given time. It
 // has no loaded model, and its host holds only the staged models.
 type interruptedJoin struct {
-	staged []string
-	at     time.Time
+	staged      []string
+	abandonedAt time.Time
 }
 
 // recordInterruptedJoins records that the members of an abandoned group may have lost their
@@ -46,9 +46,9 @@
 		switch k.asFreeWorker(w).warmth(g.Model) {
 		case Hot:
 		case Staged:
-			k.interruptedJoins[id] = interruptedJoin{staged: []string{g.Model}, at: now}
+			k.interruptedJoins[id] = interruptedJoin{staged: []string{g.Model}, abandonedAt: now}
 		default:
-			k.interruptedJoins[id] = interruptedJoin{at: now}
+			k.interruptedJoins[id] = interruptedJoin{abandonedAt: now}
 		}
 	}
 }
--- a/formation/displaced_test.go
+++ b/formation/displaced_test.go
@@ -27,7 +27,7 @@
 		stop()
 		// Each worker gets one join and one leave before it is known to be displaced.
 		w.mu.Lock()
-		assert.Assert(t, w.displacedOrders > 0 && w.displacedOrders <= 4, "%d orders", w.displacedOrders)
+		assert.Assert(t, w.displacedOrderCount > 0 && w.displacedOrderCount <= 4, "%d orders", w.displacedOrderCount)
 		w.mu.Unlock()
 		w.pending.Wait()
 		assert.DeepEqual(t, w.violations, []string(nil))
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -89,7 +89,7 @@
 	defer k.mu.Unlock()
 	k.retirements[o.key] = how
 	if how == retiredConfirmed {
-		k.dissolutions[o.key] = dissolution{at: time.Now(), lastState: o.state}
+		k.dissolutions[o.key] = dissolution{confirmedAt: time.Now(), lastState: o.state}
 	}
 	delete(k.headlessSince, o.key)
 }
@@ -121,7 +121,7 @@
 	})
 	k.recordBegun(o.head.ID, verdict)
 	nextQuery := time.Now().Add(queryInterval)
-	// An earlier leader may have closed it.
+	// An earlier leader may have closed the group.
 	closing := ok && (verdict.Accepted() || o.state == fleet.Closing)
 	for closing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextQuery) {
 		pause.For(ctx, tickInterval)
@@ -132,9 +132,9 @@
 // isDrained reports whether a closed group's requests have finished. It uses the list. If the list
 // is stale or does not show the head, it queries the head, but not before nextQuery.
 func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
-	closed := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
+	membership := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
 	headEntry, isListed := k.opts.Inventory.View().Worker(o.head.ID)
-	if isListed && headEntry.Member.Same(closed) && headEntry.Member.State == fleet.Ready {
+	if isListed && headEntry.Member.Same(membership) && headEntry.Member.State == fleet.Ready {
 		return true
 	}
 	if !isListed && !k.mayBeAlive(o.head.ID) {
@@ -147,5 +147,5 @@
 	}
 	*nextQuery = now.Add(queryInterval)
 	state, ok := k.queryState(ctx, o.head)
-	return ok && (!state.Member.Same(closed) || state.Member.State == fleet.Ready)
+	return ok && (!state.Member.Same(membership) || state.Member.State == fleet.Ready)
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -33,12 +33,12 @@
 // opens the group. If any of this fails, it abandons the group.
 func (k *Keeper) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
 	start := time.Now()
-	expected := joinGracePeriod + f.Model.Warm
+	timeout := joinGracePeriod + f.Model.Warm
 	if f.LoadCount > 0 {
-		expected += loadTimeFactor * f.Model.Load
+		timeout += loadTimeFactor * f.Model.Load
 	}
 	defer k.clearLoads(f.Members)
-	ctx, cancel := context.WithDeadline(termCtx, start.Add(expected))
+	ctx, cancel := context.WithDeadline(termCtx, start.Add(timeout))
 	defer cancel()
 	if !k.join(ctx, g, members) || !k.awaitReady(ctx, g, members) {
 		// The group was never opened, so it must not be announced as closed. Its head may already
@@ -69,7 +69,7 @@
 	dissolve(&observedGroup{key: g.Key(), group: g})
 }
 
-// join orders all members into the group concurrently and reports whether all of them accepted.
+// join orders all members concurrently to join the group, and reports whether all of them accepted.
 func (k *Keeper) join(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	p := pool.NewWithResults[bool]()
 	for _, w := range members {
@@ -87,21 +87,21 @@
 // awaitReady waits until every member is ready in the group. It fails if a member is gone or ctx is
 // done, and marks the members that caused the failure as unreliable.
 func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
-	seen := make(map[string]bool)
+	readyMembers := make(map[string]bool)
 	nextQuery := time.Now().Add(queryInterval)
 	for ctx.Err() == nil {
 		view := k.opts.Inventory.View()
 		for _, w := range members {
 			if listed, ok := view.Worker(w.ID); ok && isReadyIn(listed.Member, g) {
-				seen[w.ID] = true
+				readyMembers[w.ID] = true
 			}
 		}
-		if len(seen) == len(members) {
+		if len(readyMembers) == len(members) {
 			return true
 		}
 		if now := time.Now(); now.After(nextQuery) {
 			nextQuery = now.Add(queryInterval)
-			k.queryReady(ctx, g, k.membersToQuery(members, view, now), seen)
+			k.queryReady(ctx, g, k.membersToQuery(members, view, now), readyMembers)
 		}
 		if lost := k.goneMembers(members); len(lost) > 0 {
 			k.markUnreliable(ctx, g, lost...)
@@ -109,7 +109,7 @@
 		}
 		pause.For(ctx, tickInterval/4)
 	}
-	k.markUnreliable(ctx, g, slices.DeleteFunc(slices.Clone(members), func(w *fleet.Worker) bool { return seen[w.ID] })...)
+	k.markUnreliable(ctx, g, slices.DeleteFunc(slices.Clone(members), func(w *fleet.Worker) bool { return readyMembers[w.ID] })...)
 	return false
 }
 
@@ -132,14 +132,15 @@
 	return unlisted
 }
 
-// queryReady queries the members that are not known to be ready.
-func (k *Keeper) queryReady(ctx context.Context, g Group, members []*fleet.Worker, seen map[string]bool) {
+// queryReady queries the members that are not in readyMembers, and adds those that are ready in the
+// group to it.
+func (k *Keeper) queryReady(ctx context.Context, g Group, members []*fleet.Worker, readyMembers map[string]bool) {
 	for _, w := range members {
-		if seen[w.ID] {
+		if readyMembers[w.ID] {
 			continue
 		}
 		if state, ok := k.queryState(ctx, w); ok && isReadyIn(state.Member, g) {
-			seen[w.ID] = true
+			readyMembers[w.ID] = true
 		}
 	}
 }
@@ -151,15 +152,15 @@
 	defer k.mu.Unlock()
 	view := k.opts.Inventory.View()
 	k.refreshAbsent(view, time.Now())
-	var all []*fleet.Worker
+	var gone []*fleet.Worker
 	for _, w := range members {
 		listed, ok := view.Worker(w.ID)
 		switch {
 		case !ok && !k.isAbsent(w.ID), ok && listed.Draining, k.isUnresponsiveLocked(w.ID):
-			all = append(all, w)
+			gone = append(gone, w)
 		}
 	}
-	return all
+	return gone
 }
 
 // open orders the head to open a group whose members are all ready, and announces the group as
@@ -172,7 +173,7 @@
 		return false
 	}
 	k.recordBegun(head.ID, verdict)
-	opening := k.openingTime(service)
+	opening := k.openingDuration(service)
 	k.recordOpened(head.ID, g, time.Now().Add(opening+listSettleTime))
 	pause.For(ctx, opening)
 	k.opts.Announced(fleet.Announcement{
@@ -192,8 +193,8 @@
 	}}
 }
 
-// openingTime returns how long opening a group takes.
-func (k *Keeper) openingTime(service string) time.Duration {
+// openingDuration returns how long opening a group takes.
+func (k *Keeper) openingDuration(service string) time.Duration {
 	if c := k.opts.Config(); c != nil {
 		if s, ok := c.Service(service); ok && s.Engine != nil {
 			return s.Engine.Form
--- a/formation/free.go
+++ b/formation/free.go
@@ -10,7 +10,7 @@
 // Warmth classifies how quickly a worker can start to serve a model. Lower values are warmer.
 type Warmth int
 
-// Warmth levels, from quickest to slowest.
+// Warmth levels, from quickest to slowest start.
 const (
 	// Hot means that the worker served the model last.
 	Hot Warmth = iota
@@ -29,7 +29,7 @@
 	unreliableCost = 1 << 16
 )
 
-// FreeWorker is a worker that can be ordered into a new group.
+// FreeWorker is a worker that can be put into a new group.
 type FreeWorker struct {
 	ID           string
 	Domain       string
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -24,7 +24,7 @@
 	isDraining bool
 	// hasLostMember reports whether some member does not answer.
 	hasLostMember bool
-	// absentCount is the number of members that left the list but still answer.
+	// absentCount is the number of members that left the list but are still treated as members.
 	absentCount int
 }
 
@@ -42,7 +42,7 @@
 	return listSettleTime
 }
 
-// isForming reports whether some members are not ready yet.
+// isForming reports whether the group is being formed and some members are not ready yet.
 func (o *observedGroup) isForming() bool {
 	return o.readyCount < len(o.members) && (o.state == fleet.Joining || o.state == fleet.Ready)
 }
@@ -135,15 +135,15 @@
 	case k.isAbsent(o.head.ID):
 		k.repairAbsentHead(ctx, o)
 	case o.state == fleet.Open && o.isComplete() && !o.isDraining:
-		// The group is healthy, even if a member left the list, because members work for their
-		// group without the list. Dissolving such groups would take many replicas out of service
-		// whenever workers lose their connection to the store.
+		// The group is healthy, even if a member left the list, because a group works without the
+		// list. Dissolving such groups would take many replicas out of service whenever workers
+		// lose their connection to the store.
 	case o.state == fleet.Open && o.isComplete():
 		k.dissolveLeaving(ctx, o, now)
 	case age < k.settleTime(now) && !o.hasLostMember:
-		// The list may show the members one after another.
+		// The list may show the members one after another, so the group is left unchanged for now.
 	case o.isComplete() && !o.isDraining && o.isForming() && age < joinGracePeriod+loadTimeFactor*o.model.Load:
-		// An earlier leader started the group and its members are still loading.
+		// An earlier leader started to form the group, and its members are still loading.
 	case o.isComplete() && !o.isDraining && o.readyCount == o.model.Size && o.state == fleet.Ready:
 		// An earlier leader formed the group but did not open it.
 		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.openInherited(ctx, o) })
@@ -194,8 +194,8 @@
 	})
 }
 
-// startOperation runs an operation on a group and its members in the background. The caller must
-// hold k.mu.
+// startOperation runs an operation in the background. It marks the group and the members as busy
+// until the operation ends. The caller must hold k.mu.
 func (k *Keeper) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
 	k.busyGroups[key] = true
 	for _, w := range members {
@@ -241,7 +241,7 @@
 // reports take precedence over the list until the list has been confirmed after them.
 func (k *Keeper) asFreeWorker(w *fleet.Worker) FreeWorker {
 	if i, ok := k.interruptedJoins[w.ID]; ok {
-		if !k.opts.Inventory.Confirmed().After(i.at.Add(listSettleTime)) {
+		if !k.opts.Inventory.Confirmed().After(i.abandonedAt.Add(listSettleTime)) {
 			return FreeWorker{ID: w.ID, Domain: w.Domain, StagedModels: i.staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
 		}
 		delete(k.interruptedJoins, w.ID)
@@ -249,7 +249,7 @@
 	return FreeWorker{ID: w.ID, Domain: w.Domain, LoadedModel: k.loadedModel(w), StagedModels: w.Staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
 }
 
-// loadedModel returns the model that a worker served last.
+// loadedModel returns the model that a worker served last, according to its own report or the list.
 func (k *Keeper) loadedModel(w *fleet.Worker) string {
 	if k.isPastIncarnation(w) {
 		return k.observations[w.ID].state.Loaded
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -13,30 +13,30 @@
 
 // hallStates records which data halls may be used for new groups.
 type hallStates struct {
-	// closed holds the closed halls. It is empty if all halls that have workers are closed.
-	closed map[string]bool
+	// closedHalls holds the closed halls. It is empty if all halls that have workers are closed.
+	closedHalls map[string]bool
 }
 
 // isUsable reports whether a hall's workers may be used and its replicas counted.
-func (h *hallStates) isUsable(hall string) bool { return !h.closed[hall] }
+func (h *hallStates) isUsable(hall string) bool { return !h.closedHalls[hall] }
 
 // refreshHalls updates which halls are closed. If all halls with workers are closed, none is
 // treated as closed. The caller must hold k.mu.
 func (k *Keeper) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
 	closed := k.closedHalls(s, view)
 	for hall := range closed {
-		if !k.halls.closed[hall] {
+		if !k.halls.closedHalls[hall] {
 			k.opts.Logger.Info("data hall is closed for new replicas", "hall", hall)
 			k.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
-	for hall := range k.halls.closed {
+	for hall := range k.halls.closedHalls {
 		if !closed[hall] {
 			k.opts.Logger.Info("data hall is open for new replicas", "hall", hall)
 			k.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
-	k.halls.closed = closed
+	k.halls.closedHalls = closed
 }
 
 func (k *Keeper) closedHalls(s *fleet.Service, view *fleet.View) map[string]bool {
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -13,9 +13,11 @@
 // Intervals, timeouts and limits of a Keeper.
 const (
 	tickInterval = 100 * time.Millisecond
-	// maxConcurrentCalls bounds the concurrent calls to workers, and so the connections for them.
+	// maxConcurrentCalls is the maximum number of concurrent calls to workers, and thereby of
+	// connections for them.
 	maxConcurrentCalls = 64
-	// orderTimeout is the timeout of an order to a worker, queryTimeout that of a state query.
+	// orderTimeout is the timeout of an order to a worker. queryTimeout is the timeout of a state
+	// query.
 	orderTimeout = 200 * time.Millisecond
 	queryTimeout = 200 * time.Millisecond
 	// indirectTimeout is the timeout of an order through other daemons.
@@ -43,8 +45,8 @@
 	// lostHeadTimeout is the time for which a head must be unreachable and unlisted before its
 	// members are freed without its confirmation.
 	lostHeadTimeout = 1200 * time.Millisecond
-	// listStaleAge is the age of the list beyond which workers are queried directly. It is longer
-	// than two reads of the list by the leader take.
+	// listStaleAge is the age of the list beyond which workers are queried directly. At that age,
+	// two consecutive reads of the list have failed.
 	listStaleAge = 800 * time.Millisecond
 	// maxListAge is the maximum age of a list that is used to determine whether a worker is gone.
 	maxListAge = 4 * time.Second
@@ -56,7 +58,7 @@
 type Term struct {
 	Epoch int64
 	Rank  int
-	// First reports whether the fleet never had a leader before.
+	// First reports whether this is the fleet's first term.
 	First bool
 	// FirstLife reports whether this process has been running since the fleet was started for the
 	// first time. It has then observed any earlier requests.
@@ -68,19 +70,19 @@
 	opts Options
 	term Term
 	// isNewFleet reports whether no replica had served when the term began.
-	isNewFleet   bool
-	onSuperseded func()
-	tasks        conc.WaitGroup
-	done         chan struct{}
-	suspects     chan string
+	isNewFleet        bool
+	onSuperseded      func()
+	tasks             conc.WaitGroup
+	done              chan struct{}
+	suspectedReplicas chan string
 
 	mu           sync.Mutex
 	lastSequence int64
 	// observations holds the state that workers reported directly, by worker ID.
 	observations map[string]observation
-	// busyWorkers holds the workers that a running operation involves.
+	// busyWorkers holds the IDs of workers that are involved in a running operation.
 	busyWorkers map[string]bool
-	// busyGroups holds the groups that a running operation involves.
+	// busyGroups holds the keys of groups that are involved in a running operation.
 	busyGroups map[string]bool
 	// examinedReplicas holds the replicas whose members are being queried.
 	examinedReplicas map[string]bool
@@ -91,23 +93,24 @@
 	dissolutions map[string]dissolution
 	// headIDs holds the worker ID of each group's head, by group key.
 	headIDs map[string]string
-	// formedGroups holds the groups formed in this term, by key.
+	// formedGroups holds the groups formed in this term, by group key.
 	formedGroups map[string]Group
 	// unresponsive holds the time of the next query to each unresponsive worker, by worker ID.
 	unresponsive map[string]time.Time
 	// orderStates holds the order count and group of each worker, by worker ID.
 	orderStates map[string]orderState
-	// incarnations holds the current incarnation of each worker.
+	// incarnations holds the current incarnation of each worker, by worker ID.
 	incarnations map[string]incarnation
-	// knownWorkers holds all workers that were ever listed.
+	// knownWorkers holds all workers that have been listed, by worker ID.
 	knownWorkers map[string]*fleet.Worker
 	// lastView is the list at the previous tick. absent holds the workers that left the list while
 	// in a group, by worker ID.
 	lastView *fleet.View
 	absent   map[string]*absence
-	// displaced holds the workers at whose address another one answered.
+	// displaced holds the IDs of workers at whose address another one answered.
 	displaced map[string]bool
-	// interruptedJoins holds the workers that may have been interrupted while joining a group.
+	// interruptedJoins holds the workers that may have been interrupted while joining a group, by
+	// worker ID.
 	interruptedJoins map[string]interruptedJoin
 	// headlessSince holds the time since which a group has had no listed head, by group key.
 	headlessSince map[string]time.Time
@@ -130,7 +133,7 @@
 	stageRetryAt map[string]time.Time
 	// listGrowths tracks the growth of a new fleet's list, by service.
 	listGrowths map[string]*listGrowth
-	// callSlots is a semaphore that bounds concurrent calls to workers.
+	// callSlots is a semaphore that limits concurrent calls to workers.
 	callSlots chan struct{}
 	// idleSince holds the time since which each worker of a new fleet has been idle, by worker ID.
 	idleSince map[string]time.Time
@@ -163,13 +166,13 @@
 	expiresAt time.Time
 }
 
-// retirement is the reason why a group is assumed to take no more requests.
+// retirement is the reason why a group is known or assumed to take no more requests.
 type retirement int
 
 const (
 	// retiredAssumed means that the head does not respond.
 	retiredAssumed retirement = iota + 1
-	// retiredConfirmed means that the head confirmed it.
+	// retiredConfirmed means that the head confirmed that it left the group.
 	retiredConfirmed
 )
 
@@ -187,7 +190,7 @@
 	view := opts.Inventory.View()
 	k := &Keeper{
 		opts: opts, term: term, onSuperseded: onSuperseded,
-		done: make(chan struct{}), suspects: make(chan string, 64),
+		done: make(chan struct{}), suspectedReplicas: make(chan string, 64),
 		observations:         make(map[string]observation),
 		orderStates:          make(map[string]orderState),
 		busyWorkers:          make(map[string]bool),
@@ -232,7 +235,7 @@
 // Suspect reports that requests at a replica have stopped receiving data. It does not block.
 func (k *Keeper) Suspect(replica string) {
 	select {
-	case k.suspects <- replica:
+	case k.suspectedReplicas <- replica:
 	default:
 		// The queue is full. This report can be dropped, since suspicions are reported repeatedly.
 	}
@@ -248,7 +251,7 @@
 		select {
 		case <-ticker.C:
 		case <-k.opts.Inventory.Changed():
-		case replica := <-k.suspects:
+		case replica := <-k.suspectedReplicas:
 			k.examineReplica(ctx, replica)
 		case <-ctx.Done():
 			return
@@ -257,7 +260,7 @@
 	}
 }
 
-// tick checks every service whose workers form groups.
+// tick repairs, forms and trades groups of every service whose workers form groups.
 func (k *Keeper) tick(ctx context.Context, now time.Time) {
 	config := k.opts.Config()
 	if config == nil {
@@ -349,7 +352,7 @@
 	return true
 }
 
-// hasServed reports whether a worker's state shows that its group was opened.
+// hasServed reports whether a worker's group has been opened, according to the worker's state.
 func hasServed(w *fleet.Worker) bool {
 	return w.Member.State == fleet.Open || w.Member.State == fleet.Closing || w.Member.State == fleet.Broken
 }
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// TestServingWorkersStageSecondModel checks that workers stage another model while loads are still
-// quick, so that they can switch to it later without a load.
+// TestServingWorkersStageSecondModel checks that workers stage another model before the first
+// request, while loads are quick. They can then switch to it later without a load.
 func TestServingWorkersStageSecondModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -149,7 +149,7 @@
 		w.isListFrozen = true
 		time.Sleep(time.Second)
 		_, stop := startTerm(w, 1)
-		// Loads before the first request take 1.2 s, opening 0.3 s.
+		// Loads before the first request take 1.2 s, and opening takes 0.3 s.
 		time.Sleep(3 * time.Second)
 		serving := w.countServing()["big"]
 		stop()
@@ -229,12 +229,12 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 16).Draw(t, "steps")
-		var problems []string
+		var violations []string
 		synctest.Test(outer, func(*testing.T) {
-			problems = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
+			violations = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
 		})
-		if len(problems) > 0 {
-			t.Fatalf("violations: %v", problems)
+		if len(violations) > 0 {
+			t.Fatalf("violations: %v", violations)
 		}
 	})
 }
@@ -243,19 +243,19 @@
 // from 6 on. The worker is listed immediately, within a heartbeat, or late because the list lags.
 var restartListDelays = []time.Duration{50 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 
-// TestNoWorkersUsedTwiceAcrossRestarts repeats the previous test with workers that also restart
-// under the same ID.
+// TestNoWorkersUsedTwiceAcrossRestarts repeats TestNoPartialGroupsAndNoWorkersUsedTwice with
+// workers that also restart under the same ID.
 func TestNoWorkersUsedTwiceAcrossRestarts(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5+len(restartListDelays)), 4, 16).Draw(t, "steps")
-		var problems []string
+		var violations []string
 		synctest.Test(outer, func(*testing.T) {
-			problems = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
+			violations = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
 		})
-		if len(problems) > 0 {
-			t.Fatalf("violations: %v", problems)
+		if len(violations) > 0 {
+			t.Fatalf("violations: %v", violations)
 		}
 	})
 }
@@ -509,17 +509,17 @@
 	})
 }
 
-// openSmallGroup makes two workers an open group, as orders to join and open would. The caller
-// must hold w.mu.
+// openSmallGroup makes two workers an open group, in the state that orders to join and open would
+// leave them in. The caller must hold w.mu.
 func (w *world) openSmallGroup(head, other string) {
 	g := Group{Name: fleet.GroupName("small", 1, nil), Epoch: 1, Model: "small", Members: []string{head, other}}
 	for rank, id := range g.Members {
 		s := w.workers[id]
 		s.group, s.epoch, s.rank, s.state = g, 1, rank, fleet.Ready
-		s.orders++
+		s.orderCount++
 		if rank == 0 {
 			s.state = fleet.Open
-			s.orders++
+			s.orderCount++
 		}
 		w.publish(s)
 	}
@@ -537,8 +537,8 @@
 	}
 }
 
-// countLoading counts the workers that load weights from the store. Workers that join a group of a
-// model that is staged on their host, or that they served last, do not load.
+// countLoading returns the number of workers that load weights from the store. Workers that join a
+// group of a model that is staged on their host, or that they served last, do not load.
 func (w *world) countLoading() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -19,14 +19,14 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.8}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 16).Draw(t, "steps")
-		var problems []string
+		var violations []string
 		synctest.Test(outer, func(*testing.T) {
 			w := newWorld(seed, 2, 10)
 			w.ignoresFences = true
-			problems = runSchedule(w, lateFraction, steps)
+			violations = runSchedule(w, lateFraction, steps)
 		})
-		if len(problems) > 0 {
-			t.Fatalf("violations: %v", problems)
+		if len(violations) > 0 {
+			t.Fatalf("violations: %v", violations)
 		}
 	})
 }
@@ -38,7 +38,7 @@
 	rapid.Check(outer, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		timeBeforeTraffic := time.Duration(rapid.IntRange(1, 8).Draw(t, "quiet")) * time.Second
-		var problems []string
+		var violations []string
 		synctest.Test(outer, func(*testing.T) {
 			w := newWorld(seed, 4, 10)
 			w.ignoresFences, w.lateFraction = true, 0.8
@@ -50,10 +50,10 @@
 			time.Sleep(30 * time.Second)
 			stop()
 			w.pending.Wait()
-			problems = w.violations
+			violations = w.violations
 		})
-		if len(problems) > 0 {
-			t.Fatalf("violations: %v", problems)
+		if len(violations) > 0 {
+			t.Fatalf("violations: %v", violations)
 		}
 	})
 }
@@ -72,21 +72,21 @@
 		w.mu.Lock()
 		w.hasTraffic = true
 		w.mu.Unlock()
-		served := w.membershipOf("w0-0")
+		servedMembership := w.membershipOf("w0-0")
 		w.kill("w0-1")
-		k.Suspect(fleet.GroupKey(served))
+		k.Suspect(fleet.GroupKey(servedMembership))
 		time.Sleep(2 * time.Second)
-		dissolved := w.membershipOf("w0-0")
+		dissolvedMembership := w.membershipOf("w0-0")
 		time.Sleep(5 * time.Second)
-		later := w.membershipOf("w0-0")
+		laterMembership := w.membershipOf("w0-0")
 		w.add("w0-2", "d0")
 		time.Sleep(20 * time.Second)
 		serving := w.countServing()
 		stop()
 		w.pending.Wait()
-		assert.Equal(t, served.State, fleet.Open)
-		assert.Equal(t, dissolved.Group, "", "the group is not dissolved")
-		assert.Equal(t, later.Group, "", "the head is in its dissolved group again")
+		assert.Equal(t, servedMembership.State, fleet.Open)
+		assert.Equal(t, dissolvedMembership.Group, "", "the group is not dissolved")
+		assert.Equal(t, laterMembership.Group, "", "the head is in its dissolved group again")
 		assert.DeepEqual(t, w.violations, []string(nil))
 		assert.Equal(t, serving["small"], 1)
 	})
@@ -102,8 +102,8 @@
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, len(w.openOrders) >= 7)
-		for group, orders := range w.openOrders {
+		assert.Assert(t, len(w.openOrderCounts) >= 7)
+		for group, orders := range w.openOrderCounts {
 			assert.Equal(t, orders, 1, group)
 		}
 	})
@@ -187,8 +187,8 @@
 		time.Sleep(6 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, w.workers["new"].stageOrders >= 1)
-		assert.Assert(t, w.workers["new"].stageOrders <= 3, "%d orders in six seconds", w.workers["new"].stageOrders)
+		assert.Assert(t, w.workers["new"].stageOrderCount >= 1)
+		assert.Assert(t, w.workers["new"].stageOrderCount <= 3, "%d orders in six seconds", w.workers["new"].stageOrderCount)
 	})
 }
 
@@ -206,7 +206,7 @@
 	w.unreachable[id] = isUnreachable
 }
 
-// add adds a worker without any model.
+// add lists a new worker without any model.
 func (w *world) add(id, domain string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/formation/listgrowth_test.go
+++ b/formation/listgrowth_test.go
@@ -15,12 +15,12 @@
 func TestNewFleetWaitsForFullList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const domains, perDomain, listInterval = 8, 11, 40 * time.Millisecond
-		atOnce := newWorld(3, domains, perDomain)
-		_, stop := startTerm(atOnce, 1)
+		allListed := newWorld(3, domains, perDomain)
+		_, stop := startTerm(allListed, 1)
 		time.Sleep(8 * time.Second)
 		stop()
-		atOnce.pending.Wait()
-		want := atOnce.countServing()
+		allListed.pending.Wait()
+		want := allListed.countServing()
 
 		w := unlistedWorld(3, domains, perDomain)
 		_, stop = startTerm(w, 1)
--- a/formation/loadbudget.go
+++ b/formation/loadbudget.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// available returns how many counted loads may begin now.
-func (l *loadBudget) available(now time.Time) int {
+// availableLoads returns how many counted loads may begin now.
+func (l *loadBudget) availableLoads(now time.Time) int {
 	for _, at := range l.uncountedStarts {
 		if now.Sub(at) < trafficNoticeDelay {
 			l.tokens--
--- a/formation/loadbudget_test.go
+++ b/formation/loadbudget_test.go
@@ -29,9 +29,9 @@
 			var l loadBudget
 			l.configure(Ceiling{Window: 5 * time.Second, Over: 1.1}, 5, 7, true, now)
 			l.record(5, false, now.Add(-test.before))
-			assert.Equal(t, l.available(now), test.want)
+			assert.Equal(t, l.availableLoads(now), test.want)
 			l.record(1, true, now)
-			assert.Equal(t, l.available(now), test.want-1, "a load must be counted once")
+			assert.Equal(t, l.availableLoads(now), test.want-1, "a load must be counted once")
 		})
 	}
 }
@@ -109,9 +109,9 @@
 			service, _ := options.Config().Service("models")
 			now := time.Now()
 			budget := &loadBudget{burst: 100, tokens: 100, refilledAt: now}
-			groups, idle := k.allowedLoads(service, w.inventory.View(), budget, now)
-			assert.Equal(t, groups, test.groups)
-			assert.Equal(t, idle, test.forIdle)
+			allowedForGroups, allowedForIdle := k.allowedLoads(service, w.inventory.View(), budget, now)
+			assert.Equal(t, allowedForGroups, test.groups)
+			assert.Equal(t, allowedForIdle, test.forIdle)
 		})
 	}
 }
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -1,6 +1,11 @@
 // Package formation decides which workers form replicas, sends them their orders, and repairs
 // broken replicas. One daemon at a time acts as leader. Workers reject late orders and orders of
 // earlier leaders by their fencing tokens.
+//
+// The list is the list of all workers that a daemon receives from the store. A worker is warm for a
+// model if it can serve the model without loading weights from the weight store, and cold
+// otherwise. A model is short if it has fewer replicas than wanted. A trade dissolves groups of
+// some models so that their workers can serve a model that is short.
 package formation
 
 import (
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -28,8 +28,8 @@
 // whether or not it checks fences. Therefore, at most one of several attempts of a join is carried
 // out, and none after the worker has begun another order.
 type orderState struct {
-	orders int64
-	member fleet.Membership
+	orderCount int64
+	member     fleet.Membership
 	// trustReportsFrom is the time from which reports include the last answered order.
 	trustReportsFrom time.Time
 }
@@ -54,11 +54,11 @@
 			continue
 		}
 		verdict, ok := k.sendOrder(ctx, "join", w, func(ctx context.Context, fence Fence) (Verdict, error) {
-			return k.opts.Orders.Join(ctx, w, fence, current.orders, g)
+			return k.opts.Orders.Join(ctx, w, fence, current.orderCount, g)
 		})
 		switch {
 		case ok && verdict == Begun:
-			k.setOrderState(w.ID, current.orders+1, wanted)
+			k.setOrderState(w.ID, current.orderCount+1, wanted)
 			return true
 		case !ok || verdict != Unfit:
 			return ok && verdict.Accepted()
@@ -93,7 +93,7 @@
 		return known, true
 	}
 	state, ok := k.queryState(ctx, w)
-	return orderState{orders: state.Orders, member: state.Member}, ok
+	return orderState{orderCount: state.Orders, member: state.Member}, ok
 }
 
 // recordReport records the order state that a worker reported. It ignores the report if an order
@@ -102,19 +102,19 @@
 	if current, ok := k.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
 		return
 	}
-	k.orderStates[id] = orderState{orders: s.Orders, member: s.Member}
+	k.orderStates[id] = orderState{orderCount: s.Orders, member: s.Member}
 }
 
 // setOrderState sets a worker's order state after an answered order.
-func (k *Keeper) setOrderState(id string, orders int64, membership fleet.Membership) {
+func (k *Keeper) setOrderState(id string, orderCount int64, membership fleet.Membership) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.setOrderStateLocked(id, orders, membership)
+	k.setOrderStateLocked(id, orderCount, membership)
 }
 
 // setOrderStateLocked is setOrderState for callers that hold k.mu.
-func (k *Keeper) setOrderStateLocked(id string, orders int64, m fleet.Membership) {
-	k.orderStates[id] = orderState{orders: orders, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
+func (k *Keeper) setOrderStateLocked(id string, orderCount int64, m fleet.Membership) {
+	k.orderStates[id] = orderState{orderCount: orderCount, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
 
 // recordBegun increments a worker's order count if it began an order that does not change its
@@ -123,7 +123,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if current, ok := k.orderStates[id]; ok && verdict == Begun {
-		k.setOrderStateLocked(id, current.orders+1, current.member)
+		k.setOrderStateLocked(id, current.orderCount+1, current.member)
 	}
 }
 
@@ -134,7 +134,7 @@
 	defer k.mu.Unlock()
 	current, ok := k.orderStates[id]
 	if ok && verdict.Accepted() && current.member.Same(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
-		k.setOrderStateLocked(id, current.orders+1, fleet.Membership{})
+		k.setOrderStateLocked(id, current.orderCount+1, fleet.Membership{})
 	}
 }
 
--- a/formation/outcomes.go
+++ b/formation/outcomes.go
@@ -25,7 +25,7 @@
 
 // dissolution describes a group whose head confirmed that it left.
 type dissolution struct {
-	at time.Time
+	confirmedAt time.Time
 	// lastState is the last state that the head reported in the group.
 	lastState fleet.GroupState
 }
@@ -48,5 +48,5 @@
 	}
 	k.opts.Counted("leave", "returned")
 	k.opts.Logger.Warn("dissolved replica reported again", "replica", o.key, "head", o.head.ID,
-		"state", string(o.state), "after_ms", now.Sub(d.at).Milliseconds())
+		"state", string(o.state), "after_ms", now.Sub(d.confirmedAt).Milliseconds())
 }
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -21,8 +21,8 @@
 	// warmCounts and loadingCounts hold the number of new groups of each model that need no load,
 	// and of those that do.
 	warmCounts, loadingCounts []int
-	// loadCount is the number of workers that load, cost the total cost of the assigned workers,
-	// and placedWorkers the number of workers in groups.
+	// loadCount is the number of workers that load. cost is the total cost of the assigned workers.
+	// placedWorkers is the number of workers in groups.
 	loadCount, cost, placedWorkers int
 	formations                     []Formation
 }
@@ -31,11 +31,11 @@
 // fleet is as high as possible. It searches for the best division of one domain while the others
 // stay unchanged. It goes through the domains until none of them improves, at most maxPasses times.
 type partition struct {
-	value  *valuation
-	models []fleet.Model
-	// These counts by model include the planned groups. meanReplicas is the mean number of serving
-	// replicas over the planning horizon, groupCounts the number of groups, and addedByHall the
-	// number of new groups by data hall.
+	planValuation *valuation
+	models        []fleet.Model
+	// The following counts are by model and include the planned groups. meanReplicas is the mean
+	// number of serving replicas over the planning horizon, groupCounts the number of groups, and
+	// addedByHall the number of new groups by data hall.
 	meanReplicas []float64
 	groupCounts  []int
 	addedByHall  []map[string]int
@@ -48,8 +48,8 @@
 
 func newPartition(needs []Need, in Input) *partition {
 	p := &partition{
-		value:    &valuation{needs: needs, hallLoss: in.HallLoss, replicasByHall: in.ReplicasByHall},
-		maxLoads: in.MaxLoads,
+		planValuation: &valuation{needs: needs, hallLoss: in.HallLoss, replicasByHall: in.ReplicasByHall},
+		maxLoads:      in.MaxLoads,
 	}
 	for _, n := range needs {
 		p.models = append(p.models, n.Model)
@@ -60,11 +60,11 @@
 	return p
 }
 
-// totalValue returns the value of all replicas together.
+// totalValue returns the value of the plan, summed over all models.
 func (p *partition) totalValue() float64 {
 	total := 0.0
-	for i, n := range p.value.needs {
-		total += p.value.valueOf(n, p.meanReplicas[i], p.value.worstHallLoss(n.Model.Name, p.addedByHall[i]))
+	for i, n := range p.planValuation.needs {
+		total += p.planValuation.valueOf(n, p.meanReplicas[i], p.planValuation.worstHallLoss(n.Model.Name, p.addedByHall[i]))
 	}
 	return total
 }
@@ -149,7 +149,7 @@
 	return changed
 }
 
-// hallOf returns the data hall of a domain's workers: that of the first one.
+// hallOf returns the data hall of a domain's workers, which is that of the first one.
 func hallOf(workers []FreeWorker) string {
 	if len(workers) == 0 {
 		return ""
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// drawInput draws the input for a fleet of a few domains, whose workers hold arbitrary models, and
-// the needs of one to four models.
+// drawInput draws a fleet of a few domains whose workers hold arbitrary models, and the needs of
+// one to four models.
 func drawInput(t *rapid.T) Input {
 	in := Input{
 		ReplicasByHall: make(map[string]map[string]int), ReleasedDomains: make(map[string]bool), TradeRecipients: make(map[string]string),
@@ -20,7 +20,7 @@
 	}
 	names := []string{""}
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
-		m := fleet.Model{Name: fmt.Sprint("m", i), Size: rapid.IntRange(0, 9).Draw(t, "size"), Load: simLoad, Warm: simWarm}
+		m := fleet.Model{Name: fmt.Sprint("m", i), Size: rapid.IntRange(0, 9).Draw(t, "size"), Load: simLoadTime, Warm: simWarmJoinTime}
 		n := Need{Model: m, Want: rapid.Float64Range(0, 9).Draw(t, "want"), Have: rapid.IntRange(0, 9).Draw(t, "have")}
 		in.Needs = append(in.Needs, n)
 		in.ReplicasByHall[m.Name] = map[string]int{"h0": n.Have / 2, "h1": n.Have - n.Have/2}
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestDomainsWaitForTrades checks that while groups of a domain are traded for a model, no groups
-// of other models and none that load are formed there.
+// TestDomainsWaitForTrades checks which groups are formed in a domain while groups are traded for a
+// model there. These must be groups of that model that need no load.
 func TestDomainsWaitForTrades(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 3}, fleet.Model{Name: "small", Size: 2}
 	worker := func(id, loaded string) FreeWorker { return FreeWorker{ID: id, Domain: "d", LoadedModel: loaded} }
@@ -147,7 +147,7 @@
 	})
 }
 
-// minimumCost returns the lowest cost of all possible assignments.
+// minimumCost returns the lowest cost of all possible assignments of the wanted numbers of workers.
 func minimumCost(models []fleet.Model, workers []FreeWorker, wanted []int) int {
 	if len(workers) == 0 {
 		for _, count := range wanted {
@@ -178,7 +178,7 @@
 			assert.NilError(b, err)
 			in := Input{MaxLoads: 20, MaxStagings: 10}
 			for i, size := range sizes {
-				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoad, Warm: simWarm}, Want: 100 / float64(size), Have: 60 / size})
+				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoadTime, Warm: simWarmJoinTime}, Want: 100 / float64(size), Have: 60 / size})
 			}
 			for i := range workers {
 				f := FreeWorker{ID: fmt.Sprintf("w%02d", i), Domain: "d", LoadedModel: fmt.Sprint("m", i%len(sizes))}
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -23,11 +23,11 @@
 
 // coverageWith returns the ratio of available to wanted replicas if the given number of replicas is
 // added. The number may be negative.
-func (n Need) coverageWith(more int) float64 {
+func (n Need) coverageWith(added int) float64 {
 	if n.Want <= 0 {
 		return math.Inf(1)
 	}
-	return float64(n.Have+more) / n.Want
+	return float64(n.Have+added) / n.Want
 }
 
 // shortage returns the wanted number of replicas, divided by the available number plus one. A
@@ -42,10 +42,10 @@
 	LoadCount int
 }
 
-// Input is the input of a plan.
+// Input is the state that a plan is based on.
 type Input struct {
 	Needs []Need
-	// Free holds the workers that can be ordered into groups.
+	// Free holds the workers that can be put into new groups.
 	Free []FreeWorker
 	// WarmCounts holds the number of workers that are warm for a model, by domain and model.
 	// Workers in groups are included.
@@ -62,7 +62,7 @@
 	HallLoss       HallLossPolicy
 	ReplicasByHall map[string]map[string]int
 	// ReleasedDomains holds the domains whose idle workers are too few for a group of a model that
-	// is short. They may serve another model in the meantime.
+	// is short. These workers may serve another model in the meantime.
 	ReleasedDomains map[string]bool
 	// TradeRecipients holds, by domain, the model for which groups are being traded there. Until
 	// the trade is complete, only groups of that model that need no load are formed in the domain.
@@ -119,7 +119,7 @@
 	plan.isFixed = func(domain string) bool { return in.TradeRecipients[domain] != "" }
 	plan.allowsSurplus = func(domain string) bool { return p.isPlanningSurplus && p.allowsSurplus(domain) }
 	if p.isWaitingForLoads {
-		// The available loads are kept for the group that waits for them.
+		// The loads that may begin are reserved for the group that waits for them.
 		plan.maxLoads = 0
 	}
 	free := groupByDomain(in.Free)
@@ -171,7 +171,7 @@
 	byDomain   map[string][]FreeWorker
 	warmCounts map[string]map[string]int
 	maxLoads   int
-	// maxStagings is how many of the loads may be for idle workers.
+	// maxStagings is the maximum number of the loads that may be for idle workers.
 	maxStagings   int
 	isListGrowing bool
 	// isPlanningSurplus reports whether groups beyond the wanted number are being planned.
@@ -291,10 +291,11 @@
 }
 
 // bestDomain returns the domain with the warmest workers for a group of the model, and these
-// workers; nil if no domain has enough. Ties are decided by how well the domain suits the model.
+// workers. If no domain has enough workers, it returns nil. Ties are decided by how well the domain
+// suits the model.
 func (p *planner) bestDomain(m fleet.Model, coldest Warmth) (string, []FreeWorker) {
 	var bestWorkers []FreeWorker
-	var bestName string
+	var bestDomainName string
 	var bestFit suitability
 	for _, name := range slices.Sorted(maps.Keys(p.byDomain)) {
 		if p.isPlanningSurplus && !p.allowsSurplus(name) || p.isReserved(name, m.Name, coldest) {
@@ -306,8 +307,8 @@
 		}
 		candidate := suitability{cost: cost, groupsInHall: p.countGroupsInHall(m.Name, chosen[0].Hall), affinity: p.affinity(name, m.Name)}
 		if bestWorkers == nil || candidate.isBetter(bestFit) {
-			bestWorkers, bestName, bestFit = chosen, name, candidate
+			bestWorkers, bestDomainName, bestFit = chosen, name, candidate
 		}
 	}
-	return bestName, bestWorkers
+	return bestDomainName, bestWorkers
 }
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -11,14 +11,14 @@
 	"quartzshelf.dev/fleet"
 )
 
-// restart restarts a worker under its ID. It keeps only what is staged on its host. The list shows
-// the restart after the given delay.
+// restart restarts a worker under the same ID. The worker keeps only what is staged on its host.
+// The list shows the restart after the given delay.
 func (w *world) restart(id string, listedAfter time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.workers[id]
 	s.born++
-	s.group, s.state, s.epoch, s.rank, s.fence, s.orders, s.lastModel = Group{}, "", 0, 0, 0, 0, ""
+	s.group, s.state, s.epoch, s.rank, s.fence, s.orderCount, s.lastModel = Group{}, "", 0, 0, 0, 0, ""
 	s.isStaging, s.reports, s.entryNumber = false, nil, 0
 	w.recordState(s)
 	// The new incarnation's reports are current from its start.
@@ -54,6 +54,7 @@
 
 // restartCase describes the restart of a worker in an open group.
 type restartCase struct {
+	// rank is the rank of the worker in its group; 0 is the head.
 	rank int
 	// listedAfter is the time until the list shows the restart.
 	listedAfter time.Duration
--- a/formation/search.go
+++ b/formation/search.go
@@ -10,20 +10,20 @@
 // groups of each model.
 type search struct {
 	*partition
-	// order holds the model indexes by decreasing size. maxCounts holds the maximum number of
+	// modelOrder holds the model indexes by decreasing size. maxCounts holds the maximum number of
 	// groups of each model.
-	order, maxCounts []int
-	maxLoads         int
-	// assignments holds the assignment at each depth of the search. counts holds the number of
-	// groups chosen for each model.
-	assignments []*assignment
-	counts      []int
+	modelOrder, maxCounts []int
+	maxLoads              int
+	// assignments holds the assignment at each depth of the search. chosenCounts holds the number
+	// of groups chosen for each model.
+	assignments  []*assignment
+	chosenCounts []int
 	// modelValues holds the value of a model, by model, number of groups without loads and number
 	// of groups with loads.
 	modelValues [][][]float64
 	// maxValues holds the highest possible value of a model, by model and number of groups.
 	maxValues [][]float64
-	// upperBounds holds the highest possible total value of the models from a depth on, by depth
+	// upperBounds holds upper bounds for the total value of the models from a depth on, by depth
 	// and number of available workers.
 	upperBounds [][]float64
 	// bestValue, bestCost, bestPlacedWorkers and bestAssignment describe the best division so far.
@@ -37,7 +37,7 @@
 func (p *partition) newSearch(domain string, workers []FreeWorker, current division) *search {
 	s := &search{
 		partition: p, maxLoads: max(p.maxLoads-p.plannedLoads, current.loadCount),
-		maxCounts: make([]int, len(p.models)), counts: make([]int, len(p.models)), modelValues: make([][][]float64, len(p.models)),
+		maxCounts: make([]int, len(p.models)), chosenCounts: make([]int, len(p.models)), modelValues: make([][][]float64, len(p.models)),
 	}
 	allowsSurplus := p.allowsSurplus(domain)
 	if allowsSurplus {
@@ -49,11 +49,11 @@
 		s.assignments = append(s.assignments, initial.clone())
 	}
 	s.bestAssignment = initial.clone()
-	for i, n := range p.value.needs {
+	for i, n := range p.planValuation.needs {
 		if n.Model.Size <= 0 {
 			continue
 		}
-		s.order = append(s.order, i)
+		s.modelOrder = append(s.modelOrder, i)
 		s.maxCounts[i] = len(workers) / n.Model.Size
 		if !allowsSurplus {
 			wanted := max(int(math.Ceil(n.Want))-p.groupCounts[i], current.warmCounts[i]+current.loadingCounts[i])
@@ -61,7 +61,7 @@
 		}
 		s.modelValues[i] = p.modelValues(i, s.maxCounts[i], max(s.maxLoads, 0), hallOf(workers))
 	}
-	slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(p.models[b].Size, p.models[a].Size) })
+	slices.SortStableFunc(s.modelOrder, func(a, b int) int { return cmp.Compare(p.models[b].Size, p.models[a].Size) })
 	s.computeBounds(initial)
 	s.bestValue, s.bestCost, s.bestPlacedWorkers = s.divisionValue(current.warmCounts, current.loadingCounts), current.cost, current.placedWorkers
 	return s
@@ -71,24 +71,25 @@
 // number of groups that need no load and the number that do. Together they are at most maxGroups,
 // and the latter are at most maxLoads.
 func (p *partition) modelValues(i, maxGroups, maxLoads int, hall string) [][]float64 {
-	n, m := p.value.needs[i], p.models[i]
+	n, m := p.planValuation.needs[i], p.models[i]
 	table := make([][]float64, maxGroups+1)
 	for warm := range table {
 		table[warm] = make([]float64, min(maxGroups-warm, maxLoads)+1)
 		for loading := range table[warm] {
 			p.addedByHall[i][hall] += warm + loading
 			replicas := p.meanReplicas[i] + float64(warm)*servingFraction(m, false) + float64(loading)*servingFraction(m, true)
-			table[warm][loading] = p.value.valueOf(n, replicas, p.value.worstHallLoss(m.Name, p.addedByHall[i]))
+			table[warm][loading] = p.planValuation.valueOf(n, replicas, p.planValuation.worstHallLoss(m.Name, p.addedByHall[i]))
 			p.addedByHall[i][hall] -= warm + loading
 		}
 	}
 	return table
 }
 
-// divisionValue returns the value of a division.
+// divisionValue returns the value of a division, given the numbers of new groups without and with
+// loads by model.
 func (s *search) divisionValue(warm, loading []int) float64 {
 	total := 0.0
-	for _, i := range s.order {
+	for _, i := range s.modelOrder {
 		total += s.modelValues[i][warm[i]][loading[i]]
 	}
 	return total
@@ -100,10 +101,10 @@
 func (s *search) computeBounds(all *assignment) {
 	workers := all.countUnassigned()
 	s.maxValues = make([][]float64, len(s.models))
-	s.upperBounds = make([][]float64, len(s.order)+1)
-	s.upperBounds[len(s.order)] = make([]float64, workers+1)
-	for depth := len(s.order) - 1; depth >= 0; depth-- {
-		i := s.order[depth]
+	s.upperBounds = make([][]float64, len(s.modelOrder)+1)
+	s.upperBounds[len(s.modelOrder)] = make([]float64, workers+1)
+	for depth := len(s.modelOrder) - 1; depth >= 0; depth-- {
+		i := s.modelOrder[depth]
 		values := s.maxModelValues(i, all.countWarm(i))
 		s.maxValues[i] = values
 		s.upperBounds[depth] = make([]float64, workers+1)
@@ -137,11 +138,11 @@
 // cannot reach the best value so far. valueSoFar is the total value of the models at lower depths.
 func (s *search) explore(depth int, valueSoFar float64) {
 	current := s.assignments[depth]
-	if depth == len(s.order) {
+	if depth == len(s.modelOrder) {
 		s.considerAssignment(current)
 		return
 	}
-	i := s.order[depth]
+	i := s.modelOrder[depth]
 	next, remaining := s.assignments[depth+1], current.countUnassigned()
 	for count := min(len(s.maxValues[i])-1, remaining/s.models[i].Size); count >= 0; count-- {
 		value := valueSoFar + s.maxValues[i][count]
@@ -152,13 +153,13 @@
 		if !next.assign(i, count*s.models[i].Size) || s.countLoads(next) > max(s.maxLoads, 0) {
 			continue
 		}
-		s.counts[i] = count
+		s.chosenCounts[i] = count
 		s.explore(depth+1, value)
 	}
-	s.counts[i] = 0
+	s.chosenCounts[i] = 0
 }
 
-// countLoads returns how many workers load in an assignment.
+// countLoads returns how many workers have to load in an assignment.
 func (s *search) countLoads(candidate *assignment) int {
 	total := 0
 	for i := range s.models {
@@ -171,10 +172,10 @@
 // one that leaves fewer workers idle, then the one with the lower cost.
 func (s *search) considerAssignment(candidate *assignment) {
 	value, placedWorkers := 0.0, 0
-	for _, i := range s.order {
+	for _, i := range s.modelOrder {
 		loading := s.countLoadingGroups(candidate, i)
-		value += s.modelValues[i][s.counts[i]-loading][loading]
-		placedWorkers += s.counts[i] * s.models[i].Size
+		value += s.modelValues[i][s.chosenCounts[i]-loading][loading]
+		placedWorkers += s.chosenCounts[i] * s.models[i].Size
 	}
 	if value < s.bestValue-valueEpsilon {
 		return
@@ -188,8 +189,8 @@
 	s.bestAssignment.copyFrom(candidate)
 }
 
-// countLoadingGroups returns how many groups of a model have members that load. Loading members
-// are put together, so this is the minimum.
+// countLoadingGroups returns how many groups of a model have members that have to load. The number
+// is the minimum, since such members are put together.
 func (s *search) countLoadingGroups(candidate *assignment, i int) int {
 	size := s.models[i].Size
 	return (candidate.countLoads(i) + size - 1) / size
--- a/formation/send.go
+++ b/formation/send.go
@@ -20,7 +20,7 @@
 		k.recordAttempt(order, w, attempt+1, verdict, err)
 		switch {
 		case err == nil && verdict == Fenced && fencedCount == 0:
-			// A concurrent order of this term may have overtaken it.
+			// The worker may have received a later order of the same term first.
 			fencedCount++
 			continue
 		case err == nil:
@@ -66,7 +66,7 @@
 	k.onSuperseded()
 }
 
-// queryState queries a worker's state.
+// queryState queries a worker's state, records it, and reports whether the worker answered.
 func (k *Keeper) queryState(ctx context.Context, w *fleet.Worker) (State, bool) {
 	k.callSlots <- struct{}{}
 	defer func() { <-k.callSlots }()
--- a/formation/send_test.go
+++ b/formation/send_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestFencedOrders checks that an order overtaken by another one of the same term is retried,
-// while one of a superseded leader ends the term.
+// TestFencedOrders checks that an order is retried if another order of the same term reached the
+// worker first. An order of a superseded leader must end the term.
 func TestFencedOrders(t *testing.T) {
 	tests := map[string]struct {
 		verdicts []Verdict
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestFencesNeverDecrease uses up the fences of a term: the term ends, and no fence is lower than
-// an earlier one.
+// TestFencesNeverDecrease checks that the term ends when its fences are used up, and that no fence
+// is lower than an earlier one.
 func TestFencesNeverDecrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 1)
--- a/formation/smoother.go
+++ b/formation/smoother.go
@@ -16,7 +16,7 @@
 	updatedAt time.Time
 }
 
-// Observe adds a measurement taken now.
+// Observe adds a measurement taken at the time now.
 func (s *Smoother) Observe(measured map[string]Work, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -79,9 +79,9 @@
 	if !k.hasTraffic() {
 		return unlimitedLoads, unlimitedLoads
 	}
-	running, available := float64(k.countRunningLoads(s, view, now)), budget.available(now)
-	atOnce := float64(s.Engine.LoadsAtOnce)
-	return min(int(groupLoadFactor*atOnce-running), available), min(int(idleLoadFactor*atOnce-running), available)
+	running, available := float64(k.countRunningLoads(s, view, now)), budget.availableLoads(now)
+	loadsAtOnce := float64(s.Engine.LoadsAtOnce)
+	return min(int(groupLoadFactor*loadsAtOnce-running), available), min(int(idleLoadFactor*loadsAtOnce-running), available)
 }
 
 // countRunningLoads returns how many workers of a service load weights from the store.
@@ -100,14 +100,14 @@
 	return count
 }
 
-// isLoadingForJoin reports whether a worker is loading weights to join a group, even if an earlier
-// leader ordered it to join.
+// isLoadingForJoin reports whether a worker is loading weights to join a group. The join may have
+// been ordered by an earlier leader.
 func (k *Keeper) isLoadingForJoin(w *fleet.Worker) bool {
 	m := k.membershipOf(w)
 	return m.State == fleet.Joining && k.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
 }
 
-// countWarm counts the workers that are warm for each model, by domain.
+// countWarm returns the number of workers that are warm for each model, by domain and model.
 func (k *Keeper) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for _, w := range view.Workers() {
@@ -173,14 +173,14 @@
 }
 
 // stage orders a worker to stage a model, and reports whether it accepted. The worker accepts the
-// order at most once, so that no uncounted load begins.
+// order at most once, so that each load that begins is recorded.
 func (k *Keeper) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
 	current, ok := k.orderStateOf(ctx, w)
 	if !ok {
 		return false
 	}
 	verdict, ok := k.sendOrder(ctx, "stage", w, func(ctx context.Context, fence Fence) (Verdict, error) {
-		return k.opts.Orders.Stage(ctx, w, fence, current.orders, m.Name)
+		return k.opts.Orders.Stage(ctx, w, fence, current.orderCount, m.Name)
 	})
 	switch {
 	case !ok:
@@ -193,9 +193,9 @@
 	return verdict.Accepted()
 }
 
-// recordStageRefusal records that a worker refused to stage, for example because it is already
-// loading, so that it is not ordered again immediately. The load budget is not refunded, since it
-// is not reduced while loads are not counted.
+// recordStageRefusal records that a worker refused to stage, so that it is not ordered again
+// immediately. It may refuse because it is already loading. The load budget is not refunded, since
+// no token may have been taken for the load.
 func (k *Keeper) recordStageRefusal(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -11,12 +11,13 @@
 const survivorReleaseDelay = 300 * time.Millisecond
 
 const (
-	// releaseMaxCoverage is the ratio of available to wanted replicas from which survivors form no
-	// more groups of a model. The model must also have releaseMaxSurplus surplus groups.
-	releaseMaxCoverage = 1.25
-	// releaseMaxSurplus is the number of groups beyond the wanted number from which
-	// releaseMaxCoverage applies. For few groups the ratio alone is not meaningful.
-	releaseMaxSurplus = 2
+	// sufficientCoverage is the ratio of available to wanted replicas at which survivors form no
+	// more groups of a model. The model must also have sufficientSurplus.
+	sufficientCoverage = 1.25
+	// sufficientSurplus is the number of groups in addition to the wanted ones at which survivors
+	// form no more groups of a model. It is required as well as sufficientCoverage, since the ratio
+	// alone is not meaningful for few groups.
+	sufficientSurplus = 2
 )
 
 // releasedDomains returns the domains whose idle workers have been too few for a group of any short
@@ -58,8 +59,8 @@
 	for _, n := range needs {
 		fits := n.Model.Size > 0 && n.Model.Size <= workers
 		switch {
-		case n.coverageWith(0) >= releaseMaxCoverage && float64(n.Have) >= n.Want+releaseMaxSurplus:
-			// Another group would add no value and would have to be traded back.
+		case n.coverageWith(0) >= sufficientCoverage && float64(n.Have) >= n.Want+sufficientSurplus:
+			// Another group of this model would add no value and would have to be traded back.
 		case n.isMet():
 			canFormOther = canFormOther || fits
 		case fits:
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -10,7 +10,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// groupsIn counts the groups of a domain that are not dissolved, by model.
+// groupsIn returns the number of groups in a domain that are not dissolved, by model.
 func (w *world) groupsIn(domain string) map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,7 +37,7 @@
 		w.mu.Unlock()
 		before := w.countServing()["small"]
 		w.kill(big.Members[2])
-		// The list shows the loss after 3.6 s; the head then confirms immediately that it left.
+		// The list shows the loss after 3.6 s. The head then confirms immediately that it left.
 		time.Sleep(3600*time.Millisecond + time.Second)
 		assert.DeepEqual(t, w.groupsIn(domain), map[string]int{"small": 1})
 		time.Sleep(2 * time.Second)
@@ -88,7 +88,7 @@
 }
 
 // TestNeverReadyMemberIsAvoided checks that a worker that accepts its orders but never becomes
-// ready delays one group only.
+// ready delays only one group.
 func TestNeverReadyMemberIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := unlistedWorld(1, 1, 5)
@@ -120,7 +120,7 @@
 // TestUnreliableWorkersAreChosenLast checks that unreliable workers are used only where there are
 // too few others.
 func TestUnreliableWorkersAreChosenLast(t *testing.T) {
-	big := fleet.Model{Name: "big", Size: 2, Load: simLoad, Warm: simWarm}
+	big := fleet.Model{Name: "big", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
 	worker := func(id, domain string, isUnreliable bool) FreeWorker {
 		return FreeWorker{ID: id, Domain: domain, LoadedModel: "big", IsUnreliable: isUnreliable}
 	}
@@ -201,6 +201,6 @@
 		w.pending.Wait()
 		// Up to four partners get orders once per second for five seconds. They also form groups of
 		// other models in between.
-		assert.Assert(t, w.attempts["join"] <= 40, "%v", w.attempts)
+		assert.Assert(t, w.attemptCounts["join"] <= 40, "%v", w.attemptCounts)
 	})
 }
--- a/formation/suspension_test.go
+++ b/formation/suspension_test.go
@@ -11,8 +11,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestNoOrdersAfterSuspension covers a leader whose machine was suspended past the end of its
-// term. After it resumes it must not send the orders that it was about to send.
+// TestNoOrdersAfterSuspension covers a leader whose machine was suspended until after the end of
+// its term. When the machine resumes, the leader must not send the orders that it was about to
+// send.
 func TestNoOrdersAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 6)
@@ -37,7 +38,7 @@
 		time.Sleep(10 * time.Second)
 		<-k.Done()
 		for _, s := range w.workers {
-			assert.Equal(t, s.orders, int64(0), "%s was given an order", s.id)
+			assert.Equal(t, s.orderCount, int64(0), "%s was given an order", s.id)
 		}
 	})
 }
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -88,7 +88,7 @@
 // tradeFinder finds the best trade for given needs, idle workers and serving groups.
 type tradeFinder struct {
 	needs         []Need
-	value         *valuation
+	planValuation *valuation
 	free          map[string][]FreeWorker
 	servingGroups map[string][]ServingGroup
 	// downCounts holds the number of groups that ongoing trades take out of service, by model.
@@ -99,7 +99,7 @@
 
 func newTradeFinder(needs []Need, free []FreeWorker, servingGroups []ServingGroup) *tradeFinder {
 	t := &tradeFinder{
-		needs: needs, value: &valuation{needs: needs}, free: groupByDomain(free),
+		needs: needs, planValuation: &valuation{needs: needs}, free: groupByDomain(free),
 		servingGroups: make(map[string][]ServingGroup), maxLoads: math.MaxInt,
 	}
 	for _, s := range servingGroups {
@@ -108,7 +108,7 @@
 	return t
 }
 
-// bestTrade returns the best trade for the shortest model that a trade can help.
+// bestTrade returns the best trade for the model with the greatest shortage that a trade can help.
 func (t *tradeFinder) bestTrade() (Trade, bool) {
 	short := slices.Clone(t.needs)
 	slices.SortStableFunc(short, func(a, b Need) int { return cmp.Compare(b.shortage(), a.shortage()) })
@@ -128,8 +128,8 @@
 func (t *tradeFinder) bestTradeFor(n Need) (Trade, bool) {
 	var best *tradeSearch
 	for _, domain := range slices.Sorted(maps.Keys(t.servingGroups)) {
-		for _, cold := range []bool{false, true} {
-			g := t.newTradeSearch(n, domain, cold)
+		for _, allowsLoads := range []bool{false, true} {
+			g := t.newTradeSearch(n, domain, allowsLoads)
 			g.explore(0)
 			if g.found && (best == nil || g.isBetter(best)) {
 				best = g
@@ -139,7 +139,7 @@
 	if best == nil {
 		return Trade{}, false
 	}
-	return best.trade(), true
+	return best.foundTrade(), true
 }
 
 // tradeInsteadOf returns a trade that replaces a planned group whose members would have to load.
@@ -156,14 +156,15 @@
 		n := t.needs[i]
 		g := t.newTradeSearch(n, domain, false)
 		g.explore(0)
-		loadingValue := t.value.valueOf(n, float64(n.Have)+servingFraction(n.Model, true), 0) - t.value.valueOf(n, float64(n.Have), 0)
-		return g.trade(), g.found && g.gain > loadingValue
+		loadingValue := t.planValuation.valueOf(n, float64(n.Have)+servingFraction(n.Model, true), 0) - t.planValuation.valueOf(n, float64(n.Have), 0)
+		return g.foundTrade(), g.found && g.gain > loadingValue
 	}
 	return Trade{}, false
 }
 
-// completesSurvivors reports whether a trade adds the members of a single group to at least as many
-// idle workers. These idle workers are likely to be the survivors of a broken group.
+// completesSurvivors reports whether a trade dissolves a single group in a domain with at least as
+// many idle workers as that group has members. These idle workers are likely to be the survivors of
+// a broken group.
 func (t *tradeFinder) completesSurvivors(x Trade) bool {
 	if len(x.GroupKeys) != 1 {
 		return false
@@ -186,10 +187,10 @@
 	donors       []Need
 	groups       [][]ServingGroup
 	chosenCounts []int
-	// found, gain, keys, dissolvedCounts and formedCount describe the best trade so far.
+	// found, gain, groupKeys, dissolvedCounts and formedCount describe the best trade so far.
 	found           bool
 	gain            float64
-	keys            []string
+	groupKeys       []string
 	dissolvedCounts map[string]int
 	formedCount     int
 }
@@ -300,11 +301,11 @@
 		keys[i] = s.Key
 	}
 	slices.Sort(keys)
-	candidate := &tradeSearch{gain: gain, keys: keys}
+	candidate := &tradeSearch{gain: gain, groupKeys: keys}
 	if gain <= 0 || g.found && !candidate.isBetter(g) {
 		return
 	}
-	g.found, g.gain, g.keys, g.formedCount, g.dissolvedCounts = true, gain, keys, formed, make(map[string]int)
+	g.found, g.gain, g.groupKeys, g.formedCount, g.dissolvedCounts = true, gain, keys, formed, make(map[string]int)
 	for i, o := range g.donors {
 		if g.chosenCounts[i] > 0 {
 			g.dissolvedCounts[o.Model.Name] = g.chosenCounts[i]
@@ -342,8 +343,8 @@
 func (g *tradeSearch) valueGained(formed int) float64 {
 	hall := g.servingGroups[g.domain][0].Hall
 	gain := func(n Need, groups int, part float64) float64 {
-		before, after := g.value.worstHallLoss(n.Model.Name, nil), g.value.worstHallLoss(n.Model.Name, map[string]int{hall: groups})
-		return g.value.valueOf(n, float64(n.Have)+float64(groups)*part, after) - g.value.valueOf(n, float64(n.Have), before)
+		before, after := g.planValuation.worstHallLoss(n.Model.Name, nil), g.planValuation.worstHallLoss(n.Model.Name, map[string]int{hall: groups})
+		return g.planValuation.valueOf(n, float64(n.Have)+float64(groups)*part, after) - g.planValuation.valueOf(n, float64(n.Have), before)
 	}
 	total := gain(g.recipient, formed, servingFraction(g.recipient.Model, g.allowsLoads))
 	for i, o := range g.donors {
@@ -358,9 +359,9 @@
 	if math.Abs(g.gain-o.gain) > valueEpsilon {
 		return g.gain > o.gain
 	}
-	return cmp.Or(cmp.Compare(len(g.keys), len(o.keys)), slices.Compare(g.keys, o.keys)) < 0
+	return cmp.Or(cmp.Compare(len(g.groupKeys), len(o.groupKeys)), slices.Compare(g.groupKeys, o.groupKeys)) < 0
 }
 
-func (g *tradeSearch) trade() Trade {
-	return Trade{Recipient: g.recipient.Model.Name, Domain: g.domain, GroupKeys: g.keys, DissolvedCounts: g.dissolvedCounts, FormedCount: g.formedCount}
+func (g *tradeSearch) foundTrade() Trade {
+	return Trade{Recipient: g.recipient.Model.Name, Domain: g.domain, GroupKeys: g.groupKeys, DissolvedCounts: g.dissolvedCounts, FormedCount: g.formedCount}
 }
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -14,17 +14,17 @@
 // TestTradeOnlyForFeasibleGroups checks that groups are traded only for a group that can be formed.
 // It also checks that a trade does not take too many groups of a model out of service.
 func TestTradeOnlyForFeasibleGroups(t *testing.T) {
-	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
+	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoadTime, Warm: simWarmJoinTime}, fleet.Model{Name: "small", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
 	needs := []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 8, Have: 8}}
 	warm := []FreeWorker{{ID: "a", Domain: "d", LoadedModel: "big"}, {ID: "b", Domain: "d", LoadedModel: "big"}}
-	group := func(key, domain string, cold int) ServingGroup {
-		return ServingGroup{Key: key, Domain: domain, Model: "small", MemberCount: 2, ColdCounts: map[string]int{"big": cold}}
+	group := func(key, domain string, coldCount int) ServingGroup {
+		return ServingGroup{Key: key, Domain: domain, Model: "small", MemberCount: 2, ColdCounts: map[string]int{"big": coldCount}}
 	}
 	tests := map[string]struct {
 		needs         []Need
 		free          []FreeWorker
 		servingGroups []ServingGroup
-		down          map[string]int
+		downCounts    map[string]int
 		maxLoads      int
 		want          []string
 	}{
@@ -51,8 +51,8 @@
 			needs: []Need{{Model: big, Want: 9, Have: 3}, {Model: small, Want: 8, Have: 8}},
 			free:  warm, servingGroups: []ServingGroup{group("s", "d", 1)},
 		},
-		"a quarter of the groups is down": {free: warm, servingGroups: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 2}},
-		"less than a quarter is down":     {free: warm, servingGroups: []ServingGroup{group("s", "d", 0)}, down: map[string]int{"small": 1}, want: []string{"s"}},
+		"a quarter of the groups is down": {free: warm, servingGroups: []ServingGroup{group("s", "d", 0)}, downCounts: map[string]int{"small": 2}},
+		"less than a quarter is down":     {free: warm, servingGroups: []ServingGroup{group("s", "d", 0)}, downCounts: map[string]int{"small": 1}, want: []string{"s"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 				test.needs = needs
 			}
 			finder := newTradeFinder(test.needs, test.free, test.servingGroups)
-			finder.downCounts, finder.maxLoads = test.down, test.maxLoads
+			finder.downCounts, finder.maxLoads = test.downCounts, test.maxLoads
 			x, ok := finder.bestTrade()
 			assert.Equal(t, ok, test.want != nil)
 			assert.DeepEqual(t, x.GroupKeys, test.want)
@@ -71,13 +71,13 @@
 // TestTradeInsteadOfLoads checks that a planned group whose members would have to load is replaced
 // by a trade that provides warm members.
 func TestTradeInsteadOfLoads(t *testing.T) {
-	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoad, Warm: simWarm}, fleet.Model{Name: "small", Size: 2, Load: simLoad, Warm: simWarm}
+	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoadTime, Warm: simWarmJoinTime}, fleet.Model{Name: "small", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
 	needs := []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 5, Have: 8}}
 	survivors := []FreeWorker{
 		{ID: "a", Domain: "d", LoadedModel: "big"}, {ID: "b", Domain: "d", LoadedModel: "big"}, {ID: "c", Domain: "d", LoadedModel: "big"}, {ID: "e", Domain: "d"},
 	}
-	group := func(domain string, cold int) ServingGroup {
-		return ServingGroup{Key: "s", Domain: domain, Model: "small", MemberCount: 2, ColdCounts: map[string]int{"big": cold}}
+	group := func(domain string, coldCount int) ServingGroup {
+		return ServingGroup{Key: "s", Domain: domain, Model: "small", MemberCount: 2, ColdCounts: map[string]int{"big": coldCount}}
 	}
 	tests := map[string]struct {
 		needs         []Need
@@ -119,8 +119,8 @@
 			finder := newTradeFinder([]Need{{Model: big, Want: 4, Have: 3}, {Model: small, Want: 4, Have: 8}}, nil, []ServingGroup{
 				{Key: "s", Domain: "d", Hall: "h0", Model: "small", MemberCount: 4}, {Key: "t", Domain: "e", Hall: "h1", Model: "small", MemberCount: 4},
 			})
-			finder.value.hallLoss = HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}
-			finder.value.replicasByHall = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
+			finder.planValuation.hallLoss = HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}
+			finder.planValuation.replicasByHall = map[string]map[string]int{"big": {"h0": 2, "h1": 1}, "small": {"h0": 4, "h1": 4}}
 			x, ok := finder.bestTrade()
 			assert.Assert(t, ok)
 			assert.DeepEqual(t, x.GroupKeys, test.want)
@@ -169,16 +169,16 @@
 
 // countMembers returns how many members a trade makes available, including idle workers.
 func (x Trade) countMembers(in Input, servingGroups []ServingGroup) int {
-	loads, members := mayUseColdMembers(in.Needs, x), 0
+	allowsLoads, members := mayUseColdMembers(in.Needs, x), 0
 	for _, f := range in.Free {
-		if f.Domain == x.Domain && !f.IsUnreliable && (f.warmth(x.Recipient) <= Staged || loads) {
+		if f.Domain == x.Domain && !f.IsUnreliable && (f.warmth(x.Recipient) <= Staged || allowsLoads) {
 			members++
 		}
 	}
 	for _, s := range servingGroups {
 		switch {
 		case !slices.Contains(x.GroupKeys, s.Key):
-		case loads:
+		case allowsLoads:
 			members += s.MemberCount
 		default:
 			members += s.countWarm(x.Recipient)
--- a/formation/trading.go
+++ b/formation/trading.go
@@ -32,7 +32,7 @@
 	for {
 		t := newTradeFinder(needs, free, servingGroups)
 		t.downCounts, t.maxLoads = downCounts, in.MaxLoads
-		t.value.hallLoss, t.value.replicasByHall = in.HallLoss, in.ReplicasByHall
+		t.planValuation.hallLoss, t.planValuation.replicasByHall = in.HallLoss, in.ReplicasByHall
 		x, ok := t.bestTrade()
 		isRateLimited := now.Before(k.nextTrade) || len(k.activeTrades) >= maxTrades
 		if !ok || isRateLimited && !t.completesSurvivors(x) && !x.takesOnlySurplus(needs) {
@@ -114,7 +114,7 @@
 	return slices.DeleteFunc(slices.Clone(free), func(f FreeWorker) bool { return isMember[f.ID] })
 }
 
-// startTrade dissolves the groups of a trade.
+// startTrade starts to dissolve the groups of a trade.
 func (k *Keeper) startTrade(ctx context.Context, x Trade, byKey map[string]*observedGroup) {
 	for _, key := range x.GroupKeys {
 		o := byKey[key]
@@ -123,8 +123,8 @@
 	}
 }
 
-// tradableGroups returns the serving groups that may be traded, first by key and then in the form
-// that the planner uses.
+// tradableGroups returns the serving groups that may be traded. The first result holds them by key,
+// the second one in the form that the planner uses.
 func (k *Keeper) tradableGroups(groups []*observedGroup) (map[string]*observedGroup, []ServingGroup) {
 	byKey := make(map[string]*observedGroup)
 	var all []ServingGroup
@@ -139,7 +139,8 @@
 	return byKey, all
 }
 
-// countColdMembers counts, by model, the members of a group that would have to load it.
+// countColdMembers returns the number of a group's members that would have to load a model, by
+// model.
 func (k *Keeper) countColdMembers(o *observedGroup) map[string]int {
 	counts := make(map[string]int)
 	for _, s := range k.opts.Config().Services() {
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -24,7 +24,7 @@
 		w.hasTraffic = true
 		w.demand = map[string]Work{"big": {Busy: 100 * float64(domains)}, "small": {Busy: 1}}
 		w.mu.Unlock()
-		// At first the models' shares are considered in addition to the measured work.
+		// During sharePeriod, the models' shares are considered in addition to the measured work.
 		time.Sleep(sharePeriod + 10*time.Second)
 		after := w.countServing()["big"]
 		stop()
@@ -40,7 +40,7 @@
 }
 
 // TestSurplusTradesDoNotWait checks that surplus groups are traded without waiting for the trade
-// interval, and that others are not.
+// interval, and that other groups are not.
 func TestSurplusTradesDoNotWait(t *testing.T) {
 	tests := map[string]struct {
 		// want is how many of the four small groups are wanted.
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// clearUnreliable clears the unreliable mark of workers that became ready.
+// clearUnreliable records that workers became ready and are no longer unreliable.
 func (k *Keeper) clearUnreliable(workers []*fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/unresponsive.go
+++ b/formation/unresponsive.go
@@ -10,7 +10,7 @@
 )
 
 // unresponsiveAttempts is the number of unanswered queries after which a worker is considered
-// unresponsive. It is also the maximum number of attempts of an order to an unresponsive worker.
+// unresponsive. It is also the maximum number of attempts to send an order to such a worker.
 const unresponsiveAttempts = 2
 
 // examineReplica queries the members of a suspected replica. Those that do not answer are marked
@@ -77,7 +77,7 @@
 	return false
 }
 
-// markUnresponsive records that a worker does not answer.
+// markUnresponsive records that a worker does not answer, and treats it as gone if it is absent.
 func (k *Keeper) markUnresponsive(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// isUnresponsive reports whether a worker does not answer.
+// isUnresponsive reports whether a worker does not answer or another one answers at its address.
 func (k *Keeper) isUnresponsive(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -25,8 +25,8 @@
 	neverReady bool
 	isDead     bool
 	isDraining bool
-	// born identifies the worker's incarnation. entryNumber counts the list entries of that
-	// incarnation.
+	// born is the start time of the worker's incarnation. entryNumber is the number of list entries
+	// of that incarnation.
 	born, entryNumber int64
 	fence             Fence
 	epoch             int64
@@ -35,13 +35,14 @@
 	rank              int
 	lastModel         string
 	staged            string
-	// isStaging reports whether the worker is staging a model. stageOrders counts the orders to
-	// stage.
-	isStaging   bool
-	stageOrders int
-	// orders counts the orders that the worker has begun. reports holds its reports by time.
-	orders  int64
-	reports []timedState
+	// isStaging reports whether the worker is staging a model. stageOrderCount is the number of
+	// orders to stage a model that the worker received.
+	isStaging       bool
+	stageOrderCount int
+	// orderCount is the number of orders that the worker has begun. reports holds its reports by
+	// time.
+	orderCount int64
+	reports    []timedState
 }
 
 // timedState is the state that a worker reports from a certain time on.
@@ -55,14 +56,14 @@
 	return fleet.Membership{Group: s.group.Name, Epoch: s.group.Epoch, Rank: s.rank, State: s.state}
 }
 
-// world is a set of simulated workers. It checks invariants and records their violations.
+// world is a set of simulated workers. It checks invariants and records violations of them.
 type world struct {
 	mu           sync.Mutex
 	random       *rand.Rand
 	workers      map[string]*simWorker
 	inventory    *fleet.Inventory
 	listPosition int64
-	// wasReady holds the workers that have been ready, by group key and worker ID.
+	// wasReady holds the workers that have been ready in a group, by group key and worker ID.
 	wasReady map[string]bool
 	// lateFraction is the fraction of orders that get no answer and are carried out later.
 	lateFraction float64
@@ -77,43 +78,44 @@
 	// demand is the measured work by model. drainTime is the time that draining a group takes.
 	demand    map[string]Work
 	drainTime time.Duration
-	// openDelay is the time until the list shows that a group is open. openOrders counts the orders
-	// to open by group.
-	openDelay  time.Duration
-	openOrders map[string]int
+	// openDelay is the time until the list shows that a group is open. openOrderCounts holds the
+	// number of orders to open by group.
+	openDelay       time.Duration
+	openOrderCounts map[string]int
 	// isListFrozen reports whether the list is no longer updated.
 	isListFrozen bool
 	// unreachableByLeader holds the workers that other daemons can reach but leaders cannot.
 	unreachableByLeader map[string]bool
 	// unreachable holds the workers that nobody can reach.
 	unreachable map[string]bool
-	// displaced holds the workers at whose address another one answers. displacedOrders counts the
-	// orders that such other workers got.
-	displaced       map[string]bool
-	displacedOrders int
+	// displaced holds the workers at whose address another one answers. displacedOrderCount is the
+	// number of orders that such other workers got.
+	displaced           map[string]bool
+	displacedOrderCount int
 	// hasYoungList reports whether leaders received the list only a short time ago.
 	hasYoungList bool
-	// loadsPerSecond is the maximum rate at which loads may begin. loads holds their start times.
+	// loadsPerSecond is the maximum rate at which loads may begin. loadStarts holds the start times
+	// of loads.
 	loadsPerSecond float64
-	loads          []time.Time
+	loadStarts     []time.Time
 	// smoothed returns the work that daemons tracked before a term. hallOpen reports whether a hall
 	// is open.
 	smoothed func() map[string]Work
 	// refusesQueries holds workers whose state queries fail immediately.
 	refusesQueries map[string]bool
-	// attempts counts the attempts of each kind of order.
-	attempts   map[string]int
-	hallOpen   func(hall string) bool
-	violations []string
-	pending    sync.WaitGroup
+	// attemptCounts holds the number of attempts to send each kind of order.
+	attemptCounts map[string]int
+	hallOpen      func(hall string) bool
+	violations    []string
+	pending       sync.WaitGroup
 }
 
 const (
-	simLoad = 12 * time.Second
-	simWarm = 1200 * time.Millisecond
-	simHot  = 200 * time.Millisecond
-	simForm = 300 * time.Millisecond
-	simLag  = 200 * time.Millisecond
+	simLoadTime     = 12 * time.Second
+	simWarmJoinTime = 1200 * time.Millisecond
+	simHotJoinTime  = 200 * time.Millisecond
+	simOpenTime     = 300 * time.Millisecond
+	simReportLag    = 200 * time.Millisecond
 	// simStartTime is the time when workers started, in Unix milliseconds.
 	simStartTime = 1_700_000_000_000
 	// simListDelay is the time until the list shows a change.
@@ -123,13 +125,13 @@
 var simCeiling = Ceiling{Window: 5 * time.Second, Over: 1.1}
 
 var simModels = []fleet.Model{
-	{Name: "big", Size: 4, Share: 0.5, Pace: 1, Load: simLoad, Warm: simWarm},
-	{Name: "small", Size: 2, Share: 0.5, Pace: 1, Load: simLoad, Warm: simWarm},
+	{Name: "big", Size: 4, Share: 0.5, Pace: 1, Load: simLoadTime, Warm: simWarmJoinTime},
+	{Name: "small", Size: 2, Share: 0.5, Pace: 1, Load: simLoadTime, Warm: simWarmJoinTime},
 }
 
 func simConfig(loadsPerSecond float64) *fleet.Config {
 	return fleet.NewConfig(fleet.Parts{Version: 1, Services: []*fleet.Service{{Name: "models", Engine: &fleet.Engine{
-		Slots: 10, LoadsPerSecond: loadsPerSecond, LoadsAtOnce: 7, Form: simForm, Models: simModels,
+		Slots: 10, LoadsPerSecond: loadsPerSecond, LoadsAtOnce: 7, Form: simOpenTime, Models: simModels,
 	}}}})
 }
 
@@ -148,8 +150,8 @@
 		random: rand.New(rand.NewPCG(seed, seed)), workers: make(map[string]*simWorker),
 		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, drainTime: time.Second,
 		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), unreachableByLeader: make(map[string]bool), unreachable: make(map[string]bool), displaced: make(map[string]bool),
-		refusesQueries: make(map[string]bool), attempts: make(map[string]int),
-		delays: make(map[string][]time.Duration), openDelay: simForm + simListDelay, openOrders: make(map[string]int), loadsPerSecond: 5,
+		refusesQueries: make(map[string]bool), attemptCounts: make(map[string]int),
+		delays: make(map[string][]time.Duration), openDelay: simOpenTime + simListDelay, openOrderCounts: make(map[string]int), loadsPerSecond: 5,
 	}
 	for d := range domains {
 		for i := range perDomain {
@@ -183,8 +185,8 @@
 // recordState records a worker's state for its reports, which show it after simLag. The caller must
 // hold w.mu.
 func (w *world) recordState(s *simWorker) {
-	s.reports = append(s.reports, timedState{from: time.Now().Add(simLag), state: State{
-		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orders, Born: s.born,
+	s.reports = append(s.reports, timedState{from: time.Now().Add(simReportLag), state: State{
+		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orderCount, Born: s.born,
 	}})
 }
 
@@ -291,7 +293,7 @@
 	w.mu.Lock()
 	s := w.workers[id]
 	if w.displaced[id] {
-		w.displacedOrders++
+		w.displacedOrderCount++
 		w.mu.Unlock()
 		return Elsewhere, nil
 	}
@@ -312,7 +314,7 @@
 		s.fence = fence
 		verdict := do(s)
 		if verdict == Begun {
-			s.orders++
+			s.orderCount++
 		}
 		w.recordState(s)
 		return verdict
@@ -338,7 +340,7 @@
 
 func (w *world) join(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, g Group) (Verdict, error) {
 	return w.execute(ctx, "join", worker.ID, fence, func(s *simWorker) Verdict {
-		if orders != s.orders {
+		if orders != s.orderCount {
 			return Unfit
 		}
 		if g.Epoch < s.epoch || s.group.Name == g.Name && !slices.Equal(s.group.Members, g.Members) {
@@ -349,14 +351,14 @@
 		}
 		w.checkNotServing(s, g)
 		s.epoch, s.group, s.state, s.rank = g.Epoch, g, fleet.Joining, slices.Index(g.Members, s.id)
-		wait := simLoad
+		wait := simLoadTime
 		switch g.Model {
 		case s.lastModel:
-			wait = simHot
+			wait = simHotJoinTime
 		case s.staged:
-			wait = simWarm
+			wait = simWarmJoinTime
 		}
-		if wait == simLoad {
+		if wait == simLoadTime {
 			wait = w.startLoad()
 		}
 		w.publish(s)
@@ -371,16 +373,17 @@
 	})
 }
 
-// startLoad returns how long a load from the weight store takes, and checks the limit on loads.
-// Before the first request loads are quick and not counted. The caller must hold w.mu.
+// startLoad records a load from the weight store, checks the limit on loads, and returns how long
+// the load takes. Before the first request, loads are quick and not counted. The caller must hold
+// w.mu.
 func (w *world) startLoad() time.Duration {
 	if !w.hasTraffic {
-		return simLoad / 10
+		return simLoadTime / 10
 	}
 	now := time.Now()
-	w.loads = append(w.loads, now)
+	w.loadStarts = append(w.loadStarts, now)
 	recentLoads := 0
-	for _, at := range w.loads {
+	for _, at := range w.loadStarts {
 		if now.Sub(at) < simCeiling.Window {
 			recentLoads++
 		}
@@ -389,13 +392,13 @@
 	if float64(recentLoads) > limit {
 		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", recentLoads, simCeiling.Window))
 	}
-	return simLoad
+	return simLoadTime
 }
 
-// changeLater applies a change to a worker after a delay if it is still in the group.
-func (w *world) changeLater(wait time.Duration, s *simWorker, g Group, change func()) {
+// changeLater applies a change to a worker after a delay, if the worker is still in the group then.
+func (w *world) changeLater(delay time.Duration, s *simWorker, g Group, change func()) {
 	w.pending.Go(func() {
-		time.Sleep(wait)
+		time.Sleep(delay)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if !s.isDead && s.group.Name == g.Name {
@@ -407,7 +410,7 @@
 
 func (w *world) open(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
-	w.openOrders[g.Key()]++
+	w.openOrderCounts[g.Key()]++
 	w.mu.Unlock()
 	return w.execute(ctx, "open", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.rank != 0 || s.state != fleet.Ready && s.state != fleet.Open {
@@ -455,7 +458,7 @@
 func (w *world) leave(s *simWorker, g Group) Verdict {
 	if s.group.Name == g.Name {
 		s.group, s.state, s.rank = Group{}, "", 0
-		s.orders++
+		s.orderCount++
 		w.recordState(s)
 		w.publish(s)
 	}
@@ -464,10 +467,10 @@
 
 func (w *world) stage(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, model string) (Verdict, error) {
 	return w.execute(ctx, "stage", worker.ID, fence, func(s *simWorker) Verdict {
-		if orders != s.orders {
+		if orders != s.orderCount {
 			return Unfit
 		}
-		s.stageOrders++
+		s.stageOrderCount++
 		switch {
 		case s.isStaging:
 			return Unfit
@@ -494,7 +497,7 @@
 func (w *world) countAttempt(order, _ string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.attempts[order]++
+	w.attemptCounts[order]++
 }
 
 func (w *world) ask(ctx context.Context, worker *fleet.Worker) (State, error) {
