--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestReplicasForLoss checks that enough replicas are wanted for the others to read the prompts of
-// a lost one within the pause that callers tolerate.
+// TestReplicasForLoss checks that enough replicas are wanted to tolerate the loss of one. The
+// others must be able to read its prompts within the pause that callers tolerate.
 func TestReplicasForLoss(t *testing.T) {
 	const ms = time.Millisecond
 	e := &fleet.Engine{
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -73,22 +73,22 @@
 // isPresumedGone reports whether a head that has been unreachable since the given time is presumed
 // dead. If the list is recent, the head must also be missing from it. Otherwise, the head must have
 // been unreachable for so long that its group has broken.
-func (k *Keeper) isPresumedGone(head *fleet.Worker, since, now time.Time) bool {
+func (k *Keeper) isPresumedGone(head *fleet.Worker, unreachableSince, now time.Time) bool {
 	_, listed := k.opts.Inventory.View().Worker(head.ID)
 	isListRecent := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
-	unreachableFor := now.Sub(since)
+	unreachableFor := now.Sub(unreachableSince)
 	if isListRecent {
 		return !listed && unreachableFor > lostHeadTimeout
 	}
 	return unreachableFor > k.opts.StallAfter+lostHeadTimeout
 }
 
-func (k *Keeper) retire(o *observedGroup, head *fleet.Worker, how retirement) {
-	k.opts.Logger.Info("replica dissolved", "replica", o.key, "head", head.ID, "confirmed", how == retiredConfirmed)
+func (k *Keeper) retire(o *observedGroup, head *fleet.Worker, reason retirement) {
+	k.opts.Logger.Info("replica dissolved", "replica", o.key, "head", head.ID, "confirmed", reason == retiredConfirmed)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.retirements[o.key] = how
-	if how == retiredConfirmed {
+	k.retirements[o.key] = reason
+	if reason == retiredConfirmed {
 		k.dissolutions[o.key] = dissolution{confirmedAt: time.Now(), lastState: o.state}
 	}
 	delete(k.headlessSince, o.key)
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -20,7 +20,7 @@
 func hallWorld(domains, perDomain int) (*world, *atomic.Bool) {
 	w := unlistedWorld(1, domains, perDomain)
 	closed := new(atomic.Bool)
-	w.hallOpen = func(hall string) bool { return hall != "h1" || !closed.Load() }
+	w.isHallOpen = func(hall string) bool { return hall != "h1" || !closed.Load() }
 	for _, s := range w.workers {
 		var domain int
 		if _, err := fmt.Sscanf(s.domain, "d%d", &domain); err != nil {
@@ -105,7 +105,7 @@
 func TestAllHallsClosed(t *testing.T) {
 	servingAfterLoss := func(open func(string) bool) map[string]int {
 		w, _ := hallWorld(2, 10)
-		w.hallOpen = open
+		w.isHallOpen = open
 		_, g, stop := startServing(w, "big")
 		w.kill(g.Members[2])
 		time.Sleep(8 * time.Second)
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -18,8 +18,8 @@
 
 // division is a plan for a domain's free workers, with counts by model.
 type division struct {
-	// warmCounts and loadingCounts hold the number of new groups of each model that need no load,
-	// and of those that do.
+	// warmCounts holds the number of new groups of each model that need no load. loadingCounts
+	// holds the number of those that need loads.
 	warmCounts, loadingCounts []int
 	// loadCount is the number of workers that load. cost is the total cost of the assigned workers.
 	// placedWorkers is the number of workers in groups.
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestUnreliableWorkersAreChosenLast checks that unreliable workers are used only where there are
-// too few others.
+// TestUnreliableWorkersAreChosenLast checks that unreliable workers are used only if there are too
+// few others.
 func TestUnreliableWorkersAreChosenLast(t *testing.T) {
 	big := fleet.Model{Name: "big", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
 	worker := func(id, domain string, isUnreliable bool) FreeWorker {
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -98,14 +98,14 @@
 	// of loads.
 	loadsPerSecond float64
 	loadStarts     []time.Time
-	// smoothed returns the work that daemons tracked before a term. hallOpen reports whether a hall
-	// is open.
+	// smoothed returns the work that daemons tracked before a term. isHallOpen reports whether a
+	// hall is open.
 	smoothed func() map[string]Work
 	// refusesQueries holds workers whose state queries fail immediately.
 	refusesQueries map[string]bool
 	// attemptCounts holds the number of attempts to send each kind of order.
 	attemptCounts map[string]int
-	hallOpen      func(hall string) bool
+	isHallOpen    func(hall string) bool
 	violations    []string
 	pending       sync.WaitGroup
 }
@@ -177,13 +177,13 @@
 		Announced:  func(a fleet.Announcement) { w.inventory.Decide(0, a) },
 		Counted:    w.countAttempt,
 		StallAfter: 6 * time.Second, Ceiling: simCeiling,
-		Smoothed: w.smoothed, HallOpen: w.hallOpen,
+		Smoothed: w.smoothed, HallOpen: w.isHallOpen,
 		Logger: hclog.NewNullLogger(),
 	}
 }
 
-// recordState records a worker's state for its reports, which show it after simLag. The caller must
-// hold w.mu.
+// recordState records a worker's state for its reports, which show it after simReportLag. The
+// caller must hold w.mu.
 func (w *world) recordState(s *simWorker) {
 	s.reports = append(s.reports, timedState{from: time.Now().Add(simReportLag), state: State{
 		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orderCount, Born: s.born,
