--- a/formation/absent.go
+++ b/formation/absent.go
@@ -103,8 +103,8 @@
 	k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
 }
 
-// queryAbsent starts the queries that are due to workers that left the list. It marks those that
-// have been absent for too long as gone. The caller must hold k.mu.
+// queryAbsent queries workers that left the list, each at its next query time. Workers that have
+// been absent for too long are marked as gone instead. The caller must hold k.mu.
 func (k *Keeper) queryAbsent(ctx context.Context, now time.Time) {
 	for _, a := range k.absent {
 		if a.isGone || now.Before(a.nextQuery) {
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -110,8 +110,8 @@
 	k.dissolve(ctx, o, o.head)
 }
 
-// drain closes a group, waits for its requests to finish, at most for maxDrainTime, and then
-// dissolves it.
+// drain closes a group and waits up to maxDrainTime for its requests to finish. It then dissolves
+// the group.
 func (k *Keeper) drain(ctx context.Context, o *observedGroup) {
 	k.opts.Logger.Info("draining replica", "replica", o.key)
 	k.announceClosed(o, o.head)
--- a/formation/loadbudget_test.go
+++ b/formation/loadbudget_test.go
@@ -12,8 +12,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLoadsBeforeTheFirstRequestMayCount checks which loads count that began before the leader
-// learned of the first request.
+// TestLoadsBeforeTheFirstRequestMayCount checks that loads count against the limit if they began
+// shortly before the leader learned of the first request.
 func TestLoadsBeforeTheFirstRequestMayCount(t *testing.T) {
 	tests := map[string]struct {
 		before time.Duration
@@ -73,19 +73,19 @@
 	tests := map[string]struct {
 		workers []*fleet.Worker
 		// staging is the number of workers that are staging a model.
-		staging         int
-		groups, forIdle int
+		staging            int
+		forGroups, forIdle int
 	}{
-		"nothing loads": {groups: 10, forIdle: 3},
+		"nothing loads": {forGroups: 10, forIdle: 3},
 		"members that join warm": {
-			workers: []*fleet.Worker{joining("a", "big", ""), joining("b", "small", "big"), joining("c", "", "big")},
-			groups:  10, forIdle: 3,
+			workers:   []*fleet.Worker{joining("a", "big", ""), joining("b", "small", "big"), joining("c", "", "big")},
+			forGroups: 10, forIdle: 3,
 		},
 		"members that an earlier leader made load": {
-			workers: []*fleet.Worker{joining("a", "", ""), joining("b", "small", "small")},
-			groups:  8, forIdle: 1,
+			workers:   []*fleet.Worker{joining("a", "", ""), joining("b", "small", "small")},
+			forGroups: 8, forIdle: 1,
 		},
-		"as many as run well side by side": {staging: 7, groups: 3, forIdle: -3},
+		"as many as run well side by side": {staging: 7, forGroups: 3, forIdle: -3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 			now := time.Now()
 			budget := &loadBudget{burst: 100, tokens: 100, refilledAt: now}
 			allowedForGroups, allowedForIdle := k.allowedLoads(service, w.inventory.View(), budget, now)
-			assert.Equal(t, allowedForGroups, test.groups)
+			assert.Equal(t, allowedForGroups, test.forGroups)
 			assert.Equal(t, allowedForIdle, test.forIdle)
 		})
 	}
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -351,21 +351,21 @@
 		}
 		w.checkNotServing(s, g)
 		s.epoch, s.group, s.state, s.rank = g.Epoch, g, fleet.Joining, slices.Index(g.Members, s.id)
-		wait := simLoadTime
+		joinTime := simLoadTime
 		switch g.Model {
 		case s.lastModel:
-			wait = simHotJoinTime
+			joinTime = simHotJoinTime
 		case s.staged:
-			wait = simWarmJoinTime
+			joinTime = simWarmJoinTime
 		}
-		if wait == simLoadTime {
-			wait = w.startLoad()
+		if joinTime == simLoadTime {
+			joinTime = w.startLoad()
 		}
 		w.publish(s)
 		if s.neverReady {
 			return Begun
 		}
-		w.changeLater(wait, s, g, func() {
+		w.changeLater(joinTime, s, g, func() {
 			s.state, s.lastModel, s.staged = fleet.Ready, g.Model, g.Model
 			w.wasReady[g.Key()+s.id] = true
 		})
