--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -9,19 +9,18 @@
 	"quartzshelf.dev/fleet"
 )
 
-// BenchmarkTick measures one look at a fleet in which one worker changed, at several
-// sizes. All workers are in groups that serve.
+// BenchmarkTick measures one tick of a fleet of several sizes, with all workers in serving groups.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{760, 3000, 6200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			w := unlistedWorld(1, workers/20, 20)
 			for _, s := range w.workers {
-				w.list(s)
+				w.publish(s)
 			}
 			options := w.options()
 			k := NewKeeper(options, Term{Epoch: 1}, func() {})
-			serve(w)
-			w.traffic = true
+			openGroups(w)
+			w.hasTraffic = true
 			ctx := context.Background()
 			now := time.Now()
 			for b.Loop() {
@@ -31,8 +30,8 @@
 	}
 }
 
-// serve puts the workers of each domain into open groups of four.
-func serve(w *world) {
+// openGroups puts the workers of each domain into open groups of four.
+func openGroups(w *world) {
 	var changes []fleet.Change
 	members := make(map[string]int)
 	for _, s := range w.workers {
@@ -48,6 +47,6 @@
 			Member: fleet.Membership{Group: group, Epoch: int64(n/4 + 1), Rank: n % 4, State: state},
 		}})
 	}
-	w.position++
-	w.inventory.Apply(changes, w.position, time.Now())
+	w.listPosition++
+	w.inventory.Apply(changes, w.listPosition, time.Now())
 }
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -9,85 +9,86 @@
 )
 
 const (
-	// fillTarget is the part of a replica's slots that should be busy.
-	fillTarget = 0.7
-	// demandRise and demandFall are the parts of a newly measured demand in the
-	// smoothed one, at each tick, when it is higher and when it is lower.
-	demandRise = 0.04
-	demandFall = 0.01
-	// firstFor is how long after the first request to a new fleet the models' shares
-	// count beside the measured work. A later leader goes by what is measured: where
-	// each one counted the shares anew, terms of ten seconds made replicas turn from
-	// one model to the other and back.
-	firstFor = 10 * time.Second
-	// reserve is how many replicas more than the measured demand are wanted.
-	reserve = 1
-	// lossPart is the part of what a pause leaves beside two passes in which the others
-	// read the prompts of a replica that is lost. Callers choose at random, so that some
-	// replica gets twice the mean, and new prompts come meanwhile.
-	lossPart = 0.25
+	// targetUtilization is the intended fraction of busy slots in a replica.
+	targetUtilization = 0.7
+	// demandRiseWeight is the weight of a new measurement in the smoothed work, per tick, if the
+	// measurement is higher than the smoothed value. demandFallWeight is the weight if it is lower.
+	demandRiseWeight = 0.04
+	demandFallWeight = 0.01
+	// sharePeriod is the time after the first request to a new fleet in which the models'
+	// configured shares are considered in addition to the measured work. Later leaders use only the
+	// measured work. Otherwise, each leader change would make replicas switch models back and
+	// forth.
+	sharePeriod = 10 * time.Second
+	// spareReplicas is the number of replicas wanted in addition to those needed for the measured
+	// work.
+	spareReplicas = 1
+	// rereadPauseShare is the fraction of the tolerated pause, less the duration of two forward
+	// passes, in which the remaining replicas must read the prompts of a lost replica. The rest is
+	// a reserve for uneven load and for new prompts.
+	rereadPauseShare = 0.25
 )
 
-// Work is the measured work of a model over all daemons.
+// Work is the measured work of a model, summed over all daemons.
 type Work struct {
-	// Busy is how many slots are taken, Prompts how many prompt tokens the requests
-	// there have.
+	// Busy is the number of occupied slots. Prompts is the number of prompt tokens of the requests
+	// in these slots.
 	Busy, Prompts float64
-	// Pause is the longest pause that all its callers bear; zero if none is known.
+	// Pause is the longest pause that all callers of the model tolerate. It is zero if unknown.
 	Pause time.Duration
 }
 
-// afterLoss returns how many replicas a model needs so that the requests of one that is
-// lost can go on at the others, which then read their prompts, without a pause that
-// callers there don't bear.
-func afterLoss(e *fleet.Engine, model string, w Work) float64 {
-	pass, each := e.Pass(model)
-	allowed := lossPart * (w.Pause - 2*(pass+time.Duration(fillTarget*float64(e.Slots))*each)).Seconds()
-	if allowed <= 0 {
+// replicasForLoss returns how many replicas a model needs to tolerate the loss of one. The other
+// replicas must read the prompts of its requests again and continue these requests within the pause
+// that callers tolerate. It returns 0 if that pause is too short for any number of replicas.
+func replicasForLoss(e *fleet.Engine, model string, w Work) float64 {
+	pass, perRequest := e.Pass(model)
+	allowedSeconds := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
+	if allowedSeconds <= 0 {
 		return 0
 	}
-	reading := w.Prompts * e.PerToken(model).Seconds()
-	// The prompts of one of n replicas are read by n-1 others.
-	return (1 + math.Sqrt(1+4*reading/allowed)) / 2
+	readSeconds := w.Prompts * e.PerToken(model).Seconds()
+	// The prompts of one of n replicas are read by the n-1 others.
+	return (1 + math.Sqrt(1+4*readSeconds/allowedSeconds)) / 2
 }
 
-// needs returns what is wanted and there of each model, and where that is: by model and
-// data hall. Groups in closed halls don't count.
-func (k *Keeper) needs(s *fleet.Service, groups []*observed, view *fleet.View) ([]Need, map[string]map[string]int) {
-	workers := workersOf(s, view)
-	have, serving := make(map[string]int), make(map[string]map[string]int)
-	count := func(model, hall string) {
-		if !k.halls.usable(hall) {
+// computeNeeds returns the wanted and the available number of replicas of each model, and the
+// available number by model and data hall. Groups in closed halls do not count as available.
+func (k *Keeper) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
+	workers := countWorkers(s, view)
+	replicaCounts, replicasByHall := make(map[string]int), make(map[string]map[string]int)
+	addReplica := func(model, hall string) {
+		if !k.halls.isUsable(hall) {
 			return
 		}
-		if serving[model] == nil {
-			serving[model] = make(map[string]int)
+		if replicasByHall[model] == nil {
+			replicasByHall[model] = make(map[string]int)
 		}
-		serving[model][hall]++
-		have[model]++
+		replicasByHall[model][hall]++
+		replicaCounts[model]++
 	}
-	whole := make(map[string]bool)
+	completeGroups := make(map[string]bool)
 	for _, o := range groups {
-		whole[o.key] = o.whole()
-		if o.whole() && k.retired[o.key] == 0 {
-			count(o.model.Name, o.head.Zone)
+		completeGroups[o.key] = o.isComplete()
+		if o.isComplete() && k.retirements[o.key] == 0 {
+			addReplica(o.model.Name, o.head.Zone)
 		}
 	}
-	for key, g := range k.formed {
-		if k.operating[key] && !whole[key] {
-			count(g.Model, k.former[g.Members[0]].Zone)
+	for key, g := range k.formedGroups {
+		if k.busyGroups[key] && !completeGroups[key] {
+			addReplica(g.Model, k.knownWorkers[g.Members[0]].Zone)
 		}
 	}
-	k.smoothDemand()
-	var all []Need
+	k.updateSmoothedWork()
+	var needs []Need
 	for _, m := range s.Engine.Models {
-		all = append(all, Need{Model: m, Want: k.want(s.Engine, m, workers), Have: have[m.Name]})
+		needs = append(needs, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workers), Have: replicaCounts[m.Name]})
 	}
-	return all, serving
+	return needs, replicasByHall
 }
 
-// workersOf returns how many workers of a service are listed.
-func workersOf(s *fleet.Service, view *fleet.View) int {
+// countWorkers returns the number of listed workers of a service.
+func countWorkers(s *fleet.Service, view *fleet.View) int {
 	workers := 0
 	for _, w := range view.Workers() {
 		if w.Service == s.Name {
@@ -97,42 +98,42 @@
 	return workers
 }
 
-// want returns the wanted number of replicas: by the measured work, or by the
-// model's share before any was measured.
-func (k *Keeper) want(e *fleet.Engine, m fleet.Model, workers int) float64 {
+// wantedReplicas returns the wanted number of replicas of a model. It is based on the measured work
+// or, before there is any traffic, on the model's configured share.
+func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workers int) float64 {
 	byShare := m.Share * float64(workers) / float64(max(m.Size, 1))
-	work := k.smooth[m.Name]
-	byWork := work.Busy/(fillTarget*float64(max(e.Slots, 1))) + reserve
-	// Where replicas run slowly, requests stay longer and their prompts add up: the
-	// plan for the whole fleet bounds what is wanted for a loss, or the other models pay.
-	byWork = max(byWork, min(afterLoss(e, m.Name, work), byShare))
+	work := k.smoothedWork[m.Name]
+	byDemand := work.Busy/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
+	// If replicas are slow, their prompts accumulate. This limit keeps the model from taking
+	// workers away from other models for that reason.
+	byDemand = max(byDemand, min(replicasForLoss(e, m.Name, work), byShare))
 	now := time.Now()
 	switch {
-	case !k.traffic():
+	case !k.hasTraffic():
 		return byShare
 	case k.trafficSince.IsZero():
 		k.trafficSince = now
 	}
-	if k.fresh && now.Sub(k.trafficSince) < firstFor {
-		return max(byShare, byWork)
+	if k.isNewFleet && now.Sub(k.trafficSince) < sharePeriod {
+		return max(byShare, byDemand)
 	}
-	return byWork
+	return byDemand
 }
 
-// inheritDemand takes over the smoothed work that this daemon knew before the term, so
-// that what is wanted does not jump with each leader.
-func (k *Keeper) inheritDemand() {
+// inheritSmoothedWork starts the term with the smoothed work that this daemon tracked before. The
+// wanted replicas then do not change abruptly with each new leader.
+func (k *Keeper) inheritSmoothedWork() {
 	if k.opts.Smoothed != nil {
-		maps.Copy(k.smooth, k.opts.Smoothed())
+		maps.Copy(k.smoothedWork, k.opts.Smoothed())
 	}
 }
 
-func (k *Keeper) smoothDemand() {
+func (k *Keeper) updateSmoothedWork() {
 	for model, measured := range k.opts.Demand() {
-		held, ok := k.smooth[model]
+		previous, ok := k.smoothedWork[model]
 		if !ok {
-			held = measured
+			previous = measured
 		}
-		k.smooth[model] = held.toward(measured, 1)
+		k.smoothedWork[model] = previous.smoothedToward(measured, 1)
 	}
 }
--- /dev/null
+++ b/formation/displaced_test.go
@@ -0,0 +1,71 @@
+package formation
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"quartzshelf.dev/fleet"
+)
+
+// TestDisplacedWorkersGetNoMoreOrders checks that idle workers that were replaced, but are still
+// listed, are not put into groups repeatedly.
+func TestDisplacedWorkersGetNoMoreOrders(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newWorld(1, 1, 10)
+		_, stop := startTerm(w, 1)
+		time.Sleep(4 * time.Second)
+		for _, id := range []string{"w0-10", "w0-11", "w0-12", "w0-13"} {
+			w.mu.Lock()
+			w.displaced[id] = true
+			w.mu.Unlock()
+			w.add(id, "d0")
+		}
+		time.Sleep(5 * time.Second)
+		stop()
+		// Each worker gets one join and one leave before it is known to be displaced.
+		w.mu.Lock()
+		assert.Assert(t, w.displacedOrderCount > 0 && w.displacedOrderCount <= 4, "%d orders", w.displacedOrderCount)
+		w.mu.Unlock()
+		w.pending.Wait()
+		assert.DeepEqual(t, w.violations, []string(nil))
+	})
+}
+
+// TestInterruptedJoinsAreNotAssumedWarm checks that a worker whose join was interrupted is not
+// assumed to hold a model until the list has been confirmed afterwards.
+func TestInterruptedJoinsAreNotAssumedWarm(t *testing.T) {
+	tests := map[string]struct {
+		loaded, staged string
+		// big and small are the expected warmth for these models.
+		big, small Warmth
+	}{
+		"it served the model last":      {loaded: "big", staged: "small", big: Hot, small: Staged},
+		"it had the model staged":       {loaded: "small", staged: "big", big: Staged, small: ColdOther},
+		"it had to load it":             {loaded: "small", staged: "small", big: Cold, small: Cold},
+		"it had to load it, new worker": {big: Cold, small: Cold},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				w := newWorld(1, 1, 0)
+				entry := &fleet.Worker{ID: "a", Service: "models", Domain: "d", Loaded: test.loaded}
+				if test.staged != "" {
+					entry.Staged = []string{test.staged}
+				}
+				w.inventory.Apply([]fleet.Change{{ID: "a", Worker: entry}}, 1, time.Now())
+				k := NewKeeper(w.options(), Term{Epoch: 1}, func() {})
+				k.knownWorkers["a"] = entry
+				before := k.asFreeWorker(entry)
+				k.recordInterruptedJoins(Group{Model: "big", Members: []string{"a", "unknown"}}, time.Now())
+				assert.Equal(t, k.asFreeWorker(entry).warmth("big"), test.big)
+				assert.Equal(t, k.asFreeWorker(entry).warmth("small"), test.small)
+				time.Sleep(2 * listSettleTime)
+				w.inventory.Confirm(1, time.Now())
+				assert.DeepEqual(t, k.asFreeWorker(entry), before)
+			})
+		})
+	}
+}
--- a/formation/form.go
+++ b/formation/form.go
@@ -11,73 +11,72 @@
 	"quartzshelf.dev/fleet"
 )
 
-// beginForm begins the forming of a group. The keeper's mutex is held.
-func (k *Keeper) beginForm(ctx context.Context, s *fleet.Service, f Formation) {
-	epoch := int64(k.next())
-	head := k.former[f.Members[0]]
+// startForming starts forming a group. The caller must hold k.mu.
+func (k *Keeper) startForming(ctx context.Context, s *fleet.Service, f Formation) {
+	epoch := int64(k.nextFenceLocked())
+	head := k.knownWorkers[f.Members[0]]
 	g := Group{Name: fleet.GroupName(f.Model.Name, epoch, head), Epoch: epoch, Model: f.Model.Name, Members: f.Members}
 	var members []*fleet.Worker
 	for _, id := range f.Members {
-		members = append(members, k.former[id])
+		members = append(members, k.knownWorkers[id])
 	}
-	k.formed[g.Key()] = g
-	k.heads[g.Key()] = g.Members[0]
+	k.formedGroups[g.Key()] = g
+	k.headIDs[g.Key()] = g.Members[0]
 	for _, w := range members {
-		k.noteLoad(w, f.Model)
+		k.recordLoad(w, f.Model)
 	}
-	k.opts.Logger.Info("forming replica", "replica", g.Key(), "model", g.Model, "members", g.Members, "loads", f.Loads)
-	k.begin(ctx, g.Key(), members, func(ctx context.Context) { k.form(ctx, s, f, g, members) })
+	k.opts.Logger.Info("forming replica", "replica", g.Key(), "model", g.Model, "members", g.Members, "loads", f.LoadCount)
+	k.startOperation(ctx, g.Key(), members, func(ctx context.Context) { k.form(ctx, s, f, g, members) })
 }
 
-// form joins the members, waits until each was seen ready under this name,
-// epoch and list, and only then opens the head.
-func (k *Keeper) form(term context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
+// form orders the members to join, and waits until each of them is ready in the group. It then
+// opens the group. If any of this fails, it abandons the group.
+func (k *Keeper) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
 	start := time.Now()
-	expected := joinSlack + f.Model.Warm
-	if f.Loads > 0 {
-		expected += slowLoads * f.Model.Load
+	timeout := joinGracePeriod + f.Model.Warm
+	if f.LoadCount > 0 {
+		timeout += loadTimeFactor * f.Model.Load
 	}
-	defer k.loadsEnded(f.Members)
-	ctx, cancel := context.WithDeadline(term, start.Add(expected))
+	defer k.clearLoads(f.Members)
+	ctx, cancel := context.WithDeadline(termCtx, start.Add(timeout))
 	defer cancel()
 	if !k.join(ctx, g, members) || !k.awaitReady(ctx, g, members) {
-		// Nobody was told to open it, so that it is not announced as closed: its head may serve
-		// in another group, against which daemons would hold that.
-		k.giveUp(term, g, "a member did not become ready", func(o *observed) { k.release(term, o, members[0]) })
+		// The group was never opened, so it must not be announced as closed. Its head may already
+		// serve in another group, and daemons would apply the announcement to that one.
+		k.abandon(termCtx, g, "a member did not become ready", func(o *observedGroup) { k.releaseMembers(termCtx, o, members[0]) })
 		return
 	}
-	k.trust(members)
+	k.clearUnreliable(members)
 	if !k.open(ctx, s.Name, g, members[0]) {
-		k.giveUp(term, g, "the head was not opened", func(o *observed) { k.dissolve(term, o, members[0]) })
+		k.abandon(termCtx, g, "the head was not opened", func(o *observedGroup) { k.dissolve(termCtx, o, members[0]) })
 		return
 	}
 	k.opts.Logger.Info("replica opened", "replica", g.Key(), "model", g.Model,
 		"head", g.Members[0], "ms", time.Since(start).Milliseconds())
 }
 
-// giveUp ends a group that could not be formed: end makes certain that it is never opened by a
-// late order, and frees its members. When the term has ended, the group is left to the next
-// leader.
-func (k *Keeper) giveUp(term context.Context, g Group, why string, end func(o *observed)) {
-	if term.Err() != nil {
+// abandon logs that a group could not be formed, and calls the dissolve function. That function
+// must free the members and ensure that a late order cannot open the group. If the term has ended,
+// abandon does nothing, and the next leader handles the group.
+func (k *Keeper) abandon(termCtx context.Context, g Group, reason string, dissolve func(o *observedGroup)) {
+	if termCtx.Err() != nil {
 		return
 	}
-	k.opts.Logger.Warn("forming given up", "replica", g.Key(), "model", g.Model, "reason", why)
+	k.opts.Logger.Warn("forming given up", "replica", g.Key(), "model", g.Model, "reason", reason)
 	k.mu.Lock()
-	k.noteInterrupted(g, time.Now())
+	k.recordInterruptedJoins(g, time.Now())
 	k.mu.Unlock()
-	end(&observed{key: g.Key(), group: g})
+	dissolve(&observedGroup{key: g.Key(), group: g})
 }
 
-// join orders each member into the group, side by side, and reports whether all
-// took it.
+// join orders all members concurrently to join the group, and reports whether all of them accepted.
 func (k *Keeper) join(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	p := pool.NewWithResults[bool]()
 	for _, w := range members {
 		p.Go(func() bool {
 			joined := k.joinMember(ctx, g, w)
 			if !joined {
-				k.doubt(ctx, g, w)
+				k.markUnreliable(ctx, g, w)
 			}
 			return joined
 		})
@@ -85,32 +84,32 @@
 	return !slices.Contains(p.Wait(), false)
 }
 
-// awaitReady waits until every member was seen ready in the group. If it gives up, it
-// doubts those that are gone, or else all that were not seen ready in time.
+// awaitReady waits until every member is ready in the group. It fails if a member is gone or ctx is
+// done, and marks the members that caused the failure as unreliable.
 func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
-	seen := make(map[string]bool)
-	nextAsk := time.Now().Add(askEvery)
+	readyMembers := make(map[string]bool)
+	nextQuery := time.Now().Add(queryInterval)
 	for ctx.Err() == nil {
 		view := k.opts.Inventory.View()
 		for _, w := range members {
 			if listed, ok := view.Worker(w.ID); ok && isReadyIn(listed.Member, g) {
-				seen[w.ID] = true
+				readyMembers[w.ID] = true
 			}
 		}
-		if len(seen) == len(members) {
+		if len(readyMembers) == len(members) {
 			return true
 		}
-		if now := time.Now(); now.After(nextAsk) {
-			nextAsk = now.Add(askEvery)
-			k.askReady(ctx, g, k.untold(members, view, now), seen)
+		if now := time.Now(); now.After(nextQuery) {
+			nextQuery = now.Add(queryInterval)
+			k.queryReady(ctx, g, k.membersToQuery(members, view, now), readyMembers)
 		}
-		if lost := k.lost(members); len(lost) > 0 {
-			k.doubt(ctx, g, lost...)
+		if lost := k.goneMembers(members); len(lost) > 0 {
+			k.markUnreliable(ctx, g, lost...)
 			return false
 		}
-		pause.For(ctx, tickEvery/4)
+		pause.For(ctx, tickInterval/4)
 	}
-	k.doubt(ctx, g, slices.DeleteFunc(slices.Clone(members), func(w *fleet.Worker) bool { return seen[w.ID] })...)
+	k.markUnreliable(ctx, g, slices.DeleteFunc(slices.Clone(members), func(w *fleet.Worker) bool { return readyMembers[w.ID] })...)
 	return false
 }
 
@@ -118,62 +117,64 @@
 	return m.Group == g.Name && m.Epoch == g.Epoch && m.State == fleet.Ready
 }
 
-// untold returns the members of which the list does not tell now: all while it is old,
-// else those that left it.
-func (k *Keeper) untold(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
-	if now.Sub(k.opts.Inventory.Confirmed()) > listStale {
+// membersToQuery returns the members whose current state the list does not show. These are all
+// members if the list is stale, and otherwise the unlisted ones.
+func (k *Keeper) membersToQuery(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
+	if now.Sub(k.opts.Inventory.Confirmed()) > listStaleAge {
 		return members
 	}
-	var left []*fleet.Worker
+	var unlisted []*fleet.Worker
 	for _, w := range members {
 		if _, listed := view.Worker(w.ID); !listed {
-			left = append(left, w)
+			unlisted = append(unlisted, w)
 		}
 	}
-	return left
+	return unlisted
 }
 
-// askReady asks the members that were not seen ready.
-func (k *Keeper) askReady(ctx context.Context, g Group, members []*fleet.Worker, seen map[string]bool) {
+// queryReady queries the members that are not in readyMembers, and adds those that are ready in the
+// group to it.
+func (k *Keeper) queryReady(ctx context.Context, g Group, members []*fleet.Worker, readyMembers map[string]bool) {
 	for _, w := range members {
-		if seen[w.ID] {
+		if readyMembers[w.ID] {
 			continue
 		}
-		if state, ok := k.ask(ctx, w); ok && isReadyIn(state.Member, g) {
-			seen[w.ID] = true
+		if state, ok := k.queryState(ctx, w); ok && isReadyIn(state.Member, g) {
+			readyMembers[w.ID] = true
 		}
 	}
 }
 
-// lost returns the members that are gone or leaving. One that left the list but answers
-// is neither: who has just left it is noted first, which the next look would do too late.
-func (k *Keeper) lost(members []*fleet.Worker) []*fleet.Worker {
+// goneMembers returns the members that are gone, unresponsive or draining. It refreshes the
+// absences first, since a member that left the list after the last tick may still answer.
+func (k *Keeper) goneMembers(members []*fleet.Worker) []*fleet.Worker {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	view := k.opts.Inventory.View()
 	k.refreshAbsent(view, time.Now())
-	var all []*fleet.Worker
+	var gone []*fleet.Worker
 	for _, w := range members {
 		listed, ok := view.Worker(w.ID)
 		switch {
-		case !ok && !k.isAbsent(w.ID), ok && listed.Draining, k.silentNow(w.ID):
-			all = append(all, w)
+		case !ok && !k.isAbsent(w.ID), ok && listed.Draining, k.isUnresponsiveLocked(w.ID):
+			gone = append(gone, w)
 		}
 	}
-	return all
+	return gone
 }
 
-// open opens a group whose members are all ready, and announces it.
+// open orders the head to open a group whose members are all ready, and announces the group as
+// open. It reports whether the head accepted the order.
 func (k *Keeper) open(ctx context.Context, service string, g Group, head *fleet.Worker) bool {
-	verdict, ok := k.order(ctx, "open", head, func(ctx context.Context, fence Fence) (Verdict, error) {
+	verdict, ok := k.sendOrder(ctx, "open", head, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Open(ctx, head, fence, g)
 	})
 	if !ok || !verdict.Accepted() {
 		return false
 	}
-	k.began(head.ID, verdict)
-	opening := k.openingTime(service)
-	k.noteOpened(head.ID, g, time.Now().Add(opening+settleFor))
+	k.recordBegun(head.ID, verdict)
+	opening := k.openingDuration(service)
+	k.recordOpened(head.ID, g, time.Now().Add(opening+listSettleTime))
 	pause.For(ctx, opening)
 	k.opts.Announced(fleet.Announcement{
 		Group: g.Name, Epoch: g.Epoch, Service: service, Model: g.Model, Head: head.ID, Open: true,
@@ -181,18 +182,19 @@
 	return true
 }
 
-// noteOpened notes that a head took the order to open. The list, and the head's
-// reports, show it ready for some time yet.
-func (k *Keeper) noteOpened(head string, g Group, listedBy time.Time) {
+// recordOpened records that a head accepted the order to open its group. The list and the head's
+// reports still show the group as ready for a while. The record takes precedence until the list has
+// been confirmed after confirmedAfter.
+func (k *Keeper) recordOpened(head string, g Group, confirmedAfter time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.known[head] = observation{at: listedBy, state: State{
+	k.observations[head] = observation{at: confirmedAfter, state: State{
 		Member: fleet.Membership{Group: g.Name, Epoch: g.Epoch, State: fleet.Open}, Loaded: g.Model, Staged: []string{g.Model},
 	}}
 }
 
-// openingTime returns how long the opening of a group takes.
-func (k *Keeper) openingTime(service string) time.Duration {
+// openingDuration returns how long opening a group takes.
+func (k *Keeper) openingDuration(service string) time.Duration {
 	if c := k.opts.Config(); c != nil {
 		if s, ok := c.Service(service); ok && s.Engine != nil {
 			return s.Engine.Form
@@ -201,14 +203,14 @@
 	return 0
 }
 
-// reopen opens a group that an earlier leader formed.
-func (k *Keeper) reopen(ctx context.Context, o *observed) {
+// openInherited opens a group that an earlier leader formed but did not open.
+func (k *Keeper) openInherited(ctx context.Context, o *observedGroup) {
 	g := o.group
 	if len(g.Members) == 0 {
 		g.Members = []string{o.head.ID}
 	}
 	head := o.head
 	if !k.open(ctx, head.Service, g, head) {
-		k.giveUp(ctx, g, "a group of an earlier leader was not opened", func(o *observed) { k.dissolve(ctx, o, head) })
+		k.abandon(ctx, g, "a group of an earlier leader was not opened", func(o *observedGroup) { k.dissolve(ctx, o, head) })
 	}
 }
--- a/formation/free.go
+++ b/formation/free.go
@@ -7,96 +7,98 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Warmth says how much a worker has to do to serve a model.
+// Warmth classifies how quickly a worker can start to serve a model. Lower values are warmer.
 type Warmth int
 
-// The warmths, from the quickest to the slowest.
+// Warmth levels, from quickest to slowest start.
 const (
-	// Hot workers were set up for the model last.
+	// Hot means that the worker served the model last.
 	Hot Warmth = iota
-	// Staged workers have it on their host.
+	// Staged means that the model's weights are on the worker's host.
 	Staged
-	// Cold workers load it and were set up for none.
+	// Cold means that the worker must load the model and holds no other one.
 	Cold
-	// ColdOther workers load it and lose another.
+	// ColdOther means that the worker must load the model and loses another one that it holds.
 	ColdOther
 )
 
-// Costs of giving a worker to a group. A load outweighs any number of quicker joins,
-// and a worker that did not become ready of late outweighs any number of loads.
+// Costs that are added to the Warmth of a worker that must load or is unreliable. One load costs
+// more than the joins of many warm workers. One unreliable worker costs more than many loads.
 const (
-	loadCost  = 1 << 8
-	doubtCost = 1 << 16
+	loadCost       = 1 << 8
+	unreliableCost = 1 << 16
 )
 
-// Free is a worker that can be ordered into a new group.
-type Free struct {
-	ID     string
-	Domain string
-	Loaded string
-	Staged []string
-	// Hall is its data hall.
+// FreeWorker is a worker that can be put into a new group.
+type FreeWorker struct {
+	ID           string
+	Domain       string
+	LoadedModel  string
+	StagedModels []string
+	// Hall is the worker's data hall.
 	Hall string
-	// Doubted tells that it did not become ready in a group of late: it is taken only
-	// where others are too few.
-	Doubted bool
+	// IsUnreliable reports whether the worker recently failed to become ready. It is then used only
+	// if there are too few other workers.
+	IsUnreliable bool
 }
 
-func (f Free) warmth(model string) Warmth {
+func (f FreeWorker) warmth(model string) Warmth {
 	switch {
-	case f.Loaded == model:
+	case f.LoadedModel == model:
 		return Hot
-	case slices.Contains(f.Staged, model):
+	case slices.Contains(f.StagedModels, model):
 		return Staged
-	case f.Loaded == "" && len(f.Staged) == 0:
+	case f.LoadedModel == "" && len(f.StagedModels) == 0:
 		return Cold
 	}
 	return ColdOther
 }
 
-// cost returns what a worker costs in a group of the model.
-func (f Free) cost(model string) int {
+// cost returns the cost of using the worker in a group of the model.
+func (f FreeWorker) cost(model string) int {
 	cost := int(f.warmth(model))
 	if f.warmth(model) > Staged {
 		cost += loadCost
 	}
-	if f.Doubted {
-		cost += doubtCost
+	if f.IsUnreliable {
+		cost += unreliableCost
 	}
 	return cost
 }
 
-// ranked is a worker with what it costs in a group of one model.
-type ranked struct {
+// rankedWorker is a worker with its cost for a group of a given model. index is its position in the
+// unsorted list of workers.
+type rankedWorker struct {
 	id    string
 	index int
 	cost  int
 }
 
-// warmest returns the warmest workers for a group of the model and a cost by
-// which domains compare; nil when there are too few.
-func warmest(m fleet.Model, workers []Free, limit Warmth) ([]Free, int) {
+// warmestWorkers returns the cheapest workers for a group of the model, and a total cost by which
+// domains are compared. It returns nil if there are too few workers that are no colder than the
+// given limit.
+func warmestWorkers(m fleet.Model, workers []FreeWorker, coldest Warmth) ([]FreeWorker, int) {
 	if m.Size <= 0 || len(workers) < m.Size {
 		return nil, 0
 	}
-	all := make([]ranked, len(workers))
+	all := make([]rankedWorker, len(workers))
 	for i, w := range workers {
-		all[i] = ranked{id: w.ID, index: i, cost: w.cost(m.Name)}
+		all[i] = rankedWorker{id: w.ID, index: i, cost: w.cost(m.Name)}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(all, func(a, b rankedWorker) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.id, b.id))
 	})
 	cost := 0
-	chosen := make([]Free, 0, m.Size)
+	chosen := make([]FreeWorker, 0, m.Size)
 	for _, r := range all[:m.Size] {
 		w := workers[r.index]
 		warmth := w.warmth(m.Name)
-		if warmth > limit {
+		if warmth > coldest {
 			return nil, 0
 		}
 		cost += int(warmth)
-		if w.Doubted {
-			cost += doubtCost
+		if w.IsUnreliable {
+			cost += unreliableCost
 		}
 		chosen = append(chosen, w)
 	}
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -6,37 +6,37 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallSettle is how long after a data hall was closed or opened no group is given up for
-// another model: one that is closed by mistake and opened again within a second must not
-// cost any. New groups of idle workers are formed at once.
-const hallSettle = time.Second
+// hallSettleTime is the time after a data hall was closed or opened in which no group is traded for
+// another model. A hall that is closed briefly by mistake thus causes no trades. Groups are still
+// formed from idle workers during this time.
+const hallSettleTime = time.Second
 
-// hallStates is which data halls may be used for new groups.
+// hallStates records which data halls may be used for new groups.
 type hallStates struct {
-	// closed holds the halls that are closed while an open one has workers.
-	closed map[string]bool
+	// closedHalls holds the closed halls. It is empty if all halls that have workers are closed.
+	closedHalls map[string]bool
 }
 
-// usable reports whether workers of a hall may be used, and its replicas count.
-func (h *hallStates) usable(hall string) bool { return !h.closed[hall] }
+// isUsable reports whether a hall's workers may be used and its replicas counted.
+func (h *hallStates) isUsable(hall string) bool { return !h.closedHalls[hall] }
 
-// refreshHalls notes which halls are closed. If all that have workers are, what is there
-// is kept as it is. The keeper's mutex is held.
+// refreshHalls updates which halls are closed. If all halls with workers are closed, none is
+// treated as closed. The caller must hold k.mu.
 func (k *Keeper) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
 	closed := k.closedHalls(s, view)
 	for hall := range closed {
-		if !k.halls.closed[hall] {
+		if !k.halls.closedHalls[hall] {
 			k.opts.Logger.Info("data hall is closed for new replicas", "hall", hall)
-			k.settledAt = now.Add(hallSettle)
+			k.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
-	for hall := range k.halls.closed {
+	for hall := range k.halls.closedHalls {
 		if !closed[hall] {
 			k.opts.Logger.Info("data hall is open for new replicas", "hall", hall)
-			k.settledAt = now.Add(hallSettle)
+			k.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
-	k.halls.closed = closed
+	k.halls.closedHalls = closed
 }
 
 func (k *Keeper) closedHalls(s *fleet.Service, view *fleet.View) map[string]bool {
@@ -60,10 +60,11 @@
 	return closed
 }
 
-// reserve returns what a plan weighs for the loss of data halls: nothing without a weight.
-func (k *Keeper) reserve() Halls {
+// hallLossPolicy returns how plans account for the loss of data halls. If no weight is configured,
+// it returns the zero value, which disables this.
+func (k *Keeper) hallLossPolicy() HallLossPolicy {
 	if k.opts.HallWeight <= 0 {
-		return Halls{}
+		return HallLossPolicy{}
 	}
-	return Halls{Bear: k.opts.BearHalls, Weight: k.opts.HallWeight}
+	return HallLossPolicy{MaxLost: k.opts.BearHalls, Weight: k.opts.HallWeight}
 }
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -12,23 +12,22 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallWeight is the weight of the loss of halls in these tests: a plan gives a hundredth of
-// today's share for a twentieth of what is left after a hall's loss.
-const hallWeight = 0.2
+// hallLossWeight is the weight of requests lost with a hall in these tests.
+const hallLossWeight = 0.2
 
-// hallWorld returns a world of listed domains, which lie in turn in the halls "h0" and
-// "h1". The second is closed while the returned flag is set.
+// hallWorld returns a world of listed workers whose domains alternate between the halls "h0" and
+// "h1". Hall "h1" is closed while the returned flag is set.
 func hallWorld(domains, perDomain int) (*world, *atomic.Bool) {
 	w := unlistedWorld(1, domains, perDomain)
 	closed := new(atomic.Bool)
-	w.hallOpen = func(hall string) bool { return hall != "h1" || !closed.Load() }
+	w.isHallOpen = func(hall string) bool { return hall != "h1" || !closed.Load() }
 	for _, s := range w.workers {
 		var domain int
 		if _, err := fmt.Sscanf(s.domain, "d%d", &domain); err != nil {
 			panic(err)
 		}
 		s.zone = fmt.Sprintf("h%d", domain%2)
-		w.list(s)
+		w.publish(s)
 	}
 	return w, closed
 }
@@ -39,27 +38,27 @@
 	defer w.mu.Unlock()
 	all := make(map[string]map[string]bool)
 	for _, s := range w.workers {
-		if s.dead || s.group.Name == "" || s.rank != 0 {
+		if s.isDead || s.group.Name == "" || s.rank != 0 {
 			continue
 		}
-		at := s.zone + " " + s.group.Model
-		if all[at] == nil {
-			all[at] = make(map[string]bool)
+		key := s.zone + " " + s.group.Model
+		if all[key] == nil {
+			all[key] = make(map[string]bool)
 		}
-		all[at][s.group.Name] = true
+		all[key][s.group.Name] = true
 	}
 	return all
 }
 
-// TestClosedHall closes a data hall: its groups stay formed and what is wanted is formed
-// in the other one.
-func TestClosedHall(t *testing.T) {
+// TestGroupsOfClosedHallAreReplaced checks that the wanted replicas are formed in the other hall
+// when a data hall is closed, and that the groups of the closed hall stay formed.
+func TestGroupsOfClosedHallAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := hallWorld(4, 8)
 		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
-		_, _, stop := serving(w, "big")
-		w.pending.Go(func() { w.readList(80 * time.Second) })
-		time.Sleep(firstFor + 20*time.Second)
+		_, _, stop := startServing(w, "big")
+		w.pending.Go(func() { w.confirmList(80 * time.Second) })
+		time.Sleep(sharePeriod + 20*time.Second)
 		before := w.groupsByHall()
 		assert.Assert(t, len(before["h0 big"]) < 3, "%v", before)
 		closed.Store(true)
@@ -74,18 +73,19 @@
 		stop()
 		assert.DeepEqual(t, w.groupsByHall(), after)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestHallClosedForAMomentCostsNothing closes a hall and opens it again within a second.
-func TestHallClosedForAMomentCostsNothing(t *testing.T) {
+// TestBrieflyClosedHallKeepsGroups checks that no groups change when a hall is closed and opened
+// again within a second.
+func TestBrieflyClosedHallKeepsGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := hallWorld(4, 8)
 		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
-		_, _, stop := serving(w, "big")
-		w.pending.Go(func() { w.readList(60 * time.Second) })
-		time.Sleep(firstFor + 20*time.Second)
+		_, _, stop := startServing(w, "big")
+		w.pending.Go(func() { w.confirmList(60 * time.Second) })
+		time.Sleep(sharePeriod + 20*time.Second)
 		before := w.groupsByHall()
 		for range 3 {
 			closed.Store(true)
@@ -97,58 +97,58 @@
 		stop()
 		assert.DeepEqual(t, w.groupsByHall(), before)
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestAllHallsClosed: where no hall is open, what is there is mended as ever.
+// TestAllHallsClosed checks that groups are repaired as usual when no hall is open.
 func TestAllHallsClosed(t *testing.T) {
-	mended := func(open func(string) bool) map[string]int {
+	servingAfterLoss := func(open func(string) bool) map[string]int {
 		w, _ := hallWorld(2, 10)
-		w.hallOpen = open
-		_, g, stop := serving(w, "big")
+		w.isHallOpen = open
+		_, g, stop := startServing(w, "big")
 		w.kill(g.Members[2])
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
-		return w.serving()
+		assert.DeepEqual(t, w.violations, []string(nil))
+		return w.countServing()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		assert.DeepEqual(t, mended(func(string) bool { return false }), mended(nil))
+		assert.DeepEqual(t, servingAfterLoss(func(string) bool { return false }), servingAfterLoss(nil))
 	})
 }
 
-// blank returns workers that hold nothing in domains that lie in turn in two halls.
-func blank(domains, perDomain int) []Free {
-	var all []Free
+// blankWorkers returns workers without any model, in domains that alternate between two halls.
+func blankWorkers(domains, perDomain int) []FreeWorker {
+	var all []FreeWorker
 	for d := range domains {
 		for i := range perDomain {
-			all = append(all, Free{ID: fmt.Sprintf("w%d-%02d", d, i), Domain: fmt.Sprint("d", d), Hall: fmt.Sprint("h", d%2)})
+			all = append(all, FreeWorker{ID: fmt.Sprintf("w%d-%02d", d, i), Domain: fmt.Sprint("d", d), Hall: fmt.Sprint("h", d%2)})
 		}
 	}
 	return all
 }
 
-// TestReplicasLieOverTheHalls forms a fleet anew: with a hall's loss to bear, no hall
-// holds all replicas of a model.
-func TestReplicasLieOverTheHalls(t *testing.T) {
+// TestReplicasAreSpreadOverHalls checks that no hall gets all replicas of a model in a new fleet if
+// the loss of a hall must be tolerated.
+func TestReplicasAreSpreadOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
-		bear    int
+		maxLost int
 		growing bool
-		// most is how many of the two large groups one hall holds.
+		// most is the maximum number of large groups, out of two, in one hall.
 		most int
 	}{
-		"no loss to bear":    {most: 2},
-		"the loss of a hall": {bear: 1, most: 1},
-		"the loss of a hall, while workers are yet to come": {bear: 1, growing: true, most: 1},
+		"no tolerated loss":  {most: 2},
+		"the loss of a hall": {maxLost: 1, most: 1},
+		"the loss of a hall, while workers are yet to come": {maxLost: 1, growing: true, most: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			in := Input{
-				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: blank(2, 37),
-				MaxLoads: unbounded, MaxStagings: unbounded, Halls: Halls{Bear: test.bear, Weight: hallWeight}, Growing: test.growing,
+				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: blankWorkers(2, 37),
+				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}, IsListGrowing: test.growing,
 			}
 			formations, _ := Plan(in)
 			halls := make(map[string]string)
--- a/formation/inherit_test.go
+++ b/formation/inherit_test.go
@@ -9,60 +9,60 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDemandLivesThroughAChangeOfLeader: a new leader whose peers have yet to report goes
-// on with the work it knew before its term.
-func TestDemandLivesThroughAChangeOfLeader(t *testing.T) {
+// TestDemandSurvivesLeaderChange checks that a new leader starts with the work that it tracked
+// before its term, even if its peers have not reported yet.
+func TestDemandSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
-		w.traffic = true
+		w.hasTraffic = true
 		w.demand = map[string]Work{"big": {Busy: 10}}
 		w.smoothed = func() map[string]Work { return map[string]Work{"big": {Busy: 40, Prompts: 8000}} }
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
-		k.smoothDemand()
-		assert.Assert(t, k.smooth["big"].Busy > 39 && k.smooth["big"].Prompts > 7000, "%v", k.smooth["big"])
+		k.updateSmoothedWork()
+		assert.Assert(t, k.smoothedWork["big"].Busy > 39 && k.smoothedWork["big"].Prompts > 7000, "%v", k.smoothedWork["big"])
 	})
 }
 
-// TestNewLeaderGivesNothingUpAtOnce: in its first second a new leader may not know the
-// work of all daemons.
-func TestNewLeaderGivesNothingUpAtOnce(t *testing.T) {
+// TestNewLeaderDelaysTrades checks that a new leader trades no groups in its first second, when it
+// may not know the work of all daemons.
+func TestNewLeaderDelaysTrades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
-		w.pending.Go(func() { w.readList(60 * time.Second) })
-		formed(w)
-		settled := w.serving()
+		w.pending.Go(func() { w.confirmList(60 * time.Second) })
+		formAndStop(w)
+		settled := w.countServing()
 		w.mu.Lock()
 		w.demand = map[string]Work{"big": {Busy: 40}, "small": {}}
 		w.mu.Unlock()
-		_, stop := term(w, 2)
-		time.Sleep(settleFor - 100*time.Millisecond)
-		during := w.serving()
+		_, stop := startTerm(w, 2)
+		time.Sleep(listSettleTime - 100*time.Millisecond)
+		during := w.countServing()
 		time.Sleep(10 * time.Second)
 		stop()
 		assert.DeepEqual(t, during, settled)
-		assert.Assert(t, w.serving()["big"] > settled["big"])
+		assert.Assert(t, w.countServing()["big"] > settled["big"])
 		w.pending.Wait()
-		assert.DeepEqual(t, w.broken, []string(nil))
+		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
-// TestSmootherIsFedAtAnyInterval: work that is measured each second is smoothed as by a
-// leader that looks ten times as often.
-func TestSmootherIsFedAtAnyInterval(t *testing.T) {
-	for name, every := range map[string]time.Duration{"each tick": tickEvery, "each second": time.Second, "each five seconds": 5 * time.Second} {
+// TestSmootherIsIndependentOfInterval checks that measurements are smoothed equally over a period,
+// whatever the interval between them.
+func TestSmootherIsIndependentOfInterval(t *testing.T) {
+	for name, interval := range map[string]time.Duration{"each tick": tickInterval, "each second": time.Second, "each five seconds": 5 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			var s Smoother
 			now := time.Time{}.Add(time.Hour)
 			s.Observe(map[string]Work{"big": {Busy: 100, Pause: time.Second}}, now)
-			for range 10 * time.Second / every {
-				now = now.Add(every)
+			for range 10 * time.Second / interval {
+				now = now.Add(interval)
 				s.Observe(map[string]Work{"big": {Busy: 50, Pause: time.Second}}, now)
 			}
-			// (1-demandFall)^100 of the difference is left.
+			// After 100 ticks, (1-demandFallWeight)^100 of the difference remains.
 			got := s.Work()["big"]
 			assert.Assert(t, math.Abs(got.Busy-68.3) < 0.1, "%.2f", got.Busy)
 			assert.Equal(t, got.Pause, time.Second)
-			// A clock that steps back changes nothing.
+			// A clock that steps back has no effect.
 			s.Observe(map[string]Work{"big": {}}, now.Add(-time.Hour))
 			assert.Equal(t, s.Work()["big"].Busy, got.Busy)
 		})
@@ -71,40 +71,30 @@
 	assert.Equal(t, len(s.Work()), 0)
 }
 
-// TestGroupsOfTheOtherLeaderAreShown: two leaders began within 20 ms of each other, as daemons
-// of an earlier and of this build do that start side by side. Half of all requests were refused for want of a
-// replica for as long as the test lasted, 40 s, though all groups were open.
-//
-// The order of events: the first leader orders joins; the second one, whose term outdoes the
-// first, plans the same groups, and the workers refuse its joins, as they join others. It gives
-// its groups up and takes the first one's over. To have given up a group was announced as its
-// closing, by its head and its higher epoch; each daemon then held that against the group in
-// which the head serves.
-//
-// The cause: a group that nobody was told to open was announced as closed when it was given up.
-//
-// The evidence: with a millisecond between the leaders, up to all five groups of a model serve
-// that are not shown, each at a head that the second leader had planned for a group.
-func TestGroupsOfTheOtherLeaderAreShown(t *testing.T) {
-	for _, later := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond} {
-		t.Run(later.String(), func(t *testing.T) {
+// TestGroupsOfConcurrentLeaderStayVisible covers two leaders that start almost simultaneously and
+// plan the same groups. The second leader abandons groups that it never opened. It must not
+// announce them as closed, because daemons would apply that to the first leader's groups with the
+// same heads.
+func TestGroupsOfConcurrentLeaderStayVisible(t *testing.T) {
+	for _, startDelay := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond} {
+		t.Run(startDelay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(1, 2, 10)
-				w.pending.Go(func() { w.readList(30 * time.Second) })
-				_, stopFirst := term(w, 1)
-				time.Sleep(later)
-				_, stop := term(w, 2)
+				w.pending.Go(func() { w.confirmList(30 * time.Second) })
+				_, stopFirst := startTerm(w, 1)
+				time.Sleep(startDelay)
+				_, stop := startTerm(w, 2)
 				time.Sleep(200 * time.Millisecond)
 				stopFirst()
 				time.Sleep(10 * time.Second)
-				served, view := w.serving(), w.inventory.View()
+				served, view := w.countServing(), w.inventory.View()
 				stop()
 				w.pending.Wait()
 				for model, count := range served {
 					assert.Equal(t, len(view.Replicas("models", model)), count, "%s", model)
 				}
 				assert.Assert(t, served["big"] > 0 && served["small"] > 0)
-				assert.DeepEqual(t, w.broken, []string(nil))
+				assert.DeepEqual(t, w.violations, []string(nil))
 			})
 		})
 	}
--- a/formation/loads_test.go
+++ b/formation/loadbudget_test.go
@@ -12,8 +12,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLoadsBeforeTheFirstRequestMayCount lets loads begin shortly before the
-// leader learns that requests come.
+// TestLoadsBeforeTheFirstRequestMayCount checks that loads count against the limit if they began
+// shortly before the leader learned of the first request.
 func TestLoadsBeforeTheFirstRequestMayCount(t *testing.T) {
 	tests := map[string]struct {
 		before time.Duration
@@ -26,30 +26,30 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			var l loads
-			l.limit(Ceiling{Window: 5 * time.Second, Over: 1.1}, 5, 7, true, now)
-			l.take(5, false, now.Add(-test.before))
-			assert.Equal(t, l.available(now), test.want)
-			l.take(1, true, now)
-			assert.Equal(t, l.available(now), test.want-1, "what was counted is counted once")
+			var l loadBudget
+			l.configure(Ceiling{Window: 5 * time.Second, Over: 1.1}, 5, 7, true, now)
+			l.record(5, false, now.Add(-test.before))
+			assert.Equal(t, l.availableLoads(now), test.want)
+			l.record(1, true, now)
+			assert.Equal(t, l.availableLoads(now), test.want-1, "a load must be counted once")
 		})
 	}
 }
 
-// TestRefusedStageGivesNothingBack: before the first request a load takes nothing
-// from the bound, so that a stage which is refused must not add to it. A leader of
-// a fleet that others led before begins with an empty bound.
-func TestRefusedStageGivesNothingBack(t *testing.T) {
+// TestRefusedStagingDoesNotRefundBudget checks that a refused staging does not increase the load
+// budget. Before the first request, loads do not reduce the budget. A later leader starts with an
+// empty budget.
+func TestRefusedStagingDoesNotRefundBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
 		service, _ := simConfig(w.loadsPerSecond).Service("models")
 		now := time.Now()
 		worker, _ := w.inventory.View().Worker("w0-0")
-		w.workers["w0-0"].staging = true
-		budget := k.budget(service, now)
+		w.workers["w0-0"].isStaging = true
+		budget := k.budgetOf(service, now)
 		for range 5 {
-			budget.take(1, false, now)
+			budget.record(1, false, now)
 			assert.Assert(t, !k.stage(context.Background(), worker, simModels[0]))
 		}
 		w.pending.Wait()
@@ -57,9 +57,9 @@
 	})
 }
 
-// TestRoomForLoads: what joins warm loads nothing, and idle workers leave room for the
-// loads that groups lack.
-func TestRoomForLoads(t *testing.T) {
+// TestAllowedLoads checks that members that join warm do not count as loads, and that idle workers
+// leave capacity for groups.
+func TestAllowedLoads(t *testing.T) {
 	joining := func(id, loaded, staged string) *fleet.Worker {
 		w := &fleet.Worker{
 			ID: id, Service: "models", Domain: "d", Loaded: loaded,
@@ -72,25 +72,25 @@
 	}
 	tests := map[string]struct {
 		workers []*fleet.Worker
-		// staging is how many workers bring a model to their hosts.
-		staging         int
-		groups, forIdle int
+		// staging is the number of workers that are staging a model.
+		staging            int
+		forGroups, forIdle int
 	}{
-		"nothing loads": {groups: 10, forIdle: 3},
+		"nothing loads": {forGroups: 10, forIdle: 3},
 		"members that join warm": {
-			workers: []*fleet.Worker{joining("a", "big", ""), joining("b", "small", "big"), joining("c", "", "big")},
-			groups:  10, forIdle: 3,
+			workers:   []*fleet.Worker{joining("a", "big", ""), joining("b", "small", "big"), joining("c", "", "big")},
+			forGroups: 10, forIdle: 3,
 		},
 		"members that an earlier leader made load": {
-			workers: []*fleet.Worker{joining("a", "", ""), joining("b", "small", "small")},
-			groups:  8, forIdle: 1,
+			workers:   []*fleet.Worker{joining("a", "", ""), joining("b", "small", "small")},
+			forGroups: 8, forIdle: 1,
 		},
-		"as many as run well side by side": {staging: 7, groups: 3, forIdle: -3},
+		"as many as run well side by side": {staging: 7, forGroups: 3, forIdle: -3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, 1, 0)
-			w.traffic = true
+			w.hasTraffic = true
 			var changes []fleet.Change
 			for _, worker := range test.workers {
 				changes = append(changes, fleet.Change{ID: worker.ID, Worker: worker})
@@ -102,16 +102,16 @@
 			w.inventory.Apply(changes, 1, time.Now())
 			options := w.options()
 			k := NewKeeper(options, Term{Epoch: 1, First: true}, func() {})
-			k.fresh = false
+			k.isNewFleet = false
 			for i := range test.staging {
-				k.loading[fmt.Sprintf("s%d", i)] = load{model: "big", until: time.Now().Add(time.Hour)}
+				k.activeLoads[fmt.Sprintf("s%d", i)] = activeLoad{model: "big", expiresAt: time.Now().Add(time.Hour)}
 			}
 			service, _ := options.Config().Service("models")
 			now := time.Now()
-			bound := &loads{burst: 100, tokens: 100, filledAt: now}
-			groups, idle := k.room(service, w.inventory.View(), bound, now)
-			assert.Equal(t, groups, test.groups)
-			assert.Equal(t, idle, test.forIdle)
+			budget := &loadBudget{burst: 100, tokens: 100, refilledAt: now}
+			allowedForGroups, allowedForIdle := k.allowedLoads(service, w.inventory.View(), budget, now)
+			assert.Equal(t, allowedForGroups, test.forGroups)
+			assert.Equal(t, allowedForIdle, test.forIdle)
 		})
 	}
 }
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -11,35 +11,35 @@
 	"quartzshelf.dev/fleet"
 )
 
-// drawInput draws a fleet of a few domains whose workers hold any models, and what is
-// wanted of one to four models.
+// drawInput draws a fleet of a few domains whose workers hold arbitrary models, and the needs of
+// one to four models.
 func drawInput(t *rapid.T) Input {
 	in := Input{
-		Serving: make(map[string]map[string]int), Released: make(map[string]bool), Trading: make(map[string]string),
-		Warm: make(map[string]map[string]int), Halls: Halls{Bear: rapid.IntRange(0, 2).Draw(t, "bear"), Weight: hallWeight},
+		ReplicasByHall: make(map[string]map[string]int), ReleasedDomains: make(map[string]bool), TradeRecipients: make(map[string]string),
+		WarmCounts: make(map[string]map[string]int), HallLoss: HallLossPolicy{MaxLost: rapid.IntRange(0, 2).Draw(t, "bear"), Weight: hallLossWeight},
 	}
 	names := []string{""}
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
-		m := fleet.Model{Name: fmt.Sprint("m", i), Size: rapid.IntRange(0, 9).Draw(t, "size"), Load: simLoad, Warm: simWarm}
+		m := fleet.Model{Name: fmt.Sprint("m", i), Size: rapid.IntRange(0, 9).Draw(t, "size"), Load: simLoadTime, Warm: simWarmJoinTime}
 		n := Need{Model: m, Want: rapid.Float64Range(0, 9).Draw(t, "want"), Have: rapid.IntRange(0, 9).Draw(t, "have")}
 		in.Needs = append(in.Needs, n)
-		in.Serving[m.Name] = map[string]int{"h0": n.Have / 2, "h1": n.Have - n.Have/2}
+		in.ReplicasByHall[m.Name] = map[string]int{"h0": n.Have / 2, "h1": n.Have - n.Have/2}
 		names = append(names, m.Name)
 	}
 	model := rapid.SampledFrom(names)
 	for d := range rapid.IntRange(0, 4).Draw(t, "domains") {
 		domain := fmt.Sprint("d", d)
 		if rapid.IntRange(0, 3).Draw(t, "trading") == 0 {
-			in.Trading[domain] = in.Needs[0].Model.Name
+			in.TradeRecipients[domain] = in.Needs[0].Model.Name
 		}
-		in.Released[domain] = rapid.Bool().Draw(t, "released")
+		in.ReleasedDomains[domain] = rapid.Bool().Draw(t, "released")
 		for i := range rapid.IntRange(0, 20).Draw(t, "workers") {
-			f := Free{
+			f := FreeWorker{
 				ID: fmt.Sprintf("%s-%02d", domain, i), Domain: domain, Hall: fmt.Sprint("h", d%2),
-				Loaded: model.Draw(t, "loaded"), Doubted: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
+				LoadedModel: model.Draw(t, "loaded"), IsUnreliable: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
 			}
 			if staged := model.Draw(t, "staged"); staged != "" {
-				f.Staged = []string{staged}
+				f.StagedModels = []string{staged}
 			}
 			in.Free = append(in.Free, f)
 		}
@@ -49,72 +49,72 @@
 	return in
 }
 
-// earnedBy returns what groups earn, by the stated value.
-func earnedBy(in Input, formations []Formation) float64 {
+// valueOfGroups returns the value of the given groups.
+func valueOfGroups(in Input, formations []Formation) float64 {
 	p := newPartition(in.Needs, in)
-	workers := make(map[string]Free)
+	workers := make(map[string]FreeWorker)
 	for _, f := range in.Free {
 		workers[f.ID] = f
 	}
 	for _, f := range formations {
-		p.count(p.divisionOf([]Formation{f}, workers), workers[f.Members[0]].Hall, 1)
+		p.addDivision(p.divisionOf([]Formation{f}, workers), workers[f.Members[0]].Hall, 1)
 	}
-	return p.earned()
+	return p.totalValue()
 }
 
-// TestPlanHolds checks what must hold of every plan: no worker twice, no group across
-// domains, the right number of members, no more loads than may begin, and never worse
-// than groups that are formed one after the other.
-func TestPlanHolds(t *testing.T) {
+// TestPlanInvariants checks that no worker is used twice, that groups lie within one domain and
+// have the right size, and that loads stay within the limit. The value must be at least that of
+// groups formed one after another.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		formations, stagings := Plan(in)
-		domains, taken := make(map[string]string), make(map[string]bool)
+		domains, used := make(map[string]string), make(map[string]bool)
 		for _, f := range in.Free {
 			domains[f.ID] = f.Domain
 		}
-		take := func(id string) {
-			assert.Assert(t, !taken[id], "%s is taken twice", id)
-			taken[id] = true
+		markUsed := func(id string) {
+			assert.Assert(t, !used[id], "%s is taken twice", id)
+			used[id] = true
 		}
 		loads := 0
 		for _, f := range formations {
 			assert.Equal(t, len(f.Members), f.Model.Size)
-			loads += f.Loads
+			loads += f.LoadCount
 			for _, id := range f.Members {
-				take(id)
+				markUsed(id)
 				assert.Equal(t, domains[id], domains[f.Members[0]])
 			}
 		}
 		for _, s := range stagings {
-			take(s.Worker)
+			markUsed(s.Worker)
 		}
 		assert.Assert(t, loads+len(stagings) <= max(in.MaxLoads, 0), "%d loads and %d stagings of %d", loads, len(stagings), in.MaxLoads)
-		simple := newPlanner(in).formations()
-		assert.Assert(t, earnedBy(in, formations) >= earnedBy(in, simple)-sameValue)
+		simple := newPlanner(in).planFormations()
+		assert.Assert(t, valueOfGroups(in, formations) >= valueOfGroups(in, simple)-valueEpsilon)
 	})
 }
 
-// TestDomainsWaitForExchanges: while groups of a domain are given up for a model, nothing
-// else is formed there, and nothing that loads.
-func TestDomainsWaitForExchanges(t *testing.T) {
+// TestDomainsWaitForTrades checks which groups are formed in a domain while groups are traded for a
+// model there. These must be groups of that model that need no load.
+func TestDomainsWaitForTrades(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 3}, fleet.Model{Name: "small", Size: 2}
-	worker := func(id, loaded string) Free { return Free{ID: id, Domain: "d", Loaded: loaded} }
+	worker := func(id, loaded string) FreeWorker { return FreeWorker{ID: id, Domain: "d", LoadedModel: loaded} }
 	tests := map[string]struct {
-		free    []Free
+		free    []FreeWorker
 		trading map[string]string
 		want    []string
 	}{
-		"no exchange":             {free: []Free{worker("a", "small"), worker("b", "small")}, want: []string{"a", "b"}},
-		"for another model":       {free: []Free{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"d": "big"}},
-		"in another domain":       {free: []Free{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"e": "big"}, want: []string{"a", "b"}},
-		"a member has to load":    {free: []Free{worker("a", "big"), worker("b", "big"), worker("c", "")}, trading: map[string]string{"d": "big"}},
-		"members that are enough": {free: []Free{worker("a", "big"), worker("b", "big"), worker("c", "big")}, trading: map[string]string{"d": "big"}, want: []string{"a", "b", "c"}},
+		"no trade":                {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, want: []string{"a", "b"}},
+		"for another model":       {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"d": "big"}},
+		"in another domain":       {free: []FreeWorker{worker("a", "small"), worker("b", "small")}, trading: map[string]string{"e": "big"}, want: []string{"a", "b"}},
+		"a member has to load":    {free: []FreeWorker{worker("a", "big"), worker("b", "big"), worker("c", "")}, trading: map[string]string{"d": "big"}},
+		"members that are enough": {free: []FreeWorker{worker("a", "big"), worker("b", "big"), worker("c", "big")}, trading: map[string]string{"d": "big"}, want: []string{"a", "b", "c"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			formations, _ := Plan(Input{
-				Needs: []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 2, Have: 1}}, Free: test.free, MaxLoads: 9, Trading: test.trading,
+				Needs: []Need{{Model: big, Want: 2, Have: 1}, {Model: small, Want: 2, Have: 1}}, Free: test.free, MaxLoads: 9, TradeRecipients: test.trading,
 			})
 			var got []string
 			for _, f := range formations {
@@ -125,8 +125,9 @@
 	}
 }
 
-// TestSupplyIsTheCheapest compares who is given to which model with all ways to do it.
-func TestSupplyIsTheCheapest(t *testing.T) {
+// TestAssignmentIsCheapest compares the cost of an assignment with the minimum over all possible
+// ones.
+func TestAssignmentIsCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		var models []fleet.Model
@@ -134,20 +135,20 @@
 			models = append(models, n.Model)
 		}
 		workers := in.Free[:min(len(in.Free), 6)]
-		s := newSupply(models, workers)
+		s := newAssignment(models, workers)
 		wanted := make([]int, len(models))
 		for i := range models {
 			wanted[i] = rapid.IntRange(0, 2).Draw(t, "wanted")
-			if !s.give(i, wanted[i]) {
+			if !s.assign(i, wanted[i]) {
 				wanted[i] = 0
 			}
 		}
-		assert.Equal(t, s.cost(), cheapestOf(models, workers, wanted))
+		assert.Equal(t, s.totalCost(), minimumCost(models, workers, wanted))
 	})
 }
 
-// cheapestOf tries all ways to give workers to models.
-func cheapestOf(models []fleet.Model, workers []Free, wanted []int) int {
+// minimumCost returns the lowest cost of all possible assignments of the wanted numbers of workers.
+func minimumCost(models []fleet.Model, workers []FreeWorker, wanted []int) int {
 	if len(workers) == 0 {
 		for _, count := range wanted {
 			if count > 0 {
@@ -156,20 +157,19 @@
 		}
 		return 0
 	}
-	best := cheapestOf(models, workers[1:], wanted)
+	best := minimumCost(models, workers[1:], wanted)
 	for i, m := range models {
 		if wanted[i] == 0 {
 			continue
 		}
 		rest := slices.Clone(wanted)
 		rest[i]--
-		best = min(best, workers[0].cost(m.Name)+cheapestOf(models, workers[1:], rest))
+		best = min(best, workers[0].cost(m.Name)+minimumCost(models, workers[1:], rest))
 	}
 	return best
 }
 
-// BenchmarkPlan measures the plan of one domain all of whose workers are free, of
-// several models and cache states.
+// BenchmarkPlan measures planning for one domain of free workers that hold different models.
 func BenchmarkPlan(b *testing.B) {
 	for name, sizes := range map[string][]int{"37 workers, 16 and 4": {16, 4}, "64 workers, 16 and 4": {16, 4}, "64 workers, 16, 8, 4 and 2": {16, 8, 4, 2}, "64 workers, 13, 7, 5, 3 and 2": {13, 7, 5, 3, 2}} {
 		b.Run(name, func(b *testing.B) {
@@ -178,12 +178,12 @@
 			assert.NilError(b, err)
 			in := Input{MaxLoads: 20, MaxStagings: 10}
 			for i, size := range sizes {
-				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoad, Warm: simWarm}, Want: 100 / float64(size), Have: 60 / size})
+				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoadTime, Warm: simWarmJoinTime}, Want: 100 / float64(size), Have: 60 / size})
 			}
 			for i := range workers {
-				f := Free{ID: fmt.Sprintf("w%02d", i), Domain: "d", Loaded: fmt.Sprint("m", i%len(sizes))}
+				f := FreeWorker{ID: fmt.Sprintf("w%02d", i), Domain: "d", LoadedModel: fmt.Sprint("m", i%len(sizes))}
 				if i%5 > 0 {
-					f.Staged = []string{fmt.Sprint("m", i%2)}
+					f.StagedModels = []string{fmt.Sprint("m", i%2)}
 				}
 				in.Free = append(in.Free, f)
 			}
--- /dev/null
+++ b/formation/send.go
@@ -0,0 +1,84 @@
+package formation
+
+import (
+	"context"
+	"errors"
+
+	"quartzshelf.dev/fleet"
+)
+
+// sendOrder sends an order until it is answered, at most maxOrderAttempts times. Each attempt has a
+// new fence, so that workers reject earlier attempts that arrive late. It reports whether an answer
+// arrived. If not, it marks a worker that does not answer a query either as unresponsive.
+func (k *Keeper) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
+	fencedCount, maxAttempts := 0, maxOrderAttempts
+	if k.isUnresponsive(w.ID) {
+		maxAttempts = unresponsiveAttempts
+	}
+	for attempt := range maxAttempts {
+		verdict, err := k.sendOrderOnce(ctx, send)
+		k.recordAttempt(order, w, attempt+1, verdict, err)
+		switch {
+		case err == nil && verdict == Fenced && fencedCount == 0:
+			// The worker may have received a later order of the same term first.
+			fencedCount++
+			continue
+		case err == nil:
+			k.checkTerm(order, w, verdict)
+			if verdict == Elsewhere {
+				k.recordDisplaced(w)
+			}
+			return verdict, true
+		}
+		k.forgetOrderState(w.ID)
+		if ctx.Err() != nil {
+			return Unfit, false
+		}
+	}
+	k.opts.Logger.Warn("order not answered", "order", order, "worker", w.ID, "tries", maxAttempts)
+	if _, responds := k.queryState(ctx, w); !responds && ctx.Err() == nil {
+		k.markUnresponsive(w.ID)
+	}
+	return Unfit, false
+}
+
+// sendOrderOnce sends an order once, after waiting for a free call slot.
+func (k *Keeper) sendOrderOnce(ctx context.Context, send func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
+	k.callSlots <- struct{}{}
+	defer func() { <-k.callSlots }()
+	if k.opts.Awake != nil {
+		k.opts.Awake()
+	}
+	if err := ctx.Err(); err != nil {
+		return Unfit, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	return send(ctx, k.nextFence())
+}
+
+// checkTerm ends the term if a worker rejected an order because it had seen a higher fence.
+func (k *Keeper) checkTerm(order string, w *fleet.Worker, verdict Verdict) {
+	if verdict != Fenced {
+		return
+	}
+	k.opts.Logger.Warn("order refused: another leader has a higher term", "order", order, "worker", w.ID)
+	k.onSuperseded()
+}
+
+// queryState queries a worker's state, records it, and reports whether the worker answered.
+func (k *Keeper) queryState(ctx context.Context, w *fleet.Worker) (State, bool) {
+	k.callSlots <- struct{}{}
+	defer func() { <-k.callSlots }()
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	state, err := k.opts.Orders.Ask(ctx, w)
+	if errors.Is(err, ErrElsewhere) {
+		k.recordDisplaced(w)
+	}
+	if err != nil {
+		return State{}, false
+	}
+	k.recordState(w.ID, state)
+	return state, true
+}
--- a/formation/give_test.go
+++ b/formation/send_test.go
@@ -10,17 +10,17 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestOrdersRefusedForTheirFence tells orders that another one of the same term
-// overtook from those of a leader that was replaced.
-func TestOrdersRefusedForTheirFence(t *testing.T) {
+// TestFencedOrders checks that an order is retried if another order of the same term reached the
+// worker first. An order of a superseded leader must end the term.
+func TestFencedOrders(t *testing.T) {
 	tests := map[string]struct {
 		verdicts []Verdict
 		want     Verdict
 		ends     bool
 	}{
-		"taken at once":                    {verdicts: []Verdict{Begun}, want: Begun},
+		"accepted at once":                 {verdicts: []Verdict{Begun}, want: Begun},
 		"overtaken by another of the term": {verdicts: []Verdict{Fenced, Begun}, want: Begun},
-		"outdone by a later leader":        {verdicts: []Verdict{Fenced, Fenced}, want: Fenced, ends: true},
+		"superseded by a later leader":     {verdicts: []Verdict{Fenced, Fenced}, want: Fenced, ends: true},
 		"does not fit":                     {verdicts: []Verdict{Unfit}, want: Unfit},
 	}
 	for name, test := range tests {
@@ -29,34 +29,34 @@
 				w := newWorld(1, 1, 1)
 				ended := false
 				k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended = true })
-				next := 0
+				sent := 0
 				last := Fence(0)
-				verdict, ok := k.order(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
-					assert.Assert(t, f > last, "each try has a higher fence")
+				verdict, ok := k.sendOrder(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
+					assert.Assert(t, f > last, "each attempt must have a higher fence")
 					last = f
-					next++
-					return test.verdicts[next-1], nil
+					sent++
+					return test.verdicts[sent-1], nil
 				})
 				assert.Assert(t, ok)
 				assert.Equal(t, verdict, test.want)
 				assert.Equal(t, ended, test.ends)
-				assert.Equal(t, next, len(test.verdicts))
+				assert.Equal(t, sent, len(test.verdicts))
 			})
 		})
 	}
 }
 
-// TestFencesNeverFall uses up the fences of a term: it ends, and none is lower
-// than an earlier one.
-func TestFencesNeverFall(t *testing.T) {
+// TestFencesNeverDecrease checks that the term ends when its fences are used up, and that no fence
+// is lower than an earlier one.
+func TestFencesNeverDecrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 1)
 		ended := make(chan struct{}, 10)
 		k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended <- struct{}{} })
-		k.sequence = maxSequence - 2
+		k.lastSequence = maxSequence - 2
 		last := Fence(0)
 		for range 5 {
-			f := k.fence()
+			f := k.nextFence()
 			assert.Assert(t, f >= last, "%d after %d", f, last)
 			last = f
 		}
--- a/formation/stagings.go
+++ b/formation/stagings.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Staging is a model to bring to the host of an idle worker.
+// Staging is a model to stage on an idle worker's host.
 type Staging struct {
 	Worker string
 	Model  string
 }
 
-// stagings returns what the workers that are left should bring to their hosts:
-// the model that most of their domain is warm for. Workers that are warm for a model that
-// is short keep it.
-func (p *planner) stagings() []Staging {
+// planStagings returns the models that the remaining workers should stage. For each of them, it is
+// the model that most workers of its domain are warm for. Workers that are warm for a model that is
+// short keep that model.
+func (p *planner) planStagings() []Staging {
 	var all []Staging
 	for _, domain := range slices.Sorted(maps.Keys(p.byDomain)) {
 		model := p.mainModel(domain)
@@ -22,7 +22,7 @@
 			if model == "" || len(all) >= min(p.maxLoads, p.maxStagings) {
 				break
 			}
-			if f.warmth(model) > Staged && !p.awaited(f) {
+			if f.warmth(model) > Staged && !p.isWarmForShortModel(f) {
 				all = append(all, Staging{Worker: f.ID, Model: model})
 			}
 		}
@@ -30,17 +30,17 @@
 	return all
 }
 
-// awaited reports whether a worker is warm for a model that is short.
-func (p *planner) awaited(f Free) bool {
-	return slices.ContainsFunc(p.needs, func(n Need) bool { return !n.met() && f.warmth(n.Model.Name) <= Staged })
+// isWarmForShortModel reports whether a worker is warm for a model that is short.
+func (p *planner) isWarmForShortModel(f FreeWorker) bool {
+	return slices.ContainsFunc(p.needs, func(n Need) bool { return !n.isMet() && f.warmth(n.Model.Name) <= Staged })
 }
 
 // mainModel returns the model that most workers of a domain are warm for.
 func (p *planner) mainModel(domain string) string {
-	best, most := "", 0
+	best, highest := "", 0
 	for _, n := range p.needs {
-		if count := p.warm[domain][n.Model.Name]; count > most {
-			best, most = n.Model.Name, count
+		if count := p.warmCounts[domain][n.Model.Name]; count > highest {
+			best, highest = n.Model.Name, count
 		}
 	}
 	return best
--- a/formation/suspended_test.go
+++ b/formation/suspension_test.go
@@ -11,9 +11,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestNoOrderAfterASuspension: the leader's machine was suspended past its term while another
-// daemon led. When it woke, it went on with the orders that it was about to give.
-func TestNoOrderAfterASuspension(t *testing.T) {
+// TestNoOrdersAfterSuspension covers a leader whose machine was suspended until after the end of
+// its term. When the machine resumes, the leader must not send the orders that it was about to
+// send.
+func TestNoOrdersAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 6)
 		ctx, stop := context.WithCancel(context.Background())
@@ -26,18 +27,18 @@
 		}
 		k := NewKeeper(opts, Term{Epoch: 1, First: true}, stop)
 		suspended = true
-		given := 0
-		verdict, _ := k.order(ctx, "join", &fleet.Worker{ID: "w0-0"}, func(context.Context, Fence) (Verdict, error) {
-			given++
+		sent := 0
+		verdict, _ := k.sendOrder(ctx, "join", &fleet.Worker{ID: "w0-0"}, func(context.Context, Fence) (Verdict, error) {
+			sent++
 			return Begun, nil
 		})
-		assert.Equal(t, given, 0)
+		assert.Equal(t, sent, 0)
 		assert.Assert(t, verdict != Begun)
 		go k.Run(ctx)
 		time.Sleep(10 * time.Second)
 		<-k.Done()
 		for _, s := range w.workers {
-			assert.Equal(t, s.orders, int64(0), "%s was given an order", s.id)
+			assert.Equal(t, s.orderCount, int64(0), "%s was given an order", s.id)
 		}
 	})
 }
--- a/formation/value.go
+++ b/formation/value.go
@@ -9,83 +9,87 @@
 )
 
 const (
-	// horizon is how far a plan looks ahead: about two loads from the weight store, so that
-	// a group which has to load still counts.
-	horizon = 30 * time.Second
-	// saturation says how fast the served part of a model's requests rises with its
-	// replicas: at what is wanted 1-exp(-3) = 0.95 of them find a place at once, and
-	// at fillTarget of it, where every slot would be busy, 0.88.
+	// planningHorizon is the period for which a plan is valued. It is about twice the duration of a
+	// load from the weight store, so that a group that has to load still has value.
+	planningHorizon = 30 * time.Second
+	// saturation determines how quickly the fraction of served requests rises with the number of
+	// replicas. With all wanted replicas, 1-exp(-saturation) of the requests, about 0.95, find a
+	// slot immediately.
 	saturation = 3
-	// workerLoss is the chance that a worker is lost while the planned groups are formed.
-	workerLoss = 0.01
+	// workerLossProbability is the probability that a worker is lost while the planned groups are
+	// formed.
+	workerLossProbability = 0.01
 )
 
-// Halls is what a plan weighs for the loss of data halls.
-type Halls struct {
-	// Bear is how many halls may be lost at once; zero leaves the term out.
-	Bear int
-	// Weight is what a share of requests that such a loss takes costs, beside one that
-	// is lost now.
+// HallLossPolicy specifies how a plan accounts for the loss of data halls.
+type HallLossPolicy struct {
+	// MaxLost is the number of halls whose simultaneous loss a plan accounts for. Zero disables
+	// this.
+	MaxLost int
+	// Weight is the weight of requests lost with a hall, relative to requests lost now.
 	Weight float64
 }
 
-// valuation says what numbers of replicas earn: the sum over the models of the served
-// part of their requests, now, after the loss of a worker and after that of halls.
+// valuation computes the value of a plan, which is the sum of the values of all models. The value
+// of a model is the fraction of its requests that are served. It is adjusted for the possible loss
+// of a worker and of halls.
 type valuation struct {
-	needs []Need
-	halls Halls
-	// serving counts, by model and hall, the replicas that stand or are being formed.
-	serving map[string]map[string]int
+	needs    []Need
+	hallLoss HallLossPolicy
+	// replicasByHall holds the number of replicas that serve or are being formed, by model and
+	// hall.
+	replicasByHall map[string]map[string]int
 }
 
-// served returns the part of a model's requests that n replicas serve in time.
-func (n Need) served(replicas float64) float64 {
+// servedShare returns the fraction of a model's requests that the replicas serve in time.
+func (n Need) servedShare(replicas float64) float64 {
 	if n.Want <= 0 || replicas <= 0 {
 		return 0
 	}
 	return 1 - math.Exp(-saturation*replicas/n.Want)
 }
 
-// model returns what a model earns with replicas, on the mean over the horizon, where
-// lost are those that the worst halls take.
-func (v *valuation) model(n Need, replicas, lost float64) float64 {
-	now := n.served(replicas)
-	broken := min(workerLoss*float64(n.Model.Size)*replicas, 1)
-	worth := now + broken*(n.served(replicas-1)-now)
-	if v.halls.Bear > 0 {
-		worth += v.halls.Weight * (n.served(replicas-lost) - now)
+// valueOf returns a model's value with the given mean number of replicas over the planning horizon.
+// hallLoss is the number of these replicas that the worst hall losses would take out of service.
+func (v *valuation) valueOf(n Need, replicas, hallLoss float64) float64 {
+	current := n.servedShare(replicas)
+	lossProbability := min(workerLossProbability*float64(n.Model.Size)*replicas, 1)
+	value := current + lossProbability*(n.servedShare(replicas-1)-current)
+	if v.hallLoss.MaxLost > 0 {
+		value += v.hallLoss.Weight * (n.servedShare(replicas-hallLoss) - current)
 	}
-	return worth
+	return value
 }
 
-// worst returns how many replicas of a model the worst halls hold, with more in one
-// hall than serve today.
-func (v *valuation) worst(model string, more map[string]int) float64 {
-	if v.halls.Bear <= 0 {
+// worstHallLoss returns how many replicas of a model are lost if the MaxLost halls with the most
+// replicas are lost. The replicas in added, by hall, are included.
+func (v *valuation) worstHallLoss(model string, added map[string]int) float64 {
+	if v.hallLoss.MaxLost <= 0 {
 		return 0
 	}
 	var counts []int
-	for hall, count := range v.serving[model] {
-		counts = append(counts, max(count+more[hall], 0))
+	for hall, count := range v.replicasByHall[model] {
+		counts = append(counts, max(count+added[hall], 0))
 	}
-	for hall, count := range more {
-		if _, counted := v.serving[model][hall]; !counted {
+	for hall, count := range added {
+		if _, counted := v.replicasByHall[model][hall]; !counted {
 			counts = append(counts, max(count, 0))
 		}
 	}
 	slices.SortFunc(counts, func(a, b int) int { return b - a })
 	total := 0
-	for _, count := range counts[:min(v.halls.Bear, len(counts))] {
+	for _, count := range counts[:min(v.hallLoss.MaxLost, len(counts))] {
 		total += count
 	}
 	return float64(total)
 }
 
-// part returns which part of the horizon a new group of a model serves.
-func part(m fleet.Model, loads bool) float64 {
+// servingFraction returns the fraction of the planning horizon during which a new group of a model
+// serves.
+func servingFraction(m fleet.Model, needsLoads bool) float64 {
 	ready := m.Warm
-	if loads {
+	if needsLoads {
 		ready += m.Load
 	}
-	return max(1-ready.Seconds()/horizon.Seconds(), 0.1)
+	return max(1-ready.Seconds()/planningHorizon.Seconds(), 0.1)
 }
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -15,143 +15,147 @@
 	"quartzshelf.dev/fleet"
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// simWorker is a worker as the rules describe it, in virtual time.
+// simWorker simulates a worker in virtual time.
 type simWorker struct {
 	id, domain string
-	// zone is its data hall; mute tells that it takes orders and becomes ready in no group.
-	zone     string
-	mute     bool
-	dead     bool
-	draining bool
-	// born is when its life began, beat counts its entries in that life.
-	born, beat int64
-	fence      Fence
-	epoch      int64
-	group      Group
-	state      fleet.GroupState
-	rank       int
-	last       string
-	staged     string
-	// staging tells that it loads to its host, stages counts orders to do so.
-	staging bool
-	stages  int
-	// orders counts the orders begun, states holds what reports told of when.
-	orders int64
-	states []timedState
-}
-
-// timedState is what a worker's reports tell from a time on.
+	// zone is the worker's data hall. neverReady makes it accept joins without becoming ready.
+	zone       string
+	neverReady bool
+	isDead     bool
+	isDraining bool
+	// born is the start time of the worker's incarnation. entryNumber is the number of list entries
+	// of that incarnation.
+	born, entryNumber int64
+	fence             Fence
+	epoch             int64
+	group             Group
+	state             fleet.GroupState
+	rank              int
+	lastModel         string
+	staged            string
+	// isStaging reports whether the worker is staging a model. stageOrderCount is the number of
+	// orders to stage a model that the worker received.
+	isStaging       bool
+	stageOrderCount int
+	// orderCount is the number of orders that the worker has begun. reports holds its reports by
+	// time.
+	orderCount int64
+	reports    []timedState
+}
+
+// timedState is the state that a worker reports from a certain time on.
 type timedState struct {
 	from  time.Time
 	state State
 }
 
-// member returns the worker's part in its group.
+// member returns the worker's group membership.
 func (s *simWorker) member() fleet.Membership {
 	return fleet.Membership{Group: s.group.Name, Epoch: s.group.Epoch, Rank: s.rank, State: s.state}
 }
 
-// world is a set of simulated workers that checks what must always hold.
+// world is a set of simulated workers. It checks invariants and records violations of them.
 type world struct {
-	mu        sync.Mutex
-	random    *rand.Rand
-	workers   map[string]*simWorker
-	inventory *fleet.Inventory
-	position  int64
-	// wasReady holds, by group key and member, who was ever ready.
+	mu           sync.Mutex
+	random       *rand.Rand
+	workers      map[string]*simWorker
+	inventory    *fleet.Inventory
+	listPosition int64
+	// wasReady holds the workers that have been ready in a group, by group key and worker ID.
 	wasReady map[string]bool
-	// late is the part of the orders that get no answer and are carried out later.
-	late float64
-	// fenceless workers do not look at fences.
-	fenceless bool
-	// delays holds, by order and worker, how late the next tries of an order are
-	// carried out; they get no answer then.
+	// lateFraction is the fraction of orders that get no answer and are carried out later.
+	lateFraction float64
+	// ignoresFences makes workers ignore fences.
+	ignoresFences bool
+	// delays holds the delays of the next attempts of an order, by order and worker. These attempts
+	// get no answer.
 	delays map[string][]time.Duration
-	// lateFrom is the epoch from which on all orders are late; 0 for none.
-	lateFrom int64
-	traffic  bool
-	// demand is the measured work by model, closing how long a group's requests
-	// take to end.
-	demand  map[string]Work
-	closing time.Duration
-	// opening is how long until the list shows an opened group, opened counts the
-	// orders to open by group.
-	opening time.Duration
-	opened  map[string]int
-	// away tells that the list shows nothing new.
-	away bool
-	// cut holds the workers that leaders do not reach, though other daemons do.
-	cut map[string]bool
-	// dark holds the workers that nobody reaches.
-	dark map[string]bool
-	// elsewhere holds the workers at whose address another one answers, answered counts
-	// the orders that it was given.
-	elsewhere map[string]bool
-	answered  int
-	// young tells that leaders have not known the list for long.
-	young bool
-	// loadsPerSecond bounds the loads that may begin, loads holds when they did.
+	// lateFromEpoch is the epoch from which all orders are late. Zero means none.
+	lateFromEpoch int64
+	hasTraffic    bool
+	// demand is the measured work by model. drainTime is the time that draining a group takes.
+	demand    map[string]Work
+	drainTime time.Duration
+	// openDelay is the time until the list shows that a group is open. openOrderCounts holds the
+	// number of orders to open by group.
+	openDelay       time.Duration
+	openOrderCounts map[string]int
+	// isListFrozen reports whether the list is no longer updated.
+	isListFrozen bool
+	// unreachableByLeader holds the workers that other daemons can reach but leaders cannot.
+	unreachableByLeader map[string]bool
+	// unreachable holds the workers that nobody can reach.
+	unreachable map[string]bool
+	// displaced holds the workers at whose address another one answers. displacedOrderCount is the
+	// number of orders that such other workers got.
+	displaced           map[string]bool
+	displacedOrderCount int
+	// hasYoungList reports whether leaders received the list only a short time ago.
+	hasYoungList bool
+	// loadsPerSecond is the maximum rate at which loads may begin. loadStarts holds the start times
+	// of loads.
 	loadsPerSecond float64
-	loads          []time.Time
-	// smoothed is the work that daemons knew before a term, hallOpen which halls are open.
+	loadStarts     []time.Time
+	// smoothed returns the work that daemons tracked before a term. isHallOpen reports whether a
+	// hall is open.
 	smoothed func() map[string]Work
-	// refusing holds workers that nobody reaches, which shows at once.
-	refusing map[string]bool
-	// given counts the tries of orders.
-	given    map[string]int
-	hallOpen func(hall string) bool
-	broken   []string
-	pending  sync.WaitGroup
+	// refusesQueries holds workers whose state queries fail immediately.
+	refusesQueries map[string]bool
+	// attemptCounts holds the number of attempts to send each kind of order.
+	attemptCounts map[string]int
+	isHallOpen    func(hall string) bool
+	violations    []string
+	pending       sync.WaitGroup
 }
 
 const (
-	simLoad = 12 * time.Second
-	simWarm = 1200 * time.Millisecond
-	simHot  = 200 * time.Millisecond
-	simForm = 300 * time.Millisecond
-	simLag  = 200 * time.Millisecond
-	// simBorn is when workers were born, in Unix milliseconds.
-	simBorn = 1_700_000_000_000
-	// simDelivery is how long the list takes to show a change.
-	simDelivery = 30 * time.Millisecond
+	simLoadTime     = 12 * time.Second
+	simWarmJoinTime = 1200 * time.Millisecond
+	simHotJoinTime  = 200 * time.Millisecond
+	simOpenTime     = 300 * time.Millisecond
+	simReportLag    = 200 * time.Millisecond
+	// simStartTime is the time when workers started, in Unix milliseconds.
+	simStartTime = 1_700_000_000_000
+	// simListDelay is the time until the list shows a change.
+	simListDelay = 30 * time.Millisecond
 )
 
 var simCeiling = Ceiling{Window: 5 * time.Second, Over: 1.1}
 
 var simModels = []fleet.Model{
-	{Name: "big", Size: 4, Share: 0.5, Pace: 1, Load: simLoad, Warm: simWarm},
-	{Name: "small", Size: 2, Share: 0.5, Pace: 1, Load: simLoad, Warm: simWarm},
+	{Name: "big", Size: 4, Share: 0.5, Pace: 1, Load: simLoadTime, Warm: simWarmJoinTime},
+	{Name: "small", Size: 2, Share: 0.5, Pace: 1, Load: simLoadTime, Warm: simWarmJoinTime},
 }
 
 func simConfig(loadsPerSecond float64) *fleet.Config {
 	return fleet.NewConfig(fleet.Parts{Version: 1, Services: []*fleet.Service{{Name: "models", Engine: &fleet.Engine{
-		Slots: 10, LoadsPerSecond: loadsPerSecond, LoadsAtOnce: 7, Form: simForm, Models: simModels,
+		Slots: 10, LoadsPerSecond: loadsPerSecond, LoadsAtOnce: 7, Form: simOpenTime, Models: simModels,
 	}}}})
 }
 
-// newWorld returns a world whose workers are all listed.
+// newWorld returns a world in which all workers are listed.
 func newWorld(seed uint64, domains, perDomain int) *world {
 	w := unlistedWorld(seed, domains, perDomain)
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		w.list(w.workers[id])
+		w.publish(w.workers[id])
 	}
 	return w
 }
 
-// unlistedWorld returns a world whose workers have yet to be listed.
+// unlistedWorld returns a world in which no worker is listed yet.
 func unlistedWorld(seed uint64, domains, perDomain int) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, seed)), workers: make(map[string]*simWorker),
-		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, closing: time.Second,
-		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), cut: make(map[string]bool), dark: make(map[string]bool), elsewhere: make(map[string]bool),
-		refusing: make(map[string]bool), given: make(map[string]int),
-		delays: make(map[string][]time.Duration), opening: simForm + simDelivery, opened: make(map[string]int), loadsPerSecond: 5,
+		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, drainTime: time.Second,
+		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), unreachableByLeader: make(map[string]bool), unreachable: make(map[string]bool), displaced: make(map[string]bool),
+		refusesQueries: make(map[string]bool), attemptCounts: make(map[string]int),
+		delays: make(map[string][]time.Duration), openDelay: simOpenTime + simListDelay, openOrderCounts: make(map[string]int), loadsPerSecond: 5,
 	}
 	for d := range domains {
 		for i := range perDomain {
-			s := &simWorker{id: fmt.Sprintf("w%d-%d", d, i), domain: fmt.Sprintf("d%d", d), born: simBorn}
+			s := &simWorker{id: fmt.Sprintf("w%d-%d", d, i), domain: fmt.Sprintf("d%d", d), born: simStartTime}
 			w.workers[s.id] = s
 		}
 	}
@@ -163,85 +167,85 @@
 	return Options{
 		Config: func() *fleet.Config { return config }, Inventory: w.inventory, Orders: w.orders(), IndirectLeave: w.indirectLeave,
 		Demand:  func() map[string]Work { return w.demand },
-		Traffic: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.traffic },
+		Traffic: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.hasTraffic },
 		ListSince: func() time.Time {
-			if w.young {
+			if w.hasYoungList {
 				return time.Now()
 			}
 			return time.Time{}
 		},
 		Announced:  func(a fleet.Announcement) { w.inventory.Decide(0, a) },
-		Counted:    w.count,
+		Counted:    w.countAttempt,
 		StallAfter: 6 * time.Second, Ceiling: simCeiling,
-		Smoothed: w.smoothed, HallOpen: w.hallOpen,
+		Smoothed: w.smoothed, HallOpen: w.isHallOpen,
 		Logger: hclog.NewNullLogger(),
 	}
 }
 
-// note keeps what a worker's reports are to tell once their lag is over. The
-// mutex is held.
-func (w *world) note(s *simWorker) {
-	s.states = append(s.states, timedState{from: time.Now().Add(simLag), state: State{
-		Member: s.member(), Loaded: s.last, Staged: []string{s.staged}, Orders: s.orders, Born: s.born,
+// recordState records a worker's state for its reports, which show it after simReportLag. The
+// caller must hold w.mu.
+func (w *world) recordState(s *simWorker) {
+	s.reports = append(s.reports, timedState{from: time.Now().Add(simReportLag), state: State{
+		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orderCount, Born: s.born,
 	}})
 }
 
-// report returns what a worker tells now. The mutex is held.
-func (s *simWorker) report(now time.Time) State {
-	for len(s.states) > 1 && !s.states[1].from.After(now) {
-		s.states = s.states[1:]
+// reportedState returns the state that a worker reports now. The caller must hold w.mu.
+func (s *simWorker) reportedState(now time.Time) State {
+	for len(s.reports) > 1 && !s.reports[1].from.After(now) {
+		s.reports = s.reports[1:]
 	}
-	if len(s.states) == 0 || s.states[0].from.After(now) {
+	if len(s.reports) == 0 || s.reports[0].from.After(now) {
 		return State{}
 	}
-	return s.states[0].state
+	return s.reports[0].state
 }
 
-// list writes a worker's entry into the list. The mutex is held.
-func (w *world) list(s *simWorker) {
-	w.note(s)
-	if w.away {
+// publish writes a worker's entry to the list. The caller must hold w.mu.
+func (w *world) publish(s *simWorker) {
+	w.recordState(s)
+	if w.isListFrozen {
 		return
 	}
-	w.position++
+	w.listPosition++
 	change := fleet.Change{ID: s.id}
-	if !s.dead {
+	if !s.isDead {
 		entry := &fleet.Worker{
-			ID: s.id, Service: "models", Address: s.id, Domain: s.domain, Zone: s.zone, Slots: 10, Draining: s.draining,
-			Member: s.member(), Born: s.born, Beat: s.beat,
+			ID: s.id, Service: "models", Address: s.id, Domain: s.domain, Zone: s.zone, Slots: 10, Draining: s.isDraining,
+			Member: s.member(), Born: s.born, Beat: s.entryNumber,
 		}
-		s.beat++
+		s.entryNumber++
 		if s.group.Name != "" {
-			// Who is in no group tells no model.
-			entry.Loaded = s.last
+			// A worker without a group does not report a model.
+			entry.Loaded = s.lastModel
 		}
 		if s.staged != "" {
 			entry.Staged = []string{s.staged}
 		}
 		change.Worker = entry
 	}
-	w.inventory.Apply([]fleet.Change{change}, w.position, time.Now())
+	w.inventory.Apply([]fleet.Change{change}, w.listPosition, time.Now())
 }
 
-// leaveBig lets requests come and a member of each large group, not its head,
-// say that it leaves. It returns these members.
-func (w *world) leaveBig() []string {
+// drainBigMembers starts traffic and marks one member other than the head of each large group as
+// leaving. It returns the IDs of these members.
+func (w *world) drainBigMembers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.traffic = true
-	var left []string
+	w.hasTraffic = true
+	var leaving []string
 	for id, s := range w.workers {
 		if s.group.Model == "big" && s.rank == 1 {
-			s.draining = true
-			w.list(s)
-			left = append(left, id)
+			s.isDraining = true
+			w.publish(s)
+			leaving = append(leaving, id)
 		}
 	}
-	return left
+	return leaving
 }
 
-// servingWith returns which of the workers are members of open groups.
-func (w *world) servingWith(ids []string) []string {
+// servingMembersOf returns those of the given workers that are members of open groups.
+func (w *world) servingMembersOf(ids []string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var all []string
@@ -258,85 +262,85 @@
 	return all
 }
 
-// kill ends a worker without a word; the list shows it later.
+// kill stops a worker abruptly. The list shows this after 3.6 s.
 func (w *world) kill(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.workers[id].dead = true
+	w.workers[id].isDead = true
 	w.pending.Go(func() {
 		time.Sleep(3600 * time.Millisecond)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.list(w.workers[id])
+		w.publish(w.workers[id])
 	})
 }
 
-// delay returns how late a try of an order is carried out, and whether it is
-// late at all. The mutex is held.
-func (w *world) delay(what, id string, fence Fence) (time.Duration, bool) {
-	drawn := time.Duration(2+w.random.IntN(10)) * time.Second
-	late := w.random.Float64() < w.late || w.lateFrom > 0 && fence >= NewFence(w.lateFrom, 0, 0)
-	key := what + " " + id
-	if set := w.delays[key]; len(set) > 0 {
-		w.delays[key] = set[1:]
-		return set[0], true
+// delay returns the delay of an order if it is late, and whether it is late. The caller must hold
+// w.mu.
+func (w *world) delay(order, id string, fence Fence) (time.Duration, bool) {
+	randomDelay := time.Duration(2+w.random.IntN(10)) * time.Second
+	isLate := w.random.Float64() < w.lateFraction || w.lateFromEpoch > 0 && fence >= NewFence(w.lateFromEpoch, 0, 0)
+	key := order + " " + id
+	if delays := w.delays[key]; len(delays) > 0 {
+		w.delays[key] = delays[1:]
+		return delays[0], true
 	}
-	return drawn, late
+	return randomDelay, isLate
 }
 
-// run carries an order out, now or later, and returns its answer.
-func (w *world) run(ctx context.Context, what, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
+// execute carries out an order, either immediately or after its delay, and returns the answer.
+func (w *world) execute(ctx context.Context, order, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[id]
-	if w.elsewhere[id] {
-		w.answered++
+	if w.displaced[id] {
+		w.displacedOrderCount++
 		w.mu.Unlock()
 		return Elsewhere, nil
 	}
-	dead := s.dead || w.cut[id] || w.dark[id]
-	delay, late := w.delay(what, id, fence)
-	life := s.born
+	isUnreachable := s.isDead || w.unreachableByLeader[id] || w.unreachable[id]
+	delay, isLate := w.delay(order, id, fence)
+	incarnation := s.born
 	w.mu.Unlock()
 	apply := func() Verdict {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if s.dead || s.born != life {
-			// What an earlier life was ordered ended with it.
+		if s.isDead || s.born != incarnation {
+			// Orders to an earlier incarnation are dropped.
 			return Unfit
 		}
-		if !w.fenceless && fence < s.fence {
+		if !w.ignoresFences && fence < s.fence {
 			return Fenced
 		}
 		s.fence = fence
 		verdict := do(s)
 		if verdict == Begun {
-			s.orders++
+			s.orderCount++
 		}
-		w.note(s)
+		w.recordState(s)
 		return verdict
 	}
-	if late && !dead {
+	if isLate && !isUnreachable {
 		w.pending.Go(func() {
 			time.Sleep(delay)
 			apply()
 		})
 	}
-	if dead || late {
+	if isUnreachable || isLate {
 		<-ctx.Done()
-		return Unfit, errSilent
+		return Unfit, errNoAnswer
 	}
 	time.Sleep(2 * time.Millisecond)
 	return apply(), nil
 }
 
-// orders returns the functions by which leaders reach the workers.
+// orders returns the functions that leaders use to reach the workers.
 func (w *world) orders() Orders {
 	return Orders{Join: w.join, Stage: w.stage, Open: w.open, Close: w.closeGroup, Leave: w.leaveGroup, Ask: w.ask}
 }
 
 func (w *world) join(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, g Group) (Verdict, error) {
-	return w.run(ctx, "join", worker.ID, fence, func(s *simWorker) Verdict {
-		if orders != s.orders {
+	return w.execute(ctx, "join", worker.ID, fence, func(s *simWorker) Verdict {
+		if orders != s.orderCount {
 			return Unfit
 		}
 		if g.Epoch < s.epoch || s.group.Name == g.Name && !slices.Equal(s.group.Members, g.Members) {
@@ -345,216 +349,217 @@
 		if s.group.Name == g.Name {
 			return Holds
 		}
-		w.checkTwo(s, g)
+		w.checkNotServing(s, g)
 		s.epoch, s.group, s.state, s.rank = g.Epoch, g, fleet.Joining, slices.Index(g.Members, s.id)
-		wait := simLoad
+		joinTime := simLoadTime
 		switch g.Model {
-		case s.last:
-			wait = simHot
+		case s.lastModel:
+			joinTime = simHotJoinTime
 		case s.staged:
-			wait = simWarm
+			joinTime = simWarmJoinTime
 		}
-		if wait == simLoad {
-			wait = w.load()
+		if joinTime == simLoadTime {
+			joinTime = w.startLoad()
 		}
-		w.list(s)
-		if s.mute {
+		w.publish(s)
+		if s.neverReady {
 			return Begun
 		}
-		w.later(wait, s, g, func() {
-			s.state, s.last, s.staged = fleet.Ready, g.Model, g.Model
+		w.changeLater(joinTime, s, g, func() {
+			s.state, s.lastModel, s.staged = fleet.Ready, g.Model, g.Model
 			w.wasReady[g.Key()+s.id] = true
 		})
 		return Begun
 	})
 }
 
-// load returns how long a load from the weight store takes, and checks the bound
-// on those that begin. Before the first request loads are quick and do not count.
-// The mutex is held.
-func (w *world) load() time.Duration {
-	if !w.traffic {
-		return simLoad / 10
+// startLoad records a load from the weight store, checks the limit on loads, and returns how long
+// the load takes. Before the first request, loads are quick and not counted. The caller must hold
+// w.mu.
+func (w *world) startLoad() time.Duration {
+	if !w.hasTraffic {
+		return simLoadTime / 10
 	}
 	now := time.Now()
-	w.loads = append(w.loads, now)
-	within := 0
-	for _, at := range w.loads {
+	w.loadStarts = append(w.loadStarts, now)
+	recentLoads := 0
+	for _, at := range w.loadStarts {
 		if now.Sub(at) < simCeiling.Window {
-			within++
+			recentLoads++
 		}
 	}
-	most := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingSlack
-	if float64(within) > most {
-		w.broken = append(w.broken, fmt.Sprintf("%d loads began within %s", within, simCeiling.Window))
+	limit := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingAllowance
+	if float64(recentLoads) > limit {
+		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", recentLoads, simCeiling.Window))
 	}
-	return simLoad
+	return simLoadTime
 }
 
-// later changes a worker after a time if it is still in the group.
-func (w *world) later(wait time.Duration, s *simWorker, g Group, change func()) {
+// changeLater applies a change to a worker after a delay, if the worker is still in the group then.
+func (w *world) changeLater(delay time.Duration, s *simWorker, g Group, change func()) {
 	w.pending.Go(func() {
-		time.Sleep(wait)
+		time.Sleep(delay)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !s.dead && s.group.Name == g.Name {
+		if !s.isDead && s.group.Name == g.Name {
 			change()
-			w.list(s)
+			w.publish(s)
 		}
 	})
 }
 
 func (w *world) open(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
-	w.opened[g.Key()]++
+	w.openOrderCounts[g.Key()]++
 	w.mu.Unlock()
-	return w.run(ctx, "open", worker.ID, fence, func(s *simWorker) Verdict {
+	return w.execute(ctx, "open", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.rank != 0 || s.state != fleet.Ready && s.state != fleet.Open {
 			return Unfit
 		}
 		if s.state == fleet.Open {
 			return Holds
 		}
-		w.checkPartial(s)
-		w.later(w.opening, s, g, func() { s.state = fleet.Open })
+		w.checkComplete(s)
+		w.changeLater(w.openDelay, s, g, func() { s.state = fleet.Open })
 		return Begun
 	})
 }
 
 func (w *world) closeGroup(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
-	return w.run(ctx, "close", worker.ID, fence, func(s *simWorker) Verdict {
+	return w.execute(ctx, "close", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.state != fleet.Open {
 			return Unfit
 		}
 		s.state = fleet.Closing
-		w.list(s)
-		w.later(w.closing, s, g, func() { s.state = fleet.Ready })
+		w.publish(s)
+		w.changeLater(w.drainTime, s, g, func() { s.state = fleet.Ready })
 		return Begun
 	})
 }
 
 func (w *world) leaveGroup(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
-	return w.run(ctx, "leave", worker.ID, fence, func(s *simWorker) Verdict { return w.leave(s, g) })
+	return w.execute(ctx, "leave", worker.ID, fence, func(s *simWorker) Verdict { return w.leave(s, g) })
 }
 
-// indirectLeave reaches the workers that leaders do not.
+// indirectLeave sends an order to leave, also to workers that leaders cannot reach.
 func (w *world) indirectLeave(ctx context.Context, worker *fleet.Worker, _ Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[worker.ID]
-	if !s.dead && !w.dark[s.id] {
+	if !s.isDead && !w.unreachable[s.id] {
 		defer w.mu.Unlock()
 		return w.leave(s, g), nil
 	}
 	w.mu.Unlock()
 	<-ctx.Done()
-	return Unfit, errSilent
+	return Unfit, errNoAnswer
 }
 
-// leave lets a worker leave a group. The mutex is held.
+// leave removes a worker from a group. The caller must hold w.mu.
 func (w *world) leave(s *simWorker, g Group) Verdict {
 	if s.group.Name == g.Name {
 		s.group, s.state, s.rank = Group{}, "", 0
-		s.orders++
-		w.note(s)
-		w.list(s)
+		s.orderCount++
+		w.recordState(s)
+		w.publish(s)
 	}
 	return Holds
 }
 
 func (w *world) stage(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, model string) (Verdict, error) {
-	return w.run(ctx, "stage", worker.ID, fence, func(s *simWorker) Verdict {
-		if orders != s.orders {
+	return w.execute(ctx, "stage", worker.ID, fence, func(s *simWorker) Verdict {
+		if orders != s.orderCount {
 			return Unfit
 		}
-		s.stages++
+		s.stageOrderCount++
 		switch {
-		case s.staging:
+		case s.isStaging:
 			return Unfit
 		case s.staged == model:
 			return Holds
 		}
-		s.staging = true
-		wait, life := w.load(), s.born
+		s.isStaging = true
+		wait, incarnation := w.startLoad(), s.born
 		w.pending.Go(func() {
 			time.Sleep(wait)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if s.born != life {
+			if s.born != incarnation {
 				return
 			}
-			s.staged, s.staging = model, false
-			w.list(s)
+			s.staged, s.isStaging = model, false
+			w.publish(s)
 		})
 		return Begun
 	})
 }
 
-// count counts a try of an order.
-func (w *world) count(order, _ string) {
+// countAttempt counts an attempt of an order.
+func (w *world) countAttempt(order, _ string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.given[order]++
+	w.attemptCounts[order]++
 }
 
 func (w *world) ask(ctx context.Context, worker *fleet.Worker) (State, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.workers[worker.ID]
-	if w.elsewhere[worker.ID] {
+	if w.displaced[worker.ID] {
 		return State{}, ErrElsewhere
 	}
-	if w.refusing[worker.ID] {
-		return State{}, errSilent
+	if w.refusesQueries[worker.ID] {
+		return State{}, errNoAnswer
 	}
-	if s.dead || w.cut[worker.ID] || w.dark[worker.ID] {
+	if s.isDead || w.unreachableByLeader[worker.ID] || w.unreachable[worker.ID] {
 		w.mu.Unlock()
 		<-ctx.Done()
 		w.mu.Lock()
-		return State{}, errSilent
+		return State{}, errNoAnswer
 	}
-	return s.report(time.Now()), nil
+	return s.reportedState(time.Now()), nil
 }
 
-// checkPartial notes a group that is opened although a member was never ready.
-func (w *world) checkPartial(head *simWorker) {
+// checkComplete records a violation if a group is opened before all its members have been ready.
+func (w *world) checkComplete(head *simWorker) {
 	model := simModels[slices.IndexFunc(simModels, func(m fleet.Model) bool { return m.Name == head.group.Model })]
 	if len(head.group.Members) != model.Size {
-		w.broken = append(w.broken, fmt.Sprintf("%s opened with %d members", head.group.Name, len(head.group.Members)))
+		w.violations = append(w.violations, fmt.Sprintf("%s opened with %d members", head.group.Name, len(head.group.Members)))
 	}
 	for _, id := range head.group.Members {
 		if !w.wasReady[head.group.Key()+id] {
-			w.broken = append(w.broken, fmt.Sprintf("%s opened though %s was never ready", head.group.Name, id))
+			w.violations = append(w.violations, fmt.Sprintf("%s opened although %s was never ready", head.group.Name, id))
 		}
 	}
 }
 
-// checkTwo notes a worker that joins a group while another serves with it.
-func (w *world) checkTwo(s *simWorker, g Group) {
+// checkNotServing records a violation if a worker joins a group while it is needed by another group
+// that serves.
+func (w *world) checkNotServing(s *simWorker, g Group) {
 	if len(s.group.Members) == 0 {
 		return
 	}
 	head := w.workers[s.group.Members[0]]
 	serving := head.state == fleet.Open || head.state == fleet.Closing
-	if !head.dead && head.group.Name == s.group.Name && serving {
-		w.broken = append(w.broken, fmt.Sprintf("%s joins %s while %s serves", s.id, g.Name, s.group.Name))
+	if !head.isDead && head.group.Name == s.group.Name && serving {
+		w.violations = append(w.violations, fmt.Sprintf("%s joins %s while %s needs it to serve", s.id, g.Name, s.group.Name))
 	}
 }
 
-// serving counts the open groups whose members are all there.
-func (w *world) serving() map[string]int {
+// countServing returns the number of open groups whose members are all present, by model.
+func (w *world) countServing() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	counts := make(map[string]int)
 	for _, s := range w.workers {
-		if s.dead || s.state != fleet.Open || s.rank != 0 {
+		if s.isDead || s.state != fleet.Open || s.rank != 0 {
 			continue
 		}
-		whole := true
+		isComplete := true
 		for _, id := range s.group.Members {
 			m := w.workers[id]
-			whole = whole && !m.dead && m.group.Name == s.group.Name
+			isComplete = isComplete && !m.isDead && m.group.Name == s.group.Name
 		}
-		if whole {
+		if isComplete {
 			counts[s.group.Model]++
 		}
 	}
