--- a/formation/absent.go
+++ b/formation/absent.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// absentQueryInterval is the time between queries to a worker that left the list while its
-	// group serves. A crash of such a worker is detected within this time plus two unanswered
-	// queries. Callers may report it sooner.
+	// absentQueryInterval is the time between queries to a worker that left the worker list while
+	// its group serves. The crash of such a worker is detected within this time plus the timeouts
+	// of two queries. Callers may report it sooner.
 	absentQueryInterval = 500 * time.Millisecond
-	// maxAbsence is the time after which a worker that left the list while its group serves is
-	// treated as gone, even if it answers. A worker that only lost its connection to the store is
-	// usually listed again sooner.
+	// maxAbsence is the time after which a worker that left the worker list while its group serves
+	// is treated as gone, even if it answers. A worker that only lost its connection to the store
+	// is usually listed again sooner.
 	maxAbsence = 30 * time.Second
 )
 
-// absence describes a worker that left the list while it belonged to a group that may serve. The
-// list does not show whether the worker crashed, is about to shut down or only lost its connection
-// to the store. The worker is therefore queried directly.
+// absence describes a worker that left the worker list while it belonged to a group that may serve.
+// The list does not show whether the worker crashed, is about to shut down or only lost its
+// connection to the store. The worker is therefore queried directly.
 type absence struct {
 	worker        *fleet.Worker
 	unlistedSince time.Time
-	// nextQuery is the time of the next query to the worker. It is not queried after queryUntil.
+	// nextQuery is the time of the next query to the worker. After queryUntil, the worker is no
+	// longer queried.
 	nextQuery  time.Time
 	queryUntil time.Time
-	// hasAnswered reports whether the worker has answered since it left the list.
+	// hasAnswered reports whether the worker has answered a query since it left the worker list.
 	hasAnswered bool
-	// isGone reports whether the worker is treated as dead, because it did not answer or has not
-	// been listed again for too long.
+	// isGone reports whether the worker is treated as dead. It did not answer, was replaced by
+	// another worker at its address, or has been unlisted for longer than maxAbsence.
 	isGone bool
 }
 
-// refreshAbsent records the workers that left the list while in a group that may serve, and removes
-// the records of those that are listed again. The caller must hold k.mu.
+// refreshAbsent records the workers that left the worker list while in a group that may serve. It
+// removes the records of workers that are listed again. The caller must hold k.mu.
 func (k *Keeper) refreshAbsent(view *fleet.View, now time.Time) {
 	if view == k.lastView {
 		return
@@ -69,7 +70,7 @@
 	return ok && !a.isGone
 }
 
-// mayBeAlive is the same as isAbsent, for callers that do not hold k.mu.
+// mayBeAlive reports the same as isAbsent, for callers that do not hold k.mu.
 func (k *Keeper) mayBeAlive(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -93,8 +94,8 @@
 	}
 }
 
-// repairAbsentHead drains a group whose head left the list but still answers. Callers send the
-// group no new requests, and requests in flight may finish. Nothing is done until the head has
+// repairAbsentHead drains a group whose head left the worker list but still answers. Callers send
+// the group no new requests, and requests in flight may finish. Nothing is done until the head has
 // answered once. The caller must hold k.mu.
 func (k *Keeper) repairAbsentHead(ctx context.Context, o *observedGroup) {
 	if !k.absent[o.head.ID].hasAnswered {
@@ -103,8 +104,8 @@
 	k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
 }
 
-// queryAbsent queries workers that left the list, each at its next query time. Workers that have
-// been absent for too long are marked as gone instead. The caller must hold k.mu.
+// queryAbsent queries workers that left the worker list, each at its next query time. Workers that
+// have been absent for too long are marked as gone instead. The caller must hold k.mu.
 func (k *Keeper) queryAbsent(ctx context.Context, now time.Time) {
 	for _, a := range k.absent {
 		if a.isGone || now.Before(a.nextQuery) {
@@ -119,7 +120,8 @@
 	}
 }
 
-// checkAbsent queries one worker that left the list, and marks it as gone if it does not answer.
+// checkAbsent queries one worker that left the worker list, and marks it as gone if it does not
+// answer.
 func (k *Keeper) checkAbsent(ctx context.Context, a *absence) {
 	answers := k.isResponsive(ctx, a.worker)
 	if ctx.Err() != nil {
--- a/formation/absent_test.go
+++ b/formation/absent_test.go
@@ -10,7 +10,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// nonHeadMembers returns one member other than the head of each group of a model.
+// nonHeadMembers returns, for each group of a model, one member that is not the head.
 func (w *world) nonHeadMembers(model string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -24,7 +24,7 @@
 }
 
 // TestUnlistedMembersKeepServing checks that groups are not taken out of service when some of their
-// members lose only their connection to the store.
+// members only lose their connection to the store.
 func TestUnlistedMembersKeepServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestUnlistedMemberThatDiesIsReplaced covers a member that leaves the list, keeps serving and dies
-// later. No caller reports its group as suspect.
+// TestUnlistedMemberThatDiesIsReplaced covers a member that leaves the worker list, keeps serving
+// and dies later. No caller reports its group as suspect.
 func TestUnlistedMemberThatDiesIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -65,7 +65,8 @@
 		w.mu.Lock()
 		w.workers[g.Members[1]].isDead = true
 		w.mu.Unlock()
-		// The member is queried within half a second, twice with a timeout of 0.2 s.
+		// The member is queried within half a second. Two queries with a timeout of 0.2 s each are
+		// not answered.
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, w.membershipOf(g.Members[0]).Group != g.Name, "the group was not dissolved")
 		stop()
@@ -74,8 +75,8 @@
 	})
 }
 
-// TestUnlistedHeadDrainsItsRequests checks that a head that left the list gets no new requests,
-// and that its requests finish before its members are reused.
+// TestUnlistedHeadDrainsItsRequests checks that a head that left the worker list gets no new
+// requests, and that its requests finish before its members are reused.
 func TestUnlistedHeadDrainsItsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -114,7 +115,7 @@
 }
 
 // TestFormingContinuesWithUnlistedMember checks that members of a group being formed are queried
-// directly if the list does not show them.
+// directly if the worker list does not show them.
 func TestFormingContinuesWithUnlistedMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
@@ -136,8 +137,8 @@
 	})
 }
 
-// TestNewlyUnlistedMemberIsNotLost checks that forming a group does not treat a member as lost if
-// the member left the list after the last tick.
+// TestNewlyUnlistedMemberIsNotLost covers a member that leaves the worker list after the last tick,
+// while its group is being formed. The member must not be treated as lost.
 func TestNewlyUnlistedMemberIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
--- a/formation/assignment.go
+++ b/formation/assignment.go
@@ -134,8 +134,8 @@
 	return steps
 }
 
-// relax lowers the costs of the steps by one more reassignment between models. It reports whether
-// any step became cheaper.
+// relax lowers the costs of the steps by allowing one more reassignment between models. It reports
+// whether any step became cheaper.
 func (s *assignment) relax(steps []step) bool {
 	hasImproved := false
 	for c, given := range s.assignedCounts {
@@ -162,8 +162,8 @@
 	return hasImproved
 }
 
-// stepCapacity returns how many workers a model can get by following the steps from it back to
-// unassigned workers.
+// stepCapacity returns how many workers a model can get at once along the chain of steps that leads
+// from it to unassigned workers.
 func (s *assignment) stepCapacity(steps []step, model int) int {
 	capacity := 1 << 30
 	for at := model; at >= 0; at = steps[at].fromModel {
--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{760, 3000, 6200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			w := unlistedWorld(1, workers/20, 20)
+			w := newUnlistedWorld(1, workers/20, 20)
 			for _, s := range w.workers {
 				w.publish(s)
 			}
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -12,24 +12,24 @@
 	// targetUtilization is the intended fraction of busy slots in a replica.
 	targetUtilization = 0.7
 	// demandRiseWeight is the weight of a new measurement in the smoothed work, per tick, if the
-	// measurement is higher than the smoothed value. demandFallWeight is the weight if it is lower.
+	// measurement is higher than the smoothed value. demandFallWeight is its weight if the
+	// measurement is lower.
 	demandRiseWeight = 0.04
 	demandFallWeight = 0.01
 	// sharePeriod is the time after the first request to a new fleet in which the models'
 	// configured shares are considered in addition to the measured work. Later leaders use only the
-	// measured work. Otherwise, each leader change would make replicas switch models back and
-	// forth.
+	// measured work. Otherwise, each leader change would make workers switch between models.
 	sharePeriod = 10 * time.Second
 	// spareReplicas is the number of replicas wanted in addition to those needed for the measured
 	// work.
 	spareReplicas = 1
-	// rereadPauseShare is the fraction of the tolerated pause, less the duration of two forward
-	// passes, in which the remaining replicas must read the prompts of a lost replica. The rest is
-	// a reserve for uneven load and for new prompts.
+	// rereadPauseShare is the fraction of the tolerated pause in which the remaining replicas must
+	// read the prompts of a lost replica. The duration of two forward passes is deducted from the
+	// pause first. The rest is a reserve for uneven load and for new prompts.
 	rereadPauseShare = 0.25
 )
 
-// Work is the measured work of a model, summed over all daemons.
+// Work is a model's measured work. Busy and Prompts are summed over all daemons.
 type Work struct {
 	// Busy is the number of occupied slots. Prompts is the number of prompt tokens of the requests
 	// in these slots.
@@ -39,8 +39,9 @@
 }
 
 // replicasForLoss returns how many replicas a model needs to tolerate the loss of one. The other
-// replicas must read the prompts of its requests again and continue these requests within the pause
-// that callers tolerate. It returns 0 if that pause is too short for any number of replicas.
+// replicas must read the prompts of the lost replica's requests again, and continue these requests
+// within the pause that callers tolerate. It returns 0 if that pause is too short for any number of
+// replicas.
 func replicasForLoss(e *fleet.Engine, model string, w Work) float64 {
 	pass, perRequest := e.Pass(model)
 	allowedSeconds := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
@@ -98,14 +99,14 @@
 	return workers
 }
 
-// wantedReplicas returns the wanted number of replicas of a model. It is based on the measured work
-// or, before there is any traffic, on the model's configured share.
+// wantedReplicas returns the wanted number of replicas of a model. The number is based on the
+// measured work. Before there is any traffic, it is based on the model's configured share.
 func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workers int) float64 {
 	byShare := m.Share * float64(workers) / float64(max(m.Size, 1))
 	work := k.smoothedWork[m.Name]
 	byDemand := work.Busy/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
-	// If replicas are slow, their prompts accumulate. This limit keeps the model from taking
-	// workers away from other models for that reason.
+	// Slow replicas accumulate prompts. This limit keeps such a model from taking workers away from
+	// other models.
 	byDemand = max(byDemand, min(replicasForLoss(e, m.Name, work), byShare))
 	now := time.Now()
 	switch {
@@ -121,7 +122,7 @@
 }
 
 // inheritSmoothedWork starts the term with the smoothed work that this daemon tracked before. The
-// wanted replicas then do not change abruptly with each new leader.
+// number of wanted replicas then does not change abruptly when the leader changes.
 func (k *Keeper) inheritSmoothedWork() {
 	if k.opts.Smoothed != nil {
 		maps.Copy(k.smoothedWork, k.opts.Smoothed())
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -23,9 +23,9 @@
 		work        Work
 		least, most float64
 	}{
-		// Reading 60 prompts of 1,500 tokens takes 1.8 s. A pause of 300 ms leaves about 200 ms in
-		// addition to two passes. The other n-1 replicas may use a quarter of that to read the
-		// prompts of a lost one.
+		// Reading 60 prompts of 1,500 tokens takes 1.8 s. A pause of 300 ms, less the duration of
+		// two passes, leaves about 200 ms. The other n-1 replicas may use a quarter of that to read
+		// the prompts of a lost one.
 		"large prompts":       {model: "big", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, least: 6, most: 7},
 		"twice the work":      {model: "big", work: Work{Busy: 120, Prompts: 180000, Pause: 300 * ms}, least: 8.5, most: 9.5},
 		"a faster model":      {model: "small", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, least: 4, most: 5},
@@ -43,8 +43,9 @@
 	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "engine without times")
 }
 
-// TestLaterLeaderUsesMeasuredDemand checks that a later leader does not apply the models' shares
-// again, which would make replicas switch models back and forth.
+// TestLaterLeaderUsesMeasuredDemand checks that a later leader uses the measured work and not the
+// models' configured shares. Otherwise, each leader change would make workers switch between
+// models.
 func TestLaterLeaderUsesMeasuredDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
--- a/formation/displaced.go
+++ b/formation/displaced.go
@@ -10,9 +10,9 @@
 // ErrElsewhere means that another worker answered at a worker's address.
 var ErrElsewhere = errors.New("another worker answered at the address")
 
-// recordDisplaced records that another worker answered at a worker's address, so the original
-// worker no longer runs. The list may still show it, for as long as the store is unavailable. The
-// record keeps it out of new groups.
+// recordDisplaced records that another worker answered at a worker's address. The original worker
+// no longer runs, but the worker list may still show it while the store is unavailable. The record
+// keeps it out of new groups.
 func (k *Keeper) recordDisplaced(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -26,17 +26,17 @@
 	k.opts.Logger.Info("worker replaced: another one answers at its address", "worker", w.ID)
 }
 
-// interruptedJoin is the assumed state of a worker whose join was abandoned at the given time. It
-// has no loaded model, and its host holds only the staged models.
+// interruptedJoin is the assumed state of a worker whose join was abandoned at the given time. The
+// worker has no loaded model, and its host holds only the models in staged.
 type interruptedJoin struct {
 	staged      []string
 	abandonedAt time.Time
 }
 
 // recordInterruptedJoins records that the members of an abandoned group may have lost their
-// previous model without having loaded the new one. If they were assumed to be warm, their loads
-// would not be counted. Members that already served the group's model are not affected. The caller
-// must hold k.mu.
+// previous model without having loaded the new one. Without this record, they would be assumed to
+// be warm, and their loads would not be counted. Members that already served the group's model are
+// not affected. The caller must hold k.mu.
 func (k *Keeper) recordInterruptedJoins(g Group, now time.Time) {
 	for _, id := range g.Members {
 		w, ok := k.knownWorkers[id]
--- a/formation/displaced_test.go
+++ b/formation/displaced_test.go
@@ -10,8 +10,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestDisplacedWorkersGetNoMoreOrders checks that idle workers that were replaced, but are still
-// listed, are not put into groups repeatedly.
+// TestDisplacedWorkersGetNoMoreOrders covers idle workers that were replaced by others at their
+// addresses, but are still listed. They must not be put into groups repeatedly.
 func TestDisplacedWorkersGetNoMoreOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
@@ -21,11 +21,12 @@
 			w.mu.Lock()
 			w.displaced[id] = true
 			w.mu.Unlock()
-			w.add(id, "d0")
+			w.addWorker(id, "d0")
 		}
 		time.Sleep(5 * time.Second)
 		stop()
-		// Each worker gets one join and one leave before it is known to be displaced.
+		// Each worker gets one order to join and one to leave before the leader knows that it is
+		// displaced.
 		w.mu.Lock()
 		assert.Assert(t, w.displacedOrderCount > 0 && w.displacedOrderCount <= 4, "%d orders", w.displacedOrderCount)
 		w.mu.Unlock()
@@ -34,12 +35,12 @@
 	})
 }
 
-// TestInterruptedJoinsAreNotAssumedWarm checks that a worker whose join was interrupted is not
-// assumed to hold a model until the list has been confirmed afterwards.
-func TestInterruptedJoinsAreNotAssumedWarm(t *testing.T) {
+// TestWarmthAfterInterruptedJoin checks which models a worker is assumed to hold after an
+// interrupted join, until the worker list has been confirmed.
+func TestWarmthAfterInterruptedJoin(t *testing.T) {
 	tests := map[string]struct {
 		loaded, staged string
-		// big and small are the expected warmth for these models.
+		// big and small are the expected warmths for these models after the interrupted join.
 		big, small Warmth
 	}{
 		"it served the model last":      {loaded: "big", staged: "small", big: Hot, small: Staged},
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -41,8 +41,8 @@
 }
 
 // leave orders the head of a group to leave it, and reports whether the head answered. If this
-// daemon cannot reach the head, other daemons send the order, since the group may still serve
-// through them.
+// daemon cannot reach the head, it sends the order through other daemons. The group may still serve
+// requests of those daemons.
 func (k *Keeper) leave(ctx context.Context, g Group, head *fleet.Worker) (Verdict, bool) {
 	verdict, ok := k.leaveDirectly(ctx, g, head)
 	if ok || ctx.Err() != nil {
@@ -55,7 +55,7 @@
 		return Unfit, false
 	}
 	k.opts.Logger.Info("order sent through another daemon", "order", "leave", "worker", head.ID)
-	k.checkTerm("leave", head, verdict)
+	k.endTermIfFenced("leave", head, verdict)
 	return verdict, true
 }
 
@@ -71,8 +71,8 @@
 }
 
 // isPresumedGone reports whether a head that has been unreachable since the given time is presumed
-// dead. If the list is recent, the head must also be missing from it. Otherwise, the head must have
-// been unreachable for so long that its group has broken.
+// dead. If the worker list is recent, the head must also be missing from it. Otherwise, the head
+// must have been unreachable for so long that its group has broken.
 func (k *Keeper) isPresumedGone(head *fleet.Worker, unreachableSince, now time.Time) bool {
 	_, listed := k.opts.Inventory.View().Worker(head.ID)
 	isListRecent := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
@@ -129,8 +129,8 @@
 	k.dissolve(ctx, o, o.head)
 }
 
-// isDrained reports whether a closed group's requests have finished. It uses the list. If the list
-// is stale or does not show the head, it queries the head, but not before nextQuery.
+// isDrained reports whether a closed group's requests have finished. It uses the worker list. If
+// the list is stale or does not show the head, it queries the head, but not before nextQuery.
 func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
 	membership := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
 	headEntry, isListed := k.opts.Inventory.View().Worker(o.head.ID)
--- a/formation/form.go
+++ b/formation/form.go
@@ -85,7 +85,7 @@
 }
 
 // awaitReady waits until every member is ready in the group. It fails if a member is gone or ctx is
-// done, and marks the members that caused the failure as unreliable.
+// done. It then marks the members that caused the failure as unreliable.
 func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	readyMembers := make(map[string]bool)
 	nextQuery := time.Now().Add(queryInterval)
@@ -117,8 +117,8 @@
 	return m.Group == g.Name && m.Epoch == g.Epoch && m.State == fleet.Ready
 }
 
-// membersToQuery returns the members whose current state the list does not show. These are all
-// members if the list is stale, and otherwise the unlisted ones.
+// membersToQuery returns the members whose current state the worker list does not show. If the list
+// is stale, these are all members. Otherwise, these are the unlisted ones.
 func (k *Keeper) membersToQuery(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
 	if now.Sub(k.opts.Inventory.Confirmed()) > listStaleAge {
 		return members
@@ -145,8 +145,8 @@
 	}
 }
 
-// goneMembers returns the members that are gone, unresponsive or draining. It refreshes the
-// absences first, since a member that left the list after the last tick may still answer.
+// goneMembers returns the members that are gone, unresponsive or draining. It updates the absences
+// first, since a member that left the worker list after the last tick may still answer.
 func (k *Keeper) goneMembers(members []*fleet.Worker) []*fleet.Worker {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -182,9 +182,9 @@
 	return true
 }
 
-// recordOpened records that a head accepted the order to open its group. The list and the head's
-// reports still show the group as ready for a while. The record takes precedence until the list has
-// been confirmed after confirmedAfter.
+// recordOpened records that a head accepted the order to open its group. For a while, the worker
+// list and the head's reports still show the group as ready. The record takes precedence until the
+// list has been confirmed after confirmedAfter.
 func (k *Keeper) recordOpened(head string, g Group, confirmedAfter time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/free.go
+++ b/formation/free.go
@@ -75,8 +75,8 @@
 }
 
 // warmestWorkers returns the cheapest workers for a group of the model, and a total cost by which
-// domains are compared. It returns nil if there are too few workers that are no colder than the
-// given limit.
+// domains are compared. It returns nil if there are too few workers, or if one of the cheapest is
+// colder than the given limit.
 func warmestWorkers(m fleet.Model, workers []FreeWorker, coldest Warmth) ([]FreeWorker, int) {
 	if m.Size <= 0 || len(workers) < m.Size {
 		return nil, 0
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -14,7 +14,7 @@
 	key   string
 	group Group
 	model fleet.Model
-	// isModelKnown reports whether the service is configured with the model.
+	// isModelKnown reports whether the model is in the service's configuration.
 	isModelKnown bool
 	head         *fleet.Worker
 	state        fleet.GroupState
@@ -22,9 +22,10 @@
 	// readyCount is the number of members that are no longer joining, including the head.
 	readyCount int
 	isDraining bool
-	// hasLostMember reports whether some member does not answer.
+	// hasLostMember reports whether some member is unresponsive.
 	hasLostMember bool
-	// absentCount is the number of members that left the list but are still treated as members.
+	// absentCount is the number of members that left the worker list but are still treated as
+	// members.
 	absentCount int
 }
 
@@ -34,7 +35,7 @@
 }
 
 // settleTime returns how long an incomplete group is left unchanged after it was first seen. It is
-// longer shortly after the process started, because the list itself may be incomplete then.
+// longer shortly after the process started, because the worker list itself may be incomplete then.
 func (k *Keeper) settleTime(now time.Time) time.Duration {
 	if now.Sub(k.opts.ListSince()) < youngListAge {
 		return youngListSettleTime
@@ -135,9 +136,9 @@
 	case k.isAbsent(o.head.ID):
 		k.repairAbsentHead(ctx, o)
 	case o.state == fleet.Open && o.isComplete() && !o.isDraining:
-		// The group is healthy, even if a member left the list, because a group works without the
-		// list. Dissolving such groups would take many replicas out of service whenever workers
-		// lose their connection to the store.
+		// The group is healthy, even if a member left the worker list, because a group works
+		// without the list. Dissolving such groups would take many replicas out of service whenever
+		// workers lose their connection to the store.
 	case o.state == fleet.Open && o.isComplete():
 		k.dissolveLeaving(ctx, o, now)
 	case age < k.settleTime(now) && !o.hasLostMember:
@@ -155,7 +156,7 @@
 // repairHeadless frees the members of a group whose head is not listed. It contacts the head first,
 // because a head that lost its connection to the store may still serve. The head is unknown only if
 // an operator created the group by hand. The members of such a group are freed after StallAfter,
-// when the group has broken by itself.
+// because the group has broken by then.
 func (k *Keeper) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
 	since, ok := k.headlessSince[o.key]
 	if !ok {
@@ -237,8 +238,8 @@
 	return all
 }
 
-// asFreeWorker returns the planner's view of a worker. An interrupted join and the worker's own
-// reports take precedence over the list until the list has been confirmed after them.
+// asFreeWorker returns a worker in the form that the planner uses. An interrupted join and the
+// worker's own reports take precedence over the worker list until a later list has been received.
 func (k *Keeper) asFreeWorker(w *fleet.Worker) FreeWorker {
 	if i, ok := k.interruptedJoins[w.ID]; ok {
 		if !k.opts.Inventory.Confirmed().After(i.abandonedAt.Add(listSettleTime)) {
@@ -249,7 +250,8 @@
 	return FreeWorker{ID: w.ID, Domain: w.Domain, LoadedModel: k.loadedModel(w), StagedModels: w.Staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
 }
 
-// loadedModel returns the model that a worker served last, according to its own report or the list.
+// loadedModel returns the model that a worker served last, according to its own report or the
+// worker list.
 func (k *Keeper) loadedModel(w *fleet.Worker) string {
 	if k.isPastIncarnation(w) {
 		return k.observations[w.ID].state.Loaded
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -7,7 +7,7 @@
 )
 
 // hallSettleTime is the time after a data hall was closed or opened in which no group is traded for
-// another model. A hall that is closed briefly by mistake thus causes no trades. Groups are still
+// another model. Thus, a hall that is closed briefly by mistake causes no trades. Groups are still
 // formed from idle workers during this time.
 const hallSettleTime = time.Second
 
@@ -17,7 +17,8 @@
 	closedHalls map[string]bool
 }
 
-// isUsable reports whether a hall's workers may be used and its replicas counted.
+// isUsable reports whether a hall's workers may be used for new groups and its replicas counted as
+// available.
 func (h *hallStates) isUsable(hall string) bool { return !h.closedHalls[hall] }
 
 // refreshHalls updates which halls are closed. If all halls with workers are closed, none is
@@ -61,7 +62,7 @@
 }
 
 // hallLossPolicy returns how plans account for the loss of data halls. If no weight is configured,
-// it returns the zero value, which disables this.
+// plans do not account for it.
 func (k *Keeper) hallLossPolicy() HallLossPolicy {
 	if k.opts.HallWeight <= 0 {
 		return HallLossPolicy{}
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -15,10 +15,10 @@
 // hallLossWeight is the weight of requests lost with a hall in these tests.
 const hallLossWeight = 0.2
 
-// hallWorld returns a world of listed workers whose domains alternate between the halls "h0" and
+// newHallWorld returns a world of listed workers whose domains alternate between the halls "h0" and
 // "h1". Hall "h1" is closed while the returned flag is set.
-func hallWorld(domains, perDomain int) (*world, *atomic.Bool) {
-	w := unlistedWorld(1, domains, perDomain)
+func newHallWorld(domains, perDomain int) (*world, *atomic.Bool) {
+	w := newUnlistedWorld(1, domains, perDomain)
 	closed := new(atomic.Bool)
 	w.isHallOpen = func(hall string) bool { return hall != "h1" || !closed.Load() }
 	for _, s := range w.workers {
@@ -51,10 +51,10 @@
 }
 
 // TestGroupsOfClosedHallAreReplaced checks that the wanted replicas are formed in the other hall
-// when a data hall is closed, and that the groups of the closed hall stay formed.
+// when a data hall is closed. The groups of the closed hall must not be dissolved.
 func TestGroupsOfClosedHallAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, closed := hallWorld(4, 8)
+		w, closed := newHallWorld(4, 8)
 		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
 		_, _, stop := startServing(w, "big")
 		w.pending.Go(func() { w.confirmList(80 * time.Second) })
@@ -81,7 +81,7 @@
 // again within a second.
 func TestBrieflyClosedHallKeepsGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, closed := hallWorld(4, 8)
+		w, closed := newHallWorld(4, 8)
 		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
 		_, _, stop := startServing(w, "big")
 		w.pending.Go(func() { w.confirmList(60 * time.Second) })
@@ -104,7 +104,7 @@
 // TestAllHallsClosed checks that groups are repaired as usual when no hall is open.
 func TestAllHallsClosed(t *testing.T) {
 	servingAfterLoss := func(open func(string) bool) map[string]int {
-		w, _ := hallWorld(2, 10)
+		w, _ := newHallWorld(2, 10)
 		w.isHallOpen = open
 		_, g, stop := startServing(w, "big")
 		w.kill(g.Members[2])
@@ -119,8 +119,8 @@
 	})
 }
 
-// blankWorkers returns workers without any model, in domains that alternate between two halls.
-func blankWorkers(domains, perDomain int) []FreeWorker {
+// newBlankWorkers returns workers without any model, in domains that alternate between two halls.
+func newBlankWorkers(domains, perDomain int) []FreeWorker {
 	var all []FreeWorker
 	for d := range domains {
 		for i := range perDomain {
@@ -130,14 +130,14 @@
 	return all
 }
 
-// TestReplicasAreSpreadOverHalls checks that no hall gets all replicas of a model in a new fleet if
-// the loss of a hall must be tolerated.
+// TestReplicasAreSpreadOverHalls checks that, in a new fleet, no hall gets all replicas of a model
+// if the loss of a hall must be tolerated.
 func TestReplicasAreSpreadOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
 		maxLost int
 		growing bool
-		// most is the maximum number of large groups, out of two, in one hall.
+		// most is the maximum number of large groups in one hall. There are two large groups.
 		most int
 	}{
 		"no tolerated loss":  {most: 2},
@@ -147,7 +147,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			in := Input{
-				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: blankWorkers(2, 37),
+				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: newBlankWorkers(2, 37),
 				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}, IsListGrowing: test.growing,
 			}
 			formations, _ := Plan(in)
--- a/formation/incarnations.go
+++ b/formation/incarnations.go
@@ -2,18 +2,18 @@
 
 import "quartzshelf.dev/fleet"
 
-// incarnation holds start times of a worker's process, in Unix milliseconds. A worker may restart
-// under the same ID. Its new process keeps only what is staged on the host. It belongs to no group,
-// and counts orders from zero.
+// incarnation holds the start times of a worker's process, in Unix milliseconds. A worker may
+// restart under the same ID. Its new process keeps only what is staged on the host. It belongs to
+// no group and counts orders from zero.
 type incarnation struct {
-	// listedStart is the start time in the list. newestStart is the start time of the latest
+	// listedStart is the start time in the worker list. newestStart is the start time of the latest
 	// incarnation that the list or the worker itself has reported.
 	listedStart, newestStart int64
 }
 
-// recordListedIncarnation records the incarnation in a list entry. Entries arrive in the order in
-// which they were written, so a different incarnation is a later one, even if the worker's clock
-// was set back. The caller must hold k.mu.
+// recordListedIncarnation records the incarnation in an entry of the worker list. Entries arrive in
+// the order in which they were written. A different incarnation is therefore a later one, even if
+// the worker's clock was set back. The caller must hold k.mu.
 func (k *Keeper) recordListedIncarnation(w *fleet.Worker) {
 	if w.Born == 0 {
 		return
@@ -29,7 +29,7 @@
 }
 
 // recordReportedIncarnation records the incarnation in a worker's own answer. It returns false if
-// the answer is a late one of an earlier incarnation. The caller must hold k.mu.
+// the answer comes from an earlier incarnation. The caller must hold k.mu.
 func (k *Keeper) recordReportedIncarnation(id string, born int64) bool {
 	l, known := k.incarnations[id]
 	switch {
--- a/formation/inherit_test.go
+++ b/formation/inherit_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDemandSurvivesLeaderChange checks that a new leader starts with the work that it tracked
-// before its term, even if its peers have not reported yet.
+// TestDemandSurvivesLeaderChange checks that a new leader starts with the work that its daemon
+// tracked before the term, even if the other daemons have not reported yet.
 func TestDemandSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
@@ -23,8 +23,8 @@
 	})
 }
 
-// TestNewLeaderDelaysTrades checks that a new leader trades no groups in its first second, when it
-// may not know the work of all daemons.
+// TestNewLeaderDelaysTrades checks that a new leader trades no groups in its first second. Some
+// daemons may not have reported their work to it by then.
 func TestNewLeaderDelaysTrades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
@@ -72,7 +72,7 @@
 }
 
 // TestGroupsOfConcurrentLeaderStayVisible covers two leaders that start almost simultaneously and
-// plan the same groups. The second leader abandons groups that it never opened. It must not
+// plan the same groups. The second leader abandons its groups before they are opened. It must not
 // announce them as closed, because daemons would apply that to the first leader's groups with the
 // same heads.
 func TestGroupsOfConcurrentLeaderStayVisible(t *testing.T) {
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -13,8 +13,8 @@
 // Intervals, timeouts and limits of a Keeper.
 const (
 	tickInterval = 100 * time.Millisecond
-	// maxConcurrentCalls is the maximum number of concurrent calls to workers, and thereby of
-	// connections for them.
+	// maxConcurrentCalls is the maximum number of concurrent calls to workers. It also limits the
+	// number of connections to them.
 	maxConcurrentCalls = 64
 	// orderTimeout is the timeout of an order to a worker. queryTimeout is the timeout of a state
 	// query.
@@ -25,17 +25,18 @@
 	// maxOrderAttempts is the maximum number of attempts to send an order that is not answered.
 	// Each attempt has a new fence.
 	maxOrderAttempts = 6
-	// queryInterval is the time between state queries while an update of the list is awaited.
+	// queryInterval is the time between state queries while an update of the worker list is
+	// awaited.
 	queryInterval = 250 * time.Millisecond
 	// joinGracePeriod is the time that a join may take in addition to its expected duration.
 	joinGracePeriod = 3 * time.Second
-	// loadTimeFactor is the factor by which a load may exceed its expected duration, since
-	// concurrent loads slow each other down.
+	// loadTimeFactor is the factor by which a load may exceed its expected duration. Concurrent
+	// loads slow each other down.
 	loadTimeFactor = 4
-	// listSettleTime is the maximum time until the list shows the effect of an operation.
+	// listSettleTime is the maximum time until the worker list shows the effect of an operation.
 	listSettleTime = time.Second
-	// youngListSettleTime replaces listSettleTime in a process that received the list less than
-	// youngListAge ago.
+	// youngListSettleTime replaces listSettleTime in a process that first received the worker list
+	// less than youngListAge ago.
 	youngListSettleTime = 4 * time.Second
 	youngListAge        = 10 * time.Second
 	// maxDrainTime is the maximum time for which requests in flight delay a group's dissolution.
@@ -45,10 +46,11 @@
 	// lostHeadTimeout is the time for which a head must be unreachable and unlisted before its
 	// members are freed without its confirmation.
 	lostHeadTimeout = 1200 * time.Millisecond
-	// listStaleAge is the age of the list beyond which workers are queried directly. At that age,
-	// two consecutive reads of the list have failed.
+	// listStaleAge is the age of the worker list beyond which workers are queried directly. At that
+	// age, two consecutive reads of the list have failed.
 	listStaleAge = 800 * time.Millisecond
-	// maxListAge is the maximum age of a list that is used to determine whether a worker is gone.
+	// maxListAge is the maximum age of a worker list that is used to determine whether a worker is
+	// gone.
 	maxListAge = 4 * time.Second
 	// reportInterval is the time between log messages about wanted and available replicas.
 	reportInterval = 3 * time.Second
@@ -61,7 +63,7 @@
 	// First reports whether this is the fleet's first term.
 	First bool
 	// FirstLife reports whether this process has been running since the fleet was started for the
-	// first time. It has then observed any earlier requests.
+	// first time. Such a process would have observed any earlier requests.
 	FirstLife bool
 }
 
@@ -78,7 +80,7 @@
 
 	mu           sync.Mutex
 	lastSequence int64
-	// observations holds the state that workers reported directly, by worker ID.
+	// observations holds the last state that each worker reported directly, by worker ID.
 	observations map[string]observation
 	// busyWorkers holds the IDs of workers that are involved in a running operation.
 	busyWorkers map[string]bool
@@ -86,8 +88,8 @@
 	busyGroups map[string]bool
 	// examinedReplicas holds the replicas whose members are being queried.
 	examinedReplicas map[string]bool
-	// retirements holds the groups whose members are free, by group key. The head confirmed that it
-	// left the group, or no daemon can reach it.
+	// retirements holds the reason why a group's members are free, by group key. Either the head
+	// confirmed that it left the group, or the head does not respond.
 	retirements map[string]retirement
 	// dissolutions holds the groups whose head confirmed that it left, by group key.
 	dissolutions map[string]dissolution
@@ -103,20 +105,21 @@
 	incarnations map[string]incarnation
 	// knownWorkers holds all workers that have been listed, by worker ID.
 	knownWorkers map[string]*fleet.Worker
-	// lastView is the list at the previous tick. absent holds the workers that left the list while
-	// in a group, by worker ID.
+	// lastView is the worker list at the previous tick. absent holds the workers that left the list
+	// while in a group, by worker ID.
 	lastView *fleet.View
 	absent   map[string]*absence
-	// displaced holds the IDs of workers at whose address another one answered.
+	// displaced holds the IDs of workers whose address is now used by another worker.
 	displaced map[string]bool
 	// interruptedJoins holds the workers that may have been interrupted while joining a group, by
 	// worker ID.
 	interruptedJoins map[string]interruptedJoin
-	// headlessSince holds the time since which a group has had no listed head, by group key.
+	// headlessSince holds the time since which a group's head has not been listed, by group key.
 	headlessSince map[string]time.Time
 	// activeLoads holds the running loads, by worker ID.
 	activeLoads map[string]activeLoad
-	// groupSeenSince holds the time when each group was first seen, by group key.
+	// groupSeenSince holds the time when each group was first seen in the worker list, by group
+	// key.
 	groupSeenSince map[string]time.Time
 	loadBudgets    map[string]*loadBudget
 	smoothedWork   map[string]Work
@@ -135,7 +138,7 @@
 	listGrowths map[string]*listGrowth
 	// callSlots is a semaphore that limits concurrent calls to workers.
 	callSlots chan struct{}
-	// idleSince holds the time since which each worker of a new fleet has been idle, by worker ID.
+	// idleSince holds the time when each idle worker of a new fleet became idle, by worker ID.
 	idleSince map[string]time.Time
 	// nextReport is the time when wanted and available replicas are logged next.
 	nextReport time.Time
@@ -143,24 +146,24 @@
 	// holds the trades whose groups are not dissolved yet.
 	nextTrade    time.Time
 	activeTrades []Trade
-	// unreliableUntil holds the time until which other workers are preferred to a worker that
-	// prevented a group from forming, by worker ID.
+	// unreliableUntil holds the time until which a worker that prevented a group from forming is
+	// avoided, by worker ID.
 	unreliableUntil map[string]time.Time
 	// releaseAt holds the time from which the idle workers of a domain may serve another model, by
-	// domain. These workers are too few for a group of a model that is short.
+	// domain. These workers are too few for a group of a model that has too few replicas.
 	releaseAt map[string]time.Time
 	halls     hallStates
 	// tradesAllowedAt is the time from which groups may be traded for another model. A new leader
-	// first waits for the reports of all daemons. Trades are also delayed briefly after a data hall
-	// was closed or opened.
+	// first waits for the reports of all daemons. Closing or opening a data hall also delays trades
+	// briefly.
 	tradesAllowedAt time.Time
-	// reportedOversized holds the models for which a warning was logged that they are larger than
-	// any domain.
+	// reportedOversized holds the names of models for which a warning was logged that they are
+	// larger than any domain.
 	reportedOversized map[string]bool
 }
 
-// activeLoad is a load of a model's weights. It counts as running until it is observed to be
-// complete or expires.
+// activeLoad is a load of a model's weights. It counts as running until it has completed or
+// expired.
 type activeLoad struct {
 	model     string
 	expiresAt time.Time
@@ -179,8 +182,8 @@
 // observation is a state that a worker reported directly.
 type observation struct {
 	state State
-	// at is the time that the state refers to. The list is preferred once it has been confirmed
-	// after that time. The time lies in the future if the worker is expected to reach the state.
+	// at is the time of the state. It lies in the future if the worker is expected to reach the
+	// state then. Once the worker list has been confirmed after that time, the list is preferred.
 	at time.Time
 }
 
@@ -295,10 +298,10 @@
 		k.warnOversizedModels(s, view, now)
 	}
 	hasTraffic := k.hasTraffic()
-	forGroups, forIdle := k.allowedLoads(s, view, budget, now)
+	maxGroupLoads, maxIdleLoads := k.allowedLoads(s, view, budget, now)
 	input := Input{
 		Needs: needs, Free: freeWorkers, WarmCounts: k.countWarm(s, view),
-		MaxLoads: forGroups, MaxStagings: forIdle,
+		MaxLoads: maxGroupLoads, MaxStagings: maxIdleLoads,
 		IsListGrowing: !hasTraffic && k.isListGrowing(s, view, now),
 		HallLoss:      k.hallLossPolicy(), ReplicasByHall: replicasByHall, ReleasedDomains: k.releasedDomains(needs, freeWorkers, now), TradeRecipients: k.clearFinishedTrades(),
 	}
@@ -332,14 +335,14 @@
 	}
 }
 
-// hasTraffic reports whether requests have reached the fleet. This is assumed if a replica had
-// served when the term began.
+// hasTraffic reports whether requests have reached the fleet. If a replica had served when the term
+// began, earlier requests are assumed.
 func (k *Keeper) hasTraffic() bool { return !k.isNewFleet || k.opts.Traffic() }
 
-// fleetNeverServed reports whether no replica has served yet. The list shows which groups were
-// opened. A process that started later than the fleet also requires that no worker holds a model.
-// Otherwise, if all daemons restarted while no replica was open, it would treat the fleet as new
-// and start more loads at once than allowed.
+// fleetNeverServed reports whether no replica has served yet. The worker list shows which groups
+// were opened. If this process started later than the fleet, it is also required that no worker
+// holds a model. Otherwise, all daemons could restart while no replica is open, and the leader
+// would treat the fleet as new and start more loads at once than allowed.
 func (k *Keeper) fleetNeverServed(view *fleet.View) bool {
 	if k.term.First {
 		return true
@@ -352,7 +355,7 @@
 	return true
 }
 
-// hasServed reports whether a worker's group has been opened, according to the worker's state.
+// hasServed reports whether a worker's state shows that its group has been opened.
 func hasServed(w *fleet.Worker) bool {
 	return w.Member.State == fleet.Open || w.Member.State == fleet.Closing || w.Member.State == fleet.Broken
 }
@@ -362,7 +365,8 @@
 	return w.Member.Group != "" || w.Loaded != "" || len(w.Staged) > 0
 }
 
-// refreshWorkers records the listed workers, and removes unlisted ones from the unresponsive set.
+// refreshWorkers records the listed workers. Unlisted workers are no longer recorded as
+// unresponsive.
 func (k *Keeper) refreshWorkers(view *fleet.View) {
 	for id, w := range view.Workers() {
 		k.knownWorkers[id] = w
@@ -382,9 +386,9 @@
 	return k.nextFenceLocked()
 }
 
-// nextFenceLocked is nextFence for callers that hold k.mu. Once the term has used up its fences, it
-// ends the term and returns the last fence again, since a fence must never be lower than an earlier
-// one.
+// nextFenceLocked is nextFence for callers that hold k.mu. A fence must never be lower than an
+// earlier one. When the term has used up its fences, it therefore returns the last fence again and
+// ends the term.
 func (k *Keeper) nextFenceLocked() Fence {
 	if k.lastSequence == maxSequence {
 		go k.onSuperseded()
@@ -394,8 +398,8 @@
 	return NewFence(k.term.Epoch, k.term.Rank, k.lastSequence)
 }
 
-// membershipOf returns a worker's group membership according to the list or, if that is newer, the
-// worker's own report.
+// membershipOf returns a worker's group membership. This is the newer one of the membership in the
+// worker list and the one that the worker itself reported.
 func (k *Keeper) membershipOf(w *fleet.Worker) fleet.Membership {
 	o, ok := k.observations[w.ID]
 	if k.isPastIncarnation(w) {
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// formAndStop lets a first leader form a fleet and stop, starts traffic, and returns the head of a
-// group of the model "big".
+// formAndStop lets a first leader form a fleet, starts traffic, and stops the leader. It returns
+// the head of a group of the model "big".
 func formAndStop(w *world) *simWorker {
 	_, stop := startTerm(w, 1)
 	time.Sleep(8 * time.Second)
@@ -39,7 +39,7 @@
 }
 
 // startServing lets a first leader form a fleet, starts traffic, and returns a group of the model.
-// The leader continues until the returned function is called.
+// The leader runs until the returned function is called.
 func startServing(w *world, model string) (k *Keeper, g Group, stop func()) {
 	k, stop = startTerm(w, 1)
 	time.Sleep(8 * time.Second)
@@ -64,8 +64,8 @@
 	})
 }
 
-// TestServingWorkersStageSecondModel checks that workers stage another model before the first
-// request, while loads are quick. They can then switch to it later without a load.
+// TestServingWorkersStageSecondModel checks that serving workers stage another model before the
+// first request, while loads are quick. They can then switch to that model later without a load.
 func TestServingWorkersStageSecondModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -117,7 +117,7 @@
 }
 
 // TestGroupsAreRepairedWhileListIsUnavailable checks that a group is replaced if one of its members
-// announces that it is leaving just before the list stops being updated.
+// announces that it is leaving just before the worker list stops being updated.
 func TestGroupsAreRepairedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
@@ -128,8 +128,8 @@
 		w.publish(leaving)
 		w.isListFrozen = true
 		w.mu.Unlock()
-		// Draining takes one second. Joining again, with an idle worker or one of a traded group,
-		// takes three seconds at most.
+		// Draining takes one second. Forming a group again takes three seconds at most, with an
+		// idle worker or one of a traded group.
 		time.Sleep(2500 * time.Millisecond)
 		w.mu.Lock()
 		newGroup := w.workers[old.Members[0]].group.Name
@@ -141,8 +141,8 @@
 	})
 }
 
-// TestReadyMembersAreQueriedWhileListIsUnavailable checks that groups are formed although the list
-// is no longer updated.
+// TestReadyMembersAreQueriedWhileListIsUnavailable checks that groups are formed although the
+// worker list is no longer updated.
 func TestReadyMembersAreQueriedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
@@ -159,8 +159,8 @@
 	})
 }
 
-// TestTradesRunOneAtATime checks that only one trade runs at a time when the large model is short
-// by several groups and draining is slow.
+// TestTradesRunOneAtATime checks that only one trade runs at a time when draining is slow and
+// several more groups of the large model are wanted.
 func TestTradesRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 24)
@@ -239,7 +239,7 @@
 	})
 }
 
-// restartListDelays holds the delays after which the list shows a restarted worker, for the steps
+// restartListDelays holds the time until the worker list shows a restarted worker, for the steps
 // from 6 on. The worker is listed immediately, within a heartbeat, or late because the list lags.
 var restartListDelays = []time.Duration{50 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 
@@ -260,8 +260,8 @@
 	})
 }
 
-// runSchedule injects one fault for each step, or starts traffic, and returns the violated
-// invariants.
+// runSchedule carries out the given steps and returns the violated invariants. Each step injects a
+// fault or starts traffic.
 func runSchedule(w *world, lateFraction float64, steps []int) []string {
 	w.lateFraction = lateFraction
 	epoch := int64(1)
@@ -343,7 +343,8 @@
 }
 
 // TestUnlistedHeadKeepsItsMembers checks that a group is not dissolved while its head serves but
-// its list entries are missing, nor while the entries return one by one.
+// the entries of its workers are missing from the worker list. It must not be dissolved while the
+// entries return one by one either.
 func TestUnlistedHeadKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 10)
@@ -371,7 +372,7 @@
 }
 
 // TestHeadUnlistedBeforeTermKeepsItsMembers checks that a leader does not free the members of a
-// head that still serves, although it never saw the head in the list.
+// head that still serves, even if the head was never in the worker list during the term.
 func TestHeadUnlistedBeforeTermKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -387,8 +388,8 @@
 	})
 }
 
-// TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers covers a head that is not listed and that the
-// leader cannot reach, while other daemons can.
+// TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers covers a head that is not listed. The leader
+// cannot reach it, but other daemons can.
 func TestHeadReachableOnlyByOtherDaemonsKeepsItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -409,8 +410,8 @@
 	})
 }
 
-// confirmList confirms the list at regular intervals for the given duration, as a reader of the
-// list does.
+// confirmList confirms at regular intervals that the worker list is current, for the given
+// duration.
 func (w *world) confirmList(duration time.Duration) {
 	const interval = 100 * time.Millisecond
 	for range duration / interval {
@@ -431,7 +432,7 @@
 	return nil
 }
 
-// unlist removes a running worker's entry from the list.
+// unlist removes a running worker's entry from the worker list.
 func (w *world) unlist(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -439,15 +440,15 @@
 	w.inventory.Apply([]fleet.Change{{ID: id}}, w.listPosition, time.Now())
 }
 
-// relist restores a worker's entry.
+// relist restores a worker's entry in the worker list.
 func (w *world) relist(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.publish(w.workers[id])
 }
 
-// TestLaterLeaderBoundsLoads covers a second leader that does not know of any requests, in a fleet
-// where a group serves. It must not treat the fleet as new.
+// TestLaterLeaderBoundsLoads covers a second leader in a fleet where a group serves. The leader
+// does not know of any requests, but must not treat the fleet as new.
 func TestLaterLeaderBoundsLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
@@ -462,13 +463,13 @@
 	})
 }
 
-// TestLaterLeaderOfUsedFleetBoundsLoads covers a restart of all daemons while no replica is open,
-// after which no process knows of earlier requests. Staged models show that the fleet is not new,
+// TestLaterLeaderOfUsedFleetBoundsLoads covers a restart of all daemons while no replica is open.
+// Afterwards, no process knows of earlier requests. Staged models show that the fleet is not new,
 // so the loads must stay within the limit.
 func TestLaterLeaderOfUsedFleetBoundsLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
-		w.stageOnEveryFourth()
+		w.stageSmallOnEveryFourthWorker()
 		_, stop := startTerm(w, 3)
 		time.Sleep(time.Second)
 		loads := w.countLoading()
@@ -484,7 +485,7 @@
 func TestLeaderRunningSinceFleetStartDoesNotBoundLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 4, 10)
-		w.stageOnEveryFourth()
+		w.stageSmallOnEveryFourthWorker()
 		ctx, stop := context.WithCancel(context.Background())
 		k := NewKeeper(w.options(), Term{Epoch: 2, FirstLife: true}, stop)
 		go k.Run(ctx)
@@ -509,8 +510,8 @@
 	})
 }
 
-// openSmallGroup makes two workers an open group, in the state that orders to join and open would
-// leave them in. The caller must hold w.mu.
+// openSmallGroup makes an open group of two workers. Their state is the same as after orders to
+// join and open. The caller must hold w.mu.
 func (w *world) openSmallGroup(head, other string) {
 	g := Group{Name: fleet.GroupName("small", 1, nil), Epoch: 1, Model: "small", Members: []string{head, other}}
 	for rank, id := range g.Members {
@@ -525,8 +526,8 @@
 	}
 }
 
-// stageOnEveryFourth stages a model on the host of every fourth worker.
-func (w *world) stageOnEveryFourth() {
+// stageSmallOnEveryFourthWorker stages the small model on the host of every fourth worker.
+func (w *world) stageSmallOnEveryFourthWorker() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, id := range slices.Sorted(maps.Keys(w.workers)) {
@@ -537,8 +538,8 @@
 	}
 }
 
-// countLoading returns the number of workers that load weights from the store. Workers that join a
-// group of a model that is staged on their host, or that they served last, do not load.
+// countLoading returns the number of workers that load weights from the store. A worker that joins
+// a group does not load if it served the group's model last or has it staged on its host.
 func (w *world) countLoading() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -564,7 +565,7 @@
 }
 
 // TestLateJoinsOfLaterLeaderDoNotStealWorkers runs two concurrent leaders in a new fleet. All
-// orders of the later leader are carried out some seconds late, when the earlier leader has already
+// orders of the later leader are carried out some seconds late. By then, the earlier leader has
 // opened its groups.
 func TestLateJoinsOfLaterLeaderDoNotStealWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -580,8 +581,9 @@
 	})
 }
 
-// TestWorkerTakenByEarlierLeaderIsNotStolen checks that a group is not formed with a worker that an
-// earlier leader has just put into an open group, even if the list does not show that group yet.
+// TestWorkerTakenByEarlierLeaderIsNotStolen covers a worker that an earlier leader has just put
+// into an open group. Even if the worker list does not show that group yet, no other group may be
+// formed with the worker.
 func TestWorkerTakenByEarlierLeaderIsNotStolen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
@@ -601,7 +603,8 @@
 }
 
 // TestNewProcessRepairsKnownBrokenGroup checks that a leader repairs a group with a dead member
-// without waiting for the list, even if its process received the list only recently.
+// even if its process received the worker list only recently. The leader must not wait until the
+// list has settled.
 func TestNewProcessRepairsKnownBrokenGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestLateLoadsStayWithinTheBound checks that loads stay within the limit when traffic starts in a
-// new fleet. Some orders that were sent before, when loads did not count, are carried out only
+// new fleet. Some orders are sent before, when loads do not count, but are carried out only
 // afterwards.
 func TestLateLoadsStayWithinTheBound(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
@@ -58,9 +58,9 @@
 	})
 }
 
-// TestLateOrdersDoNotReviveDissolvedGroup delays a head's first orders to join and open, which are
-// then retried successfully. The delayed attempts arrive after the head has confirmed that the
-// group is dissolved. They must have no effect.
+// TestLateOrdersDoNotReviveDissolvedGroup delays a head's first orders to join and to open a group.
+// Their retries succeed. The delayed orders arrive after the head has confirmed that the group is
+// dissolved, and must have no effect.
 func TestLateOrdersDoNotReviveDissolvedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
@@ -79,7 +79,7 @@
 		dissolvedMembership := w.membershipOf("w0-0")
 		time.Sleep(5 * time.Second)
 		laterMembership := w.membershipOf("w0-0")
-		w.add("w0-2", "d0")
+		w.addWorker("w0-2", "d0")
 		time.Sleep(20 * time.Second)
 		serving := w.countServing()
 		stop()
@@ -92,8 +92,9 @@
 	})
 }
 
-// TestGroupIsOpenedOnce checks that a group gets only one order to open, even while the list does
-// not show yet that it is open. If a second order got no answer, the group would be dissolved.
+// TestGroupIsOpenedOnce checks that a group gets only one order to open, even while the worker list
+// does not show yet that it is open. If a second order were sent and got no answer, the group would
+// be dissolved.
 func TestGroupIsOpenedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -110,7 +111,7 @@
 }
 
 // TestMembersOfDeadHeadAreReusedPromptly checks that the members of a dead head are reused before
-// the list shows its death, which takes 3.6 s.
+// the worker list shows that the head is dead. The list shows this after 3.6 s.
 func TestMembersOfDeadHeadAreReusedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 7)
@@ -169,7 +170,8 @@
 }
 
 // TestStagingWorkerIsNotRetriedContinuously covers a leader that starts while an idle worker is
-// staging a model. The list does not show the staging.
+// staging a model. The worker list does not show this, and the worker refuses orders to stage
+// meanwhile.
 func TestStagingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 5)
@@ -179,7 +181,7 @@
 		w.mu.Lock()
 		w.hasTraffic = true
 		w.mu.Unlock()
-		w.add("new", "d0")
+		w.addWorker("new", "d0")
 		w.mu.Lock()
 		w.workers["new"].isStaging = true
 		w.mu.Unlock()
@@ -199,15 +201,16 @@
 	return w.workers[id].member()
 }
 
-// setUnreachable makes a worker unreachable for everybody, or reachable again.
+// setUnreachable makes a worker unreachable for the leader and all other daemons, or reachable
+// again.
 func (w *world) setUnreachable(id string, isUnreachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unreachable[id] = isUnreachable
 }
 
-// add lists a new worker without any model.
-func (w *world) add(id, domain string) {
+// addWorker adds a new worker without any model to the worker list.
+func (w *world) addWorker(id, domain string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &simWorker{id: id, domain: domain}
--- a/formation/leaving.go
+++ b/formation/leaving.go
@@ -7,12 +7,12 @@
 
 const (
 	// maxLeaveDelay is the maximum time for which a group keeps serving after a member other than
-	// its head announced that it is leaving. Such a member stays for up to ten seconds. The group
-	// must be drained within that time.
+	// its head announced that it is leaving. Such a member stays for up to ten seconds, and the
+	// group must be drained within that time.
 	maxLeaveDelay = 6 * time.Second
-	// leaveInterval is the time between two dissolutions of groups of one model because of leaving
-	// members, unless maxLeaveDelay requires an earlier one. Draining a group and forming another
-	// one take about as long.
+	// leaveInterval is the minimum time between two dissolutions of groups of one model because of
+	// leaving members. A group is dissolved earlier if maxLeaveDelay requires it. Draining a group
+	// and forming another one take about as long as this interval.
 	leaveInterval = 3 * time.Second
 )
 
--- a/formation/listgrowth.go
+++ b/formation/listgrowth.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// listQuietPeriod is the time without new workers after which the list of a new fleet is
+	// listQuietPeriod is the time without new workers after which the worker list of a new fleet is
 	// considered complete.
 	listQuietPeriod = 400 * time.Millisecond
-	// maxListWait is the maximum time to wait for a complete list.
+	// maxListWait is the maximum time to wait for a complete worker list.
 	maxListWait = 5 * time.Second
 )
 
-// listGrowth tracks how many workers of a service are listed in a new fleet. The list is considered
-// complete at completeAt, and at the latest at deadline.
+// listGrowth tracks how many workers of a service are listed in a new fleet. The worker list is
+// considered complete at completeAt, and at the latest at deadline.
 type listGrowth struct {
 	workerCount int
 	completeAt  time.Time
@@ -23,8 +23,8 @@
 }
 
 // isListGrowing reports whether more workers of a new fleet are expected to be listed. If groups
-// were formed before the list is complete, the smallest model would take most domains before any of
-// them has enough workers for a larger model.
+// were formed before the worker list is complete, groups of the smallest model would take most
+// domains. The larger models would then find no domain with enough workers.
 func (k *Keeper) isListGrowing(s *fleet.Service, view *fleet.View, now time.Time) bool {
 	workers := countWorkers(s, view)
 	g, ok := k.listGrowths[s.Name]
--- a/formation/listgrowth_test.go
+++ b/formation/listgrowth_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNewFleetWaitsForFullList checks that nearly as many replicas of each model are formed when
-// workers are listed one after another as when they are all listed at once.
+// TestNewFleetWaitsForFullList checks that workers that are listed one after another form nearly as
+// many replicas of each model as workers that are all listed at once.
 func TestNewFleetWaitsForFullList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const domains, perDomain, listInterval = 8, 11, 40 * time.Millisecond
@@ -22,7 +22,7 @@
 		allListed.pending.Wait()
 		want := allListed.countServing()
 
-		w := unlistedWorld(3, domains, perDomain)
+		w := newUnlistedWorld(3, domains, perDomain)
 		_, stop = startTerm(w, 1)
 		ids := slices.Sorted(maps.Keys(w.workers))
 		w.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
@@ -54,7 +54,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := unlistedWorld(4, 4, 60)
+				w := newUnlistedWorld(4, 4, 60)
 				w.loadsPerSecond = 100
 				_, stop := startTerm(w, 1)
 				w.mu.Lock()
--- a/formation/loadbudget.go
+++ b/formation/loadbudget.go
@@ -6,11 +6,11 @@
 	// ceilingAllowance is the number of loads per window that the limit allows in addition to the
 	// load rate.
 	ceilingAllowance = 3
-	// ceilingMargin is the number of loads per window by which the budget stays below the limit.
+	// ceilingMargin is the difference between the limit and the budget, in loads per window.
 	ceilingMargin = 0.5
 	// trafficNoticeDelay is the maximum time until a leader learns of the first request to the
-	// fleet. Loads that began within this time before the leader learned of the request count
-	// against the limit.
+	// fleet. Loads that began within this time before the leader learned of it count against the
+	// limit.
 	trafficNoticeDelay = time.Second
 )
 
@@ -23,7 +23,7 @@
 }
 
 // loadBudget is a token bucket for loads from the weight store. Unless the fleet is new, a leader
-// starts with an empty bucket, so that two successive leaders together stay within the limit.
+// starts with an empty bucket. Two successive leaders together then stay within the limit.
 type loadBudget struct {
 	perSecond  float64
 	burst      float64
@@ -49,7 +49,7 @@
 	}
 }
 
-// availableLoads returns how many counted loads may begin now.
+// availableLoads returns how many loads that count against the limit may begin now.
 func (l *loadBudget) availableLoads(now time.Time) int {
 	for _, at := range l.uncountedStarts {
 		if now.Sub(at) < trafficNoticeDelay {
--- a/formation/loadbudget_test.go
+++ b/formation/loadbudget_test.go
@@ -37,8 +37,8 @@
 }
 
 // TestRefusedStagingDoesNotRefundBudget checks that a refused staging does not increase the load
-// budget. Before the first request, loads do not reduce the budget. A later leader starts with an
-// empty budget.
+// budget. Before the first request, the leader takes no token for a load, so there is none to
+// return. A later leader starts with an empty budget.
 func TestRefusedStagingDoesNotRefundBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestAllowedLoads checks that members that join warm do not count as loads, and that idle workers
-// leave capacity for groups.
+// TestAllowedLoads checks that workers that join a group without loading do not count as loads. It
+// also checks that loads for idle workers leave capacity for groups.
 func TestAllowedLoads(t *testing.T) {
 	joining := func(id, loaded, staged string) *fleet.Worker {
 		w := &fleet.Worker{
--- a/formation/options.go
+++ b/formation/options.go
@@ -36,13 +36,14 @@
 	Smoothed func() map[string]Work
 	// BearHalls is the number of data halls that may be lost at once while enough replicas of each
 	// model remain. HallWeight is the weight of requests that are lost with a hall, relative to
-	// requests lost now. If it is zero, plans don't account for hall losses.
+	// requests lost now. If HallWeight is zero, plans don't account for hall losses.
 	BearHalls  int
 	HallWeight float64
-	// HallOpen reports whether a data hall takes requests. The function is nil if all halls do.
+	// HallOpen reports whether a data hall takes requests. The function is nil if all halls take
+	// requests.
 	HallOpen func(hall string) bool
-	// Awake is called before each order. It ends the term if the machine was suspended, since the
-	// leader's state may then be outdated. The function is nil if the machine is never suspended.
+	// Awake is called before each order. If the machine was suspended, it ends the term, since the
+	// leader's state may be outdated. The function is nil if the machine is never suspended.
 	Awake  func()
 	Logger hclog.Logger
 }
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -2,10 +2,10 @@
 // broken replicas. One daemon at a time acts as leader. Workers reject late orders and orders of
 // earlier leaders by their fencing tokens.
 //
-// The list is the list of all workers that a daemon receives from the store. A worker is warm for a
-// model if it can serve the model without loading weights from the weight store, and cold
-// otherwise. A model is short if it has fewer replicas than wanted. A trade dissolves groups of
-// some models so that their workers can serve a model that is short.
+// The worker list is the list of all workers that a daemon receives from the store. A worker is
+// warm for a model if it can serve the model without loading weights from the weight store, and
+// cold otherwise. A trade dissolves groups of some models so that their workers can serve a model
+// that has too few replicas.
 package formation
 
 import (
@@ -14,7 +14,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Fence is a fencing token that orders commands over the lifetime of the fleet: a worker rejects a
+// Fence is a fencing token that orders commands over the lifetime of the fleet. A worker rejects a
 // command whose fence is lower than the highest it has seen.
 type Fence int64
 
@@ -85,14 +85,15 @@
 	return fleet.GroupKey(fleet.Membership{Group: g.Name, Epoch: g.Epoch})
 }
 
-// State is a worker's state as reported by itself.
+// State is a worker's state, as the worker itself reports it.
 type State struct {
 	Member fleet.Membership
 	Loaded string
 	Staged []string
 	// Orders is the number of orders that the worker has begun since it started.
 	Orders int64
-	// Born is the time when the worker started, in Unix milliseconds; 0 if it does not report it.
+	// Born is the time when the worker started, in Unix milliseconds. It is 0 if the worker does
+	// not report it.
 	Born int64
 }
 
@@ -113,6 +114,6 @@
 	Ask func(ctx context.Context, w *fleet.Worker) (State, error)
 }
 
-// IndirectLeave orders a worker to leave a group through any other daemon that can reach it. An
-// error means that none of them got an answer.
+// IndirectLeave sends an order to leave a group through any other daemon that can reach the worker.
+// An error means that no daemon got an answer.
 type IndirectLeave func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -10,23 +10,24 @@
 
 const (
 	// maxJoinAttempts is the maximum number of attempts to let a worker join a group. More than one
-	// is needed only if the worker has begun an order that the leader does not know of.
+	// is needed if the worker must first leave a dissolved group, or has begun an order that the
+	// leader does not know of.
 	maxJoinAttempts = 4
-	// joinRetryPause is the pause after an attempt that the worker answered with Unfit. Its reports
-	// lag by up to 200 ms (report_lag_ms in the settings). The pauses of all attempts together are
+	// joinRetryPause is the pause after an attempt that the worker answered with Unfit. A worker's
+	// reports lag by up to 200 ms (report_lag_ms in the settings), so all pauses together must be
 	// longer than that.
 	joinRetryPause = 100 * time.Millisecond
 	// reportSettleTime is the time after an answered order in which the worker's reports may still
-	// show the state before it. It is twice the lag.
+	// show the state before the order. It is twice the lag of the reports.
 	reportSettleTime = 400 * time.Millisecond
 )
 
 // orderState holds the number of orders that a worker has begun, and its group. It is based on the
 // worker's last report and its answers since then.
 //
-// A worker carries out a join only if it has begun exactly as many orders as the join specifies,
-// whether or not it checks fences. Therefore, at most one of several attempts of a join is carried
-// out, and none after the worker has begun another order.
+// A worker carries out a join only if it has begun exactly as many orders as the join specifies.
+// This holds even for a worker that does not check fences. Therefore, at most one of several
+// attempts of a join is carried out, and none after the worker has begun another order.
 type orderState struct {
 	orderCount int64
 	member     fleet.Membership
@@ -117,8 +118,8 @@
 	k.orderStates[id] = orderState{orderCount: orderCount, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
 
-// recordBegun increments a worker's order count if it began an order that does not change its
-// group. Workers count only orders that they begin.
+// recordBegun increments a worker's order count if the worker began an order that does not change
+// its group. Orders that a worker does not begin are not counted.
 func (k *Keeper) recordBegun(id string, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/outcomes.go
+++ b/formation/outcomes.go
@@ -6,11 +6,11 @@
 	"quartzshelf.dev/fleet"
 )
 
-// outcomeUnanswered is the outcome that is counted for an order without an answer in time.
+// outcomeUnanswered is the outcome of an order that is not answered in time.
 const outcomeUnanswered = "unanswered"
 
-// recordAttempt counts the outcome of one attempt of an order. It also logs answers that are
-// rejections, and answers that follow unanswered attempts, since those may still be carried out.
+// recordAttempt counts the outcome of one attempt of an order. It logs an answer if it is a
+// rejection or follows unanswered attempts, since those attempts may still be carried out.
 func (k *Keeper) recordAttempt(order string, w *fleet.Worker, attempts int, verdict Verdict, err error) {
 	if err != nil {
 		k.opts.Counted(order, outcomeUnanswered)
@@ -31,8 +31,8 @@
 }
 
 // detectReturn logs and counts each new state that a head reports for a group after confirming that
-// it left. A lagging list may show the old state once more. A head that reports further states has
-// returned to the group. The caller must hold k.mu.
+// it left. Such a head has returned to the group. States from before the dissolution are ignored,
+// since a lagging worker list may still show them. The caller must hold k.mu.
 func (k *Keeper) detectReturn(o *observedGroup, now time.Time) {
 	d, ok := k.dissolutions[o.key]
 	if !ok || o.head == nil || o.state == d.lastState {
@@ -42,8 +42,8 @@
 	d.lastState = o.state
 	k.dissolutions[o.key] = d
 	if isFirstState && o.state != fleet.Open {
-		// This may be the state before the dissolution, which a lagging list shows late for a group
-		// that was never opened.
+		// The group may never have been opened. The worker list may then show this state late,
+		// although it is the one before the dissolution.
 		return
 	}
 	k.opts.Counted("leave", "returned")
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -12,7 +12,7 @@
 	// larger than rounding errors.
 	valueEpsilon = 1e-9
 	// maxPasses is the maximum number of times that each domain is divided anew. The second pass
-	// takes into account how the first one changed the other domains.
+	// takes the changes to other domains in the first pass into account.
 	maxPasses = 2
 )
 
@@ -29,20 +29,21 @@
 
 // partition divides the free workers of all domains into groups so that the value for the whole
 // fleet is as high as possible. It searches for the best division of one domain while the others
-// stay unchanged. It goes through the domains until none of them improves, at most maxPasses times.
+// stay unchanged, domain by domain. It makes at most maxPasses passes and stops if a pass improves
+// no domain.
 type partition struct {
 	planValuation *valuation
 	models        []fleet.Model
-	// The following counts are by model and include the planned groups. meanReplicas is the mean
-	// number of serving replicas over the planning horizon, groupCounts the number of groups, and
-	// addedByHall the number of new groups by data hall.
+	// The following numbers are by model and include the planned groups. meanReplicas is the mean
+	// number of serving replicas over the planning horizon. groupCounts is the number of groups.
+	// addedByHall is the number of new groups by data hall.
 	meanReplicas []float64
 	groupCounts  []int
 	addedByHall  []map[string]int
 	plannedLoads int
 	maxLoads     int
 	// allowsSurplus reports whether a domain may form more groups than wanted. isFixed reports
-	// whether its plan must not change.
+	// whether the domain's plan must not change.
 	allowsSurplus, isFixed func(domain string) bool
 }
 
@@ -98,8 +99,8 @@
 	return d
 }
 
-// improve returns groups whose total value is at least that of the given ones. They need no more
-// loads than may begin.
+// improve returns groups whose total value is at least that of the given ones. The number of loads
+// stays within maxLoads.
 func (p *partition) improve(formations []Formation, free map[string][]FreeWorker) []Formation {
 	workers := make(map[string]FreeWorker)
 	planned := make(map[string][]Formation)
@@ -157,9 +158,9 @@
 	return workers[0].Hall
 }
 
-// betterDivision divides a domain anew while the others stay unchanged. It reports whether the
-// result has a higher value than the current division, or the same value and fewer idle workers, or
-// else a lower cost.
+// betterDivision looks for a better division of one domain while the others stay unchanged, and
+// reports whether it found one. Divisions are compared by value, then by the number of idle
+// workers, then by cost.
 func (p *partition) betterDivision(domain string, workers []FreeWorker, current division) (division, bool) {
 	hall := hallOf(workers)
 	p.addDivision(current, hall, -1)
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -26,7 +26,7 @@
 		in.ReplicasByHall[m.Name] = map[string]int{"h0": n.Have / 2, "h1": n.Have - n.Have/2}
 		names = append(names, m.Name)
 	}
-	model := rapid.SampledFrom(names)
+	modelNames := rapid.SampledFrom(names)
 	for d := range rapid.IntRange(0, 4).Draw(t, "domains") {
 		domain := fmt.Sprint("d", d)
 		if rapid.IntRange(0, 3).Draw(t, "trading") == 0 {
@@ -36,9 +36,9 @@
 		for i := range rapid.IntRange(0, 20).Draw(t, "workers") {
 			f := FreeWorker{
 				ID: fmt.Sprintf("%s-%02d", domain, i), Domain: domain, Hall: fmt.Sprint("h", d%2),
-				LoadedModel: model.Draw(t, "loaded"), IsUnreliable: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
+				LoadedModel: modelNames.Draw(t, "loaded"), IsUnreliable: rapid.IntRange(0, 9).Draw(t, "doubted") == 0,
 			}
-			if staged := model.Draw(t, "staged"); staged != "" {
+			if staged := modelNames.Draw(t, "staged"); staged != "" {
 				f.StagedModels = []string{staged}
 			}
 			in.Free = append(in.Free, f)
@@ -49,7 +49,7 @@
 	return in
 }
 
-// valueOfGroups returns the value of the given groups.
+// valueOfGroups returns the value of a plan that consists of the given groups.
 func valueOfGroups(in Input, formations []Formation) float64 {
 	p := newPartition(in.Needs, in)
 	workers := make(map[string]FreeWorker)
@@ -63,8 +63,8 @@
 }
 
 // TestPlanInvariants checks that no worker is used twice, that groups lie within one domain and
-// have the right size, and that loads stay within the limit. The value must be at least that of
-// groups formed one after another.
+// have the right size, and that loads stay within the limit. The value of the plan must be at least
+// that of groups that are planned one after another.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestDomainsWaitForTrades checks which groups are formed in a domain while groups are traded for a
-// model there. These must be groups of that model that need no load.
+// TestDomainsWaitForTrades checks that, while groups of a domain are traded for a model, only
+// groups of that model that need no load are formed in the domain.
 func TestDomainsWaitForTrades(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 3}, fleet.Model{Name: "small", Size: 2}
 	worker := func(id, loaded string) FreeWorker { return FreeWorker{ID: id, Domain: "d", LoadedModel: loaded} }
@@ -147,7 +147,8 @@
 	})
 }
 
-// minimumCost returns the lowest cost of all possible assignments of the wanted numbers of workers.
+// minimumCost returns the lowest cost of all possible assignments of workers to models. wanted
+// holds the number of workers by model.
 func minimumCost(models []fleet.Model, workers []FreeWorker, wanted []int) int {
 	if len(workers) == 0 {
 		for _, count := range wanted {
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -9,7 +9,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Need is the demand for a model and its current supply.
+// Need is the wanted and the available number of replicas of a model.
 type Need struct {
 	Model fleet.Model
 	// Want is the wanted number of replicas. Have is the number of replicas that serve or are being
@@ -18,7 +18,7 @@
 	Have int
 }
 
-// isMet reports whether no further replica is wanted. Otherwise, the model is called short.
+// isMet reports whether the model has at least as many replicas as wanted.
 func (n Need) isMet() bool { return float64(n.Have) >= n.Want }
 
 // coverageWith returns the ratio of available to wanted replicas if the given number of replicas is
@@ -50,19 +50,19 @@
 	// WarmCounts holds the number of workers that are warm for a model, by domain and model.
 	// Workers in groups are included.
 	WarmCounts map[string]map[string]int
-	// MaxLoads is the maximum number of loads from the store that may begin. MaxStagings is the
+	// MaxLoads is the maximum number of loads from the store that may begin now. MaxStagings is the
 	// maximum number of them that may be for idle workers.
 	MaxLoads, MaxStagings int
 	// IsListGrowing reports whether more workers are expected to be listed soon. The model with the
-	// greatest shortage then waits until one domain has enough workers for it, and the other models
-	// wait for it.
+	// greatest shortage then waits until one domain has enough workers for it. The other models
+	// wait for that model.
 	IsListGrowing bool
 	// HallLoss specifies how the plan accounts for the loss of data halls. ReplicasByHall holds the
 	// number of available replicas by model and hall.
 	HallLoss       HallLossPolicy
 	ReplicasByHall map[string]map[string]int
 	// ReleasedDomains holds the domains whose idle workers are too few for a group of a model that
-	// is short. These workers may serve another model in the meantime.
+	// has too few replicas. These workers may serve another model in the meantime.
 	ReleasedDomains map[string]bool
 	// TradeRecipients holds, by domain, the model for which groups are being traded there. Until
 	// the trade is complete, only groups of that model that need no load are formed in the domain.
@@ -76,10 +76,10 @@
 // shortage come first. If a model has to wait for loads, no model with a smaller shortage may use
 // them. Workers that were freed by a trade are reserved for its recipient.
 //
-// If no model is short, the remaining warm workers form surplus groups. No idle spares are kept,
-// because a broken group is repaired with survivors of other groups or by a trade. A domain serves
-// as few different models as possible, so that the survivors of broken groups can form complete
-// ones. Finally, the plan is improved domain by domain.
+// If every model has enough replicas, the remaining warm workers form surplus groups. No workers
+// are kept idle as spares, because a broken group is repaired with survivors of other groups or by
+// a trade. A domain serves as few different models as possible, so that the survivors of broken
+// groups can form complete ones. Finally, the plan is improved domain by domain.
 func Plan(in Input) ([]Formation, []Staging) {
 	p := newPlanner(in)
 	all := p.planFormations()
@@ -113,7 +113,7 @@
 }
 
 // improve returns groups whose total value is at least that of the planned ones. It updates the
-// remaining workers and loads.
+// planner's remaining workers and loads.
 func (p *planner) improve(in Input, planned []Formation) []Formation {
 	plan := newPartition(in.Needs, in)
 	plan.isFixed = func(domain string) bool { return in.TradeRecipients[domain] != "" }
@@ -140,8 +140,8 @@
 
 // allowsSurplus reports whether a domain may form more groups than wanted.
 func (p *planner) allowsSurplus(domain string) bool {
-	isAnyShort := slices.ContainsFunc(p.needs, func(n Need) bool { return !n.isMet() })
-	return !isAnyShort || p.releasedDomains[domain]
+	hasShortage := slices.ContainsFunc(p.needs, func(n Need) bool { return !n.isMet() })
+	return !hasShortage || p.releasedDomains[domain]
 }
 
 // planFormations plans groups one after another, each in the most suitable domain.
@@ -185,7 +185,7 @@
 	groupsByHall map[string]map[string]int
 }
 
-// affinity returns the number of workers of a domain that are warm for the model, less the number
+// affinity returns the number of workers of a domain that are warm for the model, minus the number
 // that are warm for other models.
 func (p *planner) affinity(domain, model string) int {
 	total := 0
@@ -252,7 +252,8 @@
 	p.groupsByHall[model][hall]++
 }
 
-// recordWarm counts the members of a new group that have to load as warm for its model.
+// recordWarm adds the members of a new group that have to load to the number of workers that are
+// warm for its model.
 func (p *planner) recordWarm(domain string, f Formation) {
 	if p.warmCounts == nil {
 		p.warmCounts = make(map[string]map[string]int)
@@ -283,16 +284,17 @@
 	return p.groupsByHall[model][hall]
 }
 
-// isReserved reports whether an ongoing trade reserves a domain's workers, so that no group of the
-// model with members up to the given warmth may be formed there.
+// isReserved reports whether a group of the model may not be formed in a domain because an ongoing
+// trade reserves the domain's workers. Only groups of the trade's recipient whose members need no
+// load are allowed.
 func (p *planner) isReserved(domain, model string, coldest Warmth) bool {
 	recipient, isTrading := p.tradeRecipients[domain]
 	return isTrading && (recipient != model || coldest > Staged)
 }
 
 // bestDomain returns the domain with the warmest workers for a group of the model, and these
-// workers. If no domain has enough workers, it returns nil. Ties are decided by how well the domain
-// suits the model.
+// workers. It returns nil if no domain has enough workers. Among domains of equal cost, it prefers
+// the one with fewer groups of the model in its hall, then the one with the higher affinity.
 func (p *planner) bestDomain(m fleet.Model, coldest Warmth) (string, []FreeWorker) {
 	var bestWorkers []FreeWorker
 	var bestDomainName string
--- a/formation/plan_test.go
+++ b/formation/plan_test.go
@@ -23,7 +23,7 @@
 		free     []FreeWorker
 		warm     map[string]map[string]int
 		maxLoads int
-		// keptBack is the number of the loads that must not be used for idle workers.
+		// keptBack is the number of loads that must not be used for idle workers.
 		keptBack int
 		want     [][]string
 		staged   []Staging
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -17,11 +17,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.workers[id]
-	s.born++
+	s.startedAt++
 	s.group, s.state, s.epoch, s.rank, s.fence, s.orderCount, s.lastModel = Group{}, "", 0, 0, 0, 0, ""
 	s.isStaging, s.reports, s.entryNumber = false, nil, 0
 	w.recordState(s)
-	// The new incarnation's reports are current from its start.
+	// The new incarnation reports its current state from its start, without the usual lag.
 	s.reports[0].from = time.Now()
 	w.pending.Go(func() {
 		time.Sleep(listedAfter)
@@ -32,8 +32,8 @@
 }
 
 // TestRestartedWorkersAreReused covers a member of an open group that restarts under its ID. The
-// list shows the worker all the time, but it no longer belongs to the group. The group must be
-// repaired and the worker reused.
+// worker stays in the worker list, but no longer belongs to the group. The group must be repaired
+// and the worker reused.
 func TestRestartedWorkersAreReused(t *testing.T) {
 	tests := map[string]restartCase{
 		"a member":                         {rank: 2, listedAfter: 50 * time.Millisecond},
@@ -54,14 +54,14 @@
 
 // restartCase describes the restart of a worker in an open group.
 type restartCase struct {
-	// rank is the rank of the worker in its group; 0 is the head.
+	// rank is the worker's rank in its group. Rank 0 is the head.
 	rank int
-	// listedAfter is the time until the list shows the restart.
+	// listedAfter is the time until the worker list shows the restart.
 	listedAfter time.Duration
-	// restartsTwice restarts the worker a second time. changesLeader replaces the leader
-	// afterwards.
+	// restartsTwice reports whether the worker restarts a second time. changesLeader reports
+	// whether the leader is replaced afterwards.
 	restartsTwice, changesLeader bool
-	// setsClockBack sets the worker's clock back before the restart.
+	// setsClockBack reports whether the worker's clock is set back before the restart.
 	setsClockBack bool
 }
 
@@ -74,7 +74,7 @@
 	time.Sleep(time.Second)
 	id := group.Members[r.rank]
 	if r.setsClockBack {
-		w.workers[id].born -= 1000
+		w.workers[id].startedAt -= 1000
 	}
 	w.restart(id, r.listedAfter)
 	if r.restartsTwice {
@@ -99,7 +99,7 @@
 	assert.DeepEqual(t, w.violations, []string(nil))
 }
 
-// repairTimeout is the maximum time from a crash until the list shows the repaired group.
+// repairTimeout is the maximum time from a crash until the worker list shows the repaired group.
 const repairTimeout = 5 * time.Second
 
 // countServingWorkers returns the number of workers in serving groups.
--- a/formation/search.go
+++ b/formation/search.go
@@ -23,8 +23,8 @@
 	modelValues [][][]float64
 	// maxValues holds the highest possible value of a model, by model and number of groups.
 	maxValues [][]float64
-	// upperBounds holds upper bounds for the total value of the models from a depth on, by depth
-	// and number of available workers.
+	// upperBounds holds upper bounds for the total value of the models that are not yet decided, by
+	// depth and number of available workers.
 	upperBounds [][]float64
 	// bestValue, bestCost, bestPlacedWorkers and bestAssignment describe the best division so far.
 	// found reports whether it is better than the current one.
@@ -68,8 +68,8 @@
 }
 
 // modelValues returns the value of a model with new groups in a hall. The value is indexed by the
-// number of groups that need no load and the number that do. Together they are at most maxGroups,
-// and the latter are at most maxLoads.
+// number of new groups that need no load and the number that need loads. The sum of both numbers is
+// at most maxGroups, and the second number is at most maxLoads.
 func (p *partition) modelValues(i, maxGroups, maxLoads int, hall string) [][]float64 {
 	n, m := p.planValuation.needs[i], p.models[i]
 	table := make([][]float64, maxGroups+1)
@@ -95,9 +95,9 @@
 	return total
 }
 
-// computeBounds computes upper bounds for the total value of the models from each depth on, by
-// number of available workers. It assumes that each model gets the workers that suit it best, and
-// uses the knapsack recurrence.
+// computeBounds computes upper bounds for the total value of the models from each depth on, by the
+// number of available workers. It uses the knapsack recurrence and assumes that each model gets the
+// workers that suit it best.
 func (s *search) computeBounds(all *assignment) {
 	workers := all.countUnassigned()
 	s.maxValues = make([][]float64, len(s.models))
@@ -134,8 +134,9 @@
 	return all
 }
 
-// explore tries the numbers of groups of the models from the given depth on, except for those that
-// cannot reach the best value so far. valueSoFar is the total value of the models at lower depths.
+// explore tries the possible numbers of groups of the models from the given depth on. It skips
+// numbers that cannot reach the best value so far. valueSoFar is the total value of the models at
+// lower depths.
 func (s *search) explore(depth int, valueSoFar float64) {
 	current := s.assignments[depth]
 	if depth == len(s.modelOrder) {
@@ -168,8 +169,8 @@
 	return total
 }
 
-// considerAssignment keeps an assignment if it is the best so far. For equal values it prefers the
-// one that leaves fewer workers idle, then the one with the lower cost.
+// considerAssignment keeps an assignment if it is the best so far. Assignments of equal value are
+// compared by the number of idle workers, then by cost.
 func (s *search) considerAssignment(candidate *assignment) {
 	value, placedWorkers := 0.0, 0
 	for _, i := range s.modelOrder {
@@ -189,8 +190,8 @@
 	s.bestAssignment.copyFrom(candidate)
 }
 
-// countLoadingGroups returns how many groups of a model have members that have to load. The number
-// is the minimum, since such members are put together.
+// countLoadingGroups returns how many groups of a model have members that have to load. Such
+// members are put together, so the number is as low as possible.
 func (s *search) countLoadingGroups(candidate *assignment, i int) int {
 	size := s.models[i].Size
 	return (candidate.countLoads(i) + size - 1) / size
--- a/formation/send.go
+++ b/formation/send.go
@@ -7,9 +7,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// sendOrder sends an order until it is answered, at most maxOrderAttempts times. Each attempt has a
-// new fence, so that workers reject earlier attempts that arrive late. It reports whether an answer
-// arrived. If not, it marks a worker that does not answer a query either as unresponsive.
+// sendOrder sends an order until it is answered, at most maxOrderAttempts times, and reports
+// whether an answer arrived. Each attempt has a new fence, so that workers reject earlier attempts
+// that arrive late. If no attempt is answered, the worker's state is queried. If that is not
+// answered either, the worker is marked as unresponsive.
 func (k *Keeper) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
 	fencedCount, maxAttempts := 0, maxOrderAttempts
 	if k.isUnresponsive(w.ID) {
@@ -24,7 +25,7 @@
 			fencedCount++
 			continue
 		case err == nil:
-			k.checkTerm(order, w, verdict)
+			k.endTermIfFenced(order, w, verdict)
 			if verdict == Elsewhere {
 				k.recordDisplaced(w)
 			}
@@ -57,8 +58,8 @@
 	return send(ctx, k.nextFence())
 }
 
-// checkTerm ends the term if a worker rejected an order because it had seen a higher fence.
-func (k *Keeper) checkTerm(order string, w *fleet.Worker, verdict Verdict) {
+// endTermIfFenced ends the term if a worker rejected an order because it had seen a higher fence.
+func (k *Keeper) endTermIfFenced(order string, w *fleet.Worker, verdict Verdict) {
 	if verdict != Fenced {
 		return
 	}
--- a/formation/smoother.go
+++ b/formation/smoother.go
@@ -8,8 +8,8 @@
 )
 
 // Smoother tracks the smoothed work of each model on a daemon, whether or not the daemon is the
-// leader. A new leader starts with this work (see Options.Smoothed). Observe may be called at any
-// interval. One second is short enough, since work is smoothed over several seconds.
+// leader. A daemon that becomes leader starts with this work (see Options.Smoothed). Observe may be
+// called at any interval of up to about one second, since work is smoothed over several seconds.
 type Smoother struct {
 	mu        sync.Mutex
 	work      map[string]Work
@@ -44,6 +44,7 @@
 }
 
 // smoothedToward returns the work after smoothing it toward a measurement for a number of ticks.
+// Pause is taken from the measurement without smoothing.
 func (w Work) smoothedToward(measured Work, ticks float64) Work {
 	return Work{
 		Busy: smoothValue(w.Busy, measured.Busy, ticks), Prompts: smoothValue(w.Prompts, measured.Prompts, ticks), Pause: measured.Pause,
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -9,7 +9,7 @@
 )
 
 // keepLongIdle returns the stagings whose workers have been idle for longer than listSettleTime. In
-// a new fleet, most other idle workers are about to be put into a group.
+// a new fleet, a worker that has been idle for less time is usually about to be put into a group.
 func (k *Keeper) keepLongIdle(stagings []Staging, now time.Time) []Staging {
 	var all []Staging
 	idleSince := make(map[string]time.Time)
@@ -27,9 +27,9 @@
 	return all
 }
 
-// secondModelStagings returns a second model to stage for each worker that serves one, so that it
-// can quickly switch to the other. It is used only while loads are not limited. A worker needs no
-// staged copy of the model that it serves.
+// secondModelStagings returns stagings of a second model for workers that serve another one, so
+// that they can quickly switch to it. It must be called only while loads are not limited. A worker
+// needs no staged copy of the model that it serves.
 func (k *Keeper) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
 	var all []Staging
 	for id, w := range view.Workers() {
@@ -58,16 +58,16 @@
 }
 
 // stageRetryDelay is the time for which a worker that refused to stage gets no new order to stage.
-// It refuses while it is loading, which a new leader may not know.
+// A worker refuses while it is loading, and a new leader may not know of the load.
 const stageRetryDelay = 2 * time.Second
 
-// unlimitedLoads is the number of loads that may begin while they are not limited.
+// unlimitedLoads is returned as the number of loads that may begin if they are not limited.
 const unlimitedLoads = 1 << 20
 
 // Limits on concurrent loads, as multiples of LoadsAtOnce, the number of loads that do not slow
-// each other down. Loads for groups may exceed that number, since a slowed load still ends sooner
-// than one that has to wait. A load for an idle worker begins only if fewer loads are running, so
-// that groups do not have to wait for it.
+// each other down. Loads for groups may exceed LoadsAtOnce, since a slowed load still ends sooner
+// than one that has to wait. The limit for idle workers is lower, so that groups do not have to
+// wait for their loads.
 const (
 	groupLoadFactor = 1.5
 	idleLoadFactor  = 0.5
@@ -75,7 +75,7 @@
 
 // allowedLoads returns how many loads may begin now for groups, and how many for idle workers.
 // Before the first request, loads are quick and not limited.
-func (k *Keeper) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (forGroups, forIdle int) {
+func (k *Keeper) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (maxGroupLoads, maxIdleLoads int) {
 	if !k.hasTraffic() {
 		return unlimitedLoads, unlimitedLoads
 	}
@@ -141,7 +141,7 @@
 	return l
 }
 
-// recordLoad records a load if the worker must load the model. The caller must hold k.mu.
+// recordLoad records a load if the worker is cold for the model. The caller must hold k.mu.
 func (k *Keeper) recordLoad(w *fleet.Worker, m fleet.Model) {
 	if k.asFreeWorker(w).warmth(m.Name) > Staged {
 		k.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
@@ -157,7 +157,7 @@
 	}
 }
 
-// startStaging starts staging a model on an idle worker's host. The caller must hold k.mu.
+// startStaging starts staging a model on a worker's host. The caller must hold k.mu.
 func (k *Keeper) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
 	k.recordLoad(w, m)
 	k.opts.Logger.Info("staging", "worker", w.ID, "model", m.Name)
@@ -193,8 +193,8 @@
 	return verdict.Accepted()
 }
 
-// recordStageRefusal records that a worker refused to stage, so that it is not ordered again
-// immediately. It may refuse because it is already loading. The load budget is not refunded, since
+// recordStageRefusal records that a worker refused to stage, for example because it is already
+// loading. The worker is then not ordered again immediately. The load budget is not refunded, since
 // no token may have been taken for the load.
 func (k *Keeper) recordStageRefusal(w *fleet.Worker) {
 	k.mu.Lock()
--- a/formation/stagings.go
+++ b/formation/stagings.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Staging is a model to stage on an idle worker's host.
+// Staging is a model to stage on a worker's host.
 type Staging struct {
 	Worker string
 	Model  string
 }
 
-// planStagings returns the models that the remaining workers should stage. For each of them, it is
-// the model that most workers of its domain are warm for. Workers that are warm for a model that is
-// short keep that model.
+// planStagings plans stagings for the workers that are not put into a group. Each of them stages
+// the model that most workers of its domain are warm for. A worker that is warm for a model with
+// too few replicas stages nothing.
 func (p *planner) planStagings() []Staging {
 	var all []Staging
 	for _, domain := range slices.Sorted(maps.Keys(p.byDomain)) {
@@ -22,7 +22,7 @@
 			if model == "" || len(all) >= min(p.maxLoads, p.maxStagings) {
 				break
 			}
-			if f.warmth(model) > Staged && !p.isWarmForShortModel(f) {
+			if f.warmth(model) > Staged && !p.isWarmForUnmetNeed(f) {
 				all = append(all, Staging{Worker: f.ID, Model: model})
 			}
 		}
@@ -30,8 +30,8 @@
 	return all
 }
 
-// isWarmForShortModel reports whether a worker is warm for a model that is short.
-func (p *planner) isWarmForShortModel(f FreeWorker) bool {
+// isWarmForUnmetNeed reports whether a worker is warm for a model that has too few replicas.
+func (p *planner) isWarmForUnmetNeed(f FreeWorker) bool {
 	return slices.ContainsFunc(p.needs, func(n Need) bool { return !n.isMet() && f.warmth(n.Model.Name) <= Staged })
 }
 
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// survivorReleaseDelay is the time for which idle workers of a domain wait for missing members of a
-// group of a model that is short. More members may become free during this time, or a trade may
-// provide them.
+// survivorReleaseDelay is the time for which a domain's idle workers stay idle if they are too few
+// for a group of a model that has too few replicas. During this time, more workers may become free,
+// or a trade may provide them.
 const survivorReleaseDelay = 300 * time.Millisecond
 
 const (
-	// sufficientCoverage is the ratio of available to wanted replicas at which survivors form no
-	// more groups of a model. The model must also have sufficientSurplus.
+	// sufficientCoverage is the ratio of available to wanted replicas from which idle workers form
+	// no more groups of a model. The model must also have sufficientSurplus.
 	sufficientCoverage = 1.25
-	// sufficientSurplus is the number of groups in addition to the wanted ones at which survivors
-	// form no more groups of a model. It is required as well as sufficientCoverage, since the ratio
-	// alone is not meaningful for few groups.
+	// sufficientSurplus is the number of groups beyond the wanted ones from which idle workers form
+	// no more groups of a model. It is required in addition to sufficientCoverage, because the
+	// ratio says little if only few groups are wanted.
 	sufficientSurplus = 2
 )
 
-// releasedDomains returns the domains whose idle workers have been too few for a group of any short
-// model for longer than survivorReleaseDelay. These workers may form surplus groups of another
-// model. The groups are traded back once the missing members are available and warm. The caller
-// must hold k.mu.
+// releasedDomains returns the domains whose idle workers may form surplus groups of another model.
+// These workers have been too few for a group of any model with too few replicas for longer than
+// survivorReleaseDelay. The surplus groups are traded back once the missing members are available
+// and warm. The caller must hold k.mu.
 func (k *Keeper) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
 	released, isWaiting := make(map[string]bool), make(map[string]bool)
 	for domain, workers := range groupByDomain(free) {
@@ -46,16 +46,17 @@
 	return released
 }
 
-// isTrading reports whether groups of a domain are being traded for another model. Members that are
-// already free then wait for the others.
+// isTrading reports whether groups of a domain are being traded for another model. The members that
+// are already free then wait for the others.
 func (k *Keeper) isTrading(domain string) bool {
 	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
-// lacksMembers reports whether the workers are too few for a group of any short model, but enough
-// for a group of another model. It is false if no model is short.
+// lacksMembers reports whether the workers are too few for a group of any model that has too few
+// replicas, but enough for a group of another model. It is false if every model has enough
+// replicas.
 func lacksMembers(needs []Need, workers int) bool {
-	isAnyShort, canFormOther := false, false
+	hasShortage, canFormOther := false, false
 	for _, n := range needs {
 		fits := n.Model.Size > 0 && n.Model.Size <= workers
 		switch {
@@ -66,8 +67,8 @@
 		case fits:
 			return false
 		default:
-			isAnyShort = true
+			hasShortage = true
 		}
 	}
-	return isAnyShort && canFormOther
+	return hasShortage && canFormOther
 }
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -23,8 +23,8 @@
 	return counts
 }
 
-// TestSurvivorsServeAnotherModel kills a member of a large group in a domain without a replacement.
-// The other members must serve the small model until a new worker arrives.
+// TestSurvivorsServeAnotherModel kills a member of a large group in a domain that has no
+// replacement for it. The other members must serve the small model until a new worker arrives.
 func TestSurvivorsServeAnotherModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 3, 4)
@@ -52,7 +52,7 @@
 	})
 }
 
-// addStagedWorker lists a new worker that has a model staged on its host.
+// addStagedWorker adds a new worker that has a model staged on its host to the worker list.
 func (w *world) addStagedWorker(domain, model string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,7 +61,8 @@
 	w.publish(s)
 }
 
-// TestLacksMembers checks in which cases idle workers lack members for a group of a short model.
+// TestLacksMembers checks in which cases idle workers are too few for a group of a model that has
+// too few replicas.
 func TestLacksMembers(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
@@ -91,7 +92,7 @@
 // ready delays only one group.
 func TestNeverReadyMemberIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := unlistedWorld(1, 1, 5)
+		w := newUnlistedWorld(1, 1, 5)
 		for _, s := range w.workers {
 			s.staged = "big"
 			w.publish(s)
@@ -99,7 +100,7 @@
 		w.workers["w0-0"].neverReady = true
 		w.pending.Go(func() { w.confirmList(10 * time.Second) })
 		k, stop := startTerm(w, 1)
-		// The first attempt to join warm may take 4.2 s, the next one 1.5 s.
+		// The first attempt to form a group of warm workers may take 4.2 s, the next one 1.5 s.
 		time.Sleep(7 * time.Second)
 		k.mu.Lock()
 		unreliable := k.isUnreliable("w0-0")
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestTradingDomainIsNotReleased checks that freed workers of an ongoing trade, whose other groups
-// are still draining, are not released to other models.
+// TestTradingDomainIsNotReleased covers a domain with an ongoing trade. The workers that are
+// already free must not serve other models while the other groups of the trade are still draining.
 func TestTradingDomainIsNotReleased(t *testing.T) {
 	needs := []Need{{Model: fleet.Model{Name: "big", Size: 4}, Want: 2}, {Model: fleet.Model{Name: "small", Size: 2}, Want: 1, Have: 2}}
 	free := []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "e"}, {ID: "f", Domain: "e"}}
@@ -157,8 +158,8 @@
 	assert.DeepEqual(t, k.releasedDomains(needs, free, now), map[string]bool{"d": false, "e": true})
 }
 
-// TestSurvivorsAreCompletedByTrade checks that a surplus group of another model completes the
-// survivors if a new worker would have to load.
+// TestSurvivorsAreCompletedByTrade checks that a surplus group of another model is dissolved to
+// complete the survivors of a broken group, if a new worker would have to load.
 func TestSurvivorsAreCompletedByTrade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
@@ -167,7 +168,7 @@
 		w.pending.Go(func() { w.confirmList(60 * time.Second) })
 		time.Sleep(sharePeriod + 2*time.Second)
 		w.kill(big.Members[2])
-		// The loss is detected after 4 s. The new worker refuses to stage a model before.
+		// The loss is detected after 4 s. Before that, the new worker refuses to stage a model.
 		time.Sleep(3950 * time.Millisecond)
 		w.addStagedWorker("d0", "")
 		w.mu.Lock()
@@ -188,7 +189,7 @@
 // they might start a load each time.
 func TestRefusingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := unlistedWorld(1, 1, 4)
+		w := newUnlistedWorld(1, 1, 4)
 		for _, s := range w.workers {
 			s.staged = "big"
 			w.publish(s)
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -11,12 +11,12 @@
 	// tradeMargin is the factor by which a donor's coverage must exceed the recipient's after a
 	// trade. It prevents replicas from switching back and forth between models.
 	tradeMargin = 1.1
-	// loadPenalty is the value that is deducted for each second of loading by each member, since a
-	// load slows down other loads. It is small compared with the value of a group, so that it only
-	// decides between similar trades.
+	// loadPenalty is the value that is deducted from a trade for each second of loading by each
+	// member, since a load slows down other loads. It is small compared with the value of a group,
+	// so that it only decides between similar trades.
 	loadPenalty = 1e-5
-	// coldTradeMaxCoverage is the highest coverage at which a model may get groups whose members
-	// have to load it. If only surplus groups are dissolved, there is no such limit.
+	// coldTradeMaxCoverage is the recipient's highest coverage at which a trade may use members
+	// that have to load. There is no such limit if only surplus groups are dissolved.
 	coldTradeMaxCoverage = 0.5
 	// maxDownFraction is the maximum fraction of a model's groups that trades may take out of
 	// service at once. A single trade is always allowed.
@@ -38,8 +38,8 @@
 // countWarm returns how many members need no load for a model.
 func (s ServingGroup) countWarm(model string) int { return s.MemberCount - s.ColdCounts[model] }
 
-// Trade is a set of groups of one domain to dissolve, so that groups of the recipient, a model that
-// is short, can be formed.
+// Trade is a set of groups of one domain that are dissolved to form groups of another model, the
+// recipient, which has too few replicas.
 type Trade struct {
 	Recipient string
 	Domain    string
@@ -77,10 +77,11 @@
 	}
 }
 
-// FindTrade returns the best trade for the model with the greatest shortage that a trade can help.
-// All dissolved groups are in one domain. The donors keep a better coverage than the recipient.
-// Members that have to load are used only if the recipient has at most half of its wanted replicas,
-// or if the donors have a surplus. It returns false if there is no such trade.
+// FindTrade returns the best trade for the model with the greatest shortage, or for the next model
+// if there is no trade for that one. All dissolved groups are in one domain. The donors keep a
+// better coverage than the recipient. Members that have to load are used only if the recipient has
+// at most half of its wanted replicas, or if the donors have a surplus. FindTrade returns false if
+// there is no such trade.
 func FindTrade(needs []Need, free []FreeWorker, servingGroups []ServingGroup) (Trade, bool) {
 	return newTradeFinder(needs, free, servingGroups).bestTrade()
 }
@@ -93,7 +94,7 @@
 	servingGroups map[string][]ServingGroup
 	// downCounts holds the number of groups that ongoing trades take out of service, by model.
 	downCounts map[string]int
-	// maxLoads is the maximum number of loads that may begin.
+	// maxLoads is the maximum number of loads that may begin now.
 	maxLoads int
 }
 
@@ -108,11 +109,12 @@
 	return t
 }
 
-// bestTrade returns the best trade for the model with the greatest shortage that a trade can help.
+// bestTrade returns the best trade for the model with the greatest shortage, or for the next model
+// if there is no trade for that one.
 func (t *tradeFinder) bestTrade() (Trade, bool) {
-	short := slices.Clone(t.needs)
-	slices.SortStableFunc(short, func(a, b Need) int { return cmp.Compare(b.shortage(), a.shortage()) })
-	for _, n := range short {
+	byShortage := slices.Clone(t.needs)
+	slices.SortStableFunc(byShortage, func(a, b Need) int { return cmp.Compare(b.shortage(), a.shortage()) })
+	for _, n := range byShortage {
 		if n.isMet() || n.Model.Size <= 0 {
 			continue
 		}
@@ -163,8 +165,8 @@
 }
 
 // completesSurvivors reports whether a trade dissolves a single group in a domain with at least as
-// many idle workers as that group has members. These idle workers are likely to be the survivors of
-// a broken group.
+// many idle workers as that group has members. These idle workers are probably the survivors of a
+// broken group.
 func (t *tradeFinder) completesSurvivors(x Trade) bool {
 	if len(x.GroupKeys) != 1 {
 		return false
@@ -183,7 +185,7 @@
 	// idleCount is the number of idle workers of the domain that can be members of a new group.
 	idleCount int
 	// donors holds the models that can give up groups. groups holds these groups by donor, the best
-	// first. chosenCounts holds how many of them are chosen, by donor.
+	// first. chosenCounts holds the number of chosen groups by donor.
 	donors       []Need
 	groups       [][]ServingGroup
 	chosenCounts []int
@@ -240,7 +242,7 @@
 	return all[:maxGroups]
 }
 
-// explore tries the numbers of groups that the donors from the given index on can give up.
+// explore tries every number of groups that each donor from the given index on can give up.
 func (g *tradeSearch) explore(donor int) {
 	if donor == len(g.donors) {
 		g.considerChoice()
@@ -313,8 +315,8 @@
 	}
 }
 
-// takesOnlySurplus reports whether the donors still have all wanted replicas without the chosen
-// groups.
+// takesOnlySurplus reports whether the donors still have all wanted replicas if the chosen groups
+// are dissolved.
 func (g *tradeSearch) takesOnlySurplus() bool {
 	for i, o := range g.donors {
 		if g.chosenCounts[i] > 0 && o.coverageWith(-g.chosenCounts[i]) < 1 {
@@ -324,7 +326,7 @@
 	return true
 }
 
-// countLoads returns the minimum number of members of one new group that have to load.
+// countLoads returns how many members of one new group have to load at least.
 func (g *tradeSearch) countLoads(chosen []ServingGroup) int {
 	warm := 0
 	for _, f := range g.free[g.domain] {
@@ -342,19 +344,19 @@
 // less the donors' loss.
 func (g *tradeSearch) valueGained(formed int) float64 {
 	hall := g.servingGroups[g.domain][0].Hall
-	gain := func(n Need, groups int, part float64) float64 {
+	gainOf := func(n Need, groups int, fraction float64) float64 {
 		before, after := g.planValuation.worstHallLoss(n.Model.Name, nil), g.planValuation.worstHallLoss(n.Model.Name, map[string]int{hall: groups})
-		return g.planValuation.valueOf(n, float64(n.Have)+float64(groups)*part, after) - g.planValuation.valueOf(n, float64(n.Have), before)
+		return g.planValuation.valueOf(n, float64(n.Have)+float64(groups)*fraction, after) - g.planValuation.valueOf(n, float64(n.Have), before)
 	}
-	total := gain(g.recipient, formed, servingFraction(g.recipient.Model, g.allowsLoads))
+	total := gainOf(g.recipient, formed, servingFraction(g.recipient.Model, g.allowsLoads))
 	for i, o := range g.donors {
-		total += gain(o, -g.chosenCounts[i], 1)
+		total += gainOf(o, -g.chosenCounts[i], 1)
 	}
 	return total
 }
 
-// isBetter reports whether a trade gains more than another one, or gains the same with fewer
-// groups.
+// isBetter reports whether a trade gains more than another one. If both gain the same, the trade
+// with fewer groups is better.
 func (g *tradeSearch) isBetter(o *tradeSearch) bool {
 	if math.Abs(g.gain-o.gain) > valueEpsilon {
 		return g.gain > o.gain
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -11,7 +11,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestTradeOnlyForFeasibleGroups checks that groups are traded only for a group that can be formed.
+// TestTradeOnlyForFeasibleGroups checks that groups are traded only if a new group can be formed.
 // It also checks that a trade does not take too many groups of a model out of service.
 func TestTradeOnlyForFeasibleGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoadTime, Warm: simWarmJoinTime}, fleet.Model{Name: "small", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
@@ -104,7 +104,7 @@
 	assert.Assert(t, !ok, "a group that needs no load is not replaced")
 }
 
-// TestTradeSpreadsOverHalls checks that, of two equivalent domains, a trade uses the one whose hall
+// TestTradeSpreadsOverHalls checks that a trade uses the one of two equivalent domains whose hall
 // holds fewer groups of the recipient.
 func TestTradeSpreadsOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 4}, fleet.Model{Name: "small", Size: 4}
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestTradeCountsAllFormedGroups checks that no second group is traded for the same shortage if the
-// members of one large group form several small ones.
+// TestTradeCountsAllFormedGroups covers a trade of one large group whose members form several small
+// ones. No second group may be traded for the same shortage.
 func TestTradeCountsAllFormedGroups(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	needs := []Need{{Model: big, Want: 1, Have: 4}, {Model: small, Want: 6, Have: 3}}
@@ -149,7 +149,7 @@
 	return recipient.coverageWith(0) <= coldTradeMaxCoverage || x.takesOnlySurplus(needs)
 }
 
-// drawServingGroups draws the groups counted in needs, spread over a few domains.
+// drawServingGroups draws the serving groups that needs counts, spread over a few domains.
 func drawServingGroups(t *rapid.T, needs []Need) []ServingGroup {
 	var all []ServingGroup
 	for i, n := range needs {
--- a/formation/trading.go
+++ b/formation/trading.go
@@ -11,14 +11,14 @@
 const (
 	// tradeInterval is the minimum time between two rounds of trades that are rate limited.
 	tradeInterval = 2 * time.Second
-	// groupsPerTrade is the number of serving groups for each trade that may run at once. The
-	// number of concurrent trades is thus proportional to the size of the fleet.
+	// groupsPerTrade is the number of serving groups per concurrent trade. The maximum number of
+	// concurrent trades is thus proportional to the size of the fleet.
 	groupsPerTrade = 32
 )
 
-// startTrades dissolves groups so that others can be formed of models that are short. It takes into
-// account what ongoing trades will change. Trades are rate limited, unless they complete the
-// survivors of a broken group or dissolve only surplus groups.
+// startTrades dissolves groups so that groups of models with too few replicas can be formed. It
+// takes the effects of ongoing trades into account. Trades are rate limited, unless they complete
+// the survivors of a broken group or dissolve only surplus groups.
 func (k *Keeper) startTrades(ctx context.Context, in Input, groups []*observedGroup, now time.Time) {
 	needs, free := slices.Clone(in.Needs), in.Free
 	if now.Before(k.tradesAllowedAt) {
@@ -72,9 +72,9 @@
 	return downCounts
 }
 
-// replaceLoadsByTrades starts trades in place of planned groups that would wait for loads, and
-// returns the other planned groups. A group is replaced only by a trade in its domain that provides
-// warm members and has a higher value.
+// replaceLoadsByTrades starts trades in place of planned groups whose members would have to load,
+// and returns the other planned groups. A group is replaced only by a trade in its domain that
+// provides warm members and has a higher value.
 func (k *Keeper) replaceLoadsByTrades(ctx context.Context, in Input, planned []Formation, groups []*observedGroup, now time.Time) []Formation {
 	needsLoads := slices.ContainsFunc(planned, func(f Formation) bool { return f.LoadCount > 0 })
 	if !needsLoads || now.Before(k.tradesAllowedAt) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// tradableGroups returns the serving groups that may be traded. The first result holds them by key,
-// the second one in the form that the planner uses.
+// tradableGroups returns the serving groups that may be traded. The first result holds them by key.
+// The second one holds them in the form that the planner uses.
 func (k *Keeper) tradableGroups(groups []*observedGroup) (map[string]*observedGroup, []ServingGroup) {
 	byKey := make(map[string]*observedGroup)
 	var all []ServingGroup
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestTradeRateScalesWithFleet shifts the demand to one model. A fleet that is four times as large
-// must gain at least twice as many replicas of it in the same time.
+// must gain at least twice as many replicas of the model in the same time.
 func TestTradeRateScalesWithFleet(t *testing.T) {
 	gained := func(domains int) int {
 		w := newWorld(5, domains, 8)
@@ -39,11 +39,11 @@
 	})
 }
 
-// TestSurplusTradesDoNotWait checks that surplus groups are traded without waiting for the trade
-// interval, and that other groups are not.
+// TestSurplusTradesDoNotWait checks that surplus groups are traded without waiting for
+// tradeInterval. Other groups must wait for it.
 func TestSurplusTradesDoNotWait(t *testing.T) {
 	tests := map[string]struct {
-		// want is how many of the four small groups are wanted.
+		// want is the wanted number of small groups. There are four of them.
 		want float64
 		// trades is the expected number of trades.
 		trades int
@@ -84,7 +84,7 @@
 	}
 }
 
-// openTradableGroup lists two workers as an open group of the small model with the big model
+// openTradableGroup makes an open group of the small model with two workers that have the big model
 // staged. The caller must hold w.mu.
 func (w *world) openTradableGroup(head, other string, epoch int64) {
 	g := Group{Name: fleet.GroupName("small", epoch, nil), Epoch: epoch, Model: "small", Members: []string{head, other}}
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -8,13 +8,13 @@
 	"quartzshelf.dev/fleet"
 )
 
-// unreliableDuration is the time for which a worker that prevented a group from forming is used
-// only if there are too few other workers.
+// unreliableDuration is the time for which a worker that prevented a group from forming is avoided.
+// It is then used only if there are too few other workers.
 const unreliableDuration = 9 * time.Second
 
 // exclusionPeriod is the time for which a worker that prevented a group from forming is not used at
-// all. Otherwise, a worker that fails immediately would be put into a new group at every tick, and
-// its partners might start a load each time.
+// all. Otherwise, a worker that fails immediately would be put into a new group at every tick. The
+// other members of that group might start a load each time.
 const exclusionPeriod = time.Second
 
 // markUnreliable records the workers that prevented a group from forming. It records nothing if the
--- a/formation/unresponsive.go
+++ b/formation/unresponsive.go
@@ -13,8 +13,8 @@
 // unresponsive. It is also the maximum number of attempts to send an order to such a worker.
 const unresponsiveAttempts = 2
 
-// examineReplica queries the members of a suspected replica. Those that do not answer are marked
-// as unresponsive, so that the next tick repairs the group.
+// examineReplica queries the members of a suspected replica. It marks those that do not answer as
+// unresponsive, so that the next tick repairs the group.
 func (k *Keeper) examineReplica(ctx context.Context, replica string) {
 	members := k.startExamination(replica)
 	if members == nil {
@@ -87,7 +87,8 @@
 	}
 }
 
-// isUnresponsive reports whether a worker does not answer or another one answers at its address.
+// isUnresponsive reports whether a worker is treated as gone. Either it does not answer, or another
+// worker answers at its address.
 func (k *Keeper) isUnresponsive(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/value.go
+++ b/formation/value.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// planningHorizon is the period for which a plan is valued. It is about twice the duration of a
-	// load from the weight store, so that a group that has to load still has value.
+	// planningHorizon is the period over which the value of a plan is computed. It is about twice
+	// the duration of a load from the weight store, so that a group that has to load still has
+	// value.
 	planningHorizon = 30 * time.Second
 	// saturation determines how quickly the fraction of served requests rises with the number of
-	// replicas. With all wanted replicas, 1-exp(-saturation) of the requests, about 0.95, find a
-	// slot immediately.
+	// replicas. With all wanted replicas, the fraction is 1-exp(-saturation), about 0.95.
 	saturation = 3
-	// workerLossProbability is the probability that a worker is lost while the planned groups are
-	// formed.
+	// workerLossProbability is the probability that a given worker is lost while the planned groups
+	// are formed.
 	workerLossProbability = 0.01
 )
 
 // HallLossPolicy specifies how a plan accounts for the loss of data halls.
 type HallLossPolicy struct {
-	// MaxLost is the number of halls whose simultaneous loss a plan accounts for. Zero disables
-	// this.
+	// MaxLost is the number of halls whose simultaneous loss a plan accounts for. If it is zero,
+	// plans do not account for hall losses.
 	MaxLost int
 	// Weight is the weight of requests lost with a hall, relative to requests lost now.
 	Weight float64
@@ -62,7 +62,7 @@
 }
 
 // worstHallLoss returns how many replicas of a model are lost if the MaxLost halls with the most
-// replicas are lost. The replicas in added, by hall, are included.
+// replicas are lost. The replicas in added, which are counted by hall, are included.
 func (v *valuation) worstHallLoss(model string, added map[string]int) float64 {
 	if v.hallLoss.MaxLost <= 0 {
 		return 0
@@ -85,7 +85,7 @@
 }
 
 // servingFraction returns the fraction of the planning horizon during which a new group of a model
-// serves.
+// serves. It is at least 0.1.
 func servingFraction(m fleet.Model, needsLoads bool) float64 {
 	ready := m.Warm
 	if needsLoads {
--- a/formation/wantedreplicas_test.go
+++ b/formation/wantedreplicas_test.go
@@ -9,8 +9,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestReplicasForLossAreBounded checks that a model with slow replicas, whose prompts accumulate,
-// does not get more workers than its share of the fleet.
+// TestReplicasForLossAreBounded checks that a model with slow replicas does not get more workers
+// than its share of the fleet, although its prompts accumulate.
 func TestReplicasForLossAreBounded(t *testing.T) {
 	k := NewKeeper(newWorld(1, 1, 0).options(), Term{Epoch: 2}, func() {})
 	k.isNewFleet = false
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -20,32 +20,33 @@
 // simWorker simulates a worker in virtual time.
 type simWorker struct {
 	id, domain string
-	// zone is the worker's data hall. neverReady makes it accept joins without becoming ready.
+	// zone is the worker's data hall. If neverReady is set, the worker accepts joins but does not
+	// become ready.
 	zone       string
 	neverReady bool
 	isDead     bool
 	isDraining bool
-	// born is the start time of the worker's incarnation. entryNumber is the number of list entries
-	// of that incarnation.
-	born, entryNumber int64
-	fence             Fence
-	epoch             int64
-	group             Group
-	state             fleet.GroupState
-	rank              int
-	lastModel         string
-	staged            string
+	// startedAt is the start time of the worker's incarnation. entryNumber is the number of list entries
+	// that this incarnation has published.
+	startedAt, entryNumber int64
+	fence                  Fence
+	epoch                  int64
+	group                  Group
+	state                  fleet.GroupState
+	rank                   int
+	lastModel              string
+	staged                 string
 	// isStaging reports whether the worker is staging a model. stageOrderCount is the number of
 	// orders to stage a model that the worker received.
 	isStaging       bool
 	stageOrderCount int
-	// orderCount is the number of orders that the worker has begun. reports holds its reports by
-	// time.
+	// orderCount is the number of orders that the worker has begun. reports holds the states that
+	// the worker reports over time.
 	orderCount int64
 	reports    []timedState
 }
 
-// timedState is the state that a worker reports from a certain time on.
+// timedState is a state that a worker reports from a given time on.
 type timedState struct {
 	from  time.Time
 	state State
@@ -63,14 +64,14 @@
 	workers      map[string]*simWorker
 	inventory    *fleet.Inventory
 	listPosition int64
-	// wasReady holds the workers that have been ready in a group, by group key and worker ID.
+	// wasReady records which workers have been ready in a group, by group key and worker ID.
 	wasReady map[string]bool
 	// lateFraction is the fraction of orders that get no answer and are carried out later.
 	lateFraction float64
-	// ignoresFences makes workers ignore fences.
+	// ignoresFences reports whether workers carry out orders regardless of their fences.
 	ignoresFences bool
-	// delays holds the delays of the next attempts of an order, by order and worker. These attempts
-	// get no answer.
+	// delays holds the delays of the next attempts to send an order, by order and worker. These
+	// attempts get no answer.
 	delays map[string][]time.Duration
 	// lateFromEpoch is the epoch from which all orders are late. Zero means none.
 	lateFromEpoch int64
@@ -78,24 +79,24 @@
 	// demand is the measured work by model. drainTime is the time that draining a group takes.
 	demand    map[string]Work
 	drainTime time.Duration
-	// openDelay is the time until the list shows that a group is open. openOrderCounts holds the
-	// number of orders to open by group.
+	// openDelay is the time until the worker list shows that a group is open. openOrderCounts holds
+	// the number of orders to open by group.
 	openDelay       time.Duration
 	openOrderCounts map[string]int
-	// isListFrozen reports whether the list is no longer updated.
+	// isListFrozen reports whether the worker list is no longer updated.
 	isListFrozen bool
 	// unreachableByLeader holds the workers that other daemons can reach but leaders cannot.
 	unreachableByLeader map[string]bool
-	// unreachable holds the workers that nobody can reach.
+	// unreachable holds the workers that no daemon can reach.
 	unreachable map[string]bool
-	// displaced holds the workers at whose address another one answers. displacedOrderCount is the
-	// number of orders that such other workers got.
+	// displaced holds the workers whose address is now used by another worker. displacedOrderCount
+	// is the number of orders that such other workers got.
 	displaced           map[string]bool
 	displacedOrderCount int
-	// hasYoungList reports whether leaders received the list only a short time ago.
+	// hasYoungList reports whether leaders received the worker list only a short time ago.
 	hasYoungList bool
-	// loadsPerSecond is the maximum rate at which loads may begin. loadStarts holds the start times
-	// of loads.
+	// loadsPerSecond is the limit on the rate at which loads may begin. loadStarts holds the start
+	// times of loads.
 	loadsPerSecond float64
 	loadStarts     []time.Time
 	// smoothed returns the work that daemons tracked before a term. isHallOpen reports whether a
@@ -118,7 +119,7 @@
 	simReportLag    = 200 * time.Millisecond
 	// simStartTime is the time when workers started, in Unix milliseconds.
 	simStartTime = 1_700_000_000_000
-	// simListDelay is the time until the list shows a change.
+	// simListDelay is the time until the worker list shows a change.
 	simListDelay = 30 * time.Millisecond
 )
 
@@ -137,15 +138,15 @@
 
 // newWorld returns a world in which all workers are listed.
 func newWorld(seed uint64, domains, perDomain int) *world {
-	w := unlistedWorld(seed, domains, perDomain)
+	w := newUnlistedWorld(seed, domains, perDomain)
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 		w.publish(w.workers[id])
 	}
 	return w
 }
 
-// unlistedWorld returns a world in which no worker is listed yet.
-func unlistedWorld(seed uint64, domains, perDomain int) *world {
+// newUnlistedWorld returns a world in which no worker is listed yet.
+func newUnlistedWorld(seed uint64, domains, perDomain int) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, seed)), workers: make(map[string]*simWorker),
 		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, drainTime: time.Second,
@@ -155,7 +156,7 @@
 	}
 	for d := range domains {
 		for i := range perDomain {
-			s := &simWorker{id: fmt.Sprintf("w%d-%d", d, i), domain: fmt.Sprintf("d%d", d), born: simStartTime}
+			s := &simWorker{id: fmt.Sprintf("w%d-%d", d, i), domain: fmt.Sprintf("d%d", d), startedAt: simStartTime}
 			w.workers[s.id] = s
 		}
 	}
@@ -182,11 +183,11 @@
 	}
 }
 
-// recordState records a worker's state for its reports, which show it after simReportLag. The
-// caller must hold w.mu.
+// recordState records a worker's state. The worker's reports show it after simReportLag. The caller
+// must hold w.mu.
 func (w *world) recordState(s *simWorker) {
 	s.reports = append(s.reports, timedState{from: time.Now().Add(simReportLag), state: State{
-		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orderCount, Born: s.born,
+		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orderCount, Born: s.startedAt,
 	}})
 }
 
@@ -201,7 +202,7 @@
 	return s.reports[0].state
 }
 
-// publish writes a worker's entry to the list. The caller must hold w.mu.
+// publish writes a worker's entry to the worker list. The caller must hold w.mu.
 func (w *world) publish(s *simWorker) {
 	w.recordState(s)
 	if w.isListFrozen {
@@ -212,7 +213,7 @@
 	if !s.isDead {
 		entry := &fleet.Worker{
 			ID: s.id, Service: "models", Address: s.id, Domain: s.domain, Zone: s.zone, Slots: 10, Draining: s.isDraining,
-			Member: s.member(), Born: s.born, Beat: s.entryNumber,
+			Member: s.member(), Born: s.startedAt, Beat: s.entryNumber,
 		}
 		s.entryNumber++
 		if s.group.Name != "" {
@@ -244,7 +245,7 @@
 	return leaving
 }
 
-// servingMembersOf returns those of the given workers that are members of open groups.
+// servingMembersOf returns the given workers that are members of open groups.
 func (w *world) servingMembersOf(ids []string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -262,7 +263,7 @@
 	return all
 }
 
-// kill stops a worker abruptly. The list shows this after 3.6 s.
+// kill stops a worker without warning. The worker list shows this after 3.6 s.
 func (w *world) kill(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -275,8 +276,7 @@
 	})
 }
 
-// delay returns the delay of an order if it is late, and whether it is late. The caller must hold
-// w.mu.
+// delay reports whether an order is late, and returns its delay. The caller must hold w.mu.
 func (w *world) delay(order, id string, fence Fence) (time.Duration, bool) {
 	randomDelay := time.Duration(2+w.random.IntN(10)) * time.Second
 	isLate := w.random.Float64() < w.lateFraction || w.lateFromEpoch > 0 && fence >= NewFence(w.lateFromEpoch, 0, 0)
@@ -288,7 +288,8 @@
 	return randomDelay, isLate
 }
 
-// execute carries out an order, either immediately or after its delay, and returns the answer.
+// execute carries out an order, either immediately or after its delay. It returns the worker's
+// answer, or an error if the worker is unreachable or the order is late.
 func (w *world) execute(ctx context.Context, order, id string, fence Fence, do func(*simWorker) Verdict) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[id]
@@ -299,12 +300,12 @@
 	}
 	isUnreachable := s.isDead || w.unreachableByLeader[id] || w.unreachable[id]
 	delay, isLate := w.delay(order, id, fence)
-	incarnation := s.born
+	incarnation := s.startedAt
 	w.mu.Unlock()
 	apply := func() Verdict {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if s.isDead || s.born != incarnation {
+		if s.isDead || s.startedAt != incarnation {
 			// Orders to an earlier incarnation are dropped.
 			return Unfit
 		}
@@ -333,7 +334,7 @@
 	return apply(), nil
 }
 
-// orders returns the functions that leaders use to reach the workers.
+// orders returns the functions with which leaders send orders to the workers.
 func (w *world) orders() Orders {
 	return Orders{Join: w.join, Stage: w.stage, Open: w.open, Close: w.closeGroup, Leave: w.leaveGroup, Ask: w.ask}
 }
@@ -373,9 +374,9 @@
 	})
 }
 
-// startLoad records a load from the weight store, checks the limit on loads, and returns how long
-// the load takes. Before the first request, loads are quick and not counted. The caller must hold
-// w.mu.
+// startLoad records a load from the weight store, checks that the limit on loads is kept, and
+// returns how long the load takes. Before the first request, loads are quick and not counted. The
+// caller must hold w.mu.
 func (w *world) startLoad() time.Duration {
 	if !w.hasTraffic {
 		return simLoadTime / 10
@@ -441,7 +442,8 @@
 	return w.execute(ctx, "leave", worker.ID, fence, func(s *simWorker) Verdict { return w.leave(s, g) })
 }
 
-// indirectLeave sends an order to leave, also to workers that leaders cannot reach.
+// indirectLeave sends an order to leave through other daemons. It also reaches workers that only
+// the leader cannot reach.
 func (w *world) indirectLeave(ctx context.Context, worker *fleet.Worker, _ Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
 	s := w.workers[worker.ID]
@@ -478,12 +480,12 @@
 			return Holds
 		}
 		s.isStaging = true
-		wait, incarnation := w.startLoad(), s.born
+		wait, incarnation := w.startLoad(), s.startedAt
 		w.pending.Go(func() {
 			time.Sleep(wait)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if s.born != incarnation {
+			if s.startedAt != incarnation {
 				return
 			}
 			s.staged, s.isStaging = model, false
@@ -493,7 +495,7 @@
 	})
 }
 
-// countAttempt counts an attempt of an order.
+// countAttempt counts an attempt to send an order.
 func (w *world) countAttempt(order, _ string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -532,8 +534,8 @@
 	}
 }
 
-// checkNotServing records a violation if a worker joins a group while it is needed by another group
-// that serves.
+// checkNotServing records a violation if a worker joins a group while it is a member of another
+// group that serves.
 func (w *world) checkNotServing(s *simWorker, g Group) {
 	if len(s.group.Members) == 0 {
 		return
