--- a/formation/absent.go
+++ b/formation/absent.go
@@ -123,13 +123,13 @@
 // checkAbsent queries one worker that left the worker list, and marks it as gone if it does not
 // answer.
 func (k *Keeper) checkAbsent(ctx context.Context, a *absence) {
-	answers := k.isResponsive(ctx, a.worker)
+	hasAnswered := k.isResponsive(ctx, a.worker)
 	if ctx.Err() != nil {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if answers {
+	if hasAnswered {
 		a.hasAnswered = true
 		a.nextQuery = time.Now().Add(absentQueryInterval)
 		return
--- a/formation/assignment.go
+++ b/formation/assignment.go
@@ -89,9 +89,9 @@
 	isReachable            bool
 }
 
-// assign assigns count more workers to a model at the lowest total cost. It may reassign other
-// workers to this end. It uses the successive shortest paths algorithm, which keeps the total cost
-// minimal. It returns false if there are too few workers.
+// assign assigns count more workers to a model at the lowest total cost. To achieve this, it may
+// reassign other workers. It uses the successive shortest paths algorithm, which keeps the total
+// cost minimal. It returns false if there are too few workers.
 func (s *assignment) assign(model, count int) bool {
 	if s.countUnassigned() < count {
 		return false
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -56,7 +56,7 @@
 // computeNeeds returns the wanted and the available number of replicas of each model, and the
 // available number by model and data hall. Groups in closed halls do not count as available.
 func (k *Keeper) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
-	workers := countWorkers(s, view)
+	workerCount := countWorkers(s, view)
 	replicaCounts, replicasByHall := make(map[string]int), make(map[string]map[string]int)
 	addReplica := func(model, hall string) {
 		if !k.halls.isUsable(hall) {
@@ -83,26 +83,26 @@
 	k.updateSmoothedWork()
 	var needs []Need
 	for _, m := range s.Engine.Models {
-		needs = append(needs, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workers), Have: replicaCounts[m.Name]})
+		needs = append(needs, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workerCount), Have: replicaCounts[m.Name]})
 	}
 	return needs, replicasByHall
 }
 
 // countWorkers returns the number of listed workers of a service.
 func countWorkers(s *fleet.Service, view *fleet.View) int {
-	workers := 0
+	count := 0
 	for _, w := range view.Workers() {
 		if w.Service == s.Name {
-			workers++
+			count++
 		}
 	}
-	return workers
+	return count
 }
 
 // wantedReplicas returns the wanted number of replicas of a model. The number is based on the
 // measured work. Before there is any traffic, it is based on the model's configured share.
-func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workers int) float64 {
-	byShare := m.Share * float64(workers) / float64(max(m.Size, 1))
+func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workerCount int) float64 {
+	byShare := m.Share * float64(workerCount) / float64(max(m.Size, 1))
 	work := k.smoothedWork[m.Name]
 	byDemand := work.Busy/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
 	// Slow replicas accumulate prompts. This limit keeps such a model from taking workers away from
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -19,25 +19,25 @@
 		Models: []fleet.Model{{Name: "big", Size: 16, Pace: 1}, {Name: "small", Size: 4, Pace: 0.5}},
 	}
 	tests := map[string]struct {
-		model       string
-		work        Work
-		least, most float64
+		model                    string
+		work                     Work
+		minReplicas, maxReplicas float64
 	}{
 		// Reading 60 prompts of 1,500 tokens takes 1.8 s. A pause of 300 ms, less the duration of
 		// two passes, leaves about 200 ms. The other n-1 replicas may use a quarter of that to read
 		// the prompts of a lost one.
-		"large prompts":       {model: "big", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, least: 6, most: 7},
-		"twice the work":      {model: "big", work: Work{Busy: 120, Prompts: 180000, Pause: 300 * ms}, least: 8.5, most: 9.5},
-		"a faster model":      {model: "small", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, least: 4, most: 5},
+		"large prompts":       {model: "big", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, minReplicas: 6, maxReplicas: 7},
+		"twice the work":      {model: "big", work: Work{Busy: 120, Prompts: 180000, Pause: 300 * ms}, minReplicas: 8.5, maxReplicas: 9.5},
+		"a faster model":      {model: "small", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, minReplicas: 4, maxReplicas: 5},
 		"pauses do not count": {model: "big", work: Work{Busy: 60, Prompts: 90000}},
 		"no pause is enough":  {model: "big", work: Work{Busy: 60, Prompts: 90000, Pause: 80 * ms}},
-		"nothing to read":     {model: "big", work: Work{Pause: 300 * ms}, least: 1, most: 1},
-		"an unknown model":    {model: "other", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, least: 6, most: 7},
+		"nothing to read":     {model: "big", work: Work{Pause: 300 * ms}, minReplicas: 1, maxReplicas: 1},
+		"an unknown model":    {model: "other", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, minReplicas: 6, maxReplicas: 7},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			got := replicasForLoss(e, test.model, test.work)
-			assert.Assert(t, test.least <= got && got <= test.most, "%.2f", got)
+			assert.Assert(t, test.minReplicas <= got && got <= test.maxReplicas, "%.2f", got)
 		})
 	}
 	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "engine without times")
@@ -57,12 +57,12 @@
 		_, stop := startTerm(w, 2)
 		time.Sleep(20 * time.Second)
 		stop()
-		settled := w.countServing()
+		servingBefore := w.countServing()
 		_, stop = startTerm(w, 3)
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.DeepEqual(t, w.countServing(), settled)
+		assert.DeepEqual(t, w.countServing(), servingBefore)
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
--- a/formation/displaced.go
+++ b/formation/displaced.go
@@ -12,7 +12,7 @@
 
 // recordDisplaced records that another worker answered at a worker's address. The original worker
 // no longer runs, but the worker list may still show it while the store is unavailable. The record
-// keeps it out of new groups.
+// keeps the original worker out of new groups.
 func (k *Keeper) recordDisplaced(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -26,7 +26,7 @@
 	k.opts.Logger.Info("worker replaced: another one answers at its address", "worker", w.ID)
 }
 
-// interruptedJoin is the assumed state of a worker whose join was abandoned at the given time. The
+// interruptedJoin is the assumed state of a worker whose join was abandoned at abandonedAt. The
 // worker has no loaded model, and its host holds only the models in staged.
 type interruptedJoin struct {
 	staged      []string
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -122,8 +122,8 @@
 	k.recordBegun(o.head.ID, verdict)
 	nextQuery := time.Now().Add(queryInterval)
 	// An earlier leader may have closed the group.
-	closing := ok && (verdict.Accepted() || o.state == fleet.Closing)
-	for closing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextQuery) {
+	isClosing := ok && (verdict.Accepted() || o.state == fleet.Closing)
+	for isClosing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextQuery) {
 		pause.For(ctx, tickInterval)
 	}
 	k.dissolve(ctx, o, o.head)
--- a/formation/form.go
+++ b/formation/form.go
@@ -173,9 +173,9 @@
 		return false
 	}
 	k.recordBegun(head.ID, verdict)
-	opening := k.openingDuration(service)
-	k.recordOpened(head.ID, g, time.Now().Add(opening+listSettleTime))
-	pause.For(ctx, opening)
+	openingTime := k.openingDuration(service)
+	k.recordOpened(head.ID, g, time.Now().Add(openingTime+listSettleTime))
+	pause.For(ctx, openingTime)
 	k.opts.Announced(fleet.Announcement{
 		Group: g.Name, Epoch: g.Epoch, Service: service, Model: g.Model, Head: head.ID, Open: true,
 	})
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -142,7 +142,8 @@
 	case o.state == fleet.Open && o.isComplete():
 		k.dissolveLeaving(ctx, o, now)
 	case age < k.settleTime(now) && !o.hasLostMember:
-		// The list may show the members one after another, so the group is left unchanged for now.
+		// The worker list may show the members one after another, so the group is left unchanged
+		// for now.
 	case o.isComplete() && !o.isDraining && o.isForming() && age < joinGracePeriod+loadTimeFactor*o.model.Load:
 		// An earlier leader started to form the group, and its members are still loading.
 	case o.isComplete() && !o.isDraining && o.readyCount == o.model.Size && o.state == fleet.Ready:
@@ -165,7 +166,7 @@
 	}
 	head, isKnown := k.knownWorkers[k.headIDs[o.key]]
 	if !isKnown && now.Sub(since) < k.settleTime(now) {
-		// The list may still show the head.
+		// The worker list may still show the head.
 		return
 	}
 	if !isKnown {
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -12,7 +12,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// hallLossWeight is the weight of requests lost with a hall in these tests.
+// hallLossWeight is the weight, in these tests, of requests that are lost with a hall.
 const hallLossWeight = 0.2
 
 // newHallWorld returns a world of listed workers whose domains alternate between the halls "h0" and
@@ -137,12 +137,12 @@
 	tests := map[string]struct {
 		maxLost int
 		growing bool
-		// most is the maximum number of large groups in one hall. There are two large groups.
-		most int
+		// maxLargeGroups is the maximum number of large groups in one hall. There are two large groups.
+		maxLargeGroups int
 	}{
-		"no tolerated loss":  {most: 2},
-		"the loss of a hall": {maxLost: 1, most: 1},
-		"the loss of a hall, while workers are yet to come": {maxLost: 1, growing: true, most: 1},
+		"no tolerated loss":  {maxLargeGroups: 2},
+		"the loss of a hall": {maxLost: 1, maxLargeGroups: 1},
+		"the loss of a hall, while workers are yet to come": {maxLost: 1, growing: true, maxLargeGroups: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -163,7 +163,7 @@
 				counts[f.Model.Name][halls[f.Members[0]]]++
 			}
 			assert.Equal(t, counts["big"]["h0"]+counts["big"]["h1"], 2)
-			assert.Equal(t, max(counts["big"]["h0"], counts["big"]["h1"]), test.most, "%v", counts)
+			assert.Equal(t, max(counts["big"]["h0"], counts["big"]["h1"]), test.maxLargeGroups, "%v", counts)
 		})
 	}
 }
--- a/formation/incarnations.go
+++ b/formation/incarnations.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// isPastIncarnation reports whether a list entry belongs to an earlier incarnation. The caller
-// must hold k.mu.
+// isPastIncarnation reports whether an entry of the worker list belongs to an earlier incarnation.
+// The caller must hold k.mu.
 func (k *Keeper) isPastIncarnation(w *fleet.Worker) bool {
 	l, known := k.incarnations[w.ID]
 	return known && w.Born != 0 && w.Born != l.newestStart
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -30,8 +30,8 @@
 	queryInterval = 250 * time.Millisecond
 	// joinGracePeriod is the time that a join may take in addition to its expected duration.
 	joinGracePeriod = 3 * time.Second
-	// loadTimeFactor is the factor by which a load may exceed its expected duration. Concurrent
-	// loads slow each other down.
+	// loadTimeFactor is the maximum ratio of a load's duration to its expected duration. Loads may
+	// take longer than expected because concurrent loads slow each other down.
 	loadTimeFactor = 4
 	// listSettleTime is the maximum time until the worker list shows the effect of an operation.
 	listSettleTime = time.Second
@@ -125,8 +125,8 @@
 	smoothedWork   map[string]Work
 	// trafficSince is the time when this leader first detected requests to the fleet.
 	trafficSince time.Time
-	// leaveDeadlines holds the time until which a group with a leaving member may keep serving, by
-	// group key.
+	// leaveDeadlines holds the time until which a group with a leaving member may continue to
+	// serve, by group key.
 	leaveDeadlines map[string]time.Time
 	// nextLeaveDissolution holds the time from which the next group with a leaving member may be
 	// dissolved, by model.
@@ -134,7 +134,7 @@
 	// stageRetryAt holds the time from which a worker that refused to stage may be ordered again,
 	// by worker ID.
 	stageRetryAt map[string]time.Time
-	// listGrowths tracks the growth of a new fleet's list, by service.
+	// listGrowths tracks the growth of a new fleet's worker list, by service.
 	listGrowths map[string]*listGrowth
 	// callSlots is a semaphore that limits concurrent calls to workers.
 	callSlots chan struct{}
@@ -150,7 +150,8 @@
 	// avoided, by worker ID.
 	unreliableUntil map[string]time.Time
 	// releaseAt holds the time from which the idle workers of a domain may serve another model, by
-	// domain. These workers are too few for a group of a model that has too few replicas.
+	// domain. It is set for domains with too few idle workers for a group of any model that has too
+	// few replicas.
 	releaseAt map[string]time.Time
 	halls     hallStates
 	// tradesAllowedAt is the time from which groups may be traded for another model. A new leader
@@ -340,9 +341,9 @@
 func (k *Keeper) hasTraffic() bool { return !k.isNewFleet || k.opts.Traffic() }
 
 // fleetNeverServed reports whether no replica has served yet. The worker list shows which groups
-// were opened. If this process started later than the fleet, it is also required that no worker
-// holds a model. Otherwise, all daemons could restart while no replica is open, and the leader
-// would treat the fleet as new and start more loads at once than allowed.
+// were opened. If this process started later than the fleet, no worker may hold a model either.
+// Otherwise, after a restart of all daemons while no replica is open, the leader would treat the
+// fleet as new. It would then start more loads at once than allowed.
 func (k *Keeper) fleetNeverServed(view *fleet.View) bool {
 	if k.term.First {
 		return true
@@ -431,8 +432,8 @@
 	now := time.Now()
 	k.recordReport(id, s, now)
 	previous, ok := k.observations[id]
-	outdated := previous.state.Member.Epoch > s.Member.Epoch || previous.at.After(now) && previous.state.Member.Same(s.Member)
-	if ok && outdated {
+	isOutdated := previous.state.Member.Epoch > s.Member.Epoch || previous.at.After(now) && previous.state.Member.Same(s.Member)
+	if ok && isOutdated {
 		return
 	}
 	k.observations[id] = observation{state: s, at: now}
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -173,15 +173,15 @@
 		before, maxClosing := w.countServing()["big"], 0
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
-			closing := 0
+			closingCount := 0
 			w.mu.Lock()
 			for _, s := range w.workers {
 				if s.state == fleet.Closing && s.rank == 0 {
-					closing++
+					closingCount++
 				}
 			}
 			w.mu.Unlock()
-			maxClosing = max(maxClosing, closing)
+			maxClosing = max(maxClosing, closingCount)
 		}
 		assert.Equal(t, maxClosing, 2, "two small groups make a large one")
 		assert.Assert(t, w.countServing()["big"] > before)
--- a/formation/listgrowth.go
+++ b/formation/listgrowth.go
@@ -26,14 +26,14 @@
 // were formed before the worker list is complete, groups of the smallest model would take most
 // domains. The larger models would then find no domain with enough workers.
 func (k *Keeper) isListGrowing(s *fleet.Service, view *fleet.View, now time.Time) bool {
-	workers := countWorkers(s, view)
+	workerCount := countWorkers(s, view)
 	g, ok := k.listGrowths[s.Name]
 	if !ok {
 		g = &listGrowth{deadline: now.Add(maxListWait)}
 		k.listGrowths[s.Name] = g
 	}
-	if workers > g.workerCount {
-		g.workerCount, g.completeAt = workers, now.Add(listQuietPeriod)
+	if workerCount > g.workerCount {
+		g.workerCount, g.completeAt = workerCount, now.Add(listQuietPeriod)
 	}
 	return now.Before(g.completeAt) && now.Before(g.deadline)
 }
--- a/formation/loadbudget.go
+++ b/formation/loadbudget.go
@@ -9,8 +9,8 @@
 	// ceilingMargin is the difference between the limit and the budget, in loads per window.
 	ceilingMargin = 0.5
 	// trafficNoticeDelay is the maximum time until a leader learns of the first request to the
-	// fleet. Loads that began within this time before the leader learned of it count against the
-	// limit.
+	// fleet. A load counts against the limit if the leader learns of that request less than this
+	// time after the load began.
 	trafficNoticeDelay = time.Second
 )
 
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -102,9 +102,9 @@
 type Orders struct {
 	// Join orders a worker to join a group. Join and Stage are carried out only by a worker that
 	// has begun exactly the given number of orders. Any other worker answers Unfit.
-	Join func(ctx context.Context, w *fleet.Worker, fence Fence, orders int64, g Group) (Verdict, error)
-	// Stage brings a model's weights to the worker's host without interrupting its work.
-	Stage func(ctx context.Context, w *fleet.Worker, fence Fence, orders int64, model string) (Verdict, error)
+	Join func(ctx context.Context, w *fleet.Worker, fence Fence, orderCount int64, g Group) (Verdict, error)
+	// Stage orders a worker to copy a model's weights to its host without interrupting its work.
+	Stage func(ctx context.Context, w *fleet.Worker, fence Fence, orderCount int64, model string) (Verdict, error)
 	Open  func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
 	// Close stops the group from taking new requests and lets those in flight finish.
 	Close func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
--- a/formation/outcomes.go
+++ b/formation/outcomes.go
@@ -42,8 +42,8 @@
 	d.lastState = o.state
 	k.dissolutions[o.key] = d
 	if isFirstState && o.state != fleet.Open {
-		// The group may never have been opened. The worker list may then show this state late,
-		// although it is the one before the dissolution.
+		// This may be the state from before the dissolution of a group that was never opened. A
+		// lagging worker list may still show it.
 		return
 	}
 	k.opts.Counted("leave", "returned")
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -12,7 +12,7 @@
 	// larger than rounding errors.
 	valueEpsilon = 1e-9
 	// maxPasses is the maximum number of times that each domain is divided anew. The second pass
-	// takes the changes to other domains in the first pass into account.
+	// takes into account how the first pass changed the other domains.
 	maxPasses = 2
 )
 
@@ -28,9 +28,9 @@
 }
 
 // partition divides the free workers of all domains into groups so that the value for the whole
-// fleet is as high as possible. It searches for the best division of one domain while the others
-// stay unchanged, domain by domain. It makes at most maxPasses passes and stops if a pass improves
-// no domain.
+// fleet is as high as possible. It goes through the domains and searches for a better division of
+// each one while the others stay unchanged. It makes at most maxPasses passes, and stops after a
+// pass that improves no domain.
 type partition struct {
 	planValuation *valuation
 	models        []fleet.Model
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -12,7 +12,7 @@
 )
 
 // restart restarts a worker under the same ID. The worker keeps only what is staged on its host.
-// The list shows the restart after the given delay.
+// The worker list shows the restart after the given delay.
 func (w *world) restart(id string, listedAfter time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,8 +111,8 @@
 	return count
 }
 
-// TestPastIncarnationIsIgnored covers a list that still shows the previous incarnation after the
-// worker itself reported a new one.
+// TestPastIncarnationIsIgnored covers a worker that has reported a new incarnation itself, while
+// the worker list still shows the previous one.
 func TestPastIncarnationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
--- a/formation/search.go
+++ b/formation/search.go
@@ -73,24 +73,24 @@
 func (p *partition) modelValues(i, maxGroups, maxLoads int, hall string) [][]float64 {
 	n, m := p.planValuation.needs[i], p.models[i]
 	table := make([][]float64, maxGroups+1)
-	for warm := range table {
-		table[warm] = make([]float64, min(maxGroups-warm, maxLoads)+1)
-		for loading := range table[warm] {
-			p.addedByHall[i][hall] += warm + loading
-			replicas := p.meanReplicas[i] + float64(warm)*servingFraction(m, false) + float64(loading)*servingFraction(m, true)
-			table[warm][loading] = p.planValuation.valueOf(n, replicas, p.planValuation.worstHallLoss(m.Name, p.addedByHall[i]))
-			p.addedByHall[i][hall] -= warm + loading
+	for warmCount := range table {
+		table[warmCount] = make([]float64, min(maxGroups-warmCount, maxLoads)+1)
+		for loadingCount := range table[warmCount] {
+			p.addedByHall[i][hall] += warmCount + loadingCount
+			replicas := p.meanReplicas[i] + float64(warmCount)*servingFraction(m, false) + float64(loadingCount)*servingFraction(m, true)
+			table[warmCount][loadingCount] = p.planValuation.valueOf(n, replicas, p.planValuation.worstHallLoss(m.Name, p.addedByHall[i]))
+			p.addedByHall[i][hall] -= warmCount + loadingCount
 		}
 	}
 	return table
 }
 
-// divisionValue returns the value of a division, given the numbers of new groups without and with
-// loads by model.
-func (s *search) divisionValue(warm, loading []int) float64 {
+// divisionValue returns the value of a division. warmCounts and loadingCounts hold the numbers of
+// new groups without and with loads by model.
+func (s *search) divisionValue(warmCounts, loadingCounts []int) float64 {
 	total := 0.0
 	for _, i := range s.modelOrder {
-		total += s.modelValues[i][warm[i]][loading[i]]
+		total += s.modelValues[i][warmCounts[i]][loadingCounts[i]]
 	}
 	return total
 }
@@ -118,18 +118,18 @@
 	}
 }
 
-// maxModelValues returns the highest possible value of a model by its number of new groups. The
-// given number of workers need no load for it.
-func (s *search) maxModelValues(i, warm int) []float64 {
+// maxModelValues returns the highest possible value of a model by its number of new groups.
+// warmCount is the number of workers that need no load for the model.
+func (s *search) maxModelValues(i, warmCount int) []float64 {
 	size := s.models[i].Size
 	var all []float64
 	for count := range s.modelValues[i] {
-		loads := max(count*size-warm, 0)
+		loads := max(count*size-warmCount, 0)
 		if loads > s.maxLoads && loads > 0 {
 			break
 		}
-		loading := (loads + size - 1) / size
-		all = append(all, s.modelValues[i][count-loading][loading])
+		loadingGroups := (loads + size - 1) / size
+		all = append(all, s.modelValues[i][count-loadingGroups][loadingGroups])
 	}
 	return all
 }
@@ -174,8 +174,8 @@
 func (s *search) considerAssignment(candidate *assignment) {
 	value, placedWorkers := 0.0, 0
 	for _, i := range s.modelOrder {
-		loading := s.countLoadingGroups(candidate, i)
-		value += s.modelValues[i][s.chosenCounts[i]-loading][loading]
+		loadingGroups := s.countLoadingGroups(candidate, i)
+		value += s.modelValues[i][s.chosenCounts[i]-loadingGroups][loadingGroups]
 		placedWorkers += s.chosenCounts[i] * s.models[i].Size
 	}
 	if value < s.bestValue-valueEpsilon {
--- a/formation/send_test.go
+++ b/formation/send_test.go
@@ -29,18 +29,18 @@
 				w := newWorld(1, 1, 1)
 				ended := false
 				k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended = true })
-				sent := 0
+				sentCount := 0
 				last := Fence(0)
 				verdict, ok := k.sendOrder(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
 					assert.Assert(t, f > last, "each attempt must have a higher fence")
 					last = f
-					sent++
-					return test.verdicts[sent-1], nil
+					sentCount++
+					return test.verdicts[sentCount-1], nil
 				})
 				assert.Assert(t, ok)
 				assert.Equal(t, verdict, test.want)
 				assert.Equal(t, ended, test.ends)
-				assert.Equal(t, sent, len(test.verdicts))
+				assert.Equal(t, sentCount, len(test.verdicts))
 			})
 		})
 	}
@@ -54,11 +54,11 @@
 		ended := make(chan struct{}, 10)
 		k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended <- struct{}{} })
 		k.lastSequence = maxSequence - 2
-		last := Fence(0)
+		lastFence := Fence(0)
 		for range 5 {
 			f := k.nextFence()
-			assert.Assert(t, f >= last, "%d after %d", f, last)
-			last = f
+			assert.Assert(t, f >= lastFence, "%d after %d", f, lastFence)
+			lastFence = f
 		}
 		<-ended
 	})
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -38,19 +38,19 @@
 		if w.Service != s.Name || w.Draining || loading || k.busyWorkers[id] || m.State != fleet.Open && m.State != fleet.Ready {
 			continue
 		}
-		own := fleet.ModelOf(m.Group)
-		if other := largestOtherModel(s.Engine, own); other != "" && !w.HasStaged(other) {
-			all = append(all, Staging{Worker: id, Model: other})
+		ownModel := fleet.ModelOf(m.Group)
+		if otherModel := largestOtherModel(s.Engine, ownModel); otherModel != "" && !w.HasStaged(otherModel) {
+			all = append(all, Staging{Worker: id, Model: otherModel})
 		}
 	}
 	return all
 }
 
 // largestOtherModel returns the model with the largest configured share, except for the given one.
-func largestOtherModel(e *fleet.Engine, own string) string {
+func largestOtherModel(e *fleet.Engine, excluded string) string {
 	best, share := "", -1.0
 	for _, m := range e.Models {
-		if m.Name != own && m.Share > share {
+		if m.Name != excluded && m.Share > share {
 			best, share = m.Name, m.Share
 		}
 	}
@@ -61,7 +61,7 @@
 // A worker refuses while it is loading, and a new leader may not know of the load.
 const stageRetryDelay = 2 * time.Second
 
-// unlimitedLoads is returned as the number of loads that may begin if they are not limited.
+// unlimitedLoads is used as the number of loads that may begin when loads are not limited.
 const unlimitedLoads = 1 << 20
 
 // Limits on concurrent loads, as multiples of LoadsAtOnce, the number of loads that do not slow
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -11,10 +11,10 @@
 const survivorReleaseDelay = 300 * time.Millisecond
 
 const (
-	// sufficientCoverage is the ratio of available to wanted replicas from which idle workers form
-	// no more groups of a model. The model must also have sufficientSurplus.
+	// sufficientCoverage is the ratio of available to wanted replicas at which idle workers form no
+	// more groups of a model. The model must also have sufficientSurplus.
 	sufficientCoverage = 1.25
-	// sufficientSurplus is the number of groups beyond the wanted ones from which idle workers form
+	// sufficientSurplus is the number of groups beyond the wanted ones at which idle workers form
 	// no more groups of a model. It is required in addition to sufficientCoverage, because the
 	// ratio says little if only few groups are wanted.
 	sufficientSurplus = 2
@@ -55,10 +55,10 @@
 // lacksMembers reports whether the workers are too few for a group of any model that has too few
 // replicas, but enough for a group of another model. It is false if every model has enough
 // replicas.
-func lacksMembers(needs []Need, workers int) bool {
+func lacksMembers(needs []Need, workerCount int) bool {
 	hasShortage, canFormOther := false, false
 	for _, n := range needs {
-		fits := n.Model.Size > 0 && n.Model.Size <= workers
+		fits := n.Model.Size > 0 && n.Model.Size <= workerCount
 		switch {
 		case n.coverageWith(0) >= sufficientCoverage && float64(n.Have) >= n.Want+sufficientSurplus:
 			// Another group of this model would add no value and would have to be traded back.
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -37,7 +37,8 @@
 		w.mu.Unlock()
 		before := w.countServing()["small"]
 		w.kill(big.Members[2])
-		// The list shows the loss after 3.6 s. The head then confirms immediately that it left.
+		// The worker list shows the loss after 3.6 s. The head then confirms immediately that it
+		// left.
 		time.Sleep(3600*time.Millisecond + time.Second)
 		assert.DeepEqual(t, w.groupsIn(domain), map[string]int{"small": 1})
 		time.Sleep(2 * time.Second)
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -19,7 +19,8 @@
 	// that have to load. There is no such limit if only surplus groups are dissolved.
 	coldTradeMaxCoverage = 0.5
 	// maxDownFraction is the maximum fraction of a model's groups that trades may take out of
-	// service at once. A single trade is always allowed.
+	// service at once. A trade is not limited if no other trade takes groups of the model out of
+	// service.
 	maxDownFraction = 0.25
 )
 
@@ -125,8 +126,8 @@
 	return Trade{}, false
 }
 
-// bestTradeFor returns the most valuable trade for a model over all domains. Among equally valuable
-// ones it prefers the one with the fewest groups.
+// bestTradeFor returns the most valuable trade for a model over all domains. If trades are equally
+// valuable, it prefers the one with the fewest groups.
 func (t *tradeFinder) bestTradeFor(n Need) (Trade, bool) {
 	var best *tradeSearch
 	for _, domain := range slices.Sorted(maps.Keys(t.servingGroups)) {
@@ -285,16 +286,16 @@
 
 // considerChoice keeps the chosen groups if they are the best trade so far.
 func (g *tradeSearch) considerChoice() {
-	members, chosen := g.idleCount+g.countFreed(), g.chosenGroups()
+	memberCount, chosen := g.idleCount+g.countFreed(), g.chosenGroups()
 	size := g.recipient.Model.Size
-	if members < size || len(chosen) == 0 || g.allowsLoads && g.countLoads(chosen) > g.maxLoads {
+	if memberCount < size || len(chosen) == 0 || g.allowsLoads && g.countLoads(chosen) > g.maxLoads {
 		return
 	}
 	if g.allowsLoads && g.recipient.coverageWith(0) > coldTradeMaxCoverage && !g.takesOnlySurplus() {
 		return
 	}
-	formed := max(min(members/size, int(math.Ceil(g.recipient.Want))-g.recipient.Have), 1)
-	gain := g.valueGained(formed)
+	formedCount := max(min(memberCount/size, int(math.Ceil(g.recipient.Want))-g.recipient.Have), 1)
+	gain := g.valueGained(formedCount)
 	if g.allowsLoads {
 		gain -= loadPenalty * float64(g.countLoads(chosen)) * g.recipient.Model.Load.Seconds()
 	}
@@ -307,7 +308,7 @@
 	if gain <= 0 || g.found && !candidate.isBetter(g) {
 		return
 	}
-	g.found, g.gain, g.groupKeys, g.formedCount, g.dissolvedCounts = true, gain, keys, formed, make(map[string]int)
+	g.found, g.gain, g.groupKeys, g.formedCount, g.dissolvedCounts = true, gain, keys, formedCount, make(map[string]int)
 	for i, o := range g.donors {
 		if g.chosenCounts[i] > 0 {
 			g.dissolvedCounts[o.Model.Name] = g.chosenCounts[i]
@@ -326,29 +327,29 @@
 	return true
 }
 
-// countLoads returns how many members of one new group have to load at least.
+// countLoads returns the minimum number of members of one new group that have to load.
 func (g *tradeSearch) countLoads(chosen []ServingGroup) int {
-	warm := 0
+	warmCount := 0
 	for _, f := range g.free[g.domain] {
 		if f.warmth(g.recipient.Model.Name) <= Staged {
-			warm++
+			warmCount++
 		}
 	}
 	for _, s := range chosen {
-		warm += s.countWarm(g.recipient.Model.Name)
+		warmCount += s.countWarm(g.recipient.Model.Name)
 	}
-	return max(g.recipient.Model.Size-warm, 0)
+	return max(g.recipient.Model.Size-warmCount, 0)
 }
 
-// valueGained returns the value of the trade, which is the recipient's gain once its groups serve,
-// less the donors' loss.
-func (g *tradeSearch) valueGained(formed int) float64 {
+// valueGained returns the value of the trade. This is the recipient's gain once its groups serve,
+// minus the donors' loss.
+func (g *tradeSearch) valueGained(formedCount int) float64 {
 	hall := g.servingGroups[g.domain][0].Hall
 	gainOf := func(n Need, groups int, fraction float64) float64 {
-		before, after := g.planValuation.worstHallLoss(n.Model.Name, nil), g.planValuation.worstHallLoss(n.Model.Name, map[string]int{hall: groups})
-		return g.planValuation.valueOf(n, float64(n.Have)+float64(groups)*fraction, after) - g.planValuation.valueOf(n, float64(n.Have), before)
+		lossBefore, lossAfter := g.planValuation.worstHallLoss(n.Model.Name, nil), g.planValuation.worstHallLoss(n.Model.Name, map[string]int{hall: groups})
+		return g.planValuation.valueOf(n, float64(n.Have)+float64(groups)*fraction, lossAfter) - g.planValuation.valueOf(n, float64(n.Have), lossBefore)
 	}
-	total := gainOf(g.recipient, formed, servingFraction(g.recipient.Model, g.allowsLoads))
+	total := gainOf(g.recipient, formedCount, servingFraction(g.recipient.Model, g.allowsLoads))
 	for i, o := range g.donors {
 		total += gainOf(o, -g.chosenCounts[i], 1)
 	}
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -15,7 +15,7 @@
 // TestTradeRateScalesWithFleet shifts the demand to one model. A fleet that is four times as large
 // must gain at least twice as many replicas of the model in the same time.
 func TestTradeRateScalesWithFleet(t *testing.T) {
-	gained := func(domains int) int {
+	countGained := func(domains int) int {
 		w := newWorld(5, domains, 8)
 		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
@@ -33,9 +33,9 @@
 		return after - before
 	}
 	synctest.Test(t, func(t *testing.T) {
-		small, large := gained(12), gained(48)
-		assert.Assert(t, small > 0, "nothing was traded")
-		assert.Assert(t, large >= 2*small, "%d replicas were gained by a small fleet, %d by one four times as large", small, large)
+		smallFleetGain, largeFleetGain := countGained(12), countGained(48)
+		assert.Assert(t, smallFleetGain > 0, "nothing was traded")
+		assert.Assert(t, largeFleetGain >= 2*smallFleetGain, "%d replicas were gained by a small fleet, %d by one four times as large", smallFleetGain, largeFleetGain)
 	})
 }
 
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -339,9 +339,9 @@
 	return Orders{Join: w.join, Stage: w.stage, Open: w.open, Close: w.closeGroup, Leave: w.leaveGroup, Ask: w.ask}
 }
 
-func (w *world) join(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, g Group) (Verdict, error) {
+func (w *world) join(ctx context.Context, worker *fleet.Worker, fence Fence, orderCount int64, g Group) (Verdict, error) {
 	return w.execute(ctx, "join", worker.ID, fence, func(s *simWorker) Verdict {
-		if orders != s.orderCount {
+		if orderCount != s.orderCount {
 			return Unfit
 		}
 		if g.Epoch < s.epoch || s.group.Name == g.Name && !slices.Equal(s.group.Members, g.Members) {
@@ -467,9 +467,9 @@
 	return Holds
 }
 
-func (w *world) stage(ctx context.Context, worker *fleet.Worker, fence Fence, orders int64, model string) (Verdict, error) {
+func (w *world) stage(ctx context.Context, worker *fleet.Worker, fence Fence, orderCount int64, model string) (Verdict, error) {
 	return w.execute(ctx, "stage", worker.ID, fence, func(s *simWorker) Verdict {
-		if orders != s.orderCount {
+		if orderCount != s.orderCount {
 			return Unfit
 		}
 		s.stageOrderCount++
