--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -74,11 +74,11 @@
 // dead. If the worker list is recent, the head must also be missing from it. Otherwise, the head
 // must have been unreachable for so long that its group has broken.
 func (k *Keeper) isPresumedGone(head *fleet.Worker, unreachableSince, now time.Time) bool {
-	_, listed := k.opts.Inventory.View().Worker(head.ID)
+	_, isListed := k.opts.Inventory.View().Worker(head.ID)
 	isListRecent := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
 	unreachableFor := now.Sub(unreachableSince)
 	if isListRecent {
-		return !listed && unreachableFor > lostHeadTimeout
+		return !isListed && unreachableFor > lostHeadTimeout
 	}
 	return unreachableFor > k.opts.StallAfter+lostHeadTimeout
 }
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -216,21 +216,21 @@
 
 // freeWorkers returns the workers of a service that can be put into a new group.
 func (k *Keeper) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
-	inGroup := make(map[string]bool)
+	isInGroup := make(map[string]bool)
 	for _, o := range groups {
 		if k.retirements[o.key] != 0 {
 			continue
 		}
 		for _, w := range o.members {
-			inGroup[w.ID] = true
+			isInGroup[w.ID] = true
 		}
 	}
 	var all []FreeWorker
 	for id, w := range view.Workers() {
-		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isExcluded(id) || inGroup[id] || !k.halls.isUsable(w.Zone) {
+		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isExcluded(id) || isInGroup[id] || !k.halls.isUsable(w.Zone) {
 			continue
 		}
-		if _, loading := k.activeLoads[id]; loading {
+		if _, isLoading := k.activeLoads[id]; isLoading {
 			continue
 		}
 		all = append(all, k.asFreeWorker(w))
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -17,8 +17,8 @@
 
 // newHallWorld returns a world of listed workers whose domains alternate between the halls "h0" and
 // "h1". Hall "h1" is closed while the returned flag is set.
-func newHallWorld(domains, perDomain int) (*world, *atomic.Bool) {
-	w := newUnlistedWorld(1, domains, perDomain)
+func newHallWorld(domainCount, workersPerDomain int) (*world, *atomic.Bool) {
+	w := newUnlistedWorld(1, domainCount, workersPerDomain)
 	closed := new(atomic.Bool)
 	w.isHallOpen = func(hall string) bool { return hall != "h1" || !closed.Load() }
 	for _, s := range w.workers {
@@ -120,10 +120,10 @@
 }
 
 // newBlankWorkers returns workers without any model, in domains that alternate between two halls.
-func newBlankWorkers(domains, perDomain int) []FreeWorker {
+func newBlankWorkers(domainCount, workersPerDomain int) []FreeWorker {
 	var all []FreeWorker
-	for d := range domains {
-		for i := range perDomain {
+	for d := range domainCount {
+		for i := range workersPerDomain {
 			all = append(all, FreeWorker{ID: fmt.Sprintf("w%d-%02d", d, i), Domain: fmt.Sprint("d", d), Hall: fmt.Sprint("h", d%2)})
 		}
 	}
@@ -135,20 +135,20 @@
 func TestReplicasAreSpreadOverHalls(t *testing.T) {
 	big, small := fleet.Model{Name: "big", Size: 16}, fleet.Model{Name: "small", Size: 4}
 	tests := map[string]struct {
-		maxLost int
-		growing bool
+		maxLost       int
+		isListGrowing bool
 		// maxLargeGroups is the maximum number of large groups in one hall. There are two large groups.
 		maxLargeGroups int
 	}{
 		"no tolerated loss":  {maxLargeGroups: 2},
 		"the loss of a hall": {maxLost: 1, maxLargeGroups: 1},
-		"the loss of a hall, while workers are yet to come": {maxLost: 1, growing: true, maxLargeGroups: 1},
+		"the loss of a hall, while workers are yet to come": {maxLost: 1, isListGrowing: true, maxLargeGroups: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			in := Input{
 				Needs: []Need{{Model: big, Want: 2}, {Model: small, Want: 9}}, Free: newBlankWorkers(2, 37),
-				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}, IsListGrowing: test.growing,
+				MaxLoads: unlimitedLoads, MaxStagings: unlimitedLoads, HallLoss: HallLossPolicy{MaxLost: test.maxLost, Weight: hallLossWeight}, IsListGrowing: test.isListGrowing,
 			}
 			formations, _ := Plan(in)
 			halls := make(map[string]string)
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -409,7 +409,7 @@
 	if !ok || o.state.Member.Epoch < w.Member.Epoch {
 		return w.Member
 	}
-	if a, absent := k.absent[w.ID]; absent && o.at.After(a.unlistedSince) {
+	if a, isAbsent := k.absent[w.ID]; isAbsent && o.at.After(a.unlistedSince) {
 		return o.state.Member
 	}
 	if o.state.Member.Same(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
--- a/formation/keeper_test.go
+++ b/formation/keeper_test.go
@@ -121,9 +121,9 @@
 func TestGroupsAreRepairedWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 12)
-		_, old, stop := startServing(w, "big")
+		_, oldGroup, stop := startServing(w, "big")
 		w.mu.Lock()
-		leaving := w.workers[old.Members[1]]
+		leaving := w.workers[oldGroup.Members[1]]
 		leaving.isDraining = true
 		w.publish(leaving)
 		w.isListFrozen = true
@@ -132,10 +132,10 @@
 		// idle worker or one of a traded group.
 		time.Sleep(2500 * time.Millisecond)
 		w.mu.Lock()
-		newGroup := w.workers[old.Members[0]].group.Name
+		newGroup := w.workers[oldGroup.Members[0]].group.Name
 		w.mu.Unlock()
 		stop()
-		assert.Assert(t, newGroup != old.Name, "the head still waits for the list")
+		assert.Assert(t, newGroup != oldGroup.Name, "the head still waits for the list")
 		w.pending.Wait()
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
@@ -224,13 +224,13 @@
 // TestNoPartialGroupsAndNoWorkersUsedTwice checks the invariants of the world while workers are
 // killed, orders are delayed past their timeout and leaders are replaced. Superseded leaders may
 // continue for a while.
-func TestNoPartialGroupsAndNoWorkersUsedTwice(outer *testing.T) {
-	rapid.Check(outer, func(t *rapid.T) {
+func TestNoPartialGroupsAndNoWorkersUsedTwice(outerT *testing.T) {
+	rapid.Check(outerT, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 16).Draw(t, "steps")
 		var violations []string
-		synctest.Test(outer, func(*testing.T) {
+		synctest.Test(outerT, func(*testing.T) {
 			violations = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
 		})
 		if len(violations) > 0 {
@@ -245,13 +245,13 @@
 
 // TestNoWorkersUsedTwiceAcrossRestarts repeats TestNoPartialGroupsAndNoWorkersUsedTwice with
 // workers that also restart under the same ID.
-func TestNoWorkersUsedTwiceAcrossRestarts(outer *testing.T) {
-	rapid.Check(outer, func(t *rapid.T) {
+func TestNoWorkersUsedTwiceAcrossRestarts(outerT *testing.T) {
+	rapid.Check(outerT, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5+len(restartListDelays)), 4, 16).Draw(t, "steps")
 		var violations []string
-		synctest.Test(outer, func(*testing.T) {
+		synctest.Test(outerT, func(*testing.T) {
 			violations = runSchedule(newWorld(seed, 2, 10), lateFraction, steps)
 		})
 		if len(violations) > 0 {
@@ -333,13 +333,13 @@
 func (w *world) countAlive() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := 0
+	count := 0
 	for _, s := range w.workers {
 		if !s.isDead {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // TestUnlistedHeadKeepsItsMembers checks that a group is not dissolved while its head serves but
@@ -543,25 +543,25 @@
 func (w *world) countLoading() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := 0
+	count := 0
 	for _, s := range w.workers {
 		if s.state == fleet.Joining && s.staged != s.group.Model && s.lastModel != s.group.Model || s.isStaging {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func (w *world) countJoining() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := 0
+	count := 0
 	for _, s := range w.workers {
 		if s.state == fleet.Joining {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // TestLateJoinsOfLaterLeaderDoNotStealWorkers runs two concurrent leaders in a new fleet. All
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -14,13 +14,13 @@
 // TestNoWorkersUsedTwiceWithoutFences repeats TestNoPartialGroupsAndNoWorkersUsedTwice with workers
 // that ignore fences. The protection against late orders and earlier leaders must not depend on
 // fences alone.
-func TestNoWorkersUsedTwiceWithoutFences(outer *testing.T) {
-	rapid.Check(outer, func(t *rapid.T) {
+func TestNoWorkersUsedTwiceWithoutFences(outerT *testing.T) {
+	rapid.Check(outerT, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.8}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 16).Draw(t, "steps")
 		var violations []string
-		synctest.Test(outer, func(*testing.T) {
+		synctest.Test(outerT, func(*testing.T) {
 			w := newWorld(seed, 2, 10)
 			w.ignoresFences = true
 			violations = runSchedule(w, lateFraction, steps)
@@ -34,12 +34,12 @@
 // TestLateLoadsStayWithinTheBound checks that loads stay within the limit when traffic starts in a
 // new fleet. Some orders are sent before, when loads do not count, but are carried out only
 // afterwards.
-func TestLateLoadsStayWithinTheBound(outer *testing.T) {
-	rapid.Check(outer, func(t *rapid.T) {
+func TestLateLoadsStayWithinTheBound(outerT *testing.T) {
+	rapid.Check(outerT, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		timeBeforeTraffic := time.Duration(rapid.IntRange(1, 8).Draw(t, "quiet")) * time.Second
 		var violations []string
-		synctest.Test(outer, func(*testing.T) {
+		synctest.Test(outerT, func(*testing.T) {
 			w := newWorld(seed, 4, 10)
 			w.ignoresFences, w.lateFraction = true, 0.8
 			_, stop := startTerm(w, 1)
@@ -116,14 +116,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 7)
 		w.demand = map[string]Work{"big": {Busy: 5}}
-		k, old, stop := startServing(w, "big")
-		w.kill(old.Members[0])
-		k.Suspect(old.Key())
+		k, oldGroup, stop := startServing(w, "big")
+		w.kill(oldGroup.Members[0])
+		k.Suspect(oldGroup.Key())
 		time.Sleep(3400 * time.Millisecond)
-		survivor := w.membershipOf(old.Members[1])
+		survivor := w.membershipOf(oldGroup.Members[1])
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, survivor.Group != old.Name, "a survivor still waits for its dead head")
+		assert.Assert(t, survivor.Group != oldGroup.Name, "a survivor still waits for its dead head")
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
@@ -134,16 +134,16 @@
 func TestReturningHeadLeavesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
-		k, old, stop := startServing(w, "small")
-		w.setUnreachable(old.Members[0], true)
-		k.Suspect(old.Key())
+		k, oldGroup, stop := startServing(w, "small")
+		w.setUnreachable(oldGroup.Members[0], true)
+		k.Suspect(oldGroup.Key())
 		time.Sleep(3 * time.Second)
-		w.setUnreachable(old.Members[0], false)
+		w.setUnreachable(oldGroup.Members[0], false)
 		time.Sleep(8 * time.Second)
-		head := w.membershipOf(old.Members[0])
+		head := w.membershipOf(oldGroup.Members[0])
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, head.Group != old.Name, "the closed group still holds its workers")
+		assert.Assert(t, head.Group != oldGroup.Name, "the closed group still holds its workers")
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
@@ -153,18 +153,18 @@
 func TestLaterLeaderDissolvesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		old := formAndStop(w).group
+		oldGroup := formAndStop(w).group
 		w.inventory.Decide(0, fleet.Announcement{
-			Group: old.Name, Epoch: old.Epoch, Service: "models", Model: old.Model, Head: old.Members[0],
+			Group: oldGroup.Name, Epoch: oldGroup.Epoch, Service: "models", Model: oldGroup.Model, Head: oldGroup.Members[0],
 		})
 		_, stop := startTerm(w, 2)
 		time.Sleep(3 * time.Second)
-		head := w.membershipOf(old.Members[0])
-		serving := len(w.inventory.View().Replicas("models", "big"))
+		head := w.membershipOf(oldGroup.Members[0])
+		servingCount := len(w.inventory.View().Replicas("models", "big"))
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, head.Group != old.Name, "the closed group still holds its workers")
-		assert.Equal(t, serving, 2)
+		assert.Assert(t, head.Group != oldGroup.Name, "the closed group still holds its workers")
+		assert.Equal(t, servingCount, 2)
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
--- a/formation/listgrowth_test.go
+++ b/formation/listgrowth_test.go
@@ -14,15 +14,15 @@
 // many replicas of each model as workers that are all listed at once.
 func TestNewFleetWaitsForFullList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const domains, perDomain, listInterval = 8, 11, 40 * time.Millisecond
-		allListed := newWorld(3, domains, perDomain)
+		const domainCount, workersPerDomain, listInterval = 8, 11, 40 * time.Millisecond
+		allListed := newWorld(3, domainCount, workersPerDomain)
 		_, stop := startTerm(allListed, 1)
 		time.Sleep(8 * time.Second)
 		stop()
 		allListed.pending.Wait()
 		want := allListed.countServing()
 
-		w := newUnlistedWorld(3, domains, perDomain)
+		w := newUnlistedWorld(3, domainCount, workersPerDomain)
 		_, stop = startTerm(w, 1)
 		ids := slices.Sorted(maps.Keys(w.workers))
 		w.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
@@ -45,11 +45,11 @@
 // with and without traffic.
 func TestWaitForGrowingListIsBounded(t *testing.T) {
 	tests := map[string]struct {
-		traffic bool
-		within  time.Duration
+		hasTraffic bool
+		maxWait    time.Duration
 	}{
-		"before the first request": {within: maxListWait + 3*time.Second},
-		"requests come":            {traffic: true, within: 3 * time.Second},
+		"before the first request": {maxWait: maxListWait + 3*time.Second},
+		"requests come":            {hasTraffic: true, maxWait: 3 * time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 				w.loadsPerSecond = 100
 				_, stop := startTerm(w, 1)
 				w.mu.Lock()
-				w.hasTraffic = test.traffic
+				w.hasTraffic = test.hasTraffic
 				w.mu.Unlock()
 				start := time.Now()
 				for _, id := range slices.Sorted(maps.Keys(w.workers)) {
@@ -66,14 +66,14 @@
 					w.publish(w.workers[id])
 					w.mu.Unlock()
 					time.Sleep(50 * time.Millisecond)
-					if time.Since(start) > test.within {
+					if time.Since(start) > test.maxWait {
 						break
 					}
 				}
 				formed := w.countGrouped()
 				stop()
 				w.pending.Wait()
-				assert.Assert(t, formed > 0, "nothing was formed within %s", test.within)
+				assert.Assert(t, formed > 0, "nothing was formed within %s", test.maxWait)
 			})
 		})
 	}
--- a/formation/loadbudget_test.go
+++ b/formation/loadbudget_test.go
@@ -16,11 +16,11 @@
 // shortly before the leader learned of the first request.
 func TestLoadsBeforeTheFirstRequestMayCount(t *testing.T) {
 	tests := map[string]struct {
-		before time.Duration
-		want   int
+		loadAge time.Duration
+		want    int
 	}{
-		"long before":        {before: 3 * time.Second, want: 7},
-		"just before":        {before: 200 * time.Millisecond, want: 2},
+		"long before":        {loadAge: 3 * time.Second, want: 7},
+		"just before":        {loadAge: 200 * time.Millisecond, want: 2},
 		"at the same moment": {want: 2},
 	}
 	for name, test := range tests {
@@ -28,7 +28,7 @@
 			now := time.Now()
 			var l loadBudget
 			l.configure(Ceiling{Window: 5 * time.Second, Over: 1.1}, 5, 7, true, now)
-			l.record(5, false, now.Add(-test.before))
+			l.record(5, false, now.Add(-test.loadAge))
 			assert.Equal(t, l.availableLoads(now), test.want)
 			l.record(1, true, now)
 			assert.Equal(t, l.availableLoads(now), test.want-1, "a load must be counted once")
@@ -72,20 +72,20 @@
 	}
 	tests := map[string]struct {
 		workers []*fleet.Worker
-		// staging is the number of workers that are staging a model.
-		staging            int
-		forGroups, forIdle int
+		// stagingCount is the number of workers that are staging a model.
+		stagingCount                  int
+		wantGroupLoads, wantIdleLoads int
 	}{
-		"nothing loads": {forGroups: 10, forIdle: 3},
+		"nothing loads": {wantGroupLoads: 10, wantIdleLoads: 3},
 		"members that join warm": {
-			workers:   []*fleet.Worker{joining("a", "big", ""), joining("b", "small", "big"), joining("c", "", "big")},
-			forGroups: 10, forIdle: 3,
+			workers:        []*fleet.Worker{joining("a", "big", ""), joining("b", "small", "big"), joining("c", "", "big")},
+			wantGroupLoads: 10, wantIdleLoads: 3,
 		},
 		"members that an earlier leader made load": {
-			workers:   []*fleet.Worker{joining("a", "", ""), joining("b", "small", "small")},
-			forGroups: 8, forIdle: 1,
+			workers:        []*fleet.Worker{joining("a", "", ""), joining("b", "small", "small")},
+			wantGroupLoads: 8, wantIdleLoads: 1,
 		},
-		"as many as run well side by side": {staging: 7, forGroups: 3, forIdle: -3},
+		"as many as run well side by side": {stagingCount: 7, wantGroupLoads: 3, wantIdleLoads: -3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 			for _, worker := range test.workers {
 				changes = append(changes, fleet.Change{ID: worker.ID, Worker: worker})
 			}
-			for i := range test.staging {
+			for i := range test.stagingCount {
 				id := fmt.Sprintf("s%d", i)
 				changes = append(changes, fleet.Change{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Domain: "d"}})
 			}
@@ -103,15 +103,15 @@
 			options := w.options()
 			k := NewKeeper(options, Term{Epoch: 1, First: true}, func() {})
 			k.isNewFleet = false
-			for i := range test.staging {
+			for i := range test.stagingCount {
 				k.activeLoads[fmt.Sprintf("s%d", i)] = activeLoad{model: "big", expiresAt: time.Now().Add(time.Hour)}
 			}
 			service, _ := options.Config().Service("models")
 			now := time.Now()
 			budget := &loadBudget{burst: 100, tokens: 100, refilledAt: now}
 			allowedForGroups, allowedForIdle := k.allowedLoads(service, w.inventory.View(), budget, now)
-			assert.Equal(t, allowedForGroups, test.forGroups)
-			assert.Equal(t, allowedForIdle, test.forIdle)
+			assert.Equal(t, allowedForGroups, test.wantGroupLoads)
+			assert.Equal(t, allowedForIdle, test.wantIdleLoads)
 		})
 	}
 }
--- a/formation/options.go
+++ b/formation/options.go
@@ -22,14 +22,14 @@
 	// Traffic reports whether any request has reached the fleet yet. It is not called if a replica
 	// had served when the term began, since traffic is then assumed.
 	Traffic func() bool
-	// Announced is called whenever a group is opened or closed.
+	// Announced is called with an announcement whenever a group is opened or closed.
 	Announced func(a fleet.Announcement)
 	// StallAfter is the time for which a group that lost a member stalls before it breaks.
 	StallAfter time.Duration
 	Ceiling    Ceiling
-	// Counted is called with each order sent to a worker and its outcome. The outcome is the
+	// Counted is called with the outcome of each attempt to send an order. The outcome is the
 	// verdict's name, or "unanswered". It is "returned" if a head that had left its group reports
-	// to be in the group again.
+	// that it is in the group again.
 	Counted func(order, outcome string)
 	// Smoothed returns the smoothed work that this daemon tracked before it became leader (see
 	// Smoother). The term starts with it. The function is nil if no work was tracked.
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -88,10 +88,10 @@
 // orderStateOf returns a worker's order state. If the state is not known, it queries the worker.
 func (k *Keeper) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
 	k.mu.Lock()
-	known, ok := k.orderStates[w.ID]
+	current, ok := k.orderStates[w.ID]
 	k.mu.Unlock()
 	if ok {
-		return known, true
+		return current, true
 	}
 	state, ok := k.queryState(ctx, w)
 	return orderState{orderCount: state.Orders, member: state.Member}, ok
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -77,10 +77,10 @@
 			assert.Assert(t, !used[id], "%s is taken twice", id)
 			used[id] = true
 		}
-		loads := 0
+		loadCount := 0
 		for _, f := range formations {
 			assert.Equal(t, len(f.Members), f.Model.Size)
-			loads += f.LoadCount
+			loadCount += f.LoadCount
 			for _, id := range f.Members {
 				markUsed(id)
 				assert.Equal(t, domains[id], domains[f.Members[0]])
@@ -89,7 +89,7 @@
 		for _, s := range stagings {
 			markUsed(s.Worker)
 		}
-		assert.Assert(t, loads+len(stagings) <= max(in.MaxLoads, 0), "%d loads and %d stagings of %d", loads, len(stagings), in.MaxLoads)
+		assert.Assert(t, loadCount+len(stagings) <= max(in.MaxLoads, 0), "%d loads and %d stagings of %d", loadCount, len(stagings), in.MaxLoads)
 		simple := newPlanner(in).planFormations()
 		assert.Assert(t, valueOfGroups(in, formations) >= valueOfGroups(in, simple)-valueEpsilon)
 	})
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -51,7 +51,7 @@
 	// Workers in groups are included.
 	WarmCounts map[string]map[string]int
 	// MaxLoads is the maximum number of loads from the store that may begin now. MaxStagings is the
-	// maximum number of them that may be for idle workers.
+	// maximum number of loads among them that are for idle workers.
 	MaxLoads, MaxStagings int
 	// IsListGrowing reports whether more workers are expected to be listed soon. The model with the
 	// greatest shortage then waits until one domain has enough workers for it. The other models
@@ -171,7 +171,7 @@
 	byDomain   map[string][]FreeWorker
 	warmCounts map[string]map[string]int
 	maxLoads   int
-	// maxStagings is the maximum number of the loads that may be for idle workers.
+	// maxStagings is the maximum number of loads that may be for idle workers.
 	maxStagings   int
 	isListGrowing bool
 	// isPlanningSurplus reports whether groups beyond the wanted number are being planned.
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -118,15 +118,15 @@
 		w := newWorld(1, 1, 4)
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
 		m := fleet.Membership{Group: "g", Epoch: 5, Rank: 1, State: fleet.Open}
-		listed := &fleet.Worker{ID: "w0-1", Service: "models", Domain: "d0", Loaded: "big", Born: 1000, Member: m}
-		k.recordListedIncarnation(listed)
-		assert.Equal(t, k.membershipOf(listed), m)
+		listedWorker := &fleet.Worker{ID: "w0-1", Service: "models", Domain: "d0", Loaded: "big", Born: 1000, Member: m}
+		k.recordListedIncarnation(listedWorker)
+		assert.Equal(t, k.membershipOf(listedWorker), m)
 		k.recordState("w0-1", State{Born: 2000, Staged: []string{"big"}})
-		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "the list shows a past incarnation")
-		assert.Equal(t, k.asFreeWorker(listed).LoadedModel, "")
+		assert.Equal(t, k.membershipOf(listedWorker), fleet.Membership{}, "the list shows a past incarnation")
+		assert.Equal(t, k.asFreeWorker(listedWorker).LoadedModel, "")
 		k.recordState("w0-1", State{Born: 1000, Member: m})
-		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "late report of a past incarnation")
-		next := *listed
+		assert.Equal(t, k.membershipOf(listedWorker), fleet.Membership{}, "late report of a past incarnation")
+		next := *listedWorker
 		next.Born, next.Member = 2000, fleet.Membership{Group: "h", Epoch: 7, State: fleet.Joining}
 		k.recordListedIncarnation(&next)
 		assert.Equal(t, k.membershipOf(&next).Group, "h")
--- a/formation/search.go
+++ b/formation/search.go
@@ -56,8 +56,8 @@
 		s.modelOrder = append(s.modelOrder, i)
 		s.maxCounts[i] = len(workers) / n.Model.Size
 		if !allowsSurplus {
-			wanted := max(int(math.Ceil(n.Want))-p.groupCounts[i], current.warmCounts[i]+current.loadingCounts[i])
-			s.maxCounts[i] = min(s.maxCounts[i], max(wanted, 0))
+			maxWanted := max(int(math.Ceil(n.Want))-p.groupCounts[i], current.warmCounts[i]+current.loadingCounts[i])
+			s.maxCounts[i] = min(s.maxCounts[i], max(maxWanted, 0))
 		}
 		s.modelValues[i] = p.modelValues(i, s.maxCounts[i], max(s.maxLoads, 0), hallOf(workers))
 	}
@@ -124,11 +124,11 @@
 	size := s.models[i].Size
 	var all []float64
 	for count := range s.modelValues[i] {
-		loads := max(count*size-warmCount, 0)
-		if loads > s.maxLoads && loads > 0 {
+		loadCount := max(count*size-warmCount, 0)
+		if loadCount > s.maxLoads && loadCount > 0 {
 			break
 		}
-		loadingGroups := (loads + size - 1) / size
+		loadingGroups := (loadCount + size - 1) / size
 		all = append(all, s.modelValues[i][count-loadingGroups][loadingGroups])
 	}
 	return all
--- a/formation/send_test.go
+++ b/formation/send_test.go
@@ -16,11 +16,11 @@
 	tests := map[string]struct {
 		verdicts []Verdict
 		want     Verdict
-		ends     bool
+		endsTerm bool
 	}{
 		"accepted at once":                 {verdicts: []Verdict{Begun}, want: Begun},
 		"overtaken by another of the term": {verdicts: []Verdict{Fenced, Begun}, want: Begun},
-		"superseded by a later leader":     {verdicts: []Verdict{Fenced, Fenced}, want: Fenced, ends: true},
+		"superseded by a later leader":     {verdicts: []Verdict{Fenced, Fenced}, want: Fenced, endsTerm: true},
 		"does not fit":                     {verdicts: []Verdict{Unfit}, want: Unfit},
 	}
 	for name, test := range tests {
@@ -39,7 +39,7 @@
 				})
 				assert.Assert(t, ok)
 				assert.Equal(t, verdict, test.want)
-				assert.Equal(t, ended, test.ends)
+				assert.Equal(t, ended, test.endsTerm)
 				assert.Equal(t, sentCount, len(test.verdicts))
 			})
 		})
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -34,8 +34,8 @@
 	var all []Staging
 	for id, w := range view.Workers() {
 		m := k.membershipOf(w)
-		_, loading := k.activeLoads[id]
-		if w.Service != s.Name || w.Draining || loading || k.busyWorkers[id] || m.State != fleet.Open && m.State != fleet.Ready {
+		_, isLoading := k.activeLoads[id]
+		if w.Service != s.Name || w.Draining || isLoading || k.busyWorkers[id] || m.State != fleet.Open && m.State != fleet.Ready {
 			continue
 		}
 		ownModel := fleet.ModelOf(m.Group)
@@ -48,10 +48,10 @@
 
 // largestOtherModel returns the model with the largest configured share, except for the given one.
 func largestOtherModel(e *fleet.Engine, excluded string) string {
-	best, share := "", -1.0
+	best, highestShare := "", -1.0
 	for _, m := range e.Models {
-		if m.Name != excluded && m.Share > share {
-			best, share = m.Name, m.Share
+		if m.Name != excluded && m.Share > highestShare {
+			best, highestShare = m.Name, m.Share
 		}
 	}
 	return best
@@ -79,21 +79,21 @@
 	if !k.hasTraffic() {
 		return unlimitedLoads, unlimitedLoads
 	}
-	running, available := float64(k.countRunningLoads(s, view, now)), budget.availableLoads(now)
+	runningLoads, availableLoads := float64(k.countRunningLoads(s, view, now)), budget.availableLoads(now)
 	loadsAtOnce := float64(s.Engine.LoadsAtOnce)
-	return min(int(groupLoadFactor*loadsAtOnce-running), available), min(int(idleLoadFactor*loadsAtOnce-running), available)
+	return min(int(groupLoadFactor*loadsAtOnce-runningLoads), availableLoads), min(int(idleLoadFactor*loadsAtOnce-runningLoads), availableLoads)
 }
 
 // countRunningLoads returns how many workers of a service load weights from the store.
 func (k *Keeper) countRunningLoads(s *fleet.Service, view *fleet.View, now time.Time) int {
 	count := 0
 	for id, w := range view.Workers() {
-		l, loading := k.activeLoads[id]
-		if loading && (now.After(l.expiresAt) || w.HasStaged(l.model)) {
+		l, isLoading := k.activeLoads[id]
+		if isLoading && (now.After(l.expiresAt) || w.HasStaged(l.model)) {
 			delete(k.activeLoads, id)
-			loading = false
+			isLoading = false
 		}
-		if loading || w.Service == s.Name && k.isLoadingForJoin(w) {
+		if isLoading || w.Service == s.Name && k.isLoadingForJoin(w) {
 			count++
 		}
 	}
--- a/formation/suspension_test.go
+++ b/formation/suspension_test.go
@@ -27,12 +27,12 @@
 		}
 		k := NewKeeper(opts, Term{Epoch: 1, First: true}, stop)
 		suspended = true
-		sent := 0
+		sentCount := 0
 		verdict, _ := k.sendOrder(ctx, "join", &fleet.Worker{ID: "w0-0"}, func(context.Context, Fence) (Verdict, error) {
-			sent++
+			sentCount++
 			return Begun, nil
 		})
-		assert.Equal(t, sent, 0)
+		assert.Equal(t, sentCount, 0)
 		assert.Assert(t, verdict != Begun)
 		go k.Run(ctx)
 		time.Sleep(10 * time.Second)
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -71,10 +71,11 @@
 	return true
 }
 
-// addDownCounts adds the number of groups that the trade takes out of service, by model.
-func (x Trade) addDownCounts(down map[string]int) {
+// addDownCounts adds the numbers of groups that the trade takes out of service to downCounts, by
+// model.
+func (x Trade) addDownCounts(downCounts map[string]int) {
 	for model, count := range x.DissolvedCounts {
-		down[model] += count
+		downCounts[model] += count
 	}
 }
 
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -43,14 +43,14 @@
 // tradeInterval. Other groups must wait for it.
 func TestSurplusTradesDoNotWait(t *testing.T) {
 	tests := map[string]struct {
-		// want is the wanted number of small groups. There are four of them.
-		want float64
-		// trades is the expected number of trades.
-		trades int
+		// wantReplicas is the wanted number of small groups. There are four of them.
+		wantReplicas float64
+		// wantTrades is the expected number of trades.
+		wantTrades int
 	}{
-		"beyond what is wanted":   {want: 1, trades: 1},
-		"some of what is wanted":  {want: 3, trades: 0},
-		"nothing could be spared": {want: 9, trades: 0},
+		"beyond what is wanted":   {wantReplicas: 1, wantTrades: 1},
+		"some of what is wanted":  {wantReplicas: 3, wantTrades: 0},
+		"nothing could be spared": {wantReplicas: 9, wantTrades: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,15 +70,15 @@
 				k.tradesAllowedAt, k.nextTrade = now, now.Add(time.Hour)
 				k.mu.Lock()
 				groups := k.observeGroups(service, w.inventory.View())
-				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.want, Have: 4}}
+				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.wantReplicas, Have: 4}}
 				k.startTrades(ctx, Input{Needs: needs, MaxLoads: 9}, groups, now)
-				trades := len(k.activeTrades)
+				tradeCount := len(k.activeTrades)
 				k.mu.Unlock()
 				cancel()
 				k.tasks.Wait()
 				w.pending.Wait()
 				assert.Equal(t, len(groups), 4)
-				assert.Equal(t, trades, test.trades)
+				assert.Equal(t, tradeCount, test.wantTrades)
 			})
 		})
 	}
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -48,8 +48,8 @@
 	return ok && time.Now().Before(until.Add(exclusionPeriod-unreliableDuration))
 }
 
-// isUnreliable reports whether other workers are preferred over this one. The caller must hold
-// k.mu.
+// isUnreliable reports whether a worker recently prevented a group from forming, so that other
+// workers are preferred to it. The caller must hold k.mu.
 func (k *Keeper) isUnreliable(id string) bool {
 	until, ok := k.unreliableUntil[id]
 	if !ok {
--- a/formation/unresponsive.go
+++ b/formation/unresponsive.go
@@ -97,9 +97,9 @@
 
 // isUnresponsiveLocked is isUnresponsive for callers that hold k.mu.
 func (k *Keeper) isUnresponsiveLocked(id string) bool {
-	_, unresponsive := k.unresponsive[id]
-	a, absent := k.absent[id]
-	return unresponsive || absent && a.isGone || k.displaced[id]
+	_, isUnresponsive := k.unresponsive[id]
+	a, isAbsent := k.absent[id]
+	return isUnresponsive || isAbsent && a.isGone || k.displaced[id]
 }
 
 // queryUnresponsive queries each unresponsive worker once per unresponsiveQueryInterval. The caller
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -137,8 +137,8 @@
 }
 
 // newWorld returns a world in which all workers are listed.
-func newWorld(seed uint64, domains, perDomain int) *world {
-	w := newUnlistedWorld(seed, domains, perDomain)
+func newWorld(seed uint64, domainCount, workersPerDomain int) *world {
+	w := newUnlistedWorld(seed, domainCount, workersPerDomain)
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 		w.publish(w.workers[id])
 	}
@@ -146,7 +146,7 @@
 }
 
 // newUnlistedWorld returns a world in which no worker is listed yet.
-func newUnlistedWorld(seed uint64, domains, perDomain int) *world {
+func newUnlistedWorld(seed uint64, domainCount, workersPerDomain int) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, seed)), workers: make(map[string]*simWorker),
 		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, drainTime: time.Second,
@@ -154,8 +154,8 @@
 		refusesQueries: make(map[string]bool), attemptCounts: make(map[string]int),
 		delays: make(map[string][]time.Duration), openDelay: simOpenTime + simListDelay, openOrderCounts: make(map[string]int), loadsPerSecond: 5,
 	}
-	for d := range domains {
-		for i := range perDomain {
+	for d := range domainCount {
+		for i := range workersPerDomain {
 			s := &simWorker{id: fmt.Sprintf("w%d-%d", d, i), domain: fmt.Sprintf("d%d", d), startedAt: simStartTime}
 			w.workers[s.id] = s
 		}
