--- a/formation/groups.go
+++ b/formation/groups.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// resolveModel determines the group's model and members.
+// resolveModel sets the group's model. If the group was formed in this term, it also sets the
+// members.
 func (k *Keeper) resolveModel(e *fleet.Engine, o *observedGroup) {
 	if formed, ok := k.formedGroups[o.key]; ok {
 		o.group = formed
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -399,8 +399,8 @@
 	return NewFence(k.term.Epoch, k.term.Rank, k.lastSequence)
 }
 
-// membershipOf returns a worker's group membership. This is the newer one of the membership in the
-// worker list and the one that the worker itself reported.
+// membershipOf returns a worker's group membership according to the worker list or the worker's own
+// report, whichever is newer.
 func (k *Keeper) membershipOf(w *fleet.Worker) fleet.Membership {
 	o, ok := k.observations[w.ID]
 	if k.isPastIncarnation(w) {
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -169,22 +169,22 @@
 
 // countMembers returns how many members a trade makes available, including idle workers.
 func (x Trade) countMembers(in Input, servingGroups []ServingGroup) int {
-	allowsLoads, members := mayUseColdMembers(in.Needs, x), 0
+	allowsLoads, memberCount := mayUseColdMembers(in.Needs, x), 0
 	for _, f := range in.Free {
 		if f.Domain == x.Domain && !f.IsUnreliable && (f.warmth(x.Recipient) <= Staged || allowsLoads) {
-			members++
+			memberCount++
 		}
 	}
 	for _, s := range servingGroups {
 		switch {
 		case !slices.Contains(x.GroupKeys, s.Key):
 		case allowsLoads:
-			members += s.MemberCount
+			memberCount += s.MemberCount
 		default:
-			members += s.countWarm(x.Recipient)
+			memberCount += s.countWarm(x.Recipient)
 		}
 	}
-	return members
+	return memberCount
 }
 
 // TestTradeInvariants checks that the traded groups are distinct and in one domain, that they
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -104,7 +104,7 @@
 	smoothed func() map[string]Work
 	// refusesQueries holds workers whose state queries fail immediately.
 	refusesQueries map[string]bool
-	// attemptCounts holds the number of attempts to send each kind of order.
+	// attemptCounts holds the number of attempts to send an order, by kind of order.
 	attemptCounts map[string]int
 	isHallOpen    func(hall string) bool
 	violations    []string
