--- a/formation/groups.go
+++ b/formation/groups.go
@@ -14,7 +14,7 @@
 	key   string
 	group Group
 	model fleet.Model
-	// isModelKnown reports whether the service is configured with the model.
+	// isModelKnown reports whether the model is in the service's configuration.
 	isModelKnown bool
 	head         *fleet.Worker
 	state        fleet.GroupState
@@ -22,9 +22,10 @@
 	// readyCount is the number of members that are no longer joining, including the head.
 	readyCount int
 	isDraining bool
-	// hasLostMember reports whether some member does not answer.
+	// hasLostMember reports whether some member is unresponsive.
 	hasLostMember bool
-	// absentCount is the number of members that left the list but are still treated as members.
+	// absentCount is the number of members that left the worker list but are still treated as
+	// members.
 	absentCount int
 }
 
@@ -34,7 +35,7 @@
 }
 
 // settleTime returns how long an incomplete group is left unchanged after it was first seen. It is
-// longer shortly after the process started, because the list itself may be incomplete then.
+// longer shortly after the process started, because the worker list itself may be incomplete then.
 func (k *Keeper) settleTime(now time.Time) time.Duration {
 	if now.Sub(k.opts.ListSince()) < youngListAge {
 		return youngListSettleTime
@@ -101,7 +102,8 @@
 	}
 }
 
-// resolveModel determines the group's model and members.
+// resolveModel sets the group's model. If the group was formed in this term, it also sets the
+// members.
 func (k *Keeper) resolveModel(e *fleet.Engine, o *observedGroup) {
 	if formed, ok := k.formedGroups[o.key]; ok {
 		o.group = formed
@@ -135,13 +137,14 @@
 	case k.isAbsent(o.head.ID):
 		k.repairAbsentHead(ctx, o)
 	case o.state == fleet.Open && o.isComplete() && !o.isDraining:
-		// The group is healthy, even if a member left the list, because a group works without the
-		// list. Dissolving such groups would take many replicas out of service whenever workers
-		// lose their connection to the store.
+		// The group is healthy, even if a member left the worker list, because a group works
+		// without the list. Dissolving such groups would take many replicas out of service whenever
+		// workers lose their connection to the store.
 	case o.state == fleet.Open && o.isComplete():
 		k.dissolveLeaving(ctx, o, now)
 	case age < k.settleTime(now) && !o.hasLostMember:
-		// The list may show the members one after another, so the group is left unchanged for now.
+		// The worker list may show the members one after another, so the group is left unchanged
+		// for now.
 	case o.isComplete() && !o.isDraining && o.isForming() && age < joinGracePeriod+loadTimeFactor*o.model.Load:
 		// An earlier leader started to form the group, and its members are still loading.
 	case o.isComplete() && !o.isDraining && o.readyCount == o.model.Size && o.state == fleet.Ready:
@@ -155,7 +158,7 @@
 // repairHeadless frees the members of a group whose head is not listed. It contacts the head first,
 // because a head that lost its connection to the store may still serve. The head is unknown only if
 // an operator created the group by hand. The members of such a group are freed after StallAfter,
-// when the group has broken by itself.
+// because the group has broken by then.
 func (k *Keeper) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
 	since, ok := k.headlessSince[o.key]
 	if !ok {
@@ -164,7 +167,7 @@
 	}
 	head, isKnown := k.knownWorkers[k.headIDs[o.key]]
 	if !isKnown && now.Sub(since) < k.settleTime(now) {
-		// The list may still show the head.
+		// The worker list may still show the head.
 		return
 	}
 	if !isKnown {
@@ -214,21 +217,21 @@
 
 // freeWorkers returns the workers of a service that can be put into a new group.
 func (k *Keeper) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
-	inGroup := make(map[string]bool)
+	isInGroup := make(map[string]bool)
 	for _, o := range groups {
 		if k.retirements[o.key] != 0 {
 			continue
 		}
 		for _, w := range o.members {
-			inGroup[w.ID] = true
+			isInGroup[w.ID] = true
 		}
 	}
 	var all []FreeWorker
 	for id, w := range view.Workers() {
-		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isExcluded(id) || inGroup[id] || !k.halls.isUsable(w.Zone) {
+		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isExcluded(id) || isInGroup[id] || !k.halls.isUsable(w.Zone) {
 			continue
 		}
-		if _, loading := k.activeLoads[id]; loading {
+		if _, isLoading := k.activeLoads[id]; isLoading {
 			continue
 		}
 		all = append(all, k.asFreeWorker(w))
@@ -237,8 +240,8 @@
 	return all
 }
 
-// asFreeWorker returns the planner's view of a worker. An interrupted join and the worker's own
-// reports take precedence over the list until the list has been confirmed after them.
+// asFreeWorker returns a worker in the form that the planner uses. An interrupted join and the
+// worker's own reports take precedence over the worker list until a later list has been received.
 func (k *Keeper) asFreeWorker(w *fleet.Worker) FreeWorker {
 	if i, ok := k.interruptedJoins[w.ID]; ok {
 		if !k.opts.Inventory.Confirmed().After(i.abandonedAt.Add(listSettleTime)) {
@@ -249,7 +252,8 @@
 	return FreeWorker{ID: w.ID, Domain: w.Domain, LoadedModel: k.loadedModel(w), StagedModels: w.Staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
 }
 
-// loadedModel returns the model that a worker served last, according to its own report or the list.
+// loadedModel returns the model that a worker served last, according to its own report or the
+// worker list.
 func (k *Keeper) loadedModel(w *fleet.Worker) string {
 	if k.isPastIncarnation(w) {
 		return k.observations[w.ID].state.Loaded
--- a/formation/inherit_test.go
+++ b/formation/inherit_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDemandSurvivesLeaderChange checks that a new leader starts with the work that it tracked
-// before its term, even if its peers have not reported yet.
+// TestDemandSurvivesLeaderChange checks that a new leader starts with the work that its daemon
+// tracked before the term, even if the other daemons have not reported yet.
 func TestDemandSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
@@ -23,24 +23,24 @@
 	})
 }
 
-// TestNewLeaderDelaysTrades checks that a new leader trades no groups in its first second, when it
-// may not know the work of all daemons.
+// TestNewLeaderDelaysTrades checks that a new leader trades no groups in its first second. Some
+// daemons may not have reported their work to it by then.
 func TestNewLeaderDelaysTrades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 12)
 		w.pending.Go(func() { w.confirmList(60 * time.Second) })
 		formAndStop(w)
-		settled := w.countServing()
+		servingBefore := w.countServing()
 		w.mu.Lock()
 		w.demand = map[string]Work{"big": {Busy: 40}, "small": {}}
 		w.mu.Unlock()
 		_, stop := startTerm(w, 2)
 		time.Sleep(listSettleTime - 100*time.Millisecond)
-		during := w.countServing()
+		servingDuringDelay := w.countServing()
 		time.Sleep(10 * time.Second)
 		stop()
-		assert.DeepEqual(t, during, settled)
-		assert.Assert(t, w.countServing()["big"] > settled["big"])
+		assert.DeepEqual(t, servingDuringDelay, servingBefore)
+		assert.Assert(t, w.countServing()["big"] > servingBefore["big"])
 		w.pending.Wait()
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
@@ -72,7 +72,7 @@
 }
 
 // TestGroupsOfConcurrentLeaderStayVisible covers two leaders that start almost simultaneously and
-// plan the same groups. The second leader abandons groups that it never opened. It must not
+// plan the same groups. The second leader abandons its groups before they are opened. It must not
 // announce them as closed, because daemons would apply that to the first leader's groups with the
 // same heads.
 func TestGroupsOfConcurrentLeaderStayVisible(t *testing.T) {
@@ -87,13 +87,13 @@
 				time.Sleep(200 * time.Millisecond)
 				stopFirst()
 				time.Sleep(10 * time.Second)
-				served, view := w.countServing(), w.inventory.View()
+				servingCounts, view := w.countServing(), w.inventory.View()
 				stop()
 				w.pending.Wait()
-				for model, count := range served {
+				for model, count := range servingCounts {
 					assert.Equal(t, len(view.Replicas("models", model)), count, "%s", model)
 				}
-				assert.Assert(t, served["big"] > 0 && served["small"] > 0)
+				assert.Assert(t, servingCounts["big"] > 0 && servingCounts["small"] > 0)
 				assert.DeepEqual(t, w.violations, []string(nil))
 			})
 		})
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -14,13 +14,13 @@
 // TestNoWorkersUsedTwiceWithoutFences repeats TestNoPartialGroupsAndNoWorkersUsedTwice with workers
 // that ignore fences. The protection against late orders and earlier leaders must not depend on
 // fences alone.
-func TestNoWorkersUsedTwiceWithoutFences(outer *testing.T) {
-	rapid.Check(outer, func(t *rapid.T) {
+func TestNoWorkersUsedTwiceWithoutFences(outerT *testing.T) {
+	rapid.Check(outerT, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		lateFraction := rapid.SampledFrom([]float64{0, 0.1, 0.4, 0.8}).Draw(t, "late")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 16).Draw(t, "steps")
 		var violations []string
-		synctest.Test(outer, func(*testing.T) {
+		synctest.Test(outerT, func(*testing.T) {
 			w := newWorld(seed, 2, 10)
 			w.ignoresFences = true
 			violations = runSchedule(w, lateFraction, steps)
@@ -32,14 +32,14 @@
 }
 
 // TestLateLoadsStayWithinTheBound checks that loads stay within the limit when traffic starts in a
-// new fleet. Some orders that were sent before, when loads did not count, are carried out only
+// new fleet. Some orders are sent before, when loads do not count, but are carried out only
 // afterwards.
-func TestLateLoadsStayWithinTheBound(outer *testing.T) {
-	rapid.Check(outer, func(t *rapid.T) {
+func TestLateLoadsStayWithinTheBound(outerT *testing.T) {
+	rapid.Check(outerT, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		timeBeforeTraffic := time.Duration(rapid.IntRange(1, 8).Draw(t, "quiet")) * time.Second
 		var violations []string
-		synctest.Test(outer, func(*testing.T) {
+		synctest.Test(outerT, func(*testing.T) {
 			w := newWorld(seed, 4, 10)
 			w.ignoresFences, w.lateFraction = true, 0.8
 			_, stop := startTerm(w, 1)
@@ -58,9 +58,9 @@
 	})
 }
 
-// TestLateOrdersDoNotReviveDissolvedGroup delays a head's first orders to join and open, which are
-// then retried successfully. The delayed attempts arrive after the head has confirmed that the
-// group is dissolved. They must have no effect.
+// TestLateOrdersDoNotReviveDissolvedGroup delays a head's first orders to join and to open a group.
+// Their retries succeed. The delayed orders arrive after the head has confirmed that the group is
+// dissolved, and must have no effect.
 func TestLateOrdersDoNotReviveDissolvedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
@@ -79,7 +79,7 @@
 		dissolvedMembership := w.membershipOf("w0-0")
 		time.Sleep(5 * time.Second)
 		laterMembership := w.membershipOf("w0-0")
-		w.add("w0-2", "d0")
+		w.addWorker("w0-2", "d0")
 		time.Sleep(20 * time.Second)
 		serving := w.countServing()
 		stop()
@@ -92,8 +92,9 @@
 	})
 }
 
-// TestGroupIsOpenedOnce checks that a group gets only one order to open, even while the list does
-// not show yet that it is open. If a second order got no answer, the group would be dissolved.
+// TestGroupIsOpenedOnce checks that a group gets only one order to open, even while the worker list
+// does not show yet that it is open. If a second order were sent and got no answer, the group would
+// be dissolved.
 func TestGroupIsOpenedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
@@ -110,19 +111,19 @@
 }
 
 // TestMembersOfDeadHeadAreReusedPromptly checks that the members of a dead head are reused before
-// the list shows its death, which takes 3.6 s.
+// the worker list shows that the head is dead. The list shows this after 3.6 s.
 func TestMembersOfDeadHeadAreReusedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 7)
 		w.demand = map[string]Work{"big": {Busy: 5}}
-		k, old, stop := startServing(w, "big")
-		w.kill(old.Members[0])
-		k.Suspect(old.Key())
+		k, oldGroup, stop := startServing(w, "big")
+		w.kill(oldGroup.Members[0])
+		k.Suspect(oldGroup.Key())
 		time.Sleep(3400 * time.Millisecond)
-		survivor := w.membershipOf(old.Members[1])
+		survivorMembership := w.membershipOf(oldGroup.Members[1])
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, survivor.Group != old.Name, "a survivor still waits for its dead head")
+		assert.Assert(t, survivorMembership.Group != oldGroup.Name, "a survivor still waits for its dead head")
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
@@ -133,16 +134,16 @@
 func TestReturningHeadLeavesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 2)
-		k, old, stop := startServing(w, "small")
-		w.setUnreachable(old.Members[0], true)
-		k.Suspect(old.Key())
+		k, oldGroup, stop := startServing(w, "small")
+		w.setUnreachable(oldGroup.Members[0], true)
+		k.Suspect(oldGroup.Key())
 		time.Sleep(3 * time.Second)
-		w.setUnreachable(old.Members[0], false)
+		w.setUnreachable(oldGroup.Members[0], false)
 		time.Sleep(8 * time.Second)
-		head := w.membershipOf(old.Members[0])
+		headMembership := w.membershipOf(oldGroup.Members[0])
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, head.Group != old.Name, "the closed group still holds its workers")
+		assert.Assert(t, headMembership.Group != oldGroup.Name, "the closed group still holds its workers")
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
@@ -152,24 +153,25 @@
 func TestLaterLeaderDissolvesClosedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 2, 10)
-		old := formAndStop(w).group
+		oldGroup := formAndStop(w).group
 		w.inventory.Decide(0, fleet.Announcement{
-			Group: old.Name, Epoch: old.Epoch, Service: "models", Model: old.Model, Head: old.Members[0],
+			Group: oldGroup.Name, Epoch: oldGroup.Epoch, Service: "models", Model: oldGroup.Model, Head: oldGroup.Members[0],
 		})
 		_, stop := startTerm(w, 2)
 		time.Sleep(3 * time.Second)
-		head := w.membershipOf(old.Members[0])
-		serving := len(w.inventory.View().Replicas("models", "big"))
+		headMembership := w.membershipOf(oldGroup.Members[0])
+		servingCount := len(w.inventory.View().Replicas("models", "big"))
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, head.Group != old.Name, "the closed group still holds its workers")
-		assert.Equal(t, serving, 2)
+		assert.Assert(t, headMembership.Group != oldGroup.Name, "the closed group still holds its workers")
+		assert.Equal(t, servingCount, 2)
 		assert.DeepEqual(t, w.violations, []string(nil))
 	})
 }
 
 // TestStagingWorkerIsNotRetriedContinuously covers a leader that starts while an idle worker is
-// staging a model. The list does not show the staging.
+// staging a model. The worker list does not show this, and the worker refuses orders to stage
+// meanwhile.
 func TestStagingWorkerIsNotRetriedContinuously(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 5)
@@ -179,7 +181,7 @@
 		w.mu.Lock()
 		w.hasTraffic = true
 		w.mu.Unlock()
-		w.add("new", "d0")
+		w.addWorker("new", "d0")
 		w.mu.Lock()
 		w.workers["new"].isStaging = true
 		w.mu.Unlock()
@@ -199,15 +201,16 @@
 	return w.workers[id].member()
 }
 
-// setUnreachable makes a worker unreachable for everybody, or reachable again.
+// setUnreachable makes a worker unreachable for the leader and all other daemons, or reachable
+// again.
 func (w *world) setUnreachable(id string, isUnreachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unreachable[id] = isUnreachable
 }
 
-// add lists a new worker without any model.
-func (w *world) add(id, domain string) {
+// addWorker adds a new worker without any model to the worker list.
+func (w *world) addWorker(id, domain string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &simWorker{id: id, domain: domain}
--- a/formation/options.go
+++ b/formation/options.go
@@ -22,27 +22,28 @@
 	// Traffic reports whether any request has reached the fleet yet. It is not called if a replica
 	// had served when the term began, since traffic is then assumed.
 	Traffic func() bool
-	// Announced is called whenever a group is opened or closed.
+	// Announced is called with an announcement whenever a group is opened or closed.
 	Announced func(a fleet.Announcement)
 	// StallAfter is the time for which a group that lost a member stalls before it breaks.
 	StallAfter time.Duration
 	Ceiling    Ceiling
-	// Counted is called with each order sent to a worker and its outcome. The outcome is the
+	// Counted is called with the outcome of each attempt to send an order. The outcome is the
 	// verdict's name, or "unanswered". It is "returned" if a head that had left its group reports
-	// to be in the group again.
+	// that it is in the group again.
 	Counted func(order, outcome string)
 	// Smoothed returns the smoothed work that this daemon tracked before it became leader (see
 	// Smoother). The term starts with it. The function is nil if no work was tracked.
 	Smoothed func() map[string]Work
 	// BearHalls is the number of data halls that may be lost at once while enough replicas of each
 	// model remain. HallWeight is the weight of requests that are lost with a hall, relative to
-	// requests lost now. If it is zero, plans don't account for hall losses.
+	// requests lost now. If HallWeight is zero, plans don't account for hall losses.
 	BearHalls  int
 	HallWeight float64
-	// HallOpen reports whether a data hall takes requests. The function is nil if all halls do.
+	// HallOpen reports whether a data hall takes requests. The function is nil if all halls take
+	// requests.
 	HallOpen func(hall string) bool
-	// Awake is called before each order. It ends the term if the machine was suspended, since the
-	// leader's state may then be outdated. The function is nil if the machine is never suspended.
+	// Awake is called before each order. If the machine was suspended, it ends the term, since the
+	// leader's state may be outdated. The function is nil if the machine is never suspended.
 	Awake  func()
 	Logger hclog.Logger
 }
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -12,16 +12,16 @@
 )
 
 // restart restarts a worker under the same ID. The worker keeps only what is staged on its host.
-// The list shows the restart after the given delay.
+// The worker list shows the restart after the given delay.
 func (w *world) restart(id string, listedAfter time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.workers[id]
-	s.born++
+	s.startedAt++
 	s.group, s.state, s.epoch, s.rank, s.fence, s.orderCount, s.lastModel = Group{}, "", 0, 0, 0, 0, ""
 	s.isStaging, s.reports, s.entryNumber = false, nil, 0
 	w.recordState(s)
-	// The new incarnation's reports are current from its start.
+	// The new incarnation reports its current state from its start, without the usual lag.
 	s.reports[0].from = time.Now()
 	w.pending.Go(func() {
 		time.Sleep(listedAfter)
@@ -32,8 +32,8 @@
 }
 
 // TestRestartedWorkersAreReused covers a member of an open group that restarts under its ID. The
-// list shows the worker all the time, but it no longer belongs to the group. The group must be
-// repaired and the worker reused.
+// worker stays in the worker list, but no longer belongs to the group. The group must be repaired
+// and the worker reused.
 func TestRestartedWorkersAreReused(t *testing.T) {
 	tests := map[string]restartCase{
 		"a member":                         {rank: 2, listedAfter: 50 * time.Millisecond},
@@ -54,14 +54,14 @@
 
 // restartCase describes the restart of a worker in an open group.
 type restartCase struct {
-	// rank is the rank of the worker in its group; 0 is the head.
+	// rank is the worker's rank in its group. Rank 0 is the head.
 	rank int
-	// listedAfter is the time until the list shows the restart.
+	// listedAfter is the time until the worker list shows the restart.
 	listedAfter time.Duration
-	// restartsTwice restarts the worker a second time. changesLeader replaces the leader
-	// afterwards.
+	// restartsTwice reports whether the worker restarts a second time. changesLeader reports
+	// whether the leader is replaced afterwards.
 	restartsTwice, changesLeader bool
-	// setsClockBack sets the worker's clock back before the restart.
+	// setsClockBack reports whether the worker's clock is set back before the restart.
 	setsClockBack bool
 }
 
@@ -74,7 +74,7 @@
 	time.Sleep(time.Second)
 	id := group.Members[r.rank]
 	if r.setsClockBack {
-		w.workers[id].born -= 1000
+		w.workers[id].startedAt -= 1000
 	}
 	w.restart(id, r.listedAfter)
 	if r.restartsTwice {
@@ -99,7 +99,7 @@
 	assert.DeepEqual(t, w.violations, []string(nil))
 }
 
-// repairTimeout is the maximum time from a crash until the list shows the repaired group.
+// repairTimeout is the maximum time from a crash until the worker list shows the repaired group.
 const repairTimeout = 5 * time.Second
 
 // countServingWorkers returns the number of workers in serving groups.
@@ -111,22 +111,22 @@
 	return count
 }
 
-// TestPastIncarnationIsIgnored covers a list that still shows the previous incarnation after the
-// worker itself reported a new one.
+// TestPastIncarnationIsIgnored covers a worker that has reported a new incarnation itself, while
+// the worker list still shows the previous one.
 func TestPastIncarnationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
 		m := fleet.Membership{Group: "g", Epoch: 5, Rank: 1, State: fleet.Open}
-		listed := &fleet.Worker{ID: "w0-1", Service: "models", Domain: "d0", Loaded: "big", Born: 1000, Member: m}
-		k.recordListedIncarnation(listed)
-		assert.Equal(t, k.membershipOf(listed), m)
+		listedWorker := &fleet.Worker{ID: "w0-1", Service: "models", Domain: "d0", Loaded: "big", Born: 1000, Member: m}
+		k.recordListedIncarnation(listedWorker)
+		assert.Equal(t, k.membershipOf(listedWorker), m)
 		k.recordState("w0-1", State{Born: 2000, Staged: []string{"big"}})
-		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "the list shows a past incarnation")
-		assert.Equal(t, k.asFreeWorker(listed).LoadedModel, "")
+		assert.Equal(t, k.membershipOf(listedWorker), fleet.Membership{}, "the list shows a past incarnation")
+		assert.Equal(t, k.asFreeWorker(listedWorker).LoadedModel, "")
 		k.recordState("w0-1", State{Born: 1000, Member: m})
-		assert.Equal(t, k.membershipOf(listed), fleet.Membership{}, "late report of a past incarnation")
-		next := *listed
+		assert.Equal(t, k.membershipOf(listedWorker), fleet.Membership{}, "late report of a past incarnation")
+		next := *listedWorker
 		next.Born, next.Member = 2000, fleet.Membership{Group: "h", Epoch: 7, State: fleet.Joining}
 		k.recordListedIncarnation(&next)
 		assert.Equal(t, k.membershipOf(&next).Group, "h")
--- a/formation/search.go
+++ b/formation/search.go
@@ -23,8 +23,8 @@
 	modelValues [][][]float64
 	// maxValues holds the highest possible value of a model, by model and number of groups.
 	maxValues [][]float64
-	// upperBounds holds upper bounds for the total value of the models from a depth on, by depth
-	// and number of available workers.
+	// upperBounds holds upper bounds for the total value of the models that are not yet decided, by
+	// depth and number of available workers.
 	upperBounds [][]float64
 	// bestValue, bestCost, bestPlacedWorkers and bestAssignment describe the best division so far.
 	// found reports whether it is better than the current one.
@@ -56,8 +56,8 @@
 		s.modelOrder = append(s.modelOrder, i)
 		s.maxCounts[i] = len(workers) / n.Model.Size
 		if !allowsSurplus {
-			wanted := max(int(math.Ceil(n.Want))-p.groupCounts[i], current.warmCounts[i]+current.loadingCounts[i])
-			s.maxCounts[i] = min(s.maxCounts[i], max(wanted, 0))
+			maxWanted := max(int(math.Ceil(n.Want))-p.groupCounts[i], current.warmCounts[i]+current.loadingCounts[i])
+			s.maxCounts[i] = min(s.maxCounts[i], max(maxWanted, 0))
 		}
 		s.modelValues[i] = p.modelValues(i, s.maxCounts[i], max(s.maxLoads, 0), hallOf(workers))
 	}
@@ -68,36 +68,36 @@
 }
 
 // modelValues returns the value of a model with new groups in a hall. The value is indexed by the
-// number of groups that need no load and the number that do. Together they are at most maxGroups,
-// and the latter are at most maxLoads.
+// number of new groups that need no load and the number that need loads. The sum of both numbers is
+// at most maxGroups, and the second number is at most maxLoads.
 func (p *partition) modelValues(i, maxGroups, maxLoads int, hall string) [][]float64 {
 	n, m := p.planValuation.needs[i], p.models[i]
 	table := make([][]float64, maxGroups+1)
-	for warm := range table {
-		table[warm] = make([]float64, min(maxGroups-warm, maxLoads)+1)
-		for loading := range table[warm] {
-			p.addedByHall[i][hall] += warm + loading
-			replicas := p.meanReplicas[i] + float64(warm)*servingFraction(m, false) + float64(loading)*servingFraction(m, true)
-			table[warm][loading] = p.planValuation.valueOf(n, replicas, p.planValuation.worstHallLoss(m.Name, p.addedByHall[i]))
-			p.addedByHall[i][hall] -= warm + loading
+	for warmCount := range table {
+		table[warmCount] = make([]float64, min(maxGroups-warmCount, maxLoads)+1)
+		for loadingCount := range table[warmCount] {
+			p.addedByHall[i][hall] += warmCount + loadingCount
+			replicas := p.meanReplicas[i] + float64(warmCount)*servingFraction(m, false) + float64(loadingCount)*servingFraction(m, true)
+			table[warmCount][loadingCount] = p.planValuation.valueOf(n, replicas, p.planValuation.worstHallLoss(m.Name, p.addedByHall[i]))
+			p.addedByHall[i][hall] -= warmCount + loadingCount
 		}
 	}
 	return table
 }
 
-// divisionValue returns the value of a division, given the numbers of new groups without and with
-// loads by model.
-func (s *search) divisionValue(warm, loading []int) float64 {
+// divisionValue returns the value of a division. warmCounts and loadingCounts hold the numbers of
+// new groups without and with loads by model.
+func (s *search) divisionValue(warmCounts, loadingCounts []int) float64 {
 	total := 0.0
 	for _, i := range s.modelOrder {
-		total += s.modelValues[i][warm[i]][loading[i]]
+		total += s.modelValues[i][warmCounts[i]][loadingCounts[i]]
 	}
 	return total
 }
 
-// computeBounds computes upper bounds for the total value of the models from each depth on, by
-// number of available workers. It assumes that each model gets the workers that suit it best, and
-// uses the knapsack recurrence.
+// computeBounds computes upper bounds for the total value of the models from each depth on, by the
+// number of available workers. It uses the knapsack recurrence and assumes that each model gets the
+// workers that suit it best.
 func (s *search) computeBounds(all *assignment) {
 	workers := all.countUnassigned()
 	s.maxValues = make([][]float64, len(s.models))
@@ -118,24 +118,25 @@
 	}
 }
 
-// maxModelValues returns the highest possible value of a model by its number of new groups. The
-// given number of workers need no load for it.
-func (s *search) maxModelValues(i, warm int) []float64 {
+// maxModelValues returns the highest possible value of a model by its number of new groups.
+// warmCount is the number of workers that need no load for the model.
+func (s *search) maxModelValues(i, warmCount int) []float64 {
 	size := s.models[i].Size
 	var all []float64
 	for count := range s.modelValues[i] {
-		loads := max(count*size-warm, 0)
-		if loads > s.maxLoads && loads > 0 {
+		loadCount := max(count*size-warmCount, 0)
+		if loadCount > s.maxLoads && loadCount > 0 {
 			break
 		}
-		loading := (loads + size - 1) / size
-		all = append(all, s.modelValues[i][count-loading][loading])
+		loadingGroups := (loadCount + size - 1) / size
+		all = append(all, s.modelValues[i][count-loadingGroups][loadingGroups])
 	}
 	return all
 }
 
-// explore tries the numbers of groups of the models from the given depth on, except for those that
-// cannot reach the best value so far. valueSoFar is the total value of the models at lower depths.
+// explore tries the possible numbers of groups of the models from the given depth on. It skips
+// numbers that cannot reach the best value so far. valueSoFar is the total value of the models at
+// lower depths.
 func (s *search) explore(depth int, valueSoFar float64) {
 	current := s.assignments[depth]
 	if depth == len(s.modelOrder) {
@@ -168,13 +169,13 @@
 	return total
 }
 
-// considerAssignment keeps an assignment if it is the best so far. For equal values it prefers the
-// one that leaves fewer workers idle, then the one with the lower cost.
+// considerAssignment keeps an assignment if it is the best so far. Assignments of equal value are
+// compared by the number of idle workers, then by cost.
 func (s *search) considerAssignment(candidate *assignment) {
 	value, placedWorkers := 0.0, 0
 	for _, i := range s.modelOrder {
-		loading := s.countLoadingGroups(candidate, i)
-		value += s.modelValues[i][s.chosenCounts[i]-loading][loading]
+		loadingGroups := s.countLoadingGroups(candidate, i)
+		value += s.modelValues[i][s.chosenCounts[i]-loadingGroups][loadingGroups]
 		placedWorkers += s.chosenCounts[i] * s.models[i].Size
 	}
 	if value < s.bestValue-valueEpsilon {
@@ -189,8 +190,8 @@
 	s.bestAssignment.copyFrom(candidate)
 }
 
-// countLoadingGroups returns how many groups of a model have members that have to load. The number
-// is the minimum, since such members are put together.
+// countLoadingGroups returns how many groups of a model have members that have to load. Such
+// members are put together, so the number is as low as possible.
 func (s *search) countLoadingGroups(candidate *assignment, i int) int {
 	size := s.models[i].Size
 	return (candidate.countLoads(i) + size - 1) / size
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -13,9 +13,9 @@
 )
 
 // TestTradeRateScalesWithFleet shifts the demand to one model. A fleet that is four times as large
-// must gain at least twice as many replicas of it in the same time.
+// must gain at least twice as many replicas of the model in the same time.
 func TestTradeRateScalesWithFleet(t *testing.T) {
-	gained := func(domains int) int {
+	countGained := func(domains int) int {
 		w := newWorld(5, domains, 8)
 		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
@@ -33,24 +33,24 @@
 		return after - before
 	}
 	synctest.Test(t, func(t *testing.T) {
-		small, large := gained(12), gained(48)
-		assert.Assert(t, small > 0, "nothing was traded")
-		assert.Assert(t, large >= 2*small, "%d replicas were gained by a small fleet, %d by one four times as large", small, large)
+		smallFleetGain, largeFleetGain := countGained(12), countGained(48)
+		assert.Assert(t, smallFleetGain > 0, "nothing was traded")
+		assert.Assert(t, largeFleetGain >= 2*smallFleetGain, "%d replicas were gained by a small fleet, %d by one four times as large", smallFleetGain, largeFleetGain)
 	})
 }
 
-// TestSurplusTradesDoNotWait checks that surplus groups are traded without waiting for the trade
-// interval, and that other groups are not.
+// TestSurplusTradesDoNotWait checks that surplus groups are traded without waiting for
+// tradeInterval. Other groups must wait for it.
 func TestSurplusTradesDoNotWait(t *testing.T) {
 	tests := map[string]struct {
-		// want is how many of the four small groups are wanted.
-		want float64
-		// trades is the expected number of trades.
-		trades int
+		// wantReplicas is the wanted number of small groups. There are four of them.
+		wantReplicas float64
+		// wantTrades is the expected number of trades.
+		wantTrades int
 	}{
-		"beyond what is wanted":   {want: 1, trades: 1},
-		"some of what is wanted":  {want: 3, trades: 0},
-		"nothing could be spared": {want: 9, trades: 0},
+		"beyond what is wanted":   {wantReplicas: 1, wantTrades: 1},
+		"some of what is wanted":  {wantReplicas: 3, wantTrades: 0},
+		"nothing could be spared": {wantReplicas: 9, wantTrades: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,21 +70,21 @@
 				k.tradesAllowedAt, k.nextTrade = now, now.Add(time.Hour)
 				k.mu.Lock()
 				groups := k.observeGroups(service, w.inventory.View())
-				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.want, Have: 4}}
+				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.wantReplicas, Have: 4}}
 				k.startTrades(ctx, Input{Needs: needs, MaxLoads: 9}, groups, now)
-				trades := len(k.activeTrades)
+				tradeCount := len(k.activeTrades)
 				k.mu.Unlock()
 				cancel()
 				k.tasks.Wait()
 				w.pending.Wait()
 				assert.Equal(t, len(groups), 4)
-				assert.Equal(t, trades, test.trades)
+				assert.Equal(t, tradeCount, test.wantTrades)
 			})
 		})
 	}
 }
 
-// openTradableGroup lists two workers as an open group of the small model with the big model
+// openTradableGroup makes an open group of the small model with two workers that have the big model
 // staged. The caller must hold w.mu.
 func (w *world) openTradableGroup(head, other string, epoch int64) {
 	g := Group{Name: fleet.GroupName("small", epoch, nil), Epoch: epoch, Model: "small", Members: []string{head, other}}
