--- a/relay/bound.go
+++ b/relay/bound.go
@@ -8,30 +8,30 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Bound is this daemon's part of a bound on what replicas get from all daemons together. Its
-// zero value bounds nothing.
+// Bound is this daemon's share of a fleet-wide limit on the requests sent to replicas. The zero
+// value limits nothing.
 type Bound struct {
-	// Scarce returns a check for whether few requests may go to a replica; nil, or a nil
-	// result, if that makes no difference to choices.
+	// Scarce returns a function that reports whether a replica accepts only few requests. Scarce or
+	// its result may be nil if no replica does.
 	Scarce func() func(r *fleet.Replica) bool
-	// Check returns what is known at a time, as a check for whether a replica bears one more
-	// request; nil, or a nil result, if none is bounded.
+	// Check returns a function that reports whether a replica can take one more request at the
+	// given time. Check or its result may be nil if no replica is limited.
 	Check func(now time.Time) func(r *fleet.Replica) bool
-	// Take takes what a request needs to go to a replica, and returns until when it may be
-	// sent; the zero time for any time. It reports false if there is nothing to take.
+	// Take takes the token that a request needs to be sent to a replica, and returns the time by
+	// which it must be sent; zero for any time. It reports false if no token is left.
 	Take func(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool)
-	// Next returns when there is expected to be something to take.
+	// Next returns when the next token for a replica is expected.
 	Next func(r *fleet.Replica, now time.Time) time.Time
 }
 
-func (b Bound) check(now time.Time) func(r *fleet.Replica) bool {
+func (b Bound) checker(now time.Time) func(r *fleet.Replica) bool {
 	if b.Check == nil {
 		return nil
 	}
 	return b.Check(now)
 }
 
-func (b Bound) scarce() func(r *fleet.Replica) bool {
+func (b Bound) tightLimitChecker() func(r *fleet.Replica) bool {
 	if b.Scarce == nil {
 		return nil
 	}
@@ -45,16 +45,16 @@
 	return b.Take(r, now)
 }
 
-func (b Bound) next(r *fleet.Replica, now time.Time) time.Time {
+func (b Bound) nextToken(r *fleet.Replica, now time.Time) time.Time {
 	if b.Next == nil {
 		return now
 	}
 	return b.Next(r, now)
 }
 
-// take takes what an attempt needs to go to a replica. It reports false if another request
-// took it since the replica was judged.
-func (r *Relay) take(c *request, replica *fleet.Replica, now time.Time) bool {
+// takeTokens takes the tokens that an attempt at a replica needs. It reports false if another
+// request took the last one since the replica was classified.
+func (r *Relay) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
 	c.sendBy = time.Time{}
 	for _, bound := range []struct {
 		Bound
@@ -62,7 +62,7 @@
 	}{{r.opts.Rests, reason.Resting}, {r.opts.WarmUp, reason.WarmUp}, {r.opts.Limits, reason.Limited}} {
 		sendBy, ok := bound.take(replica, now)
 		if !ok {
-			c.lacked = bound.reason
+			c.exhaustedBound = bound.reason
 			return false
 		}
 		if c.sendBy.IsZero() || !sendBy.IsZero() && sendBy.Before(c.sendBy) {
@@ -72,53 +72,53 @@
 	return true
 }
 
-// boundMessages tell callers which bound leaves no replica.
+// boundMessages holds the messages to callers for each bound.
 var boundMessages = map[reason.Reason]string{
 	reason.WarmUp:  "the replicas are warming up",
 	reason.Limited: "the workers take no more requests now",
 	reason.Resting: "the workers want no requests for a while",
 }
 
-// bounded returns the refusal of a request that no replica bears yet, by which bound. Limits
-// and rests may last, and leave room for few of those that come back, or with other daemons
-// sooner than here, so these are spread.
-func (r *Relay) bounded(c *request, why reason.Reason, now time.Time) *refusal {
-	wait := r.boundedWait(c, now)
-	if why == reason.Limited || why == reason.Resting {
-		wait = r.spreadFrom(c, wait, now)
+// boundRefusal returns the refusal of a request for which no replica has a token left. Callers
+// refused because of limits or rests get random retry times. Tokens may stay scarce for long, and
+// callers that retry at the same time would be refused again.
+func (r *Relay) boundRefusal(c *request, cause reason.Reason, now time.Time) *refusal {
+	wait := r.boundRetryAfter(c, now)
+	if cause == reason.Limited || cause == reason.Resting {
+		wait = r.spreadRetryFrom(c, wait, now)
 	}
-	return unavailable(why, boundMessages[why], wait)
+	return newUnavailable(cause, boundMessages[cause], wait)
 }
 
-// boundedWait returns when a caller is to come back whose request no replica bears yet.
-func (r *Relay) boundedWait(c *request, now time.Time) time.Duration {
-	wait := retryClosed
+// boundRetryAfter returns after how long a caller should retry when no replica has a token left.
+func (r *Relay) boundRetryAfter(c *request, now time.Time) time.Duration {
+	retryAfter := retryClosed
 	for _, replica := range r.opts.View().Replicas(c.service, c.model) {
-		if !c.tried[replica.ID] {
-			wait = min(wait, r.nextOf(replica, now).Sub(now))
+		if !c.triedReplicas[replica.ID] {
+			retryAfter = min(retryAfter, r.availableAt(replica, now).Sub(now))
 		}
 	}
-	return max(wait, retrySoon)
+	return max(retryAfter, retrySoon)
 }
 
-// nextOf returns when a replica is expected to bear a request of this daemon.
-func (r *Relay) nextOf(replica *fleet.Replica, now time.Time) time.Time {
+// availableAt returns when a replica is expected to take a request from this daemon.
+func (r *Relay) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
 	for _, bound := range []Bound{r.opts.Rests, r.opts.WarmUp, r.opts.Limits} {
-		if at := bound.next(replica, now); at.After(next) {
+		if at := bound.nextToken(replica, now); at.After(next) {
 			next = at
 		}
 	}
 	return next
 }
 
-// isBounded reports whether a message has a token for one send.
-func (m *message) isBounded() bool { return !m.sendBy.IsZero() }
+// hasToken reports whether the message uses a token, which allows only one send.
+func (m *message) hasToken() bool { return !m.sendBy.IsZero() }
 
-// inTime returns an error if a message is about to be sent later than it may be, after the
-// opening of its connection took long or the process stood still.
-func (m *message) inTime(worker string, now time.Time) error {
-	if !m.isBounded() || !now.After(m.sendBy) {
+// checkSendBy returns an error if the message's token has expired, for example during a slow
+// connect.
+func (m *message) checkSendBy(worker string, now time.Time) error {
+	if !m.hasToken() || !now.After(m.sendBy) {
 		return nil
 	}
 	return &sendError{cause: failure.New(failure.Refused, "send to worker", worker, "%s too late for its token", now.Sub(m.sendBy))}
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -8,115 +8,117 @@
 )
 
 const (
-	// budgetShare is the part of the allowed repeats that is used.
-	budgetShare = 0.8
-	// budgetParts is into how many parts the window is cut for counting.
-	budgetParts = 20
-	// roundingWindows is in how many windows each daemon has had its turn to round up. In one
-	// window a tenth of them change over, which half of the part kept back bears.
+	// usedBudgetShare is the share of the retry budget that daemons use. The rest covers errors
+	// from rounding the daemons' shares to whole retries.
+	usedBudgetShare = 0.8
+	// budgetBuckets is the number of buckets into which the window is divided.
+	budgetBuckets = 20
+	// roundingWindows is the number of windows in a cycle, in which each daemon gets one turn to
+	// round up.
 	roundingWindows = 10
-	// roundingMargin is how many times the standard deviation of all daemons' rounding the
-	// part of the budget that is kept back must be.
+	// roundingMargin is the number of standard deviations of the fleet's total rounding error that
+	// the unused budget must cover.
 	roundingMargin = 4
 )
 
-// BudgetOptions bounds the repeats of a service over the fleet: in any window
-// at most Ratio times its requests, and Extra more.
+// BudgetOptions limits the retries of a service over the whole fleet. Any window may have at most
+// Ratio times as many retries as requests, plus Extra.
 type BudgetOptions struct {
 	Ratio  float64
 	Window time.Duration
 	Extra  float64
-	// Self names this daemon among those that share the extra.
+	// Self identifies this daemon among those that share Extra.
 	Self string
-	// Daemons returns how many daemons share the extra.
+	// Daemons returns how many daemons share Extra.
 	Daemons func() int
 }
 
-// budget counts a daemon's requests and repeats by service.
+// budget counts a daemon's requests and retries by service.
 type budget struct {
 	opts BudgetOptions
 
 	mu       sync.Mutex
-	services map[string]*tally
+	services map[string]*windowCounts
 }
 
-// tally holds the counts of the parts of a window.
-type tally struct {
-	part     int64
-	requests [budgetParts]float64
-	repeats  [budgetParts]float64
+// windowCounts holds the counts of a sliding window by bucket.
+type windowCounts struct {
+	currentBucket int64
+	requests      [budgetBuckets]float64
+	retries       [budgetBuckets]float64
 }
 
 func newBudget(opts BudgetOptions) *budget {
-	return &budget{opts: opts, services: make(map[string]*tally)}
+	return &budget{opts: opts, services: make(map[string]*windowCounts)}
 }
 
-// at returns the tally of a service, moved on to now, and the current part.
-func (b *budget) at(service string, now time.Time) (*tally, int) {
-	part := now.UnixNano() / (int64(b.opts.Window) / budgetParts)
-	t, ok := b.services[service]
+// countsAt returns the counts of a service after clearing buckets older than the window, and the
+// index of the current bucket.
+func (b *budget) countsAt(service string, now time.Time) (*windowCounts, int) {
+	bucket := now.UnixNano() / (int64(b.opts.Window) / budgetBuckets)
+	counts, ok := b.services[service]
 	if !ok {
-		t = &tally{part: part}
-		b.services[service] = t
+		counts = &windowCounts{currentBucket: bucket}
+		b.services[service] = counts
 	}
-	for t.part < part {
-		if part-t.part > budgetParts {
-			*t = tally{part: part}
+	for counts.currentBucket < bucket {
+		if bucket-counts.currentBucket > budgetBuckets {
+			*counts = windowCounts{currentBucket: bucket}
 			break
 		}
-		t.part++
-		t.requests[t.part%budgetParts], t.repeats[t.part%budgetParts] = 0, 0
+		counts.currentBucket++
+		counts.requests[counts.currentBucket%budgetBuckets], counts.retries[counts.currentBucket%budgetBuckets] = 0, 0
 	}
-	return t, int(part % budgetParts)
+	return counts, int(bucket % budgetBuckets)
 }
 
-// earn counts a request.
-func (b *budget) earn(service string, now time.Time) {
+// addRequest counts a request, which allows further retries.
+func (b *budget) addRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.at(service, now)
-	t.requests[i]++
+	counts, i := b.countsAt(service, now)
+	counts.requests[i]++
 }
 
-// take reports whether a repeat is allowed and counts it.
-func (b *budget) take(service string, now time.Time) bool {
+// takeRetry reports whether a retry is allowed, and counts it if so.
+func (b *budget) takeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.at(service, now)
-	requests, repeats := 0.0, 0.0
-	for p := range budgetParts {
-		requests += t.requests[p]
-		repeats += t.repeats[p]
+	counts, i := b.countsAt(service, now)
+	requests, retries := 0.0, 0.0
+	for p := range budgetBuckets {
+		requests += counts.requests[p]
+		retries += counts.retries[p]
 	}
 	extra := b.opts.Extra / float64(max(b.opts.Daemons(), 1))
-	if repeats+1 > b.round(budgetShare*(b.opts.Ratio*requests+extra), service, now) {
+	if retries+1 > b.roundShare(usedBudgetShare*(b.opts.Ratio*requests+extra), service, now) {
 		return false
 	}
-	t.repeats[i]++
+	counts.retries[i]++
 	return true
 }
 
-// round makes a daemon's share of repeats a whole number. In a large fleet shares are below
-// one: rounded down by all, a fleet of 986 that may repeat 1,040 requests repeated none of
-// those of a service that gets 67 a second. Daemons therefore round up in turns, as many of
-// them at any time as their shares say, where the part of the budget that is kept back bears
-// the chance in that.
-func (b *budget) round(share float64, service string, now time.Time) float64 {
-	whole, part := math.Modf(share)
+// roundShare rounds a daemon's share of retries to a whole number. In a large fleet shares are
+// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns. A
+// daemon whose share has a fraction of 0.3 rounds up for 30 % of the time. All daemons round down
+// if the unused part of the budget does not cover the rounding errors.
+func (b *budget) roundShare(share float64, service string, now time.Time) float64 {
+	whole, fraction := math.Modf(share)
 	daemons := float64(max(b.opts.Daemons(), 1))
-	spread := math.Sqrt(daemons) / 2
-	if (1-budgetShare)*b.opts.Extra < roundingMargin*spread {
+	deviation := math.Sqrt(daemons) / 2
+	if (1-usedBudgetShare)*b.opts.Extra < roundingMargin*deviation {
 		return whole
 	}
-	turn := float64(now.UnixNano()) / float64(roundingWindows*b.opts.Window.Nanoseconds())
-	if _, drawn := math.Modf(b.place(service) + turn); drawn < part {
+	cycles := float64(now.UnixNano()) / float64(roundingWindows*b.opts.Window.Nanoseconds())
+	if _, position := math.Modf(b.turnOffset(service) + cycles); position < fraction {
 		return whole + 1
 	}
 	return whole
 }
 
-// place returns a daemon's place among all in the turns of a service, from 0 to 1.
-func (b *budget) place(service string) float64 {
+// turnOffset returns this daemon's position in a service's cycle of turns, as a fraction of the
+// cycle.
+func (b *budget) turnOffset(service string) float64 {
 	h := fnv.New32a()
 	// Writing to a hash does not fail.
 	_, _ = h.Write([]byte(b.opts.Self + "/" + service))
--- a/relay/cost.go
+++ b/relay/cost.go
@@ -7,69 +7,72 @@
 )
 
 const (
-	// serviceTime is what a request is taken to hold a slot of a service that
-	// tells nothing of its times.
-	serviceTime = 30 * time.Millisecond
-	// usualAnswer is the length of an answer, in tokens, of an engine that
-	// tells none.
-	usualAnswer = 150
-	// crossZone is the cost of sending to another zone.
-	crossZone = 4 * time.Millisecond
-	// crowding is the cost of a replica whose slots are all taken, in multiples
-	// of a pass; it grows with the cube of the part that is taken, since loads
-	// that are told late add up the most where little is left.
-	crowding = 2.0
+	// defaultServiceTime is the assumed time for which a request holds a slot of a service
+	// without an engine.
+	defaultServiceTime = 30 * time.Millisecond
+	// defaultAnswerTokens is the assumed answer length, in tokens, of an engine that reports
+	// none.
+	defaultAnswerTokens = 150
+	// crossZoneCost is added to the predicted wait at replicas in another data hall.
+	crossZoneCost = 4 * time.Millisecond
+	// crowdingFactor is the time, in passes, that is added to the predicted wait at a replica whose
+	// slots are all taken. The added time is proportional to the cube of the occupied share, since
+	// errors of outdated loads matter most when few slots are left.
+	crowdingFactor = 2.0
 )
 
-// costs predicts how long a request waits at a replica for its first answer.
+// costs predicts how long a request waits at a replica for its first event.
 type costs struct {
 	slots float64
 	// perToken is the time to read a prompt token.
 	perToken time.Duration
-	// pass is the time of a pass without other requests, perRequest what each
-	// adds to it.
-	pass       time.Duration
+	// passTime is the duration of one pass of the engine over its batch if the batch is empty,
+	// perRequest the time that each request in the batch adds.
+	passTime   time.Duration
 	perRequest time.Duration
-	// service is how long a request holds its slot.
-	service time.Duration
-	// kept holds the workers to which a connection is kept.
-	kept map[string]bool
-	// fewest has the replica chosen that has the least work in flight: if the request ends
-	// it, the fewest others break with it.
-	fewest bool
-	// scarce reports whether few requests may go to a replica, so that one which may is not
-	// kept from it by a connection that has to be opened, or by chance; nil for none.
-	scarce func(r *fleet.Replica) bool
+	// slotTime is how long a request holds its slot.
+	slotTime time.Duration
+	// connectedWorkers holds the IDs of the workers to which a connection is kept.
+	connectedWorkers map[string]bool
+	// preferIdle makes choices prefer the replica with the fewest requests in flight, so that a
+	// crash caused by the request breaks the fewest others.
+	preferIdle bool
+	// tightlyLimited reports whether a replica accepts only few requests. Neither the cost of a
+	// connection nor random noise is added for such a replica. Nil if no replica is limited like
+	// that.
+	tightlyLimited func(r *fleet.Replica) bool
 }
 
-// isScarce reports whether few requests may go to a replica.
-func (c costs) isScarce(r *fleet.Replica) bool { return c.scarce != nil && c.scarce(r) }
+// isTightlyLimited reports whether a replica accepts only few requests.
+func (c costs) isTightlyLimited(r *fleet.Replica) bool {
+	return c.tightlyLimited != nil && c.tightlyLimited(r)
+}
 
-// costsOf returns the costs of a service and model; slots counts for services
-// without an engine.
+// costsOf returns the costs of a service and model. slots is used only for services without an
+// engine.
 func costsOf(e *fleet.Engine, model string, slots int) costs {
 	if e == nil {
-		return costs{slots: float64(max(slots, 1)), pass: serviceTime, service: serviceTime}
+		return costs{slots: float64(max(slots, 1)), passTime: defaultServiceTime, slotTime: defaultServiceTime}
 	}
 	c := costs{slots: float64(max(e.Slots, 1)), perToken: e.PerToken(model)}
-	c.pass, c.perRequest = e.Pass(model)
+	c.passTime, c.perRequest = e.Pass(model)
 	tokens := e.UsualAnswer
 	if tokens <= 0 {
-		tokens = usualAnswer
+		tokens = defaultAnswerTokens
 	}
-	pass := float64(c.pass) + c.slots*float64(c.perRequest)
-	c.service = time.Duration(float64(tokens) * pass / float64(max(e.Stride, 1)))
+	pass := float64(c.passTime) + c.slots*float64(c.perRequest)
+	c.slotTime = time.Duration(float64(tokens) * pass / float64(max(e.Stride, 1)))
 	return c
 }
 
-// wait returns the predicted wait at a replica with work in flight and prompt
-// tokens to be read before.
-func (c costs) wait(busy float64, prefill int) time.Duration {
-	w := time.Duration(prefill)*c.perToken + time.Duration(busy*float64(c.perRequest))
-	filled := busy / c.slots
-	w += time.Duration(crowding * filled * filled * filled * float64(c.pass))
-	if queued := busy - c.slots + 1; queued > 0 {
-		w += time.Duration(queued / c.slots * float64(c.service))
+// predictedWait returns the predicted wait for the first event at a replica with the given numbers
+// of requests in flight and unread prompt tokens.
+func (c costs) predictedWait(inFlight float64, unreadTokens int) time.Duration {
+	wait := time.Duration(unreadTokens)*c.perToken + time.Duration(inFlight*float64(c.perRequest))
+	occupiedShare := inFlight / c.slots
+	wait += time.Duration(crowdingFactor * occupiedShare * occupiedShare * occupiedShare * float64(c.passTime))
+	if queued := inFlight - c.slots + 1; queued > 0 {
+		wait += time.Duration(queued / c.slots * float64(c.slotTime))
 	}
-	return w
+	return wait
 }
--- a/relay/events.go
+++ b/relay/events.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// eventEnd ends an event of a stream.
+// eventEnd terminates an event of a stream.
 var eventEnd = []byte("\n\n")
 
-// idField begins the line of an event that carries its id.
+// idField starts the line of an event that carries its ID.
 var idField = []byte("id:")
 
-// splitEvents cuts data after its last whole event.
-func splitEvents(data []byte) (whole, rest []byte) {
+// splitEvents splits data after its last complete event.
+func splitEvents(data []byte) (events, rest []byte) {
 	i := bytes.LastIndex(data, eventEnd)
 	if i < 0 {
 		return nil, data
@@ -17,12 +17,11 @@
 	return data[:i+len(eventEnd)], data[i+len(eventEnd):]
 }
 
-// lastID returns the id of the last event in whole events, or an empty string
-// when none has one.
-func lastID(whole []byte) string {
-	for end := len(whole); end > 0; {
-		start := bytes.LastIndexByte(whole[:end-1], '\n') + 1
-		if value, ok := bytes.CutPrefix(whole[start:end], idField); ok {
+// lastID returns the ID of the last event that has one, or an empty string.
+func lastID(events []byte) string {
+	for end := len(events); end > 0; {
+		start := bytes.LastIndexByte(events[:end-1], '\n') + 1
+		if value, ok := bytes.CutPrefix(events[start:end], idField); ok {
 			return string(bytes.TrimSpace(value))
 		}
 		end = start
--- a/relay/holdings.go
+++ b/relay/holdings.go
@@ -11,49 +11,50 @@
 )
 
 const (
-	// accountPart is which part of the daemon's bound one client account may hold, so that
-	// the slow callers of one account leave room for those of others.
-	accountPart = 0.25
-	// firstStep is how much room a body takes at first, in bytes. It doubles as the body
-	// comes: what was announced and is never sent takes none.
-	firstStep = 2 << 10
-	// roomPoll is how often an answer that finds no room looks again.
-	roomPoll = 20 * time.Millisecond
+	// maxAccountShare is the part of the daemon's limit that one client account may use, so that
+	// slow callers of one account leave memory for others.
+	maxAccountShare = 0.25
+	// initialBufferBytes is the initial buffer size of a body. The buffer grows as data arrives, so
+	// that a body that is announced but not sent takes little memory.
+	initialBufferBytes = 2 << 10
+	// memoryPollInterval is the interval at which an answer that waits for memory tries to reserve
+	// it.
+	memoryPollInterval = 20 * time.Millisecond
 )
 
-var errNoRoom = errors.New("the daemon holds as much as it may")
+var errMemoryLimit = errors.New("the daemon holds as much as it may")
 
-// Holdings bounds the bytes that a daemon holds for callers and workers: bodies of requests,
-// and answers that are read whole before they are passed on. Streams hold one event each.
-// It is safe for concurrent use.
+// Holdings limits the bytes that a daemon buffers for callers and workers: bodies of requests, and
+// answers that are read completely before they are forwarded. The small buffers of streams are not
+// counted. It is safe for concurrent use.
 type Holdings struct {
-	most int64
+	limit int64
 
 	mu        sync.Mutex
 	total     int64
 	byAccount map[string]int64
 }
 
-// NewHoldings returns holdings of at most so many bytes; zero for no bound.
-func NewHoldings(most int64) *Holdings {
-	return &Holdings{most: most, byAccount: make(map[string]int64)}
+// NewHoldings returns Holdings with a limit in bytes; zero for no limit.
+func NewHoldings(limit int64) *Holdings {
+	return &Holdings{limit: limit, byAccount: make(map[string]int64)}
 }
 
-// Held returns the bytes held.
+// Held returns the number of bytes in use.
 func (h *Holdings) Held() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.total
 }
 
-// take takes room for an account's bytes and reports whether there was any. An account that
-// holds nothing yet may take its first part.
-func (h *Holdings) take(account string, bytes int64) bool {
+// reserve reserves bytes for an account and reports whether they were available. The account's
+// share does not limit its first reservation.
+func (h *Holdings) reserve(account string, bytes int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.byAccount[account]
-	mostOfAccount := int64(accountPart * float64(h.most))
-	if h.most > 0 && (h.total+bytes > h.most || held > 0 && held+bytes > mostOfAccount) {
+	accountLimit := int64(maxAccountShare * float64(h.limit))
+	if h.limit > 0 && (h.total+bytes > h.limit || held > 0 && held+bytes > accountLimit) {
 		return false
 	}
 	h.total += bytes
@@ -61,7 +62,7 @@
 	return true
 }
 
-func (h *Holdings) give(account string, bytes int64) {
+func (h *Holdings) release(account string, bytes int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.total -= bytes
@@ -70,48 +71,49 @@
 	}
 }
 
-// holding is what is held for one request.
-type holding struct {
+// requestMemory is the memory reserved for one request.
+type requestMemory struct {
 	holdings *Holdings
 	account  string
 	bytes    int64
 }
 
-// grow takes room for further bytes.
-func (o *holding) grow(bytes int64) bool {
-	if !o.holdings.take(o.account, bytes) {
+// grow reserves further bytes and reports whether they were available.
+func (m *requestMemory) grow(bytes int64) bool {
+	if !m.holdings.reserve(m.account, bytes) {
 		return false
 	}
-	o.bytes += bytes
+	m.bytes += bytes
 	return true
 }
 
-// end gives all room back.
-func (o *holding) end() {
-	o.holdings.give(o.account, o.bytes)
-	o.bytes = 0
+// release releases all reserved memory.
+func (m *requestMemory) release() {
+	m.holdings.release(m.account, m.bytes)
+	m.bytes = 0
 }
 
-// read reads up to most bytes and one more, which tells that there were too many. It takes
-// room as bytes come, by what wait does when there is none.
-func (o *holding) read(from io.Reader, most int64, wait func() error) ([]byte, error) {
+// read reads up to limit bytes plus one, so that callers can detect a longer body. It reserves
+// memory as data arrives. When no memory is left, it calls wait and tries again, or returns the
+// error of wait.
+func (m *requestMemory) read(body io.Reader, limit int64, wait func() error) ([]byte, error) {
 	var all []byte
-	from = io.LimitReader(from, most+1)
+	body = io.LimitReader(body, limit+1)
 	for step := 0; ; {
 		if len(all) == cap(all) {
-			step = max(2*step, firstStep)
-			for !o.grow(int64(step)) {
+			step = max(2*step, initialBufferBytes)
+			for !m.grow(int64(step)) {
 				if err := wait(); err != nil {
 					return nil, err
 				}
 			}
 			all = append(make([]byte, 0, len(all)+step), all...)
 		}
-		n, err := from.Read(all[len(all):cap(all)])
+		n, err := body.Read(all[len(all):cap(all)])
 		all = all[:len(all)+n]
 		switch {
 		case errors.Is(err, io.EOF):
-			o.shrink(int64(cap(all) - len(all)))
+			m.shrink(int64(cap(all) - len(all)))
 			return all, nil
 		case err != nil:
 			return nil, err
@@ -119,20 +121,21 @@
 	}
 }
 
-// shrink gives back room that turned out not to be needed.
-func (o *holding) shrink(bytes int64) {
-	o.holdings.give(o.account, bytes)
-	o.bytes -= bytes
+// shrink releases memory that turned out not to be needed.
+func (m *requestMemory) shrink(bytes int64) {
+	m.holdings.release(m.account, bytes)
+	m.bytes -= bytes
 }
 
-// refuseWhenFull is the wait of a body: the request has not run, so it is refused.
-func refuseWhenFull() error { return errNoRoom }
+// failWhenFull is the wait function for reading bodies of requests. It fails at once, because a
+// request that has not run can be refused.
+func failWhenFull() error { return errMemoryLimit }
 
-// waitForRoom is the wait of an answer: it was made, so it is read as soon as there is room,
-// and the worker is held up until then.
-func waitForRoom(ctx context.Context) func() error {
+// waitForMemory returns the wait function for reading answers. It pauses until the next attempt,
+// because a request that has run should get its answer. It fails when ctx ends.
+func waitForMemory(ctx context.Context) func() error {
 	return func() error {
-		pause.For(ctx, roomPoll)
+		pause.For(ctx, memoryPollInterval)
 		return context.Cause(ctx)
 	}
 }
--- a/relay/reservation.go
+++ b/relay/reservation.go
@@ -2,45 +2,46 @@
 
 import "quartzshelf.dev/fleet"
 
-// Reservation is a request counted at a replica.
+// Reservation is a request counted as in flight at a replica.
 type Reservation struct {
 	tracker *Tracker
 	load    *replicaLoad
-	// prompt is the number of prompt tokens, prefill how many of them are to be read.
-	prompt  int
-	prefill int
-	ended   bool
+	// promptTokens is the number of prompt tokens, unreadTokens how many of them the replica has
+	// not read yet.
+	promptTokens int
+	unreadTokens int
+	isReleased   bool
 }
 
-// Begin counts a request with a number of prompt tokens to be read.
-func (t *Tracker) Begin(r *fleet.Replica, prompt int) *Reservation {
+// Reserve counts a request with the given number of unread prompt tokens as in flight.
+func (t *Tracker) Reserve(r *fleet.Replica, promptTokens int) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.loadOf(r)
 	s.inFlight++
-	s.prefill += prompt
-	s.prompts += prompt
-	t.traffic = t.traffic || prompt > 0
-	return &Reservation{tracker: t, load: s, prompt: prompt, prefill: prompt}
+	s.unreadTokens += promptTokens
+	s.promptTokens += promptTokens
+	t.hasTraffic = t.hasTraffic || promptTokens > 0
+	return &Reservation{tracker: t, load: s, promptTokens: promptTokens, unreadTokens: promptTokens}
 }
 
-// Started notes that the prompt was read.
-func (r *Reservation) Started() {
+// MarkPromptRead records that the replica has read the prompt.
+func (r *Reservation) MarkPromptRead() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
-	r.load.prefill -= r.prefill
-	r.prefill = 0
+	r.load.unreadTokens -= r.unreadTokens
+	r.unreadTokens = 0
 }
 
-// End ends the count; further calls do nothing.
-func (r *Reservation) End() {
+// Release removes the request from the count; further calls do nothing.
+func (r *Reservation) Release() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
-	if r.ended {
+	if r.isReleased {
 		return
 	}
-	r.ended = true
+	r.isReleased = true
 	r.load.inFlight--
-	r.load.prefill -= r.prefill
-	r.load.prompts -= r.prompt
+	r.load.unreadTokens -= r.unreadTokens
+	r.load.promptTokens -= r.promptTokens
 }
--- a/relay/signals_test.go
+++ b/relay/signals_test.go
@@ -14,21 +14,21 @@
 	"quartzshelf.dev/fleet"
 )
 
-// heardSignals collects what workers said of themselves.
-type heardSignals struct {
+// signalRecorder collects the signals of workers.
+type signalRecorder struct {
 	mu  sync.Mutex
 	all []backpressure.Signal
 }
 
-func (h *heardSignals) take(_ *fleet.Worker, s backpressure.Signal, _, _ time.Time) {
+func (h *signalRecorder) record(_ *fleet.Worker, s backpressure.Signal, _, _ time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.all = append(h.all, s)
 }
 
-// TestSignalsAreHeard: what a worker says of itself is read on each way to it, also where its
-// answer turns the request away, but not from an answer of another worker.
-func TestSignalsAreHeard(t *testing.T) {
+// TestSignalsAreRead: signals are read from all answers, rejections included, except those of
+// another worker.
+func TestSignalsAreRead(t *testing.T) {
 	const limit = "X-Limit: 1.5\r\n"
 	limited := []backpressure.Signal{{Limited: true, PerSecond: 1.5}}
 	tests := map[string]struct {
@@ -50,20 +50,20 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w", test.script...)
-			w.header = test.header
+			w.extraHeader = test.header
 			r, server := newTestRelay(t, w)
-			var heard heardSignals
-			r.opts.Names.Asks, r.opts.Signalled = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, heard.take
-			do(t, server, test.path, "x", nil)
-			heard.mu.Lock()
-			defer heard.mu.Unlock()
-			assert.DeepEqual(t, heard.all, test.want)
+			var recorder signalRecorder
+			r.opts.Names.Asks, r.opts.Signalled = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, recorder.record
+			sendRequest(t, server, test.path, "x", nil)
+			recorder.mu.Lock()
+			defer recorder.mu.Unlock()
+			assert.DeepEqual(t, recorder.all, test.want)
 		})
 	}
 }
 
-// TestBoundedIsRefused: where all workers name limits that leave no room, or rest, a request
-// is refused at once, with a time within that which its caller heeds.
+// TestBoundedIsRefused: if all workers are limited or resting, a request is refused at once, with
+// a retry time that its caller follows.
 func TestBoundedIsRefused(t *testing.T) {
 	bounds := map[string]func(o *Options, b Bound){
 		"limited": func(o *Options, b Bound) { o.Limits = b },
@@ -76,7 +76,7 @@
 				r, server := newTestRelay(t, w)
 				tokens := &fakeTokens{left: map[string]int{"w": 0, "w-model": 0}}
 				bound(&r.opts, Bound{Check: tokens.check, Take: tokens.take, Next: tokens.next})
-				got := do(t, server, path, "x", nil)
+				got := sendRequest(t, server, path, "x", nil)
 				assert.Equal(t, got.status, http.StatusServiceUnavailable)
 				assert.Assert(t, strings.Contains(got.body, why), got.body)
 				after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -88,16 +88,16 @@
 	}
 }
 
-// TestOneTokenSendsOnce: a request that has a token is not sent again to the same worker where
-// that dropped the connection, since it may have come there.
+// TestOneTokenSendsOnce: a request with a token is not sent again on a new connection, since it
+// may have arrived the first time.
 func TestOneTokenSendsOnce(t *testing.T) {
 	w := newFakeWorker(t, "w", answers, drops)
 	r, server := newTestRelay(t, w)
 	tokens := &fakeTokens{left: map[string]int{"w": 2}}
 	r.opts.Limits = Bound{Check: tokens.check, Take: tokens.take, Next: tokens.next}
-	assert.Equal(t, do(t, server, "/safe/", "first", nil).status, http.StatusOK)
-	assert.Equal(t, do(t, server, "/safe/", "second", nil).status, http.StatusBadGateway)
+	assert.Equal(t, sendRequest(t, server, "/safe/", "first", nil).status, http.StatusOK)
+	assert.Equal(t, sendRequest(t, server, "/safe/", "second", nil).status, http.StatusBadGateway)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	assert.Equal(t, len(w.heads), 2)
+	assert.Equal(t, len(w.received), 2)
 }
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -15,128 +15,134 @@
 )
 
 const (
-	// surplusMost is how many answers to earlier requests are passed over.
-	surplusMost = 2
-	// surplusBody bounds the body of such an answer, in bytes.
-	surplusBody = 1 << 20
-	// lingerMost bounds what is read to free a connection after an answer.
-	lingerMost = 1 << 10
+	// maxAnswersRead limits the answers that are read for one request. Interim (1xx) answers and
+	// answers to other requests are skipped.
+	maxAnswersRead = 2
+	// maxForeignBodyBytes limits the body of a skipped answer.
+	maxForeignBodyBytes = 1 << 20
+	// maxDiscardBytes limits what is read to free a connection after an answer.
+	maxDiscardBytes = 1 << 10
 )
 
 var (
-	errStalled = errors.New("the replica fell silent")
-	errQuiet   = fmt.Errorf("its stream alone: %w", errStalled)
-	errSurplus = errors.New("the answer belongs to another request")
+	errReplicaSilent = errors.New("the replica fell silent")
+	errStreamSilent  = fmt.Errorf("on this stream only: %w", errReplicaSilent)
+	errForeignAnswer = errors.New("the answer belongs to another request")
 )
 
-// sendError tells whether a request that failed may have reached its worker.
+// sendError is the error of a failed exchange. mayHaveArrived reports whether the worker may have
+// received the request.
 type sendError struct {
-	sent  bool
-	cause error
+	mayHaveArrived bool
+	cause          error
 }
 
 func (e *sendError) Error() string { return e.cause.Error() }
 
 func (e *sendError) Unwrap() error { return e.cause }
 
-// wasSent reports whether a failed request may have reached its worker.
-func wasSent(err error) bool {
+// mayHaveArrived reports whether the worker may have received a request that failed with err. Only
+// a sendError can rule that out.
+func mayHaveArrived(err error) bool {
 	var s *sendError
-	return !errors.As(err, &s) || s.sent
+	return !errors.As(err, &s) || s.mayHaveArrived
 }
 
-// exchange is a request on its way and the answer that began.
+// exchange is a request to a worker whose answer's header has arrived.
 type exchange struct {
 	ctx      context.Context
 	conn     *connection
 	upstream *upstream
 	response *http.Response
-	// release undoes the closing of the connection on cancellation.
-	release func() bool
-	// resent tells that the worker may have had the request before, over a
+	// stopCloseOnCancel prevents the connection from being closed when ctx ends. It returns false
+	// if ctx has already ended.
+	stopCloseOnCancel func() bool
+	// resent reports whether the worker may have received the request before, over a
 	// connection that broke.
 	resent bool
 }
 
-// send passes a request on and returns once the head of its answer came. The
-// connection is closed as soon as ctx ends. A request is sent again to the same
-// worker if that had dropped the kept connection, unless it may have come there and must
-// not run twice, or has a token for one send alone.
+// send sends a request and returns once the header of its answer has arrived. The connection is
+// closed as soon as ctx ends. If the worker resets a kept connection instead of answering, the
+// request is sent again over a new one. A request that may have arrived is not sent again if it
+// must run at most once or if its token allows only one send.
 func (u *upstream) send(ctx context.Context, w *fleet.Worker, m *message) (*exchange, error) {
-	c, err := u.get(ctx, w, idleFor(m.once))
+	c, err := u.get(ctx, w, maxIdleFor(m.atMostOnce))
 	if err != nil {
 		return nil, err
 	}
 	e, err := u.exchange(ctx, c, m)
-	sent := wasSent(err)
-	if err == nil || c.idled == 0 || ctx.Err() != nil || !isReset(err) || sent && (m.once || m.isBounded()) {
+	sent := mayHaveArrived(err)
+	if err == nil || c.idleBefore == 0 || ctx.Err() != nil || !isReset(err) || sent && (m.atMostOnce || m.hasToken()) {
 		return e, withCause(ctx, w.ID, err)
 	}
 	if c, err = u.open(ctx, w); err == nil {
 		e, err = u.exchange(ctx, c, m)
 	}
 	if err != nil {
-		return nil, withCause(ctx, w.ID, &sendError{sent: sent || wasSent(err), cause: err})
+		return nil, withCause(ctx, w.ID, &sendError{mayHaveArrived: sent || mayHaveArrived(err), cause: err})
 	}
 	e.resent = sent
 	return e, nil
 }
 
-// exchange sends a request over a connection and reads the head of its answer.
+// exchange sends a request over a connection and reads the header of its answer.
 func (u *upstream) exchange(ctx context.Context, c *connection, m *message) (*exchange, error) {
 	release := context.AfterFunc(ctx, func() { _ = c.Close() })
 	response, err := c.roundTrip(m)
 	if err != nil {
 		release()
 		_ = c.Close()
-		u.noteUnanswered(ctx, c, err)
+		u.recordUnanswered(ctx, c, err)
 		return nil, err
 	}
-	return &exchange{ctx: ctx, conn: c, upstream: u, response: response, release: release}, nil
+	return &exchange{ctx: ctx, conn: c, upstream: u, response: response, stopCloseOnCancel: release}, nil
 }
 
-// noteUnanswered notes that a request got no answer. On a new connection only
-// silence says something of the others, and a caller that left says nothing.
-func (u *upstream) noteUnanswered(ctx context.Context, c *connection, err error) {
-	kept := c.idled > 0
+// recordUnanswered handles a request that got no answer. It closes the worker's idle connections if
+// the worker fell silent or the request used a kept connection. It does nothing if the caller has
+// disconnected.
+func (u *upstream) recordUnanswered(ctx context.Context, c *connection, err error) {
+	isKept := c.idleBefore > 0
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.Canceled):
-	case errors.Is(cause, errStalled):
-		u.distrust(c.worker)
-	case kept:
-		u.distrust(c.worker)
+	case errors.Is(cause, errReplicaSilent):
+		u.closeWorkerConnections(c.worker)
+	case isKept:
+		u.closeWorkerConnections(c.worker)
 		if cause == nil && isReset(err) {
-			u.noteReset(c, time.Now())
+			u.recordReset(c, time.Now())
 		}
 	}
 }
 
-// withCause adds why the context ended to an error that this brought about.
+// withCause wraps err as a sendError for the worker. If ctx has ended, its cause is wrapped instead
+// of err. A nil err stays nil.
 func withCause(ctx context.Context, worker string, err error) error {
 	if err == nil {
 		return nil
 	}
-	sent := wasSent(err)
+	sent := mayHaveArrived(err)
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
-	return &sendError{sent: sent, cause: failure.At(failure.Remote, "exchange with worker", worker, err)}
+	return &sendError{mayHaveArrived: sent, cause: failure.At(failure.Remote, "exchange with worker", worker, err)}
 }
 
-// roundTrip writes the request and reads the head of its answer. Answers to
-// earlier requests that come late are passed over.
+// roundTrip writes the request and reads the header of its answer. Late answers to earlier
+// requests are skipped.
 func (c *connection) roundTrip(m *message) (*http.Response, error) {
-	if err := m.inTime(c.worker, time.Now()); err != nil {
+	if err := m.checkSendBy(c.worker, time.Now()); err != nil {
 		return nil, err
 	}
 	n, err := c.Write(m.encoded)
 	if err != nil {
-		return nil, &sendError{sent: n > 0, cause: err}
+		return nil, &sendError{mayHaveArrived: n > 0, cause: err}
 	}
-	for range surplusMost {
+	for range maxAnswersRead {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: m.method})
 		if err != nil {
-			return nil, &sendError{sent: true, cause: err}
+			return nil, &sendError{mayHaveArrived: true, cause: err}
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -144,60 +150,62 @@
 		if id := response.Header.Get(m.attemptName); id == "" || id == m.attempt {
 			return response, nil
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, surplusBody)); err != nil {
-			return nil, &sendError{sent: true, cause: err}
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBodyBytes)); err != nil {
+			return nil, &sendError{mayHaveArrived: true, cause: err}
 		}
 	}
-	return nil, &sendError{sent: true, cause: errSurplus}
+	return nil, &sendError{mayHaveArrived: true, cause: errForeignAnswer}
 }
 
-// finish ends an exchange whose answer was read to its end and keeps the
-// connection if the worker does.
+// finish ends an exchange whose answer was read completely. It keeps the connection if the worker
+// allows that, and closes it otherwise.
 func (e *exchange) finish() {
-	if !e.release() || e.response.Close || e.response.ContentLength < 0 && !chunked(e.response) {
+	if !e.stopCloseOnCancel() || e.response.Close || e.response.ContentLength < 0 && !isChunked(e.response) {
 		_ = e.conn.Close()
 		return
 	}
-	e.upstream.put(e.conn, keepFor(e.response.Header.Get("Keep-Alive")))
+	e.upstream.put(e.conn, keepAliveFor(e.response.Header.Get("Keep-Alive")))
 }
 
-// abort ends an exchange early, which tells the worker to stop.
+// abort ends an exchange early by closing its connection, so that the worker can stop. If the
+// replica fell silent, the idle connections to the worker are closed as well.
 func (e *exchange) abort() {
-	e.release()
+	e.stopCloseOnCancel()
 	_ = e.conn.Close()
-	if errors.Is(context.Cause(e.ctx), errStalled) {
-		e.upstream.distrust(e.conn.worker)
+	if errors.Is(context.Cause(e.ctx), errReplicaSilent) {
+		e.upstream.closeWorkerConnections(e.conn.worker)
 	}
 }
 
-// discard reads the rest of a short answer, so that its connection can be kept.
+// discard reads the rest of a short answer, so that its connection can be kept. It aborts the
+// exchange if the answer is long.
 func (e *exchange) discard() {
-	n, err := io.Copy(io.Discard, io.LimitReader(e.response.Body, lingerMost))
-	if err != nil || n >= lingerMost {
+	n, err := io.Copy(io.Discard, io.LimitReader(e.response.Body, maxDiscardBytes))
+	if err != nil || n >= maxDiscardBytes {
 		e.abort()
 		return
 	}
 	e.finish()
 }
 
-func chunked(r *http.Response) bool {
+func isChunked(r *http.Response) bool {
 	return len(r.TransferEncoding) > 0 && r.TransferEncoding[0] == "chunked"
 }
 
-// message is a request as it goes to a worker.
+// message is a request as sent to a worker.
 type message struct {
 	method  string
 	encoded []byte
-	// attempt is the request's identity, attemptName its header.
+	// attempt is the request's ID, attemptName the name of the header that carries it.
 	attempt     string
 	attemptName string
-	// sendBy is until when it may be sent; the zero time for any time.
+	// sendBy is the time by which the message must be sent; zero for any time.
 	sendBy time.Time
-	// once tells that the request must not be repeated.
-	once bool
+	// atMostOnce reports whether the request must not be repeated.
+	atMostOnce bool
 }
 
-// encode writes a request head and body into one buffer.
+// encode writes a request's header and body into one buffer.
 func encode(method, target, host string, header http.Header, body []byte) []byte {
 	var b bytes.Buffer
 	b.Grow(len(body) + 1024)
