--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -26,14 +26,14 @@
 		situation Situation
 		want      reason.Reason
 	}{
-		"full":                            {full, reason.Overloaded},
-		"full, high priority":             {change(func(s *Situation) { s.Priority = 1 }), ""},
-		"room left by the others":         {change(func(s *Situation) { s.Reported = 0.5 }), ""},
-		"own part not used up":            {change(func(s *Situation) { s.InFlight = 60 }), ""},
-		"low priority is refused sooner":  {change(func(s *Situation) { s.InFlight, s.Priority = 85, -2 }), reason.Overloaded},
-		"large account is held to a part": {change(func(s *Situation) { s.InFlight, s.Own = 95, 50 }), reason.FairShare},
-		"small account passes it by":      {change(func(s *Situation) { s.InFlight, s.Own = 95, 2 }), ""},
-		"flood":                           {change(func(s *Situation) { s.InFlight, s.Reported = 0, 4 }), reason.Overloaded},
+		"full":                                    {full, reason.Overloaded},
+		"full, high priority":                     {change(func(s *Situation) { s.Priority = 1 }), ""},
+		"capacity left by other daemons":          {change(func(s *Situation) { s.Reported = 0.5 }), ""},
+		"own share not used up":                   {change(func(s *Situation) { s.InFlight = 60 }), ""},
+		"low priority is refused sooner":          {change(func(s *Situation) { s.InFlight, s.Priority = 85, -2 }), reason.Overloaded},
+		"a large account is limited to its share": {change(func(s *Situation) { s.InFlight, s.Own = 95, 50 }), reason.FairShare},
+		"a small account is accepted":             {change(func(s *Situation) { s.InFlight, s.Own = 95, 2 }), ""},
+		"flood":                                   {change(func(s *Situation) { s.InFlight, s.Reported = 0, 4 }), reason.Overloaded},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -47,46 +47,46 @@
 	}
 }
 
-// heldLease is what a daemon believes it holds.
+// heldLease is a lease that a daemon holds.
 type heldLease struct {
 	share     float64
 	expiresAt time.Time
 }
 
 const (
-	leasedLimit   = 100.0
-	leasingFleet  = 5
-	homeIsLost    = 60
-	leaseStepTime = 400 * time.Millisecond
+	testLimit    = 100.0
+	testDaemons  = 5
+	homeLossStep = 60
+	stepDuration = 400 * time.Millisecond
 )
 
-// leaseAll takes steps, each a daemon's lease or the loss of the home, and
-// returns how the limit was exceeded, if it was.
-func leaseAll(t *testing.T, steps []int) string {
+// simulateLeases runs the steps: in each, a daemon requests a lease or the home is replaced by a
+// new one. If the limit was exceeded, it returns a description of that.
+func simulateLeases(t *testing.T, steps []int) string {
 	problem := ""
 	synctest.Test(t, func(*testing.T) {
 		home := NewHome()
 		leases := make(map[string]heldLease)
 		for _, step := range steps {
-			time.Sleep(time.Duration(step%7) * leaseStepTime)
-			if step == homeIsLost {
+			time.Sleep(time.Duration(step%7) * stepDuration)
+			if step == homeLossStep {
 				home = NewHome()
 				continue
 			}
-			daemon := fmt.Sprint("entry-", step%leasingFleet)
-			share, expiresAt := home.Lease("a", daemon, leasedLimit, float64(step))
+			daemon := fmt.Sprint("entry-", step%testDaemons)
+			share, expiresAt := home.Lease("a", daemon, testLimit, float64(step))
 			leases[daemon] = heldLease{share, expiresAt}
-			if sum := inForce(leases); sum > leasedLimit+1e-6 {
-				problem = fmt.Sprintf("leases and floors of %g exceed %g", sum, leasedLimit)
+			if sum := sumInForce(leases); sum > testLimit+1e-6 {
+				problem = fmt.Sprintf("leases and floors of %g exceed %g", sum, testLimit)
 			}
 		}
 	})
 	return problem
 }
 
-// inForce returns the sum of the leases in force and of all floors.
-func inForce(leases map[string]heldLease) float64 {
-	sum := leasingFleet * Floor(leasedLimit, leasingFleet)
+// sumInForce returns the sum of the leases that have not expired and of the floors of all daemons.
+func sumInForce(leases map[string]heldLease) float64 {
+	sum := testDaemons * Floor(testLimit, testDaemons)
 	for _, l := range leases {
 		if time.Now().Before(l.expiresAt) {
 			sum += l.share
@@ -95,12 +95,12 @@
 	return sum
 }
 
-// TestLeasesNeverExceedTheLimit draws daemons that lease, stop leasing and come
-// back, and a home that is lost and replaced by one that knows nothing.
+// TestLeasesNeverExceedTheLimit checks that the leases never exceed the limit if daemons request
+// leases at arbitrary times and homes are replaced by new ones without state.
 func TestLeasesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		steps := rapid.SliceOfN(rapid.IntRange(0, homeIsLost), 1, 80).Draw(rt, "steps")
-		if problem := leaseAll(t, steps); problem != "" {
+		steps := rapid.SliceOfN(rapid.IntRange(0, homeLossStep), 1, 80).Draw(rt, "steps")
+		if problem := simulateLeases(t, steps); problem != "" {
 			rt.Fatal(problem)
 		}
 	})
--- a/allowance/share_test.go
+++ b/allowance/share_test.go
@@ -18,16 +18,16 @@
 		least     float64
 		most      float64
 	}{
-		"a large fleet":             {Bound{1.5, 5}, 14, 90, holdersMost, 1, 14.0 / holdersMost},
-		"one daemon":                {Bound{1.5, 5}, 14, 1, 1, 10, 11},
-		"no daemon is known":        {Bound{1.5, 5}, 14, 0, 1, 10, 11},
-		"workers that bear little":  {Bound{1.5, 2}, 2, 90, 1, 0.5, 1},
-		"one view is counted on":    {Bound{1, 0}, 2.5, 90, 1, 0.2, 0.5},
-		"nothing may be sent":       {Bound{1, 0}, 1, 90, 1, 0, 0},
-		"no burst is named":         {Bound{}, 14, 90, holdersMost, 2, 2.1},
-		"slack that is no slack":    {Bound{1.5, -5}, 14, 90, holdersMost, 3, 4},
-		"never more than it bears":  {Bound{1.5, 500}, 14, 90, holdersMost, 14.0 / holdersMost, 14.0 / holdersMost},
-		"few daemons send the most": {Bound{1.5, 5}, 14, 2, 2, 4, 5},
+		"a large fleet":                 {Bound{1.5, 5}, 14, 90, maxHolders, 1, 14.0 / maxHolders},
+		"one daemon":                    {Bound{1.5, 5}, 14, 1, 1, 10, 11},
+		"no daemon is known":            {Bound{1.5, 5}, 14, 0, 1, 10, 11},
+		"workers with a low limit":      {Bound{1.5, 2}, 2, 90, 1, 0.5, 1},
+		"only one view is assumed":      {Bound{1, 0}, 2.5, 90, 1, 0.2, 0.5},
+		"nothing may be sent":           {Bound{1, 0}, 1, 90, 1, 0, 0},
+		"no burst is named":             {Bound{}, 14, 90, maxHolders, 2, 2.1},
+		"negative slack":                {Bound{1.5, -5}, 14, 90, maxHolders, 3, 4},
+		"no more than the worker bears": {Bound{1.5, 500}, 14, 90, maxHolders, 14.0 / maxHolders, 14.0 / maxHolders},
+		"few daemons send the most":     {Bound{1.5, 5}, 14, 2, 2, 4, 5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,14 +38,14 @@
 	}
 }
 
-// TestHolders: among any daemons a worker has as many holders as it should, and one that
-// is added takes the place of one at most.
+// TestHolders checks that a worker has the given number of holders, and that adding a daemon
+// replaces at most one of them.
 func TestHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,3}-[0-9]{1,2}`), 1, 30, rapid.ID[string]).Draw(t, "members")
 		worker := rapid.StringMatching(`i-[0-9a-f]{4}`).Draw(t, "worker")
 		holders := rapid.IntRange(1, 5).Draw(t, "holders")
-		of := func(members []string) map[string]bool {
+		holdersOf := func(members []string) map[string]bool {
 			all := make(map[string]bool)
 			for _, id := range members {
 				if IsHolder(id, worker, members, holders) {
@@ -54,21 +54,22 @@
 			}
 			return all
 		}
-		before := of(members[1:])
-		after := of(members)
+		before := holdersOf(members[1:])
+		after := holdersOf(members)
 		assert.Equal(t, len(after), min(holders, len(members)))
-		gone := 0
+		removed := 0
 		for id := range before {
 			if !after[id] {
-				gone++
+				removed++
 			}
 		}
-		assert.Assert(t, gone <= 1)
-		assert.Assert(t, !IsHolder("unknown", worker, members, holders), "who is not listed holds nothing")
+		assert.Assert(t, removed <= 1)
+		assert.Assert(t, !IsHolder("unknown", worker, members, holders), "a daemon that is not listed is no holder")
 	})
 }
 
-// TestHoldersAreSpread: where 25 workers warm up, no daemon of 90 is holder of many.
+// TestHoldersAreSpread checks with 25 workers and 90 daemons that no daemon is a holder of many
+// workers.
 func TestHoldersAreSpread(t *testing.T) {
 	var members []string
 	for i := range 90 {
@@ -77,7 +78,7 @@
 	for _, self := range members {
 		count := 0
 		for w := range 25 {
-			if IsHolder(self, fmt.Sprintf("i-%04x", w), members, holdersMost) {
+			if IsHolder(self, fmt.Sprintf("i-%04x", w), members, maxHolders) {
 				count++
 			}
 		}
@@ -102,16 +103,16 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewBucket(test.rate, 1, start)
 			for i, at := range test.takes {
-				assert.Equal(t, b.Has(ms(at)), test.want[i], "%d ms", at)
+				assert.Equal(t, b.HasToken(ms(at)), test.want[i], "%d ms", at)
 				assert.Equal(t, b.Take(ms(at)), test.want[i], "%d ms", at)
 			}
 		})
 	}
 }
 
-// TestBucketOfMore: a bucket of three tokens gives as many at once when it is full, and one
-// each time afterwards.
-func TestBucketOfMore(t *testing.T) {
+// TestBucketOfThreeTokens checks that three tokens can be taken at once from a full bucket with a
+// capacity of three, and then one token after each interval.
+func TestBucketOfThreeTokens(t *testing.T) {
 	b := NewBucket(1, 3, start)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	assert.Assert(t, !b.Take(at(0)), "it is empty at the start")
@@ -125,24 +126,24 @@
 	assert.Assert(t, b.Take(at(101)) && !b.Take(at(101)))
 }
 
-// TestRetuneBringsNothing: whatever a bucket's rate is changed to, and however often, no more
-// tokens come than at its highest rate, and no fewer than at its lowest one.
-func TestRetuneBringsNothing(t *testing.T) {
+// TestRetuneAddsNoTokens checks that a bucket whose rate changes yields no more tokens than one
+// with the highest rate, and no fewer than one with the lowest.
+func TestRetuneAddsNoTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const lowest, highest = 0.5, 3.0
-		b, now, taken, most := NewBucket(1, 1, start), start, 0, 1
+		b, now, taken, capacity := NewBucket(1, 1, start), start, 0, 1
 		for range 200 {
 			now = now.Add(100 * time.Millisecond)
 			if rapid.Bool().Draw(t, "retunes") {
-				most = rapid.IntRange(1, 3).Draw(t, "most")
-				b.Retune(rapid.Float64Range(lowest, highest).Draw(t, "rate"), most, now)
+				capacity = rapid.IntRange(1, 3).Draw(t, "most")
+				b.Retune(rapid.Float64Range(lowest, highest).Draw(t, "rate"), capacity, now)
 			}
 			if b.Take(now) {
 				taken++
 			}
 		}
-		passed := now.Sub(start).Seconds()
-		assert.Assert(t, float64(taken) <= highest*passed, "%d taken", taken)
-		assert.Assert(t, float64(taken) >= lowest*passed-1, "%d taken", taken)
+		elapsed := now.Sub(start).Seconds()
+		assert.Assert(t, float64(taken) <= highest*elapsed, "%d taken", taken)
+		assert.Assert(t, float64(taken) >= lowest*elapsed-1, "%d taken", taken)
 	})
 }
--- a/allowance/sum_test.go
+++ b/allowance/sum_test.go
@@ -15,41 +15,41 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// cold is the worker that warms up in these tests, of a service that bears 14 requests a
-// second.
-var cold = &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w", Service: "models", Zone: "hall"}}
+// coldReplica is a replica headed by the worker that warms up.
+var coldReplica = &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w", Service: "models", Zone: "hall"}}
 
 const (
-	bears = 14.0
+	// bearableRate is the rate that the worker bears while it warms up, in requests a second.
+	bearableRate = 14.0
 	// step is how often each daemon tries to send.
 	step = 20 * time.Millisecond
 )
 
 var start = time.Unix(1000, 0)
 
-// daemon sends to the cold worker whatever its allowance lets it.
+// daemon simulates a daemon that sends all requests its allowance permits.
 type daemon struct {
 	id        string
 	members   []string
 	allowance *Allowance
-	// frozen is while the process stands still, slow while its connections do not open;
-	// restarts is when it is killed and started again.
+	// In the span frozen the process does not run. In the span slow its connections do not open.
+	// At the times in restarts it is killed and started again.
 	frozen, slow span
 	restarts     []time.Duration
-	// held are the requests that have a token and wait for their connection.
-	held []time.Time
-	sent []time.Time
+	// pending lists the send deadlines of requests that have a token and wait for their connection.
+	pending []time.Time
+	sent    []time.Time
 }
 
-// span is a time, from the start of the test.
+// span is a period relative to the start of the test.
 type span struct{ from, to time.Duration }
 
 func (s span) covers(at time.Duration) bool { return s.from <= at && at < s.to }
 
-func (d *daemon) begin(bound Bound, now time.Time) {
+func (d *daemon) restart(bound Bound, now time.Time) {
 	view := viewOf(&fleet.Worker{ID: "w", Service: "models", Zone: "hall", ColdLeft: 1 << 30}, now)
-	config := configOf(bears)
-	d.held = nil
+	config := configOf(bearableRate)
+	d.pending = nil
 	d.allowance = New(Options{
 		Self: d.id, Members: func() []string { return d.members }, Bound: bound,
 		View: func() *fleet.View { return view }, Halls: func() *fleet.HallView { return nil },
@@ -58,53 +58,53 @@
 	d.allowance.Look(now)
 }
 
-// act is one step of the daemon.
-func (d *daemon) act(bound Bound, at time.Duration) {
+// runStep runs one step of the daemon.
+func (d *daemon) runStep(bound Bound, at time.Duration) {
 	now := start.Add(at)
 	if slices.Contains(d.restarts, at) {
-		d.begin(bound, now)
+		d.restart(bound, now)
 	}
 	if d.frozen.covers(at) {
 		return
 	}
-	if sendBy, ok := d.allowance.Take(cold, now); ok {
-		d.held = append(d.held, sendBy)
+	if sendBy, ok := d.allowance.Take(coldReplica, now); ok {
+		d.pending = append(d.pending, sendBy)
 	}
 	if d.slow.covers(at) {
 		return
 	}
-	for _, sendBy := range d.held {
+	for _, sendBy := range d.pending {
 		if !now.After(sendBy) {
 			d.sent = append(d.sent, now)
 		}
 	}
-	d.held = nil
+	d.pending = nil
 }
 
-// most returns how many requests were sent in the busiest second.
-func most(all []*daemon) int {
+// maxPerSecond returns the number of requests sent in the busiest second.
+func maxPerSecond(all []*daemon) int {
 	var sent []time.Time
 	for _, d := range all {
 		sent = append(sent, d.sent...)
 	}
 	slices.SortFunc(sent, time.Time.Compare)
-	most, first := 0, 0
+	busiest, first := 0, 0
 	for i, at := range sent {
 		for at.Sub(sent[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		busiest = max(busiest, i-first+1)
 	}
-	return most
+	return busiest
 }
 
-// drawSpan draws a span of whole steps.
+// drawSpan draws a span that starts and ends at a step.
 func drawSpan(t *rapid.T, name string) span {
 	from := rapid.IntRange(0, 100).Draw(t, name+" from")
 	return span{from: time.Duration(from) * step, to: time.Duration(from+rapid.IntRange(0, 100).Draw(t, name+" for")) * step}
 }
 
-// drawDaemon draws a daemon with troubles of its own.
+// drawDaemon draws a daemon with its own freezes, slow connections and restarts.
 func drawDaemon(t *rapid.T, id string) *daemon {
 	d := &daemon{id: id, frozen: drawSpan(t, "frozen"), slow: drawSpan(t, "slow")}
 	for range rapid.IntRange(0, 6).Draw(t, "restarts") {
@@ -113,22 +113,23 @@
 	return d
 }
 
-// drawDaemons draws daemons that hold one of two views of the registered ones, each with
-// itself in it. The views may have nobody in common, and all may freeze together.
+// drawDaemons draws daemons on two sides of a network partition. All daemons of a side know the
+// same members, which include themselves. The members of the two sides may be disjoint, and all
+// daemons may freeze at the same time.
 func drawDaemons(t *rapid.T) []*daemon {
-	disjoint, together := rapid.Bool().Draw(t, "disjoint"), rapid.Bool().Draw(t, "together")
+	areDisjoint, freezeTogether := rapid.Bool().Draw(t, "disjoint"), rapid.Bool().Draw(t, "together")
 	frozen, slow := drawSpan(t, "all frozen"), drawSpan(t, "all slow")
 	var views [2][]string
 	var sides [2][]*daemon
 	for i := range rapid.IntRange(1, 16).Draw(t, "daemons") {
 		d := drawDaemon(t, fmt.Sprintf("daemon-%d", i))
-		if together {
+		if freezeTogether {
 			d.frozen, d.slow = frozen, slow
 		}
 		side := rapid.IntRange(0, 1).Draw(t, "side")
 		sides[side] = append(sides[side], d)
 		views[side] = append(views[side], d.id)
-		if !disjoint && rapid.Bool().Draw(t, "known to the other side") {
+		if !areDisjoint && rapid.Bool().Draw(t, "known to the other side") {
 			views[1-side] = append(views[1-side], d.id)
 		}
 	}
@@ -140,27 +141,28 @@
 	return append(sides[0], sides[1]...)
 }
 
-// TestSumStaysBelowBound lets daemons send all they may, with freezes, restarts and
-// connections that open late: in no second are more requests sent than the operator allows.
+// TestSumStaysBelowBound checks that daemons with freezes, restarts and slow connections together
+// never send more requests in a second than the bound allows.
 func TestSumStaysBelowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := Bound{Burst: rapid.Float64Range(1, 2).Draw(t, "burst"), Slack: float64(rapid.IntRange(0, 12).Draw(t, "slack"))}
 		all := drawDaemons(t)
 		for _, d := range all {
-			d.begin(bound, start)
+			d.restart(bound, start)
 		}
 		for at := time.Duration(0); at < 4*time.Second; at += step {
 			for _, d := range all {
-				d.act(bound, at)
+				d.runStep(bound, at)
 			}
 		}
-		allowed := bears*bound.Burst + bound.Slack
-		assert.Assert(t, float64(most(all)) <= allowed, "%d sent in a second, %.1f allowed", most(all), allowed)
+		allowed := bearableRate*bound.Burst + bound.Slack
+		assert.Assert(t, float64(maxPerSecond(all)) <= allowed, "%d sent in a second, %.1f allowed", maxPerSecond(all), allowed)
 	})
 }
 
-// TestIntake tells what the allowance lets a worker have, where daemons send all they may.
-func TestIntake(t *testing.T) {
+// TestTotalRate checks that a large fleet uses at least half of the rate that a worker bears, and
+// no more than all of it.
+func TestTotalRate(t *testing.T) {
 	var members []string
 	for i := range 90 {
 		members = append(members, fmt.Sprintf("daemon-%d", i))
@@ -170,22 +172,22 @@
 	sent := 0
 	for _, id := range members {
 		d := &daemon{id: id, members: members}
-		d.begin(bound, start)
+		d.restart(bound, start)
 		for at := time.Duration(0); at < 10*time.Second; at += step {
-			d.act(bound, at)
+			d.runStep(bound, at)
 		}
 		sent += len(d.sent)
 		all = append(all, d)
 	}
-	assert.Assert(t, sent >= 70 && float64(sent) <= 10*bears, "%d requests in 10 s", sent)
-	assert.Assert(t, most(all) <= 13, "half of the bound, since another view may use the other half")
+	assert.Assert(t, sent >= 70 && float64(sent) <= 10*bearableRate, "%d requests in 10 s", sent)
+	assert.Assert(t, maxPerSecond(all) <= 13, "half of the bound, since another view may use the other half")
 }
 
-func TestWhoKnowsNobodySendsNothing(t *testing.T) {
+func TestDaemonWithoutMembersSendsNothing(t *testing.T) {
 	d := &daemon{id: "a"}
-	d.begin(Bound{Burst: 1.5, Slack: 5}, start)
+	d.restart(Bound{Burst: 1.5, Slack: 5}, start)
 	for at := time.Duration(0); at < 4*time.Second; at += step {
-		d.act(Bound{Burst: 1.5, Slack: 5}, at)
+		d.runStep(Bound{Burst: 1.5, Slack: 5}, at)
 	}
 	assert.Equal(t, len(d.sent), 0)
 }
--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -11,114 +11,118 @@
 )
 
 const (
-	// freshFor is how long peers are told of a change: ten heartbeats, of which some get
-	// lost, and three rounds of relays.
-	freshFor = 2 * time.Second
-	// freshMost and turnMost bound the entries of one report. What has not changed of late
-	// follows in turns, all of 400 within five seconds.
-	freshMost = 16
-	turnMost  = 16
-	// dropMargin is how much later than a limit was last heard an answer without one must have
-	// been asked for to end it by a peer's word: ages are only as exact as a round of
-	// heartbeats.
-	dropMargin = time.Second
-	// idMost bounds the name of a worker in a report, in bytes.
-	idMost = 256
+	// changeReportPeriod is how long a change is included in every report. It spans ten heartbeats
+	// and three rounds of relays, so that the loss of some datagrams does not matter.
+	changeReportPeriod = 2 * time.Second
+	// maxChangedEntries and maxRotatedEntries are the maximum numbers of changed and of unchanged
+	// records in one report. Unchanged records are sent in rotation.
+	maxChangedEntries = 16
+	maxRotatedEntries = 16
+	// dropAgeTolerance is the tolerance for the ages in reports of peers. A peer's answer without a
+	// limit ends a limit only if its request was sent this much later than the limit was last
+	// reported.
+	dropAgeTolerance = time.Second
+	// maxWorkerIDBytes is the maximum length of a worker ID in a report.
+	maxWorkerIDBytes = 256
 )
 
-// Entry is what a daemon reports of one worker. Ages are of the time of sending, in
-// milliseconds and at least one; zero stands for what is not told.
+// Entry is the report of one worker to peers. Ages are relative to the time of sending, in
+// milliseconds, and at least 1; zero means not set.
 type Entry struct {
 	Worker string `json:"w"`
 	Born   int64  `json:"b,omitempty"`
-	// Limit is the requests a second that the worker named Named ago.
+	// Limit is the worker's limit in requests a second. Named is the age of the worker's last
+	// answer with this limit.
 	Limit *float64 `json:"l,omitempty"`
 	Named int64    `json:"a,omitempty"`
-	// Dropped is how long ago it named no limit any more.
+	// Dropped is the age of the request whose answer ended the last limit.
 	Dropped int64 `json:"d,omitempty"`
-	// Leaves tells that it ends soon.
+	// Leaves means that the worker is about to stop.
 	Leaves bool `json:"x,omitempty"`
 }
 
-// Report returns what peers are to be told now: what changed of late, and some of the rest in
-// turn. What only peers heard is told by those who pass reports on.
+// Report returns the entries to send to peers: records that changed recently, and some of the
+// others in rotation. If passesOn is set, records that are only known from peers are included.
+// Relays set it.
 func (t *Table) Report(now time.Time, passesOn bool) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fresh, rest []string
+	var changed, unchanged []string
 	for id, r := range t.records {
 		switch {
-		case !r.heardHere && !passesOn:
-		case now.Sub(r.changedAt) < freshFor:
-			fresh = append(fresh, id)
-		case r.limited || r.leaves:
-			rest = append(rest, id)
+		case !r.observedLocally && !passesOn:
+		case now.Sub(r.changedAt) < changeReportPeriod:
+			changed = append(changed, id)
+		case r.limited || r.leaving:
+			unchanged = append(unchanged, id)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b string) int {
+	slices.SortFunc(changed, func(a, b string) int {
 		return cmp.Or(t.records[b].changedAt.Compare(t.records[a].changedAt), strings.Compare(a, b))
 	})
-	rest, t.turn = turn.Few(rest, t.turn, turnMost, strings.Compare)
+	unchanged, t.nextWorker = turn.Few(unchanged, t.nextWorker, maxRotatedEntries, strings.Compare)
 	var all []Entry
-	for _, id := range append(fresh[:min(len(fresh), freshMost)], rest...) {
-		all = append(all, t.records[id].entry(id, now))
+	for _, id := range append(changed[:min(len(changed), maxChangedEntries)], unchanged...) {
+		all = append(all, t.records[id].toEntry(id, now))
 	}
 	return all
 }
 
-func (r *record) entry(worker string, now time.Time) Entry {
-	e := Entry{Worker: worker, Born: r.born, Leaves: r.leaves}
+func (r *record) toEntry(worker string, now time.Time) Entry {
+	e := Entry{Worker: worker, Born: r.born, Leaves: r.leaving}
 	switch {
 	case r.limited:
 		perSecond := r.perSecond
-		e.Limit, e.Named = &perSecond, ageOf(r.namedAt, now)
-	case !r.droppedAt.IsZero():
-		e.Dropped = ageOf(r.droppedAt, now)
+		e.Limit, e.Named = &perSecond, ageMillis(r.limitReportedAt, now)
+	case !r.limitEndedAt.IsZero():
+		e.Dropped = ageMillis(r.limitEndedAt, now)
 	}
 	return e
 }
 
-func ageOf(t, now time.Time) int64 { return max(now.Sub(t).Milliseconds(), 1) }
+// ageMillis returns the age of a time in milliseconds, at least 1.
+func ageMillis(t, now time.Time) int64 { return max(now.Sub(t).Milliseconds(), 1) }
 
-// isClear reports whether an entry of a peer can be taken.
-func (e *Entry) isClear() bool {
-	return e.Worker != "" && len(e.Worker) <= idMost && e.Named >= 0 && e.Dropped >= 0 &&
-		(e.Limit == nil || *e.Limit >= 0 && *e.Limit <= limitMost)
+// isValid reports whether an entry received from a peer is well-formed.
+func (e *Entry) isValid() bool {
+	return e.Worker != "" && len(e.Worker) <= maxWorkerIDBytes && e.Named >= 0 && e.Dropped >= 0 &&
+		(e.Limit == nil || *e.Limit >= 0 && *e.Limit <= maxLimit)
 }
 
-// Merge takes what a peer reported at a time, which is early rather than late. Entries that
-// say nothing are passed over.
-func (t *Table) Merge(all []Entry, by string, at, now time.Time) {
+// Merge applies the entries of a report from a peer. The time sentAt must not be later than the
+// time at which the peer sent the report. Invalid entries are skipped.
+func (t *Table) Merge(all []Entry, peer string, sentAt, now time.Time) {
 	var changes []Change
-	for i := range min(len(all), freshMost+turnMost) {
-		if all[i].isClear() {
-			changes = append(changes, t.merge(&all[i], by, at, now)...)
+	for i := range min(len(all), maxChangedEntries+maxRotatedEntries) {
+		if all[i].isValid() {
+			changes = append(changes, t.merge(&all[i], peer, sentAt, now)...)
 		}
 	}
-	t.tell(changes)
+	t.notify(changes)
 }
 
-func (t *Table) merge(e *Entry, by string, at, now time.Time) []Change {
+func (t *Table) merge(e *Entry, peer string, sentAt, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if held, ok := t.records[e.Worker]; ok && held.born > e.Born || !ok && e.Limit == nil && !e.Leaves {
+	if existing, ok := t.records[e.Worker]; ok && existing.born > e.Born || !ok && e.Limit == nil && !e.Leaves {
 		return nil
 	}
 	w := &fleet.Worker{ID: e.Worker, Born: e.Born}
-	r := t.recordOf(w)
-	c := changesOf(w, by)
-	named, dropped := at.Add(-msOf(e.Named)), at.Add(-msOf(e.Dropped))
+	r := t.ensureRecord(w)
+	c := newChanges(w, peer)
+	reportedAt, endedAt := sentAt.Add(-durationOf(e.Named)), sentAt.Add(-durationOf(e.Dropped))
 	switch {
-	case e.Limit != nil && named.After(r.droppedAt) && named.After(r.namedAt):
-		c.add(r.name(*e.Limit, named, now))
-	case e.Dropped > 0 && dropped.After(r.namedAt.Add(dropMargin)):
-		c.add(r.drop(dropped, now))
+	case e.Limit != nil && reportedAt.After(r.limitEndedAt) && reportedAt.After(r.limitReportedAt):
+		c.add(r.setLimit(*e.Limit, reportedAt, now))
+	case e.Dropped > 0 && endedAt.After(r.limitReportedAt.Add(dropAgeTolerance)):
+		c.add(r.clearLimit(endedAt, now))
 	}
 	if e.Leaves {
-		c.add(r.leave(now))
+		c.add(r.setLeaving(now))
 	}
-	t.share(e.Worker, r, t.place(), now)
+	t.updateShares(e.Worker, r, t.shareholders(), now)
 	return c.all
 }
 
-func msOf(age int64) time.Duration { return time.Duration(age) * time.Millisecond }
+// durationOf returns the duration of an age in milliseconds.
+func durationOf(age int64) time.Duration { return time.Duration(age) * time.Millisecond }
--- a/backpressure/rests.go
+++ b/backpressure/rests.go
@@ -7,73 +7,76 @@
 	"time"
 )
 
-// Rests holds until when workers want nothing from this daemon. It is safe for concurrent
-// use, and a look at it takes no lock.
+// Rests records the rest periods that workers asked this daemon for. It is safe for concurrent
+// use; reads take no lock.
 type Rests struct {
-	// held is by worker, and never changed.
-	held atomic.Pointer[map[string]rest]
-	mu   sync.Mutex
+	// entries maps worker IDs to rest periods. The map is replaced on change, never modified.
+	entries atomic.Pointer[map[string]rest]
+	mu      sync.Mutex
 }
 
-// rest is until when one life of a worker wants nothing.
+// rest is a rest period of one incarnation of a worker.
 type rest struct {
 	born  int64
 	until time.Time
 }
 
-// holds reports whether it is a rest of a life that is not over.
-func (o rest) holds(born int64, now time.Time) bool { return o.born == born && now.Before(o.until) }
+// isActive reports whether the rest period belongs to the given incarnation and has not ended.
+func (o rest) isActive(born int64, now time.Time) bool { return o.born == born && now.Before(o.until) }
 
-// NewRests returns rests of nobody.
+// NewRests returns an empty set of rest periods.
 func NewRests() *Rests {
 	r := &Rests{}
-	r.held.Store(&map[string]rest{})
+	r.entries.Store(&map[string]rest{})
 	return r
 }
 
-// Note notes that a life of a worker wants nothing for a while from now on, and reports whether
-// it did not before. Each word holds until its end, also beside a later one that asks for less.
-func (r *Rests) Note(worker string, born int64, asked time.Duration, now time.Time) (began bool) {
+// Note records that an incarnation of a worker asked for a rest period from now on. It reports
+// whether the worker was not resting before. A rest period that is still running is extended if
+// the new one ends later, and kept otherwise.
+func (r *Rests) Note(worker string, born int64, duration time.Duration, now time.Time) (started bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, next := (*r.held.Load())[worker], rest{born: born, until: now.Add(asked)}
-	rested := before.holds(born, now)
-	if rested && !next.until.After(before.until) {
+	previous, next := (*r.entries.Load())[worker], rest{born: born, until: now.Add(duration)}
+	wasResting := previous.isActive(born, now)
+	if wasResting && !next.until.After(previous.until) {
 		return false
 	}
-	held := maps.Clone(*r.held.Load())
-	held[worker] = next
-	r.held.Store(&held)
-	return !rested
+	updated := maps.Clone(*r.entries.Load())
+	updated[worker] = next
+	r.entries.Store(&updated)
+	return !wasResting
 }
 
-// Any reports whether some may rest.
-func (r *Rests) Any() bool { return len(*r.held.Load()) > 0 }
+// Any reports whether rest periods are recorded, including those that have ended but were not
+// removed yet.
+func (r *Rests) Any() bool { return len(*r.entries.Load()) > 0 }
 
-// Until returns until when a life of a worker wants nothing, and false if it wants requests.
-func (r *Rests) Until(worker string, born int64, now time.Time) (until time.Time, rests bool) {
-	held := (*r.held.Load())[worker]
-	return held.until, held.holds(born, now)
+// Until returns when the rest period of a worker's incarnation ends, and false if it is not
+// resting.
+func (r *Rests) Until(worker string, born int64, now time.Time) (until time.Time, isResting bool) {
+	entry := (*r.entries.Load())[worker]
+	return entry.until, entry.isActive(born, now)
 }
 
-// Count returns how many workers rest.
+// Count returns the number of resting workers.
 func (r *Rests) Count(now time.Time) int {
 	count := 0
-	for _, held := range *r.held.Load() {
-		if now.Before(held.until) {
+	for _, entry := range *r.entries.Load() {
+		if now.Before(entry.until) {
 			count++
 		}
 	}
 	return count
 }
 
-// Sweep forgets the rests that are over.
+// Sweep removes the rest periods that have ended.
 func (r *Rests) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	left := maps.Clone(*r.held.Load())
-	maps.DeleteFunc(left, func(_ string, o rest) bool { return !now.Before(o.until) })
-	if len(left) < len(*r.held.Load()) {
-		r.held.Store(&left)
+	remaining := maps.Clone(*r.entries.Load())
+	maps.DeleteFunc(remaining, func(_ string, o rest) bool { return !now.Before(o.until) })
+	if len(remaining) < len(*r.entries.Load()) {
+		r.entries.Store(&remaining)
 	}
 }
--- a/backpressure/shares.go
+++ b/backpressure/shares.go
@@ -9,111 +9,115 @@
 	"quartzshelf.dev/allowance"
 )
 
-// MembersMost is how many daemons of a data hall hold shares: the fittest, who are known to
-// all of a hall that have read who there is.
+// MembersMost is the maximum number of daemons in a data hall that hold shares.
 const MembersMost = 8
 
 const (
-	// shareLeast is the least rate of a share, in requests a second, where there are several:
-	// a share's first token comes after as long as it takes at its rate.
-	shareLeast = 0.25
-	// askLeast is the least rate, in requests a second, at which a worker is asked whatever it
-	// named: nobody else would learn that it takes more again.
-	askLeast = 0.1
-	// staleAfter is how long nobody must have heard a limit for its shares to pass to one
-	// other daemon, and to the next one as long again later: those that hold them may be gone,
-	// or get no requests.
+	// minShareRate is the minimum rate of a share, in requests a second, if a limit is split into
+	// several shares. At a low rate, it takes long until the first token of a share is available.
+	minShareRate = 0.25
+	// minProbeRate is the minimum rate, in requests a second, at which requests may be sent to a
+	// worker, even if its limit is lower. Only the answers show that the worker raised its limit.
+	minProbeRate = 0.1
+	// staleAfter is the time without a report of a limit after which the limit is stale. Its
+	// shares are then replaced by a single one, as the previous holders may be down or get no
+	// requests. The single share moves to another daemon after each further staleAfter.
 	staleAfter = 10 * time.Second
 )
 
-// Bound bounds the requests that a worker which named a limit gets within any Window from
-// all daemons together: Burst times what the limit allows, and Slack more.
+// Bound limits the requests that all daemons together send to a rate-limited worker. Within any
+// Window, they are at most Burst times the number that the worker's limit allows, plus Slack.
 type Bound struct {
 	Burst, Slack float64
 	Window       time.Duration
 }
 
-// division is the shares into which a limit is divided, and at which rate requests are sent
-// by each.
+// division describes how a limit is split: the number of shares and the rate of each in requests a
+// second.
 type division struct {
 	shares int
 	rate   float64
 }
 
-// most returns how many requests may come within the window. One stays unused, for what is
-// held up on its way.
-func (b Bound) most(perSecond float64) float64 {
+// maxRequests returns the maximum number of requests that all daemons together may send within the
+// window. It is one less than the bound, as requests may be delayed on the network.
+func (b Bound) maxRequests(perSecond float64) float64 {
 	return b.Burst*perSecond*b.Window.Seconds() + b.Slack - 1
 }
 
-// sent returns how many requests a share sends within the window at most: one that it had a
-// token for before, and those whose tokens come within it, or a moment earlier.
-func (b Bound) sent(rate float64) float64 {
+// maxSentPerShare returns the maximum number of requests that the holder of one share sends within
+// the window: one for a saved token, plus those whose tokens become available within the window or
+// SendWithin before it.
+func (b Bound) maxSentPerShare(rate float64) float64 {
 	return 1 + rate*(b.Window+allowance.SendWithin).Seconds()
 }
 
-// divide divides a limit into as many shares as the bound bears with one more, which a daemon
-// may hold that others do not know yet, and as have a rate that is worth while. More shares
-// lose less where daemons are gone or get few requests.
-func (b Bound) divide(perSecond float64, most int) division {
-	total := max(perSecond, askLeast)
-	for shares := min(most, max(int(total/shareLeast), 1)); shares > 0; shares-- {
+// divide splits a limit into as many shares as the bound allows, up to maxShares, each with a rate
+// of at least minShareRate. It leaves room for one more share, which a daemon unknown to the
+// others may hold. With many shares, little of the limit is lost when some holders are down or get
+// few requests.
+func (b Bound) divide(perSecond float64, maxShares int) division {
+	total := max(perSecond, minProbeRate)
+	for shares := min(maxShares, max(int(total/minShareRate), 1)); shares > 0; shares-- {
 		rate := total / float64(shares)
-		if float64(shares+1)*b.sent(rate) <= b.most(perSecond) {
+		if float64(shares+1)*b.maxSentPerShare(rate) <= b.maxRequests(perSecond) {
 			return division{shares: shares, rate: rate}
 		}
 	}
-	return b.single(perSecond)
+	return b.singleShare(perSecond)
 }
 
-// single returns a division into one share, of which two may be held at once.
-func (b Bound) single(perSecond float64) division {
-	const held = 2
-	rate := (b.most(perSecond)/held - 1) / (b.Window + allowance.SendWithin).Seconds()
-	return division{shares: 1, rate: max(min(rate, max(perSecond, askLeast)), 0)}
+// singleShare returns a division into one share that stays within the bound even if two daemons
+// hold it.
+func (b Bound) singleShare(perSecond float64) division {
+	const holders = 2
+	rate := (b.maxRequests(perSecond)/holders - 1) / (b.Window + allowance.SendWithin).Seconds()
+	return division{shares: 1, rate: max(min(rate, max(perSecond, minProbeRate)), 0)}
 }
 
-// place is where a daemon stands among those that hold shares.
-type place struct {
+// shareholders describes the daemons that hold shares.
+type shareholders struct {
+	// self is the ID of this daemon, hall its data hall, and halls lists all data halls.
 	self, hall string
 	halls      []string
-	// members are the daemons of its hall that hold shares; empty while they are not known.
+	// members are the daemons of this hall that hold shares; empty while unknown.
 	members []string
 }
 
-// held returns how many shares of a worker the daemon holds. Data halls get the same number
-// each, give or take one, and so do the daemons of a hall. Who comes first differs from
-// worker to worker, and is the same by the word of all: no daemon has to know those of other
-// halls.
-func (p place) held(worker string, shares int) int {
-	inHall := dealt(p.hall, p.halls, worker, shares)
-	return dealt(p.self, p.members, worker, inHall)
+// countShares returns how many of the given shares of a worker's limit this daemon holds. Shares
+// are split evenly between data halls, and within a hall between its members. If they cannot be
+// split evenly, a hash with the worker's ID decides who gets one more. So all daemons agree without
+// knowing the members of other halls.
+func (p shareholders) countShares(worker string, shares int) int {
+	inHall := portionOf(p.hall, p.halls, worker, shares)
+	return portionOf(p.self, p.members, worker, inHall)
 }
 
-// dealt returns how many of some shares one of all gets.
-func dealt(one string, all []string, worker string, shares int) int {
-	rank := slices.Index(byWeight(all, worker), one)
+// portionOf returns how many of the shares the given name gets when they are split as evenly as
+// possible between all names.
+func portionOf(name string, all []string, worker string, shares int) int {
+	rank := slices.Index(sortedByHash(all, worker), name)
 	if rank < 0 {
 		return 0
 	}
-	each, over := shares/len(all), shares%len(all)
-	if rank < over {
+	each, remainder := shares/len(all), shares%len(all)
+	if rank < remainder {
 		return each + 1
 	}
 	return each
 }
 
-// byWeight orders names by their hash with a worker.
-func byWeight(all []string, worker string) []string {
+// sortedByHash returns the names sorted by their hash with a worker, highest first.
+func sortedByHash(all []string, worker string) []string {
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b string) int {
-		return cmp.Or(cmp.Compare(allowance.Weigh(b, worker), allowance.Weigh(a, worker)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(allowance.RendezvousHash(b, worker), allowance.RendezvousHash(a, worker)), cmp.Compare(a, b))
 	})
 	return all
 }
 
-// staleKey stands for a worker whose limit nobody has heard for so long, so that another
-// daemon holds its share each time.
-func staleKey(worker string, silent time.Duration) string {
-	return worker + "#" + strconv.Itoa(int(silent/staleAfter))
+// staleKey returns the key by which the single share of a stale limit is assigned, in place of the
+// worker's ID. It changes every staleAfter, so that the share moves to another daemon.
+func staleKey(worker string, sinceReport time.Duration) string {
+	return worker + "#" + strconv.Itoa(int(sinceReport/staleAfter))
 }
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -9,10 +9,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Event is what happened to a worker's word.
+// Event is the kind of a change in what a worker reports about itself.
 type Event string
 
-// The events, as they are counted and logged.
+// Events, as counted in metrics and logged.
 const (
 	LimitNamed   Event = "limit_named"
 	LimitChanged Event = "limit_changed"
@@ -21,179 +21,184 @@
 	Leaves       Event = "leaves"
 )
 
-// Change tells of a worker's word that is new, other than before, or gone.
+// Change describes a change in what a worker reports, such as a new limit.
 type Change struct {
 	Event Event
-	// Worker and Born name the worker's life.
+	// Worker and Born identify the incarnation of the worker.
 	Worker string
 	Born   int64
-	// PerSecond is the limit, where the event is of one, and Rest how long the worker wants
-	// nothing.
+	// PerSecond is the limit in requests a second, for limit events. Rest is the length of the
+	// rest period, for RestAsked.
 	PerSecond float64
 	Rest      time.Duration
-	// By is the daemon that heard it; empty for this one.
+	// By is the ID of the peer that reported the change. It is empty if this daemon received the
+	// worker's answer itself.
 	By string
 }
 
-// changes collects what one word of a worker's life changed.
+// changes collects the changes caused by one answer or report of a worker's incarnation.
 type changes struct {
-	of  Change
-	all []Change
+	base Change
+	all  []Change
 }
 
-func changesOf(w *fleet.Worker, by string) *changes {
-	return &changes{of: Change{Worker: w.ID, Born: w.Born, By: by}}
+func newChanges(w *fleet.Worker, by string) *changes {
+	return &changes{base: Change{Worker: w.ID, Born: w.Born, By: by}}
 }
 
-// add adds a change, unless it is none.
+// add appends a change unless it is empty.
 func (c *changes) add(change Change) {
 	if change.Event == "" {
 		return
 	}
-	change.Worker, change.Born, change.By = c.of.Worker, c.of.Born, c.of.By
+	change.Worker, change.Born, change.By = c.base.Worker, c.base.Born, c.base.By
 	c.all = append(c.all, change)
 }
 
 // Options configures a Table.
 type Options struct {
-	// Self is the id of this daemon, Hall its data hall, and Halls all of them.
+	// Self is the ID of this daemon, Hall its data hall, and Halls all data halls.
 	Self, Hall string
 	Halls      []string
-	// Members returns the ids of the fittest daemons of the own hall, with this one's if it
-	// is among them; empty while they are not known. It does not shrink when daemons fall
-	// silent: behind a cut each would take the shares of the others.
+	// Members returns the IDs of the daemons of this hall that hold shares, which may include this
+	// daemon. It is empty if they are not known yet. The list must not shrink when daemons become
+	// unreachable: in a network partition each side would take over the shares of the other.
 	Members func() []string
-	// Bound is what workers that name a limit bear.
+	// Bound limits the number of requests to workers that report a limit.
 	Bound Bound
-	// Changed is called with each change, without the lock.
+	// Changed is called for each change. It may call the Table.
 	Changed func(c Change)
 }
 
-// Table holds what workers ask for. It is safe for concurrent use.
+// Table holds the limits, rest periods and shutdown notices that workers reported. It is safe for
+// concurrent use.
 type Table struct {
 	opts Options
-	// limits is what requests see of the records that are limited, by worker. It is never
-	// changed, but for its buckets.
+	// limits maps worker IDs to the published limits. The map is replaced on change, never
+	// modified; the buckets in it are shared.
 	limits atomic.Pointer[map[string]*limit]
 	rests  *Rests
 
 	mu      sync.Mutex
 	records map[string]*record
-	// turn is the worker with which the next report goes on.
-	turn string
+	// nextWorker is the ID of the first worker of the next report that is sent in rotation.
+	nextWorker string
 }
 
-// record is what one life of a worker asked for.
+// record is what one incarnation of a worker reported.
 type record struct {
 	born int64
-	// limited tells that the worker names a limit, namedAt when it last did as far as known,
-	// and droppedAt when it was last known to name none.
-	limited   bool
-	perSecond float64
-	namedAt   time.Time
-	droppedAt time.Time
-	// bucket holds the tokens of this daemon's shares, of which there are held with a rate in
-	// all; nil for no share.
+	// limited means that the worker has a limit of perSecond requests a second. limitReportedAt is
+	// when the worker last reported it. limitEndedAt belongs to the last answer that ended a limit:
+	// it is when the request for that answer was sent.
+	limited         bool
+	perSecond       float64
+	limitReportedAt time.Time
+	limitEndedAt    time.Time
+	// bucket holds the tokens of this daemon's shares; nil if it has none. shares is the number of
+	// shares, rate their total rate in requests a second.
 	bucket *allowance.Bucket
-	held   int
+	shares int
 	rate   float64
-	// leaves tells that it ends soon.
-	leaves bool
-	// heardHere tells that the worker said something to this daemon, changedAt when it last
-	// said something new, here or at a peer.
-	heardHere bool
-	changedAt time.Time
-	// dropAt is when it is forgotten, if the worker is not listed until then.
-	dropAt time.Time
+	// leaving means that the worker is about to stop.
+	leaving bool
+	// observedLocally means that this daemon received an answer of the worker itself. changedAt is
+	// when the record last changed, by an answer or by a peer's report.
+	observedLocally bool
+	changedAt       time.Time
+	// expiresAt is when the record is removed unless the worker is listed again.
+	expiresAt time.Time
 }
 
-// NewTable returns a table in which no worker asks for anything.
+// NewTable returns an empty table.
 func NewTable(opts Options) *Table {
 	t := &Table{opts: opts, records: make(map[string]*record), rests: NewRests()}
 	t.limits.Store(&map[string]*limit{})
 	return t
 }
 
-// Hear takes what a worker says in an answer that came now to a request that was sent at a
-// time. An answer without a limit ends one that was named before the request was sent:
-// answers come in another order than their requests were begun in.
-func (t *Table) Hear(w *fleet.Worker, s Signal, sent, now time.Time) {
-	t.tell(t.hear(w, s, sent, now))
+// Hear applies the signal of an answer that arrived now, to a request that was sent at sentAt. As
+// answers may arrive out of order, one without a limit ends a limit only if the limit was reported
+// before that request was sent.
+func (t *Table) Hear(w *fleet.Worker, s Signal, sentAt, now time.Time) {
+	t.notify(t.applySignal(w, s, sentAt, now))
 }
 
-func (t *Table) tell(all []Change) {
+func (t *Table) notify(all []Change) {
 	for _, c := range all {
 		t.opts.Changed(c)
 	}
 }
 
-func (t *Table) hear(w *fleet.Worker, s Signal, sent, now time.Time) []Change {
+func (t *Table) applySignal(w *fleet.Worker, s Signal, sentAt, now time.Time) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, ok := t.records[w.ID]
-	if !ok && !s.asks() || ok && held.born > w.Born {
-		// Nothing is known and nothing is asked for, or it is the word of an earlier life.
+	existing, ok := t.records[w.ID]
+	if !ok && !s.isActionable() || ok && existing.born > w.Born {
+		// The signal changes nothing, or the answer is from an earlier incarnation.
 		return nil
 	}
-	r := t.recordOf(w)
-	c := changesOf(w, "")
+	r := t.ensureRecord(w)
+	c := newChanges(w, "")
 	switch {
 	case s.Limited:
-		c.add(r.name(s.PerSecond, now, now))
-	case s.Unlimited && r.limited && sent.After(r.namedAt):
-		c.add(r.drop(sent, now))
+		c.add(r.setLimit(s.PerSecond, now, now))
+	case s.Unlimited && r.limited && sentAt.After(r.limitReportedAt):
+		c.add(r.clearLimit(sentAt, now))
 	}
 	if s.Rest > 0 && t.rests.Note(w.ID, w.Born, s.Rest, now) {
 		c.add(Change{Event: RestAsked, Rest: s.Rest})
 	}
 	if s.Leaving {
-		c.add(r.leave(now))
+		c.add(r.setLeaving(now))
 	}
-	r.heardHere = r.heardHere || s.Limited || s.Leaving || len(c.all) > 0
-	t.share(w.ID, r, t.place(), now)
+	r.observedLocally = r.observedLocally || s.Limited || s.Leaving || len(c.all) > 0
+	t.updateShares(w.ID, r, t.shareholders(), now)
 	return c.all
 }
 
-// asks reports whether the worker asks for anything.
-func (s Signal) asks() bool { return s.Limited || s.Rest > 0 || s.Leaving }
+// isActionable reports whether the signal holds a limit, a rest period or a shutdown notice.
+func (s Signal) isActionable() bool { return s.Limited || s.Rest > 0 || s.Leaving }
 
-// name notes that a limit was named at a time.
-func (r *record) name(perSecond float64, at, now time.Time) Change {
-	held, before := r.limited, r.perSecond
-	r.limited, r.perSecond, r.namedAt = true, perSecond, at
+// setLimit records a limit that the worker reported at the given time.
+func (r *record) setLimit(perSecond float64, at, now time.Time) Change {
+	wasLimited, previous := r.limited, r.perSecond
+	r.limited, r.perSecond, r.limitReportedAt = true, perSecond, at
 	switch {
-	case !held:
+	case !wasLimited:
 		r.changedAt = now
 		return Change{Event: LimitNamed, PerSecond: perSecond}
-	case before != perSecond:
+	case previous != perSecond:
 		r.changedAt = now
 		return Change{Event: LimitChanged, PerSecond: perSecond}
 	}
 	return Change{}
 }
 
-// drop notes that the worker named no limit at a time.
-func (r *record) drop(at, now time.Time) Change {
-	held := r.limited
-	r.limited, r.droppedAt = false, at
-	if !held {
+// clearLimit records that the worker answered a request that was sent at the given time without a
+// limit.
+func (r *record) clearLimit(at, now time.Time) Change {
+	wasLimited := r.limited
+	r.limited, r.limitEndedAt = false, at
+	if !wasLimited {
 		return Change{}
 	}
 	r.changedAt = now
 	return Change{Event: LimitDropped, PerSecond: r.perSecond}
 }
 
-// leave notes that the worker ends soon, which a life says for good.
-func (r *record) leave(now time.Time) Change {
-	if r.leaves {
+// setLeaving records that the worker is about to stop. An incarnation cannot withdraw this.
+func (r *record) setLeaving(now time.Time) Change {
+	if r.leaving {
 		return Change{}
 	}
-	r.leaves, r.changedAt = true, now
+	r.leaving, r.changedAt = true, now
 	return Change{Event: Leaves}
 }
 
-// recordOf returns the record of a worker's life. What another life asked for is forgotten.
-func (t *Table) recordOf(w *fleet.Worker) *record {
+// ensureRecord returns the record of a worker's incarnation. If there is none, it creates one,
+// which replaces that of another incarnation.
+func (t *Table) ensureRecord(w *fleet.Worker) *record {
 	if r, ok := t.records[w.ID]; ok && r.born == w.Born {
 		return r
 	}
@@ -203,59 +208,62 @@
 	return r
 }
 
-// keepFor is how long what a worker asked for is kept when it is no longer listed: entries that
-// run out while the store is away come back, and what a life said holds.
-const keepFor = time.Minute
+// recordRetention is how long the record of a worker that is no longer listed is kept. A worker
+// whose entry expires during an outage of the store is listed again soon, and its record is still
+// valid then.
+const recordRetention = time.Minute
 
-// Forget drops the records of workers' lives that have not been listed for long.
-func (t *Table) Forget(listed func(worker string, born int64) bool, now time.Time) {
+// Forget removes the records of incarnations that have not been listed for recordRetention.
+func (t *Table) Forget(isListed func(worker string, born int64) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, r := range t.records {
 		switch {
-		case listed(id, r.born):
-			r.dropAt = now.Add(keepFor)
-		case r.dropAt.IsZero():
-			r.dropAt = now.Add(keepFor)
-		case now.After(r.dropAt):
+		case isListed(id, r.born):
+			r.expiresAt = now.Add(recordRetention)
+		case r.expiresAt.IsZero():
+			r.expiresAt = now.Add(recordRetention)
+		case now.After(r.expiresAt):
 			delete(t.records, id)
 			t.publish(id, nil)
 		}
 	}
 }
 
-// EachLeaving calls f with each life of a worker that said that it leaves, without the lock.
-func (t *Table) EachLeaving(f func(worker string, born int64)) {
+// EachLeaving calls visit for each worker that is about to stop, with its incarnation. The
+// function visit may call the Table.
+func (t *Table) EachLeaving(visit func(worker string, born int64)) {
 	t.mu.Lock()
 	leaving := make(map[string]int64)
 	for id, r := range t.records {
-		if r.leaves {
+		if r.leaving {
 			leaving[id] = r.born
 		}
 	}
 	t.mu.Unlock()
 	for id, born := range leaving {
-		f(id, born)
+		visit(id, born)
 	}
 }
 
-// Limited returns how many workers name a limit.
+// Limited returns the number of workers that have a limit.
 func (t *Table) Limited() int {
-	return t.count(func(r *record) bool { return r.limited })
+	return t.countRecords(func(r *record) bool { return r.limited })
 }
 
-// Resting returns how many workers want nothing from this daemon now.
+// Resting returns the number of workers that asked this daemon for a rest period which has not
+// ended.
 func (t *Table) Resting(now time.Time) int { return t.rests.Count(now) }
 
-// Leaving returns how many workers said that they leave.
-func (t *Table) Leaving() int { return t.count(func(r *record) bool { return r.leaves }) }
+// Leaving returns the number of workers that are about to stop.
+func (t *Table) Leaving() int { return t.countRecords(func(r *record) bool { return r.leaving }) }
 
-func (t *Table) count(counts func(r *record) bool) int {
+func (t *Table) countRecords(matches func(r *record) bool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, r := range t.records {
-		if counts(r) {
+		if matches(r) {
 			n++
 		}
 	}
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -1,7 +1,8 @@
-// Package leadership decides which daemon leads. A grant in the store names the
-// holders of an epoch; while the store is away, they follow one another by
-// their ranks. Two daemons may lead for a moment: fencing tokens keep that
-// harmless, and the lower one yields as soon as it hears of the higher.
+// Package leadership elects the daemon that leads the fleet. A grant in the store names an epoch
+// and its holders: the leader and its deputies. A claim is an epoch with a rank. While the store
+// is unavailable, a holder takes over by claiming a higher rank of the epoch. Two daemons may lead
+// for a moment, which fencing tokens make harmless. The one with the lower claim yields as soon as
+// it learns of the higher one.
 package leadership
 
 import (
@@ -19,46 +20,50 @@
 
 // Timing of an elector.
 const (
-	tickEvery = 100 * time.Millisecond
-	// registryTimeout bounds a call to the registry.
+	// tickInterval is the time between two checks whether to lead or to yield.
+	tickInterval = 100 * time.Millisecond
+	// registryTimeout limits a call to the registry.
 	registryTimeout = 600 * time.Millisecond
-	// firstPatience is how long a daemon that has just started listens for
-	// others before it takes part.
-	firstPatience = 500 * time.Millisecond
-	// turnPatience is how much longer each further candidate waits.
-	turnPatience = 700 * time.Millisecond
-	// retryPause is the pause after an attempt that did not win.
+	// startupDelay is how long a daemon only receives heartbeats after its start. It makes no
+	// attempt to lead before.
+	startupDelay = 500 * time.Millisecond
+	// candidateDelay is the time between the attempts of one candidate and the next. It is also
+	// the pause after a daemon yielded.
+	candidateDelay = 700 * time.Millisecond
+	// retryPause is the pause after a failed attempt to lead.
 	retryPause = 300 * time.Millisecond
-	// knownFor is how far back daemons count towards a majority.
-	knownFor = 20 * time.Second
-	// storeFresh is how recently the store must have answered to be reached.
-	storeFresh = 4 * time.Second
-	// deputies is how many holders a grant names after the first.
-	deputies = 4
-	maxRank  = 200
-	// leastDeputies is how many of a grant's holders should be alive beside
-	// the leader, and refreshEvery how often it looks.
-	leastDeputies = 2
-	refreshEvery  = 2 * time.Second
+	// majorityWindow is how recently a daemon must have sent a heartbeat to be counted among all
+	// daemons when a majority is determined.
+	majorityWindow = 20 * time.Second
+	// storeTimeout is how long after its last answer the store counts as reachable.
+	storeTimeout = 4 * time.Second
+	// maxDeputies is the maximum number of holders in a grant besides the leader.
+	maxDeputies = 4
+	// maxRank is the highest rank that may be claimed in an epoch.
+	maxRank = 200
+	// minAliveDeputies is how many holders of a grant should be alive besides the leader.
+	minAliveDeputies = 2
+	// refreshInterval is the time between two checks of the number of deputies that are alive.
+	refreshInterval = 2 * time.Second
 )
 
-// Registry keeps grants. Each has an epoch that no other one shares.
+// Registry stores grants, each with a unique epoch.
 type Registry struct {
-	// Newest returns the newest grant and where the next one has to be added.
+	// Newest returns the newest grant and the position at which the next one has to be added.
 	Newest func(ctx context.Context) (Found, error)
-	// Add adds a grant if the position still holds. Its epoch is above all that Found and
-	// peers told.
+	// Add adds a grant if the position is still the one for the next grant, and reports whether it
+	// did. The epoch of the grant must be above all epochs known from Found and from peers.
 	Add func(ctx context.Context, grant peers.Grant, position int64) (won bool, err error)
 }
 
-// Found is what a registry holds.
+// Found is the content of a registry.
 type Found struct {
-	// Grant is the newest grant, the zero one before the first.
+	// Grant is the newest grant, the zero value before the first.
 	Grant peers.Grant
-	// Position is where the next one has to be added.
+	// Position is where the next grant has to be added.
 	Position int64
-	// Given is an epoch below which grants may have been given that the registry has
-	// forgotten, as one that comes back from a copy.
+	// Given is an upper bound of the epochs that may have been granted. It includes grants that
+	// were lost when the registry was restored from a backup.
 	Given int64
 }
 
@@ -66,71 +71,76 @@
 type Options struct {
 	Self     peers.Identity
 	Registry Registry
-	// Alive returns the daemons that are alive, this one left out.
+	// Alive returns the other daemons that are alive.
 	Alive func(now time.Time) []*peers.Peer
-	// Known returns how many others were alive since a time.
+	// Known returns the number of other daemons that sent a heartbeat since the given time.
 	Known func(since time.Time) int
-	// Patience is how long a daemon counts as alive after it was heard.
+	// Patience returns how long a daemon counts as alive after its last heartbeat.
 	Patience func() time.Duration
-	// Settled reports whether what was heard is up to date.
+	// Settled reports whether this daemon's information from peers is up to date.
 	Settled func(now time.Time) bool
-	// Fit reports whether this daemon knows enough to lead, and stays.
+	// Fit reports whether this daemon has the data that a leader needs and is not stopping.
 	Fit func() bool
-	// Era returns the newest era that the registry told; nil for a registry that forgets
-	// nothing. A term ends with the era in which it began: its grant may be forgotten.
+	// Era returns the newest era reported by the registry. A new era begins when the registry is
+	// restored from a backup. A term ends with the era in which it began, as its grant may be
+	// lost. Era is nil for a registry that never loses data.
 	Era func() int64
 	// StoreSeen returns when the store last answered this daemon.
 	StoreSeen func() time.Time
-	// Suspended returns for how long the machine was suspended in all; nil for one that never
-	// is.
+	// Suspended returns the total time for which the machine was suspended; nil if it never is.
 	Suspended func() time.Duration
-	// Lead is called with each term won and runs it until its context ends.
+	// Lead is called for each term that this daemon wins, and runs until the term's context ends.
+	// The argument first is true for the first term of a new fleet.
 	Lead   func(ctx context.Context, claim peers.Claim, first bool)
 	Logger hclog.Logger
 }
 
-// Elector takes part in leadership.
+// Elector takes part in the election of a leader. It is safe for concurrent use.
 type Elector struct {
-	opts  Options
-	start time.Time
-	done  chan struct{}
-
-	mu      sync.Mutex
-	grant   peers.Grant
-	highest peers.Claim
-	own     *peers.Claim
-	// ownEra is the registry's era in which the own term began.
+	opts      Options
+	startedAt time.Time
+	done      chan struct{}
+
+	mu sync.Mutex
+	// grant is the newest known grant and highestClaim the highest known claim of any daemon.
+	// ownClaim is the claim by which this daemon leads, nil if it does not lead.
+	grant        peers.Grant
+	highestClaim peers.Claim
+	ownClaim     *peers.Claim
+	// ownEra is the registry's era in which the current term began.
 	ownEra int64
-	// stop ends the own term.
-	stop func()
-	// leaderlessSince is since when no leader was heard; zero while one is.
+	// stopTerm ends the current term.
+	stopTerm func()
+	// leaderlessSince is when this daemon first saw that there is no leader; zero while there is
+	// one.
 	leaderlessSince time.Time
-	// refreshNext is when the leader looks again for deputies.
-	refreshNext time.Time
-	// pauseUntil is until when no attempt is made.
+	// nextRefresh is when the leader checks its deputies again.
+	nextRefresh time.Time
+	// pauseUntil is when the next attempt may be made.
 	pauseUntil time.Time
 }
 
-// NewElector returns an elector; Run makes it work.
+// NewElector returns an elector, which is started by Run.
 func NewElector(opts Options) *Elector {
 	if opts.Suspended == nil {
 		opts.Suspended = awake.Never
 	}
-	return &Elector{opts: opts, start: time.Now(), done: make(chan struct{})}
+	return &Elector{opts: opts, startedAt: time.Now(), done: make(chan struct{})}
 }
 
 // Done is closed when Run has returned.
 func (e *Elector) Done() <-chan struct{} { return e.done }
 
-// State returns what peers are to be told: the own claim, if any, the highest
-// known, and the newest grant known.
+// State returns what is sent to peers: this daemon's claim, if it leads, the highest known claim,
+// and the newest known grant.
 func (e *Elector) State() (own *peers.Claim, highest peers.Claim, grant peers.Grant) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.own, e.highest, e.grant
+	return e.ownClaim, e.highestClaim, e.grant
 }
 
-// Hear takes what a peer told of leadership.
+// Hear updates the known grant and claims from a heartbeat of a peer, and yields if the peer
+// reports a higher claim.
 func (e *Elector) Hear(p *peers.Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,36 +148,36 @@
 		e.grant = p.Grant
 	}
 	for _, c := range []*peers.Claim{&p.Highest, p.Leads} {
-		if c != nil && c.Higher(e.highest) {
-			e.highest = *c
+		if c != nil && c.Higher(e.highestClaim) {
+			e.highestClaim = *c
 		}
 	}
-	if e.own != nil && e.highest.Higher(*e.own) {
+	if e.ownClaim != nil && e.highestClaim.Higher(*e.ownClaim) {
 		e.yield("a higher claim was heard")
 	}
 }
 
-// Yield ends the own term, if there is one.
-func (e *Elector) Yield(why string) {
+// Yield ends this daemon's term, if there is one.
+func (e *Elector) Yield(reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.yield(why)
+	e.yield(reason)
 }
 
-func (e *Elector) yield(why string) {
-	if e.own == nil {
+func (e *Elector) yield(reason string) {
+	if e.ownClaim == nil {
 		return
 	}
-	e.opts.Logger.Warn("leadership given up", "epoch", e.own.Epoch, "rank", e.own.Rank, "reason", why)
-	e.stop()
-	e.own, e.stop = nil, nil
-	e.pauseUntil = time.Now().Add(turnPatience)
+	e.opts.Logger.Warn("leadership ended", "epoch", e.ownClaim.Epoch, "rank", e.ownClaim.Rank, "reason", reason)
+	e.stopTerm()
+	e.ownClaim, e.stopTerm = nil, nil
+	e.pauseUntil = time.Now().Add(candidateDelay)
 }
 
-// Run takes part until ctx ends.
+// Run takes part in elections until ctx ends.
 func (e *Elector) Run(ctx context.Context) {
 	defer close(e.done)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -176,69 +186,70 @@
 			return
 		case <-ticker.C:
 			if e.tick(time.Now()) {
-				e.attempt(ctx)
+				e.tryToLead(ctx)
 			}
 			if e.lacksDeputies(time.Now()) {
-				e.refresh(ctx)
+				e.refreshGrant(ctx)
 			}
 		}
 	}
 }
 
-// tick reports whether it is this daemon's turn to try for leadership.
+// tick ends the current term if necessary, and otherwise reports whether it is this daemon's turn
+// to try to lead.
 func (e *Elector) tick(now time.Time) bool {
 	alive := e.opts.Alive(now)
-	fit := e.opts.Fit()
+	canLead := e.opts.Fit()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.own != nil {
+	if e.ownClaim != nil {
 		switch {
-		case !fit:
+		case !canLead:
 			e.yield("the daemon leaves or knows too little")
-		case e.era() != e.ownEra:
+		case e.currentEra() != e.ownEra:
 			e.yield("the store came back from a copy")
-		case e.isolated(alive, now):
+		case e.isIsolated(alive, now):
 			e.yield("neither the store nor most daemons are reached")
 		}
 		return false
 	}
-	if !fit || !e.opts.Settled(now) || now.Sub(e.start) < firstPatience || now.Before(e.pauseUntil) {
+	if !canLead || !e.opts.Settled(now) || now.Sub(e.startedAt) < startupDelay || now.Before(e.pauseUntil) {
 		e.leaderlessSince = time.Time{}
 		return false
 	}
-	if led(alive) || e.heardByOthers(alive, now) {
+	if hasLeader(alive) || e.leaderSeenByOthers(alive, now) {
 		e.leaderlessSince = time.Time{}
 		return false
 	}
 	if e.leaderlessSince.IsZero() {
 		e.leaderlessSince = now
 	}
-	turn := e.turn(alive)
-	return now.Sub(e.leaderlessSince) >= time.Duration(turn)*turnPatience && !e.isolated(alive, now)
+	ahead := e.candidatesAhead(alive)
+	return now.Sub(e.leaderlessSince) >= time.Duration(ahead)*candidateDelay && !e.isIsolated(alive, now)
 }
 
-// era returns the newest era that the registry told.
-func (e *Elector) era() int64 {
+// currentEra returns the newest era reported by the registry.
+func (e *Elector) currentEra() int64 {
 	if e.opts.Era == nil {
 		return 0
 	}
 	return e.opts.Era()
 }
 
-// isolated reports whether neither the store nor most daemons are reached.
-func (e *Elector) isolated(alive []*peers.Peer, now time.Time) bool {
-	known := e.opts.Known(now.Add(-knownFor)) + 1
-	return 2*(len(alive)+1) <= known && now.Sub(e.opts.StoreSeen()) > storeFresh
+// isIsolated reports whether neither the store nor a majority of the daemons is reachable.
+func (e *Elector) isIsolated(alive []*peers.Peer, now time.Time) bool {
+	known := e.opts.Known(now.Add(-majorityWindow)) + 1
+	return 2*(len(alive)+1) <= known && now.Sub(e.opts.StoreSeen()) > storeTimeout
 }
 
-// led reports whether a daemon that stays leads.
-func led(alive []*peers.Peer) bool {
+// hasLeader reports whether one of the daemons leads and is not stopping.
+func hasLeader(alive []*peers.Peer) bool {
 	return slices.ContainsFunc(alive, func(p *peers.Peer) bool { return p.Leads != nil && !p.Leaving })
 }
 
-// heardByOthers reports whether some daemon has heard a leader of late, though
-// this one has not.
-func (e *Elector) heardByOthers(alive []*peers.Peer, now time.Time) bool {
+// leaderSeenByOthers reports whether another daemon has recently received a heartbeat from a
+// leader.
+func (e *Elector) leaderSeenByOthers(alive []*peers.Peer, now time.Time) bool {
 	patience := e.opts.Patience()
 	return slices.ContainsFunc(alive, func(p *peers.Peer) bool {
 		age := time.Duration(p.LeaderAge) * time.Millisecond
@@ -246,12 +257,13 @@
 	})
 }
 
-// turn returns how many daemons are to try before this one. Daemons that do not know all
-// workers count only where no other one does, and in a fleet that nobody led yet
-// as far as is known: the fittest then waits for its first list too, and one that
-// has it sooner would lead for a moment only. Members of a large fleet serve without it and
-// are passed over.
-func (e *Elector) turn(alive []*peers.Peer) int {
+// candidatesAhead returns the number of daemons that should try to lead before this one.
+//
+// The candidates are this daemon and the others that are ready and know all workers. Before the
+// first grant, daemons that are not ready yet are candidates as well, because the fittest one may
+// still be reading its first list of workers. If no other daemon is a candidate by these rules, all
+// of them are. Daemons that are stopping are left out.
+func (e *Elector) candidatesAhead(alive []*peers.Peer) int {
 	candidates, unready := []peers.Identity{e.opts.Self}, []peers.Identity{}
 	for _, p := range alive {
 		switch {
@@ -265,58 +277,59 @@
 	if len(candidates) == 1 {
 		candidates = append(candidates, unready...)
 	}
-	e.order(candidates)
+	e.sortCandidates(candidates)
 	return slices.Index(candidates, e.opts.Self)
 }
 
-// order puts the holders of the grant first, in their order, then the others, the
-// fittest first.
-func (e *Elector) order(candidates []peers.Identity) {
-	place := func(c peers.Identity) int {
+// sortCandidates sorts the candidates: the holders of the grant first, in the order of the grant,
+// then the others by fitness.
+func (e *Elector) sortCandidates(candidates []peers.Identity) {
+	position := func(c peers.Identity) int {
 		if i := slices.Index(e.grant.Holders, holderOf(c)); i >= 0 {
 			return i
 		}
 		return len(e.grant.Holders)
 	}
 	slices.SortFunc(candidates, func(a, b peers.Identity) int {
-		return cmp.Or(cmp.Compare(place(a), place(b)), peers.CompareFitness(a, b))
+		return cmp.Or(cmp.Compare(position(a), position(b)), peers.CompareFitness(a, b))
 	})
 }
 
-// holderOf returns the life of a daemon as grants name it.
+// holderOf returns a daemon's incarnation in the form used by grants.
 func holderOf(id peers.Identity) peers.Holder {
 	return peers.Holder{ID: id.ID, Incarnation: id.Incarnation}
 }
 
-// attempt tries to win a term: by a new grant, or by rank when the store
-// cannot be reached.
-func (e *Elector) attempt(ctx context.Context) {
-	// What the store told until now is what the term rests on.
-	era, asked := e.era(), awake.NewStamp(e.opts.Suspended)
-	claim, first, won := e.takeGrant(ctx)
+// tryToLead tries to win a term: by a new grant, or by a higher rank if the store is unavailable.
+func (e *Elector) tryToLead(ctx context.Context) {
+	// Read the era before the grant, so that a later restore of the store ends the term.
+	era, stamp := e.currentEra(), awake.NewStamp(e.opts.Suspended)
+	claim, isFirst, won := e.acquireClaim(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	// Others may have led since the store answered a daemon that was suspended.
-	if !won || asked.Interrupted() || e.highest.Higher(claim) || ctx.Err() != nil {
+	// If this daemon was suspended in between, others may have led meanwhile.
+	if !won || stamp.Interrupted() || e.highestClaim.Higher(claim) || ctx.Err() != nil {
 		e.pauseUntil = time.Now().Add(retryPause)
 		return
 	}
-	e.highest = claim
-	e.own, e.ownEra = &claim, era
+	e.highestClaim = claim
+	e.ownClaim, e.ownEra = &claim, era
 	term, stop := context.WithCancel(ctx)
-	e.stop = stop
+	e.stopTerm = stop
 	e.leaderlessSince = time.Time{}
-	e.opts.Logger.Info("leading", "epoch", claim.Epoch, "rank", claim.Rank, "first", first)
-	go e.opts.Lead(term, claim, first)
+	e.opts.Logger.Info("leading", "epoch", claim.Epoch, "rank", claim.Rank, "first", isFirst)
+	go e.opts.Lead(term, claim, isFirst)
 }
 
-// takeGrant returns the claim that this daemon may make.
-func (e *Elector) takeGrant(ctx context.Context) (claim peers.Claim, first, won bool) {
+// acquireClaim adds a grant to the registry, or uses the next rank of the known grant if the
+// registry is unavailable. It returns the resulting claim, whether its grant is the first one
+// ever, and whether the claim was won.
+func (e *Elector) acquireClaim(ctx context.Context) (claim peers.Claim, isFirst, won bool) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	found, err := e.opts.Registry.Newest(ctx)
 	if err != nil {
-		claim, won = e.nextRank()
+		claim, won = e.nextClaim()
 		return claim, false, won
 	}
 	newest := found.Grant
@@ -325,16 +338,16 @@
 		e.grant = newest
 	}
 	grant := e.nextGrant(found)
-	first = grant.Epoch == 1
-	unused := len(newest.Holders) > 0 && newest.Holders[0] == e.self() && e.highest.Epoch < newest.Epoch
+	isFirst = grant.Epoch == 1
+	isUnusedOwnGrant := len(newest.Holders) > 0 && newest.Holders[0] == e.self() && e.highestClaim.Epoch < newest.Epoch
 	e.mu.Unlock()
-	if unused {
-		// An earlier addition was made though its answer was lost.
+	if isUnusedOwnGrant {
+		// An earlier call added the grant, but its answer was lost.
 		return peers.Claim{Epoch: newest.Epoch}, false, true
 	}
 	won, err = e.opts.Registry.Add(ctx, grant, found.Position)
 	if err != nil {
-		e.opts.Logger.Warn("grant not added", "error", err)
+		e.opts.Logger.Warn("failed to add grant", "error", err)
 		return peers.Claim{}, false, false
 	}
 	if won {
@@ -342,43 +355,43 @@
 		e.grant = grant
 		e.mu.Unlock()
 	}
-	return peers.Claim{Epoch: grant.Epoch}, first, won
+	return peers.Claim{Epoch: grant.Epoch}, isFirst, won
 }
 
-// nextGrant returns the grant to add after what the registry holds. Its epoch is above every
-// epoch that the registry, peers or this daemon ever showed, whatever the registry forgot:
-// two leaders of one epoch would give orders with the same fences. The mutex is held.
+// nextGrant returns the grant to add next. Its epoch is above every epoch known to the registry,
+// peers or this daemon: two grants with the same epoch would lead to equal fencing tokens. The
+// caller must hold e.mu.
 func (e *Elector) nextGrant(found Found) peers.Grant {
-	given := max(found.Given, found.Grant.Epoch, e.grant.Epoch, e.highest.Epoch)
-	return peers.Grant{Epoch: given + 1, Holders: e.holders()}
+	given := max(found.Given, found.Grant.Epoch, e.grant.Epoch, e.highestClaim.Epoch)
+	return peers.Grant{Epoch: given + 1, Holders: e.chooseHolders()}
 }
 
-// lacksDeputies reports whether this daemon leads by a grant that names too few
-// daemons that live, though there are others.
+// lacksDeputies reports whether this daemon leads, too few deputies in its grant are alive, and
+// other daemons could become deputies. It returns false until the next check is due.
 func (e *Elector) lacksDeputies(now time.Time) bool {
 	alive := e.opts.Alive(now)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.own == nil || now.Before(e.refreshNext) {
+	if e.ownClaim == nil || now.Before(e.nextRefresh) {
 		return false
 	}
-	e.refreshNext = now.Add(refreshEvery)
-	able, named := 0, 0
+	e.nextRefresh = now.Add(refreshInterval)
+	available, holdersAlive := 0, 0
 	for _, p := range alive {
 		if p.Leaving {
 			continue
 		}
-		able++
+		available++
 		if slices.Contains(e.grant.Holders, holderOf(p.Identity)) {
-			named++
+			holdersAlive++
 		}
 	}
-	return named < min(leastDeputies, able)
+	return holdersAlive < min(minAliveDeputies, available)
 }
 
-// refresh adds a grant that names living deputies. The own claim goes on: every
-// claim under the new grant outdoes it.
-func (e *Elector) refresh(ctx context.Context) {
+// refreshGrant adds a grant with deputies that are alive. This daemon keeps its claim. A claim of
+// another daemon under the new grant is higher.
+func (e *Elector) refreshGrant(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	found, err := e.opts.Registry.Newest(ctx)
@@ -387,13 +400,13 @@
 	}
 	newest := found.Grant
 	e.mu.Lock()
-	outdone := newest.Epoch > e.grant.Epoch
-	if outdone {
+	superseded := newest.Epoch > e.grant.Epoch
+	if superseded {
 		e.grant = newest
 	}
 	grant := e.nextGrant(found)
 	e.mu.Unlock()
-	if outdone && (len(newest.Holders) == 0 || newest.Holders[0] != e.self()) {
+	if superseded && (len(newest.Holders) == 0 || newest.Holders[0] != e.self()) {
 		e.Yield("another daemon holds a newer grant")
 		return
 	}
@@ -406,43 +419,44 @@
 	e.grant = grant
 }
 
-// completeFirst puts daemons that know all workers before those that would have to learn of
-// them first.
-func completeFirst(p *peers.Peer) int {
+// completenessRank returns the sort key by which daemons that know all workers come first.
+func completenessRank(p *peers.Peer) int {
 	if p.Complete {
 		return 0
 	}
 	return 1
 }
 
-// holders returns the holders that a new grant names: this daemon, then the
-// fittest of the others that are alive and stay, those that know all workers first.
-func (e *Elector) holders() []peers.Holder {
+// chooseHolders returns the holders of a new grant. This daemon comes first, then up to
+// maxDeputies others that are alive and not stopping: those that know all workers before the rest,
+// the fittest first.
+func (e *Elector) chooseHolders() []peers.Holder {
 	others := slices.DeleteFunc(e.opts.Alive(time.Now()), func(p *peers.Peer) bool { return p.Leaving })
 	slices.SortFunc(others, func(a, b *peers.Peer) int {
-		return cmp.Or(cmp.Compare(completeFirst(a), completeFirst(b)), peers.CompareFitness(a.Identity, b.Identity))
+		return cmp.Or(cmp.Compare(completenessRank(a), completenessRank(b)), peers.CompareFitness(a.Identity, b.Identity))
 	})
 	holders := []peers.Holder{e.self()}
-	for _, p := range others[:min(len(others), deputies)] {
+	for _, p := range others[:min(len(others), maxDeputies)] {
 		holders = append(holders, holderOf(p.Identity))
 	}
 	return holders
 }
 
-// self returns this life of this daemon.
+// self returns this daemon's incarnation in the form used by grants.
 func (e *Elector) self() peers.Holder { return holderOf(e.opts.Self) }
 
-// nextRank returns the next claim under the known grant that is this daemon's
-// to make. Holders take turns, so ranks are never used twice.
-func (e *Elector) nextRank() (peers.Claim, bool) {
+// nextClaim returns the next claim that this daemon may make under the known grant, and false if
+// it may make none. Ranks are assigned to the holders in rotation, so no two holders use the same
+// one.
+func (e *Elector) nextClaim() (peers.Claim, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	mine := slices.Index(e.grant.Holders, e.self())
-	if mine < 0 || e.highest.Epoch > e.grant.Epoch {
+	position := slices.Index(e.grant.Holders, e.self())
+	if position < 0 || e.highestClaim.Epoch > e.grant.Epoch {
 		return peers.Claim{}, false
 	}
-	rank := mine
-	for e.highest.Epoch == e.grant.Epoch && rank <= e.highest.Rank {
+	rank := position
+	for e.highestClaim.Epoch == e.grant.Epoch && rank <= e.highestClaim.Rank {
 		rank += len(e.grant.Holders)
 	}
 	return peers.Claim{Epoch: e.grant.Epoch, Rank: rank}, rank <= maxRank
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -20,43 +20,44 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
-// fakeFleet joins electors by heartbeats and a registry, both of which can fail.
+// fakeFleet connects electors by heartbeats and a registry, both of which can fail.
 type fakeFleet struct {
-	mu      sync.Mutex
-	grants  []keptGrant
-	era     int64
-	storeUp bool
-	// cut holds the daemons that reach neither others nor the store.
-	cut     map[string]bool
-	dead    map[string]bool
-	daemons []*fakeDaemon
-	// claims holds every claim ever made, with its maker.
+	mu        sync.Mutex
+	grants    []storedGrant
+	era       int64
+	storeIsUp bool
+	// isolated contains the IDs of the daemons that can reach neither the others nor the store.
+	isolated map[string]bool
+	dead     map[string]bool
+	daemons  []*fakeDaemon
+	// claims maps every claim ever made to the daemon that made it.
 	claims map[peers.Claim]string
-	// unready tells that nobody is ready yet, calls counts those to the registry.
-	unready bool
-	calls   int
-	// capacity holds the daemons' capacities.
+	// notReady means that no daemon is ready yet. registryCalls counts the reads of the registry.
+	notReady      bool
+	registryCalls int
+	// capacity maps the IDs of daemons to their capacities.
 	capacity map[string]int
-	// fitAt holds from when on daemons are ready and may lead, if not from the start.
-	fitAt map[string]time.Time
-	// twice notes claims that two daemons made.
-	twice []string
+	// readyAt maps the IDs of daemons to the times at which they become ready and able to lead.
+	// Daemons that are not listed are so from the start.
+	readyAt map[string]time.Time
+	// duplicates lists claims that were made by two daemons.
+	duplicates []string
 }
 
 type fakeDaemon struct {
-	fleet   *fakeFleet
-	self    peers.Holder
-	elector *Elector
-	heard   map[string]*peers.Peer
-	stop    context.CancelFunc
-	// era is the store's era as it told this daemon.
+	fleet          *fakeFleet
+	self           peers.Holder
+	elector        *Elector
+	lastHeartbeats map[string]*peers.Peer
+	stop           context.CancelFunc
+	// era is the store's era as last reported to this daemon.
 	era int64
 }
 
 func newFakeFleet(daemons int) *fakeFleet {
-	f := &fakeFleet{storeUp: true, cut: make(map[string]bool), dead: make(map[string]bool), claims: make(map[peers.Claim]string)}
+	f := &fakeFleet{storeIsUp: true, isolated: make(map[string]bool), dead: make(map[string]bool), claims: make(map[peers.Claim]string)}
 	for i := range daemons {
 		f.start(fmt.Sprintf("d%d", i), 1)
 	}
@@ -64,12 +65,12 @@
 }
 
 func (f *fakeFleet) start(id string, incarnation int64) {
-	d := &fakeDaemon{fleet: f, self: peers.Holder{ID: id, Incarnation: incarnation}, heard: make(map[string]*peers.Peer)}
+	d := &fakeDaemon{fleet: f, self: peers.Holder{ID: id, Incarnation: incarnation}, lastHeartbeats: make(map[string]*peers.Peer)}
 	d.elector = NewElector(Options{
-		Self: d.identity(), Registry: Registry{Newest: d.newest, Add: d.add}, Alive: d.alive, Known: d.known,
+		Self: d.identity(), Registry: Registry{Newest: d.newest, Add: d.add}, Alive: d.alive, Known: d.countKnown,
 		Patience: func() time.Duration { return 800 * time.Millisecond },
-		Settled:  func(time.Time) bool { return true }, Fit: d.fit,
-		Era: d.seenEra, StoreSeen: d.storeSeen, Lead: d.lead, Logger: hclog.NewNullLogger(),
+		Settled:  func(time.Time) bool { return true }, Fit: d.canLead,
+		Era: d.reportedEra, StoreSeen: d.lastStoreAnswer, Lead: d.lead, Logger: hclog.NewNullLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
@@ -80,19 +81,19 @@
 	go d.report(ctx)
 }
 
-func (d *fakeDaemon) fit() bool { return !time.Now().Before(d.fleet.fitAt[d.self.ID]) }
+func (d *fakeDaemon) canLead() bool { return !time.Now().Before(d.fleet.readyAt[d.self.ID]) }
 
 func (d *fakeDaemon) lead(_ context.Context, claim peers.Claim, _ bool) {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	if other, ok := d.fleet.claims[claim]; ok {
-		d.fleet.twice = append(d.fleet.twice, fmt.Sprintf("%v by %s and %s", claim, other, d.self.ID))
+		d.fleet.duplicates = append(d.fleet.duplicates, fmt.Sprintf("%v by %s and %s", claim, other, d.self.ID))
 	}
 	d.fleet.claims[claim] = d.self.ID
 }
 
-func (f *fakeFleet) connected(a, b string) bool {
-	return !f.cut[a] && !f.cut[b] && !f.dead[a] && !f.dead[b]
+func (f *fakeFleet) areConnected(a, b string) bool {
+	return !f.isolated[a] && !f.isolated[b] && !f.dead[a] && !f.dead[b]
 }
 
 func (d *fakeDaemon) identity() peers.Identity {
@@ -102,25 +103,25 @@
 func (f *fakeFleet) isUnready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.unready
+	return f.notReady
 }
 
-// report tells all that can hear it of this daemon, five times a second.
+// report sends a heartbeat to all reachable daemons five times a second, until ctx ends.
 func (d *fakeDaemon) report(ctx context.Context) {
 	for ctx.Err() == nil {
-		p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: d.identity(), Ready: !d.fleet.isUnready() && d.fit(), Complete: true}, HeardAt: time.Now()}
+		p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: d.identity(), Ready: !d.fleet.isUnready() && d.canLead(), Complete: true}, HeardAt: time.Now()}
 		p.Leads, p.Highest, p.Grant = d.elector.State()
 		d.fleet.mu.Lock()
 		all := slices.Clone(d.fleet.daemons)
 		d.fleet.mu.Unlock()
 		for _, other := range all {
 			d.fleet.mu.Lock()
-			hears := other != d && d.fleet.connected(d.self.ID, other.self.ID)
-			if hears {
-				other.heard[d.self.ID] = p
+			reachable := other != d && d.fleet.areConnected(d.self.ID, other.self.ID)
+			if reachable {
+				other.lastHeartbeats[d.self.ID] = p
 			}
 			d.fleet.mu.Unlock()
-			if hears {
+			if reachable {
 				other.elector.Hear(p)
 			}
 		}
@@ -132,7 +133,7 @@
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	var all []*peers.Peer
-	for _, p := range d.heard {
+	for _, p := range d.lastHeartbeats {
 		if now.Sub(p.HeardAt) < 800*time.Millisecond {
 			all = append(all, p)
 		}
@@ -140,11 +141,11 @@
 	return all
 }
 
-func (d *fakeDaemon) known(since time.Time) int {
+func (d *fakeDaemon) countKnown(since time.Time) int {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	n := 0
-	for _, p := range d.heard {
+	for _, p := range d.lastHeartbeats {
 		if p.HeardAt.After(since) {
 			n++
 		}
@@ -152,7 +153,7 @@
 	return n
 }
 
-func (d *fakeDaemon) storeSeen() time.Time {
+func (d *fakeDaemon) lastStoreAnswer() time.Time {
 	if d.reachesStore() {
 		return time.Now()
 	}
@@ -162,152 +163,153 @@
 func (d *fakeDaemon) reachesStore() bool {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	return d.fleet.storeUp && !d.fleet.cut[d.self.ID] && !d.fleet.dead[d.self.ID]
+	return d.fleet.storeIsUp && !d.fleet.isolated[d.self.ID] && !d.fleet.dead[d.self.ID]
 }
 
 func (d *fakeDaemon) newest(context.Context) (Found, error) {
 	if !d.reachesStore() {
-		return Found{}, errAway
+		return Found{}, errUnavailable
 	}
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	d.fleet.calls++
+	d.fleet.registryCalls++
 	d.era = d.fleet.era
 	n := len(d.fleet.grants)
-	found := Found{Position: int64(n), Given: d.fleet.era * lostMost}
+	found := Found{Position: int64(n), Given: d.fleet.era * maxLostGrants}
 	if n > 0 {
 		found.Grant = d.fleet.grants[n-1].Grant
-		found.Given = found.Grant.Epoch + (d.fleet.era-d.fleet.grants[n-1].era)*lostMost
+		found.Given = found.Grant.Epoch + (d.fleet.era-d.fleet.grants[n-1].era)*maxLostGrants
 	}
 	return found, nil
 }
 
 func (d *fakeDaemon) add(_ context.Context, grant peers.Grant, position int64) (bool, error) {
 	if !d.reachesStore() {
-		return false, errAway
+		return false, errUnavailable
 	}
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	if position != int64(len(d.fleet.grants)) || d.era != d.fleet.era {
 		return false, nil
 	}
-	d.fleet.grants = append(d.fleet.grants, keptGrant{Grant: grant, era: d.fleet.era})
+	d.fleet.grants = append(d.fleet.grants, storedGrant{Grant: grant, era: d.fleet.era})
 	return true, nil
 }
 
-// seenEra returns the era that the store told this daemon: a leader reads all the time.
-func (d *fakeDaemon) seenEra() int64 {
+// reportedEra returns the era that the store last reported to this daemon.
+func (d *fakeDaemon) reportedEra() int64 {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	return d.era
 }
 
-// lostMost is how many grants a drill of these tests forgets at most.
-const lostMost = 3
+// maxLostGrants is the maximum number of grants that one restore of the store loses.
+const maxLostGrants = 3
 
-// keptGrant is a grant and the era in which it was given.
-type keptGrant struct {
+// storedGrant is a grant with the era in which it was added.
+type storedGrant struct {
 	peers.Grant
 	era int64
 }
 
-// drill lets the store come back without its last grants.
-func (f *fakeFleet) drill(lost int) {
+// restoreStore simulates a restore from a backup that lacks the last grants.
+func (f *fakeFleet) restoreStore(lost int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.grants = f.grants[:max(len(f.grants)-lost, 0)]
 	f.era++
 }
 
-// tellEra lets the leaders that reach the store hear of its era, as their reads do.
-func (f *fakeFleet) tellEra() {
+// reportEra reports the current era to all daemons that reach the store, as reads from the store
+// do.
+func (f *fakeFleet) reportEra() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.daemons {
-		if f.storeUp && !f.cut[d.self.ID] && !f.dead[d.self.ID] {
+		if f.storeIsUp && !f.isolated[d.self.ID] && !f.dead[d.self.ID] {
 			d.era = f.era
 		}
 	}
 }
 
-// TestStoreThatForgetsGrants lets the store come back without its newest grants at any
-// moment, beside kills, restarts, partitions and outages: no claim may be made twice, since
-// two leaders of one epoch give orders with the same fences, and one leads in the end.
-func TestStoreThatForgetsGrants(outer *testing.T) {
+// TestStoreThatLosesGrants restores the store without its newest grants at arbitrary moments,
+// besides kills, restarts, partitions and outages. It checks that no claim is made twice, and that
+// one daemon leads in the end.
+func TestStoreThatLosesGrants(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 8), 3, 14).Draw(t, "steps")
-		which := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
-		var twice, leaders []string
-		synctest.Test(outer, func(*testing.T) { twice, leaders = playDrills(steps, which) })
-		if len(twice) > 0 {
-			t.Fatalf("claimed twice: %v", twice)
+		targets := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
+		var duplicates, leaders []string
+		synctest.Test(outer, func(*testing.T) { duplicates, leaders = simulateRestores(steps, targets) })
+		if len(duplicates) > 0 {
+			t.Fatalf("claimed twice: %v", duplicates)
 		}
 		if len(leaders) != 1 {
-			t.Fatalf("when all is well again, %v lead", leaders)
+			t.Fatalf("after recovery, %v lead", leaders)
 		}
 	})
 }
 
-// playDrills plays steps on a fleet and returns which claims were made twice, and who leads
-// when all is well again.
-func playDrills(steps, which []int) (twice, leaders []string) {
+// simulateRestores runs the steps on a fleet. It returns the claims that were made twice, and the
+// daemons that lead after everything has recovered.
+func simulateRestores(steps, targets []int) (duplicates, leaders []string) {
 	f := newFakeFleet(5)
-	defer f.end()
+	defer f.stopAll()
 	for i, step := range steps {
 		time.Sleep(time.Duration(400+150*step) * time.Millisecond)
 		if step > 5 {
-			f.drill(step - 5)
+			f.restoreStore(step - 5)
 		} else {
-			f.disturb(step, fmt.Sprintf("d%d", which[i]), int64(i+2))
+			f.disrupt(step, fmt.Sprintf("d%d", targets[i]), int64(i+2))
 		}
-		if which[i]%2 == 0 {
-			f.tellEra()
+		if targets[i]%2 == 0 {
+			f.reportEra()
 		}
 	}
-	f.set(func() { f.storeUp, f.cut = true, make(map[string]bool) })
-	f.tellEra()
+	f.update(func() { f.storeIsUp, f.isolated = true, make(map[string]bool) })
+	f.reportEra()
 	time.Sleep(10 * time.Second)
-	return f.twice, f.leaders()
+	return f.duplicates, f.leaders()
 }
 
-// TestStartOfAFleetIsCalm starts many daemons at once, before any is ready: not
-// all of them may try to lead.
-func TestStartOfAFleetIsCalm(t *testing.T) {
+// TestFleetStartNeedsFewAttempts starts many daemons that are not ready, and checks that one leads
+// in the end and that few of them tried to.
+func TestFleetStartNeedsFewAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(0)
-		f.unready = true
+		f.notReady = true
 		for i := range 40 {
 			f.start(fmt.Sprintf("d%02d", i), 1)
 		}
 		time.Sleep(5 * time.Second)
 		leaders := len(f.leaders())
-		f.end()
+		f.stopAll()
 		assert.Equal(t, leaders, 1)
-		assert.Assert(t, f.calls <= 6, "%d reads of the registry", f.calls)
+		assert.Assert(t, f.registryCalls <= 6, "%d reads of the registry", f.registryCalls)
 	})
 }
 
-// TestLargerMachinesLead kills one leader after the other: those on the larger
-// machines lead first.
-// TestNewFleetHasOneElection lets the daemons of a new fleet know enough to lead one
-// after the other, the largest last.
+// TestNewFleetHasOneElection checks that a new fleet elects one leader when its daemons become
+// able to lead one after the other, the largest last.
 func TestNewFleetHasOneElection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(0)
 		f.capacity = map[string]int{"d3": 800, "d7": 800}
-		f.fitAt = map[string]time.Time{"d3": time.Now().Add(firstPatience + 3*tickEvery), "d7": time.Now().Add(firstPatience + 4*tickEvery)}
+		f.readyAt = map[string]time.Time{"d3": time.Now().Add(startupDelay + 3*tickInterval), "d7": time.Now().Add(startupDelay + 4*tickInterval)}
 		for i := range 10 {
 			f.start(fmt.Sprintf("d%d", i), 1)
 		}
 		time.Sleep(5 * time.Second)
 		leaders := f.leaders()
-		f.end()
+		f.stopAll()
 		assert.Equal(t, len(f.grants), 1, "one election")
 		assert.DeepEqual(t, f.claims, map[peers.Claim]string{{Epoch: 1}: "d3"})
 		assert.Equal(t, len(leaders), 1)
 	})
 }
 
+// TestLargerMachinesLead kills two leaders in turn, and checks that the daemons with the highest
+// capacity led, the largest first.
 func TestLargerMachinesLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(0)
@@ -315,18 +317,18 @@
 		for i := range 7 {
 			f.start(fmt.Sprintf("d%d", i), 1)
 		}
-		var led []string
+		var leaders []string
 		for range 2 {
 			time.Sleep(3 * time.Second)
-			led = append(led, f.leaders()...)
-			f.kill(led[len(led)-1])
+			leaders = append(leaders, f.leaders()...)
+			f.kill(leaders[len(leaders)-1])
 		}
-		f.end()
-		assert.DeepEqual(t, led, []string{"d3", "d5"})
+		f.stopAll()
+		assert.DeepEqual(t, leaders, []string{"d3", "d5"})
 	})
 }
 
-// leaders returns the living daemons that lead.
+// leaders returns the running daemons that lead.
 func (f *fakeFleet) leaders() []string {
 	f.mu.Lock()
 	all := slices.Clone(f.daemons)
@@ -361,24 +363,25 @@
 	d.stop()
 }
 
-func (f *fakeFleet) set(change func()) {
+// update calls change while it holds the lock.
+func (f *fakeFleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-func (f *fakeFleet) end() {
+func (f *fakeFleet) stopAll() {
 	f.mu.Lock()
 	all := slices.Clone(f.daemons)
 	f.mu.Unlock()
 	for _, d := range all {
 		d.stop()
 	}
-	// Let everything that runs see it.
+	// Wait until all goroutines have returned.
 	time.Sleep(time.Second)
 }
 
-func TestOneLeads(t *testing.T) {
+func TestOneDaemonLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(5)
 		time.Sleep(3 * time.Second)
@@ -389,29 +392,29 @@
 		second := f.leaders()
 		assert.Equal(t, len(second), 1)
 		assert.Assert(t, second[0] != first[0])
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestDeputiesFollowWithoutTheStore kills leaders for as long as most daemons
-// that were known of late are left: fewer do not lead without the store, since
-// they may be the ones that are cut off.
+// TestDeputiesFollowWithoutTheStore kills two leaders while the store is unavailable, and checks
+// that a deputy takes over each time. A majority of the daemons stays alive, which is needed to
+// lead without the store.
 func TestDeputiesFollowWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(5)
 		time.Sleep(3 * time.Second)
-		f.set(func() { f.storeUp = false })
+		f.update(func() { f.storeIsUp = false })
 		for range 2 {
 			f.kill(f.leaders()[0])
 			time.Sleep(5 * time.Second)
 			assert.Equal(t, len(f.leaders()), 1)
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestDeputiesAreReplaced lets the only daemon lead before others come: those that
-// come later must be able to follow it without the store.
+// TestDeputiesAreReplaced checks that daemons that join after a single daemon began to lead can
+// succeed it without the store.
 func TestDeputiesAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(1)
@@ -421,11 +424,11 @@
 			f.start(fmt.Sprintf("late%d", i), 1)
 		}
 		time.Sleep(4 * time.Second)
-		f.set(func() { f.storeUp = false })
+		f.update(func() { f.storeIsUp = false })
 		f.kill(leader)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(f.leaders()), 1)
-		f.end()
+		f.stopAll()
 	})
 }
 
@@ -434,87 +437,89 @@
 		f := newFakeFleet(5)
 		time.Sleep(3 * time.Second)
 		old := f.leaders()[0]
-		f.set(func() { f.cut[old] = true })
+		f.update(func() { f.isolated[old] = true })
 		time.Sleep(8 * time.Second)
 		assert.Equal(t, len(f.leaders()), 1)
 		assert.Assert(t, f.leaders()[0] != old)
-		f.set(func() { f.cut[old] = false })
+		f.update(func() { f.isolated[old] = false })
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, len(f.leaders()), 1)
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestNoClaimIsMadeTwice draws kills, restarts, partitions and outages.
+// TestNoClaimIsMadeTwice checks that no two daemons make the same claim and that one daemon leads
+// in the end, after arbitrary kills, restarts, partitions and outages.
 func TestNoClaimIsMadeTwice(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 3, 14).Draw(t, "steps")
-		which := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
-		var twice, leaders []string
+		targets := rapid.SliceOfN(rapid.IntRange(0, 4), 14, 14).Draw(t, "which")
+		var duplicates, leaders []string
 		synctest.Test(outer, func(*testing.T) {
 			f := newFakeFleet(5)
 			incarnation := int64(1)
 			for i, step := range steps {
 				time.Sleep(time.Duration(400+350*step) * time.Millisecond)
 				incarnation++
-				f.disturb(step, fmt.Sprintf("d%d", which[i]), incarnation)
+				f.disrupt(step, fmt.Sprintf("d%d", targets[i]), incarnation)
 			}
-			f.set(func() { f.storeUp, f.cut = true, make(map[string]bool) })
+			f.update(func() { f.storeIsUp, f.isolated = true, make(map[string]bool) })
 			time.Sleep(10 * time.Second)
-			twice, leaders = f.twice, f.leaders()
-			f.end()
+			duplicates, leaders = f.duplicates, f.leaders()
+			f.stopAll()
 		})
-		if len(twice) > 0 {
-			t.Fatalf("claimed twice: %v", twice)
+		if len(duplicates) > 0 {
+			t.Fatalf("claimed twice: %v", duplicates)
 		}
 		if len(leaders) != 1 {
-			t.Fatalf("when all is well again, %v lead", leaders)
+			t.Fatalf("after recovery, %v lead", leaders)
 		}
 	})
 }
 
-func (f *fakeFleet) disturb(step int, id string, incarnation int64) {
+// disrupt causes a disturbance, which depends on the step: it restarts the daemon id or the leader,
+// changes the connections of daemons, or starts or ends an outage of the store.
+func (f *fakeFleet) disrupt(step int, id string, incarnation int64) {
 	switch step {
 	case 0, 1:
 		f.kill(id)
-		f.set(func() { f.dead[id] = false })
+		f.update(func() { f.dead[id] = false })
 		f.start(id, incarnation)
 	case 2:
-		f.set(func() { f.cut[id] = !f.cut[id] })
+		f.update(func() { f.isolated[id] = !f.isolated[id] })
 	case 3:
-		f.set(func() { f.storeUp = !f.storeUp })
+		f.update(func() { f.storeIsUp = !f.storeIsUp })
 	case 4:
 		if leaders := f.leaders(); len(leaders) > 0 {
 			f.kill(leaders[0])
-			f.set(func() { f.dead[leaders[0]] = false })
+			f.update(func() { f.dead[leaders[0]] = false })
 			f.start(leaders[0], incarnation)
 		}
 	default:
-		f.set(func() { f.cut = make(map[string]bool) })
+		f.update(func() { f.isolated = make(map[string]bool) })
 	}
 }
 
-// TestGrantsOverASuspension: a daemon that tried to lead was suspended before the store's
-// answer reached it. Others led meanwhile; it claimed its term all the same when it woke, and
-// gave orders until it heard of a higher one.
-func TestGrantsOverASuspension(t *testing.T) {
+// TestNoClaimAfterSuspension checks that a daemon does not claim a term if it was suspended
+// between its call to the store and the answer. Others may have led meanwhile.
+func TestNoClaimAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(1)
 		d := f.daemons[0]
-		asleep := time.Duration(0)
-		d.elector.opts.Suspended = func() time.Duration { return asleep }
+		suspendedFor := time.Duration(0)
+		d.elector.opts.Suspended = func() time.Duration { return suspendedFor }
 		add := d.elector.opts.Registry.Add
 		d.elector.opts.Registry.Add = func(ctx context.Context, grant peers.Grant, position int64) (bool, error) {
-			if asleep == 0 {
-				asleep = time.Minute
+			if suspendedFor == 0 {
+				suspendedFor = time.Minute
 			}
 			return add(ctx, grant, position)
 		}
-		d.elector.attempt(context.Background())
+		d.elector.tryToLead(context.Background())
 		own, _, _ := d.elector.State()
-		assert.Assert(t, own == nil, "it claims a grant that was won before it was suspended")
+		assert.Assert(t, own == nil, "it claims a grant that was won before the suspension")
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, len(f.leaders()), 1, "it leads by what the store tells it now")
-		f.end()
+		assert.Equal(t, len(f.leaders()), 1, "it leads by a new answer of the store")
+		f.stopAll()
 	})
 }
--- a/ownership/decide_test.go
+++ b/ownership/decide_test.go
@@ -30,18 +30,18 @@
 		overdue    bool
 		want       Action
 	}{
-		"the owner leads":                          {self: "a", grant: grant, activeRank: -1, want: Lead},
-		"a deputy follows":                         {self: "b", grant: grant, activeRank: 0, want: Follow},
-		"the first deputy takes over":              {self: "b", grant: grant, activeRank: 0, gone: []string{"a"}, want: LeadAndPropose},
-		"the second waits for the first":           {self: "c", grant: grant, activeRank: 0, gone: []string{"a"}, want: Follow},
-		"the second follows the first":             {self: "c", grant: grant, activeRank: 1, gone: []string{"a", "b"}, want: LeadAndPropose},
-		"the owner comes back in the next round":   {self: "a", grant: grant, activeRank: 2, gone: []string{"b", "c"}, want: Lead},
-		"the owner leaves it to an active deputy":  {self: "a", grant: grant, activeRank: 1, want: Follow},
-		"a leaving owner hands over":               {self: "a", grant: grant, activeRank: 0, leaving: []string{"a"}, want: LeadAndPropose},
-		"an overdue owner is passed over":          {self: "b", grant: grant, activeRank: 0, overdue: true, want: LeadAndPropose},
-		"an overdue owner stands back":             {self: "a", grant: grant, activeRank: 0, overdue: true, want: Follow},
-		"no grant: the best candidate proposes":    {self: first, activeRank: -1, want: Propose},
-		"all holders gone: a stranger may propose": {self: "x", grant: grant, gone: []string{"a", "b", "c"}, want: Propose},
+		"the owner leads":                           {self: "a", grant: grant, activeRank: -1, want: Lead},
+		"a deputy follows":                          {self: "b", grant: grant, activeRank: 0, want: Follow},
+		"the first deputy takes over":               {self: "b", grant: grant, activeRank: 0, gone: []string{"a"}, want: LeadAndPropose},
+		"the second waits for the first":            {self: "c", grant: grant, activeRank: 0, gone: []string{"a"}, want: Follow},
+		"the second follows the first":              {self: "c", grant: grant, activeRank: 1, gone: []string{"a", "b"}, want: LeadAndPropose},
+		"the owner comes back in the next round":    {self: "a", grant: grant, activeRank: 2, gone: []string{"b", "c"}, want: Lead},
+		"the owner follows an active deputy":        {self: "a", grant: grant, activeRank: 1, want: Follow},
+		"a leaving owner hands over":                {self: "a", grant: grant, activeRank: 0, leaving: []string{"a"}, want: LeadAndPropose},
+		"a deputy replaces an overdue owner":        {self: "b", grant: grant, activeRank: 0, overdue: true, want: LeadAndPropose},
+		"an overdue owner follows":                  {self: "a", grant: grant, activeRank: 0, overdue: true, want: Follow},
+		"no grant: the best candidate proposes":     {self: first, activeRank: -1, want: Propose},
+		"all holders gone: another daemon proposes": {self: "x", grant: grant, gone: []string{"a", "b", "c"}, want: Propose},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -60,14 +60,14 @@
 	}
 }
 
-// TestRanksAreNeverShared deals out ranks to three holders in turn.
+// TestRanksAreNeverShared checks that no rank belongs to two of three holders.
 func TestRanksAreNeverShared(t *testing.T) {
 	owners := make(map[uint32]int)
 	for used := -1; used < 20; used++ {
 		for position := range 3 {
 			rank := NextRank(used, position, 3)
 			assert.Assert(t, int(rank) > used)
-			if holder, dealt := owners[rank]; dealt {
+			if holder, assigned := owners[rank]; assigned {
 				assert.Equal(t, holder, position)
 			}
 			owners[rank] = position
@@ -75,7 +75,8 @@
 	}
 }
 
-// TestFirstGrantInLogOrderWins folds two grants that replace the same one.
+// TestFirstGrantInLogOrderWins checks that only the first of two grants that replace the same one
+// takes effect.
 func TestFirstGrantInLogOrderWins(t *testing.T) {
 	s := NewState()
 	for i, holder := range []string{"a", "b"} {
--- a/placement/closed_test.go
+++ b/placement/closed_test.go
@@ -9,7 +9,7 @@
 	"quartzshelf.dev/cluster"
 )
 
-func TestClosedHallIsLeftAsItIs(t *testing.T) {
+func TestClosedHallKeepsReplicas(t *testing.T) {
 	formed := carryOut(idleNodes(10), Make(Input{Domain: "d", Nodes: idleNodes(10), Wants: []Want{want("chat", 2, 0)}}), 1)
 	change := func(id int, f func(*Node)) []Node {
 		nodes := append([]Node{}, formed...)
@@ -44,7 +44,7 @@
 				return w
 			}()}, kept: []string{"chat-d-0", "chat-d-1"},
 		},
-		"nobody wants it any more": {nodes: formed, released: 8},
+		"no longer wanted": {nodes: formed, released: 8},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOpeningKeepsWhatWasWhole draws what becomes of nodes while a hall is closed: a
-// replica whose nodes all stayed is kept when it opens, with no order given.
-func TestOpeningKeepsWhatWasWhole(t *testing.T) {
+// TestOpeningKeepsCompleteReplicas changes the nodes of one replica while a hall is closed. It
+// checks that the other replica is kept when the hall opens, without orders to its nodes.
+func TestOpeningKeepsCompleteReplicas(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wants := []Want{want("chat", 2, 0)}
 		nodes := carryOut(idleNodes(10), Make(Input{Domain: "d", Nodes: idleNodes(10), Wants: wants}), 1)
@@ -85,7 +85,7 @@
 		}
 		for _, f := range p.Formations {
 			if f.Replica == "chat-d-0" {
-				rt.Fatalf("chat-d-0 is formed anew: %v", f.Reason)
+				rt.Fatalf("chat-d-0 is formed again: %v", f.Reason)
 			}
 		}
 	})
