--- a/peers/table.go
+++ b/peers/table.go
@@ -8,171 +8,174 @@
 )
 
 const (
-	// aliveFor is how long a daemon counts as alive after a heartbeat. It spans
-	// several heartbeats, since datagrams get lost.
-	aliveFor = 800 * time.Millisecond
-	// reportedFor is how long a daemon counts as alive after a relay heard it: a
-	// relay reports a daemon until it was silent for aliveFor, at every second
-	// heartbeat, and one of its reports may be lost.
-	reportedFor = aliveFor + 2*heartbeatEvery
-	// lifeAfter is how long a life must have been silent for one with a lower
-	// incarnation to follow it: the clock that incarnations come from may have
-	// been set back before a restart.
-	lifeAfter = 2 * time.Second
-	// forgetAfter is how long a silent daemon is still sent heartbeats, so that
-	// it finds back after a partition.
+	// aliveTimeout is how long a daemon counts as alive after a heartbeat. It spans several
+	// heartbeats, since datagrams may be lost.
+	aliveTimeout = 800 * time.Millisecond
+	// reportedAliveTimeout is how long a daemon counts as alive after a relay received its
+	// heartbeat. It exceeds aliveTimeout because a relay's reports are sent only every other round.
+	reportedAliveTimeout = aliveTimeout + 2*heartbeatInterval
+	// lowerIncarnationDelay is how long an incarnation must have been silent before a lower one
+	// may replace it. A restarted daemon has a lower incarnation if its machine's clock was set
+	// back.
+	lowerIncarnationDelay = 2 * time.Second
+	// forgetAfter is how long a silent daemon stays in the table. Until then heartbeats are sent to
+	// it, so that it reconnects after a partition.
 	forgetAfter = 90 * time.Second
-	// expectFor is how long a daemon that was never heard is expected to be alive
-	// after it became known: daemons start within 0.3 s of each other.
-	expectFor = time.Second
+	// assumedAliveTimeout is how long a daemon is assumed to be alive after it became known, if no
+	// heartbeat from it has arrived yet.
+	assumedAliveTimeout = time.Second
 )
 
-// Table holds what is known of the other daemons. It is safe for concurrent use.
+// Table holds the state of the other daemons. It is safe for concurrent use.
 type Table struct {
 	self Identity
 
 	mu    sync.Mutex
 	peers map[string]*Peer
-	// registered holds all daemons that were ever known, this one too.
-	registered registered
-	// formats holds which versions of the format daemons speak.
+	// everKnown holds all daemons that were ever known, this one included.
+	everKnown daemonHistory
+	// formats records the earlier format versions in use.
 	formats formats
-	// pausedUntil is until when silence counts less: after this process stood
-	// still for pausedFor, heartbeats that waited for it have yet to be read.
-	pausedUntil time.Time
-	pausedFor   time.Duration
+	// pausedFor is the duration of this process's latest pause. Until pauseGraceUntil it is
+	// deducted from the time that peers have been silent, because heartbeats that arrived during
+	// the pause are yet to be read.
+	pauseGraceUntil time.Time
+	pausedFor       time.Duration
 }
 
-// NewTable returns a table that knows nobody.
+// NewTable returns a table that knows only the daemon itself.
 func NewTable(self Identity) *Table {
-	return &Table{self: self, peers: make(map[string]*Peer), registered: registered{ids: []string{self.ID}, hall: []Identity{self}}}
+	return &Table{self: self, peers: make(map[string]*Peer), everKnown: daemonHistory{ids: []string{self.ID}, hallDaemons: []Identity{self}}}
 }
 
-// Learn notes that a life of a daemon exists. It need not be alive.
+// Learn adds an incarnation of a daemon to the table, unless it has no address or a later
+// incarnation is known. The daemon need not be alive.
 func (t *Table) Learn(identity Identity, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if identity.Address == "" {
 		return
 	}
-	t.register(identity)
-	if t.outlived(identity, now) {
+	t.recordIdentity(identity)
+	if t.isSuperseded(identity, now) {
 		return
 	}
-	if held, ok := t.peers[identity.ID]; ok && held.Incarnation == identity.Incarnation {
+	if known, ok := t.peers[identity.ID]; ok && known.Incarnation == identity.Incarnation {
 		return
 	}
 	t.peers[identity.ID] = &Peer{Heartbeat: Heartbeat{Identity: identity}, addedAt: now}
 }
 
-// register notes a daemon among all that were ever known.
-func (t *Table) register(identity Identity) {
-	t.registered.add(identity.ID)
+// recordIdentity adds a daemon to those that were ever known.
+func (t *Table) recordIdentity(identity Identity) {
+	t.everKnown.add(identity.ID)
 	if identity.Zone == t.self.Zone {
-		t.registered.addToHall(identity)
+		t.everKnown.addToHall(identity)
 	}
 }
 
-// outlived reports whether a life is this daemon's own, or an earlier one of it
-// or of another daemon.
-func (t *Table) outlived(identity Identity, now time.Time) bool {
+// isSuperseded reports whether the table must ignore an identity. It does so if the identity
+// belongs to this daemon, or if a later incarnation of the daemon was alive recently.
+func (t *Table) isSuperseded(identity Identity, now time.Time) bool {
 	if identity.Address != "" && identity.Address == t.self.Address || identity.ID == t.self.ID && identity.Incarnation <= t.self.Incarnation {
 		return true
 	}
-	held, ok := t.peers[identity.ID]
-	return ok && held.Incarnation > identity.Incarnation && now.Sub(held.lastSign()) < lifeAfter
+	known, ok := t.peers[identity.ID]
+	return ok && known.Incarnation > identity.Incarnation && now.Sub(known.lastSeen()) < lowerIncarnationDelay
 }
 
-// HeldUp notes that this process stood still for a while up to now.
-func (t *Table) HeldUp(now time.Time, gap time.Duration) {
+// NotePause records that this process was paused for gap until now.
+func (t *Table) NotePause(now time.Time, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pausedUntil, t.pausedFor = now.Add(aliveFor), gap
+	t.pauseGraceUntil, t.pausedFor = now.Add(aliveTimeout), gap
 }
 
-// Slept notes that the machine was suspended for a while up to now, which the steady clock
-// does not count: others were heard so much earlier, and what waits has yet to be read.
-func (t *Table) Slept(now time.Time, asleep time.Duration) {
+// NoteSuspension records that the machine was suspended until now. The monotonic clock does not
+// count suspensions, so recorded times are moved back by the suspended time. Peers do not count as
+// silent until the datagrams that arrived meanwhile have been read.
+func (t *Table) NoteSuspension(now time.Time, suspended time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, p := range t.peers {
 		earlier := *p
 		for _, at := range []*time.Time{&earlier.HeardAt, &earlier.SentAfter, &earlier.reportedAt, &earlier.addedAt} {
 			if !at.IsZero() {
-				*at = at.Add(-asleep)
+				*at = at.Add(-suspended)
 			}
 		}
 		t.peers[id] = &earlier
 	}
-	t.pausedUntil, t.pausedFor = now.Add(aliveFor), asleep
+	t.pauseGraceUntil, t.pausedFor = now.Add(aliveTimeout), suspended
 }
 
-// Hear takes a heartbeat. It reports false for one that is out of date.
-func (t *Table) Hear(h Heartbeat, now, sentAfter time.Time) bool {
+// RecordHeartbeat stores a heartbeat. It reports false if the heartbeat is out of date.
+func (t *Table) RecordHeartbeat(h Heartbeat, now, sentAfter time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.register(h.Identity)
-	if t.outlived(h.Identity, now) {
+	t.recordIdentity(h.Identity)
+	if t.isSuperseded(h.Identity, now) {
 		return false
 	}
-	t.formats.note(h.Format.version(), now)
+	t.formats.record(h.Format.effectiveVersion(), now)
 	next := &Peer{Heartbeat: h, HeardAt: now, SentAfter: sentAfter, addedAt: now}
-	if held, ok := t.peers[h.ID]; ok && held.Incarnation == h.Incarnation {
-		if held.SentAfter.After(sentAfter) {
-			// Datagrams may overtake each other.
-			held.HeardAt = now
+	if known, ok := t.peers[h.ID]; ok && known.Incarnation == h.Incarnation {
+		if known.SentAfter.After(sentAfter) {
+			// Datagrams may arrive out of order.
+			known.HeardAt = now
 			return false
 		}
-		next.reportedAt, next.addedAt = held.reportedAt, held.addedAt
+		next.reportedAt, next.addedAt = known.reportedAt, known.addedAt
 	}
 	t.peers[h.ID] = next
 	return true
 }
 
-// Report takes a relay's word about a daemon whose identity is known.
-func (t *Table) Report(s Status, now time.Time) {
+// RecordStatus stores a relay's report on a daemon whose identity is known.
+func (t *Table) RecordStatus(s Status, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, ok := t.peers[s.ID]
-	if !ok || lifeOf(held.Incarnation) != s.Life {
+	known, ok := t.peers[s.ID]
+	if !ok || shortIncarnation(known.Incarnation) != s.ShortIncarnation {
 		return
 	}
 	at := now.Add(-time.Duration(s.Age) * time.Millisecond)
-	if !at.After(held.reportedAt) {
+	if !at.After(known.reportedAt) {
 		return
 	}
-	next := *held
+	next := *known
 	next.reportedAt = at
-	if at.Sub(held.HeardAt) > aliveFor {
-		// What the daemon itself reported is out of date.
-		next.Heartbeat = Heartbeat{Identity: held.Identity, Ready: s.Ready, Leaving: s.Leaving}
+	if at.Sub(known.HeardAt) > aliveTimeout {
+		// The daemon's last heartbeat is out of date.
+		next.Heartbeat = Heartbeat{Identity: known.Identity, Ready: s.Ready, Leaving: s.Leaving}
 	}
 	t.peers[s.ID] = &next
 }
 
-// complete fills in what a brief heartbeat leaves out, and reports false if no
-// whole one of the same life was heard.
-func (t *Table) complete(h *Heartbeat) bool {
+// fillBrief sets the fields that a brief heartbeat omits. It reports false if no full heartbeat of
+// the same incarnation was received.
+func (t *Table) fillBrief(h *Heartbeat) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, ok := t.peers[h.ID]
-	if !ok || held.Incarnation != h.Incarnation || held.HeardAt.IsZero() {
+	known, ok := t.peers[h.ID]
+	if !ok || known.Incarnation != h.Incarnation || known.HeardAt.IsZero() {
 		return false
 	}
-	h.Identity, h.Grant = held.Identity, held.Grant
+	h.Identity, h.Grant = known.Identity, known.Grant
 	return true
 }
 
-// heard returns the peer that a life of a daemon is, and false if it was never heard.
-func (t *Table) heard(id string, incarnation int64) (*Peer, bool) {
+// peerWithHeartbeat returns the peer with an id and incarnation. It reports false if no heartbeat
+// of that incarnation was received.
+func (t *Table) peerWithHeartbeat(id string, incarnation int64) (*Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, ok := t.peers[id]
 	return p, ok && p.Incarnation == incarnation && !p.HeardAt.IsZero()
 }
 
-// Alive returns the daemons that are known to live, sorted by id: those heard of
-// late, and those that a relay heard.
+// Alive returns the daemons whose heartbeats this daemon or a relay received recently, sorted by
+// id.
 func (t *Table) Alive(now time.Time) []*Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +185,7 @@
 func (t *Table) alive(now time.Time) []*Peer {
 	var all []*Peer
 	for _, p := range t.peers {
-		if t.isHeard(p, now) || t.since(p.reportedAt, now) < reportedFor {
+		if t.hasRecentHeartbeat(p, now) || t.elapsed(p.reportedAt, now) < reportedAliveTimeout {
 			all = append(all, p)
 		}
 	}
@@ -190,21 +193,22 @@
 	return all
 }
 
-// isHeard reports whether a daemon was itself heard of late.
-func (t *Table) isHeard(p *Peer, now time.Time) bool { return t.since(p.HeardAt, now) < aliveFor }
+// hasRecentHeartbeat reports whether a heartbeat of a peer was received within aliveTimeout.
+func (t *Table) hasRecentHeartbeat(p *Peer, now time.Time) bool {
+	return t.elapsed(p.HeardAt, now) < aliveTimeout
+}
 
-// since returns how long ago a time was, less what this process may not have
-// noticed while it stood still.
-func (t *Table) since(at, now time.Time) time.Duration {
+// elapsed returns the time since at. Shortly after a pause of this process it deducts the pause.
+func (t *Table) elapsed(at, now time.Time) time.Duration {
 	span := now.Sub(at)
-	if now.Before(t.pausedUntil) {
+	if now.Before(t.pauseGraceUntil) {
 		span -= t.pausedFor
 	}
 	return span
 }
 
-// LeaderAge returns how long ago a leader that stays was last heard, in
-// milliseconds; 0 if none was.
+// LeaderAge returns the time since the latest heartbeat of a leader, in milliseconds. Leaders that
+// are leaving do not count. It returns 0 if there was no such heartbeat.
 func (t *Table) LeaderAge(now time.Time) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -213,57 +217,57 @@
 		if p.Leads == nil || p.Leaving {
 			continue
 		}
-		if heard := now.Sub(p.HeardAt).Milliseconds() + 1; age == 0 || heard < age {
-			age = heard
+		if leaderAge := now.Sub(p.HeardAt).Milliseconds() + 1; age == 0 || leaderAge < age {
+			age = leaderAge
 		}
 	}
 	return age
 }
 
-// NoteFormat notes that a relay heard daemons of which the earliest version is the given one.
+// NoteFormat records the earliest format version in a relay's summary.
 func (t *Table) NoteFormat(version int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.formats.note(version, now)
+	t.formats.record(version, now)
 }
 
-// OldestFormat returns the earliest version of the format that a daemon in touch speaks, this
-// one included: the fleet acts by what that one understands.
+// OldestFormat returns the earliest format version that was recently in use by any daemon, this
+// one included. The fleet uses no features of later versions.
 func (t *Table) OldestFormat(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.formats.oldest(now)
 }
 
-// Patience returns how long a daemon counts as alive after a heartbeat.
-func (t *Table) Patience() time.Duration { return aliveFor }
+// AliveTimeout returns how long a daemon counts as alive after a heartbeat.
+func (t *Table) AliveTimeout() time.Duration { return aliveTimeout }
 
-// Known returns how many daemons were known to live since the given time and
-// were not leaving, whether they are alive or not.
-func (t *Table) Known(since time.Time) int {
+// CountSeenSince returns the number of daemons, alive or not, that were seen after the given time and
+// were not leaving.
+func (t *Table) CountSeenSince(since time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := 0
+	count := 0
 	for _, p := range t.peers {
-		if p.lastSign().After(since) && !p.Leaving {
-			known++
+		if p.lastSeen().After(since) && !p.Leaving {
+			count++
 		}
 	}
-	return known
+	return count
 }
 
-// Settled reports whether heartbeats that waited while this process stood still
-// have had time to be read.
-func (t *Table) Settled(now time.Time) bool {
+// HasCaughtUp reports whether heartbeats that arrived while this process was paused have had time
+// to be read.
+func (t *Table) HasCaughtUp(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !now.Before(t.pausedUntil)
+	return !now.Before(t.pauseGraceUntil)
 }
 
-// forget drops daemons that were silent for long.
-func (t *Table) forget(now time.Time) {
+// forgetSilent deletes daemons that were silent for longer than forgetAfter.
+func (t *Table) forgetSilent(now time.Time) {
 	for id, p := range t.peers {
-		if now.Sub(p.addedAt) > forgetAfter && now.Sub(p.lastSign()) > forgetAfter {
+		if now.Sub(p.addedAt) > forgetAfter && now.Sub(p.lastSeen()) > forgetAfter {
 			delete(t.peers, id)
 		}
 	}
--- a/peers/transport.go
+++ b/peers/transport.go
@@ -7,24 +7,23 @@
 	"quartzshelf.dev/common/failure"
 )
 
-// Transport carries datagrams, any of which may be lost.
+// Transport carries datagrams, which may be lost.
 type Transport struct {
 	Send func(to string, datagram []byte) error
-	// Receive waits for a datagram and returns its length. It fails once the
-	// transport is closed.
+	// Receive waits for a datagram and returns its length. It fails after Close.
 	Receive func(buffer []byte) (int, error)
 	Close   func() error
 }
 
-// ListenUDP opens an address for datagrams.
+// ListenUDP opens a UDP socket at an address.
 func ListenUDP(address string) (Transport, error) {
 	resolved, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
-		return Transport{}, failure.At(failure.Invalid, "open peers' port", address, err)
+		return Transport{}, failure.At(failure.Invalid, "open UDP port for peers", address, err)
 	}
 	conn, err := net.ListenUDP("udp4", resolved)
 	if err != nil {
-		return Transport{}, failure.At(failure.Unavailable, "open peers' port", address, err)
+		return Transport{}, failure.At(failure.Unavailable, "open UDP port for peers", address, err)
 	}
 	return Transport{
 		Send: func(to string, datagram []byte) error {
--- a/serving/crashing_test.go
+++ b/serving/crashing_test.go
@@ -23,81 +23,68 @@
 	"quartzshelf.dev/relay"
 )
 
-// What users saw: a request came again and again, under new ids and at different daemons,
-// and each worker that began to run it ended. 39 and 58 workers ended under one request
-// each, 15 and 30 sends of it came after the third had ended and all daemons had had time to
-// know, and up to 58 of 75 other requests in a second were refused.
-//
-// The order of events: a daemon sends the request to a head, which ends; the daemon blames
-// the head, tells its peers to pass it over, and sends the request to another head, which
-// ends as well. The caller gets a 502 and comes again, at another daemon, which knows
-// nothing of the first.
-//
-// The cause: what is known of a failed attempt is kept of replicas alone, and of a request
-// for one attempt of its caller at one daemon alone. Its bound on sends begins anew with
-// each id at each daemon.
-//
-// The evidence, from the lines "attempt broke off" of the test below on the code before: all
-// 24 workers that end do so under one fingerprint, and no other request breaks. Half of the
-// sends are first ones, and where nothing is repeated all 12 copies end a worker each, so
-// that repeats are not the cause. In the users' record two copies are sent twice each, under
-// ids of their own, and heads end 1 to 78 ms after they begin to run them.
+// The tests below guard against a request that crashes every worker that runs it and that the
+// client sends repeatedly, under new ids and to different daemons. Limits that count by request id
+// or by daemon would start again with each copy. Daemons must therefore share their records of
+// crashes by the fingerprint of the request.
 
-// crashingBody is the body of the request that ends each worker which runs it, breakingBody
-// of one whose connection ends, waitingBody of one that gets no answer.
+// crashingBody is the body of a request that crashes each worker that runs it. The worker closes
+// the connection of a request with breakingBody, and never responds to one with waitingBody.
 const (
 	crashingBody = "ends each worker"
 	breakingBody = "ends its connection"
 	waitingBody  = "gets no answer"
 )
 
-var crashingNames = relay.Names{
+var crashingHeaders = relay.Names{
 	Attempt: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
 	LastEvent: "Last-Event-Id", Priority: "X-Priority",
 }
 
-// crashingFleet is several daemons, joined by their heartbeats alone, before heads of which
-// each ends with the crashing request.
+// crashingFleet is a group of daemons that exchange heartbeats, in front of heads that crash when
+// they run the crashing request.
 type crashingFleet struct {
 	t *testing.T
 
 	mu      sync.Mutex
 	daemons []*crashingDaemon
 	heads   []*fleet.Worker
-	// ended counts the heads that ended, sent the requests.
-	ended, sent atomic.Int64
-	// waiting counts the requests that wait at heads.
-	waiting atomic.Int64
+	// crashCount is the number of heads that crashed, sentCount the number of requests sent.
+	crashCount, sentCount atomic.Int64
+	// waitingCount is the number of requests with waitingBody that have reached a head.
+	waitingCount atomic.Int64
 }
 
-// crashingDaemon is one of them, with the part of its duties that routing needs.
+// crashingDaemon is a daemon of a crashingFleet. It runs only the tasks that are needed to route
+// requests.
 type crashingDaemon struct {
 	*Server
-	front *httptest.Server
+	frontServer *httptest.Server
 }
 
-func newCrashingFleet(t *testing.T, daemons, heads int) *crashingFleet {
+func newCrashingFleet(t *testing.T, daemonCount, headCount int) *crashingFleet {
 	t.Helper()
 	f := &crashingFleet{t: t}
-	for i := range heads {
+	for i := range headCount {
 		f.startHead(fmt.Sprintf("w%d", i))
 	}
-	for range daemons {
+	for range daemonCount {
 		f.startDaemon()
 	}
 	return f
 }
 
-// startHead starts a worker that is the head of an open replica and takes plain requests too.
+// startHead starts a worker that is the head of an open replica. It also serves the service
+// "plain".
 func (f *crashingFleet) startHead(id string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	server := &http.Server{ReadHeaderTimeout: time.Minute}
-	end := sync.OnceFunc(func() {
-		f.ended.Add(1)
+	crash := sync.OnceFunc(func() {
+		f.crashCount.Add(1)
 		_ = server.Close()
-		f.unlist(id)
+		f.removeFromLists(id)
 	})
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -106,17 +93,17 @@
 		}
 		switch string(body) {
 		case crashingBody:
-			end()
+			crash()
 			panic(http.ErrAbortHandler)
 		case breakingBody:
 			panic(http.ErrAbortHandler)
 		case waitingBody:
-			f.waiting.Add(1)
+			f.waitingCount.Add(1)
 			<-r.Context().Done()
 			return
 		}
-		w.Header().Set(crashingNames.Attempt, r.Header.Get(crashingNames.Attempt))
-		w.Header().Set(crashingNames.Signature, id)
+		w.Header().Set(crashingHeaders.Attempt, r.Header.Get(crashingHeaders.Attempt))
+		w.Header().Set(crashingHeaders.Signature, id)
 		_, _ = io.WriteString(w, "id: 1\ndata: whole\n\n")
 	})
 	go func() { _ = server.Serve(listener) }()
@@ -130,18 +117,18 @@
 		})
 }
 
-// unlist takes a head that ended from the list of all daemons.
-func (f *crashingFleet) unlist(id string) {
+// removeFromLists removes a crashed head from the worker lists of all daemons.
+func (f *crashingFleet) removeFromLists(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	gone := func(w *fleet.Worker) bool { return w.ID == id || w.ID == id+"-model" }
-	f.heads = slices.DeleteFunc(f.heads, gone)
+	isRemoved := func(w *fleet.Worker) bool { return w.ID == id || w.ID == id+"-model" }
+	f.heads = slices.DeleteFunc(f.heads, isRemoved)
 	for _, d := range f.daemons {
 		d.inventory.Apply([]fleet.Change{{ID: id}, {ID: id + "-model"}}, d.inventory.Position()+1, time.Now())
 	}
 }
 
-// startDaemon starts a daemon that knows the heads, and of the daemons before it.
+// startDaemon starts a daemon that knows the heads and the earlier daemons.
 func (f *crashingFleet) startDaemon() *crashingDaemon {
 	f.t.Helper()
 	f.mu.Lock()
@@ -153,7 +140,7 @@
 	store := &fakeStore{}
 	self := peers.Identity{ID: fmt.Sprintf("daemon-%d", len(f.daemons)), Incarnation: 1, Zone: "z", Address: address, Front: address}
 	s, err := New(Options{
-		Self: self, Names: crashingNames, Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
+		Self: self, Names: crashingHeaders, Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
 		Bounds: Bounds{
 			Heartbeat: time.Second, Revoke: time.Hour, KeepEntries: time.Second,
 			Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000},
@@ -161,8 +148,8 @@
 		Logger: hclog.New(&hclog.LoggerOptions{Name: self.ID, Output: testLog{f.t}, Level: hclog.Info}),
 	})
 	assert.NilError(f.t, err)
-	s.beliefs.Offer(crashingConfig(), time.Now())
-	s.settledOnce.Store(true)
+	s.beliefs.Offer(newCrashingConfig(), time.Now())
+	s.isSettled.Store(true)
 	var changes []fleet.Change
 	for _, w := range f.heads {
 		changes = append(changes, fleet.Change{ID: w.ID, Worker: w})
@@ -173,20 +160,20 @@
 		other.agent.Table().Learn(self, time.Now())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties conc.WaitGroup
-	duties.Go(func() { s.agent.Run(ctx) })
-	duties.Go(func() { s.relay.Run(ctx) })
-	d := &crashingDaemon{Server: s, front: httptest.NewServer(s.relay)}
+	var tasks conc.WaitGroup
+	tasks.Go(func() { s.agent.Run(ctx) })
+	tasks.Go(func() { s.relay.Run(ctx) })
+	d := &crashingDaemon{Server: s, frontServer: httptest.NewServer(s.relay)}
 	f.t.Cleanup(func() {
-		d.front.Close()
+		d.frontServer.Close()
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 	})
 	f.daemons = append(f.daemons, d)
 	return d
 }
 
-// testLog writes a daemon's lines to the log of its test.
+// testLog writes a daemon's log lines to the log of its test.
 type testLog struct{ t *testing.T }
 
 func (l testLog) Write(line []byte) (int, error) {
@@ -194,7 +181,7 @@
 	return len(line), nil
 }
 
-func crashingConfig() *fleet.Config {
+func newCrashingConfig() *fleet.Config {
 	plain, models := []fleet.Target{{Service: "plain", Weight: 1}}, []fleet.Target{{Service: "models", Weight: 1}}
 	return fleet.NewConfig(fleet.Parts{
 		Version: 1,
@@ -208,15 +195,16 @@
 	})
 }
 
-// send sends a request by a daemon under a new id and returns the status; 0 for none.
+// send sends a request to a daemon under a new id and returns the status, 0 if there is no
+// response.
 func (f *crashingFleet) send(d *crashingDaemon, path, key, body string) int {
 	f.t.Helper()
-	request, err := http.NewRequest(http.MethodPost, d.front.URL+path, strings.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, d.frontServer.URL+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
 	request.Host = "h"
-	request.Header.Set(crashingNames.Attempt, fmt.Sprintf("request-%d", f.sent.Add(1)))
-	request.Header.Set(crashingNames.Key, key)
-	request.Header.Set(crashingNames.Model, "m")
+	request.Header.Set(crashingHeaders.Attempt, fmt.Sprintf("request-%d", f.sentCount.Add(1)))
+	request.Header.Set(crashingHeaders.Key, key)
+	request.Header.Set(crashingHeaders.Model, "m")
 	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
 		return 0
@@ -228,16 +216,16 @@
 	return response.StatusCode
 }
 
-// heartbeats is long enough for each daemon to have heard the others again.
-const heartbeats = 500 * time.Millisecond
+// heartbeatWait is long enough for each daemon to receive a heartbeat from the others.
+const heartbeatWait = 500 * time.Millisecond
 
-// crashesMost is how many workers a request may end that comes again and again: three, and
-// three more by what was under way meanwhile.
-const crashesMost = 6
+// maxCrashes is the maximum number of workers that a repeated request may crash. Three crashes
+// quarantine it, and attempts already in flight may cause three more.
+const maxCrashes = 6
 
-// TestRequestThatEndsItsWorkers sends copies of the crashing request to daemons in turn,
-// and other requests beside them, which must be served.
-func TestRequestThatEndsItsWorkers(t *testing.T) {
+// TestRequestThatCrashesWorkers sends copies of the crashing request to daemons in turn. They may
+// crash at most maxCrashes workers, and other requests must succeed in the meantime.
+func TestRequestThatCrashesWorkers(t *testing.T) {
 	tests := map[string]string{
 		"a stream":                      "/stream/",
 		"a request that is repeated":    "/safe/",
@@ -252,9 +240,9 @@
 				d := f.daemons[i%len(f.daemons)]
 				assert.Assert(t, f.send(d, path, "key", crashingBody) != http.StatusOK)
 				assert.Equal(t, f.send(d, path, "key", "another body"), http.StatusOK)
-				time.Sleep(heartbeats)
+				time.Sleep(heartbeatWait)
 			}
-			assert.Assert(t, f.ended.Load() <= crashesMost, "%d workers ended", f.ended.Load())
+			assert.Assert(t, f.crashCount.Load() <= maxCrashes, "%d workers ended", f.crashCount.Load())
 		})
 	}
 }
--- a/serving/entries.go
+++ b/serving/entries.go
@@ -9,42 +9,40 @@
 	"quartzshelf.dev/peers"
 )
 
-// Caller is who asks for the addresses of daemons. What is empty is not known.
+// Caller describes a client that asks for the addresses of daemons. Empty fields are unknown.
 type Caller struct {
-	// Host is the name that the requests will carry.
+	// Host is the host name that the requests will carry.
 	Host string
-	// Region is where the caller is.
+	// Region is the region of the caller.
 	Region string
 }
 
-// entry is a daemon that may be named to a caller.
+// entry is a daemon whose address may be given to a caller.
 type entry struct {
-	front string
-	zone  string
-	ready bool
+	address string
+	hall    string
+	isReady bool
 }
 
-// Entries returns the addresses that a caller should use: those of daemons that are
-// alive, ready and stay; those that are not ready only if no other is left. Daemons of
-// the caller's region, and of those that its host's routes allow, are named alone as long
-// as one of them is ready. Callers take a part of the addresses from the start, so the few
-// that are known of other halls come before the many of this one: who keeps an answer
-// while a whole hall goes finds some that live.
+// Entries returns the addresses of the daemons that a caller should use. It omits daemons that are
+// leaving. It prefers ready daemons, among them those in the caller's region or in the regions that
+// the routes of its host allow. Daemons of other halls come first, because callers use only the
+// first few addresses and should still reach a daemon if this hall fails.
 func (s *Server) Entries(c Caller) []string {
 	all := s.entries()
 	allowed := s.allowedRegions(c)
-	inRegion := func(e entry) bool { return allowed.Allows(s.regionOf(e.zone)) }
-	isReady := func(e entry) bool { return e.ready }
-	near := selectEntries(all, inRegion)
-	for _, some := range [][]entry{selectEntries(near, isReady), selectEntries(all, isReady), near, all} {
-		if len(some) > 0 {
-			return frontsOf(some)
+	inRegion := func(e entry) bool { return allowed.Allows(s.regionOf(e.hall)) }
+	isReady := func(e entry) bool { return e.isReady }
+	inRegions := selectEntries(all, inRegion)
+	for _, candidates := range [][]entry{selectEntries(inRegions, isReady), selectEntries(all, isReady), inRegions, all} {
+		if len(candidates) > 0 {
+			return addressesOf(candidates)
 		}
 	}
 	return nil
 }
 
-// allowedRegions returns the regions whose daemons suit a caller; empty for all.
+// allowedRegions returns the regions whose daemons a caller may use; empty for all.
 func (s *Server) allowedRegions(c Caller) fleet.Regions {
 	if c.Region == "" {
 		return nil
@@ -56,24 +54,25 @@
 	return regions
 }
 
-// entries returns this daemon and the others that live, those of other halls first.
+// entries returns the entries of this daemon and of all others that are alive, except for those that
+// are leaving. Daemons of other halls come first, after this one.
 func (s *Server) entries() []entry {
 	var all []entry
-	if !s.leaving.Load() {
-		all = append(all, entry{front: s.opts.Self.Front, zone: s.opts.Self.Zone, ready: s.Ready()})
+	if !s.isLeaving.Load() {
+		all = append(all, entry{address: s.opts.Self.Front, hall: s.opts.Self.Zone, isReady: s.Ready()})
 	}
 	alive := s.agent.Table().Alive(time.Now())
-	slices.SortStableFunc(alive, func(a, b *peers.Peer) int { return cmp.Compare(s.nearness(a), s.nearness(b)) })
+	slices.SortStableFunc(alive, func(a, b *peers.Peer) int { return cmp.Compare(s.hallOrder(a), s.hallOrder(b)) })
 	for _, p := range alive {
 		if !p.Leaving {
-			all = append(all, entry{front: p.Front, zone: p.Zone, ready: p.Ready})
+			all = append(all, entry{address: p.Front, hall: p.Zone, isReady: p.Ready})
 		}
 	}
 	return all
 }
 
-// nearness is 1 for a daemon of the own hall, and 0 for another one.
-func (s *Server) nearness(p *peers.Peer) int {
+// hallOrder returns the sort key of a peer, which is 1 in the own hall and 0 in any other.
+func (s *Server) hallOrder(p *peers.Peer) int {
 	if p.Zone == s.opts.Self.Zone {
 		return 1
 	}
@@ -81,19 +80,19 @@
 }
 
 func selectEntries(all []entry, wanted func(e entry) bool) []entry {
-	var some []entry
+	var selected []entry
 	for _, e := range all {
 		if wanted(e) {
-			some = append(some, e)
+			selected = append(selected, e)
 		}
 	}
-	return some
+	return selected
 }
 
-func frontsOf(all []entry) []string {
-	fronts := make([]string, 0, len(all))
+func addressesOf(all []entry) []string {
+	addresses := make([]string, 0, len(all))
 	for _, e := range all {
-		fronts = append(fronts, e.front)
+		addresses = append(addresses, e.address)
 	}
-	return fronts
+	return addresses
 }
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -24,44 +24,46 @@
 	pathConfig    = "/configuration"
 	pathWorkers   = "/workers"
 	pathDecisions = "/decisions"
-	// headsKey asks for the workers that requests go to alone, wholeList for a list from no
-	// position on.
-	headsKey  = "heads"
-	onlyHeads = headsKey + "=1"
-	wholeList = -1
-	// fetchDelay leaves this daemon's own reading the first chance.
+	// headsParam is the query parameter by which a peer asks only for group heads, to which requests
+	// are sent. wholeListPosition is the position by which it asks for the whole list.
+	headsParam        = "heads"
+	headsQuery        = headsParam + "=1"
+	wholeListPosition = -1
+	// fetchDelay is the delay before each fetch. This daemon's own reads of the store may complete
+	// in the meantime.
 	fetchDelay = 150 * time.Millisecond
-	// fetchTimeout bounds a call to a peer, maxFetched its answer, in bytes.
-	fetchTimeout = time.Second
-	maxFetched   = 16 << 20
+	// fetchTimeout limits the duration of a request to a peer, maxFetchBytes the size of its
+	// response.
+	fetchTimeout  = time.Second
+	maxFetchBytes = 16 << 20
 )
 
-// fetcher brings from peers what they know and this daemon does not.
+// fetcher fetches state that this daemon lacks from peers, and serves its own state to them.
 type fetcher struct {
-	server *Server
-	client *http.Client
-	wanted chan wish
-	packed packedConfig
+	server     *Server
+	client     *http.Client
+	requests   chan fetchRequest
+	compressed compressedConfig
 }
 
-// wish is a peer to fetch from, and when that was wanted.
-type wish struct {
+// fetchRequest holds the peer to fetch from, and the time when the fetch was requested.
+type fetchRequest struct {
 	*peers.Peer
-	wanted awake.Stamp
+	requestedAt awake.Stamp
 }
 
 func newFetcher(s *Server) *fetcher {
-	f := &fetcher{server: s, wanted: make(chan wish, 1), client: &http.Client{Timeout: fetchTimeout, Transport: s.opts.Ask}}
+	f := &fetcher{server: s, requests: make(chan fetchRequest, 1), client: &http.Client{Timeout: fetchTimeout, Transport: s.opts.Ask}}
 	if s.opts.Ask == nil {
 		f.client.Transport = &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}
 	}
 	return f
 }
 
-// want asks for what a peer knows, unless a fetch is waiting already.
-func (f *fetcher) want(p *peers.Peer) {
+// schedule schedules a fetch from a peer, unless a fetch is pending already.
+func (f *fetcher) schedule(p *peers.Peer) {
 	select {
-	case f.wanted <- wish{Peer: p, wanted: awake.NewStamp(f.server.opts.Suspended)}:
+	case f.requests <- fetchRequest{Peer: p, requestedAt: awake.NewStamp(f.server.opts.Suspended)}:
 	default:
 	}
 }
@@ -77,7 +79,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-f.wanted:
+		case p := <-f.requests:
 			pause.For(ctx, fetchDelay)
 			f.fetch(ctx, p)
 		}
@@ -86,45 +88,45 @@
 
 // listen serves peers at the daemon's own address until ctx ends.
 func (f *fetcher) listen(ctx context.Context, handler http.Handler) {
-	server := &http.Server{Addr: f.server.opts.Self.Address, Handler: handler, ReadHeaderTimeout: headerWait}
+	server := &http.Server{Addr: f.server.opts.Self.Address, Handler: handler, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.ListenAndServe(); err != nil && ctx.Err() == nil {
-		f.server.logger.Error("peers are not served", "address", server.Addr, "error", err)
+		f.server.logger.Error("serving peers failed", "address", server.Addr, "error", err)
 	}
 }
 
-// handler serves what peers ask for.
+// handler returns the handler for requests of peers.
 func (f *fetcher) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathConfig, f.giveConfig)
-	mux.HandleFunc("GET "+pathWorkers, f.giveWorkers)
-	mux.HandleFunc("GET "+pathDecisions, f.giveDecisions)
-	mux.HandleFunc("POST "+pathLeave, f.server.giveLeave)
+	mux.HandleFunc("GET "+pathConfig, f.serveConfig)
+	mux.HandleFunc("GET "+pathWorkers, f.serveWorkers)
+	mux.HandleFunc("GET "+pathDecisions, f.serveDecisions)
+	mux.HandleFunc("POST "+pathLeave, f.server.serveLeave)
 	return mux
 }
 
-// fetch brings what is still missing. What cannot be had now is asked for again
-// after the next heartbeat.
-func (f *fetcher) fetch(ctx context.Context, p wish) {
+// fetch fetches whatever state this daemon still lacks compared with a peer. Failures are logged.
+// The next heartbeat of a peer schedules another fetch.
+func (f *fetcher) fetch(ctx context.Context, p fetchRequest) {
 	if p.ConfigVersion > f.server.beliefs.Version() {
-		f.report(p, f.fetchConfig(ctx, p))
+		f.logFailure(p, f.fetchConfig(ctx, p))
 	}
-	if f.server.lacksWorkers(p.Peer) {
-		f.report(p, f.fetchWorkers(ctx, p))
+	if f.server.isBehindOnWorkers(p.Peer) {
+		f.logFailure(p, f.fetchWorkers(ctx, p))
 	}
 	if f.server.inventory.Decided().Before(p.Decided) {
-		f.report(p, f.fetchDecisions(ctx, p))
+		f.logFailure(p, f.fetchDecisions(ctx, p))
 	}
 }
 
-func (f *fetcher) report(p wish, err error) {
+func (f *fetcher) logFailure(p fetchRequest, err error) {
 	if err != nil {
-		f.server.logger.Debug("not fetched from peer", "peer", p.ID, "error", err)
+		f.server.logger.Debug("fetch from peer failed", "peer", p.ID, "error", err)
 	}
 }
 
-func (f *fetcher) fetchConfig(ctx context.Context, p wish) error {
+func (f *fetcher) fetchConfig(ctx context.Context, p fetchRequest) error {
 	data, err := f.get(ctx, p, pathConfig)
 	if err != nil {
 		return err
@@ -133,19 +135,19 @@
 	if err != nil {
 		return err
 	}
-	f.server.beliefs.Offer(config, p.ConfigConfirmed())
+	f.server.beliefs.Offer(config, p.ConfigConfirmedAt())
 	return nil
 }
 
-func (f *fetcher) fetchWorkers(ctx context.Context, p wish) error {
+func (f *fetcher) fetchWorkers(ctx context.Context, p fetchRequest) error {
 	inventory := f.server.inventory
 	scope, from := inventory.Wants(), inventory.Position()
 	if inventory.AwaitsList() && p.Complete {
-		from = wholeList
+		from = wholeListPosition
 	}
 	path := pathWorkers + "?from=" + strconv.FormatInt(from, 10)
 	if scope == fleet.HeadsOnly {
-		path += "&" + onlyHeads
+		path += "&" + headsQuery
 	}
 	data, err := f.get(ctx, p, path)
 	if err != nil {
@@ -157,16 +159,16 @@
 	}
 	switch {
 	case m.Whole && m.Heads:
-		inventory.ReplaceHeads(m.Changes, m.To, p.WorkersConfirmed())
+		inventory.ReplaceHeads(m.Changes, m.To, p.WorkersConfirmedAt())
 	case m.Whole:
-		inventory.Replace(m.Changes, m.To, p.WorkersConfirmed())
+		inventory.Replace(m.Changes, m.To, p.WorkersConfirmedAt())
 	default:
-		inventory.Follow(m.Delta, p.WorkersConfirmed())
+		inventory.Follow(m.Delta, p.WorkersConfirmedAt())
 	}
 	return nil
 }
 
-func (f *fetcher) fetchDecisions(ctx context.Context, p wish) error {
+func (f *fetcher) fetchDecisions(ctx context.Context, p fetchRequest) error {
 	known := f.server.inventory.Decided()
 	data, err := f.get(ctx, p, fmt.Sprintf("%s?term=%d&from=%d", pathDecisions, known.Term, known.Seq))
 	if err != nil {
@@ -180,7 +182,7 @@
 	return nil
 }
 
-func (f *fetcher) get(ctx context.Context, p wish, path string) ([]byte, error) {
+func (f *fetcher) get(ctx context.Context, p fetchRequest, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
 		return nil, failure.At(failure.Invalid, "ask peer", p.ID, err)
@@ -190,120 +192,121 @@
 		return nil, failure.At(failure.Unavailable, "ask peer", p.ID, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxFetched))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxFetchBytes))
 	if err != nil {
-		return nil, failure.At(failure.Unavailable, "read answer of peer", p.ID, err)
+		return nil, failure.At(failure.Unavailable, "read response of peer", p.ID, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, failure.New(failure.Refused, "ask peer", p.ID, "status %d", response.StatusCode)
 	}
-	// What the peer confirmed when it was heard is older than it seems.
-	if p.wanted.Interrupted() {
-		return nil, failure.New(failure.Unavailable, "ask peer", p.ID, "the machine was suspended meanwhile")
+	// After a suspension, the ages in the peer's heartbeat are out of date.
+	if p.requestedAt.Interrupted() {
+		return nil, failure.New(failure.Unavailable, "ask peer", p.ID, "the machine was suspended during the call")
 	}
 	return data, nil
 }
 
-func (f *fetcher) giveConfig(w http.ResponseWriter, r *http.Request) {
+func (f *fetcher) serveConfig(w http.ResponseWriter, r *http.Request) {
 	config := f.server.beliefs.Config()
 	if config == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	f.answer(w, r, config.Encoded(), func() ([]byte, error) { return f.packed.of(config) })
+	f.respond(w, r, config.Encoded(), func() ([]byte, error) { return f.compressed.get(config) })
 }
 
-// answer answers a peer with data, packed if it takes that.
-func (f *fetcher) answer(w http.ResponseWriter, r *http.Request, data []byte, pack func() ([]byte, error)) {
+// respond writes data to a peer. If the peer accepts gzip, it writes the result of
+// compressData instead.
+func (f *fetcher) respond(w http.ResponseWriter, r *http.Request, data []byte, compressData func() ([]byte, error)) {
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		packed, err := pack()
+		compressed, err := compressData()
 		if err == nil {
 			w.Header().Set("Content-Encoding", "gzip")
-			data = packed
+			data = compressed
 		} else {
-			f.server.logger.Warn("answer to a peer sent unpacked", "path", r.URL.Path, "error", err)
+			f.server.logger.Warn("sending response to peer uncompressed", "path", r.URL.Path, "error", err)
 		}
 	}
-	// A peer that has gone does not get it; it asks again.
+	// A peer that does not receive the response asks again.
 	_, _ = w.Write(data)
 }
 
-// answerJSON answers a peer with a message.
-func (f *fetcher) answerJSON(w http.ResponseWriter, r *http.Request, m any) {
+// respondJSON writes a message to a peer as JSON.
+func (f *fetcher) respondJSON(w http.ResponseWriter, r *http.Request, m any) {
 	data, err := json.Marshal(m)
 	if err != nil {
-		f.server.logger.Error("answer to a peer not encoded", "path", r.URL.Path, "error", err)
+		f.server.logger.Error("encoding response to peer failed", "path", r.URL.Path, "error", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	f.answer(w, r, data, func() ([]byte, error) { return pack(data) })
+	f.respond(w, r, data, func() ([]byte, error) { return compress(data) })
 }
 
-// pack returns data as gzip.
-func pack(data []byte) ([]byte, error) {
+// compress returns data as gzip.
+func compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
-		return nil, failure.At(failure.Invalid, "pack answer", "", err)
+		return nil, failure.At(failure.Invalid, "compress response", "", err)
 	}
 	if _, err := w.Write(data); err != nil {
-		return nil, failure.At(failure.Invalid, "pack answer", "", err)
+		return nil, failure.At(failure.Invalid, "compress response", "", err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, failure.At(failure.Invalid, "pack answer", "", err)
+		return nil, failure.At(failure.Invalid, "compress response", "", err)
 	}
 	return out.Bytes(), nil
 }
 
-// packedConfig keeps the newest configuration compressed: after each change all
-// peers ask for it within a second. It is safe for concurrent use.
-type packedConfig struct {
+// compressedConfig caches the newest configuration in compressed form, since all peers request it
+// shortly after a change. It is safe for concurrent use.
+type compressedConfig struct {
 	mu     sync.Mutex
 	config *fleet.Config
 	data   []byte
 }
 
-// of returns a configuration as gzip of the operator's own words.
-func (p *packedConfig) of(config *fleet.Config) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.config == config {
-		return p.data, nil
-	}
-	data, err := pack(config.Encoded())
+// get returns the encoded configuration as gzip.
+func (c *compressedConfig) get(config *fleet.Config) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.config == config {
+		return c.data, nil
+	}
+	data, err := compress(config.Encoded())
 	if err != nil {
 		return nil, err
 	}
-	p.config, p.data = config, data
+	c.config, c.data = config, data
 	return data, nil
 }
 
-func (f *fetcher) giveWorkers(w http.ResponseWriter, r *http.Request) {
+func (f *fetcher) serveWorkers(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if r.URL.Query().Get(headsKey) != "" {
+	if r.URL.Query().Get(headsParam) != "" {
 		d, whole := f.server.inventory.HeadsSince(from)
-		f.answerJSON(w, r, changesMessage{Delta: d, Whole: whole})
+		f.respondJSON(w, r, changesMessage{Delta: d, Whole: whole})
 		return
 	}
 	if !f.server.inventory.Complete() {
-		// A peer that needs all workers asks another one.
+		// The peer has to get the list from another daemon.
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	d, whole := f.server.inventory.Since(from)
-	f.answerJSON(w, r, changesMessage{Delta: d, Whole: whole})
+	f.respondJSON(w, r, changesMessage{Delta: d, Whole: whole})
 }
 
-func (f *fetcher) giveDecisions(w http.ResponseWriter, r *http.Request) {
+func (f *fetcher) serveDecisions(w http.ResponseWriter, r *http.Request) {
 	term, errTerm := strconv.ParseInt(r.URL.Query().Get("term"), 10, 64)
 	seq, errSeq := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if errTerm != nil || errSeq != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	f.answerJSON(w, r, f.server.inventory.DecisionsSince(fleet.DecisionPosition{Term: term, Seq: seq}))
+	f.respondJSON(w, r, f.server.inventory.DecisionsSince(fleet.DecisionPosition{Term: term, Seq: seq}))
 }
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -25,8 +25,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// TestEarlierAnswers reads what daemons of the first version of the format answered each other,
-// and looks whether what this build answers has all of that.
+// TestEarlierAnswers checks that this build reads and still writes every field of the messages
+// that daemons of the first format version exchanged over HTTP.
 func TestEarlierAnswers(t *testing.T) {
 	tests := map[string]func() any{
 		"workers":   func() any { return &changesMessage{} },
@@ -34,29 +34,29 @@
 		"leave":     func() any { return &leaveMessage{} },
 		"verdict":   func() any { return &verdictMessage{} },
 	}
-	for name, empty := range tests {
+	for name, newMessage := range tests {
 		t.Run(name, func(t *testing.T) {
 			recorded, err := os.ReadFile("testdata/format-1/" + name + ".json")
 			assert.NilError(t, err)
-			lost, err := wiretest.Lost(recorded, empty())
+			lost, err := wiretest.Lost(recorded, newMessage())
 			assert.NilError(t, err)
 			assert.Equal(t, len(lost), 0, "not understood: %v", lost)
-			own := empty()
-			wiretest.Fill(own)
-			missing, err := wiretest.Missing(recorded, own)
+			filled := newMessage()
+			wiretest.Fill(filled)
+			missing, err := wiretest.Missing(recorded, filled)
 			assert.NilError(t, err)
 			assert.Equal(t, len(missing), 0, "not written any more: %v", missing)
 		})
 	}
 }
 
-// framing is what stands before the message of a datagram, in bytes.
-const framing = 17
+// headerBytes is the length of the header before the message in a datagram.
+const headerBytes = 17
 
-// toFirst returns a datagram as a daemon of the first version of the format writes or reads
-// it: without what was added since.
-func toFirst(datagram []byte) []byte {
-	body, err := io.ReadAll(flate.NewReader(bytes.NewReader(datagram[framing:])))
+// toFirstFormat converts a datagram to the first format version by removing the fields that later
+// versions added. It returns a datagram unchanged if that fails.
+func toFirstFormat(datagram []byte) []byte {
+	body, err := io.ReadAll(flate.NewReader(bytes.NewReader(datagram[headerBytes:])))
 	if err != nil {
 		return datagram
 	}
@@ -66,7 +66,7 @@
 	if decoder.Decode(&m) != nil {
 		return datagram
 	}
-	dropAdded(m)
+	removeAddedFields(m)
 	body, err = json.Marshal(m)
 	if err != nil {
 		return datagram
@@ -76,14 +76,14 @@
 	if err != nil {
 		return datagram
 	}
-	// Writing to a buffer does not fail.
+	// Writing to a buffer never fails.
 	_, _ = w.Write(body)
 	_ = w.Close()
-	return append(bytes.Clone(datagram[:framing]), packed.Bytes()...)
+	return append(bytes.Clone(datagram[:headerBytes]), packed.Bytes()...)
 }
 
-// dropAdded drops what was added to a message: by its names, at the places that have them.
-func dropAdded(m any) {
+// removeAddedFields removes from a message the fields that later versions added.
+func removeAddedFields(m any) {
 	fields, ok := m.(map[string]any)
 	if !ok {
 		return
@@ -104,40 +104,42 @@
 	}
 }
 
-// earlier returns a transport as a daemon of the first version of the format uses it.
-func earlier(t peers.Transport) peers.Transport {
+// newEarlierTransport wraps a transport. A daemon that uses the result acts like one of the first
+// format version.
+func newEarlierTransport(t peers.Transport) peers.Transport {
 	return peers.Transport{
-		Send: func(to string, datagram []byte) error { return t.Send(to, toFirst(datagram)) },
+		Send: func(to string, datagram []byte) error { return t.Send(to, toFirstFormat(datagram)) },
 		Receive: func(buffer []byte) (int, error) {
 			n, err := t.Receive(buffer)
 			if err != nil {
 				return n, err
 			}
-			return copy(buffer, toFirst(buffer[:n])), nil
+			return copy(buffer, toFirstFormat(buffer[:n])), nil
 		},
 		Close: t.Close,
 	}
 }
 
-// mixedFleet is daemons of three halls, some of an earlier version.
+// mixedFleet is a fleet in three halls, in which some daemons use an earlier format version.
 type mixedFleet struct {
-	all []*Server
-	// early tells which are of an earlier version, end ends each.
-	early []bool
-	end   []context.CancelFunc
+	daemons []*Server
+	// usesEarlier holds, by the index of a daemon, whether it uses the earlier version. stops holds
+	// the functions that stop the daemons.
+	usesEarlier []bool
+	stops       []context.CancelFunc
 }
 
-func newMixedFleet(t *testing.T, perHall int, isEarly func(inHall int) bool) *mixedFleet {
+func newMixedFleet(t *testing.T, perHall int, usesEarlier func(inHall int) bool) *mixedFleet {
 	t.Helper()
 	const halls = 3
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
 	f := &mixedFleet{}
-	var duties conc.WaitGroup
+	var tasks conc.WaitGroup
 	for i := range halls * perHall {
 		id := fmt.Sprintf("daemon-%03d", i)
 		store, transport := &fakeStore{}, network.transport(id)
-		if isEarly(i % perHall) {
-			transport = earlier(transport)
+		if usesEarlier(i % perHall) {
+			transport = newEarlierTransport(transport)
 		}
 		s, err := New(Options{
 			Self:   peers.Identity{ID: id, Incarnation: 1, Zone: fmt.Sprintf("hall-%d", i/perHall), Address: id},
@@ -145,41 +147,41 @@
 			Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read}, Logger: hclog.NewNullLogger(),
 		})
 		assert.NilError(t, err)
-		f.all, f.early = append(f.all, s), append(f.early, isEarly(i%perHall))
+		f.daemons, f.usesEarlier = append(f.daemons, s), append(f.usesEarlier, usesEarlier(i%perHall))
 	}
-	for _, s := range f.all {
-		for _, other := range f.all {
+	for _, s := range f.daemons {
+		for _, other := range f.daemons {
 			s.agent.Table().Learn(other.opts.Self, time.Now())
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		f.end = append(f.end, cancel)
-		duties.Go(func() { s.agent.Run(ctx) })
+		f.stops = append(f.stops, cancel)
+		tasks.Go(func() { s.agent.Run(ctx) })
 	}
 	t.Cleanup(func() {
-		for _, end := range f.end {
+		for _, end := range f.stops {
 			end()
 		}
-		duties.Wait()
-		// Datagrams that are on their way arrive.
+		tasks.Wait()
+		// Datagrams in transit arrive.
 		time.Sleep(time.Second)
 	})
 	return f
 }
 
-// assertFormat checks what the daemons of this version take for the earliest one in touch.
+// assertFormat checks which version the daemons of this build consider the oldest in use.
 func (f *mixedFleet) assertFormat(t *testing.T, want int) {
 	t.Helper()
-	for i, s := range f.all {
-		if !f.early[i] {
+	for i, s := range f.daemons {
+		if !f.usesEarlier[i] {
 			assert.Equal(t, s.agent.Table().OldestFormat(time.Now()), want, "%s, a %s", s.opts.Self.ID, s.agent.Role())
 		}
 	}
 }
 
-// TestMixedFleetActsByTheOldest lets daemons of an earlier version be in a fleet with relays:
-// all others know that there are some, by way of relays of either version, and act by this
-// one's version once none has been in touch for a while.
-func TestMixedFleetActsByTheOldest(t *testing.T) {
+// TestMixedFleetUsesOldestFormat runs daemons of an earlier version in a fleet with relays. All
+// others must keep to the earlier version, even if the relays use the earlier one as well. Some time
+// after the earlier daemons stopped, they must switch to this build's version.
+func TestMixedFleetUsesOldestFormat(t *testing.T) {
 	tests := map[string]struct {
 		perHall int
 		isEarly func(inHall int) bool
@@ -195,47 +197,47 @@
 				f := newMixedFleet(t, test.perHall, test.isEarly)
 				time.Sleep(5 * time.Second)
 				f.assertFormat(t, peers.FormatFirst)
-				for i, end := range f.end {
-					if f.early[i] {
+				for i, end := range f.stops {
+					if f.usesEarlier[i] {
 						end()
 					}
 				}
 				time.Sleep(5 * time.Second)
 				f.assertFormat(t, peers.FormatFirst)
 				time.Sleep(10 * time.Second)
-				f.assertFormat(t, peers.FormatAsked)
+				f.assertFormat(t, peers.FormatBackpressure)
 			})
 		})
 	}
 }
 
-// TestNoSharesBesideEarlierDaemons: daemons of an earlier version heed no limit. While one is
-// in touch the others send nothing to a worker that named one, so that all of them together
-// send as little as can be; once it is gone they share the limit.
-func TestNoSharesBesideEarlierDaemons(t *testing.T) {
+// TestNoLimitSharesWithEarlierDaemons checks that daemons send nothing to a worker that reported a
+// limit while a daemon of an earlier version is in use, because that one ignores limits. Afterwards
+// they must share the limit.
+func TestNoLimitSharesWithEarlierDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		says := func(h http.Header, _ time.Duration) bool {
-			h.Set(signalNames.Asks.Limit, "1.5")
+		signal := func(h http.Header, _ time.Duration) bool {
+			h.Set(signalHeaders.Asks.Limit, "1.5")
 			return true
 		}
-		limited, other := &signalHead{id: "limited", says: says, work: 30 * time.Millisecond}, &signalHead{id: "other", work: 30 * time.Millisecond}
+		limited, other := &signalHead{id: "limited", signal: signal, processingTime: 30 * time.Millisecond}, &signalHead{id: "other", processingTime: 30 * time.Millisecond}
 		f := newSignalFleet(t, 3, 2, limited, other)
 		for _, s := range f.daemons {
 			s.signals.Hear(&fleet.Worker{ID: "limited"}, backpressure.Signal{Limited: true, PerSecond: 1.5}, time.Now(), time.Now())
 			s.agent.Table().NoteFormat(peers.FormatFirst, time.Now())
 		}
-		f.load(30, 8*time.Second)
-		assert.Equal(t, limited.came(0, 8*time.Second), 0)
-		f.load(30, 12*time.Second)
-		assert.Assert(t, limited.came(12*time.Second, 20*time.Second) > 0)
+		f.sendLoad(30, 8*time.Second)
+		assert.Equal(t, limited.countArrivals(0, 8*time.Second), 0)
+		f.sendLoad(30, 12*time.Second)
+		assert.Assert(t, limited.countArrivals(12*time.Second, 20*time.Second) > 0)
 		assert.Equal(t, f.served, f.sent)
 	})
 }
 
-// TestToFirst: the helper drops what was added and nothing else.
-func TestToFirst(t *testing.T) {
+// TestAddedFieldsAreRemoved checks that removeAddedFields removes only the added fields.
+func TestAddedFieldsAreRemoved(t *testing.T) {
 	m := map[string]any{"id": "a", "hb": map[string]any{"f": 1, "bp": 1, "cv": 3}, "known": []any{map[string]any{"f": 1, "id": "b"}}}
-	dropAdded(m)
+	removeAddedFields(m)
 	data, err := json.Marshal(m)
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(data), `"f"`) && strings.Contains(string(data), `"cv":3`))
--- a/serving/leaving_test.go
+++ b/serving/leaving_test.go
@@ -10,46 +10,40 @@
 	"gotest.tools/v3/assert"
 )
 
-// What users would see: a worker that leaves says so in all its answers, at times there alone,
-// and ends some seconds later. Requests that were sent to it until then are cut off.
-//
-// The order of events: the worker says that it leaves; each daemon passes its answers on to
-// the callers, and goes on choosing it, since the worker list shows it as before.
-//
-// The cause: no code read what workers say of themselves in their answers.
-//
-// The evidence: on the code before, the test below counts 30 to 34 requests at such a worker in
-// four seconds, as many as at the others.
+// The test below guards against requests to a worker that has signaled in its responses that it is
+// leaving. They would be cut off when the worker stops. The worker list does not yet show that it
+// is leaving.
 
 const (
-	// leaveFrom is when heads begin to say that they leave, leaveBound how long after a daemon
-	// had such an answer requests that are sent to it must not go there any more.
-	leaveFrom  = 2 * time.Second
-	leaveBound = 2 * time.Second
+	// leaveSignalStart is when heads start to signal that they are leaving, counted from the start
+	// of the fleet. leaveBound is the time after that until no daemon may send them requests.
+	leaveSignalStart = 2 * time.Second
+	leaveBound       = 2 * time.Second
 )
 
-// leavingHeads returns eight heads, of which some say from a time on that they leave.
-func leavingHeads(leaving int) []*signalHead {
-	says := func(h http.Header, at time.Duration) bool {
-		if at >= leaveFrom {
-			h.Set(signalNames.Asks.Leaving, "1")
+// newLeavingHeads returns eight heads. The first leavingCount of them signal from leaveSignalStart on
+// that they are leaving.
+func newLeavingHeads(leavingCount int) []*signalHead {
+	signal := func(h http.Header, at time.Duration) bool {
+		if at >= leaveSignalStart {
+			h.Set(signalHeaders.Asks.Leaving, "1")
 		}
 		return true
 	}
 	var heads []*signalHead
 	for i := range 8 {
-		h := &signalHead{id: fmt.Sprint("head-", i), work: 300 * time.Millisecond}
-		if i < leaving {
-			h.says = says
+		h := &signalHead{id: fmt.Sprint("head-", i), processingTime: 300 * time.Millisecond}
+		if i < leavingCount {
+			h.signal = signal
 		}
 		heads = append(heads, h)
 	}
 	return heads
 }
 
-// TestSaidLeavingIsHeeded lets heads say in their answers alone that they leave, with requests
-// of each kind. What all daemons know after leaveBound holds in fleets with relays as well.
-func TestSaidLeavingIsHeeded(t *testing.T) {
+// TestLeavingSignalIsHonored lets three of eight heads signal in their responses that they are
+// leaving. After leaveBound no daemon may send requests to them, in fleets with relays as well.
+func TestLeavingSignalIsHonored(t *testing.T) {
 	tests := map[string]struct {
 		path           string
 		halls, perHall int
@@ -62,14 +56,14 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				heads := leavingHeads(3)
+				heads := newLeavingHeads(3)
 				f := newSignalFleet(t, test.halls, test.perHall, heads...)
 				f.path = test.path
-				f.load(60, leaveFrom+leaveBound+4*time.Second)
+				f.sendLoad(60, leaveSignalStart+leaveBound+4*time.Second)
 				for _, h := range heads[:3] {
-					assert.Assert(t, h.came(0, leaveFrom) > 0)
-					late := h.came(leaveFrom+leaveBound, time.Hour)
-					assert.Equal(t, late, 0, "%s got requests long after it said that it leaves", h.id)
+					assert.Assert(t, h.countArrivals(0, leaveSignalStart) > 0)
+					late := h.countArrivals(leaveSignalStart+leaveBound, time.Hour)
+					assert.Equal(t, late, 0, "%s got requests long after it signaled that it is leaving", h.id)
 				}
 				assert.Equal(t, f.served, f.sent)
 			})
--- a/serving/news.go
+++ b/serving/news.go
@@ -10,54 +10,54 @@
 )
 
 const (
-	// newsPause joins what becomes known close upon one another: what comes within
-	// it waits and goes together.
-	newsPause = 40 * time.Millisecond
-	// changesPerNews and decisionsPerNews are how many changes of the worker list
-	// and decisions go into one datagram, so that it fits one frame of the network:
-	// deflated, a change takes about 70 bytes and a decision about 60.
+	// newsBatchDelay is the delay between two sends of news. News that arrives in between is sent
+	// together.
+	newsBatchDelay = 40 * time.Millisecond
+	// changesPerNews is the maximum number of changes of the worker list in one datagram, and
+	// decisionsPerNews that of decisions. A datagram should fit into one network frame.
 	changesPerNews   = 14
 	decisionsPerNews = 16
 )
 
-// passNews passes on what becomes known, once, while this daemon leads or relays.
-// Who misses some of it sees so by the positions in heartbeats and asks for it.
-func (s *Server) passNews(ctx context.Context) {
-	var passed newsPosition
+// forwardNews sends new changes of the worker list and new decisions to peers while this daemon is a
+// leader or relay. It sends each only once. Daemons that miss some detect the gap from the positions
+// in heartbeats and fetch them.
+func (s *Server) forwardNews(ctx context.Context) {
+	var forwarded newsPosition
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.beliefs.Changed():
-			// Peers fetch the configuration when they hear of its version.
-			if s.passesOn() {
-				s.agent.Send(time.Now())
+			// Peers fetch the configuration when a heartbeat reports a new version.
+			if s.forwardsNews() {
+				s.agent.SendHeartbeat(time.Now())
 			}
 			continue
 		case <-s.inventory.News():
 		}
-		if s.passesOn() {
-			var n news
-			n, passed = s.newsSince(passed)
-			s.agent.SendNews(n.all, n.members, s.isReader(), time.Now())
+		if s.forwardsNews() {
+			var unsent news
+			unsent, forwarded = s.newsSince(forwarded)
+			s.agent.SendNews(unsent.all, unsent.members, s.isReader(), time.Now())
 		} else {
-			passed = newsPosition{workers: s.inventory.Position(), decided: s.inventory.Decided()}
+			forwarded = newsPosition{workers: s.inventory.Position(), decisions: s.inventory.Decided()}
 		}
-		pause.For(ctx, newsPause)
+		pause.For(ctx, newsBatchDelay)
 	}
 }
 
-// passesOn reports whether this daemon passes on what it learns.
-func (s *Server) passesOn() bool { return s.isReader() || s.agent.Role() == peers.Relay }
+// forwardsNews reports whether this daemon forwards new state to others, as leaders and relays do.
+func (s *Server) forwardsNews() bool { return s.isReader() || s.agent.Role() == peers.Relay }
 
-// newsPosition is how far the worker list and the decisions were passed on.
+// newsPosition holds the positions up to which the worker list and the decisions were forwarded.
 type newsPosition struct {
-	workers int64
-	decided fleet.DecisionPosition
+	workers   int64
+	decisions fleet.DecisionPosition
 }
 
-// news is what has become known, in parts that fit a datagram each: with the changes of all
-// workers, and for members, most of which need those of heads alone.
+// news holds news in parts that fit into a datagram each. all has the changes of all workers.
+// members is for members of the hall, most of which need only the changes of group heads.
 type news struct {
 	all, members []peers.News
 }
@@ -67,11 +67,11 @@
 	n.members = append(n.members, part)
 }
 
-// newsSince returns what has become known since a position, and the new position. Where
-// everything was read anew there is no news: peers ask for what they lack.
+// newsSince returns the news since a position, and the new position. If the changes since then are
+// not available, it returns none, and peers have to fetch the state.
 func (s *Server) newsSince(from newsPosition) (news, newsPosition) {
 	var n news
-	decisions := s.inventory.DecisionsSince(from.decided)
+	decisions := s.inventory.DecisionsSince(from.decisions)
 	if !decisions.Whole {
 		for _, part := range decisions.Split(decisionsPerNews) {
 			n.add(peers.News{Decisions: &part})
@@ -81,19 +81,18 @@
 	if !whole && workers.To > workers.From {
 		s.addWorkers(&n, workers)
 	}
-	return n, newsPosition{workers: workers.To, decided: fleet.DecisionPosition{Term: decisions.Term, Seq: decisions.To}}
+	return n, newsPosition{workers: workers.To, decisions: fleet.DecisionPosition{Term: decisions.Term, Seq: decisions.To}}
 }
 
-// addWorkers adds changes of the worker list. What cannot be split is fetched. Where members
-// hold all workers too they get all changes: told of heads alone, each would stay behind and
-// fetch the others at a heartbeat (40 changes behind in TestMembersAreToldWhatTheyHold).
+// addWorkers adds changes of the worker list. Peers have to fetch changes that cannot be split.
+// Members that hold all workers get all changes, the others only those of group heads.
 func (s *Server) addWorkers(n *news, changes fleet.Delta) {
 	if s.inventory.Complete() {
 		parts, _ := changes.Split(changesPerNews)
 		for _, part := range parts {
 			n.all = append(n.all, peers.News{Workers: &part})
 		}
-		if s.boundsWarmUp() {
+		if s.limitsWarmUp() {
 			n.members = n.all
 			return
 		}
@@ -104,12 +103,12 @@
 	}
 }
 
-// taken takes what a peer passed on.
-func (s *Server) taken(p *peers.Peer, n *peers.News) {
+// onNews processes news that a peer forwarded.
+func (s *Server) onNews(p *peers.Peer, n *peers.News) {
 	if n.Decisions != nil {
 		s.inventory.FollowDecisions(*n.Decisions)
 	}
 	if n.Workers != nil {
-		s.inventory.Follow(*n.Workers, p.WorkersConfirmed())
+		s.inventory.Follow(*n.Workers, p.WorkersConfirmedAt())
 	}
 }
--- a/serving/rests_test.go
+++ b/serving/rests_test.go
@@ -11,101 +11,90 @@
 	"gotest.tools/v3/assert"
 )
 
-// What users saw: a worker turned requests of a daemon away and asked it for three seconds of
-// rest, and got four and five requests from it in that time, where two may come. Each of them
-// was turned away and sent elsewhere, up to twice, so that workers got a third more requests
-// than callers had sent.
-//
-// The order of events: the worker answers 503 with a time; the daemon sends the request to
-// another worker, charges this one a tenth of a second of expected wait for a second, and
-// forgets the time.
-//
-// The cause: a rejection counted for the request that it met alone; what the worker asked for
-// was thrown away with the answer.
-//
-// The evidence: on the code before, the test below counts up to eight requests within a rest, in
-// its first second as later, first sends as well as repeats, and of each kind.
+// The test below guards against sending more requests to a worker that rejected one with a
+// Retry-After header. The header asks for a rest, a time without requests. Requests sent in that
+// time would be rejected and repeated elsewhere, which multiplies the load on the workers.
 
 const (
-	// restAsked is for how long heads want nothing, restFrom and restTo while they turn all
-	// requests away.
-	restAsked        = 3 * time.Second
-	restFrom, restTo = 2 * time.Second, 6 * time.Second
-	// restMost is how many requests may come from a daemon between heardAfter and the end of a
-	// rest that it was asked for.
-	restMost   = 2
-	heardAfter = 500 * time.Millisecond
+	// requestedRest is the length of the rest that heads ask for. They reject all requests from
+	// rejectFrom to rejectTo, counted from the start of the fleet.
+	requestedRest        = 3 * time.Second
+	rejectFrom, rejectTo = 2 * time.Second, 6 * time.Second
+	// maxDuringRest is the number of requests that a daemon may send to a resting head. Requests
+	// within restApplyTime after the rejection do not count.
+	maxDuringRest = 2
+	restApplyTime = 500 * time.Millisecond
 )
 
-// assertRest checks that a head which turned a daemon away got no more than that from it while
-// it rested.
+// assertRest checks that a head that rejected a daemon's request got at most maxDuringRest requests
+// from that daemon during the rest.
 func assertRest(t *testing.T, h *signalHead) {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, turned := range h.arrivals {
-		if !turned.turnedAway {
+	for _, rejection := range h.events {
+		if !rejection.isRejected {
 			continue
 		}
-		came := 0
-		for _, a := range h.arrivals {
-			if a.daemon == turned.daemon && a.at >= turned.at+heardAfter && a.at < turned.at+restAsked {
-				came++
+		received := 0
+		for _, a := range h.events {
+			if a.daemon == rejection.daemon && a.at >= rejection.at+restApplyTime && a.at < rejection.at+requestedRest {
+				received++
 			}
 		}
-		assert.Assert(t, came <= restMost, "%s got %d requests from %s after it asked for rest at %s", h.id, came, turned.daemon, turned.at)
+		assert.Assert(t, received <= maxDuringRest, "%s got %d requests from %s after it requested a rest at %s", h.id, received, rejection.daemon, rejection.at)
 	}
 }
 
-// restingHeads returns eight heads, of which some turn all requests away for a while and ask
-// for rest.
-func restingHeads(resting int) []*signalHead {
-	says := func(h http.Header, at time.Duration) bool {
-		if at < restFrom || at >= restTo {
+// newRestingHeads returns eight heads. The first restingCount of them reject all requests from
+// rejectFrom to rejectTo and ask for a rest.
+func newRestingHeads(restingCount int) []*signalHead {
+	signal := func(h http.Header, at time.Duration) bool {
+		if at < rejectFrom || at >= rejectTo {
 			return true
 		}
-		h.Set("Retry-After", strconv.FormatFloat(restAsked.Seconds(), 'f', -1, 64))
+		h.Set("Retry-After", strconv.FormatFloat(requestedRest.Seconds(), 'f', -1, 64))
 		return false
 	}
 	var heads []*signalHead
 	for i := range 8 {
-		h := &signalHead{id: fmt.Sprint("head-", i), work: 300 * time.Millisecond}
-		if i < resting {
-			h.says = says
+		h := &signalHead{id: fmt.Sprint("head-", i), processingTime: 300 * time.Millisecond}
+		if i < restingCount {
+			h.signal = signal
 		}
 		heads = append(heads, h)
 	}
 	return heads
 }
 
-// TestAskedRestHolds lets heads turn all requests away for four seconds and ask for rest, with
-// requests of each kind.
-func TestAskedRestHolds(t *testing.T) {
+// TestRequestedRestHolds checks that daemons keep the rests that heads ask for, with requests of each
+// kind. After the rests, all requests must succeed.
+func TestRequestedRestHolds(t *testing.T) {
 	tests := map[string]struct {
-		path    string
-		resting int
+		path         string
+		restingCount int
 	}{
-		"streams":                             {path: "/stream/", resting: 2},
-		"requests that may repeat":            {path: "/safe/", resting: 2},
-		"requests that run once":              {path: "/once/", resting: 2},
-		"streams, and all heads rest":         {path: "/stream/", resting: 8},
-		"requests that repeat, all rest":      {path: "/safe/", resting: 8},
-		"requests that run once, all rest":    {path: "/once/", resting: 8},
-		"streams, and all heads rest but one": {path: "/stream/", resting: 7},
+		"streams":                             {path: "/stream/", restingCount: 2},
+		"requests that may repeat":            {path: "/safe/", restingCount: 2},
+		"requests that run once":              {path: "/once/", restingCount: 2},
+		"streams, and all heads rest":         {path: "/stream/", restingCount: 8},
+		"requests that repeat, all rest":      {path: "/safe/", restingCount: 8},
+		"requests that run once, all rest":    {path: "/once/", restingCount: 8},
+		"streams, and all heads rest but one": {path: "/stream/", restingCount: 7},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				heads := restingHeads(test.resting)
+				heads := newRestingHeads(test.restingCount)
 				f := newSignalFleet(t, 3, 2, heads...)
 				f.path = test.path
-				f.load(60, restTo+restAsked)
+				f.sendLoad(60, rejectTo+requestedRest)
 				for _, h := range heads {
 					assertRest(t, h)
 				}
 				f.sent, f.served = 0, 0
-				f.load(60, restAsked)
-				assert.Equal(t, f.served, f.sent, "all have rested")
+				f.sendLoad(60, requestedRest)
+				assert.Equal(t, f.served, f.sent, "all rests are over")
 			})
 		})
 	}
--- a/serving/server_test.go
+++ b/serving/server_test.go
@@ -15,12 +15,12 @@
 	"quartzshelf.dev/peers"
 )
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-// fakeStore is a source and a member list whose answers a test sets.
+// fakeStore is a source and a member list with preset results.
 type fakeStore struct {
-	known []peers.Identity
-	away  bool
+	members       []peers.Identity
+	isUnavailable bool
 }
 
 func (f *fakeStore) source() fleet.Source {
@@ -32,7 +32,7 @@
 }
 
 func (f *fakeStore) nextConfig(context.Context, int64, time.Duration) (fleet.ConfigNews, error) {
-	return fleet.ConfigNews{}, errAway
+	return fleet.ConfigNews{}, errUnavailable
 }
 
 func (f *fakeStore) readWorkers(context.Context, string) (fleet.WorkerNews, error) {
@@ -40,16 +40,16 @@
 }
 
 func (f *fakeStore) nextWorkers(context.Context, int64, time.Duration) (fleet.WorkerNews, error) {
-	return fleet.WorkerNews{}, errAway
+	return fleet.WorkerNews{}, errUnavailable
 }
 
 func (f *fakeStore) register(context.Context, peers.Identity) error { return nil }
 
 func (f *fakeStore) read(context.Context, string) ([]peers.Identity, error) {
-	if f.away {
-		return nil, errAway
+	if f.isUnavailable {
+		return nil, errUnavailable
 	}
-	return f.known, nil
+	return f.members, nil
 }
 
 func newServer(t *testing.T, store *fakeStore) *Server {
@@ -59,7 +59,7 @@
 	return s
 }
 
-// optionsOf returns the options of a daemon alone.
+// optionsOf returns the options of a daemon that uses the given store and a free peer address.
 func optionsOf(t *testing.T, store *fakeStore) Options {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -73,78 +73,83 @@
 	}
 }
 
-// learn lets the server know a configuration and the workers as of a time.
-func learn(s *Server, at time.Time) {
+// setState gives a daemon a configuration and a worker list that were confirmed at a time. The
+// daemon then counts as settled.
+func setState(s *Server, at time.Time) {
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), at)
 	s.inventory.Replace(nil, 1, at)
-	s.settledOnce.Store(true)
+	s.isSettled.Store(true)
 }
 
-// TestWhoHasJustStartedBelievesPeers: the store came back from a copy and shows an older
-// configuration. A daemon that starts then serves no keys by it once it hears of a newer one,
-// nor before it could hear of any.
-func TestWhoHasJustStartedBelievesPeers(t *testing.T) {
+// TestStartingDaemonTrustsPeers checks that a starting daemon accepts no keys until it knows that
+// its configuration is the newest. A store that was just restored from a copy may return an older
+// one. The daemon must wait for a peer's heartbeat, and then for the version that the peer reports.
+func TestStartingDaemonTrustsPeers(t *testing.T) {
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
 	s.inventory.Replace(nil, 1, now)
-	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "it heard nobody yet")
+	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "it has heard no peer yet")
 	p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, ConfigVersion: 2}, HeardAt: now}
-	s.agent.Table().Hear(p.Heartbeat, now, now)
-	s.heard(p)
-	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "a newer one is in force at a peer")
+	s.agent.Table().RecordHeartbeat(p.Heartbeat, now, now)
+	s.onHeartbeat(p)
+	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "a peer has a newer configuration")
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now)
 	assert.Assert(t, s.Ready() && !s.relay.BeliefTooOld(now))
-	alone := newServer(t, &fakeStore{})
-	alone.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
-	alone.inventory.Replace(nil, 1, now)
-	long := now.Add(-2 * hearFor)
-	alone.metAt.Store(&long)
-	assert.Assert(t, alone.Ready(), "there is nobody to hear")
+	loneServer := newServer(t, &fakeStore{})
+	loneServer.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
+	loneServer.inventory.Replace(nil, 1, now)
+	longAgo := now.Add(-2 * listenPeriod)
+	loneServer.membersReadAt.Store(&longAgo)
+	assert.Assert(t, loneServer.Ready(), "there are no peers")
 }
 
-func TestWhoHasNotMetOthersDoesNotLead(t *testing.T) {
-	store := &fakeStore{away: true}
+func TestNoLeadershipBeforeDiscovery(t *testing.T) {
+	store := &fakeStore{isUnavailable: true}
 	s := newServer(t, store)
-	learn(s, time.Now())
+	setState(s, time.Now())
 	s.readMembers(context.Background())
-	assert.Assert(t, !s.fit(), "the member list was not read")
-	store.away = false
+	assert.Assert(t, !s.canLead(), "the member list was not read")
+	store.isUnavailable = false
 	s.readMembers(context.Background())
-	assert.Assert(t, !s.fit(), "nobody had time to be heard")
-	long := time.Now().Add(-2 * hearFor)
-	s.metAt.Store(&long)
-	assert.Assert(t, s.fit())
-	s.leaving.Store(true)
-	assert.Assert(t, !s.fit())
+	assert.Assert(t, !s.canLead(), "there was no time to hear peers")
+	longAgo := time.Now().Add(-2 * listenPeriod)
+	s.membersReadAt.Store(&longAgo)
+	assert.Assert(t, s.canLead())
+	s.isLeaving.Store(true)
+	assert.Assert(t, !s.canLead())
 }
 
 func TestEntries(t *testing.T) {
-	hear := func(s *Server, id string, ready, leaving bool) {
+	recordPeer := func(s *Server, id string, ready, leaving bool) {
 		b := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id}, Ready: ready, Leaving: leaving}
-		s.agent.Table().Hear(b, time.Now(), time.Now())
+		s.agent.Table().RecordHeartbeat(b, time.Now(), time.Now())
 	}
 	tests := map[string]struct {
 		prepare func(s *Server)
 		want    []string
 	}{
 		"itself and a ready peer": {
-			prepare: func(s *Server) { learn(s, time.Now()); hear(s, "b", true, false) },
+			prepare: func(s *Server) { setState(s, time.Now()); recordPeer(s, "b", true, false) },
 			want:    []string{"front-a", "front-b"},
 		},
-		"peers that leave or are not ready are left out": {
-			prepare: func(s *Server) { learn(s, time.Now()); hear(s, "b", true, true); hear(s, "c", false, false) },
-			want:    []string{"front-a"},
+		"peers that are leaving or not ready are omitted": {
+			prepare: func(s *Server) {
+				setState(s, time.Now())
+				recordPeer(s, "b", true, true)
+				recordPeer(s, "c", false, false)
+			},
+			want: []string{"front-a"},
 		},
-		"a daemon that knows too little names others": {
-			prepare: func(s *Server) { learn(s, time.Now().Add(-time.Hour)); hear(s, "b", true, false) },
+		"a daemon with outdated state returns others": {
+			prepare: func(s *Server) { setState(s, time.Now().Add(-time.Hour)); recordPeer(s, "b", true, false) },
 			want:    []string{"front-b"},
 		},
-		"when nobody is ready, all that stay": {
-			prepare: func(s *Server) { hear(s, "b", false, false) },
+		"if no daemon is ready, all that are not leaving": {
+			prepare: func(s *Server) { recordPeer(s, "b", false, false) },
 			want:    []string{"front-a", "front-b"},
 		},
-		"a leaving daemon names others": {
-			prepare: func(s *Server) { learn(s, time.Now()); s.leaving.Store(true); hear(s, "b", true, false) },
+		"a leaving daemon returns others": {
+			prepare: func(s *Server) { setState(s, time.Now()); s.isLeaving.Store(true); recordPeer(s, "b", true, false) },
 			want:    []string{"front-b"},
 		},
 	}
@@ -157,40 +162,41 @@
 	}
 }
 
-func TestReaderIsOnlyOne(t *testing.T) {
+func TestOnlyOneDaemonReads(t *testing.T) {
 	s := newServer(t, &fakeStore{})
 	now := time.Now()
-	met := now.Add(-roleKnown)
-	s.metAt.Store(&met)
-	assert.Assert(t, s.reads(time.Time{}), "nothing is known")
-	assert.Assert(t, !s.reads(now), "what is known is fresh, though nobody leads")
+	membersReadAt := now.Add(-roleSettleTime)
+	s.membersReadAt.Store(&membersReadAt)
+	assert.Assert(t, s.shouldRead(time.Time{}), "it has no state")
+	assert.Assert(t, !s.shouldRead(now), "its state is current, though there is no leader")
 	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, Leads: &peers.Claim{Epoch: 1}}
-	s.agent.Table().Hear(b, now, now)
-	assert.Assert(t, !s.reads(now), "the leader reads")
-	assert.Assert(t, s.reads(now.Add(-readAfter-readSpread)), "what the leader tells is too old")
+	s.agent.Table().RecordHeartbeat(b, now, now)
+	assert.Assert(t, !s.shouldRead(now), "the leader reads")
+	assert.Assert(t, s.shouldRead(now.Add(-staleStateAge-readSpread)), "the state from the leader is too old")
 }
 
-// TestRelaysReadBeforeMembers: where the leader is turned away by the store, all relays
-// read before any member does, so that a change is known within the bounds by one hop.
+// TestRelaysReadBeforeMembers checks that relays read the store before members do if the leader
+// cannot reach it. Members then get a change from their relays in time.
 func TestRelaysReadBeforeMembers(t *testing.T) {
 	for _, role := range []peers.Role{peers.Direct, peers.Relay} {
-		assert.Assert(t, readPatience(role, readSpread) < readPatience(peers.Member, 0), "%s", role)
-		assert.Equal(t, readPatience(role, 0), readAfter)
+		assert.Assert(t, maxStaleness(role, readSpread) < maxStaleness(peers.Member, 0), "%s", role)
+		assert.Equal(t, maxStaleness(role, 0), staleStateAge)
 	}
 }
 
-// TestOnlyMembersSpreadTheirRetries: the leader and relays read for all.
+// TestOnlyMembersSpreadTheirRetries checks that a daemon alone retries without delay, and that a
+// member of a large fleet spreads its retries by the number of daemons.
 func TestOnlyMembersSpreadTheirRetries(t *testing.T) {
 	s := newServer(t, &fakeStore{})
-	assert.Equal(t, s.retrySpread(), time.Duration(0), "it does not know of others")
+	assert.Equal(t, s.retrySpread(), time.Duration(0), "it knows no other daemon")
 	now := time.Now()
 	for n := range 200 {
 		id := fmt.Sprint("front-", n)
 		s.agent.Table().Learn(peers.Identity{ID: id, Incarnation: 1, Zone: "z", Address: id, Capacity: 100}, now)
 	}
-	s.agent.Arrange(now)
-	s.agent.Arrange(now)
+	s.agent.UpdateLayout(now)
+	s.agent.UpdateLayout(now)
 	assert.Equal(t, s.agent.Role(), peers.Member)
-	assert.Equal(t, s.retrySpread(), spreadOver(s.agent.Daemons()))
-	assert.Assert(t, spreadOver(986) > 4*time.Second && spreadOver(9) < 100*time.Millisecond)
+	assert.Equal(t, s.retrySpread(), retryInterval(s.agent.DaemonCount()))
+	assert.Assert(t, retryInterval(986) > 4*time.Second && retryInterval(9) < 100*time.Millisecond)
 }
--- a/serving/settle.go
+++ b/serving/settle.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// settleAlone is how long after its start a daemon that hears nobody and cannot read the
-// member list takes what it knows for the newest.
-const settleAlone = 2 * time.Second
+// aloneTimeout is the time after which a starting daemon assumes that it is alone. It does so if it
+// has neither read the member list nor received a heartbeat.
+const aloneTimeout = 2 * time.Second
 
-// settled reports whether what this daemon read after its start is known to be no older than
-// what daemons that ran before know: it heard one, and has the newest configuration heard of,
-// or there is none. A store that has just come back from a copy shows an older configuration
-// for a moment, in which keys are in force that were taken away.
-func (s *Server) settled(now time.Time) bool {
-	if s.settledOnce.Load() {
+// hasSettled reports whether the configuration that this daemon read after its start is at least as
+// new as that of its peers. It waits for a peer's heartbeat, unless the daemon seems to be alone.
+// This guards against a store that was just restored from a copy: it may return an older
+// configuration, with keys that have been revoked.
+func (s *Server) hasSettled(now time.Time) bool {
+	if s.isSettled.Load() {
 		return true
 	}
-	met := s.metAt.Load()
-	alone := met != nil && now.Sub(*met) > hearFor || now.Sub(s.start) > settleAlone
-	heard := len(s.agent.Table().Alive(now)) > 0
-	if !heard && !alone || s.newestHeard.Load() > s.beliefs.Version() {
+	readAt := s.membersReadAt.Load()
+	alone := readAt != nil && now.Sub(*readAt) > listenPeriod || now.Sub(s.startedAt) > aloneTimeout
+	hasPeers := len(s.agent.Table().Alive(now)) > 0
+	if !hasPeers && !alone || s.newestPeerConfig.Load() > s.beliefs.Version() {
 		return false
 	}
-	s.settledOnce.Store(true)
+	s.isSettled.Store(true)
 	return true
 }
 
-// hearVersion notes the version of the configuration that a peer has in force.
-func (s *Server) hearVersion(version int64) {
+// noteConfigVersion records the configuration version that a peer reported, if it is the newest.
+func (s *Server) noteConfigVersion(version int64) {
 	for {
-		known := s.newestHeard.Load()
-		if version <= known || s.newestHeard.CompareAndSwap(known, version) {
+		known := s.newestPeerConfig.Load()
+		if version <= known || s.newestPeerConfig.CompareAndSwap(known, version) {
 			return
 		}
 	}
 }
 
-// configConfirmed returns when the configuration in force was last known to be the newest;
-// the zero time while it may be an older one.
-func (s *Server) configConfirmed() time.Time {
-	if !s.settled(time.Now()) {
+// configConfirmedAt returns when the current configuration was last known to be the newest. It is
+// zero before the daemon has settled.
+func (s *Server) configConfirmedAt() time.Time {
+	if !s.hasSettled(time.Now()) {
 		return time.Time{}
 	}
 	return s.beliefs.Confirmed()
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -27,49 +27,50 @@
 	"quartzshelf.dev/relay"
 )
 
-var signalNames = relay.Names{
+var signalHeaders = relay.Names{
 	Attempt: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
 	LastEvent: "Last-Event-Id", Priority: "X-Priority",
 	Asks: backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"},
 }
 
-var errHeadClosed = errors.New("the head takes no connections")
+var errHeadClosed = errors.New("the head is closed")
 
-// signalHead is the head of a replica, or a worker that serves alone, in a test's own time.
+// signalHead is the head of a replica, or a worker that serves alone, in virtual time.
 type signalHead struct {
 	id string
-	// says adds to the head of an answer, at a time from the start of the fleet; it returns
-	// false for a request that is turned away.
-	says func(h http.Header, at time.Duration) bool
-	work time.Duration
+	// signal sets headers of a response, given the time since the start of the fleet. If it returns
+	// false, the head rejects the request. It may be nil.
+	signal         func(h http.Header, at time.Duration) bool
+	processingTime time.Duration
 
-	start    time.Time
-	conns    chan net.Conn
-	mu       sync.Mutex
-	arrivals []signalArrival
+	start  time.Time
+	conns  chan net.Conn
+	mu     sync.Mutex
+	events []headEvent
 }
 
-// signalArrival is a request that reached a head, from the start of the fleet.
-type signalArrival struct {
+// headEvent is a request that arrived at a head, or a response with a limit that a daemon received.
+// Times count from the start of the fleet.
+type headEvent struct {
 	at     time.Duration
 	daemon string
-	// told is when the daemon first passed an answer with a word of the head on; never if
-	// it had not.
-	told time.Duration
-	// turnedAway tells that the head turned it away.
-	turnedAway bool
+	// limitReceivedAt is when the daemon received a response with a limit. It is never if the event
+	// is a request.
+	limitReceivedAt time.Duration
+	// isRejected reports that the head rejected the request.
+	isRejected bool
 }
 
 const never = time.Duration(1<<63 - 1)
 
-// daemonConn is a connection of a daemon.
+// daemonConn is a connection from the daemon with a given id.
 type daemonConn struct {
 	net.Conn
 	daemon string
 }
 
-// daemonAddr names the daemon at the other end of a connection.
+// daemonAddr is the id of a daemon or head, used as a network address.
 type daemonAddr string
 
 func (daemonAddr) Network() string  { return "test" }
@@ -77,7 +78,7 @@
 
 func (c daemonConn) RemoteAddr() net.Addr { return daemonAddr(c.daemon) }
 
-// Accept, Close and Addr let an http.Server serve the head.
+// Accept, Close and Addr implement net.Listener, so that an http.Server can serve the head.
 func (h *signalHead) Accept() (net.Conn, error) {
 	c, ok := <-h.conns
 	if !ok {
@@ -93,51 +94,52 @@
 
 func (h *signalHead) Addr() net.Addr { return daemonAddr(h.id) }
 
-// ServeHTTP answers with one event.
+// ServeHTTP responds with a stream of one event, or rejects the request.
 func (h *signalHead) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
 	at := time.Since(h.start)
-	turnedAway := h.says != nil && !h.says(w.Header(), at)
+	isRejected := h.signal != nil && !h.signal(w.Header(), at)
 	h.mu.Lock()
-	h.arrivals = append(h.arrivals, signalArrival{at: at, daemon: r.RemoteAddr, told: never, turnedAway: turnedAway})
+	h.events = append(h.events, headEvent{at: at, daemon: r.RemoteAddr, limitReceivedAt: never, isRejected: isRejected})
 	h.mu.Unlock()
-	w.Header().Set(signalNames.Attempt, r.Header.Get(signalNames.Attempt))
-	if turnedAway {
-		w.Header().Set(signalNames.NotRun, "1")
+	w.Header().Set(signalHeaders.Attempt, r.Header.Get(signalHeaders.Attempt))
+	if isRejected {
+		w.Header().Set(signalHeaders.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		h.told(r.RemoteAddr, w.Header())
+		h.recordLimit(r.RemoteAddr, w.Header())
 		return
 	}
-	time.Sleep(h.work)
-	w.Header().Set(signalNames.Signature, h.id)
+	time.Sleep(h.processingTime)
+	w.Header().Set(signalHeaders.Signature, h.id)
 	_, _ = io.WriteString(w, "id: 1\ndata: whole\n\n")
-	h.told(r.RemoteAddr, w.Header())
+	h.recordLimit(r.RemoteAddr, w.Header())
 }
 
-// told notes that a daemon has an answer with a word of the head.
-func (h *signalHead) told(daemon string, header http.Header) {
-	if header.Get(signalNames.Asks.Limit) == "" {
+// recordLimit records that a daemon received a response, if the response holds a limit.
+func (h *signalHead) recordLimit(daemon string, header http.Header) {
+	if header.Get(signalHeaders.Asks.Limit) == "" {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.arrivals = append(h.arrivals, signalArrival{at: never, daemon: daemon, told: time.Since(h.start)})
+	h.events = append(h.events, headEvent{at: never, daemon: daemon, limitReceivedAt: time.Since(h.start)})
 }
 
-// counted returns when requests came from daemons that had been told since some time.
-func (h *signalHead) counted(after time.Duration) []time.Duration {
+// arrivalsAfterLimit returns the arrival times of the requests from daemons that had received a
+// limit at least delay before, in ascending order.
+func (h *signalHead) arrivalsAfterLimit(delay time.Duration) []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	first := make(map[string]time.Duration)
+	firstLimitAt := make(map[string]time.Duration)
 	var all []time.Duration
-	for _, a := range h.arrivals {
-		told, known := first[a.daemon]
+	for _, a := range h.events {
+		limitReceivedAt, known := firstLimitAt[a.daemon]
 		switch {
-		case a.told != never && !known:
-			first[a.daemon] = a.told
-		case a.told == never && known && a.at-told >= after:
+		case a.limitReceivedAt != never && !known:
+			firstLimitAt[a.daemon] = a.limitReceivedAt
+		case a.limitReceivedAt == never && known && a.at-limitReceivedAt >= delay:
 			all = append(all, a.at)
 		}
 	}
@@ -145,12 +147,12 @@
 	return all
 }
 
-// came returns how many requests came in a time.
-func (h *signalHead) came(from, to time.Duration) int {
+// countArrivals returns the number of requests that arrived within a period.
+func (h *signalHead) countArrivals(from, to time.Duration) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, a := range h.arrivals {
+	for _, a := range h.events {
 		if from <= a.at && a.at < to {
 			n++
 		}
@@ -158,16 +160,16 @@
 	return n
 }
 
-// signalSlots is how many requests a head works on at once.
-const signalSlots = 17
+// slotsPerHead is the number of requests that a head processes at once.
+const slotsPerHead = 17
 
-// signalEngine has passes of 40 ms, in which 2 ms a request are added.
+// signalEngine has steps of 40 ms, plus 2 ms per request.
 var signalEngine = &fleet.Engine{
-	Slots: signalSlots, PrefillPerSecond: 45_900, Step: 8 * time.Millisecond, StepPerRequest: 400 * time.Microsecond,
+	Slots: slotsPerHead, PrefillPerSecond: 45_900, Step: 8 * time.Millisecond, StepPerRequest: 400 * time.Microsecond,
 	Stride: 5, UsualAnswer: 50,
 }
 
-func signalConfig() *fleet.Config {
+func newSignalConfig() *fleet.Config {
 	models, plain := []fleet.Target{{Service: "models", Weight: 1}}, []fleet.Target{{Service: "plain", Weight: 1}}
 	return fleet.NewConfig(fleet.Parts{
 		Version: 1,
@@ -180,35 +182,36 @@
 	})
 }
 
-// signalFleet is daemons, joined by their heartbeats alone, before heads, in a test's own
-// time.
+// signalFleet is a group of daemons that exchange heartbeats in virtual time. They send requests to
+// the heads.
 type signalFleet struct {
 	t       *testing.T
 	start   time.Time
 	daemons []*Server
 	heads   map[string]*signalHead
 	random  *rand.Rand
-	// path is where requests go; empty for streams.
+	// path is the path of the requests; empty for streams.
 	path string
 
 	mu sync.Mutex
-	// served and refused count requests by their answers, sent all.
+	// sent is the number of requests sent. served and refused are the numbers of those with status
+	// 200 and 503.
 	sent, served, refused int
 }
 
-// newSignalFleet starts daemons, in halls of so many each, before heads.
+// newSignalFleet starts perHall daemons in each hall, in front of heads.
 func newSignalFleet(t *testing.T, halls, perHall int, heads ...*signalHead) *signalFleet {
 	t.Helper()
 	f := &signalFleet{t: t, start: time.Now(), heads: make(map[string]*signalHead), random: rand.New(rand.NewPCG(1, 2))}
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties conc.WaitGroup
+	var tasks conc.WaitGroup
 	var servers []*http.Server
 	for _, h := range heads {
 		h.start, h.conns = f.start, make(chan net.Conn)
 		f.heads[h.id] = h
 		server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
-		duties.Go(func() { _ = server.Serve(h) })
+		tasks.Go(func() { _ = server.Serve(h) })
 		servers = append(servers, server)
 	}
 	regions := make(map[string]string)
@@ -219,15 +222,15 @@
 		f.daemons = append(f.daemons, f.newDaemon(network, fmt.Sprintf("daemon-%d", i), fmt.Sprintf("hall-%d", i/perHall), regions))
 	}
 	for _, s := range f.daemons {
-		f.startDuties(ctx, &duties, s)
+		f.startTasks(ctx, &tasks, s)
 	}
 	t.Cleanup(func() {
 		cancel()
 		for _, server := range servers {
 			_ = server.Close()
 		}
-		duties.Wait()
-		// Datagrams that are on their way arrive.
+		tasks.Wait()
+		// Datagrams in transit arrive.
 		time.Sleep(time.Second)
 	})
 	return f
@@ -239,7 +242,7 @@
 		Self:      peers.Identity{ID: id, Incarnation: 1, Zone: hall, Address: id, Front: id},
 		Regions:   regions,
 		Bounds:    Bounds{Heartbeat: time.Second, KeepEntries: time.Second, Limits: backpressure.Bound{Burst: 1.5, Slack: 5, Window: limitWindow}, Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 100}},
-		Names:     signalNames,
+		Names:     signalHeaders,
 		Transport: network.transport(id),
 		Source:    store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
 		DialWorker: func(_ context.Context, _, address string) (net.Conn, error) { return f.dial(id, address) },
@@ -249,47 +252,47 @@
 	return s
 }
 
-// startDuties lets a daemon know the heads and the other daemons, and runs the part of its
-// duties that routing needs.
-func (f *signalFleet) startDuties(ctx context.Context, duties *conc.WaitGroup, s *Server) {
+// startTasks gives a daemon the list of heads and of other daemons, and starts the tasks that are
+// needed to route requests.
+func (f *signalFleet) startTasks(ctx context.Context, tasks *conc.WaitGroup, s *Server) {
 	now := time.Now()
-	s.beliefs.Offer(signalConfig(), now)
+	s.beliefs.Offer(newSignalConfig(), now)
 	var changes []fleet.Change
 	for id := range f.heads {
 		plain := id + "-plain"
 		changes = append(changes,
 			fleet.Change{ID: id, Worker: &fleet.Worker{
-				ID: id, Service: "models", Address: id, Domain: "d", Slots: signalSlots, Loaded: "m",
+				ID: id, Service: "models", Address: id, Domain: "d", Slots: slotsPerHead, Loaded: "m",
 				Member: fleet.Membership{Group: id, Epoch: 1, State: fleet.Open},
 			}},
-			fleet.Change{ID: plain, Worker: &fleet.Worker{ID: plain, Service: "plain", Address: id, Slots: signalSlots}})
+			fleet.Change{ID: plain, Worker: &fleet.Worker{ID: plain, Service: "plain", Address: id, Slots: slotsPerHead}})
 	}
 	s.inventory.Replace(changes, 1, now)
-	s.settledOnce.Store(true)
-	s.metAt.Store(&now)
-	s.metAll.Store(true)
+	s.isSettled.Store(true)
+	s.membersReadAt.Store(&now)
+	s.hasReadAllMembers.Store(true)
 	for _, other := range f.daemons {
 		s.agent.Table().Learn(other.opts.Self, now)
 	}
-	duties.Go(func() { s.agent.Run(ctx) })
-	duties.Go(func() { s.relay.Run(ctx) })
-	duties.Go(func() { s.watchSignals(ctx) })
+	tasks.Go(func() { s.agent.Run(ctx) })
+	tasks.Go(func() { s.relay.Run(ctx) })
+	tasks.Go(func() { s.watchSignals(ctx) })
 }
 
-// dial opens a connection of a daemon to a head.
+// dial connects a daemon to a head.
 func (f *signalFleet) dial(daemon, address string) (net.Conn, error) {
 	near, far := net.Pipe()
 	f.heads[address].conns <- daemonConn{Conn: far, daemon: daemon}
 	return near, nil
 }
 
-// call sends a request by a daemon and notes its answer.
+// call sends a request to a daemon and counts its response.
 func (f *signalFleet) call(s *Server, id string) {
 	request := httptest.NewRequest(http.MethodPost, cmp.Or(f.path, "/stream/"), strings.NewReader("body "+id))
 	request.Host = "h"
-	request.Header.Set(signalNames.Attempt, id)
-	request.Header.Set(signalNames.Model, "m")
-	request.Header.Set(signalNames.Usage, "674,50")
+	request.Header.Set(signalHeaders.Attempt, id)
+	request.Header.Set(signalHeaders.Model, "m")
+	request.Header.Set(signalHeaders.Usage, "674,50")
 	w := httptest.NewRecorder()
 	s.relay.ServeHTTP(w, request)
 	f.mu.Lock()
@@ -303,10 +306,10 @@
 	}
 }
 
-// load sends so many requests a second for a time, each by a daemon that chance picks.
-func (f *signalFleet) load(perSecond float64, during time.Duration) {
+// sendLoad sends requests at an average rate for a period, each to a random daemon.
+func (f *signalFleet) sendLoad(perSecond float64, period time.Duration) {
 	var calls sync.WaitGroup
-	for end := time.Now().Add(during); time.Now().Before(end); {
+	for end := time.Now().Add(period); time.Now().Before(end); {
 		time.Sleep(time.Duration(f.random.ExpFloat64() / perSecond * float64(time.Second)))
 		s, id := f.daemons[f.random.IntN(len(f.daemons))], strconv.Itoa(f.random.Int())
 		calls.Go(func() { f.call(s, id) })
--- a/serving/warmup_test.go
+++ b/serving/warmup_test.go
@@ -12,24 +12,25 @@
 	"quartzshelf.dev/peers"
 )
 
-const manyWorkers = 200
+const coldWorkerCount = 200
 
-// warmUpFleet is a fleet whose workers are all cold, by what one daemon knows.
-func warmUpFleet(s *Server) {
+// setColdWorkers gives a daemon a worker list in which all workers are cold, and a service that
+// limits requests to cold workers.
+func setColdWorkers(s *Server) {
 	warmUp := fleet.WarmUp{PerSecond: 14, For: 3 * time.Second}
 	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Services: []*fleet.Service{{Name: "models", WarmUp: warmUp}}}), time.Now())
 	var all []fleet.Change
-	for i := range manyWorkers {
+	for i := range coldWorkerCount {
 		id := fmt.Sprint("w", i)
 		all = append(all, fleet.Change{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Zone: "hall", ColdLeft: time.Hour.Milliseconds()}})
 	}
 	s.inventory.Replace(all, 2, time.Now())
 }
 
-// held returns for how many of the cold workers a daemon ever gets a token.
-func held(s *Server) int {
+// countHeld returns the number of cold workers to which a daemon may ever send a request.
+func countHeld(s *Server) int {
 	count, later := 0, time.Now().Add(time.Minute)
-	for i := range manyWorkers {
+	for i := range coldWorkerCount {
 		w, _ := s.inventory.View().Worker(fmt.Sprint("w", i))
 		r := &fleet.Replica{ID: w.ID, Head: w}
 		s.warmUp.Look(time.Now())
@@ -40,9 +41,10 @@
 	return count
 }
 
-// TestWhoHoldsColdWorkers: a daemon holds its part of the cold workers by all daemons that
-// were ever registered, whether they are alive or not, and none before it read of them.
-func TestWhoHoldsColdWorkers(t *testing.T) {
+// TestHoldersOfColdWorkers checks the number of cold workers that a daemon may send requests to. They
+// are divided among all daemons ever known, alive or not. Before a daemon has read the member list,
+// it may not send requests to any.
+func TestHoldersOfColdWorkers(t *testing.T) {
 	others := func(count int) []peers.Identity {
 		var all []peers.Identity
 		for i := range count {
@@ -51,45 +53,46 @@
 		return all
 	}
 	tests := map[string]struct {
-		store *fakeStore
-		heard int
-		least int
-		most  int
+		store      *fakeStore
+		heardCount int
+		minHeld    int
+		maxHeld    int
 	}{
-		"it knows nobody and has not read the list": {store: &fakeStore{away: true}},
-		"it is alone, by the list":                  {store: &fakeStore{}, least: manyWorkers, most: manyWorkers},
-		"many are listed and none is alive":         {store: &fakeStore{known: others(79)}, least: 1, most: 25},
-		"others were heard and the list is away":    {store: &fakeStore{away: true}, heard: 29},
-		"many are listed and more were heard":       {store: &fakeStore{known: others(49)}, heard: 79, least: 1, most: 25},
+		"it knows no other and has not read the list":   {store: &fakeStore{isUnavailable: true}},
+		"it is the only one listed":                     {store: &fakeStore{}, minHeld: coldWorkerCount, maxHeld: coldWorkerCount},
+		"many are listed and none is alive":             {store: &fakeStore{members: others(79)}, minHeld: 1, maxHeld: 25},
+		"others were heard and the list is unavailable": {store: &fakeStore{isUnavailable: true}, heardCount: 29},
+		"many are listed and more were heard":           {store: &fakeStore{members: others(49)}, heardCount: 79, minHeld: 1, maxHeld: 25},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, test.store)
-			for _, b := range others(test.heard) {
-				s.agent.Table().Hear(peers.Heartbeat{Identity: b}, time.Now(), time.Now())
+			for _, b := range others(test.heardCount) {
+				s.agent.Table().RecordHeartbeat(peers.Heartbeat{Identity: b}, time.Now(), time.Now())
 			}
 			s.readMembers(context.Background())
-			warmUpFleet(s)
-			got := held(s)
-			assert.Assert(t, got >= test.least && got <= test.most, "%d held", got)
+			setColdWorkers(s)
+			got := countHeld(s)
+			assert.Assert(t, got >= test.minHeld && got <= test.maxHeld, "%d held", got)
 		})
 	}
 }
 
-// TestMembersAreReadAgain: what registers after the first read is found by a later one.
-func TestMembersAreReadAgain(t *testing.T) {
+// TestMemberListIsReread checks that the member list is read again if requests to cold workers are
+// limited. The later read must find daemons that registered after the first one.
+func TestMemberListIsReread(t *testing.T) {
 	store := &fakeStore{}
 	s := newServer(t, store)
 	s.readMembers(context.Background())
-	assert.Assert(t, time.Until(s.readAgain) <= readMembersSoon)
-	learn(s, time.Now())
-	soon := time.Now().Add(readMembersSoon)
-	assert.Assert(t, !s.membersDue(soon), "no service bounds what cold workers get")
-	warmUpFleet(s)
-	assert.Assert(t, !s.membersDue(time.Now()))
-	assert.Assert(t, s.membersDue(soon))
-	store.known = []peers.Identity{{ID: "b", Incarnation: 1, Address: "b:1"}}
+	assert.Assert(t, time.Until(s.nextMemberRead) <= memberRereadDelay)
+	setState(s, time.Now())
+	afterDelay := time.Now().Add(memberRereadDelay)
+	assert.Assert(t, !s.isMemberReadDue(afterDelay), "no service limits requests to cold workers")
+	setColdWorkers(s)
+	assert.Assert(t, !s.isMemberReadDue(time.Now()))
+	assert.Assert(t, s.isMemberReadDue(afterDelay))
+	store.members = []peers.Identity{{ID: "b", Incarnation: 1, Address: "b:1"}}
 	s.readMembers(context.Background())
-	assert.DeepEqual(t, s.registered(), []string{"a", "b"})
-	assert.Assert(t, time.Until(s.readAgain) > readMembersSoon)
+	assert.DeepEqual(t, s.registeredIDs(), []string{"a", "b"})
+	assert.Assert(t, time.Until(s.nextMemberRead) > memberRereadDelay)
 }
