--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog holds what the owners of fabric domains last reported, and
-// answers which replicas may serve now. A report carries how much longer its
-// replicas may serve; the catalog turns that into a deadline of this process,
-// so that a daemon that hears nothing more stops by itself.
+// Package catalog holds the newest report of each fabric domain, and determines which replicas may
+// serve now. The owner of a domain is the daemon that reports the domain's nodes and replicas. A
+// report says how much longer its replicas may serve, which the catalog converts into a local
+// deadline. A daemon that receives no more reports therefore stops sending requests.
 package catalog
 
 import (
@@ -17,47 +17,49 @@
 	"quartzshelf.dev/rpc"
 )
 
-// forgetAfter is how long a report outlives its deadline: it then still tells
-// operators what was last known.
-const forgetAfter = time.Hour
-
-// held is a report with the deadline of its replicas. The report is shared and
-// never changed; beat and loads are those of its newest renewal.
-type held struct {
-	report   *rpc.DomainReport
-	token    token.Token
-	beat     uint64
-	loads    []uint32
+// expiredReportRetention is how long a report is kept after its deadline, for operators to inspect.
+const expiredReportRetention = time.Hour
+
+// storedReport is a report with the data of its newest renewal.
+type storedReport struct {
+	// report is shared and never modified.
+	report *rpc.DomainReport
+	token  token.Token
+	// beat is the number of the newest renewal.
+	beat uint64
+	// loads holds the loads in the newest renewal, valuesPerLoad values for each replica.
+	loads []uint32
+	// deadline is until when the replicas may serve.
 	deadline time.Time
-	forgetAt time.Time
+	removeAt time.Time
 }
 
-// digest returns what a peer needs to know to tell what it lacks.
-func (h *held) digest() *rpc.ReportDigest {
+// digest returns a summary by which a peer can tell whether the report is newer than its own.
+func (h *storedReport) digest() *rpc.ReportDigest {
 	return &rpc.ReportDigest{
 		Domain: h.report.Domain, Token: h.report.Token, Version: h.report.Version, Beat: h.beat,
 	}
 }
 
-// Catalog is safe for concurrent use.
+// Catalog holds the newest report of each domain. It is safe for concurrent use.
 type Catalog struct {
 	mu      sync.RWMutex
-	domains map[string]*held
-	// replicas is derived from domains, by deployment; stale tells that it must
-	// be derived anew.
+	domains map[string]*storedReport
+	// replicas holds the replicas by deployment, as derived from domains.
 	replicas map[string][]Replica
-	stale    bool
+	// isStale is set if domains has changed since replicas was derived.
+	isStale bool
 }
 
 // New returns an empty catalog.
 func New() *Catalog {
 	return &Catalog{
-		domains:  make(map[string]*held),
+		domains:  make(map[string]*storedReport),
 		replicas: make(map[string][]Replica),
 	}
 }
 
-// Replica is one replica as its owner reported it.
+// Replica is one replica as reported by the owner of its domain.
 type Replica struct {
 	domain   string
 	dataHall string
@@ -66,25 +68,25 @@
 	load     Load
 }
 
-// Load is the load that a replica reported. It lags.
+// Load is the load that a replica last reported. It may be outdated.
 type Load struct {
 	queue, active, slots int
 }
 
-// Queue returns how many requests waited.
+// Queue returns the number of waiting requests.
 func (l Load) Queue() int { return l.queue }
 
-// Active returns how many requests the replica worked on.
+// Active returns the number of requests being processed.
 func (l Load) Active() int { return l.active }
 
-// Slots returns how many requests the replica works on at once.
+// Slots returns the number of requests that the replica can process concurrently.
 func (l Load) Slots() int { return l.slots }
 
 // ID returns the replica's name.
 func (r Replica) ID() string { return r.report.Id }
 
-// AssignedName returns the name by which the nodes know the replica: scripts
-// name theirs by themselves.
+// AssignedName returns the name of the replica in the nodes' assignments. It differs from ID for
+// replicas run by scripts, which choose their own names.
 func (r Replica) AssignedName() string {
 	if r.report.AssignedName != "" {
 		return r.report.AssignedName
@@ -101,25 +103,25 @@
 // Deployment returns the deployment of the replica.
 func (r Replica) Deployment() string { return r.report.Deployment }
 
-// Generation returns the replica's generation.
+// Generation returns the replica's generation. Engines refuse requests for other generations.
 func (r Replica) Generation() uint64 { return r.report.Generation }
 
-// Address returns the IP:port that answers requests.
+// Address returns the IP:port that serves requests.
 func (r Replica) Address() string { return r.report.LeaderAddress }
 
 // Nodes returns the ids of the replica's nodes.
 func (r Replica) Nodes() []string { return r.report.Nodes }
 
-// Deadline returns until when the replica may serve.
+// Deadline returns the time after which the replica may no longer serve.
 func (r Replica) Deadline() time.Time { return r.deadline }
 
-// Draining reports whether the replica takes no new work.
+// Draining reports whether the replica takes no new requests.
 func (r Replica) Draining() bool { return r.report.Draining }
 
-// Scripted reports whether scripts run the replica.
+// Scripted reports whether the replica is run by scripts.
 func (r Replica) Scripted() bool { return r.report.Scripted }
 
-// Reason returns why the replica does not serve.
+// Reason returns the reason that the owner reports for a replica that does not serve.
 func (r Replica) Reason() string { return r.report.Reason }
 
 // ModelVersion returns the version of the model that the replica runs.
@@ -128,18 +130,17 @@
 // Load returns the replica's load.
 func (r Replica) Load() Load { return r.load }
 
-// Listed reports whether the owner lists the replica as serving.
+// Listed reports whether the owner reports the replica as serving.
 func (r Replica) Listed() bool { return r.report.Serving }
 
-// MayServe reports whether the replica may be given new work at now. Callers
-// check right before they send; a pause after the check is bounded by the
-// engine, which refuses work meant for another generation, and otherwise by
-// nothing but the window.
+// MayServe reports whether the replica may be sent requests at the given time. It must be called
+// immediately before a request is sent. If sending is delayed after the call, engines still refuse
+// requests for another generation.
 func (r Replica) MayServe(now time.Time) bool {
 	return r.report.Serving && !r.report.Draining && now.Before(r.deadline)
 }
 
-// Serving returns the deployment's replicas that may serve at now.
+// Serving returns the deployment's replicas that may serve at the given time.
 func (c *Catalog) Serving(deployment string, now time.Time) []Replica {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -153,8 +154,8 @@
 	return serving
 }
 
-// Of returns the deployment's replicas, whether they may serve or not, sorted by name.
-// The slice is shared and must not be changed.
+// Of returns all replicas of the deployment, sorted by name. The slice is shared and must not be
+// modified.
 func (c *Catalog) Of(deployment string) []Replica {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -194,8 +195,7 @@
 	return Replica{}, false
 }
 
-// Reports returns the newest report of each domain, sorted by domain. They
-// must not be changed.
+// Reports returns the newest report of each domain, sorted by domain. They must not be modified.
 func (c *Catalog) Reports() []*rpc.DomainReport {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -218,7 +218,7 @@
 	return h.token, h.deadline, true
 }
 
-// Version returns the version of a domain's newest report, zero for none.
+// Version returns the version of a domain's newest report, or zero.
 func (c *Catalog) Version(domain string) uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -228,8 +228,8 @@
 	return 0
 }
 
-// Publish takes a report of this daemon's own, whose replicas may serve until
-// deadline.
+// Publish adds a report that this daemon made as owner of the domain. The replicas in it may serve
+// until deadline.
 func (c *Catalog) Publish(report *rpc.DomainReport, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,7 +237,7 @@
 	c.rebuild()
 }
 
-// Digest implements membership.Reports.
+// Digest returns the digests of all reports. It implements membership.Reports.
 func (c *Catalog) Digest() []*rpc.ReportDigest {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -248,33 +248,34 @@
 	return digest
 }
 
-// Since implements membership.Reports. A report of which the peer has the
-// content is sent without it.
-func (c *Catalog) Since(digest []*rpc.ReportDigest) []*rpc.DomainReport {
-	known := make(map[string]*rpc.ReportDigest, len(digest))
+// MissingFrom returns the reports that are newer than those in a peer's digest. If the peer already
+// has a report's content, only the renewal is returned. It implements membership.Reports.
+func (c *Catalog) MissingFrom(digest []*rpc.ReportDigest) []*rpc.DomainReport {
+	peerDigests := make(map[string]*rpc.ReportDigest, len(digest))
 	for _, d := range digest {
-		known[d.Domain] = d
+		peerDigests[d.Domain] = d
 	}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	now := time.Now()
-	var news []*rpc.DomainReport
+	var missing []*rpc.DomainReport
 	for domain, h := range c.domains {
-		if r := h.newsFor(known[domain], now); r != nil {
-			news = append(news, r)
+		if r := h.reportFor(peerDigests[domain], now); r != nil {
+			missing = append(missing, r)
 		}
 	}
-	return news
+	return missing
 }
 
-// newsFor returns what a peer with the given digest lacks, or nil.
-func (h *held) newsFor(d *rpc.ReportDigest, now time.Time) *rpc.DomainReport {
+// reportFor returns the report, or only its renewal, for a peer whose digest of the domain is d. It
+// returns nil if the peer has the newest renewal.
+func (h *storedReport) reportFor(d *rpc.ReportDigest, now time.Time) *rpc.DomainReport {
 	remaining := uint64(max(h.deadline.Sub(now), 0).Microseconds())
-	if d != nil && compare(h.digest(), d) <= 0 {
+	if d != nil && compareDigests(h.digest(), d) <= 0 {
 		return nil
 	}
-	sameContent := d != nil && FromMessage(d.Token).Compare(h.token) == 0 && d.Version == h.report.Version
-	if sameContent {
+	peerHasContent := d != nil && FromMessage(d.Token).Compare(h.token) == 0 && d.Version == h.report.Version
+	if peerHasContent {
 		return &rpc.DomainReport{
 			Domain: h.report.Domain, Token: h.report.Token, Version: h.report.Version,
 			Beat: h.beat, RemainingMicros: remaining, Unchanged: true, Loads: h.loads,
@@ -285,8 +286,9 @@
 	return r
 }
 
-// Merge implements membership.Reports. Remaining times count from base, which
-// lies before the sender worked them out, so deadlines err on the early side.
+// Merge adds reports that a peer sent. The remaining times in them count from base. This must be a
+// time before the peer computed them, so that deadlines are never too late. It implements
+// membership.Reports.
 func (c *Catalog) Merge(reports []*rpc.DomainReport, base time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,37 +301,38 @@
 	c.rebuild()
 }
 
-// put takes a report if it is newer than the one held.
+// put adds a report if it is newer than the current one of its domain.
 func (c *Catalog) put(r *rpc.DomainReport, deadline time.Time) {
 	h, ok := c.domains[r.Domain]
-	news := &rpc.ReportDigest{Domain: r.Domain, Token: r.Token, Version: r.Version, Beat: r.Beat}
-	if ok && compare(news, h.digest()) <= 0 {
+	received := &rpc.ReportDigest{Domain: r.Domain, Token: r.Token, Version: r.Version, Beat: r.Beat}
+	if ok && compareDigests(received, h.digest()) <= 0 {
 		return
 	}
 	if r.Unchanged {
-		if !ok || compareContent(news, h.digest()) != 0 {
+		if !ok || compareContent(received, h.digest()) != 0 {
 			return
 		}
-		r, h = h.report, &held{beat: r.Beat, loads: r.Loads}
+		r, h = h.report, &storedReport{beat: r.Beat, loads: r.Loads}
 	} else {
-		h = &held{beat: r.Beat, loads: r.Loads}
+		h = &storedReport{beat: r.Beat, loads: r.Loads}
 	}
 	h.report, h.token, h.deadline = r, FromMessage(r.Token), deadline
-	h.forgetAt = deadline.Add(forgetAfter)
+	h.removeAt = deadline.Add(expiredReportRetention)
 	c.domains[r.Domain] = h
-	c.stale = true
+	c.isStale = true
 }
 
-// rebuild derives the replicas by deployment and drops what is long out of date.
+// rebuild derives the replicas by deployment if the reports have changed. It also removes reports
+// whose retention has ended.
 func (c *Catalog) rebuild() {
-	if !c.stale {
+	if !c.isStale {
 		return
 	}
-	c.stale = false
+	c.isStale = false
 	now := time.Now()
 	c.replicas = make(map[string][]Replica)
 	for domain, h := range c.domains {
-		if now.After(h.forgetAt) {
+		if now.After(h.removeAt) {
 			delete(c.domains, domain)
 			continue
 		}
@@ -343,7 +346,7 @@
 }
 
 // replicas returns the replicas of the report, with their newest loads.
-func (h *held) replicas() []Replica {
+func (h *storedReport) replicas() []Replica {
 	all := make([]Replica, 0, len(h.report.Replicas))
 	for i, r := range h.report.Replicas {
 		all = append(all, Replica{
@@ -354,29 +357,29 @@
 	return all
 }
 
-// loadFields is how many numbers a report has for the load of one replica.
-const loadFields = 3
+// valuesPerLoad is the number of values that encode the load of one replica in a report.
+const valuesPerLoad = 3
 
-// loadOf returns the load of the report's replica with the given index.
+// loadOf returns the load of the replica with the given index in the report.
 func loadOf(loads []uint32, index int) Load {
-	first := index * loadFields
-	if first+loadFields > len(loads) {
+	first := index * valuesPerLoad
+	if first+valuesPerLoad > len(loads) {
 		return Load{}
 	}
 	return Load{queue: int(loads[first]), active: int(loads[first+1]), slots: int(loads[first+2])}
 }
 
-// FromMessage returns the token of a message; nil stands for the lowest.
+// FromMessage returns the token in a message; nil means the lowest token.
 func FromMessage(m *rpc.Token) token.Token {
 	return token.Token{Epoch: m.GetEpoch(), Rank: m.GetRank(), Sequence: m.GetSequence()}
 }
 
-// ToMessage returns a token as a message.
+// ToMessage returns the message for a token.
 func ToMessage(t token.Token) *rpc.Token {
 	return &rpc.Token{Epoch: t.Epoch, Rank: t.Rank, Sequence: t.Sequence}
 }
 
-func compare(a, b *rpc.ReportDigest) int {
+func compareDigests(a, b *rpc.ReportDigest) int {
 	return cmp.Or(compareContent(a, b), cmp.Compare(a.Beat, b.Beat))
 }
 
--- a/config/record.go
+++ b/config/record.go
@@ -13,20 +13,23 @@
 
 // The operations.
 const (
-	OperationPut    Operation = "put"
+	// OperationPut adds or replaces an object.
+	OperationPut Operation = "put"
+	// OperationDelete removes an object.
 	OperationDelete Operation = "delete"
 )
 
-// Change is one step of a record. Base is the revision of the object that the
-// change was made against, zero for an object that was not there.
+// Change is one operation on an object.
 type Change struct {
 	Operation Operation `json:"operation"`
 	Document  Document  `json:"document"`
-	Base      int64     `json:"base"`
+	// Base is the revision of the object that the author changed, or zero if the object did not exist.
+	// The change is rejected if the object has another revision by now.
+	Base int64 `json:"base"`
 }
 
-// ChangeSet is the content of a configuration record. It is accepted or
-// refused as a whole.
+// ChangeSet is the content of a record in the configuration stream. It is accepted or rejected as a
+// whole.
 type ChangeSet struct {
 	Author  string   `json:"author,omitempty"`
 	Changes []Change `json:"changes"`
@@ -37,21 +40,21 @@
 	return json.Marshal(c)
 }
 
-// Verdict is what the fold decided on a change set.
+// Verdict is the result of applying a change set: whether it was accepted, or else why not.
 type Verdict struct {
-	// Offset of the record; an accepted object's revision is Offset plus one.
+	// Offset is the offset of the record. Accepted objects get the revision Offset + 1.
 	Offset   int64    `json:"offset"`
 	ID       string   `json:"id"`
 	Author   string   `json:"author,omitempty"`
 	Time     string   `json:"time"`
 	Accepted bool     `json:"accepted"`
 	Objects  []string `json:"objects"`
-	// Problem is empty for an accepted change set.
+	// Problem is why the change set was rejected, empty if it was accepted.
 	Problem string `json:"problem,omitempty"`
 }
 
-// clashError says that an object changed since the writer read it.
-type clashError struct {
+// conflictError is the error for a change whose object has another revision than Change.Base.
+type conflictError struct {
 	object  Key
 	base    int64
 	current int64
@@ -59,21 +62,22 @@
 }
 
 // Error implements error.
-func (e *clashError) Error() string {
+func (e *conflictError) Error() string {
 	return fmt.Sprintf("%s was changed meanwhile: made against revision %d, now at %d, clashing in %s",
 		e.object, e.base, e.current, strings.Join(e.fields, ", "))
 }
 
-// differingFields returns the paths in which two documents differ, sorted.
+// differingFields returns the paths of the fields in which two documents differ, sorted. If they do
+// not differ, it returns a single message that says so.
 func differingFields(a, b Document) []string {
 	var fields []string
-	for name := range union(a.Labels, b.Labels) {
+	for name := range unionOfNames(a.Labels, b.Labels) {
 		if a.Labels[name] != b.Labels[name] {
 			fields = append(fields, "labels."+name)
 		}
 	}
 	specA, specB := fieldsOf(a.Spec), fieldsOf(b.Spec)
-	for name := range union(specA, specB) {
+	for name := range unionOfNames(specA, specB) {
 		if !bytes.Equal(specA[name], specB[name]) {
 			fields = append(fields, "spec."+name)
 		}
@@ -85,16 +89,18 @@
 	return fields
 }
 
+// fieldsOf returns the top-level fields of a spec.
 func fieldsOf(spec json.RawMessage) map[string]json.RawMessage {
 	fields := make(map[string]json.RawMessage)
 	if len(spec) > 0 {
-		// A spec that is no object was refused by Validate.
+		// Validate rejects specs that are not objects.
 		_ = json.Unmarshal(spec, &fields)
 	}
 	return fields
 }
 
-func union[V any](a, b map[string]V) map[string]struct{} {
+// unionOfNames returns the keys of both maps.
+func unionOfNames[V any](a, b map[string]V) map[string]struct{} {
 	names := make(map[string]struct{}, len(a)+len(b))
 	for name := range a {
 		names[name] = struct{}{}
--- a/eventlog/fold_test.go
+++ b/eventlog/fold_test.go
@@ -12,7 +12,7 @@
 	"quartzshelf.dev/cluster"
 )
 
-// listState keeps the records it was given.
+// listState collects the data of the records applied.
 type listState struct {
 	Seen []string `json:"seen"`
 }
@@ -35,35 +35,35 @@
 	return r
 }
 
-// TestTwoWatchersOfOneRecord fails when the second watcher takes the place of
-// the first: a claim then waits for its record until it gives up.
+// TestTwoWatchersOfOneRecord checks that two watchers of a record are notified. The second one must
+// not replace the first, which would then wait until its timeout.
 func TestTwoWatchersOfOneRecord(t *testing.T) {
 	f := NewFold(&listState{})
 	first, second := f.Watch("r0"), f.Watch("r0")
 	f.Unwatch("r0")
 	f.Add(record(t, 0))
-	for name, seen := range map[string]<-chan struct{}{"first": first, "second": second} {
+	for name, folded := range map[string]<-chan struct{}{"first": first, "second": second} {
 		select {
-		case <-seen:
+		case <-folded:
 		default:
-			t.Errorf("the %s watcher was not told", name)
+			t.Errorf("the %s watcher was not notified", name)
 		}
 	}
 }
 
-// TestFoldIsTheSameHoweverItIsRead draws a log with checkpoints, a retention
-// that cuts off its beginning, and reads that repeat and overlap. A fold that
-// started late must agree with one that saw everything.
-func TestFoldIsTheSameHoweverItIsRead(t *testing.T) {
+// TestFoldIsIndependentOfReads checks that a fold that started after the log dropped its first
+// records reaches the same state as one that read all. The log, its checkpoints and the reads,
+// which overlap, are random.
+func TestFoldIsIndependentOfReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := NewFold(&listState{})
+		completeFold := NewFold(&listState{})
 		var log []cluster.Record
 		lastCheckpoint := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "records") {
 			next := int64(len(log))
 			r := record(t, next)
 			if rapid.IntRange(0, 5).Draw(t, "kind") == 0 {
-				c, err := whole.Checkpoint()
+				c, err := completeFold.Checkpoint()
 				assert.NilError(t, err)
 				r, err = newCheckpointRecord(fmt.Sprint("c", next), c)
 				assert.NilError(t, err)
@@ -71,26 +71,26 @@
 				lastCheckpoint = c.Next
 			}
 			log = append(log, r)
-			whole.Add(r)
+			completeFold.Add(r)
 		}
-		late := NewFold(&listState{})
+		lateFold := NewFold(&listState{})
 		from := rapid.Int64Range(0, lastCheckpoint).Draw(t, "earliest")
-		for late.Next() < int64(len(log)) {
+		for lateFold.Next() < int64(len(log)) {
 			end := rapid.Int64Range(from, int64(len(log))).Draw(t, "end")
 			for _, r := range log[from:end] {
-				late.Add(r)
+				lateFold.Add(r)
 			}
 			if end == int64(len(log)) {
 				break
 			}
 		}
-		assert.DeepEqual(t, late.state.(*listState).Seen, whole.state.(*listState).Seen)
-		assert.Equal(t, late.Next(), whole.Next())
+		assert.DeepEqual(t, lateFold.state.(*listState).Seen, completeFold.state.(*listState).Seen)
+		assert.Equal(t, lateFold.Next(), completeFold.Next())
 	})
 }
 
-// TestInstallNeverGoesBack keeps a peer's stale checkpoint from taking back
-// what is in force.
+// TestInstallNeverGoesBack checks that an outdated checkpoint from a peer does not replace the
+// newer state.
 func TestInstallNeverGoesBack(t *testing.T) {
 	f := NewFold(&listState{})
 	f.Add(record(t, 0))
--- a/eventlog/shared.go
+++ b/eventlog/shared.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// logSilence is for how long the log may not answer before a fold is asked of
-// peers.
-const logSilence = 4 * time.Second
+// staleAfter is how long after the last successful read a fold counts as stale.
+const staleAfter = 4 * time.Second
 
-// Shared lets daemons pass a fold on to each other while the log is out.
+// Shared lets daemons copy the fold of a follower from each other, so that they get the newest
+// state even if they cannot read the log. It implements membership.Configuration.
 type Shared struct {
 	follower *Follower
 }
 
-// NewShared returns the shared form of what follower folds.
+// NewShared returns a Shared with the fold of the given follower.
 func NewShared(follower *Follower) Shared {
 	return Shared{follower: follower}
 }
 
-// Next returns one past the highest offset folded.
+// Next returns one past the highest offset folded by the follower.
 func (s Shared) Next() int64 { return s.follower.fold.Next() }
 
-// Stale reports whether the log has not been read for a while.
-func (s Shared) Stale() bool {
-	return time.Since(s.follower.Confirmed()) > logSilence
+// IsStale reports whether the log has not been read recently.
+func (s Shared) IsStale() bool {
+	return time.Since(s.follower.Confirmed()) > staleAfter
 }
 
-// Encoded returns the fold as a checkpoint.
+// Encoded returns the fold as an encoded checkpoint.
 func (s Shared) Encoded() ([]byte, error) {
 	checkpoint, err := s.follower.fold.Checkpoint()
 	if err != nil {
@@ -33,7 +33,8 @@
 	return checkpoint.Encode(), nil
 }
 
-// Install takes a checkpoint from a peer; one that is not newer changes nothing.
+// Install restores an encoded checkpoint from a peer if it is newer than the fold. It returns an
+// error if the checkpoint does not decode.
 func (s Shared) Install(data []byte) error {
 	checkpoint, err := DecodeCheckpoint(data)
 	if err != nil {
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPositionsAreComparedAsAPair draws eras and offsets.
-func TestPositionsAreComparedAsAPair(t *testing.T) {
+// TestPositionOrder checks that a position keeps its era and offset, and that positions of a later
+// era are higher.
+func TestPositionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, offset := rapid.Int64Range(0, MaxEra).Draw(t, "era"), rapid.Int64Range(0, offsetMask).Draw(t, "offset")
 		p := PositionOf(era, offset)
@@ -26,12 +27,12 @@
 	assert.Equal(t, EraOf(-1), int64(0))
 }
 
-// drilled returns an inventory that held workers up to a high offset, and then took what a
-// store tells that came back from a copy.
-func drilled(t *testing.T, copied ...Change) *Inventory {
+// newRestoredInventory returns an inventory to which the list of a restored store was applied. The
+// previous list had two workers and a higher offset.
+func newRestoredInventory(t *testing.T, copied ...Change) *Inventory {
 	t.Helper()
 	i := NewInventory(time.Second, 5*time.Second)
-	draining, lost := head("draining", "g", 1, Open), head("lost", "l", 2, Open)
+	draining, lost := headWorker("draining", "g", 1, Open), headWorker("lost", "l", 2, Open)
 	draining.Draining, draining.Beat = true, 9
 	i.Replace([]Change{{ID: "draining", Worker: draining}, {ID: "lost", Worker: lost}}, 100, time.Now())
 	time.Sleep(time.Second)
@@ -39,165 +40,167 @@
 	return i
 }
 
-// confirmedFor lets time pass in which the list is read and does not change.
-func confirmedFor(i *Inventory, span time.Duration) {
-	const every = 500 * time.Millisecond
-	for range span / every {
-		time.Sleep(every)
+// confirmFor confirms the unchanged list at a regular interval for the given time.
+func confirmFor(i *Inventory, span time.Duration) {
+	const interval = 500 * time.Millisecond
+	for range span / interval {
+		time.Sleep(interval)
 		i.Confirm(i.Position(), time.Now())
 	}
 }
 
-// TestListOfACopyIsJoined: the copy shows a worker as it was before it said that it leaves,
-// and lacks one that came after it. The first stays out of use, the second in use until it
-// has had time to write again; what comes in the new era counts.
-func TestListOfACopyIsJoined(t *testing.T) {
+// TestListOfRestoredStoreIsMerged applies a restored list in which one worker is no longer marked
+// as leaving and another one is missing. The first worker must stay marked. The second one must
+// stay listed until it has had time to write again.
+func TestListOfRestoredStoreIsMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before := head("draining", "g", 1, Open)
-		before.Beat = 5
-		i := drilled(t, Change{ID: "draining", Worker: before})
-		assert.Equal(t, i.Position(), PositionOf(1, 40), "the lower offset of the new era is followed")
+		olderEntry := headWorker("draining", "g", 1, Open)
+		olderEntry.Beat = 5
+		i := newRestoredInventory(t, Change{ID: "draining", Worker: olderEntry})
+		assert.Equal(t, i.Position(), PositionOf(1, 40), "the lower offset of the new era applies")
 		w, _ := i.View().Worker("draining")
 		assert.Assert(t, w.Draining)
-		_, held := i.View().Worker("lost")
-		assert.Assert(t, held)
+		_, isListed := i.View().Worker("lost")
+		assert.Assert(t, isListed)
 		i.Follow(Delta{From: 100, To: 102, Changes: []Change{{ID: "draining"}}}, time.Now())
-		assert.Equal(t, i.Position(), PositionOf(1, 40), "news of the era before are not joined on")
-		confirmedFor(i, 4*time.Second)
+		assert.Equal(t, i.Position(), PositionOf(1, 40), "changes of the previous era are ignored")
+		confirmFor(i, 4*time.Second)
 		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "draining"}}}, time.Now())
-		_, held = i.View().Worker("lost")
-		assert.Assert(t, !held, "it did not write again")
-		_, held = i.View().Worker("draining")
-		assert.Assert(t, !held)
+		_, isListed = i.View().Worker("lost")
+		assert.Assert(t, !isListed, "it did not write again")
+		_, isListed = i.View().Worker("draining")
+		assert.Assert(t, !isListed)
 	})
 }
 
-// TestChangesAfterACopyAreSeen: a worker leaves after the store came back at a lower offset.
-// Before eras were known nothing was taken until offsets had passed the old mark.
-func TestChangesAfterACopyAreSeen(t *testing.T) {
+// TestChangesApplyAfterRestore checks that a change applies although its offset is lower than the
+// highest one before the restore.
+func TestChangesApplyAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := head("w", "g", 1, Open)
-		i := drilled(t, Change{ID: "w", Worker: w})
-		confirmedFor(i, lapseWindow+time.Second)
+		w := headWorker("w", "g", 1, Open)
+		i := newRestoredInventory(t, Change{ID: "w", Worker: w})
+		confirmFor(i, postOutageWindow+time.Second)
 		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "w"}}}, time.Now())
-		_, held := i.View().Worker("w")
-		assert.Assert(t, !held)
+		_, isListed := i.View().Worker("w")
+		assert.Assert(t, !isListed)
 	})
 }
 
-// TestPeerOfTheEraBefore: it neither takes this daemon back nor is taken for newer, whatever
-// its offset.
-func TestPeerOfTheEraBefore(t *testing.T) {
+// TestPeerOfPreviousEra checks that a list of the previous era is older than one of the current era
+// even if its offset is higher.
+func TestPeerOfPreviousEra(t *testing.T) {
 	source, member := NewInventory(time.Second, 0), NewInventory(time.Second, 0)
-	list := []Change{{ID: "w", Worker: head("w", "g", 1, Open)}}
+	list := []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}
 	source.Replace(list, PositionOf(1, 3), time.Now())
 	member.Replace(list, 900, time.Now())
 	d, whole := source.Since(member.Position())
-	assert.Assert(t, whole, "positions of two eras are not joined")
+	assert.Assert(t, whole, "a delta never spans two eras")
 	member.Replace(d.Changes, d.To, time.Now())
 	assert.Equal(t, member.Position(), PositionOf(1, 3))
 	member.Replace(nil, 950, time.Now())
 	assert.Equal(t, member.Position(), PositionOf(1, 3))
 }
 
-// TestClosedHallsStayClosedOverACopy: the copy is from before the operator closed a hall.
-func TestClosedHallsStayClosedOverACopy(t *testing.T) {
+// TestClosedHallsStayClosedAfterRestore checks that a hall stays closed at first if the source was
+// restored from a copy made before the operator closed it.
+func TestClosedHallsStayClosedAfterRestore(t *testing.T) {
 	h := NewHalls(0)
 	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 50, time.Now())
 	h.Take(HallNews{Whole: true}, PositionOf(1, 40), time.Now())
 	assert.Equal(t, h.View().State("a", time.Now()), HallClosed)
 	h.Take(HallNews{Whole: true}, PositionOf(1, 41), time.Now())
-	assert.Equal(t, h.View().State("a", time.Now()), HallOpen, "the operator's word did not come again")
+	assert.Equal(t, h.View().State("a", time.Now()), HallOpen, "the operator's command was not repeated")
 }
 
-// TestCopyConfirmsNoConfiguration: a newer configuration, which took a key away, was written
-// and lost with the store's last seconds before this daemon read it. That the copy shows the
-// version in force does not say that it is the newest, until its writer had time to write
-// again.
-func TestCopyConfirmsNoConfiguration(t *testing.T) {
+// TestRestoredStoreConfirmsNoConfiguration checks that after the store was restored from a copy,
+// the configuration is not confirmed until restoreHoldDuration has passed. The restore may have
+// lost a newer version that revoked a key, and its author needs time to publish it again.
+func TestRestoredStoreConfirmsNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBeliefs()
 		c := NewConfig(Parts{Version: 3})
 		b.Offer(c, time.Now())
-		before := b.Confirmed()
+		confirmedBefore := b.Confirmed()
 		time.Sleep(time.Second)
 		b.HoldCopy(time.Now())
 		b.Offer(c, time.Now())
 		b.Confirm(3, time.Now())
-		assert.Equal(t, b.Confirmed(), before)
-		time.Sleep(copyHold)
+		assert.Equal(t, b.Confirmed(), confirmedBefore)
+		time.Sleep(restoreHoldDuration)
 		b.Confirm(3, time.Now())
-		assert.Assert(t, b.Confirmed().After(before))
-		fresh := NewBeliefs()
-		fresh.HoldCopy(time.Now())
-		fresh.Offer(c, time.Now())
-		assert.Assert(t, !fresh.Confirmed().IsZero(), "a daemon that has just started has nothing to hold")
+		assert.Assert(t, b.Confirmed().After(confirmedBefore))
+		newBeliefs := NewBeliefs()
+		newBeliefs.HoldCopy(time.Now())
+		newBeliefs.Offer(c, time.Now())
+		assert.Assert(t, !newBeliefs.Confirmed().IsZero(), "a daemon that has just started has nothing to hold")
 	})
 }
 
-// TestFollowerHoldsWhatACopyShows lets a source come back from a copy while it is followed.
-func TestFollowerHoldsWhatACopyShows(t *testing.T) {
+// TestFollowerHoldsConfirmationsAfterRestore checks that a follower ignores confirmations for a
+// while when its source is restored from a copy.
+func TestFollowerHoldsConfirmationsAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
 		beliefs := NewBeliefs()
-		stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
-		source.set(func() { source.era, source.lost = 1, true })
-		time.Sleep(copyHold - time.Second/2)
-		held := time.Since(beliefs.Confirmed())
+		source.set(func() { source.era, source.positionLost = 1, true })
+		time.Sleep(restoreHoldDuration - time.Second/2)
+		ageDuringHold := time.Since(beliefs.Confirmed())
 		time.Sleep(time.Second)
-		again := time.Since(beliefs.Confirmed())
+		ageAfterHold := time.Since(beliefs.Confirmed())
 		stop()
-		assert.Assert(t, held > time.Second, "confirmed %s before", held)
-		assert.Assert(t, again < time.Second, "confirmed %s before", again)
+		assert.Assert(t, ageDuringHold > time.Second, "confirmed %s before", ageDuringHold)
+		assert.Assert(t, ageAfterHold < time.Second, "confirmed %s before", ageAfterHold)
 	})
 }
 
-// TestFirstReadMayBeOfACopy: a daemon that started a moment ago knows by peers alone what was
-// in force in the era before. Its first read of either source is of a copy.
-func TestFirstReadMayBeOfACopy(t *testing.T) {
+// TestFirstReadOfRestoredStore checks that the first read of a daemon confirms nothing if it
+// returns a later era than the peers reported.
+func TestFirstReadOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2}
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
 		beliefs.Offer(NewConfig(Parts{Version: 3}), time.Now())
 		inventory.Replace(nil, PositionOf(1, 50), time.Now())
-		before := beliefs.Confirmed()
+		confirmedBefore := beliefs.Confirmed()
 		time.Sleep(time.Second)
-		stop := follow(source, beliefs, inventory)
-		time.Sleep(copyHold - time.Second/2)
-		held := beliefs.Confirmed()
+		stop := startFollower(source, beliefs, inventory)
+		time.Sleep(restoreHoldDuration - time.Second/2)
+		duringHold := beliefs.Confirmed()
 		stop()
-		assert.Equal(t, held, before)
+		assert.Equal(t, duringHold, confirmedBefore)
 	})
 }
 
-// TestFirstReadAfterAnOutageMayBeOfACopy: a daemon starts while the source is away, with nobody
-// to ask. What the source shows first may be of a copy: a key that was taken away just before
-// may be in force there until the operator has written again, so that it confirms nothing yet.
-func TestFirstReadAfterAnOutageMayBeOfACopy(t *testing.T) {
+// TestFirstReadAfterOutageMayBeOfRestoredStore checks that the first read of a daemon confirms
+// nothing if the daemon started without peers during an outage. The store may have been restored
+// from a copy that lacks the revocation of a key.
+func TestFirstReadAfterOutageMayBeOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source := &fakeSource{version: 3, era: 2, down: true}
+		source := &fakeSource{version: 3, era: 2, isDown: true}
 		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
-		stop := follow(source, beliefs, inventory)
+		stop := startFollower(source, beliefs, inventory)
 		time.Sleep(1500 * time.Millisecond)
-		source.set(func() { source.down = false })
-		time.Sleep(copyHold - time.Second/2)
-		held := beliefs.Confirmed()
+		source.set(func() { source.isDown = false })
+		time.Sleep(restoreHoldDuration - time.Second/2)
+		duringHold := beliefs.Confirmed()
 		stop()
-		assert.Assert(t, held.IsZero(), "confirmed before the operator can have written again")
+		assert.Assert(t, duringHold.IsZero(), "confirmed before the operator's change could be repeated")
 	})
 }
 
-// TestWhoRanBeforeIsBelieved: a daemon that starts after the source came back from a copy some
-// time does not wait where a peer confirms what it read; nor does one whose source never did.
-func TestWhoRanBeforeIsBelieved(t *testing.T) {
+// TestPeerConfirmsAfterRestore checks when a daemon that just started has a confirmed
+// configuration. It must not wait if a peer confirms the configuration, or if the source was never
+// restored.
+func TestPeerConfirmsAfterRestore(t *testing.T) {
 	tests := map[string]struct {
-		era     int64
-		peer    bool
-		refused bool
+		era           int64
+		peerConfirms  bool
+		isUnconfirmed bool
 	}{
-		"alone":                     {era: 2, refused: true},
-		"a peer ran before":         {era: 2, peer: true},
+		"alone":                     {era: 2, isUnconfirmed: true},
+		"a peer ran before":         {era: 2, peerConfirms: true},
 		"the source never was lost": {era: 0},
 	}
 	for name, test := range tests {
@@ -205,17 +208,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				source := &fakeSource{version: 3, era: test.era}
 				beliefs := NewBeliefs()
-				stop := follow(source, beliefs, NewInventory(1200*time.Millisecond, 0))
-				time.Sleep(copyHold / 4)
-				if test.peer {
+				stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+				time.Sleep(restoreHoldDuration / 4)
+				if test.peerConfirms {
 					beliefs.Confirm(3, time.Now())
 				}
 				confirmed := beliefs.Confirmed()
-				time.Sleep(copyHold)
-				late := beliefs.Confirmed()
+				time.Sleep(restoreHoldDuration)
+				afterHold := beliefs.Confirmed()
 				stop()
-				assert.Equal(t, confirmed.IsZero(), test.refused)
-				assert.Assert(t, !late.IsZero(), "the hold ends")
+				assert.Equal(t, confirmed.IsZero(), test.isUnconfirmed)
+				assert.Assert(t, !afterHold.IsZero(), "the hold ends")
 			})
 		})
 	}
--- a/fleet/halls_test.go
+++ b/fleet/halls_test.go
@@ -13,35 +13,35 @@
 
 const emptyWithin = 5 * time.Second
 
-func closing(hall string) HallNews {
+func closeUpdate(hall string) HallNews {
 	return HallNews{Changes: []HallChange{{Hall: hall, Closed: true}}}
 }
 
-func opening(hall string) HallNews {
+func openUpdate(hall string) HallNews {
 	return HallNews{Changes: []HallChange{{Hall: hall}}}
 }
 
 func TestHallClosesWithinTheBound(t *testing.T) {
 	tests := map[string]struct {
-		// unread is for how long nothing had been read when the news came.
-		unread time.Duration
-		// closes is how long after the news the hall takes nothing more.
-		closes time.Duration
+		// sinceLastRead is the time between the last read and the one that finds the hall closed.
+		sinceLastRead time.Duration
+		// closesAfter is how long after being found closed the hall stops taking requests.
+		closesAfter time.Duration
 	}{
-		"read often":                    {unread: 300 * time.Millisecond, closes: 2500 * time.Millisecond},
-		"not read for three seconds":    {unread: 3 * time.Second, closes: 1400 * time.Millisecond},
-		"not read for as long as it is": {unread: 10 * time.Second, closes: 0},
+		"read often":                    {sinceLastRead: 300 * time.Millisecond, closesAfter: 2500 * time.Millisecond},
+		"not read for three seconds":    {sinceLastRead: 3 * time.Second, closesAfter: 1400 * time.Millisecond},
+		"not read for as long as it is": {sinceLastRead: 10 * time.Second, closesAfter: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := NewHalls(emptyWithin)
 				h.Take(HallNews{Whole: true}, 1, time.Now())
-				time.Sleep(test.unread)
-				h.Take(closing("a"), 2, time.Now())
+				time.Sleep(test.sinceLastRead)
+				h.Take(closeUpdate("a"), 2, time.Now())
 				assert.Equal(t, h.View().State("b", time.Now()), HallOpen)
-				if test.closes > 0 {
-					time.Sleep(test.closes - time.Millisecond)
+				if test.closesAfter > 0 {
+					time.Sleep(test.closesAfter - time.Millisecond)
 					assert.Equal(t, h.View().State("a", time.Now()), HallClosing)
 					time.Sleep(time.Millisecond)
 				}
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestClosedHallIsClosedAtOnceAfterAStart(t *testing.T) {
+func TestClosedHallIsClosedImmediatelyAfterStart(t *testing.T) {
 	h := NewHalls(emptyWithin)
 	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 7, time.Now())
 	assert.Equal(t, h.View().State("a", time.Now()), HallClosed)
@@ -62,44 +62,45 @@
 		h := NewHalls(emptyWithin)
 		h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}, {Hall: "b", Closed: true}}}, 2, time.Now())
 		time.Sleep(time.Second)
-		h.Take(opening("a"), 3, time.Now())
+		h.Take(openUpdate("a"), 3, time.Now())
 		assert.Equal(t, h.View().State("a", time.Now()), HallOpen)
 		assert.Equal(t, h.View().OpenedAt("a"), time.Now())
 		assert.Assert(t, h.View().OpenedAt("b").IsZero())
 		time.Sleep(time.Second)
 		h.Take(HallNews{Whole: true}, 9, time.Now())
-		assert.Equal(t, h.View().State("b", time.Now()), HallOpen, "a whole list without it opens a hall")
+		assert.Equal(t, h.View().State("b", time.Now()), HallOpen, "a complete list without the hall opens it")
 		assert.Assert(t, h.View().AllOpen())
 	})
 }
 
-func TestUnclearEntryLeavesAHallAsItWas(t *testing.T) {
+func TestInvalidEntryKeepsHallState(t *testing.T) {
 	h := NewHalls(emptyWithin)
 	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 2, time.Now())
 	h.Take(HallNews{Whole: true, Unclear: []string{"a", "b"}}, 3, time.Now())
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 }
 
-func TestOlderNewsOfHallsIsIgnored(t *testing.T) {
+func TestOlderHallUpdatesAreIgnored(t *testing.T) {
 	h := NewHalls(emptyWithin)
-	h.Take(closing("a"), 5, time.Now())
-	h.Take(opening("a"), 4, time.Now())
+	h.Take(closeUpdate("a"), 5, time.Now())
+	h.Take(openUpdate("a"), 4, time.Now())
 	h.Follow(HallReport{Position: 4}, time.Now())
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 	h.Follow(HallReport{}, time.Now())
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 }
 
-// TestPeersCloseAHallTogether: who hears of it from a peer closes it when the peer does,
-// give or take the way; nonsense in a report never keeps it open for longer than the bound.
-func TestPeersCloseAHallTogether(t *testing.T) {
+// TestPeersCloseHallAtTheSameTime checks that a daemon that receives a peer's report of a closing
+// hall closes the hall at the same time as the peer. A report with an excessive remaining time must
+// not keep the hall open beyond the bound.
+func TestPeersCloseHallAtTheSameTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := NewHalls(emptyWithin), NewHalls(emptyWithin), NewHalls(emptyWithin)
 		first.Take(HallNews{Whole: true}, 1, time.Now())
-		first.Take(closing("a"), 2, time.Now())
+		first.Take(closeUpdate("a"), 2, time.Now())
 		time.Sleep(time.Second)
 		second.Follow(first.Report(time.Now()), time.Now())
-		third.Follow(HallReport{Position: 2, Closed: []ClosedHall{{Hall: "a", Left: 1 << 40}}}, time.Now())
+		third.Follow(HallReport{Position: 2, Closed: []ClosedHall{{Hall: "a", RemainingMillis: 1 << 40}}}, time.Now())
 		assert.Equal(t, second.View().State("a", time.Now()), HallClosing)
 		time.Sleep(1500 * time.Millisecond)
 		assert.Equal(t, first.View().State("a", time.Now()), HallClosed)
@@ -109,60 +110,64 @@
 	})
 }
 
-// hallPlay is an operator and daemons that read its words, or hear of them, now and then.
-type hallPlay struct {
-	closed   map[string]bool
-	changed  map[string]time.Time
-	words    []HallChange
-	daemons  []*Halls
-	readTo   []int
-	learntAt []time.Time
+// hallSimulation simulates an operator and daemons. The daemons read the operator's commands or
+// receive each other's reports.
+type hallSimulation struct {
+	// closed and changedAt hold what the operator last commanded for each hall, and when.
+	closed    map[string]bool
+	changedAt map[string]time.Time
+	commands  []HallChange
+	daemons   []*Halls
+	// readTo holds, by daemon, the number of commands that are included in its state.
+	readTo []int
+	// updatedAt holds, by daemon, when its state was the newest.
+	updatedAt []time.Time
 }
 
-func newHallPlay(daemons int) *hallPlay {
-	p := &hallPlay{closed: make(map[string]bool), changed: make(map[string]time.Time)}
+func newHallSimulation(daemons int) *hallSimulation {
+	p := &hallSimulation{closed: make(map[string]bool), changedAt: make(map[string]time.Time)}
 	for range daemons {
 		h := NewHalls(emptyWithin)
 		h.Take(HallNews{Whole: true}, 1, time.Now())
 		p.daemons = append(p.daemons, h)
-		p.readTo, p.learntAt = append(p.readTo, 0), append(p.learntAt, time.Now())
+		p.readTo, p.updatedAt = append(p.readTo, 0), append(p.updatedAt, time.Now())
 	}
 	return p
 }
 
 // toggle closes an open hall, or opens a closed one.
-func (p *hallPlay) toggle(hall string) {
-	p.closed[hall], p.changed[hall] = !p.closed[hall], time.Now()
-	p.words = append(p.words, HallChange{Hall: hall, Closed: p.closed[hall]})
+func (p *hallSimulation) toggle(hall string) {
+	p.closed[hall], p.changedAt[hall] = !p.closed[hall], time.Now()
+	p.commands = append(p.commands, HallChange{Hall: hall, Closed: p.closed[hall]})
 }
 
-// read lets a daemon read what is new.
-func (p *hallPlay) read(daemon int) {
-	p.daemons[daemon].Take(HallNews{Changes: slices.Clone(p.words[p.readTo[daemon]:])}, int64(len(p.words)+1), time.Now())
-	p.readTo[daemon], p.learntAt[daemon] = len(p.words), time.Now()
+// read lets a daemon read the new commands.
+func (p *hallSimulation) read(daemon int) {
+	p.daemons[daemon].Take(HallNews{Changes: slices.Clone(p.commands[p.readTo[daemon]:])}, int64(len(p.commands)+1), time.Now())
+	p.readTo[daemon], p.updatedAt[daemon] = len(p.commands), time.Now()
 }
 
-// hear lets a daemon hear another one.
-func (p *hallPlay) hear(daemon, from int) {
+// receiveReport lets a daemon receive the report of another one.
+func (p *hallSimulation) receiveReport(daemon, from int) {
 	p.daemons[daemon].Follow(p.daemons[from].Report(time.Now()), time.Now())
 	if p.readTo[from] < p.readTo[daemon] {
 		return
 	}
 	p.readTo[daemon] = p.readTo[from]
-	if p.learntAt[from].After(p.learntAt[daemon]) {
-		p.learntAt[daemon] = p.learntAt[from]
+	if p.updatedAt[from].After(p.updatedAt[daemon]) {
+		p.updatedAt[daemon] = p.updatedAt[from]
 	}
 }
 
-// late returns the daemon and hall that are not closed though the daemon learnt after the
-// operator's word and the bound has passed; nothing if all is well.
-func (p *hallPlay) late() string {
+// findOverdue returns a daemon and a hall that the daemon should have closed by now, or an empty
+// string. Only commands since which the daemon was updated count.
+func (p *hallSimulation) findOverdue() string {
 	for hall, closed := range p.closed {
-		if !closed || time.Since(p.changed[hall]) <= emptyWithin {
+		if !closed || time.Since(p.changedAt[hall]) <= emptyWithin {
 			continue
 		}
 		for i, h := range p.daemons {
-			if p.learntAt[i].After(p.changed[hall]) && h.View().State(hall, time.Now()) != HallClosed {
+			if p.updatedAt[i].After(p.changedAt[hall]) && h.View().State(hall, time.Now()) != HallClosed {
 				return fmt.Sprint(i, hall)
 			}
 		}
@@ -170,9 +175,9 @@
 	return ""
 }
 
-// settled lets all daemons read, and returns a hall of which one of them holds another
-// state than the operator after the bound.
-func (p *hallPlay) settled() string {
+// findDisagreement lets all daemons read and waits until closed halls must be empty. It then
+// returns a daemon and a hall whose state is not what the operator commanded, or an empty string.
+func (p *hallSimulation) findDisagreement() string {
 	for i := range p.daemons {
 		p.read(i)
 	}
@@ -187,33 +192,32 @@
 	return ""
 }
 
-// TestHallsAgree: whatever daemons read or hear, in any order and with gaps, none keeps a
-// hall open longer than the bound after the operator's word as long as it reads or hears
-// within that time, and all agree in the end.
+// TestHallsAgree checks random sequences of reads and reports. A daemon that was updated after a
+// command must have closed the hall within the bound, and all daemons must agree in the end.
 func TestHallsAgree(outer *testing.T) {
 	const daemons = 3
 	rapid.Check(outer, func(t *rapid.T) {
 		synctest.Test(outer, func(*testing.T) {
-			p := newHallPlay(daemons)
-			who := rapid.IntRange(0, daemons-1)
+			p := newHallSimulation(daemons)
+			daemonIndex := rapid.IntRange(0, daemons-1)
 			for range rapid.IntRange(1, 30).Draw(t, "steps") {
 				time.Sleep(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.IntRange(0, 2).Draw(t, "what") {
 				case 0:
 					p.toggle(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "hall"))
 				case 1:
-					p.read(who.Draw(t, "daemon"))
+					p.read(daemonIndex.Draw(t, "daemon"))
 				case 2:
-					p.hear(who.Draw(t, "daemon"), who.Draw(t, "from"))
+					p.receiveReport(daemonIndex.Draw(t, "daemon"), daemonIndex.Draw(t, "from"))
 				}
-				assert.Equal(t, p.late(), "")
+				assert.Equal(t, p.findOverdue(), "")
 			}
-			assert.Equal(t, p.settled(), "")
+			assert.Equal(t, p.findDisagreement(), "")
 		})
 	})
 }
 
-func TestColdWorkersWarmUp(t *testing.T) {
+func TestColdUntil(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := NewInventory(1200*time.Millisecond, 0)
 		i.Apply([]Change{{ID: "h", Worker: &Worker{ID: "h", Service: "s", ColdLeft: 3000}}}, 1, time.Now())
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// hallProbes and fleetProbes are how many members of the own data hall and
-	// of the whole fleet a daemon probes.
+	// hallProbes and fleetProbes are the numbers of members to probe in the daemon's own data hall
+	// and in the whole fleet.
 	hallProbes  = 2
 	fleetProbes = 1
-	// smallFleet is the size up to which every daemon exchanges with all others.
+	// smallFleet is the maximum fleet size in which every daemon exchanges with all others.
 	smallFleet = 9
-	// fanout is how many peers a daemon of a larger fleet exchanges with at a time.
+	// fanout is the maximum number of peers per round of exchanges in larger fleets.
 	fanout = 2
-	// farShare is the share of exchanges that leave the own data hall.
-	farShare = 0.25
+	// remoteHallShare is the probability that a peer is chosen from all data halls rather than from
+	// the daemon's own.
+	remoteHallShare = 0.25
 )
 
-// probeTargets returns the members that self probes: its successors on a ring
-// of hashes, in its data hall and over the fleet. Each member so has as many
-// probers as there are targets, and a change of the fleet moves few of them.
+// probeTargets returns the members that self probes. They are its successors on two hash rings, one
+// of its data hall and one of the fleet. This spreads the probes evenly over the members, and a
+// change of the membership changes few targets.
 func probeTargets(self *rpc.Member, alive []*rpc.Member) []*rpc.Member {
 	local := make([]*rpc.Member, 0, len(alive))
 	for _, m := range alive {
@@ -42,11 +43,11 @@
 	return targets
 }
 
-// successors returns the n members that follow self on the ring of hashes.
+// successors returns the n members that follow self on the hash ring.
 func successors(self *rpc.Member, members []*rpc.Member, n int) []*rpc.Member {
 	ring := slices.Clone(members)
 	slices.SortFunc(ring, func(a, b *rpc.Member) int {
-		return cmp.Or(cmp.Compare(position(a.Id), position(b.Id)), cmp.Compare(a.Id, b.Id))
+		return cmp.Or(cmp.Compare(ringPosition(a.Id), ringPosition(b.Id)), cmp.Compare(a.Id, b.Id))
 	})
 	start := slices.IndexFunc(ring, func(m *rpc.Member) bool { return m.Id == self.Id })
 	var next []*rpc.Member
@@ -59,7 +60,8 @@
 	return next
 }
 
-// exchangePeers returns the members to exchange with in this round.
+// exchangePeers returns the members to exchange with in this round: all other members of a small
+// fleet, or up to fanout random ones.
 func exchangePeers(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) []*rpc.Member {
 	if len(alive) <= smallFleet {
 		return slices.DeleteFunc(slices.Clone(alive), func(m *rpc.Member) bool { return m.Id == self.Id })
@@ -74,20 +76,20 @@
 	return chosen
 }
 
-// peerTries bounds the search for a random peer.
-const peerTries = 32
+// maxPeerAttempts is the maximum number of random draws to find a peer.
+const maxPeerAttempts = 32
 
-// randomPeer returns a random member, mostly of the own data hall; nil when
-// chance brings none.
+// randomPeer returns a random member other than self, mostly of the same data hall. It returns nil
+// if all draws hit self.
 func randomPeer(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) *rpc.Member {
-	far := random.Float64() < farShare
+	allowAnyHall := random.Float64() < remoteHallShare
 	var fallback *rpc.Member
-	for range peerTries {
+	for range maxPeerAttempts {
 		m := alive[random.IntN(len(alive))]
 		if m.Id == self.Id {
 			continue
 		}
-		if far || m.DataHall == self.DataHall {
+		if allowAnyHall || m.DataHall == self.DataHall {
 			return m
 		}
 		fallback = m
@@ -95,13 +97,13 @@
 	return fallback
 }
 
-// position returns the place of a member on the ring of hashes.
-func position(id string) uint64 {
+// ringPosition returns the position of a member on the hash ring.
+func ringPosition(id string) uint64 {
 	h := fnv.New64a()
 	// Writes to a hash never fail.
 	_, _ = h.Write([]byte(id))
 	sum := h.Sum64()
-	// FNV mixes the last bytes weakly, and ids differ there.
+	// Ids often differ in their last bytes only, which FNV mixes weakly. Mix them further.
 	sum ^= sum >> 32
 	return sum * 0x9e3779b97f4a7c15
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -21,8 +21,8 @@
 func TestMerge(t *testing.T) {
 	alive, suspect, dead := rpc.MemberState_ALIVE, rpc.MemberState_SUSPECT, rpc.MemberState_DEAD
 	cases := map[string]struct {
-		news []*rpc.Member
-		want rpc.MemberState
+		updates []*rpc.Member
+		want    rpc.MemberState
 	}{
 		"suspicion holds over old life sign":  {[]*rpc.Member{member("b", 1, alive), member("b", 1, suspect), member("b", 1, alive)}, suspect},
 		"refutation with higher incarnation":  {[]*rpc.Member{member("b", 1, suspect), member("b", 2, alive)}, alive},
@@ -38,7 +38,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable(member("a", 1, alive), time.Second)
-			for _, m := range c.news {
+			for _, m := range c.updates {
 				table.Merge([]*rpc.Member{m})
 			}
 			assert.Equal(t, table.State("b"), c.want)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAccusedRefutes(t *testing.T) {
+func TestSuspectedMemberRefutes(t *testing.T) {
 	table := NewTable(member("a", 3, rpc.MemberState_ALIVE), time.Second)
 	table.Merge([]*rpc.Member{member("a", 3, rpc.MemberState_SUSPECT)})
 	assert.Equal(t, table.Self().Incarnation, uint64(4))
@@ -54,8 +54,9 @@
 	assert.Equal(t, table.Self().Incarnation, uint64(4))
 }
 
-// local is a fleet of agents in one process that counts the bytes of its calls.
-type local struct {
+// localFleet is a fleet of agents in one process. It counts the calls between them and the bytes
+// sent.
+type localFleet struct {
 	agents map[string]*Agent
 	bytes  int
 	calls  int
@@ -64,7 +65,7 @@
 // localPeer calls an agent of the same process.
 type localPeer struct {
 	rpc.Peer
-	fleet *local
+	fleet *localFleet
 	to    string
 }
 
@@ -87,23 +88,23 @@
 	return reply, err
 }
 
-// noReports has no domain reports.
+// noReports is an empty store of domain reports.
 type noReports struct{}
 
-func (noReports) Digest() []*rpc.ReportDigest                   { return nil }
-func (noReports) Since([]*rpc.ReportDigest) []*rpc.DomainReport { return nil }
-func (noReports) Merge([]*rpc.DomainReport, time.Time)          {}
+func (noReports) Digest() []*rpc.ReportDigest                         { return nil }
+func (noReports) MissingFrom([]*rpc.ReportDigest) []*rpc.DomainReport { return nil }
+func (noReports) Merge([]*rpc.DomainReport, time.Time)                {}
 
-// noConfiguration has no configuration.
+// noConfiguration is an empty configuration.
 type noConfiguration struct{}
 
 func (noConfiguration) Next() int64              { return 0 }
-func (noConfiguration) Stale() bool              { return false }
+func (noConfiguration) IsStale() bool            { return false }
 func (noConfiguration) Encoded() ([]byte, error) { return nil, nil }
 func (noConfiguration) Install([]byte) error     { return nil }
 
-func newLocal(n int) *local {
-	l := &local{agents: make(map[string]*Agent)}
+func newLocalFleet(n int) *localFleet {
+	l := &localFleet{agents: make(map[string]*Agent)}
 	var members []*rpc.Member
 	for i := range n {
 		m := member(fmt.Sprintf("entry-%03d", i), 1, rpc.MemberState_ALIVE)
@@ -118,15 +119,15 @@
 		})
 		a.table.Merge(members)
 		for range 200 {
-			a.table.News(n)
+			a.table.PendingChanges(n)
 		}
 		l.agents[m.Id] = a
 	}
 	return l
 }
 
-// round lets every agent exchange once, one after the other.
-func (l *local) round(ctx context.Context) {
+// round lets every agent in turn run its exchanges of one round.
+func (l *localFleet) round(ctx context.Context) {
 	for i := range len(l.agents) {
 		a := l.agents[fmt.Sprintf("entry-%03d", i)]
 		var addresses []string
@@ -139,84 +140,85 @@
 	}
 }
 
-// spread returns how many rounds a change at one member takes to reach all.
-func (l *local) spread(ctx context.Context) int {
+// roundsToReachAll returns how many rounds a change of one member takes to reach all members.
+func (l *localFleet) roundsToReachAll(ctx context.Context) int {
 	source := l.agents["entry-000"]
 	source.table.UpdateSelf(func(m *rpc.Member) { m.Leaving = true })
 	for round := 1; ; round++ {
 		l.round(ctx)
-		heard := 0
+		reached := 0
 		for _, a := range l.agents {
 			if m, ok := a.table.Member("entry-000"); ok && m.Leaving {
-				heard++
+				reached++
 			}
 		}
-		if heard == len(l.agents) {
+		if reached == len(l.agents) {
 			return round
 		}
 	}
 }
 
-// TestNewsReachesEverybody spreads a change through fleets of growing size.
-func TestNewsReachesEverybody(t *testing.T) {
+// TestChangeReachesAllMembers checks that a change reaches all members within a number of rounds,
+// in fleets of different sizes.
+func TestChangeReachesAllMembers(t *testing.T) {
 	for _, n := range []int{2, 9, 50, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				rounds := newLocal(n).spread(t.Context())
+				rounds := newLocalFleet(n).roundsToReachAll(t.Context())
 				assert.Assert(t, rounds <= 20, "%d rounds", rounds)
 			})
 		})
 	}
 }
 
-// TestQuarantineSpreads: what one member knows of requests that end workers reaches all, as
-// asked for and as answered.
+// TestQuarantineSpreads checks that the quarantine entries of one member reach all members.
 func TestQuarantineSpreads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLocal(50)
-		known := make(map[string][]*rpc.QuarantineEntry)
+		l := newLocalFleet(50)
+		entriesByAgent := make(map[string][]*rpc.QuarantineEntry)
 		for id, a := range l.agents {
 			a.opts.Quarantine = Quarantine{
-				Report: func() []*rpc.QuarantineEntry { return known[id] },
-				Merge:  func(_ string, all []*rpc.QuarantineEntry) { known[id] = all },
+				Report: func() []*rpc.QuarantineEntry { return entriesByAgent[id] },
+				Merge:  func(_ string, all []*rpc.QuarantineEntry) { entriesByAgent[id] = all },
 			}
 		}
-		known["entry-000"] = []*rpc.QuarantineEntry{{Fingerprint: []byte("f")}}
+		entriesByAgent["entry-000"] = []*rpc.QuarantineEntry{{Fingerprint: []byte("f")}}
 		rounds := 0
-		for ; len(known) < len(l.agents) && rounds < 20; rounds++ {
+		for ; len(entriesByAgent) < len(l.agents) && rounds < 20; rounds++ {
 			l.round(t.Context())
 		}
-		assert.Equal(t, len(known), len(l.agents), "after %d rounds", rounds)
+		assert.Equal(t, len(entriesByAgent), len(l.agents), "after %d rounds", rounds)
 	})
 }
 
-// TestExchangeTellsBothWays: one exchange brings what either side knows to the other.
-func TestExchangeTellsBothWays(t *testing.T) {
-	for _, knows := range []string{"entry-000", "entry-001"} {
-		t.Run(knows, func(t *testing.T) {
-			l := newLocal(2)
-			known := map[string][]*rpc.QuarantineEntry{knows: {{Fingerprint: []byte("f")}}}
+// TestExchangeIsBidirectional checks that one exchange sends the quarantine entries of either side
+// to the other.
+func TestExchangeIsBidirectional(t *testing.T) {
+	for _, holder := range []string{"entry-000", "entry-001"} {
+		t.Run(holder, func(t *testing.T) {
+			l := newLocalFleet(2)
+			entriesByAgent := map[string][]*rpc.QuarantineEntry{holder: {{Fingerprint: []byte("f")}}}
 			for id, a := range l.agents {
 				a.opts.Quarantine = Quarantine{
-					Report: func() []*rpc.QuarantineEntry { return known[id] },
-					Merge:  func(_ string, all []*rpc.QuarantineEntry) { known[id] = all },
+					Report: func() []*rpc.QuarantineEntry { return entriesByAgent[id] },
+					Merge:  func(_ string, all []*rpc.QuarantineEntry) { entriesByAgent[id] = all },
 				}
 			}
-			asks := l.agents["entry-000"]
-			assert.NilError(t, asks.exchange(t.Context(), l.agents["entry-001"].opts.Self.PeerAddress))
-			assert.Equal(t, len(known), 2)
+			requester := l.agents["entry-000"]
+			assert.NilError(t, requester.exchange(t.Context(), l.agents["entry-001"].opts.Self.PeerAddress))
+			assert.Equal(t, len(entriesByAgent), 2)
 		})
 	}
 }
 
-// BenchmarkRound measures one member's part of a round of exchanges in a quiet
-// fleet, and how many rounds a change takes to reach all.
+// BenchmarkRound measures the time and bytes per member of a round of exchanges without changes. It
+// also reports how many rounds a change takes to reach all members.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{9, 50, 200, 970} {
 		b.Run(fmt.Sprint(n, " members"), func(b *testing.B) {
-			l := newLocal(n)
+			l := newLocalFleet(n)
 			ctx := context.Background()
-			rounds := l.spread(ctx)
+			rounds := l.roundsToReachAll(ctx)
 			l.bytes = 0
 			b.ReportAllocs()
 			b.ResetTimer()
