--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -10,241 +10,249 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Timing of a keeper.
+// Intervals, timeouts and limits of a Keeper.
 const (
-	tickEvery = 100 * time.Millisecond
-	// callsAtOnce bounds the calls to workers that are under way, and the connections for
-	// them.
-	callsAtOnce = 64
-	// orderTimeout bounds an order, askTimeout a question to a worker.
+	tickInterval = 100 * time.Millisecond
+	// maxConcurrentCalls is the maximum number of concurrent calls to workers, and thereby of
+	// connections for them.
+	maxConcurrentCalls = 64
+	// orderTimeout is the timeout of an order to a worker. queryTimeout is the timeout of a state
+	// query.
 	orderTimeout = 200 * time.Millisecond
-	askTimeout   = 200 * time.Millisecond
-	// indirectTimeout bounds an order through other daemons.
+	queryTimeout = 200 * time.Millisecond
+	// indirectTimeout is the timeout of an order through other daemons.
 	indirectTimeout = 500 * time.Millisecond
-	// orderTries is how often an order that got no answer is given, each time
-	// with a new fence.
-	orderTries = 6
-	// askEvery is how often a worker is asked while its list entry is awaited.
-	askEvery = 250 * time.Millisecond
-	// joinSlack is how much longer than expected a join may take.
-	joinSlack = 3 * time.Second
-	// slowLoads is a factor on loading times, since loads slow each other.
-	slowLoads = 4
-	// settleFor is how long after an operation the list may lag behind it.
-	settleFor = time.Second
-	// settleYoung is the same in a process that has known the list for less
-	// than youngFor.
-	settleYoung = 4 * time.Second
-	youngFor    = 10 * time.Second
-	// drainMost is how long a group's requests may hold up its dissolution.
-	drainMost = 8 * time.Second
-	// reviveEvery is how often a worker that was silent is asked again.
-	reviveEvery = 2 * time.Second
-	// lostHead is how long a head must be unreachable, and unlisted, before its
-	// members are freed without its answer.
-	lostHead = 1200 * time.Millisecond
-	// listStale is how old the list may be before workers are asked what it would
-	// tell. The leader reads it with waits of 0.3 s, so two reads have failed.
-	listStale = 800 * time.Millisecond
-	// listFresh is how old the list may be to prove that a worker is gone.
-	listFresh = 4 * time.Second
-	// reportEvery is the time between two lines about what is wanted and there.
-	reportEvery = 3 * time.Second
+	// maxOrderAttempts is the maximum number of attempts to send an order that is not answered.
+	// Each attempt has a new fence.
+	maxOrderAttempts = 6
+	// queryInterval is the time between state queries while an update of the list is awaited.
+	queryInterval = 250 * time.Millisecond
+	// joinGracePeriod is the time that a join may take in addition to its expected duration.
+	joinGracePeriod = 3 * time.Second
+	// loadTimeFactor is the factor by which a load may exceed its expected duration, since
+	// concurrent loads slow each other down.
+	loadTimeFactor = 4
+	// listSettleTime is the maximum time until the list shows the effect of an operation.
+	listSettleTime = time.Second
+	// youngListSettleTime replaces listSettleTime in a process that received the list less than
+	// youngListAge ago.
+	youngListSettleTime = 4 * time.Second
+	youngListAge        = 10 * time.Second
+	// maxDrainTime is the maximum time for which requests in flight delay a group's dissolution.
+	maxDrainTime = 8 * time.Second
+	// unresponsiveQueryInterval is the time between queries to an unresponsive worker.
+	unresponsiveQueryInterval = 2 * time.Second
+	// lostHeadTimeout is the time for which a head must be unreachable and unlisted before its
+	// members are freed without its confirmation.
+	lostHeadTimeout = 1200 * time.Millisecond
+	// listStaleAge is the age of the list beyond which workers are queried directly. At that age,
+	// two consecutive reads of the list have failed.
+	listStaleAge = 800 * time.Millisecond
+	// maxListAge is the maximum age of a list that is used to determine whether a worker is gone.
+	maxListAge = 4 * time.Second
+	// reportInterval is the time between log messages about wanted and available replicas.
+	reportInterval = 3 * time.Second
 )
 
-// Term is what a leader leads under.
+// Term identifies a leader's term.
 type Term struct {
 	Epoch int64
 	Rank  int
-	// First tells that nobody led the fleet before.
+	// First reports whether this is the fleet's first term.
 	First bool
-	// FirstLife tells that this process has run since the fleet first started, so that it
-	// has heard of requests if any came.
+	// FirstLife reports whether this process has been running since the fleet was started for the
+	// first time. It has then observed any earlier requests.
 	FirstLife bool
 }
 
-// Keeper forms and mends replicas for one term.
+// Keeper forms and repairs replicas for the duration of one term.
 type Keeper struct {
 	opts Options
 	term Term
-	// fresh tells that nothing served when the term began.
-	fresh    bool
-	outdone  func()
-	group    conc.WaitGroup
-	done     chan struct{}
-	suspects chan string
+	// isNewFleet reports whether no replica had served when the term began.
+	isNewFleet        bool
+	onSuperseded      func()
+	tasks             conc.WaitGroup
+	done              chan struct{}
+	suspectedReplicas chan string
 
-	mu       sync.Mutex
-	sequence int64
-	// known holds what workers told directly, by id.
-	known map[string]observation
-	// busy holds the workers that an operation is about.
-	busy map[string]bool
-	// operating holds the groups that an operation is about.
-	operating map[string]bool
-	// examining holds the replicas whose members are being asked.
-	examining map[string]bool
-	// retired holds the groups that no longer hold their members: the head
-	// confirmed that it left, or it answers nobody.
-	retired map[string]retirement
-	// dissolved holds the groups whose head confirmed that it left.
-	dissolved map[string]dissolution
-	// heads holds, by group, the head that the list showed.
-	heads map[string]string
-	// formed holds the groups formed in this term, by key.
-	formed map[string]Group
-	// silent holds the workers that do not answer, with when to ask again.
-	silent map[string]time.Time
-	// positions holds, by worker, how many orders it has begun and its group.
-	positions map[string]position
-	// lives holds when the present lives of workers began.
-	lives map[string]life
-	// former holds all workers that were ever listed.
-	former map[string]*fleet.Worker
-	// seenView is the list as the last look found it, absent holds the workers that
-	// left it while in a group.
-	seenView *fleet.View
+	mu           sync.Mutex
+	lastSequence int64
+	// observations holds the state that workers reported directly, by worker ID.
+	observations map[string]observation
+	// busyWorkers holds the IDs of workers that are involved in a running operation.
+	busyWorkers map[string]bool
+	// busyGroups holds the keys of groups that are involved in a running operation.
+	busyGroups map[string]bool
+	// examinedReplicas holds the replicas whose members are being queried.
+	examinedReplicas map[string]bool
+	// retirements holds the groups whose members are free, by group key. The head confirmed that it
+	// left the group, or no daemon can reach it.
+	retirements map[string]retirement
+	// dissolutions holds the groups whose head confirmed that it left, by group key.
+	dissolutions map[string]dissolution
+	// headIDs holds the worker ID of each group's head, by group key.
+	headIDs map[string]string
+	// formedGroups holds the groups formed in this term, by group key.
+	formedGroups map[string]Group
+	// unresponsive holds the time of the next query to each unresponsive worker, by worker ID.
+	unresponsive map[string]time.Time
+	// orderStates holds the order count and group of each worker, by worker ID.
+	orderStates map[string]orderState
+	// incarnations holds the current incarnation of each worker, by worker ID.
+	incarnations map[string]incarnation
+	// knownWorkers holds all workers that have been listed, by worker ID.
+	knownWorkers map[string]*fleet.Worker
+	// lastView is the list at the previous tick. absent holds the workers that left the list while
+	// in a group, by worker ID.
+	lastView *fleet.View
 	absent   map[string]*absence
-	// ended holds the workers at whose address another one answered.
-	ended map[string]bool
-	// interrupted holds the workers that may have been cut off while they joined a group.
-	interrupted map[string]interruption
-	// headless holds since when groups have had no listed head.
-	headless map[string]time.Time
-	// loading holds the loads that workers make, by worker.
-	loading map[string]load
-	// seen holds since when groups have been known.
-	seen   map[string]time.Time
-	loads  map[string]*loads
-	smooth map[string]Work
-	// trafficSince is when this leader first knew of requests.
+	// displaced holds the IDs of workers at whose address another one answered.
+	displaced map[string]bool
+	// interruptedJoins holds the workers that may have been interrupted while joining a group, by
+	// worker ID.
+	interruptedJoins map[string]interruptedJoin
+	// headlessSince holds the time since which a group has had no listed head, by group key.
+	headlessSince map[string]time.Time
+	// activeLoads holds the running loads, by worker ID.
+	activeLoads map[string]activeLoad
+	// groupSeenSince holds the time when each group was first seen, by group key.
+	groupSeenSince map[string]time.Time
+	loadBudgets    map[string]*loadBudget
+	smoothedWork   map[string]Work
+	// trafficSince is the time when this leader first detected requests to the fleet.
 	trafficSince time.Time
-	// leaveBy holds, by group, until when one with a leaving member may serve.
-	leaveBy map[string]time.Time
-	// leaveNext holds, by model, when the next of these is dissolved.
-	leaveNext map[string]time.Time
-	// stageNext holds when workers that refused to stage may be asked again.
-	stageNext map[string]time.Time
-	// growths holds how the list of a new fleet grows, by service.
-	growths map[string]*growth
-	// calls bounds the calls to workers that are under way.
-	calls chan struct{}
-	// idleSince holds since when workers have had nothing to do at the start.
+	// leaveDeadlines holds the time until which a group with a leaving member may keep serving, by
+	// group key.
+	leaveDeadlines map[string]time.Time
+	// nextLeaveDissolution holds the time from which the next group with a leaving member may be
+	// dissolved, by model.
+	nextLeaveDissolution map[string]time.Time
+	// stageRetryAt holds the time from which a worker that refused to stage may be ordered again,
+	// by worker ID.
+	stageRetryAt map[string]time.Time
+	// listGrowths tracks the growth of a new fleet's list, by service.
+	listGrowths map[string]*listGrowth
+	// callSlots is a semaphore that limits concurrent calls to workers.
+	callSlots chan struct{}
+	// idleSince holds the time since which each worker of a new fleet has been idle, by worker ID.
 	idleSince map[string]time.Time
-	// reportNext is when what is wanted and there is logged again.
-	reportNext time.Time
-	// tradeNext is when groups may be given up for another model again, trades
-	// holds those whose groups may yet serve.
-	tradeNext time.Time
-	trades    []Exchange
-	// doubts holds, by worker that kept a group from being formed, until when others are
-	// preferred.
-	doubts map[string]time.Time
-	// releaseAt holds, by domain, when idle workers that can't make a group of a model
-	// that is short serve another one.
+	// nextReport is the time when wanted and available replicas are logged next.
+	nextReport time.Time
+	// nextTrade is the time from which groups may be traded for another model again. activeTrades
+	// holds the trades whose groups are not dissolved yet.
+	nextTrade    time.Time
+	activeTrades []Trade
+	// unreliableUntil holds the time until which other workers are preferred to a worker that
+	// prevented a group from forming, by worker ID.
+	unreliableUntil map[string]time.Time
+	// releaseAt holds the time from which the idle workers of a domain may serve another model, by
+	// domain. These workers are too few for a group of a model that is short.
 	releaseAt map[string]time.Time
 	halls     hallStates
-	// settledAt is when groups may be given up for another model: not before reports of
-	// all daemons came to a new leader, nor just after a data hall was closed or opened.
-	settledAt time.Time
-	// oversized holds the models that are known to be larger than any domain.
-	oversized map[string]bool
+	// tradesAllowedAt is the time from which groups may be traded for another model. A new leader
+	// first waits for the reports of all daemons. Trades are also delayed briefly after a data hall
+	// was closed or opened.
+	tradesAllowedAt time.Time
+	// reportedOversized holds the models for which a warning was logged that they are larger than
+	// any domain.
+	reportedOversized map[string]bool
 }
 
-// load is a load of a model's weights that counts until its end is seen or its
-// time is up.
-type load struct {
-	model string
-	until time.Time
+// activeLoad is a load of a model's weights. It counts as running until it is observed to be
+// complete or expires.
+type activeLoad struct {
+	model     string
+	expiresAt time.Time
 }
 
-// retirement says how it is known that a group's head takes no more requests.
+// retirement is the reason why a group is known or assumed to take no more requests.
 type retirement int
 
 const (
-	// assumed retirements rest on the head's silence.
-	assumed retirement = iota + 1
-	// confirmed retirements rest on the head's own word.
-	confirmed
+	// retiredAssumed means that the head does not respond.
+	retiredAssumed retirement = iota + 1
+	// retiredConfirmed means that the head confirmed that it left the group.
+	retiredConfirmed
 )
 
-// observation is what a worker told directly.
+// observation is a state that a worker reported directly.
 type observation struct {
 	state State
-	// at is the time it told of: what the list shows counts again once it was
-	// confirmed after that. It lies ahead for what the worker will do by then.
+	// at is the time that the state refers to. The list is preferred once it has been confirmed
+	// after that time. The time lies in the future if the worker is expected to reach the state.
 	at time.Time
 }
 
-// NewKeeper returns a keeper for a term. It calls outdone when a worker shows
-// that another leader has a higher term.
-func NewKeeper(opts Options, term Term, outdone func()) *Keeper {
+// NewKeeper returns a Keeper for a term. It calls onSuperseded when a worker reports a leader with
+// a higher term.
+func NewKeeper(opts Options, term Term, onSuperseded func()) *Keeper {
 	view := opts.Inventory.View()
 	k := &Keeper{
-		opts: opts, term: term, outdone: outdone,
-		done: make(chan struct{}), suspects: make(chan string, 64),
-		known:       make(map[string]observation),
-		positions:   make(map[string]position),
-		busy:        make(map[string]bool),
-		operating:   make(map[string]bool),
-		examining:   make(map[string]bool),
-		retired:     make(map[string]retirement),
-		dissolved:   make(map[string]dissolution),
-		heads:       make(map[string]string),
-		formed:      make(map[string]Group),
-		silent:      make(map[string]time.Time),
-		former:      make(map[string]*fleet.Worker),
-		lives:       make(map[string]life),
-		seenView:    view,
-		absent:      make(map[string]*absence),
-		ended:       make(map[string]bool),
-		interrupted: make(map[string]interruption),
-		headless:    make(map[string]time.Time),
-		loading:     make(map[string]load),
-		seen:        make(map[string]time.Time),
-		loads:       make(map[string]*loads),
-		smooth:      make(map[string]Work),
-		leaveBy:     make(map[string]time.Time),
-		leaveNext:   make(map[string]time.Time),
-		stageNext:   make(map[string]time.Time),
-		growths:     make(map[string]*growth),
-		calls:       make(chan struct{}, callsAtOnce),
-		doubts:      make(map[string]time.Time),
-		releaseAt:   make(map[string]time.Time),
-		oversized:   make(map[string]bool),
+		opts: opts, term: term, onSuperseded: onSuperseded,
+		done: make(chan struct{}), suspectedReplicas: make(chan string, 64),
+		observations:         make(map[string]observation),
+		orderStates:          make(map[string]orderState),
+		busyWorkers:          make(map[string]bool),
+		busyGroups:           make(map[string]bool),
+		examinedReplicas:     make(map[string]bool),
+		retirements:          make(map[string]retirement),
+		dissolutions:         make(map[string]dissolution),
+		headIDs:              make(map[string]string),
+		formedGroups:         make(map[string]Group),
+		unresponsive:         make(map[string]time.Time),
+		knownWorkers:         make(map[string]*fleet.Worker),
+		incarnations:         make(map[string]incarnation),
+		lastView:             view,
+		absent:               make(map[string]*absence),
+		displaced:            make(map[string]bool),
+		interruptedJoins:     make(map[string]interruptedJoin),
+		headlessSince:        make(map[string]time.Time),
+		activeLoads:          make(map[string]activeLoad),
+		groupSeenSince:       make(map[string]time.Time),
+		loadBudgets:          make(map[string]*loadBudget),
+		smoothedWork:         make(map[string]Work),
+		leaveDeadlines:       make(map[string]time.Time),
+		nextLeaveDissolution: make(map[string]time.Time),
+		stageRetryAt:         make(map[string]time.Time),
+		listGrowths:          make(map[string]*listGrowth),
+		callSlots:            make(chan struct{}, maxConcurrentCalls),
+		unreliableUntil:      make(map[string]time.Time),
+		releaseAt:            make(map[string]time.Time),
+		reportedOversized:    make(map[string]bool),
 	}
-	k.inheritDemand()
+	k.inheritSmoothedWork()
 	if !term.First {
-		k.settledAt = time.Now().Add(settleFor)
+		k.tradesAllowedAt = time.Now().Add(listSettleTime)
 	}
-	k.fresh = k.isFresh(view)
+	k.isNewFleet = k.fleetNeverServed(view)
 	return k
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (k *Keeper) Done() <-chan struct{} { return k.done }
 
-// Suspect tells that requests at a replica fell silent.
+// Suspect reports that requests at a replica have stopped receiving data. It does not block.
 func (k *Keeper) Suspect(replica string) {
 	select {
-	case k.suspects <- replica:
+	case k.suspectedReplicas <- replica:
 	default:
-		// So many suspicions come again.
+		// The queue is full. This report can be dropped, since suspicions are reported repeatedly.
 	}
 }
 
-// Run leads until ctx ends.
+// Run forms and repairs replicas until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
 	defer close(k.done)
-	defer k.group.Wait()
-	ticker := time.NewTicker(tickEvery)
+	defer k.tasks.Wait()
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ticker.C:
 		case <-k.opts.Inventory.Changed():
-		case replica := <-k.suspects:
-			k.examine(ctx, replica)
+		case replica := <-k.suspectedReplicas:
+			k.examineReplica(ctx, replica)
 		case <-ctx.Done():
 			return
 		}
@@ -252,7 +260,7 @@
 	}
 }
 
-// tick looks at every service whose workers form groups.
+// tick repairs, forms and trades groups of every service whose workers form groups.
 func (k *Keeper) tick(ctx context.Context, now time.Time) {
 	config := k.opts.Config()
 	if config == nil {
@@ -260,11 +268,11 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// It is read under the mutex, so that no look goes back to an earlier list.
+	// The view is read under the mutex, so that views are processed in order.
 	view := k.opts.Inventory.View()
-	k.refresh(view)
+	k.refreshWorkers(view)
 	k.refreshAbsent(view, now)
-	k.askAbsent(ctx, now)
+	k.queryAbsent(ctx, now)
 	for _, s := range config.Services() {
 		if s.Engine != nil {
 			k.tickService(ctx, s, view, now)
@@ -273,155 +281,155 @@
 }
 
 func (k *Keeper) tickService(ctx context.Context, s *fleet.Service, view *fleet.View, now time.Time) {
-	groups := k.groups(s, view)
+	groups := k.observeGroups(s, view)
 	for _, g := range groups {
-		k.mend(ctx, g, now)
+		k.repair(ctx, g, now)
 	}
 	k.refreshHalls(s, view, now)
-	budget := k.budget(s, now)
-	needs, serving := k.needs(s, groups, view)
-	free := k.free(s, groups, view)
-	if !now.Before(k.reportNext) {
-		k.reportNext = now.Add(reportEvery)
-		k.report(needs, free)
-		k.noteOversized(s, view, now)
+	budget := k.budgetOf(s, now)
+	needs, replicasByHall := k.computeNeeds(s, groups, view)
+	freeWorkers := k.freeWorkers(s, groups, view)
+	if !now.Before(k.nextReport) {
+		k.nextReport = now.Add(reportInterval)
+		k.logReplicas(needs, freeWorkers)
+		k.warnOversizedModels(s, view, now)
 	}
-	counted := k.traffic()
-	forGroups, forIdle := k.room(s, view, budget, now)
-	in := Input{
-		Needs: needs, Free: free, Warm: k.warm(s, view),
+	hasTraffic := k.hasTraffic()
+	forGroups, forIdle := k.allowedLoads(s, view, budget, now)
+	input := Input{
+		Needs: needs, Free: freeWorkers, WarmCounts: k.countWarm(s, view),
 		MaxLoads: forGroups, MaxStagings: forIdle,
-		Growing: !counted && k.listGrows(s, view, now),
-		Halls:   k.reserve(), Serving: serving, Released: k.released(needs, free, now), Trading: k.endTrades(),
+		IsListGrowing: !hasTraffic && k.isListGrowing(s, view, now),
+		HallLoss:      k.hallLossPolicy(), ReplicasByHall: replicasByHall, ReleasedDomains: k.releasedDomains(needs, freeWorkers, now), TradeRecipients: k.clearFinishedTrades(),
 	}
-	formations, stagings := Plan(in)
-	if counted {
-		formations = k.insteadOfLoads(ctx, in, formations, groups, now)
+	formations, stagings := Plan(input)
+	if hasTraffic {
+		formations = k.replaceLoadsByTrades(ctx, input, formations, groups, now)
 	}
 	for _, f := range formations {
-		budget.take(f.Loads, counted, now)
-		k.beginForm(ctx, s, f)
+		budget.record(f.LoadCount, hasTraffic, now)
+		k.startForming(ctx, s, f)
 	}
-	if len(formations) == 0 && counted {
-		k.trade(ctx, in, groups, now)
+	if len(formations) == 0 && hasTraffic {
+		k.startTrades(ctx, input, groups, now)
 	}
-	if !counted {
-		stagings = append(k.longIdle(stagings, now), k.seconds(s, view)...)
+	if !hasTraffic {
+		stagings = append(k.keepLongIdle(stagings, now), k.secondModelStagings(s, view)...)
 	}
-	for _, stage := range k.due(stagings, now) {
+	for _, stage := range k.dropRecentlyRefused(stagings, now) {
 		model, _ := s.Engine.Model(stage.Model)
-		budget.take(1, counted, now)
-		k.beginStage(ctx, k.former[stage.Worker], model)
+		budget.record(1, hasTraffic, now)
+		k.startStaging(ctx, k.knownWorkers[stage.Worker], model)
 	}
-	k.revive(ctx, view, now)
+	k.queryUnresponsive(ctx, view, now)
 }
 
-// report logs what is wanted and there.
-func (k *Keeper) report(needs []Need, free []Free) {
+// logReplicas logs the wanted and available replicas.
+func (k *Keeper) logReplicas(needs []Need, free []FreeWorker) {
 	for _, n := range needs {
 		k.opts.Logger.Info("replicas", "model", n.Model.Name, "want", n.Want, "have", n.Have,
-			"work", k.smooth[n.Model.Name].Busy, "prompts", int(k.smooth[n.Model.Name].Prompts), "idle_workers", len(free))
+			"work", k.smoothedWork[n.Model.Name].Busy, "prompts", int(k.smoothedWork[n.Model.Name].Prompts), "idle_workers", len(free))
 	}
 }
 
-// traffic reports whether requests come to the fleet, or may. A later leader
-// takes a fleet for new only if nothing in it served when its term began.
-func (k *Keeper) traffic() bool { return !k.fresh || k.opts.Traffic() }
+// hasTraffic reports whether requests have reached the fleet. This is assumed if a replica had
+// served when the term began.
+func (k *Keeper) hasTraffic() bool { return !k.isNewFleet || k.opts.Traffic() }
 
-// isFresh reports whether nothing has served yet. A process that started later may follow
-// daemons that all ended at once while no replica was open, so that nobody is left who heard
-// of requests: for it, what workers hold shows that the fleet is not new. Without that such
-// a leader would begin more loads at once than may be.
-func (k *Keeper) isFresh(view *fleet.View) bool {
+// fleetNeverServed reports whether no replica has served yet. The list shows which groups were
+// opened. A process that started later than the fleet also requires that no worker holds a model.
+// Otherwise, if all daemons restarted while no replica was open, it would treat the fleet as new
+// and start more loads at once than allowed.
+func (k *Keeper) fleetNeverServed(view *fleet.View) bool {
 	if k.term.First {
 		return true
 	}
 	for _, w := range view.Workers() {
-		if served(w) || !k.term.FirstLife && holdsModel(w) {
+		if hasServed(w) || !k.term.FirstLife && hasModel(w) {
 			return false
 		}
 	}
 	return true
 }
 
-// served reports whether a worker shows that its group was opened.
-func served(w *fleet.Worker) bool {
+// hasServed reports whether a worker's group has been opened, according to the worker's state.
+func hasServed(w *fleet.Worker) bool {
 	return w.Member.State == fleet.Open || w.Member.State == fleet.Closing || w.Member.State == fleet.Broken
 }
 
-// holdsModel reports whether a leader has given a worker something to do.
-func holdsModel(w *fleet.Worker) bool {
+// hasModel reports whether a worker has a group, or a loaded or staged model.
+func hasModel(w *fleet.Worker) bool {
 	return w.Member.Group != "" || w.Loaded != "" || len(w.Staged) > 0
 }
 
-// refresh notes who is listed and forgets the silence of those who left.
-func (k *Keeper) refresh(view *fleet.View) {
+// refreshWorkers records the listed workers, and removes unlisted ones from the unresponsive set.
+func (k *Keeper) refreshWorkers(view *fleet.View) {
 	for id, w := range view.Workers() {
-		k.former[id] = w
-		k.noteListed(w)
+		k.knownWorkers[id] = w
+		k.recordListedIncarnation(w)
 	}
-	for id := range k.silent {
+	for id := range k.unresponsive {
 		if _, listed := view.Worker(id); !listed {
-			delete(k.silent, id)
+			delete(k.unresponsive, id)
 		}
 	}
 }
 
-// fence returns the fence of the next order.
-func (k *Keeper) fence() Fence {
+// nextFence returns the fence of the next order.
+func (k *Keeper) nextFence() Fence {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.next()
+	return k.nextFenceLocked()
 }
 
-// next returns the fence of the next order while the mutex is held. A term that
-// has no more of them ends, since a fence must never be lower than an earlier
-// one; the orders on their way repeat the last.
-func (k *Keeper) next() Fence {
-	if k.sequence == maxSequence {
-		go k.outdone()
+// nextFenceLocked is nextFence for callers that hold k.mu. Once the term has used up its fences, it
+// ends the term and returns the last fence again, since a fence must never be lower than an earlier
+// one.
+func (k *Keeper) nextFenceLocked() Fence {
+	if k.lastSequence == maxSequence {
+		go k.onSuperseded()
 	} else {
-		k.sequence++
+		k.lastSequence++
 	}
-	return NewFence(k.term.Epoch, k.term.Rank, k.sequence)
+	return NewFence(k.term.Epoch, k.term.Rank, k.lastSequence)
 }
 
-// member returns what is known of a worker's group: by its own word if that is
-// newer than the list.
-func (k *Keeper) member(w *fleet.Worker) fleet.Membership {
-	o, ok := k.known[w.ID]
-	if k.isOver(w) {
+// membershipOf returns a worker's group membership according to the list or, if that is newer, the
+// worker's own report.
+func (k *Keeper) membershipOf(w *fleet.Worker) fleet.Membership {
+	o, ok := k.observations[w.ID]
+	if k.isPastIncarnation(w) {
 		return o.state.Member
 	}
 	if !ok || o.state.Member.Epoch < w.Member.Epoch {
 		return w.Member
 	}
-	if a, absent := k.absent[w.ID]; absent && o.at.After(a.since) {
+	if a, absent := k.absent[w.ID]; absent && o.at.After(a.unlistedSince) {
 		return o.state.Member
 	}
 	if o.state.Member.Same(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
 		return w.Member
 	}
-	if o.state.Member.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(settleFor)) {
+	if o.state.Member.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(listSettleTime)) {
 		return w.Member
 	}
 	return o.state.Member
 }
 
-// learn notes what a worker told.
-func (k *Keeper) learn(id string, s State) {
+// recordState records a state that a worker reported, unless a newer one is known.
+func (k *Keeper) recordState(id string, s State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.noteReported(id, s.Born) {
+	if !k.recordReportedIncarnation(id, s.Born) {
 		return
 	}
-	delete(k.silent, id)
+	delete(k.unresponsive, id)
 	now := time.Now()
-	k.reported(id, s, now)
-	held, ok := k.known[id]
-	outdated := held.state.Member.Epoch > s.Member.Epoch || held.at.After(now) && held.state.Member.Same(s.Member)
+	k.recordReport(id, s, now)
+	previous, ok := k.observations[id]
+	outdated := previous.state.Member.Epoch > s.Member.Epoch || previous.at.After(now) && previous.state.Member.Same(s.Member)
 	if ok && outdated {
 		return
 	}
-	k.known[id] = observation{state: s, at: now}
+	k.observations[id] = observation{state: s, at: now}
 }
--- /dev/null
+++ b/formation/orderstate.go
@@ -0,0 +1,147 @@
+package formation
+
+import (
+	"context"
+	"time"
+
+	"quartzshelf.dev/common/pause"
+	"quartzshelf.dev/fleet"
+)
+
+const (
+	// maxJoinAttempts is the maximum number of attempts to let a worker join a group. More than one
+	// is needed only if the worker has begun an order that the leader does not know of.
+	maxJoinAttempts = 4
+	// joinRetryPause is the pause after an attempt that the worker answered with Unfit. Its reports
+	// lag by up to 200 ms (report_lag_ms in the settings). The pauses of all attempts together are
+	// longer than that.
+	joinRetryPause = 100 * time.Millisecond
+	// reportSettleTime is the time after an answered order in which the worker's reports may still
+	// show the state before it. It is twice the lag.
+	reportSettleTime = 400 * time.Millisecond
+)
+
+// orderState holds the number of orders that a worker has begun, and its group. It is based on the
+// worker's last report and its answers since then.
+//
+// A worker carries out a join only if it has begun exactly as many orders as the join specifies,
+// whether or not it checks fences. Therefore, at most one of several attempts of a join is carried
+// out, and none after the worker has begun another order.
+type orderState struct {
+	orderCount int64
+	member     fleet.Membership
+	// trustReportsFrom is the time from which reports include the last answered order.
+	trustReportsFrom time.Time
+}
+
+// joinMember orders a worker to join a group, and reports whether it accepted. A worker that is
+// still in a dissolved group must leave that group first. A worker in any other group does not
+// join, since that group may serve.
+func (k *Keeper) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
+	wanted := fleet.Membership{Group: g.Name, Epoch: g.Epoch}
+	for range maxJoinAttempts {
+		current, ok := k.orderStateOf(ctx, w)
+		switch {
+		case !ok:
+			return false
+		case current.member.Same(wanted):
+			// An unanswered attempt was carried out.
+			return true
+		case current.member.Group != "":
+			if !k.leaveDissolved(ctx, w, current.member) {
+				return false
+			}
+			continue
+		}
+		verdict, ok := k.sendOrder(ctx, "join", w, func(ctx context.Context, fence Fence) (Verdict, error) {
+			return k.opts.Orders.Join(ctx, w, fence, current.orderCount, g)
+		})
+		switch {
+		case ok && verdict == Begun:
+			k.setOrderState(w.ID, current.orderCount+1, wanted)
+			return true
+		case !ok || verdict != Unfit:
+			return ok && verdict.Accepted()
+		}
+		k.forgetOrderState(w.ID)
+		pause.For(ctx, joinRetryPause)
+	}
+	return false
+}
+
+// leaveDissolved orders a worker to leave its group if that group was dissolved, and reports
+// whether it left. It returns false for any other group, since another leader put the worker into
+// it.
+func (k *Keeper) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
+	k.mu.Lock()
+	dissolved := k.retirements[fleet.GroupKey(m)] != 0
+	k.mu.Unlock()
+	if !dissolved {
+		k.opts.Logger.Info("worker belongs to another group", "worker", w.ID, "replica", fleet.GroupKey(m))
+		return false
+	}
+	verdict, ok := k.leaveDirectly(ctx, Group{Name: m.Group, Epoch: m.Epoch}, w)
+	return ok && verdict.Accepted()
+}
+
+// orderStateOf returns a worker's order state. If the state is not known, it queries the worker.
+func (k *Keeper) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
+	k.mu.Lock()
+	known, ok := k.orderStates[w.ID]
+	k.mu.Unlock()
+	if ok {
+		return known, true
+	}
+	state, ok := k.queryState(ctx, w)
+	return orderState{orderCount: state.Orders, member: state.Member}, ok
+}
+
+// recordReport records the order state that a worker reported. It ignores the report if an order
+// was answered so recently that the report may not include it. The caller must hold k.mu.
+func (k *Keeper) recordReport(id string, s State, now time.Time) {
+	if current, ok := k.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
+		return
+	}
+	k.orderStates[id] = orderState{orderCount: s.Orders, member: s.Member}
+}
+
+// setOrderState sets a worker's order state after an answered order.
+func (k *Keeper) setOrderState(id string, orderCount int64, membership fleet.Membership) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.setOrderStateLocked(id, orderCount, membership)
+}
+
+// setOrderStateLocked is setOrderState for callers that hold k.mu.
+func (k *Keeper) setOrderStateLocked(id string, orderCount int64, m fleet.Membership) {
+	k.orderStates[id] = orderState{orderCount: orderCount, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
+}
+
+// recordBegun increments a worker's order count if it began an order that does not change its
+// group. Workers count only orders that they begin.
+func (k *Keeper) recordBegun(id string, verdict Verdict) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if current, ok := k.orderStates[id]; ok && verdict == Begun {
+		k.setOrderStateLocked(id, current.orderCount+1, current.member)
+	}
+}
+
+// recordLeft records that a worker accepted an order to leave a group. It has no effect if the
+// worker was not in that group.
+func (k *Keeper) recordLeft(id string, g Group, verdict Verdict) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	current, ok := k.orderStates[id]
+	if ok && verdict.Accepted() && current.member.Same(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
+		k.setOrderStateLocked(id, current.orderCount+1, fleet.Membership{})
+	}
+}
+
+// forgetOrderState discards a worker's order state. It is called when the worker may have begun an
+// order that the leader does not know of, or may still begin one.
+func (k *Keeper) forgetOrderState(id string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	delete(k.orderStates, id)
+}
--- a/formation/partition.go
+++ b/formation/partition.go
@@ -8,88 +8,89 @@
 )
 
 const (
-	// sameValue is below which two divisions earn the same, so that the one with the
-	// fewer and quicker moves is taken; sums of floats differ by less.
-	sameValue = 1e-9
-	// passes is how often each domain is divided anew by what the others do now, where
-	// there are others: the second pass sees what the first changed elsewhere. Each costs
-	// as much as the search of all domains.
-	passes = 2
+	// valueEpsilon is the difference in value up to which two divisions are considered equal. It is
+	// larger than rounding errors.
+	valueEpsilon = 1e-9
+	// maxPasses is the maximum number of times that each domain is divided anew. The second pass
+	// takes into account how the first one changed the other domains.
+	maxPasses = 2
 )
 
-// division is what becomes of a domain's free workers, by model.
+// division is a plan for a domain's free workers, with counts by model.
 type division struct {
-	// warm and loading count the new groups that need no load and those that do.
-	warm, loading []int
-	// loads is how many workers load, cost what all moves cost, placed how many workers
-	// the groups have.
-	loads, cost, placed int
-	formations          []Formation
+	// warmCounts holds the number of new groups of each model that need no load. loadingCounts
+	// holds the number of those that need loads.
+	warmCounts, loadingCounts []int
+	// loadCount is the number of workers that load. cost is the total cost of the assigned workers.
+	// placedWorkers is the number of workers in groups.
+	loadCount, cost, placedWorkers int
+	formations                     []Formation
 }
 
-// partition divides the free workers of domains into groups so that the whole fleet
-// earns the most. It searches each domain exactly, by the numbers of groups, while the
-// others stay; domains are taken in turn until none gains.
+// partition divides the free workers of all domains into groups so that the value for the whole
+// fleet is as high as possible. It searches for the best division of one domain while the others
+// stay unchanged. It goes through the domains until none of them improves, at most maxPasses times.
 type partition struct {
-	value  *valuation
-	models []fleet.Model
-	// replicas holds by model what serves on the mean over the horizon, groups how many
-	// there are, and added where the new ones are, all of them with what is planned.
-	replicas []float64
-	groups   []int
-	added    []map[string]int
-	loads    int
-	maxLoads int
-	// beyond tells which domains may form more than is wanted, fixed which ones form what
-	// is planned.
-	beyond, fixed func(domain string) bool
+	planValuation *valuation
+	models        []fleet.Model
+	// The following counts are by model and include the planned groups. meanReplicas is the mean
+	// number of serving replicas over the planning horizon, groupCounts the number of groups, and
+	// addedByHall the number of new groups by data hall.
+	meanReplicas []float64
+	groupCounts  []int
+	addedByHall  []map[string]int
+	plannedLoads int
+	maxLoads     int
+	// allowsSurplus reports whether a domain may form more groups than wanted. isFixed reports
+	// whether its plan must not change.
+	allowsSurplus, isFixed func(domain string) bool
 }
 
 func newPartition(needs []Need, in Input) *partition {
 	p := &partition{
-		value:    &valuation{needs: needs, halls: in.Halls, serving: in.Serving},
-		maxLoads: in.MaxLoads,
+		planValuation: &valuation{needs: needs, hallLoss: in.HallLoss, replicasByHall: in.ReplicasByHall},
+		maxLoads:      in.MaxLoads,
 	}
 	for _, n := range needs {
 		p.models = append(p.models, n.Model)
-		p.replicas = append(p.replicas, float64(n.Have))
-		p.groups = append(p.groups, n.Have)
-		p.added = append(p.added, make(map[string]int))
+		p.meanReplicas = append(p.meanReplicas, float64(n.Have))
+		p.groupCounts = append(p.groupCounts, n.Have)
+		p.addedByHall = append(p.addedByHall, make(map[string]int))
 	}
 	return p
 }
 
-// earned returns what all replicas earn together.
-func (p *partition) earned() float64 {
+// totalValue returns the value of the plan, summed over all models.
+func (p *partition) totalValue() float64 {
 	total := 0.0
-	for i, n := range p.value.needs {
-		total += p.value.model(n, p.replicas[i], p.value.worst(n.Model.Name, p.added[i]))
+	for i, n := range p.planValuation.needs {
+		total += p.planValuation.valueOf(n, p.meanReplicas[i], p.planValuation.worstHallLoss(n.Model.Name, p.addedByHall[i]))
 	}
 	return total
 }
 
-// count adds a division to what is planned, or takes it away.
-func (p *partition) count(d division, hall string, sign int) {
+// addDivision adds a division to the plan, or removes it if sign is -1.
+func (p *partition) addDivision(d division, hall string, sign int) {
 	for i, m := range p.models {
-		p.replicas[i] += float64(sign) * (float64(d.warm[i])*part(m, false) + float64(d.loading[i])*part(m, true))
-		p.groups[i] += sign * (d.warm[i] + d.loading[i])
-		p.added[i][hall] += sign * (d.warm[i] + d.loading[i])
+		p.meanReplicas[i] += float64(sign) * (float64(d.warmCounts[i])*servingFraction(m, false) + float64(d.loadingCounts[i])*servingFraction(m, true))
+		p.groupCounts[i] += sign * (d.warmCounts[i] + d.loadingCounts[i])
+		p.addedByHall[i][hall] += sign * (d.warmCounts[i] + d.loadingCounts[i])
 	}
-	p.loads += sign * d.loads
+	p.plannedLoads += sign * d.loadCount
 }
 
-// divisionOf returns the division that groups make.
-func (p *partition) divisionOf(formations []Formation, workers map[string]Free) division {
-	d := division{warm: make([]int, len(p.models)), loading: make([]int, len(p.models)), formations: formations}
+// divisionOf returns the division that consists of the given groups.
+func (p *partition) divisionOf(formations []Formation, workers map[string]FreeWorker) division {
+	d := division{warmCounts: make([]int, len(p.models)), loadingCounts: make([]int, len(p.models)), formations: formations}
 	for _, f := range formations {
 		i := slices.IndexFunc(p.models, func(m fleet.Model) bool { return m.Name == f.Model.Name })
-		if f.Loads > 0 {
-			d.loading[i]++
+		if f.LoadCount > 0 {
+			d.loadingCounts[i]++
 		} else {
-			d.warm[i]++
+			d.warmCounts[i]++
 		}
-		d.loads += f.Loads
-		d.placed += len(f.Members)
+		d.loadCount += f.LoadCount
+		d.placedWorkers += len(f.Members)
 		for _, id := range f.Members {
 			d.cost += workers[id].cost(f.Model.Name)
 		}
@@ -97,10 +98,10 @@
 	return d
 }
 
-// improve returns groups that earn at least as much as the given ones, with no more
+// improve returns groups whose total value is at least that of the given ones. They need no more
 // loads than may begin.
-func (p *partition) improve(formations []Formation, free map[string][]Free) []Formation {
-	workers := make(map[string]Free)
+func (p *partition) improve(formations []Formation, free map[string][]FreeWorker) []Formation {
+	workers := make(map[string]FreeWorker)
 	planned := make(map[string][]Formation)
 	for _, list := range free {
 		for _, w := range list {
@@ -114,11 +115,11 @@
 	divisions := make(map[string]division)
 	for domain, list := range free {
 		divisions[domain] = p.divisionOf(planned[domain], workers)
-		p.count(divisions[domain], hallOf(list), 1)
+		p.addDivision(divisions[domain], hallOf(list), 1)
 	}
 	changed := false
-	for range min(passes, len(free)) {
-		if !p.pass(free, divisions) {
+	for range min(maxPasses, len(free)) {
+		if !p.improvePass(free, divisions) {
 			break
 		}
 		changed = true
@@ -133,14 +134,14 @@
 	return all
 }
 
-// pass divides each domain anew, and reports whether any gained.
-func (p *partition) pass(free map[string][]Free, divisions map[string]division) bool {
+// improvePass divides each domain anew, and reports whether any division improved.
+func (p *partition) improvePass(free map[string][]FreeWorker, divisions map[string]division) bool {
 	changed := false
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
-		if p.fixed(domain) {
+		if p.isFixed(domain) {
 			continue
 		}
-		if d, ok := p.better(domain, free[domain], divisions[domain]); ok {
+		if d, ok := p.betterDivision(domain, free[domain], divisions[domain]); ok {
 			divisions[domain] = d
 			changed = true
 		}
@@ -148,25 +149,26 @@
 	return changed
 }
 
-// hallOf returns the data hall of a domain: that of its first worker.
-func hallOf(workers []Free) string {
+// hallOf returns the data hall of a domain's workers, which is that of the first one.
+func hallOf(workers []FreeWorker) string {
 	if len(workers) == 0 {
 		return ""
 	}
 	return workers[0].Hall
 }
 
-// better divides a domain anew while the others stay, and reports whether that earns
-// more than the held division, or as much by fewer and quicker moves.
-func (p *partition) better(domain string, workers []Free, held division) (division, bool) {
+// betterDivision divides a domain anew while the others stay unchanged. It reports whether the
+// result has a higher value than the current division, or the same value and fewer idle workers, or
+// else a lower cost.
+func (p *partition) betterDivision(domain string, workers []FreeWorker, current division) (division, bool) {
 	hall := hallOf(workers)
-	p.count(held, hall, -1)
-	s := p.newSearch(domain, workers, held)
-	s.from(0, 0)
+	p.addDivision(current, hall, -1)
+	s := p.newSearch(domain, workers, current)
+	s.explore(0, 0)
 	found := s.found
 	if found {
-		held = s.division()
+		current = s.bestDivision()
 	}
-	p.count(held, hall, 1)
-	return held, found
+	p.addDivision(current, hall, 1)
+	return current, found
 }
--- a/formation/search.go
+++ b/formation/search.go
@@ -6,197 +6,203 @@
 	"slices"
 )
 
-// search looks through the numbers of groups of each model that a domain's free workers
-// can form.
+// search looks for the best division of a domain's free workers. It tries the possible numbers of
+// groups of each model.
 type search struct {
 	*partition
-	// order holds the models by size, the largest first; limits how many groups of
-	// each may be formed.
-	order, limits []int
-	maxLoads      int
-	// supplies holds by depth of the search who is given to whom, counts the groups.
-	supplies []*supply
-	counts   []int
-	// gains holds by model, groups without and with loads, what the model earns.
-	gains [][][]float64
-	// most holds by model and groups what the model earns at most with them.
-	most [][]float64
-	// bounds holds by depth and workers what the models from there on earn at most.
-	bounds [][]float64
-	// value, cost and placed are those of the best division so far, best its supply.
-	value        float64
-	cost, placed int
-	found        bool
-	best         *supply
+	// modelOrder holds the model indexes by decreasing size. maxCounts holds the maximum number of
+	// groups of each model.
+	modelOrder, maxCounts []int
+	maxLoads              int
+	// assignments holds the assignment at each depth of the search. chosenCounts holds the number
+	// of groups chosen for each model.
+	assignments  []*assignment
+	chosenCounts []int
+	// modelValues holds the value of a model, by model, number of groups without loads and number
+	// of groups with loads.
+	modelValues [][][]float64
+	// maxValues holds the highest possible value of a model, by model and number of groups.
+	maxValues [][]float64
+	// upperBounds holds upper bounds for the total value of the models from a depth on, by depth
+	// and number of available workers.
+	upperBounds [][]float64
+	// bestValue, bestCost, bestPlacedWorkers and bestAssignment describe the best division so far.
+	// found reports whether it is better than the current one.
+	bestValue                   float64
+	bestCost, bestPlacedWorkers int
+	found                       bool
+	bestAssignment              *assignment
 }
 
-func (p *partition) newSearch(domain string, workers []Free, held division) *search {
+func (p *partition) newSearch(domain string, workers []FreeWorker, current division) *search {
 	s := &search{
-		partition: p, maxLoads: max(p.maxLoads-p.loads, held.loads),
-		limits: make([]int, len(p.models)), counts: make([]int, len(p.models)), gains: make([][][]float64, len(p.models)),
+		partition: p, maxLoads: max(p.maxLoads-p.plannedLoads, current.loadCount),
+		maxCounts: make([]int, len(p.models)), chosenCounts: make([]int, len(p.models)), modelValues: make([][][]float64, len(p.models)),
 	}
-	exceed := p.beyond(domain)
-	if exceed {
-		// What is formed beyond what is wanted loads nothing.
-		s.maxLoads = held.loads
+	allowsSurplus := p.allowsSurplus(domain)
+	if allowsSurplus {
+		// Surplus groups must not need loads.
+		s.maxLoads = current.loadCount
 	}
-	first := newSupply(p.models, workers)
+	initial := newAssignment(p.models, workers)
 	for range len(p.models) + 1 {
-		s.supplies = append(s.supplies, first.clone())
+		s.assignments = append(s.assignments, initial.clone())
 	}
-	s.best = first.clone()
-	for i, n := range p.value.needs {
+	s.bestAssignment = initial.clone()
+	for i, n := range p.planValuation.needs {
 		if n.Model.Size <= 0 {
 			continue
 		}
-		s.order = append(s.order, i)
-		s.limits[i] = len(workers) / n.Model.Size
-		if !exceed {
-			wanted := max(int(math.Ceil(n.Want))-p.groups[i], held.warm[i]+held.loading[i])
-			s.limits[i] = min(s.limits[i], max(wanted, 0))
+		s.modelOrder = append(s.modelOrder, i)
+		s.maxCounts[i] = len(workers) / n.Model.Size
+		if !allowsSurplus {
+			wanted := max(int(math.Ceil(n.Want))-p.groupCounts[i], current.warmCounts[i]+current.loadingCounts[i])
+			s.maxCounts[i] = min(s.maxCounts[i], max(wanted, 0))
 		}
-		s.gains[i] = p.gains(i, s.limits[i], max(s.maxLoads, 0), hallOf(workers))
+		s.modelValues[i] = p.modelValues(i, s.maxCounts[i], max(s.maxLoads, 0), hallOf(workers))
 	}
-	slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(p.models[b].Size, p.models[a].Size) })
-	s.bound(first)
-	s.value, s.cost, s.placed = s.worth(held.warm, held.loading), held.cost, held.placed
+	slices.SortStableFunc(s.modelOrder, func(a, b int) int { return cmp.Compare(p.models[b].Size, p.models[a].Size) })
+	s.computeBounds(initial)
+	s.bestValue, s.bestCost, s.bestPlacedWorkers = s.divisionValue(current.warmCounts, current.loadingCounts), current.cost, current.placedWorkers
 	return s
 }
 
-// gains returns what a model earns with more groups in a hall, by how many of them need
-// no load and how many do, of which there are no more than loads.
-func (p *partition) gains(i, limit, loads int, hall string) [][]float64 {
-	n, m := p.value.needs[i], p.models[i]
-	table := make([][]float64, limit+1)
+// modelValues returns the value of a model with new groups in a hall. The value is indexed by the
+// number of groups that need no load and the number that do. Together they are at most maxGroups,
+// and the latter are at most maxLoads.
+func (p *partition) modelValues(i, maxGroups, maxLoads int, hall string) [][]float64 {
+	n, m := p.planValuation.needs[i], p.models[i]
+	table := make([][]float64, maxGroups+1)
 	for warm := range table {
-		table[warm] = make([]float64, min(limit-warm, loads)+1)
+		table[warm] = make([]float64, min(maxGroups-warm, maxLoads)+1)
 		for loading := range table[warm] {
-			p.added[i][hall] += warm + loading
-			replicas := p.replicas[i] + float64(warm)*part(m, false) + float64(loading)*part(m, true)
-			table[warm][loading] = p.value.model(n, replicas, p.value.worst(m.Name, p.added[i]))
-			p.added[i][hall] -= warm + loading
+			p.addedByHall[i][hall] += warm + loading
+			replicas := p.meanReplicas[i] + float64(warm)*servingFraction(m, false) + float64(loading)*servingFraction(m, true)
+			table[warm][loading] = p.planValuation.valueOf(n, replicas, p.planValuation.worstHallLoss(m.Name, p.addedByHall[i]))
+			p.addedByHall[i][hall] -= warm + loading
 		}
 	}
 	return table
 }
 
-// worth returns what a division earns.
-func (s *search) worth(warm, loading []int) float64 {
+// divisionValue returns the value of a division, given the numbers of new groups without and with
+// loads by model.
+func (s *search) divisionValue(warm, loading []int) float64 {
 	total := 0.0
-	for _, i := range s.order {
-		total += s.gains[i][warm[i]][loading[i]]
+	for _, i := range s.modelOrder {
+		total += s.modelValues[i][warm[i]][loading[i]]
 	}
 	return total
 }
 
-// bound works out what the models of the search from each depth on earn at most with a
-// number of workers, as if each model could take the workers that suit it best. It is
-// the recurrence of the knapsack problem.
-func (s *search) bound(all *supply) {
-	workers := all.total()
-	s.most = make([][]float64, len(s.models))
-	s.bounds = make([][]float64, len(s.order)+1)
-	s.bounds[len(s.order)] = make([]float64, workers+1)
-	for depth := len(s.order) - 1; depth >= 0; depth-- {
-		i := s.order[depth]
-		best := s.bestGains(i, all.quick(i))
-		s.most[i] = best
-		s.bounds[depth] = make([]float64, workers+1)
-		for left := range s.bounds[depth] {
-			most := math.Inf(-1)
-			for count := 0; count < len(best) && count*s.models[i].Size <= left; count++ {
-				most = max(most, best[count]+s.bounds[depth+1][left-count*s.models[i].Size])
+// computeBounds computes upper bounds for the total value of the models from each depth on, by
+// number of available workers. It assumes that each model gets the workers that suit it best, and
+// uses the knapsack recurrence.
+func (s *search) computeBounds(all *assignment) {
+	workers := all.countUnassigned()
+	s.maxValues = make([][]float64, len(s.models))
+	s.upperBounds = make([][]float64, len(s.modelOrder)+1)
+	s.upperBounds[len(s.modelOrder)] = make([]float64, workers+1)
+	for depth := len(s.modelOrder) - 1; depth >= 0; depth-- {
+		i := s.modelOrder[depth]
+		values := s.maxModelValues(i, all.countWarm(i))
+		s.maxValues[i] = values
+		s.upperBounds[depth] = make([]float64, workers+1)
+		for remaining := range s.upperBounds[depth] {
+			highest := math.Inf(-1)
+			for count := 0; count < len(values) && count*s.models[i].Size <= remaining; count++ {
+				highest = max(highest, values[count]+s.upperBounds[depth+1][remaining-count*s.models[i].Size])
 			}
-			s.bounds[depth][left] = most
+			s.upperBounds[depth][remaining] = highest
 		}
 	}
 }
 
-// bestGains returns what a model earns by its new groups when so many workers need no
-// load for it.
-func (s *search) bestGains(i, quick int) []float64 {
+// maxModelValues returns the highest possible value of a model by its number of new groups. The
+// given number of workers need no load for it.
+func (s *search) maxModelValues(i, warm int) []float64 {
 	size := s.models[i].Size
 	var all []float64
-	for count := range s.gains[i] {
-		loads := max(count*size-quick, 0)
+	for count := range s.modelValues[i] {
+		loads := max(count*size-warm, 0)
 		if loads > s.maxLoads && loads > 0 {
 			break
 		}
 		loading := (loads + size - 1) / size
-		all = append(all, s.gains[i][count-loading][loading])
+		all = append(all, s.modelValues[i][count-loading][loading])
 	}
 	return all
 }
 
-// from tries the numbers of groups of the models from the given depth on that may earn
-// as much as the best so far, where the models before earn what is told.
-func (s *search) from(depth int, earned float64) {
-	now := s.supplies[depth]
-	if depth == len(s.order) {
-		s.compare(now)
+// explore tries the numbers of groups of the models from the given depth on, except for those that
+// cannot reach the best value so far. valueSoFar is the total value of the models at lower depths.
+func (s *search) explore(depth int, valueSoFar float64) {
+	current := s.assignments[depth]
+	if depth == len(s.modelOrder) {
+		s.considerAssignment(current)
 		return
 	}
-	i := s.order[depth]
-	next, left := s.supplies[depth+1], now.total()
-	for count := min(len(s.most[i])-1, left/s.models[i].Size); count >= 0; count-- {
-		best := earned + s.most[i][count]
-		if best+s.bounds[depth+1][left-count*s.models[i].Size] < s.value-sameValue {
+	i := s.modelOrder[depth]
+	next, remaining := s.assignments[depth+1], current.countUnassigned()
+	for count := min(len(s.maxValues[i])-1, remaining/s.models[i].Size); count >= 0; count-- {
+		value := valueSoFar + s.maxValues[i][count]
+		if value+s.upperBounds[depth+1][remaining-count*s.models[i].Size] < s.bestValue-valueEpsilon {
 			continue
 		}
-		next.copyFrom(now)
-		if !next.give(i, count*s.models[i].Size) || s.loading(next) > max(s.maxLoads, 0) {
+		next.copyFrom(current)
+		if !next.assign(i, count*s.models[i].Size) || s.countLoads(next) > max(s.maxLoads, 0) {
 			continue
 		}
-		s.counts[i] = count
-		s.from(depth+1, best)
+		s.chosenCounts[i] = count
+		s.explore(depth+1, value)
 	}
-	s.counts[i] = 0
+	s.chosenCounts[i] = 0
 }
 
-// loading returns how many workers a supply lets load.
-func (s *search) loading(supply *supply) int {
+// countLoads returns how many workers have to load in an assignment.
+func (s *search) countLoads(candidate *assignment) int {
 	total := 0
 	for i := range s.models {
-		total += supply.loads(i)
+		total += candidate.countLoads(i)
 	}
 	return total
 }
 
-// compare keeps a division if it is the best so far. Of those that earn the same, one
-// that leaves fewer workers idle is better, then one with fewer and quicker moves.
-func (s *search) compare(supply *supply) {
-	total, placed := 0.0, 0
-	for _, i := range s.order {
-		loading := s.groupsThatLoad(supply, i)
-		total += s.gains[i][s.counts[i]-loading][loading]
-		placed += s.counts[i] * s.models[i].Size
+// considerAssignment keeps an assignment if it is the best so far. For equal values it prefers the
+// one that leaves fewer workers idle, then the one with the lower cost.
+func (s *search) considerAssignment(candidate *assignment) {
+	value, placedWorkers := 0.0, 0
+	for _, i := range s.modelOrder {
+		loading := s.countLoadingGroups(candidate, i)
+		value += s.modelValues[i][s.chosenCounts[i]-loading][loading]
+		placedWorkers += s.chosenCounts[i] * s.models[i].Size
 	}
-	if total < s.value-sameValue {
+	if value < s.bestValue-valueEpsilon {
 		return
 	}
-	cost := supply.cost()
-	same := total <= s.value+sameValue
-	if same && cmp.Or(cmp.Compare(placed, s.placed), cmp.Compare(s.cost, cost)) <= 0 {
+	cost := candidate.totalCost()
+	isSameValue := value <= s.bestValue+valueEpsilon
+	if isSameValue && cmp.Or(cmp.Compare(placedWorkers, s.bestPlacedWorkers), cmp.Compare(s.bestCost, cost)) <= 0 {
 		return
 	}
-	s.value, s.cost, s.placed, s.found = total, cost, placed, true
-	s.best.copyFrom(supply)
+	s.bestValue, s.bestCost, s.bestPlacedWorkers, s.found = value, cost, placedWorkers, true
+	s.bestAssignment.copyFrom(candidate)
 }
 
-// groupsThatLoad returns how many groups of a model have members that load: as few as
-// can be, since these are put together.
-func (s *search) groupsThatLoad(supply *supply, i int) int {
+// countLoadingGroups returns how many groups of a model have members that have to load. The number
+// is the minimum, since such members are put together.
+func (s *search) countLoadingGroups(candidate *assignment, i int) int {
 	size := s.models[i].Size
-	return (supply.loads(i) + size - 1) / size
+	return (candidate.countLoads(i) + size - 1) / size
 }
 
-// division returns the best division found.
-func (s *search) division() division {
-	workers := make(map[string]Free)
-	for _, members := range s.best.members {
+// bestDivision returns the best division found.
+func (s *search) bestDivision() division {
+	workers := make(map[string]FreeWorker)
+	for _, members := range s.bestAssignment.workersByClass {
 		for _, w := range members {
 			workers[w.ID] = w
 		}
 	}
-	return s.divisionOf(s.best.formations(), workers)
+	return s.divisionOf(s.bestAssignment.formations(), workers)
 }
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -5,70 +5,69 @@
 	"time"
 )
 
-// survivorsWait is how long idle workers of a domain wait for what they lack of a group
-// of a model that is short. Members of a group that ends are freed one after the other,
-// and a trade that completes them is found in the next look; what is left then joins
-// groups of another model within half a second.
-const survivorsWait = 300 * time.Millisecond
+// survivorReleaseDelay is the time for which idle workers of a domain wait for missing members of a
+// group of a model that is short. More members may become free during this time, or a trade may
+// provide them.
+const survivorReleaseDelay = 300 * time.Millisecond
 
 const (
-	// releaseShare is the part of what is wanted of a model above which survivors don't
-	// turn to it. With a quarter more than is wanted, fillTarget of the slots leaves 0.56
-	// of them busy.
-	releaseShare = 1.25
-	// releaseBeyond is how many groups more than are wanted there must be as well: of few
-	// groups one is much.
-	releaseBeyond = 2
+	// sufficientCoverage is the ratio of available to wanted replicas at which survivors form no
+	// more groups of a model. The model must also have sufficientSurplus.
+	sufficientCoverage = 1.25
+	// sufficientSurplus is the number of groups in addition to the wanted ones at which survivors
+	// form no more groups of a model. It is required as well as sufficientCoverage, since the ratio
+	// alone is not meaningful for few groups.
+	sufficientSurplus = 2
 )
 
-// released returns the domains whose idle workers are too few for a group of any model
-// that is short, and have been for a while: they may form groups beyond what is wanted
-// of another model. The way back is a trade, once the missing member is there and warm.
-// The keeper's mutex is held.
-func (k *Keeper) released(needs []Need, free []Free, now time.Time) map[string]bool {
-	released, waiting := make(map[string]bool), make(map[string]bool)
-	for domain, workers := range byDomain(free) {
-		if !lacksMembers(needs, len(workers)) || k.trading(domain) {
+// releasedDomains returns the domains whose idle workers have been too few for a group of any short
+// model for longer than survivorReleaseDelay. These workers may form surplus groups of another
+// model. The groups are traded back once the missing members are available and warm. The caller
+// must hold k.mu.
+func (k *Keeper) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
+	released, isWaiting := make(map[string]bool), make(map[string]bool)
+	for domain, workers := range groupByDomain(free) {
+		if !lacksMembers(needs, len(workers)) || k.isTrading(domain) {
 			continue
 		}
-		waiting[domain] = true
-		at, ok := k.releaseAt[domain]
+		isWaiting[domain] = true
+		releaseAt, ok := k.releaseAt[domain]
 		if !ok {
-			at = now.Add(survivorsWait)
-			k.releaseAt[domain] = at
+			releaseAt = now.Add(survivorReleaseDelay)
+			k.releaseAt[domain] = releaseAt
 		}
-		released[domain] = !now.Before(at)
+		released[domain] = !now.Before(releaseAt)
 	}
 	for domain := range k.releaseAt {
-		if !waiting[domain] {
+		if !isWaiting[domain] {
 			delete(k.releaseAt, domain)
 		}
 	}
 	return released
 }
 
-// trading reports whether groups of a domain are being given up for another model: those
-// that are dissolved first wait for the others.
-func (k *Keeper) trading(domain string) bool {
-	return slices.ContainsFunc(k.trades, func(x Exchange) bool { return x.Domain == domain })
+// isTrading reports whether groups of a domain are being traded for another model. Members that are
+// already free then wait for the others.
+func (k *Keeper) isTrading(domain string) bool {
+	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
-// lacksMembers reports whether some model is short, and workers are too few for a group
-// of any that is, but enough for one of another model.
+// lacksMembers reports whether the workers are too few for a group of any short model, but enough
+// for a group of another model. It is false if no model is short.
 func lacksMembers(needs []Need, workers int) bool {
-	short, other := false, false
+	isAnyShort, canFormOther := false, false
 	for _, n := range needs {
 		fits := n.Model.Size > 0 && n.Model.Size <= workers
 		switch {
-		case n.share(0) >= releaseShare && float64(n.Have) >= n.Want+releaseBeyond:
-			// More of it earns nothing, and must be given up again.
-		case n.met():
-			other = other || fits
+		case n.coverageWith(0) >= sufficientCoverage && float64(n.Have) >= n.Want+sufficientSurplus:
+			// Another group of this model would add no value and would have to be traded back.
+		case n.isMet():
+			canFormOther = canFormOther || fits
 		case fits:
 			return false
 		default:
-			short = true
+			isAnyShort = true
 		}
 	}
-	return short && other
+	return isAnyShort && canFormOther
 }
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -8,361 +8,360 @@
 )
 
 const (
-	// tradeMargin is by how much a model that gives must be better off afterwards
-	// than the one that gets, lest replicas go back and forth.
+	// tradeMargin is the factor by which a donor's coverage must exceed the recipient's after a
+	// trade. It prevents replicas from switching back and forth between models.
 	tradeMargin = 1.1
-	// loadPenalty is what a second of a load costs, as a part of a model's requests, beside
-	// what its group doesn't serve meanwhile: the loads of others take longer. It is small
-	// against what one group of a dozen earns, so that it only chooses among exchanges.
+	// loadPenalty is the value that is deducted for each second of loading by each member, since a
+	// load slows down other loads. It is small compared with the value of a group, so that it only
+	// decides between similar trades.
 	loadPenalty = 1e-5
-	// coldTradeShare is the part of what is wanted at or below which a model gets groups
-	// whose members have yet to load it. At fillTarget of it all its slots are busy; at
-	// half of it requests are refused for longer than a load takes. Groups
-	// beyond what is wanted are given for such members at any share.
-	coldTradeShare = 0.5
-	// downPart is the part of a model's groups that trades may hold down at once. One
-	// exchange is always allowed; beside it the rest of the model carries a third more
-	// at most, which the slots that fillTarget leaves free take.
-	downPart = 0.25
+	// coldTradeMaxCoverage is the highest coverage at which a model may get groups whose members
+	// have to load it. If only surplus groups are dissolved, there is no such limit.
+	coldTradeMaxCoverage = 0.5
+	// maxDownFraction is the maximum fraction of a model's groups that trades may take out of
+	// service at once. A single trade is always allowed.
+	maxDownFraction = 0.25
 )
 
-// Standing is a group that serves.
-type Standing struct {
-	Key     string
-	Domain  string
-	Model   string
-	Members int
-	// Hall is the data hall of its head.
+// ServingGroup is a group that takes requests.
+type ServingGroup struct {
+	Key         string
+	Domain      string
+	Model       string
+	MemberCount int
+	// Hall is the head's data hall.
 	Hall string
-	// Cold counts, by model, the members that would have to load it.
-	Cold map[string]int
+	// ColdCounts holds the number of members that would have to load a model, by model.
+	ColdCounts map[string]int
 }
 
-// warm returns how many members need no load for a model.
-func (s Standing) warm(model string) int { return s.Members - s.Cold[model] }
+// countWarm returns how many members need no load for a model.
+func (s ServingGroup) countWarm(model string) int { return s.MemberCount - s.ColdCounts[model] }
 
-// Exchange is groups of one domain to give up so that a group of a model that is
-// short can be formed.
-type Exchange struct {
-	Model  string
-	Domain string
-	Keys   []string
-	// Given counts the groups by their models, Gets is how many are formed of Model.
-	Given map[string]int
-	Gets  int
+// Trade is a set of groups of one domain to dissolve, so that groups of the recipient, a model that
+// is short, can be formed.
+type Trade struct {
+	Recipient string
+	Domain    string
+	GroupKeys []string
+	// DissolvedCounts holds the number of dissolved groups by model. FormedCount is the number of
+	// groups that the recipient gets.
+	DissolvedCounts map[string]int
+	FormedCount     int
 }
 
-// apply counts in needs what the exchange gives and gets.
-func (x Exchange) apply(needs []Need) {
+// applyTo updates needs with the groups that the trade dissolves and forms.
+func (x Trade) applyTo(needs []Need) {
 	for i, n := range needs {
-		needs[i].Have -= x.Given[n.Model.Name]
-		if n.Model.Name == x.Model {
-			needs[i].Have += x.Gets
+		needs[i].Have -= x.DissolvedCounts[n.Model.Name]
+		if n.Model.Name == x.Recipient {
+			needs[i].Have += x.FormedCount
 		}
 	}
 }
 
-// surplus reports whether the models that give keep what is wanted of them.
-func (x Exchange) surplus(needs []Need) bool {
+// takesOnlySurplus reports whether the donors still have all wanted replicas after the trade.
+func (x Trade) takesOnlySurplus(needs []Need) bool {
 	for _, n := range needs {
-		if given := x.Given[n.Model.Name]; given > 0 && n.share(-given) < 1 {
+		if dissolved := x.DissolvedCounts[n.Model.Name]; dissolved > 0 && n.coverageWith(-dissolved) < 1 {
 			return false
 		}
 	}
 	return true
 }
 
-// hold counts the groups that the exchange holds down.
-func (x Exchange) hold(down map[string]int) {
-	for model, count := range x.Given {
+// addDownCounts adds the number of groups that the trade takes out of service, by model.
+func (x Trade) addDownCounts(down map[string]int) {
+	for model, count := range x.DissolvedCounts {
 		down[model] += count
 	}
 }
 
-// Trade returns the groups to dissolve so that a model that is short can be
-// formed: groups, within one domain, of models that stay better off than it. It
-// returns false when nothing is short or nothing can be done. Members that need no
-// load are taken, unless the model lacks half of what is wanted, or others have more
-// than that.
-func Trade(needs []Need, free []Free, standing []Standing) (Exchange, bool) {
-	return newTrader(needs, free, standing).best()
+// FindTrade returns the best trade for the model with the greatest shortage that a trade can help.
+// All dissolved groups are in one domain. The donors keep a better coverage than the recipient.
+// Members that have to load are used only if the recipient has at most half of its wanted replicas,
+// or if the donors have a surplus. It returns false if there is no such trade.
+func FindTrade(needs []Need, free []FreeWorker, servingGroups []ServingGroup) (Trade, bool) {
+	return newTradeFinder(needs, free, servingGroups).bestTrade()
 }
 
-// trader finds exchanges.
-type trader struct {
-	needs    []Need
-	value    *valuation
-	free     map[string][]Free
-	standing map[string][]Standing
-	// down counts, by model, the groups that earlier exchanges hold down.
-	down map[string]int
-	// maxLoads is how many loads may begin.
+// tradeFinder finds the best trade for given needs, idle workers and serving groups.
+type tradeFinder struct {
+	needs         []Need
+	planValuation *valuation
+	free          map[string][]FreeWorker
+	servingGroups map[string][]ServingGroup
+	// downCounts holds the number of groups that ongoing trades take out of service, by model.
+	downCounts map[string]int
+	// maxLoads is the maximum number of loads that may begin.
 	maxLoads int
 }
 
-func newTrader(needs []Need, free []Free, standing []Standing) *trader {
-	t := &trader{
-		needs: needs, value: &valuation{needs: needs}, free: byDomain(free),
-		standing: make(map[string][]Standing), maxLoads: math.MaxInt,
+func newTradeFinder(needs []Need, free []FreeWorker, servingGroups []ServingGroup) *tradeFinder {
+	t := &tradeFinder{
+		needs: needs, planValuation: &valuation{needs: needs}, free: groupByDomain(free),
+		servingGroups: make(map[string][]ServingGroup), maxLoads: math.MaxInt,
 	}
-	for _, s := range standing {
-		t.standing[s.Domain] = append(t.standing[s.Domain], s)
+	for _, s := range servingGroups {
+		t.servingGroups[s.Domain] = append(t.servingGroups[s.Domain], s)
 	}
 	return t
 }
 
-// best returns the exchange for the shortest model that can be helped.
-func (t *trader) best() (Exchange, bool) {
+// bestTrade returns the best trade for the model with the greatest shortage that a trade can help.
+func (t *tradeFinder) bestTrade() (Trade, bool) {
 	short := slices.Clone(t.needs)
-	slices.SortStableFunc(short, func(a, b Need) int { return cmp.Compare(b.short(), a.short()) })
+	slices.SortStableFunc(short, func(a, b Need) int { return cmp.Compare(b.shortage(), a.shortage()) })
 	for _, n := range short {
-		if n.met() || n.Model.Size <= 0 {
+		if n.isMet() || n.Model.Size <= 0 {
 			continue
 		}
-		if x, ok := t.bestFor(n); ok {
+		if x, ok := t.bestTradeFor(n); ok {
 			return x, true
 		}
 	}
-	return Exchange{}, false
+	return Trade{}, false
 }
 
-// bestFor returns the exchange for a model that earns the most over all domains; of
-// equal ones that with the fewest groups.
-func (t *trader) bestFor(n Need) (Exchange, bool) {
-	var best *gift
-	for _, domain := range slices.Sorted(maps.Keys(t.standing)) {
-		for _, cold := range []bool{false, true} {
-			g := t.newGift(n, domain, cold)
-			g.from(0)
-			if g.found && (best == nil || g.better(best)) {
+// bestTradeFor returns the most valuable trade for a model over all domains. Among equally valuable
+// ones it prefers the one with the fewest groups.
+func (t *tradeFinder) bestTradeFor(n Need) (Trade, bool) {
+	var best *tradeSearch
+	for _, domain := range slices.Sorted(maps.Keys(t.servingGroups)) {
+		for _, allowsLoads := range []bool{false, true} {
+			g := t.newTradeSearch(n, domain, allowsLoads)
+			g.explore(0)
+			if g.found && (best == nil || g.isBetter(best)) {
 				best = g
 			}
 		}
 	}
 	if best == nil {
-		return Exchange{}, false
+		return Trade{}, false
 	}
-	return best.exchange(), true
+	return best.foundTrade(), true
 }
 
-// instead returns an exchange of the domain of a planned group whose members load, if it
-// gives them warm members and earns more.
-func (t *trader) instead(f Formation) (Exchange, bool) {
+// tradeInsteadOf returns a trade that replaces a planned group whose members would have to load.
+// The trade must be in the same domain, provide warm members and have a higher value.
+func (t *tradeFinder) tradeInsteadOf(f Formation) (Trade, bool) {
 	i := slices.IndexFunc(t.needs, func(n Need) bool { return n.Model.Name == f.Model.Name })
-	if f.Loads == 0 || i < 0 {
-		return Exchange{}, false
+	if f.LoadCount == 0 || i < 0 {
+		return Trade{}, false
 	}
 	for domain, workers := range t.free {
-		if !slices.ContainsFunc(workers, func(w Free) bool { return w.ID == f.Members[0] }) {
+		if !slices.ContainsFunc(workers, func(w FreeWorker) bool { return w.ID == f.Members[0] }) {
 			continue
 		}
 		n := t.needs[i]
-		g := t.newGift(n, domain, false)
-		g.from(0)
-		waiting := t.value.model(n, float64(n.Have)+part(n.Model, true), 0) - t.value.model(n, float64(n.Have), 0)
-		return g.exchange(), g.found && g.gain > waiting
+		g := t.newTradeSearch(n, domain, false)
+		g.explore(0)
+		loadingValue := t.planValuation.valueOf(n, float64(n.Have)+servingFraction(n.Model, true), 0) - t.planValuation.valueOf(n, float64(n.Have), 0)
+		return g.foundTrade(), g.found && g.gain > loadingValue
 	}
-	return Exchange{}, false
+	return Trade{}, false
 }
 
-// completes reports whether an exchange gives one group to at least as many idle workers
-// as it has members: the survivors of a group that lost some.
-func (t *trader) completes(x Exchange) bool {
-	if len(x.Keys) != 1 {
+// completesSurvivors reports whether a trade dissolves a single group in a domain with at least as
+// many idle workers as that group has members. These idle workers are likely to be the survivors of
+// a broken group.
+func (t *tradeFinder) completesSurvivors(x Trade) bool {
+	if len(x.GroupKeys) != 1 {
 		return false
 	}
-	i := slices.IndexFunc(t.standing[x.Domain], func(s Standing) bool { return s.Key == x.Keys[0] })
-	return len(t.free[x.Domain]) >= t.standing[x.Domain][i].Members
+	i := slices.IndexFunc(t.servingGroups[x.Domain], func(s ServingGroup) bool { return s.Key == x.GroupKeys[0] })
+	return len(t.free[x.Domain]) >= t.servingGroups[x.Domain][i].MemberCount
 }
 
-// gift is the search for the groups of one domain that a model gets the members of:
-// over how many groups each other model gives.
-type gift struct {
-	*trader
-	to     Need
-	domain string
-	cold   bool
-	// idle is how many idle workers of the domain can be members.
-	idle int
-	// givers holds the models that can give, groups by giver what they can give, the
-	// best first; counts is how many of them are given.
-	givers []Need
-	groups [][]Standing
-	counts []int
-	// found, gain, keys, given and gets are those of the best exchange so far.
-	found bool
-	gain  float64
-	keys  []string
-	given map[string]int
-	gets  int
+// tradeSearch searches a domain for the groups to dissolve so that their members can serve the
+// recipient. It tries the possible numbers of groups of each donor model.
+type tradeSearch struct {
+	*tradeFinder
+	recipient   Need
+	domain      string
+	allowsLoads bool
+	// idleCount is the number of idle workers of the domain that can be members of a new group.
+	idleCount int
+	// donors holds the models that can give up groups. groups holds these groups by donor, the best
+	// first. chosenCounts holds how many of them are chosen, by donor.
+	donors       []Need
+	groups       [][]ServingGroup
+	chosenCounts []int
+	// found, gain, groupKeys, dissolvedCounts and formedCount describe the best trade so far.
+	found           bool
+	gain            float64
+	groupKeys       []string
+	dissolvedCounts map[string]int
+	formedCount     int
 }
 
-func (t *trader) newGift(n Need, domain string, cold bool) *gift {
-	g := &gift{trader: t, to: n, domain: domain, cold: cold}
+func (t *tradeFinder) newTradeSearch(n Need, domain string, allowsLoads bool) *tradeSearch {
+	g := &tradeSearch{tradeFinder: t, recipient: n, domain: domain, allowsLoads: allowsLoads}
 	for _, f := range t.free[domain] {
-		if !f.Doubted && (cold || f.warmth(n.Model.Name) <= Staged) {
-			g.idle++
+		if !f.IsUnreliable && (allowsLoads || f.warmth(n.Model.Name) <= Staged) {
+			g.idleCount++
 		}
 	}
-	for _, o := range t.needs {
-		groups := t.givenBy(o, n, domain)
+	for _, donor := range t.needs {
+		groups := t.donatableGroups(donor, n, domain)
 		if len(groups) > 0 {
-			g.givers = append(g.givers, o)
+			g.donors = append(g.donors, donor)
 			g.groups = append(g.groups, groups)
 		}
 	}
-	g.counts = make([]int, len(g.givers))
+	g.chosenCounts = make([]int, len(g.donors))
 	return g
 }
 
-// givenBy returns the groups of a domain that a model can give to another one and stay
-// better off, within the budget of what is held down. Those with the most warm members
-// come first.
-func (t *trader) givenBy(from, to Need, domain string) []Standing {
-	if from.Model.Name == to.Model.Name {
+// donatableGroups returns the groups of a domain that a donor can give up while keeping a better
+// coverage than the recipient. Their number is limited by maxDownFraction. Those with the most warm
+// members come first.
+func (t *tradeFinder) donatableGroups(donor, recipient Need, domain string) []ServingGroup {
+	if donor.Model.Name == recipient.Model.Name {
 		return nil
 	}
-	var all []Standing
-	for _, s := range t.standing[domain] {
-		if s.Model == from.Model.Name {
+	var all []ServingGroup
+	for _, s := range t.servingGroups[domain] {
+		if s.Model == donor.Model.Name {
 			all = append(all, s)
 		}
 	}
-	slices.SortFunc(all, func(a, b Standing) int {
-		return cmp.Or(cmp.Compare(b.warm(to.Model.Name), a.warm(to.Model.Name)), cmp.Compare(a.Key, b.Key))
+	slices.SortFunc(all, func(a, b ServingGroup) int {
+		return cmp.Or(cmp.Compare(b.countWarm(recipient.Model.Name), a.countWarm(recipient.Model.Name)), cmp.Compare(a.Key, b.Key))
 	})
-	enough := tradeMargin * to.share(1)
-	most := 0
-	for most < len(all) && from.share(-most-1) >= enough {
-		most++
+	minCoverage := tradeMargin * recipient.coverageWith(1)
+	maxGroups := 0
+	for maxGroups < len(all) && donor.coverageWith(-maxGroups-1) >= minCoverage {
+		maxGroups++
 	}
-	if down := t.down[from.Model.Name]; down > 0 {
-		most = min(most, max(int(downPart*float64(from.Have+down))-down, 0))
+	if down := t.downCounts[donor.Model.Name]; down > 0 {
+		maxGroups = min(maxGroups, max(int(maxDownFraction*float64(donor.Have+down))-down, 0))
 	}
-	return all[:most]
+	return all[:maxGroups]
 }
 
-// from tries how many groups each giver from the given one on gives.
-func (g *gift) from(giver int) {
-	if giver == len(g.givers) {
-		g.compare()
+// explore tries the numbers of groups that the donors from the given index on can give up.
+func (g *tradeSearch) explore(donor int) {
+	if donor == len(g.donors) {
+		g.considerChoice()
 		return
 	}
-	for count := range len(g.groups[giver]) + 1 {
-		g.counts[giver] = count
-		g.from(giver + 1)
-		if g.idle+g.freed() >= g.to.Model.Size {
-			// More would be given than it takes.
+	for count := range len(g.groups[donor]) + 1 {
+		g.chosenCounts[donor] = count
+		g.explore(donor + 1)
+		if g.idleCount+g.countFreed() >= g.recipient.Model.Size {
+			// With more groups chosen, more than needed would be dissolved.
 			break
 		}
 	}
-	g.counts[giver] = 0
+	g.chosenCounts[donor] = 0
 }
 
-// chosen returns the groups that are given.
-func (g *gift) chosen() []Standing {
-	var all []Standing
-	for i, count := range g.counts {
+// chosenGroups returns the chosen groups.
+func (g *tradeSearch) chosenGroups() []ServingGroup {
+	var all []ServingGroup
+	for i, count := range g.chosenCounts {
 		all = append(all, g.groups[i][:count]...)
 	}
 	return all
 }
 
-// freed returns how many members become free that can serve the model.
-func (g *gift) freed() int {
+// countFreed returns how many members of the chosen groups can serve the recipient.
+func (g *tradeSearch) countFreed() int {
 	total := 0
-	for i, count := range g.counts {
+	for i, count := range g.chosenCounts {
 		for _, s := range g.groups[i][:count] {
-			if g.cold {
-				total += s.Members
+			if g.allowsLoads {
+				total += s.MemberCount
 			} else {
-				total += s.warm(g.to.Model.Name)
+				total += s.countWarm(g.recipient.Model.Name)
 			}
 		}
 	}
 	return total
 }
 
-// compare keeps what is given now if it is the best so far.
-func (g *gift) compare() {
-	members, chosen := g.idle+g.freed(), g.chosen()
-	size := g.to.Model.Size
-	if members < size || len(chosen) == 0 || g.cold && g.loads(chosen) > g.maxLoads {
+// considerChoice keeps the chosen groups if they are the best trade so far.
+func (g *tradeSearch) considerChoice() {
+	members, chosen := g.idleCount+g.countFreed(), g.chosenGroups()
+	size := g.recipient.Model.Size
+	if members < size || len(chosen) == 0 || g.allowsLoads && g.countLoads(chosen) > g.maxLoads {
 		return
 	}
-	if g.cold && g.to.share(0) > coldTradeShare && !g.surplus() {
+	if g.allowsLoads && g.recipient.coverageWith(0) > coldTradeMaxCoverage && !g.takesOnlySurplus() {
 		return
 	}
-	gets := max(min(members/size, int(math.Ceil(g.to.Want))-g.to.Have), 1)
-	gain := g.gained(gets)
-	if g.cold {
-		gain -= loadPenalty * float64(g.loads(chosen)) * g.to.Model.Load.Seconds()
+	formed := max(min(members/size, int(math.Ceil(g.recipient.Want))-g.recipient.Have), 1)
+	gain := g.valueGained(formed)
+	if g.allowsLoads {
+		gain -= loadPenalty * float64(g.countLoads(chosen)) * g.recipient.Model.Load.Seconds()
 	}
 	keys := make([]string, len(chosen))
 	for i, s := range chosen {
 		keys[i] = s.Key
 	}
 	slices.Sort(keys)
-	next := &gift{gain: gain, keys: keys}
-	if gain <= 0 || g.found && !next.better(g) {
+	candidate := &tradeSearch{gain: gain, groupKeys: keys}
+	if gain <= 0 || g.found && !candidate.isBetter(g) {
 		return
 	}
-	g.found, g.gain, g.keys, g.gets, g.given = true, gain, keys, gets, make(map[string]int)
-	for i, o := range g.givers {
-		if g.counts[i] > 0 {
-			g.given[o.Model.Name] = g.counts[i]
+	g.found, g.gain, g.groupKeys, g.formedCount, g.dissolvedCounts = true, gain, keys, formed, make(map[string]int)
+	for i, o := range g.donors {
+		if g.chosenCounts[i] > 0 {
+			g.dissolvedCounts[o.Model.Name] = g.chosenCounts[i]
 		}
 	}
 }
 
-// surplus reports whether the givers keep what is wanted of them.
-func (g *gift) surplus() bool {
-	for i, o := range g.givers {
-		if g.counts[i] > 0 && o.share(-g.counts[i]) < 1 {
+// takesOnlySurplus reports whether the donors still have all wanted replicas without the chosen
+// groups.
+func (g *tradeSearch) takesOnlySurplus() bool {
+	for i, o := range g.donors {
+		if g.chosenCounts[i] > 0 && o.coverageWith(-g.chosenCounts[i]) < 1 {
 			return false
 		}
 	}
 	return true
 }
 
-// loads returns how many members of one new group have to load, at least.
-func (g *gift) loads(chosen []Standing) int {
+// countLoads returns the minimum number of members of one new group that have to load.
+func (g *tradeSearch) countLoads(chosen []ServingGroup) int {
 	warm := 0
 	for _, f := range g.free[g.domain] {
-		if f.warmth(g.to.Model.Name) <= Staged {
+		if f.warmth(g.recipient.Model.Name) <= Staged {
 			warm++
 		}
 	}
 	for _, s := range chosen {
-		warm += s.warm(g.to.Model.Name)
+		warm += s.countWarm(g.recipient.Model.Name)
 	}
-	return max(g.to.Model.Size-warm, 0)
+	return max(g.recipient.Model.Size-warm, 0)
 }
 
-// gained returns what the exchange earns: more of the model that gets once its groups
-// serve, less of those that give.
-func (g *gift) gained(gets int) float64 {
-	hall := g.standing[g.domain][0].Hall
+// valueGained returns the value of the trade, which is the recipient's gain once its groups serve,
+// less the donors' loss.
+func (g *tradeSearch) valueGained(formed int) float64 {
+	hall := g.servingGroups[g.domain][0].Hall
 	gain := func(n Need, groups int, part float64) float64 {
-		before, after := g.value.worst(n.Model.Name, nil), g.value.worst(n.Model.Name, map[string]int{hall: groups})
-		return g.value.model(n, float64(n.Have)+float64(groups)*part, after) - g.value.model(n, float64(n.Have), before)
+		before, after := g.planValuation.worstHallLoss(n.Model.Name, nil), g.planValuation.worstHallLoss(n.Model.Name, map[string]int{hall: groups})
+		return g.planValuation.valueOf(n, float64(n.Have)+float64(groups)*part, after) - g.planValuation.valueOf(n, float64(n.Have), before)
 	}
-	total := gain(g.to, gets, part(g.to.Model, g.cold))
-	for i, o := range g.givers {
-		total += gain(o, -g.counts[i], 1)
+	total := gain(g.recipient, formed, servingFraction(g.recipient.Model, g.allowsLoads))
+	for i, o := range g.donors {
+		total += gain(o, -g.chosenCounts[i], 1)
 	}
 	return total
 }
 
-// better reports whether an exchange is better than another one: it earns more, or takes
-// fewer groups.
-func (g *gift) better(o *gift) bool {
-	if math.Abs(g.gain-o.gain) > sameValue {
+// isBetter reports whether a trade gains more than another one, or gains the same with fewer
+// groups.
+func (g *tradeSearch) isBetter(o *tradeSearch) bool {
+	if math.Abs(g.gain-o.gain) > valueEpsilon {
 		return g.gain > o.gain
 	}
-	return cmp.Or(cmp.Compare(len(g.keys), len(o.keys)), slices.Compare(g.keys, o.keys)) < 0
+	return cmp.Or(cmp.Compare(len(g.groupKeys), len(o.groupKeys)), slices.Compare(g.groupKeys, o.groupKeys)) < 0
 }
 
-func (g *gift) exchange() Exchange {
-	return Exchange{Model: g.to.Model.Name, Domain: g.domain, Keys: g.keys, Given: g.given, Gets: g.gets}
+func (g *tradeSearch) foundTrade() Trade {
+	return Trade{Recipient: g.recipient.Model.Name, Domain: g.domain, GroupKeys: g.groupKeys, DissolvedCounts: g.dissolvedCounts, FormedCount: g.formedCount}
 }
--- /dev/null
+++ b/formation/unreliable.go
@@ -0,0 +1,63 @@
+package formation
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"quartzshelf.dev/fleet"
+)
+
+// unreliableDuration is the time for which a worker that prevented a group from forming is used
+// only if there are too few other workers.
+const unreliableDuration = 9 * time.Second
+
+// exclusionPeriod is the time for which a worker that prevented a group from forming is not used at
+// all. Otherwise, a worker that fails immediately would be put into a new group at every tick, and
+// its partners might start a load each time.
+const exclusionPeriod = time.Second
+
+// markUnreliable records the workers that prevented a group from forming. It records nothing if the
+// context was canceled, since the group then failed because the term ended.
+func (k *Keeper) markUnreliable(ctx context.Context, g Group, workers ...*fleet.Worker) {
+	if errors.Is(ctx.Err(), context.Canceled) {
+		return
+	}
+	preferOthersUntil := time.Now().Add(unreliableDuration)
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for _, w := range workers {
+		k.unreliableUntil[w.ID] = preferOthersUntil
+		k.opts.Logger.Warn("member did not become ready", "worker", w.ID, "domain", w.Domain, "replica", g.Key())
+	}
+}
+
+// clearUnreliable records that workers became ready and are no longer unreliable.
+func (k *Keeper) clearUnreliable(workers []*fleet.Worker) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for _, w := range workers {
+		delete(k.unreliableUntil, w.ID)
+	}
+}
+
+// isExcluded reports whether a worker is temporarily excluded from new groups. The caller must hold
+// k.mu.
+func (k *Keeper) isExcluded(id string) bool {
+	until, ok := k.unreliableUntil[id]
+	return ok && time.Now().Before(until.Add(exclusionPeriod-unreliableDuration))
+}
+
+// isUnreliable reports whether other workers are preferred over this one. The caller must hold
+// k.mu.
+func (k *Keeper) isUnreliable(id string) bool {
+	until, ok := k.unreliableUntil[id]
+	if !ok {
+		return false
+	}
+	if time.Now().After(until) {
+		delete(k.unreliableUntil, id)
+		return false
+	}
+	return true
+}
