--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -60,8 +60,8 @@
 	stepDuration = 400 * time.Millisecond
 )
 
-// simulateLeases runs the steps: in each, a daemon requests a lease or the home is replaced by a
-// new one. If the limit was exceeded, it returns a description of that.
+// simulateLeases runs the steps. In each one, a daemon requests a lease, or the home is replaced by
+// a new one. If the limit was exceeded, it returns a description of that.
 func simulateLeases(t *testing.T, steps []int) string {
 	problem := ""
 	synctest.Test(t, func(*testing.T) {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -24,9 +24,10 @@
 	fairShareFactor = 1.25
 	// refuseThreshold is the own occupancy from which on requests of priority zero are refused.
 	refuseThreshold = 1.0
-	// priorityStep is how much the threshold increases with each step of priority.
+	// priorityStep is how much refuseThreshold increases with each step of priority.
 	priorityStep = 0.1
-	// maxPrioritySteps is the largest priority that has an effect, and its negative the smallest.
+	// maxPrioritySteps is the largest priority that has an effect. The smallest is
+	// -maxPrioritySteps.
 	maxPrioritySteps = 2
 	// floodThreshold is the reported occupancy from which on all requests are refused.
 	floodThreshold = 3.0
@@ -71,8 +72,8 @@
 //
 // It limits this daemon's requests in flight to its share of the slots. The limit applies only if
 // the reported occupancy is high, so that a busy daemon may use capacity that others leave unused.
-// The reported occupancy itself is not limited, except for floodThreshold: as it is delayed, the
-// daemon would alternate between accepting everything and nothing.
+// The reported occupancy is not used as a limit below floodThreshold. Because reports are delayed,
+// such a limit would make the daemon alternate between accepting everything and nothing.
 func Decide(s Situation) *Refusal {
 	if s.Reported >= floodThreshold {
 		return &Refusal{reason: reason.Overloaded, retryAfter: retryAfter(s.Reported - 1)}
--- a/admission/home.go
+++ b/admission/home.go
@@ -14,9 +14,9 @@
 )
 
 // Home leases shares of accounts' limits to daemons. One daemon is the home of an account. The
-// leases in force never exceed the part of a limit that is leased out. A home that has just taken
-// over an account therefore grants shares of zero for one leaseTerm, until the leases of the
-// previous home have expired.
+// leases in force never add up to more than the leasable part of a limit (1 - floorShare). A home
+// that has just taken over an account does not know the previous home's leases. It therefore grants
+// shares of zero for one leaseTerm, until those leases have expired.
 type Home struct {
 	mu       sync.Mutex
 	accounts map[string]*homeAccount
--- a/allowance/allowance.go
+++ b/allowance/allowance.go
@@ -62,9 +62,9 @@
 	// coveredOpenings maps worker IDs to times at which the worker's hall was opened. It lists the
 	// workers whose entries account for the warm-up since then.
 	coveredOpenings map[string]time.Time
-	// hallOpened means that at least one worker warms up for longer than its entry says, because
-	// its hall was opened.
-	hallOpened bool
+	// hasExtendedWarmUp means that at least one worker warms up for longer than its entry says,
+	// because its hall was opened.
+	hasExtendedWarmUp bool
 }
 
 // warmingWorker is a worker that warms up.
@@ -92,7 +92,7 @@
 		return nil
 	}
 	return func(r *fleet.Replica) bool {
-		if !s.hallOpened && !now.Before(r.Head.ColdUntil) {
+		if !s.hasExtendedWarmUp && !now.Before(r.Head.ColdUntil) {
 			// Most workers are not cold. Skip the map lookup for them.
 			return true
 		}
@@ -170,7 +170,7 @@
 		if next.warming == nil {
 			next.warming = make(map[string]*warmingWorker)
 		}
-		next.hallOpened = next.hallOpened || until.After(w.ColdUntil)
+		next.hasExtendedWarmUp = next.hasExtendedWarmUp || until.After(w.ColdUntil)
 		next.warming[id] = a.newWarmingWorker(previous, w, warmUp, members, until, now)
 		if next.validUntil.IsZero() {
 			next.validUntil = until
--- a/allowance/share.go
+++ b/allowance/share.go
@@ -13,8 +13,9 @@
 	// minHolderRate is the minimum rate of a holder, in requests a second, if there are several
 	// holders.
 	minHolderRate = 1.0
-	// maxDisjointViews is the number of sides of a network partition that are allowed for. Each
-	// side may know other registered daemons and so select other holders.
+	// maxDisjointViews is the number of sides of a network partition that the rates take into
+	// account. Each side may see a different list of registered daemons and so select different
+	// holders.
 	maxDisjointViews = 2
 )
 
@@ -33,11 +34,11 @@
 }
 
 // Divide returns how the requests to a worker that bears perSecond requests a second are split
-// between a number of registered daemons. In any one second, a holder sends at most one request
-// for a saved token, plus those whose tokens become available within the second or SendWithin
-// before it. The share allows for the holders of both sides of a network partition. If the bound
-// is too low for that, it allows for one side only. If it is too low even for one, the rate is
-// zero.
+// between the registered daemons. members is their number. In any one second, a holder sends at
+// most one request for a saved token, plus those whose tokens become available within the second or
+// SendWithin before it. The rates take the holders on both sides of a network partition into
+// account. If the bound is too low for that, they take one side into account. If it is too low even
+// for one, the rate is zero.
 func (b Bound) Divide(perSecond float64, members int) Share {
 	burst := b.Burst
 	if burst <= 0 {
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -126,7 +126,7 @@
 // updateShares recomputes this daemon's shares of a worker's limit and adjusts the token bucket.
 // The caller must hold t.mu.
 func (t *Table) updateShares(worker string, r *record, holders shareholders, now time.Time) {
-	if !r.limited {
+	if !r.isLimited {
 		r.bucket, r.rate, r.shares = nil, 0, 0
 		t.publish(worker, nil)
 		return
--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -53,7 +53,7 @@
 		case !r.observedLocally && !passesOn:
 		case now.Sub(r.changedAt) < changeReportPeriod:
 			changed = append(changed, id)
-		case r.limited || r.leaving:
+		case r.isLimited || r.isLeaving:
 			unchanged = append(unchanged, id)
 		}
 	}
@@ -69,9 +69,9 @@
 }
 
 func (r *record) toEntry(worker string, now time.Time) Entry {
-	e := Entry{Worker: worker, Born: r.born, Leaves: r.leaving}
+	e := Entry{Worker: worker, Born: r.born, Leaves: r.isLeaving}
 	switch {
-	case r.limited:
+	case r.isLimited:
 		perSecond := r.perSecond
 		e.Limit, e.Named = &perSecond, ageMillis(r.limitReportedAt, now)
 	case !r.limitEndedAt.IsZero():
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -101,7 +101,7 @@
 			a, b := newTestTable(), newTestTable()
 			test.exchange(a, b)
 			assert.Equal(t, b.Limited(), test.limited)
-			assert.Equal(t, b.countRecords(func(r *record) bool { return r.leaving }) > 0, test.isLeaving)
+			assert.Equal(t, b.countRecords(func(r *record) bool { return r.isLeaving }) > 0, test.isLeaving)
 			assert.Equal(t, b.Resting(second(1)), 0)
 		})
 	}
--- a/backpressure/shares.go
+++ b/backpressure/shares.go
@@ -32,8 +32,8 @@
 	Window       time.Duration
 }
 
-// division describes how a limit is split: the number of shares and the rate of each in requests a
-// second.
+// division describes how a limit is split. shares is the number of shares, rate the rate of each in
+// requests a second.
 type division struct {
 	shares int
 	rate   float64
@@ -46,8 +46,8 @@
 }
 
 // maxSentPerShare returns the maximum number of requests that the holder of one share sends within
-// the window: one for a saved token, plus those whose tokens become available within the window or
-// SendWithin before it.
+// the window. These are one request for a saved token, and those whose tokens become available
+// within the window or SendWithin before it.
 func (b Bound) maxSentPerShare(rate float64) float64 {
 	return 1 + rate*(b.Window+allowance.SendWithin).Seconds()
 }
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -60,9 +60,10 @@
 	// Self is the ID of this daemon, Hall its data hall, and Halls all data halls.
 	Self, Hall string
 	Halls      []string
-	// Members returns the IDs of the daemons of this hall that hold shares, which may include this
-	// daemon. It is empty if they are not known yet. The list must not shrink when daemons become
-	// unreachable: in a network partition each side would take over the shares of the other.
+	// Members returns the IDs of the daemons of this hall among which the hall's shares of the
+	// workers' limits are divided. The list may include this daemon, and is empty while the members
+	// are unknown. It must not shrink when daemons become unreachable. Otherwise, in a network
+	// partition, each side would take over the shares of the other.
 	Members func() []string
 	// Bound limits the number of requests to workers that report a limit.
 	Bound Bound
@@ -88,10 +89,10 @@
 // record is what one incarnation of a worker reported.
 type record struct {
 	born int64
-	// limited means that the worker has a limit of perSecond requests a second. limitReportedAt is
-	// when the worker last reported it. limitEndedAt belongs to the last answer that ended a limit:
-	// it is when the request for that answer was sent.
-	limited         bool
+	// isLimited means that the worker has a limit of perSecond requests a second. limitReportedAt
+	// is when the worker last reported it. limitEndedAt is when the request was sent whose answer
+	// ended the last limit.
+	isLimited       bool
 	perSecond       float64
 	limitReportedAt time.Time
 	limitEndedAt    time.Time
@@ -100,8 +101,8 @@
 	bucket *allowance.Bucket
 	shares int
 	rate   float64
-	// leaving means that the worker is about to stop.
-	leaving bool
+	// isLeaving means that the worker is about to stop.
+	isLeaving bool
 	// observedLocally means that this daemon received an answer of the worker itself. changedAt is
 	// when the record last changed, by an answer or by a peer's report.
 	observedLocally bool
@@ -143,7 +144,7 @@
 	switch {
 	case s.Limited:
 		c.add(r.setLimit(s.PerSecond, now, now))
-	case s.Unlimited && r.limited && sentAt.After(r.limitReportedAt):
+	case s.Unlimited && r.isLimited && sentAt.After(r.limitReportedAt):
 		c.add(r.clearLimit(sentAt, now))
 	}
 	if s.Rest > 0 && t.rests.Note(w.ID, w.Born, s.Rest, now) {
@@ -162,8 +163,8 @@
 
 // setLimit records a limit that the worker reported at the given time.
 func (r *record) setLimit(perSecond float64, at, now time.Time) Change {
-	wasLimited, previous := r.limited, r.perSecond
-	r.limited, r.perSecond, r.limitReportedAt = true, perSecond, at
+	wasLimited, previous := r.isLimited, r.perSecond
+	r.isLimited, r.perSecond, r.limitReportedAt = true, perSecond, at
 	switch {
 	case !wasLimited:
 		r.changedAt = now
@@ -178,8 +179,8 @@
 // clearLimit records that the worker answered a request that was sent at the given time without a
 // limit.
 func (r *record) clearLimit(at, now time.Time) Change {
-	wasLimited := r.limited
-	r.limited, r.limitEndedAt = false, at
+	wasLimited := r.isLimited
+	r.isLimited, r.limitEndedAt = false, at
 	if !wasLimited {
 		return Change{}
 	}
@@ -189,10 +190,10 @@
 
 // setLeaving records that the worker is about to stop. An incarnation cannot withdraw this.
 func (r *record) setLeaving(now time.Time) Change {
-	if r.leaving {
+	if r.isLeaving {
 		return Change{}
 	}
-	r.leaving, r.changedAt = true, now
+	r.isLeaving, r.changedAt = true, now
 	return Change{Event: Leaves}
 }
 
@@ -236,7 +237,7 @@
 	t.mu.Lock()
 	leaving := make(map[string]int64)
 	for id, r := range t.records {
-		if r.leaving {
+		if r.isLeaving {
 			leaving[id] = r.born
 		}
 	}
@@ -248,7 +249,7 @@
 
 // Limited returns the number of workers that have a limit.
 func (t *Table) Limited() int {
-	return t.countRecords(func(r *record) bool { return r.limited })
+	return t.countRecords(func(r *record) bool { return r.isLimited })
 }
 
 // Resting returns the number of workers that asked this daemon for a rest period which has not
@@ -256,7 +257,7 @@
 func (t *Table) Resting(now time.Time) int { return t.rests.Count(now) }
 
 // Leaving returns the number of workers that are about to stop.
-func (t *Table) Leaving() int { return t.countRecords(func(r *record) bool { return r.leaving }) }
+func (t *Table) Leaving() int { return t.countRecords(func(r *record) bool { return r.isLeaving }) }
 
 func (t *Table) countRecords(matches func(r *record) bool) int {
 	t.mu.Lock()
--- a/config/record.go
+++ b/config/record.go
@@ -40,7 +40,8 @@
 	return json.Marshal(c)
 }
 
-// Verdict is the result of applying a change set: whether it was accepted, or else why not.
+// Verdict is the result of applying a change set. It says whether the change set was accepted, and
+// if not, why.
 type Verdict struct {
 	// Offset is the offset of the record. Accepted objects get the revision Offset + 1.
 	Offset   int64    `json:"offset"`
--- a/config/view.go
+++ b/config/view.go
@@ -177,8 +177,8 @@
 	return names
 }
 
-// NodeLabels returns the labels of a node: those of the node list, overridden by those that
-// operators published.
+// NodeLabels returns the labels of a node. Labels that operators published override those of the
+// node list.
 func (v *View) NodeLabels(node string, listed map[string]string) map[string]string {
 	all := maps.Clone(listed)
 	if all == nil {
--- a/eventlog/fold.go
+++ b/eventlog/fold.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Reset drops the records held back. It is called before the stream is read again from its earliest
-// record.
+// Reset drops the records that were added but not yet folded. It is called before the stream is
+// read again from its earliest record.
 func (f *Fold) Reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -14,7 +14,8 @@
 	// position is where the next read starts. A negative position makes the next read return the
 	// newest configuration.
 	position int64
-	// era is the source's era as of the last read, or negative before the first read.
+	// era is how often the source had been restored from a copy as of the last read, or negative
+	// before the first read.
 	era int64
 	// rereadAt is when to read everything again because the source was restored from a copy. It is
 	// the zero time if no such read is due.
--- a/fleet/confirmation_test.go
+++ b/fleet/confirmation_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestChangingListIsConfirmed checks that reports of a peer confirm the list although the follower
-// is always ahead of them, as it is while the list changes continuously. An entry that disappears
-// is then removed immediately.
+// has always read more changes than the peer reports. This is the case while the list changes
+// continuously. An entry that disappears is then removed immediately.
 func TestChangingListIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := NewInventory(time.Second, 4*time.Second)
--- a/fleet/delta.go
+++ b/fleet/delta.go
@@ -8,7 +8,7 @@
 	// IsExact is set if there is one change for each position, so that the delta can be split. It is
 	// not set if invalid entries were left out.
 	IsExact bool `json:"exact,omitempty"`
-	// Heads is set if the delta holds only changes of heads.
+	// Heads is set if changes of workers other than heads may be missing from the delta.
 	Heads bool `json:"heads,omitempty"`
 }
 
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -99,8 +99,8 @@
 	// Halls receives the states of data halls; nil if none are published.
 	Halls     *Halls
 	Inventory *Inventory
-	// Reads reports whether this daemon must read the source itself, rather than rely on its peers,
-	// for data that was last confirmed at the given time.
+	// Reads reports whether this daemon must read the source itself rather than rely on its peers.
+	// confirmed is the time at which the data was last confirmed.
 	Reads func(confirmed time.Time) bool
 	// Spread returns the minimum delay after a failed read, so that a large fleet does not call a
 	// recovering source all at once. A nil function means no minimum.
@@ -191,9 +191,8 @@
 	return f.opts.Inventory.AwaitsList() || f.opts.Reads(f.opts.Inventory.Confirmed())
 }
 
-// holdFirstReads ignores confirmations by reads for a while if this was the first read and its era
-// shows that the source was once restored from a copy. previousEra is negative at
-// the first read.
+// holdFirstReads ignores confirmations by reads for a while after the first read if the source was
+// once restored from a copy, which its era shows. previousEra is negative at the first read.
 func (f *Follower) holdFirstReads(previousEra, era int64) {
 	if previousEra < 0 && era > 0 {
 		f.opts.Beliefs.HoldFirstReads(time.Now())
@@ -201,8 +200,8 @@
 }
 
 // advanceEra updates the era from the position that a read of the configuration or of the worker
-// list returned. If the era is later than any known from reads or peers, the source was restored
-// from a copy, and confirmations of the configuration are ignored for a while.
+// list returned. An era later than any known from reads or peers means that the source was restored
+// from a copy. Confirmations of the configuration are then ignored for a while.
 func (f *Follower) advanceEra(position int64) {
 	knownPlusOne := f.eraPlusOne.Load()
 	if ownPosition := f.opts.Inventory.Position(); ownPosition > 0 {
--- a/fleet/halls_test.go
+++ b/fleet/halls_test.go
@@ -118,9 +118,9 @@
 	changedAt map[string]time.Time
 	commands  []HallChange
 	daemons   []*Halls
-	// readTo holds, by daemon, the number of commands that are included in its state.
+	// readTo holds, for each daemon, the number of commands that are included in its state.
 	readTo []int
-	// updatedAt holds, by daemon, when its state was the newest.
+	// updatedAt holds, for each daemon, the last time at which its state included all commands.
 	updatedAt []time.Time
 }
 
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -69,8 +69,8 @@
 }
 
 const (
-	// outageThreshold is the age of the last confirmation from which an outage of the list is
-	// assumed.
+	// outageThreshold is how old the last confirmation must be before the list is assumed to be
+	// unavailable.
 	outageThreshold = 1600 * time.Millisecond
 	// postOutageWindow is how long after an outage the disappearance of entries is tolerated. Such
 	// an entry may have expired only because its worker could not write during the outage.
@@ -94,8 +94,9 @@
 type batch struct {
 	from, to int64
 	changes  []Change
-	isExact  bool
-	// headsOnly is set if the batch holds the changes of heads only.
+	// isExact is set if there is one change for each position.
+	isExact bool
+	// headsOnly is set if changes of workers other than heads may be missing from the batch.
 	headsOnly bool
 }
 
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -25,7 +25,7 @@
 const (
 	// Open halls accept requests.
 	Open State = "open"
-	// Closing halls are closed but may not be empty: some daemons may not have learned of the
+	// Closing halls are closed but may not be empty. Some daemons may not have learned of the
 	// closing yet, or requests may still be running in the hall.
 	Closing State = "closing"
 	// Empty halls are closed. No daemon sends requests to them, and none are running in them.
--- a/intent/ledger.go
+++ b/intent/ledger.go
@@ -18,7 +18,8 @@
 	queueSize = 4096
 	// batchSize is the maximum number of records in one append.
 	batchSize = 256
-	// claimTimeout limits the wait for a claim to be applied.
+	// claimTimeout limits the wait for a claim to be applied. It also limits the time for which a
+	// failed append of a batch is retried.
 	claimTimeout = 4 * time.Second
 	// releaseTimeout limits the wait for a release to be applied.
 	releaseTimeout = time.Second
--- a/intent/state.go
+++ b/intent/state.go
@@ -29,7 +29,8 @@
 const (
 	// OperationClaim claims a key for an attempt.
 	OperationClaim Operation = "claim"
-	// OperationRelease releases a key. It guarantees that the attempt is never sent.
+	// OperationRelease releases the key if the attempt holds it, and bars the attempt from claiming
+	// it later. It may only be written for an attempt that was not and will not be sent.
 	OperationRelease Operation = "release"
 	// OperationDone records that the attempt completed.
 	OperationDone Operation = "done"
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -27,8 +27,8 @@
 	// startupDelay is how long a daemon only receives heartbeats after its start. It makes no
 	// attempt to lead before.
 	startupDelay = 500 * time.Millisecond
-	// candidateDelay is the time between the attempts of one candidate and the next. It is also
-	// the pause after a daemon yielded.
+	// candidateDelay is the delay by which the attempt of each candidate follows that of the
+	// candidate before it. It is also the pause after a daemon yielded.
 	candidateDelay = 700 * time.Millisecond
 	// retryPause is the pause after a failed attempt to lead.
 	retryPause = 300 * time.Millisecond
@@ -359,8 +359,8 @@
 }
 
 // nextGrant returns the grant to add next. Its epoch is above every epoch known to the registry,
-// peers or this daemon: two grants with the same epoch would lead to equal fencing tokens. The
-// caller must hold e.mu.
+// peers or this daemon, because two grants with the same epoch would lead to equal fencing tokens.
+// The caller must hold e.mu.
 func (e *Elector) nextGrant(found Found) peers.Grant {
 	given := max(found.Given, found.Grant.Epoch, e.grant.Epoch, e.highestClaim.Epoch)
 	return peers.Grant{Epoch: given + 1, Holders: e.chooseHolders()}
@@ -427,9 +427,9 @@
 	return 1
 }
 
-// chooseHolders returns the holders of a new grant. This daemon comes first, then up to
-// maxDeputies others that are alive and not stopping: those that know all workers before the rest,
-// the fittest first.
+// chooseHolders returns the holders of a new grant. This daemon comes first. Up to maxDeputies
+// others follow that are alive and not stopping. Those that know all workers come before the rest,
+// and fitter ones come first within each group.
 func (e *Elector) chooseHolders() []peers.Holder {
 	others := slices.DeleteFunc(e.opts.Alive(time.Now()), func(p *peers.Peer) bool { return p.Leaving })
 	slices.SortFunc(others, func(a, b *peers.Peer) int {
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -477,7 +477,7 @@
 	})
 }
 
-// disrupt causes a disturbance, which depends on the step: it restarts the daemon id or the leader,
+// disrupt causes a disturbance that depends on the step. It restarts the daemon id or the leader,
 // changes the connections of daemons, or starts or ends an outage of the store.
 func (f *fakeFleet) disrupt(step int, id string, incarnation int64) {
 	switch step {
--- a/peers/heartbeat.go
+++ b/peers/heartbeat.go
@@ -76,13 +76,13 @@
 // sending.
 type Heartbeat struct {
 	Identity
-	// Brief marks a heartbeat that omits what the receiver knows from a full one: the grant, and
-	// the identity except for id and incarnation.
+	// Brief is set if the heartbeat omits the parts that the receiver knows from a full one. These
+	// are the grant, and the identity except for id and incarnation.
 	Brief bool `json:"brief,omitempty"`
 
 	Ready   bool `json:"ready,omitempty"`
 	Leaving bool `json:"leaving,omitempty"`
-	// Complete reports that the daemon knows all workers. Only such a daemon may lead.
+	// Complete is set if the daemon knows all workers. Only such a daemon may lead.
 	Complete bool `json:"all,omitempty"`
 
 	ConfigVersion   int64 `json:"cv,omitempty"`
@@ -112,7 +112,7 @@
 	Demand map[string]float64 `json:"demand,omitempty"`
 	// PromptTokens is the number of prompt tokens in the requests of each model.
 	PromptTokens map[string]float64 `json:"prompts,omitempty"`
-	// Traffic reports that clients have sent requests to the fleet.
+	// Traffic is set if clients have sent requests to the fleet.
 	Traffic bool `json:"traffic,omitempty"`
 }
 
--- a/peers/topology.go
+++ b/peers/topology.go
@@ -180,9 +180,10 @@
 	return l
 }
 
-// hasNewRelay reports whether one of the relays became known within relayHandOverPeriod. It does not
-// count if this daemon had itself become a relay only shortly before. When a whole fleet starts,
-// daemons that wrongly assumed to be relays thus yield at once.
+// hasNewRelay reports whether one of the relays became known within the last relayHandOverPeriod.
+// Relays that became known less than relayHandOverPeriod after this daemon became a relay itself
+// are ignored. Thus, when a whole fleet starts, a daemon that wrongly took itself for a relay stops
+// at once.
 func (t *Table) hasNewRelay(relays []Identity, relaySince, now time.Time) bool {
 	return slices.ContainsFunc(relays, func(id Identity) bool {
 		p, ok := t.peers[id.ID]
--- a/placement/input.go
+++ b/placement/input.go
@@ -17,7 +17,7 @@
 	Answering bool
 	// Lost means that the node has not answered for so long that it is considered failed.
 	Lost bool
-	// Leaving means that the node is being taken out of service, by the node list or by a label.
+	// Leaving means that the node list or a label marks the node as being taken out of service.
 	Leaving bool
 	// Scripted means that scripts manage the node, so that it gets no orders.
 	Scripted bool
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -215,9 +215,9 @@
 	return !slices.ContainsFunc(g.nodes, func(n *Node) bool { return !n.hasWeights(version) })
 }
 
-// roll changes the version of the deployment's groups. A group of another version is marked as
-// broken, so that it is formed again, if it may be taken down now and all its nodes have cached the
-// new weights. Groups without the new weights are recorded as outdated.
+// roll moves the deployment's groups to the wanted version. A group of another version is marked as
+// broken, so that it is formed again. This requires that it may be taken down now and that all its
+// nodes have cached the new weights. Groups without the new weights are recorded as outdated.
 func (p *planner) roll(want Want) {
 	for _, g := range p.sortedGroups(want.Deployment) {
 		current := g.nodes[0].Assignment
@@ -390,8 +390,8 @@
 	return found[:missing]
 }
 
-// preemptable returns the kept replicas that the want may preempt: first those beyond the wanted
-// number, then those of lower priority, the lowest first.
+// preemptable returns the kept replicas that the want may preempt. Those beyond the wanted number
+// come first, then those of lower priority, the lowest first.
 func (p *planner) preemptable(want Want) []*group {
 	var extra, lower []*group
 	for _, other := range slices.Backward(p.wants) {
--- a/quarantine/guard/endcheck.go
+++ b/quarantine/guard/endcheck.go
@@ -63,8 +63,8 @@
 	// expiresAt is the time from which the result is not reused.
 	expiresAt time.Time
 	// done is closed when the result is available.
-	done  chan struct{}
-	ended bool
+	done     chan struct{}
+	hasEnded bool
 }
 
 // check starts a check of a worker whose connection broke now, or returns the current one if it
@@ -84,7 +84,7 @@
 	e.byWorker[w.ID] = created
 	e.checks.Go(func() {
 		defer close(created.done)
-		created.ended = e.hasEnded(w)
+		created.hasEnded = e.hasEnded(w)
 	})
 	return created
 }
--- a/quarantine/guard/guard.go
+++ b/quarantine/guard/guard.go
@@ -91,7 +91,7 @@
 
 // blameIfEnded blames a request if the check found that its worker has ended.
 func (g *Guard) blameIfEnded(r Request, check *endCheck, crash quarantine.Crash) {
-	if !check.ended {
+	if !check.hasEnded {
 		return
 	}
 	state, marked := g.Blame(r.Fingerprint(), crash)
--- a/quarantine/guard/guard_test.go
+++ b/quarantine/guard/guard_test.go
@@ -33,14 +33,14 @@
 		for range 20 {
 			check := e.check(w, time.Now())
 			<-check.done
-			assert.Assert(t, !check.ended)
+			assert.Assert(t, !check.hasEnded)
 		}
 		assert.Equal(t, checkCount, 1)
 		time.Sleep(resultTTL)
 		refusesConnections = true
 		check := e.check(w, time.Now())
 		<-check.done
-		assert.Assert(t, check.ended)
+		assert.Assert(t, check.hasEnded)
 		assert.Equal(t, checkCount, 2)
 		e.checks.Wait()
 	})
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -41,10 +41,11 @@
 	Ended  int64  `json:"e"`
 }
 
-// Report returns the entries to send to peers: records that changed recently, and some of the
-// other quarantined requests in rotation. If passesOn is set, all records that changed are
-// included; relays set it. Otherwise a record that is known from peers only is left out, unless it
-// has several crashes or a quarantine: no single daemon may have seen all of its crashes.
+// Report returns the entries to send to peers. These are records that changed recently, and some of
+// the other quarantined requests in rotation. If passesOn is set, all records that changed are
+// included. Relays set it. Otherwise a record that is known from peers only is left out, unless it
+// has several crashes or a quarantine. Such records are always included, because no single daemon
+// may have seen all of their crashes.
 func (t *Table) Report(now time.Time, passesOn bool) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -34,20 +34,20 @@
 	tests := map[string]struct {
 		crashes []Crash
 		// cleared is when a run completed, in milliseconds after epoch; zero for never.
-		cleared int
-		marked  bool
+		cleared         int
+		wantQuarantined bool
 		// count is the expected number of independent crashes.
 		count int
 	}{
 		"one after the other": {
-			crashes: []Crash{crash("a", 0, 10), crash("b", 11, 20), crash("c", 21, 30)}, marked: true, count: 3,
+			crashes: []Crash{crash("a", 0, 10), crash("b", 11, 20), crash("c", 21, 30)}, wantQuarantined: true, count: 3,
 		},
 		"two": {crashes: []Crash{crash("a", 0, 10), crash("b", 11, 20)}, count: 2},
 		"three copies on a rack that fails": {
 			crashes: []Crash{crash("a", 0, 1000), crash("b", 10, 1010), crash("c", 20, 1040)}, count: 1,
 		},
 		"copies that end at different times": {
-			crashes: []Crash{crash("a", 0, 1000), crash("b", 10, 1100), crash("c", 20, 1200)}, marked: true, count: 3,
+			crashes: []Crash{crash("a", 0, 1000), crash("b", 10, 1100), crash("c", 20, 1200)}, wantQuarantined: true, count: 3,
 		},
 		"two racks, one after the other": {
 			crashes: []Crash{crash("a", 0, 100), crash("b", 0, 101), crash("c", 110, 300), crash("d", 110, 301)}, count: 2,
@@ -59,10 +59,10 @@
 			crashes: []Crash{crash("a", 0, 10), crash("b", 11, 200), crash("c", 400, 600)}, cleared: 300, count: 1,
 		},
 		"a run that completed before": {
-			crashes: []Crash{crash("a", 10, 20), crash("b", 21, 200), crash("c", 400, 600)}, cleared: 5, marked: true, count: 3,
+			crashes: []Crash{crash("a", 10, 20), crash("b", 21, 200), crash("c", 400, 600)}, cleared: 5, wantQuarantined: true, count: 3,
 		},
 		"reported in another order": {
-			crashes: []Crash{crash("c", 21, 30), crash("a", 0, 10), crash("b", 11, 20)}, marked: true, count: 3,
+			crashes: []Crash{crash("c", 21, 30), crash("a", 0, 10), crash("b", 11, 20)}, wantQuarantined: true, count: 3,
 		},
 	}
 	for name, test := range tests {
@@ -77,8 +77,8 @@
 				marked = marked || quarantined
 			}
 			state := table.State(f, now)
-			assert.Equal(t, marked, test.marked)
-			assert.Equal(t, state.Quarantined, test.marked)
+			assert.Equal(t, marked, test.wantQuarantined)
+			assert.Equal(t, state.Quarantined, test.wantQuarantined)
 			assert.Equal(t, state.Crashes, test.count)
 		})
 	}
--- a/relay/bound.go
+++ b/relay/bound.go
@@ -17,8 +17,8 @@
 	// Check returns a function that reports whether a replica can take one more request at the
 	// given time. Check or its result may be nil if no replica is limited.
 	Check func(now time.Time) func(r *fleet.Replica) bool
-	// Take takes the token that a request needs to be sent to a replica, and returns the time by
-	// which it must be sent; zero for any time. It reports false if no token is left.
+	// Take takes the token that a request needs to be sent to a replica. It returns the time by
+	// which the request must be sent; zero for any time. It reports false if no token is left.
 	Take func(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool)
 	// Next returns when the next token for a replica is expected.
 	Next func(r *fleet.Replica, now time.Time) time.Time
@@ -45,7 +45,7 @@
 	return b.Take(r, now)
 }
 
-func (b Bound) nextToken(r *fleet.Replica, now time.Time) time.Time {
+func (b Bound) nextTokenAt(r *fleet.Replica, now time.Time) time.Time {
 	if b.Next == nil {
 		return now
 	}
@@ -105,7 +105,7 @@
 func (r *Relay) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
 	for _, bound := range []Bound{r.opts.Rests, r.opts.WarmUp, r.opts.Limits} {
-		if at := bound.nextToken(replica, now); at.After(next) {
+		if at := bound.nextTokenAt(replica, now); at.After(next) {
 			next = at
 		}
 	}
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -13,8 +13,8 @@
 	usedBudgetShare = 0.8
 	// budgetBuckets is the number of buckets into which the window is divided.
 	budgetBuckets = 20
-	// roundingWindows is the number of windows in a cycle, in which each daemon gets one turn to
-	// round up.
+	// roundingWindows is the number of windows in a cycle. In each cycle, a daemon rounds up for a
+	// part of the time that equals the fraction of its share (see roundShare).
 	roundingWindows = 10
 	// roundingMargin is the number of standard deviations of the fleet's total rounding error that
 	// the unused budget must cover.
@@ -99,9 +99,9 @@
 }
 
 // roundShare rounds a daemon's share of retries to a whole number. In a large fleet shares are
-// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns. A
-// daemon whose share has a fraction of 0.3 rounds up for 30 % of the time. All daemons round down
-// if the unused part of the budget does not cover the rounding errors.
+// below one, and no daemon could retry if all rounded down. Daemons therefore round up in turns:
+// one whose share is 2.3 rounds up for 30 % of the time. All daemons round down if the unused part
+// of the budget does not cover the rounding errors.
 func (b *budget) roundShare(share float64, service string, now time.Time) float64 {
 	whole, fraction := math.Modf(share)
 	daemons := float64(max(b.opts.Daemons(), 1))
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -40,17 +40,17 @@
 			r.opts.Meter.Retry(reason.RetryBroken)
 			continue
 		}
-		ran := r.recordFailure(c, replica, err)
-		if !r.takeRetry(c, ran) {
+		mayHaveRun := r.recordFailure(c, replica, err)
+		if !r.takeRetry(c, mayHaveRun) {
 			return r.failureRefusal(c)
 		}
-		r.opts.Meter.Retry(retryReason(ran))
+		r.opts.Meter.Retry(retryReason(mayHaveRun))
 	}
 }
 
 // retryReason returns the reason by which a retry is counted.
-func retryReason(ran bool) reason.Reason {
-	if ran {
+func retryReason(mayHaveRun bool) reason.Reason {
+	if mayHaveRun {
 		return reason.RetryBroken
 	}
 	return reason.RetryRefused
@@ -112,7 +112,7 @@
 	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
 		return nil
 	}
-	return &sendError{mayHaveArrived: e.resent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
+	return &sendError{mayHaveArrived: e.isResent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
 }
 
 // writeAnswer forwards a complete answer.
--- a/relay/callertimeouts.go
+++ b/relay/callertimeouts.go
@@ -34,7 +34,7 @@
 // routeTimeouts holds the longest timeout of a route's callers in the current and the previous
 // window.
 type routeTimeouts struct {
-	callerCount              int
+	sampleCount              int
 	longest, previousLongest time.Duration
 	windowEnd                time.Time
 }
@@ -57,10 +57,10 @@
 	if now.After(entry.windowEnd) {
 		entry.previousLongest, entry.longest, entry.windowEnd = entry.longest, 0, now.Add(timeoutWindow)
 	}
-	entry.callerCount++
+	entry.sampleCount++
 	entry.longest = max(entry.longest, remaining)
 	initial := max(entry.longest, entry.previousLongest)
-	if entry.callerCount <= minTimeoutSamples {
+	if entry.sampleCount <= minTimeoutSamples {
 		initial = route.Timeout
 	}
 	return max(initial-remaining, 0)
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// TestMuchFreerReplicasAreChosen: a kept connection must not outweigh a load difference that
-// exceeds the noise.
+// TestMuchFreerReplicasAreChosen: a replica to which a connection is kept must not be chosen if its
+// predicted wait exceeds that of another by more than the random noise.
 func TestMuchFreerReplicasAreChosen(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -230,7 +230,7 @@
 }
 
 // idleShare returns how many idle connections this daemon may keep to a worker of a service. All
-// daemons together keep up to half of the connections that the worker accepts; the other half is
+// daemons together keep up to half of the connections that the worker accepts. The other half is
 // left for requests in flight and for daemons that just joined.
 func (r *Relay) idleShare(service string) int {
 	config := r.opts.Config()
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -8,7 +8,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// selectReplicas classifies the replicas for a request, and counts those passed over.
+// selectReplicas classifies the replicas for a request. It records the counts of those passed over
+// in the request, and each cause once in the meter.
 func (r *Relay) selectReplicas(c *request, now time.Time) eligibility.Selection {
 	view := r.opts.View()
 	rules := r.rules(now)
--- a/relay/holdings_test.go
+++ b/relay/holdings_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestAnnouncedBodyTakesNoRoom: little memory must be reserved for a caller that announces a long
-// body but sends only a few bytes.
-func TestAnnouncedBodyTakesNoRoom(t *testing.T) {
+// TestUnsentBodyTakesLittleMemory: memory must be reserved for the bytes that arrive, not for the
+// longest body allowed.
+func TestUnsentBodyTakesLittleMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHoldings(1 << 20)
 		memory := requestMemory{holdings: h, account: "a"}
--- a/relay/keepalive.go
+++ b/relay/keepalive.go
@@ -57,7 +57,8 @@
 	// a dropped connection.
 	worker       string
 	shortestIdle time.Duration
-	// maxIdle is how long connections may be idle; zero until a second worker has dropped one.
+	// maxIdle is the idle time from which connections are expected to be dropped. It is zero, for
+	// no limit, until a second worker has dropped a connection.
 	maxIdle   time.Duration
 	expiresAt time.Time
 }
@@ -88,7 +89,8 @@
 	u.earlyDrops[c.service] = updated
 }
 
-// isReset reports whether an error shows that the worker has reset or closed the connection.
+// isReset reports whether an error is a connection reset or a broken pipe. An end of file does not
+// count.
 func isReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// recordCompletion tells the guard that a worker completed a request. An answer that is neither
-// chunked nor has a length doesn't count, since a crash may have cut it short. An answer without
-// the worker's signature doesn't count either.
+// recordCompletion reports to the guard that a worker completed a request. An answer that is
+// neither chunked nor has a length doesn't count, since a crash may have cut it short. An answer
+// without the worker's signature doesn't count either.
 func (r *Relay) recordCompletion(c *request, e *exchange) {
 	isFramed := e.response.ContentLength >= 0 || isChunked(e.response)
 	if isFramed && e.response.Header.Get(r.opts.Names.Signature) != "" {
--- a/relay/rates.go
+++ b/relay/rates.go
@@ -18,7 +18,7 @@
 
 func newRates() *rates { return &rates{keys: make(map[string]*rateAverage)} }
 
-// count counts a request.
+// count adds a request to the average of a key.
 func (r *rates) count(key string, now time.Time) {
 	average, ok := r.keys[key]
 	if !ok {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -273,14 +273,14 @@
 }
 
 // takeRetry reports whether a failed attempt may be followed by another one. If so, it takes the
-// retry from the budget. ran reports whether the failed attempt may have run.
-func (r *Relay) takeRetry(c *request, ran bool) bool {
+// retry from the budget. mayHaveRun reports whether the failed attempt may have run.
+func (r *Relay) takeRetry(c *request, mayHaveRun bool) bool {
 	switch {
 	case c.isDone():
 		return false
-	case ran && (!c.route.Repeatable() || c.sends >= c.route.Attempts):
+	case mayHaveRun && (!c.route.Repeatable() || c.sends >= c.route.Attempts):
 		return false
-	case !ran && c.rejections > maxRejections:
+	case !mayHaveRun && c.rejections > maxRejections:
 		return false
 	}
 	if !r.budget.takeRetry(c.service, time.Now()) {
@@ -291,16 +291,16 @@
 }
 
 // recordFailure records a failed attempt and returns whether it may have run.
-func (r *Relay) recordFailure(c *request, replica *fleet.Replica, err error) (ran bool) {
+func (r *Relay) recordFailure(c *request, replica *fleet.Replica, err error) (mayHaveRun bool) {
 	c.lastErr = err
 	c.triedReplicas[replica.ID] = true
-	ran = mayHaveArrived(err)
-	if ran {
+	mayHaveRun = mayHaveArrived(err)
+	if mayHaveRun {
 		c.sends++
 	} else {
 		c.rejections++
 	}
-	if ran && guard.BrokeOff(err) {
+	if mayHaveRun && guard.BrokeOff(err) {
 		r.logBroken(c, replica, err)
 		r.reportCrash(c, replica)
 	}
@@ -308,7 +308,7 @@
 		r.opts.Tracker.RecordFailure(replica, time.Now())
 		r.recordHeadFailure(c, replica, err)
 	}
-	return ran
+	return mayHaveRun
 }
 
 // failureRefusal returns the refusal of a request whose attempts all failed.
--- a/relay/retryafter.go
+++ b/relay/retryafter.go
@@ -41,8 +41,9 @@
 	return time.Duration(retryAfterShare*float64(c.deadline.Sub(now))) - retryAfterMargin
 }
 
-// spreadRetryFrom returns a random retry time of at least wait, so that callers don't all return
-// at the same time.
+// spreadRetryFrom returns a random retry time between wait and maxRetryAfter, so that callers don't
+// all return at the same time. If maxRetryAfter is not above wait, it is returned instead, but at
+// least retrySoon.
 func (r *Relay) spreadRetryFrom(c *request, wait time.Duration, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= wait {
--- a/relay/retryafter_test.go
+++ b/relay/retryafter_test.go
@@ -29,8 +29,9 @@
 	}
 }
 
-// TestRefusedCallersAreServedOnRetry simulates bursts of two and a half times the replicas' slots
-// at daemons without known loads. Callers retry once; nearly all must be served.
+// TestRefusedCallersAreServedOnRetry simulates a burst of requests, two and a half times as many as
+// the replicas have slots. The daemons have no reports of loads yet. Callers retry once, and nearly
+// all must be served.
 func TestRefusedCallersAreServedOnRetry(t *testing.T) {
 	for name, daemons := range map[string]int{"two daemons": 2, "eight daemons": 8} {
 		t.Run(name, func(t *testing.T) {
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -18,9 +18,8 @@
 	// suspicionPeriod is how long a replica stays suspected unless it sends an event. Meanwhile it
 	// gets requests only if there is no other replica.
 	suspicionPeriod = 2 * time.Second
-	// peerReportDelay is the assumed maximum time until this daemon learns of a request at a peer.
-	// It is the sum of the interval of the peer's reports and that of the daemon that passes them
-	// on.
+	// peerReportDelay is the assumed maximum time until this daemon learns of a request at a peer:
+	// one report interval of the peer, plus one of the daemon that passes the report on.
 	peerReportDelay = 600 * time.Millisecond
 )
 
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -24,11 +24,13 @@
 }
 
 const (
-	// simMaxReadTime is the longest time for which a pass reads prompts.
+	// simPassTime is the duration of a pass that reads no prompts, simPromptTokenTime the time to
+	// read one prompt token.
 	simPassTime        = 30 * time.Millisecond
 	simPromptTokenTime = 100 * time.Microsecond
 	simAnswerEvents    = fakeEvents
-	simMaxReadTime     = 200 * time.Millisecond
+	// simMaxReadTime is the longest time for which a pass reads prompts.
+	simMaxReadTime = 200 * time.Millisecond
 	// simCallerPatience is how long callers wait for the first event.
 	simCallerPatience = 2 * time.Second
 )
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -56,8 +56,8 @@
 			return nil
 		}
 		s.timing.isResuming = true
-		ran := r.recordFailure(c, replica, err)
-		if c.isDone() || s.isClientGone || !r.takeRetry(c, ran) {
+		mayHaveRun := r.recordFailure(c, replica, err)
+		if c.isDone() || s.isClientGone || !r.takeRetry(c, mayHaveRun) {
 			return r.endStream(c, s, r.failureRefusal(c))
 		}
 		pause.For(c.ctx, r.resumeDelay(c, s, time.Now()))
@@ -66,7 +66,7 @@
 			r.opts.Meter.Retry(reason.RetryResumed)
 			continue
 		}
-		r.opts.Meter.Retry(retryReason(ran))
+		r.opts.Meter.Retry(retryReason(mayHaveRun))
 	}
 }
 
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -19,8 +19,8 @@
 	minFailurePenalty = 100 * time.Millisecond
 	// minReportDelay is the assumed minimum time until peers report the load of a new request.
 	minReportDelay = 50 * time.Millisecond
-	// inFlightPenalty is added to a replica's cost for each request in flight there, if the replica
-	// with the fewest is preferred. It exceeds any predicted wait.
+	// inFlightPenalty is added to the cost of a replica for each request in flight there, if
+	// costs.preferIdle is set. It exceeds any predicted wait.
 	inFlightPenalty = 10 * time.Second
 	// noiseDivisor determines the minimum noise of choices, which is the duration of a pass divided
 	// by noiseDivisor.
@@ -55,8 +55,8 @@
 	loadsBySource map[string]remoteLoads
 	rates         *rates
 	gapTargets    gapTargets
-	// reportedSuspects holds until when replicas that peers reported are suspected, for replicas
-	// that this daemon has not used.
+	// reportedSuspects holds the replicas that peers reported and this daemon has not used, each
+	// with the time until which it is suspected.
 	reportedSuspects map[string]time.Time
 	// hasTraffic reports whether a request with a prompt has arrived at this daemon or a peer.
 	hasTraffic bool
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -48,7 +48,7 @@
 	return !errors.As(err, &s) || s.mayHaveArrived
 }
 
-// exchange is a request to a worker whose answer's header has arrived.
+// exchange is a request that was sent to a worker, from the arrival of the answer's header.
 type exchange struct {
 	ctx      context.Context
 	conn     *connection
@@ -57,9 +57,9 @@
 	// stopCloseOnCancel prevents the connection from being closed when ctx ends. It returns false
 	// if ctx has already ended.
 	stopCloseOnCancel func() bool
-	// resent reports whether the worker may have received the request before, over a
-	// connection that broke.
-	resent bool
+	// isResent reports whether the worker may have received the request before, over a connection
+	// that broke.
+	isResent bool
 }
 
 // send sends a request and returns once the header of its answer has arrived. The connection is
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, withCause(ctx, w.ID, &sendError{mayHaveArrived: sent || mayHaveArrived(err), cause: err})
 	}
-	e.resent = sent
+	e.isResent = sent
 	return e, nil
 }
 
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -63,13 +63,14 @@
 	// script holds the behaviours for the next requests. Requests after those are answered.
 	mu     sync.Mutex
 	script []behaviour
-	// runsByRequest counts the runs by request, received holds the headers of all requests.
+	// runsByRequest counts the runs by the ID of the request. received holds the headers of all
+	// requests.
 	runsByRequest map[string]int
 	received      []http.Header
 	// connectionCount counts the accepted connections, extraHeader is added to each answer.
 	connectionCount int
 	extraHeader     string
-	// onRequest is called when a request arrives, before its behaviour is played.
+	// onRequest is called when a request has arrived, before the worker acts on it.
 	onRequest func()
 }
 
@@ -132,7 +133,8 @@
 	}
 }
 
-// answer plays the next behaviour and reports whether the connection stays open.
+// answer handles a request according to the next behaviour. It reports whether the connection stays
+// open.
 func (w *fakeWorker) answer(c net.Conn, r *http.Request) bool {
 	id := r.Header.Get(testNames.Attempt)
 	b := w.nextBehaviour()
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -69,8 +69,8 @@
 	assert.Assert(t, !s.relay.BeliefTooOld(time.Now()))
 }
 
-// TestShortSuspensionKeepsState checks that the configuration stays valid after a suspension that is
-// shorter than the bound for revoked keys.
+// TestShortSuspensionKeepsState checks that the configuration stays valid after a suspension that
+// is shorter than Bounds.Revoke, the time after which revoked keys must be rejected.
 func TestShortSuspensionKeepsState(t *testing.T) {
 	s, machine := newSuspendableServer(t)
 	machine.add(time.Second)
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -9,11 +9,11 @@
 	"quartzshelf.dev/peers"
 )
 
-// lead acts as leader for the term of a claim, until ctx ends. first is passed on to the keeper as
-// formation.Term.First.
-func (s *Server) lead(ctx context.Context, claim peers.Claim, first bool) {
+// lead acts as leader for the term of a claim, until ctx ends. isFirst is passed on to the keeper
+// as formation.Term.First.
+func (s *Server) lead(ctx context.Context, claim peers.Claim, isFirst bool) {
 	s.inventory.BeginTerm(claim.Term())
-	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: first, FirstLife: s.opts.FirstLife},
+	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: isFirst, FirstLife: s.opts.FirstLife},
 		func() { s.elector.Yield("a worker knows a higher term") })
 	s.setKeeper(keeper)
 	keeper.Run(ctx)
--- a/serving/options.go
+++ b/serving/options.go
@@ -46,8 +46,7 @@
 	// for no limit.
 	Held   int64
 	Budget relay.BudgetOptions
-	// Empty is the time within which a data hall must get no more requests after the operator closed
-	// it.
+	// Empty is the time after which a data hall that the operator closed must get no more requests.
 	Empty time.Duration
 	// BearHalls is the number of data halls whose failure at the same time the leader's plans take
 	// into account. HallWeight is the cost of requests lost in such a failure, relative to requests
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -119,8 +119,8 @@
 	return true
 }
 
-// logRefused logs invalid records once. They are not deleted, because another version may be able to
-// read them.
+// logRefused logs the invalid records, unless the previous read found the same ones. They are not
+// deleted, because another version may be able to read them.
 func (k *markKeeper) logRefused(refused []error) {
 	text := ""
 	if len(refused) > 0 {
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -252,8 +252,8 @@
 	return s
 }
 
-// startTasks gives a daemon the list of heads and of other daemons, and starts the tasks that are
-// needed to route requests.
+// startTasks gives a daemon the configuration, the worker list and the identities of the fleet's
+// daemons, and starts the tasks that are needed to route requests.
 func (f *signalFleet) startTasks(ctx context.Context, tasks *conc.WaitGroup, s *Server) {
 	now := time.Now()
 	s.beliefs.Offer(newSignalConfig(), now)
--- a/serving/suspicions.go
+++ b/serving/suspicions.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// suspicionLifetime is how long peers are told that a replica is suspected, after its stall was
+	// suspicionLifetime is how long a replica is reported to peers as suspected after its stall was
 	// detected.
 	suspicionLifetime = time.Second
 	// inspectionInterval is the minimum time between two inspections of a suspected replica by the
