--- a/admission/gate.go
+++ b/admission/gate.go
@@ -31,8 +31,8 @@
 	maxPrioritySteps = 2
 	// floodThreshold is the reported occupancy from which on all requests are refused.
 	floodThreshold = 3.0
-	// retryUnit is how much longer a client should wait before a retry for each unit of occupancy
-	// above the threshold.
+	// retryUnit is the time that is added to the suggested wait for each unit of occupancy above
+	// the threshold.
 	retryUnit = 2 * time.Second
 	minRetry  = time.Second
 	maxRetry  = 30 * time.Second
--- a/allowance/allowance.go
+++ b/allowance/allowance.go
@@ -71,8 +71,8 @@
 type warmingWorker struct {
 	worker *fleet.Worker
 	// until is when the worker finishes warming up.
-	until time.Time
-	share Share
+	until    time.Time
+	division Division
 	// bucket is nil if this daemon is not a holder.
 	bucket *Bucket
 }
@@ -158,7 +158,7 @@
 }
 
 // newSnapshot returns a snapshot of the workers that warm up now. Workers that are in the previous
-// snapshot keep their buckets if their shares are unchanged.
+// snapshot keep their buckets if their divisions are unchanged.
 func (a *Allowance) newSnapshot(previous *snapshot, now time.Time) *snapshot {
 	members := a.opts.Members()
 	next := &snapshot{view: a.opts.View(), halls: a.opts.Halls(), config: a.opts.Config(), members: len(members), coveredOpenings: make(map[string]time.Time)}
@@ -181,21 +181,21 @@
 }
 
 // newWarmingWorker returns the state of a worker that warms up until the given time. It reuses the
-// previous bucket if the share is unchanged. Otherwise it creates an empty one, so that no change
-// adds tokens.
+// previous bucket if the division is unchanged. Otherwise it creates an empty one, so that no
+// change adds tokens.
 func (a *Allowance) newWarmingWorker(previous *snapshot, w *fleet.Worker, warmUp fleet.WarmUp, members []string, until, now time.Time) *warmingWorker {
-	share := a.opts.Bound.Divide(warmUp.PerSecond, len(members))
-	next := &warmingWorker{worker: w, until: until, share: share}
+	division := a.opts.Bound.Divide(warmUp.PerSecond, len(members))
+	next := &warmingWorker{worker: w, until: until, division: division}
 	previousState := previous.warming[w.ID]
-	hasSameShare := previousState != nil && previousState.share == share
+	hasSameDivision := previousState != nil && previousState.division == division
 	switch {
-	case hasSameShare && previous.members == len(members):
+	case hasSameDivision && previous.members == len(members):
 		next.bucket = previousState.bucket
-	case !IsHolder(a.opts.Self, w.ID, members, share.Holders):
-	case hasSameShare && previousState.bucket != nil:
+	case !IsHolder(a.opts.Self, w.ID, members, division.Holders):
+	case hasSameDivision && previousState.bucket != nil:
 		next.bucket = previousState.bucket
 	default:
-		next.bucket = NewBucket(share.Rate, 1, now)
+		next.bucket = NewBucket(division.Rate, 1, now)
 	}
 	return next
 }
--- a/allowance/cold.go
+++ b/allowance/cold.go
@@ -30,8 +30,8 @@
 
 // coversOpening reports whether a worker's entry accounts for the warm-up since its hall was
 // opened, or did so in the previous snapshot. Such an entry was written after the opening, with
-// Settle as tolerance. Its remaining time is at least half the warm-up time, as a shorter one may
-// belong to an earlier warm-up.
+// Settle as tolerance. Its remaining time must be at least half the warm-up time, because a shorter
+// one may belong to an earlier warm-up.
 func (a *Allowance) coversOpening(previous *snapshot, w *fleet.Worker, opened time.Time, warmUp time.Duration) bool {
 	if at, ok := previous.coveredOpenings[w.ID]; ok && at.Equal(opened) {
 		return true
--- a/allowance/share.go
+++ b/allowance/share.go
@@ -7,8 +7,8 @@
 
 const (
 	// maxHolders is the maximum number of daemons that send to a worker that warms up. It is more
-	// than one, so that one may be down. Each holder may have saved a token, which lowers the
-	// rate, so more holders send less in total.
+	// than one, so that one may be down. Each further holder lowers the total rate, because each
+	// may send one request for a saved token.
 	maxHolders = 2
 	// minHolderRate is the minimum rate of a holder, in requests a second, if there are several
 	// holders.
@@ -25,8 +25,8 @@
 	Burst, Slack float64
 }
 
-// Share describes how the requests to a worker that warms up are split between daemons.
-type Share struct {
+// Division describes how the requests to a worker that warms up are split between daemons.
+type Division struct {
 	// Holders is the number of daemons that send requests. Rate is the rate of each of them, in
 	// requests a second.
 	Holders int
@@ -39,7 +39,7 @@
 // SendWithin before it. The rates take the holders on both sides of a network partition into
 // account. If the bound is too low for that, they take one side into account. If it is too low even
 // for one, the rate is zero.
-func (b Bound) Divide(perSecond float64, members int) Share {
+func (b Bound) Divide(perSecond float64, members int) Division {
 	burst := b.Burst
 	if burst <= 0 {
 		burst = 1
@@ -48,13 +48,13 @@
 	limit := perSecond*burst + max(b.Slack, 0) - 1
 	for holders := min(maxHolders, members); holders > 0; holders-- {
 		if rate := rateOf(limit/maxDisjointViews, perSecond, holders); rate >= minHolderRate {
-			return Share{Holders: holders, Rate: rate}
+			return Division{Holders: holders, Rate: rate}
 		}
 	}
 	if rate := rateOf(limit/maxDisjointViews, perSecond, 1); rate > 0 {
-		return Share{Holders: 1, Rate: rate}
+		return Division{Holders: 1, Rate: rate}
 	}
-	return Share{Holders: 1, Rate: max(rateOf(limit, perSecond, 1), 0)}
+	return Division{Holders: 1, Rate: max(rateOf(limit, perSecond, 1), 0)}
 }
 
 // rateOf returns the rate of each holder, in requests a second. At this rate, all holders together
--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -19,8 +19,8 @@
 	maxChangedEntries = 16
 	maxRotatedEntries = 16
 	// dropAgeTolerance is the tolerance for the ages in reports of peers. A peer's answer without a
-	// limit ends a limit only if its request was sent this much later than the limit was last
-	// reported.
+	// limit ends a limit only if the request for it was sent at least this long after the limit was
+	// last reported.
 	dropAgeTolerance = time.Second
 	// maxWorkerIDBytes is the maximum length of a worker ID in a report.
 	maxWorkerIDBytes = 256
@@ -41,8 +41,8 @@
 	Leaves bool `json:"x,omitempty"`
 }
 
-// Report returns the entries to send to peers: records that changed recently, and some of the
-// others in rotation. If passesOn is set, records that are only known from peers are included.
+// Report returns the entries to send to peers. These are records that changed recently, and some of
+// the others in rotation. If passesOn is set, records that are only known from peers are included.
 // Relays set it.
 func (t *Table) Report(now time.Time, passesOn bool) []Entry {
 	t.mu.Lock()
--- a/backpressure/shares.go
+++ b/backpressure/shares.go
@@ -86,8 +86,8 @@
 
 // countShares returns how many of the given shares of a worker's limit this daemon holds. Shares
 // are split evenly between data halls, and within a hall between its members. If they cannot be
-// split evenly, a hash with the worker's ID decides who gets one more. So all daemons agree without
-// knowing the members of other halls.
+// split evenly, a hash with the worker's ID decides who gets one more. Thus all daemons agree
+// without knowing the members of other halls.
 func (p shareholders) countShares(worker string, shares int) int {
 	inHall := portionOf(p.hall, p.halls, worker, shares)
 	return portionOf(p.self, p.members, worker, inHall)
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -118,9 +118,9 @@
 	return t
 }
 
-// Hear applies the signal of an answer that arrived now, to a request that was sent at sentAt. As
-// answers may arrive out of order, one without a limit ends a limit only if the limit was reported
-// before that request was sent.
+// Hear applies the signal of an answer that arrived now, to a request that was sent at sentAt.
+// Answers may arrive out of order. An answer without a limit therefore ends the recorded limit only
+// if that limit was reported before the request was sent.
 func (t *Table) Hear(w *fleet.Worker, s Signal, sentAt, now time.Time) {
 	t.notify(t.applySignal(w, s, sentAt, now))
 }
--- a/eventlog/fold.go
+++ b/eventlog/fold.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// Reset drops the records that were added but not yet folded. It is called before the stream is
+// DropPending drops the records that were added but not yet folded. It is called before the stream is
 // read again from its earliest record.
-func (f *Fold) Reset() {
+func (f *Fold) DropPending() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pending = nil
--- a/eventlog/follower.go
+++ b/eventlog/follower.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	if batch.Earliest > from {
-		f.fold.Reset()
+		f.fold.DropPending()
 		batch, err = f.opts.Log.Read(readCtx, f.opts.Stream, batch.Earliest, maxReadRecords, 0)
 		if err != nil {
 			return err
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -304,7 +304,7 @@
 	}
 }
 
-// Confirm notes that a peer reported the list up to position as the newest at the given time. The
+// Confirm records that a peer reported the list up to position as the newest at the given time. The
 // report also counts if this daemon is at a later position, since its list then includes the
 // peer's.
 func (i *Inventory) Confirm(position int64, at time.Time) {
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -24,8 +24,8 @@
 	tickInterval = 100 * time.Millisecond
 	// registryTimeout limits a call to the registry.
 	registryTimeout = 600 * time.Millisecond
-	// startupDelay is how long a daemon only receives heartbeats after its start. It makes no
-	// attempt to lead before.
+	// startupDelay is how long a daemon only receives heartbeats after its start. During that time
+	// it does not try to lead.
 	startupDelay = 500 * time.Millisecond
 	// candidateDelay is the delay by which the attempt of each candidate follows that of the
 	// candidate before it. It is also the pause after a daemon yielded.
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -34,13 +34,13 @@
 	daemons  []*fakeDaemon
 	// claims maps every claim ever made to the daemon that made it.
 	claims map[peers.Claim]string
-	// notReady means that no daemon is ready yet. registryCalls counts the reads of the registry.
-	notReady      bool
+	// noneReady means that no daemon is ready yet. registryCalls counts the reads of the registry.
+	noneReady     bool
 	registryCalls int
 	// capacity maps the IDs of daemons to their capacities.
 	capacity map[string]int
 	// readyAt maps the IDs of daemons to the times at which they become ready and able to lead.
-	// Daemons that are not listed are so from the start.
+	// Daemons without an entry are ready from the start.
 	readyAt map[string]time.Time
 	// duplicates lists claims that were made by two daemons.
 	duplicates []string
@@ -103,7 +103,7 @@
 func (f *fakeFleet) isUnready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.notReady
+	return f.noneReady
 }
 
 // report sends a heartbeat to all reachable daemons five times a second, until ctx ends.
@@ -277,7 +277,7 @@
 func TestFleetStartNeedsFewAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(0)
-		f.notReady = true
+		f.noneReady = true
 		for i := range 40 {
 			f.start(fmt.Sprintf("d%02d", i), 1)
 		}
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -20,7 +20,7 @@
 	// exchangeInterval is the interval between rounds of exchanges.
 	exchangeInterval = 500 * time.Millisecond
 	// roundsPerLargeFleetExchange is the number of rounds per exchange in fleets of more than
-	// smallFleet members. Smaller fleets exchange in every round.
+	// smallFleetSize members. Smaller fleets exchange in every round.
 	roundsPerLargeFleetExchange = 2
 	exchangeTimeout             = 800 * time.Millisecond
 	probeInterval               = time.Second
@@ -195,7 +195,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rounds++
-	if len(alive) > smallFleet && a.rounds%roundsPerLargeFleetExchange != 0 {
+	if len(alive) > smallFleetSize && a.rounds%roundsPerLargeFleetExchange != 0 {
 		return nil
 	}
 	var addresses []string
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -14,8 +14,8 @@
 	// and in the whole fleet.
 	hallProbes  = 2
 	fleetProbes = 1
-	// smallFleet is the maximum fleet size in which every daemon exchanges with all others.
-	smallFleet = 9
+	// smallFleetSize is the maximum fleet size in which every daemon exchanges with all others.
+	smallFleetSize = 9
 	// fanout is the maximum number of peers per round of exchanges in larger fleets.
 	fanout = 2
 	// remoteHallShare is the probability that a peer is chosen from all data halls rather than from
@@ -63,7 +63,7 @@
 // exchangePeers returns the members to exchange with in this round: all other members of a small
 // fleet, or up to fanout random ones.
 func exchangePeers(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) []*rpc.Member {
-	if len(alive) <= smallFleet {
+	if len(alive) <= smallFleetSize {
 		return slices.DeleteFunc(slices.Clone(alive), func(m *rpc.Member) bool { return m.Id == self.Id })
 	}
 	chosen := make([]*rpc.Member, 0, fanout)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -66,7 +66,7 @@
 
 // countIndependentCrashes returns the number of crashes without a common cause. A crash counts if
 // its request was sent after the last counted crash, or if the worker ended at least
-// commonCauseWindow after that.
+// commonCauseWindow after the last counted crash.
 func (r *record) countIndependentCrashes() int {
 	count, last := 0, time.Time{}
 	for _, c := range r.crashes {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -176,7 +176,8 @@
 	return r
 }
 
-// evictOldest removes the record that is to be evicted first.
+// evictOldest removes the record with the oldest event. It removes a quarantined request only if
+// all are quarantined.
 func (t *Table) evictOldest(now time.Time) {
 	var oldest Fingerprint
 	var evicted *record
--- a/relay/callertimeouts.go
+++ b/relay/callertimeouts.go
@@ -23,9 +23,9 @@
 	capacityWaitShare = 0.25
 )
 
-// callerTimeouts estimates the timeout that callers of each route set for their first attempt. If a
-// caller sends a shorter one, it has already waited for the difference, at a failed daemon or after
-// a refusal.
+// callerTimeouts estimates the timeout that callers of each route set for their first attempt. A
+// caller that sends a shorter one is assumed to have waited for the difference already, at a failed
+// daemon or after a refusal.
 type callerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*routeTimeouts
--- a/relay/failover.go
+++ b/relay/failover.go
@@ -36,10 +36,10 @@
 	return errors.As(err, &op) && op.Op == "dial" && op.Timeout()
 }
 
-// MarkUnreachable marks a replica as suspected because no connection to its head could be opened.
-// It reports whether the replica was not marked before; in that case peers are notified. A refused
-// connection always counts. A timeout may be due to a lost packet, and counts only if no stream has
-// recently received an event from the replica. Streams in flight may still complete.
+// MarkUnreachable marks a replica as suspected because no connection to its head could be opened. A
+// refused connection always counts. A timeout may be due to a lost packet, and counts only if no
+// stream has recently received an event from the replica. Streams in flight may still complete.
+// MarkUnreachable reports whether the replica was not marked before. Only then peers are notified.
 func (t *Tracker) MarkUnreachable(r *fleet.Replica, isRefused bool, now time.Time) bool {
 	t.mu.Lock()
 	s := t.loadOf(r)
--- a/relay/holdings.go
+++ b/relay/holdings.go
@@ -24,9 +24,9 @@
 
 var errMemoryLimit = errors.New("the daemon holds as much as it may")
 
-// Holdings limits the bytes that a daemon buffers for callers and workers: bodies of requests, and
-// answers that are read completely before they are forwarded. The small buffers of streams are not
-// counted. It is safe for concurrent use.
+// Holdings limits the bytes that a daemon buffers for callers and workers. These are the bodies of
+// requests, and answers that are read completely before they are forwarded. The small buffers of
+// streams are not counted. It is safe for concurrent use.
 type Holdings struct {
 	limit int64
 
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -174,7 +174,7 @@
 				p := newSimulation(t, 1, near, far)
 				tracker, now := p.daemons[0].opts.Tracker, time.Now()
 				for _, replica := range p.inventory.View().Replicas("models", "m") {
-					// The far head has long prompts to read, the near one more requests.
+					// The far head has long prompts to read. The near one has more requests.
 					tracker.Reserve(replica, 0)
 					if replica.Head.ID == near.id {
 						tracker.Reserve(replica, 0)
--- a/relay/rates.go
+++ b/relay/rates.go
@@ -18,8 +18,8 @@
 
 func newRates() *rates { return &rates{keys: make(map[string]*rateAverage)} }
 
-// count adds a request to the average of a key.
-func (r *rates) count(key string, now time.Time) {
+// countRequest adds a request to the average of a key.
+func (r *rates) countRequest(key string, now time.Time) {
 	average, ok := r.keys[key]
 	if !ok {
 		average = &rateAverage{at: now}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -97,7 +97,7 @@
 		status int
 		body   string
 		runs   int
-		// isCut reports whether the answer must not look complete.
+		// isCut means that the answer must be broken off, so that it does not look complete.
 		isCut bool
 	}{
 		"a whole answer":                         {path: "/safe/", status: 200, body: "answer to a", runs: 1},
--- a/relay/reservation.go
+++ b/relay/reservation.go
@@ -33,7 +33,7 @@
 	r.unreadTokens = 0
 }
 
-// Release removes the request from the count; further calls do nothing.
+// Release removes the request from the load of its replica. Further calls do nothing.
 func (r *Reservation) Release() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -211,7 +211,7 @@
 		}
 	}
 	key := replicas[0].Service + "/" + replicas[0].Model
-	t.rates.count(key, now)
+	t.rates.countRequest(key, now)
 	rate := t.rates.perSecond(key, now) * float64(daemons)
 	if daemons > 0 {
 		reportAge /= time.Duration(daemons)
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -29,7 +29,7 @@
 		Config: s.beliefs.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
 		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
-		Smoothed:  s.smoothedWork.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
+		Smoothed:  s.smoothedDemand.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
 		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
 		Awake: s.awake.Check, Counted: s.meter.Order, Logger: s.logger.Named("formation"),
 	}
@@ -46,20 +46,20 @@
 	s.keeper = k
 }
 
-// observeInterval is the time between two samples of the fleet's demand.
-const observeInterval = time.Second
+// demandSampleInterval is the time between two samples of the fleet's demand.
+const demandSampleInterval = time.Second
 
-// observeWork updates smoothedWork until ctx ends. Every daemon does so, because a new leader needs a
+// sampleDemand updates smoothedWork until ctx ends. Every daemon does so, because a new leader needs a
 // current value at once.
-func (s *Server) observeWork(ctx context.Context) {
-	ticker := time.NewTicker(observeInterval)
+func (s *Server) sampleDemand(ctx context.Context) {
+	ticker := time.NewTicker(demandSampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.smoothedWork.Observe(s.demandByModel(), now)
+			s.smoothedDemand.Observe(s.demandByModel(), now)
 		}
 	}
 }
--- a/serving/news.go
+++ b/serving/news.go
@@ -19,9 +19,9 @@
 	decisionsPerNews = 16
 )
 
-// forwardNews sends new changes of the worker list and new decisions to peers while this daemon is a
-// leader or relay. It sends each only once. Daemons that miss some detect the gap from the positions
-// in heartbeats and fetch them.
+// forwardNews sends new changes of the worker list and new decisions to peers while this daemon is
+// a leader or relay. It sends each only once. Daemons that miss a message detect the gap from the
+// positions in heartbeats and fetch what they lack.
 func (s *Server) forwardNews(ctx context.Context) {
 	var forwarded newsPosition
 	for ctx.Err() == nil {
--- a/serving/server.go
+++ b/serving/server.go
@@ -60,9 +60,9 @@
 	awake *awake.Watch
 	// suspicions holds the replicas that stalled recently.
 	suspicions *suspicions
-	// smoothedWork averages the fleet's demand for each model over time.
-	smoothedWork formation.Smoother
-	isLeaving    atomic.Bool
+	// smoothedDemand averages the fleet's demand for each model over time.
+	smoothedDemand formation.Smoother
+	isLeaving      atomic.Bool
 	// membersReadAt is when the member list of the own data hall was first read; nil before.
 	// hasReadAllMembers is set once those of all halls have been read.
 	membersReadAt     atomic.Pointer[time.Time]
@@ -215,7 +215,7 @@
 	tasks.Go(func() { s.fetcher.run(running) })
 	tasks.Go(func() { s.forwardNews(running) })
 	tasks.Go(func() { s.watchHalls(running) })
-	tasks.Go(func() { s.observeWork(running) })
+	tasks.Go(func() { s.sampleDemand(running) })
 	tasks.Go(func() { s.discoverPeers(running) })
 	tasks.Go(func() { s.watchScope(running) })
 	tasks.Go(func() { s.watchWarmUp(running) })
--- a/serving/start_test.go
+++ b/serving/start_test.go
@@ -61,7 +61,7 @@
 	callsByPurpose map[string]int
 }
 
-// countCall counts a call with a purpose.
+// countCall adds a call to callsByPurpose.
 func (s *sharedStore) countCall(purpose string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
