--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -29,7 +29,7 @@
 	beat uint64
 	// loads holds the loads in the newest renewal, valuesPerLoad values for each replica.
 	loads []uint32
-	// deadline is until when the replicas may serve.
+	// deadline is the time until which the replicas may serve.
 	deadline time.Time
 	removeAt time.Time
 }
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -153,7 +153,7 @@
 		}
 	}
 	if e.ownClaim != nil && e.highestClaim.Higher(*e.ownClaim) {
-		e.yield("a higher claim was heard")
+		e.yield("a peer reported a higher claim")
 	}
 }
 
@@ -205,11 +205,11 @@
 	if e.ownClaim != nil {
 		switch {
 		case !canLead:
-			e.yield("the daemon leaves or knows too little")
+			e.yield("the daemon is stopping or lacks the configuration or workers")
 		case e.currentEra() != e.ownEra:
-			e.yield("the store came back from a copy")
+			e.yield("the store was restored from a copy")
 		case e.isIsolated(alive, now):
-			e.yield("neither the store nor most daemons are reached")
+			e.yield("neither the store nor a majority of the daemons is reachable")
 		}
 		return false
 	}
@@ -429,7 +429,7 @@
 
 // chooseHolders returns the holders of a new grant. This daemon comes first. Up to maxDeputies
 // others follow that are alive and not stopping. Those that know all workers come before the rest,
-// and fitter ones come first within each group.
+// and within each group the fittest come first.
 func (e *Elector) chooseHolders() []peers.Holder {
 	others := slices.DeleteFunc(e.opts.Alive(time.Now()), func(p *peers.Peer) bool { return p.Leaving })
 	slices.SortFunc(others, func(a, b *peers.Peer) int {
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -17,7 +17,7 @@
 // requests with the same fingerprint.
 const fingerprintSize = 16
 
-var errIgnoredCharacters = errors.New("it holds characters that count for nothing")
+var errLineBreaks = errors.New("it contains line breaks")
 
 // Fingerprint identifies a request by its content. Equal requests of one client account have the
 // same fingerprint at all daemons.
@@ -55,7 +55,7 @@
 	}
 	data, err := base64.RawURLEncoding.Strict().DecodeString(string(text))
 	if err != nil || len(data) != fingerprintSize {
-		return fmt.Errorf("decode fingerprint %.40q: %w", text, cmp.Or(err, errIgnoredCharacters))
+		return fmt.Errorf("decode fingerprint %.40q: %w", text, cmp.Or(err, errLineBreaks))
 	}
 	*f = Fingerprint(data)
 	return nil
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -25,8 +25,8 @@
 	status  int
 	reason  reason.Reason
 	message string
-	// retryAfter is after how long the caller should retry; zero if the answer should not say so.
-	// It is sent only with status codes that promise that the request did not run.
+	// retryAfter is how long the caller should wait before a retry; zero if the answer should not
+	// say so. It is sent only with status codes that promise that the request did not run.
 	retryAfter time.Duration
 	// cause is the error that led to the refusal, if any.
 	cause error
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -15,7 +15,8 @@
 	// remoteLoadTTL is how long after their measurement the loads reported by other daemons are
 	// used.
 	remoteLoadTTL = time.Second
-	// minFailurePenalty is the minimum penalty added to the predicted wait.
+	// minFailurePenalty is the minimum penalty that is added to the predicted wait of a replica
+	// after it failed a request.
 	minFailurePenalty = 100 * time.Millisecond
 	// minReportDelay is the assumed minimum time until peers report the load of a new request.
 	minReportDelay = 50 * time.Millisecond
@@ -39,7 +40,8 @@
 	streams        map[*StreamWatch]struct{}
 	lastEventAt    time.Time
 	suspectedUntil time.Time
-	// unreachableUntil is until when the replica counts as suspected after a failed connection.
+	// unreachableUntil is the time until which the replica counts as suspected after a failed
+	// connection.
 	unreachableUntil time.Time
 	failedAt         time.Time
 	lastUsedAt       time.Time
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -177,7 +177,7 @@
 	t.Cleanup(func() {
 		cancel()
 		tasks.Wait()
-		// Datagrams in transit arrive.
+		// Wait until the datagrams in transit have arrived.
 		time.Sleep(time.Second)
 	})
 	return suspendableDaemon
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -162,7 +162,7 @@
 			end()
 		}
 		tasks.Wait()
-		// Datagrams in transit arrive.
+		// Wait until the datagrams in transit have arrived.
 		time.Sleep(time.Second)
 	})
 	return f
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -14,7 +14,7 @@
 func (s *Server) lead(ctx context.Context, claim peers.Claim, isFirst bool) {
 	s.inventory.BeginTerm(claim.Term())
 	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: isFirst, FirstLife: s.opts.FirstLife},
-		func() { s.elector.Yield("a worker knows a higher term") })
+		func() { s.elector.Yield("a worker reported a higher term") })
 	s.setKeeper(keeper)
 	keeper.Run(ctx)
 	s.mu.Lock()
@@ -49,7 +49,7 @@
 // demandSampleInterval is the time between two samples of the fleet's demand.
 const demandSampleInterval = time.Second
 
-// sampleDemand updates smoothedWork until ctx ends. Every daemon does so, because a new leader needs a
+// sampleDemand updates smoothedDemand until ctx ends. Every daemon does so, because a new leader needs a
 // current value at once.
 func (s *Server) sampleDemand(ctx context.Context) {
 	ticker := time.NewTicker(demandSampleInterval)
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -253,7 +253,7 @@
 	t.Cleanup(func() {
 		cancel()
 		tasks.Wait()
-		// Datagrams in transit arrive.
+		// Wait until the datagrams in transit have arrived.
 		time.Sleep(time.Second)
 	})
 	return all
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -230,7 +230,7 @@
 			_ = server.Close()
 		}
 		tasks.Wait()
-		// Datagrams in transit arrive.
+		// Wait until the datagrams in transit have arrived.
 		time.Sleep(time.Second)
 	})
 	return f
