--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -51,8 +51,9 @@
 type Registry struct {
 	// Newest returns the newest grant and the position at which the next one has to be added.
 	Newest func(ctx context.Context) (Found, error)
-	// Add adds a grant if the position is still the one for the next grant, and reports whether it
-	// did. The epoch of the grant must be above all epochs known from Found and from peers.
+	// Add adds a grant if position is still that of the next grant, that is, if no other grant was
+	// added in the meantime. It reports whether it did. The epoch of the grant must be above all
+	// epochs known from Found and from peers.
 	Add func(ctx context.Context, grant peers.Grant, position int64) (won bool, err error)
 }
 
@@ -131,8 +132,8 @@
 // Done is closed when Run has returned.
 func (e *Elector) Done() <-chan struct{} { return e.done }
 
-// State returns what is sent to peers: this daemon's claim, if it leads, the highest known claim,
-// and the newest known grant.
+// State returns what heartbeats report to peers. These are this daemon's claim if it leads, the
+// highest known claim, and the newest known grant.
 func (e *Elector) State() (own *peers.Claim, highest peers.Claim, grant peers.Grant) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -281,8 +282,8 @@
 	return slices.Index(candidates, e.opts.Self)
 }
 
-// sortCandidates sorts the candidates: the holders of the grant first, in the order of the grant,
-// then the others by fitness.
+// sortCandidates sorts the candidates. The holders of the grant come first, in the order of the
+// grant. The others follow by fitness.
 func (e *Elector) sortCandidates(candidates []peers.Identity) {
 	position := func(c peers.Identity) int {
 		if i := slices.Index(e.grant.Holders, holderOf(c)); i >= 0 {
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -60,8 +60,8 @@
 	return next
 }
 
-// exchangePeers returns the members to exchange with in this round: all other members of a small
-// fleet, or up to fanout random ones.
+// exchangePeers returns the members to exchange with in this round. In a small fleet these are all
+// other members, in a larger one up to fanout random ones.
 func exchangePeers(self *rpc.Member, alive []*rpc.Member, random *rand.Rand) []*rpc.Member {
 	if len(alive) <= smallFleetSize {
 		return slices.DeleteFunc(slices.Clone(alive), func(m *rpc.Member) bool { return m.Id == self.Id })
--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -97,7 +97,7 @@
 }
 
 // TestOutdatedChecks lets the check pass for every replica, whether it has a token or not. The
-// choice must skip replicas without tokens, and must return.
+// choice must skip replicas without tokens, and must not loop forever.
 func TestOutdatedChecks(t *testing.T) {
 	tests := map[string]struct {
 		left   map[string]int
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -158,8 +158,8 @@
 	return suspects != nil && suspects(r)
 }
 
-// TestRandomPair: the two replicas differ, all replicas are drawn equally often, and a service
-// with fewer than three replicas is not narrowed.
+// TestRandomPair: the two replicas must differ, and all replicas must be drawn equally often. If a
+// service has fewer than three replicas, all are kept.
 func TestRandomPair(t *testing.T) {
 	const draws, n = 4000, 8
 	var all []*fleet.Replica
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -65,7 +65,8 @@
 }
 
 // demandByModel returns the fleet's demand for each model. Busy slots and prompt tokens are summed
-// over all daemons. Pauses are as this daemon measured them.
+// over all daemons. Pauses are the longest ones between events that the recent callers of this
+// daemon accept.
 func (s *Server) demandByModel() map[string]formation.Work {
 	now := time.Now()
 	measured := s.agent.FleetSummary(now)
--- a/serving/leaving_test.go
+++ b/serving/leaving_test.go
@@ -16,7 +16,7 @@
 
 const (
 	// leaveSignalStart is when heads start to signal that they are leaving, counted from the start
-	// of the fleet. leaveBound is the time after that until no daemon may send them requests.
+	// of the fleet. After a further leaveBound no daemon may send them requests.
 	leaveSignalStart = 2 * time.Second
 	leaveBound       = 2 * time.Second
 )
