--- a/intent/state.go
+++ b/intent/state.go
@@ -107,7 +107,7 @@
 
 	mu      sync.RWMutex
 	entries map[Key]Entry
-	// order lists the keys, those that expire first at the front.
+	// order lists the keys by the time at which they expire, the earliest first.
 	order []Key
 }
 
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -94,7 +94,8 @@
 	for _, stall := range p.Stalls {
 		at := p.HeardAt.Add(-time.Duration(stall.Age) * time.Millisecond)
 		hasNew = s.suspicions.add(stall, at) || hasNew
-		// Streams that were active until now may have stalled by the next report.
+		// Repeated reports are passed on as well, because the tracker ignores a report while the
+		// replica still sends events.
 		s.tracker.Suspect(stall.Replica, p.HeardAt)
 		s.suspect(stall.Replica)
 	}
--- a/serving/reader.go
+++ b/serving/reader.go
@@ -33,7 +33,8 @@
 	storeRetriesPerSecond = 200
 )
 
-// isReader reports whether this daemon reads the store on behalf of all others. That is the leader.
+// isReader reports whether this daemon reads the store on behalf of all others. Only the leader
+// does.
 func (s *Server) isReader() bool {
 	claim, _, _ := s.elector.State()
 	return claim != nil
