--- a/allowance/allowance.go
+++ b/allowance/allowance.go
@@ -62,17 +62,17 @@
 	// coveredOpenings maps worker IDs to times at which the worker's hall was opened. It lists the
 	// workers whose entries account for the warm-up since then.
 	coveredOpenings map[string]time.Time
-	// hallOpened means that at least one worker warms up for longer than its entry says, because
-	// its hall was opened.
-	hallOpened bool
+	// hasExtendedWarmUp means that at least one worker warms up for longer than its entry says,
+	// because its hall was opened.
+	hasExtendedWarmUp bool
 }
 
 // warmingWorker is a worker that warms up.
 type warmingWorker struct {
 	worker *fleet.Worker
 	// until is when the worker finishes warming up.
-	until time.Time
-	share Share
+	until    time.Time
+	division Division
 	// bucket is nil if this daemon is not a holder.
 	bucket *Bucket
 }
@@ -92,7 +92,7 @@
 		return nil
 	}
 	return func(r *fleet.Replica) bool {
-		if !s.hallOpened && !now.Before(r.Head.ColdUntil) {
+		if !s.hasExtendedWarmUp && !now.Before(r.Head.ColdUntil) {
 			// Most workers are not cold. Skip the map lookup for them.
 			return true
 		}
@@ -158,7 +158,7 @@
 }
 
 // newSnapshot returns a snapshot of the workers that warm up now. Workers that are in the previous
-// snapshot keep their buckets if their shares are unchanged.
+// snapshot keep their buckets if their divisions are unchanged.
 func (a *Allowance) newSnapshot(previous *snapshot, now time.Time) *snapshot {
 	members := a.opts.Members()
 	next := &snapshot{view: a.opts.View(), halls: a.opts.Halls(), config: a.opts.Config(), members: len(members), coveredOpenings: make(map[string]time.Time)}
@@ -170,7 +170,7 @@
 		if next.warming == nil {
 			next.warming = make(map[string]*warmingWorker)
 		}
-		next.hallOpened = next.hallOpened || until.After(w.ColdUntil)
+		next.hasExtendedWarmUp = next.hasExtendedWarmUp || until.After(w.ColdUntil)
 		next.warming[id] = a.newWarmingWorker(previous, w, warmUp, members, until, now)
 		if next.validUntil.IsZero() {
 			next.validUntil = until
@@ -181,21 +181,21 @@
 }
 
 // newWarmingWorker returns the state of a worker that warms up until the given time. It reuses the
-// previous bucket if the share is unchanged. Otherwise it creates an empty one, so that no change
-// adds tokens.
+// previous bucket if the division is unchanged. Otherwise it creates an empty one, so that no
+// change adds tokens.
 func (a *Allowance) newWarmingWorker(previous *snapshot, w *fleet.Worker, warmUp fleet.WarmUp, members []string, until, now time.Time) *warmingWorker {
-	share := a.opts.Bound.Divide(warmUp.PerSecond, len(members))
-	next := &warmingWorker{worker: w, until: until, share: share}
+	division := a.opts.Bound.Divide(warmUp.PerSecond, len(members))
+	next := &warmingWorker{worker: w, until: until, division: division}
 	previousState := previous.warming[w.ID]
-	hasSameShare := previousState != nil && previousState.share == share
+	hasSameDivision := previousState != nil && previousState.division == division
 	switch {
-	case hasSameShare && previous.members == len(members):
+	case hasSameDivision && previous.members == len(members):
 		next.bucket = previousState.bucket
-	case !IsHolder(a.opts.Self, w.ID, members, share.Holders):
-	case hasSameShare && previousState.bucket != nil:
+	case !IsHolder(a.opts.Self, w.ID, members, division.Holders):
+	case hasSameDivision && previousState.bucket != nil:
 		next.bucket = previousState.bucket
 	default:
-		next.bucket = NewBucket(share.Rate, 1, now)
+		next.bucket = NewBucket(division.Rate, 1, now)
 	}
 	return next
 }
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -24,11 +24,11 @@
 	tickInterval = 100 * time.Millisecond
 	// registryTimeout limits a call to the registry.
 	registryTimeout = 600 * time.Millisecond
-	// startupDelay is how long a daemon only receives heartbeats after its start. It makes no
-	// attempt to lead before.
+	// startupDelay is how long a daemon only receives heartbeats after its start. During that time
+	// it does not try to lead.
 	startupDelay = 500 * time.Millisecond
-	// candidateDelay is the time between the attempts of one candidate and the next. It is also
-	// the pause after a daemon yielded.
+	// candidateDelay is the delay by which the attempt of each candidate follows that of the
+	// candidate before it. It is also the pause after a daemon yielded.
 	candidateDelay = 700 * time.Millisecond
 	// retryPause is the pause after a failed attempt to lead.
 	retryPause = 300 * time.Millisecond
@@ -51,8 +51,9 @@
 type Registry struct {
 	// Newest returns the newest grant and the position at which the next one has to be added.
 	Newest func(ctx context.Context) (Found, error)
-	// Add adds a grant if the position is still the one for the next grant, and reports whether it
-	// did. The epoch of the grant must be above all epochs known from Found and from peers.
+	// Add adds a grant if position is still that of the next grant, that is, if no other grant was
+	// added in the meantime. It reports whether it did. The epoch of the grant must be above all
+	// epochs known from Found and from peers.
 	Add func(ctx context.Context, grant peers.Grant, position int64) (won bool, err error)
 }
 
@@ -131,8 +132,8 @@
 // Done is closed when Run has returned.
 func (e *Elector) Done() <-chan struct{} { return e.done }
 
-// State returns what is sent to peers: this daemon's claim, if it leads, the highest known claim,
-// and the newest known grant.
+// State returns what heartbeats report to peers. These are this daemon's claim if it leads, the
+// highest known claim, and the newest known grant.
 func (e *Elector) State() (own *peers.Claim, highest peers.Claim, grant peers.Grant) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,7 +154,7 @@
 		}
 	}
 	if e.ownClaim != nil && e.highestClaim.Higher(*e.ownClaim) {
-		e.yield("a higher claim was heard")
+		e.yield("a peer reported a higher claim")
 	}
 }
 
@@ -205,11 +206,11 @@
 	if e.ownClaim != nil {
 		switch {
 		case !canLead:
-			e.yield("the daemon leaves or knows too little")
+			e.yield("the daemon is stopping or lacks the configuration or workers")
 		case e.currentEra() != e.ownEra:
-			e.yield("the store came back from a copy")
+			e.yield("the store was restored from a copy")
 		case e.isIsolated(alive, now):
-			e.yield("neither the store nor most daemons are reached")
+			e.yield("neither the store nor a majority of the daemons is reachable")
 		}
 		return false
 	}
@@ -281,8 +282,8 @@
 	return slices.Index(candidates, e.opts.Self)
 }
 
-// sortCandidates sorts the candidates: the holders of the grant first, in the order of the grant,
-// then the others by fitness.
+// sortCandidates sorts the candidates. The holders of the grant come first, in the order of the
+// grant. The others follow by fitness.
 func (e *Elector) sortCandidates(candidates []peers.Identity) {
 	position := func(c peers.Identity) int {
 		if i := slices.Index(e.grant.Holders, holderOf(c)); i >= 0 {
@@ -359,8 +360,8 @@
 }
 
 // nextGrant returns the grant to add next. Its epoch is above every epoch known to the registry,
-// peers or this daemon: two grants with the same epoch would lead to equal fencing tokens. The
-// caller must hold e.mu.
+// peers or this daemon, because two grants with the same epoch would lead to equal fencing tokens.
+// The caller must hold e.mu.
 func (e *Elector) nextGrant(found Found) peers.Grant {
 	given := max(found.Given, found.Grant.Epoch, e.grant.Epoch, e.highestClaim.Epoch)
 	return peers.Grant{Epoch: given + 1, Holders: e.chooseHolders()}
@@ -427,9 +428,9 @@
 	return 1
 }
 
-// chooseHolders returns the holders of a new grant. This daemon comes first, then up to
-// maxDeputies others that are alive and not stopping: those that know all workers before the rest,
-// the fittest first.
+// chooseHolders returns the holders of a new grant. This daemon comes first. Up to maxDeputies
+// others follow that are alive and not stopping. Those that know all workers come before the rest,
+// and within each group the fittest come first.
 func (e *Elector) chooseHolders() []peers.Holder {
 	others := slices.DeleteFunc(e.opts.Alive(time.Now()), func(p *peers.Peer) bool { return p.Leaving })
 	slices.SortFunc(others, func(a, b *peers.Peer) int {
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -15,12 +15,13 @@
 	// remoteLoadTTL is how long after their measurement the loads reported by other daemons are
 	// used.
 	remoteLoadTTL = time.Second
-	// minFailurePenalty is the minimum penalty added to the predicted wait.
+	// minFailurePenalty is the minimum penalty that is added to the predicted wait of a replica
+	// after it failed a request.
 	minFailurePenalty = 100 * time.Millisecond
 	// minReportDelay is the assumed minimum time until peers report the load of a new request.
 	minReportDelay = 50 * time.Millisecond
-	// inFlightPenalty is added to a replica's cost for each request in flight there, if the replica
-	// with the fewest is preferred. It exceeds any predicted wait.
+	// inFlightPenalty is added to the cost of a replica for each request in flight there, if
+	// costs.preferIdle is set. It exceeds any predicted wait.
 	inFlightPenalty = 10 * time.Second
 	// noiseDivisor determines the minimum noise of choices, which is the duration of a pass divided
 	// by noiseDivisor.
@@ -39,7 +40,8 @@
 	streams        map[*StreamWatch]struct{}
 	lastEventAt    time.Time
 	suspectedUntil time.Time
-	// unreachableUntil is until when the replica counts as suspected after a failed connection.
+	// unreachableUntil is the time until which the replica counts as suspected after a failed
+	// connection.
 	unreachableUntil time.Time
 	failedAt         time.Time
 	lastUsedAt       time.Time
@@ -55,8 +57,8 @@
 	loadsBySource map[string]remoteLoads
 	rates         *rates
 	gapTargets    gapTargets
-	// reportedSuspects holds until when replicas that peers reported are suspected, for replicas
-	// that this daemon has not used.
+	// reportedSuspects holds the replicas that peers reported and this daemon has not used, each
+	// with the time until which it is suspected.
 	reportedSuspects map[string]time.Time
 	// hasTraffic reports whether a request with a prompt has arrived at this daemon or a peer.
 	hasTraffic bool
@@ -211,7 +213,7 @@
 		}
 	}
 	key := replicas[0].Service + "/" + replicas[0].Model
-	t.rates.count(key, now)
+	t.rates.countRequest(key, now)
 	rate := t.rates.perSecond(key, now) * float64(daemons)
 	if daemons > 0 {
 		reportAge /= time.Duration(daemons)
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -9,12 +9,12 @@
 	"quartzshelf.dev/peers"
 )
 
-// lead acts as leader for the term of a claim, until ctx ends. first is passed on to the keeper as
-// formation.Term.First.
-func (s *Server) lead(ctx context.Context, claim peers.Claim, first bool) {
+// lead acts as leader for the term of a claim, until ctx ends. isFirst is passed on to the keeper
+// as formation.Term.First.
+func (s *Server) lead(ctx context.Context, claim peers.Claim, isFirst bool) {
 	s.inventory.BeginTerm(claim.Term())
-	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: first, FirstLife: s.opts.FirstLife},
-		func() { s.elector.Yield("a worker knows a higher term") })
+	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: isFirst, FirstLife: s.opts.FirstLife},
+		func() { s.elector.Yield("a worker reported a higher term") })
 	s.setKeeper(keeper)
 	keeper.Run(ctx)
 	s.mu.Lock()
@@ -29,7 +29,7 @@
 		Config: s.beliefs.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
 		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
-		Smoothed:  s.smoothedWork.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
+		Smoothed:  s.smoothedDemand.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
 		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
 		Awake: s.awake.Check, Counted: s.meter.Order, Logger: s.logger.Named("formation"),
 	}
@@ -46,26 +46,27 @@
 	s.keeper = k
 }
 
-// observeInterval is the time between two samples of the fleet's demand.
-const observeInterval = time.Second
+// demandSampleInterval is the time between two samples of the fleet's demand.
+const demandSampleInterval = time.Second
 
-// observeWork updates smoothedWork until ctx ends. Every daemon does so, because a new leader needs a
+// sampleDemand updates smoothedDemand until ctx ends. Every daemon does so, because a new leader needs a
 // current value at once.
-func (s *Server) observeWork(ctx context.Context) {
-	ticker := time.NewTicker(observeInterval)
+func (s *Server) sampleDemand(ctx context.Context) {
+	ticker := time.NewTicker(demandSampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.smoothedWork.Observe(s.demandByModel(), now)
+			s.smoothedDemand.Observe(s.demandByModel(), now)
 		}
 	}
 }
 
 // demandByModel returns the fleet's demand for each model. Busy slots and prompt tokens are summed
-// over all daemons. Pauses are as this daemon measured them.
+// over all daemons. Pauses are the longest ones between events that the recent callers of this
+// daemon accept.
 func (s *Server) demandByModel() map[string]formation.Work {
 	now := time.Now()
 	measured := s.agent.FleetSummary(now)
