--- a/cmd/common/parse.go
+++ b/cmd/common/parse.go
@@ -1,4 +1,4 @@
-// Package common holds what the command lines of all programs share.
+// Package common holds the command-line parsing that several programs share.
 package common
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// Parse reads the arguments of a program into line, a pointer to a struct with
-// kong's tags. On failure it tells stderr and returns false.
-func Parse(name, description string, line any, args []string, stdout, stderr io.Writer) bool {
-	parser, err := kong.New(line, kong.Name(name), kong.Description(description), kong.Writers(stdout, stderr))
+// Parse reads the arguments of a program into target, a pointer to a struct with kong tags. If
+// the arguments are invalid, it writes the error to stderr and returns false.
+func Parse(name, description string, target any, args []string, stdout, stderr io.Writer) bool {
+	parser, err := kong.New(target, kong.Name(name), kong.Description(description), kong.Writers(stdout, stderr))
 	if err == nil {
 		_, err = parser.Parse(args)
 	}
--- a/cmd/daemoncmd/run.go
+++ b/cmd/daemoncmd/run.go
@@ -1,4 +1,4 @@
-// Package daemoncmd is the command line of the quartzshelf daemon.
+// Package daemoncmd implements the command line of the quartzshelf daemon.
 package daemoncmd
 
 import (
@@ -24,8 +24,8 @@
 	exitSettings = 2
 )
 
-// applyTimeout bounds the publication of the first configuration,
-// replicaTimeout the wait for a replica after it.
+// applyTimeout limits the publication of the initial configuration. replicaTimeout limits the
+// wait for the first replica after it.
 const (
 	applyTimeout   = 20 * time.Second
 	replicaTimeout = time.Minute
@@ -36,18 +36,18 @@
 	CheckSettings bool   `help:"Check the settings and exit."`
 }
 
-// Run runs the daemon until it is told to stop, and returns its exit code.
+// Run runs the daemon until it receives SIGINT or SIGTERM, and returns its exit code.
 func Run(args []string, stdout, stderr io.Writer) int {
-	var line commandLine
-	if !common.Parse("quartzshelfd", "Serves models whose replicas span several nodes.", &line, args, stdout, stderr) {
+	var flags commandLine
+	if !common.Parse("quartzshelfd", "Serves models whose replicas span several nodes.", &flags, args, stdout, stderr) {
 		return exitSettings
 	}
-	settings, err := daemon.ReadSettings(line.Settings)
+	settings, err := daemon.ReadSettings(flags.Settings)
 	if err != nil {
 		fmt.Fprintln(stderr, "quartzshelfd:", err)
 		return exitSettings
 	}
-	if line.CheckSettings {
+	if flags.CheckSettings {
 		fmt.Fprintln(stdout, "settings are valid")
 		return exitOK
 	}
@@ -58,7 +58,8 @@
 	return serve(settings, logger, stdout)
 }
 
-// serve runs a daemon until SIGINT or SIGTERM; a second signal ends it at once.
+// serve runs a daemon until SIGINT or SIGTERM and then stops it gracefully. A second signal
+// makes serve return without waiting for that.
 func serve(settings *daemon.Settings, logger hclog.Logger, stdout io.Writer) int {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
@@ -72,7 +73,7 @@
 	callers, operators := d.Addresses()
 	logger.Info("started", "callers", callers, "operators", operators)
 	if file := settings.ConfigurationFile(); file != "" {
-		if err := applyFirst(d, file); err != nil {
+		if err := applyInitialConfiguration(d, file); err != nil {
 			logger.Error("cannot apply the first configuration", "error", err)
 			d.Kill()
 			return exitFailed
@@ -90,7 +91,7 @@
 	}
 }
 
-func applyFirst(d *daemon.Daemon, file string) error {
+func applyInitialConfiguration(d *daemon.Daemon, file string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 	defer cancel()
 	err := d.ApplyConfigurationFile(ctx, file)
@@ -100,7 +101,7 @@
 	return err
 }
 
-// greetWhenServing tells what to try once it would be answered.
+// greetWhenServing prints addresses and an example request as soon as a replica can serve it.
 func greetWhenServing(d *daemon.Daemon, stdout io.Writer, logger hclog.Logger) {
 	ctx, cancel := context.WithTimeout(context.Background(), replicaTimeout)
 	defer cancel()
@@ -109,10 +110,10 @@
 		return
 	}
 	callers, operators := d.Addresses()
-	greet(stdout, callers, operators)
+	printGreeting(stdout, callers, operators)
 }
 
-func greet(w io.Writer, callers, operators string) {
+func printGreeting(w io.Writer, callers, operators string) {
 	fmt.Fprintf(w, `Serving callers on %[1]s and operators on %[2]s. Try:
 
   curl -N http://%[1]s/v1/chat/completions -H 'Authorization: Bearer demo-key' \
--- a/cmd/loadcmd/caller.go
+++ b/cmd/loadcmd/caller.go
@@ -16,61 +16,60 @@
 )
 
 const (
-	// maxAttempts is how often a caller sends one request again before it
-	// counts it as lost.
-	maxAttempts = 40
-	pauseRetry  = 250 * time.Millisecond
-	maxLine     = 1 << 20
-	callTimeout = 60 * time.Second
+	// maxAttempts is the number of times that a caller sends a request before it gives up.
+	maxAttempts  = 40
+	retryPause   = 250 * time.Millisecond
+	maxLineBytes = 1 << 20
+	callTimeout  = 60 * time.Second
 )
 
-// caller sends one request after the other.
+// caller sends requests one at a time and records the answers.
 type caller struct {
-	line      commandLine
-	number    int
+	flags     commandLine
+	index     int
 	result    *result
 	directory *directory
 	http      *http.Client
 	sent      int
 }
 
-// run sends requests of the three kinds in turn until the deadline.
+// run sends receipts, streamed completions and plain completions in turn until the deadline.
 func (c *caller) run(ctx context.Context, deadline time.Time) {
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		c.sent++
-		name := fmt.Sprintf("caller-%d-%d-%d", c.number, c.sent, time.Now().UnixNano())
+		name := fmt.Sprintf("caller-%d-%d-%d", c.index, c.sent, time.Now().UnixNano())
 		switch c.sent % 3 {
 		case 0:
-			c.receipt(ctx, name)
+			c.requestReceipt(ctx, name)
 		case 1:
-			c.completion(ctx, name, true)
+			c.requestCompletion(ctx, name, true)
 		default:
-			c.completion(ctx, name, false)
+			c.requestCompletion(ctx, name, false)
 		}
 	}
 }
 
-// reply is what came of one attempt.
+// reply is the result of one attempt.
 type reply struct {
 	status int
-	// ran is set on answers that are not the result.
+	// ran says whether the request was executed. It is set only when the attempt failed.
 	ran    reason.Ran
 	reason string
 	body   []byte
-	// broken is set when the connection ended before the answer did.
+	// broken is set when the connection failed before the answer was complete.
 	broken bool
 }
 
-// completion asks for an answer until it has a whole one.
-func (c *caller) completion(ctx context.Context, prompt string, streamed bool) {
+// requestCompletion sends a completion request until it gets a complete answer.
+func (c *caller) requestCompletion(ctx context.Context, prompt string, streamed bool) {
 	body, err := json.Marshal(map[string]any{
-		"model": c.line.Model, "prompt": prompt, "max_tokens": c.line.Tokens, "stream": streamed,
+		"model": c.flags.Model, "prompt": prompt, "max_tokens": c.flags.Tokens, "stream": streamed,
 	})
 	if err != nil {
 		panic(err)
 	}
 	var want strings.Builder
-	for i := range c.line.Tokens {
+	for i := range c.flags.Tokens {
 		want.WriteString(standin.Token(prompt, i))
 	}
 	start := time.Now()
@@ -80,58 +79,58 @@
 			return
 		}
 		if r.status == http.StatusOK && !r.broken {
-			c.result.answer(textOf(r.body, streamed), want.String(), streamed && !isWhole(r.body), time.Since(start))
-			if streamed && !isWhole(r.body) {
+			c.result.recordAnswer(answerText(r.body, streamed), want.String(), streamed && !isComplete(r.body), time.Since(start))
+			if streamed && !isComplete(r.body) {
 				continue
 			}
 			return
 		}
-		c.result.refused(r)
-		time.Sleep(pauseRetry)
+		c.result.recordRefusal(r)
+		time.Sleep(retryPause)
 	}
-	c.result.lose("completion " + prompt)
+	c.result.recordLost("completion " + prompt)
 }
 
-// receipt makes a call that must run at most once, with a key, and asks again
-// with the same key until the outcome is known or cannot be known.
-func (c *caller) receipt(ctx context.Context, mark string) {
+// requestReceipt makes a service call that must run at most once. It repeats the call under the
+// same idempotency key until the outcome is known or can't be determined.
+func (c *caller) requestReceipt(ctx context.Context, mark string) {
 	body := []byte(`{"receipt":"` + mark + `"}`)
-	all := reason.RanNo
+	combined := reason.RanNo
 	for range maxAttempts {
-		r := c.post(ctx, "/services/"+c.line.Service+"/receipts", mark, mark, body)
+		r := c.post(ctx, "/services/"+c.flags.Service+"/receipts", mark, mark, body)
 		if r.status == http.StatusOK && !r.broken {
-			c.result.receipt(mark, receiptAnswered)
+			c.result.recordReceipt(mark, receiptAnswered)
 			if !bytes.Contains(r.body, []byte(mark)) {
-				c.result.cross("receipt " + mark)
+				c.result.recordCrossed("receipt " + mark)
 			}
 			return
 		}
-		c.result.refused(r)
+		c.result.recordRefusal(r)
 		if ctx.Err() != nil || r.ran != reason.RanNo {
-			all = reason.RanUnknown
+			combined = reason.RanUnknown
 		}
 		if ctx.Err() != nil || r.ran == reason.RanYes {
 			break
 		}
-		time.Sleep(pauseRetry)
+		time.Sleep(retryPause)
 	}
-	if all == reason.RanNo {
-		c.result.receipt(mark, receiptNotRun)
+	if combined == reason.RanNo {
+		c.result.recordReceipt(mark, receiptNotRun)
 		return
 	}
-	c.result.receipt(mark, receiptUnknown)
+	c.result.recordReceipt(mark, receiptUnknown)
 }
 
-// post sends one attempt.
+// post makes one attempt to send a request.
 func (c *caller) post(ctx context.Context, path, key, mark string, body []byte) reply {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	url := "http://" + c.directory.address(ctx) + path
+	url := "http://" + c.directory.nextAddress(ctx) + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		panic(err)
 	}
-	request.Header.Set("Authorization", "Bearer "+c.line.Key)
+	request.Header.Set("Authorization", "Bearer "+c.flags.Key)
 	request.Header.Set("Content-Type", "application/json")
 	if key != "" {
 		request.Header.Set("Idempotency-Key", key)
@@ -154,7 +153,7 @@
 	return r
 }
 
-// readProblem takes the fields of an error from the body.
+// readProblem sets ran and reason from the error in the body.
 func (r *reply) readProblem() {
 	var problem struct {
 		Ran    reason.Ran `json:"ran"`
@@ -166,19 +165,19 @@
 	}
 }
 
-// isWhole reports whether a stream ended with its last event.
-func isWhole(body []byte) bool {
+// isComplete reports whether a streamed body ends with the final event.
+func isComplete(body []byte) bool {
 	return bytes.HasSuffix(bytes.TrimSpace(body), []byte("data: [DONE]"))
 }
 
-// textOf returns the text of an answer.
-func textOf(body []byte, streamed bool) string {
+// answerText returns the generated text of an answer.
+func answerText(body []byte, streamed bool) string {
 	if !streamed {
 		return choiceText(body)
 	}
 	var text strings.Builder
 	scanner := bufio.NewScanner(bytes.NewReader(body))
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if data, ok := bytes.CutPrefix(scanner.Bytes(), []byte("data: ")); ok {
 			text.WriteString(choiceText(data))
--- a/cmd/loadcmd/result.go
+++ b/cmd/loadcmd/result.go
@@ -14,15 +14,15 @@
 	"quartzshelf.dev/cluster"
 )
 
-// receiptState is what a caller knows of a receipt at the end.
+// receiptState is what a caller knows about the execution of a receipt request.
 type receiptState int
 
 const (
-	// receiptAnswered receipts must have run exactly once.
+	// receiptAnswered means that the caller got the result: the request must have run once.
 	receiptAnswered receiptState = iota
-	// receiptNotRun receipts must not have run: every answer said so.
+	// receiptNotRun means that every attempt was answered with "not run": it must not have run.
 	receiptNotRun
-	// receiptUnknown receipts may have run once.
+	// receiptUnknown means that the request may have run, but at most once.
 	receiptUnknown
 )
 
@@ -32,17 +32,23 @@
 	histogramDigits = 3
 )
 
-// result counts what the callers saw. It is safe for concurrent use.
+// result counts what the callers observed. It is safe for concurrent use.
 type result struct {
-	mu        sync.Mutex
-	answers   int
-	crossed   int
-	cut       int
-	lost      int
-	doubled   int
-	falseNo   int
-	unrun     int
-	refusals  map[string]int
+	mu sync.Mutex
+	// answers counts complete answers, crossed answers with unexpected text, and cut streams
+	// without a final event. lost counts completion requests that never got an answer.
+	answers int
+	crossed int
+	cut     int
+	lost    int
+	// ranTwice, falseNotRun and answeredNotRun count receipt requests that ran more than once,
+	// that ran although the callers were told otherwise, and that were answered without running.
+	ranTwice       int
+	falseNotRun    int
+	answeredNotRun int
+	// refusals counts attempts without a result, by reason.
+	refusals map[string]int
+	// receipts holds the state of each receipt request by its mark.
 	receipts  map[string]receiptState
 	examples  []string
 	latencies *hdrhistogram.Histogram
@@ -55,62 +61,62 @@
 	}
 }
 
-// answer checks the text of an answer with status 200.
-func (r *result) answer(got, want string, cut bool, took time.Duration) {
+// recordAnswer compares the text of an answer with status 200 with the expected text. If the
+// stream was cut off, the text must be a prefix of it.
+func (r *result) recordAnswer(got, want string, cut bool, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if cut {
-		// What came before the cut must still be right.
 		if !strings.HasPrefix(want, got) {
 			r.crossed++
-			r.example("crossed: got %q, want %q", got, want)
+			r.addExample("crossed: got %q, want %q", got, want)
 		}
 		r.cut++
 		return
 	}
 	r.answers++
-	// Values out of range are not possible: calls time out before.
+	// The error can be ignored: calls time out long before the histogram's maximum.
 	_ = r.latencies.RecordValue(took.Microseconds())
 	if got != want {
 		r.crossed++
-		r.example("crossed: got %q, want %q", got, want)
+		r.addExample("crossed: got %q, want %q", got, want)
 	}
 }
 
-func (r *result) example(format string, args ...any) {
+func (r *result) addExample(format string, args ...any) {
 	if len(r.examples) < maxExamples {
 		r.examples = append(r.examples, fmt.Sprintf(format, args...))
 	}
 }
 
-func (r *result) cross(what string) {
+func (r *result) recordCrossed(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crossed++
-	r.example("crossed: %s", what)
+	r.addExample("crossed: %s", what)
 }
 
-func (r *result) lose(what string) {
+func (r *result) recordLost(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost++
-	r.example("lost: %s", what)
+	r.addExample("lost: %s", what)
 }
 
-// refused counts an answer that is not the result.
-func (r *result) refused(a reply) {
+// recordRefusal counts an attempt that gave no result, by reason.
+func (r *result) recordRefusal(a reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refusals[a.reason+" ran="+string(a.ran)]++
 }
 
-func (r *result) receipt(mark string, state receiptState) {
+func (r *result) recordReceipt(mark string, state receiptState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.receipts[mark] = state
 }
 
-// checkRuns asks the stand-in's service nodes how often each receipt ran.
+// checkRuns asks the stand-in's service nodes how often each receipt request ran.
 func (r *result) checkRuns(address string) error {
 	client := &http.Client{Timeout: callTimeout}
 	var list struct {
@@ -132,24 +138,24 @@
 			runs[mark] += count
 		}
 	}
-	r.compare(runs)
+	r.compareRuns(runs)
 	return nil
 }
 
-func (r *result) compare(runs map[string]int) {
+func (r *result) compareRuns(runs map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for mark, state := range r.receipts {
 		switch n := runs[mark]; {
 		case n > 1:
-			r.doubled++
-			r.example("doubled: %s ran %d times", mark, n)
+			r.ranTwice++
+			r.addExample("doubled: %s ran %d times", mark, n)
 		case n == 1 && state == receiptNotRun:
-			r.falseNo++
-			r.example("false no: %s ran", mark)
+			r.falseNotRun++
+			r.addExample("false no: %s ran", mark)
 		case n == 0 && state == receiptAnswered:
-			r.unrun++
-			r.example("answered but not run: %s", mark)
+			r.answeredNotRun++
+			r.addExample("answered but not run: %s", mark)
 		}
 	}
 }
@@ -163,24 +169,24 @@
 	return json.NewDecoder(response.Body).Decode(reply)
 }
 
-// faults returns how much went wrong. A cut stream is a fault: it ended
-// without its last event and without an error.
-func (r *result) faults() int {
+// faultCount returns the number of faults of all kinds. A stream that was cut off counts too,
+// because it ended without a final event or an error.
+func (r *result) faultCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.crossed + r.cut + r.lost + r.doubled + r.falseNo + r.unrun
+	return r.crossed + r.cut + r.lost + r.ranTwice + r.falseNotRun + r.answeredNotRun
 }
 
-// summary is the result as it is printed.
+// summary is the JSON document that the tool prints.
 type summary struct {
 	Answers        int            `json:"answers"`
 	Receipts       int            `json:"receipts"`
 	Unknown        int            `json:"receipts_of_unknown_fate"`
 	Lost           int            `json:"lost"`
-	Doubled        int            `json:"doubled"`
+	RanTwice       int            `json:"doubled"`
 	Crossed        int            `json:"crossed"`
 	Cut            int            `json:"cut"`
-	FalseNo        int            `json:"said_not_run_but_ran"`
+	FalseNotRun    int            `json:"said_not_run_but_ran"`
 	AnsweredNotRun int            `json:"answered_but_not_run"`
 	Refusals       map[string]int `json:"answers_without_result"`
 	P50Millis      float64        `json:"whole_answer_p50_ms"`
@@ -193,10 +199,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := summary{
-		Answers: r.answers, Receipts: len(r.receipts), Lost: r.lost, Doubled: r.doubled,
-		Crossed: r.crossed, Cut: r.cut, FalseNo: r.falseNo, AnsweredNotRun: r.unrun,
+		Answers: r.answers, Receipts: len(r.receipts), Lost: r.lost, RanTwice: r.ranTwice,
+		Crossed: r.crossed, Cut: r.cut, FalseNotRun: r.falseNotRun, AnsweredNotRun: r.answeredNotRun,
 		Refusals: maps.Clone(r.refusals), Examples: r.examples,
-		P50Millis: r.quantile(50), P95Millis: r.quantile(95), P99Millis: r.quantile(99),
+		P50Millis: r.latencyMillis(50), P95Millis: r.latencyMillis(95), P99Millis: r.latencyMillis(99),
 	}
 	for _, state := range r.receipts {
 		if state == receiptUnknown {
@@ -206,6 +212,6 @@
 	return s
 }
 
-func (r *result) quantile(percent float64) float64 {
+func (r *result) latencyMillis(percent float64) float64 {
 	return float64(r.latencies.ValueAtQuantile(percent)) / float64(time.Millisecond/time.Microsecond)
 }
--- a/cmd/loadcmd/run.go
+++ b/cmd/loadcmd/run.go
@@ -1,6 +1,6 @@
-// Package loadcmd is the command line of the load tool: it sends requests as
-// callers do, checks every answer against what the stand-in must have said,
-// and counts what went wrong.
+// Package loadcmd implements the command line of the load generator. It sends requests as client
+// programs do, compares each answer with the one that the stand-in must give, and counts the
+// faults.
 package loadcmd
 
 import (
@@ -43,42 +43,42 @@
 	Duration time.Duration `help:"How long to send." default:"20s"`
 }
 
-// Run sends load and returns the exit code: zero when nothing was lost,
-// doubled, crossed or cut.
+// Run generates load and returns the exit code, which is exitOK if there were no faults.
 func Run(args []string, stdout, stderr io.Writer) int {
-	var line commandLine
-	if !common.Parse("quartzshelf-load", "Sends requests and checks every answer.", &line, args, stdout, stderr) {
+	var flags commandLine
+	if !common.Parse("quartzshelf-load", "Sends requests and checks every answer.", &flags, args, stdout, stderr) {
 		return exitUsage
 	}
-	if line.Callers < 1 || line.Callers > maxCallers || line.Duration > maxDuration {
+	if flags.Callers < 1 || flags.Callers > maxCallers || flags.Duration > maxDuration {
 		fmt.Fprintf(stderr, "quartzshelf-load: at most %d callers and %v\n", maxCallers, maxDuration)
 		return exitUsage
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	result := send(ctx, line)
-	if line.Platform != "" {
-		if err := result.checkRuns(line.Platform); err != nil {
+	result := runCallers(ctx, flags)
+	if flags.Platform != "" {
+		if err := result.checkRuns(flags.Platform); err != nil {
 			fmt.Fprintln(stderr, "quartzshelf-load:", err)
 			return exitFaults
 		}
 	}
 	encoder := json.NewEncoder(stdout)
 	encoder.SetIndent("", "  ")
-	if err := encoder.Encode(result.summary()); err != nil || result.faults() > 0 {
+	if err := encoder.Encode(result.summary()); err != nil || result.faultCount() > 0 {
 		return exitFaults
 	}
 	return exitOK
 }
 
-// send runs the callers until the time is over, and lets each end its request.
-func send(ctx context.Context, line commandLine) *result {
+// runCallers runs the callers for the configured duration. Each of them then completes its
+// current request.
+func runCallers(ctx context.Context, flags commandLine) *result {
 	r := newResult()
-	deadline := time.Now().Add(line.Duration)
-	directory := &directory{seeds: line.Entries, http: &http.Client{Timeout: directoryTimeout}}
+	deadline := time.Now().Add(flags.Duration)
+	directory := &directory{seeds: flags.Entries, http: &http.Client{Timeout: directoryTimeout}}
 	var group conc.WaitGroup
-	for i := range line.Callers {
-		c := &caller{line: line, number: i, result: r, directory: directory, http: &http.Client{Transport: &http.Transport{}}}
+	for i := range flags.Callers {
+		c := &caller{flags: flags, index: i, result: r, directory: directory, http: &http.Client{Transport: &http.Transport{}}}
 		group.Go(func() { c.run(ctx, deadline) })
 	}
 	group.Wait()
@@ -87,10 +87,10 @@
 
 const (
 	directoryTimeout = 3 * time.Second
-	minKeep          = 100 * time.Millisecond
+	minCacheTime     = 100 * time.Millisecond
 )
 
-// directory keeps the answer of the daemons that says which addresses to use.
+// directory caches the list of addresses that the daemons publish for callers.
 type directory struct {
 	seeds []string
 	http  *http.Client
@@ -98,14 +98,14 @@
 	mu        sync.Mutex
 	addresses []string
 	next      int
-	keepUntil time.Time
+	expiresAt time.Time
 }
 
-// address returns an address to use now; all of them take turns.
-func (d *directory) address(ctx context.Context) string {
+// nextAddress returns the listed addresses in turn, or the configured ones if there is no list.
+func (d *directory) nextAddress(ctx context.Context) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if time.Now().After(d.keepUntil) {
+	if time.Now().After(d.expiresAt) {
 		d.refresh(ctx)
 	}
 	d.next++
@@ -140,7 +140,7 @@
 		for _, e := range list.Entries {
 			d.addresses = append(d.addresses, e.Address)
 		}
-		d.keepUntil = time.Now().Add(max(time.Duration(list.KeepSeconds*float64(time.Second)), minKeep))
+		d.expiresAt = time.Now().Add(max(time.Duration(list.KeepSeconds*float64(time.Second)), minCacheTime))
 		return
 	}
 }
--- a/cmd/operatorcmd/builds.go
+++ b/cmd/operatorcmd/builds.go
@@ -10,18 +10,20 @@
 	"time"
 )
 
-// The messages of the log lines that tell of builds.
+// Messages of the log lines that contain the build or format of a daemon.
 const (
 	messageStarted = "started"
 	messageFormat  = "the fleet acts by a version of the format"
 )
 
-// buildsCommand lists what daemons were built from, during an upgrade and after it.
+// buildsCommand lists the build and the format version of each daemon, read from its log.
 type buildsCommand struct {
 	Logs []string `arg:"" help:"Log files of the daemons, JSON lines." type:"existingfile"`
 }
 
-// buildLine is what a daemon tells of itself when it starts, and of the format that it acts by.
+// buildLine holds the fields of those log lines that the command shows. Format is the newest format
+// version that the daemon supports. Oldest is the lowest such version of all daemons, and the fleet
+// uses it at present.
 type buildLine struct {
 	Time   time.Time `json:"@timestamp"`
 	Node   string    `json:"node"`
@@ -30,7 +32,7 @@
 	Oldest int       `json:"oldest"`
 }
 
-// Run implements the command.
+// Run prints one line per daemon.
 func (c *buildsCommand) Run(env *environment) error {
 	var all []buildLine
 	for _, file := range c.Logs {
@@ -45,7 +47,8 @@
 	return printBuilds(env.stdout, all)
 }
 
-// newestBuild returns the newest life that a log tells of, and by which format it acts now.
+// newestBuild returns the build that a daemon last started with, and the format version that it
+// has used since.
 func newestBuild(lines []logLine) (newest buildLine, ok bool) {
 	for _, l := range lines {
 		var b buildLine
@@ -62,7 +65,8 @@
 	return newest, ok
 }
 
-// printBuilds lists builds by daemon. Daemons of builds that tell none are of the first format.
+// printBuilds prints the builds, sorted by daemon. A daemon that logs no format version has
+// version 1.
 func printBuilds(out io.Writer, all []buildLine) error {
 	slices.SortFunc(all, func(a, b buildLine) int { return cmp.Compare(a.Node, b.Node) })
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/cmd/operatorcmd/builds_test.go
+++ b/cmd/operatorcmd/builds_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBuilds lists a fleet in the middle of an upgrade: a daemon of the build before, one that
-// was replaced, and one that was taken back.
+// TestBuilds reads the logs of a fleet during an upgrade: a daemon with the earlier build, an
+// upgraded one, and one that was upgraded and then rolled back.
 func TestBuilds(t *testing.T) {
 	const (
 		before = `{"@message":"started","@timestamp":"2026-12-01T10:00:00Z","node":"NODE"}`
--- a/cmd/operatorcmd/change.go
+++ b/cmd/operatorcmd/change.go
@@ -14,31 +14,31 @@
 	"quartzshelf.dev/daemon"
 )
 
-// applyCommand publishes documents.
+// applyCommand publishes the documents of files.
 type applyCommand struct {
 	File   []string `help:"YAML files of documents." short:"f" required:"" type:"existingfile"`
 	Author string   `help:"Name to show in the history." env:"USER"`
 }
 
-// Run implements the command.
+// Run publishes the documents that differ from the current configuration.
 func (a *applyCommand) Run(env *environment) error {
 	parsed, err := parseFiles(a.File)
 	if err != nil {
 		return err
 	}
-	rows, err := env.client.objects("", "", "")
+	rows, err := env.client.listObjects("", "", "")
 	if err != nil {
 		return err
 	}
 	set := config.ChangeSet{Author: a.Author}
 	for _, p := range parsed {
 		d := p.Document()
-		current := find(rows, d.Key())
-		if current != nil && same(current.Document, d) {
+		current := findObject(rows, d.Key())
+		if current != nil && equalDocuments(current.Document, d) {
 			fmt.Fprintf(env.stdout, "%s unchanged\n", d.Key())
 			continue
 		}
-		set.Changes = append(set.Changes, put(d, current))
+		set.Changes = append(set.Changes, putChange(d, current))
 	}
 	if len(set.Changes) == 0 {
 		return nil
@@ -46,7 +46,7 @@
 	return env.publish(set)
 }
 
-func put(d config.Document, current *daemon.ObjectRow) config.Change {
+func putChange(d config.Document, current *daemon.ObjectRow) config.Change {
 	c := config.Change{Operation: config.OperationPut, Document: d}
 	if current != nil {
 		c.Base = current.Revision
@@ -54,7 +54,7 @@
 	return c
 }
 
-// parseFiles parses and checks the documents of all files.
+// parseFiles parses and validates the documents of all files, and refuses duplicates.
 func parseFiles(files []string) ([]config.Parsed, error) {
 	var all []config.Parsed
 	seen := make(map[config.Key]config.Position)
@@ -69,7 +69,7 @@
 		}
 		for _, p := range parsed {
 			key := p.Document().Key()
-			if first, twice := seen[key]; twice {
+			if first, isDuplicate := seen[key]; isDuplicate {
 				return nil, &usageError{cause: fmt.Errorf("%s: %s is already at %s", p.Position(), key, first)}
 			}
 			seen[key] = p.Position()
@@ -79,7 +79,7 @@
 	return all, nil
 }
 
-func find(rows []daemon.ObjectRow, key config.Key) *daemon.ObjectRow {
+func findObject(rows []daemon.ObjectRow, key config.Key) *daemon.ObjectRow {
 	for i := range rows {
 		if rows[i].Key() == key {
 			return &rows[i]
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// same reports whether two documents say the same.
-func same(a, b config.Document) bool {
-	return maps.Equal(a.Labels, b.Labels) && bytes.Equal(normal(a.Spec), normal(b.Spec))
+// equalDocuments reports whether two documents have the same labels and the same content.
+func equalDocuments(a, b config.Document) bool {
+	return maps.Equal(a.Labels, b.Labels) && bytes.Equal(canonicalJSON(a.Spec), canonicalJSON(b.Spec))
 }
 
-// normal returns JSON in a form in which equal content is equal text.
-func normal(spec json.RawMessage) []byte {
+// canonicalJSON returns an encoding that is the same for any two specs with equal content.
+func canonicalJSON(spec json.RawMessage) []byte {
 	var value any
 	if json.Unmarshal(spec, &value) != nil {
 		return spec
@@ -106,12 +106,12 @@
 	return text
 }
 
-// publish hands a change set over and shows the verdict.
+// publish submits a change set and prints the verdict to standard output.
 func (env *environment) publish(set config.ChangeSet) error {
 	return env.publishTo(env.stdout, set)
 }
 
-// publishTo hands a change set over and writes the verdict to out.
+// publishTo submits a change set and writes the verdict to out.
 func (env *environment) publishTo(out io.Writer, set config.ChangeSet) error {
 	reply, err := env.client.publish(set)
 	if err != nil {
@@ -140,34 +140,34 @@
 	Author string `help:"Name to show in the history." env:"USER"`
 }
 
-// Run implements the command.
+// Run publishes the deletion of the object.
 func (d *deleteCommand) Run(env *environment) error {
-	current, err := env.current(d.Kind, d.Name)
+	current, err := env.currentObject(d.Kind, d.Name)
 	if err != nil {
 		return err
 	}
 	if current == nil {
 		return &usageError{cause: fmt.Errorf("%s/%s does not exist", d.Kind, d.Name)}
 	}
-	change := put(current.Document, current)
+	change := putChange(current.Document, current)
 	change.Operation = config.OperationDelete
 	return env.publish(config.ChangeSet{Author: d.Author, Changes: []config.Change{change}})
 }
 
-// current returns the object in force, nil for none.
-func (env *environment) current(kind, name string) (*daemon.ObjectRow, error) {
+// currentObject returns the published object, or nil if it does not exist.
+func (env *environment) currentObject(kind, name string) (*daemon.ObjectRow, error) {
 	parsed, err := config.ParseKind(kind)
 	if err != nil {
 		return nil, &usageError{cause: err}
 	}
-	rows, err := env.client.objects(string(parsed), name, "")
+	rows, err := env.client.listObjects(string(parsed), name, "")
 	if err != nil || len(rows) == 0 {
 		return nil, err
 	}
 	return &rows[0], nil
 }
 
-// labelCommand changes labels of one object.
+// labelCommand sets and removes labels of one object.
 type labelCommand struct {
 	Kind   string   `arg:"" help:"Kind of the object."`
 	Name   string   `arg:"" help:"Name of the object."`
@@ -175,9 +175,9 @@
 	Author string   `help:"Name to show in the history." env:"USER"`
 }
 
-// Run implements the command.
+// Run publishes the object with the changed labels.
 func (l *labelCommand) Run(env *environment) error {
-	current, err := env.current(l.Kind, l.Name)
+	current, err := env.currentObject(l.Kind, l.Name)
 	if err != nil {
 		return err
 	}
@@ -188,17 +188,17 @@
 	case d.Kind != config.KindNode:
 		return &usageError{cause: fmt.Errorf("%s does not exist", d.Key())}
 	}
-	if d.Labels, err = relabel(d.Labels, l.Labels); err != nil {
+	if d.Labels, err = applyLabelEdits(d.Labels, l.Labels); err != nil {
 		return &usageError{cause: err}
 	}
 	if err := config.Validate(d); err != nil {
 		return &usageError{cause: err}
 	}
-	return env.publish(config.ChangeSet{Author: l.Author, Changes: []config.Change{put(d, current)}})
+	return env.publish(config.ChangeSet{Author: l.Author, Changes: []config.Change{putChange(d, current)}})
 }
 
-// relabel returns labels with the edits made.
-func relabel(labels map[string]string, edits []string) (map[string]string, error) {
+// applyLabelEdits returns a copy of labels with the edits applied.
+func applyLabelEdits(labels map[string]string, edits []string) (map[string]string, error) {
 	all := maps.Clone(labels)
 	if all == nil {
 		all = make(map[string]string)
@@ -218,12 +218,12 @@
 	return all, nil
 }
 
-// validateCommand checks documents.
+// validateCommand checks the documents of files without publishing them.
 type validateCommand struct {
 	File []string `help:"YAML files of documents." short:"f" required:"" type:"existingfile"`
 }
 
-// Run implements the command.
+// Run prints the documents that are valid, or returns the first error.
 func (v *validateCommand) Run(env *environment) error {
 	parsed, err := parseFiles(v.File)
 	if err != nil {
@@ -235,12 +235,12 @@
 	return nil
 }
 
-// hashKeyCommand prints the hash of a key.
+// hashKeyCommand prints the hash of a bearer key.
 type hashKeyCommand struct {
 	Key string `arg:"" help:"The bearer key."`
 }
 
-// Run implements the command.
+// Run prints the hash of the key.
 func (h *hashKeyCommand) Run(env *environment) error {
 	_, err := fmt.Fprintln(env.stdout, config.HashKey(h.Key))
 	return err
--- a/cmd/operatorcmd/client.go
+++ b/cmd/operatorcmd/client.go
@@ -16,14 +16,12 @@
 
 const (
 	callTimeout = 12 * time.Second
-	// settleFor is how long the tool looks for the verdict on a change set
-	// whose answer was lost.
-	settleFor  = 20 * time.Second
-	settlePoll = 500 * time.Millisecond
+	// verdictTimeout limits the search for the verdict on a change set whose answer was lost.
+	verdictTimeout      = 20 * time.Second
+	verdictPollInterval = 500 * time.Millisecond
 )
 
-// client speaks to the operators' addresses of daemons: to the first one that
-// answers.
+// client calls the operators' API of the daemons, in the order of their addresses.
 type client struct {
 	addresses []string
 	http      *fasthttp.Client
@@ -33,12 +31,12 @@
 	return &client{addresses: addresses, http: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
 }
 
-// apiError is an error that a daemon answered.
+// apiError is an error response of a daemon.
 type apiError struct {
 	address string
 	status  int
 	Message string `json:"error"`
-	// Settled tells that the action is known not to have taken effect.
+	// Settled reports that the action is known not to have taken effect.
 	Settled bool `json:"settled"`
 }
 
@@ -47,11 +45,14 @@
 	return fmt.Sprintf("%s answered %d: %s", e.address, e.status, e.Message)
 }
 
-// get decodes the answer of the first daemon that answers into reply.
-func (c *client) get(path string, reply any) error { return c.first(fasthttp.MethodGet, path, reply) }
+// get decodes the response of the first daemon that answers into reply.
+func (c *client) get(path string, reply any) error {
+	return c.callFirst(fasthttp.MethodGet, path, reply)
+}
 
-// first calls one daemon after the other until one answers, and decodes that into reply.
-func (c *client) first(method, path string, reply any) error {
+// callFirst calls the daemons in order until one answers with success or a client error, and
+// decodes a successful response into reply.
+func (c *client) callFirst(method, path string, reply any) error {
 	var last error
 	for _, address := range c.addresses {
 		last = c.call(method, address, path, nil, reply)
@@ -90,21 +91,21 @@
 	return json.Unmarshal(response.Body(), reply)
 }
 
-// objects returns the objects in force, narrowed by kind, name and selector,
-// each of which may be empty.
-func (c *client) objects(kind, name, selector string) ([]daemon.ObjectRow, error) {
+// listObjects returns the published objects of a kind, with a name and matching a selector. An
+// empty argument matches all objects.
+func (c *client) listObjects(kind, name, selector string) ([]daemon.ObjectRow, error) {
 	query := url.Values{"kind": {kind}, "name": {name}, "selector": {selector}}
 	var rows []daemon.ObjectRow
 	err := c.get("/api/objects?"+query.Encode(), &rows)
 	return rows, err
 }
 
-// errUnsettled says that a change set may or may not take effect.
-var errUnsettled = errors.New("the outcome is not known: the change may still take effect")
+// errOutcomeUnknown means that a change set may or may not take effect.
+var errOutcomeUnknown = errors.New("the outcome is not known: the change may still take effect")
 
-// publish hands a change set to a daemon and returns the verdict. A lost
-// answer is settled by looking for the verdict at every daemon; the change is
-// never handed over a second time.
+// publish submits a change set to a daemon and returns the verdict. If the answer is lost,
+// publish asks all daemons for the verdict. It never submits the change set a second time once a
+// daemon may have accepted it.
 func (c *client) publish(set config.ChangeSet) (daemon.ChangeReply, error) {
 	path := "/api/changes/" + uuid.NewString()
 	var reply daemon.ChangeReply
@@ -119,31 +120,31 @@
 			return reply, err
 		case errors.As(err, &answered) && answered.Settled:
 			continue
-		case notSent(err):
+		case isNotSent(err):
 			continue
 		}
-		return c.settle(path, err)
+		return c.awaitVerdict(path, err)
 	}
 	return reply, fmt.Errorf("no daemon took the change, and it did not take effect")
 }
 
-// settle looks for the verdict on a change set whose answer was lost.
-func (c *client) settle(path string, cause error) (daemon.ChangeReply, error) {
+// awaitVerdict polls the daemons for the verdict on a change set whose answer was lost.
+func (c *client) awaitVerdict(path string, cause error) (daemon.ChangeReply, error) {
 	var reply daemon.ChangeReply
-	giveUp := time.Now().Add(settleFor)
-	for time.Now().Before(giveUp) {
+	deadline := time.Now().Add(verdictTimeout)
+	for time.Now().Before(deadline) {
 		for _, address := range c.addresses {
 			if c.call(fasthttp.MethodGet, address, path, nil, &reply) == nil {
 				return reply, nil
 			}
 		}
-		time.Sleep(settlePoll)
+		time.Sleep(verdictPollInterval)
 	}
-	return reply, fmt.Errorf("%w (%w); look for it with: quartzshelf history", errUnsettled, cause)
+	return reply, fmt.Errorf("%w (%w); look for it with: quartzshelf history", errOutcomeUnknown, cause)
 }
 
-// notSent reports whether an error arose before anything was sent.
-func notSent(err error) bool {
+// isNotSent reports whether the call failed before the request was sent.
+func isNotSent(err error) bool {
 	var dial *fasthttp.ErrDialWithUpstream
 	return errors.As(err, &dial) || errors.Is(err, fasthttp.ErrDialTimeout)
 }
--- a/cmd/operatorcmd/complete.go
+++ b/cmd/operatorcmd/complete.go
@@ -7,17 +7,17 @@
 	"github.com/posener/complete"
 )
 
-// defaultDaemon is the operators' address that is asked when none is given.
+// defaultDaemon is the operators' address that is used if none is configured.
 const defaultDaemon = "127.0.0.1:7401"
 
-// predictHalls completes the names of data halls by asking the daemons of the
-// environment. There is nowhere to show an error while the shell completes.
+// predictHalls completes the names of data halls for the shell. It asks the daemons that the
+// environment variable names, and returns no names if none of them answers.
 func predictHalls(complete.Args) []string {
 	addresses := []string{defaultDaemon}
 	if given := os.Getenv("QUARTZSHELF_DAEMONS"); given != "" {
 		addresses = strings.Split(given, ",")
 	}
-	halls, err := newClient(addresses).halls()
+	halls, err := newClient(addresses).listHalls()
 	if err != nil {
 		return nil
 	}
--- a/cmd/operatorcmd/hall.go
+++ b/cmd/operatorcmd/hall.go
@@ -19,19 +19,19 @@
 	Open  hallOpenCommand  `cmd:"" help:"Open a data hall to requests."`
 }
 
-// hallListCommand shows the halls.
+// hallListCommand shows all data halls.
 type hallListCommand struct{}
 
-// Run implements the command.
+// Run prints the data halls and their states.
 func (l *hallListCommand) Run(env *environment) error {
-	halls, err := env.client.halls()
+	halls, err := env.client.listHalls()
 	if err != nil {
 		return err
 	}
 	return showHalls(env, halls, halls)
 }
 
-// showHalls writes value as JSON or YAML, or else the halls as a table.
+// showHalls writes value as JSON or YAML, or the halls as a table, depending on the format.
 func showHalls(env *environment, value any, halls []hall.Status) error {
 	return show(env.stdout, env.format, value, hallTable(halls))
 }
@@ -47,7 +47,7 @@
 	return t
 }
 
-// hallCloseCommand closes a hall.
+// hallCloseCommand closes a data hall.
 type hallCloseCommand struct {
 	Name    string        `arg:"" help:"Name of the data hall." predictor:"hall"`
 	Force   bool          `help:"Close it even if no other data hall is open."`
@@ -56,12 +56,12 @@
 	Author  string        `help:"Name to show in the history." env:"USER"`
 }
 
-// Run implements the command.
+// Run closes the data hall and waits until it is empty.
 func (c *hallCloseCommand) Run(env *environment) error {
 	if c.Timeout <= 0 {
 		return &usageError{cause: fmt.Errorf("--timeout must be above zero, not %v", c.Timeout)}
 	}
-	halls, err := env.client.halls()
+	halls, err := env.client.listHalls()
 	if err != nil {
 		return err
 	}
@@ -70,30 +70,30 @@
 		return err
 	}
 	if current.State == hall.Open {
-		if isLastOpen(halls, c.Name) && !c.Force {
+		if isLastOpenHall(halls, c.Name) && !c.Force {
 			return &refusedError{problem: fmt.Sprintf("closing %s leaves no data hall open: "+
 				"every request would be refused with hall_closed; --force closes it all the same", c.Name)}
 		}
-		if err := env.setHall(c.Name, true, c.Author); err != nil {
+		if err := env.setHallClosed(c.Name, true, c.Author); err != nil {
 			return err
 		}
 	}
 	if c.NoWait {
 		return env.showHall(c.Name)
 	}
-	wait := hallWait{env: env, name: c.Name, until: time.Now().Add(c.Timeout)}
+	wait := hallWait{env: env, name: c.Name, deadline: time.Now().Add(c.Timeout)}
 	return wait.run()
 }
 
-// hallOpenCommand opens a hall.
+// hallOpenCommand opens a data hall.
 type hallOpenCommand struct {
 	Name   string `arg:"" help:"Name of the data hall." predictor:"hall"`
 	Author string `help:"Name to show in the history." env:"USER"`
 }
 
-// Run implements the command.
+// Run opens the data hall and prints its state.
 func (o *hallOpenCommand) Run(env *environment) error {
-	halls, err := env.client.halls()
+	halls, err := env.client.listHalls()
 	if err != nil {
 		return err
 	}
@@ -102,14 +102,14 @@
 		return err
 	}
 	if current.State != hall.Open {
-		if err := env.setHall(o.Name, false, o.Author); err != nil {
+		if err := env.setHallClosed(o.Name, false, o.Author); err != nil {
 			return err
 		}
 	}
 	return env.showHall(o.Name)
 }
 
-// findHall returns the hall with the given name, or an error that names the known ones.
+// findHall returns the hall with the given name, or an error that lists the known names.
 func findHall(halls []hall.Status, name string) (hall.Status, error) {
 	var known []string
 	for _, h := range halls {
@@ -123,16 +123,16 @@
 	}
 }
 
-// isLastOpen reports whether no other hall with nodes is open.
-func isLastOpen(halls []hall.Status, name string) bool {
+// isLastOpenHall reports whether no other hall that has nodes is open.
+func isLastOpenHall(halls []hall.Status, name string) bool {
 	return !slices.ContainsFunc(halls, func(h hall.Status) bool {
 		return h.Name != name && h.State == hall.Open && h.Nodes > 0
 	})
 }
 
-// setHall publishes the hall's document closed or open, the rest as it is.
-func (env *environment) setHall(name string, closed bool, author string) error {
-	current, err := env.current(string(config.KindDataHall), name)
+// setHallClosed publishes the hall as closed or open and keeps the other fields of its document.
+func (env *environment) setHallClosed(name string, closed bool, author string) error {
+	current, err := env.currentObject(string(config.KindDataHall), name)
 	if err != nil {
 		return err
 	}
@@ -153,12 +153,12 @@
 	if err := config.Validate(d); err != nil {
 		return &usageError{cause: err}
 	}
-	return env.publishTo(env.stderr, config.ChangeSet{Author: author, Changes: []config.Change{put(d, current)}})
+	return env.publishTo(env.stderr, config.ChangeSet{Author: author, Changes: []config.Change{putChange(d, current)}})
 }
 
-// showHall shows one hall.
+// showHall prints the current status of one hall.
 func (env *environment) showHall(name string) error {
-	halls, err := env.client.halls()
+	halls, err := env.client.listHalls()
 	if err != nil {
 		return err
 	}
@@ -169,8 +169,8 @@
 	return showHalls(env, h, []hall.Status{h})
 }
 
-// halls returns the status of every data hall.
-func (c *client) halls() ([]hall.Status, error) {
+// listHalls returns the status of every data hall.
+func (c *client) listHalls() ([]hall.Status, error) {
 	var halls []hall.Status
 	err := c.get("/api/halls", &halls)
 	return halls, err
--- a/cmd/operatorcmd/hall_test.go
+++ b/cmd/operatorcmd/hall_test.go
@@ -17,15 +17,16 @@
 	"quartzshelf.dev/hall"
 )
 
-// fakeDaemon answers the operators' calls about two halls, of which hall-a may be
-// closed. It takes one more look to become empty than it has obstacles.
+// fakeDaemon serves the operators' API for three data halls. Once hall-a is closing, each status
+// request consumes one of the obstacles. The request after the last obstacle finds the hall
+// empty.
 type fakeDaemon struct {
 	mu     sync.Mutex
 	halls  []hall.Status
 	object *daemon.ObjectRow
-	// obstacles are shown one after the other once hall-a is closed.
+	// obstacles are reported one at a time while hall-a is closing.
 	obstacles []string
-	// reopens opens the hall instead of making it empty.
+	// reopens makes hall-a open again instead of becoming empty.
 	reopens bool
 	changes []config.ChangeSet
 	problem string
@@ -50,20 +51,20 @@
 	var reply any
 	switch {
 	case r.URL.Path == "/api/halls":
-		f.step()
+		f.advance()
 		reply = f.halls
 	case r.URL.Path == "/api/objects" && f.object != nil:
 		reply = []daemon.ObjectRow{*f.object}
 	case r.URL.Path == "/api/objects":
 		reply = []daemon.ObjectRow{}
 	default:
-		reply = f.change(r)
+		reply = f.applyChange(r)
 	}
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// step moves a closing hall on.
-func (f *fakeDaemon) step() {
+// advance moves hall-a one step further if it is closing.
+func (f *fakeDaemon) advance() {
 	a := &f.halls[0]
 	switch {
 	case a.State != hall.Closing:
@@ -76,7 +77,7 @@
 	}
 }
 
-func (f *fakeDaemon) change(r *http.Request) daemon.ChangeReply {
+func (f *fakeDaemon) applyChange(r *http.Request) daemon.ChangeReply {
 	var set config.ChangeSet
 	if err := json.NewDecoder(r.Body).Decode(&set); err != nil {
 		panic(err)
@@ -101,7 +102,7 @@
 		code   int
 		out    []string
 		errors string
-		// spec is what was published, empty for nothing.
+		// spec is the published spec of the hall, or empty if nothing was published.
 		spec string
 	}{
 		"list":         {args: []string{"list"}, out: []string{"DATA HALL", "hall-a     south   open", "hall-c"}},
@@ -132,7 +133,7 @@
 			errors: "DataHall/hall-a applied at revision 7\n",
 		},
 		"not empty in time": {
-			args: []string{"close", "hall-a", "--timeout", "100ms"}, code: exitUnsettled, spec: `{"closed":true}`,
+			args: []string{"close", "hall-a", "--timeout", "100ms"}, code: exitOutcomeUnknown, spec: `{"closed":true}`,
 			change: func(f *fakeDaemon) { f.obstacles = []string{"4 requests are in flight"} },
 			errors: "DataHall/hall-a applied at revision 7\nhall-a: 4 requests are in flight\n" +
 				"quartzshelf: the data hall is closed, but not known to be empty: 4 requests are in flight; look again with: quartzshelf hall list\n",
@@ -203,7 +204,7 @@
 	}
 }
 
-// TestHallIsEmptyWhenAllDaemonsSaySo asks two daemons, the second of which lags.
+// TestHallIsEmptyWhenAllDaemonsSaySo asks two daemons. The second one may lag behind.
 func TestHallIsEmptyWhenAllDaemonsSaySo(t *testing.T) {
 	cases := map[string]struct {
 		second hall.Status
@@ -222,7 +223,7 @@
 			second.halls[0] = c.second
 			second.obstacles = []string{"1 requests are in flight"}
 			w := hallWait{env: &environment{client: newClient([]string{address, other})}, name: "hall-a"}
-			got, err := w.look()
+			got, err := w.pollDaemons()
 			assert.NilError(t, err)
 			assert.Equal(t, got.State, c.want)
 		})
--- a/cmd/operatorcmd/hallwait.go
+++ b/cmd/operatorcmd/hallwait.go
@@ -13,52 +13,52 @@
 	"quartzshelf.dev/hall"
 )
 
-// hallPoll is how often a closing hall is looked at; its state changes within seconds.
-const hallPoll = time.Second
+// hallPollInterval is the time between two polls of a closing hall.
+const hallPollInterval = time.Second
 
-// errNotEmpty says that a hall is closed and not yet empty.
-var errNotEmpty = errors.New("the data hall is closed, but not known to be empty")
+// errHallNotEmpty means that a hall is closed, but was not empty by the deadline.
+var errHallNotEmpty = errors.New("the data hall is closed, but not known to be empty")
 
-// hallWait waits until a closed hall is empty.
+// hallWait waits until a closing hall is empty.
 type hallWait struct {
-	env   *environment
-	name  string
-	until time.Time
-	// revision is the newest one in which the hall was seen closed.
-	revision int64
-	// shown is the last line of progress.
-	shown string
+	env      *environment
+	name     string
+	deadline time.Time
+	// closedRevision is the newest revision in which the hall was reported as closing or empty.
+	closedRevision int64
+	// lastShown is the last progress text that was printed.
+	lastShown string
 }
 
-// run shows each change until the hall is empty or the time is up. A daemon that does
-// not answer meanwhile is asked again.
+// run prints each change of progress until the hall is empty or the deadline passes. It ignores
+// errors of daemons, because they are polled again.
 func (w *hallWait) run() error {
 	for {
-		h, err := w.look()
+		h, err := w.pollDaemons()
 		switch {
 		case err != nil:
-			w.progress(err.Error())
+			w.showProgress(err.Error())
 		case h.State == hall.Empty:
-			w.progress("empty")
+			w.showProgress("empty")
 			return showHalls(w.env, h, []hall.Status{h})
-		case h.State == hall.Open && w.revision > 0 && h.Revision > w.revision:
+		case h.State == hall.Open && w.closedRevision > 0 && h.Revision > w.closedRevision:
 			return &refusedError{problem: fmt.Sprintf("data hall %s was opened meanwhile, in revision %d", w.name, h.Revision)}
 		case h.State == hall.Open:
-			w.progress("the closing is not known everywhere yet")
+			w.showProgress("the closing is not known everywhere yet")
 		default:
-			w.progress(strings.Join(h.Obstacles, "; "))
+			w.showProgress(strings.Join(h.Obstacles, "; "))
 		}
-		if !time.Now().Add(hallPoll).Before(w.until) {
-			return fmt.Errorf("%w: %s; look again with: quartzshelf hall list", errNotEmpty, w.shown)
+		if !time.Now().Add(hallPollInterval).Before(w.deadline) {
+			return fmt.Errorf("%w: %s; look again with: quartzshelf hall list", errHallNotEmpty, w.lastShown)
 		}
-		time.Sleep(hallPoll)
+		time.Sleep(hallPollInterval)
 	}
 }
 
-// look asks every daemon that was named, for each sees its own calls of services
-// alone. The hall is empty only if all that answer say so of the newest revision that
-// any of them holds.
-func (w *hallWait) look() (hall.Status, error) {
+// pollDaemons asks every configured daemon, because each one knows only its own service calls in
+// flight. It reports the hall as empty only if all daemons that answer have the newest revision
+// and report it as empty.
+func (w *hallWait) pollDaemons() (hall.Status, error) {
 	var all []hall.Status
 	var last error
 	for _, address := range w.env.client.addresses {
@@ -77,7 +77,7 @@
 	}
 	newest := slices.MaxFunc(all, func(a, b hall.Status) int { return cmp.Compare(a.Revision, b.Revision) })
 	if newest.State != hall.Open {
-		w.revision = max(w.revision, newest.Revision)
+		w.closedRevision = max(w.closedRevision, newest.Revision)
 	}
 	for _, h := range all {
 		switch {
@@ -93,10 +93,10 @@
 	return newest, nil
 }
 
-// progress shows what is waited for when it has changed.
-func (w *hallWait) progress(text string) {
-	if text != "" && text != w.shown {
+// showProgress prints a text unless it is the same as the last one.
+func (w *hallWait) showProgress(text string) {
+	if text != "" && text != w.lastShown {
 		fmt.Fprintf(w.env.stderr, "%s: %s\n", w.name, text)
-		w.shown = text
+		w.lastShown = text
 	}
 }
--- a/cmd/operatorcmd/output.go
+++ b/cmd/operatorcmd/output.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Formats of output.
+// Output formats.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
@@ -19,13 +19,13 @@
 
 const tabPadding = 2
 
-// table is what a command shows in the table format.
+// table is the output of a command in the table format.
 type table struct {
 	head []string
 	rows [][]string
 }
 
-// show writes value as JSON or YAML, or else the table.
+// show writes value as JSON or YAML, or the table, depending on the format.
 func show(w io.Writer, format string, value any, t table) error {
 	switch format {
 	case formatJSON:
--- a/cmd/operatorcmd/quarantine.go
+++ b/cmd/operatorcmd/quarantine.go
@@ -17,10 +17,10 @@
 	Lift quarantineLiftCommand `cmd:"" help:"Let such a request through again, at all daemons."`
 }
 
-// quarantineListCommand shows the requests that are quarantined.
+// quarantineListCommand shows the quarantined requests.
 type quarantineListCommand struct{}
 
-// Run implements the command.
+// Run prints the quarantined requests.
 func (l *quarantineListCommand) Run(env *environment) error {
 	var rows []daemon.QuarantineRow
 	if err := env.client.get("/api/quarantine", &rows); err != nil {
@@ -35,15 +35,15 @@
 	return show(env.stdout, env.format, rows, t)
 }
 
-// quarantineLiftCommand lifts a quarantine.
+// quarantineLiftCommand lifts the quarantine of a request.
 type quarantineLiftCommand struct {
 	Fingerprint string `arg:"" help:"Fingerprint of the request, as list and the logs show it."`
 }
 
-// Run implements the command.
+// Run lifts the quarantine and prints the fingerprint of the request.
 func (l *quarantineLiftCommand) Run(env *environment) error {
 	var lifted daemon.QuarantineRow
-	if err := env.client.first(http.MethodDelete, "/api/quarantine/"+url.PathEscape(l.Fingerprint), &lifted); err != nil {
+	if err := env.client.callFirst(http.MethodDelete, "/api/quarantine/"+url.PathEscape(l.Fingerprint), &lifted); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(env.stdout, "lifted", lifted.Fingerprint)
--- a/cmd/operatorcmd/report.go
+++ b/cmd/operatorcmd/report.go
@@ -14,33 +14,33 @@
 	"quartzshelf.dev/fleet"
 )
 
-// reportCommand sums up what logs tell of a span of time.
+// reportCommand summarizes the logs of daemons.
 type reportCommand struct {
 	Logs []string `arg:"" help:"Log files of the daemons, JSON lines." type:"existingfile"`
 	JSON bool     `help:"Print JSON." name:"json"`
 }
 
-// report is where requests were lost or late, and what the leaders did meanwhile.
+// report counts refused, late and interrupted requests, and the decisions of the leaders.
 type report struct {
-	// From and To are the times of the first and of the last line.
+	// From and To are the times of the earliest and the latest log line.
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
-	// Refused counts the requests refused or failed, Late the streams that came whole
-	// but late, Moved those that went on at another replica, Broken those that broke
-	// off, by model and reason.
+	// These counts are by model and reason. Refused counts refused and failed requests, Late the
+	// complete streams that were late, Moved the streams that resumed at another replica, and
+	// Broken the streams that were interrupted.
 	Refused map[string]map[string]int `json:"refused"`
 	Late    map[string]map[string]int `json:"late"`
 	Moved   map[string]map[string]int `json:"moved"`
 	Broken  map[string]map[string]int `json:"broken"`
-	// Decisions counts what leaders did and found, by the lines' messages.
+	// Decisions counts the log lines of leaders, by message.
 	Decisions map[string]int `json:"decisions"`
-	// Replicas holds what leaders told of each model, by time.
+	// Replicas holds the periodic status lines of the leaders, sorted by time and model.
 	Replicas []replicasLine `json:"replicas"`
-	// Unread counts the lines that were not understood, as where a log was cut.
+	// Unread counts the lines that could not be parsed, such as a truncated last line.
 	Unread int `json:"unread"`
 }
 
-// replicasLine is what a leader tells every few seconds of a model.
+// replicasLine is the status that a leader logs periodically for each model.
 type replicasLine struct {
 	Time  time.Time `json:"@timestamp"`
 	Model string    `json:"model"`
@@ -50,17 +50,18 @@
 	Idle  int       `json:"idle_workers"`
 }
 
-// noModel stands for the model of requests to services without one.
+// noModel is the model shown for requests to services without a model.
 const noModel = "-"
 
-// decisionLines are the messages that tell what a leader did or found.
-var decisionLines = []string{
+// decisionMessages are the messages of log lines in which a leader reports a decision or an
+// event.
+var decisionMessages = []string{
 	"forming replica", "replica opened", "forming given up", "draining replica", "replica dissolved",
 	"replica given up for another model", "staging", "staging not taken",
 	"worker does not answer", "worker that left the list does not answer", "leading",
 }
 
-// Run implements the command.
+// Run prints a summary of the logs.
 func (c *reportCommand) Run(env *environment) error {
 	var lines []logLine
 	unread := 0
@@ -75,7 +76,7 @@
 	if len(lines) == 0 {
 		return &usageError{cause: fmt.Errorf("no line of a daemon in %s", strings.Join(c.Logs, ", "))}
 	}
-	r := reportOf(lines)
+	r := summarizeLines(lines)
 	r.Unread += unread
 	if c.JSON {
 		encoder := json.NewEncoder(env.stdout)
@@ -85,8 +86,8 @@
 	return r.print(env.stdout)
 }
 
-// reportOf sums lines up.
-func reportOf(lines []logLine) *report {
+// summarizeLines builds a report from log lines.
+func summarizeLines(lines []logLine) *report {
 	r := &report{
 		Refused: make(map[string]map[string]int), Late: make(map[string]map[string]int),
 		Moved: make(map[string]map[string]int), Broken: make(map[string]map[string]int), Decisions: make(map[string]int),
@@ -98,7 +99,7 @@
 		if l.Time.After(r.To) {
 			r.To = l.Time
 		}
-		r.take(l)
+		r.addLine(l)
 	}
 	slices.SortStableFunc(r.Replicas, func(a, b replicasLine) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Model, b.Model))
@@ -106,31 +107,31 @@
 	return r
 }
 
-func (r *report) take(l logLine) {
+func (r *report) addLine(l logLine) {
 	switch l.Message {
 	case "request refused":
-		count(r.Refused, l.Model, l.Reason)
+		addCount(r.Refused, l.Model, l.Reason)
 	case "stream late":
-		count(r.Late, l.Model, l.Reason)
+		addCount(r.Late, l.Model, l.Reason)
 	case "stream broken off":
-		count(r.Broken, l.Model, l.Reason)
+		addCount(r.Broken, l.Model, l.Reason)
 	case "stream resumes":
-		count(r.Moved, fleet.ModelOf(l.From), causeOf(l.Error))
+		addCount(r.Moved, fleet.ModelOf(l.From), lastCause(l.Error))
 	case "replicas":
-		var told replicasLine
-		if err := json.Unmarshal(l.raw, &told); err != nil {
+		var status replicasLine
+		if err := json.Unmarshal(l.raw, &status); err != nil {
 			r.Unread++
 			return
 		}
-		r.Replicas = append(r.Replicas, told)
+		r.Replicas = append(r.Replicas, status)
 	default:
-		if slices.Contains(decisionLines, l.Message) {
+		if slices.Contains(decisionMessages, l.Message) {
 			r.Decisions[l.Message]++
 		}
 	}
 }
 
-func count(all map[string]map[string]int, model, reason string) {
+func addCount(all map[string]map[string]int, model, reason string) {
 	if model == "" {
 		model = noModel
 	}
@@ -140,8 +141,8 @@
 	all[model][reason]++
 }
 
-// causeOf returns what an error says last, without the addresses in it.
-func causeOf(text string) string {
+// lastCause returns the part of an error text after the last colon, the root cause.
+func lastCause(text string) string {
 	parts := strings.Split(text, ": ")
 	return parts[len(parts)-1]
 }
@@ -150,23 +151,23 @@
 func (r *report) print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s to %s, %.1f s\n", r.From.Format(time.RFC3339), r.To.Format(time.RFC3339), r.To.Sub(r.From).Seconds())
-	for _, part := range []struct {
+	for _, section := range []struct {
 		title  string
 		counts map[string]map[string]int
 	}{
 		{"refused or failed", r.Refused}, {"late", r.Late}, {"went on elsewhere", r.Moved}, {"broken off", r.Broken},
 	} {
-		printCounts(w, part.title, part.counts)
+		printCounts(w, section.title, section.counts)
 	}
 	fmt.Fprintln(w, "\nleaders\tcount")
-	for _, message := range decisionLines {
+	for _, message := range decisionMessages {
 		if n := r.Decisions[message]; n > 0 {
 			fmt.Fprintf(w, "%s\t%d\n", message, n)
 		}
 	}
 	fmt.Fprintln(w, "\nsecond\tmodel\twanted\tthere\tbusy slots\tidle workers")
-	for _, told := range r.Replicas {
-		fmt.Fprintf(w, "%.1f\t%s\t%.1f\t%d\t%.0f\t%d\n", told.Time.Sub(r.From).Seconds(), told.Model, told.Want, told.Have, told.Work, told.Idle)
+	for _, status := range r.Replicas {
+		fmt.Fprintf(w, "%.1f\t%s\t%.1f\t%d\t%.0f\t%d\n", status.Time.Sub(r.From).Seconds(), status.Model, status.Want, status.Have, status.Work, status.Idle)
 	}
 	if r.Unread > 0 {
 		fmt.Fprintf(w, "\n%d lines were not understood\n", r.Unread)
@@ -174,7 +175,7 @@
 	return w.Flush()
 }
 
-// printCounts writes one table: reasons by model, and the sum of each model.
+// printCounts writes one table: a row for each reason, and the total of each model.
 func printCounts(w io.Writer, title string, counts map[string]map[string]int) {
 	fmt.Fprintf(w, "\n%s\tmodel\tcount\n", title)
 	for _, model := range slices.Sorted(maps.Keys(counts)) {
--- a/cmd/operatorcmd/report_test.go
+++ b/cmd/operatorcmd/report_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// writeLog writes a log that ends within a line.
+// writeLog writes a log whose last line is truncated, and returns its path.
 func writeLog(t *testing.T) string {
 	t.Helper()
 	const text = `{"@message":"started","@timestamp":"2026-01-02T03:04:00Z"}
--- a/cmd/operatorcmd/run.go
+++ b/cmd/operatorcmd/run.go
@@ -1,4 +1,4 @@
-// Package operatorcmd is the command line of the operators' tool.
+// Package operatorcmd implements the command line of the operators' tool.
 package operatorcmd
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/willabides/kongplete"
 )
 
-// Exit codes of the tool; docs/OPERATORS.md lists them.
+// Exit codes of the tool. They are documented in docs/OPERATORS.md.
 const (
-	exitOK          = 0
-	exitFailed      = 1
-	exitUsage       = 2
-	exitRefused     = 3
-	exitUnreachable = 4
-	exitUnsettled   = 5
+	exitOK             = 0
+	exitFailed         = 1
+	exitUsage          = 2
+	exitRefused        = 3
+	exitUnreachable    = 4
+	exitOutcomeUnknown = 5
 )
 
-// globals are the flags that all commands have.
+// globals are the flags of all commands.
 type globals struct {
 	Daemon []string `help:"Operators' addresses of daemons, IP:port; the first that answers is used." default:"127.0.0.1:7401" env:"QUARTZSHELF_DAEMONS" short:"d"`
 	Output string   `help:"Format of output: table, json or yaml." enum:"table,json,yaml" default:"table" short:"o"`
@@ -48,7 +48,8 @@
 	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Print or install completions for the shell."`
 }
 
-// environment is what commands run with.
+// environment is the context in which a command runs: the client, the output format and the
+// output streams.
 type environment struct {
 	client *client
 	format string
@@ -56,7 +57,7 @@
 	stderr io.Writer
 }
 
-// refusedError says that the daemons refused a change.
+// refusedError means that a change was refused.
 type refusedError struct {
 	problem string
 }
@@ -64,7 +65,7 @@
 // Error implements error.
 func (e *refusedError) Error() string { return "refused: " + e.problem }
 
-// usageError says that the input is wrong.
+// usageError means that the input is invalid.
 type usageError struct {
 	cause error
 }
@@ -77,8 +78,8 @@
 
 // Run runs one command and returns its exit code.
 func Run(args []string, stdout, stderr io.Writer) int {
-	var line commandLine
-	parser, err := kong.New(&line, kong.Name("quartzshelf"),
+	var flags commandLine
+	parser, err := kong.New(&flags, kong.Name("quartzshelf"),
 		kong.Description("Publishes labels and selectors to quartzshelf and shows what it does with them."),
 		kong.Writers(stdout, stderr), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
@@ -91,7 +92,7 @@
 		fmt.Fprintln(stderr, "quartzshelf:", err)
 		return exitUsage
 	}
-	env := &environment{client: newClient(line.Daemon), format: line.Output, stdout: stdout, stderr: stderr}
+	env := &environment{client: newClient(flags.Daemon), format: flags.Output, stdout: stdout, stderr: stderr}
 	if err := parsed.Run(env); err != nil {
 		fmt.Fprintln(stderr, "quartzshelf:", err)
 		return exitCode(err)
@@ -108,8 +109,8 @@
 		return exitUsage
 	case errors.As(err, &refused):
 		return exitRefused
-	case errors.Is(err, errUnsettled), errors.Is(err, errNotEmpty):
-		return exitUnsettled
+	case errors.Is(err, errOutcomeUnknown), errors.Is(err, errHallNotEmpty):
+		return exitOutcomeUnknown
 	case errors.As(err, &answered):
 		return exitFailed
 	default:
--- a/cmd/operatorcmd/show.go
+++ b/cmd/operatorcmd/show.go
@@ -14,21 +14,21 @@
 	"quartzshelf.dev/daemon"
 )
 
-// getCommand shows objects.
+// getCommand shows published objects.
 type getCommand struct {
 	Kind     string `arg:"" optional:"" help:"Kind of the objects; all without it."`
 	Name     string `arg:"" optional:"" help:"Name of the object; all without it."`
 	Selector string `help:"Only objects whose labels match." short:"l"`
 }
 
-// Run implements the command.
+// Run prints the matching objects.
 func (g *getCommand) Run(env *environment) error {
 	if g.Kind != "" {
 		if _, err := config.ParseKind(g.Kind); err != nil {
 			return &usageError{cause: err}
 		}
 	}
-	rows, err := env.client.objects(g.Kind, g.Name, g.Selector)
+	rows, err := env.client.listObjects(g.Kind, g.Name, g.Selector)
 	if err != nil {
 		return err
 	}
@@ -50,10 +50,10 @@
 	return strings.Join(parts, ",")
 }
 
-// historyCommand shows verdicts.
+// historyCommand shows the latest verdicts on changes.
 type historyCommand struct{}
 
-// Run implements the command.
+// Run prints the verdicts.
 func (h *historyCommand) Run(env *environment) error {
 	var verdicts []config.Verdict
 	if err := env.client.get("/api/history", &verdicts); err != nil {
@@ -72,10 +72,10 @@
 	return show(env.stdout, env.format, verdicts, t)
 }
 
-// statusCommand shows the fleet.
+// statusCommand shows the state of the fleet.
 type statusCommand struct{}
 
-// Run implements the command.
+// Run prints the status of one daemon and its view of the fleet.
 func (s *statusCommand) Run(env *environment) error {
 	var status daemon.Status
 	if err := env.client.get("/api/status", &status); err != nil {
@@ -84,7 +84,8 @@
 	if env.format != formatTable {
 		return show(env.stdout, env.format, status, table{})
 	}
-	// The page is written at once: whoever reads it through a pipe may stop early.
+	// The page is written in a single call, because a reader such as grep -q may close the pipe
+	// early.
 	var page bytes.Buffer
 	fmt.Fprintf(&page, "daemon %s is %s, configuration revision %d\n", status.Daemon, status.Ready, status.Revision)
 	if status.LogSilent != "" {
@@ -151,13 +152,13 @@
 	return t
 }
 
-// explainCommand says why.
+// explainCommand shows the reasons for the state of an object or for the routing of a request.
 type explainCommand struct {
 	Kind string `arg:"" enum:"replica,node,hall,request" help:"What to explain: replica, node, hall or request."`
 	Name string `arg:"" help:"Name of the replica, node or data hall, or the Quartzshelf-Request header of an answer."`
 }
 
-// Run implements the command.
+// Run prints the state and the reasons for it.
 func (e *explainCommand) Run(env *environment) error {
 	var explanation daemon.Explanation
 	if err := env.client.get("/api/explain/"+e.Kind+"/"+url.PathEscape(e.Name), &explanation); err != nil {
--- a/cmd/operatorcmd/show_test.go
+++ b/cmd/operatorcmd/show_test.go
@@ -14,7 +14,7 @@
 	"quartzshelf.dev/hall"
 )
 
-// countingWriter counts the writes.
+// countingWriter counts the calls of Write.
 type countingWriter struct {
 	bytes.Buffer
 	writes int
@@ -26,8 +26,8 @@
 	return w.Buffer.Write(p)
 }
 
-// TestStatusIsWrittenAtOnce keeps "status | grep -q" from ending the tool by a signal
-// while it still writes.
+// TestStatusIsWrittenAtOnce guards against a broken pipe in commands such as "status | grep -q",
+// where the reader exits early.
 func TestStatusIsWrittenAtOnce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(daemon.Status{
--- a/cmd/operatorcmd/trace.go
+++ b/cmd/operatorcmd/trace.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxLogLine bounds a line of a log, in bytes.
+	// maxLogLine is the maximum length of a log line, in bytes.
 	maxLogLine = 1 << 20
-	// aroundRequest is how long before and after a request's lines those about
-	// its workers and replicas belong to its story.
-	aroundRequest = 3 * time.Second
+	// relatedWindow extends the time span of a request's own lines in both directions. Lines in
+	// this span that mention its workers or replicas are part of the trace.
+	relatedWindow = 3 * time.Second
 )
 
-// traceCommand tells the story of a request, worker or replica from logs.
+// traceCommand prints the log lines about a request, worker or replica.
 type traceCommand struct {
 	ID   string   `arg:"" help:"Identity of a request, worker or replica."`
 	Logs []string `help:"Log files of the daemons, JSON lines." required:"" type:"existingfile"`
@@ -41,37 +41,37 @@
 	From    string    `json:"from"`
 	Model   string    `json:"model"`
 	Reason  string    `json:"reason"`
-	// daemon is the log's file, raw the line as it stands.
-	daemon string
-	raw    []byte
+	// fileName is the base name of the log file. raw is the JSON text of the line.
+	fileName string
+	raw      []byte
 }
 
-// Run implements the command.
+// Run prints the trace, and an outdated assumption of the daemon if the trace shows one.
 func (c *traceCommand) Run(env *environment) error {
 	var lines []logLine
 	for _, file := range c.Logs {
-		// What is not understood leaves gaps in a story, but no wrong lines.
+		// Lines that can't be parsed are only missing from the trace.
 		read, _, err := readLog(file)
 		if err != nil {
 			return &usageError{cause: err}
 		}
 		lines = append(lines, read...)
 	}
-	story := storyOf(c.ID, lines)
-	if len(story) == 0 {
+	trace := traceLines(c.ID, lines)
+	if len(trace) == 0 {
 		return &usageError{cause: fmt.Errorf("no line tells of %s; a request that was served without anything unusual leaves none", c.ID)}
 	}
-	for _, l := range story {
-		fmt.Fprintf(env.stdout, "%+9.3fs %-24s %s %s\n", l.Time.Sub(story[0].Time).Seconds(), l.daemon, l.Message, l.fields())
+	for _, l := range trace {
+		fmt.Fprintf(env.stdout, "%+9.3fs %-24s %s %s\n", l.Time.Sub(trace[0].Time).Seconds(), l.fileName, l.Message, l.extraFields())
 	}
-	if belief := wrongBelief(c.ID, story); belief != "" {
-		fmt.Fprintln(env.stdout, "belief that was wrong:", belief)
+	if assumption := staleAssumption(c.ID, trace); assumption != "" {
+		fmt.Fprintln(env.stdout, "belief that was wrong:", assumption)
 	}
 	return nil
 }
 
-// readLog reads a log. What stands before a line's first brace is passed over, as are
-// lines without one. It counts the others that are not understood.
+// readLog reads a log. It ignores text before the first brace of a line and lines without a
+// brace. It returns the number of other lines that could not be parsed.
 func readLog(file string) (lines []logLine, unread int, err error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -85,7 +85,7 @@
 		if start < 0 {
 			continue
 		}
-		l := logLine{daemon: filepath.Base(file), raw: bytes.Clone(scanner.Bytes()[start:])}
+		l := logLine{fileName: filepath.Base(file), raw: bytes.Clone(scanner.Bytes()[start:])}
 		if json.Unmarshal(l.raw, &l) != nil || l.Message == "" {
 			unread++
 			continue
@@ -98,14 +98,14 @@
 	return lines, unread, nil
 }
 
-// peerInError finds the worker that an error names.
+// peerInError matches the peer in an error text.
 var peerInError = regexp.MustCompile(`peer: ([^,}]+)`)
 
-// knownFields finds the fields that every line has.
-var knownFields = regexp.MustCompile(`"@(level|message|module|timestamp)":"(\\.|[^"\\])*",?`)
+// standardFields matches the fields that every log line has.
+var standardFields = regexp.MustCompile(`"@(level|message|module|timestamp)":"(\\.|[^"\\])*",?`)
 
-// names returns the workers and replicas that a line tells of.
-func (l logLine) names() []string {
+// mentionedNames returns the names of the workers and replicas in a line.
+func (l logLine) mentionedNames() []string {
 	all := []string{l.Replica, l.Head, l.Worker, l.From}
 	for _, m := range peerInError.FindAllStringSubmatch(l.Error, -1) {
 		all = append(all, m[1])
@@ -113,59 +113,59 @@
 	return slices.DeleteFunc(all, func(s string) bool { return s == "" })
 }
 
-// fields returns what a line tells beside its message, as it stands.
-func (l logLine) fields() string {
-	return string(knownFields.ReplaceAll(l.raw, nil))
+// extraFields returns the JSON text of a line without the standard fields.
+func (l logLine) extraFields() string {
+	return string(standardFields.ReplaceAll(l.raw, nil))
 }
 
-// storyOf returns the lines that tell of an identity, in order of time: for a
-// request, also those around it that tell of its workers and replicas.
-func storyOf(id string, lines []logLine) []logLine {
-	var own []logLine
+// traceLines returns the lines that mention an id, sorted by time. If the id is a request, the
+// result includes lines of the same time about its workers and replicas.
+func traceLines(id string, lines []logLine) []logLine {
+	var matching []logLine
 	related := make(map[string]bool)
 	for _, l := range lines {
-		if !bytes.Contains(l.raw, []byte(`"`+id+`"`)) && !slices.Contains(l.names(), id) {
+		if !bytes.Contains(l.raw, []byte(`"`+id+`"`)) && !slices.Contains(l.mentionedNames(), id) {
 			continue
 		}
-		own = append(own, l)
+		matching = append(matching, l)
 		if l.Request == id {
-			for _, name := range l.names() {
+			for _, name := range l.mentionedNames() {
 				related[name] = true
 			}
 		}
 	}
-	if len(own) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(own, byTime)
-	first, last := own[0].Time.Add(-aroundRequest), own[len(own)-1].Time.Add(aroundRequest)
-	story := own
+	slices.SortStableFunc(matching, byTime)
+	first, last := matching[0].Time.Add(-relatedWindow), matching[len(matching)-1].Time.Add(relatedWindow)
+	trace := matching
 	for _, l := range lines {
-		near := l.Time.After(first) && l.Time.Before(last) && l.Request == ""
-		if near && tellsOf(l, related) && !contains(own, l) {
-			story = append(story, l)
+		isNear := l.Time.After(first) && l.Time.Before(last) && l.Request == ""
+		if isNear && mentionsAny(l, related) && !containsLine(matching, l) {
+			trace = append(trace, l)
 		}
 	}
-	slices.SortStableFunc(story, byTime)
-	return story
+	slices.SortStableFunc(trace, byTime)
+	return trace
 }
 
 func byTime(a, b logLine) int {
-	return cmp.Or(a.Time.Compare(b.Time), strings.Compare(a.daemon, b.daemon))
+	return cmp.Or(a.Time.Compare(b.Time), strings.Compare(a.fileName, b.fileName))
 }
 
-func tellsOf(l logLine, names map[string]bool) bool {
-	return slices.ContainsFunc(l.names(), func(name string) bool { return names[name] })
+func mentionsAny(l logLine, names map[string]bool) bool {
+	return slices.ContainsFunc(l.mentionedNames(), func(name string) bool { return names[name] })
 }
 
-func contains(lines []logLine, l logLine) bool {
-	return slices.ContainsFunc(lines, func(o logLine) bool { return o.daemon == l.daemon && bytes.Equal(o.raw, l.raw) })
+func containsLine(lines []logLine, l logLine) bool {
+	return slices.ContainsFunc(lines, func(o logLine) bool { return o.fileName == l.fileName && bytes.Equal(o.raw, l.raw) })
 }
 
-// wrongBelief returns what the daemon believed of the request's worker that
-// was not so, if the story tells.
-func wrongBelief(id string, story []logLine) string {
-	for _, l := range story {
+// staleAssumption returns an assumption of the daemon that was wrong, such as that a failed
+// worker was alive. It returns an empty string if the trace shows none.
+func staleAssumption(id string, trace []logLine) string {
+	for _, l := range trace {
 		if l.Request != "" && l.Request != id {
 			continue
 		}
--- a/cmd/soakcmd/run.go
+++ b/cmd/soakcmd/run.go
@@ -1,5 +1,5 @@
-// Package soakcmd is the command line of the fault soak: it plays seeds against
-// real daemons and tells which of them broke a promise.
+// Package soakcmd implements the command line of the fault soak. It runs random fault schedules
+// against real daemons and reports violated guarantees.
 package soakcmd
 
 import (
@@ -26,9 +26,9 @@
 
 // Exit codes of the soak.
 const (
-	exitOK     = 0
-	exitBroken = 1
-	exitUsage  = 2
+	exitOK         = 0
+	exitViolations = 1
+	exitUsage      = 2
 )
 
 const (
@@ -58,94 +58,96 @@
 	Verbose  bool          `help:"Tell every fault."`
 }
 
-func (l *commandLine) valid() bool {
+func (l *commandLine) isValid() bool {
 	return l.Daemons >= 1 && l.Daemons <= maxDaemons && l.Workers >= 1 && l.Workers <= maxWorkers &&
 		l.Parallel >= 1 && l.Parallel <= maxParallel && l.Duration > 0 && l.Duration <= maxDuration && l.Count >= 1
 }
 
-// Run plays soaks and returns the exit code: zero when no promise was broken.
+// Run runs one soak for each seed and returns the exit code, which is exitOK if all of them
+// passed.
 func Run(args []string, stdout, stderr io.Writer) int {
-	var line commandLine
-	if !common.Parse("quartzshelf-soak", "Plays random faults against real daemons.", &line, args, stdout, stderr) {
+	var flags commandLine
+	if !common.Parse("quartzshelf-soak", "Plays random faults against real daemons.", &flags, args, stdout, stderr) {
 		return exitUsage
 	}
-	if !line.valid() {
+	if !flags.isValid() {
 		fmt.Fprintf(stderr, "quartzshelf-soak: at most %d daemons, %d workers, %d in parallel and %s; at least one of each\n",
 			maxDaemons, maxWorkers, maxParallel, maxDuration)
 		return exitUsage
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	seeds := line.Seeds
-	for len(line.Seeds) == 0 && len(seeds) < line.Count {
+	seeds := flags.Seeds
+	for len(flags.Seeds) == 0 && len(seeds) < flags.Count {
 		seeds = append(seeds, uint64(rand.Uint32()))
 	}
-	t := &teller{out: stdout}
-	p := pool.New().WithMaxGoroutines(line.Parallel)
+	r := &reporter{out: stdout}
+	p := pool.New().WithMaxGoroutines(flags.Parallel)
 	for i, seed := range seeds {
-		p.Go(func() { t.tell(play(ctx, line, i, seed, stderr)) })
+		p.Go(func() { r.report(runSeed(ctx, flags, i, seed, stderr)) })
 	}
 	p.Wait()
-	fmt.Fprintf(stdout, "%d passed, %d failed\n", len(seeds)-t.failed, t.failed)
-	if t.failed > 0 {
-		return exitBroken
+	fmt.Fprintf(stdout, "%d passed, %d failed\n", len(seeds)-r.failed, r.failed)
+	if r.failed > 0 {
+		return exitViolations
 	}
 	return exitOK
 }
 
-// played is a soak that was played and where its logs are.
-type played struct {
+// seedResult is the result of the soak of one seed. dir is the directory of its logs.
+type seedResult struct {
 	soak.Result
 	dir string
 	err error
 }
 
-func play(ctx context.Context, line commandLine, number int, seed uint64, stderr io.Writer) played {
+func runSeed(ctx context.Context, flags commandLine, index int, seed uint64, stderr io.Writer) seedResult {
 	level := hclog.Warn
-	if line.Verbose {
+	if flags.Verbose {
 		level = hclog.Debug
 	}
 	dir, err := soak.NewDir(seed)
 	if err != nil {
-		return played{Result: soak.Result{Seed: seed}, err: err}
+		return seedResult{Result: soak.Result{Seed: seed}, err: err}
 	}
-	program, err := filepath.Abs(line.Program)
+	program, err := filepath.Abs(flags.Program)
 	if err != nil {
-		return played{Result: soak.Result{Seed: seed}, dir: dir, err: err}
+		return seedResult{Result: soak.Result{Seed: seed}, dir: dir, err: err}
 	}
-	earlier := line.Earlier
+	earlier := flags.Earlier
 	if earlier != "" {
 		if earlier, err = filepath.Abs(earlier); err != nil {
-			return played{Result: soak.Result{Seed: seed}, dir: dir, err: err}
+			return seedResult{Result: soak.Result{Seed: seed}, dir: dir, err: err}
 		}
 	}
 	result, err := soak.Run(ctx, soak.Options{
-		Seed: seed, Program: program, Earlier: earlier, Mix: soak.Mix(line.Mix), Dir: dir, Host: host(number), Daemons: line.Daemons, Workers: line.Workers,
-		Callers: line.Callers, Series: line.Series, Duration: line.Duration, Halls: line.Halls, Crashing: line.Crashing, Drills: line.Drills, Reborn: line.Reborn, Asking: line.Asking,
+		Seed: seed, Program: program, Earlier: earlier, Mix: soak.Mix(flags.Mix), Dir: dir, Host: loopbackPrefix(index), Daemons: flags.Daemons, Workers: flags.Workers,
+		Callers: flags.Callers, Series: flags.Series, Duration: flags.Duration, Halls: flags.Halls, Crashing: flags.Crashing, Drills: flags.Drills, Reborn: flags.Reborn, Asking: flags.Asking,
 		Logger: hclog.New(&hclog.LoggerOptions{Name: "soak", Output: stderr, Level: level}),
 	})
 	result.Seed = seed
-	return played{Result: result, dir: dir, err: err}
+	return seedResult{Result: result, dir: dir, err: err}
 }
 
-// host returns loopback addresses of this process and run alone, without their
-// last number.
-func host(number int) string {
+// loopbackPrefix returns the first three numbers of loopback addresses that no other process or
+// run uses.
+func loopbackPrefix(index int) string {
 	const part = 250
-	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%part, 1+number%part)
+	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%part, 1+index%part)
 }
 
-// teller tells how soaks ended. It is safe for concurrent use.
-type teller struct {
+// reporter prints the results of soaks and counts the failed ones. It is safe for concurrent
+// use.
+type reporter struct {
 	out io.Writer
 
 	mu     sync.Mutex
 	failed int
 }
 
-func (t *teller) tell(p played) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *reporter) report(p seedResult) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var counts []string
 	for _, what := range slices.Sorted(maps.Keys(p.Totals)) {
 		counts = append(counts, fmt.Sprintf("%s %d", what, p.Totals[what]))
@@ -154,17 +156,17 @@
 		counts = append(counts, fmt.Sprintf("workers ended by a request %d", p.Crashed))
 	}
 	if p.err == nil && len(p.Violations) == 0 {
-		fmt.Fprintf(t.out, "seed %d: passed, %d faults; %s\n", p.Seed, p.Faults, strings.Join(counts, ", "))
-		// Logs of what went well are of no use.
+		fmt.Fprintf(r.out, "seed %d: passed, %d faults; %s\n", p.Seed, p.Faults, strings.Join(counts, ", "))
+		// The logs of a passed run are not needed.
 		_ = os.RemoveAll(p.dir)
 		return
 	}
-	t.failed++
-	fmt.Fprintf(t.out, "seed %d: FAILED, %d faults; %s; logs in %s\n", p.Seed, p.Faults, strings.Join(counts, ", "), p.dir)
+	r.failed++
+	fmt.Fprintf(r.out, "seed %d: FAILED, %d faults; %s; logs in %s\n", p.Seed, p.Faults, strings.Join(counts, ", "), p.dir)
 	if p.err != nil {
-		fmt.Fprintf(t.out, "  not played to its end: %v\n", p.err)
+		fmt.Fprintf(r.out, "  not played to its end: %v\n", p.err)
 	}
 	for _, v := range p.Violations {
-		fmt.Fprintf(t.out, "  %s %s: %s\n", v.At.Format("15:04:05.000"), v.Promise, v.What)
+		fmt.Fprintf(r.out, "  %s %s: %s\n", v.At.Format("15:04:05.000"), v.Promise, v.What)
 	}
 }
--- a/cmd/standincmd/run.go
+++ b/cmd/standincmd/run.go
@@ -1,4 +1,4 @@
-// Package standincmd is the command line of the platform's stand-ins.
+// Package standincmd implements the command that serves stand-ins for the platform's services.
 package standincmd
 
 import (
@@ -27,7 +27,7 @@
 	Settings string `help:"YAML file of settings." required:"" type:"existingfile" short:"s"`
 }
 
-// settings are those of the stand-in as written in YAML.
+// settings are the settings of the stand-ins, read from YAML.
 type settings struct {
 	Host             string                  `yaml:"host"`
 	Port             int                     `yaml:"port"`
@@ -44,18 +44,18 @@
 
 // Run serves the stand-ins until SIGINT or SIGTERM and returns the exit code.
 func Run(args []string, stdout, stderr io.Writer) int {
-	var line commandLine
-	if !common.Parse("quartzshelf-standin", "Stands in for the log service, the node list and the nodes.", &line, args, stdout, stderr) {
+	var flags commandLine
+	if !common.Parse("quartzshelf-standin", "Stands in for the log service, the node list and the nodes.", &flags, args, stdout, stderr) {
 		return exitSettings
 	}
-	data, err := os.ReadFile(line.Settings)
+	data, err := os.ReadFile(flags.Settings)
 	if err != nil {
 		fmt.Fprintln(stderr, "quartzshelf-standin:", err)
 		return exitSettings
 	}
 	var s settings
 	if err := yaml.UnmarshalWithOptions(data, &s, yaml.Strict()); err != nil {
-		fmt.Fprintf(stderr, "quartzshelf-standin: %s: %s\n", line.Settings, yaml.FormatError(err, false, false))
+		fmt.Fprintf(stderr, "quartzshelf-standin: %s: %s\n", flags.Settings, yaml.FormatError(err, false, false))
 		return exitSettings
 	}
 	return serve(s, stdout, stderr)
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -17,42 +17,44 @@
 )
 
 const (
-	// inForceWithin is the users' limit for a change to be in force everywhere.
-	inForceWithin  = 13 * time.Second
-	shortRetention = 90 * time.Second
+	// propagationLimit is the time within which a change must be in force at every daemon.
+	propagationLimit = 13 * time.Second
+	shortRetention   = 90 * time.Second
 )
 
 var configurationOptions = fleetOptions{daemons: 3, withoutControllers: true, retention: shortRetention}
 
-// operator publishes one change through one daemon.
+// operatorCall is the publication of one change through one daemon.
 type operatorCall struct {
-	wait   time.Duration
+	delay  time.Duration
 	host   int
 	object int
 }
 
-// String describes the call for a failed test.
+// String describes the call in the message of a failed test.
 func (c operatorCall) String() string {
-	return fmt.Sprintf("+%v host=%d object=%d", c.wait, c.host, c.object)
+	return fmt.Sprintf("+%v host=%d object=%d", c.delay, c.host, c.object)
 }
 
-// book notes what operators were told and what daemons held.
-type book struct {
-	mu       sync.Mutex
-	accepted map[string]int64
-	refused  map[string]bool
-	highest  map[string]int64
-	problem  string
+// configurationChecker records the verdicts that operators got and the revisions that daemons
+// held.
+type configurationChecker struct {
+	mu              sync.Mutex
+	accepted        map[string]int64
+	refused         map[string]bool
+	highestRevision map[string]int64
+	problem         string
 }
 
-func (b *book) fail(format string, args ...any) {
-	if b.problem == "" {
-		b.problem = fmt.Sprintf(format, args...)
+func (cc *configurationChecker) fail(format string, args ...any) {
+	if cc.problem == "" {
+		cc.problem = fmt.Sprintf(format, args...)
 	}
 }
 
-// publish makes a change against what the daemon holds now.
-func (b *book) publish(h *host, c operatorCall, id string) {
+// publish publishes a change of the object, based on the revision that the daemon holds, and
+// records the verdict.
+func (cc *configurationChecker) publish(h *host, c operatorCall, id string) {
 	name := fmt.Sprint("node-", c.object)
 	object, _ := h.state.View().Object(config.Key{Kind: config.KindNode, Name: name})
 	set := config.ChangeSet{Changes: []config.Change{{
@@ -62,119 +64,118 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
 	verdict, err := h.publish(ctx, id, set)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	switch {
 	case err != nil:
 	case verdict.Accepted:
-		b.accepted[id] = verdict.Offset + 1
+		cc.accepted[id] = verdict.Offset + 1
 	default:
-		b.refused[id] = true
+		cc.refused[id] = true
 	}
 }
 
-// look checks that no daemon went back.
-func (b *book) look(f *fleet) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// checkRevisions checks that the revision of no daemon has decreased since its start.
+func (cc *configurationChecker) checkRevisions(f *fleet) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	for _, h := range f.hosts {
 		if h.cancel == nil {
 			continue
 		}
-		life := fmt.Sprint(h.id, " in life ", h.life)
+		run := fmt.Sprint(h.id, " in run ", h.runNumber)
 		revision := h.state.View().Revision()
-		if revision < b.highest[life] {
-			b.fail("%s went back from revision %d to %d", life, b.highest[life], revision)
+		if revision < cc.highestRevision[run] {
+			cc.fail("%s went back from revision %d to %d", run, cc.highestRevision[run], revision)
 		}
-		b.highest[life] = revision
+		cc.highestRevision[run] = revision
 	}
 }
 
-// agree checks, when all is well, that every daemon holds the same and that
-// what operators were told is so.
-func (b *book) agree(f *fleet) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// checkAgreement checks, at the end of a run without remaining faults, that all daemons hold the
+// same revision and that it agrees with the verdicts.
+func (cc *configurationChecker) checkAgreement(f *fleet) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	first := f.hosts[0]
 	for _, h := range f.hosts[1:] {
 		if h.state.View().Revision() != first.state.View().Revision() {
-			b.fail("%s holds revision %d and %s %d, %v after all was well",
-				h.id, h.state.View().Revision(), first.id, first.state.View().Revision(), inForceWithin)
+			cc.fail("%s holds revision %d and %s %d, %v after all was well",
+				h.id, h.state.View().Revision(), first.id, first.state.View().Revision(), propagationLimit)
 		}
 	}
-	for id, revision := range b.accepted {
+	for id, revision := range cc.accepted {
 		if revision > first.state.View().Revision() {
-			b.fail("%s was accepted at revision %d, but only %d is in force", id, revision, first.state.View().Revision())
+			cc.fail("%s was accepted at revision %d, but only %d is in force", id, revision, first.state.View().Revision())
 		}
 	}
 	for _, h := range f.hosts {
 		for _, o := range h.state.View().Objects() {
-			if b.refused[o.Document().Labels["by"]] {
-				b.fail("%s was told to be refused, but is in force at %s", o.Document().Labels["by"], h.id)
+			if cc.refused[o.Document().Labels["by"]] {
+				cc.fail("%s was told to be refused, but is in force at %s", o.Document().Labels["by"], h.id)
 			}
 		}
 	}
 }
 
-// changeConfiguration runs calls and faults side by side and returns what is
-// wrong.
-func changeConfiguration(t *testing.T, calls []operatorCall, schedule []fault) string {
-	b := &book{accepted: make(map[string]int64), refused: make(map[string]bool), highest: make(map[string]int64)}
+// runConfigurationChanges runs calls and faults concurrently and returns the first problem, or
+// an empty string.
+func runConfigurationChanges(t *testing.T, calls []operatorCall, schedule []fault) string {
+	cc := &configurationChecker{accepted: make(map[string]int64), refused: make(map[string]bool), highestRevision: make(map[string]int64)}
 	synctest.Test(t, func(*testing.T) {
 		f := newFleet(configurationOptions)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
 		ctx, cancel := context.WithCancel(context.Background())
-		var faults, callers, looker conc.WaitGroup
-		looker.Go(func() { b.lookOn(ctx, f) })
-		faults.Go(func() { f.hitAll(schedule, configurationOptions) })
+		var faults, callers, checks conc.WaitGroup
+		checks.Go(func() { cc.checkRevisionsUntilDone(ctx, f) })
+		faults.Go(func() { f.injectFaults(schedule, configurationOptions) })
 		for i, c := range calls {
-			time.Sleep(c.wait)
+			time.Sleep(c.delay)
 			if h := f.hosts[c.host]; h.alive() {
-				callers.Go(func() { b.publish(h, c, fmt.Sprint("change-", i)) })
+				callers.Go(func() { cc.publish(h, c, fmt.Sprint("change-", i)) })
 			}
 		}
 		faults.Wait()
-		f.mend(configurationOptions)
+		f.endFaults(configurationOptions)
 		callers.Wait()
-		time.Sleep(inForceWithin)
+		time.Sleep(propagationLimit)
 		cancel()
-		looker.Wait()
-		b.agree(f)
+		checks.Wait()
+		cc.checkAgreement(f)
 	})
-	return b.problem
+	return cc.problem
 }
 
-// lookOn looks again and again until ctx ends.
-func (b *book) lookOn(ctx context.Context, f *fleet) {
+// checkRevisionsUntilDone checks the revisions periodically until ctx ends.
+func (cc *configurationChecker) checkRevisionsUntilDone(ctx context.Context, f *fleet) {
 	for ctx.Err() == nil {
-		b.look(f)
-		time.Sleep(watchEvery)
+		cc.checkRevisions(f)
+		time.Sleep(checkInterval)
 	}
 }
 
-// TestConfigurationNeverReverts draws racing operators and faults, with a log
-// that forgets records long before the end.
+// TestConfigurationNeverReverts runs random concurrent changes and faults. The log's retention
+// is shorter than the run.
 func TestConfigurationNeverReverts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		one := rapid.Custom(func(t *rapid.T) operatorCall {
+		generator := rapid.Custom(func(t *rapid.T) operatorCall {
 			return operatorCall{
-				wait:   rapid.SampledFrom(waits).Draw(t, "wait"),
-				host:   rapid.SampledFrom(numbers(configurationOptions.daemons)).Draw(t, "host"),
-				object: rapid.SampledFrom(numbers(2)).Draw(t, "object"),
+				delay:  rapid.SampledFrom(delays).Draw(t, "delay"),
+				host:   rapid.SampledFrom(indices(configurationOptions.daemons)).Draw(t, "host"),
+				object: rapid.SampledFrom(indices(2)).Draw(t, "object"),
 			}
 		})
-		calls := rapid.SliceOfN(one, 3, 30).Draw(rt, "calls")
-		schedule := onceFaults(drawSchedule(rt, configurationOptions.daemons, 1, 3, 25))
-		if problem := changeConfiguration(t, calls, schedule); problem != "" {
+		calls := rapid.SliceOfN(generator, 3, 30).Draw(rt, "calls")
+		schedule := replaceNodeFaults(drawSchedule(rt, configurationOptions.daemons, 1, 3, 25))
+		if problem := runConfigurationChanges(t, calls, schedule); problem != "" {
 			rt.Fatalf("%s\ncalls: %v\nschedule: %v", problem, calls, schedule)
 		}
 	})
 }
 
-// TestRacingOperators lets two operators change the same object at the same
-// moment, from what they both read: one is accepted, the other is told which
-// field clashed.
+// TestRacingOperators publishes two changes of the same object at the same moment, based on the
+// same revision. One is accepted, and the verdict on the other one names the conflicting field.
 func TestRacingOperators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(fleetOptions{daemons: 2, withoutControllers: true})
@@ -205,8 +206,8 @@
 	})
 }
 
-// TestLateStarterWithoutTheBeginning starts a daemon when the log has long
-// forgotten the first records: a checkpoint must bring it what is in force.
+// TestLateStarterWithoutTheBeginning starts a daemon after the log has dropped its first
+// records. The daemon must get the configuration from a checkpoint.
 func TestLateStarterWithoutTheBeginning(t *testing.T) {
 	for name, logOut := range map[string]bool{"from the log": false, "from a peer while the log is out": true} {
 		t.Run(name, func(t *testing.T) {
@@ -215,16 +216,16 @@
 				defer f.stop()
 				f.hosts[2].kill()
 				time.Sleep(2 * time.Second)
-				label(t, f.hosts[0], "n1", map[string]string{"color": "red"})
+				publishLabels(t, f.hosts[0], "n1", map[string]string{"color": "red"})
 				time.Sleep(10 * shortRetention)
 				f.log.SetFaults(standin.LogFaults{Outage: logOut})
 				if !logOut {
-					// Without its peers the daemon has the log alone.
+					// Without its peers, the daemon can read only the log.
 					f.net.setCut(f.hosts[2].id, f.hosts[0].id, true)
 					f.net.setCut(f.hosts[2].id, f.hosts[1].id, true)
 				}
 				f.hosts[2].start(configurationOptions)
-				time.Sleep(inForceWithin)
+				time.Sleep(propagationLimit)
 				object, ok := f.hosts[2].state.View().Object(config.Key{Kind: config.KindNode, Name: "n1"})
 				assert.Assert(t, ok, "the late daemon does not know the object")
 				assert.Equal(t, object.Document().Labels["color"], "red")
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -1,7 +1,6 @@
-// Package proof holds the property-based tests of what must always hold, over
-// several daemons and under drawn schedules of faults, in virtual time. The
-// daemons are put together from the parts that run in production; only the
-// network, the log and the nodes are stand-ins.
+// Package proof holds property-based tests of a whole fleet under random faults, in virtual
+// time. The daemons consist of production code. The network, the log and the nodes are
+// stand-ins.
 package proof
 
 import (
@@ -39,21 +38,21 @@
 	halls       = 3
 )
 
-// fleet is a set of daemons with their platform.
+// fleet is a set of daemons with a network, a log and nodes.
 type fleet struct {
 	net     *network
 	log     *standin.Log
 	cluster *standin.Cluster
 	hosts   []*host
-	ids     int
+	lastID  int
 	mu      sync.Mutex
 }
 
-// host is one daemon.
+// host is one daemon of a fleet. It can be killed and started again.
 type host struct {
 	id        string
 	fleet     *fleet
-	life      int
+	runNumber int
 	state     *config.State
 	grants    *ownership.State
 	intents   *intent.State
@@ -64,15 +63,15 @@
 	halls     *hall.Watch
 	startedAt time.Time
 	cancel    context.CancelFunc
-	duties    conc.WaitGroup
+	tasks     conc.WaitGroup
 }
 
-// fleetOptions describes a fleet.
+// fleetOptions are the options of newFleet.
 type fleetOptions struct {
 	daemons   int
 	domains   []standin.DomainOptions
 	retention time.Duration
-	// without keeps the controllers out, for tests of other parts.
+	// withoutControllers leaves out the replica controllers, for tests of other components.
 	withoutControllers bool
 }
 
@@ -94,11 +93,11 @@
 func (f *fleet) newID() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ids++
-	return fmt.Sprint("id-", f.ids)
+	f.lastID++
+	return fmt.Sprint("id-", f.lastID)
 }
 
-// stop ends all daemons.
+// stop ends all faults, daemons and nodes.
 func (f *fleet) stop() {
 	f.net.heal()
 	f.log.SetFaults(standin.LogFaults{})
@@ -111,9 +110,9 @@
 	}
 }
 
-// start begins a new life of the daemon, which remembers nothing.
+// start starts the daemon with empty state and a new run number.
 func (h *host) start(opts fleetOptions) {
-	h.life++
+	h.runNumber++
 	h.state, h.grants = config.NewState(), ownership.NewState()
 	h.intents = intent.NewState(20 * time.Minute)
 	h.catalog = catalog.New()
@@ -140,7 +139,7 @@
 		Dial:          func(address string) rpc.Peer { return remotePeer{net: h.fleet.net, from: h.id, to: address} },
 		Reports:       h.catalog,
 		Configuration: eventlog.NewShared(h.followers["configuration"]),
-		Random:        rand.New(rand.NewPCG(1, uint64(h.life))),
+		Random:        rand.New(rand.NewPCG(1, uint64(h.runNumber))),
 	})
 	h.ledger = h.newLedger()
 	h.startedAt = time.Now()
@@ -149,7 +148,7 @@
 		InFlight: func(string) int { return 0 }, Daemons: func() map[string]int { return nil },
 		Logger: hclog.NewNullLogger(),
 	})
-	h.run(opts)
+	h.startTasks(opts)
 }
 
 func (h *host) newLedger() *intent.Ledger {
@@ -157,7 +156,7 @@
 		Self: h.id, State: h.intents, Follower: h.followers[intent.Stream], NewID: h.fleet.newID,
 		FlushEvery: func() time.Duration { return 50 * time.Millisecond },
 		Submit: func(ctx context.Context, _ intent.Key, record cluster.Record) bool {
-			// The first daemon writes for all; it may be dead, cut off or frozen.
+			// The first daemon writes for all others. It may be dead, cut off or frozen.
 			if h.id == h.fleet.hosts[0].id {
 				return false
 			}
@@ -177,19 +176,19 @@
 	})
 }
 
-// run starts the daemon's duties.
-func (h *host) run(opts fleetOptions) {
+// startTasks starts the background tasks of the daemon and connects it to the network.
+func (h *host) startTasks(opts fleetOptions) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	h.duties = conc.WaitGroup{}
+	h.tasks = conc.WaitGroup{}
 	nodes := hostNodes{net: h.fleet.net, host: h.id, cluster: h.fleet.cluster}
 	grants := h.followers[ownership.Stream]
 	for _, f := range h.followers {
-		h.duties.Go(func() { f.Run(ctx) })
+		h.tasks.Go(func() { f.Run(ctx) })
 	}
-	h.duties.Go(func() { h.agent.Run(ctx) })
-	h.duties.Go(func() { h.ledger.Run(ctx) })
-	h.duties.Go(func() { h.halls.Run(ctx) })
+	h.tasks.Go(func() { h.agent.Run(ctx) })
+	h.tasks.Go(func() { h.ledger.Run(ctx) })
+	h.tasks.Go(func() { h.halls.Run(ctx) })
 	if !opts.withoutControllers {
 		controller := replica.NewController(replica.Options{
 			Self: h.id, Config: h.state.View, List: nodes, Control: nodes, Catalog: h.catalog,
@@ -200,21 +199,21 @@
 			OwnershipConfirmed: grants.Confirmed, ServeWindow: serveWindow, LoadSlots: 2,
 			Logger: hclog.NewNullLogger(),
 		})
-		h.duties.Go(func() { controller.Run(ctx) })
+		h.tasks.Go(func() { controller.Run(ctx) })
 	}
 	h.fleet.net.mu.Lock()
 	defer h.fleet.net.mu.Unlock()
-	h.fleet.net.peers[h.id] = peerOf{Agent: h.agent, ledger: h.ledger}
+	h.fleet.net.peers[h.id] = localPeer{Agent: h.agent, ledger: h.ledger}
 }
 
-// kill ends the daemon's life; its memory is lost.
+// kill stops the daemon and discards its state.
 func (h *host) kill() {
 	if h.cancel == nil {
 		return
 	}
-	h.fleet.net.die(h.id)
+	h.fleet.net.recordDeath(h.id)
 	h.cancel()
-	h.duties.Wait()
+	h.tasks.Wait()
 	h.cancel = nil
 }
 
@@ -223,26 +222,26 @@
 	return h.cancel != nil && !h.fleet.net.isFrozen(h.id)
 }
 
-// peerOf is what a daemon offers to the others.
-type peerOf struct {
+// localPeer handles the calls that a daemon receives from the others.
+type localPeer struct {
 	*membership.Agent
 	ledger *intent.Ledger
 }
 
-func (p peerOf) Claim(_ context.Context, r *rpc.ClaimRequest) (*rpc.ClaimReply, error) {
+func (p localPeer) Claim(_ context.Context, r *rpc.ClaimRequest) (*rpc.ClaimReply, error) {
 	return &rpc.ClaimReply{Committed: p.ledger.Write(cluster.Record{ID: r.RecordId, Data: r.Data})}, nil
 }
 
-func (p peerOf) Outcome(_ context.Context, r *rpc.OutcomeRequest) (*rpc.OutcomeReply, error) {
+func (p localPeer) Outcome(_ context.Context, r *rpc.OutcomeRequest) (*rpc.OutcomeReply, error) {
 	o := p.ledger.Local(r.Attempt)
 	return &rpc.OutcomeReply{State: string(o.Phase()), Status: uint32(o.Answer().Status()), Body: o.Answer().Body()}, nil
 }
 
-func (p peerOf) LeaseShare(context.Context, *rpc.LeaseShareRequest) (*rpc.LeaseShareReply, error) {
+func (p localPeer) LeaseShare(context.Context, *rpc.LeaseShareRequest) (*rpc.LeaseShareReply, error) {
 	return &rpc.LeaseShareReply{}, nil
 }
 
-// publish appends a change set through a daemon and returns the verdict.
+// publish appends a change set through the daemon and returns the verdict.
 func (h *host) publish(ctx context.Context, id string, set config.ChangeSet) (config.Verdict, error) {
 	data, err := set.Encode()
 	if err != nil {
@@ -259,17 +258,17 @@
 	return config.Verdict{}, errCut
 }
 
-// settle lets the daemons start, publishes the basics with one replica wanted,
-// and waits until it has been formed.
-func (f *fleet) settle(t *testing.T) {
+// formFirstReplica waits until the daemons have started, publishes the basic configuration with
+// one wanted replica of chat, and waits until that replica has formed.
+func (f *fleet) formFirstReplica(t *testing.T) {
 	t.Helper()
 	time.Sleep(2 * time.Second)
-	f.basics(t, 1)
+	f.publishBasics(t, 1)
 	time.Sleep(10 * time.Second)
 }
 
-// document returns a document with a spec.
-func document(kind config.Kind, name string, labels map[string]string, spec any) config.Document {
+// newDocument returns a document with the encoded spec.
+func newDocument(kind config.Kind, name string, labels map[string]string, spec any) config.Document {
 	data, err := json.Marshal(spec)
 	if err != nil {
 		panic(err)
@@ -277,16 +276,17 @@
 	return config.Document{Kind: kind, Name: name, Labels: labels, Spec: data}
 }
 
-// basics publishes a model and a deployment.
-func (f *fleet) basics(t *testing.T, replicas int) {
+// publishBasics publishes a model and two deployments: chat with the given number of replicas,
+// and batch with one replica and a lower priority.
+func (f *fleet) publishBasics(t *testing.T, replicas int) {
 	t.Helper()
 	set := config.ChangeSet{Changes: []config.Change{
-		{Operation: config.OperationPut, Document: document(config.KindModel, "m", map[string]string{"family": "m"},
+		{Operation: config.OperationPut, Document: newDocument(config.KindModel, "m", map[string]string{"family": "m"},
 			config.ModelSpec{Version: "v1"})},
-		{Operation: config.OperationPut, Document: document(config.KindDeployment, "chat", nil, config.DeploymentSpec{
+		{Operation: config.OperationPut, Document: newDocument(config.KindDeployment, "chat", nil, config.DeploymentSpec{
 			ModelSelector: "family=m", NodesPerReplica: 4, Replicas: replicas, Priority: 1,
 		})},
-		{Operation: config.OperationPut, Document: document(config.KindDeployment, "batch", nil, config.DeploymentSpec{
+		{Operation: config.OperationPut, Document: newDocument(config.KindDeployment, "batch", nil, config.DeploymentSpec{
 			ModelSelector: "family=m", NodesPerReplica: 4, Replicas: 1,
 		})},
 	}}
--- a/proof/hall_test.go
+++ b/proof/hall_test.go
@@ -19,8 +19,8 @@
 	"quartzshelf.dev/standin"
 )
 
-// hallOptions is a fleet of three daemons before two data halls, each of which can hold
-// all that the basics want.
+// hallOptions describes a fleet of three daemons and two data halls. Each hall has enough nodes
+// for all replicas of the basic configuration.
 var hallOptions = fleetOptions{
 	daemons: 3,
 	domains: []standin.DomainOptions{
@@ -29,12 +29,12 @@
 	},
 }
 
-// setHall publishes a hall as closed or open through a daemon.
+// setHall publishes the hall as closed or open through the daemon.
 func (h *host) setHall(ctx context.Context, name string, closed bool) error {
 	object, _ := h.state.View().Object(config.Key{Kind: config.KindDataHall, Name: name})
 	verdict, err := h.publish(ctx, "hall-"+h.fleet.newID(), config.ChangeSet{Changes: []config.Change{{
 		Operation: config.OperationPut, Base: object.Revision(),
-		Document: document(config.KindDataHall, name, nil, config.DataHallSpec{Closed: closed}),
+		Document: newDocument(config.KindDataHall, name, nil, config.DataHallSpec{Closed: closed}),
 	}}})
 	if err == nil && !verdict.Accepted {
 		return fmt.Errorf("refused: %s", verdict.Problem)
@@ -42,8 +42,8 @@
 	return err
 }
 
-// usable returns the replicas of chat to which the daemon may send.
-func usable(h *host) []catalog.Replica {
+// usableReplicas returns the replicas of chat to which the daemon may route requests.
+func usableReplicas(h *host) []catalog.Replica {
 	var all []catalog.Replica
 	for _, r := range h.catalog.Serving("chat", time.Now()) {
 		if h.state.View().KeptOut(r.DataHall()) == "" {
@@ -53,9 +53,8 @@
 	return all
 }
 
-// generations returns the replicas of chat that are formed in a hall, with their
-// generations.
-func generations(h *host, name string) string {
+// replicaGenerations returns the formed replicas of chat in a hall, each with its generation.
+func replicaGenerations(h *host, name string) string {
 	var all []string
 	for _, r := range h.catalog.Replicas() {
 		if r.DataHall() == name && r.Deployment() == "chat" && r.Listed() {
@@ -65,10 +64,10 @@
 	return strings.Join(all, " ")
 }
 
-// TestClosedHallIsReplacedElsewhere closes the hall that holds replicas: the other one
-// forms them, the closed one keeps its own through a restart of every daemon, or of its
-// domain's owner while the log is out (grants come from the log alone), and they serve at
-// once when it opens.
+// TestClosedHallIsReplacedElsewhere closes the hall that holds the replicas. The other hall must
+// form replacements. The closed hall must keep its replicas while daemons restart: all daemons
+// if the log is available, otherwise the owner of its domain. When the hall opens again, its
+// replicas must be usable at once.
 func TestClosedHallIsReplacedElsewhere(t *testing.T) {
 	for name, logOut := range map[string]bool{"log well": false, "log out": true} {
 		t.Run(name, func(t *testing.T) {
@@ -76,17 +75,17 @@
 				f := newFleet(hallOptions)
 				defer f.stop()
 				time.Sleep(2 * time.Second)
-				f.basics(t, 2)
+				f.publishBasics(t, 2)
 				time.Sleep(15 * time.Second)
-				closing := usable(f.hosts[0])[0].DataHall()
+				closing := usableReplicas(f.hosts[0])[0].DataHall()
 				assert.Equal(t, closing, "hall-0")
-				before := generations(f.hosts[0], closing)
+				before := replicaGenerations(f.hosts[0], closing)
 				assert.NilError(t, f.hosts[0].setHall(t.Context(), closing, true))
-				time.Sleep(inForceWithin)
-				allUseOpen(t, f, closing)
+				time.Sleep(propagationLimit)
+				assertHallUnused(t, f, closing)
 				restarts := f.hosts
 				if logOut {
-					own, _ := owner(t, f, "fabric-1")
+					own, _ := ownerAndOther(t, f, "fabric-1")
 					restarts = []*host{own}
 					f.log.SetFaults(standin.LogFaults{Outage: true})
 				}
@@ -95,28 +94,28 @@
 					time.Sleep(10 * time.Second)
 					h.start(hallOptions)
 					time.Sleep(20 * time.Second)
-					allUseOpen(t, f, closing)
+					assertHallUnused(t, f, closing)
 				}
-				assert.Equal(t, generations(f.hosts[1], closing), before, "the closed hall was left as it was")
+				assert.Equal(t, replicaGenerations(f.hosts[1], closing), before, "the closed hall was left as it was")
 				f.log.SetFaults(standin.LogFaults{})
 				time.Sleep(15 * time.Second)
 				assert.NilError(t, f.hosts[1].setHall(t.Context(), closing, false))
 				assert.Assert(t, strings.Contains(fmt.Sprint(usableIDs(f.hosts[1])), strings.Split(before, "@")[0]),
 					"%v lacks the replicas of the hall that opened: %s", usableIDs(f.hosts[1]), before)
 				time.Sleep(time.Minute)
-				assert.Equal(t, len(usable(f.hosts[2])), 2, "what is too much is given up")
+				assert.Equal(t, len(usableReplicas(f.hosts[2])), 2, "what is too much is given up")
 			})
 		})
 	}
 }
 
-// allUseOpen demands that every daemon can use both replicas, none of them in the
-// closed hall.
-func allUseOpen(t *testing.T, f *fleet, closed string) {
+// assertHallUnused asserts that every daemon can use two replicas and that none of them is in
+// the closed hall.
+func assertHallUnused(t *testing.T, f *fleet, closed string) {
 	t.Helper()
 	for _, h := range f.hosts {
-		assert.Equal(t, len(usable(h)), 2, "%s: %v", h.id, usableIDs(h))
-		for _, r := range usable(h) {
+		assert.Equal(t, len(usableReplicas(h)), 2, "%s: %v", h.id, usableIDs(h))
+		for _, r := range usableReplicas(h) {
 			assert.Assert(t, r.DataHall() != closed)
 		}
 	}
@@ -124,25 +123,25 @@
 
 func usableIDs(h *host) []string {
 	var ids []string
-	for _, r := range usable(h) {
+	for _, r := range usableReplicas(h) {
 		ids = append(ids, r.ID())
 	}
 	return ids
 }
 
-// TestReplicasFormInAllowedRegions binds the deployment to the region of one hall.
+// TestReplicasFormInAllowedRegions restricts the deployment to the region of one hall.
 func TestReplicasFormInAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hallOptions)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
-		f.basics(t, 2)
+		f.publishBasics(t, 2)
 		time.Sleep(15 * time.Second)
 		chat, _ := f.hosts[0].state.View().Object(config.Key{Kind: config.KindDeployment, Name: "chat"})
 		set := config.ChangeSet{Changes: []config.Change{
-			{Operation: config.OperationPut, Document: document(config.KindDataHall, "hall-0", nil, config.DataHallSpec{Region: "south"})},
-			{Operation: config.OperationPut, Document: document(config.KindDataHall, "hall-1", nil, config.DataHallSpec{Region: "north"})},
-			{Operation: config.OperationPut, Base: chat.Revision(), Document: document(config.KindDeployment, "chat", nil, config.DeploymentSpec{
+			{Operation: config.OperationPut, Document: newDocument(config.KindDataHall, "hall-0", nil, config.DataHallSpec{Region: "south"})},
+			{Operation: config.OperationPut, Document: newDocument(config.KindDataHall, "hall-1", nil, config.DataHallSpec{Region: "north"})},
+			{Operation: config.OperationPut, Base: chat.Revision(), Document: newDocument(config.KindDeployment, "chat", nil, config.DeploymentSpec{
 				ModelSelector: "family=m", NodesPerReplica: 4, Replicas: 2, Priority: 1, AllowedRegions: config.Regions{"north"},
 			})},
 		}}
@@ -160,186 +159,189 @@
 	})
 }
 
-// hallCall closes or opens a hall through one daemon.
+// hallCall is a request to close or open a hall through one daemon.
 type hallCall struct {
-	wait       time.Duration
+	delay      time.Duration
 	host, hall int
 	closed     bool
 }
 
-// String describes the call for a failed test.
+// String describes the call in the message of a failed test.
 func (c hallCall) String() string {
-	return fmt.Sprintf("+%v host=%d hall=%d closed=%v", c.wait, c.host, c.hall, c.closed)
+	return fmt.Sprintf("+%v host=%d hall=%d closed=%v", c.delay, c.host, c.hall, c.closed)
 }
 
-// gateOf decides as the readiness of a daemon does (package daemon) whether a host
-// takes requests.
-type gateOf struct {
-	life        int
+// readiness decides whether a host takes requests, by the same rules as package daemon.
+type readiness struct {
+	runNumber   int
 	started     bool
 	behindSince time.Time
-	// expected and heard are as in the type expected of package daemon.
-	expected map[string]bool
-	heard    bool
+	// expectedMembers and hasHeardPeer mirror the state of the readiness check in package
+	// daemon.
+	expectedMembers map[string]bool
+	hasHeardPeer    bool
 }
 
-// takes reports whether the host takes requests at now.
-func (g *gateOf) takes(h *host, now time.Time) bool {
-	const window, seeds = 10 * time.Second, 3 * time.Second
-	if g.life != h.life {
-		*g = gateOf{life: h.life}
+// takesRequests reports whether the host takes requests at the given time. It keeps state, so
+// it must be called periodically.
+func (r *readiness) takesRequests(h *host, now time.Time) bool {
+	const window, seedTimeout = 10 * time.Second, 3 * time.Second
+	if r.runNumber != h.runNumber {
+		*r = readiness{runNumber: h.runNumber}
 	}
 	follower := h.followers["configuration"]
 	confirmed, next := follower.Confirmed(), follower.Fold().Next()
 	reached, members := h.agent.Reached(now.Add(-window))
-	g.note(h, confirmed.After(now.Add(-window)))
-	members = max(members, len(g.expected))
+	r.updateMembers(h, confirmed.After(now.Add(-window)))
+	members = max(members, len(r.expectedMembers))
 	connected := confirmed.After(now.Add(-window)) ||
-		members > 1 && 2*reached > members || members == 1 && !confirmed.IsZero() && g.heard
+		members > 1 && 2*reached > members || members == 1 && !confirmed.IsZero() && r.hasHeardPeer
 	behind := next < h.agent.FleetNext()
 	if !behind {
-		g.behindSince = time.Time{}
-	} else if g.behindSince.IsZero() {
-		g.behindSince = now
+		r.behindSince = time.Time{}
+	} else if r.behindSince.IsZero() {
+		r.behindSince = now
 	}
 	everReached, everMembers := h.agent.Reached(h.startedAt)
-	heard := everMembers > 1 && everReached > 1 || everMembers == 1 && now.After(h.startedAt.Add(seeds))
-	if connected && !behind && heard && (!confirmed.IsZero() || next > 0) {
-		g.started = true
+	hasHeardEnough := everMembers > 1 && everReached > 1 || everMembers == 1 && now.After(h.startedAt.Add(seedTimeout))
+	if connected && !behind && hasHeardEnough && (!confirmed.IsZero() || next > 0) {
+		r.started = true
 	}
-	return g.started && connected && (!behind || !now.After(g.behindSince.Add(window)))
+	return r.started && connected && (!behind || !now.After(r.behindSince.Add(window)))
 }
 
-// note takes over the members. Every host has seeds, so that one that never heard of
-// another is not alone.
-func (g *gateOf) note(h *host, logRead bool) {
-	if logRead || g.expected == nil {
-		g.expected = make(map[string]bool)
+// updateMembers updates the expected members from the membership table. Every host has seeds, so
+// a host that never had contact with another one doesn't assume that it is alone.
+func (r *readiness) updateMembers(h *host, logRead bool) {
+	if logRead || r.expectedMembers == nil {
+		r.expectedMembers = make(map[string]bool)
 	}
 	members := h.agent.Table().Members()
 	for _, m := range members {
-		g.expected[m.Id] = m.State != rpc.MemberState_LEFT
-		if !g.expected[m.Id] {
-			delete(g.expected, m.Id)
+		r.expectedMembers[m.Id] = m.State != rpc.MemberState_LEFT
+		if !r.expectedMembers[m.Id] {
+			delete(r.expectedMembers, m.Id)
 		}
 	}
-	g.heard = g.heard || len(members) > 1
+	r.hasHeardPeer = r.hasHeardPeer || len(members) > 1
 }
 
-// hallWatcher looks for a daemon that may send to a hall which another one calls empty.
+// hallWatcher detects a daemon that may route requests to a hall while another daemon reports
+// that hall as empty.
 type hallWatcher struct {
-	fleet   *fleet
-	gates   map[string]*gateOf
-	problem string
-	// empties counts the looks at which some hall was called empty.
-	empties int
+	fleet           *fleet
+	readinessByHost map[string]*readiness
+	problem         string
+	// emptyReports counts the reports of an empty hall, over all checks and daemons.
+	emptyReports int
 }
 
-func (w *hallWatcher) look(now time.Time) {
-	taking := make(map[string]bool)
+func (w *hallWatcher) checkAll(now time.Time) {
+	takesRequests := make(map[string]bool)
 	for _, h := range w.fleet.hosts {
-		// A frozen host does nothing; the gate decides once it goes on.
-		taking[h.id] = h.alive() && w.gates[h.id].takes(h, now)
+		// A frozen host does nothing. Its readiness is evaluated when it continues.
+		takesRequests[h.id] = h.alive() && w.readinessByHost[h.id].takesRequests(h, now)
 	}
-	for _, by := range w.fleet.hosts {
-		if !by.alive() {
+	for _, reporter := range w.fleet.hosts {
+		if !reporter.alive() {
 			continue
 		}
-		for _, s := range by.halls.Statuses(now) {
+		for _, s := range reporter.halls.Statuses(now) {
 			if s.State == hall.Empty {
-				w.empties++
-				w.check(by, s, taking)
+				w.emptyReports++
+				w.checkEmptyHall(reporter, s, takesRequests)
 			}
 		}
 	}
 }
 
-func (w *hallWatcher) check(by *host, s hall.Status, taking map[string]bool) {
+func (w *hallWatcher) checkEmptyHall(reporter *host, s hall.Status, takesRequests map[string]bool) {
 	for _, h := range w.fleet.hosts {
 		object, _ := h.state.View().Object(config.Key{Kind: config.KindDataHall, Name: s.Name})
-		if taking[h.id] && object.Revision() < s.Revision && w.problem == "" {
+		if takesRequests[h.id] && object.Revision() < s.Revision && w.problem == "" {
 			w.problem = fmt.Sprintf("%s calls %s empty since revision %d, and %s takes requests knowing only revision %d",
-				by.id, s.Name, s.Revision, h.id, object.Revision())
+				reporter.id, s.Name, s.Revision, h.id, object.Revision())
 		}
 	}
 }
 
-// closeHalls runs calls and faults side by side and returns what is wrong.
-func closeHalls(t *testing.T, calls []hallCall, schedule []fault) (problem string, empties int) {
+// runHallCalls runs calls and faults concurrently. It returns the first problem, or an empty
+// string, and the number of reports of an empty hall.
+func runHallCalls(t *testing.T, calls []hallCall, schedule []fault) (problem string, emptyReports int) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hallOptions)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
-		f.basics(t, 2)
-		w := &hallWatcher{fleet: f, gates: make(map[string]*gateOf)}
+		f.publishBasics(t, 2)
+		w := &hallWatcher{fleet: f, readinessByHost: make(map[string]*readiness)}
 		for _, h := range f.hosts {
-			w.gates[h.id] = &gateOf{}
+			w.readinessByHost[h.id] = &readiness{}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		var faults, callers, looker conc.WaitGroup
-		looker.Go(func() {
+		var faults, callers, checks conc.WaitGroup
+		checks.Go(func() {
 			for ctx.Err() == nil {
-				w.look(time.Now())
-				time.Sleep(watchEvery)
+				w.checkAll(time.Now())
+				time.Sleep(checkInterval)
 			}
 		})
-		faults.Go(func() { f.hitAll(schedule, hallOptions) })
+		faults.Go(func() { f.injectFaults(schedule, hallOptions) })
 		for _, c := range calls {
-			time.Sleep(c.wait)
+			time.Sleep(c.delay)
 			if h := f.hosts[c.host]; h.alive() {
 				callers.Go(func() {
 					ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 					defer cancel()
-					// A call that is refused or lost is as good as none.
+					// A call may be refused or lost. That is no error in this test.
 					_ = h.setHall(ctx, fmt.Sprint("hall-", c.hall), c.closed)
 				})
 			}
 		}
 		time.Sleep(30 * time.Second)
 		faults.Wait()
-		f.mend(hallOptions)
+		f.endFaults(hallOptions)
 		callers.Wait()
-		time.Sleep(settleTime)
+		time.Sleep(recoveryTime)
 		cancel()
-		looker.Wait()
-		problem, empties = w.problem, w.empties
+		checks.Wait()
+		problem, emptyReports = w.problem, w.emptyReports
 	})
-	return problem, empties
+	return problem, emptyReports
 }
 
-// TestNobodySendsToAnEmptyHall draws closings, openings and faults, among them new
-// leaders, daemons that are cut off, frozen or started anew, and the log away. Once some
-// daemon calls a hall empty, none that takes requests may still hold it to be open.
+// TestNobodySendsToAnEmptyHall closes and opens halls under random faults: killed, frozen and
+// partitioned daemons and an unavailable log. Once a daemon reports a hall as empty, no daemon
+// that takes requests may still consider it open.
 func TestNobodySendsToAnEmptyHall(t *testing.T) {
-	empties := 0
+	emptyReports := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		one := rapid.Custom(func(t *rapid.T) hallCall {
+		generator := rapid.Custom(func(t *rapid.T) hallCall {
 			return hallCall{
-				wait:   rapid.SampledFrom(waits).Draw(t, "wait"),
-				host:   rapid.SampledFrom(numbers(hallOptions.daemons)).Draw(t, "host"),
-				hall:   rapid.SampledFrom(numbers(2)).Draw(t, "hall"),
+				delay:  rapid.SampledFrom(delays).Draw(t, "delay"),
+				host:   rapid.SampledFrom(indices(hallOptions.daemons)).Draw(t, "host"),
+				hall:   rapid.SampledFrom(indices(2)).Draw(t, "hall"),
 				closed: rapid.SampledFrom([]bool{true, true, false}).Draw(t, "closed"),
 			}
 		})
-		calls := rapid.SliceOfN(one, 1, 8).Draw(rt, "calls")
-		schedule := onceFaults(drawSchedule(rt, hallOptions.daemons, 1, 3, 25))
-		problem, seen := closeHalls(t, calls, schedule)
-		empties += seen
+		calls := rapid.SliceOfN(generator, 1, 8).Draw(rt, "calls")
+		schedule := replaceNodeFaults(drawSchedule(rt, hallOptions.daemons, 1, 3, 25))
+		problem, seen := runHallCalls(t, calls, schedule)
+		emptyReports += seen
 		if problem != "" {
 			rt.Fatalf("%s\ncalls: %v\nschedule: %v", problem, calls, schedule)
 		}
 	})
-	assert.Assert(t, empties > 0, "no hall was ever called empty")
+	assert.Assert(t, emptyReports > 0, "no hall was ever called empty")
 }
 
-// TestLoneStarterStopsWithoutTheLog starts a daemon out of reach of the others, lets it
-// read the log, and cuts it off from that too: it must take nothing when a hall is
-// called empty, and not take up again when the others count as forgotten.
+// TestLoneStarterStopsWithoutTheLog starts a daemon that can't reach the others, lets it read
+// the log, and then cuts it off from the log too. It must not take requests while another daemon
+// reports a hall as empty, even after the other members are forgotten.
 func TestLoneStarterStopsWithoutTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hallOptions)
 		defer f.stop()
-		f.settle(t)
+		f.formFirstReplica(t)
 		lone := f.hosts[2]
 		lone.kill()
 		for _, other := range f.hosts[:2] {
@@ -349,34 +351,34 @@
 		time.Sleep(20 * time.Second)
 		f.net.setCut(lone.id, placeLog, true)
 		assert.NilError(t, f.hosts[0].setHall(t.Context(), "hall-1", true))
-		gates := map[string]*gateOf{}
+		readinessByHost := map[string]*readiness{}
 		for _, h := range f.hosts {
-			gates[h.id] = &gateOf{}
+			readinessByHost[h.id] = &readiness{}
 		}
-		w := &hallWatcher{fleet: f, gates: gates}
+		w := &hallWatcher{fleet: f, readinessByHost: readinessByHost}
 		for range 15 * 60 {
 			time.Sleep(time.Second)
-			w.look(time.Now())
+			w.checkAll(time.Now())
 		}
 		assert.Equal(t, w.problem, "")
-		assert.Assert(t, w.empties > 0)
+		assert.Assert(t, w.emptyReports > 0)
 	})
 }
 
-// TestHallIsNotEmptyBehindAPartition closes a hall through the one daemon that reaches
-// the log, while the two others, which reach each other alone, go on taking requests.
-// The hall must not be called empty before they know.
+// TestHallIsNotEmptyBehindAPartition closes a hall through the only daemon that reaches the log.
+// The two others reach only each other and go on taking requests. The hall must not be reported
+// as empty until they have learned that it is closed.
 func TestHallIsNotEmptyBehindAPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hallOptions)
 		defer f.stop()
-		f.settle(t)
+		f.formFirstReplica(t)
 		for _, h := range f.hosts[1:] {
 			f.net.setCut(h.id, placeLog, true)
 			f.net.setCut(h.id, f.hosts[0].id, true)
 		}
 		assert.NilError(t, f.hosts[0].setHall(t.Context(), "hall-1", true))
-		gate := &gateOf{}
+		ready := &readiness{}
 		state := func() hall.State {
 			for _, s := range f.hosts[0].halls.Statuses(time.Now()) {
 				if s.Name == "hall-1" {
@@ -387,12 +389,12 @@
 		}
 		for range 120 {
 			time.Sleep(time.Second)
-			assert.Assert(t, gate.takes(f.hosts[1], time.Now()))
+			assert.Assert(t, ready.takesRequests(f.hosts[1], time.Now()))
 			assert.Equal(t, f.hosts[1].state.View().Hall("hall-1").Closed(), false)
 			assert.Equal(t, state(), hall.Closing)
 		}
 		f.net.heal()
-		time.Sleep(inForceWithin)
+		time.Sleep(propagationLimit)
 		assert.Equal(t, f.hosts[1].state.View().Hall("hall-1").Closed(), true)
 		assert.Equal(t, state(), hall.Empty)
 	})
--- a/proof/network_test.go
+++ b/proof/network_test.go
@@ -12,35 +12,36 @@
 	"quartzshelf.dev/standin"
 )
 
-// Names of the places that are not daemons.
+// Names of the destinations of calls that are not daemons.
 const (
 	placeLog   = "log"
 	placeNodes = "nodes"
 )
 
-const transit = 2 * time.Millisecond
+const transitDelay = 2 * time.Millisecond
 
 var errCut = errors.New("cut off")
 
-// network carries calls between daemons, the log and the nodes. Places can be
-// cut off from each other and daemons can be frozen: every call of a frozen
-// daemon waits until it is continued, before and after it takes effect, and
-// then goes on however late it is.
+// network simulates the calls between daemons, the log and the nodes. It can cut two places off
+// from each other, and it can freeze daemons. A call of a frozen daemon waits until the daemon
+// is resumed, both before and after it takes effect. After that it continues, however late it
+// is.
 type network struct {
 	mu     sync.Mutex
 	cuts   map[[2]string]bool
 	frozen map[string]chan struct{}
-	// traps freeze a daemon right before its next order or append takes effect.
-	traps map[[2]string]bool
-	// deaths counts how often each daemon was killed.
-	deaths map[string]int
-	peers  map[string]rpc.Peer
+	// armedFreezes holds the pairs of daemon and place for which the next order or append
+	// freezes the daemon.
+	armedFreezes map[[2]string]bool
+	// deathCounts holds the number of times that each daemon was killed.
+	deathCounts map[string]int
+	peers       map[string]rpc.Peer
 }
 
 func newNetwork() *network {
 	return &network{
 		cuts: make(map[[2]string]bool), frozen: make(map[string]chan struct{}),
-		traps: make(map[[2]string]bool), deaths: make(map[string]int), peers: make(map[string]rpc.Peer),
+		armedFreezes: make(map[[2]string]bool), deathCounts: make(map[string]int), peers: make(map[string]rpc.Peer),
 	}
 }
 
@@ -51,35 +52,37 @@
 	n.cuts[[2]string{b, a}] = cut
 }
 
-// heal mends all cuts and continues all daemons.
+// heal removes all cuts and armed freezes and resumes all frozen daemons.
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts = make(map[[2]string]bool)
-	n.traps = make(map[[2]string]bool)
+	n.armedFreezes = make(map[[2]string]bool)
 	for id, resumed := range n.frozen {
 		close(resumed)
 		delete(n.frozen, id)
 	}
 }
 
-// arm freezes the daemon right before its next order or append takes effect.
-func (n *network) arm(id, place string) {
+// freezeBeforeNext arms a freeze of the daemon, right before its next order or append at the
+// place takes effect.
+func (n *network) freezeBeforeNext(id, place string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.traps[[2]string{id, place}] = true
+	n.armedFreezes[[2]string{id, place}] = true
 }
 
-// spring springs the trap of a daemon, if one is armed.
-func (n *network) spring(id, place string) {
+// freezeIfArmed freezes the daemon if a freeze is armed for the place, and waits until it is
+// resumed.
+func (n *network) freezeIfArmed(id, place string) {
 	n.mu.Lock()
-	armed := n.traps[[2]string{id, place}]
-	delete(n.traps, [2]string{id, place})
+	armed := n.armedFreezes[[2]string{id, place}]
+	delete(n.armedFreezes, [2]string{id, place})
 	if armed {
 		n.freezeLocked(id)
 	}
 	n.mu.Unlock()
-	n.gate(id)
+	n.waitWhileFrozen(id)
 }
 
 func (n *network) freeze(id string) {
@@ -88,7 +91,8 @@
 	n.freezeLocked(id)
 }
 
-// freezeLocked freezes a daemon; one that is dead must be able to end.
+// freezeLocked freezes a running daemon. A killed one must not be frozen, because it has to shut
+// down.
 func (n *network) freezeLocked(id string) {
 	if n.frozen[id] == nil && n.peers[id] != nil {
 		n.frozen[id] = make(chan struct{})
@@ -104,19 +108,19 @@
 	}
 }
 
-// die notes that the daemon was killed.
-func (n *network) die(id string) {
+// recordDeath marks the daemon as killed and resumes it if it is frozen.
+func (n *network) recordDeath(id string) {
 	n.mu.Lock()
 	n.peers[id] = nil
-	n.deaths[id]++
+	n.deathCounts[id]++
 	n.mu.Unlock()
 	n.resume(id)
 }
 
-func (n *network) deathsOf(id string) int {
+func (n *network) deathCount(id string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.deaths[id]
+	return n.deathCounts[id]
 }
 
 func (n *network) isFrozen(id string) bool {
@@ -125,8 +129,8 @@
 	return n.frozen[id] != nil
 }
 
-// gate waits while the daemon is frozen.
-func (n *network) gate(id string) {
+// waitWhileFrozen blocks until the daemon is not frozen.
+func (n *network) waitWhileFrozen(id string) {
 	for {
 		n.mu.Lock()
 		resumed := n.frozen[id]
@@ -138,10 +142,12 @@
 	}
 }
 
-// pass carries a call from a daemon to a place, or fails when they are cut off.
-func (n *network) pass(ctx context.Context, from, to string) error {
-	n.gate(from)
-	time.Sleep(transit)
+// carry simulates the transport of a message from a daemon to a place. It waits while either of
+// them is frozen, and returns an error when ctx ends first or when the two are cut off from each
+// other.
+func (n *network) carry(ctx context.Context, from, to string) error {
+	n.waitWhileFrozen(from)
+	time.Sleep(transitDelay)
 	n.mu.Lock()
 	cut, resumed := n.cuts[[2]string{from, to}], n.frozen[to]
 	n.mu.Unlock()
@@ -159,26 +165,25 @@
 	return failure.At(failure.Unavailable, "carry call", to, errCut)
 }
 
-// between does a call: it may be held up or cut off before and after it takes
-// effect.
-func between[R any](ctx context.Context, n *network, from, to string, call func() (R, error)) (R, error) {
-	var none R
-	if err := n.pass(ctx, from, to); err != nil {
-		return none, err
+// callPlace makes a call to a place. The message and the reply can each be delayed or lost.
+func callPlace[R any](ctx context.Context, n *network, from, to string, call func() (R, error)) (R, error) {
+	var zero R
+	if err := n.carry(ctx, from, to); err != nil {
+		return zero, err
 	}
 	reply, err := call()
-	if lost := n.pass(ctx, from, to); lost != nil {
-		return none, lost
+	if transportErr := n.carry(ctx, from, to); transportErr != nil {
+		return zero, transportErr
 	}
 	return reply, err
 }
 
-// withDefault gives a call a deadline if it has none.
-func withDefault(ctx context.Context) (context.Context, context.CancelFunc) {
+// withCallTimeout limits a call to five seconds.
+func withCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, 5*time.Second)
 }
 
-// hostLog is the log as one daemon reaches it.
+// hostLog is the log as seen by one daemon.
 type hostLog struct {
 	net  *network
 	host string
@@ -186,23 +191,23 @@
 }
 
 func (l hostLog) Append(ctx context.Context, stream string, records []cluster.Record) (int64, error) {
-	ctx, cancel := withDefault(ctx)
+	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
-	return between(ctx, l.net, l.host, placeLog, func() (int64, error) {
-		l.net.spring(l.host, placeLog)
+	return callPlace(ctx, l.net, l.host, placeLog, func() (int64, error) {
+		l.net.freezeIfArmed(l.host, placeLog)
 		return l.log.Append(ctx, stream, records)
 	})
 }
 
 func (l hostLog) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (cluster.Batch, error) {
-	ctx, cancel := withDefault(ctx)
+	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
-	return between(ctx, l.net, l.host, placeLog, func() (cluster.Batch, error) {
+	return callPlace(ctx, l.net, l.host, placeLog, func() (cluster.Batch, error) {
 		return l.log.Read(ctx, stream, from, limit, wait)
 	})
 }
 
-// hostNodes are the nodes and their list as one daemon reaches them.
+// hostNodes gives one daemon access to the nodes and their list.
 type hostNodes struct {
 	net     *network
 	host    string
@@ -210,30 +215,30 @@
 }
 
 func (h hostNodes) Nodes(ctx context.Context) ([]cluster.ListedNode, error) {
-	ctx, cancel := withDefault(ctx)
+	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
-	return between(ctx, h.net, h.host, placeNodes, func() ([]cluster.ListedNode, error) { return h.cluster.Nodes(ctx) })
+	return callPlace(ctx, h.net, h.host, placeNodes, func() ([]cluster.ListedNode, error) { return h.cluster.Nodes(ctx) })
 }
 
 func (h hostNodes) State(ctx context.Context, address string) (cluster.NodeState, error) {
-	return between(ctx, h.net, h.host, placeNodes, func() (cluster.NodeState, error) { return h.cluster.State(ctx, address) })
+	return callPlace(ctx, h.net, h.host, placeNodes, func() (cluster.NodeState, error) { return h.cluster.State(ctx, address) })
 }
 
 func (h hostNodes) Order(ctx context.Context, address string, order cluster.Order) (cluster.OrderReply, error) {
-	return between(ctx, h.net, h.host, placeNodes, func() (cluster.OrderReply, error) {
-		h.net.spring(h.host, placeNodes)
+	return callPlace(ctx, h.net, h.host, placeNodes, func() (cluster.OrderReply, error) {
+		h.net.freezeIfArmed(h.host, placeNodes)
 		return h.cluster.Order(ctx, address, order)
 	})
 }
 
-// remotePeer is another daemon as one daemon reaches it.
+// remotePeer makes calls from one daemon to another.
 type remotePeer struct {
 	net      *network
 	from, to string
 }
 
-func (p remotePeer) call(ctx context.Context) (rpc.Peer, error) {
-	if err := p.net.pass(ctx, p.from, p.to); err != nil {
+func (p remotePeer) connect(ctx context.Context) (rpc.Peer, error) {
+	if err := p.net.carry(ctx, p.from, p.to); err != nil {
 		return nil, err
 	}
 	p.net.mu.Lock()
@@ -245,38 +250,39 @@
 	return peer, nil
 }
 
-// remote does one call to the other daemon.
-func remote[Q, R any](ctx context.Context, p remotePeer, q Q, method func(rpc.Peer, context.Context, Q) (R, error)) (R, error) {
-	var none R
-	ctx, cancel := withDefault(ctx)
+// callPeer calls a method of the other daemon. The request and the reply can each be delayed or
+// lost.
+func callPeer[Q, R any](ctx context.Context, p remotePeer, q Q, method func(rpc.Peer, context.Context, Q) (R, error)) (R, error) {
+	var zero R
+	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
-	peer, err := p.call(ctx)
+	peer, err := p.connect(ctx)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	reply, err := method(peer, ctx, q)
-	if lost := p.net.pass(ctx, p.from, p.to); lost != nil {
-		return none, lost
+	if transportErr := p.net.carry(ctx, p.from, p.to); transportErr != nil {
+		return zero, transportErr
 	}
 	return reply, err
 }
 
 func (p remotePeer) Exchange(ctx context.Context, q *rpc.ExchangeRequest) (*rpc.ExchangeReply, error) {
-	return remote(ctx, p, q, rpc.Peer.Exchange)
+	return callPeer(ctx, p, q, rpc.Peer.Exchange)
 }
 
 func (p remotePeer) Probe(ctx context.Context, q *rpc.ProbeRequest) (*rpc.ProbeReply, error) {
-	return remote(ctx, p, q, rpc.Peer.Probe)
+	return callPeer(ctx, p, q, rpc.Peer.Probe)
 }
 
 func (p remotePeer) Claim(ctx context.Context, q *rpc.ClaimRequest) (*rpc.ClaimReply, error) {
-	return remote(ctx, p, q, rpc.Peer.Claim)
+	return callPeer(ctx, p, q, rpc.Peer.Claim)
 }
 
 func (p remotePeer) Outcome(ctx context.Context, q *rpc.OutcomeRequest) (*rpc.OutcomeReply, error) {
-	return remote(ctx, p, q, rpc.Peer.Outcome)
+	return callPeer(ctx, p, q, rpc.Peer.Outcome)
 }
 
 func (p remotePeer) LeaseShare(ctx context.Context, q *rpc.LeaseShareRequest) (*rpc.LeaseShareReply, error) {
-	return remote(ctx, p, q, rpc.Peer.LeaseShare)
+	return callPeer(ctx, p, q, rpc.Peer.LeaseShare)
 }
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -16,176 +16,177 @@
 	"quartzshelf.dev/standin"
 )
 
-// onceOptions is a fleet whose controllers are left out.
-var onceOptions = fleetOptions{daemons: 3, withoutControllers: true}
+// keyOptions describes a fleet without replica controllers.
+var keyOptions = fleetOptions{daemons: 3, withoutControllers: true}
 
-// keyCall is a caller's request for a key.
+// keyCall is a caller's request with an idempotency key.
 type keyCall struct {
-	wait time.Duration
-	host int
-	key  int
-	// ending is what becomes of the request if it is sent.
-	ending string
+	delay time.Duration
+	host  int
+	key   int
+	// outcome is the result of the request: answered, lost or not sent.
+	outcome string
 }
 
-// String describes the call for a failed test.
+// String describes the call in the message of a failed test.
 func (c keyCall) String() string {
-	return fmt.Sprintf("+%v host=%d key=%d %s", c.wait, c.host, c.key, c.ending)
+	return fmt.Sprintf("+%v host=%d key=%d %s", c.delay, c.host, c.key, c.outcome)
 }
 
-var endings = []string{"answered", "lost", "not sent"}
+var outcomes = []string{"answered", "lost", "not sent"}
 
 func drawCalls(t *rapid.T) []keyCall {
-	one := rapid.Custom(func(t *rapid.T) keyCall {
+	generator := rapid.Custom(func(t *rapid.T) keyCall {
 		return keyCall{
-			wait:   rapid.SampledFrom(waits).Draw(t, "wait"),
-			host:   rapid.SampledFrom(numbers(onceOptions.daemons)).Draw(t, "host"),
-			key:    rapid.SampledFrom(numbers(3)).Draw(t, "key"),
-			ending: rapid.SampledFrom(endings).Draw(t, "ending"),
+			delay:   rapid.SampledFrom(delays).Draw(t, "delay"),
+			host:    rapid.SampledFrom(indices(keyOptions.daemons)).Draw(t, "host"),
+			key:     rapid.SampledFrom(indices(3)).Draw(t, "key"),
+			outcome: rapid.SampledFrom(outcomes).Draw(t, "outcome"),
 		}
 	})
-	return rapid.SliceOfN(one, 5, 25).Draw(t, "calls")
+	return rapid.SliceOfN(generator, 5, 25).Draw(t, "calls")
 }
 
-// endpoint counts how often each key ran and what callers were told.
-type endpoint struct {
+// executionChecker records the executions of each key and the answers that callers got.
+type executionChecker struct {
 	mu sync.Mutex
-	// runs counts, by key, the requests that were sent.
+	// runs holds the number of executions by key.
 	runs map[int]int
-	// said holds, by key, whether some caller was not told "not run".
-	said map[int]bool
-	// done holds the keys whose answer some caller got.
-	done map[int]bool
+	// maybeRan holds the keys for which some caller got an answer other than "not run".
+	maybeRan map[int]bool
+	// answered holds the keys for which some caller got the answer.
+	answered map[int]bool
 }
 
-func (e *endpoint) note(key int, notRun, done bool) {
+func (e *executionChecker) record(key int, notRun, done bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.said[key] = e.said[key] || !notRun
-	e.done[key] = e.done[key] || done
+	e.maybeRan[key] = e.maybeRan[key] || !notRun
+	e.answered[key] = e.answered[key] || done
 }
 
-// call does what the gateway does with a request that must not be repeated.
-func (e *endpoint) call(h *host, c keyCall) {
+// callWithKey handles a request that must run at most once as the gateway does.
+func (e *executionChecker) callWithKey(h *host, c keyCall) {
 	ledger, net := h.ledger, h.fleet.net
-	deaths := net.deathsOf(h.id)
+	deaths := net.deathCount(h.id)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	claim, err := ledger.Take(ctx, intent.Key(fmt.Sprint("key", c.key)), "body")
 	switch {
 	case err != nil:
-		e.note(c.key, true, false)
+		e.record(c.key, true, false)
 		return
 	case !claim.Won():
 		outcome := ledger.Outcome(ctx, claim.Entry())
 		if outcome.Phase() == intent.PhaseReleased {
 			ledger.ReleaseFor(intent.Key(fmt.Sprint("key", c.key)), claim.Entry().Attempt())
 		}
-		e.note(c.key, outcome.Phase() == intent.PhaseReleased, outcome.Phase() == intent.PhaseDone)
+		e.record(c.key, outcome.Phase() == intent.PhaseReleased, outcome.Phase() == intent.PhaseDone)
 		return
-	case c.ending == "not sent" || !claim.MaySend(time.Now()):
+	case c.outcome == "not sent" || !claim.MaySend(time.Now()):
 		ledger.Release(ctx, claim)
-		e.note(c.key, true, false)
+		e.record(c.key, true, false)
 		return
 	}
-	// A freeze may come right after the check.
-	net.gate(h.id)
-	if net.deathsOf(h.id) != deaths {
-		// The daemon died before it sent; its caller sees a broken connection.
-		e.note(c.key, false, false)
+	// The daemon may freeze right after the check.
+	net.waitWhileFrozen(h.id)
+	if net.deathCount(h.id) != deaths {
+		// The daemon was killed before it sent the request. Its caller sees a broken connection.
+		e.record(c.key, false, false)
 		return
 	}
 	e.mu.Lock()
 	e.runs[c.key]++
 	e.mu.Unlock()
 	time.Sleep(30 * time.Millisecond)
-	net.gate(h.id)
-	if c.ending == "lost" {
+	net.waitWhileFrozen(h.id)
+	if c.outcome == "lost" {
 		ledger.Lose(claim)
-		e.note(c.key, false, false)
+		e.record(c.key, false, false)
 		return
 	}
 	ledger.Finish(claim, intent.NewAnswer(200, "", []byte("ok")))
-	e.note(c.key, false, true)
+	e.record(c.key, false, true)
 }
 
-// verdict returns what is wrong with what ran and what was said.
-func (e *endpoint) verdict() string {
+// findProblem returns a contradiction between the executions and the answers, or an empty
+// string.
+func (e *executionChecker) findProblem() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for key, n := range e.runs {
 		if n > 1 {
 			return fmt.Sprintf("key %d ran %d times", key, n)
 		}
-		if n > 0 && !e.said[key] {
+		if n > 0 && !e.maybeRan[key] {
 			return fmt.Sprintf("key %d ran, but all its callers were told that it was not", key)
 		}
 	}
-	for key := range e.done {
-		if e.done[key] && e.runs[key] == 0 {
+	for key := range e.answered {
+		if e.answered[key] && e.runs[key] == 0 {
 			return fmt.Sprintf("key %d was answered, but it did not run", key)
 		}
 	}
 	return ""
 }
 
-// callKeys runs calls and faults side by side and returns what is wrong.
-func callKeys(t *testing.T, calls []keyCall, schedule []fault) string {
+// runKeyCalls runs calls and faults concurrently and returns a problem, or an empty string.
+func runKeyCalls(t *testing.T, calls []keyCall, schedule []fault) string {
 	problem := ""
 	synctest.Test(t, func(*testing.T) {
-		f := newFleet(onceOptions)
-		e := &endpoint{runs: make(map[int]int), said: make(map[int]bool), done: make(map[int]bool)}
+		f := newFleet(keyOptions)
+		e := &executionChecker{runs: make(map[int]int), maybeRan: make(map[int]bool), answered: make(map[int]bool)}
 		time.Sleep(2 * time.Second)
-		var all, callers conc.WaitGroup
-		all.Go(func() { f.hitAll(schedule, onceOptions) })
+		var faults, callers conc.WaitGroup
+		faults.Go(func() { f.injectFaults(schedule, keyOptions) })
 		for _, c := range calls {
-			time.Sleep(c.wait)
+			time.Sleep(c.delay)
 			if h := f.hosts[c.host]; h.alive() {
-				callers.Go(func() { e.call(h, c) })
+				callers.Go(func() { e.callWithKey(h, c) })
 			}
 		}
-		all.Wait()
+		faults.Wait()
 		f.net.heal()
 		f.log.SetFaults(standin.LogFaults{})
 		callers.Wait()
 		time.Sleep(time.Minute)
-		problem = e.verdict()
+		problem = e.findProblem()
 		f.stop()
 	})
 	return problem
 }
 
-// onceFaults leaves out the faults of nodes, which play no part.
-func onceFaults(schedule []fault) []fault {
-	var kept []fault
-	for _, x := range schedule {
-		switch x.name {
+// replaceNodeFaults replaces faults of nodes and of orders to them by a freeze of the daemon
+// before its next append, for tests in which the nodes are irrelevant.
+func replaceNodeFaults(schedule []fault) []fault {
+	var replaced []fault
+	for _, f := range schedule {
+		switch f.name {
 		case "kill node", "restart node", "stick node", "unstick node", "node leaves", "node stays", "freeze on order":
-			x.name = "freeze on append"
+			f.name = "freeze on append"
 		}
-		kept = append(kept, x)
+		replaced = append(replaced, f)
 	}
-	return kept
+	return replaced
 }
 
-// TestKeyRunsAtMostOnce covers two promises: a request with a key runs at most
-// once over all daemons, and what callers were told was not run did not run.
+// TestKeyRunsAtMostOnce checks that a request with a key runs at most once over all daemons. It
+// also checks that a request did not run if all its callers were told so.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		calls := drawCalls(rt)
-		schedule := onceFaults(drawSchedule(rt, onceOptions.daemons, 1, 3, 25))
-		if problem := callKeys(t, calls, schedule); problem != "" {
+		schedule := replaceNodeFaults(drawSchedule(rt, keyOptions.daemons, 1, 3, 25))
+		if problem := runKeyCalls(t, calls, schedule); problem != "" {
 			rt.Fatalf("%s\ncalls: %v\nschedule: %v", problem, calls, schedule)
 		}
 	})
 }
 
-// TestKeyAfterAbandonedClaim lets a claim be given up while the log is out. Its
-// release may be all that the log ever shows of the key; the next caller must
-// be able to claim it.
+// TestKeyAfterAbandonedClaim abandons a claim while the log is unavailable, so the log may
+// contain only the release of the claim. The next caller must be able to claim the key.
 func TestKeyAfterAbandonedClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(onceOptions)
+		f := newFleet(keyOptions)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
 		f.log.SetFaults(standin.LogFaults{Outage: true})
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -14,21 +14,21 @@
 	"quartzshelf.dev/standin"
 )
 
-// oneDomain is a fleet before one fabric domain of the given size.
-func oneDomain(daemons, nodes int) fleetOptions {
+// singleDomainOptions describes a fleet with one fabric domain of the given size.
+func singleDomainOptions(daemons, nodes int) fleetOptions {
 	return fleetOptions{
 		daemons: daemons,
 		domains: []standin.DomainOptions{{Name: "fabric-1", DataHall: "hall-0", Nodes: nodes, Accelerators: 4}},
 	}
 }
 
-// serving returns how many replicas of a deployment a daemon may use.
-func serving(h *host, deployment string) int {
+// servingCount returns the number of replicas of a deployment that a daemon may use.
+func servingCount(h *host, deployment string) int {
 	return len(h.catalog.Serving(deployment, time.Now()))
 }
 
-// owner returns the daemon that owns the domain, and another one.
-func owner(t *testing.T, f *fleet, domain string) (*host, *host) {
+// ownerAndOther returns the daemon that owns the domain, and one that does not.
+func ownerAndOther(t *testing.T, f *fleet, domain string) (*host, *host) {
 	t.Helper()
 	name := f.hosts[0].grants.Grant(domain).Owner()
 	var own, other *host
@@ -43,8 +43,8 @@
 	return own, other
 }
 
-// label publishes labels of a node.
-func label(t *testing.T, h *host, node string, labels map[string]string) {
+// publishLabels publishes the labels of a node.
+func publishLabels(t *testing.T, h *host, node string, labels map[string]string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -57,8 +57,8 @@
 	assert.Assert(t, verdict.Accepted, verdict.Problem)
 }
 
-// TestLeavingNodeWithoutSpare fails when a replica goes on taking work because
-// there is no node to replace the one that leaves.
+// TestLeavingNodeWithoutSpare checks that a replica with a leaving node stops serving even if no
+// node can replace that node.
 func TestLeavingNodeWithoutSpare(t *testing.T) {
 	leave := map[string]func(*testing.T, *fleet, string){
 		"by the node list": func(_ *testing.T, f *fleet, id string) {
@@ -66,55 +66,55 @@
 			n.SetLeaving(true)
 		},
 		"by a label": func(t *testing.T, f *fleet, id string) {
-			label(t, f.hosts[0], id, map[string]string{config.LabelDrain: config.LabelTrue})
+			publishLabels(t, f.hosts[0], id, map[string]string{config.LabelDrain: config.LabelTrue})
 		},
 	}
 	for name, how := range leave {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(oneDomain(2, 4))
+				f := newFleet(singleDomainOptions(2, 4))
 				defer f.stop()
-				f.settle(t)
-				assert.Equal(t, serving(f.hosts[1], "chat"), 1)
+				f.formFirstReplica(t)
+				assert.Equal(t, servingCount(f.hosts[1], "chat"), 1)
 				how(t, f, "fabric-1-n02")
 				time.Sleep(6 * time.Second)
 				for _, h := range f.hosts {
-					assert.Equal(t, serving(h, "chat"), 0, h.id)
+					assert.Equal(t, servingCount(h, "chat"), 0, h.id)
 				}
 			})
 		})
 	}
 }
 
-// TestNodesMoveOnlyWhenPermitsAreOver fails when a node of a broken replica is
-// given to another one while a router that was cut off may still use the
-// broken one, and the node that answers for it would still accept.
+// TestNodesMoveOnlyWhenPermitsAreOver checks that no node of a broken replica is given to
+// another replica too early. A router that is cut off may still use the broken replica, and the
+// replica's head may still accept its requests.
 func TestNodesMoveOnlyWhenPermitsAreOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(oneDomain(2, 8))
+		f := newFleet(singleDomainOptions(2, 8))
 		defer f.stop()
-		f.settle(t)
+		f.formFirstReplica(t)
 		time.Sleep(2 * time.Second)
-		own, router := owner(t, f, "fabric-1")
+		own, router := ownerAndOther(t, f, "fabric-1")
 		batch, ok := router.catalog.Replica("batch-fabric-1-0")
 		assert.Assert(t, ok)
 		chat, ok := router.catalog.Replica("chat-fabric-1-0")
 		assert.Assert(t, ok)
-		// The node that answers for batch must not go to chat.
-		label(t, own, batch.Nodes()[0], map[string]string{"keep": "yes"})
+		// The head of batch must not be given to chat.
+		publishLabels(t, own, batch.Nodes()[0], map[string]string{"keep": "yes"})
 		deployment, _ := own.state.View().Object(config.Key{Kind: config.KindDeployment, Name: "chat"})
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		_, err := own.publish(ctx, "narrow", config.ChangeSet{Changes: []config.Change{{
 			Operation: config.OperationPut, Base: deployment.Revision(),
-			Document: document(config.KindDeployment, "chat", nil, config.DeploymentSpec{
+			Document: newDocument(config.KindDeployment, "chat", nil, config.DeploymentSpec{
 				ModelSelector: "family=m", NodeSelector: "keep!=yes", NodesPerReplica: 4, Replicas: 1, Priority: 1,
 			}),
 		}}})
 		assert.NilError(t, err)
 		time.Sleep(2 * time.Second)
-		w := watch(f)
-		w.strict = true
+		w := startWatcher(f)
+		w.forbidsConflict = true
 		time.Sleep(time.Second)
 		for _, place := range []string{own.id, placeNodes, placeLog} {
 			f.net.setCut(router.id, place, true)
@@ -125,142 +125,143 @@
 		}
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, w.stop(), "")
-		assert.Equal(t, serving(own, "chat"), 1)
+		assert.Equal(t, servingCount(own, "chat"), 1)
 	})
 }
 
-// TestLateOwnerDoesNoHarm freezes an owner right before an order takes effect,
-// lets a deputy take over and repair, and continues the owner.
+// TestLateOwnerDoesNoHarm freezes an owner right before one of its orders takes effect. It
+// resumes the owner after a deputy, a daemon that acts for an absent owner, has taken over and
+// repaired the replica.
 func TestLateOwnerDoesNoHarm(t *testing.T) {
-	loseOwner(t, func(t *testing.T, f *fleet, own, router *host, setLog func()) {
-		w := watch(f)
+	withLogUpAndDown(t, func(t *testing.T, f *fleet, own, router *host, applyLogState func()) {
+		w := startWatcher(f)
 		time.Sleep(time.Second)
-		setLog()
-		f.net.arm(own.id, placeNodes)
+		applyLogState()
+		f.net.freezeBeforeNext(own.id, placeNodes)
 		n, _ := f.cluster.Node("fabric-1-n01")
 		n.Kill()
 		time.Sleep(25 * time.Second)
 		assert.Assert(t, f.net.isFrozen(own.id), "the owner gave no order")
-		assert.Equal(t, serving(router, "chat"), 1, "a deputy repaired the replica")
+		assert.Equal(t, servingCount(router, "chat"), 1, "a deputy repaired the replica")
 		f.net.resume(own.id)
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, w.stop(), "")
-		assert.Equal(t, serving(router, "chat"), 1)
+		assert.Equal(t, servingCount(router, "chat"), 1)
 	})
 }
 
-// TestTakeoverKeepsReplicasServing kills the owner of a domain: its replicas
-// must be usable at every moment until a deputy looks after them, and after.
+// TestTakeoverKeepsReplicasServing kills the owner of a domain. Its replicas must stay usable
+// before and after a deputy, a daemon that acts for an absent owner, takes over.
 func TestTakeoverKeepsReplicasServing(t *testing.T) {
-	loseOwner(t, func(t *testing.T, _ *fleet, own, router *host, setLog func()) {
-		setLog()
+	withLogUpAndDown(t, func(t *testing.T, _ *fleet, own, router *host, applyLogState func()) {
+		applyLogState()
 		own.kill()
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
-			assert.Equal(t, serving(router, "chat"), 1)
+			assert.Equal(t, servingCount(router, "chat"), 1)
 		}
 	})
 }
 
-// loseOwner runs body on a settled fleet of three daemons, once with the log
-// well and once with it out from the moment at which body calls setLog.
-func loseOwner(t *testing.T, body func(t *testing.T, f *fleet, own, router *host, setLog func())) {
-	for name, logOut := range map[string]bool{"log well": false, "log out": true} {
+// withLogUpAndDown runs body on a fleet of three daemons with a formed replica: once with the
+// log available, and once with an outage of the log that starts when body calls applyLogState.
+func withLogUpAndDown(t *testing.T, body func(t *testing.T, f *fleet, own, router *host, applyLogState func())) {
+	for name, isLogDown := range map[string]bool{"log well": false, "log out": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(oneDomain(3, 6))
+				f := newFleet(singleDomainOptions(3, 6))
 				defer f.stop()
-				f.settle(t)
-				own, router := owner(t, f, "fabric-1")
-				body(t, f, own, router, func() { f.log.SetFaults(standin.LogFaults{Outage: logOut}) })
+				f.formFirstReplica(t)
+				own, router := ownerAndOther(t, f, "fabric-1")
+				body(t, f, own, router, func() { f.log.SetFaults(standin.LogFaults{Outage: isLogDown}) })
 			})
 		})
 	}
 }
 
-// TestUnfencedNodesAreLeftToTheOwner kills the owner of a domain whose nodes
-// do not check tokens while the log is out: a deputy may say that the replica
-// serves but must give no order, so a broken one stays dark until the log is
-// back and a new owner's lease is sure.
+// TestUnfencedNodesAreLeftToTheOwner kills the owner of a domain during an outage of the log.
+// The nodes don't check fencing tokens. A deputy, a daemon that acts for the absent owner, may
+// report that the replica serves, but must not give orders. A broken replica must stay
+// unavailable until the log is back and a new owner holds the lease.
 func TestUnfencedNodesAreLeftToTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		opts := oneDomain(3, 6)
+		opts := singleDomainOptions(3, 6)
 		opts.domains[0].Unfenced = true
 		f := newFleet(opts)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
 		for _, n := range f.cluster.All() {
-			label(t, f.hosts[0], n.Listed().ID, map[string]string{config.LabelFenced: config.LabelFalse})
+			publishLabels(t, f.hosts[0], n.Listed().ID, map[string]string{config.LabelFenced: config.LabelFalse})
 		}
-		f.basics(t, 1)
+		f.publishBasics(t, 1)
 		time.Sleep(20 * time.Second)
-		own, router := owner(t, f, "fabric-1")
-		assert.Equal(t, serving(router, "chat"), 1)
+		own, router := ownerAndOther(t, f, "fabric-1")
+		assert.Equal(t, servingCount(router, "chat"), 1)
 		f.log.SetFaults(standin.LogFaults{Outage: true})
 		own.kill()
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, serving(router, "chat"), 1, "an intact replica serves on")
+		assert.Equal(t, servingCount(router, "chat"), 1, "an intact replica serves on")
 		n, _ := f.cluster.Node("fabric-1-n01")
 		n.Kill()
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, serving(router, "chat"), 0, "a deputy must not order these nodes")
+		assert.Equal(t, servingCount(router, "chat"), 0, "a deputy must not order these nodes")
 		f.log.SetFaults(standin.LogFaults{})
 		time.Sleep(25 * time.Second)
-		assert.Equal(t, serving(router, "chat"), 1)
+		assert.Equal(t, servingCount(router, "chat"), 1)
 	})
 }
 
-// TestDomainsReturnToTheirDaemon kills the owner and starts it again: once it
-// has stayed for a while it gets the domain back, and the replica serves on.
+// TestDomainsReturnToTheirDaemon kills the owner and starts it again. The owner must get the
+// domain back after a while, and the replica must serve all the time.
 func TestDomainsReturnToTheirDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		opts := oneDomain(3, 6)
+		opts := singleDomainOptions(3, 6)
 		f := newFleet(opts)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
-		f.basics(t, 1)
+		f.publishBasics(t, 1)
 		time.Sleep(50 * time.Second)
-		own, router := owner(t, f, "fabric-1")
+		own, router := ownerAndOther(t, f, "fabric-1")
 		own.kill()
 		time.Sleep(20 * time.Second)
 		assert.Assert(t, router.grants.Grant("fabric-1").Owner() != own.id)
 		own.start(opts)
 		for range 800 {
 			time.Sleep(100 * time.Millisecond)
-			assert.Equal(t, serving(router, "chat"), 1)
+			assert.Equal(t, servingCount(router, "chat"), 1)
 		}
 		assert.Equal(t, router.grants.Grant("fabric-1").Owner(), own.id)
 	})
 }
 
-// TestLeaderWithoutNodesYields cuts the owner off from all nodes, though not
-// from the other daemons: another one must look after the domain.
+// TestLeaderWithoutNodesYields cuts the owner off from all nodes, but not from the other
+// daemons. Another daemon must take over the domain.
 func TestLeaderWithoutNodesYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(oneDomain(3, 6))
+		f := newFleet(singleDomainOptions(3, 6))
 		defer f.stop()
-		f.settle(t)
-		own, router := owner(t, f, "fabric-1")
+		f.formFirstReplica(t)
+		own, router := ownerAndOther(t, f, "fabric-1")
 		f.net.setCut(own.id, placeNodes, true)
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, serving(router, "chat"), 1)
+		assert.Equal(t, servingCount(router, "chat"), 1)
 		n, _ := f.cluster.Node("fabric-1-n01")
 		n.SetLeaving(true)
-		w := watch(f)
+		w := startWatcher(f)
 		time.Sleep(10 * time.Second)
 		f.net.heal()
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, w.stop(), "")
-		assert.Equal(t, serving(own, "chat"), 1)
+		assert.Equal(t, servingCount(own, "chat"), 1)
 	})
 }
 
-// TestScriptedReplicaIsRoutedToAndLeftAlone runs a replica by scripts beside a
-// managed one: it is usable while all its nodes are ready, its nodes are never
-// given an order, and they are not taken when the managed one needs a node.
+// TestScriptedReplicaIsRoutedToAndLeftAlone runs a replica that is managed by scripts beside one
+// that is managed by the daemons. The scripted replica must be usable while all its nodes are
+// ready. Its nodes must never get an order, even if the managed replica needs a node.
 func TestScriptedReplicaIsRoutedToAndLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(oneDomain(2, 8))
+		f := newFleet(singleDomainOptions(2, 8))
 		defer f.stop()
 		time.Sleep(2 * time.Second)
 		scripted := []string{"fabric-1-n04", "fabric-1-n05", "fabric-1-n06", "fabric-1-n07"}
@@ -268,22 +269,22 @@
 			Replica: "by-script", Generation: 3, Deployment: "chat", Version: "v1", Members: scripted,
 		}}
 		for _, id := range scripted {
-			label(t, f.hosts[0], id, map[string]string{
+			publishLabels(t, f.hosts[0], id, map[string]string{
 				config.LabelManagedBy: config.ManagedByScripts, config.LabelDeployment: "chat", config.LabelReplica: "s1",
 			})
 			_, err := f.cluster.Order(t.Context(), id, order)
 			assert.NilError(t, err)
 		}
-		f.settle(t)
+		f.formFirstReplica(t)
 		router := f.hosts[1]
-		assert.Equal(t, serving(router, "chat"), 2)
+		assert.Equal(t, servingCount(router, "chat"), 2)
 		replica, ok := router.catalog.Replica("chat/s1")
 		assert.Assert(t, ok)
 		assert.Equal(t, replica.AssignedName(), "by-script")
 		lost, _ := f.cluster.Node("fabric-1-n01")
 		lost.Kill()
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, serving(router, "chat"), 1, "the managed replica has no node to take")
+		assert.Equal(t, servingCount(router, "chat"), 1, "the managed replica has no node to take")
 		for _, id := range scripted {
 			n, _ := f.cluster.Node(id)
 			_, held := n.Fence()
@@ -292,6 +293,6 @@
 		member, _ := f.cluster.Node("fabric-1-n06")
 		member.Kill()
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, serving(router, "chat"), 0, "a partial scripted replica must not serve")
+		assert.Equal(t, servingCount(router, "chat"), 0, "a partial scripted replica must not serve")
 	})
 }
--- a/proof/schedule_test.go
+++ b/proof/schedule_test.go
@@ -11,47 +11,47 @@
 
 // fault is one entry of a schedule.
 type fault struct {
-	// wait is the time since the fault before.
-	wait time.Duration
-	name string
-	// host, other and node are indices; each fault takes what it needs.
+	// delay is the time since the previous fault.
+	delay time.Duration
+	name  string
+	// host, other and node are indices. Each kind of fault uses those that it needs.
 	host, other, node int
 }
 
-// String describes the fault for a failed test.
+// String describes the fault in the message of a failed test.
 func (f fault) String() string {
-	return fmt.Sprintf("+%v %s host=%d other=%d node=%d", f.wait, f.name, f.host, f.other, f.node)
+	return fmt.Sprintf("+%v %s host=%d other=%d node=%d", f.delay, f.name, f.host, f.other, f.node)
 }
 
-// faultNames are the faults that a schedule is drawn from.
+// faultNames are the kinds of faults in random schedules.
 var faultNames = []string{
 	"kill host", "start host", "freeze host", "resume host", "cut hosts", "cut log", "cut nodes", "heal",
 	"kill node", "restart node", "stick node", "unstick node", "node leaves", "node stays",
 	"freeze on order", "freeze on append", "log out", "log loses answers", "log slow", "log well",
 }
 
-// waits are the times between faults: many come together, some long after.
-var waits = []time.Duration{
+// delays are the possible times between two faults or calls.
+var delays = []time.Duration{
 	0, 100 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second, 4 * time.Second, 8 * time.Second, 14 * time.Second,
 }
 
-// drawSchedule draws between least and most faults for a fleet of the given
-// size. Numbers are drawn from lists, as ranges favour small numbers.
-func drawSchedule(t *rapid.T, hosts, nodes, least, most int) []fault {
-	oneOf := func(n int) *rapid.Generator[int] { return rapid.SampledFrom(numbers(n)) }
-	one := rapid.Custom(func(t *rapid.T) fault {
+// drawSchedule draws between minFaults and maxFaults faults for a fleet of the given size.
+// Indices are drawn from lists because drawing from ranges favors small numbers.
+func drawSchedule(t *rapid.T, hosts, nodes, minFaults, maxFaults int) []fault {
+	index := func(n int) *rapid.Generator[int] { return rapid.SampledFrom(indices(n)) }
+	generator := rapid.Custom(func(t *rapid.T) fault {
 		return fault{
-			wait:  rapid.SampledFrom(waits).Draw(t, "wait"),
+			delay: rapid.SampledFrom(delays).Draw(t, "delay"),
 			name:  rapid.SampledFrom(faultNames).Draw(t, "fault"),
-			host:  oneOf(hosts).Draw(t, "host"),
-			other: oneOf(hosts).Draw(t, "other"),
-			node:  oneOf(nodes).Draw(t, "node"),
+			host:  index(hosts).Draw(t, "host"),
+			other: index(hosts).Draw(t, "other"),
+			node:  index(nodes).Draw(t, "node"),
 		}
 	})
-	return rapid.SliceOfN(one, least, most).Draw(t, "schedule")
+	return rapid.SliceOfN(generator, minFaults, maxFaults).Draw(t, "schedule")
 }
 
-func numbers(n int) []int {
+func indices(n int) []int {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -59,8 +59,8 @@
 	return all
 }
 
-// hit makes the fault happen.
-func (f *fleet) hit(x fault, opts fleetOptions) {
+// injectFault applies one fault.
+func (f *fleet) injectFault(x fault, opts fleetOptions) {
 	h := f.hosts[x.host]
 	switch x.name {
 	case "kill host":
@@ -74,9 +74,9 @@
 	case "resume host":
 		f.net.resume(h.id)
 	case "freeze on order":
-		f.net.arm(h.id, placeNodes)
+		f.net.freezeBeforeNext(h.id, placeNodes)
 	case "freeze on append":
-		f.net.arm(h.id, placeLog)
+		f.net.freezeBeforeNext(h.id, placeLog)
 	case "cut hosts":
 		f.net.setCut(h.id, f.hosts[x.other].id, true)
 	case "cut log":
@@ -86,23 +86,23 @@
 	case "heal":
 		f.net.heal()
 	default:
-		f.hitLog(x.name)
+		f.injectLogFault(x.name)
 		if nodes := f.cluster.All(); x.node < len(nodes) {
-			hitNode(x.name, nodes[x.node])
+			injectNodeFault(x.name, nodes[x.node])
 		}
 	}
 }
 
-// hitAll makes the faults of a schedule happen, one after the other.
-func (f *fleet) hitAll(schedule []fault, opts fleetOptions) {
+// injectFaults applies the faults of a schedule in order, after their delays.
+func (f *fleet) injectFaults(schedule []fault, opts fleetOptions) {
 	for _, x := range schedule {
-		time.Sleep(x.wait)
-		f.hit(x, opts)
+		time.Sleep(x.delay)
+		f.injectFault(x, opts)
 	}
 }
 
-// mend ends all faults and starts what is down.
-func (f *fleet) mend(opts fleetOptions) {
+// endFaults ends all faults and restarts the daemons and nodes that are down.
+func (f *fleet) endFaults(opts fleetOptions) {
 	f.net.heal()
 	f.log.SetFaults(standin.LogFaults{})
 	for _, h := range f.hosts {
@@ -117,7 +117,7 @@
 	}
 }
 
-func hitNode(name string, node *standin.Node) {
+func injectNodeFault(name string, node *standin.Node) {
 	switch name {
 	case "kill node":
 		node.Kill()
@@ -134,7 +134,7 @@
 	}
 }
 
-func (f *fleet) hitLog(name string) {
+func (f *fleet) injectLogFault(name string) {
 	switch name {
 	case "log out":
 		f.log.SetFaults(standin.LogFaults{Outage: true})
--- a/proof/serving_test.go
+++ b/proof/serving_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	watchEvery = 50 * time.Millisecond
-	settleTime = 60 * time.Second
+	checkInterval = 50 * time.Millisecond
+	recoveryTime  = 60 * time.Second
 )
 
-// servingOptions is a fleet of three daemons before two fabric domains, in which
-// one deployment of higher priority can take the nodes of another.
+// servingOptions describes a fleet of three daemons and two fabric domains. A deployment of
+// higher priority can take the nodes of another one.
 var servingOptions = fleetOptions{
 	daemons: 3,
 	domains: []standin.DomainOptions{
@@ -29,50 +29,51 @@
 	},
 }
 
-// watcher checks, again and again, what the routers of a fleet may do.
+// watcher periodically checks which replicas the routers of a fleet may use.
 type watcher struct {
 	fleet *fleet
 	mu    sync.Mutex
-	// whole holds when each generation was last seen whole on its nodes.
-	whole map[string]time.Time
-	// highest holds the highest token that each node's process has held.
-	highest map[string]token.Token
-	// astray holds since when a node of a usable replica holds another assignment.
-	astray map[string]time.Time
-	// strict allows that for no time at all.
-	strict bool
-	// unfit holds since when each node may get no new work.
-	unfit   map[string]time.Time
-	problem string
-	done    chan struct{}
-	ended   chan struct{}
-}
-
-func watch(f *fleet) *watcher {
+	// lastWhole holds, for each generation, the last time at which all its nodes were ready.
+	lastWhole map[string]time.Time
+	// highestToken holds the highest token that each node has held since its process started.
+	highestToken map[string]token.Token
+	// conflictSince holds, for each member of a usable replica that holds another assignment,
+	// the time since which it does.
+	conflictSince map[string]time.Time
+	// forbidsConflict reports such a conflict at once instead of after serveWindow.
+	forbidsConflict bool
+	// leavingSince holds, for each leaving node, the time since which it is leaving.
+	leavingSince  map[string]time.Time
+	problem       string
+	stopRequested chan struct{}
+	stopped       chan struct{}
+}
+
+func startWatcher(f *fleet) *watcher {
 	w := &watcher{
-		fleet: f, whole: make(map[string]time.Time), unfit: make(map[string]time.Time),
-		highest: make(map[string]token.Token), astray: make(map[string]time.Time), done: make(chan struct{}), ended: make(chan struct{}),
+		fleet: f, lastWhole: make(map[string]time.Time), leavingSince: make(map[string]time.Time),
+		highestToken: make(map[string]token.Token), conflictSince: make(map[string]time.Time), stopRequested: make(chan struct{}), stopped: make(chan struct{}),
 	}
 	go w.run()
 	return w
 }
 
 func (w *watcher) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	for {
 		select {
-		case <-w.done:
+		case <-w.stopRequested:
 			return
-		case <-time.After(watchEvery):
-			w.look(time.Now())
+		case <-time.After(checkInterval):
+			w.checkAll(time.Now())
 		}
 	}
 }
 
-// stop ends the watcher and returns the first problem that it saw.
+// stop stops the watcher and returns the first problem, or an empty string.
 func (w *watcher) stop() string {
-	close(w.done)
-	<-w.ended
+	close(w.stopRequested)
+	<-w.stopped
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.problem
@@ -84,11 +85,11 @@
 	}
 }
 
-// look takes one look at all nodes and routers.
-func (w *watcher) look(now time.Time) {
+// checkAll checks all nodes and routers once.
+func (w *watcher) checkAll(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.noteNodes(now)
+	w.recordNodes(now)
 	accepted := make(map[string]catalog.Replica)
 	for _, h := range w.fleet.hosts {
 		if !h.alive() {
@@ -98,7 +99,7 @@
 			name := fmt.Sprintf("%s@%d", r.ID(), r.Generation())
 			w.checkWhole(h, r, name, now)
 			w.checkLeaving(h, r, now)
-			if w.accepts(r, name) {
+			if w.wouldAccept(r, name) {
 				accepted[name] = r
 			}
 		}
@@ -106,60 +107,60 @@
 	w.checkDisjoint(accepted, now)
 }
 
-// noteNodes notes which generations are whole now and which nodes leave.
-func (w *watcher) noteNodes(now time.Time) {
+// recordNodes records which generations are whole and which nodes are leaving.
+func (w *watcher) recordNodes(now time.Time) {
 	holders := make(map[string]int)
 	for _, n := range w.fleet.cluster.All() {
 		a, ready := n.Held()
-		w.checkForwards(n)
+		w.checkTokenOrder(n)
 		if ready && !a.Empty() {
 			name := a.Name()
 			holders[name]++
 			if holders[name] == len(a.Members) {
-				w.whole[name] = now
+				w.lastWhole[name] = now
 			}
 		}
 		if !n.Listed().Leaving {
-			delete(w.unfit, n.Listed().ID)
-		} else if w.unfit[n.Listed().ID].IsZero() {
-			w.unfit[n.Listed().ID] = now
+			delete(w.leavingSince, n.Listed().ID)
+		} else if w.leavingSince[n.Listed().ID].IsZero() {
+			w.leavingSince[n.Listed().ID] = now
 		}
 	}
 }
 
-// checkForwards demands that no late order of an earlier leader is taken.
-func (w *watcher) checkForwards(n *standin.Node) {
+// checkTokenOrder checks that the node has not accepted an order with a lower token than before.
+func (w *watcher) checkTokenOrder(n *standin.Node) {
 	count, held := n.Fence()
-	life := fmt.Sprint(n.Listed().ID, " in life ", count)
-	if w.highest[life].Higher(held) {
-		w.fail("node %s went back from token %v to %v", life, w.highest[life], held)
+	process := fmt.Sprint(n.Listed().ID, " in run ", count)
+	if w.highestToken[process].Higher(held) {
+		w.fail("node %s went back from token %v to %v", process, w.highestToken[process], held)
 	}
-	w.highest[life] = held
+	w.highestToken[process] = held
 }
 
-// checkWhole demands that a replica that a router may use was whole on its
-// nodes within the serve window.
+// checkWhole checks that all nodes of a usable replica were ready within the last serveWindow.
 func (w *watcher) checkWhole(h *host, r catalog.Replica, name string, now time.Time) {
-	last, ever := w.whole[name]
-	if !ever || now.Sub(last) > serveWindow+watchEvery {
+	last, ever := w.lastWhole[name]
+	if !ever || now.Sub(last) > serveWindow+checkInterval {
 		w.fail("%s may use %s, which was last whole %v ago (ever: %v), nodes %v", h.id, name, now.Sub(last), ever, r.Nodes())
 	}
 }
 
-// checkLeaving demands that a router stops using a replica with a leaving node
-// within seconds: the list's lag, a tick, the spread and the window.
+// checkLeaving checks that a router stops using a replica soon after one of its nodes starts to
+// leave. The limit covers the delay of the node list, the controller's period, the spread of
+// reports and the serve window.
 func (w *watcher) checkLeaving(h *host, r catalog.Replica, now time.Time) {
 	const limit = serveWindow + 7*time.Second
 	for _, id := range r.Nodes() {
-		if since, leaving := w.unfit[id]; leaving && now.Sub(since) > limit {
+		if since, leaving := w.leavingSince[id]; leaving && now.Sub(since) > limit {
 			w.fail("%s may use %s, whose node %s is leaving since %v", h.id, r.ID(), id, now.Sub(since))
 		}
 	}
 }
 
-// accepts reports whether the node that answers for the replica would take
-// work meant for this generation.
-func (w *watcher) accepts(r catalog.Replica, name string) bool {
+// wouldAccept reports whether the head of the replica would accept a request for this
+// generation.
+func (w *watcher) wouldAccept(r catalog.Replica, name string) bool {
 	for _, n := range w.fleet.cluster.All() {
 		if a, ready := n.Held(); ready && n.Listed().Address == r.Address() {
 			return a.Name() == name
@@ -168,12 +169,12 @@
 	return false
 }
 
-// checkDisjoint demands that no node holds an assignment of one replica while
-// it counts for another one that would answer. When a leader that has just
-// taken over confirms what an earlier one is changing at that moment, this can
-// be for as long as a node's death goes unnoticed, and no longer.
+// checkDisjoint checks that no member of a replica that accepts requests holds an assignment of
+// another replica. When a new leader confirms a replica that its predecessor is changing at the
+// same moment, such a conflict can occur. It may last at most as long as a node failure goes
+// undetected.
 func (w *watcher) checkDisjoint(accepted map[string]catalog.Replica, now time.Time) {
-	still := make(map[string]time.Time)
+	conflicts := make(map[string]time.Time)
 	for name, r := range accepted {
 		for _, id := range r.Nodes() {
 			n, _ := w.fleet.cluster.Node(id)
@@ -181,58 +182,57 @@
 			if !up || held.Empty() || held.Name() == name {
 				continue
 			}
-			since, known := w.astray[name+id]
+			since, known := w.conflictSince[name+id]
 			if !known {
 				since = now
 			}
-			still[name+id] = since
-			if w.strict || now.Sub(since) > serveWindow {
+			conflicts[name+id] = since
+			if w.forbidsConflict || now.Sub(since) > serveWindow {
 				w.fail("%s would answer with node %s, which belongs to %s", name, id, held.Name())
 			}
 		}
 	}
-	w.astray = still
+	w.conflictSince = conflicts
 }
 
-// serve runs a schedule against a fleet and returns the first problem.
-func serve(t *testing.T, schedule []fault) string {
+// runServing runs a schedule on a fleet and returns the first problem, or an empty string.
+func runServing(t *testing.T, schedule []fault) string {
 	problem := ""
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(servingOptions)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
-		f.basics(t, 2)
-		w := watch(f)
+		f.publishBasics(t, 2)
+		w := startWatcher(f)
 		time.Sleep(10 * time.Second)
-		f.hitAll(schedule, servingOptions)
-		f.mend(servingOptions)
-		time.Sleep(settleTime)
+		f.injectFaults(schedule, servingOptions)
+		f.endFaults(servingOptions)
+		time.Sleep(recoveryTime)
 		problem = w.stop()
 		if problem == "" {
-			problem = allServe(f)
+			problem = checkAllServe(f)
 		}
 	})
 	return problem
 }
 
-// allServe demands that every router can use both replicas once all is well.
-func allServe(f *fleet) string {
+// checkAllServe checks that every router can use both replicas of chat after recovery.
+func checkAllServe(f *fleet) string {
 	for _, h := range f.hosts {
 		if got := len(h.catalog.Serving("chat", time.Now())); got != 2 {
-			return fmt.Sprintf("%s can use %d replicas %v after all was well, want 2", h.id, got, settleTime)
+			return fmt.Sprintf("%s can use %d replicas %v after all was well, want 2", h.id, got, recoveryTime)
 		}
 	}
 	return ""
 }
 
-// TestPartialGroupNeverServes covers three promises under one schedule: a
-// replica serves only when every node is present, no node belongs to two
-// replicas, and a leaving node gets no new work after a few seconds. At the
-// end the fleet must have repaired itself.
+// TestPartialGroupNeverServes checks three properties under random faults: a replica serves only
+// if all its nodes are present, no node belongs to two replicas, and a leaving node gets no new
+// work after a few seconds. At the end the fleet must have recovered.
 func TestPartialGroupNeverServes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedule := drawSchedule(rt, servingOptions.daemons, 14, 10, 30)
-		if problem := serve(t, schedule); problem != "" {
+		if problem := runServing(t, schedule); problem != "" {
 			rt.Fatalf("%s\nschedule: %v", problem, schedule)
 		}
 	})
