--- a/cmd/loadcmd/caller.go
+++ b/cmd/loadcmd/caller.go
@@ -92,10 +92,11 @@
 }
 
 // requestReceipt makes a service call that must run at most once. It repeats the call under the
-// same idempotency key until the outcome is known or can't be determined.
+// same idempotency key until the outcome is known or can't be determined. The mark identifies the
+// request at the stand-in and is also its key.
 func (c *caller) requestReceipt(ctx context.Context, mark string) {
 	body := []byte(`{"receipt":"` + mark + `"}`)
-	combined := reason.RanNo
+	ran := reason.RanNo
 	for range maxAttempts {
 		r := c.post(ctx, "/services/"+c.flags.Service+"/receipts", mark, mark, body)
 		if r.status == http.StatusOK && !r.broken {
@@ -107,14 +108,14 @@
 		}
 		c.result.recordRefusal(r)
 		if ctx.Err() != nil || r.ran != reason.RanNo {
-			combined = reason.RanUnknown
+			ran = reason.RanUnknown
 		}
 		if ctx.Err() != nil || r.ran == reason.RanYes {
 			break
 		}
 		time.Sleep(retryPause)
 	}
-	if combined == reason.RanNo {
+	if ran == reason.RanNo {
 		c.result.recordReceipt(mark, receiptNotRun)
 		return
 	}
--- a/cmd/loadcmd/result.go
+++ b/cmd/loadcmd/result.go
@@ -35,16 +35,19 @@
 // result counts what the callers observed. It is safe for concurrent use.
 type result struct {
 	mu sync.Mutex
-	// answers counts complete answers, crossed answers with unexpected text, and cut streams
-	// without a final event. lost counts completion requests that never got an answer.
+	// answers is the number of complete completions.
 	answers int
+	// crossed is the number of answers with text that belongs to another request.
 	crossed int
-	cut     int
-	lost    int
-	// ranTwice, falseNotRun and answeredNotRun count receipt requests that ran more than once,
-	// that ran although the callers were told otherwise, and that were answered without running.
-	ranTwice       int
-	falseNotRun    int
+	// cut is the number of streams that ended without the final event.
+	cut int
+	// lost is the number of completion requests that were never answered.
+	lost int
+	// ranTwice is the number of receipt requests that ran more than once.
+	ranTwice int
+	// falseNotRun is the number of receipt requests that were reported as not run, but ran.
+	falseNotRun int
+	// answeredNotRun is the number of receipt requests that were answered, but did not run.
 	answeredNotRun int
 	// refusals counts attempts without a result, by reason.
 	refusals map[string]int
@@ -63,10 +66,10 @@
 
 // recordAnswer compares the text of an answer with status 200 with the expected text. If the
 // stream was cut off, the text must be a prefix of it.
-func (r *result) recordAnswer(got, want string, cut bool, took time.Duration) {
+func (r *result) recordAnswer(got, want string, isCut bool, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if cut {
+	if isCut {
 		if !strings.HasPrefix(want, got) {
 			r.crossed++
 			r.addExample("crossed: got %q, want %q", got, want)
@@ -76,7 +79,7 @@
 	}
 	r.answers++
 	// The error can be ignored: calls time out long before the histogram's maximum.
-	_ = r.latencies.RecordValue(took.Microseconds())
+	_ = r.latencies.RecordValue(latency.Microseconds())
 	if got != want {
 		r.crossed++
 		r.addExample("crossed: got %q, want %q", got, want)
--- a/cmd/operatorcmd/client.go
+++ b/cmd/operatorcmd/client.go
@@ -36,7 +36,7 @@
 	address string
 	status  int
 	Message string `json:"error"`
-	// Settled reports that the action is known not to have taken effect.
+	// Settled is true if the action certainly did not take effect.
 	Settled bool `json:"settled"`
 }
 
--- a/cmd/quartzshelf-load/main.go
+++ b/cmd/quartzshelf-load/main.go
@@ -1,4 +1,4 @@
-// Command quartzshelf-load: see package loadcmd.
+// Command quartzshelf-load generates load and checks the answers. Package loadcmd implements it.
 package main
 
 import (
--- a/cmd/quartzshelf-measure/main.go
+++ b/cmd/quartzshelf-measure/main.go
@@ -1,4 +1,5 @@
-// Command quartzshelf-measure: see package measurecmd.
+// Command quartzshelf-measure compares routing, admission and repair policies in simulations.
+// Package measurecmd implements it.
 package main
 
 import (
--- a/cmd/quartzshelf-platform/main.go
+++ b/cmd/quartzshelf-platform/main.go
@@ -1,4 +1,4 @@
-// Command quartzshelf-platform is the daemon on the users' platform.
+// Command quartzshelf-platform is the daemon for the users' platform.
 package main
 
 import (
--- a/cmd/quartzshelf-soak/main.go
+++ b/cmd/quartzshelf-soak/main.go
@@ -1,4 +1,4 @@
-// Command quartzshelf-soak: see package soakcmd.
+// Command quartzshelf-soak tests real daemons under random faults. Package soakcmd implements it.
 package main
 
 import (
--- a/cmd/quartzshelf-standin/main.go
+++ b/cmd/quartzshelf-standin/main.go
@@ -1,4 +1,5 @@
-// Command quartzshelf-standin: see package standincmd.
+// Command quartzshelf-standin serves stand-ins for the platform's services.
+// Package standincmd implements it.
 package main
 
 import (
--- a/cmd/quartzshelf/main.go
+++ b/cmd/quartzshelf/main.go
@@ -1,4 +1,4 @@
-// Command quartzshelf: see package operatorcmd.
+// Command quartzshelf is the operators' tool. Package operatorcmd implements it.
 package main
 
 import (
--- a/cmd/quartzshelfd/main.go
+++ b/cmd/quartzshelfd/main.go
@@ -1,4 +1,4 @@
-// Command quartzshelfd: see package daemoncmd.
+// Command quartzshelfd is the daemon. Package daemoncmd implements it.
 package main
 
 import (
--- a/cmd/soakcmd/run.go
+++ b/cmd/soakcmd/run.go
@@ -1,4 +1,4 @@
-// Package soakcmd implements the command line of the fault soak. It runs random fault schedules
+// Package soakcmd implements the command line of the soak test. It runs random fault schedules
 // against real daemons and reports violated guarantees.
 package soakcmd
 
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -100,7 +100,7 @@
 	first := f.hosts[0]
 	for _, h := range f.hosts[1:] {
 		if h.state.View().Revision() != first.state.View().Revision() {
-			cc.fail("%s holds revision %d and %s %d, %v after all was well",
+			cc.fail("%s holds revision %d and %s %d, %v after the faults ended",
 				h.id, h.state.View().Revision(), first.id, first.state.View().Revision(), propagationLimit)
 		}
 	}
@@ -112,7 +112,7 @@
 	for _, h := range f.hosts {
 		for _, o := range h.state.View().Objects() {
 			if cc.refused[o.Document().Labels["by"]] {
-				cc.fail("%s was told to be refused, but is in force at %s", o.Document().Labels["by"], h.id)
+				cc.fail("%s was refused, but is in force at %s", o.Document().Labels["by"], h.id)
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 		faults.Go(func() { f.injectFaults(schedule, configurationOptions) })
 		for i, c := range calls {
 			time.Sleep(c.delay)
-			if h := f.hosts[c.host]; h.alive() {
+			if h := f.hosts[c.host]; h.isAlive() {
 				callers.Go(func() { cc.publish(h, c, fmt.Sprint("change-", i)) })
 			}
 		}
@@ -209,7 +209,7 @@
 // TestLateStarterWithoutTheBeginning starts a daemon after the log has dropped its first
 // records. The daemon must get the configuration from a checkpoint.
 func TestLateStarterWithoutTheBeginning(t *testing.T) {
-	for name, logOut := range map[string]bool{"from the log": false, "from a peer while the log is out": true} {
+	for name, isLogDown := range map[string]bool{"from the log": false, "from a peer while the log is out": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(configurationOptions)
@@ -218,8 +218,8 @@
 				time.Sleep(2 * time.Second)
 				publishLabels(t, f.hosts[0], "n1", map[string]string{"color": "red"})
 				time.Sleep(10 * shortRetention)
-				f.log.SetFaults(standin.LogFaults{Outage: logOut})
-				if !logOut {
+				f.log.SetFaults(standin.LogFaults{Outage: isLogDown})
+				if !isLogDown {
 					// Without its peers, the daemon can read only the log.
 					f.net.setCut(f.hosts[2].id, f.hosts[0].id, true)
 					f.net.setCut(f.hosts[2].id, f.hosts[1].id, true)
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -217,8 +217,8 @@
 	h.cancel = nil
 }
 
-// alive reports whether the daemon runs and is not frozen.
-func (h *host) alive() bool {
+// isAlive reports whether the daemon runs and is not frozen.
+func (h *host) isAlive() bool {
 	return h.cancel != nil && !h.fleet.net.isFrozen(h.id)
 }
 
--- a/proof/hall_test.go
+++ b/proof/hall_test.go
@@ -69,7 +69,7 @@
 // if the log is available, otherwise the owner of its domain. When the hall opens again, its
 // replicas must be usable at once.
 func TestClosedHallIsReplacedElsewhere(t *testing.T) {
-	for name, logOut := range map[string]bool{"log well": false, "log out": true} {
+	for name, isLogDown := range map[string]bool{"log well": false, "log out": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(hallOptions)
@@ -84,9 +84,9 @@
 				time.Sleep(propagationLimit)
 				assertHallUnused(t, f, closing)
 				restarts := f.hosts
-				if logOut {
-					own, _ := ownerAndOther(t, f, "fabric-1")
-					restarts = []*host{own}
+				if isLogDown {
+					owner, _ := ownerAndOther(t, f, "fabric-1")
+					restarts = []*host{owner}
 					f.log.SetFaults(standin.LogFaults{Outage: true})
 				}
 				for _, h := range restarts {
@@ -174,7 +174,7 @@
 // readiness decides whether a host takes requests, by the same rules as package daemon.
 type readiness struct {
 	runNumber   int
-	started     bool
+	hasStarted  bool
 	behindSince time.Time
 	// expectedMembers and hasHeardPeer mirror the state of the readiness check in package
 	// daemon.
@@ -194,26 +194,26 @@
 	reached, members := h.agent.Reached(now.Add(-window))
 	r.updateMembers(h, confirmed.After(now.Add(-window)))
 	members = max(members, len(r.expectedMembers))
-	connected := confirmed.After(now.Add(-window)) ||
+	isConnected := confirmed.After(now.Add(-window)) ||
 		members > 1 && 2*reached > members || members == 1 && !confirmed.IsZero() && r.hasHeardPeer
-	behind := next < h.agent.FleetNext()
-	if !behind {
+	isBehind := next < h.agent.FleetNext()
+	if !isBehind {
 		r.behindSince = time.Time{}
 	} else if r.behindSince.IsZero() {
 		r.behindSince = now
 	}
 	everReached, everMembers := h.agent.Reached(h.startedAt)
-	hasHeardEnough := everMembers > 1 && everReached > 1 || everMembers == 1 && now.After(h.startedAt.Add(seedTimeout))
-	if connected && !behind && hasHeardEnough && (!confirmed.IsZero() || next > 0) {
-		r.started = true
+	hasFoundFleet := everMembers > 1 && everReached > 1 || everMembers == 1 && now.After(h.startedAt.Add(seedTimeout))
+	if isConnected && !isBehind && hasFoundFleet && (!confirmed.IsZero() || next > 0) {
+		r.hasStarted = true
 	}
-	return r.started && connected && (!behind || !now.After(r.behindSince.Add(window)))
+	return r.hasStarted && isConnected && (!isBehind || !now.After(r.behindSince.Add(window)))
 }
 
 // updateMembers updates the expected members from the membership table. Every host has seeds, so
 // a host that never had contact with another one doesn't assume that it is alone.
-func (r *readiness) updateMembers(h *host, logRead bool) {
-	if logRead || r.expectedMembers == nil {
+func (r *readiness) updateMembers(h *host, isLogCurrent bool) {
+	if isLogCurrent || r.expectedMembers == nil {
 		r.expectedMembers = make(map[string]bool)
 	}
 	members := h.agent.Table().Members()
@@ -240,10 +240,10 @@
 	takesRequests := make(map[string]bool)
 	for _, h := range w.fleet.hosts {
 		// A frozen host does nothing. Its readiness is evaluated when it continues.
-		takesRequests[h.id] = h.alive() && w.readinessByHost[h.id].takesRequests(h, now)
+		takesRequests[h.id] = h.isAlive() && w.readinessByHost[h.id].takesRequests(h, now)
 	}
 	for _, reporter := range w.fleet.hosts {
-		if !reporter.alive() {
+		if !reporter.isAlive() {
 			continue
 		}
 		for _, s := range reporter.halls.Statuses(now) {
@@ -288,7 +288,7 @@
 		faults.Go(func() { f.injectFaults(schedule, hallOptions) })
 		for _, c := range calls {
 			time.Sleep(c.delay)
-			if h := f.hosts[c.host]; h.alive() {
+			if h := f.hosts[c.host]; h.isAlive() {
 				callers.Go(func() {
 					ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 					defer cancel()
--- a/proof/network_test.go
+++ b/proof/network_test.go
@@ -45,11 +45,11 @@
 	}
 }
 
-func (n *network) setCut(a, b string, cut bool) {
+func (n *network) setCut(a, b string, isCut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}] = cut
-	n.cuts[[2]string{b, a}] = cut
+	n.cuts[[2]string{a, b}] = isCut
+	n.cuts[[2]string{b, a}] = isCut
 }
 
 // heal removes all cuts and armed freezes and resumes all frozen daemons.
@@ -76,9 +76,9 @@
 // resumed.
 func (n *network) freezeIfArmed(id, place string) {
 	n.mu.Lock()
-	armed := n.armedFreezes[[2]string{id, place}]
+	isArmed := n.armedFreezes[[2]string{id, place}]
 	delete(n.armedFreezes, [2]string{id, place})
-	if armed {
+	if isArmed {
 		n.freezeLocked(id)
 	}
 	n.mu.Unlock()
@@ -149,15 +149,15 @@
 	n.waitWhileFrozen(from)
 	time.Sleep(transitDelay)
 	n.mu.Lock()
-	cut, resumed := n.cuts[[2]string{from, to}], n.frozen[to]
+	isCut, resumed := n.cuts[[2]string{from, to}], n.frozen[to]
 	n.mu.Unlock()
-	if !cut && resumed == nil {
+	if !isCut && resumed == nil {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
 	case <-resumed:
-		if !cut {
+		if !isCut {
 			return nil
 		}
 		<-ctx.Done()
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -58,11 +58,11 @@
 	answered map[int]bool
 }
 
-func (e *executionChecker) record(key int, notRun, done bool) {
+func (e *executionChecker) record(key int, isNotRun, isAnswered bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.maybeRan[key] = e.maybeRan[key] || !notRun
-	e.answered[key] = e.answered[key] || done
+	e.maybeRan[key] = e.maybeRan[key] || !isNotRun
+	e.answered[key] = e.answered[key] || isAnswered
 }
 
 // callWithKey handles a request that must run at most once as the gateway does.
@@ -119,7 +119,7 @@
 			return fmt.Sprintf("key %d ran %d times", key, n)
 		}
 		if n > 0 && !e.maybeRan[key] {
-			return fmt.Sprintf("key %d ran, but all its callers were told that it was not", key)
+			return fmt.Sprintf("key %d ran, but all its callers got the answer that it did not", key)
 		}
 	}
 	for key := range e.answered {
@@ -141,7 +141,7 @@
 		faults.Go(func() { f.injectFaults(schedule, keyOptions) })
 		for _, c := range calls {
 			time.Sleep(c.delay)
-			if h := f.hosts[c.host]; h.alive() {
+			if h := f.hosts[c.host]; h.isAlive() {
 				callers.Go(func() { e.callWithKey(h, c) })
 			}
 		}
@@ -171,7 +171,7 @@
 }
 
 // TestKeyRunsAtMostOnce checks that a request with a key runs at most once over all daemons. It
-// also checks that a request did not run if all its callers were told so.
+// also checks that a request did not run if all its callers got the answer "not run".
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		calls := drawCalls(rt)
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -31,16 +31,16 @@
 func ownerAndOther(t *testing.T, f *fleet, domain string) (*host, *host) {
 	t.Helper()
 	name := f.hosts[0].grants.Grant(domain).Owner()
-	var own, other *host
+	var owner, other *host
 	for _, h := range f.hosts {
 		if h.id == name {
-			own = h
+			owner = h
 		} else {
 			other = h
 		}
 	}
-	assert.Assert(t, own != nil && other != nil, "owner is %q", name)
-	return own, other
+	assert.Assert(t, owner != nil && other != nil, "owner is %q", name)
+	return owner, other
 }
 
 // publishLabels publishes the labels of a node.
@@ -95,17 +95,17 @@
 		defer f.stop()
 		f.formFirstReplica(t)
 		time.Sleep(2 * time.Second)
-		own, router := ownerAndOther(t, f, "fabric-1")
+		owner, router := ownerAndOther(t, f, "fabric-1")
 		batch, ok := router.catalog.Replica("batch-fabric-1-0")
 		assert.Assert(t, ok)
 		chat, ok := router.catalog.Replica("chat-fabric-1-0")
 		assert.Assert(t, ok)
 		// The head of batch must not be given to chat.
-		publishLabels(t, own, batch.Nodes()[0], map[string]string{"keep": "yes"})
-		deployment, _ := own.state.View().Object(config.Key{Kind: config.KindDeployment, Name: "chat"})
+		publishLabels(t, owner, batch.Nodes()[0], map[string]string{"keep": "yes"})
+		deployment, _ := owner.state.View().Object(config.Key{Kind: config.KindDeployment, Name: "chat"})
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		_, err := own.publish(ctx, "narrow", config.ChangeSet{Changes: []config.Change{{
+		_, err := owner.publish(ctx, "narrow", config.ChangeSet{Changes: []config.Change{{
 			Operation: config.OperationPut, Base: deployment.Revision(),
 			Document: newDocument(config.KindDeployment, "chat", nil, config.DeploymentSpec{
 				ModelSelector: "family=m", NodeSelector: "keep!=yes", NodesPerReplica: 4, Replicas: 1, Priority: 1,
@@ -116,7 +116,7 @@
 		w := startWatcher(f)
 		w.forbidsConflict = true
 		time.Sleep(time.Second)
-		for _, place := range []string{own.id, placeNodes, placeLog} {
+		for _, place := range []string{owner.id, placeNodes, placeLog} {
 			f.net.setCut(router.id, place, true)
 		}
 		for _, id := range []string{batch.Nodes()[3], chat.Nodes()[3]} {
@@ -125,7 +125,7 @@
 		}
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, w.stop(), "")
-		assert.Equal(t, servingCount(own, "chat"), 1)
+		assert.Equal(t, servingCount(owner, "chat"), 1)
 	})
 }
 
@@ -133,17 +133,17 @@
 // resumes the owner after a deputy, a daemon that acts for an absent owner, has taken over and
 // repaired the replica.
 func TestLateOwnerDoesNoHarm(t *testing.T) {
-	withLogUpAndDown(t, func(t *testing.T, f *fleet, own, router *host, applyLogState func()) {
+	withLogUpAndDown(t, func(t *testing.T, f *fleet, owner, router *host, applyLogState func()) {
 		w := startWatcher(f)
 		time.Sleep(time.Second)
 		applyLogState()
-		f.net.freezeBeforeNext(own.id, placeNodes)
+		f.net.freezeBeforeNext(owner.id, placeNodes)
 		n, _ := f.cluster.Node("fabric-1-n01")
 		n.Kill()
 		time.Sleep(25 * time.Second)
-		assert.Assert(t, f.net.isFrozen(own.id), "the owner gave no order")
+		assert.Assert(t, f.net.isFrozen(owner.id), "the owner gave no order")
 		assert.Equal(t, servingCount(router, "chat"), 1, "a deputy repaired the replica")
-		f.net.resume(own.id)
+		f.net.resume(owner.id)
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, w.stop(), "")
 		assert.Equal(t, servingCount(router, "chat"), 1)
@@ -153,9 +153,9 @@
 // TestTakeoverKeepsReplicasServing kills the owner of a domain. Its replicas must stay usable
 // before and after a deputy, a daemon that acts for an absent owner, takes over.
 func TestTakeoverKeepsReplicasServing(t *testing.T) {
-	withLogUpAndDown(t, func(t *testing.T, _ *fleet, own, router *host, applyLogState func()) {
+	withLogUpAndDown(t, func(t *testing.T, _ *fleet, owner, router *host, applyLogState func()) {
 		applyLogState()
-		own.kill()
+		owner.kill()
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
 			assert.Equal(t, servingCount(router, "chat"), 1)
@@ -165,15 +165,15 @@
 
 // withLogUpAndDown runs body on a fleet of three daemons with a formed replica: once with the
 // log available, and once with an outage of the log that starts when body calls applyLogState.
-func withLogUpAndDown(t *testing.T, body func(t *testing.T, f *fleet, own, router *host, applyLogState func())) {
+func withLogUpAndDown(t *testing.T, body func(t *testing.T, f *fleet, owner, router *host, applyLogState func())) {
 	for name, isLogDown := range map[string]bool{"log well": false, "log out": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(singleDomainOptions(3, 6))
 				defer f.stop()
 				f.formFirstReplica(t)
-				own, router := ownerAndOther(t, f, "fabric-1")
-				body(t, f, own, router, func() { f.log.SetFaults(standin.LogFaults{Outage: isLogDown}) })
+				owner, router := ownerAndOther(t, f, "fabric-1")
+				body(t, f, owner, router, func() { f.log.SetFaults(standin.LogFaults{Outage: isLogDown}) })
 			})
 		})
 	}
@@ -195,10 +195,10 @@
 		}
 		f.publishBasics(t, 1)
 		time.Sleep(20 * time.Second)
-		own, router := ownerAndOther(t, f, "fabric-1")
+		owner, router := ownerAndOther(t, f, "fabric-1")
 		assert.Equal(t, servingCount(router, "chat"), 1)
 		f.log.SetFaults(standin.LogFaults{Outage: true})
-		own.kill()
+		owner.kill()
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, servingCount(router, "chat"), 1, "an intact replica serves on")
 		n, _ := f.cluster.Node("fabric-1-n01")
@@ -221,16 +221,16 @@
 		time.Sleep(2 * time.Second)
 		f.publishBasics(t, 1)
 		time.Sleep(50 * time.Second)
-		own, router := ownerAndOther(t, f, "fabric-1")
-		own.kill()
+		owner, router := ownerAndOther(t, f, "fabric-1")
+		owner.kill()
 		time.Sleep(20 * time.Second)
-		assert.Assert(t, router.grants.Grant("fabric-1").Owner() != own.id)
-		own.start(opts)
+		assert.Assert(t, router.grants.Grant("fabric-1").Owner() != owner.id)
+		owner.start(opts)
 		for range 800 {
 			time.Sleep(100 * time.Millisecond)
 			assert.Equal(t, servingCount(router, "chat"), 1)
 		}
-		assert.Equal(t, router.grants.Grant("fabric-1").Owner(), own.id)
+		assert.Equal(t, router.grants.Grant("fabric-1").Owner(), owner.id)
 	})
 }
 
@@ -241,8 +241,8 @@
 		f := newFleet(singleDomainOptions(3, 6))
 		defer f.stop()
 		f.formFirstReplica(t)
-		own, router := ownerAndOther(t, f, "fabric-1")
-		f.net.setCut(own.id, placeNodes, true)
+		owner, router := ownerAndOther(t, f, "fabric-1")
+		f.net.setCut(owner.id, placeNodes, true)
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, servingCount(router, "chat"), 1)
 		n, _ := f.cluster.Node("fabric-1-n01")
@@ -252,7 +252,7 @@
 		f.net.heal()
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, w.stop(), "")
-		assert.Equal(t, servingCount(own, "chat"), 1)
+		assert.Equal(t, servingCount(owner, "chat"), 1)
 	})
 }
 
--- a/proof/serving_test.go
+++ b/proof/serving_test.go
@@ -33,16 +33,16 @@
 type watcher struct {
 	fleet *fleet
 	mu    sync.Mutex
-	// lastWhole holds, for each generation, the last time at which all its nodes were ready.
-	lastWhole map[string]time.Time
+	// lastAllReady holds, for each generation, the last time at which all its nodes were ready.
+	lastAllReady map[string]time.Time
 	// highestToken holds the highest token that each node has held since its process started.
 	highestToken map[string]token.Token
-	// conflictSince holds, for each member of a usable replica that holds another assignment,
-	// the time since which it does.
+	// conflictSince holds the members of usable replicas that hold an assignment of another
+	// replica, and the time at which each conflict was first seen.
 	conflictSince map[string]time.Time
 	// forbidsConflict reports such a conflict at once instead of after serveWindow.
 	forbidsConflict bool
-	// leavingSince holds, for each leaving node, the time since which it is leaving.
+	// leavingSince holds the leaving nodes and the time at which each was first seen leaving.
 	leavingSince  map[string]time.Time
 	problem       string
 	stopRequested chan struct{}
@@ -51,7 +51,7 @@
 
 func startWatcher(f *fleet) *watcher {
 	w := &watcher{
-		fleet: f, lastWhole: make(map[string]time.Time), leavingSince: make(map[string]time.Time),
+		fleet: f, lastAllReady: make(map[string]time.Time), leavingSince: make(map[string]time.Time),
 		highestToken: make(map[string]token.Token), conflictSince: make(map[string]time.Time), stopRequested: make(chan struct{}), stopped: make(chan struct{}),
 	}
 	go w.run()
@@ -92,12 +92,12 @@
 	w.recordNodes(now)
 	accepted := make(map[string]catalog.Replica)
 	for _, h := range w.fleet.hosts {
-		if !h.alive() {
+		if !h.isAlive() {
 			continue
 		}
 		for _, r := range append(h.catalog.Serving("chat", now), h.catalog.Serving("batch", now)...) {
 			name := fmt.Sprintf("%s@%d", r.ID(), r.Generation())
-			w.checkWhole(h, r, name, now)
+			w.checkAllReady(h, r, name, now)
 			w.checkLeaving(h, r, now)
 			if w.wouldAccept(r, name) {
 				accepted[name] = r
@@ -107,17 +107,17 @@
 	w.checkDisjoint(accepted, now)
 }
 
-// recordNodes records which generations are whole and which nodes are leaving.
+// recordNodes records which generations have all their nodes ready and which nodes are leaving.
 func (w *watcher) recordNodes(now time.Time) {
 	holders := make(map[string]int)
 	for _, n := range w.fleet.cluster.All() {
-		a, ready := n.Held()
+		a, isReady := n.Held()
 		w.checkTokenOrder(n)
-		if ready && !a.Empty() {
+		if isReady && !a.Empty() {
 			name := a.Name()
 			holders[name]++
 			if holders[name] == len(a.Members) {
-				w.lastWhole[name] = now
+				w.lastAllReady[name] = now
 			}
 		}
 		if !n.Listed().Leaving {
@@ -138,11 +138,11 @@
 	w.highestToken[process] = held
 }
 
-// checkWhole checks that all nodes of a usable replica were ready within the last serveWindow.
-func (w *watcher) checkWhole(h *host, r catalog.Replica, name string, now time.Time) {
-	last, ever := w.lastWhole[name]
-	if !ever || now.Sub(last) > serveWindow+checkInterval {
-		w.fail("%s may use %s, which was last whole %v ago (ever: %v), nodes %v", h.id, name, now.Sub(last), ever, r.Nodes())
+// checkAllReady checks that all nodes of a usable replica were ready within the last serveWindow.
+func (w *watcher) checkAllReady(h *host, r catalog.Replica, name string, now time.Time) {
+	last, known := w.lastAllReady[name]
+	if !known || now.Sub(last) > serveWindow+checkInterval {
+		w.fail("%s may use %s, whose nodes were last all ready %v ago (ever: %v), nodes %v", h.id, name, now.Sub(last), known, r.Nodes())
 	}
 }
 
@@ -152,7 +152,7 @@
 func (w *watcher) checkLeaving(h *host, r catalog.Replica, now time.Time) {
 	const limit = serveWindow + 7*time.Second
 	for _, id := range r.Nodes() {
-		if since, leaving := w.leavingSince[id]; leaving && now.Sub(since) > limit {
+		if since, isLeaving := w.leavingSince[id]; isLeaving && now.Sub(since) > limit {
 			w.fail("%s may use %s, whose node %s is leaving since %v", h.id, r.ID(), id, now.Sub(since))
 		}
 	}
@@ -162,7 +162,7 @@
 // generation.
 func (w *watcher) wouldAccept(r catalog.Replica, name string) bool {
 	for _, n := range w.fleet.cluster.All() {
-		if a, ready := n.Held(); ready && n.Listed().Address == r.Address() {
+		if a, isReady := n.Held(); isReady && n.Listed().Address == r.Address() {
 			return a.Name() == name
 		}
 	}
@@ -220,7 +220,7 @@
 func checkAllServe(f *fleet) string {
 	for _, h := range f.hosts {
 		if got := len(h.catalog.Serving("chat", time.Now())); got != 2 {
-			return fmt.Sprintf("%s can use %d replicas %v after all was well, want 2", h.id, got, recoveryTime)
+			return fmt.Sprintf("%s can use %d replicas %v after the faults ended, want 2", h.id, got, recoveryTime)
 		}
 	}
 	return ""
