--- a/cmd/loadcmd/result.go
+++ b/cmd/loadcmd/result.go
@@ -14,7 +14,8 @@
 	"quartzshelf.dev/cluster"
 )
 
-// receiptState is what a caller knows about the execution of a receipt request.
+// receiptState is what a caller knows about the execution of a receipt request, a service call
+// that must run at most once.
 type receiptState int
 
 const (
--- a/cmd/operatorcmd/report.go
+++ b/cmd/operatorcmd/report.go
@@ -25,9 +25,9 @@
 	// From and To are the times of the earliest and the latest log line.
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
-	// These counts are by model and reason. Refused counts refused and failed requests, Late the
-	// complete streams that were late, Moved the streams that resumed at another replica, and
-	// Broken the streams that were interrupted.
+	// Refused counts the requests that were refused or failed, by model and reason. Late counts
+	// the streams that were complete but late. Moved counts the streams that resumed at another
+	// replica. Broken counts the streams that were interrupted.
 	Refused map[string]map[string]int `json:"refused"`
 	Late    map[string]map[string]int `json:"late"`
 	Moved   map[string]map[string]int `json:"moved"`
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -87,8 +87,8 @@
 }
 
 // TestNodesMoveOnlyWhenPermitsAreOver checks that no node of a broken replica is given to
-// another replica too early. A router that is cut off may still use the broken replica, and the
-// replica's head may still accept its requests.
+// another replica while a router may still use the broken one. The router is cut off, and the
+// head of the broken replica would still accept its requests.
 func TestNodesMoveOnlyWhenPermitsAreOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(singleDomainOptions(2, 8))
