--- a/cmd/operatorcmd/trace.go
+++ b/cmd/operatorcmd/trace.go
@@ -98,7 +98,8 @@
 	return lines, unread, nil
 }
 
-// peerInError matches the peer in an error text.
+// peerInError matches the property "peer" in the text of an error. Its value is the ID of the
+// called party, such as a worker.
 var peerInError = regexp.MustCompile(`peer: ([^,}]+)`)
 
 // standardFields matches the fields that every log line has.
--- a/cmd/soakcmd/run.go
+++ b/cmd/soakcmd/run.go
@@ -132,8 +132,8 @@
 // loopbackPrefix returns the first three numbers of the loopback addresses of a run. They depend
 // on the process id and the index of the run, so that concurrent runs rarely share them.
 func loopbackPrefix(index int) string {
-	const part = 250
-	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%part, 1+index%part)
+	const valuesPerByte = 250
+	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%valuesPerByte, 1+index%valuesPerByte)
 }
 
 // reporter prints the results of soaks and counts the failed ones. It is safe for concurrent
--- a/proof/network_test.go
+++ b/proof/network_test.go
@@ -22,10 +22,10 @@
 
 var errCut = errors.New("cut off")
 
-// network simulates the calls between daemons, the log and the nodes. It can cut two places off
-// from each other, and it can freeze daemons. A call of a frozen daemon waits until the daemon
-// is resumed, both before and after the call takes effect. Then the call continues, regardless of
-// the time that has passed.
+// network simulates the calls of daemons to each other, to the log and to the nodes. It can cut
+// two places off from each other, and it can freeze daemons. A call of a frozen daemon waits until
+// the daemon is resumed, both before and after the call takes effect. Then the call continues,
+// regardless of the time that has passed.
 type network struct {
 	mu     sync.Mutex
 	cuts   map[[2]string]bool
