--- a/cmd/quartzshelf-standin/main.go
+++ b/cmd/quartzshelf-standin/main.go
@@ -1,4 +1,5 @@
-// Command quartzshelf-standin: see package standincmd.
+// Command quartzshelf-standin serves a simulated log and simulated nodes.
+// Package standincmd implements it.
 package main
 
 import (
