--- a/measure/repair.go
+++ b/measure/repair.go
@@ -9,197 +9,204 @@
 	"quartzshelf.dev/placement"
 )
 
-// Model of the repair trials, in seconds unless said otherwise.
+// Parameters of the repair trials. Times are in seconds.
 const (
-	tick             = 0.5
-	loseAfter        = 1.5
-	loseLate         = 3.0
-	drainTime        = 8.0
-	replicaSize      = 16
-	accelerators     = 4
-	loadPerNodeGB    = 40.0
-	storeFastGB      = 80.0
-	storeSlowGB      = 10.0
-	replaceNodeAfter = 600.0
-	repairLength     = 1800.0
-	faultAt          = 60.0
+	tickSeconds          = 0.5
+	lostTimeout          = 1.5
+	longLostTimeout      = 3.0
+	drainTime            = 8.0
+	replicaSize          = 16
+	accelerators         = 4
+	weightsPerNodeGB     = 40.0
+	fastStoreGBPerSecond = 80.0
+	slowStoreGBPerSecond = 10.0
+	nodeReplacementTime  = 600.0
+	repairDuration       = 1800.0
+	faultTime            = 60.0
 )
 
-// RepairScenario is a loss of nodes in one fabric domain.
+// RepairScenario is a loss of nodes or a new model version in one fabric domain.
 type RepairScenario struct {
 	Name string
-	// Nodes is the size of the domain, Replicas how many are wanted.
+	// Nodes is the number of nodes in the domain, Replicas the number of replicas that should
+	// serve.
 	Nodes, Replicas int
-	// Lost are the nodes that fail together.
-	Lost []int
-	// StoreGB is the rate of the weight store in gigabytes a second.
-	StoreGB float64
-	// NewVersion changes the model's version instead of losing nodes.
-	NewVersion bool
+	// LostNodes are the indices of the nodes that fail together.
+	LostNodes []int
+	// StoreGBPerSecond is the rate of the weight store, shared by all nodes that load.
+	StoreGBPerSecond float64
+	// ChangesVersion changes the model's version instead of losing nodes.
+	ChangesVersion bool
 }
 
-// RepairScenarios returns the scenarios that are tried.
+// RepairScenarios returns the scenarios of the repair trials.
 func RepairScenarios() []RepairScenario {
 	return []RepairScenario{
-		{Name: "one node, spares there", Nodes: 70, Replicas: 4, Lost: []int{5}, StoreGB: storeFastGB},
-		{Name: "one node, slow store", Nodes: 70, Replicas: 4, Lost: []int{5}, StoreGB: storeSlowGB},
-		{Name: "rack of 8 nodes", Nodes: 76, Replicas: 4, Lost: []int{4, 5, 6, 7, 8, 9, 10, 11}, StoreGB: storeFastGB},
-		{Name: "rack across two replicas", Nodes: 76, Replicas: 4, Lost: []int{12, 13, 14, 15, 16, 17, 18, 19}, StoreGB: storeFastGB},
-		{Name: "one node, room for another replica", Nodes: 80, Replicas: 4, Lost: []int{5}, StoreGB: storeFastGB},
-		{Name: "new model version", Nodes: 70, Replicas: 4, StoreGB: storeFastGB, NewVersion: true},
+		{Name: "one node, spares there", Nodes: 70, Replicas: 4, LostNodes: []int{5}, StoreGBPerSecond: fastStoreGBPerSecond},
+		{Name: "one node, slow store", Nodes: 70, Replicas: 4, LostNodes: []int{5}, StoreGBPerSecond: slowStoreGBPerSecond},
+		{Name: "rack of 8 nodes", Nodes: 76, Replicas: 4, LostNodes: []int{4, 5, 6, 7, 8, 9, 10, 11}, StoreGBPerSecond: fastStoreGBPerSecond},
+		{Name: "rack across two replicas", Nodes: 76, Replicas: 4, LostNodes: []int{12, 13, 14, 15, 16, 17, 18, 19}, StoreGBPerSecond: fastStoreGBPerSecond},
+		{Name: "one node, room for another replica", Nodes: 80, Replicas: 4, LostNodes: []int{5}, StoreGBPerSecond: fastStoreGBPerSecond},
+		{Name: "new model version", Nodes: 70, Replicas: 4, StoreGBPerSecond: fastStoreGBPerSecond, ChangesVersion: true},
 	}
 }
 
-// RepairPolicy is a way to plan.
+// RepairPolicy is a policy for repairing replicas and rolling out versions.
 type RepairPolicy struct {
 	Name string
-	// Fill forms further replicas from idle nodes.
-	Fill bool
-	// patience is how long a node may be silent.
-	patience float64
-	// scratch throws the survivors' weights away with their replica.
-	scratch bool
-	// noPreload takes preloads out and rolls at once.
-	noPreload bool
+	// FillsIdleNodes forms further replicas from idle nodes.
+	FillsIdleNodes bool
+	// lostTimeout is the time without an answer after which a node counts as lost, in seconds.
+	lostTimeout float64
+	// dropsCache drops the cached weights of all nodes that get a new assignment.
+	dropsCache bool
+	// skipsPreload disables preloading and rolls out a version without waiting for weights.
+	skipsPreload bool
 }
 
-// RepairPolicies returns the baselines and, last, what quartzshelf does for
-// the two kinds of objective.
+// RepairPolicies returns the baselines, followed by the policies of quartzshelf. The last two differ
+// in whether stranded accelerators have a price.
 func RepairPolicies() []RepairPolicy {
 	return []RepairPolicy{
-		{Name: "rebuild from scratch", patience: loseLate, scratch: true, noPreload: true},
-		{Name: "first fit, nothing preloaded", patience: loseLate, noPreload: true},
-		{Name: "quartzshelf, twice the patience", patience: loseLate},
-		{Name: "quartzshelf, stranded not priced", patience: loseAfter},
-		{Name: "quartzshelf, stranded priced", patience: loseAfter, Fill: true},
+		{Name: "rebuild from scratch", lostTimeout: longLostTimeout, dropsCache: true, skipsPreload: true},
+		{Name: "first fit, nothing preloaded", lostTimeout: longLostTimeout, skipsPreload: true},
+		{Name: "quartzshelf, twice the patience", lostTimeout: longLostTimeout},
+		{Name: "quartzshelf, stranded not priced", lostTimeout: lostTimeout},
+		{Name: "quartzshelf, stranded priced", lostTimeout: lostTimeout, FillsIdleNodes: true},
 	}
 }
 
-// RepairResult is what a trial measured.
+// RepairResult holds the measurements of a repair trial, all from the fault on.
 type RepairResult struct {
 	Scenario, Policy string
-	// Downtime is in replica-seconds, Stranded in accelerator-seconds, both
-	// from the fault on.
+	// Downtime is the time for which replicas were missing or draining, in replica-seconds.
+	// Stranded is the time for which accelerators were not part of a serving replica, in
+	// accelerator-seconds.
 	Downtime, Stranded float64
-	// LeastServing is the least number of wanted replicas that served.
+	// LeastServing is the lowest number of replicas that served at a time, at most
+	// RepairScenario.Replicas. Draining replicas don't count.
 	LeastServing int
-	// Longest is how long the wanted replicas were not all serving.
-	Longest float64
+	// IncompleteTime is the total time for which at least one replica was missing, in seconds.
+	IncompleteTime float64
 }
 
-// repairNode is a node of a trial.
+// repairNode is a node of a repair trial.
 type repairNode struct {
 	placement.Node
+	// downUntil is when a lost node is replaced, lostAt when the planner counts it as lost.
 	downUntil float64
 	lostAt    float64
-	// loadsLeft is how many gigabytes are still to be fetched for version.
-	loadsLeft float64
-	loading   string
+	// remainingGB is the size of the weights of loadingVersion that are still to be loaded.
+	remainingGB    float64
+	loadingVersion string
 }
 
-type repair struct {
-	scenario   RepairScenario
-	policy     RepairPolicy
-	now        float64
-	nodes      []*repairNode
-	generation uint64
-	version    string
-	drains     map[string]float64
-	result     RepairResult
+// repairTrial is the state of one repair trial.
+type repairTrial struct {
+	scenario      RepairScenario
+	policy        RepairPolicy
+	now           float64
+	nodes         []*repairNode
+	generation    uint64
+	wantedVersion string
+	// drainedAt is when a draining replica has no requests left, by replica ID.
+	drainedAt map[string]float64
+	result    RepairResult
 }
 
-// Repair runs one trial.
+// Repair runs one repair trial.
 func Repair(s RepairScenario, p RepairPolicy) RepairResult {
-	r := &repair{scenario: s, policy: p, version: "v1", drains: make(map[string]float64)}
+	r := &repairTrial{scenario: s, policy: p, wantedVersion: "v1", drainedAt: make(map[string]float64)}
 	r.result = RepairResult{Scenario: s.Name, Policy: p.Name, LeastServing: s.Replicas}
 	for i := range s.Nodes {
 		n := &repairNode{Node: placement.Node{
 			ID: fmt.Sprintf("n%03d", i), Answering: true, Accelerators: accelerators,
 		}, lostAt: math.Inf(1)}
 		if i < s.Replicas*replicaSize {
-			// The spares begin cold.
+			// Only the nodes of the initial replicas start with cached weights.
 			n.Cached = []string{"v1"}
 		}
 		r.nodes = append(r.nodes, n)
 	}
-	for r.now = 0; r.now < repairLength; r.now += tick {
-		r.fault()
-		r.fetch()
-		r.plan()
-		r.account()
+	for r.now = 0; r.now < repairDuration; r.now += tickSeconds {
+		r.injectFault()
+		r.advanceLoads()
+		r.planAndApply()
+		r.recordResult()
 	}
 	return r.result
 }
 
-func (r *repair) fault() {
+func (r *repairTrial) injectFault() {
 	for i, n := range r.nodes {
 		switch {
-		case r.now == faultAt && slices.Contains(r.scenario.Lost, i):
-			n.Answering, n.lostAt, n.downUntil = false, r.now+r.policy.patience, r.now+replaceNodeAfter
-			n.loading = ""
+		case r.now == faultTime && slices.Contains(r.scenario.LostNodes, i):
+			n.Answering, n.lostAt, n.downUntil = false, r.now+r.policy.lostTimeout, r.now+nodeReplacementTime
+			n.loadingVersion = ""
 		case !n.Answering && r.now >= n.downUntil:
 			*n = repairNode{Node: placement.Node{ID: n.ID, Answering: true, Accelerators: accelerators}, lostAt: math.Inf(1)}
 		}
 		n.Lost = r.now >= n.lostAt
 	}
-	if r.scenario.NewVersion && r.now == faultAt {
-		r.version = "v2"
+	if r.scenario.ChangesVersion && r.now == faultTime {
+		r.wantedVersion = "v2"
 	}
 }
 
-// fetch shares the store's rate among the nodes that load.
-func (r *repair) fetch() {
+// advanceLoads continues all loads for one tick. The loading nodes share the store's rate evenly.
+func (r *repairTrial) advanceLoads() {
 	loading := 0
 	for _, n := range r.nodes {
-		if n.loading != "" {
+		if n.loadingVersion != "" {
 			loading++
 		}
 	}
 	for _, n := range r.nodes {
-		if n.loading == "" {
+		if n.loadingVersion == "" {
 			continue
 		}
-		n.loadsLeft -= r.scenario.StoreGB * tick / float64(loading)
-		if n.loadsLeft > 0 {
+		n.remainingGB -= r.scenario.StoreGBPerSecond * tickSeconds / float64(loading)
+		if n.remainingGB > 0 {
 			continue
 		}
-		n.Cached = append(n.Cached, n.loading)
-		n.loading, n.Preloading = "", nil
+		n.Cached = append(n.Cached, n.loadingVersion)
+		n.loadingVersion, n.Preloading = "", nil
 		if !n.Assignment.Empty() && slices.Contains(n.Cached, n.Assignment.Version) {
 			n.Phase = cluster.PhaseReady
 		}
 	}
 }
 
-func (r *repair) plan() {
+func (r *repairTrial) planAndApply() {
 	in := placement.Input{Domain: "d", LoadSlots: 2, Wants: []placement.Want{{
-		Deployment: "chat", Replicas: r.scenario.Replicas, Size: replicaSize, Version: r.version,
-		Selects: func(map[string]string) bool { return true }, Fill: r.policy.Fill,
-		MayRoll: r.mayRoll(),
+		Deployment: "chat", Replicas: r.scenario.Replicas, Size: replicaSize, Version: r.wantedVersion,
+		Selects: func(map[string]string) bool { return true }, Fill: r.policy.FillsIdleNodes,
+		MayRoll: r.replicasToRoll(),
 	}}}
 	for _, n := range r.nodes {
 		seen := n.Node
-		if r.policy.noPreload && r.version == "v2" {
-			// The baseline rolls without waiting for weights.
+		if r.policy.skipsPreload && r.wantedVersion == "v2" {
+			// The baseline rolls out the version without waiting for weights.
 			seen.Cached = append(slices.Clone(seen.Cached), "v2")
 		}
-		if r.policy.noPreload && r.version == "v1" {
+		if r.policy.skipsPreload && r.wantedVersion == "v1" {
 			seen.Cached = nil
 		}
 		in.Nodes = append(in.Nodes, seen)
 	}
-	r.carryOut(placement.Make(in))
+	r.applyPlan(placement.Make(in))
 }
 
-// mayRoll allows one replica at a time, once all others serve.
-func (r *repair) mayRoll() []string {
-	serving := r.serving()
+// replicasToRoll returns at most one replica that may change its version, and none unless all
+// replicas serve.
+func (r *repairTrial) replicasToRoll() []string {
+	serving := r.servingReplicas()
 	if len(serving) < r.scenario.Replicas {
 		return nil
 	}
 	for _, id := range serving {
 		for _, n := range r.nodes {
-			if n.Assignment.Replica == id && n.Assignment.Version != r.version {
+			if n.Assignment.Replica == id && n.Assignment.Version != r.wantedVersion {
 				return []string{id}
 			}
 		}
@@ -207,14 +214,14 @@
 	return nil
 }
 
-func (r *repair) carryOut(p placement.Plan) {
-	serving := r.serving()
+func (r *repairTrial) applyPlan(p placement.Plan) {
+	serving := r.servingReplicas()
 	byID := make(map[string]*repairNode)
 	for _, n := range r.nodes {
 		byID[n.ID] = n
 	}
 	for _, f := range p.Formations {
-		if !r.drained(f, byID, serving) {
+		if !r.isDrained(f, byID, serving) {
 			continue
 		}
 		r.generation++
@@ -222,10 +229,10 @@
 			n := byID[s.Node]
 			n.Assignment = s.Assignment
 			n.Assignment.Generation = r.generation
-			if r.policy.scratch {
+			if r.policy.dropsCache {
 				n.Cached = nil
 			}
-			r.begin(n, s.Assignment.Version)
+			r.startAssignment(n, s.Assignment.Version)
 		}
 	}
 	for _, s := range p.Releases {
@@ -233,46 +240,47 @@
 	}
 	for _, l := range p.Preloads {
 		n := byID[l.Node]
-		if !r.policy.noPreload && n.loading == "" {
-			n.loading, n.loadsLeft, n.Preloading = l.Version, loadPerNodeGB, []string{l.Version}
+		if !r.policy.skipsPreload && n.loadingVersion == "" {
+			n.loadingVersion, n.remainingGB, n.Preloading = l.Version, weightsPerNodeGB, []string{l.Version}
 		}
 	}
 }
 
-func (r *repair) begin(n *repairNode, version string) {
+func (r *repairTrial) startAssignment(n *repairNode, version string) {
 	if slices.Contains(n.Cached, version) {
 		n.Phase = cluster.PhaseReady
 		return
 	}
 	n.Phase = cluster.PhaseLoading
-	n.loading, n.loadsLeft, n.Preloading = version, loadPerNodeGB, nil
+	n.loadingVersion, n.remainingGB, n.Preloading = version, weightsPerNodeGB, nil
 }
 
-// drained reports whether the replicas that give up nodes have been emptied.
-func (r *repair) drained(f placement.Formation, byID map[string]*repairNode, serving []string) bool {
-	giving := make(map[string]bool)
+// isDrained reports whether the serving replicas that lose nodes to a formation have been drained.
+// It starts draining those that are not.
+func (r *repairTrial) isDrained(f placement.Formation, byID map[string]*repairNode, serving []string) bool {
+	affected := make(map[string]bool)
 	for _, s := range f.Steps {
 		if from := byID[s.Node].Assignment.Replica; slices.Contains(serving, from) {
-			giving[from] = true
+			affected[from] = true
 		}
 	}
 	ready := true
-	for from := range giving {
-		if _, draining := r.drains[from]; !draining {
-			r.drains[from] = r.now + drainTime
+	for from := range affected {
+		if _, draining := r.drainedAt[from]; !draining {
+			r.drainedAt[from] = r.now + drainTime
 		}
-		ready = ready && r.now >= r.drains[from]
+		ready = ready && r.now >= r.drainedAt[from]
 	}
 	if ready {
-		for from := range giving {
-			delete(r.drains, from)
+		for from := range affected {
+			delete(r.drainedAt, from)
 		}
 	}
 	return ready
 }
 
-// serving returns the replicas whose nodes all answer and are ready.
-func (r *repair) serving() []string {
+// servingReplicas returns the sorted IDs of the replicas whose nodes all answer and are ready.
+func (r *repairTrial) servingReplicas() []string {
 	count := make(map[string]int)
 	for _, n := range r.nodes {
 		if n.Answering && !n.Assignment.Empty() && n.Phase == cluster.PhaseReady {
@@ -282,8 +290,8 @@
 	var ids []string
 	for _, n := range r.nodes {
 		a := n.Assignment
-		whole := count[fmt.Sprint(a.Replica, "@", a.Generation)] == replicaSize
-		if whole && !slices.Contains(ids, a.Replica) {
+		isComplete := count[fmt.Sprint(a.Replica, "@", a.Generation)] == replicaSize
+		if isComplete && !slices.Contains(ids, a.Replica) {
 			ids = append(ids, a.Replica)
 		}
 	}
@@ -291,23 +299,23 @@
 	return ids
 }
 
-func (r *repair) account() {
-	if r.now < faultAt {
+func (r *repairTrial) recordResult() {
+	if r.now < faultTime {
 		return
 	}
-	serving := r.serving()
-	undrained := 0
+	serving := r.servingReplicas()
+	available := 0
 	for _, id := range serving {
-		if _, draining := r.drains[id]; !draining {
-			undrained++
+		if _, draining := r.drainedAt[id]; !draining {
+			available++
 		}
 	}
-	missing := max(r.scenario.Replicas-undrained, 0)
-	r.result.Downtime += float64(missing) * tick
+	missing := max(r.scenario.Replicas-available, 0)
+	r.result.Downtime += float64(missing) * tickSeconds
 	r.result.LeastServing = min(r.result.LeastServing, r.scenario.Replicas-missing)
 	if missing > 0 {
-		r.result.Longest += tick
+		r.result.IncompleteTime += tickSeconds
 	}
 	idle := len(r.nodes) - replicaSize*len(serving)
-	r.result.Stranded += float64(idle*accelerators) * tick
+	r.result.Stranded += float64(idle*accelerators) * tickSeconds
 }
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -1,6 +1,6 @@
-// Package measure tries single decisions of quartzshelf against baselines, in
-// virtual time and with fixed seeds, so that a run can be repeated. Each trial
-// exercises one decision; none is a simulation of a cluster.
+// Package measure compares single decisions of quartzshelf with baselines, in virtual time and with
+// fixed seeds, so that results are reproducible. Each trial exercises one decision. None simulates a
+// whole cluster.
 package measure
 
 import (
@@ -17,44 +17,43 @@
 	"quartzshelf.dev/routing"
 )
 
-// Model of the engines and the callers of the routing trials. Times are in
-// seconds. The sizes are those of today: 60 model workers, steps of 8 ms, 10
-// client accounts of skewed size.
+// Parameters of the engines and callers in the routing trials. Times are in seconds, except for
+// microsecond, which converts seconds to the histogram's unit.
 const (
-	endpoints    = 60
-	daemons      = 8
-	slots        = 16
-	step         = 0.008
-	meanTokens   = 60
-	prefillCold  = 0.120
-	prefillWarm  = 0.015
-	cachedPrefix = 24
-	accounts     = 10
-	prefixes     = 60
-	reportEvery  = 0.5
-	reportLag    = 0.5
-	reportLost   = 0.1
-	warmup       = 5.0
-	length       = 40.0
-	burstFrom    = 20.0
-	burstUntil   = 30.0
-	zipfExponent = 1.1
-	microsecond  = 1e-6
+	endpointCount             = 60
+	daemonCount               = 8
+	slotsPerEndpoint          = 16
+	tokenTime                 = 0.008
+	meanTokens                = 60
+	coldPrefillTime           = 0.120
+	warmPrefillTime           = 0.015
+	cachedPrefixesPerEndpoint = 24
+	accountCount              = 10
+	prefixesPerAccount        = 60
+	reportInterval            = 0.5
+	reportLag                 = 0.5
+	reportLossShare           = 0.1
+	warmupTime                = 5.0
+	measuredTime              = 40.0
+	burstStart                = 20.0
+	burstEnd                  = 30.0
+	zipfExponent              = 1.1
+	microsecond               = 1e-6
 )
 
-// Policy chooses an endpoint as one daemon sees them.
+// Policy chooses an endpoint for a request, from one daemon's view of the endpoints.
 type Policy struct {
 	Name string
 	pick func(d *daemon, prefix uint64, r *rand.Rand) int
 }
 
-// Policies returns the baselines and, last, what quartzshelf does.
+// Policies returns the baselines, followed by quartzshelf's own policy.
 func Policies() []Policy {
 	return []Policy{
 		{"random", func(d *daemon, _ uint64, r *rand.Rand) int { return r.IntN(len(d.view)) }},
 		{"round robin", func(d *daemon, _ uint64, _ *rand.Rand) int {
-			d.turn++
-			return d.turn % len(d.view)
+			d.roundRobinCount++
+			return d.roundRobinCount % len(d.view)
 		}},
 		{"least in flight, own view", func(d *daemon, _ uint64, _ *rand.Rand) int {
 			least := 0
@@ -87,41 +86,41 @@
 	}
 }
 
-// daemon is one entry daemon with its own view of the endpoints.
+// daemon is a daemon that routes requests by its own view of the endpoints.
 type daemon struct {
-	view []routing.Candidate
-	turn int
+	view            []routing.Candidate
+	roundRobinCount int
 }
 
-// engine is one endpoint.
+// engine is the engine of one endpoint.
 type engine struct {
-	active int
-	queue  []*job
-	cache  []uint64
+	active         int
+	queue          []*job
+	cachedPrefixes []uint64
 }
 
 // job is one request.
 type job struct {
-	account  int
-	prefix   uint64
-	daemon   int
-	endpoint int
-	arrived  float64
-	tokens   int
+	account   int
+	prefix    uint64
+	daemon    int
+	endpoint  int
+	arrivedAt float64
+	tokens    int
 }
 
-// event is something that happens at a time.
+// event is a function that runs at a virtual time. Events with equal times run by sequence number.
 type event struct {
-	at   float64
-	turn int
-	do   func()
+	at       float64
+	sequence int
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].turn, e[j].turn)) < 0
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].sequence, e[j].sequence)) < 0
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -136,80 +135,83 @@
 	return last
 }
 
-// Load describes the requests of a trial.
+// Load describes the load of a routing trial.
 type Load struct {
-	// Share is the arrival rate as a share of what all endpoints can serve.
+	// Share is the arrival rate as a share of the rate that all endpoints together can serve.
 	Share float64
-	// Burst multiplies the largest account's arrivals for a while.
+	// Burst multiplies the arrival rate of the largest client account between burstStart and
+	// burstEnd. Zero means no burst.
 	Burst float64
-	// Admit lets quartzshelf's admission refuse early.
+	// Admit enables quartzshelf's admission control, which refuses requests under overload.
 	Admit bool
 }
 
-// RoutingResult is what a trial measured.
+// RoutingResult holds the measurements of a routing trial.
 type RoutingResult struct {
 	Policy string
-	// FirstP50, FirstP95 and FirstP99 are times to the first token in seconds.
+	// FirstP50, FirstP95 and FirstP99 are percentiles of the time to the first token, in seconds.
 	FirstP50, FirstP95, FirstP99 float64
-	// SmallP99 is that of the smallest account during the largest one's burst.
+	// SmallP99 is the 99th percentile of the smallest account's time to the first token during
+	// the burst of the largest one, in seconds.
 	SmallP99 float64
-	// Hits is the share of requests that found their prefix cached.
+	// Hits is the share of requests whose prefix was cached.
 	Hits float64
-	// Peak is the highest number of requests at one endpoint, in shares of slots.
+	// Peak is the highest number of requests at one endpoint, divided by its slots.
 	Peak float64
-	// Goodput is how many requests a second had their first token within the
-	// users' 0.36 s; Refused is the share refused.
+	// Goodput is the number of requests per second with a first token within firstTokenTarget.
+	// Refused is the share of requests that were refused.
 	Goodput float64
 	Refused float64
-	// RefusedSmall is the share of the smallest account's requests refused.
+	// RefusedSmall is the share of the smallest account's requests that were refused.
 	RefusedSmall float64
 }
 
-// trial is one run.
-type trial struct {
-	policy  Policy
-	load    Load
-	random  *rand.Rand
-	now     float64
-	queue   events
-	turn    int
-	daemons []*daemon
-	engines []*engine
-	first   *hdrhistogram.Histogram
-	small   *hdrhistogram.Histogram
-	total   int
-	hits    int
-	good    int
-	refused int
-	// smallTotal and smallRefused count the smallest account's requests.
-	smallTotal, smallRefused int
-
-	peak    int
-	weights []float64
-	owned   map[int]map[int]int
+// routingTrial is the state of one routing trial.
+type routingTrial struct {
+	policy               Policy
+	load                 Load
+	random               *rand.Rand
+	now                  float64
+	pendingEvents        events
+	lastSequence         int
+	daemons              []*daemon
+	engines              []*engine
+	firstTokenTimes      *hdrhistogram.Histogram
+	smallFirstTokenTimes *hdrhistogram.Histogram
+	requestCount         int
+	cacheHits            int
+	withinTarget         int
+	refusedCount         int
+	// smallRequestCount and smallRefusedCount count the smallest account's requests.
+	smallRequestCount, smallRefusedCount int
+
+	peakRequests   int
+	accountWeights []float64
+	// inFlightByDaemon is the number of requests in flight by daemon and client account.
+	inFlightByDaemon map[int]map[int]int
 }
 
 const (
-	firstTarget     = 0.36
-	histogramMax    = 600_000_000
-	histogramDigits = 3
+	firstTokenTarget         = 0.36
+	histogramMaxMicroseconds = 600_000_000
+	histogramDigits          = 3
 )
 
-// Routing runs one trial.
+// Routing runs one routing trial.
 func Routing(p Policy, load Load, seed uint64) RoutingResult {
-	t := &trial{
+	t := &routingTrial{
 		policy: p, load: load, random: rand.New(rand.NewPCG(seed, 1)),
-		first:   hdrhistogram.New(1, histogramMax, histogramDigits),
-		small:   hdrhistogram.New(1, histogramMax, histogramDigits),
-		weights: zipf(accounts), owned: make(map[int]map[int]int),
+		firstTokenTimes:      hdrhistogram.New(1, histogramMaxMicroseconds, histogramDigits),
+		smallFirstTokenTimes: hdrhistogram.New(1, histogramMaxMicroseconds, histogramDigits),
+		accountWeights:       zipfWeights(accountCount), inFlightByDaemon: make(map[int]map[int]int),
 	}
-	for range endpoints {
+	for range endpointCount {
 		t.engines = append(t.engines, &engine{})
 	}
-	for range daemons {
-		d := &daemon{view: make([]routing.Candidate, endpoints)}
+	for range daemonCount {
+		d := &daemon{view: make([]routing.Candidate, endpointCount)}
 		for i := range d.view {
-			d.view[i] = routing.Candidate{ID: fmt.Sprint("replica-", i), Slots: slots}
+			d.view[i] = routing.Candidate{ID: fmt.Sprint("replica-", i), Slots: slotsPerEndpoint}
 		}
 		t.daemons = append(t.daemons, d)
 	}
@@ -217,8 +219,8 @@
 	return t.result()
 }
 
-// zipf returns n weights that sum to one, the largest first.
-func zipf(n int) []float64 {
+// zipfWeights returns n weights in descending order that sum to one.
+func zipfWeights(n int) []float64 {
 	weights, sum := make([]float64, n), 0.0
 	for i := range weights {
 		weights[i] = 1 / math.Pow(float64(i+1), zipfExponent)
@@ -230,185 +232,188 @@
 	return weights
 }
 
-func (t *trial) at(when float64, do func()) {
-	t.turn++
-	heap.Push(&t.queue, event{at: when, turn: t.turn, do: do})
+// schedule schedules a function for a virtual time.
+func (t *routingTrial) schedule(at float64, run func()) {
+	t.lastSequence++
+	heap.Push(&t.pendingEvents, event{at: at, sequence: t.lastSequence, run: run})
 }
 
-// capacity is how many requests a second all endpoints serve when every prefix
-// is cached.
-func capacity() float64 {
-	return endpoints * slots / (prefillWarm + meanTokens*step)
+// maxRequestRate returns the number of requests per second that all endpoints together can serve if
+// every prefix is cached.
+func maxRequestRate() float64 {
+	return endpointCount * slotsPerEndpoint / (warmPrefillTime + meanTokens*tokenTime)
 }
 
-func (t *trial) run() {
-	for a := range accounts {
-		t.arrivals(a)
+func (t *routingTrial) run() {
+	for a := range accountCount {
+		t.scheduleArrivals(a)
 	}
 	for i := range t.engines {
 		for d := range t.daemons {
-			t.at(t.random.Float64()*reportEvery, func() { t.report(d, i) })
+			t.schedule(t.random.Float64()*reportInterval, func() { t.reportLoad(d, i) })
 		}
 	}
-	for t.queue.Len() > 0 {
-		e := heap.Pop(&t.queue).(event)
-		if e.at > warmup+length {
+	for t.pendingEvents.Len() > 0 {
+		e := heap.Pop(&t.pendingEvents).(event)
+		if e.at > warmupTime+measuredTime {
 			return
 		}
 		t.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-// arrivals lets the requests of an account arrive.
-func (t *trial) arrivals(account int) {
-	rate := capacity() * t.load.Share * t.weights[account]
-	if account == 0 && t.load.Burst > 0 && t.now >= burstFrom && t.now < burstUntil {
+// scheduleArrivals schedules the next request of an account, which in turn schedules its successor.
+func (t *routingTrial) scheduleArrivals(account int) {
+	rate := maxRequestRate() * t.load.Share * t.accountWeights[account]
+	if account == 0 && t.load.Burst > 0 && t.now >= burstStart && t.now < burstEnd {
 		rate *= t.load.Burst
 	}
-	t.at(t.now+t.random.ExpFloat64()/rate, func() {
-		t.arrive(account)
-		t.arrivals(account)
+	t.schedule(t.now+t.random.ExpFloat64()/rate, func() {
+		t.handleArrival(account)
+		t.scheduleArrivals(account)
 	})
 }
 
-func (t *trial) arrive(account int) {
-	// Squaring makes low prefixes far more common than high ones.
+func (t *routingTrial) handleArrival(account int) {
+	// Squaring makes prefixes with low numbers more frequent.
 	u := t.random.Float64()
 	j := &job{
-		account: account, prefix: uint64(account*prefixes) + uint64(u*u*prefixes), daemon: t.random.IntN(daemons),
-		arrived: t.now, tokens: 1 + int(t.random.ExpFloat64()*meanTokens),
+		account: account, prefix: uint64(account*prefixesPerAccount) + uint64(u*u*prefixesPerAccount), daemon: t.random.IntN(daemonCount),
+		arrivedAt: t.now, tokens: 1 + int(t.random.ExpFloat64()*meanTokens),
 	}
-	counted, small := t.now > warmup, account == accounts-1
-	if counted {
-		t.total++
+	isMeasured, isSmallest := t.now > warmupTime, account == accountCount-1
+	if isMeasured {
+		t.requestCount++
 	}
-	if counted && small {
-		t.smallTotal++
+	if isMeasured && isSmallest {
+		t.smallRequestCount++
 	}
 	d := t.daemons[j.daemon]
 	if t.load.Admit && t.isRefused(d, j) {
-		if counted {
-			t.refused++
+		if isMeasured {
+			t.refusedCount++
 		}
-		if counted && small {
-			t.smallRefused++
+		if isMeasured && isSmallest {
+			t.smallRefusedCount++
 		}
 		return
 	}
 	j.endpoint = t.policy.pick(d, routing.Prefix(fmt.Sprint(account), fmt.Sprint(j.prefix)), t.random)
 	d.view[j.endpoint].Own++
-	t.count(j, 1)
+	t.addInFlight(j, 1)
 	e := t.engines[j.endpoint]
 	e.queue = append(e.queue, j)
-	t.peak = max(t.peak, e.active+len(e.queue))
-	t.serve(e)
+	t.peakRequests = max(t.peakRequests, e.active+len(e.queue))
+	t.startQueuedJobs(e)
 }
 
-// count keeps the daemon's requests in flight by account.
-func (t *trial) count(j *job, n int) {
-	if t.owned[j.daemon] == nil {
-		t.owned[j.daemon] = make(map[int]int)
+// addInFlight adds n to the daemon's number of requests in flight of the job's account.
+func (t *routingTrial) addInFlight(j *job, n int) {
+	if t.inFlightByDaemon[j.daemon] == nil {
+		t.inFlightByDaemon[j.daemon] = make(map[int]int)
 	}
-	t.owned[j.daemon][j.account] += n
-	if t.owned[j.daemon][j.account] == 0 {
-		delete(t.owned[j.daemon], j.account)
+	t.inFlightByDaemon[j.daemon][j.account] += n
+	if t.inFlightByDaemon[j.daemon][j.account] == 0 {
+		delete(t.inFlightByDaemon[j.daemon], j.account)
 	}
 }
 
-func (t *trial) isRefused(d *daemon, j *job) bool {
-	own := t.owned[j.daemon][j.account]
-	active, total := len(t.owned[j.daemon]), 0
-	if own == 0 {
-		active++
+func (t *routingTrial) isRefused(d *daemon, j *job) bool {
+	accountInFlight := t.inFlightByDaemon[j.daemon][j.account]
+	activeAccounts, totalInFlight := len(t.inFlightByDaemon[j.daemon]), 0
+	if accountInFlight == 0 {
+		activeAccounts++
 	}
-	for _, n := range t.owned[j.daemon] {
-		total += n
+	for _, n := range t.inFlightByDaemon[j.daemon] {
+		totalInFlight += n
 	}
 	return admission.Decide(admission.Situation{
-		Reported: routing.MeanOccupancy(d.view), InFlight: total, Slots: endpoints * slots, Daemons: daemons,
-		Own: own, Accounts: active,
+		Reported: routing.MeanOccupancy(d.view), InFlight: totalInFlight, Slots: endpointCount * slotsPerEndpoint, Daemons: daemonCount,
+		Own: accountInFlight, Accounts: activeAccounts,
 	}) != nil
 }
 
-// serve begins as many queued requests as there are free slots.
-func (t *trial) serve(e *engine) {
-	for e.active < slots && len(e.queue) > 0 {
+// startQueuedJobs starts queued jobs while the engine has free slots.
+func (t *routingTrial) startQueuedJobs(e *engine) {
+	for e.active < slotsPerEndpoint && len(e.queue) > 0 {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
 		e.active++
-		prefill := prefillCold
-		if e.touch(j.prefix) {
-			prefill = prefillWarm
-			if t.now > warmup {
-				t.hits++
+		prefill := coldPrefillTime
+		if e.cachePrefix(j.prefix) {
+			prefill = warmPrefillTime
+			if t.now > warmupTime {
+				t.cacheHits++
 			}
 		}
-		t.at(t.now+prefill+step, func() { t.firstToken(j) })
-		t.at(t.now+prefill+step*float64(j.tokens), func() { t.end(e, j) })
+		t.schedule(t.now+prefill+tokenTime, func() { t.recordFirstToken(j) })
+		t.schedule(t.now+prefill+tokenTime*float64(j.tokens), func() { t.finishJob(e, j) })
 	}
 }
 
-// touch reports whether the prefix was cached, and caches it.
-func (e *engine) touch(prefix uint64) bool {
-	i := slices.Index(e.cache, prefix)
+// cachePrefix adds a prefix to the cache or renews it, and reports whether it was cached already. If
+// the cache is full, the least recently used prefix is dropped.
+func (e *engine) cachePrefix(prefix uint64) bool {
+	i := slices.Index(e.cachedPrefixes, prefix)
 	if i >= 0 {
-		e.cache = slices.Delete(e.cache, i, i+1)
-	} else if len(e.cache) >= cachedPrefix {
-		e.cache = e.cache[1:]
+		e.cachedPrefixes = slices.Delete(e.cachedPrefixes, i, i+1)
+	} else if len(e.cachedPrefixes) >= cachedPrefixesPerEndpoint {
+		e.cachedPrefixes = e.cachedPrefixes[1:]
 	}
-	e.cache = append(e.cache, prefix)
+	e.cachedPrefixes = append(e.cachedPrefixes, prefix)
 	return i >= 0
 }
 
-func (t *trial) firstToken(j *job) {
-	if j.arrived < warmup {
+func (t *routingTrial) recordFirstToken(j *job) {
+	if j.arrivedAt < warmupTime {
 		return
 	}
-	took := t.now - j.arrived
-	// Values are below the histogram's maximum: the trial is shorter.
-	_ = t.first.RecordValue(int64(took / microsecond))
-	if took <= firstTarget {
-		t.good++
+	took := t.now - j.arrivedAt
+	// The duration of a trial is below the histogram's maximum, so this cannot fail.
+	_ = t.firstTokenTimes.RecordValue(int64(took / microsecond))
+	if took <= firstTokenTarget {
+		t.withinTarget++
 	}
-	if j.account == accounts-1 && j.arrived >= burstFrom && j.arrived < burstUntil {
-		_ = t.small.RecordValue(int64(took / microsecond))
+	if j.account == accountCount-1 && j.arrivedAt >= burstStart && j.arrivedAt < burstEnd {
+		_ = t.smallFirstTokenTimes.RecordValue(int64(took / microsecond))
 	}
 }
 
-func (t *trial) end(e *engine, j *job) {
+func (t *routingTrial) finishJob(e *engine, j *job) {
 	e.active--
 	t.daemons[j.daemon].view[j.endpoint].Own--
-	t.count(j, -1)
-	t.serve(e)
+	t.addInFlight(j, -1)
+	t.startQueuedJobs(e)
 }
 
-// report lets a daemon see an endpoint's load, late and with gaps.
-func (t *trial) report(d, i int) {
+// reportLoad reports an endpoint's current load to a daemon after reportLag, and schedules the next
+// report. A share of the reports, reportLossShare, is lost.
+func (t *routingTrial) reportLoad(d, i int) {
 	load := t.engines[i].active + len(t.engines[i].queue)
-	if t.random.Float64() >= reportLost {
-		t.at(t.now+reportLag, func() {
+	if t.random.Float64() >= reportLossShare {
+		t.schedule(t.now+reportLag, func() {
 			c := &t.daemons[d].view[i]
 			c.Reported, c.OwnAtReport = load, c.Own
 		})
 	}
-	t.at(t.now+reportEvery, func() { t.report(d, i) })
+	t.schedule(t.now+reportInterval, func() { t.reportLoad(d, i) })
 }
 
-func (t *trial) result() RoutingResult {
+func (t *routingTrial) result() RoutingResult {
 	seconds := func(h *hdrhistogram.Histogram, percent float64) float64 {
 		return float64(h.ValueAtQuantile(percent)) * microsecond
 	}
-	served := max(t.total-t.refused, 1)
+	served := max(t.requestCount-t.refusedCount, 1)
 	return RoutingResult{
 		Policy:   t.policy.Name,
-		FirstP50: seconds(t.first, 50), FirstP95: seconds(t.first, 95), FirstP99: seconds(t.first, 99),
-		SmallP99: seconds(t.small, 99),
-		Hits:     float64(t.hits) / float64(served),
-		Peak:     float64(t.peak) / slots,
-		Goodput:  float64(t.good) / length,
-		Refused:  float64(t.refused) / float64(max(t.total, 1)),
-
-		RefusedSmall: float64(t.smallRefused) / float64(max(t.smallTotal, 1)),
+		FirstP50: seconds(t.firstTokenTimes, 50), FirstP95: seconds(t.firstTokenTimes, 95), FirstP99: seconds(t.firstTokenTimes, 99),
+		SmallP99: seconds(t.smallFirstTokenTimes, 99),
+		Hits:     float64(t.cacheHits) / float64(served),
+		Peak:     float64(t.peakRequests) / slotsPerEndpoint,
+		Goodput:  float64(t.withinTarget) / measuredTime,
+		Refused:  float64(t.refusedCount) / float64(max(t.requestCount, 1)),
+
+		RefusedSmall: float64(t.smallRefusedCount) / float64(max(t.smallRequestCount, 1)),
 	}
 }
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -19,141 +19,145 @@
 )
 
 const (
-	callTimeout  = 7 * time.Second
-	askTimeout   = time.Second
-	thinkLeast   = 10 * time.Millisecond
-	thinkSpread  = 60 * time.Millisecond
-	eventsLeast  = 3
-	eventsSpread = 25
+	callTimeout        = 7 * time.Second
+	resolveTimeout     = time.Second
+	minRequestPause    = 10 * time.Millisecond
+	requestPauseSpread = 60 * time.Millisecond
+	minEvents          = 3
+	eventsSpread       = 25
 )
 
-// caller sends requests one after the other and checks every answer.
+// caller sends requests sequentially and checks every response.
 type caller struct {
 	run    *run
 	number int
 	random *rand.Rand
 	client *http.Client
-	// patient callers stay with a daemon until it fails them.
-	patient bool
-	kind    standin.Kind
-	known   []string
-	knownTo time.Time
-	at      *daemon
-	sent    int
+	// staysWithDaemon makes the caller keep using a daemon until a request to it fails.
+	staysWithDaemon bool
+	kind            standin.Kind
+	// addresses are the caller addresses of daemons, as last resolved.
+	addresses           []string
+	addressesValidUntil time.Time
+	// daemon is the daemon in use, or nil if the next request needs another one.
+	daemon    *daemon
+	sentCount int
 }
 
 func newCaller(r *run, number int) *caller {
 	kinds := []standin.Kind{standin.Stream, standin.Once, standin.Stream, standin.Safe}
 	c := &caller{
 		run: r, number: number, random: rand.New(rand.NewPCG(r.opts.Seed, uint64(number))),
-		kind: kinds[number%len(kinds)], patient: number%3 == 0,
+		kind: kinds[number%len(kinds)], staysWithDaemon: number%3 == 0,
 	}
 	c.client = &http.Client{Transport: &http.Transport{DialContext: r.dial, DisableCompression: true}}
 	return c
 }
 
-// dial reaches a daemon over the link before it.
+// dial connects to a daemon through its front proxy.
 func (r *run) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if d, ok := r.byFront[address]; ok {
-		address = d.front.address()
+	if d, ok := r.daemonsByAddress[address]; ok {
+		address = d.frontProxy.address()
 	}
-	return (&net.Dialer{Timeout: dialWithin}).DialContext(ctx, network, address)
+	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 }
 
-// loop sends requests until ctx ends.
+// loop sends requests until ctx is done.
 func (c *caller) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(thinkLeast + time.Duration(c.random.Int64N(int64(thinkSpread))))
-		d := c.choose(ctx)
+		time.Sleep(minRequestPause + time.Duration(c.random.Int64N(int64(requestPauseSpread))))
+		d := c.chooseDaemon(ctx)
 		if d == nil {
-			time.Sleep(thinkSpread)
+			time.Sleep(requestPauseSpread)
 			continue
 		}
 		c.send(d)
 	}
 }
 
-// choose returns the daemon to send to.
-func (c *caller) choose(ctx context.Context) *daemon {
-	if c.at != nil && (c.patient || time.Now().Before(c.knownTo)) {
-		return c.at
+// chooseDaemon returns the daemon to send the next request to, or nil if no address is known.
+func (c *caller) chooseDaemon(ctx context.Context) *daemon {
+	if c.daemon != nil && (c.staysWithDaemon || time.Now().Before(c.addressesValidUntil)) {
+		return c.daemon
 	}
-	c.ask(ctx)
-	if len(c.known) == 0 {
+	c.resolve(ctx)
+	if len(c.addresses) == 0 {
 		return nil
 	}
-	c.at = c.run.byFront[c.known[c.random.IntN(len(c.known))]]
-	return c.at
+	c.daemon = c.run.daemonsByAddress[c.addresses[c.random.IntN(len(c.addresses))]]
+	return c.daemon
 }
 
-// ask asks the daemons which addresses to use, in some order, until one tells.
-func (c *caller) ask(ctx context.Context) {
+// resolve asks the daemons for caller addresses, in random order, until one answers.
+func (c *caller) resolve(ctx context.Context) {
 	for _, i := range c.random.Perm(len(c.run.daemons)) {
 		d := c.run.daemons[i]
-		asking, cancel := context.WithTimeout(ctx, askTimeout)
-		addresses, keep, err := standin.Resolve(asking, d.directory.address(), d.settings.Region(), d.settings.Zone)
+		resolveCtx, cancel := context.WithTimeout(ctx, resolveTimeout)
+		addresses, keep, err := standin.Resolve(resolveCtx, d.directoryProxy.address(), d.settings.Region(), d.settings.Zone)
 		cancel()
 		if err == nil && len(addresses) > 0 {
-			c.known, c.knownTo = addresses, time.Now().Add(keep)
+			c.addresses, c.addressesValidUntil = addresses, time.Now().Add(keep)
 			return
 		}
 	}
 }
 
-// call is one request and what is known when it is sent.
+// call is one request.
 type call struct {
-	id     string
-	kind   standin.Kind
-	later  bool
-	events int
-	key    string
-	daemon *daemon
-	life   int
-	sentAt time.Time
+	id             string
+	kind           standin.Kind
+	usesAddedRoute bool
+	events         int
+	key            string
+	daemon         *daemon
+	// incarnation is that of the daemon when the request was sent.
+	incarnation int
+	sentAt      time.Time
+	// reused reports whether the request was sent on a reused connection.
 	reused atomic.Bool
 }
 
-// sender names the daemon's life to which a request goes, and when it does.
+// sender returns the incarnation of the daemon that gets the request, and the time of sending.
 func (r *call) sender() standin.Sender {
-	return standin.Sender{Daemon: lifeOf(r.daemon, r.life), At: r.sentAt}
+	return standin.Sender{Daemon: incarnationName(r.daemon, r.incarnation), At: r.sentAt}
 }
 
-// send sends one request and checks its answer.
+// send sends one request and checks its response.
 func (c *caller) send(d *daemon) {
-	c.sent++
+	c.sentCount++
 	r := &call{
-		id: fmt.Sprintf("c%d-%d", c.number, c.sent), kind: c.kind, daemon: d,
-		events: eventsLeast + c.random.IntN(eventsSpread), sentAt: time.Now(),
+		id: fmt.Sprintf("c%d-%d", c.number, c.sentCount), kind: c.kind, daemon: d,
+		events: minEvents + c.random.IntN(eventsSpread), sentAt: time.Now(),
 	}
-	r.life, _ = d.status()
+	r.incarnation, _ = d.status()
 	tenant := ""
-	r.key, tenant = c.run.callers.key(c.random)
-	r.later = c.kind == standin.Safe && c.random.IntN(3) == 0 && c.run.callers.hasRoute()
+	r.key, tenant = c.run.callers.drawKey(c.random)
+	r.usesAddedRoute = c.kind == standin.Safe && c.random.IntN(3) == 0 && c.run.callers.isRoutePublished()
 	c.run.ledger.Sent(r.id, r.kind, tenant, r.sender())
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { r.reused.Store(i.Reused || i.WasIdle) }})
 	response, err := c.client.Do(c.request(ctx, r))
 	if err != nil {
-		c.noAnswer(r, err)
+		c.handleNoAnswer(r, err)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	c.answered(r, response)
+	c.checkResponse(r, response)
 }
 
 func (c *caller) request(ctx context.Context, r *call) *http.Request {
 	path := map[standin.Kind]string{
 		standin.Stream: standin.StreamPath + strconv.Itoa(r.events), standin.Once: standin.OncePath, standin.Safe: standin.SafePath,
 	}[r.kind]
-	if r.later {
+	if r.usesAddedRoute {
 		path = standin.LaterPath
 	}
-	// The body is of a kind that the library cannot send again by itself.
+	// NopCloser hides the reader's type, so that net/http cannot repeat the request.
 	body := io.NopCloser(strings.NewReader("a body"))
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.daemon.frontAddress()+path, body)
 	if err != nil {
-		// The address is one that the soak made.
+		// The soak generates all addresses, so this cannot fail.
 		panic(err)
 	}
 	request.Host = standin.Host
@@ -167,97 +171,97 @@
 	return request
 }
 
-// noAnswer deals with a connection that ended without an answer. A daemon that
-// lives in peace answers every request that it read.
-func (c *caller) noAnswer(r *call, err error) {
-	c.at = nil
-	c.run.callers.count("no answer")
+// handleNoAnswer checks whether a request could end without a response. An undisturbed daemon
+// must answer every request that it has read.
+func (c *caller) handleNoAnswer(r *call, err error) {
+	c.daemon = nil
+	c.run.callers.recordOutcome("no answer")
 	if errors.Is(err, context.DeadlineExceeded) {
-		if c.peaceful(r) {
+		if c.isUndisturbed(r) {
 			c.run.ledger.Broken("HELD", "%s at %s got no answer in %s", r.id, r.daemon.settings.Name, callTimeout)
 		}
 		return
 	}
-	life, _ := r.daemon.status()
-	refused := r.daemon.front.refusedSince(r.sentAt)
-	// A request on a connection that was kept may cross its close; one that was
-	// under way for longer was read.
-	const crossing = 100 * time.Millisecond
-	crossed := r.reused.Load() && time.Since(r.sentAt) < crossing
-	if c.peaceful(r) && life == r.life && !refused && !crossed {
+	incarnation, _ := r.daemon.status()
+	dialFailed := r.daemon.frontProxy.dialFailedSince(r.sentAt)
+	// A request on a reused connection may be sent while the daemon closes it. After
+	// closeRaceWindow the daemon must have read the request.
+	const closeRaceWindow = 100 * time.Millisecond
+	mayHaveRacedClose := r.reused.Load() && time.Since(r.sentAt) < closeRaceWindow
+	if c.isUndisturbed(r) && incarnation == r.incarnation && !dialFailed && !mayHaveRacedClose {
 		c.run.ledger.Broken("LOST", "%s at %s: %v", r.id, r.daemon.settings.Name, err)
 	}
 }
 
-// peaceful reports whether nothing has harmed the daemon or the link to it for
-// as long as the request took, and a little before.
-func (c *caller) peaceful(r *call) bool {
-	const before = time.Second
-	from := r.sentAt.Add(-before)
-	return r.daemon.quietSince(from) && r.daemon.front.soundSince(from)
+// isUndisturbed reports whether the daemon and its front proxy have had no faults since shortly
+// before the request was sent.
+func (c *caller) isUndisturbed(r *call) bool {
+	const margin = time.Second
+	from := r.sentAt.Add(-margin)
+	return r.daemon.undisturbedSince(from) && r.daemon.frontProxy.healthySince(from)
 }
 
-// answered checks an answer.
-func (c *caller) answered(r *call, response *http.Response) {
+// checkResponse checks the response to a request by its status code.
+func (c *caller) checkResponse(r *call, response *http.Response) {
 	switch response.StatusCode {
 	case http.StatusOK:
 		c.checkResult(r, response)
 		return
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		c.run.callers.promised(r.id)
+		c.run.callers.recordNotExecuted(r.id)
 	case http.StatusUnauthorized:
 		if !c.run.callers.isRevoked(r.key) {
 			c.run.ledger.Broken("DENIED", "%s at %s: its key is in force", r.id, r.daemon.settings.Name)
 		}
 	case http.StatusNotFound:
-		c.checkMissing(r)
+		c.checkNotFound(r)
 	}
-	c.run.callers.count(strconv.Itoa(response.StatusCode))
-	// What is left of a refusal is of no use.
+	c.run.callers.recordOutcome(strconv.Itoa(response.StatusCode))
+	// Drains the body so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// checkMissing checks a request whose route was not found: only the route that
-// was added may be missing, and only in a life that has not known it yet.
-func (c *caller) checkMissing(r *call) {
-	if !r.later {
+// checkNotFound checks a response with status 404. Only the route that is added during the soak
+// may be unknown, and only to an incarnation of a daemon that has not served it yet.
+func (c *caller) checkNotFound(r *call) {
+	if !r.usesAddedRoute {
 		c.run.ledger.Broken("DENIED", "%s at %s: its route is there", r.id, r.daemon.settings.Name)
 		return
 	}
-	if c.run.callers.knewRoute(r.daemon, r.life, r.sentAt) {
+	if c.run.callers.hadServedRoute(r.daemon, r.incarnation, r.sentAt) {
 		c.run.ledger.Broken("CONFIG", "%s: %s went back to an older version", r.id, r.daemon.settings.Name)
 	}
 }
 
-// checkResult checks a success.
+// checkResult checks a response with status 200.
 func (c *caller) checkResult(r *call, response *http.Response) {
 	if !strings.HasSuffix(response.Header.Get(standin.HeaderSignature), "."+r.id) {
 		c.run.ledger.Broken("MIXED", "%s got an answer signed %q", r.id, response.Header.Get(standin.HeaderSignature))
 	}
 	var err error
 	if r.kind == standin.Stream {
-		err = c.readStream(r, response)
+		err = c.checkStream(r, response)
 	} else {
-		err = c.readWhole(r, response)
+		err = c.checkBody(r, response)
 	}
 	if err != nil {
-		c.at = nil
-		c.run.callers.count("cut")
-		if c.run.peaceSince(r.sentAt) && c.peaceful(r) {
+		c.daemon = nil
+		c.run.callers.recordOutcome("cut")
+		if c.run.wasFaultFreeAt(r.sentAt) && c.isUndisturbed(r) {
 			c.run.ledger.Broken("LOST", "the answer to %s at %s was cut: %v", r.id, r.daemon.settings.Name, err)
 		}
 		return
 	}
-	c.run.callers.count("served")
-	if r.later {
-		c.run.callers.knowsRoute(r.daemon, r.life)
+	c.run.callers.recordOutcome("served")
+	if r.usesAddedRoute {
+		c.run.callers.recordRouteServed(r.daemon, r.incarnation)
 	}
-	if at, ok := c.run.callers.revokedAt(r.key); ok && r.sentAt.After(at.Add(revokeBound+revokeSlack)) {
+	if at, ok := c.run.callers.revokedAt(r.key); ok && r.sentAt.After(at.Add(revocationBound+revocationSlack)) {
 		c.run.ledger.Broken("REVOKED", "%s ran %s after its key was taken away", r.id, r.sentAt.Sub(at))
 	}
 }
 
-func (c *caller) readWhole(r *call, response *http.Response) error {
+func (c *caller) checkBody(r *call, response *http.Response) error {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
@@ -268,9 +272,9 @@
 	return nil
 }
 
-// readStream checks that every event comes once and in order, and that a stream
-// which ends as complete is.
-func (c *caller) readStream(r *call, response *http.Response) error {
+// checkStream checks that every event arrives once and in order. A stream that ends without an
+// error must be complete.
+func (c *caller) checkStream(r *call, response *http.Response) error {
 	reader := bufio.NewReader(response.Body)
 	next := 1
 	for {
@@ -291,7 +295,7 @@
 	}
 }
 
-// readEvent reads up to the empty line that ends an event.
+// readEvent reads one event, up to and including the empty line at its end.
 func readEvent(reader *bufio.Reader) (string, error) {
 	var event strings.Builder
 	for {
--- /dev/null
+++ b/soak/callerstate.go
@@ -0,0 +1,177 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+)
+
+const (
+	tenantCount   = 3
+	keysPerTenant = 5
+	// revocationBound is the time after which daemons must reject a revoked key.
+	// revocationSlack is added to it because the daemons share a loaded machine.
+	revocationBound = 3 * time.Second
+	revocationSlack = 500 * time.Millisecond
+)
+
+// outcome is the result of one request: a status code, "served", "cut" or "no answer".
+type outcome struct {
+	endedAt time.Time
+	result  string
+}
+
+// callerState is the state that all callers share. It is safe for concurrent use.
+type callerState struct {
+	keysByTenant map[string][]string
+
+	mu       sync.Mutex
+	outcomes []outcome
+	// notExecuted holds the IDs of the requests that must not have been executed.
+	notExecuted []string
+	// revokedKeys maps keys to the time when their revocation was acknowledged, or zero before.
+	revokedKeys    map[string]time.Time
+	routePublished bool
+	// routeServedSince maps names of incarnations to when they first served the added route.
+	routeServedSince map[string]time.Time
+}
+
+func tenantName(number int) string { return fmt.Sprintf("tenant-%d", number) }
+
+func keyName(tenant, number int) string { return fmt.Sprintf("key-%d-%d", tenant, number) }
+
+func newCallerState() *callerState {
+	c := &callerState{keysByTenant: make(map[string][]string), revokedKeys: make(map[string]time.Time), routeServedSince: make(map[string]time.Time)}
+	for t := range tenantCount {
+		name := tenantName(t)
+		for k := range keysPerTenant {
+			c.keysByTenant[name] = append(c.keysByTenant[name], keyName(t, k))
+		}
+	}
+	return c
+}
+
+// drawKey draws a key, which may be revoked, and returns it with its tenant.
+func (c *callerState) drawKey(random *rand.Rand) (key, tenant string) {
+	tenant = tenantName(random.IntN(tenantCount))
+	return c.keysByTenant[tenant][random.IntN(keysPerTenant)], tenant
+}
+
+// chooseKeyToRevoke returns a key to revoke, at most one per tenant, or false if none is left.
+func (c *callerState) chooseKeyToRevoke() (string, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for t := range tenantCount {
+		key := keyName(t, 0)
+		if _, revoked := c.revokedKeys[key]; !revoked {
+			// From now on a daemon may reject the key. The time of revocation is set by
+			// recordRevocation.
+			c.revokedKeys[key] = time.Time{}
+			return key, true
+		}
+	}
+	return "", false
+}
+
+// recordRevocation records when the store acknowledged the revocation of a key.
+func (c *callerState) recordRevocation(key string, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.revokedKeys[key] = at
+}
+
+func (c *callerState) isRevoked(key string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, revoked := c.revokedKeys[key]
+	return revoked
+}
+
+func (c *callerState) revokedAt(key string) (time.Time, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	at, revoked := c.revokedKeys[key]
+	return at, revoked && !at.IsZero()
+}
+
+func (c *callerState) markRoutePublished() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.routePublished = true
+}
+
+func (c *callerState) isRoutePublished() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.routePublished
+}
+
+func incarnationName(d *daemon, incarnation int) string {
+	return fmt.Sprintf("%s/%d", d.settings.Name, incarnation)
+}
+
+// recordRouteServed records that an incarnation of a daemon served the added route.
+func (c *callerState) recordRouteServed(d *daemon, incarnation int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now, _ := d.status(); now != incarnation {
+		return
+	}
+	name := incarnationName(d, incarnation)
+	if _, known := c.routeServedSince[name]; !known {
+		c.routeServedSince[name] = time.Now()
+	}
+}
+
+// hadServedRoute reports whether an incarnation of a daemon had served the added route by a time.
+// It returns false if the daemon has been restarted since.
+func (c *callerState) hadServedRoute(d *daemon, incarnation int, by time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	at, known := c.routeServedSince[incarnationName(d, incarnation)]
+	now, _ := d.status()
+	return known && at.Before(by) && now == incarnation
+}
+
+// recordNotExecuted records a request whose response guarantees that it was not and will not be
+// executed.
+func (c *callerState) recordNotExecuted(request string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.notExecuted = append(c.notExecuted, request)
+}
+
+func (c *callerState) recordOutcome(result string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.outcomes = append(c.outcomes, outcome{endedAt: time.Now(), result: result})
+}
+
+// countServed returns how many requests were served since a time, and how many ended in all.
+// Responses with status 401 are left out.
+func (c *callerState) countServed(since time.Time) (served, all int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, o := range c.outcomes {
+		if o.endedAt.Before(since) || o.result == "401" {
+			continue
+		}
+		all++
+		if o.result == "served" {
+			served++
+		}
+	}
+	return served, all
+}
+
+// countByResult returns the number of requests by result.
+func (c *callerState) countByResult() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	counts := make(map[string]int)
+	for _, o := range c.outcomes {
+		counts[o.result]++
+	}
+	return counts
+}
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -13,67 +13,67 @@
 )
 
 const (
-	// crashLeast and crashSpread are the pauses between two copies of the request that ends
-	// workers.
-	crashLeast  = 100 * time.Millisecond
-	crashSpread = 400 * time.Millisecond
-	// crashBack is how long after its end a worker is back.
-	crashBack = 2 * time.Second
+	// minCrashPause and crashPauseSpread bound the random pause between two crashing requests.
+	minCrashPause    = 100 * time.Millisecond
+	crashPauseSpread = 400 * time.Millisecond
+	// minCrashDowntime is the least time until a crashed worker restarts. It takes at most twice
+	// as long.
+	minCrashDowntime = 2 * time.Second
 )
 
-// sendCrashing sends copies of a request that ends each worker which runs it, at any daemon,
-// until ctx ends.
-func (r *run) sendCrashing(ctx context.Context) {
-	const number = 1000
-	c := newCaller(r, number)
+// sendCrashingRequests sends copies of a request that crashes every worker that executes it, to
+// random daemons, until ctx is done.
+func (r *run) sendCrashingRequests(ctx context.Context) {
+	const crashingCallerNumber = 1000
+	c := newCaller(r, crashingCallerNumber)
 	for ctx.Err() == nil {
-		time.Sleep(crashLeast + time.Duration(c.random.Int64N(int64(crashSpread))))
-		c.at = nil
-		if d := c.choose(ctx); d != nil {
-			c.sendCopy(ctx, d)
+		time.Sleep(minCrashPause + time.Duration(c.random.Int64N(int64(crashPauseSpread))))
+		c.daemon = nil
+		if d := c.chooseDaemon(ctx); d != nil {
+			c.sendCrashingRequest(ctx, d)
 		}
 	}
 }
 
-// sendCopy sends a copy by a daemon. What it is answered counts for nothing but the promise
-// that it did not run.
-func (c *caller) sendCopy(ctx context.Context, d *daemon) {
-	c.sent++
-	copied := &call{id: fmt.Sprintf("c%d-%d", c.number, c.sent), kind: standin.Stream, daemon: d, events: eventsLeast, sentAt: time.Now(), key: keyName(1, 1)}
-	copied.life, _ = d.status()
-	c.run.ledger.Sent(copied.id, copied.kind, tenantName(1), copied.sender())
+// sendCrashingRequest sends one crashing request to a daemon. It records responses that guarantee
+// that the request was not executed, and reports a response with status 200 as a violation.
+func (c *caller) sendCrashingRequest(ctx context.Context, d *daemon) {
+	c.sentCount++
+	crashing := &call{id: fmt.Sprintf("c%d-%d", c.number, c.sentCount), kind: standin.Stream, daemon: d, events: minEvents, sentAt: time.Now(), key: keyName(1, 1)}
+	crashing.incarnation, _ = d.status()
+	c.run.ledger.Sent(crashing.id, crashing.kind, tenantName(1), crashing.sender())
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := c.request(ctx, copied)
+	request := c.request(ctx, crashing)
 	request.Body = io.NopCloser(strings.NewReader(standin.CrashBody))
 	response, err := c.client.Do(request)
 	if err != nil {
-		// A daemon may have ended, or the copy have ended a worker within its answer.
+		// The daemon may have been killed, or the worker may have crashed during its answer.
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		c.run.callers.promised(copied.id)
+		c.run.callers.recordNotExecuted(crashing.id)
 	case http.StatusOK:
-		c.run.ledger.Broken("CRASH", "%s, which ends each worker, was answered with 200", copied.id)
+		c.run.ledger.Broken("CRASH", "%s, which ends each worker, was answered with 200", crashing.id)
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// workerEnded lets nobody listen any more where a worker was.
-func (r *run) workerEnded(w *standin.Worker) {
-	if link := r.linkOf(w); link != nil {
+// closeWorkerLink closes the proxy of a worker that has ended.
+func (r *run) closeWorkerLink(w *standin.Worker) {
+	if link := r.proxyOf(w); link != nil {
 		link.close()
 	}
 }
 
-// workerCrashed brings a worker back that a request ended.
-func (r *run) workerCrashed(w *standin.Worker) {
-	back := crashBack + time.Duration(rand.Int64N(int64(crashBack)))
-	time.AfterFunc(back, func() {
-		if !r.isOver() {
-			r.restart(w)
+// scheduleRestart restarts a worker that a request crashed, after a random delay.
+func (r *run) scheduleRestart(w *standin.Worker) {
+	delay := minCrashDowntime + time.Duration(rand.Int64N(int64(minCrashDowntime)))
+	time.AfterFunc(delay, func() {
+		if !r.isClosing() {
+			r.restartWorker(w)
 		}
 	})
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -12,88 +12,93 @@
 	"quartzshelf.dev/platform/standin"
 )
 
-// strike harms the system until the returned function mends it.
-type strike func(r *run, random *rand.Rand) (mend func())
+// injectFunc injects a fault and returns the function that ends it.
+type injectFunc func(r *run, random *rand.Rand) (revert func())
 
 // fault is one kind of fault.
 type fault struct {
-	strike strike
-	// blinds tells that it may keep daemons from learning what the store knows.
-	blinds bool
-	// least is the least time that it lasts.
-	least time.Duration
+	inject injectFunc
+	// blocksUpdates means that the fault may keep daemons from reading updates in the store.
+	blocksUpdates bool
+	// minDuration is the least time for which the fault lasts.
+	minDuration time.Duration
 }
 
-// longAway is long enough for keys that were taken away to be void everywhere.
-const longAway = revokeBound + 3*time.Second
+// minRevocationOutage exceeds the time after which daemons must reject a key that was revoked at the
+// start of the outage.
+const minRevocationOutage = revocationBound + 3*time.Second
 
 const (
-	// longLate is long enough for orders to come late to groups that were formed,
-	// dissolved and formed again meanwhile.
-	longLate = 10 * time.Second
-	// crashEvery is the time between two crashes in it: groups are formed again
-	// in about a second while most orders get no answer.
-	crashEvery = 1500 * time.Millisecond
+	// minLateOrdersDuration gives groups time to dissolve and form again while orders of the
+	// earlier formation are still delayed.
+	minLateOrdersDuration = 10 * time.Second
+	// crashInterval is the time between two crashes while orders are delayed. It exceeds the
+	// usual time to form a group.
+	crashInterval = 1500 * time.Millisecond
 )
 
-// faults holds all kinds of faults by name.
+// faults holds the faults of the series that run in every soak, by name.
 var faults = map[string]fault{
-	"daemon-kill":          {blinds: true, strike: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, 1) }},
-	"daemon-kill-many":     {blinds: true, strike: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, len(r.daemons)) }},
-	"daemon-freeze":        {blinds: true, strike: func(r *run, random *rand.Rand) func() { return r.freeze(r.anyDaemon(random)) }},
-	"leader-kill":          {blinds: true, strike: func(r *run, _ *rand.Rand) func() { r.leader().kill(false); return nothing }},
-	"leader-freeze":        {blinds: true, strike: func(r *run, _ *rand.Rand) func() { return r.freeze(r.leader()) }},
-	"daemon-stop":          {strike: (*run).stopDaemon},
-	"store-silent":         {blinds: true, strike: storeFault(standin.Faults{Silent: true})},
-	"store-busy":           {blinds: true, strike: storeFault(standin.Faults{Status: http.StatusServiceUnavailable})},
-	"store-reset":          {blinds: true, strike: storeFault(standin.Faults{Reset: true})},
-	"store-slow":           {blinds: true, strike: storeFault(standin.Faults{Slow: 250 * time.Millisecond})},
-	"store-loses":          {blinds: true, strike: storeFault(standin.Faults{Lose: 0.4, LoseLate: 0.2})},
-	"store-lapse":          {blinds: true, strike: (*run).lapse},
-	"store-revokes":        {blinds: true, strike: (*run).revokeUnseen, least: longAway},
-	"store-forgets":        {strike: (*run).forget},
-	"store-turns-away":     {blinds: true, strike: func(r *run, random *rand.Rand) func() { return r.harm(r.anyDaemon(random).store, random) }},
-	"store-turns-leader":   {blinds: true, strike: func(r *run, random *rand.Rand) func() { return r.harm(r.leader().store, random) }},
-	"worker-crash":         {strike: (*run).crashWorkers},
-	"workers-renewed":      {strike: (*run).renewWorkers},
-	"worker-dark":          {strike: (*run).darkenWorkers},
-	"worker-cut":           {strike: (*run).cutWorkers},
-	"worker-leaves":        {strike: (*run).drainWorker},
-	"worker-link":          {strike: (*run).harmWorkers},
-	"workers-slow":         {strike: workerFault(standin.WorkerFaults{Slow: 6})},
-	"workers-reject":       {strike: workerFault(standin.WorkerFaults{Reject: 0.4})},
-	"workers-lose-answers": {strike: workerFault(standin.WorkerFaults{Lose: 0.2, Cut: 0.2})},
-	"workers-add-answers":  {strike: workerFault(standin.WorkerFaults{Surplus: 0.3})},
-	"orders-late":          {strike: workerFault(standin.WorkerFaults{Late: 0.5})},
-	"orders-late-crashes":  {strike: (*run).lateAndCrash, least: longLate},
-	"store-conns-silent":   {blinds: true, strike: (*run).silenceStore},
-	"worker-conns-silent":  {strike: (*run).silenceWorkers},
-	"front-link":           {strike: func(r *run, random *rand.Rand) func() { return r.harm(r.anyDaemon(random).front, random) }},
-	"operator-change":      {strike: func(r *run, _ *rand.Rand) func() { r.operator.Publish(); return nothing }},
-	"operator-adds-route":  {strike: (*run).addRoute},
-	"operator-revokes":     {strike: (*run).revoke},
+	"daemon-kill":      {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, 1) }},
+	"daemon-kill-many": {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, len(r.daemons)) }},
+	"daemon-freeze":    {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.freeze(r.pickDaemon(random)) }},
+	"leader-kill":      {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { r.leader().kill(false); return noRevert }},
+	"leader-freeze":    {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { return r.freeze(r.leader()) }},
+	"daemon-stop":      {inject: (*run).stopDaemon},
+	"store-silent":     {blocksUpdates: true, inject: storeFault(standin.Faults{Silent: true})},
+	"store-busy":       {blocksUpdates: true, inject: storeFault(standin.Faults{Status: http.StatusServiceUnavailable})},
+	"store-reset":      {blocksUpdates: true, inject: storeFault(standin.Faults{Reset: true})},
+	"store-slow":       {blocksUpdates: true, inject: storeFault(standin.Faults{Slow: 250 * time.Millisecond})},
+	"store-loses":      {blocksUpdates: true, inject: storeFault(standin.Faults{Lose: 0.4, LoseLate: 0.2})},
+	"store-lapse":      {blocksUpdates: true, inject: (*run).dropWorkerList},
+	"store-revokes":    {blocksUpdates: true, inject: (*run).revokeKeyDuringOutage, minDuration: minRevocationOutage},
+	"store-forgets":    {inject: (*run).trimStore},
+	"store-turns-away": {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() {
+		return r.injectLinkFault(r.pickDaemon(random).storeProxy, random)
+	}},
+	"store-turns-leader":   {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.injectLinkFault(r.leader().storeProxy, random) }},
+	"worker-crash":         {inject: (*run).crashWorkers},
+	"workers-renewed":      {inject: (*run).replaceHalfOfWorkers},
+	"worker-dark":          {inject: (*run).makeWorkersUnreachable},
+	"worker-cut":           {inject: (*run).cutWorkersFromStore},
+	"worker-leaves":        {inject: (*run).drainWorker},
+	"worker-link":          {inject: (*run).injectWorkerLinkFaults},
+	"workers-slow":         {inject: workerFault(standin.WorkerFaults{Slow: 6})},
+	"workers-reject":       {inject: workerFault(standin.WorkerFaults{Reject: 0.4})},
+	"workers-lose-answers": {inject: workerFault(standin.WorkerFaults{Lose: 0.2, Cut: 0.2})},
+	"workers-add-answers":  {inject: workerFault(standin.WorkerFaults{Surplus: 0.3})},
+	"orders-late":          {inject: workerFault(standin.WorkerFaults{Late: 0.5})},
+	"orders-late-crashes":  {inject: (*run).delayOrdersAndCrash, minDuration: minLateOrdersDuration},
+	"store-conns-silent":   {blocksUpdates: true, inject: (*run).silenceStoreConnections},
+	"worker-conns-silent":  {inject: (*run).silenceWorkerConnections},
+	"front-link": {inject: func(r *run, random *rand.Rand) func() {
+		return r.injectLinkFault(r.pickDaemon(random).frontProxy, random)
+	}},
+	"operator-change":     {inject: func(r *run, _ *rand.Rand) func() { r.operator.Publish(); return noRevert }},
+	"operator-adds-route": {inject: (*run).addRoute},
+	"operator-revokes":    {inject: (*run).revokeKey},
 }
 
 func faultNames() []string { return slices.Sorted(maps.Keys(faults)) }
 
-func nothing() {}
+func noRevert() {}
 
-func (r *run) anyDaemon(random *rand.Rand) *daemon { return r.daemons[random.IntN(len(r.daemons))] }
+func (r *run) pickDaemon(random *rand.Rand) *daemon { return r.daemons[random.IntN(len(r.daemons))] }
 
-// killDaemons kills up to most daemons; some stay off for the fault's time.
-func (r *run) killDaemons(random *rand.Rand, most int) func() {
-	var off []*daemon
-	for _, i := range random.Perm(len(r.daemons))[:1+random.IntN(most)] {
+// killDaemons kills up to maxCount daemons. Some of them stay down until the fault ends.
+func (r *run) killDaemons(random *rand.Rand, maxCount int) func() {
+	var down []*daemon
+	for _, i := range random.Perm(len(r.daemons))[:1+random.IntN(maxCount)] {
 		d := r.daemons[i]
-		stays := random.IntN(2) == 0
-		d.kill(stays)
-		if stays {
-			off = append(off, d)
+		staysDown := random.IntN(2) == 0
+		d.kill(staysDown)
+		if staysDown {
+			down = append(down, d)
 		}
 	}
 	return func() {
-		for _, d := range off {
-			r.check(d.revive())
+		for _, d := range down {
+			r.recordError(d.enableRestart())
 		}
 	}
 }
@@ -109,92 +114,93 @@
 	return func() { set(false, syscall.SIGCONT) }
 }
 
-// stopDaemon stops a daemon as planned; it starts again by itself.
+// stopDaemon stops a daemon by SIGTERM, after which it is restarted. Ending the fault waits for
+// the stop.
 func (r *run) stopDaemon(random *rand.Rand) func() {
-	d := r.anyDaemon(random)
+	d := r.pickDaemon(random)
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		started := time.Now()
-		if !d.stop() && d.quietSince(started) {
+		if !d.stop() && d.undisturbedSince(started) {
 			r.ledger.Broken("STOP", "%s did not end within its grace", d.settings.Name)
 		}
 	}()
 	return func() { <-stopped }
 }
 
-// storeFault returns a fault of the whole store.
-func storeFault(f standin.Faults) strike {
+// storeFault returns a function that injects faults into the store for all daemons.
+func storeFault(f standin.Faults) injectFunc {
 	return func(r *run, _ *rand.Rand) func() {
 		r.store.SetFaults(f)
 		return func() { r.store.SetFaults(standin.Faults{}) }
 	}
 }
 
-// lapse takes the store away, and the workers' entries with it.
-func (r *run) lapse(*rand.Rand) func() {
+// dropWorkerList makes the store unavailable and drops the entries of all workers.
+func (r *run) dropWorkerList(*rand.Rand) func() {
 	r.store.SetFaults(standin.Faults{Silent: true})
 	r.fabric.Lapse()
 	return func() { r.store.SetFaults(standin.Faults{}) }
 }
 
-// revokeUnseen takes a key away while no daemon reaches the store.
-func (r *run) revokeUnseen(random *rand.Rand) func() {
-	// Reads that wait already are still answered.
-	const waitingReads = 500 * time.Millisecond
+// revokeKeyDuringOutage revokes a key while no daemon can read the store.
+func (r *run) revokeKeyDuringOutage(random *rand.Rand) func() {
+	// Reads that were waiting when the outage began are still answered.
+	const pendingReadTime = 500 * time.Millisecond
 	r.store.SetFaults(standin.Faults{Silent: true})
-	time.Sleep(waitingReads)
-	r.revoke(random)
+	time.Sleep(pendingReadTime)
+	r.revokeKey(random)
 	return func() { r.store.SetFaults(standin.Faults{}) }
 }
 
-func (r *run) forget(*rand.Rand) func() {
+func (r *run) trimStore(*rand.Rand) func() {
 	r.store.Forget(standin.TopicWorkers)
 	r.store.Forget(standin.TopicOperator)
-	return nothing
+	return noRevert
 }
 
-// harm harms a link in some way.
-func (r *run) harm(p *proxy, random *rand.Rand) func() {
-	kinds := []linkFault{linkSilent, linkOneWay, linkReset, linkSlow, linkNarrow}
-	p.set(kinds[random.IntN(len(kinds))])
-	return func() { p.set(linkSound) }
+// injectLinkFault sets a random fault on a proxy.
+func (r *run) injectLinkFault(p *proxy, random *rand.Rand) func() {
+	kinds := []linkFault{linkSilent, linkOneWay, linkReset, linkSlow, linkLowBandwidth}
+	p.setFault(kinds[random.IntN(len(kinds))])
+	return func() { p.setFault(linkHealthy) }
 }
 
-// workerFault returns a fault of all workers.
-func workerFault(f standin.WorkerFaults) strike {
+// workerFault returns a function that injects faults into all workers.
+func workerFault(f standin.WorkerFaults) injectFunc {
 	return func(r *run, _ *rand.Rand) func() {
 		r.fabric.SetFaults(f)
 		return func() { r.fabric.SetFaults(standin.WorkerFaults{}) }
 	}
 }
 
-// someWorkers picks a few workers that live.
-func (r *run) someWorkers(random *rand.Rand) []*standin.Worker {
-	const most = 3
+// pickWorkers picks one to three of the running model workers.
+func (r *run) pickWorkers(random *rand.Rand) []*standin.Worker {
+	const maxWorkers = 3
 	all := r.fabric.Workers(standin.ModelService)
 	slices.SortFunc(all, func(a, b *standin.Worker) int { return cmp.Compare(a.ID(), b.ID()) })
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:min(len(all), 1+random.IntN(most))]
+	return all[:min(len(all), 1+random.IntN(maxWorkers))]
 }
 
-// crashWorkers ends workers; others take their places when it is mended.
+// crashWorkers crashes a few workers and restarts or replaces them when the fault ends.
 func (r *run) crashWorkers(random *rand.Rand) func() {
-	struck := r.someWorkers(random)
-	for _, w := range struck {
+	crashed := r.pickWorkers(random)
+	for _, w := range crashed {
 		w.Crash()
 	}
 	return func() {
-		for _, w := range struck {
-			r.restart(w)
+		for _, w := range crashed {
+			r.restartWorker(w)
 		}
 	}
 }
 
-// lateAndCrash lets most orders be carried out late and meanwhile crashes one
-// worker after the other, so that groups are dissolved and formed again.
-func (r *run) lateAndCrash(random *rand.Rand) func() {
-	late := workerFault(standin.WorkerFaults{Late: 0.8})(r, random)
+// delayOrdersAndCrash delays most orders to workers and crashes a worker at regular intervals, so
+// that groups are dissolved and formed again while orders are pending.
+func (r *run) delayOrdersAndCrash(random *rand.Rand) func() {
+	revertDelay := workerFault(standin.WorkerFaults{Late: 0.8})(r, random)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -202,114 +208,113 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(crashEvery):
+			case <-time.After(crashInterval):
 			}
 			all := r.fabric.Workers(standin.ModelService)
 			w := all[random.IntN(len(all))]
 			w.Crash()
-			r.restart(w)
+			r.restartWorker(w)
 		}
 	}()
 	return func() {
 		close(stop)
 		<-done
-		late()
+		revertDelay()
 	}
 }
 
-// renewWorkers ends half of the workers and starts empty ones in their places,
-// which all have to load.
-func (r *run) renewWorkers(random *rand.Rand) func() {
+// replaceHalfOfWorkers crashes half of the model workers and restarts or replaces them at once.
+func (r *run) replaceHalfOfWorkers(random *rand.Rand) func() {
 	all := r.fabric.Workers(standin.ModelService)
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, w := range all[:len(all)/2] {
 		w.Crash()
-		r.restart(w)
+		r.restartWorker(w)
 	}
-	return nothing
+	return noRevert
 }
 
-func (r *run) darkenWorkers(random *rand.Rand) func() {
-	struck := r.someWorkers(random)
-	set := func(dark bool, link linkFault) {
-		for _, w := range struck {
-			w.Darken(dark)
-			r.linkOf(w).set(link)
+func (r *run) makeWorkersUnreachable(random *rand.Rand) func() {
+	affected := r.pickWorkers(random)
+	set := func(silent bool, link linkFault) {
+		for _, w := range affected {
+			w.Darken(silent)
+			r.proxyOf(w).setFault(link)
 		}
 	}
 	set(true, linkSilent)
-	return func() { set(false, linkSound) }
+	return func() { set(false, linkHealthy) }
 }
 
-func (r *run) cutWorkers(random *rand.Rand) func() {
-	struck := r.someWorkers(random)
-	for _, w := range struck {
+func (r *run) cutWorkersFromStore(random *rand.Rand) func() {
+	affected := r.pickWorkers(random)
+	for _, w := range affected {
 		w.Cut(true)
 	}
 	return func() {
-		for _, w := range struck {
+		for _, w := range affected {
 			w.Cut(false)
 		}
 	}
 }
 
-// drainWorker lets a worker leave as planned; another one takes its place.
+// drainWorker drains a worker after starting its replacement.
 func (r *run) drainWorker(random *rand.Rand) func() {
-	all := r.someWorkers(random)
+	all := r.pickWorkers(random)
 	if random.IntN(2) == 0 {
 		all = r.fabric.Workers(standin.PlainService)
 	}
 	if len(all) == 0 {
-		return nothing
+		return noRevert
 	}
-	r.replace(all[0])
+	r.replaceWorker(all[0])
 	all[0].Drain()
-	return nothing
+	return noRevert
 }
 
-func (r *run) harmWorkers(random *rand.Rand) func() {
-	var mends []func()
-	for _, w := range r.someWorkers(random) {
-		mends = append(mends, r.harm(r.linkOf(w), random))
+func (r *run) injectWorkerLinkFaults(random *rand.Rand) func() {
+	var reverts []func()
+	for _, w := range r.pickWorkers(random) {
+		reverts = append(reverts, r.injectLinkFault(r.proxyOf(w), random))
 	}
 	return func() {
-		for _, mend := range mends {
-			mend()
+		for _, revert := range reverts {
+			revert()
 		}
 	}
 }
 
-// silenceStore lets the connections of all daemons to the store go silent for good.
-func (r *run) silenceStore(*rand.Rand) func() {
+// silenceStoreConnections permanently silences the open connections of all daemons to the store.
+func (r *run) silenceStoreConnections(*rand.Rand) func() {
 	for _, d := range r.daemons {
-		d.store.silence()
+		d.storeProxy.silenceConnections()
 	}
-	return nothing
+	return noRevert
 }
 
-// silenceWorkers does the same to the connections to a few workers.
-func (r *run) silenceWorkers(random *rand.Rand) func() {
-	for _, w := range r.someWorkers(random) {
-		r.linkOf(w).silence()
+// silenceWorkerConnections permanently silences the open connections to a few workers.
+func (r *run) silenceWorkerConnections(random *rand.Rand) func() {
+	for _, w := range r.pickWorkers(random) {
+		r.proxyOf(w).silenceConnections()
 	}
-	return nothing
+	return noRevert
 }
 
 func (r *run) addRoute(*rand.Rand) func() {
-	r.once.Do(func() {
+	r.addRouteOnce.Do(func() {
 		r.operator.AddRoute()
 		r.operator.Publish()
-		r.callers.routeAdded()
+		r.callers.markRoutePublished()
 	})
-	return nothing
+	return noRevert
 }
 
-// revoke takes away the oldest key that is in use, and leaves some.
-func (r *run) revoke(*rand.Rand) func() {
-	if key, ok := r.callers.revokeKey(); ok {
+// revokeKey revokes the next key that may be revoked, if one is left.
+func (r *run) revokeKey(*rand.Rand) func() {
+	if key, ok := r.callers.chooseKeyToRevoke(); ok {
 		r.operator.Revoke(key)
 		r.operator.Publish()
-		r.callers.revoked(key, time.Now())
+		r.callers.recordRevocation(key, time.Now())
 	}
-	return nothing
+	return noRevert
 }
--- a/soak/halls.go
+++ b/soak/halls.go
@@ -11,37 +11,36 @@
 )
 
 const (
-	// hallCount is how many data halls there are; the last one is in a region of its own.
+	// hallCount is the number of data halls. The last one is in a region of its own.
 	hallCount = 3
-	// emptyBound is the time after which a closed hall must be empty.
-	emptyBound = 3 * time.Second
-	// longClosed is long enough for a closed hall to be checked, and its opening.
-	longClosed = emptyBound + 4*time.Second
+	// hallEmptyBound is the time after which a closed hall must have no requests left.
+	hallEmptyBound = 3 * time.Second
+	// minClosedDuration leaves time to check a hall after hallEmptyBound has passed.
+	minClosedDuration = hallEmptyBound + 4*time.Second
 )
 
-// warmUp is what cold workers bear: with some nine replicas and 50 requests a second, six
-// a second come to each on average.
+// warmUp limits the request rate of cold workers. The limit exceeds the average rate per replica.
 var warmUp = standin.WarmUp{For: 1500 * time.Millisecond, PerSecond: 10, Burst: 1.5, Slack: 5}
 
-// hallFaults holds the kinds of faults of data halls by name.
+// hallFaults holds the faults of data halls, by name.
 var hallFaults = map[string]fault{
-	"hall-closed":       {strike: closeHalls(1), least: longClosed},
-	"halls-closed":      {strike: closeHalls(hallCount - 1), least: longClosed},
-	"halls-all-closed":  {strike: closeHalls(hallCount), least: longClosed},
-	"hall-flips":        {strike: (*run).flipHall},
-	"hall-lost":         {blinds: true, strike: (*run).loseHall},
-	"hall-cold":         {strike: (*run).renewHall},
-	"hall-unclear":      {strike: (*run).unclearHall},
-	"hall-name-unknown": {strike: (*run).unknownHall},
+	"hall-closed":       {inject: closeHalls(1), minDuration: minClosedDuration},
+	"halls-closed":      {inject: closeHalls(hallCount - 1), minDuration: minClosedDuration},
+	"halls-all-closed":  {inject: closeHalls(hallCount), minDuration: minClosedDuration},
+	"hall-flips":        {inject: (*run).toggleHall},
+	"hall-lost":         {blocksUpdates: true, inject: (*run).failHall},
+	"hall-cold":         {inject: (*run).replaceHallWorkers},
+	"hall-unclear":      {inject: (*run).writeInvalidHallEntry},
+	"hall-name-unknown": {inject: (*run).closeUnknownHall},
 }
 
 func hallFaultNames() []string { return slices.Sorted(maps.Keys(hallFaults)) }
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-// hallOf returns the hall of a domain or a plain worker; empty where halls are not told
-// apart by domain.
-func (r *run) hallOf(i int) string {
+// hallForIndex returns the data hall of the ith domain or plain worker, or "" if the soak plays no
+// faults of data halls.
+func (r *run) hallForIndex(i int) string {
 	if !r.opts.Halls {
 		return ""
 	}
@@ -55,8 +54,8 @@
 	return zoneName(i % 2)
 }
 
-// zones returns the names of all data halls, which daemons know by their settings.
-func (r *run) zones() []string {
+// zoneNames returns the names of the data halls in which daemons run, for the daemons' settings.
+func (r *run) zoneNames() []string {
 	var all []string
 	for i := range r.opts.Daemons {
 		if zone := r.zoneOfDaemon(i); !slices.Contains(all, zone) {
@@ -66,14 +65,14 @@
 	return all
 }
 
-// halls returns what is demanded of data halls.
-func (r *run) halls() standin.Halls {
+// hallRules returns the regions and bounds of data halls, for daemons, the operator and the checks.
+func (r *run) hallRules() standin.Halls {
 	if !r.opts.Halls {
 		return standin.Halls{}
 	}
 	h := standin.Halls{
 		Regions: make(map[string]string), Allowed: map[string][]string{tenantName(0): {"region-0"}},
-		Empty: emptyBound, WarmUp: warmUp,
+		Empty: hallEmptyBound, WarmUp: warmUp,
 	}
 	for i := range hallCount {
 		h.Regions[zoneName(i)] = "region-0"
@@ -92,8 +91,8 @@
 	r.operator.OpenHall(hall)
 }
 
-// closeHalls returns a fault that closes some halls.
-func closeHalls(count int) strike {
+// closeHalls returns a function that closes count random halls until the fault ends.
+func closeHalls(count int) injectFunc {
 	return func(r *run, random *rand.Rand) func() {
 		halls := random.Perm(hallCount)[:count]
 		for _, i := range halls {
@@ -107,14 +106,14 @@
 	}
 }
 
-// flipHall closes and opens a hall within a second, and closes it again.
-func (r *run) flipHall(random *rand.Rand) func() {
-	const moment = 300 * time.Millisecond
+// toggleHall closes, opens and closes a hall within a second. It opens when the fault ends.
+func (r *run) toggleHall(random *rand.Rand) func() {
+	const toggleInterval = 300 * time.Millisecond
 	hall := zoneName(random.IntN(hallCount))
 	r.closeHall(hall)
-	time.Sleep(moment)
+	time.Sleep(toggleInterval)
 	r.openHall(hall)
-	time.Sleep(moment)
+	time.Sleep(toggleInterval)
 	r.closeHall(hall)
 	return func() { r.openHall(hall) }
 }
@@ -124,48 +123,49 @@
 	return slices.DeleteFunc(r.fabric.Workers(standin.ModelService), func(w *standin.Worker) bool { return w.Spec().Zone != hall })
 }
 
-// loseHall ends all workers and daemons of a hall at once; all come back together.
-func (r *run) loseHall(random *rand.Rand) func() {
+// failHall crashes all model workers and kills all daemons of a hall, and restarts them together
+// when the fault ends.
+func (r *run) failHall(random *rand.Rand) func() {
 	hall := zoneName(random.IntN(hallCount))
-	lost := r.workersIn(hall)
-	for _, w := range lost {
+	crashed := r.workersIn(hall)
+	for _, w := range crashed {
 		w.Crash()
 	}
-	var off []*daemon
+	var down []*daemon
 	for _, d := range r.daemons {
 		if d.settings.Zone == hall {
 			d.kill(true)
-			off = append(off, d)
+			down = append(down, d)
 		}
 	}
 	return func() {
-		for _, w := range lost {
-			r.restart(w)
+		for _, w := range crashed {
+			r.restartWorker(w)
 		}
-		for _, d := range off {
-			r.check(d.revive())
+		for _, d := range down {
+			r.recordError(d.enableRestart())
 		}
 	}
 }
 
-// renewHall ends all workers of a hall and starts empty, cold ones in their places.
-func (r *run) renewHall(random *rand.Rand) func() {
+// replaceHallWorkers crashes all model workers of a hall and starts empty, cold ones in their place.
+func (r *run) replaceHallWorkers(random *rand.Rand) func() {
 	for _, w := range r.workersIn(zoneName(random.IntN(hallCount))) {
 		w.Crash()
-		r.replace(w)
+		r.replaceWorker(w)
 	}
-	return nothing
+	return noRevert
 }
 
-// unclearHall writes an entry of a hall that is not one; it must change nothing.
-func (r *run) unclearHall(random *rand.Rand) func() {
+// writeInvalidHallEntry publishes an invalid entry for a hall, which daemons must ignore.
+func (r *run) writeInvalidHallEntry(random *rand.Rand) func() {
 	hall := zoneName(random.IntN(hallCount))
 	r.operator.PutHall(hall, []byte("no entry"))
 	return func() { r.operator.OpenHall(hall) }
 }
 
-// unknownHall closes a hall that does not exist.
-func (r *run) unknownHall(*rand.Rand) func() {
+// closeUnknownHall closes a hall that does not exist.
+func (r *run) closeUnknownHall(*rand.Rand) func() {
 	r.operator.CloseHall("nowhere")
 	return func() { r.operator.OpenHall("nowhere") }
 }
--- a/soak/mix.go
+++ b/soak/mix.go
@@ -1,37 +1,38 @@
 package soak
 
-// Mix is how daemons of an earlier build and of this one run side by side.
+// Mix determines which daemons run an earlier build, and in which of their incarnations.
 type Mix string
 
 // The mixes.
 const (
-	// Half runs the earlier build in every second daemon for good, the first one included.
-	Half Mix = "half"
-	// Replaced begins with the earlier build and has each daemon replaced when it starts again.
-	Replaced Mix = "replaced"
-	// TakenBack does the same, and takes every second start after that back.
-	TakenBack Mix = "back"
+	// MixHalf always runs the earlier build in the daemons with even numbers.
+	MixHalf Mix = "half"
+	// MixReplaced runs the earlier build in the first incarnation of each daemon only.
+	MixReplaced Mix = "replaced"
+	// MixTakenBack alternates the builds with each start, beginning with the earlier one.
+	MixTakenBack Mix = "back"
 )
 
-// programOf returns the programs of a daemon's lives, of which the first is 1.
-func (o Options) programOf(daemon int) func(life int) string {
+// programsOf returns a function from the incarnations of a daemon, counted from 1, to the paths of
+// their programs.
+func (o Options) programsOf(daemon int) func(incarnation int) string {
 	return func(life int) string {
-		if o.Earlier != "" && o.Mix.isEarlier(daemon, life) {
+		if o.Earlier != "" && o.Mix.usesEarlierBuild(daemon, life) {
 			return o.Earlier
 		}
 		return o.Program
 	}
 }
 
-// isEarlier reports whether a life of a daemon is of the earlier build.
-func (m Mix) isEarlier(daemon, life int) bool {
+// usesEarlierBuild reports whether an incarnation of a daemon runs the earlier build.
+func (m Mix) usesEarlierBuild(daemon, incarnation int) bool {
 	switch m {
-	case Half:
+	case MixHalf:
 		return daemon%2 == 0
-	case Replaced:
-		return life == 1
-	case TakenBack:
-		return life%2 == 1
+	case MixReplaced:
+		return incarnation == 1
+	case MixTakenBack:
+		return incarnation%2 == 1
 	}
 	return false
 }
--- a/soak/mix_test.go
+++ b/soak/mix_test.go
@@ -12,18 +12,18 @@
 		daemon, life int
 		want         string
 	}{
-		"one build":                      {Options{Program: "now", Mix: Half}, 0, 1, "now"},
-		"half, an even one":              {Options{Program: "now", Earlier: "before", Mix: Half}, 2, 3, "before"},
-		"half, an odd one":               {Options{Program: "now", Earlier: "before", Mix: Half}, 3, 1, "now"},
-		"replaced, its first life":       {Options{Program: "now", Earlier: "before", Mix: Replaced}, 3, 1, "before"},
-		"replaced, a later life":         {Options{Program: "now", Earlier: "before", Mix: Replaced}, 2, 2, "now"},
-		"taken back, the second time":    {Options{Program: "now", Earlier: "before", Mix: TakenBack}, 2, 3, "before"},
-		"taken back, between the two":    {Options{Program: "now", Earlier: "before", Mix: TakenBack}, 2, 2, "now"},
+		"one build":                      {Options{Program: "now", Mix: MixHalf}, 0, 1, "now"},
+		"half, an even one":              {Options{Program: "now", Earlier: "before", Mix: MixHalf}, 2, 3, "before"},
+		"half, an odd one":               {Options{Program: "now", Earlier: "before", Mix: MixHalf}, 3, 1, "now"},
+		"replaced, its first life":       {Options{Program: "now", Earlier: "before", Mix: MixReplaced}, 3, 1, "before"},
+		"replaced, a later life":         {Options{Program: "now", Earlier: "before", Mix: MixReplaced}, 2, 2, "now"},
+		"taken back, the second time":    {Options{Program: "now", Earlier: "before", Mix: MixTakenBack}, 2, 3, "before"},
+		"taken back, between the two":    {Options{Program: "now", Earlier: "before", Mix: MixTakenBack}, 2, 2, "now"},
 		"an earlier build without a mix": {Options{Program: "now", Earlier: "before"}, 0, 1, "now"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.opts.programOf(test.daemon)(test.life), test.want)
+			assert.Equal(t, test.opts.programsOf(test.daemon)(test.life), test.want)
 		})
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -16,35 +16,35 @@
 	"quartzshelf.dev/platform/standin"
 )
 
-// restartAfter is how long after its end a daemon is started again.
-const restartAfter = 200 * time.Millisecond
+// restartDelay is the time between the exit of a daemon and its restart.
+const restartDelay = 200 * time.Millisecond
 
-// daemon is one daemon over all its lives, each a process of its own.
+// daemon is one daemon, including its restarts. Each incarnation is a process of its own.
 type daemon struct {
 	settings standin.DaemonSettings
-	// program returns the program of a life, of which the first is 1.
-	program func(life int) string
-	// file holds the settings, log what the lives wrote.
-	file string
-	log  *os.File
-	// front, directory and store are the links to and from it.
-	front, directory, store *proxy
-	led                     func(d *daemon)
+	// programOf returns the path of the program for an incarnation. The first one is 1.
+	programOf func(incarnation int) string
+	// settingsFile is the path of the settings; log gets the output of all incarnations.
+	settingsFile string
+	log          *os.File
+	// frontProxy and directory are the links of callers to the daemon, store is its link to the store.
+	frontProxy, directoryProxy, storeProxy *proxy
+	onLeading                              func(d *daemon)
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{}
-	life    int
-	// held tells that it is not to be started again, frozen that it stands
-	// still, stopping that it was told to stop.
-	held, frozen, stopping bool
-	// harmedAt is when it was last killed, frozen or woken.
-	harmedAt time.Time
-	// strangeEnds counts the ends that nobody asked for.
-	strangeEnds int
+	mu          sync.Mutex
+	command     *exec.Cmd
+	exited      chan struct{}
+	incarnation int
+	// restartDisabled keeps the daemon down. frozen is set between SIGSTOP and SIGCONT, stopping
+	// after a planned stop was requested.
+	restartDisabled, frozen, stopping bool
+	// disturbedAt is when the daemon was last killed, frozen or resumed.
+	disturbedAt time.Time
+	// unexpectedExits counts the exits that the soak did not cause.
+	unexpectedExits int
 }
 
-// freePorts returns ports of an address that the kernel chooses.
+// freePorts returns free TCP ports of an IP address.
 func freePorts(ip string, count int) ([]int, error) {
 	var ports []int
 	for range count {
@@ -58,9 +58,9 @@
 	return ports, nil
 }
 
-// prepare opens the log.
+// prepare creates the log file and sets the path of the settings.
 func (d *daemon) prepare(dir string) error {
-	d.file = filepath.Join(dir, d.settings.Name+".toml")
+	d.settingsFile = filepath.Join(dir, d.settings.Name+".toml")
 	log, err := os.Create(filepath.Join(dir, d.settings.Name+".log"))
 	if err != nil {
 		return failure.At(failure.Invalid, "open log", d.settings.Name, err)
@@ -69,20 +69,21 @@
 	return nil
 }
 
-// start begins a life.
+// start writes the settings and starts the next incarnation. It does nothing if the daemon runs or
+// its restart is disabled.
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.command != nil || d.held {
+	if d.command != nil || d.restartDisabled {
 		return nil
 	}
 	settings := d.settings
-	settings.Bootstrap = d.life == 0
-	if err := os.WriteFile(d.file, []byte(settings.Text()), 0o600); err != nil {
+	settings.Bootstrap = d.incarnation == 0
+	if err := os.WriteFile(d.settingsFile, []byte(settings.Text()), 0o600); err != nil {
 		return failure.At(failure.Invalid, "write settings", settings.Name, err)
 	}
-	command := exec.Command(d.program(d.life + 1))
-	command.Env = append(os.Environ(), standin.SettingsVariable+"="+d.file)
+	command := exec.Command(d.programOf(d.incarnation + 1))
+	command.Env = append(os.Environ(), standin.SettingsVariable+"="+d.settingsFile)
 	command.Stderr = d.log
 	output, err := command.StdoutPipe()
 	if err == nil {
@@ -91,41 +92,41 @@
 	if err != nil {
 		return failure.At(failure.Unavailable, "start daemon", d.settings.Name, err)
 	}
-	d.life++
-	d.command, d.ended, d.stopping, d.frozen = command, make(chan struct{}), false, false
-	go d.watch(command, output, d.ended)
+	d.incarnation++
+	d.command, d.exited, d.stopping, d.frozen = command, make(chan struct{}), false, false
+	go d.watch(command, output, d.exited)
 	return nil
 }
 
-// watch keeps what a life writes and starts the next one when it has ended.
-func (d *daemon) watch(command *exec.Cmd, output io.Reader, ended chan struct{}) {
+// watch copies the output of an incarnation to the log and starts the next one after it exits.
+func (d *daemon) watch(command *exec.Cmd, output io.Reader, exited chan struct{}) {
 	lines := bufio.NewReader(output)
 	for {
 		line, err := lines.ReadString('\n')
-		// The log is for people; a line that is lost fails nothing.
+		// The log is only for diagnosis, so write errors are ignored.
 		_, _ = d.log.WriteString(line)
 		if strings.Contains(line, `"@message":"leading"`) {
-			d.led(d)
+			d.onLeading(d)
 		}
 		if err != nil {
 			break
 		}
 	}
-	// How it ended is told by who ended it.
+	// Unexpected exits are detected below, so the exit status is not needed.
 	_ = command.Wait()
 	d.mu.Lock()
-	if !d.stopping && time.Since(d.harmedAt) > time.Second {
-		d.strangeEnds++
+	if !d.stopping && time.Since(d.disturbedAt) > time.Second {
+		d.unexpectedExits++
 	}
 	d.command = nil
-	close(ended)
+	close(exited)
 	d.mu.Unlock()
-	time.Sleep(restartAfter)
-	// A daemon that cannot be started again shows as missing at the end.
+	time.Sleep(restartDelay)
+	// A failed restart has no handler here. The daemon then stays down.
 	_ = d.start()
 }
 
-// signal sends a signal to the present life, if there is one.
+// signal sends a signal to the running process, if there is one.
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,32 +134,33 @@
 		return
 	}
 	if s != syscall.SIGTERM {
-		d.harmedAt = time.Now()
+		d.disturbedAt = time.Now()
 	}
-	// A process that has just ended needs no signal.
+	// The process may have exited, so the error is ignored.
 	_ = d.command.Process.Signal(s)
 }
 
-// kill ends the present life at once; off keeps the next one from starting.
-func (d *daemon) kill(off bool) {
+// kill sends SIGKILL to the running process. stayDown disables the restart.
+func (d *daemon) kill(stayDown bool) {
 	d.mu.Lock()
-	d.held = off
+	d.restartDisabled = stayDown
 	d.mu.Unlock()
 	d.signal(syscall.SIGKILL)
 }
 
-// revive lets a daemon that was held start again.
-func (d *daemon) revive() error {
+// enableRestart starts a daemon that was kept down.
+func (d *daemon) enableRestart() error {
 	d.mu.Lock()
-	d.held = false
+	d.restartDisabled = false
 	d.mu.Unlock()
 	return d.start()
 }
 
-// stop tells a daemon to stop and reports whether it did within its grace.
+// stop sends SIGTERM and reports whether the daemon exited within its grace period. After that it
+// kills the daemon.
 func (d *daemon) stop() bool {
 	d.mu.Lock()
-	ended := d.ended
+	exited := d.exited
 	running := d.command != nil
 	d.stopping = running
 	d.mu.Unlock()
@@ -168,25 +170,25 @@
 	const slack = 500 * time.Millisecond
 	d.signal(syscall.SIGTERM)
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(d.settings.Grace + slack):
 		d.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 		return false
 	}
 }
 
-// quietSince reports whether a daemon has lived in peace since a time.
-func (d *daemon) quietSince(t time.Time) bool {
+// undisturbedSince reports whether the daemon runs and has not been killed or frozen since a time.
+func (d *daemon) undisturbedSince(t time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.command != nil && !d.frozen && d.harmedAt.Before(t)
+	return d.command != nil && !d.frozen && d.disturbedAt.Before(t)
 }
 
-// status returns which life this is and whether the daemon is told to stop.
-func (d *daemon) status() (life int, stopping bool) {
+// status returns the current incarnation and whether a planned stop was requested.
+func (d *daemon) status() (incarnation int, stopping bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life, d.stopping
+	return d.incarnation, d.stopping
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,120 +7,118 @@
 	"time"
 )
 
-// linkFault is what is wrong with a link.
+// linkFault is a fault of the network link that a proxy simulates.
 type linkFault int
 
 const (
-	linkSound linkFault = iota
-	// linkSilent holds back all bytes both ways; connections come up.
+	linkHealthy linkFault = iota
+	// linkSilent delivers no bytes in either direction, but accepts connections.
 	linkSilent
-	// linkOneWay holds back what comes back from the far side.
+	// linkOneWay delivers no bytes from the server to the client.
 	linkOneWay
-	// linkReset resets connections, the open ones and the new ones.
+	// linkReset resets open and new connections.
 	linkReset
-	// linkSlow delays every piece of bytes.
+	// linkSlow delays every chunk of data by linkDelay.
 	linkSlow
-	// linkNarrow carries linkRate bytes a second on each connection.
-	linkNarrow
+	// linkLowBandwidth delivers linkBytesPerSecond on each connection.
+	linkLowBandwidth
 )
 
 const (
-	linkDelay  = 60 * time.Millisecond
-	linkLook   = 5 * time.Millisecond
-	linkBuffer = 16 << 10
-	// linkRate is the rate of a narrow link, in bytes a second: a hundredth of a link
-	// of 20 Mbit/s.
-	linkRate   = 25 << 10
-	dialWithin = time.Second
+	linkDelay          = 60 * time.Millisecond
+	linkPollInterval   = 5 * time.Millisecond
+	linkBufferSize     = 16 << 10
+	linkBytesPerSecond = 25 << 10
+	dialTimeout        = time.Second
 )
 
-// proxy is a link on the loopback interface that can be harmed.
+// proxy is a TCP proxy on the loopback interface that simulates a network link and its faults.
 type proxy struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	target string
-	fault  linkFault
-	open   map[*net.TCPConn]bool
-	// silenced holds the connections that carry nothing more, whatever the link does.
-	silenced map[*net.TCPConn]bool
-	// harmedAt is when the link was last harmed or mended, refusedAt when the
-	// far side last did not take a connection.
-	harmedAt, refusedAt time.Time
+	mu        sync.Mutex
+	target    string
+	fault     linkFault
+	openConns map[*net.TCPConn]bool
+	// silencedConns holds the connections that stay silent regardless of the link's fault.
+	silencedConns map[*net.TCPConn]bool
+	// disturbedAt is when a fault was last set, removed or injected into open connections.
+	// dialFailedAt is when the proxy last failed to connect to its target.
+	disturbedAt, dialFailedAt time.Time
 }
 
-// newProxy opens a link from a port of host that the kernel chooses.
+// newProxy listens on a free port of host and forwards connections to target.
 func newProxy(host, target string) (*proxy, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, open: make(map[*net.TCPConn]bool), silenced: make(map[*net.TCPConn]bool)}
+	p := &proxy{listener: listener, target: target, openConns: make(map[*net.TCPConn]bool), silencedConns: make(map[*net.TCPConn]bool)}
 	go p.accept()
 	return p, nil
 }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// close ends the link and its connections.
+// close stops listening and resets all connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(linkReset)
+	p.setFault(linkReset)
 }
 
-// set harms or mends the link.
-func (p *proxy) set(fault linkFault) {
+// setFault replaces the link's fault; linkHealthy removes it.
+func (p *proxy) setFault(fault linkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fault != fault {
-		p.harmedAt = time.Now()
+		p.disturbedAt = time.Now()
 	}
 	p.fault = fault
 	if fault != linkReset {
 		return
 	}
-	for c := range p.open {
+	for c := range p.openConns {
 		reset(c)
 	}
 }
 
-// silence lets the open connections go silent for good, without a reset. New ones
-// work.
-func (p *proxy) silence() {
+// silenceConnections stops delivery on the open connections for good, without a reset. New
+// connections are not affected.
+func (p *proxy) silenceConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harmedAt = time.Now()
-	for c := range p.open {
-		p.silenced[c] = true
+	p.disturbedAt = time.Now()
+	for c := range p.openConns {
+		p.silencedConns[c] = true
 	}
 }
 
-// isSilenced reports whether a connection carries nothing more.
+// isSilenced reports whether delivery on a connection has been stopped for good.
 func (p *proxy) isSilenced(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silenced[c]
+	return p.silencedConns[c]
 }
 
-func (p *proxy) current() linkFault {
+func (p *proxy) currentFault() linkFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-// refusedSince reports whether the far side has not taken a connection since a
-// time. Towards the near side that looks like a reset.
-func (p *proxy) refusedSince(t time.Time) bool {
+// dialFailedSince reports whether connecting to the target has failed since a time. The client then
+// saw a reset.
+func (p *proxy) dialFailedSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.refusedAt.After(t)
+	return p.dialFailedAt.After(t)
 }
 
-// soundSince reports whether nothing has harmed the link since a time.
-func (p *proxy) soundSince(t time.Time) bool {
+// healthySince reports whether the link has had no faults since a time.
+func (p *proxy) healthySince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fault == linkSound && p.harmedAt.Before(t)
+	return p.fault == linkHealthy && p.disturbedAt.Before(t)
 }
 
 func (p *proxy) accept() {
@@ -129,64 +127,64 @@
 		if err != nil {
 			return
 		}
-		go p.carry(c.(*net.TCPConn))
+		go p.forward(c.(*net.TCPConn))
 	}
 }
 
-// carry joins a connection to the far side until either end closes.
-func (p *proxy) carry(near *net.TCPConn) {
-	if p.current() == linkReset {
-		reset(near)
+// forward connects a client to the target and copies data until both directions have ended.
+func (p *proxy) forward(client *net.TCPConn) {
+	if p.currentFault() == linkReset {
+		reset(client)
 		return
 	}
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
-	raw, err := net.DialTimeout("tcp", target, dialWithin)
+	raw, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		p.mu.Lock()
-		p.refusedAt = time.Now()
+		p.dialFailedAt = time.Now()
 		p.mu.Unlock()
-		reset(near)
+		reset(client)
 		return
 	}
-	far := raw.(*net.TCPConn)
-	p.hold(near, far)
-	defer p.release(near, far)
+	server := raw.(*net.TCPConn)
+	p.track(client, server)
+	defer p.closeAndUntrack(client, server)
 	done := make(chan struct{}, 2)
-	go func() { p.copy(far, near, false); done <- struct{}{} }()
-	go func() { p.copy(near, far, true); done <- struct{}{} }()
+	go func() { p.copyBytes(server, client, false); done <- struct{}{} }()
+	go func() { p.copyBytes(client, server, true); done <- struct{}{} }()
 	<-done
 	<-done
 }
 
-func (p *proxy) hold(all ...*net.TCPConn) {
+func (p *proxy) track(all ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range all {
-		p.open[c] = true
+		p.openConns[c] = true
 	}
 }
 
-func (p *proxy) release(all ...*net.TCPConn) {
+func (p *proxy) closeAndUntrack(all ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range all {
-		delete(p.open, c)
-		delete(p.silenced, c)
+		delete(p.openConns, c)
+		delete(p.silencedConns, c)
 		_ = c.Close()
 	}
 }
 
-// copy carries bytes one way; back says that they come from the far side.
-func (p *proxy) copy(to, from *net.TCPConn, back bool) {
-	buffer := make([]byte, linkBuffer)
+// copyBytes copies data in one direction. fromServer is true for the direction to the client.
+func (p *proxy) copyBytes(to, from *net.TCPConn, fromServer bool) {
+	buffer := make([]byte, linkBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		p.await(back, n)
+		p.awaitDelivery(fromServer, n)
 		if p.isSilenced(from) {
 			if err != nil {
-				// Only this side learns that its end was closed.
+				// The other side is not notified of the close.
 				return
 			}
 			continue
@@ -198,37 +196,37 @@
 			}
 		}
 		if err != nil {
-			p.end(to, err)
+			p.forwardClose(to, err)
 			return
 		}
 	}
 }
 
-// await holds bytes back for as long as the link is harmed that way, or takes to
-// carry them.
-func (p *proxy) await(back bool, bytes int) {
+// awaitDelivery blocks while the link's fault stops this direction, or for the time that a slow or
+// low-bandwidth link takes for the bytes.
+func (p *proxy) awaitDelivery(fromServer bool, bytes int) {
 	for {
-		switch p.current() {
+		switch p.currentFault() {
 		case linkSlow:
 			time.Sleep(linkDelay)
 			return
-		case linkNarrow:
-			time.Sleep(time.Duration(bytes) * time.Second / linkRate)
+		case linkLowBandwidth:
+			time.Sleep(time.Duration(bytes) * time.Second / linkBytesPerSecond)
 			return
 		case linkSilent:
 		case linkOneWay:
-			if !back {
+			if !fromServer {
 				return
 			}
 		default:
 			return
 		}
-		time.Sleep(linkLook)
+		time.Sleep(linkPollInterval)
 	}
 }
 
-// end passes the end of one side on as it was: a close or a reset.
-func (p *proxy) end(to *net.TCPConn, err error) {
+// forwardClose closes the write side of a connection after EOF, and resets it after other errors.
+func (p *proxy) forwardClose(to *net.TCPConn, err error) {
 	if err == io.EOF {
 		_ = to.CloseWrite()
 		return
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo serves lines back on a port that the kernel chooses.
-func echo(t *testing.T) string {
+// startEchoServer starts an echo server on a free port and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -39,62 +39,62 @@
 		fault linkFault
 		want  error
 	}{
-		"sound":   {fault: linkSound},
+		"sound":   {fault: linkHealthy},
 		"slow":    {fault: linkSlow},
-		"narrow":  {fault: linkNarrow},
+		"narrow":  {fault: linkLowBandwidth},
 		"silent":  {fault: linkSilent, want: os.ErrDeadlineExceeded},
 		"one way": {fault: linkOneWay, want: os.ErrDeadlineExceeded},
 		"reset":   {fault: linkReset, want: syscall.ECONNRESET},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p, err := newProxy("127.0.0.1", echo(t))
+			p, err := newProxy("127.0.0.1", startEchoServer(t))
 			assert.NilError(t, err)
 			defer p.close()
 			c, err := net.Dial("tcp", p.address())
 			assert.NilError(t, err)
 			defer func() { _ = c.Close() }()
 			reader := bufio.NewReader(c)
-			assert.NilError(t, ask(c, reader))
+			assert.NilError(t, sendLine(c, reader))
 			before := time.Now()
-			p.set(test.fault)
+			p.setFault(test.fault)
 			if test.want != nil {
 				assert.NilError(t, c.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
 			}
-			err = ask(c, reader)
+			err = sendLine(c, reader)
 			assert.Assert(t, errors.Is(err, test.want) || test.want == syscall.ECONNRESET && err != nil, "%v", err)
-			assert.Equal(t, p.soundSince(before), test.fault == linkSound)
-			p.set(linkSound)
+			assert.Equal(t, p.healthySince(before), test.fault == linkHealthy)
+			p.setFault(linkHealthy)
 			again, err := net.Dial("tcp", p.address())
 			assert.NilError(t, err)
 			defer func() { _ = again.Close() }()
-			assert.NilError(t, ask(again, bufio.NewReader(again)), "a mended link carries again")
+			assert.NilError(t, sendLine(again, bufio.NewReader(again)), "a link works again after its fault")
 		})
 	}
 }
 
-// TestSilencedConnections checks that open connections stay silent, though new ones
-// work, and that their ends can still be closed.
+// TestSilencedConnections checks that open connections stay silent and can be closed, while new
+// connections work.
 func TestSilencedConnections(t *testing.T) {
-	p, err := newProxy("127.0.0.1", echo(t))
+	p, err := newProxy("127.0.0.1", startEchoServer(t))
 	assert.NilError(t, err)
 	defer p.close()
 	old, err := net.Dial("tcp", p.address())
 	assert.NilError(t, err)
 	reader := bufio.NewReader(old)
-	assert.NilError(t, ask(old, reader))
-	p.silence()
+	assert.NilError(t, sendLine(old, reader))
+	p.silenceConnections()
 	assert.NilError(t, old.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
-	assert.Assert(t, errors.Is(ask(old, reader), os.ErrDeadlineExceeded))
+	assert.Assert(t, errors.Is(sendLine(old, reader), os.ErrDeadlineExceeded))
 	fresh, err := net.Dial("tcp", p.address())
 	assert.NilError(t, err)
 	defer func() { _ = fresh.Close() }()
-	assert.NilError(t, ask(fresh, bufio.NewReader(fresh)))
+	assert.NilError(t, sendLine(fresh, bufio.NewReader(fresh)))
 	assert.NilError(t, old.Close())
 }
 
-// ask sends a line and reads it back.
-func ask(c net.Conn, reader *bufio.Reader) error {
+// sendLine sends a line and waits for its echo.
+func sendLine(c net.Conn, reader *bufio.Reader) error {
 	if _, err := io.WriteString(c, "line\n"); err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 	return err
 }
 
-func TestLinkToNobodyIsRefused(t *testing.T) {
+func TestLinkReportsFailedDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	target := l.Addr().String()
@@ -111,11 +111,11 @@
 	assert.NilError(t, err)
 	defer p.close()
 	before := time.Now()
-	// The reset may come before or after the connection is up on this side.
+	// The reset may arrive before or after Dial returns.
 	c, err := net.Dial("tcp", p.address())
 	if err == nil {
 		_, err = c.Read(make([]byte, 1))
 	}
 	assert.Assert(t, err != nil)
-	assert.Assert(t, p.refusedSince(before))
+	assert.Assert(t, p.dialFailedSince(before))
 }
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// step is one fault of a series.
-type step struct {
-	// after is the pause before it, lasts how long it lasts.
-	after, lasts time.Duration
-	kind         string
-	// pick chooses what it strikes.
-	pick uint64
+// scheduledFault is one fault of a series.
+type scheduledFault struct {
+	// pause is the time before the fault, duration the time for which it lasts.
+	pause, duration time.Duration
+	kind            string
+	// targetSeed seeds the choice of the affected daemons, workers or links.
+	targetSeed uint64
 }
 
 const (
-	gapLeast, gapSpread   = 100 * time.Millisecond, 1400 * time.Millisecond
-	lastLeast, lastSpread = 300 * time.Millisecond, 4 * time.Second
+	minFaultPause, faultPauseSpread       = 100 * time.Millisecond, 1400 * time.Millisecond
+	minFaultDuration, faultDurationSpread = 300 * time.Millisecond, 4 * time.Second
 )
 
-// schedule returns the faults of one series up to a total time. The same seed
-// gives the same faults.
-func schedule(seed uint64, series int, total time.Duration) []step {
-	return draw(rand.New(rand.NewPCG(seed, uint64(series))), faultNames(), total)
+// schedule returns the faults of one series, which together last at least total. The same seed gives
+// the same faults.
+func schedule(seed uint64, series int, total time.Duration) []scheduledFault {
+	return drawSchedule(rand.New(rand.NewPCG(seed, uint64(series))), faultNames(), total)
 }
 
-// hallSchedule returns the faults of data halls, which are drawn apart from the others, so
-// that these stay as they are.
-func hallSchedule(seed uint64, total time.Duration) []step {
-	const stream = 1 << 33
-	return draw(rand.New(rand.NewPCG(seed, stream)), hallFaultNames(), total)
+// hallSchedule returns the faults of data halls. They use a random stream of their own, so that they
+// don't change the other schedules of a seed.
+func hallSchedule(seed uint64, total time.Duration) []scheduledFault {
+	const randomStream = 1 << 33
+	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), hallFaultNames(), total)
 }
 
-// askSchedule returns what workers ask for, which is drawn apart from the faults as well.
-func askSchedule(seed uint64, total time.Duration) []step {
-	const stream = 1 << 35
-	return draw(rand.New(rand.NewPCG(seed, stream)), askNames(), total)
+// signalSchedule returns the faults in which workers send signals. They use a random stream of their
+// own as well.
+func signalSchedule(seed uint64, total time.Duration) []scheduledFault {
+	const randomStream = 1 << 35
+	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), signalFaultNames(), total)
 }
 
-// draw draws faults of some kinds up to a total time.
-func draw(random *rand.Rand, kinds []string, total time.Duration) []step {
-	var steps []step
+// drawSchedule draws faults of the given kinds until their total time reaches total.
+func drawSchedule(random *rand.Rand, kinds []string, total time.Duration) []scheduledFault {
+	var steps []scheduledFault
 	for sum := time.Duration(0); sum < total; {
-		s := step{
-			after: gapLeast + time.Duration(random.Int64N(int64(gapSpread))),
-			lasts: lastLeast + time.Duration(random.Int64N(int64(lastSpread))),
-			kind:  kinds[random.IntN(len(kinds))], pick: random.Uint64(),
+		s := scheduledFault{
+			pause:    minFaultPause + time.Duration(random.Int64N(int64(faultPauseSpread))),
+			duration: minFaultDuration + time.Duration(random.Int64N(int64(faultDurationSpread))),
+			kind:     kinds[random.IntN(len(kinds))], targetSeed: random.Uint64(),
 		}
-		sum += s.after + s.lasts
+		sum += s.pause + s.duration
 		steps = append(steps, s)
 	}
 	return steps
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,9 +1,8 @@
-// Package soak plays random faults against real daemons, each a process of its
-// own, before a stand-in of the platform in this process, and checks what must
-// always hold from what callers and workers see. The faults come from outside:
-// links of the soak's own that are cut or slowed, signals, and a store and
-// workers that misbehave, in series that overlap. A seed gives the same faults
-// again; how processes meet them differs from run to run.
+// Package soak runs real daemons, each as a process of its own, against a stand-in of the platform
+// in this process. It injects random faults and checks invariants from what callers and workers
+// observe. Faults are signals to processes, faults of network links, and errors of the store and the
+// workers. Several series of faults overlap. A seed determines the faults; the timing within
+// processes differs from run to run.
 package soak
 
 import (
@@ -28,44 +27,48 @@
 // Options configures a soak.
 type Options struct {
 	Seed uint64
-	// Program is the daemon's program, Dir where settings and logs go.
+	// Program is the path of the daemon's program, Dir the directory for settings and logs.
 	Program, Dir string
-	// Earlier is the program of an earlier build, Mix how both run side by side.
+	// Earlier is the path of an earlier build's program, or empty. Mix selects the daemons that
+	// run it.
 	Earlier string
 	Mix     Mix
-	// Host is the part of the loopback addresses before the last number, which
-	// is of this soak alone.
-	Host             string
+	// Host is the first three numbers of the loopback addresses of this soak, such as 127.1.1.
+	// No other process may use them.
+	Host string
+	// Daemons is the number of daemons, Workers the number of workers of the model service.
 	Daemons, Workers int
-	Callers, Series  int
-	// Duration is how long faults strike.
+	// Callers is the number of concurrent callers, Series the number of concurrent series of faults.
+	Callers, Series int
+	// Duration is the time during which faults are injected.
 	Duration time.Duration
-	// Crashing adds a request that ends each worker which runs it and comes again and again.
+	// Crashing repeatedly sends a request that crashes every worker that executes it.
 	Crashing bool
-	// Reborn lets workers come back under their id.
+	// Reborn restarts every second worker under its former ID.
 	Reborn bool
-	// Asking lets workers name limits, ask for rest and say in answers that they leave.
+	// Asking adds workers that announce limits, ask for rest or announce that they leave.
 	Asking bool
-	// Drills lets the store come back from a copy that is seconds old.
+	// Drills adds restores of the store from a copy that is seconds old.
 	Drills bool
-	// Halls adds data halls that are closed, lost and cold, and a second region.
-	Halls  bool
+	// Halls adds faults of data halls, and a second region.
+	Halls bool
+	// Logger gets the injected faults at level Debug.
 	Logger hclog.Logger
 }
 
-// Result is what a soak found.
+// Result is the result of one soak.
 type Result struct {
 	Seed       uint64
 	Violations []standin.Violation
-	// Totals counts how requests ended.
+	// Totals is the number of requests by result.
 	Totals map[string]int
-	// Faults counts the faults that struck.
+	// Faults is the number of faults that were injected.
 	Faults int
-	// Crashed counts the workers that a request ended.
+	// Crashed is the number of workers that a request crashed.
 	Crashed int
 }
 
-// Timing of a soak and its stand-ins.
+// timing holds the durations of the daemons' settings and of the platform's stand-in.
 var timing = standin.Timing{
 	Heartbeat: 500 * time.Millisecond, Load: 2500 * time.Millisecond, Warm: 400 * time.Millisecond, Hot: 100 * time.Millisecond,
 	Form: 100 * time.Millisecond, Stall: 3 * time.Second, Drain: 2 * time.Second,
@@ -73,58 +76,60 @@
 	Event:     15 * time.Millisecond, Work: 10 * time.Millisecond,
 }
 
-var ceiling = standin.Ceiling{PerSecond: 1, Window: 5 * time.Second, Over: 1.1, Extra: 3}
+// modelLoadLimit limits the loads of models from the weight store, in the daemons and in the checks.
+var modelLoadLimit = standin.Ceiling{PerSecond: 1, Window: 5 * time.Second, Over: 1.1, Extra: 3}
 
 const (
-	slots          = 12
-	domainSize     = 8
-	plainWorkers   = 3
-	grace          = 8 * time.Second
-	startWithin    = 15 * time.Second
-	recoverWithin  = 20 * time.Second
-	recoverWindow  = 3 * time.Second
-	recoveredShare = 0.9
-	// settleFor is how long after a fault that kept daemons from learning they
-	// may not know yet what they missed.
-	settleFor = 3 * time.Second
+	slotsPerWorker   = 12
+	workersPerDomain = 8
+	plainWorkerCount = 3
+	stopGrace        = 8 * time.Second
+	startTimeout     = 15 * time.Second
+	recoveryTimeout  = 20 * time.Second
+	recoveryWindow   = 3 * time.Second
+	minServedShare   = 0.9
+	// settleTime is the time that daemons have to read missed updates after a fault that
+	// blocked them.
+	settleTime = 3 * time.Second
 )
 
-// run is one soak.
+// run is the state of one soak.
 type run struct {
-	opts     Options
-	store    *standin.Store
-	ledger   *standin.Ledger
-	fabric   *standin.Fabric
-	operator *standin.Operator
-	callers  *callers
-	models   []standin.Model
-	daemons  []*daemon
-	byFront  map[string]*daemon
-	once     sync.Once
-	stores   []*httptest.Server
-
-	mu      sync.Mutex
-	links   map[string]*proxy
-	started int
-	// blinding counts the faults under way that may keep daemons from learning,
-	// calmSince is since when there has been none.
-	blinding  int
-	calmSince time.Time
-	struck    int
-	// peaceAt is since when nothing is wrong any more; zero before.
-	peaceAt time.Time
-	lastLed *daemon
-	// over tells that nothing is to be started any more.
-	over bool
-	err  error
+	opts             Options
+	store            *standin.Store
+	ledger           *standin.Ledger
+	fabric           *standin.Fabric
+	operator         *standin.Operator
+	callers          *callerState
+	models           []standin.Model
+	daemons          []*daemon
+	daemonsByAddress map[string]*daemon
+	addRouteOnce     sync.Once
+	storeServers     []*httptest.Server
+
+	mu             sync.Mutex
+	workerProxies  map[string]*proxy
+	startedWorkers int
+	// blockingFaults is the number of active faults that may keep daemons from reading updates.
+	// unblockedSince is when the last such fault ended.
+	blockingFaults int
+	unblockedSince time.Time
+	faultCount     int
+	// faultFreeSince is when the system had recovered from all faults, or zero before that.
+	faultFreeSince time.Time
+	lastLeader     *daemon
+	// closing means that no worker may be started any more.
+	closing bool
+	err     error
 }
 
-// Run plays one soak. An error says that it could not be played.
+// Run runs one soak. It returns an error if the soak could not be run to its end. Violations are in
+// the result.
 func Run(ctx context.Context, opts Options) (Result, error) {
 	r := &run{
-		opts: opts, store: standin.NewStore(), ledger: standin.NewLedger(), callers: newCallers(),
-		models:  []standin.Model{{Name: "big", Size: 4, Share: 0.5}, {Name: "small", Size: 2, Share: 0.5}},
-		byFront: make(map[string]*daemon), links: make(map[string]*proxy), calmSince: time.Now(),
+		opts: opts, store: standin.NewStore(), ledger: standin.NewLedger(), callers: newCallerState(),
+		models:           []standin.Model{{Name: "big", Size: 4, Share: 0.5}, {Name: "small", Size: 2, Share: 0.5}},
+		daemonsByAddress: make(map[string]*daemon), workerProxies: make(map[string]*proxy), unblockedSince: time.Now(),
 	}
 	defer r.close()
 	if err := r.prepare(); err != nil {
@@ -137,67 +142,66 @@
 	err := r.play(ctx, background, &group)
 	cancel()
 	group.Wait()
-	r.end()
-	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.totals(), Faults: r.struck, Crashed: r.fabric.CrashedUnder()}, cmp.Or(err, r.err)
+	r.checkAtEnd()
+	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.countByResult(), Faults: r.faultCount, Crashed: r.fabric.CrashedUnder()}, cmp.Or(err, r.err)
 }
 
-// prepare starts the stand-in and the daemons.
+// prepare starts the stand-in, the workers and the daemons.
 func (r *run) prepare() error {
 	r.fabric = standin.NewFabric(standin.FabricOptions{
-		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, Ceiling: ceiling, Calm: r.calm,
-		Fenceless: fenceless(r.opts.Seed), Halls: r.halls(), Ended: r.workerEnded, Crashed: r.workerCrashed,
-		LinkSound: r.linkSound,
+		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, Ceiling: modelLoadLimit, Calm: r.settledSince,
+		Fenceless: drawIgnoresFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerLink, Crashed: r.scheduleRestart,
+		LinkSound: r.linkHealthySince,
 	})
 	r.operator = standin.NewOperator(standin.OperatorOptions{
-		Store: r.store, Models: r.models, Timing: timing, Ceiling: ceiling, Slots: slots, LoadsAtOnce: 4, Tenants: r.callers.tenants, Halls: r.halls(),
+		Store: r.store, Models: r.models, Timing: timing, Ceiling: modelLoadLimit, Slots: slotsPerWorker, LoadsAtOnce: 4, Tenants: r.callers.keysByTenant, Halls: r.hallRules(),
 	})
 	r.operator.Publish()
 	for i := range r.opts.Workers {
-		r.check(r.startWorker(standin.WorkerSpec{Service: standin.ModelService, Domain: fmt.Sprintf("domain-%d", i/domainSize), Zone: r.hallOf(i / domainSize), Slots: slots}))
+		r.recordError(r.startWorker(standin.WorkerSpec{Service: standin.ModelService, Domain: fmt.Sprintf("domain-%d", i/workersPerDomain), Zone: r.hallForIndex(i / workersPerDomain), Slots: slotsPerWorker}))
 	}
-	for i := range plainWorkers {
-		r.check(r.startWorker(standin.WorkerSpec{Service: standin.PlainService, Zone: r.hallOf(i), Slots: 2 * slots}))
+	for i := range plainWorkerCount {
+		r.recordError(r.startWorker(standin.WorkerSpec{Service: standin.PlainService, Zone: r.hallForIndex(i), Slots: 2 * slotsPerWorker}))
 	}
 	for i := range r.opts.Daemons {
-		r.check(r.startDaemon(i))
+		r.recordError(r.startDaemon(i))
 	}
 	return r.err
 }
 
-// fenceless draws whether the workers of a soak look at fences: not all of the
-// users' deployments have workers that do.
-func fenceless(seed uint64) bool {
-	// Streams of lower numbers draw the series of faults.
-	const stream = 1 << 32
-	return rand.New(rand.NewPCG(seed, stream)).IntN(2) == 0
+// drawIgnoresFences draws whether the workers of a soak ignore fences, as some deployments do.
+func drawIgnoresFences(seed uint64) bool {
+	// Streams with lower numbers are used for the schedules of faults.
+	const randomStream = 1 << 32
+	return rand.New(rand.NewPCG(seed, randomStream)).IntN(2) == 0
 }
 
-// check keeps the first error that kept the soak from being played.
-func (r *run) check(err error) {
+// recordError stores the first error that keeps the soak from running.
+func (r *run) recordError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.err = cmp.Or(r.err, err)
 }
 
-// startWorker starts a worker behind a link of its own.
+// startWorker starts a worker behind a proxy of its own.
 func (r *run) startWorker(spec standin.WorkerSpec) error {
 	r.mu.Lock()
-	r.started++
+	r.startedWorkers++
 	if spec.ID == "" {
-		spec.ID = fmt.Sprintf("w%d", r.started)
+		spec.ID = fmt.Sprintf("w%d", r.startedWorkers)
 	}
 	if spec.Zone == "" {
-		spec.Zone = zoneName(r.started % 2)
+		spec.Zone = zoneName(r.startedWorkers % 2)
 	}
 	r.mu.Unlock()
 	var link *proxy
 	var err error
-	_, startErr := r.fabric.StartWorker(r.opts.Host+".1", spec, func(own string) string {
-		if link, err = newProxy(r.opts.Host+".1", own); err != nil {
-			return own
+	_, startErr := r.fabric.StartWorker(r.opts.Host+".1", spec, func(workerAddress string) string {
+		if link, err = newProxy(r.opts.Host+".1", workerAddress); err != nil {
+			return workerAddress
 		}
 		r.mu.Lock()
-		r.links[spec.ID] = link
+		r.workerProxies[spec.ID] = link
 		r.mu.Unlock()
 		return link.address()
 	})
@@ -207,56 +211,56 @@
 	return nil
 }
 
-// linkOf returns the link before a worker.
-func (r *run) linkOf(w *standin.Worker) *proxy {
+// proxyOf returns the proxy of a worker.
+func (r *run) proxyOf(w *standin.Worker) *proxy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.links[w.ID()]
+	return r.workerProxies[w.ID()]
 }
 
-// replace starts an empty worker in a worker's place.
-func (r *run) replace(w *standin.Worker) {
+// replaceWorker starts an empty worker with a new ID in a worker's place.
+func (r *run) replaceWorker(w *standin.Worker) {
 	spec := w.Spec()
 	spec.ID, spec.Address, spec.Staged = "", "", ""
-	r.check(r.startWorker(spec))
+	r.recordError(r.startWorker(spec))
 }
 
-// restart starts a worker that has ended again: where workers come back under their id every
-// second one does, with what lies on its host, else another one takes its place.
-func (r *run) restart(w *standin.Worker) {
+// restartWorker restarts or replaces a worker that has ended. With Options.Reborn, every second
+// worker keeps its ID and the models staged on its host. All others are replaced.
+func (r *run) restartWorker(w *standin.Worker) {
 	r.mu.Lock()
-	comesBack := r.opts.Reborn && r.started%2 == 0
+	keepsID := r.opts.Reborn && r.startedWorkers%2 == 0
 	r.mu.Unlock()
-	if !comesBack {
-		r.replace(w)
+	if !keepsID {
+		r.replaceWorker(w)
 		return
 	}
 	spec := w.Spec()
 	spec.Address, spec.Staged = "", w.Staged()
-	r.check(r.startWorker(spec))
+	r.recordError(r.startWorker(spec))
 }
 
-// startDaemon starts a daemon with links of its own.
+// startDaemon starts the ith daemon, with proxies for its connections to callers and to the store.
 func (r *run) startDaemon(i int) error {
-	const first = 2
-	ip := fmt.Sprintf("%s.%d", r.opts.Host, first+i)
+	const firstHostNumber = 2
+	ip := fmt.Sprintf("%s.%d", r.opts.Host, firstHostNumber+i)
 	ports, err := freePorts(ip, 4)
 	if err != nil {
 		return err
 	}
 	server := httptest.NewServer(r.store)
-	r.stores = append(r.stores, server)
+	r.storeServers = append(r.storeServers, server)
 	link, err := newProxy(r.opts.Host+".1", server.Listener.Addr().String())
 	if err != nil {
 		return failure.At(failure.Unavailable, "open link to the store", ip, err)
 	}
-	d := &daemon{program: r.opts.programOf(i), store: link, led: r.noteLeader, settings: standin.DaemonSettings{
-		Name: fmt.Sprintf("daemon-%d", i), Zone: r.zoneOfDaemon(i), Zones: r.zones(), IP: ip, Store: link.address(),
+	d := &daemon{programOf: r.opts.programsOf(i), storeProxy: link, onLeading: r.noteLeader, settings: standin.DaemonSettings{
+		Name: fmt.Sprintf("daemon-%d", i), Zone: r.zoneOfDaemon(i), Zones: r.zoneNames(), IP: ip, Store: link.address(),
 		Front: ports[0], Ready: ports[1], Directory: ports[2], Peer: ports[3],
-		Timing: timing, Grace: grace, Revoke: revokeBound, Ceiling: ceiling, Halls: r.halls(),
+		Timing: timing, Grace: stopGrace, Revoke: revocationBound, Ceiling: modelLoadLimit, Halls: r.hallRules(),
 	}}
-	if d.front, err = newProxy(r.opts.Host+".1", d.frontAddress()); err == nil {
-		d.directory, err = newProxy(r.opts.Host+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
+	if d.frontProxy, err = newProxy(r.opts.Host+".1", d.frontAddress()); err == nil {
+		d.directoryProxy, err = newProxy(r.opts.Host+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
 	}
 	if err != nil {
 		return failure.At(failure.Unavailable, "open links to a daemon", ip, err)
@@ -265,11 +269,11 @@
 		return err
 	}
 	r.daemons = append(r.daemons, d)
-	r.byFront[d.frontAddress()] = d
+	r.daemonsByAddress[d.frontAddress()] = d
 	return d.start()
 }
 
-// frontAddress returns where the daemon says that callers reach it.
+// frontAddress returns the caller address that the daemon announces.
 func (d *daemon) frontAddress() string {
 	return fmt.Sprintf("%s:%d", d.settings.IP, d.settings.Front)
 }
@@ -277,68 +281,68 @@
 func (r *run) noteLeader(d *daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lastLed = d
+	r.lastLeader = d
 }
 
-// leader returns the daemon that led last.
+// leader returns the daemon that most recently became leader, or the first one.
 func (r *run) leader() *daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lastLed == nil {
+	if r.lastLeader == nil {
 		return r.daemons[0]
 	}
-	return r.lastLed
+	return r.lastLeader
 }
 
-// calm returns since when daemons have had time to learn everything, and
-// false while something may keep them from it.
-func (r *run) calm() (time.Time, bool) {
+// settledSince returns the time from which on daemons must have read all updates. The boolean is
+// false while a fault may block updates, and for settleTime after that.
+func (r *run) settledSince() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.calmSince.Add(settleFor), r.blinding == 0 && time.Since(r.calmSince) > settleFor
+	return r.unblockedSince.Add(settleTime), r.blockingFaults == 0 && time.Since(r.unblockedSince) > settleTime
 }
 
-// play lets callers call while faults strike, then waits until all is well.
+// play runs the callers, injects the faults, and checks that the system recovers afterwards.
 func (r *run) play(ctx, background context.Context, group *conc.WaitGroup) error {
 	if !r.awaitServing(ctx) {
-		return failure.New(failure.Unavailable, "start", r.opts.Dir, "no replica serves within %s", startWithin)
+		return failure.New(failure.Unavailable, "start", r.opts.Dir, "no replica serves within %s", startTimeout)
 	}
-	// Loads do not count before the first request, and no leader can know of it
-	// in the same moment; on the platform requests come seconds after the start.
-	sleep(ctx, settleFor)
+	// Model loads are checked from the first request on, of which leaders learn with a delay. The
+	// pause lets the initial loads end before that.
+	sleep(ctx, settleTime)
 	for i := range r.opts.Callers {
 		c := newCaller(r, i)
 		group.Go(func() { c.loop(background) })
 	}
 	if r.opts.Crashing {
-		group.Go(func() { r.sendCrashing(background) })
+		group.Go(func() { r.sendCrashingRequests(background) })
 	}
 	time.Sleep(time.Second)
 	var series conc.WaitGroup
 	for i := range r.opts.Series {
-		series.Go(func() { r.strike(ctx, i) })
+		series.Go(func() { r.playSeries(ctx, i) })
 	}
 	if r.opts.Halls {
-		series.Go(func() { r.strikeAll(ctx, hallSchedule(r.opts.Seed, r.opts.Duration), hallFaults) })
+		series.Go(func() { r.playFaults(ctx, hallSchedule(r.opts.Seed, r.opts.Duration), hallFaults) })
 	}
 	if r.opts.Drills {
-		series.Go(func() { r.strikeAll(ctx, drillSchedule(r.opts.Seed, r.opts.Duration), drills) })
+		series.Go(func() { r.playFaults(ctx, restoreSchedule(r.opts.Seed, r.opts.Duration), restoreFaults) })
 	}
 	if r.opts.Asking {
-		series.Go(func() { r.strikeAll(ctx, askSchedule(r.opts.Seed, r.opts.Duration), askFaults) })
+		series.Go(func() { r.playFaults(ctx, signalSchedule(r.opts.Seed, r.opts.Duration), signalFaults) })
 	}
 	series.Wait()
-	if !r.recovered(ctx) {
-		served, all := r.callers.served(time.Now().Add(-recoverWindow))
-		r.ledger.Broken("RECOVER", "%d of %d requests are served %s after the last fault", served, all, recoverWithin)
+	if !r.awaitRecovery(ctx) {
+		served, all := r.callers.countServed(time.Now().Add(-recoveryWindow))
+		r.ledger.Broken("RECOVER", "%d of %d requests are served %s after the last fault", served, all, recoveryTimeout)
 	}
-	r.leaveInPeace(ctx)
+	r.checkPlannedLeaves(ctx)
 	return ctx.Err()
 }
 
 func (r *run) awaitServing(ctx context.Context) bool {
-	const look = 50 * time.Millisecond
-	for until := time.Now().Add(startWithin); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(look) {
+	const pollInterval = 50 * time.Millisecond
+	for until := time.Now().Add(startTimeout); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if len(r.fabric.Serving()) == len(r.models) {
 			return true
 		}
@@ -346,66 +350,67 @@
 	return false
 }
 
-// strike plays one series of faults.
-func (r *run) strike(ctx context.Context, series int) {
-	r.strikeAll(ctx, schedule(r.opts.Seed, series, r.opts.Duration), faults)
+// playSeries injects one series of faults.
+func (r *run) playSeries(ctx context.Context, series int) {
+	r.playFaults(ctx, schedule(r.opts.Seed, series, r.opts.Duration), faults)
 }
 
-// strikeAll plays faults one after the other.
-func (r *run) strikeAll(ctx context.Context, steps []step, kinds map[string]fault) {
-	for _, s := range steps {
-		if !sleep(ctx, s.after) {
+// playFaults injects faults one after the other.
+func (r *run) playFaults(ctx context.Context, scheduled []scheduledFault, kinds map[string]fault) {
+	for _, s := range scheduled {
+		if !sleep(ctx, s.pause) {
 			return
 		}
 		f := kinds[s.kind]
-		r.opts.Logger.Debug("fault", "kind", s.kind, "lasts", s.lasts.String())
-		r.begins(f)
-		mend := f.strike(r, rand.New(rand.NewPCG(s.pick, 0)))
-		sleep(ctx, max(s.lasts, f.least))
-		mend()
-		r.ended(f)
+		r.opts.Logger.Debug("fault", "kind", s.kind, "lasts", s.duration.String())
+		r.countFaultStart(f)
+		revert := f.inject(r, rand.New(rand.NewPCG(s.targetSeed, 0)))
+		sleep(ctx, max(s.duration, f.minDuration))
+		revert()
+		r.countFaultEnd(f)
 	}
 }
 
-// begins and ended keep count of the faults under way.
-func (r *run) begins(f fault) {
+// countFaultStart counts a fault as injected and, if it may block updates, as active.
+func (r *run) countFaultStart(f fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.struck++
-	if f.blinds {
-		r.blinding++
+	r.faultCount++
+	if f.blocksUpdates {
+		r.blockingFaults++
 	}
 }
 
-func (r *run) ended(f fault) {
+// countFaultEnd records the end of a fault that may block updates.
+func (r *run) countFaultEnd(f fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f.blinds {
-		r.blinding--
-		r.calmSince = time.Now()
+	if f.blocksUpdates {
+		r.blockingFaults--
+		r.unblockedSince = time.Now()
 	}
 }
 
-// peaceSince reports whether all faults had long ended by a time.
-func (r *run) peaceSince(t time.Time) bool {
+// wasFaultFreeAt reports whether the system had recovered from all faults before a time.
+func (r *run) wasFaultFreeAt(t time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.peaceAt.IsZero() && r.peaceAt.Before(t)
+	return !r.faultFreeSince.IsZero() && r.faultFreeSince.Before(t)
 }
 
-// leaveInPeace lets workers and a daemon leave as planned while nothing else is
-// wrong: those promises bind only then.
-func (r *run) leaveInPeace(ctx context.Context) {
-	sleep(ctx, settleFor)
+// checkPlannedLeaves drains workers and stops a daemon while there are no faults. During this time,
+// the callers report requests that fail.
+func (r *run) checkPlannedLeaves(ctx context.Context) {
+	sleep(ctx, settleTime)
 	r.mu.Lock()
-	r.peaceAt = time.Now()
+	r.faultFreeSince = time.Now()
 	r.mu.Unlock()
-	// Requests that are under way when something leaves began in peace.
-	sleep(ctx, settleFor/2)
+	// The pause ensures that requests in flight during the drain were sent after faultFreeSince.
+	sleep(ctx, settleTime/2)
 	random := rand.New(rand.NewPCG(r.opts.Seed, 0))
 	for _, service := range []string{standin.PlainService, standin.ModelService} {
 		if all := r.fabric.Workers(service); len(all) > 0 {
-			r.replace(all[0])
+			r.replaceWorker(all[0])
 			all[0].Drain()
 		}
 	}
@@ -422,62 +427,63 @@
 	}
 }
 
-// recovered waits until most requests are served again.
-func (r *run) recovered(ctx context.Context) bool {
-	ended := time.Now()
-	for time.Since(ended) < recoverWithin && ctx.Err() == nil {
-		time.Sleep(recoverWindow / 4)
-		if time.Since(ended) < recoverWindow {
+// awaitRecovery waits until most requests are served again. It returns false if that takes longer
+// than recoveryTimeout.
+func (r *run) awaitRecovery(ctx context.Context) bool {
+	faultsEndedAt := time.Now()
+	for time.Since(faultsEndedAt) < recoveryTimeout && ctx.Err() == nil {
+		time.Sleep(recoveryWindow / 4)
+		if time.Since(faultsEndedAt) < recoveryWindow {
 			continue
 		}
-		served, all := r.callers.served(time.Now().Add(-recoverWindow))
-		if all > 0 && float64(served) >= recoveredShare*float64(all) {
+		served, all := r.callers.countServed(time.Now().Add(-recoveryWindow))
+		if all > 0 && float64(served) >= minServedShare*float64(all) {
 			return true
 		}
 	}
 	return false
 }
 
-// end checks what only shows at the end: that no request ran which somebody
-// was promised would not, and that no daemon ended by itself.
-func (r *run) end() {
-	for _, id := range r.callers.promises {
+// checkAtEnd checks that no request was executed whose response guaranteed the opposite, and that
+// no daemon exited unexpectedly.
+func (r *run) checkAtEnd() {
+	for _, id := range r.callers.notExecuted {
 		if r.ledger.Runs(id) > 0 {
 			r.ledger.Broken("REFUSED", "%s ran though its caller was told that it would not", id)
 		}
 	}
 	for _, d := range r.daemons {
-		if d.strangeEnds > 0 {
-			r.ledger.Broken("ENDS", "%s ended by itself %d times", d.settings.Name, d.strangeEnds)
+		if d.unexpectedExits > 0 {
+			r.ledger.Broken("ENDS", "%s ended by itself %d times", d.settings.Name, d.unexpectedExits)
 		}
 	}
 }
 
-// isOver reports whether nothing is to be started any more.
-func (r *run) isOver() bool {
+// isClosing reports whether no worker may be started any more.
+func (r *run) isClosing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.over
+	return r.closing
 }
 
-// close ends all that was started.
+// close stops the daemons and workers and closes all proxies.
 func (r *run) close() {
 	r.mu.Lock()
-	r.over = true
+	r.closing = true
 	r.mu.Unlock()
 	var group conc.WaitGroup
 	for _, d := range r.daemons {
 		group.Go(func() {
 			d.signal(syscall.SIGCONT)
 			d.mu.Lock()
-			d.held = true
+			d.restartDisabled = true
 			d.mu.Unlock()
 			if !d.stop() && r.err == nil {
 				r.opts.Logger.Warn("a daemon did not stop in time", "daemon", d.settings.Name)
 			}
-			d.front.close()
-			d.directory.close()
-			d.store.close()
+			d.frontProxy.close()
+			d.directoryProxy.close()
+			d.storeProxy.close()
 		})
 	}
 	group.Wait()
@@ -488,17 +494,17 @@
 			}
 		}
 	}
-	for _, link := range r.links {
+	for _, link := range r.workerProxies {
 		link.close()
 	}
-	for _, server := range r.stores {
+	for _, server := range r.storeServers {
 		server.CloseClientConnections()
 		_ = server.Listener.Close()
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// NewDir makes a directory for the logs of a soak.
+// NewDir creates a temporary directory for the settings and logs of a soak.
 func NewDir(seed uint64) (string, error) {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("quartzshelf-soak-%d-", seed))
 	if err != nil {
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,5 +1,5 @@
-// Package client speaks to the stand-in of the surroundings of a daemon over
-// HTTP: the log, the node list and the nodes.
+// Package client calls the platform's log, node list and nodes over HTTP. Package standin/server
+// provides them for tests.
 package client
 
 import (
@@ -18,17 +18,16 @@
 	"quartzshelf.dev/common/failure"
 )
 
-// Limits of the platform's clients.
+// Limits of calls.
 const (
 	// callTimeout bounds a call whose context has no deadline.
 	callTimeout = 5 * time.Second
-	// maxAnswer bounds the body of an answer, in bytes.
-	maxAnswer = 64 << 20
+	// maxResponseBytes limits the body of a response.
+	maxResponseBytes = 64 << 20
 )
 
-// Client speaks to the platform over HTTP. It implements Log, NodeList and
-// NodeControl. It never repeats a call: what a lost answer means is for the
-// caller to settle.
+// Client calls the platform over HTTP. It implements cluster.Log, cluster.NodeList and
+// cluster.NodeControl. It never retries a call: the caller must handle lost responses.
 type Client struct {
 	logURL   string
 	nodesURL string
@@ -41,20 +40,20 @@
 	_ cluster.NodeControl = (*Client)(nil)
 )
 
-// Options says where the platform is.
+// Options holds the addresses of the platform.
 type Options struct {
 	// LogAddress and NodesAddress are IP:port pairs.
 	LogAddress   string
 	NodesAddress string
 }
 
-// New returns a client of the platform that opts describes.
+// New returns a client for the addresses in opts. It doesn't connect yet.
 func New(opts Options) *Client {
 	return &Client{
 		logURL:   "http://" + opts.LogAddress,
 		nodesURL: "http://" + opts.NodesAddress,
 		http: &fasthttp.Client{
-			MaxResponseBodySize:       maxAnswer,
+			MaxResponseBodySize:       maxResponseBytes,
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) {
 				return false, false
@@ -71,7 +70,7 @@
 	First int64 `json:"first"`
 }
 
-// Append implements Log.
+// Append implements cluster.Log.
 func (c *Client) Append(ctx context.Context, stream string, records []cluster.Record) (int64, error) {
 	var reply appendReply
 	target := c.logURL + "/log/" + url.PathEscape(stream)
@@ -79,7 +78,7 @@
 	return reply.First, err
 }
 
-// Read implements Log.
+// Read implements cluster.Log.
 func (c *Client) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (cluster.Batch, error) {
 	var batch cluster.Batch
 	target := fmt.Sprintf("%s/log/%s?from=%d&limit=%d&wait_ms=%d",
@@ -92,29 +91,30 @@
 	Nodes []cluster.ListedNode `json:"nodes"`
 }
 
-// Nodes implements NodeList.
+// Nodes implements cluster.NodeList.
 func (c *Client) Nodes(ctx context.Context) ([]cluster.ListedNode, error) {
 	var reply nodesReply
 	err := c.call(ctx, "read node list", fasthttp.MethodGet, c.nodesURL+"/nodes", nil, &reply)
 	return reply.Nodes, err
 }
 
-// State implements NodeControl.
+// State implements cluster.NodeControl.
 func (c *Client) State(ctx context.Context, address string) (cluster.NodeState, error) {
 	var state cluster.NodeState
 	err := c.call(ctx, "probe node", fasthttp.MethodGet, "http://"+address+"/control/state", nil, &state)
 	return state, err
 }
 
-// Order implements NodeControl.
+// Order implements cluster.NodeControl.
 func (c *Client) Order(ctx context.Context, address string, order cluster.Order) (cluster.OrderReply, error) {
 	var reply cluster.OrderReply
 	err := c.call(ctx, "order node", fasthttp.MethodPost, "http://"+address+"/control/order", order, &reply)
 	return reply, err
 }
 
-// typeOf tells an error before anything was sent from one after it.
-func typeOf(err error) *errorx.Type {
+// failureTypeOf returns Refused if the connection could not be opened, so that nothing was sent, and
+// Unavailable otherwise.
+func failureTypeOf(err error) *errorx.Type {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return failure.Refused
@@ -122,7 +122,8 @@
 	return failure.Unavailable
 }
 
-// call sends body, if there is one, and decodes the answer into reply.
+// call sends a request with body as JSON, or without a body if it is nil, and decodes the response
+// into reply.
 func (c *Client) call(ctx context.Context, step, method, target string, body, reply any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -146,7 +147,7 @@
 		deadline = time.Now().Add(callTimeout)
 	}
 	if err := c.http.DoDeadline(request, response, deadline); err != nil {
-		return failure.At(typeOf(err), step, peer, err)
+		return failure.At(failureTypeOf(err), step, peer, err)
 	}
 	switch code := response.StatusCode(); code {
 	case fasthttp.StatusOK:
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -28,27 +28,30 @@
 // ClusterOptions describes a cluster.
 type ClusterOptions struct {
 	Domains []DomainOptions
-	// StoreGBPerSecond is the rate of the weight store.
+	// StoreGBPerSecond is the total rate of the weight store in gigabytes per second.
 	StoreGBPerSecond float64
-	// LoadGB is what one node loads for one model version.
+	// LoadGB is the size of the weights that one node loads for a model version, in gigabytes.
 	LoadGB float64
-	Step   time.Duration
-	Slots  int
-	// ListLag is the age of what the node list shows.
+	// Step is the time between two tokens.
+	Step time.Duration
+	// Slots is the number of requests that a node runs concurrently.
+	Slots int
+	// ListLag is the maximum age of the node list.
 	ListLag time.Duration
+	// LoadLag is the maximum age of the load in a node's state.
 	LoadLag time.Duration
-	// Address returns the address of the node with the given id; with none
-	// set the id itself serves as address, which does for calls in memory.
+	// Address returns the address of the node with the given ID. If it is nil, the ID is the
+	// address, which is enough for calls within the process.
 	Address func(id string) string
 }
 
-// Cluster is a set of nodes with their list. It implements the platform's
-// interfaces in memory.
+// Cluster is a set of nodes with their node list. It implements cluster.NodeList and
+// cluster.NodeControl in memory.
 type Cluster struct {
-	opts  ClusterOptions
-	nodes []*Node
-	byID  map[string]*Node
-	byAdr map[string]*Node
+	opts      ClusterOptions
+	nodes     []*Node
+	byID      map[string]*Node
+	byAddress map[string]*Node
 
 	mu       sync.Mutex
 	listed   []cluster.ListedNode
@@ -60,22 +63,22 @@
 	_ cluster.NodeControl = (*Cluster)(nil)
 )
 
-// NewCluster returns a cluster whose nodes are all up.
+// NewCluster returns a cluster in which all nodes are running.
 func NewCluster(opts ClusterOptions) *Cluster {
-	c := &Cluster{opts: opts, byID: make(map[string]*Node), byAdr: make(map[string]*Node)}
+	c := &Cluster{opts: opts, byID: make(map[string]*Node), byAddress: make(map[string]*Node)}
 	store := NewWeightStore(opts.StoreGBPerSecond)
 	for _, d := range opts.Domains {
 		for i := range d.Nodes {
-			c.add(d, fmt.Sprintf("%s-n%02d", d.Name, i), cluster.KindEngine, store)
+			c.addNode(d, fmt.Sprintf("%s-n%02d", d.Name, i), cluster.KindEngine, store)
 		}
 		for i := range d.Services {
-			c.add(d, fmt.Sprintf("%s-s%02d", d.Name, i), cluster.KindService, store)
+			c.addNode(d, fmt.Sprintf("%s-s%02d", d.Name, i), cluster.KindService, store)
 		}
 	}
 	return c
 }
 
-func (c *Cluster) add(d DomainOptions, id string, kind cluster.NodeKind, store *WeightStore) {
+func (c *Cluster) addNode(d DomainOptions, id string, kind cluster.NodeKind, store *WeightStore) {
 	address := id
 	if c.opts.Address != nil {
 		address = c.opts.Address(id)
@@ -87,11 +90,11 @@
 		},
 		Unfenced: d.Unfenced, Store: store, LoadGB: c.opts.LoadGB,
 		Step: c.opts.Step, Slots: c.opts.Slots, LoadLag: c.opts.LoadLag,
-		Alive: c.alive,
+		IsNodeUp: c.isNodeUp,
 	})
 	c.nodes = append(c.nodes, n)
 	c.byID[id] = n
-	c.byAdr[address] = n
+	c.byAddress[address] = n
 }
 
 // All returns the cluster's nodes.
@@ -99,19 +102,18 @@
 	return slices.Clone(c.nodes)
 }
 
-// Node returns the node with the given id.
+// Node returns the node with the given ID.
 func (c *Cluster) Node(id string) (*Node, bool) {
 	n, ok := c.byID[id]
 	return n, ok
 }
 
-func (c *Cluster) alive(id string) bool {
+func (c *Cluster) isNodeUp(id string) bool {
 	n, ok := c.byID[id]
 	return ok && n.Up()
 }
 
-// Nodes implements cluster.NodeList. The list lags: it is made anew only when
-// the last one is older than the lag.
+// Nodes implements cluster.NodeList. The list is cached for ListLag, so that it may be out of date.
 func (c *Cluster) Nodes(context.Context) ([]cluster.ListedNode, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +133,7 @@
 
 // State implements cluster.NodeControl.
 func (c *Cluster) State(ctx context.Context, address string) (cluster.NodeState, error) {
-	n, ok := c.byAdr[address]
+	n, ok := c.byAddress[address]
 	if !ok {
 		return cluster.NodeState{}, failure.At(failure.Refused, "probe node", address, errUnknownAddress)
 	}
@@ -140,7 +142,7 @@
 
 // Order implements cluster.NodeControl.
 func (c *Cluster) Order(ctx context.Context, address string, order cluster.Order) (cluster.OrderReply, error) {
-	n, ok := c.byAdr[address]
+	n, ok := c.byAddress[address]
 	if !ok {
 		return cluster.OrderReply{}, failure.At(failure.Refused, "order node", address, errUnknownAddress)
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -11,11 +11,10 @@
 	"quartzshelf.dev/cluster"
 )
 
-// ErrNotStarted is given by an engine that refuses a request before it ran
-// anything of it.
+// ErrNotStarted is returned when a node rejects a request before executing any part of it.
 var ErrNotStarted = errors.New("not started")
 
-// errMemberLost ends a request whose replica lost a node.
+// errMemberLost is returned when the replica of a running request has lost a node.
 var errMemberLost = errors.New("a member of the replica is gone")
 
 var vocabulary = []string{
@@ -23,23 +22,23 @@
 	"final", "amount", "date", "account", "office", "receipt",
 }
 
-// Token returns the token with the given index of the answer to prompt, which
-// depends on nothing else, so that a resumed stream can be compared.
+// Token returns the token with the given index of the answer to prompt. The result depends only on
+// the arguments, so that tests can predict answers.
 func Token(prompt string, index int) string {
 	h := fnv.New32a()
 	fmt.Fprintf(h, "%s#%d", prompt, index)
 	return vocabulary[h.Sum32()%uint32(len(vocabulary))] + " "
 }
 
-// Generate runs a request on the replica that the node leads and hands each
-// token from index from on to emit. It ends when count tokens were emitted,
-// ctx ends, emit fails, or the replica loses a node.
+// Generate runs a request on the replica of which the node is the head. It passes the tokens with
+// the indices from to count-1 to emit. It returns an error if the request was not started, ctx is
+// done, emit fails or the replica loses a node.
 func (n *Node) Generate(ctx context.Context, assignment, prompt string, from, count int, emit func(index int, text string) error) error {
-	life, err := n.enter(ctx, assignment)
+	incarnation, err := n.acquireSlot(ctx, assignment)
 	if err != nil {
 		return err
 	}
-	defer n.leave(life)
+	defer n.releaseSlot(incarnation)
 	for i := from; i < count; i++ {
 		timer := time.NewTimer(n.opts.Step)
 		select {
@@ -48,7 +47,7 @@
 			timer.Stop()
 			return ctx.Err()
 		}
-		if !n.whole(life, assignment) {
+		if !n.isReplicaIntact(incarnation, assignment) {
 			return errMemberLost
 		}
 		if err := emit(i, Token(prompt, i)); err != nil {
@@ -58,80 +57,83 @@
 	return nil
 }
 
-// enter waits for a slot. It fails with ErrNotStarted when the node does not
-// lead the replica that the request is meant for.
-func (n *Node) enter(ctx context.Context, assignment string) (int, error) {
+// acquireSlot waits for a free slot and returns the node's incarnation. It returns ErrNotStarted if
+// the node is not the head of the request's replica, if the node restarts during the wait, or if ctx
+// is done.
+func (n *Node) acquireSlot(ctx context.Context, assignment string) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.leads(assignment) {
+	if !n.isHeadOf(assignment) {
 		return 0, fmt.Errorf("%w: the node is not ready for %q", ErrNotStarted, assignment)
 	}
-	life := n.life
+	incarnation := n.incarnation
 	n.queue++
 	defer func() { n.queue = max(n.queue-1, 0) }()
 	for n.active >= n.opts.Slots {
-		freed := n.freed
+		slotFreed := n.slotFreed
 		n.mu.Unlock()
 		select {
-		case <-freed:
+		case <-slotFreed:
 		case <-ctx.Done():
 		}
 		n.mu.Lock()
-		if ctx.Err() != nil || !n.up || n.life != life {
+		if ctx.Err() != nil || !n.up || n.incarnation != incarnation {
 			return 0, fmt.Errorf("%w: gave up while queueing", ErrNotStarted)
 		}
 	}
 	n.active++
-	return life, nil
+	return incarnation, nil
 }
 
-func (n *Node) leave(life int) {
+func (n *Node) releaseSlot(incarnation int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life != life {
+	if n.incarnation != incarnation {
 		return
 	}
 	n.active--
-	close(n.freed)
-	n.freed = make(chan struct{})
+	close(n.slotFreed)
+	n.slotFreed = make(chan struct{})
 }
 
-// leads reports whether the node leads the ready replica REPLICA@GENERATION.
-func (n *Node) leads(assignment string) bool {
+// isHeadOf reports whether the node is the head of a ready replica, named REPLICA@GENERATION. The
+// caller holds n.mu.
+func (n *Node) isHeadOf(assignment string) bool {
 	a := n.state.Assignment
 	return n.up && n.state.Phase == cluster.PhaseReady &&
 		assignment == a.Name() && len(a.Members) > 0 && a.Members[0] == n.opts.Listed.ID
 }
 
-// whole reports whether the node still leads the same replica and every member is up.
-func (n *Node) whole(life int, assignment string) bool {
+// isReplicaIntact reports whether the node is still the head of the replica in the same incarnation,
+// and all members are running.
+func (n *Node) isReplicaIntact(incarnation int, assignment string) bool {
 	n.mu.Lock()
-	ok := n.life == life && n.leads(assignment)
+	isHead := n.incarnation == incarnation && n.isHeadOf(assignment)
 	members := n.state.Assignment.Members
 	n.mu.Unlock()
-	if !ok {
+	if !isHead {
 		return false
 	}
 	for _, id := range members {
-		if n.opts.Alive != nil && !n.opts.Alive(id) {
+		if n.opts.IsNodeUp != nil && !n.opts.IsNodeUp(id) {
 			return false
 		}
 	}
 	return true
 }
 
-// Call runs one call of the plain service, after work of the given time, and
-// counts it under mark.
-func (n *Node) Call(ctx context.Context, mark string, work time.Duration) (int, error) {
+// Call executes one call of the plain service, which takes the given duration. It returns how many
+// calls with this mark the node has executed, including this one.
+func (n *Node) Call(ctx context.Context, mark string, duration time.Duration) (int, error) {
 	n.mu.Lock()
 	if !n.up {
 		n.mu.Unlock()
 		return 0, ErrNotStarted
 	}
-	n.runs[mark]++
-	count := n.runs[mark]
+	n.callCounts[mark]++
+	count := n.callCounts[mark]
 	n.mu.Unlock()
-	timer := time.NewTimer(work)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -141,9 +143,9 @@
 	}
 }
 
-// Runs returns how often the plain service ran each mark.
-func (n *Node) Runs() map[string]int {
+// CallCounts returns the number of calls of the plain service by mark.
+func (n *Node) CallCounts() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return maps.Clone(n.runs)
+	return maps.Clone(n.callCounts)
 }
--- a/standin/log.go
+++ b/standin/log.go
@@ -1,7 +1,6 @@
-// Package standin provides small stand-ins of the systems that the platform
-// runs: the log service, the node list, the weight store, model engines and a
-// plain service. Their faults can be switched on and off while they run. They
-// serve trials and tests, in one process or, through package server, over HTTP.
+// Package standin simulates the systems of the platform: the log service, the node list, the weight
+// store, model engines and a plain service. Faults can be switched on and off at run time. Tests use
+// the simulations within their process, or over HTTP by package server.
 package standin
 
 import (
@@ -16,7 +15,7 @@
 	"quartzshelf.dev/common/failure"
 )
 
-// Defaults of the log.
+// Defaults of the options of a log.
 const (
 	DefaultAppendsPerSecond = 100
 	DefaultRetention        = time.Hour
@@ -29,17 +28,17 @@
 	errRate   = errors.New("too many appends")
 )
 
-// LogFaults are the faults of a log that can be switched on.
+// LogFaults selects the active faults of a log.
 type LogFaults struct {
 	// Outage makes every call fail.
 	Outage bool `json:"outage" yaml:"outage"`
-	// LoseAnswers lets appends take effect but fail towards the writer.
+	// LoseAnswers makes appends return an error after they have taken effect.
 	LoseAnswers bool `json:"lose_answers" yaml:"lose_answers"`
 	// SlowMillis delays every call, in milliseconds.
 	SlowMillis int `json:"slow_millis" yaml:"slow_millis"`
 }
 
-// LogOptions configures a Log. Zero values stand for the defaults.
+// LogOptions configures a Log. Zero values select the defaults.
 type LogOptions struct {
 	AppendsPerSecond float64
 	Retention        time.Duration
@@ -79,14 +78,14 @@
 	}
 }
 
-// SetFaults replaces the faults that are on.
+// SetFaults replaces the active faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Appends returns how many appends took effect.
+// Appends returns the number of appends that took effect.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +94,7 @@
 
 // Append implements cluster.Log.
 func (l *Log) Append(ctx context.Context, stream string, records []cluster.Record) (int64, error) {
-	if err := l.admit(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	if !l.limiter.Allow() {
@@ -121,7 +120,7 @@
 
 // Read implements cluster.Log.
 func (l *Log) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (cluster.Batch, error) {
-	if err := l.admit(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return cluster.Batch{}, err
 	}
 	timer := time.NewTimer(wait)
@@ -134,7 +133,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			if err := l.outage(); err != nil {
+			if err := l.checkOutage(); err != nil {
 				return cluster.Batch{}, err
 			}
 			return batch, nil
@@ -144,13 +143,13 @@
 	}
 }
 
-// admit applies the faults that hit every call.
-func (l *Log) admit(ctx context.Context) error {
+// applyFaults delays a call and returns an error, as the active faults demand.
+func (l *Log) applyFaults(ctx context.Context) error {
 	l.mu.Lock()
-	slow := time.Duration(l.faults.SlowMillis) * time.Millisecond
+	delay := time.Duration(l.faults.SlowMillis) * time.Millisecond
 	l.mu.Unlock()
-	if slow > 0 {
-		timer := time.NewTimer(slow)
+	if delay > 0 {
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -158,10 +157,10 @@
 			return failure.At(failure.Unavailable, "call log", "log", ctx.Err())
 		}
 	}
-	return l.outage()
+	return l.checkOutage()
 }
 
-func (l *Log) outage() error {
+func (l *Log) checkOutage() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.Outage {
--- a/standin/node.go
+++ b/standin/node.go
@@ -13,8 +13,8 @@
 	"quartzshelf.dev/common/token"
 )
 
-// cachedVersions is how many model versions a node keeps the weights of.
-const cachedVersions = 2
+// maxCachedVersions is the number of model versions whose weights a node keeps.
+const maxCachedVersions = 2
 
 var (
 	errDown  = errors.New("connection refused")
@@ -24,63 +24,63 @@
 // NodeOptions describes a node.
 type NodeOptions struct {
 	Listed cluster.ListedNode
-	// Unfenced makes the node take any order, whatever its token.
+	// Unfenced makes the node accept orders regardless of their token.
 	Unfenced bool
 	Store    *WeightStore
-	// LoadGB is what one node loads for a version it does not hold.
+	// LoadGB is the size of the weights of a model version, in gigabytes.
 	LoadGB float64
 	// Step is the time between two tokens.
 	Step time.Duration
-	// Slots is how many requests are worked on at once.
+	// Slots is the number of requests that the node runs concurrently.
 	Slots int
-	// LoadLag is the age of the load that a state reports.
+	// LoadLag is the maximum age of the load in the node's state.
 	LoadLag time.Duration
-	// Alive reports whether the member node with the given id is up.
-	Alive func(id string) bool
+	// IsNodeUp reports whether the node with the given ID is running. If it is nil, all are.
+	IsNodeUp func(id string) bool
 }
 
-// Node is an engine's node or a plain service's node.
+// Node simulates a node that runs an engine or a plain service.
 type Node struct {
 	opts NodeOptions
 
-	mu     sync.Mutex
-	life   int
-	up     bool
-	stuck  bool
-	state  cluster.NodeState
-	cancel context.CancelFunc
-	active int
-	queue  int
-	// reported and reportedAt are the load that a lagging report shows.
+	mu          sync.Mutex
+	incarnation int
+	up          bool
+	stuck       bool
+	state       cluster.NodeState
+	cancel      context.CancelFunc
+	active      int
+	queue       int
+	// reported is the load in the node's state, reportedAt the time of its last update.
 	reported   cluster.Load
 	reportedAt time.Time
-	// runs counts the calls of the plain service by what they carried.
-	runs  map[string]int
-	freed chan struct{}
+	// callCounts is the number of calls of the plain service by mark.
+	callCounts map[string]int
+	slotFreed  chan struct{}
 }
 
-// NewNode returns a node that is up and has no assignment.
+// NewNode returns a running node without an assignment.
 func NewNode(opts NodeOptions) *Node {
-	n := &Node{opts: opts, runs: make(map[string]int), freed: make(chan struct{})}
+	n := &Node{opts: opts, callCounts: make(map[string]int), slotFreed: make(chan struct{})}
 	n.Restart()
 	return n
 }
 
-// Listed returns the node's row of the node list.
+// Listed returns the node's entry in the node list.
 func (n *Node) Listed() cluster.ListedNode {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.opts.Listed
 }
 
-// SetLeaving changes what the node list says of the node.
+// SetLeaving sets whether the node list shows the node as leaving.
 func (n *Node) SetLeaving(leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.opts.Listed.Leaving = leaving
 }
 
-// Kill ends the node's process at once; its memory is lost.
+// Kill stops the node at once. Restart then starts it without its state.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Restart starts the node's process anew, with nothing assigned.
+// Restart starts a killed node without an assignment. It does nothing if the node is running.
 func (n *Node) Restart() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -99,31 +99,32 @@
 		return
 	}
 	n.up = true
-	n.life++
+	n.incarnation++
 	n.active, n.queue = 0, 0
 	n.state = cluster.NodeState{
 		Node:  n.opts.Listed.ID,
 		Phase: cluster.PhaseIdle,
-		Start: strconv.Itoa(n.life),
+		Start: strconv.Itoa(n.incarnation),
 	}
 }
 
-// SetStuck makes the node accept connections but answer nothing.
+// SetStuck makes calls to the node block until their context is done.
 func (n *Node) SetStuck(stuck bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stuck = stuck
 }
 
-// Up reports whether the node's process runs.
+// Up reports whether the node is running.
 func (n *Node) Up() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.up
 }
 
-// reachable returns the error that a call to the node gets, if any.
-func (n *Node) reachable(ctx context.Context, step string) error {
+// checkReachable returns the error of a call to a node that is killed or stuck, or nil. A call to a
+// stuck node blocks until ctx is done.
+func (n *Node) checkReachable(ctx context.Context, step string) error {
 	n.mu.Lock()
 	up, stuck := n.up, n.stuck
 	n.mu.Unlock()
@@ -139,7 +140,7 @@
 
 // State returns the node's state.
 func (n *Node) State(ctx context.Context) (cluster.NodeState, error) {
-	if err := n.reachable(ctx, "probe node"); err != nil {
+	if err := n.checkReachable(ctx, "probe node"); err != nil {
 		return cluster.NodeState{}, err
 	}
 	n.mu.Lock()
@@ -160,10 +161,10 @@
 	return state
 }
 
-// Order gives the node an order. A node that checks tokens takes only a higher
-// one than it holds.
+// Order sends the node an order. Unless the node is unfenced, it accepts only orders whose token is
+// higher than that of the last one.
 func (n *Node) Order(ctx context.Context, order cluster.Order) (cluster.OrderReply, error) {
-	if err := n.reachable(ctx, "order node"); err != nil {
+	if err := n.checkReachable(ctx, "order node"); err != nil {
 		return cluster.OrderReply{}, err
 	}
 	n.mu.Lock()
@@ -173,7 +174,7 @@
 	}
 	n.state.Token = order.Token
 	if n.state.Assignment.Same(order.Assignment) {
-		// The same assignment under a higher token disturbs nothing.
+		// The same assignment with a higher token does not interrupt the replica.
 		n.preload(order.Preload)
 		return cluster.OrderReply{Accepted: true, State: n.stateLocked()}, nil
 	}
@@ -182,13 +183,14 @@
 		n.cancel = nil
 	}
 	n.state.Assignment = order.Assignment
-	n.begin(order.Assignment)
+	n.startAssignment(order.Assignment)
 	n.preload(order.Preload)
 	return cluster.OrderReply{Accepted: true, State: n.stateLocked()}, nil
 }
 
-// begin starts the work that an assignment asks for.
-func (n *Node) begin(a cluster.Assignment) {
+// startAssignment sets the phase for an assignment and starts loading weights that are not cached.
+// The caller holds n.mu.
+func (n *Node) startAssignment(a cluster.Assignment) {
 	switch {
 	case a.Empty():
 		n.state.Phase = cluster.PhaseIdle
@@ -202,42 +204,43 @@
 	}
 }
 
-// preload begins to fetch the versions that the node neither holds nor fetches.
+// preload starts loading the versions that are neither cached nor being preloaded. The caller holds
+// n.mu.
 func (n *Node) preload(versions []string) {
 	for _, v := range versions {
 		if slices.Contains(n.state.Cached, v) || slices.Contains(n.state.Preloading, v) {
 			continue
 		}
 		n.state.Preloading = append(n.state.Preloading, v)
-		life := n.life
+		incarnation := n.incarnation
 		go func() {
 			if n.opts.Store != nil && n.opts.Store.Load(context.Background(), n.opts.LoadGB) != nil {
 				return
 			}
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			if n.life != life || !n.up {
+			if n.incarnation != incarnation || !n.up {
 				return
 			}
 			n.state.Preloading = slices.DeleteFunc(n.state.Preloading, func(p string) bool { return p == v })
-			n.keep(v)
+			n.addCached(v)
 		}()
 	}
 }
 
-// keep adds a version to those held and drops the oldest ones.
-func (n *Node) keep(version string) {
+// addCached adds a version to the cache and drops the oldest ones beyond maxCachedVersions.
+func (n *Node) addCached(version string) {
 	if slices.Contains(n.state.Cached, version) {
 		return
 	}
 	n.state.Cached = append(n.state.Cached, version)
-	if extra := len(n.state.Cached) - cachedVersions; extra > 0 {
-		n.state.Cached = n.state.Cached[extra:]
+	if surplus := len(n.state.Cached) - maxCachedVersions; surplus > 0 {
+		n.state.Cached = n.state.Cached[surplus:]
 	}
 }
 
-// load fetches the weights of a and then marks the node ready, unless another
-// order came meanwhile.
+// load loads the weights for an assignment and then marks the node ready, unless the assignment has
+// changed meanwhile.
 func (n *Node) load(ctx context.Context, a cluster.Assignment) {
 	if n.opts.Store != nil && n.opts.Store.Load(ctx, n.opts.LoadGB) != nil {
 		return
@@ -247,22 +250,21 @@
 	if ctx.Err() != nil || !n.up || !n.state.Assignment.Same(a) {
 		return
 	}
-	n.keep(a.Version)
+	n.addCached(a.Version)
 	n.state.Phase = cluster.PhaseReady
 }
 
-// Held returns the assignment of a node that is up, and whether it is ready to
-// do its part of it.
+// Held returns the node's assignment, and whether the node is running and ready to serve it.
 func (n *Node) Held() (cluster.Assignment, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Assignment, n.up && n.state.Phase == cluster.PhaseReady
 }
 
-// Fence returns how often the node's process was started, and the token of the
-// last order that it took in this life.
-func (n *Node) Fence() (life int, held token.Token) {
+// Fence returns the number of starts of the node, and the token of the last order that it accepted
+// since the latest one.
+func (n *Node) Fence() (incarnation int, last token.Token) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life, n.state.Token
+	return n.incarnation, n.state.Token
 }
--- a/standin/server/node.go
+++ b/standin/server/node.go
@@ -16,18 +16,18 @@
 	"quartzshelf.dev/standin"
 )
 
-// Defaults of a completion.
+// Limits and defaults of requests.
 const (
 	defaultMaxTokens = 16
-	maxMaxTokens     = 4096
-	serviceWork      = 5 * time.Millisecond
-	// markHeader carries what the plain service counts a call under.
-	markHeader = "Test-Mark"
+	maxTokensLimit   = 4096
+	serviceCallTime  = 5 * time.Millisecond
+	// callMarkHeader carries the mark by which the plain service counts calls.
+	callMarkHeader = "Test-Mark"
 )
 
-// completion is the part of a request that the engine reads. Resume lists the
-// tokens that the caller already has.
-type completion struct {
+// completionRequest holds the fields of a request that the engine reads. Resume lists the tokens
+// that the caller already has.
+type completionRequest struct {
 	Prompt    string          `json:"prompt"`
 	Messages  json.RawMessage `json:"messages"`
 	MaxTokens int             `json:"max_tokens"`
@@ -35,27 +35,27 @@
 	Resume    []string        `json:"resume"`
 }
 
-// prompt returns the text that the answer depends on.
-func (r completion) prompt() string {
+// prompt returns the text that determines the answer.
+func (r completionRequest) prompt() string {
 	if len(r.Messages) > 0 {
 		return string(r.Messages)
 	}
 	return r.Prompt
 }
 
-func (r completion) count() int {
+func (r completionRequest) tokenCount() int {
 	if r.MaxTokens <= 0 {
 		return defaultMaxTokens
 	}
-	return min(r.MaxTokens, maxMaxTokens)
+	return min(r.MaxTokens, maxTokensLimit)
 }
 
-// nodeApp returns the HTTP server of one node.
+// nodeApp returns the HTTP application of one node.
 func nodeApp(n *standin.Node) *fiber.App {
 	app := newApp()
 	app.Use(func(c *fiber.Ctx) error {
 		if !n.Up() {
-			return cut(c)
+			return closeWithoutResponse(c)
 		}
 		return c.Next()
 	})
@@ -69,7 +69,7 @@
 		return c.JSON(state)
 	})
 	app.Post("/control/order", func(c *fiber.Ctx) error { return postOrder(n, c) })
-	app.Get("/control/runs", func(c *fiber.Ctx) error { return c.JSON(n.Runs()) })
+	app.Get("/control/runs", func(c *fiber.Ctx) error { return c.JSON(n.CallCounts()) })
 	if n.Listed().Kind == cluster.KindService {
 		app.All("/*", func(c *fiber.Ctx) error { return serveCall(n, c) })
 		return app
@@ -93,34 +93,34 @@
 	return c.JSON(reply)
 }
 
-// cut ends the connection without an answer, as a dead process would.
-func cut(c *fiber.Ctx) error {
+// closeWithoutResponse closes the connection without a response, as a killed process would.
+func closeWithoutResponse(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(conn net.Conn) { _ = conn.Close() })
 	return nil
 }
 
-func refuse(c *fiber.Ctx, err error) error {
+func respondNotStarted(c *fiber.Ctx, err error) error {
 	c.Set(cluster.HeaderStarted, cluster.StartedNo)
 	return c.Status(fiber.StatusServiceUnavailable).JSON(fiber.Map{"error": err.Error()})
 }
 
 func serveCall(n *standin.Node, c *fiber.Ctx) error {
-	mark := strings.Clone(c.Get(markHeader))
+	mark := strings.Clone(c.Get(callMarkHeader))
 	path := strings.Clone(c.Path())
-	count, err := n.Call(c.Context(), mark, serviceWork)
+	count, err := n.Call(c.Context(), mark, serviceCallTime)
 	if errors.Is(err, standin.ErrNotStarted) {
-		return refuse(c, err)
+		return respondNotStarted(c, err)
 	}
 	if err != nil || !n.Up() {
-		return cut(c)
+		return closeWithoutResponse(c)
 	}
 	c.Set(cluster.HeaderRequest, c.Get(cluster.HeaderRequest))
 	return c.JSON(fiber.Map{"path": path, "mark": mark, "run": count})
 }
 
 func serveCompletion(n *standin.Node, c *fiber.Ctx, chat bool) error {
-	var r completion
+	var r completionRequest
 	if err := json.Unmarshal(c.Body(), &r); err != nil {
 		c.Set(cluster.HeaderStarted, cluster.StartedNo)
 		return c.Status(fiber.StatusBadRequest).JSON(fiber.Map{"error": err.Error()})
@@ -132,75 +132,75 @@
 		return streamCompletion(n, c, r, id, assignment, chat)
 	}
 	var text strings.Builder
-	err := n.Generate(c.Context(), assignment, r.prompt(), len(r.Resume), r.count(), func(_ int, token string) error {
+	err := n.Generate(c.Context(), assignment, r.prompt(), len(r.Resume), r.tokenCount(), func(_ int, token string) error {
 		text.WriteString(token)
 		return nil
 	})
 	if errors.Is(err, standin.ErrNotStarted) {
-		return refuse(c, err)
+		return respondNotStarted(c, err)
 	}
 	if err != nil {
-		return cut(c)
+		return closeWithoutResponse(c)
 	}
-	return c.JSON(wholeAnswer(id, text.String(), r.count(), chat))
+	return c.JSON(newWholeResponse(id, text.String(), r.tokenCount(), chat))
 }
 
-// event is a token on its way from the engine to the answer.
-type event struct {
+// generatedToken is a token with its index in the answer.
+type generatedToken struct {
 	index int
 	text  string
 }
 
-// generation is a request that the engine works on in the background.
+// generation is a request that the engine executes in the background.
 type generation struct {
-	events chan event
-	failed chan error
+	tokens chan generatedToken
+	result chan error
 	cancel context.CancelFunc
 }
 
-// generate starts a request. Its events end with the channel, and then failed
-// holds the error or nil.
-func generate(n *standin.Node, r completion, assignment string) *generation {
+// generate starts a request. After its last token the channel of tokens is closed, and result holds
+// the error or nil.
+func generate(n *standin.Node, r completionRequest, assignment string) *generation {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &generation{events: make(chan event), failed: make(chan error, 1), cancel: cancel}
+	g := &generation{tokens: make(chan generatedToken), result: make(chan error, 1), cancel: cancel}
 	go func() {
-		g.failed <- n.Generate(ctx, assignment, r.prompt(), len(r.Resume), r.count(), func(i int, text string) error {
+		g.result <- n.Generate(ctx, assignment, r.prompt(), len(r.Resume), r.tokenCount(), func(i int, text string) error {
 			select {
-			case g.events <- event{index: i, text: text}:
+			case g.tokens <- generatedToken{index: i, text: text}:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		})
-		close(g.events)
+		close(g.tokens)
 	}()
 	return g
 }
 
-// streamCompletion answers with server-sent events. The first token is made
-// before the answer begins, so that a refusal can still be told as one.
-func streamCompletion(n *standin.Node, c *fiber.Ctx, r completion, id, assignment string, chat bool) error {
+// streamCompletion answers with server-sent events. It waits for the first token before it sends the
+// status, so that a request that was not started can be rejected with an error status.
+func streamCompletion(n *standin.Node, c *fiber.Ctx, r completionRequest, id, assignment string, chat bool) error {
 	g := generate(n, r, assignment)
-	first, some := <-g.events
-	if !some {
+	first, hasToken := <-g.tokens
+	if !hasToken {
 		g.cancel()
-		if err := <-g.failed; errors.Is(err, standin.ErrNotStarted) {
-			return refuse(c, err)
+		if err := <-g.result; errors.Is(err, standin.ErrNotStarted) {
+			return respondNotStarted(c, err)
 		} else if err != nil {
-			return cut(c)
+			return closeWithoutResponse(c)
 		}
-		g.failed <- nil
+		g.result <- nil
 	}
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer g.cancel()
-		for e, open := first, some; open; e, open = <-g.events {
-			if writeEvent(w, tokenEvent(id, e.index, e.text, chat)) != nil {
+		for e, more := first, hasToken; more; e, more = <-g.tokens {
+			if writeEvent(w, newChunk(id, e.index, e.text, chat)) != nil {
 				return
 			}
 		}
-		if <-g.failed != nil {
-			// The stream ends without its last event: the reader sees that it is cut.
+		if <-g.result != nil {
+			// Without its last event the stream is incomplete, which readers detect.
 			return
 		}
 		_, _ = w.WriteString("data: [DONE]\n\n")
@@ -220,7 +220,7 @@
 	return w.Flush()
 }
 
-// choice, event and answer follow the OpenAI API.
+// choice, message and completionResponse follow the OpenAI API.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         *string  `json:"text,omitempty"`
@@ -234,16 +234,16 @@
 	Content string `json:"content"`
 }
 
-type answer struct {
-	ID      string         `json:"id"`
-	Object  string         `json:"object"`
-	Token   *int           `json:"token_index,omitempty"`
-	Choices []choice       `json:"choices"`
-	Usage   map[string]int `json:"usage,omitempty"`
+type completionResponse struct {
+	ID         string         `json:"id"`
+	Object     string         `json:"object"`
+	TokenIndex *int           `json:"token_index,omitempty"`
+	Choices    []choice       `json:"choices"`
+	Usage      map[string]int `json:"usage,omitempty"`
 }
 
-func tokenEvent(id string, index int, text string, chat bool) answer {
-	a := answer{ID: id, Token: &index}
+func newChunk(id string, index int, text string, chat bool) completionResponse {
+	a := completionResponse{ID: id, TokenIndex: &index}
 	if chat {
 		a.Object = "chat.completion.chunk"
 		a.Choices = []choice{{Delta: &message{Content: text}}}
@@ -254,9 +254,9 @@
 	return a
 }
 
-func wholeAnswer(id, text string, tokens int, chat bool) answer {
+func newWholeResponse(id, text string, tokens int, chat bool) completionResponse {
 	stop := "stop"
-	a := answer{ID: id, Usage: map[string]int{"completion_tokens": tokens}}
+	a := completionResponse{ID: id, Usage: map[string]int{"completion_tokens": tokens}}
 	if chat {
 		a.Object = "chat.completion"
 		a.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,6 +1,5 @@
-// Package server serves the platform's stand-ins over HTTP: the log service
-// and the node list on one address, each node on an address of its own, and
-// the switches for faults beside the log.
+// Package server serves the simulations of package standin over HTTP. The log service, the node list
+// and the control of faults share one address. Each node has an address of its own.
 package server
 
 import (
@@ -19,16 +18,16 @@
 
 // Limits of the servers.
 const (
-	readLimit   = 1000
-	bodyLimit   = 64 << 20
-	stopTimeout = 2 * time.Second
+	maxRecordsPerRead = 1000
+	maxBodyBytes      = 64 << 20
+	stopTimeout       = 2 * time.Second
 )
 
-// Options describes the stand-ins to serve.
+// Options configures a Server.
 type Options struct {
-	// Host is the IP number to listen on.
+	// Host is the IP address to listen on.
 	Host string
-	// PlatformPort is the port of log and node list, zero for any free one.
+	// PlatformPort is the port of the log and the node list. Zero selects a free port.
 	PlatformPort int
 	Log          standin.LogOptions
 	Cluster      standin.ClusterOptions
@@ -44,7 +43,7 @@
 	done    chan struct{}
 }
 
-// New starts serving what opts describes.
+// New creates a log and a cluster as configured in opts and starts serving them.
 func New(opts Options) (*Server, error) {
 	s := &Server{log: standin.NewLog(opts.Log), done: make(chan struct{})}
 	listeners := make(map[string]net.Listener)
@@ -59,17 +58,17 @@
 		return nil, failure.At(failure.Unavailable, "listen for the platform", opts.Host, err)
 	}
 	s.address = l.Addr().String()
-	s.start(l, s.platformApp())
+	s.serve(l, s.platformApp())
 	for _, n := range s.cluster.All() {
-		s.start(listeners[n.Listed().ID], nodeApp(n))
+		s.serve(listeners[n.Listed().ID], nodeApp(n))
 	}
 	return s, nil
 }
 
 func listenNodes(opts Options, listeners map[string]net.Listener) error {
-	probe := opts.Cluster
-	probe.Address = nil
-	for _, n := range standin.NewCluster(probe).All() {
+	unaddressed := opts.Cluster
+	unaddressed.Address = nil
+	for _, n := range standin.NewCluster(unaddressed).All() {
 		l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, "0"))
 		if err != nil {
 			closeAll(listeners)
@@ -82,37 +81,37 @@
 
 func closeAll(listeners map[string]net.Listener) {
 	for _, l := range listeners {
-		// The process gives up anyway; an error here would hide the cause.
+		// The caller returns the error that led here, so errors of Close are ignored.
 		_ = l.Close()
 	}
 }
 
-// Address returns the IP:port of log and node list.
+// Address returns the IP:port of the log and the node list.
 func (s *Server) Address() string { return s.address }
 
-// Cluster returns the nodes that are served.
+// Cluster returns the cluster whose nodes are served.
 func (s *Server) Cluster() *standin.Cluster { return s.cluster }
 
 // Log returns the log that is served.
 func (s *Server) Log() *standin.Log { return s.log }
 
-// Done is closed when the server has stopped.
+// Done returns a channel that is closed when the server has stopped.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Stop ends all listeners and waits for the goroutines that serve them.
+// Stop shuts down all listeners and waits for the goroutines that serve them.
 func (s *Server) Stop() {
 	for _, app := range s.apps {
-		// A connection that outlives the time limit is cut, as wanted.
+		// Connections that are still open after stopTimeout are closed.
 		_ = app.ShutdownWithTimeout(stopTimeout)
 	}
 	s.serving.Wait()
 	close(s.done)
 }
 
-func (s *Server) start(l net.Listener, app *fiber.App) {
+func (s *Server) serve(l net.Listener, app *fiber.App) {
 	s.apps = append(s.apps, app)
 	s.serving.Go(func() {
-		// Listener returns once the app is shut down.
+		// Listener returns after the app has been shut down.
 		_ = app.Listener(l)
 	})
 }
@@ -120,9 +119,9 @@
 func newApp() *fiber.App {
 	return fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		// Names from the path are kept as keys, beyond the life of a request.
+		// Stream names from the path are stored as keys that outlive the request.
 		Immutable:      true,
-		BodyLimit:      bodyLimit,
+		BodyLimit:      maxBodyBytes,
 		ReadBufferSize: 16 << 10,
 		ErrorHandler: func(c *fiber.Ctx, err error) error {
 			code := fiber.StatusInternalServerError
@@ -157,7 +156,7 @@
 		s.log.SetFaults(faults)
 		return c.JSON(faults)
 	})
-	app.Post("/faults/nodes/:id/:fault", s.nodeFault)
+	app.Post("/faults/nodes/:id/:fault", s.postNodeFault)
 	app.Get("/stats", func(c *fiber.Ctx) error {
 		return c.JSON(fiber.Map{"appends": s.log.Appends()})
 	})
@@ -178,7 +177,7 @@
 
 func (s *Server) getLog(c *fiber.Ctx) error {
 	wait := time.Duration(c.QueryInt("wait_ms")) * time.Millisecond
-	limit := min(c.QueryInt("limit", readLimit), readLimit)
+	limit := min(c.QueryInt("limit", maxRecordsPerRead), maxRecordsPerRead)
 	batch, err := s.log.Read(c.Context(), c.Params("stream"), int64(c.QueryInt("from")), limit, wait)
 	if err != nil {
 		return err
@@ -186,7 +185,7 @@
 	return c.JSON(batch)
 }
 
-func (s *Server) nodeFault(c *fiber.Ctx) error {
+func (s *Server) postNodeFault(c *fiber.Ctx) error {
 	n, ok := s.cluster.Node(c.Params("id"))
 	if !ok {
 		return c.Status(fiber.StatusNotFound).JSON(fiber.Map{"error": "no such node"})
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -27,9 +27,9 @@
 	return s, client.New(client.Options{LogAddress: s.Address(), NodesAddress: s.Address()})
 }
 
-// TestStreamsKeepTheirNames fails when the name of a stream is kept in memory
-// that the HTTP library uses again: records then turn up in another stream.
-func TestStreamsKeepTheirNames(t *testing.T) {
+// TestStreamNamesOutliveRequests checks that the log does not keep stream names in memory that the
+// HTTP library reuses. Records would then appear in another stream.
+func TestStreamNamesOutliveRequests(t *testing.T) {
 	_, client := newServer(t)
 	ctx := context.Background()
 	streams := []string{"configuration", "ownership", "intents", "arrivals"}
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// weightStep is how often the store's rate is shared out anew.
-const weightStep = 50 * time.Millisecond
+// rateInterval is the interval at which concurrent loads share the store's rate anew.
+const rateInterval = 50 * time.Millisecond
 
-// WeightStore is a rate-limited store: its rate is shared evenly by those who
-// load at the same time.
+// WeightStore simulates a store of model weights with a limited rate, which concurrent loads share
+// evenly.
 type WeightStore struct {
 	gbPerSecond float64
 
@@ -18,22 +18,21 @@
 	loading int
 }
 
-// NewWeightStore returns a store that delivers gbPerSecond gigabytes a second in all.
+// NewWeightStore returns a store with a total rate of gbPerSecond gigabytes per second.
 func NewWeightStore(gbPerSecond float64) *WeightStore {
 	return &WeightStore{gbPerSecond: gbPerSecond}
 }
 
-// Load returns after size gigabytes have been delivered, or with an error when
-// ctx ends first.
+// Load waits until size gigabytes have been delivered. It returns an error if ctx is done first.
 func (w *WeightStore) Load(ctx context.Context, size float64) error {
-	w.add(1)
-	defer w.add(-1)
-	ticker := time.NewTicker(weightStep)
+	w.addLoading(1)
+	defer w.addLoading(-1)
+	ticker := time.NewTicker(rateInterval)
 	defer ticker.Stop()
 	for size > 0 {
 		select {
 		case <-ticker.C:
-			size -= w.share() * weightStep.Seconds()
+			size -= w.rateEach() * rateInterval.Seconds()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -41,13 +40,13 @@
 	return nil
 }
 
-func (w *WeightStore) add(n int) {
+func (w *WeightStore) addLoading(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loading += n
 }
 
-func (w *WeightStore) share() float64 {
+func (w *WeightStore) rateEach() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.gbPerSecond / float64(max(w.loading, 1))
