--- a/measure/routing.go
+++ b/measure/routing.go
@@ -94,19 +94,19 @@
 
 // engine is the engine of one endpoint.
 type engine struct {
-	active         int
-	queue          []*job
+	activeJobs     int
+	queuedJobs     []*job
 	cachedPrefixes []uint64
 }
 
-// job is one request.
+// job is one request. Its indices are those of the client account, daemon and endpoint.
 type job struct {
-	account   int
-	prefix    uint64
-	daemon    int
-	endpoint  int
-	arrivedAt float64
-	tokens    int
+	accountIndex  int
+	prefix        uint64
+	daemonIndex   int
+	endpointIndex int
+	arrivedAt     float64
+	tokens        int
 }
 
 // event is a function that runs at a virtual time. Events with equal times run by sequence number.
@@ -264,32 +264,32 @@
 }
 
 // scheduleArrivals schedules the next request of an account, which in turn schedules its successor.
-func (t *routingTrial) scheduleArrivals(account int) {
-	rate := maxRequestRate() * t.load.Share * t.accountWeights[account]
-	if account == 0 && t.load.Burst > 0 && t.now >= burstStart && t.now < burstEnd {
+func (t *routingTrial) scheduleArrivals(accountIndex int) {
+	rate := maxRequestRate() * t.load.Share * t.accountWeights[accountIndex]
+	if accountIndex == 0 && t.load.Burst > 0 && t.now >= burstStart && t.now < burstEnd {
 		rate *= t.load.Burst
 	}
 	t.schedule(t.now+t.random.ExpFloat64()/rate, func() {
-		t.handleArrival(account)
-		t.scheduleArrivals(account)
+		t.handleArrival(accountIndex)
+		t.scheduleArrivals(accountIndex)
 	})
 }
 
-func (t *routingTrial) handleArrival(account int) {
+func (t *routingTrial) handleArrival(accountIndex int) {
 	// Squaring makes prefixes with low numbers more frequent.
 	u := t.random.Float64()
 	j := &job{
-		account: account, prefix: uint64(account*prefixesPerAccount) + uint64(u*u*prefixesPerAccount), daemon: t.random.IntN(daemonCount),
+		accountIndex: accountIndex, prefix: uint64(accountIndex*prefixesPerAccount) + uint64(u*u*prefixesPerAccount), daemonIndex: t.random.IntN(daemonCount),
 		arrivedAt: t.now, tokens: 1 + int(t.random.ExpFloat64()*meanTokens),
 	}
-	isMeasured, isSmallest := t.now > warmupTime, account == accountCount-1
+	isMeasured, isSmallest := t.now > warmupTime, accountIndex == accountCount-1
 	if isMeasured {
 		t.requestCount++
 	}
 	if isMeasured && isSmallest {
 		t.smallRequestCount++
 	}
-	d := t.daemons[j.daemon]
+	d := t.daemons[j.daemonIndex]
 	if t.load.Admit && t.isRefused(d, j) {
 		if isMeasured {
 			t.refusedCount++
@@ -299,33 +299,33 @@
 		}
 		return
 	}
-	j.endpoint = t.policy.pick(d, routing.Prefix(fmt.Sprint(account), fmt.Sprint(j.prefix)), t.random)
-	d.view[j.endpoint].Own++
+	j.endpointIndex = t.policy.pick(d, routing.Prefix(fmt.Sprint(accountIndex), fmt.Sprint(j.prefix)), t.random)
+	d.view[j.endpointIndex].Own++
 	t.addInFlight(j, 1)
-	e := t.engines[j.endpoint]
-	e.queue = append(e.queue, j)
-	t.peakRequests = max(t.peakRequests, e.active+len(e.queue))
+	e := t.engines[j.endpointIndex]
+	e.queuedJobs = append(e.queuedJobs, j)
+	t.peakRequests = max(t.peakRequests, e.activeJobs+len(e.queuedJobs))
 	t.startQueuedJobs(e)
 }
 
 // addInFlight adds n to the daemon's number of requests in flight of the job's account.
 func (t *routingTrial) addInFlight(j *job, n int) {
-	if t.inFlightByDaemon[j.daemon] == nil {
-		t.inFlightByDaemon[j.daemon] = make(map[int]int)
+	if t.inFlightByDaemon[j.daemonIndex] == nil {
+		t.inFlightByDaemon[j.daemonIndex] = make(map[int]int)
 	}
-	t.inFlightByDaemon[j.daemon][j.account] += n
-	if t.inFlightByDaemon[j.daemon][j.account] == 0 {
-		delete(t.inFlightByDaemon[j.daemon], j.account)
+	t.inFlightByDaemon[j.daemonIndex][j.accountIndex] += n
+	if t.inFlightByDaemon[j.daemonIndex][j.accountIndex] == 0 {
+		delete(t.inFlightByDaemon[j.daemonIndex], j.accountIndex)
 	}
 }
 
 func (t *routingTrial) isRefused(d *daemon, j *job) bool {
-	accountInFlight := t.inFlightByDaemon[j.daemon][j.account]
-	activeAccounts, totalInFlight := len(t.inFlightByDaemon[j.daemon]), 0
+	accountInFlight := t.inFlightByDaemon[j.daemonIndex][j.accountIndex]
+	activeAccounts, totalInFlight := len(t.inFlightByDaemon[j.daemonIndex]), 0
 	if accountInFlight == 0 {
 		activeAccounts++
 	}
-	for _, n := range t.inFlightByDaemon[j.daemon] {
+	for _, n := range t.inFlightByDaemon[j.daemonIndex] {
 		totalInFlight += n
 	}
 	return admission.Decide(admission.Situation{
@@ -336,10 +336,10 @@
 
 // startQueuedJobs starts queued jobs while the engine has free slots.
 func (t *routingTrial) startQueuedJobs(e *engine) {
-	for e.active < slotsPerEndpoint && len(e.queue) > 0 {
-		j := e.queue[0]
-		e.queue = e.queue[1:]
-		e.active++
+	for e.activeJobs < slotsPerEndpoint && len(e.queuedJobs) > 0 {
+		j := e.queuedJobs[0]
+		e.queuedJobs = e.queuedJobs[1:]
+		e.activeJobs++
 		prefill := coldPrefillTime
 		if e.cachePrefix(j.prefix) {
 			prefill = warmPrefillTime
@@ -375,14 +375,14 @@
 	if took <= firstTokenTarget {
 		t.withinTarget++
 	}
-	if j.account == accountCount-1 && j.arrivedAt >= burstStart && j.arrivedAt < burstEnd {
+	if j.accountIndex == accountCount-1 && j.arrivedAt >= burstStart && j.arrivedAt < burstEnd {
 		_ = t.smallFirstTokenTimes.RecordValue(int64(took / microsecond))
 	}
 }
 
 func (t *routingTrial) finishJob(e *engine, j *job) {
-	e.active--
-	t.daemons[j.daemon].view[j.endpoint].Own--
+	e.activeJobs--
+	t.daemons[j.daemonIndex].view[j.endpointIndex].Own--
 	t.addInFlight(j, -1)
 	t.startQueuedJobs(e)
 }
@@ -390,7 +390,7 @@
 // reportLoad reports an endpoint's current load to a daemon after reportLag, and schedules the next
 // report. A share of the reports, reportLossShare, is lost.
 func (t *routingTrial) reportLoad(d, i int) {
-	load := t.engines[i].active + len(t.engines[i].queue)
+	load := t.engines[i].activeJobs + len(t.engines[i].queuedJobs)
 	if t.random.Float64() >= reportLossShare {
 		t.schedule(t.now+reportLag, func() {
 			c := &t.daemons[d].view[i]
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -30,7 +30,7 @@
 // caller sends requests sequentially and checks every response.
 type caller struct {
 	run    *run
-	number int
+	index  int
 	random *rand.Rand
 	client *http.Client
 	// staysWithDaemon makes the caller keep using a daemon until a request to it fails.
@@ -44,11 +44,11 @@
 	sentCount int
 }
 
-func newCaller(r *run, number int) *caller {
+func newCaller(r *run, index int) *caller {
 	kinds := []standin.Kind{standin.Stream, standin.Once, standin.Stream, standin.Safe}
 	c := &caller{
-		run: r, number: number, random: rand.New(rand.NewPCG(r.opts.Seed, uint64(number))),
-		kind: kinds[number%len(kinds)], staysWithDaemon: number%3 == 0,
+		run: r, index: index, random: rand.New(rand.NewPCG(r.opts.Seed, uint64(index))),
+		kind: kinds[index%len(kinds)], staysWithDaemon: index%3 == 0,
 	}
 	c.client = &http.Client{Transport: &http.Transport{DialContext: r.dial, DisableCompression: true}}
 	return c
@@ -62,8 +62,8 @@
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 }
 
-// loop sends requests until ctx is done.
-func (c *caller) loop(ctx context.Context) {
+// sendRequests sends requests until ctx is done.
+func (c *caller) sendRequests(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(minRequestPause + time.Duration(c.random.Int64N(int64(requestPauseSpread))))
 		d := c.chooseDaemon(ctx)
@@ -71,7 +71,7 @@
 			time.Sleep(requestPauseSpread)
 			continue
 		}
-		c.send(d)
+		c.sendRequest(d)
 	}
 }
 
@@ -107,7 +107,7 @@
 	id             string
 	kind           standin.Kind
 	usesAddedRoute bool
-	events         int
+	eventCount     int
 	key            string
 	daemon         *daemon
 	// incarnation is that of the daemon when the request was sent.
@@ -122,12 +122,12 @@
 	return standin.Sender{Daemon: incarnationName(r.daemon, r.incarnation), At: r.sentAt}
 }
 
-// send sends one request and checks its response.
-func (c *caller) send(d *daemon) {
+// sendRequest sends one request and checks its response.
+func (c *caller) sendRequest(d *daemon) {
 	c.sentCount++
 	r := &call{
-		id: fmt.Sprintf("c%d-%d", c.number, c.sentCount), kind: c.kind, daemon: d,
-		events: minEvents + c.random.IntN(eventsSpread), sentAt: time.Now(),
+		id: fmt.Sprintf("c%d-%d", c.index, c.sentCount), kind: c.kind, daemon: d,
+		eventCount: minEvents + c.random.IntN(eventsSpread), sentAt: time.Now(),
 	}
 	r.incarnation, _ = d.status()
 	tenant := ""
@@ -137,7 +137,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { r.reused.Store(i.Reused || i.WasIdle) }})
-	response, err := c.client.Do(c.request(ctx, r))
+	response, err := c.client.Do(c.newRequest(ctx, r))
 	if err != nil {
 		c.handleNoAnswer(r, err)
 		return
@@ -146,9 +146,9 @@
 	c.checkResponse(r, response)
 }
 
-func (c *caller) request(ctx context.Context, r *call) *http.Request {
+func (c *caller) newRequest(ctx context.Context, r *call) *http.Request {
 	path := map[standin.Kind]string{
-		standin.Stream: standin.StreamPath + strconv.Itoa(r.events), standin.Once: standin.OncePath, standin.Safe: standin.SafePath,
+		standin.Stream: standin.StreamPath + strconv.Itoa(r.eventCount), standin.Once: standin.OncePath, standin.Safe: standin.SafePath,
 	}[r.kind]
 	if r.usesAddedRoute {
 		path = standin.LaterPath
@@ -166,7 +166,7 @@
 	request.Header.Set(standin.HeaderKey, r.key)
 	if r.kind == standin.Stream {
 		request.Header.Set(standin.HeaderModel, c.run.models[c.random.IntN(len(c.run.models))].Name)
-		request.Header.Set(standin.HeaderUsage, "100,"+strconv.Itoa(r.events))
+		request.Header.Set(standin.HeaderUsage, "100,"+strconv.Itoa(r.eventCount))
 	}
 	return request
 }
@@ -197,8 +197,8 @@
 // before the request was sent.
 func (c *caller) isUndisturbed(r *call) bool {
 	const margin = time.Second
-	from := r.sentAt.Add(-margin)
-	return r.daemon.undisturbedSince(from) && r.daemon.frontProxy.healthySince(from)
+	since := r.sentAt.Add(-margin)
+	return r.daemon.undisturbedSince(since) && r.daemon.frontProxy.healthySince(since)
 }
 
 // checkResponse checks the response to a request by its status code.
@@ -280,14 +280,14 @@
 	for {
 		event, err := readEvent(reader)
 		switch {
-		case err == io.EOF && event == "" && next == r.events+1:
+		case err == io.EOF && event == "" && next == r.eventCount+1:
 			return nil
 		case err == io.EOF:
-			c.run.ledger.Broken("ORDER", "%s ended as complete before event %d of %d", r.id, next, r.events)
+			c.run.ledger.Broken("ORDER", "%s ended as complete before event %d of %d", r.id, next, r.eventCount)
 			return nil
 		case err != nil:
 			return err
-		case event != standin.Event(r.id, next, r.events):
+		case event != standin.Event(r.id, next, r.eventCount):
 			c.run.ledger.Broken("ORDER", "%s got %q in place of event %d", r.id, event, next)
 			return nil
 		}
--- a/soak/caller_test.go
+++ b/soak/caller_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func events(id string, numbers ...int) string {
+func streamBody(id string, numbers ...int) string {
 	const count = 3
 	var all strings.Builder
 	for _, n := range numbers {
@@ -44,11 +44,11 @@
 		"a whole answer":            {kind: whole, response: signedResponse("q", 200, standin.Body("q"))},
 		"another's answer":          {kind: whole, response: signedResponse("q", 200, standin.Body("p")), want: "MIXED"},
 		"another's signature":       {kind: whole, response: signedResponse("p", 200, standin.Body("q")), want: "MIXED"},
-		"a whole stream":            {kind: stream, response: signedResponse("q", 200, events("q", 1, 2, 3))},
-		"a stream that ends early":  {kind: stream, response: signedResponse("q", 200, events("q", 1, 2)), want: "ORDER"},
-		"an event twice":            {kind: stream, response: signedResponse("q", 200, events("q", 1, 2, 2, 3)), want: "ORDER"},
-		"an event is missing":       {kind: stream, response: signedResponse("q", 200, events("q", 1, 3)), want: "ORDER"},
-		"an event of another":       {kind: stream, response: signedResponse("q", 200, events("q", 1)+events("p", 2, 3)), want: "ORDER"},
+		"a whole stream":            {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 2, 3))},
+		"a stream that ends early":  {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 2)), want: "ORDER"},
+		"an event twice":            {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 2, 2, 3)), want: "ORDER"},
+		"an event is missing":       {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 3)), want: "ORDER"},
+		"an event of another":       {kind: stream, response: signedResponse("q", 200, streamBody("q", 1)+streamBody("p", 2, 3)), want: "ORDER"},
 		"refused and not run":       {kind: whole, response: signedResponse("q", 503, "")},
 		"refused and run":           {kind: whole, response: signedResponse("q", 503, ""), prepare: func(r *run) { r.ledger.Ran("q", "t", "w") }, want: "REFUSED"},
 		"no route though it is":     {kind: whole, response: signedResponse("q", 404, ""), want: "DENIED"},
@@ -69,7 +69,7 @@
 				test.prepare(r)
 			}
 			c := &caller{run: r}
-			c.checkResponse(&call{id: "q", kind: test.kind, usesAddedRoute: test.later, events: 3, key: "key", daemon: r.daemons[0], incarnation: 1, sentAt: time.Now()}, test.response)
+			c.checkResponse(&call{id: "q", kind: test.kind, usesAddedRoute: test.later, eventCount: 3, key: "key", daemon: r.daemons[0], incarnation: 1, sentAt: time.Now()}, test.response)
 			r.checkAtEnd()
 			var got []string
 			for _, v := range r.ledger.Violations() {
@@ -98,7 +98,7 @@
 	drawn := make(map[string]bool)
 	for seed := range uint64(50) {
 		for _, s := range schedule(seed, 0, time.Minute) {
-			drawn[s.kind] = true
+			drawn[s.name] = true
 		}
 	}
 	assert.Equal(t, len(drawn), len(faults), "every kind of fault is drawn")
--- a/soak/callerstate.go
+++ b/soak/callerstate.go
@@ -37,7 +37,7 @@
 	routeServedSince map[string]time.Time
 }
 
-func tenantName(number int) string { return fmt.Sprintf("tenant-%d", number) }
+func tenantName(index int) string { return fmt.Sprintf("tenant-%d", index) }
 
 func keyName(tenant, number int) string { return fmt.Sprintf("key-%d-%d", tenant, number) }
 
@@ -136,10 +136,10 @@
 
 // recordNotExecuted records a request whose response guarantees that it was not and will not be
 // executed.
-func (c *callerState) recordNotExecuted(request string) {
+func (c *callerState) recordNotExecuted(requestID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.notExecuted = append(c.notExecuted, request)
+	c.notExecuted = append(c.notExecuted, requestID)
 }
 
 func (c *callerState) recordOutcome(result string) {
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -24,8 +24,8 @@
 // sendCrashingRequests sends copies of a request that crashes every worker that executes it, to
 // random daemons, until ctx is done.
 func (r *run) sendCrashingRequests(ctx context.Context) {
-	const crashingCallerNumber = 1000
-	c := newCaller(r, crashingCallerNumber)
+	const crashingCallerIndex = 1000
+	c := newCaller(r, crashingCallerIndex)
 	for ctx.Err() == nil {
 		time.Sleep(minCrashPause + time.Duration(c.random.Int64N(int64(crashPauseSpread))))
 		c.daemon = nil
@@ -39,12 +39,12 @@
 // that the request was not executed, and reports a response with status 200 as a violation.
 func (c *caller) sendCrashingRequest(ctx context.Context, d *daemon) {
 	c.sentCount++
-	crashing := &call{id: fmt.Sprintf("c%d-%d", c.number, c.sentCount), kind: standin.Stream, daemon: d, events: minEvents, sentAt: time.Now(), key: keyName(1, 1)}
+	crashing := &call{id: fmt.Sprintf("c%d-%d", c.index, c.sentCount), kind: standin.Stream, daemon: d, eventCount: minEvents, sentAt: time.Now(), key: keyName(1, 1)}
 	crashing.incarnation, _ = d.status()
 	c.run.ledger.Sent(crashing.id, crashing.kind, tenantName(1), crashing.sender())
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := c.request(ctx, crashing)
+	request := c.newRequest(ctx, crashing)
 	request.Body = io.NopCloser(strings.NewReader(standin.CrashBody))
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -61,10 +61,10 @@
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// closeWorkerLink closes the proxy of a worker that has ended.
-func (r *run) closeWorkerLink(w *standin.Worker) {
-	if link := r.proxyOf(w); link != nil {
-		link.close()
+// closeWorkerProxy closes the proxy of a worker that has ended.
+func (r *run) closeWorkerProxy(w *standin.Worker) {
+	if workerProxy := r.proxyOf(w); workerProxy != nil {
+		workerProxy.close()
 	}
 }
 
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -41,9 +41,9 @@
 var faults = map[string]fault{
 	"daemon-kill":      {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, 1) }},
 	"daemon-kill-many": {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, len(r.daemons)) }},
-	"daemon-freeze":    {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.freeze(r.pickDaemon(random)) }},
+	"daemon-freeze":    {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.freezeDaemon(r.pickDaemon(random)) }},
 	"leader-kill":      {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { r.leader().kill(false); return noRevert }},
-	"leader-freeze":    {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { return r.freeze(r.leader()) }},
+	"leader-freeze":    {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { return r.freezeDaemon(r.leader()) }},
 	"daemon-stop":      {inject: (*run).stopDaemon},
 	"store-silent":     {blocksUpdates: true, inject: storeFault(standin.Faults{Silent: true})},
 	"store-busy":       {blocksUpdates: true, inject: storeFault(standin.Faults{Status: http.StatusServiceUnavailable})},
@@ -103,7 +103,7 @@
 	}
 }
 
-func (r *run) freeze(d *daemon) func() {
+func (r *run) freezeDaemon(d *daemon) func() {
 	set := func(frozen bool, s syscall.Signal) {
 		d.signal(s)
 		d.mu.Lock()
--- a/soak/process.go
+++ b/soak/process.go
@@ -27,13 +27,17 @@
 	// settingsFile is the path of the settings; log gets the output of all incarnations.
 	settingsFile string
 	log          *os.File
-	// frontProxy and directory are the links of callers to the daemon, store is its link to the store.
+	// frontProxy and directoryProxy carry callers' connections to the daemon, storeProxy the
+	// daemon's connections to the store.
 	frontProxy, directoryProxy, storeProxy *proxy
-	onLeading                              func(d *daemon)
+	// onLeading is called when the daemon has become leader.
+	onLeading func(d *daemon)
 
-	mu          sync.Mutex
-	command     *exec.Cmd
-	exited      chan struct{}
+	mu      sync.Mutex
+	command *exec.Cmd
+	// exited is closed when the running process has exited.
+	exited chan struct{}
+	// incarnation is the number of times that the daemon was started.
 	incarnation int
 	// restartDisabled keeps the daemon down. frozen is set between SIGSTOP and SIGCONT, stopping
 	// after a planned stop was requested.
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// awaitDelivery blocks while the link's fault stops this direction, or for the time that a slow or
-// low-bandwidth link takes for the bytes.
+// awaitDelivery blocks while the link's fault stops delivery in this direction. On a slow or
+// low-bandwidth link it blocks for the time that the delivery takes.
 func (p *proxy) awaitDelivery(fromServer bool, bytes int) {
 	for {
 		switch p.currentFault() {
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -9,7 +9,8 @@
 type scheduledFault struct {
 	// pause is the time before the fault, duration the time for which it lasts.
 	pause, duration time.Duration
-	kind            string
+	// name is the fault's key in the table of faults from which it is drawn.
+	name string
 	// targetSeed seeds the choice of the affected daemons, workers or links.
 	targetSeed uint64
 }
@@ -40,15 +41,15 @@
 }
 
 // drawSchedule draws faults of the given kinds until their total time reaches total.
-func drawSchedule(random *rand.Rand, kinds []string, total time.Duration) []scheduledFault {
+func drawSchedule(random *rand.Rand, names []string, total time.Duration) []scheduledFault {
 	var steps []scheduledFault
-	for sum := time.Duration(0); sum < total; {
+	for duration := time.Duration(0); duration < total; {
 		s := scheduledFault{
 			pause:    minFaultPause + time.Duration(random.Int64N(int64(faultPauseSpread))),
 			duration: minFaultDuration + time.Duration(random.Int64N(int64(faultDurationSpread))),
-			kind:     kinds[random.IntN(len(kinds))], targetSeed: random.Uint64(),
+			name:     names[random.IntN(len(names))], targetSeed: random.Uint64(),
 		}
-		sum += s.pause + s.duration
+		duration += s.pause + s.duration
 		steps = append(steps, s)
 	}
 	return steps
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -88,8 +88,8 @@
 	recoveryTimeout  = 20 * time.Second
 	recoveryWindow   = 3 * time.Second
 	minServedShare   = 0.9
-	// settleTime is the time that daemons have to read missed updates after a fault that
-	// blocked them.
+	// settleTime is the time that daemons get to read missed updates after the end of a fault
+	// that blocks updates.
 	settleTime = 3 * time.Second
 )
 
@@ -114,13 +114,16 @@
 	// unblockedSince is when the last such fault ended.
 	blockingFaults int
 	unblockedSince time.Time
-	faultCount     int
+	// faultCount is the number of faults injected so far.
+	faultCount int
 	// faultFreeSince is when the system had recovered from all faults, or zero before that.
 	faultFreeSince time.Time
-	lastLeader     *daemon
+	// lastLeader is the daemon that most recently reported that it leads, or nil.
+	lastLeader *daemon
 	// closing means that no worker may be started any more.
 	closing bool
-	err     error
+	// err is the first error passed to recordError.
+	err error
 }
 
 // Run runs one soak. It returns an error if the soak could not be run to its end. Violations are in
@@ -139,7 +142,7 @@
 	defer cancel()
 	var group conc.WaitGroup
 	group.Go(func() { r.fabric.Run(background) })
-	err := r.play(ctx, background, &group)
+	err := r.injectScheduledFaults(ctx, background, &group)
 	cancel()
 	group.Wait()
 	r.checkAtEnd()
@@ -150,7 +153,7 @@
 func (r *run) prepare() error {
 	r.fabric = standin.NewFabric(standin.FabricOptions{
 		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, Ceiling: modelLoadLimit, Calm: r.settledSince,
-		Fenceless: drawIgnoresFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerLink, Crashed: r.scheduleRestart,
+		Fenceless: drawIgnoresFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerProxy, Crashed: r.scheduleRestart,
 		LinkSound: r.linkHealthySince,
 	})
 	r.operator = standin.NewOperator(standin.OperatorOptions{
@@ -194,16 +197,16 @@
 		spec.Zone = zoneName(r.startedWorkers % 2)
 	}
 	r.mu.Unlock()
-	var link *proxy
+	var workerProxy *proxy
 	var err error
 	_, startErr := r.fabric.StartWorker(r.opts.Host+".1", spec, func(workerAddress string) string {
-		if link, err = newProxy(r.opts.Host+".1", workerAddress); err != nil {
+		if workerProxy, err = newProxy(r.opts.Host+".1", workerAddress); err != nil {
 			return workerAddress
 		}
 		r.mu.Lock()
-		r.workerProxies[spec.ID] = link
+		r.workerProxies[spec.ID] = workerProxy
 		r.mu.Unlock()
-		return link.address()
+		return workerProxy.address()
 	})
 	if cause := cmp.Or(startErr, err); cause != nil {
 		return failure.At(failure.Unavailable, "start worker", spec.ID, cause)
@@ -250,12 +253,12 @@
 	}
 	server := httptest.NewServer(r.store)
 	r.storeServers = append(r.storeServers, server)
-	link, err := newProxy(r.opts.Host+".1", server.Listener.Addr().String())
+	storeProxy, err := newProxy(r.opts.Host+".1", server.Listener.Addr().String())
 	if err != nil {
 		return failure.At(failure.Unavailable, "open link to the store", ip, err)
 	}
-	d := &daemon{programOf: r.opts.programsOf(i), storeProxy: link, onLeading: r.noteLeader, settings: standin.DaemonSettings{
-		Name: fmt.Sprintf("daemon-%d", i), Zone: r.zoneOfDaemon(i), Zones: r.zoneNames(), IP: ip, Store: link.address(),
+	d := &daemon{programOf: r.opts.programsOf(i), storeProxy: storeProxy, onLeading: r.recordLeader, settings: standin.DaemonSettings{
+		Name: fmt.Sprintf("daemon-%d", i), Zone: r.zoneOfDaemon(i), Zones: r.zoneNames(), IP: ip, Store: storeProxy.address(),
 		Front: ports[0], Ready: ports[1], Directory: ports[2], Peer: ports[3],
 		Timing: timing, Grace: stopGrace, Revoke: revocationBound, Ceiling: modelLoadLimit, Halls: r.hallRules(),
 	}}
@@ -278,7 +281,7 @@
 	return fmt.Sprintf("%s:%d", d.settings.IP, d.settings.Front)
 }
 
-func (r *run) noteLeader(d *daemon) {
+func (r *run) recordLeader(d *daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastLeader = d
@@ -302,8 +305,9 @@
 	return r.unblockedSince.Add(settleTime), r.blockingFaults == 0 && time.Since(r.unblockedSince) > settleTime
 }
 
-// play runs the callers, injects the faults, and checks that the system recovers afterwards.
-func (r *run) play(ctx, background context.Context, group *conc.WaitGroup) error {
+// injectScheduledFaults starts the callers, injects the faults, and checks that the system recovers
+// afterwards.
+func (r *run) injectScheduledFaults(ctx, background context.Context, group *conc.WaitGroup) error {
 	if !r.awaitServing(ctx) {
 		return failure.New(failure.Unavailable, "start", r.opts.Dir, "no replica serves within %s", startTimeout)
 	}
@@ -312,7 +316,7 @@
 	sleep(ctx, settleTime)
 	for i := range r.opts.Callers {
 		c := newCaller(r, i)
-		group.Go(func() { c.loop(background) })
+		group.Go(func() { c.sendRequests(background) })
 	}
 	if r.opts.Crashing {
 		group.Go(func() { r.sendCrashingRequests(background) })
@@ -320,16 +324,16 @@
 	time.Sleep(time.Second)
 	var series conc.WaitGroup
 	for i := range r.opts.Series {
-		series.Go(func() { r.playSeries(ctx, i) })
+		series.Go(func() { r.injectSeries(ctx, i) })
 	}
 	if r.opts.Halls {
-		series.Go(func() { r.playFaults(ctx, hallSchedule(r.opts.Seed, r.opts.Duration), hallFaults) })
+		series.Go(func() { r.injectFaults(ctx, hallSchedule(r.opts.Seed, r.opts.Duration), hallFaults) })
 	}
 	if r.opts.Drills {
-		series.Go(func() { r.playFaults(ctx, restoreSchedule(r.opts.Seed, r.opts.Duration), restoreFaults) })
+		series.Go(func() { r.injectFaults(ctx, restoreSchedule(r.opts.Seed, r.opts.Duration), restoreFaults) })
 	}
 	if r.opts.Asking {
-		series.Go(func() { r.playFaults(ctx, signalSchedule(r.opts.Seed, r.opts.Duration), signalFaults) })
+		series.Go(func() { r.injectFaults(ctx, signalSchedule(r.opts.Seed, r.opts.Duration), signalFaults) })
 	}
 	series.Wait()
 	if !r.awaitRecovery(ctx) {
@@ -350,19 +354,19 @@
 	return false
 }
 
-// playSeries injects one series of faults.
-func (r *run) playSeries(ctx context.Context, series int) {
-	r.playFaults(ctx, schedule(r.opts.Seed, series, r.opts.Duration), faults)
+// injectSeries injects one series of faults.
+func (r *run) injectSeries(ctx context.Context, series int) {
+	r.injectFaults(ctx, schedule(r.opts.Seed, series, r.opts.Duration), faults)
 }
 
-// playFaults injects faults one after the other.
-func (r *run) playFaults(ctx context.Context, scheduled []scheduledFault, kinds map[string]fault) {
+// injectFaults injects faults one after the other.
+func (r *run) injectFaults(ctx context.Context, scheduled []scheduledFault, faultsByName map[string]fault) {
 	for _, s := range scheduled {
 		if !sleep(ctx, s.pause) {
 			return
 		}
-		f := kinds[s.kind]
-		r.opts.Logger.Debug("fault", "kind", s.kind, "lasts", s.duration.String())
+		f := faultsByName[s.name]
+		r.opts.Logger.Debug("fault", "kind", s.name, "lasts", s.duration.String())
 		r.countFaultStart(f)
 		revert := f.inject(r, rand.New(rand.NewPCG(s.targetSeed, 0)))
 		sleep(ctx, max(s.duration, f.minDuration))
@@ -494,8 +498,8 @@
 			}
 		}
 	}
-	for _, link := range r.workerProxies {
-		link.close()
+	for _, workerProxy := range r.workerProxies {
+		workerProxy.close()
 	}
 	for _, server := range r.storeServers {
 		server.CloseClientConnections()
--- a/soak/workersignals.go
+++ b/soak/workersignals.go
@@ -35,9 +35,9 @@
 // linkHealthySince reports whether a worker's proxy has had no faults since a time.
 func (r *run) linkHealthySince(worker string, since time.Time) bool {
 	r.mu.Lock()
-	link := r.workerProxies[worker]
+	workerProxy := r.workerProxies[worker]
 	r.mu.Unlock()
-	return link != nil && link.healthySince(since)
+	return workerProxy != nil && workerProxy.healthySince(since)
 }
 
 // pickHeads picks one to three of the heads, which are the workers that requests are sent to.
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -17,12 +17,16 @@
 
 // DomainOptions describes a fabric domain of a cluster.
 type DomainOptions struct {
-	Name         string `yaml:"name"`
-	DataHall     string `yaml:"data_hall"`
-	Nodes        int    `yaml:"nodes"`
-	Accelerators int    `yaml:"accelerators"`
-	Services     int    `yaml:"services"`
-	Unfenced     bool   `yaml:"unfenced"`
+	Name     string `yaml:"name"`
+	DataHall string `yaml:"data_hall"`
+	// Nodes is the number of nodes that run an engine.
+	Nodes int `yaml:"nodes"`
+	// Accelerators is the number of accelerators per node.
+	Accelerators int `yaml:"accelerators"`
+	// Services is the number of nodes that run the plain service, in addition to Nodes.
+	Services int `yaml:"services"`
+	// Unfenced makes the nodes accept orders regardless of their token.
+	Unfenced bool `yaml:"unfenced"`
 }
 
 // ClusterOptions describes a cluster.
@@ -53,9 +57,9 @@
 	byID      map[string]*Node
 	byAddress map[string]*Node
 
-	mu       sync.Mutex
-	listed   []cluster.ListedNode
-	listedAt time.Time
+	mu         sync.Mutex
+	nodeList   []cluster.ListedNode
+	nodeListAt time.Time
 }
 
 var (
@@ -66,19 +70,19 @@
 // NewCluster returns a cluster in which all nodes are running.
 func NewCluster(opts ClusterOptions) *Cluster {
 	c := &Cluster{opts: opts, byID: make(map[string]*Node), byAddress: make(map[string]*Node)}
-	store := NewWeightStore(opts.StoreGBPerSecond)
+	weightStore := NewWeightStore(opts.StoreGBPerSecond)
 	for _, d := range opts.Domains {
 		for i := range d.Nodes {
-			c.addNode(d, fmt.Sprintf("%s-n%02d", d.Name, i), cluster.KindEngine, store)
+			c.addNode(d, fmt.Sprintf("%s-n%02d", d.Name, i), cluster.KindEngine, weightStore)
 		}
 		for i := range d.Services {
-			c.addNode(d, fmt.Sprintf("%s-s%02d", d.Name, i), cluster.KindService, store)
+			c.addNode(d, fmt.Sprintf("%s-s%02d", d.Name, i), cluster.KindService, weightStore)
 		}
 	}
 	return c
 }
 
-func (c *Cluster) addNode(d DomainOptions, id string, kind cluster.NodeKind, store *WeightStore) {
+func (c *Cluster) addNode(d DomainOptions, id string, kind cluster.NodeKind, weightStore *WeightStore) {
 	address := id
 	if c.opts.Address != nil {
 		address = c.opts.Address(id)
@@ -88,8 +92,8 @@
 			ID: id, Domain: d.Name, DataHall: d.DataHall, Address: address,
 			Kind: kind, Accelerators: d.Accelerators,
 		},
-		Unfenced: d.Unfenced, Store: store, LoadGB: c.opts.LoadGB,
-		Step: c.opts.Step, Slots: c.opts.Slots, LoadLag: c.opts.LoadLag,
+		Unfenced: d.Unfenced, Store: weightStore, LoadGB: c.opts.LoadGB,
+		TokenInterval: c.opts.Step, Slots: c.opts.Slots, LoadLag: c.opts.LoadLag,
 		IsNodeUp: c.isNodeUp,
 	})
 	c.nodes = append(c.nodes, n)
@@ -117,18 +121,18 @@
 func (c *Cluster) Nodes(context.Context) ([]cluster.ListedNode, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.listed != nil && time.Since(c.listedAt) < c.opts.ListLag {
-		return c.listed, nil
+	if c.nodeList != nil && time.Since(c.nodeListAt) < c.opts.ListLag {
+		return c.nodeList, nil
 	}
-	c.listed = nil
-	c.listedAt = time.Now()
+	c.nodeList = nil
+	c.nodeListAt = time.Now()
 	for _, n := range c.nodes {
 		if n.Up() {
-			c.listed = append(c.listed, n.Listed())
+			c.nodeList = append(c.nodeList, n.Listed())
 		}
 	}
-	slices.SortFunc(c.listed, func(a, b cluster.ListedNode) int { return strings.Compare(a.ID, b.ID) })
-	return c.listed, nil
+	slices.SortFunc(c.nodeList, func(a, b cluster.ListedNode) int { return strings.Compare(a.ID, b.ID) })
+	return c.nodeList, nil
 }
 
 // State implements cluster.NodeControl.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -17,6 +17,7 @@
 // errMemberLost is returned when the replica of a running request has lost a node.
 var errMemberLost = errors.New("a member of the replica is gone")
 
+// vocabulary holds the words of generated answers.
 var vocabulary = []string{
 	"meter", "bill", "due", "seat", "row", "hold", "paid", "notice", "refund", "queue",
 	"final", "amount", "date", "account", "office", "receipt",
@@ -40,7 +41,7 @@
 	}
 	defer n.releaseSlot(incarnation)
 	for i := from; i < count; i++ {
-		timer := time.NewTimer(n.opts.Step)
+		timer := time.NewTimer(n.opts.TokenInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -67,9 +68,9 @@
 		return 0, fmt.Errorf("%w: the node is not ready for %q", ErrNotStarted, assignment)
 	}
 	incarnation := n.incarnation
-	n.queue++
-	defer func() { n.queue = max(n.queue-1, 0) }()
-	for n.active >= n.opts.Slots {
+	n.queuedRequests++
+	defer func() { n.queuedRequests = max(n.queuedRequests-1, 0) }()
+	for n.activeRequests >= n.opts.Slots {
 		slotFreed := n.slotFreed
 		n.mu.Unlock()
 		select {
@@ -81,7 +82,7 @@
 			return 0, fmt.Errorf("%w: gave up while queueing", ErrNotStarted)
 		}
 	}
-	n.active++
+	n.activeRequests++
 	return incarnation, nil
 }
 
@@ -91,7 +92,7 @@
 	if n.incarnation != incarnation {
 		return
 	}
-	n.active--
+	n.activeRequests--
 	close(n.slotFreed)
 	n.slotFreed = make(chan struct{})
 }
--- a/standin/log.go
+++ b/standin/log.go
@@ -34,14 +34,16 @@
 	Outage bool `json:"outage" yaml:"outage"`
 	// LoseAnswers makes appends return an error after they have taken effect.
 	LoseAnswers bool `json:"lose_answers" yaml:"lose_answers"`
-	// SlowMillis delays every call, in milliseconds.
+	// SlowMillis is the delay of every call in milliseconds.
 	SlowMillis int `json:"slow_millis" yaml:"slow_millis"`
 }
 
 // LogOptions configures a Log. Zero values select the defaults.
 type LogOptions struct {
+	// AppendsPerSecond is the rate above which appends are refused.
 	AppendsPerSecond float64
-	Retention        time.Duration
+	// Retention is the time after which records are dropped.
+	Retention time.Duration
 }
 
 // Log is an in-memory log service.
--- a/standin/node.go
+++ b/standin/node.go
@@ -23,14 +23,15 @@
 
 // NodeOptions describes a node.
 type NodeOptions struct {
+	// Listed is the node's entry in the node list.
 	Listed cluster.ListedNode
 	// Unfenced makes the node accept orders regardless of their token.
 	Unfenced bool
 	Store    *WeightStore
 	// LoadGB is the size of the weights of a model version, in gigabytes.
 	LoadGB float64
-	// Step is the time between two tokens.
-	Step time.Duration
+	// TokenInterval is the time between two tokens.
+	TokenInterval time.Duration
 	// Slots is the number of requests that the node runs concurrently.
 	Slots int
 	// LoadLag is the maximum age of the load in the node's state.
@@ -43,20 +44,23 @@
 type Node struct {
 	opts NodeOptions
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// incarnation is the number of times that the node was started.
 	incarnation int
 	up          bool
 	stuck       bool
 	state       cluster.NodeState
-	cancel      context.CancelFunc
-	active      int
-	queue       int
-	// reported is the load in the node's state, reportedAt the time of its last update.
-	reported   cluster.Load
-	reportedAt time.Time
+	// cancelLoad cancels the load for the current assignment. It is nil if no load was started.
+	cancelLoad     context.CancelFunc
+	activeRequests int
+	queuedRequests int
+	// reportedLoad is the load in the node's state, reportedAt the time of its last update.
+	reportedLoad   cluster.Load
+	loadReportedAt time.Time
 	// callCounts is the number of calls of the plain service by mark.
 	callCounts map[string]int
-	slotFreed  chan struct{}
+	// slotFreed is closed and replaced whenever a slot becomes free.
+	slotFreed chan struct{}
 }
 
 // NewNode returns a running node without an assignment.
@@ -85,9 +89,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.up = false
-	if n.cancel != nil {
-		n.cancel()
-		n.cancel = nil
+	if n.cancelLoad != nil {
+		n.cancelLoad()
+		n.cancelLoad = nil
 	}
 }
 
@@ -100,7 +104,7 @@
 	}
 	n.up = true
 	n.incarnation++
-	n.active, n.queue = 0, 0
+	n.activeRequests, n.queuedRequests = 0, 0
 	n.state = cluster.NodeState{
 		Node:  n.opts.Listed.ID,
 		Phase: cluster.PhaseIdle,
@@ -150,14 +154,14 @@
 
 func (n *Node) stateLocked() cluster.NodeState {
 	now := time.Now()
-	if now.Sub(n.reportedAt) >= n.opts.LoadLag {
-		n.reported = cluster.Load{Queue: n.queue, Active: n.active, Slots: n.opts.Slots}
-		n.reportedAt = now
+	if now.Sub(n.loadReportedAt) >= n.opts.LoadLag {
+		n.reportedLoad = cluster.Load{Queue: n.queuedRequests, Active: n.activeRequests, Slots: n.opts.Slots}
+		n.loadReportedAt = now
 	}
 	state := n.state
 	state.Cached = slices.Clone(state.Cached)
 	state.Preloading = slices.Clone(state.Preloading)
-	state.Load = n.reported
+	state.Load = n.reportedLoad
 	return state
 }
 
@@ -178,9 +182,9 @@
 		n.preload(order.Preload)
 		return cluster.OrderReply{Accepted: true, State: n.stateLocked()}, nil
 	}
-	if n.cancel != nil {
-		n.cancel()
-		n.cancel = nil
+	if n.cancelLoad != nil {
+		n.cancelLoad()
+		n.cancelLoad = nil
 	}
 	n.state.Assignment = order.Assignment
 	n.startAssignment(order.Assignment)
@@ -199,7 +203,7 @@
 	default:
 		n.state.Phase = cluster.PhaseLoading
 		ctx, cancel := context.WithCancel(context.Background())
-		n.cancel = cancel
+		n.cancelLoad = cancel
 		go n.load(ctx, a)
 	}
 }
--- a/standin/server/node.go
+++ b/standin/server/node.go
@@ -60,7 +60,7 @@
 		return c.Next()
 	})
 	app.Get("/control/state", func(c *fiber.Ctx) error {
-		ctx, cancel := withTimeout()
+		ctx, cancel := newCallContext()
 		defer cancel()
 		state, err := n.State(ctx)
 		if err != nil {
@@ -84,7 +84,7 @@
 	if err := c.BodyParser(&order); err != nil {
 		return err
 	}
-	ctx, cancel := withTimeout()
+	ctx, cancel := newCallContext()
 	defer cancel()
 	reply, err := n.Order(ctx, order)
 	if err != nil {
@@ -151,8 +151,8 @@
 	text  string
 }
 
-// generation is a request that the engine executes in the background.
-type generation struct {
+// generationTask is a request that the engine executes in the background.
+type generationTask struct {
 	tokens chan generatedToken
 	result chan error
 	cancel context.CancelFunc
@@ -160,9 +160,9 @@
 
 // generate starts a request. After its last token the channel of tokens is closed, and result holds
 // the error or nil.
-func generate(n *standin.Node, r completionRequest, assignment string) *generation {
+func generate(n *standin.Node, r completionRequest, assignment string) *generationTask {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &generation{tokens: make(chan generatedToken), result: make(chan error, 1), cancel: cancel}
+	g := &generationTask{tokens: make(chan generatedToken), result: make(chan error, 1), cancel: cancel}
 	go func() {
 		g.result <- n.Generate(ctx, assignment, r.prompt(), len(r.Resume), r.tokenCount(), func(i int, text string) error {
 			select {
@@ -195,7 +195,7 @@
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer g.cancel()
 		for e, more := first, hasToken; more; e, more = <-g.tokens {
-			if writeEvent(w, newChunk(id, e.index, e.text, chat)) != nil {
+			if writeEvent(w, newChunkResponse(id, e.index, e.text, chat)) != nil {
 				return
 			}
 		}
@@ -242,7 +242,7 @@
 	Usage      map[string]int `json:"usage,omitempty"`
 }
 
-func newChunk(id string, index int, text string, chat bool) completionResponse {
+func newChunkResponse(id string, index int, text string, chat bool) completionResponse {
 	a := completionResponse{ID: id, TokenIndex: &index}
 	if chat {
 		a.Object = "chat.completion.chunk"
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -35,12 +35,12 @@
 
 // Server serves a log, a node list and a cluster.
 type Server struct {
-	log     *standin.Log
-	cluster *standin.Cluster
-	address string
-	apps    []*fiber.App
-	serving conc.WaitGroup
-	done    chan struct{}
+	log        *standin.Log
+	cluster    *standin.Cluster
+	address    string
+	apps       []*fiber.App
+	serveGroup conc.WaitGroup
+	done       chan struct{}
 }
 
 // New creates a log and a cluster as configured in opts and starts serving them.
@@ -66,9 +66,9 @@
 }
 
 func listenNodes(opts Options, listeners map[string]net.Listener) error {
-	unaddressed := opts.Cluster
-	unaddressed.Address = nil
-	for _, n := range standin.NewCluster(unaddressed).All() {
+	optionsWithoutAddresses := opts.Cluster
+	optionsWithoutAddresses.Address = nil
+	for _, n := range standin.NewCluster(optionsWithoutAddresses).All() {
 		l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, "0"))
 		if err != nil {
 			closeAll(listeners)
@@ -104,13 +104,13 @@
 		// Connections that are still open after stopTimeout are closed.
 		_ = app.ShutdownWithTimeout(stopTimeout)
 	}
-	s.serving.Wait()
+	s.serveGroup.Wait()
 	close(s.done)
 }
 
 func (s *Server) serve(l net.Listener, app *fiber.App) {
 	s.apps = append(s.apps, app)
-	s.serving.Go(func() {
+	s.serveGroup.Go(func() {
 		// Listener returns after the app has been shut down.
 		_ = app.Listener(l)
 	})
@@ -209,7 +209,7 @@
 	return c.JSON(n.Listed())
 }
 
-// withTimeout returns a context for one call to a node.
-func withTimeout() (context.Context, context.CancelFunc) {
+// newCallContext returns a context that limits one call to a node to a minute.
+func newCallContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), time.Minute)
 }
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// rateInterval is the interval at which concurrent loads share the store's rate anew.
+// rateInterval is the interval at which a load receives data at its current share of the rate.
 const rateInterval = 50 * time.Millisecond
 
 // WeightStore simulates a store of model weights with a limited rate, which concurrent loads share
@@ -14,8 +14,8 @@
 type WeightStore struct {
 	gbPerSecond float64
 
-	mu      sync.Mutex
-	loading int
+	mu          sync.Mutex
+	activeLoads int
 }
 
 // NewWeightStore returns a store with a total rate of gbPerSecond gigabytes per second.
@@ -23,16 +23,17 @@
 	return &WeightStore{gbPerSecond: gbPerSecond}
 }
 
-// Load waits until size gigabytes have been delivered. It returns an error if ctx is done first.
-func (w *WeightStore) Load(ctx context.Context, size float64) error {
+// Load waits until the store has delivered remainingGB gigabytes. It returns an error if ctx is done
+// first.
+func (w *WeightStore) Load(ctx context.Context, remainingGB float64) error {
 	w.addLoading(1)
 	defer w.addLoading(-1)
 	ticker := time.NewTicker(rateInterval)
 	defer ticker.Stop()
-	for size > 0 {
+	for remainingGB > 0 {
 		select {
 		case <-ticker.C:
-			size -= w.rateEach() * rateInterval.Seconds()
+			remainingGB -= w.rateEach() * rateInterval.Seconds()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -43,11 +44,11 @@
 func (w *WeightStore) addLoading(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.loading += n
+	w.activeLoads += n
 }
 
 func (w *WeightStore) rateEach() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gbPerSecond / float64(max(w.loading, 1))
+	return w.gbPerSecond / float64(max(w.activeLoads, 1))
 }
