--- a/soak/caller.go
+++ b/soak/caller.go
@@ -39,9 +39,9 @@
 	// addresses are the caller addresses of daemons, as last resolved.
 	addresses           []string
 	addressesValidUntil time.Time
-	// daemon is the daemon in use, or nil if the next request needs another one.
-	daemon    *daemon
-	sentCount int
+	// currentDaemon is the daemon in use, or nil if the next request needs another one.
+	currentDaemon *daemon
+	sentCount     int
 }
 
 func newCaller(r *run, index int) *caller {
@@ -77,15 +77,15 @@
 
 // chooseDaemon returns the daemon to send the next request to, or nil if no address is known.
 func (c *caller) chooseDaemon(ctx context.Context) *daemon {
-	if c.daemon != nil && (c.staysWithDaemon || time.Now().Before(c.addressesValidUntil)) {
-		return c.daemon
+	if c.currentDaemon != nil && (c.staysWithDaemon || time.Now().Before(c.addressesValidUntil)) {
+		return c.currentDaemon
 	}
 	c.resolve(ctx)
 	if len(c.addresses) == 0 {
 		return nil
 	}
-	c.daemon = c.run.daemonsByAddress[c.addresses[c.random.IntN(len(c.addresses))]]
-	return c.daemon
+	c.currentDaemon = c.run.daemonsByAddress[c.addresses[c.random.IntN(len(c.addresses))]]
+	return c.currentDaemon
 }
 
 // resolve asks the daemons for caller addresses, in random order, until one answers.
@@ -174,7 +174,7 @@
 // handleNoAnswer checks whether a request could end without a response. An undisturbed daemon
 // must answer every request that it has read.
 func (c *caller) handleNoAnswer(r *call, err error) {
-	c.daemon = nil
+	c.currentDaemon = nil
 	c.run.callers.recordOutcome("no answer")
 	if errors.Is(err, context.DeadlineExceeded) {
 		if c.isUndisturbed(r) {
@@ -245,7 +245,7 @@
 		err = c.checkBody(r, response)
 	}
 	if err != nil {
-		c.daemon = nil
+		c.currentDaemon = nil
 		c.run.callers.recordOutcome("cut")
 		if c.run.wasFaultFreeAt(r.sentAt) && c.isUndisturbed(r) {
 			c.run.ledger.Broken("LOST", "the answer to %s at %s was cut: %v", r.id, r.daemon.settings.Name, err)
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -28,7 +28,7 @@
 	c := newCaller(r, crashingCallerIndex)
 	for ctx.Err() == nil {
 		time.Sleep(minCrashPause + time.Duration(c.random.Int64N(int64(crashPauseSpread))))
-		c.daemon = nil
+		c.currentDaemon = nil
 		if d := c.chooseDaemon(ctx); d != nil {
 			c.sendCrashingRequest(ctx, d)
 		}
