--- a/soak/soak.go
+++ b/soak/soak.go
@@ -403,7 +403,7 @@
 }
 
 // checkPlannedLeaves drains workers and stops a daemon while there are no faults. During this time,
-// the callers report requests that fail.
+// the callers also report answers that are cut off.
 func (r *run) checkPlannedLeaves(ctx context.Context) {
 	sleep(ctx, settleTime)
 	r.mu.Lock()
