--- a/measure/repair.go
+++ b/measure/repair.go
@@ -15,8 +15,8 @@
 	lostTimeout          = 1.5
 	longLostTimeout      = 3.0
 	drainTime            = 8.0
-	replicaSize          = 16
-	accelerators         = 4
+	nodesPerReplica      = 16
+	acceleratorsPerNode  = 4
 	weightsPerNodeGB     = 40.0
 	fastStoreGBPerSecond = 80.0
 	slowStoreGBPerSecond = 10.0
@@ -25,17 +25,19 @@
 	faultTime            = 60.0
 )
 
-// RepairScenario is a loss of nodes or a new model version in one fabric domain.
+// RepairScenario describes a fault in one fabric domain. The fault is a loss of nodes or a new model
+// version.
 type RepairScenario struct {
 	Name string
-	// Nodes is the number of nodes in the domain, Replicas the number of replicas that should
+	// Nodes is the number of nodes in the domain. Replicas is the number of replicas that should
 	// serve.
 	Nodes, Replicas int
 	// LostNodes are the indices of the nodes that fail together.
 	LostNodes []int
-	// StoreGBPerSecond is the rate of the weight store, shared by all nodes that load.
+	// StoreGBPerSecond is the total rate of the weight store in gigabytes per second. Loading nodes
+	// share it.
 	StoreGBPerSecond float64
-	// ChangesVersion changes the model's version instead of losing nodes.
+	// ChangesVersion is true if the fault is a new model version.
 	ChangesVersion bool
 }
 
@@ -60,12 +62,13 @@
 	lostTimeout float64
 	// dropsCache drops the cached weights of all nodes that get a new assignment.
 	dropsCache bool
-	// skipsPreload disables preloading and rolls out a version without waiting for weights.
+	// skipsPreload disables preloading. A new version is then rolled out before nodes have loaded
+	// its weights.
 	skipsPreload bool
 }
 
 // RepairPolicies returns the baselines, followed by the policies of quartzshelf. The last two differ
-// in whether stranded accelerators have a price.
+// only in whether idle nodes form further replicas.
 func RepairPolicies() []RepairPolicy {
 	return []RepairPolicy{
 		{Name: "rebuild from scratch", lostTimeout: longLostTimeout, dropsCache: true, skipsPreload: true},
@@ -76,27 +79,28 @@
 	}
 }
 
-// RepairResult holds the measurements of a repair trial, all from the fault on.
+// RepairResult holds the measurements of a repair trial. They start at the time of the fault.
 type RepairResult struct {
 	Scenario, Policy string
-	// Downtime is the time for which replicas were missing or draining, in replica-seconds.
-	// Stranded is the time for which accelerators were not part of a serving replica, in
-	// accelerator-seconds.
+	// Downtime is the time in replica-seconds for which replicas were missing or draining. Stranded
+	// is the time in accelerator-seconds for which accelerators were not part of a serving replica.
 	Downtime, Stranded float64
-	// LeastServing is the lowest number of replicas that served at a time, at most
+	// LeastServing is the minimum number of replicas that were serving at any time. It is at most
 	// RepairScenario.Replicas. Draining replicas don't count.
 	LeastServing int
-	// IncompleteTime is the total time for which at least one replica was missing, in seconds.
+	// IncompleteTime is the total time in seconds for which at least one replica was missing or
+	// draining.
 	IncompleteTime float64
 }
 
-// repairNode is a node of a repair trial.
+// repairNode is a node in a repair trial.
 type repairNode struct {
 	placement.Node
-	// downUntil is when a lost node is replaced, lostAt when the planner counts it as lost.
+	// downUntil is when a failed node is replaced. lostAt is when the planner starts to count it as
+	// lost, or infinity if it has not failed.
 	downUntil float64
 	lostAt    float64
-	// remainingGB is the size of the weights of loadingVersion that are still to be loaded.
+	// remainingGB is how many gigabytes of loadingVersion's weights are still to be loaded.
 	remainingGB    float64
 	loadingVersion string
 }
@@ -109,7 +113,7 @@
 	nodes         []*repairNode
 	generation    uint64
 	wantedVersion string
-	// drainedAt is when a draining replica has no requests left, by replica ID.
+	// drainedAt maps the ID of each draining replica to the time when it has no requests left.
 	drainedAt map[string]float64
 	result    RepairResult
 }
@@ -120,9 +124,9 @@
 	r.result = RepairResult{Scenario: s.Name, Policy: p.Name, LeastServing: s.Replicas}
 	for i := range s.Nodes {
 		n := &repairNode{Node: placement.Node{
-			ID: fmt.Sprintf("n%03d", i), Answering: true, Accelerators: accelerators,
+			ID: fmt.Sprintf("n%03d", i), Answering: true, Accelerators: acceleratorsPerNode,
 		}, lostAt: math.Inf(1)}
-		if i < s.Replicas*replicaSize {
+		if i < s.Replicas*nodesPerReplica {
 			// Only the nodes of the initial replicas start with cached weights.
 			n.Cached = []string{"v1"}
 		}
@@ -144,7 +148,7 @@
 			n.Answering, n.lostAt, n.downUntil = false, r.now+r.policy.lostTimeout, r.now+nodeReplacementTime
 			n.loadingVersion = ""
 		case !n.Answering && r.now >= n.downUntil:
-			*n = repairNode{Node: placement.Node{ID: n.ID, Answering: true, Accelerators: accelerators}, lostAt: math.Inf(1)}
+			*n = repairNode{Node: placement.Node{ID: n.ID, Answering: true, Accelerators: acceleratorsPerNode}, lostAt: math.Inf(1)}
 		}
 		n.Lost = r.now >= n.lostAt
 	}
@@ -179,26 +183,26 @@
 
 func (r *repairTrial) planAndApply() {
 	in := placement.Input{Domain: "d", LoadSlots: 2, Wants: []placement.Want{{
-		Deployment: "chat", Replicas: r.scenario.Replicas, Size: replicaSize, Version: r.wantedVersion,
+		Deployment: "chat", Replicas: r.scenario.Replicas, Size: nodesPerReplica, Version: r.wantedVersion,
 		Selects: func(map[string]string) bool { return true }, Fill: r.policy.FillsIdleNodes,
 		MayRoll: r.replicasToRoll(),
 	}}}
 	for _, n := range r.nodes {
-		seen := n.Node
+		plannerView := n.Node
 		if r.policy.skipsPreload && r.wantedVersion == "v2" {
 			// The baseline rolls out the version without waiting for weights.
-			seen.Cached = append(slices.Clone(seen.Cached), "v2")
+			plannerView.Cached = append(slices.Clone(plannerView.Cached), "v2")
 		}
 		if r.policy.skipsPreload && r.wantedVersion == "v1" {
-			seen.Cached = nil
+			plannerView.Cached = nil
 		}
-		in.Nodes = append(in.Nodes, seen)
+		in.Nodes = append(in.Nodes, plannerView)
 	}
 	r.applyPlan(placement.Make(in))
 }
 
-// replicasToRoll returns at most one replica that may change its version, and none unless all
-// replicas serve.
+// replicasToRoll returns the ID of a replica that may change its version. It returns nil if not enough
+// replicas are serving or all have the wanted version.
 func (r *repairTrial) replicasToRoll() []string {
 	serving := r.servingReplicas()
 	if len(serving) < r.scenario.Replicas {
@@ -221,7 +225,7 @@
 		byID[n.ID] = n
 	}
 	for _, f := range p.Formations {
-		if !r.isDrained(f, byID, serving) {
+		if !r.ensureDrained(f, byID, serving) {
 			continue
 		}
 		r.generation++
@@ -255,9 +259,9 @@
 	n.loadingVersion, n.remainingGB, n.Preloading = version, weightsPerNodeGB, nil
 }
 
-// isDrained reports whether the serving replicas that lose nodes to a formation have been drained.
-// It starts draining those that are not.
-func (r *repairTrial) isDrained(f placement.Formation, byID map[string]*repairNode, serving []string) bool {
+// ensureDrained reports whether all serving replicas that lose nodes to a formation have been drained.
+// It starts to drain those that are not yet draining.
+func (r *repairTrial) ensureDrained(f placement.Formation, byID map[string]*repairNode, serving []string) bool {
 	affected := make(map[string]bool)
 	for _, s := range f.Steps {
 		if from := byID[s.Node].Assignment.Replica; slices.Contains(serving, from) {
@@ -281,16 +285,16 @@
 
 // servingReplicas returns the sorted IDs of the replicas whose nodes all answer and are ready.
 func (r *repairTrial) servingReplicas() []string {
-	count := make(map[string]int)
+	readyNodeCounts := make(map[string]int)
 	for _, n := range r.nodes {
 		if n.Answering && !n.Assignment.Empty() && n.Phase == cluster.PhaseReady {
-			count[fmt.Sprint(n.Assignment.Replica, "@", n.Assignment.Generation)]++
+			readyNodeCounts[fmt.Sprint(n.Assignment.Replica, "@", n.Assignment.Generation)]++
 		}
 	}
 	var ids []string
 	for _, n := range r.nodes {
 		a := n.Assignment
-		isComplete := count[fmt.Sprint(a.Replica, "@", a.Generation)] == replicaSize
+		isComplete := readyNodeCounts[fmt.Sprint(a.Replica, "@", a.Generation)] == nodesPerReplica
 		if isComplete && !slices.Contains(ids, a.Replica) {
 			ids = append(ids, a.Replica)
 		}
@@ -316,6 +320,6 @@
 	if missing > 0 {
 		r.result.IncompleteTime += tickSeconds
 	}
-	idle := len(r.nodes) - replicaSize*len(serving)
-	r.result.Stranded += float64(idle*accelerators) * tickSeconds
+	idle := len(r.nodes) - nodesPerReplica*len(serving)
+	r.result.Stranded += float64(idle*acceleratorsPerNode) * tickSeconds
 }
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -1,6 +1,5 @@
-// Package measure compares single decisions of quartzshelf with baselines, in virtual time and with
-// fixed seeds, so that results are reproducible. Each trial exercises one decision. None simulates a
-// whole cluster.
+// Package measure compares the routing and repair policies of quartzshelf with baselines. Trials run in
+// virtual time with fixed seeds, so that results are reproducible. They don't simulate a whole cluster.
 package measure
 
 import (
@@ -17,8 +16,7 @@
 	"quartzshelf.dev/routing"
 )
 
-// Parameters of the engines and callers in the routing trials. Times are in seconds, except for
-// microsecond, which converts seconds to the histogram's unit.
+// Parameters of the engines and callers in the routing trials. Times are in seconds.
 const (
 	endpointCount             = 60
 	daemonCount               = 8
@@ -38,10 +36,10 @@
 	burstStart                = 20.0
 	burstEnd                  = 30.0
 	zipfExponent              = 1.1
-	microsecond               = 1e-6
+	secondsPerMicrosecond     = 1e-6
 )
 
-// Policy chooses an endpoint for a request, from one daemon's view of the endpoints.
+// Policy chooses an endpoint for each request. It uses one daemon's view of the endpoints.
 type Policy struct {
 	Name string
 	pick func(d *daemon, prefix uint64, r *rand.Rand) int
@@ -106,7 +104,7 @@
 	daemonIndex   int
 	endpointIndex int
 	arrivedAt     float64
-	tokens        int
+	tokenCount    int
 }
 
 // event is a function that runs at a virtual time. Events with equal times run by sequence number.
@@ -116,19 +114,19 @@
 	run      func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].sequence, e[j].sequence)) < 0
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements heap.Interface.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements heap.Interface.
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -139,8 +137,8 @@
 type Load struct {
 	// Share is the arrival rate as a share of the rate that all endpoints together can serve.
 	Share float64
-	// Burst multiplies the arrival rate of the largest client account between burstStart and
-	// burstEnd. Zero means no burst.
+	// Burst is the factor by which the largest client account's arrival rate increases between
+	// burstStart and burstEnd. Zero means no burst.
 	Burst float64
 	// Admit enables quartzshelf's admission control, which refuses requests under overload.
 	Admit bool
@@ -149,18 +147,18 @@
 // RoutingResult holds the measurements of a routing trial.
 type RoutingResult struct {
 	Policy string
-	// FirstP50, FirstP95 and FirstP99 are percentiles of the time to the first token, in seconds.
+	// FirstP50, FirstP95 and FirstP99 are percentiles of the time to the first token in seconds.
 	FirstP50, FirstP95, FirstP99 float64
-	// SmallP99 is the 99th percentile of the smallest account's time to the first token during
-	// the burst of the largest one, in seconds.
+	// SmallP99 is the 99th percentile of the smallest client account's time to the first token, in
+	// seconds. It covers the requests that arrive between burstStart and burstEnd.
 	SmallP99 float64
-	// Hits is the share of requests whose prefix was cached.
+	// Hits is the share of admitted requests whose prefix was cached.
 	Hits float64
 	// Peak is the highest number of requests at one endpoint, divided by its slots.
 	Peak float64
 	// Goodput is the number of requests per second with a first token within firstTokenTarget.
-	// Refused is the share of requests that were refused.
 	Goodput float64
+	// Refused is the share of requests that were refused.
 	Refused float64
 	// RefusedSmall is the share of the smallest account's requests that were refused.
 	RefusedSmall float64
@@ -172,7 +170,7 @@
 	load                 Load
 	random               *rand.Rand
 	now                  float64
-	pendingEvents        events
+	pendingEvents        eventQueue
 	lastSequence         int
 	daemons              []*daemon
 	engines              []*engine
@@ -180,14 +178,14 @@
 	smallFirstTokenTimes *hdrhistogram.Histogram
 	requestCount         int
 	cacheHits            int
-	withinTarget         int
+	withinTargetCount    int
 	refusedCount         int
 	// smallRequestCount and smallRefusedCount count the smallest account's requests.
 	smallRequestCount, smallRefusedCount int
 
 	peakRequests   int
 	accountWeights []float64
-	// inFlightByDaemon is the number of requests in flight by daemon and client account.
+	// inFlightByDaemon maps daemon and client account indices to the number of requests in flight.
 	inFlightByDaemon map[int]map[int]int
 }
 
@@ -216,7 +214,7 @@
 		t.daemons = append(t.daemons, d)
 	}
 	t.run()
-	return t.result()
+	return t.computeResult()
 }
 
 // zipfWeights returns n weights in descending order that sum to one.
@@ -238,8 +236,8 @@
 	heap.Push(&t.pendingEvents, event{at: at, sequence: t.lastSequence, run: run})
 }
 
-// maxRequestRate returns the number of requests per second that all endpoints together can serve if
-// every prefix is cached.
+// maxRequestRate returns how many requests per second all endpoints together can serve if every prefix
+// is cached.
 func maxRequestRate() float64 {
 	return endpointCount * slotsPerEndpoint / (warmPrefillTime + meanTokens*tokenTime)
 }
@@ -263,7 +261,8 @@
 	}
 }
 
-// scheduleArrivals schedules the next request of an account, which in turn schedules its successor.
+// scheduleArrivals schedules the next request of a client account. When that request arrives, the one
+// after it is scheduled.
 func (t *routingTrial) scheduleArrivals(accountIndex int) {
 	rate := maxRequestRate() * t.load.Share * t.accountWeights[accountIndex]
 	if accountIndex == 0 && t.load.Burst > 0 && t.now >= burstStart && t.now < burstEnd {
@@ -280,7 +279,7 @@
 	u := t.random.Float64()
 	j := &job{
 		accountIndex: accountIndex, prefix: uint64(accountIndex*prefixesPerAccount) + uint64(u*u*prefixesPerAccount), daemonIndex: t.random.IntN(daemonCount),
-		arrivedAt: t.now, tokens: 1 + int(t.random.ExpFloat64()*meanTokens),
+		arrivedAt: t.now, tokenCount: 1 + int(t.random.ExpFloat64()*meanTokens),
 	}
 	isMeasured, isSmallest := t.now > warmupTime, accountIndex == accountCount-1
 	if isMeasured {
@@ -308,7 +307,8 @@
 	t.startQueuedJobs(e)
 }
 
-// addInFlight adds n to the daemon's number of requests in flight of the job's account.
+// addInFlight adds n to the number of requests that the job's client account has in flight at the job's
+// daemon.
 func (t *routingTrial) addInFlight(j *job, n int) {
 	if t.inFlightByDaemon[j.daemonIndex] == nil {
 		t.inFlightByDaemon[j.daemonIndex] = make(map[int]int)
@@ -348,7 +348,7 @@
 			}
 		}
 		t.schedule(t.now+prefill+tokenTime, func() { t.recordFirstToken(j) })
-		t.schedule(t.now+prefill+tokenTime*float64(j.tokens), func() { t.finishJob(e, j) })
+		t.schedule(t.now+prefill+tokenTime*float64(j.tokenCount), func() { t.finishJob(e, j) })
 	}
 }
 
@@ -371,12 +371,12 @@
 	}
 	took := t.now - j.arrivedAt
 	// The duration of a trial is below the histogram's maximum, so this cannot fail.
-	_ = t.firstTokenTimes.RecordValue(int64(took / microsecond))
+	_ = t.firstTokenTimes.RecordValue(int64(took / secondsPerMicrosecond))
 	if took <= firstTokenTarget {
-		t.withinTarget++
+		t.withinTargetCount++
 	}
 	if j.accountIndex == accountCount-1 && j.arrivedAt >= burstStart && j.arrivedAt < burstEnd {
-		_ = t.smallFirstTokenTimes.RecordValue(int64(took / microsecond))
+		_ = t.smallFirstTokenTimes.RecordValue(int64(took / secondsPerMicrosecond))
 	}
 }
 
@@ -387,22 +387,22 @@
 	t.startQueuedJobs(e)
 }
 
-// reportLoad reports an endpoint's current load to a daemon after reportLag, and schedules the next
-// report. A share of the reports, reportLossShare, is lost.
-func (t *routingTrial) reportLoad(d, i int) {
-	load := t.engines[i].activeJobs + len(t.engines[i].queuedJobs)
+// reportLoad reports an endpoint's current load to a daemon and schedules the next report. A report
+// arrives after reportLag or, with probability reportLossShare, not at all.
+func (t *routingTrial) reportLoad(daemonIndex, endpointIndex int) {
+	load := t.engines[endpointIndex].activeJobs + len(t.engines[endpointIndex].queuedJobs)
 	if t.random.Float64() >= reportLossShare {
 		t.schedule(t.now+reportLag, func() {
-			c := &t.daemons[d].view[i]
+			c := &t.daemons[daemonIndex].view[endpointIndex]
 			c.Reported, c.OwnAtReport = load, c.Own
 		})
 	}
-	t.schedule(t.now+reportInterval, func() { t.reportLoad(d, i) })
+	t.schedule(t.now+reportInterval, func() { t.reportLoad(daemonIndex, endpointIndex) })
 }
 
-func (t *routingTrial) result() RoutingResult {
+func (t *routingTrial) computeResult() RoutingResult {
 	seconds := func(h *hdrhistogram.Histogram, percent float64) float64 {
-		return float64(h.ValueAtQuantile(percent)) * microsecond
+		return float64(h.ValueAtQuantile(percent)) * secondsPerMicrosecond
 	}
 	served := max(t.requestCount-t.refusedCount, 1)
 	return RoutingResult{
@@ -411,7 +411,7 @@
 		SmallP99: seconds(t.smallFirstTokenTimes, 99),
 		Hits:     float64(t.cacheHits) / float64(served),
 		Peak:     float64(t.peakRequests) / slotsPerEndpoint,
-		Goodput:  float64(t.withinTarget) / measuredTime,
+		Goodput:  float64(t.withinTargetCount) / measuredTime,
 		Refused:  float64(t.refusedCount) / float64(max(t.requestCount, 1)),
 
 		RefusedSmall: float64(t.smallRefusedCount) / float64(max(t.smallRequestCount, 1)),
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -27,7 +27,7 @@
 	eventsSpread       = 25
 )
 
-// caller sends requests sequentially and checks every response.
+// caller sends one request at a time and checks every response.
 type caller struct {
 	run    *run
 	index  int
@@ -36,10 +36,11 @@
 	// staysWithDaemon makes the caller keep using a daemon until a request to it fails.
 	staysWithDaemon bool
 	kind            standin.Kind
-	// addresses are the caller addresses of daemons, as last resolved.
+	// addresses holds the daemon addresses for callers that the last successful resolve returned.
 	addresses           []string
 	addressesValidUntil time.Time
-	// currentDaemon is the daemon in use, or nil if the next request needs another one.
+	// currentDaemon is the daemon that gets the requests. It is nil if the next request must choose
+	// a daemon.
 	currentDaemon *daemon
 	sentCount     int
 }
@@ -54,7 +55,8 @@
 	return c
 }
 
-// dial connects to a daemon through its front proxy.
+// dial connects to the front proxy of the daemon with this address. It connects to an address that
+// no daemon has directly.
 func (r *run) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if d, ok := r.daemonsByAddress[address]; ok {
 		address = d.frontProxy.address()
@@ -88,7 +90,8 @@
 	return c.currentDaemon
 }
 
-// resolve asks the daemons for caller addresses, in random order, until one answers.
+// resolve asks the daemons in random order for the addresses that callers should use, until one of
+// them returns some.
 func (c *caller) resolve(ctx context.Context) {
 	for _, i := range c.random.Perm(len(c.run.daemons)) {
 		d := c.run.daemons[i]
@@ -102,7 +105,7 @@
 	}
 }
 
-// call is one request.
+// call is one request that a caller sends.
 type call struct {
 	id             string
 	kind           standin.Kind
@@ -110,11 +113,11 @@
 	eventCount     int
 	key            string
 	daemon         *daemon
-	// incarnation is that of the daemon when the request was sent.
+	// incarnation is the daemon's incarnation when the request was sent.
 	incarnation int
 	sentAt      time.Time
-	// reused reports whether the request was sent on a reused connection.
-	reused atomic.Bool
+	// connReused is true if the request was sent on a reused connection.
+	connReused atomic.Bool
 }
 
 // sender returns the incarnation of the daemon that gets the request, and the time of sending.
@@ -136,7 +139,7 @@
 	c.run.ledger.Sent(r.id, r.kind, tenant, r.sender())
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { r.reused.Store(i.Reused || i.WasIdle) }})
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { r.connReused.Store(i.Reused || i.WasIdle) }})
 	response, err := c.client.Do(c.newRequest(ctx, r))
 	if err != nil {
 		c.handleNoAnswer(r, err)
@@ -153,7 +156,8 @@
 	if r.usesAddedRoute {
 		path = standin.LaterPath
 	}
-	// NopCloser hides the reader's type, so that net/http cannot repeat the request.
+	// NopCloser hides the reader's type. Without the type, net/http cannot resend the body, so it
+	// does not retry the request.
 	body := io.NopCloser(strings.NewReader("a body"))
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.daemon.frontAddress()+path, body)
 	if err != nil {
@@ -171,8 +175,8 @@
 	return request
 }
 
-// handleNoAnswer checks whether a request could end without a response. An undisturbed daemon
-// must answer every request that it has read.
+// handleNoAnswer records a request that got no response. It reports a violation if the daemon was
+// undisturbed, because it must then answer every request that it has read.
 func (c *caller) handleNoAnswer(r *call, err error) {
 	c.currentDaemon = nil
 	c.run.callers.recordOutcome("no answer")
@@ -184,10 +188,10 @@
 	}
 	incarnation, _ := r.daemon.status()
 	dialFailed := r.daemon.frontProxy.dialFailedSince(r.sentAt)
-	// A request on a reused connection may be sent while the daemon closes it. After
+	// The daemon may close a reused connection just as the caller sends a request on it. After
 	// closeRaceWindow the daemon must have read the request.
 	const closeRaceWindow = 100 * time.Millisecond
-	mayHaveRacedClose := r.reused.Load() && time.Since(r.sentAt) < closeRaceWindow
+	mayHaveRacedClose := r.connReused.Load() && time.Since(r.sentAt) < closeRaceWindow
 	if c.isUndisturbed(r) && incarnation == r.incarnation && !dialFailed && !mayHaveRacedClose {
 		c.run.ledger.Broken("LOST", "%s at %s: %v", r.id, r.daemon.settings.Name, err)
 	}
@@ -201,7 +205,7 @@
 	return r.daemon.undisturbedSince(since) && r.daemon.frontProxy.healthySince(since)
 }
 
-// checkResponse checks the response to a request by its status code.
+// checkResponse checks the response to a request. Which checks apply depends on the status code.
 func (c *caller) checkResponse(r *call, response *http.Response) {
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -221,8 +225,8 @@
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// checkNotFound checks a response with status 404. Only the route that is added during the soak
-// may be unknown, and only to an incarnation of a daemon that has not served it yet.
+// checkNotFound checks a response with status 404. Such a response is allowed only for the route that
+// is added during the soak, and only until the daemon's incarnation has first served that route.
 func (c *caller) checkNotFound(r *call) {
 	if !r.usesAddedRoute {
 		c.run.ledger.Broken("DENIED", "%s at %s: its route is there", r.id, r.daemon.settings.Name)
@@ -233,7 +237,8 @@
 	}
 }
 
-// checkResult checks a response with status 200.
+// checkResult checks a response with status 200: its signature, its content, and that its key was
+// not revoked long before the request.
 func (c *caller) checkResult(r *call, response *http.Response) {
 	if !strings.HasSuffix(response.Header.Get(standin.HeaderSignature), "."+r.id) {
 		c.run.ledger.Broken("MIXED", "%s got an answer signed %q", r.id, response.Header.Get(standin.HeaderSignature))
--- a/soak/caller_test.go
+++ b/soak/caller_test.go
@@ -30,16 +30,16 @@
 	return all.String()
 }
 
-// TestCallerDetectsViolations checks which violations a caller records for correct and incorrect
-// responses.
+// TestCallerDetectsViolations checks that a caller records the right violation for each incorrect
+// response, and none for a correct one.
 func TestCallerDetectsViolations(t *testing.T) {
 	whole, stream := standin.Kind(standin.Safe), standin.Stream
 	tests := map[string]struct {
-		kind     standin.Kind
-		later    bool
-		response *http.Response
-		prepare  func(r *run)
-		want     string
+		kind           standin.Kind
+		usesAddedRoute bool
+		response       *http.Response
+		prepare        func(r *run)
+		want           string
 	}{
 		"a whole answer":            {kind: whole, response: signedResponse("q", 200, standin.Body("q"))},
 		"another's answer":          {kind: whole, response: signedResponse("q", 200, standin.Body("p")), want: "MIXED"},
@@ -52,8 +52,8 @@
 		"refused and not run":       {kind: whole, response: signedResponse("q", 503, "")},
 		"refused and run":           {kind: whole, response: signedResponse("q", 503, ""), prepare: func(r *run) { r.ledger.Ran("q", "t", "w") }, want: "REFUSED"},
 		"no route though it is":     {kind: whole, response: signedResponse("q", 404, ""), want: "DENIED"},
-		"a route not known yet":     {kind: whole, later: true, response: signedResponse("q", 404, "")},
-		"a route no longer known":   {kind: whole, later: true, response: signedResponse("q", 404, ""), prepare: recordRouteServedEarlier, want: "CONFIG"},
+		"a route not known yet":     {kind: whole, usesAddedRoute: true, response: signedResponse("q", 404, "")},
+		"a route no longer known":   {kind: whole, usesAddedRoute: true, response: signedResponse("q", 404, ""), prepare: recordRouteServedEarlier, want: "CONFIG"},
 		"no key though it is":       {kind: whole, response: signedResponse("q", 401, ""), want: "DENIED"},
 		"a key that was taken away": {kind: whole, response: signedResponse("q", 401, ""), prepare: func(r *run) { r.callers.recordRevocation("key", time.Now()) }},
 		"a key taken away long ago": {
@@ -69,7 +69,7 @@
 				test.prepare(r)
 			}
 			c := &caller{run: r}
-			c.checkResponse(&call{id: "q", kind: test.kind, usesAddedRoute: test.later, eventCount: 3, key: "key", daemon: r.daemons[0], incarnation: 1, sentAt: time.Now()}, test.response)
+			c.checkResponse(&call{id: "q", kind: test.kind, usesAddedRoute: test.usesAddedRoute, eventCount: 3, key: "key", daemon: r.daemons[0], incarnation: 1, sentAt: time.Now()}, test.response)
 			r.checkAtEnd()
 			var got []string
 			for _, v := range r.ledger.Violations() {
--- a/soak/callerstate.go
+++ b/soak/callerstate.go
@@ -10,13 +10,13 @@
 const (
 	tenantCount   = 3
 	keysPerTenant = 5
-	// revocationBound is the time after which daemons must reject a revoked key.
-	// revocationSlack is added to it because the daemons share a loaded machine.
+	// revocationBound is the time within which daemons must start to reject a revoked key.
+	// revocationSlack is added to it in the check, because the daemons share a loaded machine.
 	revocationBound = 3 * time.Second
 	revocationSlack = 500 * time.Millisecond
 )
 
-// outcome is the result of one request: a status code, "served", "cut" or "no answer".
+// outcome is the result of one request. The result is a status code, "served", "cut" or "no answer".
 type outcome struct {
 	endedAt time.Time
 	result  string
@@ -28,12 +28,16 @@
 
 	mu       sync.Mutex
 	outcomes []outcome
-	// notExecuted holds the IDs of the requests that must not have been executed.
+	// notExecuted holds the IDs of the requests whose responses guarantee that no worker executes
+	// them.
 	notExecuted []string
-	// revokedKeys maps keys to the time when their revocation was acknowledged, or zero before.
-	revokedKeys    map[string]time.Time
+	// revokedKeys maps each revoked key to the time when the store acknowledged its revocation. The
+	// time is zero before that.
+	revokedKeys map[string]time.Time
+	// routePublished is true once the operator has published the route that is added during the soak.
 	routePublished bool
-	// routeServedSince maps names of incarnations to when they first served the added route.
+	// routeServedSince maps the name of each daemon incarnation to the time when it first served
+	// the added route.
 	routeServedSince map[string]time.Time
 }
 
@@ -52,13 +56,14 @@
 	return c
 }
 
-// drawKey draws a key, which may be revoked, and returns it with its tenant.
+// drawKey returns a random key and its tenant. The key may have been revoked.
 func (c *callerState) drawKey(random *rand.Rand) (key, tenant string) {
 	tenant = tenantName(random.IntN(tenantCount))
 	return c.keysByTenant[tenant][random.IntN(keysPerTenant)], tenant
 }
 
-// chooseKeyToRevoke returns a key to revoke, at most one per tenant, or false if none is left.
+// chooseKeyToRevoke returns a key to revoke and marks it as revoked. It chooses only one key of each
+// tenant, and returns false once all of these are revoked.
 func (c *callerState) chooseKeyToRevoke() (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +116,8 @@
 	return fmt.Sprintf("%s/%d", d.settings.Name, incarnation)
 }
 
-// recordRouteServed records that an incarnation of a daemon served the added route.
+// recordRouteServed records that an incarnation of a daemon served the added route. It does nothing
+// if the daemon has been restarted since.
 func (c *callerState) recordRouteServed(d *daemon, incarnation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,8 +130,8 @@
 	}
 }
 
-// hadServedRoute reports whether an incarnation of a daemon had served the added route by a time.
-// It returns false if the daemon has been restarted since.
+// hadServedRoute reports whether an incarnation of a daemon had served the added route before a time.
+// It returns false if the daemon has been restarted meanwhile.
 func (c *callerState) hadServedRoute(d *daemon, incarnation int, by time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,8 +140,7 @@
 	return known && at.Before(by) && now == incarnation
 }
 
-// recordNotExecuted records a request whose response guarantees that it was not and will not be
-// executed.
+// recordNotExecuted records a request whose response guarantees that no worker executes it.
 func (c *callerState) recordNotExecuted(requestID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,24 +153,24 @@
 	c.outcomes = append(c.outcomes, outcome{endedAt: time.Now(), result: result})
 }
 
-// countServed returns how many requests were served since a time, and how many ended in all.
-// Responses with status 401 are left out.
-func (c *callerState) countServed(since time.Time) (served, all int) {
+// countServed returns how many requests that ended since a time were served, and how many ended in
+// total. Neither number includes responses with status 401.
+func (c *callerState) countServed(since time.Time) (served, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range c.outcomes {
 		if o.endedAt.Before(since) || o.result == "401" {
 			continue
 		}
-		all++
+		total++
 		if o.result == "served" {
 			served++
 		}
 	}
-	return served, all
+	return served, total
 }
 
-// countByResult returns the number of requests by result.
+// countByResult returns the number of ended requests for each result.
 func (c *callerState) countByResult() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -16,13 +16,13 @@
 	// minCrashPause and crashPauseSpread bound the random pause between two crashing requests.
 	minCrashPause    = 100 * time.Millisecond
 	crashPauseSpread = 400 * time.Millisecond
-	// minCrashDowntime is the least time until a crashed worker restarts. It takes at most twice
-	// as long.
+	// minCrashDowntime is the minimum time until a crashed worker restarts. The maximum is twice
+	// that.
 	minCrashDowntime = 2 * time.Second
 )
 
-// sendCrashingRequests sends copies of a request that crashes every worker that executes it, to
-// random daemons, until ctx is done.
+// sendCrashingRequests sends crashing requests to random daemons until ctx is done. A crashing request
+// crashes every worker that executes it.
 func (r *run) sendCrashingRequests(ctx context.Context) {
 	const crashingCallerIndex = 1000
 	c := newCaller(r, crashingCallerIndex)
@@ -68,7 +68,8 @@
 	}
 }
 
-// scheduleRestart restarts a worker that a request crashed, after a random delay.
+// scheduleRestart starts a timer that restarts or replaces a worker after a random delay. It is called
+// for workers that a request has crashed.
 func (r *run) scheduleRestart(w *standin.Worker) {
 	delay := minCrashDowntime + time.Duration(rand.Int64N(int64(minCrashDowntime)))
 	time.AfterFunc(delay, func() {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -18,26 +18,26 @@
 // fault is one kind of fault.
 type fault struct {
 	inject injectFunc
-	// blocksUpdates means that the fault may keep daemons from reading updates in the store.
+	// blocksUpdates is true if the fault may keep daemons from reading updates in the store.
 	blocksUpdates bool
-	// minDuration is the least time for which the fault lasts.
+	// minDuration is the minimum duration of the fault.
 	minDuration time.Duration
 }
 
-// minRevocationOutage exceeds the time after which daemons must reject a key that was revoked at the
-// start of the outage.
+// minRevocationOutage is the minimum duration of an outage during which a key is revoked. It exceeds
+// revocationBound, so that daemons must reject the key before the outage ends.
 const minRevocationOutage = revocationBound + 3*time.Second
 
 const (
-	// minLateOrdersDuration gives groups time to dissolve and form again while orders of the
-	// earlier formation are still delayed.
+	// minLateOrdersDuration is the minimum duration of the fault that delays orders. Within it, groups
+	// dissolve and form again while orders from before are still delayed.
 	minLateOrdersDuration = 10 * time.Second
 	// crashInterval is the time between two crashes while orders are delayed. It exceeds the
 	// usual time to form a group.
 	crashInterval = 1500 * time.Millisecond
 )
 
-// faults holds the faults of the series that run in every soak, by name.
+// faults maps names to the faults that every soak injects.
 var faults = map[string]fault{
 	"daemon-kill":      {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, 1) }},
 	"daemon-kill-many": {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, len(r.daemons)) }},
@@ -114,8 +114,8 @@
 	return func() { set(false, syscall.SIGCONT) }
 }
 
-// stopDaemon stops a daemon by SIGTERM, after which it is restarted. Ending the fault waits for
-// the stop.
+// stopDaemon stops a daemon with SIGTERM. The daemon then restarts. The returned function waits until
+// the daemon has stopped.
 func (r *run) stopDaemon(random *rand.Rand) func() {
 	d := r.pickDaemon(random)
 	stopped := make(chan struct{})
@@ -137,7 +137,7 @@
 	}
 }
 
-// dropWorkerList makes the store unavailable and drops the entries of all workers.
+// dropWorkerList makes the store unresponsive and drops the entries of all workers from it.
 func (r *run) dropWorkerList(*rand.Rand) func() {
 	r.store.SetFaults(standin.Faults{Silent: true})
 	r.fabric.Lapse()
@@ -146,7 +146,7 @@
 
 // revokeKeyDuringOutage revokes a key while no daemon can read the store.
 func (r *run) revokeKeyDuringOutage(random *rand.Rand) func() {
-	// Reads that were waiting when the outage began are still answered.
+	// The store still answers reads that were waiting when the outage began. The pause lets them end.
 	const pendingReadTime = 500 * time.Millisecond
 	r.store.SetFaults(standin.Faults{Silent: true})
 	time.Sleep(pendingReadTime)
@@ -175,7 +175,7 @@
 	}
 }
 
-// pickWorkers picks one to three of the running model workers.
+// pickWorkers returns one to three random workers of the model service.
 func (r *run) pickWorkers(random *rand.Rand) []*standin.Worker {
 	const maxWorkers = 3
 	all := r.fabric.Workers(standin.ModelService)
@@ -197,8 +197,8 @@
 	}
 }
 
-// delayOrdersAndCrash delays most orders to workers and crashes a worker at regular intervals, so
-// that groups are dissolved and formed again while orders are pending.
+// delayOrdersAndCrash delays most orders to workers, and crashes a random worker every crashInterval.
+// Groups are thus dissolved and formed again while orders are pending.
 func (r *run) delayOrdersAndCrash(random *rand.Rand) func() {
 	revertDelay := workerFault(standin.WorkerFaults{Late: 0.8})(r, random)
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -223,7 +223,7 @@
 	}
 }
 
-// replaceHalfOfWorkers crashes half of the model workers and restarts or replaces them at once.
+// replaceHalfOfWorkers crashes half of the model workers and immediately restarts or replaces them.
 func (r *run) replaceHalfOfWorkers(random *rand.Rand) func() {
 	all := r.fabric.Workers(standin.ModelService)
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -258,7 +258,7 @@
 	}
 }
 
-// drainWorker drains a worker after starting its replacement.
+// drainWorker starts a replacement for a worker and then drains the worker.
 func (r *run) drainWorker(random *rand.Rand) func() {
 	all := r.pickWorkers(random)
 	if random.IntN(2) == 0 {
@@ -309,7 +309,7 @@
 	return noRevert
 }
 
-// revokeKey revokes the next key that may be revoked, if one is left.
+// revokeKey revokes a key. It does nothing if one key of each tenant is already revoked.
 func (r *run) revokeKey(*rand.Rand) func() {
 	if key, ok := r.callers.chooseKeyToRevoke(); ok {
 		r.operator.Revoke(key)
--- a/soak/halls.go
+++ b/soak/halls.go
@@ -11,18 +11,21 @@
 )
 
 const (
-	// hallCount is the number of data halls. The last one is in a region of its own.
+	// hallCount is the number of data halls. The last hall is in a separate region.
 	hallCount = 3
-	// hallEmptyBound is the time after which a closed hall must have no requests left.
+	// hallEmptyBound is the time after the closing of a hall from which on its workers must get no
+	// more requests.
 	hallEmptyBound = 3 * time.Second
-	// minClosedDuration leaves time to check a hall after hallEmptyBound has passed.
+	// minClosedDuration is the minimum time for which a hall is closed. It exceeds hallEmptyBound,
+	// so that requests that come too late are detected.
 	minClosedDuration = hallEmptyBound + 4*time.Second
 )
 
-// warmUp limits the request rate of cold workers. The limit exceeds the average rate per replica.
+// warmUp limits the request rate of cold workers, which have just started or whose hall was just
+// opened.
 var warmUp = standin.WarmUp{For: 1500 * time.Millisecond, PerSecond: 10, Burst: 1.5, Slack: 5}
 
-// hallFaults holds the faults of data halls, by name.
+// hallFaults maps names to the faults of data halls.
 var hallFaults = map[string]fault{
 	"hall-closed":       {inject: closeHalls(1), minDuration: minClosedDuration},
 	"halls-closed":      {inject: closeHalls(hallCount - 1), minDuration: minClosedDuration},
@@ -38,8 +41,8 @@
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-// hallForIndex returns the data hall of the ith domain or plain worker, or "" if the soak plays no
-// faults of data halls.
+// hallForIndex returns the data hall of the ith fabric domain or plain worker. It returns "" if the
+// soak injects no faults of data halls.
 func (r *run) hallForIndex(i int) string {
 	if !r.opts.Halls {
 		return ""
@@ -54,7 +57,7 @@
 	return zoneName(i % 2)
 }
 
-// zoneNames returns the names of the data halls in which daemons run, for the daemons' settings.
+// zoneNames returns the names of the data halls in which daemons run.
 func (r *run) zoneNames() []string {
 	var all []string
 	for i := range r.opts.Daemons {
@@ -65,7 +68,8 @@
 	return all
 }
 
-// hallRules returns the regions and bounds of data halls, for daemons, the operator and the checks.
+// hallRules returns the rules for data halls: their regions, the regions that each client account may
+// use, the time within which a closed hall must be empty, and the warm-up limit.
 func (r *run) hallRules() standin.Halls {
 	if !r.opts.Halls {
 		return standin.Halls{}
@@ -106,7 +110,8 @@
 	}
 }
 
-// toggleHall closes, opens and closes a hall within a second. It opens when the fault ends.
+// toggleHall closes a hall, opens it and closes it again within a second. The hall opens when the
+// fault ends.
 func (r *run) toggleHall(random *rand.Rand) func() {
 	const toggleInterval = 300 * time.Millisecond
 	hall := zoneName(random.IntN(hallCount))
@@ -123,8 +128,8 @@
 	return slices.DeleteFunc(r.fabric.Workers(standin.ModelService), func(w *standin.Worker) bool { return w.Spec().Zone != hall })
 }
 
-// failHall crashes all model workers and kills all daemons of a hall, and restarts them together
-// when the fault ends.
+// failHall crashes all model workers of a hall and kills its daemons. When the fault ends, the workers
+// are restarted or replaced and the daemons are restarted.
 func (r *run) failHall(random *rand.Rand) func() {
 	hall := zoneName(random.IntN(hallCount))
 	crashed := r.workersIn(hall)
@@ -148,7 +153,7 @@
 	}
 }
 
-// replaceHallWorkers crashes all model workers of a hall and starts empty, cold ones in their place.
+// replaceHallWorkers crashes all model workers of a hall and replaces them with new, cold workers.
 func (r *run) replaceHallWorkers(random *rand.Rand) func() {
 	for _, w := range r.workersIn(zoneName(random.IntN(hallCount))) {
 		w.Crash()
--- a/soak/mix.go
+++ b/soak/mix.go
@@ -9,15 +9,16 @@
 	MixHalf Mix = "half"
 	// MixReplaced runs the earlier build in the first incarnation of each daemon only.
 	MixReplaced Mix = "replaced"
-	// MixTakenBack alternates the builds with each start, beginning with the earlier one.
+	// MixTakenBack switches to the other build at each restart of a daemon. The first incarnation
+	// runs the earlier build.
 	MixTakenBack Mix = "back"
 )
 
-// programsOf returns a function from the incarnations of a daemon, counted from 1, to the paths of
-// their programs.
+// programsOf returns a function that maps the number of a daemon's incarnation to the path of the
+// program that it runs. The first incarnation has the number 1.
 func (o Options) programsOf(daemon int) func(incarnation int) string {
-	return func(life int) string {
-		if o.Earlier != "" && o.Mix.usesEarlierBuild(daemon, life) {
+	return func(incarnation int) string {
+		if o.Earlier != "" && o.Mix.usesEarlierBuild(daemon, incarnation) {
 			return o.Earlier
 		}
 		return o.Program
--- a/soak/mix_test.go
+++ b/soak/mix_test.go
@@ -8,9 +8,9 @@
 
 func TestProgramOf(t *testing.T) {
 	tests := map[string]struct {
-		opts         Options
-		daemon, life int
-		want         string
+		opts                Options
+		daemon, incarnation int
+		want                string
 	}{
 		"one build":                      {Options{Program: "now", Mix: MixHalf}, 0, 1, "now"},
 		"half, an even one":              {Options{Program: "now", Earlier: "before", Mix: MixHalf}, 2, 3, "before"},
@@ -23,7 +23,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.opts.programsOf(test.daemon)(test.life), test.want)
+			assert.Equal(t, test.opts.programsOf(test.daemon)(test.incarnation), test.want)
 		})
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -19,16 +19,16 @@
 // restartDelay is the time between the exit of a daemon and its restart.
 const restartDelay = 200 * time.Millisecond
 
-// daemon is one daemon, including its restarts. Each incarnation is a process of its own.
+// daemon is one daemon, including its restarts. Each start runs a new process, called an incarnation.
 type daemon struct {
 	settings standin.DaemonSettings
 	// programOf returns the path of the program for an incarnation. The first one is 1.
 	programOf func(incarnation int) string
-	// settingsFile is the path of the settings; log gets the output of all incarnations.
+	// settingsFile is the path of the settings file. log receives the output of all incarnations.
 	settingsFile string
 	log          *os.File
-	// frontProxy and directoryProxy carry callers' connections to the daemon, storeProxy the
-	// daemon's connections to the store.
+	// frontProxy carries requests from callers, directoryProxy their queries for daemon addresses.
+	// storeProxy carries the daemon's connections to the store.
 	frontProxy, directoryProxy, storeProxy *proxy
 	// onLeading is called when the daemon has become leader.
 	onLeading func(d *daemon)
@@ -39,8 +39,8 @@
 	exited chan struct{}
 	// incarnation is the number of times that the daemon was started.
 	incarnation int
-	// restartDisabled keeps the daemon down. frozen is set between SIGSTOP and SIGCONT, stopping
-	// after a planned stop was requested.
+	// restartDisabled keeps the daemon from being started. frozen is true between SIGSTOP and
+	// SIGCONT. stopping is true after a planned stop was requested.
 	restartDisabled, frozen, stopping bool
 	// disturbedAt is when the daemon was last killed, frozen or resumed.
 	disturbedAt time.Time
@@ -48,7 +48,7 @@
 	unexpectedExits int
 }
 
-// freePorts returns free TCP ports of an IP address.
+// freePorts returns count free TCP ports of an IP address.
 func freePorts(ip string, count int) ([]int, error) {
 	var ports []int
 	for range count {
@@ -62,7 +62,7 @@
 	return ports, nil
 }
 
-// prepare creates the log file and sets the path of the settings.
+// prepare creates the daemon's log file in dir and sets the path of its settings file.
 func (d *daemon) prepare(dir string) error {
 	d.settingsFile = filepath.Join(dir, d.settings.Name+".toml")
 	log, err := os.Create(filepath.Join(dir, d.settings.Name+".log"))
@@ -144,7 +144,8 @@
 	_ = d.command.Process.Signal(s)
 }
 
-// kill sends SIGKILL to the running process. stayDown disables the restart.
+// kill sends SIGKILL to the running process. If stayDown is true, the daemon is not restarted until
+// enableRestart is called.
 func (d *daemon) kill(stayDown bool) {
 	d.mu.Lock()
 	d.restartDisabled = stayDown
@@ -160,8 +161,8 @@
 	return d.start()
 }
 
-// stop sends SIGTERM and reports whether the daemon exited within its grace period. After that it
-// kills the daemon.
+// stop sends SIGTERM and reports whether the daemon exited within its grace period. If it did not, stop
+// kills it.
 func (d *daemon) stop() bool {
 	d.mu.Lock()
 	exited := d.exited
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -20,7 +20,7 @@
 	linkReset
 	// linkSlow delays every chunk of data by linkDelay.
 	linkSlow
-	// linkLowBandwidth delivers linkBytesPerSecond on each connection.
+	// linkLowBandwidth limits each direction of a connection to linkBytesPerSecond.
 	linkLowBandwidth
 )
 
@@ -42,7 +42,7 @@
 	openConns map[*net.TCPConn]bool
 	// silencedConns holds the connections that stay silent regardless of the link's fault.
 	silencedConns map[*net.TCPConn]bool
-	// disturbedAt is when a fault was last set, removed or injected into open connections.
+	// disturbedAt is when a fault was last set or removed, or connections were last silenced.
 	// dialFailedAt is when the proxy last failed to connect to its target.
 	disturbedAt, dialFailedAt time.Time
 }
@@ -66,7 +66,7 @@
 	p.setFault(linkReset)
 }
 
-// setFault replaces the link's fault; linkHealthy removes it.
+// setFault replaces the link's fault. linkHealthy removes it.
 func (p *proxy) setFault(fault linkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// silenceConnections stops delivery on the open connections for good, without a reset. New
+// silenceConnections permanently stops delivery on the open connections, without resetting them. New
 // connections are not affected.
 func (p *proxy) silenceConnections() {
 	p.mu.Lock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// isSilenced reports whether delivery on a connection has been stopped for good.
+// isSilenced reports whether delivery on a connection has been permanently stopped.
 func (p *proxy) isSilenced(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,8 +106,8 @@
 	return p.fault
 }
 
-// dialFailedSince reports whether connecting to the target has failed since a time. The client then
-// saw a reset.
+// dialFailedSince reports whether the proxy has failed to connect to its target since a time. It resets
+// the client's connection in that case.
 func (p *proxy) dialFailedSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +176,8 @@
 	}
 }
 
-// copyBytes copies data in one direction. fromServer is true for the direction to the client.
+// copyBytes copies data in one direction until either connection ends. fromServer is true for the
+// direction from the server to the client.
 func (p *proxy) copyBytes(to, from *net.TCPConn, fromServer bool) {
 	buffer := make([]byte, linkBufferSize)
 	for {
@@ -184,7 +185,7 @@
 		p.awaitDelivery(fromServer, n)
 		if p.isSilenced(from) {
 			if err != nil {
-				// The other side is not notified of the close.
+				// The peer of a silenced connection does not notice that it was closed.
 				return
 			}
 			continue
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -7,9 +7,10 @@
 
 // scheduledFault is one fault of a series.
 type scheduledFault struct {
-	// pause is the time before the fault, duration the time for which it lasts.
+	// pause is the time between the previous fault and this one. duration is the time for which this
+	// fault lasts.
 	pause, duration time.Duration
-	// name is the fault's key in the table of faults from which it is drawn.
+	// name is the fault's key in the map of faults from which it is drawn.
 	name string
 	// targetSeed seeds the choice of the affected daemons, workers or links.
 	targetSeed uint64
@@ -20,27 +21,29 @@
 	minFaultDuration, faultDurationSpread = 300 * time.Millisecond, 4 * time.Second
 )
 
-// schedule returns the faults of one series, which together last at least total. The same seed gives
-// the same faults.
+// schedule returns the faults of one series. Together with their pauses they last at least total. The
+// same seed gives the same faults.
 func schedule(seed uint64, series int, total time.Duration) []scheduledFault {
 	return drawSchedule(rand.New(rand.NewPCG(seed, uint64(series))), faultNames(), total)
 }
 
-// hallSchedule returns the faults of data halls. They use a random stream of their own, so that they
-// don't change the other schedules of a seed.
+// hallSchedule returns the faults of data halls. It draws from a separate random stream, so that it
+// does not change the other schedules of a seed.
 func hallSchedule(seed uint64, total time.Duration) []scheduledFault {
 	const randomStream = 1 << 33
 	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), hallFaultNames(), total)
 }
 
-// signalSchedule returns the faults in which workers send signals. They use a random stream of their
-// own as well.
-func signalSchedule(seed uint64, total time.Duration) []scheduledFault {
+// announcementSchedule returns the faults in which workers announce limits, rest periods or their
+// leave. It draws from a separate random stream, so that it does not change the other schedules of
+// a seed.
+func announcementSchedule(seed uint64, total time.Duration) []scheduledFault {
 	const randomStream = 1 << 35
-	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), signalFaultNames(), total)
+	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), announcementFaultNames(), total)
 }
 
-// drawSchedule draws faults of the given kinds until their total time reaches total.
+// drawSchedule draws faults with the given names until the faults and their pauses together last at
+// least total.
 func drawSchedule(random *rand.Rand, names []string, total time.Duration) []scheduledFault {
 	var steps []scheduledFault
 	for duration := time.Duration(0); duration < total; {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak runs real daemons, each as a process of its own, against a stand-in of the platform
-// in this process. It injects random faults and checks invariants from what callers and workers
-// observe. Faults are signals to processes, faults of network links, and errors of the store and the
-// workers. Several series of faults overlap. A seed determines the faults; the timing within
-// processes differs from run to run.
+// Package soak tests daemons under random faults. It runs each daemon as a separate process and
+// simulates the platform in its own process. The faults include killed processes, broken network
+// links, and errors of the store and the workers. Several series of faults run concurrently.
+// Simulated callers and workers check that the daemons keep their guarantees. A seed determines the
+// faults, but the timing differs from run to run.
 package soak
 
 import (
@@ -27,7 +27,7 @@
 // Options configures a soak.
 type Options struct {
 	Seed uint64
-	// Program is the path of the daemon's program, Dir the directory for settings and logs.
+	// Program is the path of the daemon's program. Dir is the directory for settings and logs.
 	Program, Dir string
 	// Earlier is the path of an earlier build's program, or empty. Mix selects the daemons that
 	// run it.
@@ -36,23 +36,24 @@
 	// Host is the first three numbers of the loopback addresses of this soak, such as 127.1.1.
 	// No other process may use them.
 	Host string
-	// Daemons is the number of daemons, Workers the number of workers of the model service.
+	// Daemons is the number of daemons. Workers is the number of workers of the model service.
 	Daemons, Workers int
-	// Callers is the number of concurrent callers, Series the number of concurrent series of faults.
+	// Callers is the number of concurrent callers. Series is the number of concurrent series of faults.
 	Callers, Series int
 	// Duration is the time during which faults are injected.
 	Duration time.Duration
-	// Crashing repeatedly sends a request that crashes every worker that executes it.
+	// Crashing adds a caller whose requests crash every worker that executes them.
 	Crashing bool
-	// Reborn restarts every second worker under its former ID.
+	// Reborn makes about half of the restarted workers keep their ID. Otherwise, every restarted
+	// worker gets a new ID.
 	Reborn bool
-	// Asking adds workers that announce limits, ask for rest or announce that they leave.
+	// Asking adds faults in which workers announce request limits, rest periods or their leave.
 	Asking bool
 	// Drills adds restores of the store from a copy that is seconds old.
 	Drills bool
 	// Halls adds faults of data halls, and a second region.
 	Halls bool
-	// Logger gets the injected faults at level Debug.
+	// Logger receives a message at level Debug for each injected fault.
 	Logger hclog.Logger
 }
 
@@ -60,15 +61,15 @@
 type Result struct {
 	Seed       uint64
 	Violations []standin.Violation
-	// Totals is the number of requests by result.
+	// Totals is the number of requests for each result.
 	Totals map[string]int
 	// Faults is the number of faults that were injected.
 	Faults int
-	// Crashed is the number of workers that a request crashed.
+	// Crashed is the number of workers that were crashed by a request.
 	Crashed int
 }
 
-// timing holds the durations of the daemons' settings and of the platform's stand-in.
+// timing holds the durations that the daemons and the simulated platform use.
 var timing = standin.Timing{
 	Heartbeat: 500 * time.Millisecond, Load: 2500 * time.Millisecond, Warm: 400 * time.Millisecond, Hot: 100 * time.Millisecond,
 	Form: 100 * time.Millisecond, Stall: 3 * time.Second, Drain: 2 * time.Second,
@@ -76,7 +77,8 @@
 	Event:     15 * time.Millisecond, Work: 10 * time.Millisecond,
 }
 
-// modelLoadLimit limits the loads of models from the weight store, in the daemons and in the checks.
+// modelLoadLimit limits how often workers load models from the weight store. The daemons apply it, and
+// the simulated platform checks it.
 var modelLoadLimit = standin.Ceiling{PerSecond: 1, Window: 5 * time.Second, Over: 1.1, Extra: 3}
 
 const (
@@ -88,8 +90,8 @@
 	recoveryTimeout  = 20 * time.Second
 	recoveryWindow   = 3 * time.Second
 	minServedShare   = 0.9
-	// settleTime is the time that daemons get to read missed updates after the end of a fault
-	// that blocks updates.
+	// settleTime is how long daemons may take to read missed updates after a fault that blocked
+	// updates has ended.
 	settleTime = 3 * time.Second
 )
 
@@ -120,14 +122,14 @@
 	faultFreeSince time.Time
 	// lastLeader is the daemon that most recently reported that it leads, or nil.
 	lastLeader *daemon
-	// closing means that no worker may be started any more.
+	// closing is true once the soak is shutting down. No worker may then be started.
 	closing bool
 	// err is the first error passed to recordError.
 	err error
 }
 
-// Run runs one soak. It returns an error if the soak could not be run to its end. Violations are in
-// the result.
+// Run runs one soak. It returns an error if the soak could not be completed. Violations are not errors
+// but part of the result.
 func Run(ctx context.Context, opts Options) (Result, error) {
 	r := &run{
 		opts: opts, store: standin.NewStore(), ledger: standin.NewLedger(), callers: newCallerState(),
@@ -138,22 +140,22 @@
 	if err := r.prepare(); err != nil {
 		return Result{}, err
 	}
-	background, cancel := context.WithCancel(ctx)
+	backgroundCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var group conc.WaitGroup
-	group.Go(func() { r.fabric.Run(background) })
-	err := r.injectScheduledFaults(ctx, background, &group)
+	group.Go(func() { r.fabric.Run(backgroundCtx) })
+	err := r.injectScheduledFaults(ctx, backgroundCtx, &group)
 	cancel()
 	group.Wait()
 	r.checkAtEnd()
 	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.countByResult(), Faults: r.faultCount, Crashed: r.fabric.CrashedUnder()}, cmp.Or(err, r.err)
 }
 
-// prepare starts the stand-in, the workers and the daemons.
+// prepare starts the simulated platform, the workers and the daemons.
 func (r *run) prepare() error {
 	r.fabric = standin.NewFabric(standin.FabricOptions{
 		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, Ceiling: modelLoadLimit, Calm: r.settledSince,
-		Fenceless: drawIgnoresFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerProxy, Crashed: r.scheduleRestart,
+		Fenceless: drawWorkersIgnoreFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerProxy, Crashed: r.scheduleRestart,
 		LinkSound: r.linkHealthySince,
 	})
 	r.operator = standin.NewOperator(standin.OperatorOptions{
@@ -172,21 +174,21 @@
 	return r.err
 }
 
-// drawIgnoresFences draws whether the workers of a soak ignore fences, as some deployments do.
-func drawIgnoresFences(seed uint64) bool {
+// drawWorkersIgnoreFences draws whether the workers of a soak ignore the fences of orders.
+func drawWorkersIgnoreFences(seed uint64) bool {
 	// Streams with lower numbers are used for the schedules of faults.
 	const randomStream = 1 << 32
 	return rand.New(rand.NewPCG(seed, randomStream)).IntN(2) == 0
 }
 
-// recordError stores the first error that keeps the soak from running.
+// recordError stores err for the result of Run. Only the first error is kept.
 func (r *run) recordError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.err = cmp.Or(r.err, err)
 }
 
-// startWorker starts a worker behind a proxy of its own.
+// startWorker starts a worker that is reached through its own proxy.
 func (r *run) startWorker(spec standin.WorkerSpec) error {
 	r.mu.Lock()
 	r.startedWorkers++
@@ -221,15 +223,15 @@
 	return r.workerProxies[w.ID()]
 }
 
-// replaceWorker starts an empty worker with a new ID in a worker's place.
+// replaceWorker starts a replacement for a worker. It has a new ID and no staged models.
 func (r *run) replaceWorker(w *standin.Worker) {
 	spec := w.Spec()
 	spec.ID, spec.Address, spec.Staged = "", "", ""
 	r.recordError(r.startWorker(spec))
 }
 
-// restartWorker restarts or replaces a worker that has ended. With Options.Reborn, every second
-// worker keeps its ID and the models staged on its host. All others are replaced.
+// restartWorker restarts or replaces a worker that has ended. With Options.Reborn, about half of the
+// workers restart with the same ID and the model that is staged on their host. All others are replaced.
 func (r *run) restartWorker(w *standin.Worker) {
 	r.mu.Lock()
 	keepsID := r.opts.Reborn && r.startedWorkers%2 == 0
@@ -243,7 +245,7 @@
 	r.recordError(r.startWorker(spec))
 }
 
-// startDaemon starts the ith daemon, with proxies for its connections to callers and to the store.
+// startDaemon starts the ith daemon. Its connections from callers and to the store go through proxies.
 func (r *run) startDaemon(i int) error {
 	const firstHostNumber = 2
 	ip := fmt.Sprintf("%s.%d", r.opts.Host, firstHostNumber+i)
@@ -276,7 +278,7 @@
 	return d.start()
 }
 
-// frontAddress returns the caller address that the daemon announces.
+// frontAddress returns the address that the daemon announces to callers.
 func (d *daemon) frontAddress() string {
 	return fmt.Sprintf("%s:%d", d.settings.IP, d.settings.Front)
 }
@@ -287,7 +289,7 @@
 	r.lastLeader = d
 }
 
-// leader returns the daemon that most recently became leader, or the first one.
+// leader returns the daemon that most recently became leader, or the first daemon if none has.
 func (r *run) leader() *daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -297,8 +299,8 @@
 	return r.lastLeader
 }
 
-// settledSince returns the time from which on daemons must have read all updates. The boolean is
-// false while a fault may block updates, and for settleTime after that.
+// settledSince returns the time since when daemons have been able to read all updates. It returns false
+// while a fault may block updates, and for settleTime after the fault.
 func (r *run) settledSince() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -307,19 +309,19 @@
 
 // injectScheduledFaults starts the callers, injects the faults, and checks that the system recovers
 // afterwards.
-func (r *run) injectScheduledFaults(ctx, background context.Context, group *conc.WaitGroup) error {
+func (r *run) injectScheduledFaults(ctx, backgroundCtx context.Context, group *conc.WaitGroup) error {
 	if !r.awaitServing(ctx) {
 		return failure.New(failure.Unavailable, "start", r.opts.Dir, "no replica serves within %s", startTimeout)
 	}
-	// Model loads are checked from the first request on, of which leaders learn with a delay. The
-	// pause lets the initial loads end before that.
+	// The rate of model loads is checked from the first request on. The pause lets the initial loads
+	// end before that.
 	sleep(ctx, settleTime)
 	for i := range r.opts.Callers {
 		c := newCaller(r, i)
-		group.Go(func() { c.sendRequests(background) })
+		group.Go(func() { c.sendRequests(backgroundCtx) })
 	}
 	if r.opts.Crashing {
-		group.Go(func() { r.sendCrashingRequests(background) })
+		group.Go(func() { r.sendCrashingRequests(backgroundCtx) })
 	}
 	time.Sleep(time.Second)
 	var series conc.WaitGroup
@@ -333,12 +335,12 @@
 		series.Go(func() { r.injectFaults(ctx, restoreSchedule(r.opts.Seed, r.opts.Duration), restoreFaults) })
 	}
 	if r.opts.Asking {
-		series.Go(func() { r.injectFaults(ctx, signalSchedule(r.opts.Seed, r.opts.Duration), signalFaults) })
+		series.Go(func() { r.injectFaults(ctx, announcementSchedule(r.opts.Seed, r.opts.Duration), announcementFaults) })
 	}
 	series.Wait()
 	if !r.awaitRecovery(ctx) {
-		served, all := r.callers.countServed(time.Now().Add(-recoveryWindow))
-		r.ledger.Broken("RECOVER", "%d of %d requests are served %s after the last fault", served, all, recoveryTimeout)
+		served, total := r.callers.countServed(time.Now().Add(-recoveryWindow))
+		r.ledger.Broken("RECOVER", "%d of %d requests are served %s after the last fault", served, total, recoveryTimeout)
 	}
 	r.checkPlannedLeaves(ctx)
 	return ctx.Err()
@@ -354,12 +356,12 @@
 	return false
 }
 
-// injectSeries injects one series of faults.
+// injectSeries injects the faults of one series.
 func (r *run) injectSeries(ctx context.Context, series int) {
 	r.injectFaults(ctx, schedule(r.opts.Seed, series, r.opts.Duration), faults)
 }
 
-// injectFaults injects faults one after the other.
+// injectFaults injects the scheduled faults one after the other.
 func (r *run) injectFaults(ctx context.Context, scheduled []scheduledFault, faultsByName map[string]fault) {
 	for _, s := range scheduled {
 		if !sleep(ctx, s.pause) {
@@ -375,7 +377,7 @@
 	}
 }
 
-// countFaultStart counts a fault as injected and, if it may block updates, as active.
+// countFaultStart counts an injected fault. If it may block updates, it also counts it as active.
 func (r *run) countFaultStart(f fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -402,8 +404,8 @@
 	return !r.faultFreeSince.IsZero() && r.faultFreeSince.Before(t)
 }
 
-// checkPlannedLeaves drains workers and stops a daemon while there are no faults. During this time,
-// the callers also report answers that are cut off.
+// checkPlannedLeaves drains workers and stops a daemon after all faults have ended. From then on,
+// callers also report responses that are cut off as violations.
 func (r *run) checkPlannedLeaves(ctx context.Context) {
 	sleep(ctx, settleTime)
 	r.mu.Lock()
@@ -440,16 +442,16 @@
 		if time.Since(faultsEndedAt) < recoveryWindow {
 			continue
 		}
-		served, all := r.callers.countServed(time.Now().Add(-recoveryWindow))
-		if all > 0 && float64(served) >= minServedShare*float64(all) {
+		served, total := r.callers.countServed(time.Now().Add(-recoveryWindow))
+		if total > 0 && float64(served) >= minServedShare*float64(total) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkAtEnd checks that no request was executed whose response guaranteed the opposite, and that
-// no daemon exited unexpectedly.
+// checkAtEnd reports violations that can only be detected at the end of a soak. These are requests that
+// were executed though their response ruled it out, and daemons that exited unexpectedly.
 func (r *run) checkAtEnd() {
 	for _, id := range r.callers.notExecuted {
 		if r.ledger.Runs(id) > 0 {
@@ -463,7 +465,7 @@
 	}
 }
 
-// isClosing reports whether no worker may be started any more.
+// isClosing reports whether the soak is shutting down.
 func (r *run) isClosing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/workersignals.go
+++ b/soak/workerannouncements.go
@@ -11,11 +11,13 @@
 )
 
 const (
-	// requestedRest is the rest period that workers ask for in their answers.
-	requestedRest = 3 * time.Second
-	// minLimitDuration gives callers time to exceed a limit and the checks time to detect it.
+	// requestedRestPeriod is the time for which a worker asks daemons to send it no requests.
+	requestedRestPeriod = 3 * time.Second
+	// minLimitDuration is the minimum time for which workers announce a limit. It is long enough to
+	// detect that daemons exceed the limit.
 	minLimitDuration = 9 * time.Second
-	// minRestDuration exceeds requestedRest, so that workers can ask for rest more than once.
+	// minRestDuration is the minimum time for which workers ask for rest. It exceeds
+	// requestedRestPeriod, so that a worker can ask more than once.
 	minRestDuration = 4 * time.Second
 )
 
@@ -23,14 +25,15 @@
 // rate that a replica usually gets.
 var announcedLimits = []float64{0, 0.25, 1.3, 3}
 
-// signalFaults holds the faults in which workers signal limits, rest or leaving, by name.
-var signalFaults = map[string]fault{
-	"worker-limits": {inject: (*run).limitWorkers, minDuration: minLimitDuration},
-	"worker-rests":  {inject: (*run).restWorkers, minDuration: minRestDuration},
+// announcementFaults maps names to the faults in which workers announce limits, rest periods or their
+// leave.
+var announcementFaults = map[string]fault{
+	"worker-limits": {inject: (*run).announceWorkerLimits, minDuration: minLimitDuration},
+	"worker-rests":  {inject: (*run).makeWorkersRest, minDuration: minRestDuration},
 	"worker-parts":  {inject: (*run).announceWorkerLeaving},
 }
 
-func signalFaultNames() []string { return slices.Sorted(maps.Keys(signalFaults)) }
+func announcementFaultNames() []string { return slices.Sorted(maps.Keys(announcementFaults)) }
 
 // linkHealthySince reports whether a worker's proxy has had no faults since a time.
 func (r *run) linkHealthySince(worker string, since time.Time) bool {
@@ -40,7 +43,7 @@
 	return workerProxy != nil && workerProxy.healthySince(since)
 }
 
-// pickHeads picks one to three of the heads, which are the workers that requests are sent to.
+// pickHeads returns up to three random heads. Heads are the workers that requests are sent to.
 func (r *run) pickHeads(random *rand.Rand) []*standin.Worker {
 	const maxHeads = 3
 	all := r.fabric.Heads()
@@ -49,8 +52,8 @@
 	return all[:min(len(all), 1+random.IntN(maxHeads))]
 }
 
-// limitWorkers makes a few workers announce limits.
-func (r *run) limitWorkers(random *rand.Rand) func() {
+// announceWorkerLimits makes a few workers announce limits on their request rate.
+func (r *run) announceWorkerLimits(random *rand.Rand) func() {
 	affected := r.pickHeads(random)
 	for _, w := range affected {
 		w.NameLimit(announcedLimits[random.IntN(len(announcedLimits))])
@@ -62,11 +65,11 @@
 	}
 }
 
-// restWorkers makes a few workers reject all requests and ask for rest.
-func (r *run) restWorkers(random *rand.Rand) func() {
+// makeWorkersRest makes a few workers reject all requests and ask for a rest period.
+func (r *run) makeWorkersRest(random *rand.Rand) func() {
 	affected := r.pickHeads(random)
 	for _, w := range affected {
-		w.AskRest(requestedRest)
+		w.AskRest(requestedRestPeriod)
 	}
 	return func() {
 		for _, w := range affected {
@@ -75,8 +78,8 @@
 	}
 }
 
-// announceWorkerLeaving makes a worker announce that it leaves, only in its answers, and starts a
-// replacement.
+// announceWorkerLeaving starts a replacement for a worker and makes the worker announce that it leaves.
+// The worker announces this in its responses but not in the store.
 func (r *run) announceWorkerLeaving(random *rand.Rand) func() {
 	heads := r.pickHeads(random)
 	for _, w := range heads[:min(len(heads), 1)] {
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls the platform's log, node list and nodes over HTTP. Package standin/server
-// provides them for tests.
+// Package client is an HTTP client for the platform's log, node list and nodes. Package standin/server
+// serves simulations of them.
 package client
 
 import (
@@ -27,7 +27,7 @@
 )
 
 // Client calls the platform over HTTP. It implements cluster.Log, cluster.NodeList and
-// cluster.NodeControl. It never retries a call: the caller must handle lost responses.
+// cluster.NodeControl. It never retries a call, so the caller must handle lost responses.
 type Client struct {
 	logURL   string
 	nodesURL string
@@ -112,8 +112,8 @@
 	return reply, err
 }
 
-// failureTypeOf returns Refused if the connection could not be opened, so that nothing was sent, and
-// Unavailable otherwise.
+// failureTypeOf returns the failure type of a transport error. It is Refused if no connection could be
+// opened, because nothing was sent in that case. Otherwise it is Unavailable.
 func failureTypeOf(err error) *errorx.Type {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -122,8 +122,8 @@
 	return failure.Unavailable
 }
 
-// call sends a request with body as JSON, or without a body if it is nil, and decodes the response
-// into reply.
+// call sends a request to the URL target and decodes the JSON response into reply. If body is not
+// nil, it is sent as JSON. step names the operation in errors.
 func (c *Client) call(ctx context.Context, step, method, target string, body, reply any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -34,9 +34,9 @@
 	Domains []DomainOptions
 	// StoreGBPerSecond is the total rate of the weight store in gigabytes per second.
 	StoreGBPerSecond float64
-	// LoadGB is the size of the weights that one node loads for a model version, in gigabytes.
+	// LoadGB is the size in gigabytes of the weights that each node loads for a model version.
 	LoadGB float64
-	// Step is the time between two tokens.
+	// Step is the time that an engine takes for each token.
 	Step time.Duration
 	// Slots is the number of requests that a node runs concurrently.
 	Slots int
@@ -44,12 +44,12 @@
 	ListLag time.Duration
 	// LoadLag is the maximum age of the load in a node's state.
 	LoadLag time.Duration
-	// Address returns the address of the node with the given ID. If it is nil, the ID is the
-	// address, which is enough for calls within the process.
+	// Address returns the address of the node with the given ID. If it is nil, the ID itself is the
+	// address. That is sufficient for calls within the process.
 	Address func(id string) string
 }
 
-// Cluster is a set of nodes with their node list. It implements cluster.NodeList and
+// Cluster is a set of simulated nodes with their node list. It implements cluster.NodeList and
 // cluster.NodeControl in memory.
 type Cluster struct {
 	opts      ClusterOptions
@@ -57,9 +57,9 @@
 	byID      map[string]*Node
 	byAddress map[string]*Node
 
-	mu         sync.Mutex
-	nodeList   []cluster.ListedNode
-	nodeListAt time.Time
+	mu               sync.Mutex
+	nodeList         []cluster.ListedNode
+	nodeListCachedAt time.Time
 }
 
 var (
@@ -117,15 +117,15 @@
 	return ok && n.Up()
 }
 
-// Nodes implements cluster.NodeList. The list is cached for ListLag, so that it may be out of date.
+// Nodes implements cluster.NodeList. The list is cached for ListLag, so it may be out of date.
 func (c *Cluster) Nodes(context.Context) ([]cluster.ListedNode, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.nodeList != nil && time.Since(c.nodeListAt) < c.opts.ListLag {
+	if c.nodeList != nil && time.Since(c.nodeListCachedAt) < c.opts.ListLag {
 		return c.nodeList, nil
 	}
 	c.nodeList = nil
-	c.nodeListAt = time.Now()
+	c.nodeListCachedAt = time.Now()
 	for _, n := range c.nodes {
 		if n.Up() {
 			c.nodeList = append(c.nodeList, n.Listed())
@@ -135,7 +135,7 @@
 	return c.nodeList, nil
 }
 
-// State implements cluster.NodeControl.
+// State implements cluster.NodeControl. It returns the state of the node at an address.
 func (c *Cluster) State(ctx context.Context, address string) (cluster.NodeState, error) {
 	n, ok := c.byAddress[address]
 	if !ok {
@@ -144,7 +144,7 @@
 	return n.State(ctx)
 }
 
-// Order implements cluster.NodeControl.
+// Order implements cluster.NodeControl. It sends an order to the node at an address.
 func (c *Cluster) Order(ctx context.Context, address string, order cluster.Order) (cluster.OrderReply, error) {
 	n, ok := c.byAddress[address]
 	if !ok {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,7 +14,7 @@
 // ErrNotStarted is returned when a node rejects a request before executing any part of it.
 var ErrNotStarted = errors.New("not started")
 
-// errMemberLost is returned when the replica of a running request has lost a node.
+// errMemberLost is returned when a node of the replica that executes a request is no longer running.
 var errMemberLost = errors.New("a member of the replica is gone")
 
 // vocabulary holds the words of generated answers.
@@ -31,16 +31,16 @@
 	return vocabulary[h.Sum32()%uint32(len(vocabulary))] + " "
 }
 
-// Generate runs a request on the replica of which the node is the head. It passes the tokens with
-// the indices from to count-1 to emit. It returns an error if the request was not started, ctx is
-// done, emit fails or the replica loses a node.
-func (n *Node) Generate(ctx context.Context, assignment, prompt string, from, count int, emit func(index int, text string) error) error {
-	incarnation, err := n.acquireSlot(ctx, assignment)
+// Generate executes a request on the replica whose head is this node. It calls emit for each token
+// from firstIndex to tokenCount-1. It returns an error if the request was not started, ctx is done,
+// emit fails or the replica loses a node. assignmentName has the form REPLICA@GENERATION.
+func (n *Node) Generate(ctx context.Context, assignmentName, prompt string, firstIndex, tokenCount int, emit func(index int, text string) error) error {
+	incarnation, err := n.acquireSlot(ctx, assignmentName)
 	if err != nil {
 		return err
 	}
 	defer n.releaseSlot(incarnation)
-	for i := from; i < count; i++ {
+	for i := firstIndex; i < tokenCount; i++ {
 		timer := time.NewTimer(n.opts.TokenInterval)
 		select {
 		case <-timer.C:
@@ -48,7 +48,7 @@
 			timer.Stop()
 			return ctx.Err()
 		}
-		if !n.isReplicaIntact(incarnation, assignment) {
+		if !n.isReplicaIntact(incarnation, assignmentName) {
 			return errMemberLost
 		}
 		if err := emit(i, Token(prompt, i)); err != nil {
@@ -61,11 +61,11 @@
 // acquireSlot waits for a free slot and returns the node's incarnation. It returns ErrNotStarted if
 // the node is not the head of the request's replica, if the node restarts during the wait, or if ctx
 // is done.
-func (n *Node) acquireSlot(ctx context.Context, assignment string) (int, error) {
+func (n *Node) acquireSlot(ctx context.Context, assignmentName string) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.isHeadOf(assignment) {
-		return 0, fmt.Errorf("%w: the node is not ready for %q", ErrNotStarted, assignment)
+	if !n.isHeadOf(assignmentName) {
+		return 0, fmt.Errorf("%w: the node is not ready for %q", ErrNotStarted, assignmentName)
 	}
 	incarnation := n.incarnation
 	n.queuedRequests++
@@ -97,19 +97,19 @@
 	n.slotFreed = make(chan struct{})
 }
 
-// isHeadOf reports whether the node is the head of a ready replica, named REPLICA@GENERATION. The
+// isHeadOf reports whether the node is ready and the head of the replica with this assignment name. The
 // caller holds n.mu.
-func (n *Node) isHeadOf(assignment string) bool {
+func (n *Node) isHeadOf(assignmentName string) bool {
 	a := n.state.Assignment
 	return n.up && n.state.Phase == cluster.PhaseReady &&
-		assignment == a.Name() && len(a.Members) > 0 && a.Members[0] == n.opts.Listed.ID
+		assignmentName == a.Name() && len(a.Members) > 0 && a.Members[0] == n.opts.Listed.ID
 }
 
-// isReplicaIntact reports whether the node is still the head of the replica in the same incarnation,
-// and all members are running.
-func (n *Node) isReplicaIntact(incarnation int, assignment string) bool {
+// isReplicaIntact reports whether the node has not restarted, is still the head of the replica, and all
+// members of the replica are running.
+func (n *Node) isReplicaIntact(incarnation int, assignmentName string) bool {
 	n.mu.Lock()
-	isHead := n.incarnation == incarnation && n.isHeadOf(assignment)
+	isHead := n.incarnation == incarnation && n.isHeadOf(assignmentName)
 	members := n.state.Assignment.Members
 	n.mu.Unlock()
 	if !isHead {
@@ -123,8 +123,9 @@
 	return true
 }
 
-// Call executes one call of the plain service, which takes the given duration. It returns how many
-// calls with this mark the node has executed, including this one.
+// Call executes one call of the plain service, which takes the given duration. The mark is a label by
+// which calls are counted. Call returns how many calls with this mark the node has executed, including
+// this one.
 func (n *Node) Call(ctx context.Context, mark string, duration time.Duration) (int, error) {
 	n.mu.Lock()
 	if !n.up {
@@ -144,7 +145,7 @@
 	}
 }
 
-// CallCounts returns the number of calls of the plain service by mark.
+// CallCounts returns the number of calls of the plain service for each mark.
 func (n *Node) CallCounts() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/log.go
+++ b/standin/log.go
@@ -23,9 +23,9 @@
 )
 
 var (
-	errOutage = errors.New("the log service is out")
-	errLost   = errors.New("the answer was lost")
-	errRate   = errors.New("too many appends")
+	errOutage       = errors.New("the log service is unavailable")
+	errResponseLost = errors.New("the answer was lost")
+	errRateExceeded = errors.New("too many appends")
 )
 
 // LogFaults selects the active faults of a log.
@@ -46,23 +46,25 @@
 	Retention time.Duration
 }
 
-// Log is an in-memory log service.
+// Log is an in-memory log service. It holds any number of streams of records.
 type Log struct {
 	retention time.Duration
 	limiter   *rate.Limiter
 
-	mu      sync.Mutex
-	streams map[string]*logStream
-	faults  LogFaults
-	appends int
+	mu          sync.Mutex
+	streams     map[string]*logStream
+	faults      LogFaults
+	appendCount int
 }
 
 var _ cluster.Log = (*Log)(nil)
 
+// logStream is one stream of a Log.
 type logStream struct {
-	earliest int64
-	records  []cluster.Record
-	changed  chan struct{}
+	// earliestOffset is the offset of the first record in records.
+	earliestOffset int64
+	records        []cluster.Record
+	changed        chan struct{}
 }
 
 // NewLog returns an empty log.
@@ -91,7 +93,7 @@
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.appends
+	return l.appendCount
 }
 
 // Append implements cluster.Log.
@@ -100,22 +102,22 @@
 		return 0, err
 	}
 	if !l.limiter.Allow() {
-		return 0, failure.At(failure.Refused, "append to log", stream, errRate)
+		return 0, failure.At(failure.Refused, "append to log", stream, errRateExceeded)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.stream(stream)
-	first := s.next()
+	s := l.getOrCreateStream(stream)
+	first := s.nextOffset()
 	now := time.Now()
 	for i, r := range records {
 		r.Offset, r.Time = first+int64(i), now
 		s.records = append(s.records, r)
 	}
-	l.appends++
+	l.appendCount++
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if l.faults.LoseAnswers {
-		return 0, failure.At(failure.Unavailable, "append to log", stream, errLost)
+		return 0, failure.At(failure.Unavailable, "append to log", stream, errResponseLost)
 	}
 	return first, nil
 }
@@ -128,7 +130,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		batch, changed := l.snapshot(stream, from, limit)
+		batch, changed := l.readAvailable(stream, from, limit)
 		if len(batch.Records) > 0 || from < batch.Earliest {
 			return batch, nil
 		}
@@ -145,7 +147,7 @@
 	}
 }
 
-// applyFaults delays a call and returns an error, as the active faults demand.
+// applyFaults delays a call by LogFaults.SlowMillis and returns an error during an outage.
 func (l *Log) applyFaults(ctx context.Context) error {
 	l.mu.Lock()
 	delay := time.Duration(l.faults.SlowMillis) * time.Millisecond
@@ -171,20 +173,20 @@
 	return nil
 }
 
-func (l *Log) snapshot(stream string, from int64, limit int) (cluster.Batch, <-chan struct{}) {
+func (l *Log) readAvailable(stream string, from int64, limit int) (cluster.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.stream(stream)
+	s := l.getOrCreateStream(stream)
 	s.expire(time.Now().Add(-l.retention))
-	batch := cluster.Batch{Earliest: s.earliest, Next: s.next()}
-	if from >= s.earliest && from < s.next() {
-		kept := s.records[from-s.earliest:]
+	batch := cluster.Batch{Earliest: s.earliestOffset, Next: s.nextOffset()}
+	if from >= s.earliestOffset && from < s.nextOffset() {
+		kept := s.records[from-s.earliestOffset:]
 		batch.Records = append(batch.Records, kept[:min(limit, len(kept))]...)
 	}
 	return batch, s.changed
 }
 
-func (l *Log) stream(name string) *logStream {
+func (l *Log) getOrCreateStream(name string) *logStream {
 	s, ok := l.streams[name]
 	if !ok {
 		s = &logStream{changed: make(chan struct{})}
@@ -193,16 +195,16 @@
 	return s
 }
 
-func (s *logStream) next() int64 {
-	return s.earliest + int64(len(s.records))
+func (s *logStream) nextOffset() int64 {
+	return s.earliestOffset + int64(len(s.records))
 }
 
-// expire drops the records appended before the given time.
+// expire drops the records that were appended before the given time.
 func (s *logStream) expire(before time.Time) {
 	n := 0
 	for n < len(s.records) && s.records[n].Time.Before(before) {
 		n++
 	}
-	s.earliest += int64(n)
+	s.earliestOffset += int64(n)
 	s.records = s.records[n:]
 }
--- a/standin/node.go
+++ b/standin/node.go
@@ -30,13 +30,14 @@
 	Store    *WeightStore
 	// LoadGB is the size of the weights of a model version, in gigabytes.
 	LoadGB float64
-	// TokenInterval is the time between two tokens.
+	// TokenInterval is the time that the engine takes for each token.
 	TokenInterval time.Duration
 	// Slots is the number of requests that the node runs concurrently.
 	Slots int
 	// LoadLag is the maximum age of the load in the node's state.
 	LoadLag time.Duration
-	// IsNodeUp reports whether the node with the given ID is running. If it is nil, all are.
+	// IsNodeUp reports whether the node with the given ID is running. If it is nil, all nodes count
+	// as running.
 	IsNodeUp func(id string) bool
 }
 
@@ -54,10 +55,10 @@
 	cancelLoad     context.CancelFunc
 	activeRequests int
 	queuedRequests int
-	// reportedLoad is the load in the node's state, reportedAt the time of its last update.
+	// reportedLoad is the load in the node's state. loadReportedAt is when it was last updated.
 	reportedLoad   cluster.Load
 	loadReportedAt time.Time
-	// callCounts is the number of calls of the plain service by mark.
+	// callCounts is the number of calls of the plain service for each mark.
 	callCounts map[string]int
 	// slotFreed is closed and replaced whenever a slot becomes free.
 	slotFreed chan struct{}
@@ -126,8 +127,8 @@
 	return n.up
 }
 
-// checkReachable returns the error of a call to a node that is killed or stuck, or nil. A call to a
-// stuck node blocks until ctx is done.
+// checkReachable returns an error if the node is killed or stuck. If it is stuck, checkReachable blocks
+// until ctx is done.
 func (n *Node) checkReachable(ctx context.Context, step string) error {
 	n.mu.Lock()
 	up, stuck := n.up, n.stuck
@@ -152,6 +153,8 @@
 	return n.stateLocked(), nil
 }
 
+// stateLocked returns the node's state and updates its load if that is older than LoadLag. The caller
+// holds n.mu.
 func (n *Node) stateLocked() cluster.NodeState {
 	now := time.Now()
 	if now.Sub(n.loadReportedAt) >= n.opts.LoadLag {
@@ -165,8 +168,8 @@
 	return state
 }
 
-// Order sends the node an order. Unless the node is unfenced, it accepts only orders whose token is
-// higher than that of the last one.
+// Order sends the node an order. The node accepts it only if its token is higher than the token of the
+// last accepted order, unless NodeOptions.Unfenced is set.
 func (n *Node) Order(ctx context.Context, order cluster.Order) (cluster.OrderReply, error) {
 	if err := n.checkReachable(ctx, "order node"); err != nil {
 		return cluster.OrderReply{}, err
@@ -192,8 +195,8 @@
 	return cluster.OrderReply{Accepted: true, State: n.stateLocked()}, nil
 }
 
-// startAssignment sets the phase for an assignment and starts loading weights that are not cached.
-// The caller holds n.mu.
+// startAssignment sets the node's phase for an assignment and starts loading its weights if they are
+// not cached. The caller holds n.mu.
 func (n *Node) startAssignment(a cluster.Assignment) {
 	switch {
 	case a.Empty():
@@ -265,8 +268,8 @@
 	return n.state.Assignment, n.up && n.state.Phase == cluster.PhaseReady
 }
 
-// Fence returns the number of starts of the node, and the token of the last order that it accepted
-// since the latest one.
+// Fence returns how often the node was started, and the token of the last order that it accepted since
+// its latest start.
 func (n *Node) Fence() (incarnation int, last token.Token) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/server/node.go
+++ b/standin/server/node.go
@@ -25,8 +25,8 @@
 	callMarkHeader = "Test-Mark"
 )
 
-// completionRequest holds the fields of a request that the engine reads. Resume lists the tokens
-// that the caller already has.
+// completionRequest holds the fields of a completion request that the engine uses. Resume lists the
+// tokens that the caller has already received.
 type completionRequest struct {
 	Prompt    string          `json:"prompt"`
 	Messages  json.RawMessage `json:"messages"`
@@ -35,7 +35,7 @@
 	Resume    []string        `json:"resume"`
 }
 
-// prompt returns the text that determines the answer.
+// prompt returns the messages of a chat request, or else the prompt. It determines the answer.
 func (r completionRequest) prompt() string {
 	if len(r.Messages) > 0 {
 		return string(r.Messages)
@@ -50,8 +50,8 @@
 	return min(r.MaxTokens, maxTokensLimit)
 }
 
-// nodeApp returns the HTTP application of one node.
-func nodeApp(n *standin.Node) *fiber.App {
+// newNodeApp returns the HTTP application of one node.
+func newNodeApp(n *standin.Node) *fiber.App {
 	app := newApp()
 	app.Use(func(c *fiber.Ctx) error {
 		if !n.Up() {
@@ -119,7 +119,7 @@
 	return c.JSON(fiber.Map{"path": path, "mark": mark, "run": count})
 }
 
-func serveCompletion(n *standin.Node, c *fiber.Ctx, chat bool) error {
+func serveCompletion(n *standin.Node, c *fiber.Ctx, isChat bool) error {
 	var r completionRequest
 	if err := json.Unmarshal(c.Body(), &r); err != nil {
 		c.Set(cluster.HeaderStarted, cluster.StartedNo)
@@ -129,7 +129,7 @@
 	assignment := strings.Clone(c.Get(cluster.HeaderAssignment))
 	c.Set(cluster.HeaderRequest, id)
 	if r.Stream {
-		return streamCompletion(n, c, r, id, assignment, chat)
+		return streamCompletion(n, c, r, id, assignment, isChat)
 	}
 	var text strings.Builder
 	err := n.Generate(c.Context(), assignment, r.prompt(), len(r.Resume), r.tokenCount(), func(_ int, token string) error {
@@ -142,7 +142,7 @@
 	if err != nil {
 		return closeWithoutResponse(c)
 	}
-	return c.JSON(newWholeResponse(id, text.String(), r.tokenCount(), chat))
+	return c.JSON(newWholeResponse(id, text.String(), r.tokenCount(), isChat))
 }
 
 // generatedToken is a token with its index in the answer.
@@ -158,9 +158,9 @@
 	cancel context.CancelFunc
 }
 
-// generate starts a request. After its last token the channel of tokens is closed, and result holds
-// the error or nil.
-func generate(n *standin.Node, r completionRequest, assignment string) *generationTask {
+// startGeneration starts a request in the background. After the last token, the result of the
+// request is sent on the channel result, and the channel tokens is closed.
+func startGeneration(n *standin.Node, r completionRequest, assignment string) *generationTask {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &generationTask{tokens: make(chan generatedToken), result: make(chan error, 1), cancel: cancel}
 	go func() {
@@ -177,10 +177,10 @@
 	return g
 }
 
-// streamCompletion answers with server-sent events. It waits for the first token before it sends the
-// status, so that a request that was not started can be rejected with an error status.
-func streamCompletion(n *standin.Node, c *fiber.Ctx, r completionRequest, id, assignment string, chat bool) error {
-	g := generate(n, r, assignment)
+// streamCompletion responds with server-sent events. It waits for the first token before it sends the
+// status. It can thus still reject a request that was not started.
+func streamCompletion(n *standin.Node, c *fiber.Ctx, r completionRequest, id, assignment string, isChat bool) error {
+	g := startGeneration(n, r, assignment)
 	first, hasToken := <-g.tokens
 	if !hasToken {
 		g.cancel()
@@ -195,12 +195,12 @@
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer g.cancel()
 		for e, more := first, hasToken; more; e, more = <-g.tokens {
-			if writeEvent(w, newChunkResponse(id, e.index, e.text, chat)) != nil {
+			if writeEvent(w, newChunkResponse(id, e.index, e.text, isChat)) != nil {
 				return
 			}
 		}
 		if <-g.result != nil {
-			// Without its last event the stream is incomplete, which readers detect.
+			// The stream ends without its last event, so that clients detect the failure.
 			return
 		}
 		_, _ = w.WriteString("data: [DONE]\n\n")
@@ -220,7 +220,7 @@
 	return w.Flush()
 }
 
-// choice, message and completionResponse follow the OpenAI API.
+// choice is one choice of a completionResponse. The response types follow the OpenAI API.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         *string  `json:"text,omitempty"`
@@ -242,27 +242,27 @@
 	Usage      map[string]int `json:"usage,omitempty"`
 }
 
-func newChunkResponse(id string, index int, text string, chat bool) completionResponse {
-	a := completionResponse{ID: id, TokenIndex: &index}
-	if chat {
-		a.Object = "chat.completion.chunk"
-		a.Choices = []choice{{Delta: &message{Content: text}}}
-		return a
+func newChunkResponse(id string, index int, text string, isChat bool) completionResponse {
+	response := completionResponse{ID: id, TokenIndex: &index}
+	if isChat {
+		response.Object = "chat.completion.chunk"
+		response.Choices = []choice{{Delta: &message{Content: text}}}
+		return response
 	}
-	a.Object = "text_completion"
-	a.Choices = []choice{{Text: &text}}
-	return a
+	response.Object = "text_completion"
+	response.Choices = []choice{{Text: &text}}
+	return response
 }
 
-func newWholeResponse(id, text string, tokens int, chat bool) completionResponse {
+func newWholeResponse(id, text string, tokenCount int, isChat bool) completionResponse {
 	stop := "stop"
-	a := completionResponse{ID: id, Usage: map[string]int{"completion_tokens": tokens}}
-	if chat {
-		a.Object = "chat.completion"
-		a.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}
-		return a
+	response := completionResponse{ID: id, Usage: map[string]int{"completion_tokens": tokenCount}}
+	if isChat {
+		response.Object = "chat.completion"
+		response.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}
+		return response
 	}
-	a.Object = "text_completion"
-	a.Choices = []choice{{Text: &text, FinishReason: &stop}}
-	return a
+	response.Object = "text_completion"
+	response.Choices = []choice{{Text: &text, FinishReason: &stop}}
+	return response
 }
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -33,7 +33,7 @@
 	Cluster      standin.ClusterOptions
 }
 
-// Server serves a log, a node list and a cluster.
+// Server serves a simulated log, node list and cluster over HTTP.
 type Server struct {
 	log        *standin.Log
 	cluster    *standin.Cluster
@@ -54,24 +54,25 @@
 	s.cluster = standin.NewCluster(opts.Cluster)
 	l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, strconv.Itoa(opts.PlatformPort)))
 	if err != nil {
-		closeAll(listeners)
+		closeListeners(listeners)
 		return nil, failure.At(failure.Unavailable, "listen for the platform", opts.Host, err)
 	}
 	s.address = l.Addr().String()
-	s.serve(l, s.platformApp())
+	s.serve(l, s.newPlatformApp())
 	for _, n := range s.cluster.All() {
-		s.serve(listeners[n.Listed().ID], nodeApp(n))
+		s.serve(listeners[n.Listed().ID], newNodeApp(n))
 	}
 	return s, nil
 }
 
+// listenNodes opens a listener for each node and adds it to listeners under the node's ID.
 func listenNodes(opts Options, listeners map[string]net.Listener) error {
 	optionsWithoutAddresses := opts.Cluster
 	optionsWithoutAddresses.Address = nil
 	for _, n := range standin.NewCluster(optionsWithoutAddresses).All() {
 		l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, "0"))
 		if err != nil {
-			closeAll(listeners)
+			closeListeners(listeners)
 			return failure.At(failure.Unavailable, "listen for a node", opts.Host, err)
 		}
 		listeners[n.Listed().ID] = l
@@ -79,9 +80,9 @@
 	return nil
 }
 
-func closeAll(listeners map[string]net.Listener) {
+func closeListeners(listeners map[string]net.Listener) {
 	for _, l := range listeners {
-		// The caller returns the error that led here, so errors of Close are ignored.
+		// The caller already returns another error, so errors of Close are ignored.
 		_ = l.Close()
 	}
 }
@@ -111,7 +112,7 @@
 func (s *Server) serve(l net.Listener, app *fiber.App) {
 	s.apps = append(s.apps, app)
 	s.serveGroup.Go(func() {
-		// Listener returns after the app has been shut down.
+		// Listener blocks until the app is shut down.
 		_ = app.Listener(l)
 	})
 }
@@ -137,7 +138,7 @@
 	Records []cluster.Record `json:"records"`
 }
 
-func (s *Server) platformApp() *fiber.App {
+func (s *Server) newPlatformApp() *fiber.App {
 	app := newApp()
 	app.Post("/log/:stream", s.postLog)
 	app.Get("/log/:stream", s.getLog)
@@ -209,7 +210,7 @@
 	return c.JSON(n.Listed())
 }
 
-// newCallContext returns a context that limits one call to a node to a minute.
+// newCallContext returns a context for one call to a node. Its timeout is one minute.
 func newCallContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), time.Minute)
 }
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -27,8 +27,9 @@
 	return s, client.New(client.Options{LogAddress: s.Address(), NodesAddress: s.Address()})
 }
 
-// TestStreamNamesOutliveRequests checks that the log does not keep stream names in memory that the
-// HTTP library reuses. Records would then appear in another stream.
+// TestStreamNamesOutliveRequests checks that records stay in the stream to which they were
+// appended. They would move to another stream if the log kept stream names in memory that the HTTP
+// library reuses.
 func TestStreamNamesOutliveRequests(t *testing.T) {
 	_, client := newServer(t)
 	ctx := context.Background()
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// rateInterval is the interval at which a load receives data at its current share of the rate.
-const rateInterval = 50 * time.Millisecond
+// deliveryInterval is the interval at which the store delivers data to a load.
+const deliveryInterval = 50 * time.Millisecond
 
-// WeightStore simulates a store of model weights with a limited rate, which concurrent loads share
+// WeightStore simulates a store of model weights with a limited rate. Concurrent loads share the rate
 // evenly.
 type WeightStore struct {
 	gbPerSecond float64
@@ -26,14 +26,14 @@
 // Load waits until the store has delivered remainingGB gigabytes. It returns an error if ctx is done
 // first.
 func (w *WeightStore) Load(ctx context.Context, remainingGB float64) error {
-	w.addLoading(1)
-	defer w.addLoading(-1)
-	ticker := time.NewTicker(rateInterval)
+	w.addActiveLoads(1)
+	defer w.addActiveLoads(-1)
+	ticker := time.NewTicker(deliveryInterval)
 	defer ticker.Stop()
 	for remainingGB > 0 {
 		select {
 		case <-ticker.C:
-			remainingGB -= w.rateEach() * rateInterval.Seconds()
+			remainingGB -= w.ratePerLoad() * deliveryInterval.Seconds()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -41,13 +41,14 @@
 	return nil
 }
 
-func (w *WeightStore) addLoading(n int) {
+func (w *WeightStore) addActiveLoads(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.activeLoads += n
 }
 
-func (w *WeightStore) rateEach() float64 {
+// ratePerLoad returns the rate of each active load in gigabytes per second.
+func (w *WeightStore) ratePerLoad() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.gbPerSecond / float64(max(w.activeLoads, 1))
