--- a/measure/repair.go
+++ b/measure/repair.go
@@ -32,7 +32,7 @@
 	// Nodes is the number of nodes in the domain. Replicas is the number of replicas that should
 	// serve.
 	Nodes, Replicas int
-	// LostNodes are the indices of the nodes that fail together.
+	// LostNodes holds the indices of the nodes that fail at faultTime.
 	LostNodes []int
 	// StoreGBPerSecond is the total rate of the weight store in gigabytes per second. Loading nodes
 	// share it.
@@ -159,17 +159,17 @@
 
 // advanceLoads continues all loads for one tick. The loading nodes share the store's rate evenly.
 func (r *repairTrial) advanceLoads() {
-	loading := 0
+	loadingCount := 0
 	for _, n := range r.nodes {
 		if n.loadingVersion != "" {
-			loading++
+			loadingCount++
 		}
 	}
 	for _, n := range r.nodes {
 		if n.loadingVersion == "" {
 			continue
 		}
-		n.remainingGB -= r.scenario.StoreGBPerSecond * tickSeconds / float64(loading)
+		n.remainingGB -= r.scenario.StoreGBPerSecond * tickSeconds / float64(loadingCount)
 		if n.remainingGB > 0 {
 			continue
 		}
@@ -268,19 +268,19 @@
 			affected[from] = true
 		}
 	}
-	ready := true
+	allDrained := true
 	for from := range affected {
 		if _, draining := r.drainedAt[from]; !draining {
 			r.drainedAt[from] = r.now + drainTime
 		}
-		ready = ready && r.now >= r.drainedAt[from]
+		allDrained = allDrained && r.now >= r.drainedAt[from]
 	}
-	if ready {
+	if allDrained {
 		for from := range affected {
 			delete(r.drainedAt, from)
 		}
 	}
-	return ready
+	return allDrained
 }
 
 // servingReplicas returns the sorted IDs of the replicas whose nodes all answer and are ready.
@@ -308,18 +308,18 @@
 		return
 	}
 	serving := r.servingReplicas()
-	available := 0
+	availableCount := 0
 	for _, id := range serving {
 		if _, draining := r.drainedAt[id]; !draining {
-			available++
+			availableCount++
 		}
 	}
-	missing := max(r.scenario.Replicas-available, 0)
-	r.result.Downtime += float64(missing) * tickSeconds
-	r.result.LeastServing = min(r.result.LeastServing, r.scenario.Replicas-missing)
-	if missing > 0 {
+	missingCount := max(r.scenario.Replicas-availableCount, 0)
+	r.result.Downtime += float64(missingCount) * tickSeconds
+	r.result.LeastServing = min(r.result.LeastServing, r.scenario.Replicas-missingCount)
+	if missingCount > 0 {
 		r.result.IncompleteTime += tickSeconds
 	}
-	idle := len(r.nodes) - nodesPerReplica*len(serving)
-	r.result.Stranded += float64(idle*acceleratorsPerNode) * tickSeconds
+	idleCount := len(r.nodes) - nodesPerReplica*len(serving)
+	r.result.Stranded += float64(idleCount*acceleratorsPerNode) * tickSeconds
 }
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -90,9 +90,10 @@
 	roundRobinCount int
 }
 
-// engine is the engine of one endpoint.
+// engine is the engine of one endpoint. cachedPrefixes is ordered from the least to the most recently
+// used prefix.
 type engine struct {
-	activeJobs     int
+	activeJobCount int
 	queuedJobs     []*job
 	cachedPrefixes []uint64
 }
@@ -230,7 +231,7 @@
 	return weights
 }
 
-// schedule schedules a function for a virtual time.
+// schedule adds an event that runs a function at a virtual time.
 func (t *routingTrial) schedule(at float64, run func()) {
 	t.lastSequence++
 	heap.Push(&t.pendingEvents, event{at: at, sequence: t.lastSequence, run: run})
@@ -303,7 +304,7 @@
 	t.addInFlight(j, 1)
 	e := t.engines[j.endpointIndex]
 	e.queuedJobs = append(e.queuedJobs, j)
-	t.peakRequests = max(t.peakRequests, e.activeJobs+len(e.queuedJobs))
+	t.peakRequests = max(t.peakRequests, e.activeJobCount+len(e.queuedJobs))
 	t.startQueuedJobs(e)
 }
 
@@ -336,10 +337,10 @@
 
 // startQueuedJobs starts queued jobs while the engine has free slots.
 func (t *routingTrial) startQueuedJobs(e *engine) {
-	for e.activeJobs < slotsPerEndpoint && len(e.queuedJobs) > 0 {
+	for e.activeJobCount < slotsPerEndpoint && len(e.queuedJobs) > 0 {
 		j := e.queuedJobs[0]
 		e.queuedJobs = e.queuedJobs[1:]
-		e.activeJobs++
+		e.activeJobCount++
 		prefill := coldPrefillTime
 		if e.cachePrefix(j.prefix) {
 			prefill = warmPrefillTime
@@ -369,19 +370,19 @@
 	if j.arrivedAt < warmupTime {
 		return
 	}
-	took := t.now - j.arrivedAt
+	timeToFirstToken := t.now - j.arrivedAt
 	// The duration of a trial is below the histogram's maximum, so this cannot fail.
-	_ = t.firstTokenTimes.RecordValue(int64(took / secondsPerMicrosecond))
-	if took <= firstTokenTarget {
+	_ = t.firstTokenTimes.RecordValue(int64(timeToFirstToken / secondsPerMicrosecond))
+	if timeToFirstToken <= firstTokenTarget {
 		t.withinTargetCount++
 	}
 	if j.accountIndex == accountCount-1 && j.arrivedAt >= burstStart && j.arrivedAt < burstEnd {
-		_ = t.smallFirstTokenTimes.RecordValue(int64(took / secondsPerMicrosecond))
+		_ = t.smallFirstTokenTimes.RecordValue(int64(timeToFirstToken / secondsPerMicrosecond))
 	}
 }
 
 func (t *routingTrial) finishJob(e *engine, j *job) {
-	e.activeJobs--
+	e.activeJobCount--
 	t.daemons[j.daemonIndex].view[j.endpointIndex].Own--
 	t.addInFlight(j, -1)
 	t.startQueuedJobs(e)
@@ -390,7 +391,7 @@
 // reportLoad reports an endpoint's current load to a daemon and schedules the next report. A report
 // arrives after reportLag or, with probability reportLossShare, not at all.
 func (t *routingTrial) reportLoad(daemonIndex, endpointIndex int) {
-	load := t.engines[endpointIndex].activeJobs + len(t.engines[endpointIndex].queuedJobs)
+	load := t.engines[endpointIndex].activeJobCount + len(t.engines[endpointIndex].queuedJobs)
 	if t.random.Float64() >= reportLossShare {
 		t.schedule(t.now+reportLag, func() {
 			c := &t.daemons[daemonIndex].view[endpointIndex]
@@ -401,15 +402,15 @@
 }
 
 func (t *routingTrial) computeResult() RoutingResult {
-	seconds := func(h *hdrhistogram.Histogram, percent float64) float64 {
+	quantileSeconds := func(h *hdrhistogram.Histogram, percent float64) float64 {
 		return float64(h.ValueAtQuantile(percent)) * secondsPerMicrosecond
 	}
-	served := max(t.requestCount-t.refusedCount, 1)
+	admittedCount := max(t.requestCount-t.refusedCount, 1)
 	return RoutingResult{
 		Policy:   t.policy.Name,
-		FirstP50: seconds(t.firstTokenTimes, 50), FirstP95: seconds(t.firstTokenTimes, 95), FirstP99: seconds(t.firstTokenTimes, 99),
-		SmallP99: seconds(t.smallFirstTokenTimes, 99),
-		Hits:     float64(t.cacheHits) / float64(served),
+		FirstP50: quantileSeconds(t.firstTokenTimes, 50), FirstP95: quantileSeconds(t.firstTokenTimes, 95), FirstP99: quantileSeconds(t.firstTokenTimes, 99),
+		SmallP99: quantileSeconds(t.smallFirstTokenTimes, 99),
+		Hits:     float64(t.cacheHits) / float64(admittedCount),
 		Peak:     float64(t.peakRequests) / slotsPerEndpoint,
 		Goodput:  float64(t.withinTargetCount) / measuredTime,
 		Refused:  float64(t.refusedCount) / float64(max(t.requestCount, 1)),
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -96,10 +96,10 @@
 	for _, i := range c.random.Perm(len(c.run.daemons)) {
 		d := c.run.daemons[i]
 		resolveCtx, cancel := context.WithTimeout(ctx, resolveTimeout)
-		addresses, keep, err := standin.Resolve(resolveCtx, d.directoryProxy.address(), d.settings.Region(), d.settings.Zone)
+		addresses, validFor, err := standin.Resolve(resolveCtx, d.directoryProxy.address(), d.settings.Region(), d.settings.Zone)
 		cancel()
 		if err == nil && len(addresses) > 0 {
-			c.addresses, c.addressesValidUntil = addresses, time.Now().Add(keep)
+			c.addresses, c.addressesValidUntil = addresses, time.Now().Add(validFor)
 			return
 		}
 	}
@@ -187,7 +187,7 @@
 		return
 	}
 	incarnation, _ := r.daemon.status()
-	dialFailed := r.daemon.frontProxy.dialFailedSince(r.sentAt)
+	dialFailed := r.daemon.frontProxy.hasDialFailedSince(r.sentAt)
 	// The daemon may close a reused connection just as the caller sends a request on it. After
 	// closeRaceWindow the daemon must have read the request.
 	const closeRaceWindow = 100 * time.Millisecond
@@ -202,7 +202,7 @@
 func (c *caller) isUndisturbed(r *call) bool {
 	const margin = time.Second
 	since := r.sentAt.Add(-margin)
-	return r.daemon.undisturbedSince(since) && r.daemon.frontProxy.healthySince(since)
+	return r.daemon.isUndisturbedSince(since) && r.daemon.frontProxy.isHealthySince(since)
 }
 
 // checkResponse checks the response to a request. Which checks apply depends on the status code.
@@ -261,7 +261,7 @@
 	if r.usesAddedRoute {
 		c.run.callers.recordRouteServed(r.daemon, r.incarnation)
 	}
-	if at, ok := c.run.callers.revokedAt(r.key); ok && r.sentAt.After(at.Add(revocationBound+revocationSlack)) {
+	if at, ok := c.run.callers.revocationTime(r.key); ok && r.sentAt.After(at.Add(revocationBound+revocationSlack)) {
 		c.run.ledger.Broken("REVOKED", "%s ran %s after its key was taken away", r.id, r.sentAt.Sub(at))
 	}
 }
--- a/soak/callerstate.go
+++ b/soak/callerstate.go
@@ -93,7 +93,7 @@
 	return revoked
 }
 
-func (c *callerState) revokedAt(key string) (time.Time, bool) {
+func (c *callerState) revocationTime(key string) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	at, revoked := c.revokedKeys[key]
@@ -121,23 +121,23 @@
 func (c *callerState) recordRouteServed(d *daemon, incarnation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now, _ := d.status(); now != incarnation {
+	if currentIncarnation, _ := d.status(); currentIncarnation != incarnation {
 		return
 	}
 	name := incarnationName(d, incarnation)
-	if _, known := c.routeServedSince[name]; !known {
+	if _, isRecorded := c.routeServedSince[name]; !isRecorded {
 		c.routeServedSince[name] = time.Now()
 	}
 }
 
 // hadServedRoute reports whether an incarnation of a daemon had served the added route before a time.
 // It returns false if the daemon has been restarted meanwhile.
-func (c *callerState) hadServedRoute(d *daemon, incarnation int, by time.Time) bool {
+func (c *callerState) hadServedRoute(d *daemon, incarnation int, before time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, known := c.routeServedSince[incarnationName(d, incarnation)]
-	now, _ := d.status()
-	return known && at.Before(by) && now == incarnation
+	servedSince, hasServed := c.routeServedSince[incarnationName(d, incarnation)]
+	currentIncarnation, _ := d.status()
+	return hasServed && servedSince.Before(before) && currentIncarnation == incarnation
 }
 
 // recordNotExecuted records a request whose response guarantees that no worker executes it.
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -45,11 +45,11 @@
 	"leader-kill":      {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { r.leader().kill(false); return noRevert }},
 	"leader-freeze":    {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { return r.freezeDaemon(r.leader()) }},
 	"daemon-stop":      {inject: (*run).stopDaemon},
-	"store-silent":     {blocksUpdates: true, inject: storeFault(standin.Faults{Silent: true})},
-	"store-busy":       {blocksUpdates: true, inject: storeFault(standin.Faults{Status: http.StatusServiceUnavailable})},
-	"store-reset":      {blocksUpdates: true, inject: storeFault(standin.Faults{Reset: true})},
-	"store-slow":       {blocksUpdates: true, inject: storeFault(standin.Faults{Slow: 250 * time.Millisecond})},
-	"store-loses":      {blocksUpdates: true, inject: storeFault(standin.Faults{Lose: 0.4, LoseLate: 0.2})},
+	"store-silent":     {blocksUpdates: true, inject: newStoreFault(standin.Faults{Silent: true})},
+	"store-busy":       {blocksUpdates: true, inject: newStoreFault(standin.Faults{Status: http.StatusServiceUnavailable})},
+	"store-reset":      {blocksUpdates: true, inject: newStoreFault(standin.Faults{Reset: true})},
+	"store-slow":       {blocksUpdates: true, inject: newStoreFault(standin.Faults{Slow: 250 * time.Millisecond})},
+	"store-loses":      {blocksUpdates: true, inject: newStoreFault(standin.Faults{Lose: 0.4, LoseLate: 0.2})},
 	"store-lapse":      {blocksUpdates: true, inject: (*run).dropWorkerList},
 	"store-revokes":    {blocksUpdates: true, inject: (*run).revokeKeyDuringOutage, minDuration: minRevocationOutage},
 	"store-forgets":    {inject: (*run).trimStore},
@@ -63,11 +63,11 @@
 	"worker-cut":           {inject: (*run).cutWorkersFromStore},
 	"worker-leaves":        {inject: (*run).drainWorker},
 	"worker-link":          {inject: (*run).injectWorkerLinkFaults},
-	"workers-slow":         {inject: workerFault(standin.WorkerFaults{Slow: 6})},
-	"workers-reject":       {inject: workerFault(standin.WorkerFaults{Reject: 0.4})},
-	"workers-lose-answers": {inject: workerFault(standin.WorkerFaults{Lose: 0.2, Cut: 0.2})},
-	"workers-add-answers":  {inject: workerFault(standin.WorkerFaults{Surplus: 0.3})},
-	"orders-late":          {inject: workerFault(standin.WorkerFaults{Late: 0.5})},
+	"workers-slow":         {inject: newWorkerFault(standin.WorkerFaults{Slow: 6})},
+	"workers-reject":       {inject: newWorkerFault(standin.WorkerFaults{Reject: 0.4})},
+	"workers-lose-answers": {inject: newWorkerFault(standin.WorkerFaults{Lose: 0.2, Cut: 0.2})},
+	"workers-add-answers":  {inject: newWorkerFault(standin.WorkerFaults{Surplus: 0.3})},
+	"orders-late":          {inject: newWorkerFault(standin.WorkerFaults{Late: 0.5})},
 	"orders-late-crashes":  {inject: (*run).delayOrdersAndCrash, minDuration: minLateOrdersDuration},
 	"store-conns-silent":   {blocksUpdates: true, inject: (*run).silenceStoreConnections},
 	"worker-conns-silent":  {inject: (*run).silenceWorkerConnections},
@@ -104,14 +104,14 @@
 }
 
 func (r *run) freezeDaemon(d *daemon) func() {
-	set := func(frozen bool, s syscall.Signal) {
+	setFrozen := func(frozen bool, s syscall.Signal) {
 		d.signal(s)
 		d.mu.Lock()
 		d.frozen = frozen
 		d.mu.Unlock()
 	}
-	set(true, syscall.SIGSTOP)
-	return func() { set(false, syscall.SIGCONT) }
+	setFrozen(true, syscall.SIGSTOP)
+	return func() { setFrozen(false, syscall.SIGCONT) }
 }
 
 // stopDaemon stops a daemon with SIGTERM. The daemon then restarts. The returned function waits until
@@ -122,15 +122,15 @@
 	go func() {
 		defer close(stopped)
 		started := time.Now()
-		if !d.stop() && d.undisturbedSince(started) {
+		if !d.stop() && d.isUndisturbedSince(started) {
 			r.ledger.Broken("STOP", "%s did not end within its grace", d.settings.Name)
 		}
 	}()
 	return func() { <-stopped }
 }
 
-// storeFault returns a function that injects faults into the store for all daemons.
-func storeFault(f standin.Faults) injectFunc {
+// newStoreFault returns a function that injects faults into the store for all daemons.
+func newStoreFault(f standin.Faults) injectFunc {
 	return func(r *run, _ *rand.Rand) func() {
 		r.store.SetFaults(f)
 		return func() { r.store.SetFaults(standin.Faults{}) }
@@ -167,8 +167,8 @@
 	return func() { p.setFault(linkHealthy) }
 }
 
-// workerFault returns a function that injects faults into all workers.
-func workerFault(f standin.WorkerFaults) injectFunc {
+// newWorkerFault returns a function that injects faults into all workers.
+func newWorkerFault(f standin.WorkerFaults) injectFunc {
 	return func(r *run, _ *rand.Rand) func() {
 		r.fabric.SetFaults(f)
 		return func() { r.fabric.SetFaults(standin.WorkerFaults{}) }
@@ -200,7 +200,7 @@
 // delayOrdersAndCrash delays most orders to workers, and crashes a random worker every crashInterval.
 // Groups are thus dissolved and formed again while orders are pending.
 func (r *run) delayOrdersAndCrash(random *rand.Rand) func() {
-	revertDelay := workerFault(standin.WorkerFaults{Late: 0.8})(r, random)
+	revertDelay := newWorkerFault(standin.WorkerFaults{Late: 0.8})(r, random)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -236,14 +236,14 @@
 
 func (r *run) makeWorkersUnreachable(random *rand.Rand) func() {
 	affected := r.pickWorkers(random)
-	set := func(silent bool, link linkFault) {
+	setSilent := func(silent bool, link linkFault) {
 		for _, w := range affected {
 			w.Darken(silent)
 			r.proxyOf(w).setFault(link)
 		}
 	}
-	set(true, linkSilent)
-	return func() { set(false, linkHealthy) }
+	setSilent(true, linkSilent)
+	return func() { setSilent(false, linkHealthy) }
 }
 
 func (r *run) cutWorkersFromStore(random *rand.Rand) func() {
--- a/soak/halls.go
+++ b/soak/halls.go
@@ -13,8 +13,7 @@
 const (
 	// hallCount is the number of data halls. The last hall is in a separate region.
 	hallCount = 3
-	// hallEmptyBound is the time after the closing of a hall from which on its workers must get no
-	// more requests.
+	// hallEmptyBound is the time within which a closed hall must stop getting requests.
 	hallEmptyBound = 3 * time.Second
 	// minClosedDuration is the minimum time for which a hall is closed. It exceeds hallEmptyBound,
 	// so that requests that come too late are detected.
@@ -39,7 +38,7 @@
 
 func hallFaultNames() []string { return slices.Sorted(maps.Keys(hallFaults)) }
 
-func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
+func hallName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
 // hallForIndex returns the data hall of the ith fabric domain or plain worker. It returns "" if the
 // soak injects no faults of data halls.
@@ -47,29 +46,29 @@
 	if !r.opts.Halls {
 		return ""
 	}
-	return zoneName(i % hallCount)
+	return hallName(i % hallCount)
 }
 
-func (r *run) zoneOfDaemon(i int) string {
+func (r *run) hallOfDaemon(i int) string {
 	if r.opts.Halls {
-		return zoneName(i % hallCount)
+		return hallName(i % hallCount)
 	}
-	return zoneName(i % 2)
+	return hallName(i % 2)
 }
 
-// zoneNames returns the names of the data halls in which daemons run.
-func (r *run) zoneNames() []string {
+// daemonHalls returns the names of the data halls in which daemons run.
+func (r *run) daemonHalls() []string {
 	var all []string
 	for i := range r.opts.Daemons {
-		if zone := r.zoneOfDaemon(i); !slices.Contains(all, zone) {
-			all = append(all, zone)
+		if hall := r.hallOfDaemon(i); !slices.Contains(all, hall) {
+			all = append(all, hall)
 		}
 	}
 	return all
 }
 
-// hallRules returns the rules for data halls: their regions, the regions that each client account may
-// use, the time within which a closed hall must be empty, and the warm-up limit.
+// hallRules returns the rules for data halls: their regions, the regions that each tenant may
+// use, the time after which a closed hall must get no more requests, and the warm-up limit.
 func (r *run) hallRules() standin.Halls {
 	if !r.opts.Halls {
 		return standin.Halls{}
@@ -79,9 +78,9 @@
 		Empty: hallEmptyBound, WarmUp: warmUp,
 	}
 	for i := range hallCount {
-		h.Regions[zoneName(i)] = "region-0"
+		h.Regions[hallName(i)] = "region-0"
 	}
-	h.Regions[zoneName(hallCount-1)] = "region-1"
+	h.Regions[hallName(hallCount-1)] = "region-1"
 	return h
 }
 
@@ -100,11 +99,11 @@
 	return func(r *run, random *rand.Rand) func() {
 		halls := random.Perm(hallCount)[:count]
 		for _, i := range halls {
-			r.closeHall(zoneName(i))
+			r.closeHall(hallName(i))
 		}
 		return func() {
 			for _, i := range halls {
-				r.openHall(zoneName(i))
+				r.openHall(hallName(i))
 			}
 		}
 	}
@@ -114,7 +113,7 @@
 // fault ends.
 func (r *run) toggleHall(random *rand.Rand) func() {
 	const toggleInterval = 300 * time.Millisecond
-	hall := zoneName(random.IntN(hallCount))
+	hall := hallName(random.IntN(hallCount))
 	r.closeHall(hall)
 	time.Sleep(toggleInterval)
 	r.openHall(hall)
@@ -123,16 +122,16 @@
 	return func() { r.openHall(hall) }
 }
 
-// workersIn returns the model workers of a hall.
-func (r *run) workersIn(hall string) []*standin.Worker {
+// modelWorkersIn returns the model workers of a hall.
+func (r *run) modelWorkersIn(hall string) []*standin.Worker {
 	return slices.DeleteFunc(r.fabric.Workers(standin.ModelService), func(w *standin.Worker) bool { return w.Spec().Zone != hall })
 }
 
 // failHall crashes all model workers of a hall and kills its daemons. When the fault ends, the workers
 // are restarted or replaced and the daemons are restarted.
 func (r *run) failHall(random *rand.Rand) func() {
-	hall := zoneName(random.IntN(hallCount))
-	crashed := r.workersIn(hall)
+	hall := hallName(random.IntN(hallCount))
+	crashed := r.modelWorkersIn(hall)
 	for _, w := range crashed {
 		w.Crash()
 	}
@@ -155,7 +154,7 @@
 
 // replaceHallWorkers crashes all model workers of a hall and replaces them with new, cold workers.
 func (r *run) replaceHallWorkers(random *rand.Rand) func() {
-	for _, w := range r.workersIn(zoneName(random.IntN(hallCount))) {
+	for _, w := range r.modelWorkersIn(hallName(random.IntN(hallCount))) {
 		w.Crash()
 		r.replaceWorker(w)
 	}
@@ -164,7 +163,7 @@
 
 // writeInvalidHallEntry publishes an invalid entry for a hall, which daemons must ignore.
 func (r *run) writeInvalidHallEntry(random *rand.Rand) func() {
-	hall := zoneName(random.IntN(hallCount))
+	hall := hallName(random.IntN(hallCount))
 	r.operator.PutHall(hall, []byte("no entry"))
 	return func() { r.operator.OpenHall(hall) }
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -48,8 +48,8 @@
 	unexpectedExits int
 }
 
-// freePorts returns count free TCP ports of an IP address.
-func freePorts(ip string, count int) ([]int, error) {
+// findFreePorts returns count free TCP ports of an IP address.
+func findFreePorts(ip string, count int) ([]int, error) {
 	var ports []int
 	for range count {
 		l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -62,8 +62,8 @@
 	return ports, nil
 }
 
-// prepare creates the daemon's log file in dir and sets the path of its settings file.
-func (d *daemon) prepare(dir string) error {
+// prepareFiles creates the daemon's log file in dir and sets the path of its settings file.
+func (d *daemon) prepareFiles(dir string) error {
 	d.settingsFile = filepath.Join(dir, d.settings.Name+".toml")
 	log, err := os.Create(filepath.Join(dir, d.settings.Name+".log"))
 	if err != nil {
@@ -184,8 +184,8 @@
 	}
 }
 
-// undisturbedSince reports whether the daemon runs and has not been killed or frozen since a time.
-func (d *daemon) undisturbedSince(t time.Time) bool {
+// isUndisturbedSince reports whether the daemon runs and has not been killed or frozen since a time.
+func (d *daemon) isUndisturbedSince(t time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.command != nil && !d.frozen && d.disturbedAt.Before(t)
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	p := &proxy{listener: listener, target: target, openConns: make(map[*net.TCPConn]bool), silencedConns: make(map[*net.TCPConn]bool)}
-	go p.accept()
+	go p.acceptConns()
 	return p, nil
 }
 
@@ -78,7 +78,7 @@
 		return
 	}
 	for c := range p.openConns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
@@ -106,35 +106,35 @@
 	return p.fault
 }
 
-// dialFailedSince reports whether the proxy has failed to connect to its target since a time. It resets
-// the client's connection in that case.
-func (p *proxy) dialFailedSince(t time.Time) bool {
+// hasDialFailedSince reports whether the proxy has failed to connect to its target since a time. The
+// proxy resets the client's connection after such a failure.
+func (p *proxy) hasDialFailedSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialFailedAt.After(t)
 }
 
-// healthySince reports whether the link has had no faults since a time.
-func (p *proxy) healthySince(t time.Time) bool {
+// isHealthySince reports whether the link has had no faults since a time.
+func (p *proxy) isHealthySince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault == linkHealthy && p.disturbedAt.Before(t)
 }
 
-func (p *proxy) accept() {
+func (p *proxy) acceptConns() {
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.forward(c.(*net.TCPConn))
+		go p.forwardConn(c.(*net.TCPConn))
 	}
 }
 
-// forward connects a client to the target and copies data until both directions have ended.
-func (p *proxy) forward(client *net.TCPConn) {
+// forwardConn connects a client to the target and copies data until both directions have ended.
+func (p *proxy) forwardConn(client *net.TCPConn) {
 	if p.currentFault() == linkReset {
-		reset(client)
+		resetConn(client)
 		return
 	}
 	p.mu.Lock()
@@ -145,11 +145,11 @@
 		p.mu.Lock()
 		p.dialFailedAt = time.Now()
 		p.mu.Unlock()
-		reset(client)
+		resetConn(client)
 		return
 	}
 	server := raw.(*net.TCPConn)
-	p.track(client, server)
+	p.trackConns(client, server)
 	defer p.closeAndUntrack(client, server)
 	done := make(chan struct{}, 2)
 	go func() { p.copyBytes(server, client, false); done <- struct{}{} }()
@@ -158,7 +158,7 @@
 	<-done
 }
 
-func (p *proxy) track(all ...*net.TCPConn) {
+func (p *proxy) trackConns(all ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range all {
@@ -185,14 +185,14 @@
 		p.awaitDelivery(fromServer, n)
 		if p.isSilenced(from) {
 			if err != nil {
-				// The peer of a silenced connection does not notice that it was closed.
+				// The close is not forwarded, because the connection is silenced.
 				return
 			}
 			continue
 		}
 		if n > 0 {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
-				reset(from)
+				resetConn(from)
 				return
 			}
 		}
@@ -205,14 +205,14 @@
 
 // awaitDelivery blocks while the link's fault stops delivery in this direction. On a slow or
 // low-bandwidth link it blocks for the time that the delivery takes.
-func (p *proxy) awaitDelivery(fromServer bool, bytes int) {
+func (p *proxy) awaitDelivery(fromServer bool, byteCount int) {
 	for {
 		switch p.currentFault() {
 		case linkSlow:
 			time.Sleep(linkDelay)
 			return
 		case linkLowBandwidth:
-			time.Sleep(time.Duration(bytes) * time.Second / linkBytesPerSecond)
+			time.Sleep(time.Duration(byteCount) * time.Second / linkBytesPerSecond)
 			return
 		case linkSilent:
 		case linkOneWay:
@@ -232,10 +232,10 @@
 		_ = to.CloseWrite()
 		return
 	}
-	reset(to)
+	resetConn(to)
 }
 
-func reset(c *net.TCPConn) {
+func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -63,7 +63,7 @@
 			}
 			err = sendLine(c, reader)
 			assert.Assert(t, errors.Is(err, test.want) || test.want == syscall.ECONNRESET && err != nil, "%v", err)
-			assert.Equal(t, p.healthySince(before), test.fault == linkHealthy)
+			assert.Equal(t, p.isHealthySince(before), test.fault == linkHealthy)
 			p.setFault(linkHealthy)
 			again, err := net.Dial("tcp", p.address())
 			assert.NilError(t, err)
@@ -117,5 +117,5 @@
 		_, err = c.Read(make([]byte, 1))
 	}
 	assert.Assert(t, err != nil)
-	assert.Assert(t, p.dialFailedSince(before))
+	assert.Assert(t, p.hasDialFailedSince(before))
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -137,7 +137,7 @@
 		daemonsByAddress: make(map[string]*daemon), workerProxies: make(map[string]*proxy), unblockedSince: time.Now(),
 	}
 	defer r.close()
-	if err := r.prepare(); err != nil {
+	if err := r.startSystem(); err != nil {
 		return Result{}, err
 	}
 	backgroundCtx, cancel := context.WithCancel(ctx)
@@ -151,12 +151,12 @@
 	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.countByResult(), Faults: r.faultCount, Crashed: r.fabric.CrashedUnder()}, cmp.Or(err, r.err)
 }
 
-// prepare starts the simulated platform, the workers and the daemons.
-func (r *run) prepare() error {
+// startSystem starts the simulated platform, the workers and the daemons.
+func (r *run) startSystem() error {
 	r.fabric = standin.NewFabric(standin.FabricOptions{
 		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, Ceiling: modelLoadLimit, Calm: r.settledSince,
 		Fenceless: drawWorkersIgnoreFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerProxy, Crashed: r.scheduleRestart,
-		LinkSound: r.linkHealthySince,
+		LinkSound: r.isLinkHealthySince,
 	})
 	r.operator = standin.NewOperator(standin.OperatorOptions{
 		Store: r.store, Models: r.models, Timing: timing, Ceiling: modelLoadLimit, Slots: slotsPerWorker, LoadsAtOnce: 4, Tenants: r.callers.keysByTenant, Halls: r.hallRules(),
@@ -196,13 +196,13 @@
 		spec.ID = fmt.Sprintf("w%d", r.startedWorkers)
 	}
 	if spec.Zone == "" {
-		spec.Zone = zoneName(r.startedWorkers % 2)
+		spec.Zone = hallName(r.startedWorkers % 2)
 	}
 	r.mu.Unlock()
 	var workerProxy *proxy
-	var err error
+	var proxyErr error
 	_, startErr := r.fabric.StartWorker(r.opts.Host+".1", spec, func(workerAddress string) string {
-		if workerProxy, err = newProxy(r.opts.Host+".1", workerAddress); err != nil {
+		if workerProxy, proxyErr = newProxy(r.opts.Host+".1", workerAddress); proxyErr != nil {
 			return workerAddress
 		}
 		r.mu.Lock()
@@ -210,7 +210,7 @@
 		r.mu.Unlock()
 		return workerProxy.address()
 	})
-	if cause := cmp.Or(startErr, err); cause != nil {
+	if cause := cmp.Or(startErr, proxyErr); cause != nil {
 		return failure.At(failure.Unavailable, "start worker", spec.ID, cause)
 	}
 	return nil
@@ -249,18 +249,18 @@
 func (r *run) startDaemon(i int) error {
 	const firstHostNumber = 2
 	ip := fmt.Sprintf("%s.%d", r.opts.Host, firstHostNumber+i)
-	ports, err := freePorts(ip, 4)
+	ports, err := findFreePorts(ip, 4)
 	if err != nil {
 		return err
 	}
-	server := httptest.NewServer(r.store)
-	r.storeServers = append(r.storeServers, server)
-	storeProxy, err := newProxy(r.opts.Host+".1", server.Listener.Addr().String())
+	storeServer := httptest.NewServer(r.store)
+	r.storeServers = append(r.storeServers, storeServer)
+	storeProxy, err := newProxy(r.opts.Host+".1", storeServer.Listener.Addr().String())
 	if err != nil {
 		return failure.At(failure.Unavailable, "open link to the store", ip, err)
 	}
 	d := &daemon{programOf: r.opts.programsOf(i), storeProxy: storeProxy, onLeading: r.recordLeader, settings: standin.DaemonSettings{
-		Name: fmt.Sprintf("daemon-%d", i), Zone: r.zoneOfDaemon(i), Zones: r.zoneNames(), IP: ip, Store: storeProxy.address(),
+		Name: fmt.Sprintf("daemon-%d", i), Zone: r.hallOfDaemon(i), Zones: r.daemonHalls(), IP: ip, Store: storeProxy.address(),
 		Front: ports[0], Ready: ports[1], Directory: ports[2], Peer: ports[3],
 		Timing: timing, Grace: stopGrace, Revoke: revocationBound, Ceiling: modelLoadLimit, Halls: r.hallRules(),
 	}}
@@ -270,7 +270,7 @@
 	if err != nil {
 		return failure.At(failure.Unavailable, "open links to a daemon", ip, err)
 	}
-	if err := d.prepare(r.opts.Dir); err != nil {
+	if err := d.prepareFiles(r.opts.Dir); err != nil {
 		return err
 	}
 	r.daemons = append(r.daemons, d)
@@ -348,7 +348,7 @@
 
 func (r *run) awaitServing(ctx context.Context) bool {
 	const pollInterval = 50 * time.Millisecond
-	for until := time.Now().Add(startTimeout); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if len(r.fabric.Serving()) == len(r.models) {
 			return true
 		}
@@ -450,8 +450,8 @@
 	return false
 }
 
-// checkAtEnd reports violations that can only be detected at the end of a soak. These are requests that
-// were executed though their response ruled it out, and daemons that exited unexpectedly.
+// checkAtEnd reports two kinds of violations. One is a request that was executed although its response
+// guaranteed the opposite. The other is a daemon that exited unexpectedly.
 func (r *run) checkAtEnd() {
 	for _, id := range r.callers.notExecuted {
 		if r.ledger.Runs(id) > 0 {
--- a/soak/workerannouncements.go
+++ b/soak/workerannouncements.go
@@ -35,12 +35,12 @@
 
 func announcementFaultNames() []string { return slices.Sorted(maps.Keys(announcementFaults)) }
 
-// linkHealthySince reports whether a worker's proxy has had no faults since a time.
-func (r *run) linkHealthySince(worker string, since time.Time) bool {
+// isLinkHealthySince reports whether a worker's proxy has had no faults since a time.
+func (r *run) isLinkHealthySince(worker string, since time.Time) bool {
 	r.mu.Lock()
 	workerProxy := r.workerProxies[worker]
 	r.mu.Unlock()
-	return workerProxy != nil && workerProxy.healthySince(since)
+	return workerProxy != nil && workerProxy.isHealthySince(since)
 }
 
 // pickHeads returns up to three random heads. Heads are the workers that requests are sent to.
--- a/standin/log.go
+++ b/standin/log.go
@@ -40,9 +40,9 @@
 
 // LogOptions configures a Log. Zero values select the defaults.
 type LogOptions struct {
-	// AppendsPerSecond is the rate above which appends are refused.
+	// AppendsPerSecond is the maximum rate of appends. The log refuses appends above it.
 	AppendsPerSecond float64
-	// Retention is the time after which records are dropped.
+	// Retention is the time after which the log drops a record.
 	Retention time.Duration
 }
 
@@ -64,7 +64,8 @@
 	// earliestOffset is the offset of the first record in records.
 	earliestOffset int64
 	records        []cluster.Record
-	changed        chan struct{}
+	// changed is closed and replaced after every append.
+	changed chan struct{}
 }
 
 // NewLog returns an empty log.
@@ -173,6 +174,8 @@
 	return nil
 }
 
+// readAvailable returns the records that are available from an offset on, at most limit. The channel is
+// closed at the next append.
 func (l *Log) readAvailable(stream string, from int64, limit int) (cluster.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,8 +183,8 @@
 	s.expire(time.Now().Add(-l.retention))
 	batch := cluster.Batch{Earliest: s.earliestOffset, Next: s.nextOffset()}
 	if from >= s.earliestOffset && from < s.nextOffset() {
-		kept := s.records[from-s.earliestOffset:]
-		batch.Records = append(batch.Records, kept[:min(limit, len(kept))]...)
+		available := s.records[from-s.earliestOffset:]
+		batch.Records = append(batch.Records, available[:min(limit, len(available))]...)
 	}
 	return batch, s.changed
 }
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -47,7 +47,7 @@
 func New(opts Options) (*Server, error) {
 	s := &Server{log: standin.NewLog(opts.Log), done: make(chan struct{})}
 	listeners := make(map[string]net.Listener)
-	if err := listenNodes(opts, listeners); err != nil {
+	if err := openNodeListeners(opts, listeners); err != nil {
 		return nil, err
 	}
 	opts.Cluster.Address = func(id string) string { return listeners[id].Addr().String() }
@@ -65,8 +65,8 @@
 	return s, nil
 }
 
-// listenNodes opens a listener for each node and adds it to listeners under the node's ID.
-func listenNodes(opts Options, listeners map[string]net.Listener) error {
+// openNodeListeners opens a listener for each node and adds it to listeners under the node's ID.
+func openNodeListeners(opts Options, listeners map[string]net.Listener) error {
 	optionsWithoutAddresses := opts.Cluster
 	optionsWithoutAddresses.Address = nil
 	for _, n := range standin.NewCluster(optionsWithoutAddresses).All() {
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -27,9 +27,8 @@
 	return s, client.New(client.Options{LogAddress: s.Address(), NodesAddress: s.Address()})
 }
 
-// TestStreamNamesOutliveRequests checks that records stay in the stream to which they were
-// appended. They would move to another stream if the log kept stream names in memory that the HTTP
-// library reuses.
+// TestStreamNamesOutliveRequests checks that records stay in their stream during later requests. This
+// fails if the server passes the log stream names whose memory the HTTP library reuses.
 func TestStreamNamesOutliveRequests(t *testing.T) {
 	_, client := newServer(t)
 	ctx := context.Background()
