--- a/soak/caller.go
+++ b/soak/caller.go
@@ -36,7 +36,7 @@
 	// staysWithDaemon makes the caller keep using a daemon until a request to it fails.
 	staysWithDaemon bool
 	kind            standin.Kind
-	// addresses holds the daemon addresses for callers that the last successful resolve returned.
+	// addresses holds the daemon addresses that the last successful resolve returned.
 	addresses           []string
 	addressesValidUntil time.Time
 	// currentDaemon is the daemon that gets the requests. It is nil if the next request must choose
@@ -55,8 +55,8 @@
 	return c
 }
 
-// dial connects to the front proxy of the daemon with this address. It connects to an address that
-// no daemon has directly.
+// dial opens a connection to an address. If the address belongs to a daemon, it connects to the front
+// proxy of the daemon instead.
 func (r *run) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if d, ok := r.daemonsByAddress[address]; ok {
 		address = d.frontProxy.address()
@@ -237,8 +237,8 @@
 	}
 }
 
-// checkResult checks a response with status 200: its signature, its content, and that its key was
-// not revoked long before the request.
+// checkResult checks a response with status 200. It checks the signature and the content, and that the
+// key had not been revoked too long before the request.
 func (c *caller) checkResult(r *call, response *http.Response) {
 	if !strings.HasSuffix(response.Header.Get(standin.HeaderSignature), "."+r.id) {
 		c.run.ledger.Broken("MIXED", "%s got an answer signed %q", r.id, response.Header.Get(standin.HeaderSignature))
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -39,12 +39,12 @@
 // that the request was not executed, and reports a response with status 200 as a violation.
 func (c *caller) sendCrashingRequest(ctx context.Context, d *daemon) {
 	c.sentCount++
-	crashing := &call{id: fmt.Sprintf("c%d-%d", c.index, c.sentCount), kind: standin.Stream, daemon: d, eventCount: minEvents, sentAt: time.Now(), key: keyName(1, 1)}
-	crashing.incarnation, _ = d.status()
-	c.run.ledger.Sent(crashing.id, crashing.kind, tenantName(1), crashing.sender())
+	crashingCall := &call{id: fmt.Sprintf("c%d-%d", c.index, c.sentCount), kind: standin.Stream, daemon: d, eventCount: minEvents, sentAt: time.Now(), key: keyName(1, 1)}
+	crashingCall.incarnation, _ = d.status()
+	c.run.ledger.Sent(crashingCall.id, crashingCall.kind, tenantName(1), crashingCall.sender())
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := c.newRequest(ctx, crashing)
+	request := c.newRequest(ctx, crashingCall)
 	request.Body = io.NopCloser(strings.NewReader(standin.CrashBody))
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -54,9 +54,9 @@
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		c.run.callers.recordNotExecuted(crashing.id)
+		c.run.callers.recordNotExecuted(crashingCall.id)
 	case http.StatusOK:
-		c.run.ledger.Broken("CRASH", "%s, which ends each worker, was answered with 200", crashing.id)
+		c.run.ledger.Broken("CRASH", "%s, which ends each worker, was answered with 200", crashingCall.id)
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 }
@@ -68,8 +68,7 @@
 	}
 }
 
-// scheduleRestart starts a timer that restarts or replaces a worker after a random delay. It is called
-// for workers that a request has crashed.
+// scheduleRestart starts a timer that restarts or replaces a crashed worker after a random delay.
 func (r *run) scheduleRestart(w *standin.Worker) {
 	delay := minCrashDowntime + time.Duration(rand.Int64N(int64(minCrashDowntime)))
 	time.AfterFunc(delay, func() {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -29,15 +29,16 @@
 const minRevocationOutage = revocationBound + 3*time.Second
 
 const (
-	// minLateOrdersDuration is the minimum duration of the fault that delays orders. Within it, groups
-	// dissolve and form again while orders from before are still delayed.
+	// minLateOrdersDuration is the minimum duration of the fault that delays orders and crashes
+	// workers. It is long enough for groups to dissolve and form again while earlier orders are still
+	// delayed.
 	minLateOrdersDuration = 10 * time.Second
 	// crashInterval is the time between two crashes while orders are delayed. It exceeds the
 	// usual time to form a group.
 	crashInterval = 1500 * time.Millisecond
 )
 
-// faults maps names to the faults that every soak injects.
+// faults maps names to the faults that can occur in every soak. Other faults need an option.
 var faults = map[string]fault{
 	"daemon-kill":      {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, 1) }},
 	"daemon-kill-many": {blocksUpdates: true, inject: func(r *run, random *rand.Rand) func() { return r.killDaemons(random, len(r.daemons)) }},
--- a/soak/halls.go
+++ b/soak/halls.go
@@ -20,8 +20,8 @@
 	minClosedDuration = hallEmptyBound + 4*time.Second
 )
 
-// warmUp limits the request rate of cold workers, which have just started or whose hall was just
-// opened.
+// warmUp limits the request rate of cold workers. A worker is cold for a while after it has started or
+// its hall has been opened.
 var warmUp = standin.WarmUp{For: 1500 * time.Millisecond, PerSecond: 10, Burst: 1.5, Slack: 5}
 
 // hallFaults maps names to the faults of data halls.
@@ -67,8 +67,8 @@
 	return all
 }
 
-// hallRules returns the rules for data halls: their regions, the regions that each tenant may
-// use, the time after which a closed hall must get no more requests, and the warm-up limit.
+// hallRules returns the rules that daemons must follow for data halls. They include the region of each
+// hall, the regions that each tenant may use, and limits for closed and newly opened halls.
 func (r *run) hallRules() standin.Halls {
 	if !r.opts.Halls {
 		return standin.Halls{}
--- a/soak/mix.go
+++ b/soak/mix.go
@@ -3,7 +3,7 @@
 // Mix determines which daemons run an earlier build, and in which of their incarnations.
 type Mix string
 
-// The mixes.
+// The available mixes of builds.
 const (
 	// MixHalf always runs the earlier build in the daemons with even numbers.
 	MixHalf Mix = "half"
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -299,8 +299,8 @@
 	return r.lastLeader
 }
 
-// settledSince returns the time since when daemons have been able to read all updates. It returns false
-// while a fault may block updates, and for settleTime after the fault.
+// settledSince returns the time by which daemons must have read all updates that the last fault
+// blocked. It returns false while a fault may block updates, and for settleTime after the fault.
 func (r *run) settledSince() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/log.go
+++ b/standin/log.go
@@ -23,7 +23,7 @@
 )
 
 var (
-	errOutage       = errors.New("the log service is unavailable")
+	errOutage       = errors.New("the log service is out")
 	errResponseLost = errors.New("the answer was lost")
 	errRateExceeded = errors.New("too many appends")
 )
--- a/standin/server/node.go
+++ b/standin/server/node.go
@@ -194,7 +194,7 @@
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer g.cancel()
-		for e, more := first, hasToken; more; e, more = <-g.tokens {
+		for e, hasMore := first, hasToken; hasMore; e, hasMore = <-g.tokens {
 			if writeEvent(w, newChunkResponse(id, e.index, e.text, isChat)) != nil {
 				return
 			}
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,5 +1,5 @@
 // Package server serves the simulations of package standin over HTTP. The log service, the node list
-// and the control of faults share one address. Each node has an address of its own.
+// and the control of faults share one address. Each node has its own address.
 package server
 
 import (
