--- a/measure/repair.go
+++ b/measure/repair.go
@@ -21,7 +21,7 @@
 	fastStoreGBPerSecond = 80.0
 	slowStoreGBPerSecond = 10.0
 	nodeReplacementTime  = 600.0
-	repairDuration       = 1800.0
+	repairTrialDuration  = 1800.0
 	faultTime            = 60.0
 )
 
@@ -132,7 +132,7 @@
 		}
 		r.nodes = append(r.nodes, n)
 	}
-	for r.now = 0; r.now < repairDuration; r.now += tickSeconds {
+	for r.now = 0; r.now < repairTrialDuration; r.now += tickSeconds {
 		r.injectFault()
 		r.advanceLoads()
 		r.planAndApply()
