--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -5,49 +5,54 @@
 	"time"
 )
 
-// step is one fault of a series.
-type step struct {
-	// after is the pause before it, lasts how long it lasts.
-	after, lasts time.Duration
-	kind         string
-	// pick chooses what it strikes.
-	pick uint64
+// scheduledFault is one fault of a series.
+type scheduledFault struct {
+	// pause is the time between the previous fault and this one. duration is the time for which this
+	// fault lasts.
+	pause, duration time.Duration
+	// name is the fault's key in the map of faults from which it is drawn.
+	name string
+	// targetSeed seeds the choice of the affected daemons, workers or links.
+	targetSeed uint64
 }
 
 const (
-	gapLeast, gapSpread   = 100 * time.Millisecond, 1400 * time.Millisecond
-	lastLeast, lastSpread = 300 * time.Millisecond, 4 * time.Second
+	minFaultPause, faultPauseSpread       = 100 * time.Millisecond, 1400 * time.Millisecond
+	minFaultDuration, faultDurationSpread = 300 * time.Millisecond, 4 * time.Second
 )
 
-// schedule returns the faults of one series up to a total time. The same seed
-// gives the same faults.
-func schedule(seed uint64, series int, total time.Duration) []step {
-	return draw(rand.New(rand.NewPCG(seed, uint64(series))), faultNames(), total)
+// schedule returns the faults of one series. Together with their pauses they last at least total. The
+// same seed gives the same faults.
+func schedule(seed uint64, series int, total time.Duration) []scheduledFault {
+	return drawSchedule(rand.New(rand.NewPCG(seed, uint64(series))), faultNames(), total)
 }
 
-// hallSchedule returns the faults of data halls, which are drawn apart from the others, so
-// that these stay as they are.
-func hallSchedule(seed uint64, total time.Duration) []step {
-	const stream = 1 << 33
-	return draw(rand.New(rand.NewPCG(seed, stream)), hallFaultNames(), total)
+// hallSchedule returns the faults of data halls. It draws from a separate random stream, so that it
+// does not change the other schedules of a seed.
+func hallSchedule(seed uint64, total time.Duration) []scheduledFault {
+	const randomStream = 1 << 33
+	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), hallFaultNames(), total)
 }
 
-// askSchedule returns what workers ask for, which is drawn apart from the faults as well.
-func askSchedule(seed uint64, total time.Duration) []step {
-	const stream = 1 << 35
-	return draw(rand.New(rand.NewPCG(seed, stream)), askNames(), total)
+// announcementSchedule returns the faults in which workers announce limits, rest periods or their
+// leave. It draws from a separate random stream, so that it does not change the other schedules of
+// a seed.
+func announcementSchedule(seed uint64, total time.Duration) []scheduledFault {
+	const randomStream = 1 << 35
+	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), announcementFaultNames(), total)
 }
 
-// draw draws faults of some kinds up to a total time.
-func draw(random *rand.Rand, kinds []string, total time.Duration) []step {
-	var steps []step
-	for sum := time.Duration(0); sum < total; {
-		s := step{
-			after: gapLeast + time.Duration(random.Int64N(int64(gapSpread))),
-			lasts: lastLeast + time.Duration(random.Int64N(int64(lastSpread))),
-			kind:  kinds[random.IntN(len(kinds))], pick: random.Uint64(),
+// drawSchedule draws faults with the given names until the faults and their pauses together last at
+// least total.
+func drawSchedule(random *rand.Rand, names []string, total time.Duration) []scheduledFault {
+	var steps []scheduledFault
+	for duration := time.Duration(0); duration < total; {
+		s := scheduledFault{
+			pause:    minFaultPause + time.Duration(random.Int64N(int64(faultPauseSpread))),
+			duration: minFaultDuration + time.Duration(random.Int64N(int64(faultDurationSpread))),
+			name:     names[random.IntN(len(names))], targetSeed: random.Uint64(),
 		}
-		sum += s.after + s.lasts
+		duration += s.pause + s.duration
 		steps = append(steps, s)
 	}
 	return steps
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -17,42 +17,49 @@
 
 // DomainOptions describes a fabric domain of a cluster.
 type DomainOptions struct {
-	Name         string `yaml:"name"`
-	DataHall     string `yaml:"data_hall"`
-	Nodes        int    `yaml:"nodes"`
-	Accelerators int    `yaml:"accelerators"`
-	Services     int    `yaml:"services"`
-	Unfenced     bool   `yaml:"unfenced"`
+	Name     string `yaml:"name"`
+	DataHall string `yaml:"data_hall"`
+	// Nodes is the number of nodes that run an engine.
+	Nodes int `yaml:"nodes"`
+	// Accelerators is the number of accelerators per node.
+	Accelerators int `yaml:"accelerators"`
+	// Services is the number of nodes that run the plain service, in addition to Nodes.
+	Services int `yaml:"services"`
+	// Unfenced makes the nodes accept orders regardless of their token.
+	Unfenced bool `yaml:"unfenced"`
 }
 
 // ClusterOptions describes a cluster.
 type ClusterOptions struct {
 	Domains []DomainOptions
-	// StoreGBPerSecond is the rate of the weight store.
+	// StoreGBPerSecond is the total rate of the weight store in gigabytes per second.
 	StoreGBPerSecond float64
-	// LoadGB is what one node loads for one model version.
+	// LoadGB is the size in gigabytes of the weights that each node loads for a model version.
 	LoadGB float64
-	Step   time.Duration
-	Slots  int
-	// ListLag is the age of what the node list shows.
+	// Step is the time that an engine takes for each token.
+	Step time.Duration
+	// Slots is the number of requests that a node runs concurrently.
+	Slots int
+	// ListLag is the maximum age of the node list.
 	ListLag time.Duration
+	// LoadLag is the maximum age of the load in a node's state.
 	LoadLag time.Duration
-	// Address returns the address of the node with the given id; with none
-	// set the id itself serves as address, which does for calls in memory.
+	// Address returns the address of the node with the given ID. If it is nil, the ID itself is the
+	// address. That is sufficient for calls within the process.
 	Address func(id string) string
 }
 
-// Cluster is a set of nodes with their list. It implements the platform's
-// interfaces in memory.
+// Cluster is a set of simulated nodes with their node list. It implements cluster.NodeList and
+// cluster.NodeControl in memory.
 type Cluster struct {
-	opts  ClusterOptions
-	nodes []*Node
-	byID  map[string]*Node
-	byAdr map[string]*Node
-
-	mu       sync.Mutex
-	listed   []cluster.ListedNode
-	listedAt time.Time
+	opts      ClusterOptions
+	nodes     []*Node
+	byID      map[string]*Node
+	byAddress map[string]*Node
+
+	mu               sync.Mutex
+	nodeList         []cluster.ListedNode
+	nodeListCachedAt time.Time
 }
 
 var (
@@ -60,22 +67,22 @@
 	_ cluster.NodeControl = (*Cluster)(nil)
 )
 
-// NewCluster returns a cluster whose nodes are all up.
+// NewCluster returns a cluster in which all nodes are running.
 func NewCluster(opts ClusterOptions) *Cluster {
-	c := &Cluster{opts: opts, byID: make(map[string]*Node), byAdr: make(map[string]*Node)}
-	store := NewWeightStore(opts.StoreGBPerSecond)
+	c := &Cluster{opts: opts, byID: make(map[string]*Node), byAddress: make(map[string]*Node)}
+	weightStore := NewWeightStore(opts.StoreGBPerSecond)
 	for _, d := range opts.Domains {
 		for i := range d.Nodes {
-			c.add(d, fmt.Sprintf("%s-n%02d", d.Name, i), cluster.KindEngine, store)
+			c.addNode(d, fmt.Sprintf("%s-n%02d", d.Name, i), cluster.KindEngine, weightStore)
 		}
 		for i := range d.Services {
-			c.add(d, fmt.Sprintf("%s-s%02d", d.Name, i), cluster.KindService, store)
+			c.addNode(d, fmt.Sprintf("%s-s%02d", d.Name, i), cluster.KindService, weightStore)
 		}
 	}
 	return c
 }
 
-func (c *Cluster) add(d DomainOptions, id string, kind cluster.NodeKind, store *WeightStore) {
+func (c *Cluster) addNode(d DomainOptions, id string, kind cluster.NodeKind, weightStore *WeightStore) {
 	address := id
 	if c.opts.Address != nil {
 		address = c.opts.Address(id)
@@ -85,13 +92,13 @@
 			ID: id, Domain: d.Name, DataHall: d.DataHall, Address: address,
 			Kind: kind, Accelerators: d.Accelerators,
 		},
-		Unfenced: d.Unfenced, Store: store, LoadGB: c.opts.LoadGB,
-		Step: c.opts.Step, Slots: c.opts.Slots, LoadLag: c.opts.LoadLag,
-		Alive: c.alive,
+		Unfenced: d.Unfenced, Store: weightStore, LoadGB: c.opts.LoadGB,
+		TokenInterval: c.opts.Step, Slots: c.opts.Slots, LoadLag: c.opts.LoadLag,
+		IsNodeUp: c.isNodeUp,
 	})
 	c.nodes = append(c.nodes, n)
 	c.byID[id] = n
-	c.byAdr[address] = n
+	c.byAddress[address] = n
 }
 
 // All returns the cluster's nodes.
@@ -99,48 +106,47 @@
 	return slices.Clone(c.nodes)
 }
 
-// Node returns the node with the given id.
+// Node returns the node with the given ID.
 func (c *Cluster) Node(id string) (*Node, bool) {
 	n, ok := c.byID[id]
 	return n, ok
 }
 
-func (c *Cluster) alive(id string) bool {
+func (c *Cluster) isNodeUp(id string) bool {
 	n, ok := c.byID[id]
 	return ok && n.Up()
 }
 
-// Nodes implements cluster.NodeList. The list lags: it is made anew only when
-// the last one is older than the lag.
+// Nodes implements cluster.NodeList. The list is cached for ListLag, so it may be out of date.
 func (c *Cluster) Nodes(context.Context) ([]cluster.ListedNode, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.listed != nil && time.Since(c.listedAt) < c.opts.ListLag {
-		return c.listed, nil
+	if c.nodeList != nil && time.Since(c.nodeListCachedAt) < c.opts.ListLag {
+		return c.nodeList, nil
 	}
-	c.listed = nil
-	c.listedAt = time.Now()
+	c.nodeList = nil
+	c.nodeListCachedAt = time.Now()
 	for _, n := range c.nodes {
 		if n.Up() {
-			c.listed = append(c.listed, n.Listed())
+			c.nodeList = append(c.nodeList, n.Listed())
 		}
 	}
-	slices.SortFunc(c.listed, func(a, b cluster.ListedNode) int { return strings.Compare(a.ID, b.ID) })
-	return c.listed, nil
+	slices.SortFunc(c.nodeList, func(a, b cluster.ListedNode) int { return strings.Compare(a.ID, b.ID) })
+	return c.nodeList, nil
 }
 
-// State implements cluster.NodeControl.
+// State implements cluster.NodeControl. It returns the state of the node at an address.
 func (c *Cluster) State(ctx context.Context, address string) (cluster.NodeState, error) {
-	n, ok := c.byAdr[address]
+	n, ok := c.byAddress[address]
 	if !ok {
 		return cluster.NodeState{}, failure.At(failure.Refused, "probe node", address, errUnknownAddress)
 	}
 	return n.State(ctx)
 }
 
-// Order implements cluster.NodeControl.
+// Order implements cluster.NodeControl. It sends an order to the node at an address.
 func (c *Cluster) Order(ctx context.Context, address string, order cluster.Order) (cluster.OrderReply, error) {
-	n, ok := c.byAdr[address]
+	n, ok := c.byAddress[address]
 	if !ok {
 		return cluster.OrderReply{}, failure.At(failure.Refused, "order node", address, errUnknownAddress)
 	}
--- a/standin/log.go
+++ b/standin/log.go
@@ -1,7 +1,6 @@
-// Package standin provides small stand-ins of the systems that the platform
-// runs: the log service, the node list, the weight store, model engines and a
-// plain service. Their faults can be switched on and off while they run. They
-// serve trials and tests, in one process or, through package server, over HTTP.
+// Package standin simulates the systems of the platform: the log service, the node list, the weight
+// store, model engines and a plain service. Faults can be switched on and off at run time. Tests use
+// the simulations within their process, or over HTTP by package server.
 package standin
 
 import (
@@ -16,7 +15,7 @@
 	"quartzshelf.dev/common/failure"
 )
 
-// Defaults of the log.
+// Defaults of the options of a log.
 const (
 	DefaultAppendsPerSecond = 100
 	DefaultRetention        = time.Hour
@@ -24,44 +23,49 @@
 )
 
 var (
-	errOutage = errors.New("the log service is out")
-	errLost   = errors.New("the answer was lost")
-	errRate   = errors.New("too many appends")
+	errOutage       = errors.New("the log service is out")
+	errResponseLost = errors.New("the answer was lost")
+	errRateExceeded = errors.New("too many appends")
 )
 
-// LogFaults are the faults of a log that can be switched on.
+// LogFaults selects the active faults of a log.
 type LogFaults struct {
 	// Outage makes every call fail.
 	Outage bool `json:"outage" yaml:"outage"`
-	// LoseAnswers lets appends take effect but fail towards the writer.
+	// LoseAnswers makes appends return an error after they have taken effect.
 	LoseAnswers bool `json:"lose_answers" yaml:"lose_answers"`
-	// SlowMillis delays every call, in milliseconds.
+	// SlowMillis is the delay of every call in milliseconds.
 	SlowMillis int `json:"slow_millis" yaml:"slow_millis"`
 }
 
-// LogOptions configures a Log. Zero values stand for the defaults.
+// LogOptions configures a Log. Zero values select the defaults.
 type LogOptions struct {
+	// AppendsPerSecond is the maximum rate of appends. The log refuses appends above it.
 	AppendsPerSecond float64
-	Retention        time.Duration
+	// Retention is the time after which the log drops a record.
+	Retention time.Duration
 }
 
-// Log is an in-memory log service.
+// Log is an in-memory log service. It holds any number of streams of records.
 type Log struct {
 	retention time.Duration
 	limiter   *rate.Limiter
 
-	mu      sync.Mutex
-	streams map[string]*logStream
-	faults  LogFaults
-	appends int
+	mu          sync.Mutex
+	streams     map[string]*logStream
+	faults      LogFaults
+	appendCount int
 }
 
 var _ cluster.Log = (*Log)(nil)
 
+// logStream is one stream of a Log.
 type logStream struct {
-	earliest int64
-	records  []cluster.Record
-	changed  chan struct{}
+	// earliestOffset is the offset of the first record in records.
+	earliestOffset int64
+	records        []cluster.Record
+	// changed is closed and replaced after every append.
+	changed chan struct{}
 }
 
 // NewLog returns an empty log.
@@ -79,62 +83,62 @@
 	}
 }
 
-// SetFaults replaces the faults that are on.
+// SetFaults replaces the active faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Appends returns how many appends took effect.
+// Appends returns the number of appends that took effect.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.appends
+	return l.appendCount
 }
 
 // Append implements cluster.Log.
 func (l *Log) Append(ctx context.Context, stream string, records []cluster.Record) (int64, error) {
-	if err := l.admit(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	if !l.limiter.Allow() {
-		return 0, failure.At(failure.Refused, "append to log", stream, errRate)
+		return 0, failure.At(failure.Refused, "append to log", stream, errRateExceeded)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.stream(stream)
-	first := s.next()
+	s := l.getOrCreateStream(stream)
+	first := s.nextOffset()
 	now := time.Now()
 	for i, r := range records {
 		r.Offset, r.Time = first+int64(i), now
 		s.records = append(s.records, r)
 	}
-	l.appends++
+	l.appendCount++
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if l.faults.LoseAnswers {
-		return 0, failure.At(failure.Unavailable, "append to log", stream, errLost)
+		return 0, failure.At(failure.Unavailable, "append to log", stream, errResponseLost)
 	}
 	return first, nil
 }
 
 // Read implements cluster.Log.
 func (l *Log) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (cluster.Batch, error) {
-	if err := l.admit(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return cluster.Batch{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		batch, changed := l.snapshot(stream, from, limit)
+		batch, changed := l.readAvailable(stream, from, limit)
 		if len(batch.Records) > 0 || from < batch.Earliest {
 			return batch, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			if err := l.outage(); err != nil {
+			if err := l.checkOutage(); err != nil {
 				return cluster.Batch{}, err
 			}
 			return batch, nil
@@ -144,13 +148,13 @@
 	}
 }
 
-// admit applies the faults that hit every call.
-func (l *Log) admit(ctx context.Context) error {
+// applyFaults delays a call by LogFaults.SlowMillis and returns an error during an outage.
+func (l *Log) applyFaults(ctx context.Context) error {
 	l.mu.Lock()
-	slow := time.Duration(l.faults.SlowMillis) * time.Millisecond
+	delay := time.Duration(l.faults.SlowMillis) * time.Millisecond
 	l.mu.Unlock()
-	if slow > 0 {
-		timer := time.NewTimer(slow)
+	if delay > 0 {
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -158,10 +162,10 @@
 			return failure.At(failure.Unavailable, "call log", "log", ctx.Err())
 		}
 	}
-	return l.outage()
+	return l.checkOutage()
 }
 
-func (l *Log) outage() error {
+func (l *Log) checkOutage() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.Outage {
@@ -170,20 +174,22 @@
 	return nil
 }
 
-func (l *Log) snapshot(stream string, from int64, limit int) (cluster.Batch, <-chan struct{}) {
+// readAvailable returns the records that are available from an offset on, at most limit. The channel is
+// closed at the next append.
+func (l *Log) readAvailable(stream string, from int64, limit int) (cluster.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.stream(stream)
+	s := l.getOrCreateStream(stream)
 	s.expire(time.Now().Add(-l.retention))
-	batch := cluster.Batch{Earliest: s.earliest, Next: s.next()}
-	if from >= s.earliest && from < s.next() {
-		kept := s.records[from-s.earliest:]
-		batch.Records = append(batch.Records, kept[:min(limit, len(kept))]...)
+	batch := cluster.Batch{Earliest: s.earliestOffset, Next: s.nextOffset()}
+	if from >= s.earliestOffset && from < s.nextOffset() {
+		available := s.records[from-s.earliestOffset:]
+		batch.Records = append(batch.Records, available[:min(limit, len(available))]...)
 	}
 	return batch, s.changed
 }
 
-func (l *Log) stream(name string) *logStream {
+func (l *Log) getOrCreateStream(name string) *logStream {
 	s, ok := l.streams[name]
 	if !ok {
 		s = &logStream{changed: make(chan struct{})}
@@ -192,16 +198,16 @@
 	return s
 }
 
-func (s *logStream) next() int64 {
-	return s.earliest + int64(len(s.records))
+func (s *logStream) nextOffset() int64 {
+	return s.earliestOffset + int64(len(s.records))
 }
 
-// expire drops the records appended before the given time.
+// expire drops the records that were appended before the given time.
 func (s *logStream) expire(before time.Time) {
 	n := 0
 	for n < len(s.records) && s.records[n].Time.Before(before) {
 		n++
 	}
-	s.earliest += int64(n)
+	s.earliestOffset += int64(n)
 	s.records = s.records[n:]
 }
--- a/standin/server/node.go
+++ b/standin/server/node.go
@@ -16,18 +16,18 @@
 	"quartzshelf.dev/standin"
 )
 
-// Defaults of a completion.
+// Limits and defaults of requests.
 const (
 	defaultMaxTokens = 16
-	maxMaxTokens     = 4096
-	serviceWork      = 5 * time.Millisecond
-	// markHeader carries what the plain service counts a call under.
-	markHeader = "Test-Mark"
+	maxTokensLimit   = 4096
+	serviceCallTime  = 5 * time.Millisecond
+	// callMarkHeader carries the mark by which the plain service counts calls.
+	callMarkHeader = "Test-Mark"
 )
 
-// completion is the part of a request that the engine reads. Resume lists the
-// tokens that the caller already has.
-type completion struct {
+// completionRequest holds the fields of a completion request that the engine uses. Resume lists the
+// tokens that the caller has already received.
+type completionRequest struct {
 	Prompt    string          `json:"prompt"`
 	Messages  json.RawMessage `json:"messages"`
 	MaxTokens int             `json:"max_tokens"`
@@ -35,32 +35,32 @@
 	Resume    []string        `json:"resume"`
 }
 
-// prompt returns the text that the answer depends on.
-func (r completion) prompt() string {
+// prompt returns the messages of a chat request, or else the prompt. It determines the answer.
+func (r completionRequest) prompt() string {
 	if len(r.Messages) > 0 {
 		return string(r.Messages)
 	}
 	return r.Prompt
 }
 
-func (r completion) count() int {
+func (r completionRequest) tokenCount() int {
 	if r.MaxTokens <= 0 {
 		return defaultMaxTokens
 	}
-	return min(r.MaxTokens, maxMaxTokens)
+	return min(r.MaxTokens, maxTokensLimit)
 }
 
-// nodeApp returns the HTTP server of one node.
-func nodeApp(n *standin.Node) *fiber.App {
+// newNodeApp returns the HTTP application of one node.
+func newNodeApp(n *standin.Node) *fiber.App {
 	app := newApp()
 	app.Use(func(c *fiber.Ctx) error {
 		if !n.Up() {
-			return cut(c)
+			return closeWithoutResponse(c)
 		}
 		return c.Next()
 	})
 	app.Get("/control/state", func(c *fiber.Ctx) error {
-		ctx, cancel := withTimeout()
+		ctx, cancel := newCallContext()
 		defer cancel()
 		state, err := n.State(ctx)
 		if err != nil {
@@ -69,7 +69,7 @@
 		return c.JSON(state)
 	})
 	app.Post("/control/order", func(c *fiber.Ctx) error { return postOrder(n, c) })
-	app.Get("/control/runs", func(c *fiber.Ctx) error { return c.JSON(n.Runs()) })
+	app.Get("/control/runs", func(c *fiber.Ctx) error { return c.JSON(n.CallCounts()) })
 	if n.Listed().Kind == cluster.KindService {
 		app.All("/*", func(c *fiber.Ctx) error { return serveCall(n, c) })
 		return app
@@ -84,7 +84,7 @@
 	if err := c.BodyParser(&order); err != nil {
 		return err
 	}
-	ctx, cancel := withTimeout()
+	ctx, cancel := newCallContext()
 	defer cancel()
 	reply, err := n.Order(ctx, order)
 	if err != nil {
@@ -93,34 +93,34 @@
 	return c.JSON(reply)
 }
 
-// cut ends the connection without an answer, as a dead process would.
-func cut(c *fiber.Ctx) error {
+// closeWithoutResponse closes the connection without a response, as a killed process would.
+func closeWithoutResponse(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(conn net.Conn) { _ = conn.Close() })
 	return nil
 }
 
-func refuse(c *fiber.Ctx, err error) error {
+func respondNotStarted(c *fiber.Ctx, err error) error {
 	c.Set(cluster.HeaderStarted, cluster.StartedNo)
 	return c.Status(fiber.StatusServiceUnavailable).JSON(fiber.Map{"error": err.Error()})
 }
 
 func serveCall(n *standin.Node, c *fiber.Ctx) error {
-	mark := strings.Clone(c.Get(markHeader))
+	mark := strings.Clone(c.Get(callMarkHeader))
 	path := strings.Clone(c.Path())
-	count, err := n.Call(c.Context(), mark, serviceWork)
+	count, err := n.Call(c.Context(), mark, serviceCallTime)
 	if errors.Is(err, standin.ErrNotStarted) {
-		return refuse(c, err)
+		return respondNotStarted(c, err)
 	}
 	if err != nil || !n.Up() {
-		return cut(c)
+		return closeWithoutResponse(c)
 	}
 	c.Set(cluster.HeaderRequest, c.Get(cluster.HeaderRequest))
 	return c.JSON(fiber.Map{"path": path, "mark": mark, "run": count})
 }
 
-func serveCompletion(n *standin.Node, c *fiber.Ctx, chat bool) error {
-	var r completion
+func serveCompletion(n *standin.Node, c *fiber.Ctx, isChat bool) error {
+	var r completionRequest
 	if err := json.Unmarshal(c.Body(), &r); err != nil {
 		c.Set(cluster.HeaderStarted, cluster.StartedNo)
 		return c.Status(fiber.StatusBadRequest).JSON(fiber.Map{"error": err.Error()})
@@ -129,78 +129,78 @@
 	assignment := strings.Clone(c.Get(cluster.HeaderAssignment))
 	c.Set(cluster.HeaderRequest, id)
 	if r.Stream {
-		return streamCompletion(n, c, r, id, assignment, chat)
+		return streamCompletion(n, c, r, id, assignment, isChat)
 	}
 	var text strings.Builder
-	err := n.Generate(c.Context(), assignment, r.prompt(), len(r.Resume), r.count(), func(_ int, token string) error {
+	err := n.Generate(c.Context(), assignment, r.prompt(), len(r.Resume), r.tokenCount(), func(_ int, token string) error {
 		text.WriteString(token)
 		return nil
 	})
 	if errors.Is(err, standin.ErrNotStarted) {
-		return refuse(c, err)
+		return respondNotStarted(c, err)
 	}
 	if err != nil {
-		return cut(c)
+		return closeWithoutResponse(c)
 	}
-	return c.JSON(wholeAnswer(id, text.String(), r.count(), chat))
+	return c.JSON(newWholeResponse(id, text.String(), r.tokenCount(), isChat))
 }
 
-// event is a token on its way from the engine to the answer.
-type event struct {
+// generatedToken is a token with its index in the answer.
+type generatedToken struct {
 	index int
 	text  string
 }
 
-// generation is a request that the engine works on in the background.
-type generation struct {
-	events chan event
-	failed chan error
+// generationTask is a request that the engine executes in the background.
+type generationTask struct {
+	tokens chan generatedToken
+	result chan error
 	cancel context.CancelFunc
 }
 
-// generate starts a request. Its events end with the channel, and then failed
-// holds the error or nil.
-func generate(n *standin.Node, r completion, assignment string) *generation {
+// startGeneration starts a request in the background. After the last token, the result of the
+// request is sent on the channel result, and the channel tokens is closed.
+func startGeneration(n *standin.Node, r completionRequest, assignment string) *generationTask {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &generation{events: make(chan event), failed: make(chan error, 1), cancel: cancel}
+	g := &generationTask{tokens: make(chan generatedToken), result: make(chan error, 1), cancel: cancel}
 	go func() {
-		g.failed <- n.Generate(ctx, assignment, r.prompt(), len(r.Resume), r.count(), func(i int, text string) error {
+		g.result <- n.Generate(ctx, assignment, r.prompt(), len(r.Resume), r.tokenCount(), func(i int, text string) error {
 			select {
-			case g.events <- event{index: i, text: text}:
+			case g.tokens <- generatedToken{index: i, text: text}:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		})
-		close(g.events)
+		close(g.tokens)
 	}()
 	return g
 }
 
-// streamCompletion answers with server-sent events. The first token is made
-// before the answer begins, so that a refusal can still be told as one.
-func streamCompletion(n *standin.Node, c *fiber.Ctx, r completion, id, assignment string, chat bool) error {
-	g := generate(n, r, assignment)
-	first, some := <-g.events
-	if !some {
+// streamCompletion responds with server-sent events. It waits for the first token before it sends the
+// status. It can thus still reject a request that was not started.
+func streamCompletion(n *standin.Node, c *fiber.Ctx, r completionRequest, id, assignment string, isChat bool) error {
+	g := startGeneration(n, r, assignment)
+	first, hasToken := <-g.tokens
+	if !hasToken {
 		g.cancel()
-		if err := <-g.failed; errors.Is(err, standin.ErrNotStarted) {
-			return refuse(c, err)
+		if err := <-g.result; errors.Is(err, standin.ErrNotStarted) {
+			return respondNotStarted(c, err)
 		} else if err != nil {
-			return cut(c)
+			return closeWithoutResponse(c)
 		}
-		g.failed <- nil
+		g.result <- nil
 	}
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer g.cancel()
-		for e, open := first, some; open; e, open = <-g.events {
-			if writeEvent(w, tokenEvent(id, e.index, e.text, chat)) != nil {
+		for e, hasMore := first, hasToken; hasMore; e, hasMore = <-g.tokens {
+			if writeEvent(w, newChunkResponse(id, e.index, e.text, isChat)) != nil {
 				return
 			}
 		}
-		if <-g.failed != nil {
-			// The stream ends without its last event: the reader sees that it is cut.
+		if <-g.result != nil {
+			// The stream ends without its last event, so that clients detect the failure.
 			return
 		}
 		_, _ = w.WriteString("data: [DONE]\n\n")
@@ -220,7 +220,7 @@
 	return w.Flush()
 }
 
-// choice, event and answer follow the OpenAI API.
+// choice is one choice of a completionResponse. The response types follow the OpenAI API.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         *string  `json:"text,omitempty"`
@@ -234,35 +234,35 @@
 	Content string `json:"content"`
 }
 
-type answer struct {
-	ID      string         `json:"id"`
-	Object  string         `json:"object"`
-	Token   *int           `json:"token_index,omitempty"`
-	Choices []choice       `json:"choices"`
-	Usage   map[string]int `json:"usage,omitempty"`
+type completionResponse struct {
+	ID         string         `json:"id"`
+	Object     string         `json:"object"`
+	TokenIndex *int           `json:"token_index,omitempty"`
+	Choices    []choice       `json:"choices"`
+	Usage      map[string]int `json:"usage,omitempty"`
 }
 
-func tokenEvent(id string, index int, text string, chat bool) answer {
-	a := answer{ID: id, Token: &index}
-	if chat {
-		a.Object = "chat.completion.chunk"
-		a.Choices = []choice{{Delta: &message{Content: text}}}
-		return a
+func newChunkResponse(id string, index int, text string, isChat bool) completionResponse {
+	response := completionResponse{ID: id, TokenIndex: &index}
+	if isChat {
+		response.Object = "chat.completion.chunk"
+		response.Choices = []choice{{Delta: &message{Content: text}}}
+		return response
 	}
-	a.Object = "text_completion"
-	a.Choices = []choice{{Text: &text}}
-	return a
+	response.Object = "text_completion"
+	response.Choices = []choice{{Text: &text}}
+	return response
 }
 
-func wholeAnswer(id, text string, tokens int, chat bool) answer {
+func newWholeResponse(id, text string, tokenCount int, isChat bool) completionResponse {
 	stop := "stop"
-	a := answer{ID: id, Usage: map[string]int{"completion_tokens": tokens}}
-	if chat {
-		a.Object = "chat.completion"
-		a.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}
-		return a
+	response := completionResponse{ID: id, Usage: map[string]int{"completion_tokens": tokenCount}}
+	if isChat {
+		response.Object = "chat.completion"
+		response.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}
+		return response
 	}
-	a.Object = "text_completion"
-	a.Choices = []choice{{Text: &text, FinishReason: &stop}}
-	return a
+	response.Object = "text_completion"
+	response.Choices = []choice{{Text: &text, FinishReason: &stop}}
+	return response
 }
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,6 +1,5 @@
-// Package server serves the platform's stand-ins over HTTP: the log service
-// and the node list on one address, each node on an address of its own, and
-// the switches for faults beside the log.
+// Package server serves the simulations of package standin over HTTP. The log service, the node list
+// and the control of faults share one address. Each node has its own address.
 package server
 
 import (
@@ -19,60 +18,61 @@
 
 // Limits of the servers.
 const (
-	readLimit   = 1000
-	bodyLimit   = 64 << 20
-	stopTimeout = 2 * time.Second
+	maxRecordsPerRead = 1000
+	maxBodyBytes      = 64 << 20
+	stopTimeout       = 2 * time.Second
 )
 
-// Options describes the stand-ins to serve.
+// Options configures a Server.
 type Options struct {
-	// Host is the IP number to listen on.
+	// Host is the IP address to listen on.
 	Host string
-	// PlatformPort is the port of log and node list, zero for any free one.
+	// PlatformPort is the port of the log and the node list. Zero selects a free port.
 	PlatformPort int
 	Log          standin.LogOptions
 	Cluster      standin.ClusterOptions
 }
 
-// Server serves a log, a node list and a cluster.
+// Server serves a simulated log, node list and cluster over HTTP.
 type Server struct {
-	log     *standin.Log
-	cluster *standin.Cluster
-	address string
-	apps    []*fiber.App
-	serving conc.WaitGroup
-	done    chan struct{}
+	log        *standin.Log
+	cluster    *standin.Cluster
+	address    string
+	apps       []*fiber.App
+	serveGroup conc.WaitGroup
+	done       chan struct{}
 }
 
-// New starts serving what opts describes.
+// New creates a log and a cluster as configured in opts and starts serving them.
 func New(opts Options) (*Server, error) {
 	s := &Server{log: standin.NewLog(opts.Log), done: make(chan struct{})}
 	listeners := make(map[string]net.Listener)
-	if err := listenNodes(opts, listeners); err != nil {
+	if err := openNodeListeners(opts, listeners); err != nil {
 		return nil, err
 	}
 	opts.Cluster.Address = func(id string) string { return listeners[id].Addr().String() }
 	s.cluster = standin.NewCluster(opts.Cluster)
 	l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, strconv.Itoa(opts.PlatformPort)))
 	if err != nil {
-		closeAll(listeners)
+		closeListeners(listeners)
 		return nil, failure.At(failure.Unavailable, "listen for the platform", opts.Host, err)
 	}
 	s.address = l.Addr().String()
-	s.start(l, s.platformApp())
+	s.serve(l, s.newPlatformApp())
 	for _, n := range s.cluster.All() {
-		s.start(listeners[n.Listed().ID], nodeApp(n))
+		s.serve(listeners[n.Listed().ID], newNodeApp(n))
 	}
 	return s, nil
 }
 
-func listenNodes(opts Options, listeners map[string]net.Listener) error {
-	probe := opts.Cluster
-	probe.Address = nil
-	for _, n := range standin.NewCluster(probe).All() {
+// openNodeListeners opens a listener for each node and adds it to listeners under the node's ID.
+func openNodeListeners(opts Options, listeners map[string]net.Listener) error {
+	optionsWithoutAddresses := opts.Cluster
+	optionsWithoutAddresses.Address = nil
+	for _, n := range standin.NewCluster(optionsWithoutAddresses).All() {
 		l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, "0"))
 		if err != nil {
-			closeAll(listeners)
+			closeListeners(listeners)
 			return failure.At(failure.Unavailable, "listen for a node", opts.Host, err)
 		}
 		listeners[n.Listed().ID] = l
@@ -80,39 +80,39 @@
 	return nil
 }
 
-func closeAll(listeners map[string]net.Listener) {
+func closeListeners(listeners map[string]net.Listener) {
 	for _, l := range listeners {
-		// The process gives up anyway; an error here would hide the cause.
+		// The caller already returns another error, so errors of Close are ignored.
 		_ = l.Close()
 	}
 }
 
-// Address returns the IP:port of log and node list.
+// Address returns the IP:port of the log and the node list.
 func (s *Server) Address() string { return s.address }
 
-// Cluster returns the nodes that are served.
+// Cluster returns the cluster whose nodes are served.
 func (s *Server) Cluster() *standin.Cluster { return s.cluster }
 
 // Log returns the log that is served.
 func (s *Server) Log() *standin.Log { return s.log }
 
-// Done is closed when the server has stopped.
+// Done returns a channel that is closed when the server has stopped.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Stop ends all listeners and waits for the goroutines that serve them.
+// Stop shuts down all listeners and waits for the goroutines that serve them.
 func (s *Server) Stop() {
 	for _, app := range s.apps {
-		// A connection that outlives the time limit is cut, as wanted.
+		// Connections that are still open after stopTimeout are closed.
 		_ = app.ShutdownWithTimeout(stopTimeout)
 	}
-	s.serving.Wait()
+	s.serveGroup.Wait()
 	close(s.done)
 }
 
-func (s *Server) start(l net.Listener, app *fiber.App) {
+func (s *Server) serve(l net.Listener, app *fiber.App) {
 	s.apps = append(s.apps, app)
-	s.serving.Go(func() {
-		// Listener returns once the app is shut down.
+	s.serveGroup.Go(func() {
+		// Listener blocks until the app is shut down.
 		_ = app.Listener(l)
 	})
 }
@@ -120,9 +120,9 @@
 func newApp() *fiber.App {
 	return fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		// Names from the path are kept as keys, beyond the life of a request.
+		// Stream names from the path are stored as keys that outlive the request.
 		Immutable:      true,
-		BodyLimit:      bodyLimit,
+		BodyLimit:      maxBodyBytes,
 		ReadBufferSize: 16 << 10,
 		ErrorHandler: func(c *fiber.Ctx, err error) error {
 			code := fiber.StatusInternalServerError
@@ -138,7 +138,7 @@
 	Records []cluster.Record `json:"records"`
 }
 
-func (s *Server) platformApp() *fiber.App {
+func (s *Server) newPlatformApp() *fiber.App {
 	app := newApp()
 	app.Post("/log/:stream", s.postLog)
 	app.Get("/log/:stream", s.getLog)
@@ -157,7 +157,7 @@
 		s.log.SetFaults(faults)
 		return c.JSON(faults)
 	})
-	app.Post("/faults/nodes/:id/:fault", s.nodeFault)
+	app.Post("/faults/nodes/:id/:fault", s.postNodeFault)
 	app.Get("/stats", func(c *fiber.Ctx) error {
 		return c.JSON(fiber.Map{"appends": s.log.Appends()})
 	})
@@ -178,7 +178,7 @@
 
 func (s *Server) getLog(c *fiber.Ctx) error {
 	wait := time.Duration(c.QueryInt("wait_ms")) * time.Millisecond
-	limit := min(c.QueryInt("limit", readLimit), readLimit)
+	limit := min(c.QueryInt("limit", maxRecordsPerRead), maxRecordsPerRead)
 	batch, err := s.log.Read(c.Context(), c.Params("stream"), int64(c.QueryInt("from")), limit, wait)
 	if err != nil {
 		return err
@@ -186,7 +186,7 @@
 	return c.JSON(batch)
 }
 
-func (s *Server) nodeFault(c *fiber.Ctx) error {
+func (s *Server) postNodeFault(c *fiber.Ctx) error {
 	n, ok := s.cluster.Node(c.Params("id"))
 	if !ok {
 		return c.Status(fiber.StatusNotFound).JSON(fiber.Map{"error": "no such node"})
@@ -210,7 +210,7 @@
 	return c.JSON(n.Listed())
 }
 
-// withTimeout returns a context for one call to a node.
-func withTimeout() (context.Context, context.CancelFunc) {
+// newCallContext returns a context for one call to a node. Its timeout is one minute.
+func newCallContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), time.Minute)
 }
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// weightStep is how often the store's rate is shared out anew.
-const weightStep = 50 * time.Millisecond
+// deliveryInterval is the interval at which the store delivers data to a load.
+const deliveryInterval = 50 * time.Millisecond
 
-// WeightStore is a rate-limited store: its rate is shared evenly by those who
-// load at the same time.
+// WeightStore simulates a store of model weights with a limited rate. Concurrent loads share the rate
+// evenly.
 type WeightStore struct {
 	gbPerSecond float64
 
-	mu      sync.Mutex
-	loading int
+	mu          sync.Mutex
+	activeLoads int
 }
 
-// NewWeightStore returns a store that delivers gbPerSecond gigabytes a second in all.
+// NewWeightStore returns a store with a total rate of gbPerSecond gigabytes per second.
 func NewWeightStore(gbPerSecond float64) *WeightStore {
 	return &WeightStore{gbPerSecond: gbPerSecond}
 }
 
-// Load returns after size gigabytes have been delivered, or with an error when
-// ctx ends first.
-func (w *WeightStore) Load(ctx context.Context, size float64) error {
-	w.add(1)
-	defer w.add(-1)
-	ticker := time.NewTicker(weightStep)
+// Load waits until the store has delivered remainingGB gigabytes. It returns an error if ctx is done
+// first.
+func (w *WeightStore) Load(ctx context.Context, remainingGB float64) error {
+	w.addActiveLoads(1)
+	defer w.addActiveLoads(-1)
+	ticker := time.NewTicker(deliveryInterval)
 	defer ticker.Stop()
-	for size > 0 {
+	for remainingGB > 0 {
 		select {
 		case <-ticker.C:
-			size -= w.share() * weightStep.Seconds()
+			remainingGB -= w.ratePerLoad() * deliveryInterval.Seconds()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -41,14 +41,15 @@
 	return nil
 }
 
-func (w *WeightStore) add(n int) {
+func (w *WeightStore) addActiveLoads(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.loading += n
+	w.activeLoads += n
 }
 
-func (w *WeightStore) share() float64 {
+// ratePerLoad returns the rate of each active load in gigabytes per second.
+func (w *WeightStore) ratePerLoad() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gbPerSecond / float64(max(w.loading, 1))
+	return w.gbPerSecond / float64(max(w.activeLoads, 1))
 }
