--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -15,10 +15,10 @@
 	"quartzshelf.dev/standin"
 )
 
-// ask asks url for a streamed answer, reads it to its end, and returns the
-// time to the first byte of its body.
-func ask(url string) (time.Duration, error) {
-	body := fmt.Sprintf(`{"model":"chat","prompt":"prompt","stream":true,"max_tokens":%d}`, tokens)
+// timeStream requests a streamed answer from url, reads it to its end, and returns the time to the
+// first byte of its body.
+func timeStream(url string) (time.Duration, error) {
+	body := fmt.Sprintf(`{"model":"chat","prompt":"prompt","stream":true,"max_tokens":%d}`, tokenCount)
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -39,18 +39,17 @@
 	return first, err
 }
 
-// BenchmarkStream compares a streamed answer through the gateway with one that
-// comes straight from the endpoint, in the same run. The endpoint answers at
-// once, so what differs is the gateway's own work.
+// BenchmarkStream compares a streamed answer through the gateway with one straight from the
+// endpoint. The endpoint answers at once, so the difference is the gateway's own work.
 func BenchmarkStream(b *testing.B) {
 	h := newHarness(b)
-	h.onlyLive()
+	h.removeDownReplica()
 	for name, address := range map[string]string{"direct": h.endpoints[0].addr, "through the gateway": h.address} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			var sum time.Duration
 			for b.Loop() {
-				first, err := ask("http://" + address + "/v1/completions")
+				first, err := timeStream("http://" + address + "/v1/completions")
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -61,33 +60,32 @@
 	}
 }
 
-// onlyLive takes the address where nothing listens out of the catalog.
-func (h *harness) onlyLive() {
+// removeDownReplica removes the replica whose address nothing listens on from the catalog.
+func (h *harness) removeDownReplica() {
 	report := h.catalog.Reports()[0]
 	report.Replicas = report.Replicas[1:2]
 	report.Version++
 	h.catalog.Publish(report, time.Now().Add(time.Hour))
 }
 
-// BenchmarkToken measures what checking and passing on one token costs, without
-// the network.
+// BenchmarkToken measures the cost of checking and relaying one token, without the network.
 func BenchmarkToken(b *testing.B) {
 	var events bytes.Buffer
 	const count = 1000
 	for i := range count {
 		fmt.Fprintf(&events, "data: {\"id\":\"r\",\"object\":\"text_completion\",\"token_index\":%d,\"choices\":[{\"index\":0,\"text\":%q,\"finish_reason\":null}]}\n\n",
-			i, standin.Token(promptOf, i))
+			i, standin.Token(testPrompt, i))
 	}
 	out := bufio.NewWriter(io.Discard)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := 0; n < b.N; n += count {
-		s := &stream{
-			attempt: &attempt{target: &target{}}, id: "r", stall: time.NewTimer(stallTimeout),
+		s := &tokenReader{
+			attempt: &attempt{target: &target{}}, requestID: "r", stallTimer: time.NewTimer(stallTimeout),
 			reader: bufio.NewReader(bytes.NewReader(events.Bytes())),
 		}
 		for range count {
-			data, _, err := s.read()
+			data, _, err := s.readToken()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -108,7 +106,7 @@
 	h.catalog.Publish(report, time.Now().Add(time.Hour))
 	view := h.gateway.opts.Config()
 	deployment, _ := view.Deployment("chat")
-	choose := h.gateway.chooseReplica(&request{id: "r", account: view.Accounts()[0]}, deployment, promptOf)
+	choose := h.gateway.chooseReplica(&request{id: "r", account: view.Accounts()[0]}, deployment, testPrompt)
 	b.ReportAllocs()
 	for b.Loop() {
 		target, _ := choose(nil)
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -3,39 +3,39 @@
 import "sync"
 
 const (
-	// budgetPerRequest is how many retries each request adds to the budget.
-	budgetPerRequest = 0.1
-	// budgetMax bounds the retries saved up.
-	budgetMax = 100.0
-	// budgetStart lets a fresh daemon retry.
-	budgetStart = 20.0
+	// retriesPerRequest is the number of retries that each request adds to the budget.
+	retriesPerRequest = 0.1
+	// maxRetryBudget limits the retries that can accumulate.
+	maxRetryBudget = 100.0
+	// initialRetryBudget allows retries before the daemon has served any requests.
+	initialRetryBudget = 20.0
 )
 
-// budget bounds retries to a share of the requests, so that they cannot double
-// the load of a system that is already failing.
-type budget struct {
-	mu   sync.Mutex
-	left float64
+// retryBudget limits retries to a fraction of the requests, so that retries don't overload a system
+// that is already failing.
+type retryBudget struct {
+	mu        sync.Mutex
+	available float64
 }
 
-func newBudget() *budget {
-	return &budget{left: budgetStart}
+func newRetryBudget() *retryBudget {
+	return &retryBudget{available: initialRetryBudget}
 }
 
-// earn counts a request.
-func (b *budget) earn() {
+// addRequest adds the share of one request to the budget.
+func (b *retryBudget) addRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+budgetPerRequest, budgetMax)
+	b.available = min(b.available+retriesPerRequest, maxRetryBudget)
 }
 
-// take reports whether a retry is allowed and counts it.
-func (b *budget) take() bool {
+// takeRetry takes one retry from the budget and reports whether there was one left.
+func (b *retryBudget) takeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.left--
+	b.available--
 	return true
 }
--- a/gateway/complete.go
+++ b/gateway/complete.go
@@ -13,113 +13,116 @@
 	"quartzshelf.dev/intent"
 )
 
-// resumeField is the field of a request by which an engine is told the tokens
-// that the caller already has.
-const resumeField = "resume"
+// resumeTokensField is the request field that holds the tokens already delivered to the caller. An
+// engine continues after them.
+const resumeTokensField = "resume"
 
-// completeChat serves chat completions, completeText text completions.
-func (g *Gateway) completeChat(c *fiber.Ctx) error { return g.complete(c, true) }
+func (g *Gateway) handleChatCompletion(c *fiber.Ctx) error { return g.handleCompletion(c, true) }
 
-func (g *Gateway) completeText(c *fiber.Ctx) error { return g.complete(c, false) }
+func (g *Gateway) handleTextCompletion(c *fiber.Ctx) error { return g.handleCompletion(c, false) }
 
-func (g *Gateway) complete(c *fiber.Ctx, chat bool) error {
-	r, bad := g.newRequest(c)
-	if bad != nil {
-		return g.refuse(c, bad)
+func (g *Gateway) handleCompletion(c *fiber.Ctx, chat bool) error {
+	r, refused := g.newRequest(c)
+	if refused != nil {
+		return g.writeRefusal(c, refused)
 	}
 	c.Set(headerRequest, r.id)
-	parsed, bad := parseCompletion(r.body)
-	if bad != nil {
-		return g.refuse(c, bad)
+	parsed, refused := parseCompletion(r.body)
+	if refused != nil {
+		return g.writeRefusal(c, refused)
 	}
 	deployment, ok := g.opts.Config().Deployment(parsed.Model)
 	if !ok || !deployment.Allows(r.account) {
-		return g.refuse(c, refuse(reason.UnknownModel, "the model %q does not exist or is not open to this account", parsed.Model))
+		return g.writeRefusal(c, refuse(reason.UnknownModel, "the model %q does not exist or is not open to this account", parsed.Model))
 	}
-	if bad := parsed.check(chat); bad != nil {
-		return g.refuse(c, bad)
+	if refused := parsed.validate(chat); refused != nil {
+		return g.writeRefusal(c, refused)
 	}
 	r.repeatable = r.key == "" && r.header.Get(headerRepeatable) != valueNo
-	if bad := g.admit(r, deployment); bad != nil {
-		return g.refuse(c, bad)
+	if refused := g.admit(r, deployment); refused != nil {
+		return g.writeRefusal(c, refused)
 	}
-	g.budget.earn()
-	r.begin(c)
-	choose := g.chooseReplica(r, deployment, parsed.prompt())
-	return g.run(c, r, choose, parsed.Stream)
+	g.retryBudget.addRequest()
+	r.startContext(c)
+	choose := g.chooseReplica(r, deployment, parsed.routingPrompt())
+	return g.serveRequest(c, r, choose, parsed.Stream)
 }
 
-// run serves a request: at most once if it must not be repeated and has a key.
-func (g *Gateway) run(c *fiber.Ctx, r *request, choose chooser, streamed bool) error {
+// serveRequest sends the request to a target and relays the answer. A request that must not be
+// repeated and has an idempotency key first claims the key, so that it runs at most once.
+func (g *Gateway) serveRequest(c *fiber.Ctx, r *request, choose chooser, streamed bool) error {
 	if r.repeatable || r.key == "" {
-		return g.relay(c, r, choose, streamed, nil)
+		return g.relayAnswer(c, r, choose, streamed, nil)
 	}
-	claim, bad := g.claim(r)
-	if bad != nil {
+	claim, refused := g.claimKey(r)
+	if refused != nil {
 		r.cancel()
-		return g.refuse(c, bad)
+		return g.writeRefusal(c, refused)
 	}
 	if !claim.Won() {
 		r.cancel()
-		return g.answerClaimed(c, r, claim)
+		return g.answerDuplicate(c, r, claim)
 	}
-	return g.relay(c, r, choose, streamed, &claim)
+	return g.relayAnswer(c, r, choose, streamed, &claim)
 }
 
-// relay sends the request and passes the answer on.
-func (g *Gateway) relay(c *fiber.Ctx, r *request, choose chooser, streamed bool, claim *intent.Claim) error {
+// relayAnswer sends the request and relays the answer to the caller. The outcome is recorded under
+// claim, unless claim is nil.
+func (g *Gateway) relayAnswer(c *fiber.Ctx, r *request, choose chooser, streamed bool, claim *intent.Claim) error {
 	tried := make(map[string]bool)
 	maySend := func(now time.Time) bool { return claim == nil || claim.MaySend(now) }
-	a, bad := g.open(r, r.body, choose, tried, maySend)
-	if bad != nil {
+	a, refused := g.openAttempt(r, r.body, choose, tried, maySend)
+	if refused != nil {
 		r.cancel()
-		g.settle(claim, bad.ran, intent.Answer{})
-		return g.refuse(c, bad)
+		g.recordOutcome(claim, refused.ran, intent.Answer{})
+		return g.writeRefusal(c, refused)
 	}
 	c.Set(headerReplica, a.target.id)
 	if streamed && isEventStream(a.response) && a.response.StatusCode == http.StatusOK {
 		g.relayStream(c, r, a, choose, tried, claim)
 		return nil
 	}
-	return g.relayWhole(c, r, a, choose, tried, claim)
+	return g.relayBuffered(c, r, a, choose, tried, claim)
 }
 
-// relayWhole reads the whole answer before the caller gets any of it, so that
-// a broken one can be replaced.
-func (g *Gateway) relayWhole(c *fiber.Ctx, r *request, a *attempt, choose chooser, tried map[string]bool, claim *intent.Claim) error {
+// relayBuffered reads the whole answer before it sends any of it to the caller, so that the request
+// can be retried when the answer is incomplete.
+func (g *Gateway) relayBuffered(c *fiber.Ctx, r *request, a *attempt, choose chooser, tried map[string]bool, claim *intent.Claim) error {
 	defer r.cancel()
 	for {
 		body, err := readAll(a.response, a.target.address)
 		a.close()
 		if err == nil {
-			g.guard.Completed(r.guarded())
+			g.guard.Completed(r.guardRequest())
 			answer := intent.NewAnswer(a.response.StatusCode, a.response.Header.Get(fiber.HeaderContentType), body)
-			g.settle(claim, reason.RanYes, answer)
+			g.recordOutcome(claim, reason.RanYes, answer)
 			c.Set(headerReplica, a.target.id)
 			return writeAnswer(c, answer)
 		}
-		g.broke(r, a.target, err)
-		failed := failedSend(err)
-		var none *refusal
-		if a, none = g.again(r, r.body, failed, choose, tried); none != nil {
-			g.settle(claim, failed.ran, intent.Answer{})
-			return g.refuse(c, none)
+		g.reportBrokenAttempt(r, a.target, err)
+		failed := refusalFromError(err)
+		var refused *refusal
+		if a, refused = g.reopenAttempt(r, r.body, failed, choose, tried); refused != nil {
+			g.recordOutcome(claim, failed.ran, intent.Answer{})
+			return g.writeRefusal(c, refused)
 		}
 	}
 }
 
-// again opens another attempt after one that broke while it answered.
-func (g *Gateway) again(r *request, body []byte, failed *refusal, choose chooser, tried map[string]bool) (*attempt, *refusal) {
-	failed = r.truthful(failed)
-	if !r.repeatable || len(tried) >= maxTries || r.ctx.Err() != nil || !g.budget.take() {
+// reopenAttempt retries a request whose attempt failed while its answer was being read. It returns
+// a refusal if the request can't be retried.
+func (g *Gateway) reopenAttempt(r *request, body []byte, failed *refusal, choose chooser, tried map[string]bool) (*attempt, *refusal) {
+	failed = r.adjustRan(failed)
+	if !r.repeatable || len(tried) >= maxAttempts || r.ctx.Err() != nil || !g.retryBudget.takeRetry() {
 		return nil, failed
 	}
 	g.opts.Meter.Retry(reason.RetryBroken)
-	return g.open(r, body, choose, tried, func(time.Time) bool { return true })
+	return g.openAttempt(r, body, choose, tried, func(time.Time) bool { return true })
 }
 
-// settle tells the ledger how the request ended.
-func (g *Gateway) settle(claim *intent.Claim, ran reason.Ran, answer intent.Answer) {
+// recordOutcome records in the intent ledger whether the request ran. It does nothing for a nil
+// claim.
+func (g *Gateway) recordOutcome(claim *intent.Claim, ran reason.Ran, answer intent.Answer) {
 	if claim == nil {
 		return
 	}
@@ -127,7 +130,7 @@
 	case reason.RanYes:
 		g.opts.Ledger.Finish(*claim, answer)
 	case reason.RanNo:
-		ctx, cancel := g.detached()
+		ctx, cancel := g.detachedContext()
 		defer cancel()
 		g.opts.Ledger.Release(ctx, *claim)
 	default:
@@ -135,98 +138,100 @@
 	}
 }
 
-// relayStream passes the events on as they come, after the handler returned.
+// relayStream relays events as they arrive. The stream is written after the handler has returned.
 func (g *Gateway) relayStream(c *fiber.Ctx, r *request, a *attempt, choose chooser, tried map[string]bool, claim *intent.Claim) {
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Set(fiber.HeaderCacheControl, "no-cache")
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer r.cancel()
-		s := &relayedStream{g: g, r: r, w: w, choose: choose, tried: tried, claim: claim, last: r.start}
+		s := &streamRelay{g: g, r: r, w: w, choose: choose, tried: tried, claim: claim, lastTokenAt: r.start}
 		s.run(a)
 	})
 }
 
-// relayedStream is a stream on its way to a caller.
-type relayedStream struct {
+// streamRelay relays one streamed answer to a caller, over as many attempts as it takes.
+type streamRelay struct {
 	g      *Gateway
 	r      *request
 	w      *bufio.Writer
 	choose chooser
 	tried  map[string]bool
 	claim  *intent.Claim
-	// tokens are those that the caller has.
+	// tokens holds the tokens received so far; a retry resumes after them.
 	tokens []string
-	// copied is the answer as sent, kept for a second caller of the key.
-	copied []byte
-	last   time.Time
-	// gone tells that the caller does not take any more.
-	gone bool
+	// sentEvents is a copy of the events for later requests with the same key, of about
+	// maxStoredStreamBytes at most.
+	sentEvents  []byte
+	lastTokenAt time.Time
+	// callerGone is set once a write to the caller has failed.
+	callerGone bool
 }
 
-// run passes on the events of a, and of the attempts that resume it.
-func (s *relayedStream) run(a *attempt) {
+// run relays the events of a and of the attempts that resume it.
+func (s *streamRelay) run(a *attempt) {
 	for {
-		err := s.copy(a)
+		err := s.relayEvents(a)
 		if err == nil {
-			s.finish()
+			s.complete()
 			return
 		}
-		if s.gone && s.r.repeatable {
+		if s.callerGone && s.r.repeatable {
 			return
 		}
-		s.g.broke(s.r, a.target, err)
-		failed := failedSend(&sendError{sent: true, cause: err})
-		next, none := s.resume(failed)
-		if none != nil {
-			s.fail(none)
+		s.g.reportBrokenAttempt(s.r, a.target, err)
+		failed := refusalFromError(&sendError{maybeSent: true, cause: err})
+		next, refused := s.resume(failed)
+		if refused != nil {
+			s.fail(refused)
 			return
 		}
 		a = next
 	}
 }
 
-// copy passes on the events of one attempt until its proper end.
-func (s *relayedStream) copy(a *attempt) error {
-	in := newStream(a, s.r.id, len(s.tokens))
-	defer in.close()
+// relayEvents relays the events of one attempt. It returns nil at the end-of-stream marker.
+func (s *streamRelay) relayEvents(a *attempt) error {
+	events := newTokenReader(a, s.r.id, len(s.tokens))
+	defer events.close()
 	for {
-		data, token, err := in.read()
+		data, token, err := events.readToken()
 		if err != nil || data == nil {
 			return err
 		}
-		s.measure()
+		s.recordLatency()
 		s.tokens = append(s.tokens, token)
-		if err := s.write(data); err != nil && s.r.repeatable {
+		if err := s.writeEvent(data); err != nil && s.r.repeatable {
 			return err
 		}
 	}
 }
 
-func (s *relayedStream) measure() {
+func (s *streamRelay) recordLatency() {
 	if len(s.tokens) == 0 {
 		s.g.opts.Meter.FirstToken(s.r.start)
 	} else {
-		s.g.opts.Meter.NextToken(s.last)
+		s.g.opts.Meter.NextToken(s.lastTokenAt)
 	}
-	s.last = time.Now()
+	s.lastTokenAt = time.Now()
 }
 
-var errCallerGone = errors.New("the caller is gone")
+var errCallerGone = errors.New("the caller has disconnected")
 
-// write sends one event to the caller.
-func (s *relayedStream) write(data []byte) error {
-	if s.claim != nil && len(s.copied) < maxCopied {
-		s.copied = append(append(append(s.copied, dataPrefix...), data...), '\n', '\n')
+// writeEvent sends one event to the caller. It returns errCallerGone if the caller has
+// disconnected.
+func (s *streamRelay) writeEvent(data []byte) error {
+	if s.claim != nil && len(s.sentEvents) < maxStoredStreamBytes {
+		s.sentEvents = append(append(append(s.sentEvents, dataPrefix...), data...), '\n', '\n')
 	}
-	if s.gone {
+	if s.callerGone {
 		return errCallerGone
 	}
-	// Errors of the buffer show at Flush.
+	// bufio.Writer keeps the first error and returns it from Flush.
 	_, _ = s.w.Write(dataPrefix)
 	_, _ = s.w.Write(data)
 	_, _ = s.w.WriteString("\n\n")
 	if err := s.w.Flush(); err != nil {
-		s.gone = true
+		s.callerGone = true
 		if s.r.repeatable {
 			s.r.cancel()
 		}
@@ -235,15 +240,15 @@
 	return nil
 }
 
-// resume opens an attempt that goes on after the last token that the caller has.
-func (s *relayedStream) resume(failed *refusal) (*attempt, *refusal) {
-	body, err := withTokens(s.r.body, s.tokens)
+// resume opens another attempt that continues after the last token received.
+func (s *streamRelay) resume(failed *refusal) (*attempt, *refusal) {
+	body, err := withResumeTokens(s.r.body, s.tokens)
 	if err != nil {
 		return nil, failed
 	}
-	a, none := s.g.again(s.r, body, failed, s.choose, s.tried)
-	if none != nil {
-		return nil, none
+	a, refused := s.g.reopenAttempt(s.r, body, failed, s.choose, s.tried)
+	if refused != nil {
+		return nil, refused
 	}
 	if !isEventStream(a.response) || a.response.StatusCode != http.StatusOK {
 		a.close()
@@ -253,8 +258,8 @@
 	return a, nil
 }
 
-// withTokens returns the body with the tokens that the caller already has.
-func withTokens(body []byte, tokens []string) ([]byte, error) {
+// withResumeTokens returns the request body with the tokens already delivered in resumeTokensField.
+func withResumeTokens(body []byte, tokens []string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, err
@@ -263,22 +268,21 @@
 	if err != nil {
 		return nil, err
 	}
-	fields[resumeField] = encoded
+	fields[resumeTokensField] = encoded
 	return json.Marshal(fields)
 }
 
-// finish ends the stream properly.
-func (s *relayedStream) finish() {
-	s.g.guard.Completed(s.r.guarded())
-	_ = s.write(doneMark)
-	s.g.settle(s.claim, reason.RanYes, intent.NewAnswer(http.StatusOK, "text/event-stream", s.copied))
+// complete sends the end-of-stream marker and records the answer.
+func (s *streamRelay) complete() {
+	s.g.guard.Completed(s.r.guardRequest())
+	_ = s.writeEvent(doneMarker)
+	s.g.recordOutcome(s.claim, reason.RanYes, intent.NewAnswer(http.StatusOK, "text/event-stream", s.sentEvents))
 }
 
-// fail ends the stream with an event that says what became of the request. The
-// event that marks a whole answer is left out.
-func (s *relayedStream) fail(why *refusal) {
-	why.ran = reason.RanUnknown
-	s.g.opts.Meter.Refuse(why.reason)
-	s.g.settle(s.claim, reason.RanUnknown, intent.Answer{})
-	_ = s.write(why.body())
+// fail ends the stream with an error event and without the end-of-stream marker.
+func (s *streamRelay) fail(refused *refusal) {
+	refused.ran = reason.RanUnknown
+	s.g.opts.Meter.Refuse(refused.reason)
+	s.g.recordOutcome(s.claim, reason.RanUnknown, intent.Answer{})
+	_ = s.writeEvent(refused.body())
 }
--- a/gateway/completion.go
+++ b/gateway/completion.go
@@ -8,34 +8,33 @@
 	"quartzshelf.dev/common/reason"
 )
 
-// completionRequest is the part of a completion request that is read here. The
-// fields are those of the OpenAI API.
+// completionRequest holds the fields of an OpenAI API completion request that the gateway reads.
 type completionRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
 	Prompt    json.RawMessage `json:"prompt"`
 	Messages  json.RawMessage `json:"messages"`
 	MaxTokens *int            `json:"max_tokens"`
-	// MaxCompletionTokens is the newer name of MaxTokens.
+	// MaxCompletionTokens is the newer name of MaxTokens in the API.
 	MaxCompletionTokens *int `json:"max_completion_tokens"`
 }
 
-// chatMessage is one message of a chat. Its content is a text or a list of
-// parts; an assistant's message that calls tools has none.
+// chatMessage is one message of a chat. Its content is a string or a list of parts; an assistant
+// message with tool calls may have none.
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// prompt returns the text by which shared prefixes are found.
-func (r completionRequest) prompt() string {
+// routingPrompt returns the text whose prefix routing uses to find replicas with a warm cache.
+func (r completionRequest) routingPrompt() string {
 	if len(r.Messages) > 0 {
 		return string(r.Messages)
 	}
 	return string(r.Prompt)
 }
 
-// parseCompletion reads the body of a completion request.
+// parseCompletion decodes the body of a completion request and checks that it names a model.
 func parseCompletion(body []byte) (completionRequest, *refusal) {
 	var r completionRequest
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -47,21 +46,21 @@
 	return r, nil
 }
 
-// check refuses what no engine could answer; chat says that the request holds
-// messages rather than a prompt.
-func (r completionRequest) check(chat bool) *refusal {
-	for name, most := range map[string]*int{"max_tokens": r.MaxTokens, "max_completion_tokens": r.MaxCompletionTokens} {
-		if most != nil && *most < 1 {
-			return refuse(reason.BadRequest, "%s is %d, which is not above 0", name, *most)
+// validate refuses requests that no engine could answer. A chat request must have messages, any
+// other a prompt.
+func (r completionRequest) validate(chat bool) *refusal {
+	for name, limit := range map[string]*int{"max_tokens": r.MaxTokens, "max_completion_tokens": r.MaxCompletionTokens} {
+		if limit != nil && *limit < 1 {
+			return refuse(reason.BadRequest, "%s is %d, which is not above 0", name, *limit)
 		}
 	}
 	if chat {
-		return checkMessages(r.Messages)
+		return validateMessages(r.Messages)
 	}
-	return checkPrompt(r.Prompt)
+	return validatePrompt(r.Prompt)
 }
 
-func checkMessages(raw json.RawMessage) *refusal {
+func validateMessages(raw json.RawMessage) *refusal {
 	if len(raw) == 0 {
 		return refuse(reason.BadRequest, "the field messages is missing")
 	}
@@ -76,23 +75,23 @@
 		if m.Role == "" {
 			return refuse(reason.BadRequest, "messages[%d] has no role", i)
 		}
-		if !startsWith(m.Content, `"[n`) && !(len(m.Content) == 0 && m.Role == "assistant") {
+		if !startsWithAny(m.Content, `"[n`) && !(len(m.Content) == 0 && m.Role == "assistant") {
 			return refuse(reason.BadRequest, "messages[%d].content is neither a text nor a list of parts", i)
 		}
 	}
 	return nil
 }
 
-func checkPrompt(raw json.RawMessage) *refusal {
-	if !startsWith(raw, `"[`) {
+func validatePrompt(raw json.RawMessage) *refusal {
+	if !startsWithAny(raw, `"[`) {
 		return refuse(reason.BadRequest, "prompt is neither a text nor a list")
 	}
 	return nil
 }
 
-// startsWith reports whether valid JSON begins with one of some characters,
-// which tell its type.
-func startsWith(raw json.RawMessage, characters string) bool {
+// startsWithAny reports whether raw begins with one of the characters, after white space. The first
+// character of valid JSON tells its type.
+func startsWithAny(raw json.RawMessage, characters string) bool {
 	trimmed := bytes.TrimSpace(raw)
 	return len(trimmed) > 0 && strings.IndexByte(characters, trimmed[0]) >= 0
 }
--- a/gateway/decision.go
+++ b/gateway/decision.go
@@ -7,27 +7,27 @@
 	"quartzshelf.dev/routing"
 )
 
-// maxDecisions is how many decisions are kept for operators.
+// maxDecisions is the number of recent decisions kept for operators.
 const maxDecisions = 4096
 
-// Decision says why a request went to a replica, or to none. It is a message, hence its
-// exported fields.
+// Decision describes why a request was sent to a replica or refused. It is encoded as JSON in
+// answers to operators.
 type Decision struct {
 	Request    string    `json:"request"`
 	Account    string    `json:"account"`
 	Deployment string    `json:"deployment"`
 	Time       time.Time `json:"time"`
-	// Replica is where the request went, empty for one that was refused.
+	// Replica is the replica that the request was sent to; empty if the request was refused.
 	Replica string `json:"replica,omitempty"`
-	// Refused and Message say why it went nowhere.
+	// Refused and Message are the reason and the text of the refusal.
 	Refused reason.Reason `json:"refused,omitempty"`
 	Message string        `json:"message,omitempty"`
-	// Occupancy is that of the chosen replica, Least that of the least
-	// occupied one, both as shares of the slots.
+	// Occupancy is the occupancy of the chosen replica, Least that of the least occupied candidate.
+	// Both are fractions of the replica's slots.
 	Occupancy  float64 `json:"occupancy"`
 	Least      float64 `json:"least_occupancy"`
 	Candidates int     `json:"candidates"`
-	// PassedOver is what kept others from being chosen.
+	// PassedOver counts the excluded replicas or endpoints by reason.
 	PassedOver PassedOver `json:"passed_over,omitempty"`
 }
 
@@ -39,15 +39,14 @@
 	}
 }
 
-// refusedDecision is the decision about a request that went nowhere.
-func refusedDecision(r *request, deployment string, refused *refusal, passed PassedOver) Decision {
+func newRefusedDecision(r *request, deployment string, refused *refusal, passed PassedOver) Decision {
 	return Decision{
 		Request: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
 		Refused: refused.reason, Message: refused.message, PassedOver: passed,
 	}
 }
 
-// Decision returns the last decision about a request.
+// Decision returns the latest decision on the request with the given ID, if it is still kept.
 func (g *Gateway) Decision(request string) (Decision, bool) {
 	return g.decisions.Get(request)
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -16,42 +16,42 @@
 	"quartzshelf.dev/routing"
 )
 
-// target is a replica or a service's endpoint chosen for one attempt.
+// target is the replica or service endpoint chosen for one attempt.
 type target struct {
 	id         string
 	address    string
 	assignment string
-	// mayServe is asked right before sending.
+	// mayServe reports whether the target may still get the request. It is called right before
+	// sending.
 	mayServe func(now time.Time) bool
-	// finish ends the count of the attempt.
+	// finish removes the attempt from the in-flight count.
 	finish func()
-	// sentAt is when the attempt was sent.
 	sentAt time.Time
 }
 
-// sharedSource draws from the source that all goroutines share.
+// sharedSource is a rand.Source that uses the global generator of math/rand/v2.
 type sharedSource struct{}
 
 // Uint64 implements rand.Source.
 func (sharedSource) Uint64() uint64 { return rand.Uint64() }
 
-// random keeps no state of its own, so it is safe for concurrent use.
+// random is safe for concurrent use because its source is.
 var random = rand.New(sharedSource{})
 
-// chooser picks the next target, none of those tried before, or says why there
-// is none.
+// chooser selects the next target and skips those already tried. It returns a refusal if none is
+// left.
 type chooser func(tried map[string]bool) (*target, *refusal)
 
-// chooseReplica returns a chooser over the replicas of a deployment.
+// chooseReplica returns a chooser for the replicas of a deployment.
 func (g *Gateway) chooseReplica(r *request, d config.Deployment, prompt string) chooser {
 	prefix := routing.Prefix(r.account.Name(), prompt)
 	return func(tried map[string]bool) (*target, *refusal) {
-		allowed := r.allowed(d.AllowedRegions())
-		replicas, candidates, passed := g.candidates(d.Name(), allowed, tried)
-		g.countPassed(passed)
+		allowed := r.allowedRegions(d.AllowedRegions())
+		replicas, candidates, passed := g.findCandidates(d.Name(), allowed, tried)
+		g.countPassedOver(passed)
 		i := routing.Pick(candidates, prefix, random)
 		if i < 0 {
-			return nil, g.noReplica(r, d, passed)
+			return nil, g.refuseNoReplica(r, d, passed)
 		}
 		chosen := replicas[i]
 		g.decisions.Add(r.id, newDecision(r, d.Name(), candidates, i, passed))
@@ -67,10 +67,10 @@
 	}
 }
 
-// candidates returns the replicas that may take the request now, the same as the
-// picker sees them, and what kept the others out.
-func (g *Gateway) candidates(deployment string, allowed []config.Regions, tried map[string]bool) ([]*catalog.Replica, []routing.Candidate, PassedOver) {
-	judge := choice{view: g.opts.Config(), allowed: allowed, tried: tried, rests: g.rests, now: time.Now()}
+// findCandidates returns the replicas that may get the request now, the same replicas as routing
+// candidates (in the same order), and the reasons why others were excluded.
+func (g *Gateway) findCandidates(deployment string, allowed []config.Regions, tried map[string]bool) ([]*catalog.Replica, []routing.Candidate, PassedOver) {
+	filter := replicaFilter{view: g.opts.Config(), allowed: allowed, tried: tried, rests: g.rests, now: time.Now()}
 	all := g.opts.Catalog.Of(deployment)
 	replicas := make([]*catalog.Replica, 0, len(all))
 	candidates := make([]routing.Candidate, 0, len(all))
@@ -80,7 +80,7 @@
 		if !replica.Listed() {
 			continue
 		}
-		if why := judge.keptOut(replica); why != "" {
+		if why := filter.exclusionReason(replica); why != "" {
 			passed = passed.add(why)
 			continue
 		}
@@ -95,16 +95,17 @@
 	return replicas, candidates, passed
 }
 
-// admit decides early whether a request to a deployment is taken.
+// admit checks the account's rate limit and the load of the deployment before the request is sent.
+// It returns nil if the request is admitted.
 func (g *Gateway) admit(r *request, d config.Deployment) *refusal {
 	if ok, wait := g.opts.Limiter.Allow(r.account.Name(), r.account.RequestsPerSecond()); !ok {
 		return refuse(reason.AccountLimit, "client account %q is over its limit of %g requests a second",
-			r.account.Name(), r.account.RequestsPerSecond()).after(wait)
+			r.account.Name(), r.account.RequestsPerSecond()).withRetryAfter(wait)
 	}
-	_, candidates, passed := g.candidates(d.Name(), r.allowed(d.AllowedRegions()), nil)
+	_, candidates, passed := g.findCandidates(d.Name(), r.allowedRegions(d.AllowedRegions()), nil)
 	if len(candidates) == 0 {
-		g.countPassed(passed)
-		return g.noReplica(r, d, passed)
+		g.countPassedOver(passed)
+		return g.refuseNoReplica(r, d, passed)
 	}
 	own, active := g.inflight.Account(r.account.Name())
 	refused := admission.Decide(admission.Situation{
@@ -119,40 +120,40 @@
 	if refused == nil {
 		return nil
 	}
-	return refuse(refused.Reason(), "the replicas of %q are busy", d.Name()).after(refused.RetryAfter())
+	return refuse(refused.Reason(), "the replicas of %q are busy", d.Name()).withRetryAfter(refused.RetryAfter())
 }
 
-// attempt is an answer that has begun.
+// attempt is a request sent to one target whose answer has begun.
 type attempt struct {
 	target   *target
 	response *http.Response
-	// cancel cuts this attempt off and leaves the request itself alone.
+	// cancel aborts this attempt but not the request.
 	cancel context.CancelFunc
 }
 
-// close ends the attempt and its count.
+// close ends the attempt and removes it from the in-flight count.
 func (a *attempt) close() {
 	closeBody(a.response)
 	a.cancel()
 	a.target.finish()
 }
 
-// next chooses the next target of a request that is not quarantined.
-func (g *Gateway) next(r *request, choose chooser, tried map[string]bool) (*target, *refusal) {
-	if f := g.quarantined(r, time.Now()); f != nil {
+// nextTarget chooses the next target, unless the request is quarantined.
+func (g *Gateway) nextTarget(r *request, choose chooser, tried map[string]bool) (*target, *refusal) {
+	if f := g.checkQuarantine(r, time.Now()); f != nil {
 		return nil, f
 	}
 	return choose(tried)
 }
 
-// open sends the request to one target after the other until one begins to
-// answer. A request that must not be repeated goes on to another target only
-// when the one before certainly ran nothing.
-func (g *Gateway) open(r *request, body []byte, choose chooser, tried map[string]bool, maySend func(time.Time) bool) (*attempt, *refusal) {
+// openAttempt sends the request to one target after another until one begins to answer. A request
+// that must not be repeated is sent to another target only if the previous one certainly did not
+// run it.
+func (g *Gateway) openAttempt(r *request, body []byte, choose chooser, tried map[string]bool, maySend func(time.Time) bool) (*attempt, *refusal) {
 	for {
-		t, none := g.next(r, choose, tried)
-		if none != nil {
-			return nil, r.truthful(none)
+		t, refused := g.nextTarget(r, choose, tried)
+		if refused != nil {
+			return nil, r.adjustRan(refused)
 		}
 		tried[t.id] = true
 		now := time.Now()
@@ -162,30 +163,29 @@
 		}
 		if !maySend(now) {
 			t.finish()
-			return nil, r.truthful(refuse(reason.KeyExpired, "the claim of the key ran out before the request was sent"))
+			return nil, r.adjustRan(refuse(reason.KeyExpired, "the claim of the key ran out before the request was sent"))
 		}
 		t.sentAt = now
-		a, failed := g.try(r, body, t)
+		a, failed := g.sendAttempt(r, body, t)
 		if failed == nil {
 			return a, nil
 		}
 		t.finish()
 		ran := failed.ran
-		failed = r.truthful(failed)
+		failed = r.adjustRan(failed)
 		retry := retryReason(failed.reason, ran, r.repeatable)
-		if retry == "" || len(tried) >= maxTries || r.ctx.Err() != nil {
+		if retry == "" || len(tried) >= maxAttempts || r.ctx.Err() != nil {
 			return nil, failed
 		}
-		if !g.budget.take() {
+		if !g.retryBudget.takeRetry() {
 			return nil, refuse(reason.RetryBudget, "%s; the budget of retries is used up", failed.message).
-				withRan(failed.ran).after(retrySoon)
+				withRan(failed.ran).withRetryAfter(shortRetryAfter)
 		}
 		g.opts.Meter.Retry(retry)
 	}
 }
 
-// retryReason returns why a failed attempt may be sent again, or an empty
-// reason when it may not.
+// retryReason returns why a failed attempt may be retried, or an empty reason if it may not.
 func retryReason(why reason.Reason, ran reason.Ran, repeatable bool) reason.Reason {
 	switch {
 	case why == reason.EndpointUnreached:
@@ -199,46 +199,47 @@
 	}
 }
 
-// try sends the request to one target.
-func (g *Gateway) try(r *request, body []byte, t *target) (*attempt, *refusal) {
+// sendAttempt sends the request to one target.
+func (g *Gateway) sendAttempt(r *request, body []byte, t *target) (*attempt, *refusal) {
 	header := r.header.Clone()
 	header.Set(cluster.HeaderPriority, strconv.Itoa(r.priority))
 	if t.assignment != "" {
 		header.Set(cluster.HeaderAssignment, t.assignment)
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	response, err := g.upstream.send(ctx, call{
+	response, err := g.upstream.send(ctx, upstreamCall{
 		method: r.method, address: t.address, path: r.path, header: header,
-		body: body, repeatable: r.repeatable, id: r.id,
+		body: body, repeatable: r.repeatable, requestID: r.id,
 	})
 	if err != nil {
 		cancel()
-		failed := failedSend(err)
+		failed := refusalFromError(err)
 		if failed.ran != reason.RanNo {
-			g.broke(r, t, err)
+			g.reportBrokenAttempt(r, t, err)
 		}
 		return nil, failed
 	}
-	g.noteRest(t.id, response)
-	if notStarted(response) {
+	g.recordRest(t.id, response)
+	if refusedBeforeStart(response) {
 		closeBody(response)
 		cancel()
 		if response.StatusCode == http.StatusBadRequest {
 			return nil, refuse(reason.BadRequest, "%s refused the request as malformed", t.id)
 		}
-		return nil, refuse(reason.EndpointRefused, "%s refused the request before starting it", t.id).after(retrySoon)
+		return nil, refuse(reason.EndpointRefused, "%s refused the request before starting it", t.id).withRetryAfter(shortRetryAfter)
 	}
 	return &attempt{target: t, response: response, cancel: cancel}, nil
 }
 
-// failedSend turns an error of the upstream into a refusal.
-func failedSend(err error) *refusal {
-	var send *sendError
-	sent := !errors.As(err, &send) || send.sent
+// refusalFromError converts an error from upstream into a refusal that says whether the request may
+// have run.
+func refusalFromError(err error) *refusal {
+	var sendErr *sendError
+	maybeSent := !errors.As(err, &sendErr) || sendErr.maybeSent
 	switch {
-	case !sent:
-		return refuse(reason.EndpointUnreached, "%v", err).after(retrySoon)
-	case errors.Is(err, errMismatch):
+	case !maybeSent:
+		return refuse(reason.EndpointUnreached, "%v", err).withRetryAfter(shortRetryAfter)
+	case errors.Is(err, errWrongRequest):
 		return refuse(reason.EndpointCrossed, "%v", err).withRan(reason.RanUnknown)
 	case errors.Is(err, context.DeadlineExceeded):
 		return refuse(reason.EndpointTimeout, "%v", err).withRan(reason.RanUnknown)
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -13,15 +13,14 @@
 	"quartzshelf.dev/config"
 )
 
-// retryClosed is after how long callers are asked to come again when only closed data
-// halls could serve them: an opening is in force everywhere within 13 s
-// (docs/PROMISES.md), so that an earlier try is mostly in vain.
-const retryClosed = 15 * time.Second
+// closedHallRetryAfter is the Retry-After of a request that only closed data halls could serve. It
+// is longer than the time until all daemons know that a hall has opened.
+const closedHallRetryAfter = 15 * time.Second
 
-// PassedOver counts, by reason, the replicas or endpoints that a choice left out.
+// PassedOver counts, by reason, the replicas or endpoints excluded from a choice.
 type PassedOver map[reason.Reason]int
 
-// add counts one more; the first one makes the map.
+// add counts one more exclusion and allocates the map if necessary.
 func (p PassedOver) add(why reason.Reason) PassedOver {
 	if p == nil {
 		p = make(PassedOver)
@@ -30,7 +29,7 @@
 	return p
 }
 
-// String returns the counts as in "hall_closed=3 tried=1".
+// String formats the counts as in "hall_closed=3 tried=1".
 func (p PassedOver) String() string {
 	var all []string
 	for _, why := range slices.Sorted(maps.Keys(p)) {
@@ -39,39 +38,39 @@
 	return strings.Join(all, " ")
 }
 
-// allowed returns the regions that bind the request: those of the deployment or the
-// service, and those of its client account when it came.
-func (r *request) allowed(regions config.Regions) []config.Regions {
+// allowedRegions returns the region restrictions of the request: those of the deployment or
+// service, and those that its client account had when the request arrived.
+func (r *request) allowedRegions(regions config.Regions) []config.Regions {
 	return []config.Regions{regions, r.account.AllowedRegions()}
 }
 
-// choice is what replicas are judged by in one choice.
-type choice struct {
+// replicaFilter holds the criteria that replicas are checked against in one choice.
+type replicaFilter struct {
 	view    *config.View
 	allowed []config.Regions
 	tried   map[string]bool
 	rests   *backpressure.Rests
 	now     time.Time
-	// hall is the data hall looked at last and hallWhy what keeps it out: replicas of
-	// one hall mostly follow each other.
-	hall    string
-	hallWhy reason.Reason
-	looked  bool
+	// lastHall and lastHallReason cache the last call of hallExclusionReason, as replicas of one
+	// data hall are usually listed together.
+	lastHall       string
+	lastHallReason reason.Reason
+	hasLastHall    bool
 }
 
-// hallKeptOut returns why a data hall must not get the request, or an empty reason.
-func (c *choice) hallKeptOut(hall string) reason.Reason {
-	if !c.looked || c.hall != hall {
-		c.hall, c.hallWhy, c.looked = hall, c.view.KeptOut(hall, c.allowed...), true
+// hallExclusionReason returns why a data hall must not get the request, or an empty reason.
+func (c *replicaFilter) hallExclusionReason(hall string) reason.Reason {
+	if !c.hasLastHall || c.lastHall != hall {
+		c.lastHall, c.lastHallReason, c.hasLastHall = hall, c.view.KeptOut(hall, c.allowed...), true
 	}
-	return c.hallWhy
+	return c.lastHallReason
 }
 
-// keptOut returns why a replica that its owner lists as serving must not get the
-// request now, or an empty reason. The hall and the region come first: they hold
-// whatever else is wrong.
-func (c *choice) keptOut(r *catalog.Replica) reason.Reason {
-	switch why := c.hallKeptOut(r.DataHall()); {
+// exclusionReason returns why a replica that is reported as serving must not get the request now,
+// or an empty reason. The data hall and its region come first because they apply whatever the
+// replica's state.
+func (c *replicaFilter) exclusionReason(r *catalog.Replica) reason.Reason {
+	switch why := c.hallExclusionReason(r.DataHall()); {
 	case why != "":
 		return why
 	case len(c.tried) > 0 && c.tried[r.ID()]:
@@ -81,48 +80,47 @@
 	case r.Draining():
 		return reason.Leaving
 	case !r.MayServe(c.now):
-		// Nothing was heard from the leader of its domain for the serve window.
+		// The serve deadline has passed without a new report from the domain's leader.
 		return reason.Suspected
 	}
 	return ""
 }
 
-// countPassed counts a choice in which replicas or endpoints were passed over.
-func (g *Gateway) countPassed(passed PassedOver) {
+// countPassedOver updates the metrics: once for each reason in passed.
+func (g *Gateway) countPassedOver(passed PassedOver) {
 	for why := range passed {
 		g.opts.Meter.PassOver(why)
 	}
 }
 
-// noReplica refuses a request for which no replica of the deployment may be used, and
-// notes why.
-func (g *Gateway) noReplica(r *request, d config.Deployment, passed PassedOver) *refusal {
-	refused := g.refuseWithout(fmt.Sprintf("replica of %q", d.Name()), r.allowed(d.AllowedRegions()), passed)
-	g.decisions.Add(r.id, refusedDecision(r, d.Name(), refused, passed))
+// refuseNoReplica refuses a request for which no replica is eligible and records the decision.
+func (g *Gateway) refuseNoReplica(r *request, d config.Deployment, passed PassedOver) *refusal {
+	refused := g.refuseWithout(fmt.Sprintf("replica of %q", d.Name()), r.allowedRegions(d.AllowedRegions()), passed)
+	g.decisions.Add(r.id, newRefusedDecision(r, d.Name(), refused, passed))
 	return refused
 }
 
-// refuseWithout returns the refusal of a request for which nothing of the given kind
-// is left, with what kept out what would serve otherwise.
+// refuseWithout refuses a request for which no target is eligible. The message names the kind of
+// target in what.
 func (g *Gateway) refuseWithout(what string, allowed []config.Regions, passed PassedOver) *refusal {
-	why := g.causeOf(allowed, passed)
+	why := g.noTargetReason(allowed, passed)
 	switch {
 	case why == reason.HallClosed:
-		return refuse(why, "every %s that may serve is in a closed data hall", what).after(retryClosed)
+		return refuse(why, "every %s that may serve is in a closed data hall", what).withRetryAfter(closedHallRetryAfter)
 	case why == reason.RegionNotAllowed:
-		return refuse(why, "no %s serves in a region that is allowed", what).after(retryLater)
+		return refuse(why, "no %s serves in a region that is allowed", what).withRetryAfter(longRetryAfter)
 	case why == reason.Resting:
-		return refuse(why, "every %s wants no requests for a while", what).after(retryLater)
+		return refuse(why, "every %s wants no requests for a while", what).withRetryAfter(longRetryAfter)
 	case passed[reason.Tried] > 0:
-		return refuse(why, "no further %s serves", what).after(retrySoon)
+		return refuse(why, "no further %s serves", what).withRetryAfter(shortRetryAfter)
 	}
-	return refuse(why, "no %s serves at present", what).after(retryLater)
+	return refuse(why, "no %s serves at present", what).withRetryAfter(longRetryAfter)
 }
 
-// causeOf returns the reason of a refusal. Where none was kept out by its hall or
-// region, it still is the reason if it would hold in every hall: then nothing that is
-// formed or repaired could take the request either.
-func (g *Gateway) causeOf(allowed []config.Regions, passed PassedOver) reason.Reason {
+// noTargetReason returns the reason for a refusal without an eligible target. If no target was
+// excluded because of its data hall or region, this is still the reason when every known data hall
+// is excluded: a new or repaired replica could not take the request either.
+func (g *Gateway) noTargetReason(allowed []config.Regions, passed PassedOver) reason.Reason {
 	switch {
 	case passed[reason.Tried] > 0:
 		return reason.NoReplica
--- a/gateway/eligible_test.go
+++ b/gateway/eligible_test.go
@@ -21,35 +21,36 @@
 	"quartzshelf.dev/rpc"
 )
 
-// halls is a harness each of whose endpoints is a replica and a service's node in a
-// data hall of its own.
-type halls struct {
+// hallHarness is a harness with one data hall for each endpoint. Each endpoint is both a replica
+// and a service node.
+type hallHarness struct {
 	*harness
 	mu     sync.Mutex
 	offset int64
 	epochs []uint64
-	// late are the requests that came to a closed hall.
-	late []string
+	// requestsToClosedHalls holds the name of the data hall of each request that arrived in a
+	// closed one.
+	requestsToClosedHalls []string
 }
 
-func newHalls(t testing.TB) *halls {
+func newHallHarness(t testing.TB) *hallHarness {
 	t.Helper()
-	h := &halls{harness: newHarness(t), epochs: make([]uint64, 3)}
+	h := &hallHarness{harness: newHarness(t), epochs: make([]uint64, 3)}
 	h.catalog.Publish(&rpc.DomainReport{Domain: "fabric-1", Token: &rpc.Token{Epoch: 2}, Version: 1}, time.Now())
-	h.change("service ledger", config.KindService, "ledger", `{"nodeSelector":"quartzshelf/kind=service"}`)
+	h.putDocument("service ledger", config.KindService, "ledger", `{"nodeSelector":"quartzshelf/kind=service"}`)
 	for i, e := range h.endpoints {
-		h.lead(i)
+		h.publishNewLeader(i)
 		h.setHall(i, false)
-		e.arrived = func() { h.checkOpen(i) }
+		e.onRequest = func() { h.recordIfClosed(i) }
 	}
 	return h
 }
 
 func hallName(i int) string { return fmt.Sprint("hall-", i) }
 
-// lead publishes the report of a new leader of the hall's domain, under whom the
-// replica has a new generation.
-func (h *halls) lead(i int) {
+// publishNewLeader publishes a report by a new leader of the data hall's domain, which gives the
+// replica a new generation.
+func (h *hallHarness) publishNewLeader(i int) {
 	h.epochs[i]++
 	address := h.endpoints[i].addr
 	h.catalog.Publish(&rpc.DomainReport{
@@ -62,8 +63,8 @@
 	}, time.Now().Add(time.Hour))
 }
 
-// change puts a document over the one in force.
-func (h *halls) change(id string, kind config.Kind, name, spec string) string {
+// putDocument replaces a document and returns the problem of the change, if any.
+func (h *hallHarness) putDocument(id string, kind config.Kind, name, spec string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	object, _ := h.state.View().Object(config.Key{Kind: kind, Name: name})
@@ -81,33 +82,33 @@
 	return history[len(history)-1].Problem
 }
 
-// setHall closes or opens a hall. Halls 0 and 1 lie in the south, hall 2 in the north.
-func (h *halls) setHall(i int, closed bool) {
+// setHall closes or opens a data hall. Halls 0 and 1 are in region south, hall 2 in north.
+func (h *hallHarness) setHall(i int, closed bool) {
 	region := "south"
 	if i == 2 {
 		region = "north"
 	}
-	problem := h.change("hall", config.KindDataHall, hallName(i), fmt.Sprintf(`{"region":%q,"closed":%v}`, region, closed))
+	problem := h.putDocument("hall", config.KindDataHall, hallName(i), fmt.Sprintf(`{"region":%q,"closed":%v}`, region, closed))
 	if problem != "" {
 		panic(problem)
 	}
 }
 
-func (h *halls) isClosed(i int) bool { return h.state.View().Hall(hallName(i)).Closed() }
+func (h *hallHarness) isClosed(i int) bool { return h.state.View().Hall(hallName(i)).Closed() }
 
-// checkOpen notes a request that came to a closed hall.
-func (h *halls) checkOpen(i int) {
+// recordIfClosed records a request that arrived in a closed data hall.
+func (h *hallHarness) recordIfClosed(i int) {
 	if h.isClosed(i) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.late = append(h.late, hallName(i))
+		h.requestsToClosedHalls = append(h.requestsToClosedHalls, hallName(i))
 	}
 }
 
-// call sends a completion, or a call to the service, which may be repeated.
-func (h *halls) call(service, streamed bool) (outcome, error) {
+// send sends a completion request or a repeatable service call.
+func (h *hallHarness) send(service, streamed bool) (outcome, error) {
 	if !service {
-		return h.post(fmt.Sprintf(`{"model":"chat","prompt":%q,"stream":%v}`, promptOf, streamed), nil)
+		return h.post(fmt.Sprintf(`{"model":"chat","prompt":%q,"stream":%v}`, testPrompt, streamed), nil)
 	}
 	request, err := http.NewRequest(http.MethodPut, "http://"+h.address+"/services/ledger/x", strings.NewReader("{}"))
 	if err != nil {
@@ -123,17 +124,16 @@
 	return outcome{status: response.StatusCode, body: data, header: response.Header}, err
 }
 
-// TestClosedHallGetsNoRequest draws closings, openings, new leaders, and requests
-// whose endpoints break, some of which close a hall while they run. Nothing may come
-// to a hall after it was closed: no request, no retry, no resumed stream, no call of a
-// service. What was running there ends; with all halls closed the refusal says so.
+// TestClosedHallGetsNoRequest checks that no request, retry, resumed stream or service call is sent
+// to a closed data hall, that requests already running there finish, and that requests are refused
+// with the right reason while all halls are closed.
 func TestClosedHallGetsNoRequest(t *testing.T) {
-	h := newHalls(t)
+	h := newHallHarness(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		for i := range h.endpoints {
 			h.setHall(i, false)
 		}
-		h.late, h.gateway.budget.left = nil, budgetMax
+		h.requestsToClosedHalls, h.gateway.retryBudget.available = nil, maxRetryBudget
 		for range rapid.IntRange(1, 8).Draw(rt, "steps") {
 			i := rapid.SampledFrom([]int{0, 1, 2}).Draw(rt, "hall")
 			switch rapid.SampledFrom([]string{"close", "open", "lead", "request", "request"}).Draw(rt, "step") {
@@ -142,66 +142,66 @@
 			case "open":
 				h.setHall(i, false)
 			case "lead":
-				h.lead(i)
+				h.publishNewLeader(i)
 			case "request":
-				h.drawRequest(rt, i)
+				h.sendDrawnRequest(rt, i)
 			}
 		}
 	})
 }
 
-// drawRequest sends a request during whose first run the hall with the given index may
-// close.
-func (h *halls) drawRequest(rt *rapid.T, closing int) {
+// sendDrawnRequest sends a request to endpoints with random behaviour. The data hall with the given
+// index may close while the request runs for the first time.
+func (h *hallHarness) sendDrawnRequest(rt *rapid.T, closing int) {
 	var once sync.Once
 	closesMeanwhile := rapid.Bool().Draw(rt, "closes meanwhile")
 	for i, e := range h.endpoints {
-		e.follow(rapid.SliceOfN(rapid.SampledFrom([]behaviour{answers, refuses, cuts, resets}), 2, 2).Draw(rt, "script"))
-		e.arrived = func() {
-			h.checkOpen(i)
+		e.setScript(rapid.SliceOfN(rapid.SampledFrom([]behaviour{answers, refuses, truncates, resets}), 2, 2).Draw(rt, "script"))
+		e.onRequest = func() {
+			h.recordIfClosed(i)
 			if closesMeanwhile {
 				once.Do(func() { h.setHall(closing, true) })
 			}
 		}
 	}
 	allClosed := h.isClosed(0) && h.isClosed(1) && h.isClosed(2)
-	got, err := h.call(rapid.Bool().Draw(rt, "service"), rapid.Bool().Draw(rt, "streamed"))
+	got, err := h.send(rapid.Bool().Draw(rt, "service"), rapid.Bool().Draw(rt, "streamed"))
 	if err != nil {
-		rt.Fatalf("the gateway gave no answer: %v", err)
+		rt.Fatalf("the gateway did not answer: %v", err)
 	}
-	h.judgeClosed(rt, got, allClosed)
+	h.checkOutcome(rt, got, allClosed)
 }
 
-// judgeClosed checks what came to the endpoints, and what the caller was told.
-func (h *halls) judgeClosed(rt *rapid.T, got outcome, allClosed bool) {
-	if len(h.late) > 0 {
-		rt.Fatalf("a request came to closed halls: %v", h.late)
+// checkOutcome checks the requests that arrived at the endpoints and the answer to the caller.
+func (h *hallHarness) checkOutcome(rt *rapid.T, got outcome, allClosed bool) {
+	if len(h.requestsToClosedHalls) > 0 {
+		rt.Fatalf("requests arrived in closed data halls: %v", h.requestsToClosedHalls)
 	}
-	ran, why := got.problem()
+	ran, why := got.refusal()
 	if allClosed && (why != reason.HallClosed || ran != reason.RanNo || got.header.Get("Retry-After") == "") {
-		rt.Fatalf("with all halls closed: %s, ran %s, header %v", why, ran, got.header)
+		rt.Fatalf("wrong refusal with all data halls closed: %s, ran %s, header %v", why, ran, got.header)
 	}
-	if ran == reason.RanNo && h.ran() > 0 {
-		rt.Fatalf("said not run (%s), but %d endpoints ran it", why, h.ran())
+	if ran == reason.RanNo && h.runCount() > 0 {
+		rt.Fatalf("reported as not run (%s), but %d endpoints ran it", why, h.runCount())
 	}
 }
 
-// TestRunningRequestEndsInAClosedHall closes the only open hall while a stream runs
-// there.
-func TestRunningRequestEndsInAClosedHall(t *testing.T) {
-	h := newHalls(t)
+// TestRunningRequestFinishesInClosedHall closes the only open data hall while a stream runs there.
+func TestRunningRequestFinishesInClosedHall(t *testing.T) {
+	h := newHallHarness(t)
 	h.setHall(1, true)
 	h.setHall(2, true)
-	h.endpoints[0].arrived = func() { h.setHall(0, true) }
-	got, err := h.call(false, true)
+	h.endpoints[0].onRequest = func() { h.setHall(0, true) }
+	got, err := h.send(false, true)
 	assert.NilError(t, err)
 	text, whole := streamText(got.body)
 	assert.Assert(t, whole)
 	assert.Equal(t, text, wantText())
 }
 
-// TestKeptOutRequests sends requests of which some or all replicas are kept out.
-func TestKeptOutRequests(t *testing.T) {
+// TestExcludedReplicas checks which replicas get requests, and the reason of the refusal, when data
+// halls are closed or regions restricted.
+func TestExcludedReplicas(t *testing.T) {
 	deployment := func(regions string) string {
 		return `{"modelSelector":"family=m","nodesPerReplica":4` + regions + `}`
 	}
@@ -212,7 +212,8 @@
 	cases := map[string]struct {
 		closed              []int
 		deployment, account string
-		// want is the reason of the refusal, runs where the request may run otherwise.
+		// want is the reason of the refusal. If it is empty, runs holds the replicas that get
+		// requests.
 		want reason.Reason
 		runs []int
 	}{
@@ -228,30 +229,31 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			h := newHalls(t)
+			h := newHallHarness(t)
 			for _, i := range c.closed {
 				h.setHall(i, true)
 			}
-			assert.Equal(t, h.change("d", config.KindDeployment, "chat", deployment(c.deployment)), "")
-			assert.Equal(t, h.change("a", config.KindAccount, "demo", account(c.account)), "")
-			// Prompts have homes of their own, so that many of them reach every replica.
+			assert.Equal(t, h.putDocument("d", config.KindDeployment, "chat", deployment(c.deployment)), "")
+			assert.Equal(t, h.putDocument("a", config.KindAccount, "demo", account(c.account)), "")
+			// Routing prefers a replica by prompt, so several prompts are needed to reach every
+			// replica.
 			for prompt := range 24 {
-				h.ask(t, prompt, c.want)
+				h.checkRequest(t, prompt, c.want)
 			}
 			for i, e := range h.endpoints {
-				assert.Equal(t, e.ran() > 0, slices.Contains(c.runs, i), "endpoint %d ran %d", i, e.ran())
+				assert.Equal(t, e.runCount() > 0, slices.Contains(c.runs, i), "endpoint %d ran %d", i, e.runCount())
 			}
 		})
 	}
 }
 
-// ask sends one request and checks that it is refused for the reason, or not at all
-// for an empty one.
-func (h *halls) ask(t *testing.T, prompt int, want reason.Reason) {
+// checkRequest sends one request and checks that it is refused for the given reason, or served if
+// the reason is empty.
+func (h *hallHarness) checkRequest(t *testing.T, prompt int, want reason.Reason) {
 	t.Helper()
 	got, err := h.post(fmt.Sprintf(`{"model":"chat","prompt":"prompt %d"}`, prompt), nil)
 	assert.NilError(t, err)
-	ran, why := got.problem()
+	ran, why := got.refusal()
 	assert.Equal(t, why, want, string(got.body))
 	if want == "" {
 		return
@@ -263,14 +265,14 @@
 	assert.Equal(t, decision.Refused, want)
 }
 
-// TestDecisionTellsWhatWasPassedOver serves a request while one hall is closed and one
-// lies in a region that is not allowed: explain and the metrics tell.
-func TestDecisionTellsWhatWasPassedOver(t *testing.T) {
-	h := newHalls(t)
+// TestDecisionCountsPassedOver checks that the decision and the metrics count replicas in a closed
+// data hall and in a region that is not allowed.
+func TestDecisionCountsPassedOver(t *testing.T) {
+	h := newHallHarness(t)
 	h.setHall(0, true)
 	account := `{"keyHashes":["` + config.HashKey("demo-key") + `"],"allowedRegions":["south"]}`
-	assert.Equal(t, h.change("a", config.KindAccount, "demo", account), "")
-	got, err := h.call(false, false)
+	assert.Equal(t, h.putDocument("a", config.KindAccount, "demo", account), "")
+	got, err := h.send(false, false)
 	assert.NilError(t, err)
 	assert.Equal(t, got.status, http.StatusOK)
 	decision, ok := h.gateway.Decision(got.header.Get(headerRequest))
@@ -285,10 +287,10 @@
 	}
 }
 
-// TestClosingBetweenChoiceAndSending closes a hall when the target is chosen and not
-// yet sent to.
+// TestClosingBetweenChoiceAndSending closes a data hall after a target in it has been chosen and
+// before the request is sent.
 func TestClosingBetweenChoiceAndSending(t *testing.T) {
-	h := newHalls(t)
+	h := newHallHarness(t)
 	h.setHall(1, true)
 	h.setHall(2, true)
 	deployment, ok := h.state.View().Deployment("chat")
@@ -297,7 +299,7 @@
 	assert.Assert(t, ok)
 	r := &request{id: "r", account: h.state.View().Accounts()[0]}
 	for name, choose := range map[string]chooser{
-		"replica":  h.gateway.chooseReplica(r, deployment, promptOf),
+		"replica":  h.gateway.chooseReplica(r, deployment, testPrompt),
 		"endpoint": h.gateway.chooseEndpoint(r, service),
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,33 +22,31 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// Limits of the gateway.
 const (
-	// requestTimeout is when a request is given up after it came.
+	// requestTimeout limits the time from the arrival of a request to the end of its answer.
 	requestTimeout = 10 * time.Minute
-	// maxTries is how many targets one request may be sent to.
-	maxTries = 4
-	// retrySoon and retryLater are the times after which callers are asked to
-	// come again.
-	retrySoon  = time.Second
-	retryLater = 3 * time.Second
-	// readBuffer bounds the header of a request, in bytes.
-	readBuffer  = 16 << 10
-	idleCallers = 2 * time.Minute
-	// bodySlack is by how many times a body may exceed the limit and still be
-	// read to its end, so that its sender gets the answer that says so.
-	bodySlack = 2
-	// DefaultMaxBody bounds the body of a request, in bytes.
+	// maxAttempts is the maximum number of targets that one request is sent to.
+	maxAttempts = 4
+	// shortRetryAfter and longRetryAfter are Retry-After values of refusals.
+	shortRetryAfter = time.Second
+	longRetryAfter  = 3 * time.Second
+	// maxHeaderBytes limits the size of request headers.
+	maxHeaderBytes    = 16 << 10
+	callerIdleTimeout = 2 * time.Minute
+	// bodyReadFactor times the maximum body size is still read, so that senders of larger bodies
+	// get an answer that says so.
+	bodyReadFactor = 2
+	// DefaultMaxBody is the default limit of a request body, in bytes.
 	DefaultMaxBody = 8 << 20
 )
 
-// Closed says why no request is taken at present.
+// Closed tells why the daemon accepts no requests at present.
 type Closed struct {
 	Reason  reason.Reason
 	Message string
 }
 
-// Entry is an address that callers may use.
+// Entry is the address of a daemon that accepts requests from callers.
 type Entry struct {
 	Address  string `json:"address"`
 	DataHall string `json:"data_hall"`
@@ -61,39 +59,39 @@
 	Ledger  *intent.Ledger
 	Limiter *admission.Limiter
 	Meter   *telemetry.Meter
-	// Gate returns nil while requests are taken.
+	// Gate returns nil while the daemon accepts requests, and otherwise the reason.
 	Gate func() *Closed
-	// Leaving reports whether this daemon has begun a planned stop: answers then
-	// ask callers to close their connections.
+	// Leaving reports whether this daemon has begun a planned shutdown. Answers then tell callers
+	// to close their connections.
 	Leaving func() bool
-	// Entries returns the addresses to use.
+	// Entries returns the daemon addresses that callers should use.
 	Entries func() []Entry
-	// KeepEntriesUntil returns until when an answer given now may be kept.
+	// KeepEntriesUntil returns until when callers may cache an entry list sent now.
 	KeepEntriesUntil func(now time.Time) time.Time
-	// Daemons returns how many daemons share the load.
+	// Daemons returns the number of daemons that share the load.
 	Daemons func() int
 	NewID   func() string
 	MaxBody int
-	// Logger tells of requests that end workers; nil for nobody.
+	// Logger logs quarantined requests and rest periods of endpoints; nil disables logging.
 	Logger hclog.Logger
 }
 
-// Gateway serves callers.
+// Gateway serves the HTTP API for callers.
 type Gateway struct {
-	opts     Options
-	app      *fiber.App
-	upstream *upstream
-	inflight *routing.Inflight
-	budget   *budget
-	guard    *guard.Guard
-	// rests holds the endpoints that want nothing from this daemon for a while.
+	opts        Options
+	app         *fiber.App
+	upstream    *upstream
+	inflight    *routing.Inflight
+	retryBudget *retryBudget
+	guard       *guard.Guard
+	// rests holds the endpoints that have asked for no requests until a given time.
 	rests *backpressure.Rests
-	// decisions holds why the newest requests went where they did.
+	// decisions holds the most recent routing decisions by request ID.
 	decisions *lru.Cache[string, Decision]
 	done      chan struct{}
 }
 
-// New returns a gateway; Serve makes it work.
+// New returns a gateway. Call Serve to accept requests.
 func New(opts Options) *Gateway {
 	if opts.MaxBody == 0 {
 		opts.MaxBody = DefaultMaxBody
@@ -103,30 +101,30 @@
 	}
 	g := &Gateway{
 		opts: opts, upstream: newUpstream(), inflight: routing.NewInflight(),
-		budget: newBudget(), rests: backpressure.NewRests(), done: make(chan struct{}),
+		retryBudget: newRetryBudget(), rests: backpressure.NewRests(), done: make(chan struct{}),
 	}
 	g.guard = guard.New(guard.Options{Dial: (&net.Dialer{Timeout: dialTimeout}).DialContext, Meter: opts.Meter, Logger: opts.Logger})
-	// New fails only for a size below one.
+	// lru.New fails only for sizes below 1.
 	g.decisions, _ = lru.New[string, Decision](maxDecisions)
 	g.app = g.routes()
 	return g
 }
 
-// Inflight returns the count of requests in flight.
+// Inflight returns the counter of requests in flight.
 func (g *Gateway) Inflight() *routing.Inflight { return g.inflight }
 
-// Done is closed when Serve has returned.
+// Done returns a channel that is closed when Serve has returned.
 func (g *Gateway) Done() <-chan struct{} { return g.done }
 
-// Serve serves callers on l until Stop is called.
+// Serve accepts requests on l until Stop is called.
 func (g *Gateway) Serve(l net.Listener) error {
 	defer close(g.done)
 	err := g.app.Listener(l)
 	return failure.At(failure.Unavailable, "serve callers", l.Addr().String(), err)
 }
 
-// Stop ends the listener, waits until limit for requests in flight, and closes
-// the rest.
+// Stop closes the listener, waits up to limit for requests in flight, and closes the remaining
+// connections.
 func (g *Gateway) Stop(limit time.Duration) error {
 	defer g.guard.Wait()
 	defer g.upstream.close()
@@ -136,9 +134,9 @@
 func (g *Gateway) routes() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		BodyLimit:             bodySlack * g.opts.MaxBody,
-		ReadBufferSize:        readBuffer,
-		IdleTimeout:           idleCallers,
+		BodyLimit:             bodyReadFactor * g.opts.MaxBody,
+		ReadBufferSize:        maxHeaderBytes,
+		IdleTimeout:           callerIdleTimeout,
 		ErrorHandler:          g.handleError,
 		UnescapePath:          false,
 	})
@@ -148,41 +146,41 @@
 		}
 		return c.Next()
 	})
-	app.Post("/v1/chat/completions", g.completeChat)
-	app.Post("/v1/completions", g.completeText)
-	app.Get("/v1/models", g.models)
-	app.Get("/v1/entries", g.entries)
+	app.Post("/v1/chat/completions", g.handleChatCompletion)
+	app.Post("/v1/completions", g.handleTextCompletion)
+	app.Get("/v1/models", g.listModels)
+	app.Get("/v1/entries", g.listEntries)
 	for path, method := range map[string]string{
 		"/v1/chat/completions": http.MethodPost, "/v1/completions": http.MethodPost,
 		"/v1/models": http.MethodGet, "/v1/entries": http.MethodGet,
 	} {
-		app.All(path, func(c *fiber.Ctx) error { return g.wrongMethod(c, method) })
+		app.All(path, func(c *fiber.Ctx) error { return g.refuseMethod(c, method) })
 	}
-	app.All("/services/:name", g.callService)
-	app.All("/services/:name/*", g.callService)
+	app.All("/services/:name", g.handleServiceCall)
+	app.All("/services/:name/*", g.handleServiceCall)
 	app.Use(func(c *fiber.Ctx) error {
-		return g.refuse(c, refuse(reason.NotFound, "there is nothing at %s %s", c.Method(), c.Path()))
+		return g.writeRefusal(c, refuse(reason.NotFound, "there is nothing at %s %s", c.Method(), c.Path()))
 	})
 	return app
 }
 
-// wrongMethod refuses a request that has another method than its path takes.
-func (g *Gateway) wrongMethod(c *fiber.Ctx, method string) error {
+// refuseMethod answers 405 with an Allow header.
+func (g *Gateway) refuseMethod(c *fiber.Ctx, method string) error {
 	c.Set(fiber.HeaderAllow, method)
-	return g.refuse(c, refuse(reason.WrongMethod, "%s takes %s, not %s", c.Path(), method, c.Method()))
+	return g.writeRefusal(c, refuse(reason.WrongMethod, "%s takes %s, not %s", c.Path(), method, c.Method()))
 }
 
-// handleError answers errors of the HTTP library.
+// handleError answers requests that the HTTP library has rejected.
 func (g *Gateway) handleError(c *fiber.Ctx, err error) error {
 	var f *fiber.Error
 	if errors.As(err, &f) && f.Code == fiber.StatusRequestEntityTooLarge {
-		return g.refuse(c, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBody))
+		return g.writeRefusal(c, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBody))
 	}
-	return g.refuse(c, refuse(reason.BadRequest, "%v", err))
+	return g.writeRefusal(c, refuse(reason.BadRequest, "%v", err))
 }
 
-// refuse counts a refusal and answers with it.
-func (g *Gateway) refuse(c *fiber.Ctx, r *refusal) error {
+// writeRefusal counts a refusal in the metrics and sends it as the answer.
+func (g *Gateway) writeRefusal(c *fiber.Ctx, r *refusal) error {
 	g.opts.Meter.Refuse(r.reason)
 	return r.write(c)
 }
@@ -199,11 +197,11 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the deployments that the caller may use.
-func (g *Gateway) models(c *fiber.Ctx) error {
-	account, bad := g.authenticate(c)
-	if bad != nil {
-		return g.refuse(c, bad)
+// listModels lists the deployments that the caller may use.
+func (g *Gateway) listModels(c *fiber.Ctx) error {
+	account, refused := g.authenticate(c)
+	if refused != nil {
+		return g.writeRefusal(c, refused)
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for _, d := range g.opts.Config().Deployments() {
@@ -214,15 +212,15 @@
 	return c.JSON(list)
 }
 
-// entryList is the answer that says which addresses to use.
+// entryList is the answer to a request for daemon addresses.
 type entryList struct {
 	Entries []Entry `json:"entries"`
-	// KeepSeconds is for how long the answer may be kept.
+	// KeepSeconds tells for how long the caller may cache the list.
 	KeepSeconds float64 `json:"keep_seconds"`
 }
 
-// entries lists the addresses that callers may use.
-func (g *Gateway) entries(c *fiber.Ctx) error {
+// listEntries answers with the daemon addresses that callers should use.
+func (g *Gateway) listEntries(c *fiber.Ctx) error {
 	now := time.Now()
 	return c.JSON(entryList{
 		Entries:     g.opts.Entries(),
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -33,36 +33,36 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// behaviour is what a fake endpoint does with a request.
+// behaviour is how a fake endpoint handles a request.
 type behaviour string
 
 const (
-	answers  behaviour = "answers"
-	refuses  behaviour = "refuses before the start"
-	rests    behaviour = "refuses before the start and asks for rest"
-	cuts     behaviour = "runs and cuts off its answer"
-	resets   behaviour = "runs and cuts the connection"
-	crosses  behaviour = "runs and answers for another request"
-	repeats  behaviour = "answers and repeats tokens"
-	skips    behaviour = "answers and leaves out a token"
-	garbles  behaviour = "answers with an event that is no JSON"
-	ends     behaviour = "runs and ends its process"
-	endsLate behaviour = "ends its process within its answer"
-	tokens             = 6
-	promptOf           = "prompt"
+	answers         behaviour = "answers"
+	refuses         behaviour = "refuses before the start"
+	rests           behaviour = "refuses before the start and asks for rest"
+	truncates       behaviour = "runs and cuts off its answer"
+	resets          behaviour = "runs and cuts the connection"
+	answersOther    behaviour = "runs and answers for another request"
+	repeats         behaviour = "answers and repeats tokens"
+	skips           behaviour = "answers and leaves out a token"
+	garbles         behaviour = "answers with an event that is no JSON"
+	crashes         behaviour = "runs and ends its process"
+	crashesInAnswer behaviour = "ends its process within its answer"
+	tokenCount                = 6
+	testPrompt                = "prompt"
 )
 
-var behaviours = []behaviour{answers, refuses, cuts, resets, crosses, repeats, skips, garbles}
+var behaviours = []behaviour{answers, refuses, truncates, resets, answersOther, repeats, skips, garbles}
 
-// fakeEndpoint answers as its script says, one behaviour for each request.
+// fakeEndpoint handles each request by the next behaviour of its script.
 type fakeEndpoint struct {
 	mu     sync.Mutex
 	script []behaviour
-	// arrived is called with each request, before anything else.
-	arrived func()
-	runs    int
-	server  *http.Server
-	addr    string
+	// onRequest is called for each request before it is handled.
+	onRequest func()
+	runs      int
+	server    *http.Server
+	addr      string
 }
 
 func newEndpoint(t testing.TB) *fakeEndpoint {
@@ -76,20 +76,20 @@
 	return e
 }
 
-// follow sets the script and forgets the runs.
-func (e *fakeEndpoint) follow(script []behaviour) {
+// setScript sets the script and resets the run count.
+func (e *fakeEndpoint) setScript(script []behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.script, e.runs = script, 0
 }
 
-func (e *fakeEndpoint) ran() int {
+func (e *fakeEndpoint) runCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs
 }
 
-func (e *fakeEndpoint) next() behaviour {
+func (e *fakeEndpoint) nextBehaviour() behaviour {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	b := answers
@@ -109,10 +109,10 @@
 		Resume []string `json:"resume"`
 	}
 	_ = json.NewDecoder(r.Body).Decode(&body)
-	if e.arrived != nil {
-		e.arrived()
+	if e.onRequest != nil {
+		e.onRequest()
 	}
-	id, b := r.Header.Get(cluster.HeaderRequest), e.next()
+	id, b := r.Header.Get(cluster.HeaderRequest), e.nextBehaviour()
 	switch b {
 	case refuses, rests:
 		if b == rests {
@@ -123,41 +123,41 @@
 		return
 	case resets:
 		panic(http.ErrAbortHandler)
-	case ends:
+	case crashes:
 		_ = e.server.Close()
 		panic(http.ErrAbortHandler)
-	case crosses:
+	case answersOther:
 		id = "of-another-request"
 	}
 	if !body.Stream {
-		e.whole(w, id, b)
+		e.writeWhole(w, id, b)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	for i := len(body.Resume); i < tokens; i++ {
-		e.token(w, id, i, b)
+	for i := len(body.Resume); i < tokenCount; i++ {
+		e.writeToken(w, id, i, b)
 	}
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// textFor returns the prompt that the endpoint answers.
-func textFor(b behaviour) string {
-	if b == crosses {
+// promptFor returns the prompt that the endpoint answers.
+func promptFor(b behaviour) string {
+	if b == answersOther {
 		return "the prompt of another request"
 	}
-	return promptOf
+	return testPrompt
 }
 
-func (e *fakeEndpoint) whole(w http.ResponseWriter, id string, b behaviour) {
+func (e *fakeEndpoint) writeWhole(w http.ResponseWriter, id string, b behaviour) {
 	var text strings.Builder
-	for i := range tokens {
-		text.WriteString(standin.Token(textFor(b), i))
+	for i := range tokenCount {
+		text.WriteString(standin.Token(promptFor(b), i))
 	}
 	w.Header().Set(cluster.HeaderRequest, id)
-	if b == cuts || b == endsLate {
+	if b == truncates || b == crashesInAnswer {
 		w.Header().Set("Content-Length", "1000")
 		_, _ = io.WriteString(w, "{")
-		if b == endsLate {
+		if b == crashesInAnswer {
 			w.(http.Flusher).Flush()
 			_ = e.server.Close()
 		}
@@ -166,12 +166,12 @@
 	_, _ = fmt.Fprintf(w, `{"id":%q,"choices":[{"text":%q}]}`, id, text.String())
 }
 
-func (e *fakeEndpoint) token(w http.ResponseWriter, id string, i int, b behaviour) {
-	const half = tokens / 2
+func (e *fakeEndpoint) writeToken(w http.ResponseWriter, id string, i int, b behaviour) {
+	const half = tokenCount / 2
 	switch {
-	case i == half && (b == cuts || b == endsLate):
+	case i == half && (b == truncates || b == crashesInAnswer):
 		w.(http.Flusher).Flush()
-		if b == endsLate {
+		if b == crashesInAnswer {
 			_ = e.server.Close()
 		}
 		panic(http.ErrAbortHandler)
@@ -180,7 +180,7 @@
 	case i == half && b == garbles:
 		_, _ = io.WriteString(w, "data: {no json\n\n")
 	}
-	event := fmt.Sprintf("data: {\"id\":%q,\"token_index\":%d,\"choices\":[{\"text\":%q}]}\n\n", id, i, standin.Token(textFor(b), i))
+	event := fmt.Sprintf("data: {\"id\":%q,\"token_index\":%d,\"choices\":[{\"text\":%q}]}\n\n", id, i, standin.Token(promptFor(b), i))
 	_, _ = io.WriteString(w, event)
 	if b == repeats {
 		_, _ = io.WriteString(w, event)
@@ -188,7 +188,7 @@
 	w.(http.Flusher).Flush()
 }
 
-// harness is a gateway before fake endpoints, one of which is not there.
+// harness is a gateway with fake endpoints and one replica address that nothing listens on.
 type harness struct {
 	endpoints []*fakeEndpoint
 	catalog   *catalog.Catalog
@@ -221,8 +221,8 @@
 		Daemons: func() int { return 1 },
 		NewID:   func() string { return fmt.Sprint("request-", rand.Uint64()) },
 	})
-	// The property is about what is said of a request, not about the budget.
-	h.gateway.budget.left = budgetMax
+	// The retry budget is not under test here.
+	h.gateway.retryBudget.available = maxRetryBudget
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	h.address = l.Addr().String()
@@ -231,7 +231,7 @@
 	return h
 }
 
-// ledger returns a ledger on the harness's log.
+// ledger returns an intent ledger that uses the harness's log.
 func (h *harness) ledger(t testing.TB) *intent.Ledger {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -257,8 +257,8 @@
 	return ledger
 }
 
-// publish lists each endpoint, and an address where nothing listens, as a
-// serving replica. A later call is to list more of them.
+// publish reports each endpoint, and an address that nothing listens on, as a serving replica. It
+// may be called again after endpoints have been added.
 func (h *harness) publish() {
 	report := &rpc.DomainReport{Domain: "fabric-1", Token: &rpc.Token{Epoch: 1}, Version: uint64(len(h.endpoints)), Beat: 1}
 	addresses := []string{downAddress}
@@ -294,14 +294,14 @@
 	assert.Equal(t, len(s.View().Deployments()), 1)
 }
 
-// outcome is what a caller got.
+// outcome is the answer that a caller got.
 type outcome struct {
 	status int
 	body   []byte
 	header http.Header
 }
 
-func (o outcome) problem() (ran reason.Ran, why reason.Reason) {
+func (o outcome) refusal() (ran reason.Ran, why reason.Reason) {
 	var body struct {
 		Ran    reason.Ran    `json:"ran"`
 		Reason reason.Reason `json:"reason"`
@@ -329,24 +329,24 @@
 	return outcome{status: response.StatusCode, body: data, header: response.Header}, err
 }
 
-func (h *harness) ran() int {
+func (h *harness) runCount() int {
 	sum := 0
 	for _, e := range h.endpoints {
-		sum += e.ran()
+		sum += e.runCount()
 	}
 	return sum
 }
 
-// wantText is the right answer.
+// wantText returns the expected text of the answer.
 func wantText() string {
 	var text strings.Builder
-	for i := range tokens {
-		text.WriteString(standin.Token(promptOf, i))
+	for i := range tokenCount {
+		text.WriteString(standin.Token(testPrompt, i))
 	}
 	return text.String()
 }
 
-// streamText returns the tokens of a stream and whether it ended as whole.
+// streamText returns the text of a stream and whether it ended with the end-of-stream marker.
 func streamText(body []byte) (string, bool) {
 	var text strings.Builder
 	for line := range bytes.SplitSeq(body, []byte("\n")) {
@@ -358,15 +358,14 @@
 	return text.String(), bytes.HasSuffix(bytes.TrimSpace(body), []byte("[DONE]"))
 }
 
-// TestAnswersAreWholeAndTrue draws what each endpoint does with each request,
-// and the kind of request. Whatever they do, a caller gets its own answer,
-// whole, or is told the truth about whether the request ran; a request that
-// must not be repeated runs at most once.
+// TestAnswersAreWholeAndTrue checks, for random endpoint behaviour and kinds of requests, that a
+// caller gets its own complete answer or a correct report of whether the request ran, and that a
+// request that must not be repeated runs at most once.
 func TestAnswersAreWholeAndTrue(t *testing.T) {
 	h := newHarness(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		for _, e := range h.endpoints {
-			e.follow(rapid.SliceOfN(rapid.SampledFrom(behaviours), 3, 3).Draw(rt, "script"))
+			e.setScript(rapid.SliceOfN(rapid.SampledFrom(behaviours), 3, 3).Draw(rt, "script"))
 		}
 		streamed := rapid.Bool().Draw(rt, "streamed")
 		repeatable := rapid.Bool().Draw(rt, "repeatable")
@@ -379,46 +378,46 @@
 		if !repeatable && keyed {
 			header[headerKey] = fmt.Sprint("key-", h.sent, "-", rand.Uint64())
 		}
-		body := fmt.Sprintf(`{"model":"chat","prompt":%q,"stream":%v,"max_tokens":%d}`, promptOf, streamed, tokens)
+		body := fmt.Sprintf(`{"model":"chat","prompt":%q,"stream":%v,"max_tokens":%d}`, testPrompt, streamed, tokenCount)
 		got, err := h.post(body, header)
 		if err != nil {
-			rt.Fatalf("the gateway gave no answer: %v", err)
+			rt.Fatalf("the gateway did not answer: %v", err)
 		}
-		h.judge(rt, got, streamed, repeatable)
+		h.checkAnswer(rt, got, streamed, repeatable)
 	})
 }
 
-func (h *harness) judge(rt *rapid.T, got outcome, streamed, repeatable bool) {
-	runs := h.ran()
+func (h *harness) checkAnswer(rt *rapid.T, got outcome, streamed, repeatable bool) {
+	runs := h.runCount()
 	if !repeatable && runs > 1 {
 		rt.Fatalf("a request that must not be repeated ran %d times", runs)
 	}
 	if got.status != http.StatusOK {
-		ran, why := got.problem()
+		ran, why := got.refusal()
 		if ran == "" || why == "" {
 			rt.Fatalf("status %d without ran and reason: %s", got.status, got.body)
 		}
 		if ran == reason.RanNo && runs > 0 {
-			rt.Fatalf("said not run (%s), but %d endpoints ran it", why, runs)
+			rt.Fatalf("reported as not run (%s), but %d endpoints ran it", why, runs)
 		}
 		return
 	}
-	text, whole := choiceOf(got.body), true
+	text, whole := answerText(got.body), true
 	if streamed {
 		text, whole = streamText(got.body)
 	}
 	if whole && text != wantText() {
-		rt.Fatalf("a whole answer is wrong: %q", text)
+		rt.Fatalf("a complete answer has the wrong text: %q", text)
 	}
 	if !strings.HasPrefix(wantText(), text) {
-		rt.Fatalf("tokens were lost, doubled or crossed: %q", text)
+		rt.Fatalf("tokens are missing, repeated or from another request: %q", text)
 	}
 	if !whole && !bytes.Contains(got.body, []byte(`"ran":"unknown"`)) {
 		rt.Fatalf("a stream ended early without an error: %s", got.body)
 	}
 }
 
-func choiceOf(body []byte) string {
+func answerText(body []byte) string {
 	var answer struct {
 		Choices []struct {
 			Text string `json:"text"`
@@ -430,8 +429,8 @@
 	return answer.Choices[0].Text
 }
 
-// TestSecondCallerGetsTheFirstOutcome sends the same key twice, and then with
-// another body.
+// TestSecondCallerGetsTheFirstOutcome checks that a second request with the same key gets the
+// stored answer, and that the key is refused for a different body.
 func TestSecondCallerGetsTheFirstOutcome(t *testing.T) {
 	for name, streamed := range map[string]bool{"whole": false, "streamed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -445,34 +444,34 @@
 			assert.NilError(t, err)
 			assert.Equal(t, string(second.body), string(first.body))
 			assert.Equal(t, second.header.Get(headerReplayed), "true")
-			assert.Equal(t, h.ran(), 1)
+			assert.Equal(t, h.runCount(), 1)
 			other, err := h.post(`{"model":"chat","prompt":"other"}`, key)
 			assert.NilError(t, err)
-			_, why := other.problem()
+			_, why := other.refusal()
 			assert.Equal(t, why, reason.KeyMismatch)
-			assert.Equal(t, h.ran(), 1)
+			assert.Equal(t, h.runCount(), 1)
 		})
 	}
 }
 
-// TestKeyWithoutLog refuses a keyed request while the log is out, and serves
-// others.
+// TestKeyWithoutLog checks that requests with a key are refused while the log is unavailable, and
+// that others are served.
 func TestKeyWithoutLog(t *testing.T) {
 	h := newHarness(t)
 	h.log.SetFaults(standin.LogFaults{Outage: true})
 	got, err := h.post(`{"model":"chat","prompt":"prompt"}`, map[string]string{headerKey: "k"})
 	assert.NilError(t, err)
-	ran, why := got.problem()
+	ran, why := got.refusal()
 	assert.Equal(t, ran, reason.RanNo)
 	assert.Equal(t, why, reason.IntentLog)
-	assert.Equal(t, h.ran(), 0)
+	assert.Equal(t, h.runCount(), 0)
 	got, err = h.post(`{"model":"chat","prompt":"prompt"}`, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, got.status, http.StatusOK)
 }
 
-// TestBadRequests checks the answers to input that is wrong.
-// TestCompletionsAreChecked sends completions that no engine could answer.
+// TestCompletionsAreChecked checks that completion requests which no engine could answer are
+// refused.
 func TestCompletionsAreChecked(t *testing.T) {
 	tests := map[string]struct {
 		chat bool
@@ -504,18 +503,18 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r, bad := parseCompletion([]byte(test.body))
-			if bad == nil {
-				bad = r.check(test.chat)
+			r, refused := parseCompletion([]byte(test.body))
+			if refused == nil {
+				refused = r.validate(test.chat)
 			}
 			if test.want == "" {
-				assert.Assert(t, bad == nil, "%v", bad)
+				assert.Assert(t, refused == nil, "%v", refused)
 				return
 			}
-			assert.Assert(t, bad != nil)
-			assert.Equal(t, bad.status(), http.StatusBadRequest)
-			assert.Equal(t, bad.ran, reason.RanNo)
-			assert.ErrorContains(t, bad, test.want)
+			assert.Assert(t, refused != nil)
+			assert.Equal(t, refused.status(), http.StatusBadRequest)
+			assert.Equal(t, refused.ran, reason.RanNo)
+			assert.ErrorContains(t, refused, test.want)
 		})
 	}
 }
@@ -558,7 +557,7 @@
 			got, err := h.post(c.body, c.header)
 			assert.NilError(t, err)
 			assert.Equal(t, got.status, c.status, string(got.body))
-			ran, why := got.problem()
+			ran, why := got.refusal()
 			assert.Equal(t, why, c.reason)
 			assert.Equal(t, ran, reason.RanNo)
 		})
--- /dev/null
+++ b/gateway/idempotency.go
@@ -0,0 +1,73 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/gofiber/fiber/v2"
+
+	"quartzshelf.dev/common/reason"
+	"quartzshelf.dev/intent"
+)
+
+const (
+	// ledgerTimeout limits calls of the intent ledger that must not end with the request.
+	ledgerTimeout = 2 * time.Second
+	// maxStoredStreamBytes limits the copy of a streamed answer that is kept for later requests
+	// with the same key.
+	maxStoredStreamBytes = 1 << 20
+)
+
+// detachedContext returns a context that doesn't depend on the request and ends after
+// ledgerTimeout.
+func (g *Gateway) detachedContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), ledgerTimeout)
+}
+
+// claimKey claims the request's idempotency key in the intent ledger.
+func (g *Gateway) claimKey(r *request) (intent.Claim, *refusal) {
+	key := intent.KeyOf(r.account.Name(), r.key)
+	claim, err := g.opts.Ledger.Take(r.ctx, key, intent.BodyHash(r.method, r.path, r.body))
+	if err != nil {
+		return intent.Claim{}, refuse(reason.IntentLog, "the request needs the log to run at most once: %v", err).withRetryAfter(longRetryAfter)
+	}
+	return claim, nil
+}
+
+// answerDuplicate answers a request whose key another attempt has claimed: with the stored answer
+// if there is one, otherwise with a refusal.
+func (g *Gateway) answerDuplicate(c *fiber.Ctx, r *request, claim intent.Claim) error {
+	entry := claim.Entry()
+	if entry.Body() != intent.BodyHash(r.method, r.path, r.body) {
+		return g.writeRefusal(c, refuse(reason.KeyMismatch, "the key was used before with another request"))
+	}
+	ctx, cancel := g.detachedContext()
+	defer cancel()
+	outcome := g.opts.Ledger.Outcome(ctx, entry)
+	switch outcome.Phase() {
+	case intent.PhaseDone:
+		c.Set(headerReplayed, "true")
+		return writeAnswer(c, outcome.Answer())
+	case intent.PhasePending:
+		return g.writeRefusal(c, refuse(reason.KeyPending, "the request is being run for an earlier caller").
+			withRan(reason.RanUnknown).withRetryAfter(shortRetryAfter))
+	case intent.PhaseReleased:
+		g.opts.Ledger.ReleaseFor(intent.KeyOf(r.account.Name(), r.key), entry.Attempt())
+		return g.writeRefusal(c, refuse(reason.KeyPending, "an earlier attempt was not run; its key is being given back").
+			withRetryAfter(shortRetryAfter))
+	}
+	if _, done := entry.Done(); done {
+		return g.writeRefusal(c, refuse(reason.KeyHolderGone, "the request ran; its answer is no longer kept").
+			withRan(reason.RanYes))
+	}
+	return g.writeRefusal(c, refuse(reason.KeyHolderGone, "the daemon that ran the request does not know its outcome or cannot be reached").
+		withRan(reason.RanUnknown).withRetryAfter(longRetryAfter))
+}
+
+// writeAnswer sends an endpoint's answer to the caller.
+func writeAnswer(c *fiber.Ctx, a intent.Answer) error {
+	if a.ContentType() != "" {
+		c.Set(fiber.HeaderContentType, a.ContentType())
+	}
+	return c.Status(a.Status()).Send(a.Body())
+}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -10,41 +10,44 @@
 	"quartzshelf.dev/quarantine/guard"
 )
 
-// Guard returns what keeps requests that end their workers from workers.
+// Guard returns the guard that quarantines requests which crash their workers.
 func (g *Gateway) Guard() *guard.Guard { return g.guard }
 
-// guarded returns the request as the guard knows it.
-func (r *request) guarded() guard.Request {
+// guardRequest returns the description of the request for the guard.
+func (r *request) guardRequest() guard.Request {
 	return guard.Request{
 		ID: r.id, Account: r.account.Name(), Target: r.path, Bytes: len(r.body), Fingerprint: r.fingerprint,
 	}
 }
 
-// fingerprint returns the request's fingerprint, which is computed when it is first asked for.
+// fingerprint returns the request's fingerprint, which is computed on the first call.
 func (r *request) fingerprint() quarantine.Fingerprint {
 	r.fingerprintOnce.Do(func() {
-		r.fingerprintHeld = quarantine.FingerprintOf(r.account.Name(), r.method, "", r.path, r.body)
+		r.cachedFingerprint = quarantine.FingerprintOf(r.account.Name(), r.method, "", r.path, r.body)
 	})
-	return r.fingerprintHeld
+	return r.cachedFingerprint
 }
 
-// quarantined returns the refusal of a request that ended the workers which ran it, or nil.
-func (g *Gateway) quarantined(r *request, now time.Time) *refusal {
-	state := g.guard.Judge(r.guarded(), now)
+// checkQuarantine returns a refusal if the request is quarantined for crashing its workers,
+// otherwise nil.
+func (g *Gateway) checkQuarantine(r *request, now time.Time) *refusal {
+	state := g.guard.Judge(r.guardRequest(), now)
 	if !state.Quarantined {
 		return nil
 	}
-	return refuse(reason.Quarantined, "the request ended the workers that ran it").after(state.Until.Sub(now))
+	return refuse(reason.Quarantined, "the request ended the workers that ran it").withRetryAfter(state.Until.Sub(now))
 }
 
-// broke notes a request whose attempt failed with an error, if its worker has ended. A process
-// that starts again at an address has another life each time, which nothing names here: a
-// second tells them apart, and crashes that two daemons see in different seconds count once.
-func (g *Gateway) broke(r *request, t *target, err error) {
-	if !guard.BrokeOff(err) && !errors.Is(err, errCut) {
+// reportBrokenAttempt reports a failed attempt to the guard if its connection broke, so that the
+// guard can check whether the worker has crashed. Endpoints don't identify a restarted process, so
+// the worker ID includes the time of the failure in seconds: each restart counts as a new worker. A
+// crash that two daemons see in different seconds still counts once, as package quarantine merges
+// crashes that are close in time.
+func (g *Gateway) reportBrokenAttempt(r *request, t *target, err error) {
+	if !guard.BrokeOff(err) && !errors.Is(err, errTruncated) {
 		return
 	}
 	now := time.Now()
 	w := guard.Worker{ID: fmt.Sprintf("%s/%s@%d", t.address, t.assignment, now.Unix()), Address: t.address}
-	g.guard.Broke(r.guarded(), w, t.sentAt, now)
+	g.guard.Broke(r.guardRequest(), w, t.sentAt, now)
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -14,9 +14,9 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// TestRequestThatEndsEndpoints: a request that ends each endpoint which runs it is refused,
-// truly, once three have ended; others are served.
-func TestRequestThatEndsEndpoints(t *testing.T) {
+// TestCrashingRequestIsQuarantined checks that a request is refused as not run after it has crashed
+// three endpoints, and that other requests are served.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const (
 		whole  = `{"model":"chat","prompt":"ends endpoints"}`
 		stream = `{"model":"chat","prompt":"ends endpoints","stream":true}`
@@ -25,10 +25,10 @@
 		body string
 		ends behaviour
 	}{
-		"a whole answer":                {body: whole, ends: ends},
-		"a whole answer that has begun": {body: whole, ends: endsLate},
-		"a stream":                      {body: stream, ends: ends},
-		"a stream that has some tokens": {body: stream, ends: endsLate},
+		"a whole answer":                {body: whole, ends: crashes},
+		"a whole answer that has begun": {body: whole, ends: crashesInAnswer},
+		"a stream":                      {body: stream, ends: crashes},
+		"a stream that has some tokens": {body: stream, ends: crashesInAnswer},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,30 +37,30 @@
 				h.endpoints = append(h.endpoints, newEndpoint(t))
 			}
 			for _, e := range h.endpoints {
-				e.follow([]behaviour{test.ends})
+				e.setScript([]behaviour{test.ends})
 			}
 			h.publish()
-			h.gateway.budget.left = budgetMax
+			h.gateway.retryBudget.available = maxRetryBudget
 			got, err := h.post(body, nil)
 			assert.NilError(t, err)
-			ran, _ := got.problem()
+			ran, _ := got.refusal()
 			assert.Assert(t, ran != reason.RanNo)
-			assert.Equal(t, h.ran(), 3)
+			assert.Equal(t, h.runCount(), 3)
 			for _, e := range h.endpoints {
 				e.script = nil
 			}
 			got, err = h.post(body, nil)
 			assert.NilError(t, err)
-			ran, why := got.problem()
+			ran, why := got.refusal()
 			assert.Equal(t, got.status, http.StatusServiceUnavailable)
 			assert.Equal(t, why, reason.Quarantined)
 			assert.Equal(t, ran, reason.RanNo)
 			assert.Assert(t, got.header.Get("Retry-After") != "")
-			assert.Equal(t, h.ran(), 3, "nothing was sent")
-			// Endpoints that ended are tried too, until the catalog loses them.
+			assert.Equal(t, h.runCount(), 3, "no request may be sent while quarantined")
+			// Crashed endpoints are still tried until the catalog drops them.
 			served, last := false, outcome{}
 			for range 10 {
-				h.gateway.budget.left = budgetMax
+				h.gateway.retryBudget.available = maxRetryBudget
 				other, err := h.post(strings.Replace(body, "ends", "spares", 1), nil)
 				assert.NilError(t, err)
 				served, last = served || other.status == http.StatusOK, other
@@ -70,13 +70,13 @@
 	}
 }
 
-// TestConnectionsOfTheLiving: endpoints that live leave nothing against a request whose
-// connections they break.
-func TestConnectionsOfTheLiving(t *testing.T) {
+// TestBrokenConnectionsOfLiveEndpoints checks that a request isn't blamed for broken connections if
+// the endpoints are still alive.
+func TestBrokenConnectionsOfLiveEndpoints(t *testing.T) {
 	h := newHarness(t)
-	for _, b := range []behaviour{resets, cuts} {
+	for _, b := range []behaviour{resets, truncates} {
 		for _, e := range h.endpoints {
-			e.follow([]behaviour{b})
+			e.setScript([]behaviour{b})
 		}
 		_, err := h.post(`{"model":"chat","prompt":"prompt"}`, nil)
 		assert.NilError(t, err)
@@ -84,8 +84,9 @@
 	}
 }
 
-// TestCompletedRunsClear: a run that completes clears a request of two crashes.
-func TestCompletedRunsClear(t *testing.T) {
+// TestCompletedRunClearsCrashes checks that a completed run clears the crashes recorded for a
+// request.
+func TestCompletedRunClearsCrashes(t *testing.T) {
 	tests := map[string]string{
 		"a whole answer": `{"model":"chat","prompt":"prompt"}`,
 		"a stream":       `{"model":"chat","prompt":"prompt","stream":true}`,
@@ -105,7 +106,7 @@
 			assert.Equal(t, got.status, http.StatusOK)
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if crashes := table.State(f, time.Now()).Crashes; crashes > 0 {
-					return poll.Continue("%d crashes are held against it", crashes)
+					return poll.Continue("%d crashes are still recorded", crashes)
 				}
 				return poll.Success()
 			}, poll.WithTimeout(time.Minute))
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -1,5 +1,5 @@
-// Package gateway serves callers: it authenticates, admits, routes, relays and
-// retries their requests, and says of each one that fails whether it ran.
+// Package gateway serves the HTTP API for callers. It authenticates, admits, routes and retries
+// requests, relays their answers, and reports for each failed request whether it ran.
 package gateway
 
 import (
@@ -21,7 +21,7 @@
 	headerReplayed = "Quartzshelf-Replayed"
 )
 
-// refusal is the final answer to a request that has no result.
+// refusal is the final error answer to a request.
 type refusal struct {
 	reason     reason.Reason
 	ran        reason.Ran
@@ -36,13 +36,13 @@
 	return fmt.Sprintf("%s (ran: %s): %s", r.reason, r.ran, r.message)
 }
 
-// refuse returns a refusal of a request of which nothing was sent.
+// refuse returns a refusal of a request that has not been sent to any target.
 func refuse(why reason.Reason, format string, args ...any) *refusal {
 	return &refusal{reason: why, ran: reason.RanNo, message: fmt.Sprintf(format, args...)}
 }
 
-// after sets when the caller should come again.
-func (r *refusal) after(wait time.Duration) *refusal {
+// withRetryAfter sets the Retry-After header of the refusal.
+func (r *refusal) withRetryAfter(wait time.Duration) *refusal {
 	r.retryAfter = wait
 	return r
 }
@@ -53,8 +53,8 @@
 	return r
 }
 
-// statusOf maps reasons to HTTP statuses; the rest are unavailable.
-var statusOf = map[reason.Reason]int{
+// statusByReason maps reasons to HTTP status codes. The default is 503 Service Unavailable.
+var statusByReason = map[reason.Reason]int{
 	reason.Unauthorized:       http.StatusUnauthorized,
 	reason.UnknownModel:       http.StatusNotFound,
 	reason.UnknownService:     http.StatusNotFound,
@@ -76,14 +76,14 @@
 }
 
 func (r *refusal) status() int {
-	if code, ok := statusOf[r.reason]; ok {
+	if code, ok := statusByReason[r.reason]; ok {
 		return code
 	}
 	return http.StatusServiceUnavailable
 }
 
-// kind returns the error type of the OpenAI API.
-func (r *refusal) kind() string {
+// errorType returns the error type as defined by the OpenAI API.
+func (r *refusal) errorType() string {
 	switch code := r.status(); {
 	case code == http.StatusUnauthorized:
 		return "authentication_error"
@@ -96,8 +96,8 @@
 	}
 }
 
-// errorBody is the JSON of an error, in the shape of the OpenAI API with our
-// fields beside it.
+// errorBody is the JSON body of an error answer: an error object as in the OpenAI API, with two
+// fields added.
 type errorBody struct {
 	Error  errorDetail   `json:"error"`
 	Ran    reason.Ran    `json:"ran"`
@@ -113,18 +113,18 @@
 
 func (r *refusal) body() []byte {
 	data, err := json.Marshal(errorBody{
-		Error:  errorDetail{Message: r.message, Type: r.kind(), Code: r.reason},
+		Error:  errorDetail{Message: r.message, Type: r.errorType(), Code: r.reason},
 		Ran:    r.ran,
 		Reason: r.reason,
 	})
 	if err != nil {
-		// The body holds strings alone, which always encode.
+		// All fields are strings or nil, so encoding can't fail.
 		panic(err)
 	}
 	return data
 }
 
-// write answers the request with the refusal.
+// write sends the refusal as the answer.
 func (r *refusal) write(c *fiber.Ctx) error {
 	if r.retryAfter > 0 {
 		seconds := int((r.retryAfter + time.Second - 1) / time.Second)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -20,10 +20,11 @@
 	headerRepeatable = "Quartzshelf-Repeatable"
 	valueNo          = "no"
 	valueYes         = "yes"
-	maxKey           = 255
+	maxKeyLength     = 255
 )
 
-// request is a caller's request. It holds copies, so it outlives the handler.
+// request is a caller's request. It holds copies of the data because fiber reuses its buffers after
+// the handler has returned.
 type request struct {
 	id      string
 	account *config.Account
@@ -31,46 +32,45 @@
 	path    string
 	header  http.Header
 	body    []byte
-	// key is the caller's key, empty for none.
+	// key is the idempotency key; empty if there is none.
 	key string
-	// repeatable tells whether the request may be run more than once.
+	// repeatable is set if the request may run more than once.
 	repeatable bool
 	start      time.Time
-	// deadline is when the request is given up.
+	// deadline is when the gateway abandons the request.
 	deadline time.Time
-	// ctx ends at the deadline or, if the request may be repeated, when the
-	// caller goes away.
+	// ctx ends at the deadline. For a repeatable request, it also ends when the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// priority is the account's.
+	// priority is the priority of the client account.
 	priority int
-	// mayHaveRan tells that some attempt was sent and may have run.
-	mayHaveRan bool
+	// maybeRan is set once an attempt may have run the request.
+	maybeRan bool
 
-	fingerprintOnce sync.Once
-	fingerprintHeld quarantine.Fingerprint
+	fingerprintOnce   sync.Once
+	cachedFingerprint quarantine.Fingerprint
 }
 
-// truthful returns the refusal with what it may say of the whole request: an
-// attempt that was refused says nothing of those before it.
-func (r *request) truthful(f *refusal) *refusal {
+// adjustRan makes the refusal report the state of the whole request: if an earlier attempt may have
+// run it, a later attempt that did not run must not be reported as "not run".
+func (r *request) adjustRan(f *refusal) *refusal {
 	if f.ran != reason.RanNo {
-		r.mayHaveRan = true
-	} else if r.mayHaveRan {
+		r.maybeRan = true
+	} else if r.maybeRan {
 		f.ran = reason.RanUnknown
 	}
 	return f
 }
 
-// newRequest copies a caller's request and checks who sent it.
+// newRequest copies a caller's request, authenticates it and checks its size and key.
 func (g *Gateway) newRequest(c *fiber.Ctx) (*request, *refusal) {
 	g.opts.Meter.Request()
 	if why := g.opts.Gate(); why != nil {
-		return nil, refuse(why.Reason, "%s", why.Message).after(retrySoon)
+		return nil, refuse(why.Reason, "%s", why.Message).withRetryAfter(shortRetryAfter)
 	}
-	account, bad := g.authenticate(c)
-	if bad != nil {
-		return nil, bad
+	account, refused := g.authenticate(c)
+	if refused != nil {
+		return nil, refused
 	}
 	r := &request{
 		id:       g.opts.NewID(),
@@ -85,7 +85,7 @@
 	}
 	r.deadline = r.start.Add(requestTimeout)
 	for name, values := range c.GetReqHeaders() {
-		if !isHopHeader(name) {
+		if !isDroppedHeader(name) {
 			for _, v := range values {
 				r.header.Add(strings.Clone(name), strings.Clone(v))
 			}
@@ -94,8 +94,8 @@
 	if len(r.body) > g.opts.MaxBody {
 		return nil, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBody)
 	}
-	if len(r.key) > maxKey || strings.ContainsAny(r.key, "\x00\n") {
-		return nil, refuse(reason.KeyInvalid, "%s must be at most %d printable characters", headerKey, maxKey)
+	if len(r.key) > maxKeyLength || strings.ContainsAny(r.key, "\x00\n") {
+		return nil, refuse(reason.KeyInvalid, "%s must be at most %d printable characters", headerKey, maxKeyLength)
 	}
 	return r, nil
 }
@@ -112,24 +112,25 @@
 	return account, nil
 }
 
-// begin gives the request its context. A request that must not be repeated
-// goes on when its caller has gone, so that its outcome becomes known.
-func (r *request) begin(c *fiber.Ctx) {
+// startContext sets the request's context. A request that must not be repeated continues after its
+// caller has disconnected, so that its outcome is recorded.
+func (r *request) startContext(c *fiber.Ctx) {
 	r.ctx, r.cancel = context.WithDeadline(context.Background(), r.deadline)
 	if r.repeatable {
-		watchHangup(r.ctx, c.Context().Conn(), r.cancel)
+		watchDisconnect(r.ctx, c.Context().Conn(), r.cancel)
 	}
 }
 
-// hopHeaders belong to one connection or to this system and are not passed on.
-var hopHeaders = []string{
+// droppedHeaders are not forwarded to endpoints: hop-by-hop headers, credentials and headers that
+// the gateway sets itself.
+var droppedHeaders = []string{
 	"Authorization", "Connection", "Content-Length", "Host", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	"Engine-Request", "Engine-Assignment", "Engine-Started", "Engine-Priority", headerKey,
 }
 
-func isHopHeader(name string) bool {
-	for _, h := range hopHeaders {
+func isDroppedHeader(name string) bool {
+	for _, h := range droppedHeaders {
 		if strings.EqualFold(name, h) {
 			return true
 		}
--- a/gateway/rest.go
+++ b/gateway/rest.go
@@ -7,13 +7,14 @@
 	"quartzshelf.dev/backpressure"
 )
 
-// noteRest notes for how long an endpoint wants nothing from this daemon that answered so.
-// Endpoints name no lives; one that starts anew rests on for as long.
-func (g *Gateway) noteRest(endpoint string, answer *http.Response) {
+// recordRest records the rest period that an endpoint has asked for in its answer, if any. This
+// daemon sends it no requests until the period ends. Endpoints don't identify restarted processes,
+// so the period also applies after a restart.
+func (g *Gateway) recordRest(endpoint string, answer *http.Response) {
 	signal, err := backpressure.Names{}.Read(answer, false)
 	if err != nil {
 		g.opts.Meter.Signal("unclear")
-		g.opts.Logger.Debug("an endpoint's word about itself not understood", "endpoint", endpoint, "error", err)
+		g.opts.Logger.Debug("invalid backpressure headers in an endpoint's answer", "endpoint", endpoint, "error", err)
 	}
 	now := time.Now()
 	if signal.Rest <= 0 || !g.rests.Note(endpoint, 0, signal.Rest, now) {
@@ -21,7 +22,7 @@
 	}
 	g.rests.Sweep(now)
 	g.opts.Meter.Signal(string(backpressure.RestAsked))
-	g.opts.Logger.Info("endpoint asks for rest", "endpoint", endpoint, "rest_ms", signal.Rest.Milliseconds())
+	g.opts.Logger.Info("endpoint asked for a rest period", "endpoint", endpoint, "rest_ms", signal.Rest.Milliseconds())
 }
 
 func isResting(rests *backpressure.Rests, endpoint string, now time.Time) bool {
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -15,30 +15,30 @@
 	"quartzshelf.dev/config"
 )
 
-// callService passes a call on to a plain service.
-func (g *Gateway) callService(c *fiber.Ctx) error {
-	r, bad := g.newRequest(c)
-	if bad != nil {
-		return g.refuse(c, bad)
+// handleServiceCall forwards a call to a service.
+func (g *Gateway) handleServiceCall(c *fiber.Ctx) error {
+	r, refused := g.newRequest(c)
+	if refused != nil {
+		return g.writeRefusal(c, refused)
 	}
 	c.Set(headerRequest, r.id)
 	name := c.Params("name")
 	service, ok := g.opts.Config().Service(name)
 	if !ok || !service.Allows(r.account) {
-		return g.refuse(c, refuse(reason.UnknownService, "the service %q does not exist or is not open to this account", name))
+		return g.writeRefusal(c, refuse(reason.UnknownService, "the service %q does not exist or is not open to this account", name))
 	}
 	if ok, wait := g.opts.Limiter.Allow(r.account.Name(), r.account.RequestsPerSecond()); !ok {
-		return g.refuse(c, refuse(reason.AccountLimit, "client account %q is over its limit", r.account.Name()).after(wait))
+		return g.writeRefusal(c, refuse(reason.AccountLimit, "client account %q is over its limit", r.account.Name()).withRetryAfter(wait))
 	}
 	r.path = "/" + strings.TrimPrefix(strings.TrimPrefix(r.path, "/services/"+service.Name()), "/")
 	r.repeatable = isRepeatable(service, r)
-	g.budget.earn()
-	r.begin(c)
-	return g.run(c, r, g.chooseEndpoint(r, service), false)
+	g.retryBudget.addRequest()
+	r.startContext(c)
+	return g.serveRequest(c, r, g.chooseEndpoint(r, service), false)
 }
 
-// isRepeatable reports whether a call may be run more than once: what the
-// service declares goes first, then what the caller says, then the method.
+// isRepeatable reports whether a call may run more than once. The service's configuration takes
+// precedence over the caller's header, and the header over the default for the method.
 func isRepeatable(s config.Service, r *request) bool {
 	path, _, _ := strings.Cut(r.path, "?")
 	if !s.Repeatable(r.method, path) || r.key != "" {
@@ -53,19 +53,19 @@
 	return r.method != http.MethodPost && r.method != http.MethodPatch
 }
 
-// chooseEndpoint returns a chooser over the endpoints of a service: the one
-// with the fewest of this daemon's requests of two random ones.
+// chooseEndpoint returns a chooser for the endpoints of a service. It picks two endpoints at random
+// and takes the one with fewer requests in flight from this daemon.
 func (g *Gateway) chooseEndpoint(r *request, s config.Service) chooser {
 	return func(tried map[string]bool) (*target, *refusal) {
-		allowed := r.allowed(s.AllowedRegions())
-		endpoints, passed := g.endpointsOf(s, allowed, tried)
-		g.countPassed(passed)
+		allowed := r.allowedRegions(s.AllowedRegions())
+		endpoints, passed := g.eligibleEndpoints(s, allowed, tried)
+		g.countPassedOver(passed)
 		if len(endpoints) == 0 {
 			refused := g.refuseWithout(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passed)
-			g.decisions.Add(r.id, refusedDecision(r, s.Name(), refused, passed))
+			g.decisions.Add(r.id, newRefusedDecision(r, s.Name(), refused, passed))
 			return nil, refused
 		}
-		chosen := g.lessBusy(endpoints)
+		chosen := g.pickLessBusy(endpoints)
 		return &target{
 			id:      chosen.ID(),
 			address: chosen.Address(),
@@ -77,7 +77,7 @@
 	}
 }
 
-func (g *Gateway) lessBusy(endpoints []catalog.Endpoint) catalog.Endpoint {
+func (g *Gateway) pickLessBusy(endpoints []catalog.Endpoint) catalog.Endpoint {
 	a := endpoints[rand.IntN(len(endpoints))]
 	b := endpoints[rand.IntN(len(endpoints))]
 	ownA, _ := g.inflight.Observe(a.ID(), time.Time{})
@@ -88,9 +88,9 @@
 	return a
 }
 
-// endpointsOf returns the endpoints that may take the call now, and what kept the
-// others out.
-func (g *Gateway) endpointsOf(s config.Service, allowed []config.Regions, tried map[string]bool) ([]catalog.Endpoint, PassedOver) {
+// eligibleEndpoints returns the endpoints that may get the call now, and the reasons why others
+// were excluded.
+func (g *Gateway) eligibleEndpoints(s config.Service, allowed []config.Regions, tried map[string]bool) ([]catalog.Endpoint, PassedOver) {
 	view, now := g.opts.Config(), time.Now()
 	var all []catalog.Endpoint
 	var passed PassedOver
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -14,34 +14,33 @@
 )
 
 const (
-	// stallTimeout is how long an engine may be silent within a stream.
+	// stallTimeout is the maximum time between two events of a stream.
 	stallTimeout = 15 * time.Second
-	// maxEvent bounds one server-sent event, in bytes.
-	maxEvent = 1 << 20
+	// maxEventBytes limits the size of one server-sent event.
+	maxEventBytes = 1 << 20
 )
 
 var (
 	dataPrefix = []byte("data: ")
-	doneMark   = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 
-	errCut   = errors.New("the stream ended before its last event")
-	errGap   = errors.New("a token is missing in the stream")
-	errEvent = errors.New("the stream has an event that is no token")
+	errTruncated     = errors.New("the stream ended before its last event")
+	errMissingToken  = errors.New("a token is missing in the stream")
+	errNotTokenEvent = errors.New("the stream has an event that is no token")
 )
 
-// tokenEvent is the part of an event of an engine that is checked.
+// tokenEvent holds the fields of an engine's event that the gateway checks.
 type tokenEvent struct {
 	id    string
 	index int
 	text  string
 }
 
-// parseEvent reads an event. What it returns does not outlive the parser's next
-// use, but for the text.
+// parseEvent parses the data of a token event.
 func parseEvent(p *fastjson.Parser, data []byte) (tokenEvent, error) {
 	v, err := p.ParseBytes(data)
 	if err != nil || !v.Exists("token_index") {
-		return tokenEvent{}, errEvent
+		return tokenEvent{}, errNotTokenEvent
 	}
 	text := v.GetStringBytes("choices", "0", "text")
 	if text == nil {
@@ -50,70 +49,69 @@
 	return tokenEvent{id: string(v.GetStringBytes("id")), index: v.GetInt("token_index"), text: string(text)}, nil
 }
 
-// stream reads the events of one attempt and checks that they are of this
-// request, in order and without gaps.
-type stream struct {
-	attempt *attempt
-	reader  *bufio.Reader
-	parser  fastjson.Parser
-	id      string
-	// next is the index of the token that must come next.
-	next  int
-	stall *time.Timer
+// tokenReader reads the token events of one attempt. It checks that they belong to the request and
+// that no token is missing.
+type tokenReader struct {
+	attempt   *attempt
+	reader    *bufio.Reader
+	parser    fastjson.Parser
+	requestID string
+	// nextIndex is the index of the next expected token.
+	nextIndex  int
+	stallTimer *time.Timer
 }
 
-// newStream reads the attempt's events; the first token has the given index.
-// An engine that is silent for too long has its attempt cut off.
-func newStream(a *attempt, id string, next int) *stream {
-	return &stream{
-		attempt: a, reader: bufio.NewReader(a.response.Body), id: id, next: next,
-		stall: time.AfterFunc(stallTimeout, a.cancel),
+// newTokenReader returns a reader for the attempt's events. Events with a token index below next
+// are skipped. The attempt is canceled if no event arrives within stallTimeout.
+func newTokenReader(a *attempt, id string, next int) *tokenReader {
+	return &tokenReader{
+		attempt: a, reader: bufio.NewReader(a.response.Body), requestID: id, nextIndex: next,
+		stallTimer: time.AfterFunc(stallTimeout, a.cancel),
 	}
 }
 
 // close ends the attempt.
-func (s *stream) close() {
-	s.stall.Stop()
+func (s *tokenReader) close() {
+	s.stallTimer.Stop()
 	s.attempt.close()
 }
 
-// read returns the data of the next token event and the token. A nil event
-// without an error is the proper end of the stream. Events repeated by the
-// engine are passed over.
-func (s *stream) read() ([]byte, string, error) {
+// readToken returns the data of the next token event and the token's text. It returns nil data and
+// a nil error at the end-of-stream marker. Repeated events are skipped.
+func (s *tokenReader) readToken() ([]byte, string, error) {
 	for {
-		data, err := s.event()
+		data, err := s.readEvent()
 		if err != nil {
 			return nil, "", failure.At(failure.Remote, "read stream", s.attempt.target.address, err)
 		}
-		if bytes.Equal(data, doneMark) {
+		if bytes.Equal(data, doneMarker) {
 			return nil, "", nil
 		}
 		e, err := parseEvent(&s.parser, data)
 		if err != nil {
 			return nil, "", failure.At(failure.Remote, "read event", s.attempt.target.address, err)
 		}
-		if e.id != s.id {
-			return nil, "", failure.At(failure.Remote, "check event", s.attempt.target.address, errMismatch)
+		if e.id != s.requestID {
+			return nil, "", failure.At(failure.Remote, "check event", s.attempt.target.address, errWrongRequest)
 		}
-		if e.index < s.next {
+		if e.index < s.nextIndex {
 			continue
 		}
-		if e.index > s.next {
-			return nil, "", failure.At(failure.Remote, "check event", s.attempt.target.address, errGap)
+		if e.index > s.nextIndex {
+			return nil, "", failure.At(failure.Remote, "check event", s.attempt.target.address, errMissingToken)
 		}
-		s.next++
+		s.nextIndex++
 		return data, e.text, nil
 	}
 }
 
-// event returns the data of the next server-sent event.
-func (s *stream) event() ([]byte, error) {
-	s.stall.Reset(stallTimeout)
+// readEvent returns the data of the next server-sent event. The data is valid until the next read.
+func (s *tokenReader) readEvent() ([]byte, error) {
+	s.stallTimer.Reset(stallTimeout)
 	for {
 		line, err := s.reader.ReadSlice('\n')
 		if err != nil {
-			return s.longEvent(line, err)
+			return s.readLongEvent(line, err)
 		}
 		if data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), dataPrefix); ok {
 			return data, nil
@@ -121,31 +119,31 @@
 	}
 }
 
-// longEvent goes on with an event that is longer than the reader's buffer.
-func (s *stream) longEvent(begin []byte, err error) ([]byte, error) {
+// readLongEvent reads the rest of a line that exceeds the reader's buffer.
+func (s *tokenReader) readLongEvent(begin []byte, err error) ([]byte, error) {
 	if !errors.Is(err, bufio.ErrBufferFull) {
-		return nil, errCut
+		return nil, errTruncated
 	}
 	line := bytes.Clone(begin)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		var more []byte
 		more, err = s.reader.ReadSlice('\n')
 		line = append(line, more...)
-		if len(line) > maxEvent {
-			return nil, fmt.Errorf("an event is longer than %d bytes", maxEvent)
+		if len(line) > maxEventBytes {
+			return nil, fmt.Errorf("an event is longer than %d bytes", maxEventBytes)
 		}
 	}
 	if err != nil {
-		return nil, errCut
+		return nil, errTruncated
 	}
 	data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), dataPrefix)
 	if !ok {
-		return nil, errEvent
+		return nil, errNotTokenEvent
 	}
 	return data, nil
 }
 
-// isEventStream reports whether an answer is a stream of server-sent events.
+// isEventStream reports whether the answer is a stream of server-sent events.
 func isEventStream(r *http.Response) bool {
 	return bytes.HasPrefix([]byte(r.Header.Get("Content-Type")), []byte("text/event-stream"))
 }
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -16,40 +16,39 @@
 	"quartzshelf.dev/common/failure"
 )
 
-// Limits of the connections to endpoints.
+// Limits of connections and answers.
 const (
-	dialTimeout = 2 * time.Second
-	idlePerHost = 256
-	idleTimeout = 30 * time.Second
-	// maxAnswer bounds an answer that is not a stream, in bytes.
-	maxAnswer = 32 << 20
+	dialTimeout         = 2 * time.Second
+	maxIdleConnsPerHost = 256
+	idleConnTimeout     = 30 * time.Second
+	// maxAnswerBytes limits the size of an answer that is not streamed.
+	maxAnswerBytes = 32 << 20
 )
 
-// errMismatch marks an answer that belongs to another request.
-var errMismatch = errors.New("the answer is of another request")
+// errWrongRequest is returned for an answer that belongs to another request.
+var errWrongRequest = errors.New("the answer is of another request")
 
-// upstream sends requests to endpoints. It uses net/http, whose contexts cut a
-// request off at any moment; a connection whose request was cut off is closed
-// and never used again, so no late answer can reach another caller.
+// upstream sends requests to endpoints. It uses net/http because a canceled request closes its
+// connection at once, so that a late answer can't be mistaken for that of another request.
 type upstream struct {
-	// shared keeps connections for requests that may be repeated.
+	// shared reuses connections. It is for repeatable requests.
 	shared *http.Client
-	// single uses each connection once: an idle connection that the endpoint
-	// is just closing would leave in doubt whether a request was read.
-	single *http.Client
+	// singleUse opens a connection for each request: if an endpoint closes an idle connection just
+	// as it is reused, it is unknown whether the request was read.
+	singleUse *http.Client
 }
 
 func newUpstream() *upstream {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	base := http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idlePerHost,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	single := base.Clone()
 	single.DisableKeepAlives = true
-	return &upstream{shared: newClient(base.Clone()), single: newClient(single)}
+	return &upstream{shared: newClient(base.Clone()), singleUse: newClient(single)}
 }
 
 func newClient(t *http.Transport) *http.Client {
@@ -59,29 +58,28 @@
 	}
 }
 
-// close ends the idle connections.
 func (u *upstream) close() {
 	u.shared.CloseIdleConnections()
-	u.single.CloseIdleConnections()
+	u.singleUse.CloseIdleConnections()
 }
 
-// call is one request to an endpoint.
-type call struct {
+// upstreamCall is one request to an endpoint.
+type upstreamCall struct {
 	method     string
 	address    string
 	path       string
 	header     http.Header
 	body       []byte
 	repeatable bool
-	// id names the request; the answer must repeat it if it names any.
-	id string
+	// requestID identifies the request. An answer with a different request ID is rejected.
+	requestID string
 }
 
-// sendError is a failure of a call. Sent tells whether any of it may have
-// reached the endpoint.
+// sendError is the error of an upstream call. maybeSent is set if the endpoint may have received
+// any of the request.
 type sendError struct {
-	sent  bool
-	cause error
+	maybeSent bool
+	cause     error
 }
 
 // Error implements error.
@@ -90,68 +88,67 @@
 // Unwrap returns the cause.
 func (e *sendError) Unwrap() error { return e.cause }
 
-// send sends a call and returns the answer's header and an open body. The
-// error is a *sendError.
-func (u *upstream) send(ctx context.Context, c call) (*http.Response, error) {
+// send sends a request and returns the answer with an open body. All errors are of type *sendError.
+func (u *upstream) send(ctx context.Context, c upstreamCall) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	request, err := http.NewRequestWithContext(ctx, c.method, "http://"+c.address+c.path, bodyOf(c))
+	request, err := http.NewRequestWithContext(ctx, c.method, "http://"+c.address+c.path, bodyReader(c))
 	if err != nil {
 		return nil, &sendError{cause: failure.At(failure.Invalid, "build request", c.address, err)}
 	}
 	request.ContentLength = int64(len(c.body))
 	request.Header = c.header.Clone()
-	request.Header.Set(cluster.HeaderRequest, c.id)
+	request.Header.Set(cluster.HeaderRequest, c.requestID)
 	client := u.shared
 	if !c.repeatable {
-		client = u.single
-		// Without GetBody and without this header, the transport has no way
-		// and no licence to send the request a second time by itself.
+		client = u.singleUse
+		// Without GetBody and the Idempotency-Key header, http.Transport doesn't retry the request
+		// by itself.
 		request.GetBody = nil
 		request.Header.Del(headerKey)
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, &sendError{sent: connected.Load(), cause: failure.At(failure.Remote, "send request", c.address, err)}
+		return nil, &sendError{maybeSent: connected.Load(), cause: failure.At(failure.Remote, "send request", c.address, err)}
 	}
-	if id := response.Header.Get(cluster.HeaderRequest); id != "" && id != c.id {
+	if id := response.Header.Get(cluster.HeaderRequest); id != "" && id != c.requestID {
 		closeBody(response)
-		return nil, &sendError{sent: true, cause: failure.At(failure.Remote, "check answer", c.address, errMismatch)}
+		return nil, &sendError{maybeSent: true, cause: failure.At(failure.Remote, "check answer", c.address, errWrongRequest)}
 	}
 	return response, nil
 }
 
-func bodyOf(c call) io.Reader {
+func bodyReader(c upstreamCall) io.Reader {
 	if len(c.body) == 0 {
 		return http.NoBody
 	}
 	return io.NopCloser(bytes.NewReader(c.body))
 }
 
-// notStarted reports whether the endpoint refused before it ran anything.
-func notStarted(r *http.Response) bool {
+// refusedBeforeStart reports whether the endpoint rejected the request before running any of it.
+func refusedBeforeStart(r *http.Response) bool {
 	return r.Header.Get(cluster.HeaderStarted) == cluster.StartedNo
 }
 
-// closeBody closes a body; when it was not read to its end, this closes the
-// connection too.
+// closeBody closes the answer's body. If the body wasn't read to its end, this also closes the
+// connection.
 func closeBody(r *http.Response) {
-	// What Close returns changes nothing: the connection is gone either way.
+	// The connection is closed regardless of the error.
 	_ = r.Body.Close()
 }
 
-// readAll reads a whole answer.
+// readAll reads the whole answer and closes its body.
 func readAll(r *http.Response, address string) ([]byte, error) {
 	defer closeBody(r)
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxAnswerBytes+1))
 	if err != nil {
-		return nil, &sendError{sent: true, cause: failure.At(failure.Remote, "read answer", address, err)}
+		return nil, &sendError{maybeSent: true, cause: failure.At(failure.Remote, "read answer", address, err)}
 	}
-	if len(data) > maxAnswer {
-		err := fmt.Errorf("the answer is longer than %d bytes", maxAnswer)
-		return nil, &sendError{sent: true, cause: failure.At(failure.Remote, "read answer", address, err)}
+	if len(data) > maxAnswerBytes {
+		err := fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
+		return nil, &sendError{maybeSent: true, cause: failure.At(failure.Remote, "read answer", address, err)}
 	}
 	return data, nil
 }
