--- a/replica/controller.go
+++ b/replica/controller.go
@@ -16,68 +16,68 @@
 	"quartzshelf.dev/placement"
 )
 
-// Timing of a controller.
+// Intervals, timeouts and limits of a controller.
 const (
-	tickEvery   = 500 * time.Millisecond
-	listEvery   = 2 * time.Second
-	listTimeout = time.Second
-	// listFresh is how old the node list may be for a daemon to begin to lead:
-	// from an older one it would not know which nodes are leaving.
-	listFresh = 3500 * time.Millisecond
-	// yieldAfter is how long a leader may fail to reach most nodes before it lets
-	// another daemon lead, and yieldFor for how long it then does not.
-	yieldAfter = 5 * time.Second
-	yieldFor   = 20 * time.Second
-	// regainLimit bounds the wait for the node list after nodes are reached again.
-	regainLimit = 10 * time.Second
-	// listOutage is how long a domain must have been without a current report
-	// before a daemon leads it by an older list: then nobody has a newer one.
-	listOutage   = 4 * time.Second
-	probeTimeout = 400 * time.Millisecond
-	orderTimeout = 2 * time.Second
-	// probeFresh is how old the probe may be on which an order rests.
-	probeFresh = time.Second
-	// loseAfter is how long a node may be silent before it is given up. Its
-	// replica is dark meanwhile, so more patience costs both measures; see
-	// docs/MEASUREMENTS.md.
-	loseAfter = 1500 * time.Millisecond
-	// loseManyAfter is the same when more than half of a domain falls silent at
-	// once: then the fault may be on the way to it.
-	loseManyAfter = 5 * time.Second
-	// renewals is how often a permit is renewed while it lasts.
-	renewals     = 6
-	proposeEvery = 2 * time.Second
-	// rebalanceAfter is how long another daemon must be better placed to own a
-	// domain before it gets it.
-	rebalanceAfter = 30 * time.Second
-	// proposeTimeout bounds the append of a grant.
+	tickInterval = 500 * time.Millisecond
+	listInterval = 2 * time.Second
+	listTimeout  = time.Second
+	// maxListAge is the maximum age of the node list for a daemon to begin leading a domain.
+	// With an older list it might not know which nodes are leaving.
+	maxListAge = 3500 * time.Millisecond
+	// A leader that can't reach most of its nodes for yieldTimeout steps down and does not lead
+	// again for yieldDuration.
+	yieldTimeout  = 5 * time.Second
+	yieldDuration = 20 * time.Second
+	// maxListWaitAfterRegain limits the wait for a new node list after a leader has regained
+	// contact with most nodes.
+	maxListWaitAfterRegain = 10 * time.Second
+	// reportOverdueAfter is the time after the deadline of the last report from which the report
+	// counts as overdue. A daemon may then lead the domain even with an old node list.
+	reportOverdueAfter = 4 * time.Second
+	probeTimeout       = 400 * time.Millisecond
+	orderTimeout       = 2 * time.Second
+	// maxProbeAge is the maximum age of the probe that orders are based on.
+	maxProbeAge = time.Second
+	// lostTimeout is how long a node may be silent before it counts as lost. Its replica can't
+	// serve meanwhile.
+	lostTimeout = 1500 * time.Millisecond
+	// lostTimeoutMajority replaces lostTimeout while more than half of a domain's nodes are silent:
+	// the cause may then be the network.
+	lostTimeoutMajority = 5 * time.Second
+	// renewalsPerWindow is how many times a permit is renewed within one serve window.
+	renewalsPerWindow = 6
+	proposeInterval   = 2 * time.Second
+	// rebalanceDelay is how long another daemon must be the preferred owner of a domain before the
+	// domain is handed over.
+	rebalanceDelay = 30 * time.Second
+	// proposeTimeout limits the time to append a grant to the log.
 	proposeTimeout = 3 * time.Second
-	// loadLag is how old a load report may be.
-	loadLag = 2 * time.Second
-	// drainLimit is how long requests in flight may hold up a planned move.
-	drainLimit = 10 * time.Minute
-	// staleSupply is how long a domain counts after its report has run out.
-	staleSupply = 30 * time.Second
-	// unfencedLease and unfencedMargin bound orders to nodes that do not check tokens.
+	// maxLoadAge is the maximum age of a load report.
+	maxLoadAge = 2 * time.Second
+	// drainTimeout is how long requests in flight may delay a planned move.
+	drainTimeout = 10 * time.Minute
+	// supplyRetention is how long a domain still counts as supply after the deadline of its report.
+	supplyRetention = 30 * time.Second
+	// Orders to nodes that don't check tokens are protected only by time: the lease of the owner
+	// and a margin for pauses of the process.
 	unfencedLease  = 5 * time.Second
 	unfencedMargin = 2 * time.Second
-	// probeParallel is how many nodes of a domain are asked at a time.
-	probeParallel = 64
+	// maxParallelCalls is the maximum number of concurrent calls to the nodes of a domain.
+	maxParallelCalls = 64
 )
 
-// DefaultServeWindow is how long after the start of a probe a replica may
-// serve. It is longer than a deputy takes to take over, so that the loss of a
-// daemon does not darken replicas.
+// DefaultServeWindow is how long after the start of a probe a replica may serve. It is longer than
+// a deputy needs to take over a domain, so that replicas keep serving when a daemon fails.
 const DefaultServeWindow = 6 * time.Second
 
-// Members is what the controller asks of membership.
+// Members provides the membership information that the controller needs.
 type Members interface {
-	// Gone reports whether a daemon is dead or has departed.
-	Gone(id string) bool
-	// Leaving reports whether a daemon has begun a planned stop.
-	Leaving(id string) bool
-	// Candidates returns the daemons that are alive and staying; those in the
-	// data hall are marked as local.
+	// IsGone reports whether a daemon is dead or has left.
+	IsGone(id string) bool
+	// IsLeaving reports whether a daemon has begun a planned shutdown.
+	IsLeaving(id string) bool
+	// Candidates returns the daemons that are alive and not leaving. Those in the given data hall
+	// are marked as local.
 	Candidates(dataHall string) []ownership.Candidate
 }
 
@@ -89,49 +89,48 @@
 	Control cluster.NodeControl
 	Catalog *catalog.Catalog
 	Members Members
-	// Ownership holds the grants; AppendGrant appends one and returns once it
-	// is folded.
+	// Ownership holds the grants. AppendGrant appends a grant to the log and returns once it has
+	// been applied to Ownership.
 	Ownership   *ownership.State
 	AppendGrant func(ctx context.Context, record json.RawMessage) error
-	// OwnershipConfirmed returns when the newest successful read of the stream
-	// of grants began.
+	// OwnershipConfirmed returns when the latest successful read of the grant stream began.
 	OwnershipConfirmed func() time.Time
 	ServeWindow        time.Duration
-	// LoadSlots is how many replicas of a domain may load weights at a time.
+	// LoadSlots is the number of replicas in a domain that may load weights at the same time.
 	LoadSlots int
 	Logger    hclog.Logger
 }
 
-// Controller looks after the domains that this daemon owns.
+// Controller manages the domains that this daemon owns.
 type Controller struct {
 	opts       Options
 	done       chan struct{}
 	background conc.WaitGroup
 
-	mu     sync.Mutex
-	listed map[string][]cluster.ListedNode
-	// listedAt is when the newest successful read of the node list began.
+	mu            sync.Mutex
+	nodesByDomain map[string][]cluster.ListedNode
+	// listedAt is when the latest successful read of the node list began.
 	listedAt time.Time
 	// listFailedAt is when a read of the node list last failed.
 	listFailedAt time.Time
 	plans        map[string]placement.Plan
 }
 
-// NewController returns a controller; Run makes it work.
+// NewController returns a controller. Call Run to start it.
 func NewController(opts Options) *Controller {
 	if opts.ServeWindow == 0 {
 		opts.ServeWindow = DefaultServeWindow
 	}
 	return &Controller{
 		opts: opts, done: make(chan struct{}),
-		listed: make(map[string][]cluster.ListedNode), plans: make(map[string]placement.Plan),
+		nodesByDomain: make(map[string][]cluster.ListedNode), plans: make(map[string]placement.Plan),
 	}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (c *Controller) Done() <-chan struct{} { return c.done }
 
-// Plan returns the last plan made for a domain that this daemon leads.
+// Plan returns the latest plan for a domain that this daemon leads.
 func (c *Controller) Plan(domain string) (placement.Plan, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,13 +138,13 @@
 	return p, ok
 }
 
-func (c *Controller) remember(domain string, p placement.Plan) {
+func (c *Controller) storePlan(domain string, p placement.Plan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.plans[domain] = p
 }
 
-// Run looks after domains until ctx ends.
+// Run manages domains until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	var group conc.WaitGroup
@@ -155,10 +154,9 @@
 	c.background.Wait()
 }
 
-// pollList reads the node list again and again. While it cannot be read, the
-// last one stands.
+// pollList reads the node list periodically. If a read fails, the previous list remains in use.
 func (c *Controller) pollList(ctx context.Context) {
-	ticker := time.NewTicker(listEvery)
+	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		c.readList(ctx)
@@ -175,7 +173,7 @@
 	start := time.Now()
 	nodes, err := c.opts.List.Nodes(ctx)
 	if err != nil {
-		c.opts.Logger.Debug("node list not read", "error", err)
+		c.opts.Logger.Debug("cannot read the node list", "error", err)
 		c.mu.Lock()
 		c.listFailedAt = time.Now()
 		c.mu.Unlock()
@@ -187,37 +185,37 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for domain := range c.listed {
-		// A domain whose nodes all left the list is still looked after.
+	for domain := range c.nodesByDomain {
+		// A domain is still managed when all its nodes have left the list.
 		if _, ok := byDomain[domain]; !ok {
 			byDomain[domain] = nil
 		}
 	}
-	c.listed, c.listedAt = byDomain, start
+	c.nodesByDomain, c.listedAt = byDomain, start
 }
 
-// heldUp reports whether the node list is old though no read of it has failed:
-// then this process was held up, and must read the list before it reports.
-func (c *Controller) heldUp(now time.Time) bool {
+// wasSuspended reports whether the node list is old although no read has failed recently. The
+// process was then suspended, and must read the list before it publishes reports.
+func (c *Controller) wasSuspended(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.After(c.listedAt.Add(listFresh)) && now.After(c.listFailedAt.Add(listFresh))
+	return now.After(c.listedAt.Add(maxListAge)) && now.After(c.listFailedAt.Add(maxListAge))
 }
 
-// listReadAt returns when the newest successful read of the node list began.
+// listReadAt returns when the latest successful read of the node list began.
 func (c *Controller) listReadAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.listedAt
 }
 
-// tickDomains ticks every domain, each in its own goroutine so that a slow one
-// does not hold up the others.
+// tickDomains wakes each domain at every tick. Domains run in separate goroutines so that a slow
+// one doesn't delay the others.
 func (c *Controller) tickDomains(ctx context.Context) {
 	domains := make(map[string]chan struct{})
 	var group conc.WaitGroup
 	defer group.Wait()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		for _, name := range c.domainNames() {
@@ -244,8 +242,8 @@
 func (c *Controller) domainNames() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names := make([]string, 0, len(c.listed))
-	for name := range c.listed {
+	names := make([]string, 0, len(c.nodesByDomain))
+	for name := range c.nodesByDomain {
 		names = append(names, name)
 	}
 	return names
@@ -256,29 +254,30 @@
 	for {
 		select {
 		case <-wake:
-			d.tick(ctx, c.listedIn(name))
+			d.tick(ctx, c.listedNodes(name))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Controller) listedIn(domain string) []cluster.ListedNode {
+func (c *Controller) listedNodes(domain string) []cluster.ListedNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.listed[domain]
+	return c.nodesByDomain[domain]
 }
 
-// appendGrant appends a grant. Whether it won is seen by folding it.
+// appendGrant appends a grant to the log. A concurrent grant may win, which shows only once the log
+// has been applied.
 func (c *Controller) appendGrant(ctx context.Context, record ownership.Record) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	data, err := json.Marshal(record)
 	if err != nil {
-		c.opts.Logger.Error("grant not encoded", "domain", record.Domain, "error", err)
+		c.opts.Logger.Error("cannot encode the grant", "domain", record.Domain, "error", err)
 		return
 	}
 	if err := c.opts.AppendGrant(ctx, data); err != nil {
-		c.opts.Logger.Debug("grant not appended", "domain", record.Domain, "error", err)
+		c.opts.Logger.Debug("cannot append the grant", "domain", record.Domain, "error", err)
 	}
 }
--- a/replica/domain.go
+++ b/replica/domain.go
@@ -1,6 +1,5 @@
-// Package replica looks after the fabric domains that a daemon owns: it probes
-// their nodes, forms and repairs replicas by fenced orders, and publishes which
-// replicas may serve and until when.
+// Package replica manages the fabric domains that a daemon owns. It probes their nodes, forms and
+// repairs replicas with fenced orders, and publishes which replicas may serve and until when.
 package replica
 
 import (
@@ -17,90 +16,91 @@
 	"quartzshelf.dev/rpc"
 )
 
-// domain is the state of one fabric domain at one daemon. Only the goroutine
-// that ticks it uses it.
+// domain is the state of one fabric domain at one daemon. It is used only by the goroutine that
+// ticks it.
 type domain struct {
 	c        *Controller
 	name     string
 	dataHall string
-	// spans tells that the node list puts its nodes into several data halls.
-	spans bool
+	// spansHalls is set if the node list places the domain's nodes in several data halls.
+	spansHalls bool
 
-	// leading tells that this daemon acted as leader at the last tick.
-	leading bool
-	// cutOffAt is when a probe last reached less than half of the nodes, and
-	// cutOffSince since when without a better one; zero while it does.
-	cutOffAt    time.Time
-	cutOffSince time.Time
-	// yieldUntil is until when another daemon should look after the domain.
+	// isLeading is set if this daemon acted as the domain's leader at the last tick.
+	isLeading bool
+	// unreachableAt is when a probe last failed to reach most of the nodes. unreachableSince is
+	// when the current series of such probes began; zero if the last probe reached enough nodes.
+	unreachableAt    time.Time
+	unreachableSince time.Time
+	// yieldUntil is the time until which this daemon leaves the domain to others.
 	yieldUntil time.Time
-	// beganAt is when it began to lead.
-	beganAt time.Time
-	// token is the highest one used by this daemon for the domain.
+	// leadingSince is when this daemon began to lead the domain.
+	leadingSince time.Time
+	// token is the highest token that this daemon has used for the domain.
 	token token.Token
-	// seen is the highest token that the last probe and later orders saw on nodes.
-	seen token.Token
-	// version, beat and content describe the last report.
-	version uint64
-	beat    uint64
-	content *rpc.DomainReport
+	// highestSeen is the highest token found on nodes by the last probe and by orders since.
+	highestSeen token.Token
+	// version and beat are the numbers of the last published report, lastReport its content.
+	version    uint64
+	beat       uint64
+	lastReport *rpc.DomainReport
 	// renewAt is when an unchanged report is published again.
 	renewAt time.Time
 
-	// probedAt is when the last probe began.
-	probedAt time.Time
+	// lastProbeAt is when the last probe began.
+	lastProbeAt time.Time
 
-	nodes  map[string]*nodeMemory
+	nodes  map[string]*trackedNode
 	drains map[string]drain
-	// permits holds, by assignment, what routers may still act on.
+	// permits holds, by assignment name, the permits that routers may still rely on.
 	permits map[string]permit
-	// quietUntil is when a new owner may order nodes that do not check tokens.
-	quietUntil  time.Time
-	quietEpoch  uint64
-	proposeNext time.Time
-	// rebalanceAt is when a better placed daemon may get the domain; zero while
-	// there is none.
+	// unfencedAfter is when a new owner may begin to order nodes that don't check tokens, under the
+	// grant of unfencedEpoch.
+	unfencedAfter  time.Time
+	unfencedEpoch  uint64
+	nextProposalAt time.Time
+	// rebalanceAt is when the domain may be handed over to a preferred daemon; zero if there is
+	// none.
 	rebalanceAt time.Time
 }
 
-// nodeMemory is what a leader remembers about a node between probes.
-type nodeMemory struct {
+// trackedNode is what this daemon knows about a node.
+type trackedNode struct {
 	listed cluster.ListedNode
 	labels map[string]string
 	state  cluster.NodeState
-	// answered tells whether the last probe was answered.
+	// answered is set if the node answered the last probe.
 	answered bool
-	// lostAt is when a silent node is given up; zero while it answers.
+	// lostAt is when a silent node counts as lost; zero while it answers.
 	lostAt time.Time
-	// ordered is the token of the last order sent to the node.
-	ordered token.Token
-	// toldLeaving tells that the leader before reported the node as leaving. It
-	// counts until this daemon has read the node list itself.
-	toldLeaving bool
+	// lastOrder is the token of the last order that changed the node's assignment.
+	lastOrder token.Token
+	// reportedLeaving is set if the previous leader reported the node as leaving. It applies until
+	// this daemon has read the node list itself.
+	reportedLeaving bool
 }
 
-// drain is the state of a replica that is emptied before its nodes move.
+// drain is the state of a replica that is drained before its nodes are reassigned.
 type drain struct {
-	// settledAt is when all routers know of the drain and loads are fresh.
+	// settledAt is when all routers know of the drain and the load reports are current.
 	settledAt time.Time
-	// forceAt is when the drain ends though requests are still running.
+	// forceAt is when the drain ends even if requests are still running.
 	forceAt time.Time
 }
 
 func newDomain(c *Controller, name string) *domain {
 	return &domain{
-		c: c, name: name, nodes: make(map[string]*nodeMemory),
+		c: c, name: name, nodes: make(map[string]*trackedNode),
 		drains: make(map[string]drain), permits: make(map[string]permit),
 	}
 }
 
-// tick decides what to do about the domain and does it.
+// tick decides whether this daemon leads the domain and, if so, runs one round.
 func (d *domain) tick(ctx context.Context, listed []cluster.ListedNode) {
-	d.remember(listed)
+	d.updateNodes(listed)
 	grant := d.c.opts.Ownership.Grant(d.name)
-	action := d.mayBegin(d.decide(grant))
+	action := d.restrictAction(d.decideAction(grant))
 	if action.Proposes() {
-		d.propose(ctx, grant, d.selfFirst(d.bestHolders()))
+		d.propose(ctx, grant, d.withSelfFirst(d.proposedHolders()))
 	}
 	if action == ownership.Lead {
 		d.rebalance(ctx, grant)
@@ -110,76 +110,76 @@
 		return
 	}
 	view := d.c.opts.Config()
-	d.relabel(view)
+	d.updateLabels(view)
 	start := time.Now()
-	d.probe(ctx)
-	before := d.token
-	if !d.claim(grant) {
+	d.probeNodes(ctx)
+	previousToken := d.token
+	if !d.claimToken(grant) {
 		d.stepDown()
 		return
 	}
-	if d.yields(time.Now()) {
+	if d.mustWait(time.Now()) {
 		return
 	}
-	if before.Epoch != d.token.Epoch || before.Rank != d.token.Rank {
-		// Let the nodes confirm this leader before the first report: one that
-		// shows them unconfirmed would darken replicas that serve.
-		d.send(ctx, d.reaffirmations(nil))
+	if previousToken.Epoch != d.token.Epoch || previousToken.Rank != d.token.Rank {
+		// Nodes must confirm this leader before its first report. Otherwise the report would show
+		// serving replicas as unconfirmed and take them out of service.
+		d.sendOrders(ctx, d.reaffirmOrders(nil))
 		start = time.Now()
-		d.assumePermits(d.groups(view), start)
-		d.probe(ctx)
+		d.assumePermits(d.observeReplicas(view), start)
+		d.probeNodes(ctx)
 	}
-	d.round(ctx, view, start)
+	d.runRound(ctx, view, start)
 }
 
-// round plans by what the probe that began at start found, publishes, and
-// gives orders.
-func (d *domain) round(ctx context.Context, view *config.View, start time.Time) {
-	plan := placement.Make(d.input(view))
-	groups := d.groups(view)
-	d.assumePermits(groups, start)
-	orders := d.orders(plan, groups, start)
-	d.publish(groups, plan, start)
-	d.send(ctx, orders)
-	d.c.remember(d.name, plan)
+// runRound plans from the results of the probe that began at start, publishes a report and sends
+// orders.
+func (d *domain) runRound(ctx context.Context, view *config.View, start time.Time) {
+	plan := placement.Make(d.plannerInput(view))
+	replicas := d.observeReplicas(view)
+	d.assumePermits(replicas, start)
+	orders := d.planOrders(plan, replicas, start)
+	d.publishReport(replicas, plan, start)
+	d.sendOrders(ctx, orders)
+	d.c.storePlan(d.name, plan)
 }
 
-// locate takes over the data hall of the domain. A domain lies in one hall; should the
-// list say otherwise, that of the first node by name counts, at every daemon alike.
-func (d *domain) locate(listed []cluster.ListedNode) {
+// updateDataHall sets the domain's data hall from the node list. A domain should be in one data
+// hall. If the list names several, all daemons use that of the node with the lowest ID.
+func (d *domain) updateDataHall(listed []cluster.ListedNode) {
 	if len(listed) == 0 {
 		return
 	}
 	first := slices.MinFunc(listed, func(a, b cluster.ListedNode) int { return strings.Compare(a.ID, b.ID) })
 	d.dataHall = first.DataHall
 	other := slices.IndexFunc(listed, func(l cluster.ListedNode) bool { return l.DataHall != d.dataHall })
-	if spans := other >= 0; spans != d.spans {
-		d.spans = spans
-		if spans {
+	if spansHalls := other >= 0; spansHalls != d.spansHalls {
+		d.spansHalls = spansHalls
+		if spansHalls {
 			d.c.opts.Logger.Warn("domain spans data halls; closing the other one does not stop requests to it",
 				"domain", d.name, "hall", d.dataHall, "other", listed[other].DataHall, "node", listed[other].ID)
 		}
 	}
 }
 
-// remember takes over the rows of the node list.
-func (d *domain) remember(listed []cluster.ListedNode) {
+// updateNodes updates the tracked nodes from the node list.
+func (d *domain) updateNodes(listed []cluster.ListedNode) {
 	present := make(map[string]bool, len(listed))
-	d.locate(listed)
+	d.updateDataHall(listed)
 	for _, l := range listed {
 		present[l.ID] = true
 		m, ok := d.nodes[l.ID]
 		if !ok {
-			m = &nodeMemory{}
+			m = &trackedNode{}
 			d.nodes[l.ID] = m
 		}
 		m.listed = l
 	}
 	now := time.Now()
-	readSince := d.c.listReadAt().After(d.beganAt)
+	isListNewer := d.c.listReadAt().After(d.leadingSince)
 	for id, m := range d.nodes {
-		m.toldLeaving = m.toldLeaving && !readSince
-		// The list lags: a node that still answers stays, whatever it says.
+		m.reportedLeaving = m.reportedLeaving && !isListNewer
+		// The list may be outdated, so a node that still answers is kept.
 		if !present[id] && !m.answered && !m.lostAt.IsZero() && now.After(m.lostAt) {
 			delete(d.nodes, id)
 		}
--- a/replica/domain_test.go
+++ b/replica/domain_test.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/cluster"
 )
 
-// TestDomainThatSpansHalls lists nodes of one domain in two data halls: every daemon
-// takes the same hall, and says so once.
+// TestDomainThatSpansHalls checks that a domain listed in two data halls gets the same data hall
+// whatever the order of the list, and that the warning is logged once.
 func TestDomainThatSpansHalls(t *testing.T) {
 	row := func(id, hall string) cluster.ListedNode { return cluster.ListedNode{ID: id, DataHall: hall} }
 	cases := map[string]struct {
@@ -32,7 +32,7 @@
 			d := newDomain(controller, "fabric-1")
 			d.dataHall = "as before"
 			for range 3 {
-				d.remember(c.listed)
+				d.updateNodes(c.listed)
 			}
 			assert.Equal(t, d.dataHall, c.hall)
 			lines := 0
--- a/replica/grant.go
+++ b/replica/grant.go
@@ -7,45 +7,45 @@
 	"quartzshelf.dev/ownership"
 )
 
-// propose appends a new grant in the background, now and then at the most.
+// propose appends a new grant in the background, at most once per proposeInterval.
 func (d *domain) propose(ctx context.Context, grant ownership.Grant, holders []string) {
 	now := time.Now()
-	if now.Before(d.proposeNext) || len(holders) == 0 {
+	if now.Before(d.nextProposalAt) || len(holders) == 0 {
 		return
 	}
-	d.proposeNext = now.Add(proposeEvery)
+	d.nextProposalAt = now.Add(proposeInterval)
 	record := ownership.Record{Domain: d.name, Replaces: grant.Epoch(), Holders: holders}
 	d.c.background.Go(func() { d.c.appendGrant(ctx, record) })
 }
 
-// bestHolders returns the holders that a new grant should name.
-func (d *domain) bestHolders() []string {
+// proposedHolders returns the holders for a new grant.
+func (d *domain) proposedHolders() []string {
 	return ownership.Holders(d.name, d.c.opts.Members.Candidates(d.dataHall))
 }
 
-// rebalance hands the domain to the daemon that is best placed for it once
-// that has been the same one for a while. Without it, the survivors of
-// failures would own ever more domains.
+// rebalance hands the domain over once another daemon has been the preferred owner for
+// rebalanceDelay. Otherwise the daemons that survive failures would accumulate domains.
 func (d *domain) rebalance(ctx context.Context, grant ownership.Grant) {
-	best := d.bestHolders()
-	if len(best) == 0 || best[0] == d.c.opts.Self {
+	preferred := d.proposedHolders()
+	if len(preferred) == 0 || preferred[0] == d.c.opts.Self {
 		d.rebalanceAt = time.Time{}
 		return
 	}
 	now := time.Now()
 	if d.rebalanceAt.IsZero() {
-		d.rebalanceAt = now.Add(rebalanceAfter)
+		d.rebalanceAt = now.Add(rebalanceDelay)
 	}
 	if now.After(d.rebalanceAt) {
 		d.rebalanceAt = time.Time{}
-		d.propose(ctx, grant, best)
+		d.propose(ctx, grant, preferred)
 	}
 }
 
-// selfFirst puts this daemon first unless it is leaving: it knows the domain.
-func (d *domain) selfFirst(holders []string) []string {
+// withSelfFirst puts this daemon first, unless it is leaving, because it already knows the state of
+// the domain.
+func (d *domain) withSelfFirst(holders []string) []string {
 	self := d.c.opts.Self
-	if d.c.opts.Members.Leaving(self) {
+	if d.c.opts.Members.IsLeaving(self) {
 		return holders
 	}
 	ordered := []string{self}
--- a/replica/members.go
+++ b/replica/members.go
@@ -6,26 +6,26 @@
 	"quartzshelf.dev/rpc"
 )
 
-// TableMembers answers the controller's questions from a membership table.
+// TableMembers implements Members with a membership table.
 type TableMembers struct {
 	table *membership.Table
 }
 
 var _ Members = TableMembers{}
 
-// NewTableMembers returns the members that the table knows.
+// NewTableMembers returns Members backed by the table.
 func NewTableMembers(table *membership.Table) TableMembers {
 	return TableMembers{table: table}
 }
 
-// Gone implements Members.
-func (m TableMembers) Gone(id string) bool {
+// IsGone implements Members.
+func (m TableMembers) IsGone(id string) bool {
 	state := m.table.State(id)
 	return state == rpc.MemberState_DEAD || state == rpc.MemberState_LEFT
 }
 
-// Leaving implements Members.
-func (m TableMembers) Leaving(id string) bool {
+// IsLeaving implements Members.
+func (m TableMembers) IsLeaving(id string) bool {
 	member, ok := m.table.Member(id)
 	return ok && member.Leaving
 }
--- a/replica/order.go
+++ b/replica/order.go
@@ -12,44 +12,45 @@
 	"quartzshelf.dev/placement"
 )
 
-// outgoing is an order about to be sent.
-type outgoing struct {
-	memory *nodeMemory
+// pendingOrder is an order to be sent to a node.
+type pendingOrder struct {
+	node   *trackedNode
 	order  cluster.Order
 	reason string
 }
 
-// orders turns a plan into the orders that may go out now. Replicas that are
-// intact are drained first; their orders wait.
-func (d *domain) orders(plan placement.Plan, groups []observed, now time.Time) []outgoing {
-	intact := intactByNode(groups)
+// planOrders returns the orders of a plan that may be sent now. Orders that affect an intact
+// replica are delayed until it is drained.
+func (d *domain) planOrders(plan placement.Plan, replicas []observedReplica, now time.Time) []pendingOrder {
+	intact := intactByNode(replicas)
 	wasDraining := d.drains
 	d.drains = make(map[string]drain)
 	for id, state := range wasDraining {
-		if touched(plan, intact, id) {
+		if movesReplica(plan, intact, id) {
 			d.drains[id] = state
 		}
 	}
-	var all []outgoing
+	var all []pendingOrder
 	for _, f := range plan.Formations {
 		all = append(all, d.formationOrders(f, intact, now)...)
 	}
 	for _, step := range plan.Releases {
 		if d.mayRelease(step, intact, now) {
-			all = append(all, d.prepare(step.Node, step.Assignment, step.Reason))
+			all = append(all, d.newOrder(step.Node, step.Assignment, step.Reason))
 		}
 	}
-	all = append(all, d.preloads(plan, all)...)
-	return append(all, d.reaffirmations(all)...)
+	all = append(all, d.preloadOrders(plan, all)...)
+	return append(all, d.reaffirmOrders(all)...)
 }
 
-// preloads returns the orders that let nodes fetch weights beside their work.
-func (d *domain) preloads(plan placement.Plan, sent []outgoing) []outgoing {
-	busy := nodesOf(sent)
-	var all []outgoing
+// preloadOrders returns orders that make nodes fetch weights in advance, without a change of
+// assignment.
+func (d *domain) preloadOrders(plan placement.Plan, sent []pendingOrder) []pendingOrder {
+	busy := orderedNodes(sent)
+	var all []pendingOrder
 	for _, p := range plan.Preloads {
 		if !busy[p.Node] {
-			o := d.prepare(p.Node, d.nodes[p.Node].state.Assignment, p.Reason)
+			o := d.newOrder(p.Node, d.nodes[p.Node].state.Assignment, p.Reason)
 			o.order.Preload = []string{p.Version}
 			all = append(all, o)
 		}
@@ -57,21 +58,21 @@
 	return all
 }
 
-// nodesOf returns the nodes that the orders are for.
-func nodesOf(orders []outgoing) map[string]bool {
+// orderedNodes returns the IDs of the nodes that the orders are for.
+func orderedNodes(orders []pendingOrder) map[string]bool {
 	nodes := make(map[string]bool, len(orders))
 	for _, o := range orders {
-		nodes[o.memory.listed.ID] = true
+		nodes[o.node.listed.ID] = true
 	}
 	return nodes
 }
 
-// intactByNode returns, for each node of an intact replica that is not run by
-// scripts, the replica.
-func intactByNode(groups []observed) map[string]observed {
-	intact := make(map[string]observed)
-	for _, o := range groups {
-		if !o.intact() || o.scripted {
+// intactByNode maps the nodes of intact replicas to their replica. Replicas managed by scripts are
+// left out.
+func intactByNode(replicas []observedReplica) map[string]observedReplica {
+	intact := make(map[string]observedReplica)
+	for _, o := range replicas {
+		if !o.isIntact() || o.isScripted {
 			continue
 		}
 		for _, m := range o.members {
@@ -81,28 +82,28 @@
 	return intact
 }
 
-// mayRelease reports whether a node may be freed now.
-func (d *domain) mayRelease(step placement.Step, intact map[string]observed, now time.Time) bool {
-	if o, ok := intact[step.Node]; ok && !d.drained(o, now) {
+// mayRelease reports whether a node may be released now.
+func (d *domain) mayRelease(step placement.Step, intact map[string]observedReplica, now time.Time) bool {
+	if o, ok := intact[step.Node]; ok && !d.ensureDrained(o, now) {
 		return false
 	}
-	return len(d.guards(step.Node, now)) == 0
+	return len(d.blockingPermits(step.Node, now)) == 0
 }
 
-// touched reports whether the plan moves a node of the intact replica.
-func touched(plan placement.Plan, intact map[string]observed, replica string) bool {
-	of := func(step placement.Step) bool {
+// movesReplica reports whether the plan reassigns a node of the intact replica.
+func movesReplica(plan placement.Plan, intact map[string]observedReplica, replica string) bool {
+	isMember := func(step placement.Step) bool {
 		o, ok := intact[step.Node]
 		return ok && o.id == replica
 	}
 	for _, step := range plan.Releases {
-		if of(step) {
+		if isMember(step) {
 			return true
 		}
 	}
 	for _, f := range plan.Formations {
 		for _, step := range f.Steps {
-			if of(step) {
+			if isMember(step) {
 				return true
 			}
 		}
@@ -110,116 +111,113 @@
 	return false
 }
 
-// formationOrders returns the orders of a formation, or none while a replica
-// that has to give up nodes for it is still being drained.
-func (d *domain) formationOrders(f placement.Formation, intact map[string]observed, now time.Time) []outgoing {
+// formationOrders returns the orders of a formation. It returns none while a replica that has to
+// give up nodes is still draining, and only release orders while a permit blocks a step.
+func (d *domain) formationOrders(f placement.Formation, intact map[string]observedReplica, now time.Time) []pendingOrder {
 	ready := true
 	for _, step := range f.Steps {
-		if o, ok := intact[step.Node]; ok && !d.drained(o, now) {
+		if o, ok := intact[step.Node]; ok && !d.ensureDrained(o, now) {
 			ready = false
 		}
 	}
 	if !ready {
 		return nil
 	}
-	if first := d.releaseGuards(f.Steps, now); first != nil || d.guarded(f.Steps, now) {
-		return first
+	if releases := d.releaseOrders(f.Steps, now); releases != nil || d.isBlocked(f.Steps, now) {
+		return releases
 	}
-	generation := generationOf(d.next())
-	all := make([]outgoing, 0, len(f.Steps))
+	generation := generationOf(d.nextToken())
+	all := make([]pendingOrder, 0, len(f.Steps))
 	for _, step := range f.Steps {
 		step.Assignment.Generation = generation
-		all = append(all, d.prepare(step.Node, step.Assignment, step.Reason))
+		all = append(all, d.newOrder(step.Node, step.Assignment, step.Reason))
 	}
 	d.c.opts.Logger.Info("forming replica", "replica", f.Replica, "generation", generation, "reason", f.Reason)
 	return all
 }
 
-// guarded reports whether a step must wait for a permit to run out.
-func (d *domain) guarded(steps []placement.Step, now time.Time) bool {
-	return slices.ContainsFunc(steps, func(s placement.Step) bool { return len(d.guards(s.Node, now)) > 0 })
+// isBlocked reports whether any step must wait for a permit to expire.
+func (d *domain) isBlocked(steps []placement.Step, now time.Time) bool {
+	return slices.ContainsFunc(steps, func(s placement.Step) bool { return len(d.blockingPermits(s.Node, now)) > 0 })
 }
 
-// releaseGuards returns orders that free the answering nodes of broken
-// replicas whose permits hold up the steps. Once those nodes have confirmed,
-// the steps need not wait for the permits to run out.
-func (d *domain) releaseGuards(steps []placement.Step, now time.Time) []outgoing {
-	freed := make(map[string]bool)
-	var all []outgoing
+// releaseOrders returns orders that release the leader nodes of broken replicas whose permits
+// block the steps. Once such a node has confirmed, its replica's permit no longer blocks.
+func (d *domain) releaseOrders(steps []placement.Step, now time.Time) []pendingOrder {
+	released := make(map[string]bool)
+	var all []pendingOrder
 	for _, step := range steps {
-		for _, p := range d.guards(step.Node, now) {
+		for _, p := range d.blockingPermits(step.Node, now) {
 			leader := p.assignment.Members[0]
 			m, known := d.nodes[leader]
-			if freed[leader] || !known || !m.answered || !m.fenced() {
+			if released[leader] || !known || !m.answered || !m.isFenced() {
 				continue
 			}
-			freed[leader] = true
-			all = append(all, d.prepare(leader, cluster.Assignment{}, "free a broken replica before its nodes move"))
+			released[leader] = true
+			all = append(all, d.newOrder(leader, cluster.Assignment{}, "free a broken replica before its nodes move"))
 		}
 	}
 	return all
 }
 
-// Bits of a generation that hold the epoch, the rank and the sequence.
+// Widths in bits of the rank and the sequence in a generation. The epoch takes the higher bits.
 const (
 	rankBits     = 12
 	sequenceBits = 28
 )
 
-// generationOf returns the generation that a token stands for: as a token is
-// used once, no two formations share a generation, and later ones are higher.
-// It is reported in JSON, so it must stay below 2^63.
+// generationOf returns the generation for a token. Each token is used once, so generations are
+// unique and later ones are higher. Generations are reported in JSON and must stay below 2^63.
 func generationOf(t token.Token) uint64 {
 	rank := uint64(t.Rank) & (1<<rankBits - 1)
 	sequence := t.Sequence & (1<<sequenceBits - 1)
 	return t.Epoch<<(rankBits+sequenceBits) | rank<<sequenceBits | sequence
 }
 
-// reaffirmations returns orders that repeat, under this leader's token, the
-// assignment of each node that still holds an older one. They disturb nothing
-// and fence off the orders of earlier leaders.
-func (d *domain) reaffirmations(sent []outgoing) []outgoing {
-	busy := nodesOf(sent)
-	var all []outgoing
+// reaffirmOrders returns orders that repeat the current assignment of each node that still holds a
+// token of an earlier leader. They fence off that leader's orders and change nothing else.
+func (d *domain) reaffirmOrders(sent []pendingOrder) []pendingOrder {
+	busy := orderedNodes(sent)
+	var all []pendingOrder
 	for id, m := range d.nodes {
-		if busy[id] || m.listed.Kind != cluster.KindEngine || m.scripted() || !m.fenced() || !m.answered {
+		if busy[id] || m.listed.Kind != cluster.KindEngine || m.isScripted() || !m.isFenced() || !m.answered {
 			continue
 		}
-		if d.mine(m) || m.state.Assignment.Empty() {
+		if d.confirmsLeader(m) || m.state.Assignment.Empty() {
 			continue
 		}
-		all = append(all, d.prepare(id, m.state.Assignment, "confirm the owner"))
+		all = append(all, d.newOrder(id, m.state.Assignment, "confirm the owner"))
 	}
 	return all
 }
 
-// prepare makes an order with a token of its own.
-func (d *domain) prepare(node string, a cluster.Assignment, reason string) outgoing {
+// newOrder returns an order for a node with a new token.
+func (d *domain) newOrder(node string, a cluster.Assignment, reason string) pendingOrder {
 	m := d.nodes[node]
-	t := d.next()
+	t := d.nextToken()
 	if !m.state.Assignment.Same(a) {
-		// An order that repeats the assignment may arrive late without harm.
-		m.ordered = t
+		// A late order that only repeats the assignment does no harm.
+		m.lastOrder = t
 	}
-	return outgoing{memory: m, order: cluster.Order{Token: t, Assignment: a}, reason: reason}
+	return pendingOrder{node: m, order: cluster.Order{Token: t, Assignment: a}, reason: reason}
 }
 
-// send gives the orders side by side. What an order without an answer did is
-// seen by the next probe; until the node shows the order's token or a higher
-// one, it counts for no replica.
-func (d *domain) send(ctx context.Context, orders []outgoing) {
+// sendOrders sends the orders concurrently. The effect of an order without an answer shows in the
+// next probe. Until the node reports the order's token or a higher one, its replica counts as
+// unconfirmed.
+func (d *domain) sendOrders(ctx context.Context, orders []pendingOrder) {
 	if len(orders) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if time.Now().After(d.probedAt.Add(probeFresh)) {
-		// This process was held up: the nodes may not be any more as they were.
+	if time.Now().After(d.lastProbeAt.Add(maxProbeAge)) {
+		// The process was suspended, so the probe's results may be outdated.
 		return
 	}
-	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(probeParallel)
+	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(maxParallelCalls)
 	for _, o := range orders {
-		address, id := o.memory.listed.Address, o.memory.listed.ID
+		address, id := o.node.listed.Address, o.node.listed.ID
 		p.Go(func() probeResult {
 			reply, err := d.c.opts.Control.Order(ctx, address, o.order)
 			return probeResult{id: id, state: reply.State, err: err}
@@ -227,7 +225,7 @@
 	}
 	for _, r := range p.Wait() {
 		if r.err == nil {
-			d.see(d.nodes[r.id], r.state.Token)
+			d.recordToken(d.nodes[r.id], r.state.Token)
 		}
 	}
 }
--- a/replica/permit.go
+++ b/replica/permit.go
@@ -7,47 +7,46 @@
 	"quartzshelf.dev/cluster"
 )
 
-// permit is what routers may still act on: that a replica may serve, in one
-// generation, until a deadline.
+// permit is the permission for a replica to serve, in one generation and until a deadline, that
+// routers may still rely on.
 type permit struct {
 	assignment cluster.Assignment
-	until      time.Time
+	deadline   time.Time
 }
 
-// grantPermits notes what a report that was just published allows.
-func (d *domain) grantPermits(groups []observed, until time.Time) {
-	for _, o := range groups {
-		if o.intact() && !o.scripted && !d.isDraining(o) {
-			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, until: until}
+// recordPermits records the permits granted by the report that is being published.
+func (d *domain) recordPermits(replicas []observedReplica, deadline time.Time) {
+	for _, o := range replicas {
+		if o.isIntact() && !o.isScripted && !d.isDraining(o) {
+			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, deadline: deadline}
 		}
 	}
 }
 
-// assumePermits notes what an earlier leader may have allowed: as long as a
-// node has not confirmed this leader, an earlier one may just have published.
-func (d *domain) assumePermits(groups []observed, now time.Time) {
+// assumePermits removes expired permits and adds those that an earlier leader may have granted: as
+// long as a node hasn't confirmed this leader, an earlier one may have published a report just now.
+func (d *domain) assumePermits(replicas []observedReplica, now time.Time) {
 	for name, p := range d.permits {
-		if now.After(p.until) {
+		if now.After(p.deadline) {
 			delete(d.permits, name)
 		}
 	}
-	for _, o := range groups {
-		unconfirmed := slices.ContainsFunc(o.members, func(m *nodeMemory) bool { return m.fenced() && !d.mine(m) })
-		if unconfirmed && !o.scripted {
-			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, until: now.Add(d.c.opts.ServeWindow)}
+	for _, o := range replicas {
+		unconfirmed := slices.ContainsFunc(o.members, func(m *trackedNode) bool { return m.isFenced() && !d.confirmsLeader(m) })
+		if unconfirmed && !o.isScripted {
+			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, deadline: now.Add(d.c.opts.ServeWindow)}
 		}
 	}
 }
 
-// guards returns the replicas whose permits forbid to give a node another
-// assignment: routers may still send to them, and the node that answers would
-// still accept. A node that answers for the replica itself may move: from then
-// on it refuses what was meant for the replica.
-func (d *domain) guards(node string, now time.Time) []permit {
+// blockingPermits returns the permits that forbid a new assignment of the node: routers may still
+// send requests to the replica, and its leader node would still accept them. The leader node itself
+// may be reassigned, as it then rejects requests for the old replica.
+func (d *domain) blockingPermits(node string, now time.Time) []permit {
 	var all []permit
 	for _, p := range d.permits {
 		members := p.assignment.Members
-		if now.After(p.until) || !slices.Contains(members, node) || members[0] == node {
+		if now.After(p.deadline) || !slices.Contains(members, node) || members[0] == node {
 			continue
 		}
 		leader, known := d.nodes[members[0]]
@@ -59,8 +58,8 @@
 	return all
 }
 
-// isDraining reports whether the replica takes no new work.
-func (d *domain) isDraining(o observed) bool {
+// isDraining reports whether the replica accepts no new requests.
+func (d *domain) isDraining(o observedReplica) bool {
 	_, draining := d.drains[o.id]
-	return draining || o.leaving()
+	return draining || o.isLeaving()
 }
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -12,21 +12,21 @@
 	"quartzshelf.dev/placement"
 )
 
-// probeResult is what one probe brought.
+// probeResult is the result of a probe of, or an order to, one node.
 type probeResult struct {
 	id    string
 	state cluster.NodeState
 	err   error
 }
 
-// probe asks every node of the domain for its state, side by side.
-func (d *domain) probe(ctx context.Context) {
-	d.probedAt = time.Now()
-	// What nodes showed before may have been of nodes that now count no more.
-	d.seen = token.Token{}
+// probeNodes asks all nodes of the domain for their state, concurrently.
+func (d *domain) probeNodes(ctx context.Context) {
+	d.lastProbeAt = time.Now()
+	// Earlier tokens may come from nodes that are no longer part of the domain.
+	d.highestSeen = token.Token{}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(probeParallel)
+	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(maxParallelCalls)
 	for id, m := range d.nodes {
 		address := m.listed.Address
 		p.Go(func() probeResult {
@@ -41,19 +41,19 @@
 			silent++
 		}
 	}
-	d.noteReach(silent, len(results), time.Now())
-	loseAt := time.Now().Add(loseAfter)
+	d.updateReachability(silent, len(results), time.Now())
+	loseAt := time.Now().Add(lostTimeout)
 	if 2*silent > len(results) {
-		loseAt = time.Now().Add(loseManyAfter)
+		loseAt = time.Now().Add(lostTimeoutMajority)
 	}
 	for _, r := range results {
-		d.note(r, loseAt)
+		d.applyProbe(r, loseAt)
 	}
 }
 
-// note takes over what a probe brought; loseAt is when a node that is newly
-// silent is given up.
-func (d *domain) note(r probeResult, loseAt time.Time) {
+// applyProbe updates a node from its probe result. A node that has just become silent counts as
+// lost at loseAt.
+func (d *domain) applyProbe(r probeResult, loseAt time.Time) {
 	m := d.nodes[r.id]
 	m.answered = r.err == nil && r.state.Node == r.id
 	if !m.answered {
@@ -64,26 +64,26 @@
 	}
 	m.lostAt = time.Time{}
 	m.state = r.state
-	d.see(m, r.state.Token)
+	d.recordToken(m, r.state.Token)
 }
 
-// see notes the highest token of the domain. Nodes that scripts run or that do
-// not check tokens say nothing of who leads.
-func (d *domain) see(m *nodeMemory, t token.Token) {
-	if !m.scripted() && m.fenced() && t.Higher(d.seen) {
-		d.seen = t
+// recordToken updates the highest token seen. Nodes that are managed by scripts or don't check
+// tokens are ignored, as their tokens don't show who leads.
+func (d *domain) recordToken(m *trackedNode, t token.Token) {
+	if !m.isScripted() && m.isFenced() && t.Higher(d.highestSeen) {
+		d.highestSeen = t
 	}
 }
 
-// relabel works out the labels of all nodes.
-func (d *domain) relabel(view *config.View) {
+// updateLabels computes the labels of all nodes.
+func (d *domain) updateLabels(view *config.View) {
 	for id, m := range d.nodes {
-		m.labels = view.NodeLabels(id, listLabels(m.listed.Domain, m.listed.DataHall, m.listed.Kind))
+		m.labels = view.NodeLabels(id, labelsFromList(m.listed.Domain, m.listed.DataHall, m.listed.Kind))
 	}
 }
 
-// listLabels returns the labels that a node has from the node list.
-func listLabels(domain, dataHall string, kind cluster.NodeKind) map[string]string {
+// labelsFromList returns the labels that a node gets from the node list.
+func labelsFromList(domain, dataHall string, kind cluster.NodeKind) map[string]string {
 	return map[string]string{
 		config.LabelDomain:   domain,
 		config.LabelDataHall: dataHall,
@@ -91,27 +91,27 @@
 	}
 }
 
-func (m *nodeMemory) scripted() bool {
+func (m *trackedNode) isScripted() bool {
 	return m.labels[config.LabelManagedBy] == config.ManagedByScripts
 }
 
-func (m *nodeMemory) fenced() bool {
+func (m *trackedNode) isFenced() bool {
 	return m.labels[config.LabelFenced] != config.LabelFalse
 }
 
-func (m *nodeMemory) leaving() bool {
-	return m.listed.Leaving || m.toldLeaving || m.labels[config.LabelDrain] == config.LabelTrue
+func (m *trackedNode) isLeaving() bool {
+	return m.listed.Leaving || m.reportedLeaving || m.labels[config.LabelDrain] == config.LabelTrue
 }
 
-func (m *nodeMemory) lost(now time.Time) bool {
+func (m *trackedNode) isLost(now time.Time) bool {
 	return !m.answered && !m.lostAt.IsZero() && !now.Before(m.lostAt)
 }
 
-// input makes the planner's input from what is known now.
-func (d *domain) input(view *config.View) placement.Input {
+// plannerInput returns the planner's input for the current state.
+func (d *domain) plannerInput(view *config.View) placement.Input {
 	now := time.Now()
 	in := placement.Input{Domain: d.name, LoadSlots: d.c.opts.LoadSlots, Closed: view.Hall(d.dataHall).Closed()}
-	mayUnfenced := d.mayOrderUnfenced(d.c.opts.Ownership.Grant(d.name), now)
+	unfencedAllowed := d.canOrderUnfenced(d.c.opts.Ownership.Grant(d.name), now)
 	for id, m := range d.nodes {
 		if m.listed.Kind != cluster.KindEngine {
 			continue
@@ -120,10 +120,10 @@
 			ID:           id,
 			Labels:       m.labels,
 			Answering:    m.answered,
-			Lost:         m.lost(now),
-			Leaving:      m.leaving(),
-			Scripted:     m.scripted(),
-			Unorderable:  !m.fenced() && !mayUnfenced,
+			Lost:         m.isLost(now),
+			Leaving:      m.isLeaving(),
+			Scripted:     m.isScripted(),
+			Unorderable:  !m.isFenced() && !unfencedAllowed,
 			Accelerators: m.listed.Accelerators,
 			Assignment:   m.state.Assignment,
 			Phase:        m.state.Phase,
@@ -131,6 +131,6 @@
 			Preloading:   m.state.Preloading,
 		})
 	}
-	in.Wants = d.wants(view)
+	in.Wants = d.computeWants(view)
 	return in
 }
--- a/replica/report.go
+++ b/replica/report.go
@@ -13,14 +13,15 @@
 	"quartzshelf.dev/rpc"
 )
 
-// publish reports the domain. The replicas may serve for the window counted
-// from start, which lies before the probe that confirmed them.
-func (d *domain) publish(groups []observed, plan placement.Plan, start time.Time) {
+// publishReport publishes the domain's report if it has changed or is due for renewal. Replicas may
+// serve for the serve window counted from start, which must not be later than the probe that
+// confirmed them.
+func (d *domain) publishReport(replicas []observedReplica, plan placement.Plan, start time.Time) {
 	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.c.opts.Self}
 	report.Token = catalog.ToMessage(d.token)
 	report.Token.Sequence = 0
 	var loads []uint32
-	for _, o := range groups {
+	for _, o := range replicas {
 		report.Replicas = append(report.Replicas, d.replicaReport(o, plan))
 		load := cluster.Load{}
 		if len(o.members) > 0 {
@@ -28,34 +29,34 @@
 		}
 		loads = append(loads, uint32(load.Queue), uint32(load.Active), uint32(load.Slots))
 	}
-	missing := d.missing(groups, plan)
+	missing := d.missingReplicas(replicas, plan)
 	report.Replicas = append(report.Replicas, missing...)
 	report.Nodes = d.nodeReports(plan, time.Now())
-	if d.content == nil || !proto.Equal(report, d.content) {
+	if d.lastReport == nil || !proto.Equal(report, d.lastReport) {
 		d.version++
-		d.content = proto.CloneOf(report)
+		d.lastReport = proto.CloneOf(report)
 	} else if start.Before(d.renewAt) {
 		return
 	}
 	d.beat++
-	d.renewAt = start.Add(d.c.opts.ServeWindow / renewals)
+	d.renewAt = start.Add(d.c.opts.ServeWindow / renewalsPerWindow)
 	report.Version, report.Beat, report.Loads = d.version, d.beat, loads
 	deadline := start.Add(d.c.opts.ServeWindow)
-	d.grantPermits(groups, deadline)
+	d.recordPermits(replicas, deadline)
 	d.c.opts.Catalog.Publish(report, deadline)
 }
 
-func (d *domain) replicaReport(o observed, plan placement.Plan) *rpc.ReplicaReport {
+func (d *domain) replicaReport(o observedReplica, plan placement.Plan) *rpc.ReplicaReport {
 	r := &rpc.ReplicaReport{
 		Id: o.id, Deployment: o.assignment.Deployment, Generation: o.assignment.Generation,
-		Serving: o.intact(), Draining: d.isDraining(o), Scripted: o.scripted,
+		Serving: o.isIntact(), Draining: d.isDraining(o), Scripted: o.isScripted,
 		ModelVersion: o.assignment.Version, Adapters: o.assignment.Adapters,
 		Reason: o.problem,
 	}
 	if reason, ok := plan.Dark[o.id]; ok && !r.Serving {
 		r.Reason = reason
 	}
-	if o.scripted {
+	if o.isScripted {
 		r.AssignedName = o.assignment.Replica
 	}
 	for _, m := range o.members {
@@ -67,11 +68,11 @@
 	return r
 }
 
-// missing reports the wanted replicas that no node holds.
-func (d *domain) missing(groups []observed, plan placement.Plan) []*rpc.ReplicaReport {
+// missingReplicas returns reports on wanted replicas that no node is assigned to.
+func (d *domain) missingReplicas(replicas []observedReplica, plan placement.Plan) []*rpc.ReplicaReport {
 	var all []*rpc.ReplicaReport
 	for _, id := range slices.Sorted(maps.Keys(plan.Dark)) {
-		found := slices.ContainsFunc(groups, func(o observed) bool { return o.id == id })
+		found := slices.ContainsFunc(replicas, func(o observedReplica) bool { return o.id == id })
 		if found {
 			continue
 		}
@@ -80,7 +81,7 @@
 	return all
 }
 
-// nodeReports describes the nodes, sorted by name.
+// nodeReports returns reports on all nodes, sorted by ID.
 func (d *domain) nodeReports(plan placement.Plan, now time.Time) []*rpc.NodeReport {
 	all := make([]*rpc.NodeReport, 0, len(d.nodes))
 	for _, id := range slices.Sorted(maps.Keys(d.nodes)) {
@@ -97,18 +98,18 @@
 	return all
 }
 
-// reportState returns the state that the report gives for a node.
-func (m *nodeMemory) reportState(now time.Time) rpc.NodeState {
+// reportState returns the node's state for the report.
+func (m *trackedNode) reportState(now time.Time) rpc.NodeState {
 	switch {
-	case m.lost(now):
+	case m.isLost(now):
 		return rpc.NodeState_LOST
 	case !m.answered:
 		return rpc.NodeState_SILENT
-	case m.leaving():
+	case m.isLeaving():
 		return rpc.NodeState_LEAVING
 	case m.listed.Kind == cluster.KindService:
 		return rpc.NodeState_SERVICE
-	case m.scripted():
+	case m.isScripted():
 		return rpc.NodeState_SCRIPTED
 	case m.state.Assignment.Empty():
 		return rpc.NodeState_SPARE
--- a/replica/want.go
+++ b/replica/want.go
@@ -11,12 +11,12 @@
 	"quartzshelf.dev/rpc"
 )
 
-// rollShare is the divisor that gives how many replicas of a deployment may be
-// down for a new version at a time: one in rollShare, one at the least.
-const rollShare = 10
+// One in rolloutDivisor replicas of a deployment, but at least one, may be down for an upgrade at a
+// time.
+const rolloutDivisor = 10
 
-// wants works out what each deployment asks of this domain.
-func (d *domain) wants(view *config.View) []placement.Want {
+// computeWants returns what each deployment requires of this domain.
+func (d *domain) computeWants(view *config.View) []placement.Want {
 	var wants []placement.Want
 	for _, deployment := range view.Deployments() {
 		model, err := view.ModelOf(deployment)
@@ -28,7 +28,7 @@
 			Deployment: deployment.Name(), Replicas: spec.Replicas,
 			Size: spec.NodesPerReplica, Priority: spec.Priority,
 		}
-		shares := placement.Apportion(demand, d.supplies(view, deployment))
+		shares := placement.Apportion(demand, d.computeSupplies(view, deployment))
 		want := placement.Want{
 			Deployment: deployment.Name(),
 			Replicas:   shares[d.name],
@@ -37,30 +37,29 @@
 			Model:      model.Name(),
 			Version:    model.Version(),
 			Adapters:   view.AdaptersOf(deployment, model),
-			Selects:    selectsIn(view, deployment, d.dataHall),
+			Selects:    nodeSelector(view, deployment, d.dataHall),
 			Objective:  placement.Objective{Downtime: spec.Objective.Downtime, Stranded: spec.Objective.Stranded},
 		}
-		want.Fill = spec.Replicas > 0 && want.Objective.Pays(d.acceleratorsOf(want.Size), d.assignedNodes())
-		want.MayRoll = d.mayRoll(view, deployment.Name(), want)
+		want.Fill = spec.Replicas > 0 && want.Objective.Pays(d.estimateAccelerators(want.Size), d.countAssignedNodes())
+		want.MayRoll = d.replicasToUpgrade(view, deployment.Name(), want)
 		wants = append(wants, want)
 	}
 	return wants
 }
 
-// selectsIn returns whether nodes with given labels may be used in the data hall: those
-// that the deployment selects, where its requests may run.
-func selectsIn(view *config.View, deployment config.Deployment, hall string) func(map[string]string) bool {
+// nodeSelector returns a function that reports whether a node with the given labels may be used for
+// the deployment. It rejects all nodes if the region of the data hall is not allowed.
+func nodeSelector(view *config.View, deployment config.Deployment, hall string) func(map[string]string) bool {
 	if !deployment.AllowedRegions().Allow(view.Hall(hall).Region()) {
 		return func(map[string]string) bool { return false }
 	}
 	return deployment.SelectsNode
 }
 
-// supplies works out what each domain can give to a deployment: other domains
-// by their reports, this one by what was just probed. Domains in closed data halls and
-// in regions that the deployment does not allow give nothing, so that the others form
-// what is wanted.
-func (d *domain) supplies(view *config.View, deployment config.Deployment) []placement.Supply {
+// computeSupplies returns what each domain can supply to a deployment: this domain by its last
+// probe, others by their reports. Domains in closed data halls or in regions that the deployment
+// does not allow are left out, so that others form the wanted replicas.
+func (d *domain) computeSupplies(view *config.View, deployment config.Deployment) []placement.Supply {
 	now := time.Now()
 	var supplies []placement.Supply
 	if view.KeptOut(d.dataHall, deployment.AllowedRegions()) == "" {
@@ -70,7 +69,7 @@
 		if report.Domain == d.name || view.KeptOut(report.DataHall, deployment.AllowedRegions()) != "" {
 			continue
 		}
-		if _, deadline, _ := d.c.opts.Catalog.Current(report.Domain); now.After(deadline.Add(staleSupply)) {
+		if _, deadline, _ := d.c.opts.Catalog.Current(report.Domain); now.After(deadline.Add(supplyRetention)) {
 			continue
 		}
 		supplies = append(supplies, reportedSupply(view, deployment, report))
@@ -78,20 +77,20 @@
 	return supplies
 }
 
-// acceleratorsOf returns how many accelerators the given number of the domain's
-// nodes has, by the smallest node.
-func (d *domain) acceleratorsOf(nodes int) int {
-	least := 0
+// estimateAccelerators returns the number of accelerators on the given number of nodes, based on
+// the smallest node of the domain.
+func (d *domain) estimateAccelerators(nodes int) int {
+	smallest := 0
 	for _, m := range d.nodes {
-		if m.listed.Kind == cluster.KindEngine && (least == 0 || m.listed.Accelerators < least) {
-			least = m.listed.Accelerators
+		if m.listed.Kind == cluster.KindEngine && (smallest == 0 || m.listed.Accelerators < smallest) {
+			smallest = m.listed.Accelerators
 		}
 	}
-	return nodes * least
+	return nodes * smallest
 }
 
-// assignedNodes returns how many nodes of the domain belong to a replica.
-func (d *domain) assignedNodes() int {
+// countAssignedNodes returns the number of nodes that are assigned to a replica.
+func (d *domain) countAssignedNodes() int {
 	n := 0
 	for _, m := range d.nodes {
 		if !m.state.Assignment.Empty() {
@@ -103,27 +102,27 @@
 
 func (d *domain) ownSupply(deployment config.Deployment, now time.Time) placement.Supply {
 	s := placement.Supply{Domain: d.name}
-	groups := make(map[string]bool)
+	replicas := make(map[string]bool)
 	for _, m := range d.nodes {
-		if m.listed.Kind != cluster.KindEngine || m.scripted() {
+		if m.listed.Kind != cluster.KindEngine || m.isScripted() {
 			continue
 		}
-		if !m.lost(now) && !m.leaving() && deployment.SelectsNode(m.labels) {
+		if !m.isLost(now) && !m.isLeaving() && deployment.SelectsNode(m.labels) {
 			s.Eligible++
 		}
 		if a := m.state.Assignment; a.Deployment == deployment.Name() && m.answered {
-			groups[a.Replica] = true
+			replicas[a.Replica] = true
 		}
 	}
-	s.Existing = len(groups)
-	if d.content != nil {
-		s.Serving = servingIn(d.content, deployment.Name())
+	s.Existing = len(replicas)
+	if d.lastReport != nil {
+		s.Serving = countServing(d.lastReport, deployment.Name())
 	}
 	return s
 }
 
 func reportedSupply(view *config.View, deployment config.Deployment, report *rpc.DomainReport) placement.Supply {
-	s := placement.Supply{Domain: report.Domain, Serving: servingIn(report, deployment.Name())}
+	s := placement.Supply{Domain: report.Domain, Serving: countServing(report, deployment.Name())}
 	for _, r := range report.Replicas {
 		if r.Deployment == deployment.Name() && !r.Scripted && len(r.Nodes) > 0 {
 			s.Existing++
@@ -133,7 +132,7 @@
 		if n.State != rpc.NodeState_SPARE && n.State != rpc.NodeState_ASSIGNED && n.State != rpc.NodeState_SILENT {
 			continue
 		}
-		labels := view.NodeLabels(n.Id, listLabels(report.Domain, report.DataHall, cluster.KindEngine))
+		labels := view.NodeLabels(n.Id, labelsFromList(report.Domain, report.DataHall, cluster.KindEngine))
 		if deployment.SelectsNode(labels) {
 			s.Eligible++
 		}
@@ -141,7 +140,7 @@
 	return s
 }
 
-func servingIn(report *rpc.DomainReport, deployment string) int {
+func countServing(report *rpc.DomainReport, deployment string) int {
 	n := 0
 	for _, r := range report.Replicas {
 		if r.Deployment == deployment && r.Serving && !r.Scripted {
@@ -151,11 +150,11 @@
 	return n
 }
 
-// mayRoll returns the replicas of the deployment that may go down for the
-// wanted version now. All owners work it out from the same reports: the first
-// outdated replicas by name may go, as long as few enough are down. Those in closed
-// data halls keep their version until the hall opens, and hold up no other.
-func (d *domain) mayRoll(view *config.View, deployment string, want placement.Want) []string {
+// replicasToUpgrade returns the IDs of the deployment's replicas that may go down now for the
+// wanted version. All owners compute this from the same reports: the first outdated replicas by ID,
+// within the limit of replicas that may be down. Replicas in closed data halls keep their version
+// until the hall opens and don't count.
+func (d *domain) replicasToUpgrade(view *config.View, deployment string, want placement.Want) []string {
 	var managed, outdated []catalog.Replica
 	down := 0
 	for _, r := range d.c.opts.Catalog.Replicas() {
@@ -170,15 +169,15 @@
 			outdated = append(outdated, r)
 		}
 	}
-	room := max(len(managed)/rollShare, 1) - down
+	remaining := max(len(managed)/rolloutDivisor, 1) - down
 	var allowed []string
 	for _, r := range outdated {
-		if r.Draining() || len(allowed) < room {
+		if r.Draining() || len(allowed) < remaining {
 			allowed = append(allowed, r.ID())
 		}
 	}
 	for _, r := range managed {
-		// A replica that is down anyway may take the new version at once.
+		// A replica that is down anyway may be upgraded at once.
 		if !r.Listed() && !slices.Contains(allowed, r.ID()) {
 			allowed = append(allowed, r.ID())
 		}
