--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -39,29 +39,29 @@
 	return first, err
 }
 
-// BenchmarkStream compares a streamed answer through the gateway with one straight from the
-// endpoint. The endpoint answers at once, so the difference is the gateway's own work.
+// BenchmarkStream compares a streamed answer through the gateway with one directly from the
+// endpoint. The endpoint answers at once, so the difference is the overhead of the gateway.
 func BenchmarkStream(b *testing.B) {
 	h := newHarness(b)
-	h.removeDownReplica()
+	h.keepFirstEndpoint()
 	for name, address := range map[string]string{"direct": h.endpoints[0].addr, "through the gateway": h.address} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
-			var sum time.Duration
+			var totalFirstByteTime time.Duration
 			for b.Loop() {
-				first, err := timeStream("http://" + address + "/v1/completions")
+				firstByteTime, err := timeStream("http://" + address + "/v1/completions")
 				if err != nil {
 					b.Fatal(err)
 				}
-				sum += first
+				totalFirstByteTime += firstByteTime
 			}
-			b.ReportMetric(float64(sum.Microseconds())/float64(b.N), "µs-to-first-token")
+			b.ReportMetric(float64(totalFirstByteTime.Microseconds())/float64(b.N), "µs-to-first-token")
 		})
 	}
 }
 
-// removeDownReplica removes the replica whose address nothing listens on from the catalog.
-func (h *harness) removeDownReplica() {
+// keepFirstEndpoint removes all replicas but the one of the first endpoint from the catalog.
+func (h *harness) keepFirstEndpoint() {
 	report := h.catalog.Reports()[0]
 	report.Replicas = report.Replicas[1:2]
 	report.Version++
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -5,37 +5,37 @@
 const (
 	// retriesPerRequest is the number of retries that each request adds to the budget.
 	retriesPerRequest = 0.1
-	// maxRetryBudget limits the retries that can accumulate.
+	// maxRetryBudget is the maximum number of retries in the budget.
 	maxRetryBudget = 100.0
-	// initialRetryBudget allows retries before the daemon has served any requests.
+	// initialRetryBudget is the number of retries in the budget when the daemon starts.
 	initialRetryBudget = 20.0
 )
 
 // retryBudget limits retries to a fraction of the requests, so that retries don't overload a system
 // that is already failing.
 type retryBudget struct {
-	mu        sync.Mutex
-	available float64
+	mu               sync.Mutex
+	availableRetries float64
 }
 
 func newRetryBudget() *retryBudget {
-	return &retryBudget{available: initialRetryBudget}
+	return &retryBudget{availableRetries: initialRetryBudget}
 }
 
-// addRequest adds the share of one request to the budget.
+// addRequest increases the budget by retriesPerRequest. It is called for each new request.
 func (b *retryBudget) addRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.available = min(b.available+retriesPerRequest, maxRetryBudget)
+	b.availableRetries = min(b.availableRetries+retriesPerRequest, maxRetryBudget)
 }
 
-// takeRetry takes one retry from the budget and reports whether there was one left.
+// takeRetry takes one retry from the budget. It returns false if less than one retry is available.
 func (b *retryBudget) takeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.available < 1 {
+	if b.availableRetries < 1 {
 		return false
 	}
-	b.available--
+	b.availableRetries--
 	return true
 }
--- a/gateway/complete.go
+++ b/gateway/complete.go
@@ -13,8 +13,8 @@
 	"quartzshelf.dev/intent"
 )
 
-// resumeTokensField is the request field that holds the tokens already delivered to the caller. An
-// engine continues after them.
+// resumeTokensField is the request field with the tokens that the caller has already received. The
+// engine continues the answer after them.
 const resumeTokensField = "resume"
 
 func (g *Gateway) handleChatCompletion(c *fiber.Ctx) error { return g.handleCompletion(c, true) }
@@ -48,8 +48,9 @@
 	return g.serveRequest(c, r, choose, parsed.Stream)
 }
 
-// serveRequest sends the request to a target and relays the answer. A request that must not be
-// repeated and has an idempotency key first claims the key, so that it runs at most once.
+// serveRequest sends the request to a target and relays the answer. If the request has an
+// idempotency key and must not be repeated, serveRequest first claims the key, so that the request
+// runs at most once.
 func (g *Gateway) serveRequest(c *fiber.Ctx, r *request, choose chooser, streamed bool) error {
 	if r.repeatable || r.key == "" {
 		return g.relayAnswer(c, r, choose, streamed, nil)
@@ -66,8 +67,8 @@
 	return g.relayAnswer(c, r, choose, streamed, &claim)
 }
 
-// relayAnswer sends the request and relays the answer to the caller. The outcome is recorded under
-// claim, unless claim is nil.
+// relayAnswer sends the request and relays the answer to the caller. It records the outcome in the
+// intent ledger unless claim is nil.
 func (g *Gateway) relayAnswer(c *fiber.Ctx, r *request, choose chooser, streamed bool, claim *intent.Claim) error {
 	tried := make(map[string]bool)
 	maySend := func(now time.Time) bool { return claim == nil || claim.MaySend(now) }
@@ -85,8 +86,8 @@
 	return g.relayBuffered(c, r, a, choose, tried, claim)
 }
 
-// relayBuffered reads the whole answer before it sends any of it to the caller, so that the request
-// can be retried when the answer is incomplete.
+// relayBuffered reads the whole answer before it sends any of it to the caller. The request can
+// therefore be retried if the answer is incomplete.
 func (g *Gateway) relayBuffered(c *fiber.Ctx, r *request, a *attempt, choose chooser, tried map[string]bool, claim *intent.Claim) error {
 	defer r.cancel()
 	for {
@@ -100,21 +101,21 @@
 			return writeAnswer(c, answer)
 		}
 		g.reportBrokenAttempt(r, a.target, err)
-		failed := refusalFromError(err)
+		attemptRefusal := refusalFromError(err)
 		var refused *refusal
-		if a, refused = g.reopenAttempt(r, r.body, failed, choose, tried); refused != nil {
-			g.recordOutcome(claim, failed.ran, intent.Answer{})
+		if a, refused = g.reopenAttempt(r, r.body, attemptRefusal, choose, tried); refused != nil {
+			g.recordOutcome(claim, attemptRefusal.ran, intent.Answer{})
 			return g.writeRefusal(c, refused)
 		}
 	}
 }
 
-// reopenAttempt retries a request whose attempt failed while its answer was being read. It returns
-// a refusal if the request can't be retried.
-func (g *Gateway) reopenAttempt(r *request, body []byte, failed *refusal, choose chooser, tried map[string]bool) (*attempt, *refusal) {
-	failed = r.adjustRan(failed)
+// reopenAttempt retries a request whose attempt failed while its answer was being read. If the
+// request can't be retried, it returns a refusal.
+func (g *Gateway) reopenAttempt(r *request, body []byte, attemptRefusal *refusal, choose chooser, tried map[string]bool) (*attempt, *refusal) {
+	attemptRefusal = r.adjustRan(attemptRefusal)
 	if !r.repeatable || len(tried) >= maxAttempts || r.ctx.Err() != nil || !g.retryBudget.takeRetry() {
-		return nil, failed
+		return nil, attemptRefusal
 	}
 	g.opts.Meter.Retry(reason.RetryBroken)
 	return g.openAttempt(r, body, choose, tried, func(time.Time) bool { return true })
@@ -144,12 +145,13 @@
 	c.Set(fiber.HeaderCacheControl, "no-cache")
 	c.Context().SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer r.cancel()
-		s := &streamRelay{g: g, r: r, w: w, choose: choose, tried: tried, claim: claim, lastTokenAt: r.start}
+		s := &streamRelay{g: g, r: r, w: w, choose: choose, tried: tried, claim: claim, lastTokenAt: r.arrivedAt}
 		s.run(a)
 	})
 }
 
-// streamRelay relays one streamed answer to a caller, over as many attempts as it takes.
+// streamRelay relays one streamed answer to a caller. If an attempt fails, another attempt
+// continues the answer.
 type streamRelay struct {
 	g      *Gateway
 	r      *request
@@ -157,17 +159,19 @@
 	choose chooser
 	tried  map[string]bool
 	claim  *intent.Claim
-	// tokens holds the tokens received so far; a retry resumes after them.
+	// tokens holds the tokens received so far, from all attempts.
 	tokens []string
-	// sentEvents is a copy of the events for later requests with the same key, of about
-	// maxStoredStreamBytes at most.
-	sentEvents  []byte
+	// sentEvents is a copy of the answer's events for later requests with the same idempotency key.
+	// No event is added once it has reached maxStoredStreamBytes.
+	sentEvents []byte
+	// lastTokenAt is when the last token arrived. Before the first token, it is when the request
+	// arrived.
 	lastTokenAt time.Time
 	// callerGone is set once a write to the caller has failed.
 	callerGone bool
 }
 
-// run relays the events of a and of the attempts that resume it.
+// run relays the events of attempt a. If a fails, run continues the answer with further attempts.
 func (s *streamRelay) run(a *attempt) {
 	for {
 		err := s.relayEvents(a)
@@ -179,8 +183,8 @@
 			return
 		}
 		s.g.reportBrokenAttempt(s.r, a.target, err)
-		failed := refusalFromError(&sendError{maybeSent: true, cause: err})
-		next, refused := s.resume(failed)
+		attemptRefusal := refusalFromError(&sendError{maybeSent: true, cause: err})
+		next, refused := s.resume(attemptRefusal)
 		if refused != nil {
 			s.fail(refused)
 			return
@@ -208,7 +212,7 @@
 
 func (s *streamRelay) recordLatency() {
 	if len(s.tokens) == 0 {
-		s.g.opts.Meter.FirstToken(s.r.start)
+		s.g.opts.Meter.FirstToken(s.r.arrivedAt)
 	} else {
 		s.g.opts.Meter.NextToken(s.lastTokenAt)
 	}
@@ -240,25 +244,26 @@
 	return nil
 }
 
-// resume opens another attempt that continues after the last token received.
-func (s *streamRelay) resume(failed *refusal) (*attempt, *refusal) {
+// resume opens another attempt that continues after the last token received. If that isn't
+// possible, it returns a refusal.
+func (s *streamRelay) resume(attemptRefusal *refusal) (*attempt, *refusal) {
 	body, err := withResumeTokens(s.r.body, s.tokens)
 	if err != nil {
-		return nil, failed
+		return nil, attemptRefusal
 	}
-	a, refused := s.g.reopenAttempt(s.r, body, failed, s.choose, s.tried)
+	a, refused := s.g.reopenAttempt(s.r, body, attemptRefusal, s.choose, s.tried)
 	if refused != nil {
 		return nil, refused
 	}
 	if !isEventStream(a.response) || a.response.StatusCode != http.StatusOK {
 		a.close()
-		return nil, failed
+		return nil, attemptRefusal
 	}
 	s.g.opts.Meter.Retry(reason.RetryResumed)
 	return a, nil
 }
 
-// withResumeTokens returns the request body with the tokens already delivered in resumeTokensField.
+// withResumeTokens returns the request body with resumeTokensField set to the tokens.
 func withResumeTokens(body []byte, tokens []string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -279,7 +284,8 @@
 	s.g.recordOutcome(s.claim, reason.RanYes, intent.NewAnswer(http.StatusOK, "text/event-stream", s.sentEvents))
 }
 
-// fail ends the stream with an error event and without the end-of-stream marker.
+// fail sends an error event as the last event of the stream. It does not send the end-of-stream
+// marker.
 func (s *streamRelay) fail(refused *refusal) {
 	refused.ran = reason.RanUnknown
 	s.g.opts.Meter.Refuse(refused.reason)
--- a/gateway/completion.go
+++ b/gateway/completion.go
@@ -19,14 +19,15 @@
 	MaxCompletionTokens *int `json:"max_completion_tokens"`
 }
 
-// chatMessage is one message of a chat. Its content is a string or a list of parts; an assistant
-// message with tool calls may have none.
+// chatMessage is one message of a chat. Its content is a string or a list of parts. An assistant
+// message may have no content.
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// routingPrompt returns the text whose prefix routing uses to find replicas with a warm cache.
+// routingPrompt returns the part of the request whose prefix identifies replicas that are likely to
+// have it cached.
 func (r completionRequest) routingPrompt() string {
 	if len(r.Messages) > 0 {
 		return string(r.Messages)
@@ -46,8 +47,8 @@
 	return r, nil
 }
 
-// validate refuses requests that no engine could answer. A chat request must have messages, any
-// other a prompt.
+// validate returns a refusal if no engine could answer the request. A chat request needs messages,
+// and any other request needs a prompt. Limits of tokens must be positive.
 func (r completionRequest) validate(chat bool) *refusal {
 	for name, limit := range map[string]*int{"max_tokens": r.MaxTokens, "max_completion_tokens": r.MaxCompletionTokens} {
 		if limit != nil && *limit < 1 {
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// startsWithAny reports whether raw begins with one of the characters, after white space. The first
-// character of valid JSON tells its type.
+// startsWithAny reports whether raw starts with one of the characters, ignoring leading white
+// space. The first character of a JSON value determines its type.
 func startsWithAny(raw json.RawMessage, characters string) bool {
 	trimmed := bytes.TrimSpace(raw)
 	return len(trimmed) > 0 && strings.IndexByte(characters, trimmed[0]) >= 0
--- a/gateway/decision.go
+++ b/gateway/decision.go
@@ -7,23 +7,26 @@
 	"quartzshelf.dev/routing"
 )
 
-// maxDecisions is the number of recent decisions kept for operators.
+// maxDecisions is the maximum number of recent decisions that are kept for operators.
 const maxDecisions = 4096
 
 // Decision describes why a request was sent to a replica or refused. It is encoded as JSON in
 // answers to operators.
 type Decision struct {
-	Request    string    `json:"request"`
-	Account    string    `json:"account"`
+	Request string `json:"request"`
+	Account string `json:"account"`
+	// Deployment is the name of the deployment, or of the service if a service call was refused.
 	Deployment string    `json:"deployment"`
 	Time       time.Time `json:"time"`
-	// Replica is the replica that the request was sent to; empty if the request was refused.
+	// Replica is the ID of the replica that the request was sent to. It is empty if the request was
+	// refused.
 	Replica string `json:"replica,omitempty"`
 	// Refused and Message are the reason and the text of the refusal.
 	Refused reason.Reason `json:"refused,omitempty"`
 	Message string        `json:"message,omitempty"`
-	// Occupancy is the occupancy of the chosen replica, Least that of the least occupied candidate.
-	// Both are fractions of the replica's slots.
+	// Occupancy is the number of requests at the chosen replica divided by the number of its slots.
+	// Least is the same for the least occupied candidate, and Candidates is the number of
+	// candidates.
 	Occupancy  float64 `json:"occupancy"`
 	Least      float64 `json:"least_occupancy"`
 	Candidates int     `json:"candidates"`
@@ -31,15 +34,15 @@
 	PassedOver PassedOver `json:"passed_over,omitempty"`
 }
 
-func newDecision(r *request, deployment string, candidates []routing.Candidate, chosen int, passed PassedOver) Decision {
+func newDecision(r *request, deployment string, candidates []routing.Candidate, chosenIndex int, passed PassedOver) Decision {
 	return Decision{
 		Request: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
-		Replica: candidates[chosen].ID, Occupancy: candidates[chosen].Occupancy(),
+		Replica: candidates[chosenIndex].ID, Occupancy: candidates[chosenIndex].Occupancy(),
 		Least: routing.LeastOccupancy(candidates), Candidates: len(candidates), PassedOver: passed,
 	}
 }
 
-func newRefusedDecision(r *request, deployment string, refused *refusal, passed PassedOver) Decision {
+func newRefusalDecision(r *request, deployment string, refused *refusal, passed PassedOver) Decision {
 	return Decision{
 		Request: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
 		Refused: refused.reason, Message: refused.message, PassedOver: passed,
--- a/gateway/disconnect.go
+++ b/gateway/disconnect.go
@@ -11,8 +11,8 @@
 const disconnectPollInterval = 250 * time.Millisecond
 
 // watchDisconnect calls onDisconnect if the caller closes its connection before ctx ends. It polls
-// the socket because the HTTP library doesn't report disconnects while a handler runs. The check
-// leaves unread data in the socket.
+// the socket because the HTTP library doesn't report disconnects while a handler runs. The poll
+// does not consume data from the socket.
 func watchDisconnect(ctx context.Context, conn net.Conn, onDisconnect func()) {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
@@ -39,14 +39,14 @@
 	}()
 }
 
-// isDisconnected reports whether the peer has closed the connection.
+// isDisconnected reports whether the caller has closed the connection or the connection has failed.
 func isDisconnected(socket syscall.RawConn) bool {
-	closed := false
+	isClosed := false
 	err := socket.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		blocked := err == syscall.EAGAIN || err == syscall.EINTR
-		closed = (n == 0 && err == nil) || (err != nil && !blocked)
+		var buffer [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		wouldBlock := err == syscall.EAGAIN || err == syscall.EINTR
+		isClosed = (n == 0 && err == nil) || (err != nil && !wouldBlock)
 	})
-	return closed || err != nil
+	return isClosed || err != nil
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -18,28 +18,31 @@
 
 // target is the replica or service endpoint chosen for one attempt.
 type target struct {
-	id         string
-	address    string
+	// id is the ID of the replica or of the service node.
+	id      string
+	address string
+	// assignment is the name of the replica's assignment; empty for a service endpoint.
 	assignment string
 	// mayServe reports whether the target may still get the request. It is called right before
 	// sending.
 	mayServe func(now time.Time) bool
 	// finish removes the attempt from the in-flight count.
 	finish func()
+	// sentAt is when the request was sent to the target.
 	sentAt time.Time
 }
 
-// sharedSource is a rand.Source that uses the global generator of math/rand/v2.
-type sharedSource struct{}
+// globalRandSource is a rand.Source that uses the global generator of math/rand/v2.
+type globalRandSource struct{}
 
 // Uint64 implements rand.Source.
-func (sharedSource) Uint64() uint64 { return rand.Uint64() }
+func (globalRandSource) Uint64() uint64 { return rand.Uint64() }
 
-// random is safe for concurrent use because its source is.
-var random = rand.New(sharedSource{})
+// random generates random numbers. It is safe for concurrent use because its source is.
+var random = rand.New(globalRandSource{})
 
-// chooser selects the next target and skips those already tried. It returns a refusal if none is
-// left.
+// chooser chooses the next target among those not in tried. It returns a refusal if no target is
+// eligible.
 type chooser func(tried map[string]bool) (*target, *refusal)
 
 // chooseReplica returns a chooser for the replicas of a deployment.
@@ -67,8 +70,8 @@
 	}
 }
 
-// findCandidates returns the replicas that may get the request now, the same replicas as routing
-// candidates (in the same order), and the reasons why others were excluded.
+// findCandidates returns the replicas that may get the request now, and a routing candidate for
+// each of them in the same order. It also counts the excluded replicas by reason.
 func (g *Gateway) findCandidates(deployment string, allowed []config.Regions, tried map[string]bool) ([]*catalog.Replica, []routing.Candidate, PassedOver) {
 	filter := replicaFilter{view: g.opts.Config(), allowed: allowed, tried: tried, rests: g.rests, now: time.Now()}
 	all := g.opts.Catalog.Of(deployment)
@@ -84,11 +87,11 @@
 			passed = passed.add(why)
 			continue
 		}
-		own, atReport := g.inflight.Observe(replica.ID(), replica.Deadline())
+		inFlight, inFlightAtReport := g.inflight.Observe(replica.ID(), replica.Deadline())
 		load := replica.Load()
 		replicas = append(replicas, replica)
 		candidates = append(candidates, routing.Candidate{
-			ID: replica.ID(), Own: own, OwnAtReport: atReport,
+			ID: replica.ID(), Own: inFlight, OwnAtReport: inFlightAtReport,
 			Reported: load.Active() + load.Queue(), Slots: load.Slots(),
 		})
 	}
@@ -107,14 +110,14 @@
 		g.countPassedOver(passed)
 		return g.refuseNoReplica(r, d, passed)
 	}
-	own, active := g.inflight.Account(r.account.Name())
+	accountRequests, activeAccounts := g.inflight.Account(r.account.Name())
 	refused := admission.Decide(admission.Situation{
 		Reported: routing.MeanOccupancy(candidates),
 		InFlight: routing.Own(candidates),
 		Slots:    routing.Slots(candidates),
 		Daemons:  g.opts.Daemons(),
-		Own:      own,
-		Accounts: active,
+		Own:      accountRequests,
+		Accounts: activeAccounts,
 		Priority: r.priority,
 	})
 	if refused == nil {
@@ -123,7 +126,7 @@
 	return refuse(refused.Reason(), "the replicas of %q are busy", d.Name()).withRetryAfter(refused.RetryAfter())
 }
 
-// attempt is a request sent to one target whose answer has begun.
+// attempt is a request that was sent to one target and whose answer has begun to arrive.
 type attempt struct {
 	target   *target
 	response *http.Response
@@ -131,14 +134,15 @@
 	cancel context.CancelFunc
 }
 
-// close ends the attempt and removes it from the in-flight count.
+// close closes the answer's body, cancels the attempt and removes it from the in-flight count.
 func (a *attempt) close() {
 	closeBody(a.response)
 	a.cancel()
 	a.target.finish()
 }
 
-// nextTarget chooses the next target, unless the request is quarantined.
+// nextTarget chooses the next target. It returns a refusal if the request is quarantined or no
+// target is eligible.
 func (g *Gateway) nextTarget(r *request, choose chooser, tried map[string]bool) (*target, *refusal) {
 	if f := g.checkQuarantine(r, time.Now()); f != nil {
 		return nil, f
@@ -148,7 +152,7 @@
 
 // openAttempt sends the request to one target after another until one begins to answer. A request
 // that must not be repeated is sent to another target only if the previous one certainly did not
-// run it.
+// run it. Before each sending, maySend reports whether the request may still be sent.
 func (g *Gateway) openAttempt(r *request, body []byte, choose chooser, tried map[string]bool, maySend func(time.Time) bool) (*attempt, *refusal) {
 	for {
 		t, refused := g.nextTarget(r, choose, tried)
@@ -166,20 +170,20 @@
 			return nil, r.adjustRan(refuse(reason.KeyExpired, "the claim of the key ran out before the request was sent"))
 		}
 		t.sentAt = now
-		a, failed := g.sendAttempt(r, body, t)
-		if failed == nil {
+		a, attemptRefusal := g.sendAttempt(r, body, t)
+		if attemptRefusal == nil {
 			return a, nil
 		}
 		t.finish()
-		ran := failed.ran
-		failed = r.adjustRan(failed)
-		retry := retryReason(failed.reason, ran, r.repeatable)
+		ran := attemptRefusal.ran
+		attemptRefusal = r.adjustRan(attemptRefusal)
+		retry := retryReason(attemptRefusal.reason, ran, r.repeatable)
 		if retry == "" || len(tried) >= maxAttempts || r.ctx.Err() != nil {
-			return nil, failed
+			return nil, attemptRefusal
 		}
 		if !g.retryBudget.takeRetry() {
-			return nil, refuse(reason.RetryBudget, "%s; the budget of retries is used up", failed.message).
-				withRan(failed.ran).withRetryAfter(shortRetryAfter)
+			return nil, refuse(reason.RetryBudget, "%s; the budget of retries is used up", attemptRefusal.message).
+				withRan(attemptRefusal.ran).withRetryAfter(shortRetryAfter)
 		}
 		g.opts.Meter.Retry(retry)
 	}
@@ -213,11 +217,11 @@
 	})
 	if err != nil {
 		cancel()
-		failed := refusalFromError(err)
-		if failed.ran != reason.RanNo {
+		attemptRefusal := refusalFromError(err)
+		if attemptRefusal.ran != reason.RanNo {
 			g.reportBrokenAttempt(r, t, err)
 		}
-		return nil, failed
+		return nil, attemptRefusal
 	}
 	g.recordRest(t.id, response)
 	if refusedBeforeStart(response) {
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -13,11 +13,11 @@
 	"quartzshelf.dev/config"
 )
 
-// closedHallRetryAfter is the Retry-After of a request that only closed data halls could serve. It
-// is longer than the time until all daemons know that a hall has opened.
+// closedHallRetryAfter is the Retry-After value of a refusal because all usable data halls are
+// closed. It is longer than the time that all daemons need to learn that a hall has opened.
 const closedHallRetryAfter = 15 * time.Second
 
-// PassedOver counts, by reason, the replicas or endpoints excluded from a choice.
+// PassedOver counts the replicas or endpoints that were excluded from a choice, by reason.
 type PassedOver map[reason.Reason]int
 
 // add counts one more exclusion and allocates the map if necessary.
@@ -38,21 +38,22 @@
 	return strings.Join(all, " ")
 }
 
-// allowedRegions returns the region restrictions of the request: those of the deployment or
-// service, and those that its client account had when the request arrived.
+// allowedRegions returns the region restrictions that apply to the request. These are the given
+// ones of the deployment or service, and those that the client account had when the request
+// arrived.
 func (r *request) allowedRegions(regions config.Regions) []config.Regions {
 	return []config.Regions{regions, r.account.AllowedRegions()}
 }
 
-// replicaFilter holds the criteria that replicas are checked against in one choice.
+// replicaFilter checks replicas for one choice, with the configuration and time of that choice.
 type replicaFilter struct {
 	view    *config.View
 	allowed []config.Regions
 	tried   map[string]bool
 	rests   *backpressure.Rests
 	now     time.Time
-	// lastHall and lastHallReason cache the last call of hallExclusionReason, as replicas of one
-	// data hall are usually listed together.
+	// lastHall and lastHallReason cache the last result of hallExclusionReason, because replicas of
+	// one data hall usually follow each other. hasLastHall is set once there is a result.
 	lastHall       string
 	lastHallReason reason.Reason
 	hasLastHall    bool
@@ -67,8 +68,8 @@
 }
 
 // exclusionReason returns why a replica that is reported as serving must not get the request now,
-// or an empty reason. The data hall and its region come first because they apply whatever the
-// replica's state.
+// or an empty reason. The data hall and its region are checked first because they exclude a replica
+// whatever its state.
 func (c *replicaFilter) exclusionReason(r *catalog.Replica) reason.Reason {
 	switch why := c.hallExclusionReason(r.DataHall()); {
 	case why != "":
@@ -86,7 +87,7 @@
 	return ""
 }
 
-// countPassedOver updates the metrics: once for each reason in passed.
+// countPassedOver increments the metric of each reason in passed by one, whatever its count.
 func (g *Gateway) countPassedOver(passed PassedOver) {
 	for why := range passed {
 		g.opts.Meter.PassOver(why)
@@ -96,12 +97,12 @@
 // refuseNoReplica refuses a request for which no replica is eligible and records the decision.
 func (g *Gateway) refuseNoReplica(r *request, d config.Deployment, passed PassedOver) *refusal {
 	refused := g.refuseWithout(fmt.Sprintf("replica of %q", d.Name()), r.allowedRegions(d.AllowedRegions()), passed)
-	g.decisions.Add(r.id, newRefusedDecision(r, d.Name(), refused, passed))
+	g.decisions.Add(r.id, newRefusalDecision(r, d.Name(), refused, passed))
 	return refused
 }
 
-// refuseWithout refuses a request for which no target is eligible. The message names the kind of
-// target in what.
+// refuseWithout returns a refusal of a request for which no target is eligible. The parameter what
+// names the kind of target in the message.
 func (g *Gateway) refuseWithout(what string, allowed []config.Regions, passed PassedOver) *refusal {
 	why := g.noTargetReason(allowed, passed)
 	switch {
@@ -117,9 +118,10 @@
 	return refuse(why, "no %s serves at present", what).withRetryAfter(longRetryAfter)
 }
 
-// noTargetReason returns the reason for a refusal without an eligible target. If no target was
-// excluded because of its data hall or region, this is still the reason when every known data hall
-// is excluded: a new or repaired replica could not take the request either.
+// noTargetReason returns the reason for refusing a request for which no target is eligible. Closed
+// data halls and regions that are not allowed can be the reason even if passed has no count for
+// them. This is so when all known data halls are excluded, because a new or repaired replica could
+// not get the request either.
 func (g *Gateway) noTargetReason(allowed []config.Regions, passed PassedOver) reason.Reason {
 	switch {
 	case passed[reason.Tried] > 0:
--- a/gateway/eligible_test.go
+++ b/gateway/eligible_test.go
@@ -25,8 +25,10 @@
 // and a service node.
 type hallHarness struct {
 	*harness
-	mu     sync.Mutex
+	mu sync.Mutex
+	// offset is the log offset of the last configuration change.
 	offset int64
+	// epochs holds the epoch of the latest report of each domain.
 	epochs []uint64
 	// requestsToClosedHalls holds the name of the data hall of each request that arrived in a
 	// closed one.
@@ -40,7 +42,7 @@
 	h.putDocument("service ledger", config.KindService, "ledger", `{"nodeSelector":"quartzshelf/kind=service"}`)
 	for i, e := range h.endpoints {
 		h.publishNewLeader(i)
-		h.setHall(i, false)
+		h.setHallClosed(i, false)
 		e.onRequest = func() { h.recordIfClosed(i) }
 	}
 	return h
@@ -82,8 +84,8 @@
 	return history[len(history)-1].Problem
 }
 
-// setHall closes or opens a data hall. Halls 0 and 1 are in region south, hall 2 in north.
-func (h *hallHarness) setHall(i int, closed bool) {
+// setHallClosed closes or opens a data hall. Halls 0 and 1 are in region south, hall 2 in north.
+func (h *hallHarness) setHallClosed(i int, closed bool) {
 	region := "south"
 	if i == 2 {
 		region = "north"
@@ -106,41 +108,41 @@
 }
 
 // send sends a completion request or a repeatable service call.
-func (h *hallHarness) send(service, streamed bool) (outcome, error) {
+func (h *hallHarness) send(service, streamed bool) (receivedAnswer, error) {
 	if !service {
 		return h.post(fmt.Sprintf(`{"model":"chat","prompt":%q,"stream":%v}`, testPrompt, streamed), nil)
 	}
 	request, err := http.NewRequest(http.MethodPut, "http://"+h.address+"/services/ledger/x", strings.NewReader("{}"))
 	if err != nil {
-		return outcome{}, err
+		return receivedAnswer{}, err
 	}
 	request.Header.Set("Authorization", "Bearer demo-key")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return outcome{}, err
+		return receivedAnswer{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
-	return outcome{status: response.StatusCode, body: data, header: response.Header}, err
+	return receivedAnswer{status: response.StatusCode, body: data, header: response.Header}, err
 }
 
 // TestClosedHallGetsNoRequest checks that no request, retry, resumed stream or service call is sent
-// to a closed data hall, that requests already running there finish, and that requests are refused
-// with the right reason while all halls are closed.
+// to a closed data hall. While all halls are closed, requests must be refused with the right
+// reason.
 func TestClosedHallGetsNoRequest(t *testing.T) {
 	h := newHallHarness(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		for i := range h.endpoints {
-			h.setHall(i, false)
+			h.setHallClosed(i, false)
 		}
-		h.requestsToClosedHalls, h.gateway.retryBudget.available = nil, maxRetryBudget
+		h.requestsToClosedHalls, h.gateway.retryBudget.availableRetries = nil, maxRetryBudget
 		for range rapid.IntRange(1, 8).Draw(rt, "steps") {
 			i := rapid.SampledFrom([]int{0, 1, 2}).Draw(rt, "hall")
 			switch rapid.SampledFrom([]string{"close", "open", "lead", "request", "request"}).Draw(rt, "step") {
 			case "close":
-				h.setHall(i, true)
+				h.setHallClosed(i, true)
 			case "open":
-				h.setHall(i, false)
+				h.setHallClosed(i, false)
 			case "lead":
 				h.publishNewLeader(i)
 			case "request":
@@ -151,8 +153,8 @@
 }
 
 // sendDrawnRequest sends a request to endpoints with random behaviour. The data hall with the given
-// index may close while the request runs for the first time.
-func (h *hallHarness) sendDrawnRequest(rt *rapid.T, closing int) {
+// index may close when the request first arrives at an endpoint.
+func (h *hallHarness) sendDrawnRequest(rt *rapid.T, closingHall int) {
 	var once sync.Once
 	closesMeanwhile := rapid.Bool().Draw(rt, "closes meanwhile")
 	for i, e := range h.endpoints {
@@ -160,7 +162,7 @@
 		e.onRequest = func() {
 			h.recordIfClosed(i)
 			if closesMeanwhile {
-				once.Do(func() { h.setHall(closing, true) })
+				once.Do(func() { h.setHallClosed(closingHall, true) })
 			}
 		}
 	}
@@ -169,11 +171,11 @@
 	if err != nil {
 		rt.Fatalf("the gateway did not answer: %v", err)
 	}
-	h.checkOutcome(rt, got, allClosed)
+	h.checkClosedHalls(rt, got, allClosed)
 }
 
-// checkOutcome checks the requests that arrived at the endpoints and the answer to the caller.
-func (h *hallHarness) checkOutcome(rt *rapid.T, got outcome, allClosed bool) {
+// checkClosedHalls checks the requests that arrived at the endpoints and the answer to the caller.
+func (h *hallHarness) checkClosedHalls(rt *rapid.T, got receivedAnswer, allClosed bool) {
 	if len(h.requestsToClosedHalls) > 0 {
 		rt.Fatalf("requests arrived in closed data halls: %v", h.requestsToClosedHalls)
 	}
@@ -186,16 +188,17 @@
 	}
 }
 
-// TestRunningRequestFinishesInClosedHall closes the only open data hall while a stream runs there.
+// TestRunningRequestFinishesInClosedHall checks that a running stream completes although its data
+// hall closes.
 func TestRunningRequestFinishesInClosedHall(t *testing.T) {
 	h := newHallHarness(t)
-	h.setHall(1, true)
-	h.setHall(2, true)
-	h.endpoints[0].onRequest = func() { h.setHall(0, true) }
+	h.setHallClosed(1, true)
+	h.setHallClosed(2, true)
+	h.endpoints[0].onRequest = func() { h.setHallClosed(0, true) }
 	got, err := h.send(false, true)
 	assert.NilError(t, err)
-	text, whole := streamText(got.body)
-	assert.Assert(t, whole)
+	text, isComplete := streamText(got.body)
+	assert.Assert(t, isComplete)
 	assert.Equal(t, text, wantText())
 }
 
@@ -231,7 +234,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHallHarness(t)
 			for _, i := range c.closed {
-				h.setHall(i, true)
+				h.setHallClosed(i, true)
 			}
 			assert.Equal(t, h.putDocument("d", config.KindDeployment, "chat", deployment(c.deployment)), "")
 			assert.Equal(t, h.putDocument("a", config.KindAccount, "demo", account(c.account)), "")
@@ -249,27 +252,27 @@
 
 // checkRequest sends one request and checks that it is refused for the given reason, or served if
 // the reason is empty.
-func (h *hallHarness) checkRequest(t *testing.T, prompt int, want reason.Reason) {
+func (h *hallHarness) checkRequest(t *testing.T, prompt int, wantRefusal reason.Reason) {
 	t.Helper()
 	got, err := h.post(fmt.Sprintf(`{"model":"chat","prompt":"prompt %d"}`, prompt), nil)
 	assert.NilError(t, err)
 	ran, why := got.refusal()
-	assert.Equal(t, why, want, string(got.body))
-	if want == "" {
+	assert.Equal(t, why, wantRefusal, string(got.body))
+	if wantRefusal == "" {
 		return
 	}
 	assert.Equal(t, ran, reason.RanNo)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	decision, ok := h.gateway.Decision(got.header.Get(headerRequest))
 	assert.Assert(t, ok)
-	assert.Equal(t, decision.Refused, want)
+	assert.Equal(t, decision.Refused, wantRefusal)
 }
 
 // TestDecisionCountsPassedOver checks that the decision and the metrics count replicas in a closed
 // data hall and in a region that is not allowed.
 func TestDecisionCountsPassedOver(t *testing.T) {
 	h := newHallHarness(t)
-	h.setHall(0, true)
+	h.setHallClosed(0, true)
 	account := `{"keyHashes":["` + config.HashKey("demo-key") + `"],"allowedRegions":["south"]}`
 	assert.Equal(t, h.putDocument("a", config.KindAccount, "demo", account), "")
 	got, err := h.send(false, false)
@@ -287,12 +290,12 @@
 	}
 }
 
-// TestClosingBetweenChoiceAndSending closes a data hall after a target in it has been chosen and
-// before the request is sent.
+// TestClosingBetweenChoiceAndSending checks that a chosen target may not get the request if its
+// data hall closes before the request is sent.
 func TestClosingBetweenChoiceAndSending(t *testing.T) {
 	h := newHallHarness(t)
-	h.setHall(1, true)
-	h.setHall(2, true)
+	h.setHallClosed(1, true)
+	h.setHallClosed(2, true)
 	deployment, ok := h.state.View().Deployment("chat")
 	assert.Assert(t, ok)
 	service, ok := h.state.View().Service("ledger")
@@ -303,12 +306,12 @@
 		"endpoint": h.gateway.chooseEndpoint(r, service),
 	} {
 		t.Run(name, func(t *testing.T) {
-			h.setHall(0, false)
-			target, none := choose(nil)
-			assert.Assert(t, none == nil)
+			h.setHallClosed(0, false)
+			target, refused := choose(nil)
+			assert.Assert(t, refused == nil)
 			defer target.finish()
 			assert.Assert(t, target.mayServe(time.Now()))
-			h.setHall(0, true)
+			h.setHallClosed(0, true)
 			assert.Assert(t, !target.mayServe(time.Now()))
 		})
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,20 +27,23 @@
 	requestTimeout = 10 * time.Minute
 	// maxAttempts is the maximum number of targets that one request is sent to.
 	maxAttempts = 4
-	// shortRetryAfter and longRetryAfter are Retry-After values of refusals.
+	// shortRetryAfter is the Retry-After value of refusals whose cause is expected to pass soon.
+	// longRetryAfter is the value for causes that may last longer.
 	shortRetryAfter = time.Second
 	longRetryAfter  = 3 * time.Second
-	// maxHeaderBytes limits the size of request headers.
-	maxHeaderBytes    = 16 << 10
+	// maxHeaderBytes is the maximum size of the headers of a request.
+	maxHeaderBytes = 16 << 10
+	// callerIdleTimeout is how long an idle connection of a caller is kept open.
 	callerIdleTimeout = 2 * time.Minute
-	// bodyReadFactor times the maximum body size is still read, so that senders of larger bodies
-	// get an answer that says so.
+	// bodyReadFactor is the size up to which request bodies are read, as a multiple of the maximum
+	// size that is accepted. Senders of bodies between the two sizes get an answer that states the
+	// limit.
 	bodyReadFactor = 2
 	// DefaultMaxBody is the default limit of a request body, in bytes.
 	DefaultMaxBody = 8 << 20
 )
 
-// Closed tells why the daemon accepts no requests at present.
+// Closed is the reason why the daemon accepts no requests at present.
 type Closed struct {
 	Reason  reason.Reason
 	Message string
@@ -59,20 +62,26 @@
 	Ledger  *intent.Ledger
 	Limiter *admission.Limiter
 	Meter   *telemetry.Meter
-	// Gate returns nil while the daemon accepts requests, and otherwise the reason.
+	// Gate returns nil if the daemon accepts requests. Otherwise it returns the reason why it
+	// doesn't.
 	Gate func() *Closed
-	// Leaving reports whether this daemon has begun a planned shutdown. Answers then tell callers
+	// Leaving reports whether this daemon has begun a planned shutdown. If so, answers ask callers
 	// to close their connections.
 	Leaving func() bool
 	// Entries returns the daemon addresses that callers should use.
 	Entries func() []Entry
-	// KeepEntriesUntil returns until when callers may cache an entry list sent now.
+	// KeepEntriesUntil returns the time until which callers may cache an entry list that is sent at
+	// now.
 	KeepEntriesUntil func(now time.Time) time.Time
 	// Daemons returns the number of daemons that share the load.
 	Daemons func() int
-	NewID   func() string
+	// NewID returns a unique ID for a request.
+	NewID func() string
+	// MaxBody is the maximum size of a request body in bytes. If it is zero, DefaultMaxBody
+	// applies.
 	MaxBody int
-	// Logger logs quarantined requests and rest periods of endpoints; nil disables logging.
+	// Logger logs quarantined requests and rest periods of endpoints. If it is nil, nothing is
+	// logged.
 	Logger hclog.Logger
 }
 
@@ -84,7 +93,7 @@
 	inflight    *routing.Inflight
 	retryBudget *retryBudget
 	guard       *guard.Guard
-	// rests holds the endpoints that have asked for no requests until a given time.
+	// rests holds the periods for which endpoints have asked to get no requests.
 	rests *backpressure.Rests
 	// decisions holds the most recent routing decisions by request ID.
 	decisions *lru.Cache[string, Decision]
@@ -185,7 +194,7 @@
 	return r.write(c)
 }
 
-// modelList and modelEntry follow the OpenAI API.
+// modelList is the answer to a request for the models, in the format of the OpenAI API.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
@@ -215,7 +224,7 @@
 // entryList is the answer to a request for daemon addresses.
 type entryList struct {
 	Entries []Entry `json:"entries"`
-	// KeepSeconds tells for how long the caller may cache the list.
+	// KeepSeconds is the number of seconds for which the caller may cache the list.
 	KeepSeconds float64 `json:"keep_seconds"`
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -37,24 +37,25 @@
 type behaviour string
 
 const (
-	answers         behaviour = "answers"
-	refuses         behaviour = "refuses before the start"
-	rests           behaviour = "refuses before the start and asks for rest"
-	truncates       behaviour = "runs and cuts off its answer"
-	resets          behaviour = "runs and cuts the connection"
-	answersOther    behaviour = "runs and answers for another request"
-	repeats         behaviour = "answers and repeats tokens"
-	skips           behaviour = "answers and leaves out a token"
-	garbles         behaviour = "answers with an event that is no JSON"
-	crashes         behaviour = "runs and ends its process"
-	crashesInAnswer behaviour = "ends its process within its answer"
-	tokenCount                = 6
-	testPrompt                = "prompt"
+	answers                behaviour = "answers"
+	refuses                behaviour = "refuses before the start"
+	asksForRest            behaviour = "refuses before the start and asks for rest"
+	truncates              behaviour = "runs and cuts off its answer"
+	resets                 behaviour = "runs and cuts the connection"
+	answersForOtherRequest behaviour = "runs and answers for another request"
+	repeatsTokens          behaviour = "answers and repeats tokens"
+	skipsToken             behaviour = "answers and leaves out a token"
+	sendsInvalidEvent      behaviour = "answers with an event that is no JSON"
+	crashes                behaviour = "runs and ends its process"
+	crashesInAnswer        behaviour = "ends its process within its answer"
+	tokenCount                       = 6
+	testPrompt                       = "prompt"
 )
 
-var behaviours = []behaviour{answers, refuses, truncates, resets, answersOther, repeats, skips, garbles}
+var behaviours = []behaviour{answers, refuses, truncates, resets, answersForOtherRequest, repeatsTokens, skipsToken, sendsInvalidEvent}
 
-// fakeEndpoint handles each request by the next behaviour of its script.
+// fakeEndpoint handles each request according to the next behaviour of its script. After the end of
+// the script, it answers normally.
 type fakeEndpoint struct {
 	mu     sync.Mutex
 	script []behaviour
@@ -96,7 +97,7 @@
 	if len(e.script) > 0 {
 		b, e.script = e.script[0], e.script[1:]
 	}
-	if b != refuses && b != rests {
+	if b != refuses && b != asksForRest {
 		e.runs++
 	}
 	return b
@@ -114,8 +115,8 @@
 	}
 	id, b := r.Header.Get(cluster.HeaderRequest), e.nextBehaviour()
 	switch b {
-	case refuses, rests:
-		if b == rests {
+	case refuses, asksForRest:
+		if b == asksForRest {
 			w.Header().Set("Retry-After", "3600")
 		}
 		w.Header().Set(cluster.HeaderStarted, cluster.StartedNo)
@@ -126,7 +127,7 @@
 	case crashes:
 		_ = e.server.Close()
 		panic(http.ErrAbortHandler)
-	case answersOther:
+	case answersForOtherRequest:
 		id = "of-another-request"
 	}
 	if !body.Stream {
@@ -142,7 +143,7 @@
 
 // promptFor returns the prompt that the endpoint answers.
 func promptFor(b behaviour) string {
-	if b == answersOther {
+	if b == answersForOtherRequest {
 		return "the prompt of another request"
 	}
 	return testPrompt
@@ -175,14 +176,14 @@
 			_ = e.server.Close()
 		}
 		panic(http.ErrAbortHandler)
-	case i == half && b == skips:
+	case i == half && b == skipsToken:
 		return
-	case i == half && b == garbles:
+	case i == half && b == sendsInvalidEvent:
 		_, _ = io.WriteString(w, "data: {no json\n\n")
 	}
 	event := fmt.Sprintf("data: {\"id\":%q,\"token_index\":%d,\"choices\":[{\"text\":%q}]}\n\n", id, i, standin.Token(promptFor(b), i))
 	_, _ = io.WriteString(w, event)
-	if b == repeats {
+	if b == repeatsTokens {
 		_, _ = io.WriteString(w, event)
 	}
 	w.(http.Flusher).Flush()
@@ -196,7 +197,7 @@
 	log       *standin.Log
 	gateway   *Gateway
 	address   string
-	sent      int
+	sentCount int
 }
 
 const downAddress = "127.0.0.1:1"
@@ -207,14 +208,14 @@
 	for range 3 {
 		h.endpoints = append(h.endpoints, newEndpoint(t))
 	}
-	h.publish()
+	h.publishReport()
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
 	state := config.NewState()
 	h.state = state
 	applyDocuments(t, state)
 	h.gateway = New(Options{
-		Config: state.View, Catalog: h.catalog, Ledger: h.ledger(t), Meter: meter,
+		Config: state.View, Catalog: h.catalog, Ledger: h.newLedger(t), Meter: meter,
 		Limiter: admission.NewLimiter(admission.LimiterOptions{Daemons: func() int { return 1 }}),
 		Gate:    func() *Closed { return nil }, Leaving: func() bool { return false },
 		Entries: func() []Entry { return nil }, KeepEntriesUntil: func(now time.Time) time.Time { return now },
@@ -222,7 +223,7 @@
 		NewID:   func() string { return fmt.Sprint("request-", rand.Uint64()) },
 	})
 	// The retry budget is not under test here.
-	h.gateway.retryBudget.available = maxRetryBudget
+	h.gateway.retryBudget.availableRetries = maxRetryBudget
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	h.address = l.Addr().String()
@@ -231,8 +232,8 @@
 	return h
 }
 
-// ledger returns an intent ledger that uses the harness's log.
-func (h *harness) ledger(t testing.TB) *intent.Ledger {
+// newLedger returns an intent ledger that uses the harness's log.
+func (h *harness) newLedger(t testing.TB) *intent.Ledger {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	state := intent.NewState(time.Hour)
@@ -257,9 +258,9 @@
 	return ledger
 }
 
-// publish reports each endpoint, and an address that nothing listens on, as a serving replica. It
+// publishReport reports each endpoint, and an address that nothing listens on, as a serving replica. It
 // may be called again after endpoints have been added.
-func (h *harness) publish() {
+func (h *harness) publishReport() {
 	report := &rpc.DomainReport{Domain: "fabric-1", Token: &rpc.Token{Epoch: 1}, Version: uint64(len(h.endpoints)), Beat: 1}
 	addresses := []string{downAddress}
 	for _, e := range h.endpoints {
@@ -294,14 +295,14 @@
 	assert.Equal(t, len(s.View().Deployments()), 1)
 }
 
-// outcome is the answer that a caller got.
-type outcome struct {
+// receivedAnswer is the answer that a caller received.
+type receivedAnswer struct {
 	status int
 	body   []byte
 	header http.Header
 }
 
-func (o outcome) refusal() (ran reason.Ran, why reason.Reason) {
+func (o receivedAnswer) refusal() (ran reason.Ran, why reason.Reason) {
 	var body struct {
 		Ran    reason.Ran    `json:"ran"`
 		Reason reason.Reason `json:"reason"`
@@ -311,10 +312,10 @@
 }
 
 // post sends a completion request.
-func (h *harness) post(body string, header map[string]string) (outcome, error) {
+func (h *harness) post(body string, header map[string]string) (receivedAnswer, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+h.address+"/v1/completions", strings.NewReader(body))
 	if err != nil {
-		return outcome{}, err
+		return receivedAnswer{}, err
 	}
 	request.Header.Set("Authorization", "Bearer demo-key")
 	for name, value := range header {
@@ -322,11 +323,11 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return outcome{}, err
+		return receivedAnswer{}, err
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	return outcome{status: response.StatusCode, body: data, header: response.Header}, err
+	return receivedAnswer{status: response.StatusCode, body: data, header: response.Header}, err
 }
 
 func (h *harness) runCount() int {
@@ -358,10 +359,10 @@
 	return text.String(), bytes.HasSuffix(bytes.TrimSpace(body), []byte("[DONE]"))
 }
 
-// TestAnswersAreWholeAndTrue checks, for random endpoint behaviour and kinds of requests, that a
-// caller gets its own complete answer or a correct report of whether the request ran, and that a
-// request that must not be repeated runs at most once.
-func TestAnswersAreWholeAndTrue(t *testing.T) {
+// TestAnswersAreCompleteAndCorrect checks that a caller gets a complete and correct answer or a
+// correct report of whether its request ran. Requests that must not be repeated may run at most
+// once. The behaviour of the endpoints and the kind of request are random.
+func TestAnswersAreCompleteAndCorrect(t *testing.T) {
 	h := newHarness(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		for _, e := range h.endpoints {
@@ -369,14 +370,14 @@
 		}
 		streamed := rapid.Bool().Draw(rt, "streamed")
 		repeatable := rapid.Bool().Draw(rt, "repeatable")
-		keyed := rapid.Bool().Draw(rt, "keyed")
+		hasKey := rapid.Bool().Draw(rt, "keyed")
 		header := map[string]string{}
 		if !repeatable {
 			header[headerRepeatable] = valueNo
 		}
-		h.sent++
-		if !repeatable && keyed {
-			header[headerKey] = fmt.Sprint("key-", h.sent, "-", rand.Uint64())
+		h.sentCount++
+		if !repeatable && hasKey {
+			header[headerIdempotencyKey] = fmt.Sprint("key-", h.sentCount, "-", rand.Uint64())
 		}
 		body := fmt.Sprintf(`{"model":"chat","prompt":%q,"stream":%v,"max_tokens":%d}`, testPrompt, streamed, tokenCount)
 		got, err := h.post(body, header)
@@ -387,7 +388,7 @@
 	})
 }
 
-func (h *harness) checkAnswer(rt *rapid.T, got outcome, streamed, repeatable bool) {
+func (h *harness) checkAnswer(rt *rapid.T, got receivedAnswer, streamed, repeatable bool) {
 	runs := h.runCount()
 	if !repeatable && runs > 1 {
 		rt.Fatalf("a request that must not be repeated ran %d times", runs)
@@ -402,17 +403,17 @@
 		}
 		return
 	}
-	text, whole := answerText(got.body), true
+	text, isComplete := answerText(got.body), true
 	if streamed {
-		text, whole = streamText(got.body)
+		text, isComplete = streamText(got.body)
 	}
-	if whole && text != wantText() {
+	if isComplete && text != wantText() {
 		rt.Fatalf("a complete answer has the wrong text: %q", text)
 	}
 	if !strings.HasPrefix(wantText(), text) {
 		rt.Fatalf("tokens are missing, repeated or from another request: %q", text)
 	}
-	if !whole && !bytes.Contains(got.body, []byte(`"ran":"unknown"`)) {
+	if !isComplete && !bytes.Contains(got.body, []byte(`"ran":"unknown"`)) {
 		rt.Fatalf("a stream ended early without an error: %s", got.body)
 	}
 }
@@ -436,7 +437,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			body := fmt.Sprintf(`{"model":"chat","prompt":"prompt","stream":%v}`, streamed)
-			key := map[string]string{headerKey: "seat-12"}
+			key := map[string]string{headerIdempotencyKey: "seat-12"}
 			first, err := h.post(body, key)
 			assert.NilError(t, err)
 			assert.Equal(t, first.status, http.StatusOK, string(first.body))
@@ -459,7 +460,7 @@
 func TestKeyWithoutLog(t *testing.T) {
 	h := newHarness(t)
 	h.log.SetFaults(standin.LogFaults{Outage: true})
-	got, err := h.post(`{"model":"chat","prompt":"prompt"}`, map[string]string{headerKey: "k"})
+	got, err := h.post(`{"model":"chat","prompt":"prompt"}`, map[string]string{headerIdempotencyKey: "k"})
 	assert.NilError(t, err)
 	ran, why := got.refusal()
 	assert.Equal(t, ran, reason.RanNo)
@@ -549,7 +550,7 @@
 		"unknown model": {`{"model":"x"}`, nil, http.StatusNotFound, reason.UnknownModel},
 		"wrong key":     {`{}`, map[string]string{"Authorization": "Bearer no"}, http.StatusUnauthorized, reason.Unauthorized},
 		"no key":        {`{}`, map[string]string{"Authorization": ""}, http.StatusUnauthorized, reason.Unauthorized},
-		"long key":      {`{}`, map[string]string{headerKey: strings.Repeat("k", 300)}, http.StatusBadRequest, reason.KeyInvalid},
+		"long key":      {`{}`, map[string]string{headerIdempotencyKey: strings.Repeat("k", 300)}, http.StatusBadRequest, reason.KeyInvalid},
 		"large body":    {strings.Repeat(" ", DefaultMaxBody+1), nil, http.StatusRequestEntityTooLarge, reason.BodyTooLarge},
 	}
 	for name, c := range cases {
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// ledgerTimeout limits calls of the intent ledger that must not end with the request.
+	// ledgerTimeout limits calls to the intent ledger that must continue if the request is
+	// canceled.
 	ledgerTimeout = 2 * time.Second
-	// maxStoredStreamBytes limits the copy of a streamed answer that is kept for later requests
-	// with the same key.
+	// maxStoredStreamBytes is the size in bytes from which nothing is added to the copy of a
+	// streamed answer that is kept for later requests with the same idempotency key.
 	maxStoredStreamBytes = 1 << 20
 )
 
@@ -34,8 +35,8 @@
 	return claim, nil
 }
 
-// answerDuplicate answers a request whose key another attempt has claimed: with the stored answer
-// if there is one, otherwise with a refusal.
+// answerDuplicate answers a request whose idempotency key is claimed by another attempt. It sends
+// the stored answer if there is one, and otherwise a refusal.
 func (g *Gateway) answerDuplicate(c *fiber.Ctx, r *request, claim intent.Claim) error {
 	entry := claim.Entry()
 	if entry.Body() != intent.BodyHash(r.method, r.path, r.body) {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -39,10 +39,10 @@
 }
 
 // reportBrokenAttempt reports a failed attempt to the guard if its connection broke, so that the
-// guard can check whether the worker has crashed. Endpoints don't identify a restarted process, so
-// the worker ID includes the time of the failure in seconds: each restart counts as a new worker. A
-// crash that two daemons see in different seconds still counts once, as package quarantine merges
-// crashes that are close in time.
+// guard can check whether the worker has crashed. An endpoint's answers don't show whether its
+// process was restarted. The worker ID therefore includes the time of the failure in seconds, and
+// each restart counts as a new worker. If two daemons see a crash in different seconds, it still
+// counts once, because package quarantine merges crashes that are close in time.
 func (g *Gateway) reportBrokenAttempt(r *request, t *target, err error) {
 	if !guard.BrokeOff(err) && !errors.Is(err, errTruncated) {
 		return
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -18,17 +18,17 @@
 // three endpoints, and that other requests are served.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const (
-		whole  = `{"model":"chat","prompt":"ends endpoints"}`
-		stream = `{"model":"chat","prompt":"ends endpoints","stream":true}`
+		wholeBody  = `{"model":"chat","prompt":"ends endpoints"}`
+		streamBody = `{"model":"chat","prompt":"ends endpoints","stream":true}`
 	)
 	tests := map[string]struct {
 		body string
 		ends behaviour
 	}{
-		"a whole answer":                {body: whole, ends: crashes},
-		"a whole answer that has begun": {body: whole, ends: crashesInAnswer},
-		"a stream":                      {body: stream, ends: crashes},
-		"a stream that has some tokens": {body: stream, ends: crashesInAnswer},
+		"a whole answer":                {body: wholeBody, ends: crashes},
+		"a whole answer that has begun": {body: wholeBody, ends: crashesInAnswer},
+		"a stream":                      {body: streamBody, ends: crashes},
+		"a stream that has some tokens": {body: streamBody, ends: crashesInAnswer},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,8 +39,8 @@
 			for _, e := range h.endpoints {
 				e.setScript([]behaviour{test.ends})
 			}
-			h.publish()
-			h.gateway.retryBudget.available = maxRetryBudget
+			h.publishReport()
+			h.gateway.retryBudget.availableRetries = maxRetryBudget
 			got, err := h.post(body, nil)
 			assert.NilError(t, err)
 			ran, _ := got.refusal()
@@ -57,21 +57,21 @@
 			assert.Equal(t, ran, reason.RanNo)
 			assert.Assert(t, got.header.Get("Retry-After") != "")
 			assert.Equal(t, h.runCount(), 3, "no request may be sent while quarantined")
-			// Crashed endpoints are still tried until the catalog drops them.
-			served, last := false, outcome{}
+			// The catalog still lists the crashed endpoints, so some requests fail.
+			anyServed, lastAnswer := false, receivedAnswer{}
 			for range 10 {
-				h.gateway.retryBudget.available = maxRetryBudget
+				h.gateway.retryBudget.availableRetries = maxRetryBudget
 				other, err := h.post(strings.Replace(body, "ends", "spares", 1), nil)
 				assert.NilError(t, err)
-				served, last = served || other.status == http.StatusOK, other
+				anyServed, lastAnswer = anyServed || other.status == http.StatusOK, other
 			}
-			assert.Assert(t, served, "%s", last.body)
+			assert.Assert(t, anyServed, "%s", lastAnswer.body)
 		})
 	}
 }
 
-// TestBrokenConnectionsOfLiveEndpoints checks that a request isn't blamed for broken connections if
-// the endpoints are still alive.
+// TestBrokenConnectionsOfLiveEndpoints checks that no crash is recorded for a request if its
+// connections broke but the endpoints are still alive.
 func TestBrokenConnectionsOfLiveEndpoints(t *testing.T) {
 	h := newHarness(t)
 	for _, b := range []behaviour{resets, truncates} {
@@ -97,8 +97,8 @@
 			f := quarantine.FingerprintOf("demo", http.MethodPost, "", "/v1/completions", []byte(body))
 			table := h.gateway.Guard().Table()
 			for i := range 2 {
-				ended := now.Add(time.Duration(i-2) * time.Second)
-				table.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended}, now)
+				crashedAt := now.Add(time.Duration(i-2) * time.Second)
+				table.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: crashedAt, Ended: crashedAt}, now)
 			}
 			assert.Equal(t, table.State(f, now).Crashes, 2)
 			got, err := h.post(body, nil)
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s (ran: %s): %s", r.reason, r.ran, r.message)
 }
 
-// refuse returns a refusal of a request that has not been sent to any target.
+// refuse returns a refusal that reports the request as not run. Use withRan for any other state.
 func refuse(why reason.Reason, format string, args ...any) *refusal {
 	return &refusal{reason: why, ran: reason.RanNo, message: fmt.Sprintf(format, args...)}
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// errorBody is the JSON body of an error answer: an error object as in the OpenAI API, with two
-// fields added.
+// errorBody is the JSON body of an error answer. It has the error object of the OpenAI API and two
+// fields of this project.
 type errorBody struct {
 	Error  errorDetail   `json:"error"`
 	Ran    reason.Ran    `json:"ran"`
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -16,11 +16,11 @@
 
 // Headers of requests from callers.
 const (
-	headerKey        = "Idempotency-Key"
-	headerRepeatable = "Quartzshelf-Repeatable"
-	valueNo          = "no"
-	valueYes         = "yes"
-	maxKeyLength     = 255
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRepeatable     = "Quartzshelf-Repeatable"
+	valueNo              = "no"
+	valueYes             = "yes"
+	maxKeyLength         = 255
 )
 
 // request is a caller's request. It holds copies of the data because fiber reuses its buffers after
@@ -36,7 +36,7 @@
 	key string
 	// repeatable is set if the request may run more than once.
 	repeatable bool
-	start      time.Time
+	arrivedAt  time.Time
 	// deadline is when the gateway abandons the request.
 	deadline time.Time
 	// ctx ends at the deadline. For a repeatable request, it also ends when the caller disconnects.
@@ -51,8 +51,8 @@
 	cachedFingerprint quarantine.Fingerprint
 }
 
-// adjustRan makes the refusal report the state of the whole request: if an earlier attempt may have
-// run it, a later attempt that did not run must not be reported as "not run".
+// adjustRan adjusts the refusal of one attempt to the whole request. If an earlier attempt may have
+// run the request, a refusal that reports it as not run is changed to report that this is unknown.
 func (r *request) adjustRan(f *refusal) *refusal {
 	if f.ran != reason.RanNo {
 		r.maybeRan = true
@@ -62,7 +62,8 @@
 	return f
 }
 
-// newRequest copies a caller's request, authenticates it and checks its size and key.
+// newRequest authenticates a caller's request, copies it, and checks its size and idempotency key.
+// It refuses all requests while the daemon accepts none.
 func (g *Gateway) newRequest(c *fiber.Ctx) (*request, *refusal) {
 	g.opts.Meter.Request()
 	if why := g.opts.Gate(); why != nil {
@@ -73,17 +74,17 @@
 		return nil, refused
 	}
 	r := &request{
-		id:       g.opts.NewID(),
-		account:  account,
-		method:   strings.Clone(c.Method()),
-		path:     strings.Clone(c.OriginalURL()),
-		header:   make(http.Header),
-		body:     append([]byte(nil), c.Body()...),
-		key:      strings.Clone(c.Get(headerKey)),
-		start:    time.Now(),
-		priority: account.Priority(),
+		id:        g.opts.NewID(),
+		account:   account,
+		method:    strings.Clone(c.Method()),
+		path:      strings.Clone(c.OriginalURL()),
+		header:    make(http.Header),
+		body:      append([]byte(nil), c.Body()...),
+		key:       strings.Clone(c.Get(headerIdempotencyKey)),
+		arrivedAt: time.Now(),
+		priority:  account.Priority(),
 	}
-	r.deadline = r.start.Add(requestTimeout)
+	r.deadline = r.arrivedAt.Add(requestTimeout)
 	for name, values := range c.GetReqHeaders() {
 		if !isDroppedHeader(name) {
 			for _, v := range values {
@@ -95,7 +96,7 @@
 		return nil, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBody)
 	}
 	if len(r.key) > maxKeyLength || strings.ContainsAny(r.key, "\x00\n") {
-		return nil, refuse(reason.KeyInvalid, "%s must be at most %d printable characters", headerKey, maxKeyLength)
+		return nil, refuse(reason.KeyInvalid, "%s must be at most %d printable characters", headerIdempotencyKey, maxKeyLength)
 	}
 	return r, nil
 }
@@ -113,7 +114,7 @@
 }
 
 // startContext sets the request's context. A request that must not be repeated continues after its
-// caller has disconnected, so that its outcome is recorded.
+// caller has disconnected, so that its outcome can be recorded.
 func (r *request) startContext(c *fiber.Ctx) {
 	r.ctx, r.cancel = context.WithDeadline(context.Background(), r.deadline)
 	if r.repeatable {
@@ -126,7 +127,7 @@
 var droppedHeaders = []string{
 	"Authorization", "Connection", "Content-Length", "Host", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
-	"Engine-Request", "Engine-Assignment", "Engine-Started", "Engine-Priority", headerKey,
+	"Engine-Request", "Engine-Assignment", "Engine-Started", "Engine-Priority", headerIdempotencyKey,
 }
 
 func isDroppedHeader(name string) bool {
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -12,8 +12,8 @@
 // TestRestingEndpointsGetNoRequests checks that an endpoint gets no more requests from this daemon
 // until its rest period ends, and that requests are refused as not run while all endpoints rest.
 func TestRestingEndpointsGetNoRequests(t *testing.T) {
-	const whole, stream = `{"model":"chat","prompt":"p"}`, `{"model":"chat","prompt":"p","stream":true}`
-	for name, body := range map[string]string{"a whole answer": whole, "a stream": stream} {
+	const wholeBody, streamBody = `{"model":"chat","prompt":"p"}`, `{"model":"chat","prompt":"p","stream":true}`
+	for name, body := range map[string]string{"a whole answer": wholeBody, "a stream": streamBody} {
 		t.Run(name, func(t *testing.T) {
 			h, requests := newHarness(t), 0
 			setResting(h.endpoints[1:], &requests)
@@ -36,17 +36,17 @@
 // setResting makes the endpoints ask for a rest period and counts the requests they get.
 func setResting(endpoints []*fakeEndpoint, requests *int) {
 	for _, e := range endpoints {
-		e.setScript([]behaviour{rests, rests, rests})
+		e.setScript([]behaviour{asksForRest, asksForRest, asksForRest})
 		e.onRequest = func() { *requests++ }
 	}
 }
 
 // postRepeatedly sends 20 requests one after another and returns the answers.
-func postRepeatedly(t *testing.T, h *harness, body string) []outcome {
+func postRepeatedly(t *testing.T, h *harness, body string) []receivedAnswer {
 	t.Helper()
-	var all []outcome
+	var all []receivedAnswer
 	for range 20 {
-		h.gateway.retryBudget.available = maxRetryBudget
+		h.gateway.retryBudget.availableRetries = maxRetryBudget
 		got, err := h.post(body, nil)
 		assert.NilError(t, err)
 		all = append(all, got)
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -37,8 +37,9 @@
 	return g.serveRequest(c, r, g.chooseEndpoint(r, service), false)
 }
 
-// isRepeatable reports whether a call may run more than once. The service's configuration takes
-// precedence over the caller's header, and the header over the default for the method.
+// isRepeatable reports whether a call may run more than once. It may not if the service's
+// configuration forbids it or the call has an idempotency key. Otherwise the caller's header
+// decides, and without the header the HTTP method.
 func isRepeatable(s config.Service, r *request) bool {
 	path, _, _ := strings.Cut(r.path, "?")
 	if !s.Repeatable(r.method, path) || r.key != "" {
@@ -53,8 +54,8 @@
 	return r.method != http.MethodPost && r.method != http.MethodPatch
 }
 
-// chooseEndpoint returns a chooser for the endpoints of a service. It picks two endpoints at random
-// and takes the one with fewer requests in flight from this daemon.
+// chooseEndpoint returns a chooser for the endpoints of a service. The chooser picks two endpoints
+// at random and takes the one with fewer requests in flight from this daemon.
 func (g *Gateway) chooseEndpoint(r *request, s config.Service) chooser {
 	return func(tried map[string]bool) (*target, *refusal) {
 		allowed := r.allowedRegions(s.AllowedRegions())
@@ -62,7 +63,7 @@
 		g.countPassedOver(passed)
 		if len(endpoints) == 0 {
 			refused := g.refuseWithout(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passed)
-			g.decisions.Add(r.id, newRefusedDecision(r, s.Name(), refused, passed))
+			g.decisions.Add(r.id, newRefusalDecision(r, s.Name(), refused, passed))
 			return nil, refused
 		}
 		chosen := g.pickLessBusy(endpoints)
@@ -80,16 +81,16 @@
 func (g *Gateway) pickLessBusy(endpoints []catalog.Endpoint) catalog.Endpoint {
 	a := endpoints[rand.IntN(len(endpoints))]
 	b := endpoints[rand.IntN(len(endpoints))]
-	ownA, _ := g.inflight.Observe(a.ID(), time.Time{})
-	ownB, _ := g.inflight.Observe(b.ID(), time.Time{})
-	if ownB < ownA {
+	inFlightA, _ := g.inflight.Observe(a.ID(), time.Time{})
+	inFlightB, _ := g.inflight.Observe(b.ID(), time.Time{})
+	if inFlightB < inFlightA {
 		return b
 	}
 	return a
 }
 
-// eligibleEndpoints returns the endpoints that may get the call now, and the reasons why others
-// were excluded.
+// eligibleEndpoints returns the endpoints that may get the call now, and counts the excluded ones
+// by reason.
 func (g *Gateway) eligibleEndpoints(s config.Service, allowed []config.Regions, tried map[string]bool) ([]catalog.Endpoint, PassedOver) {
 	view, now := g.opts.Config(), time.Now()
 	var all []catalog.Endpoint
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -49,8 +49,8 @@
 	return tokenEvent{id: string(v.GetStringBytes("id")), index: v.GetInt("token_index"), text: string(text)}, nil
 }
 
-// tokenReader reads the token events of one attempt. It checks that they belong to the request and
-// that no token is missing.
+// tokenReader reads the token events of one attempt. It checks that the events belong to the
+// request and that no token is missing.
 type tokenReader struct {
 	attempt   *attempt
 	reader    *bufio.Reader
@@ -61,23 +61,23 @@
 	stallTimer *time.Timer
 }
 
-// newTokenReader returns a reader for the attempt's events. Events with a token index below next
-// are skipped. The attempt is canceled if no event arrives within stallTimeout.
-func newTokenReader(a *attempt, id string, next int) *tokenReader {
+// newTokenReader returns a reader for the attempt's events. Events with a token index below
+// nextIndex are skipped. The attempt is canceled if no event arrives within stallTimeout.
+func newTokenReader(a *attempt, requestID string, nextIndex int) *tokenReader {
 	return &tokenReader{
-		attempt: a, reader: bufio.NewReader(a.response.Body), requestID: id, nextIndex: next,
+		attempt: a, reader: bufio.NewReader(a.response.Body), requestID: requestID, nextIndex: nextIndex,
 		stallTimer: time.AfterFunc(stallTimeout, a.cancel),
 	}
 }
 
-// close ends the attempt.
+// close stops the stall timer and closes the attempt.
 func (s *tokenReader) close() {
 	s.stallTimer.Stop()
 	s.attempt.close()
 }
 
 // readToken returns the data of the next token event and the token's text. It returns nil data and
-// a nil error at the end-of-stream marker. Repeated events are skipped.
+// a nil error at the end-of-stream marker. Tokens that were read before are skipped.
 func (s *tokenReader) readToken() ([]byte, string, error) {
 	for {
 		data, err := s.readEvent()
@@ -119,12 +119,14 @@
 	}
 }
 
-// readLongEvent reads the rest of a line that exceeds the reader's buffer.
-func (s *tokenReader) readLongEvent(begin []byte, err error) ([]byte, error) {
+// readLongEvent reads an event whose line exceeds the reader's buffer. The parameter start holds
+// the part read so far, and err is the error of that read. If err is not bufio.ErrBufferFull, it
+// returns errTruncated.
+func (s *tokenReader) readLongEvent(start []byte, err error) ([]byte, error) {
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return nil, errTruncated
 	}
-	line := bytes.Clone(begin)
+	line := bytes.Clone(start)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		var more []byte
 		more, err = s.reader.ReadSlice('\n')
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -28,27 +28,27 @@
 // errWrongRequest is returned for an answer that belongs to another request.
 var errWrongRequest = errors.New("the answer is of another request")
 
-// upstream sends requests to endpoints. It uses net/http because a canceled request closes its
-// connection at once, so that a late answer can't be mistaken for that of another request.
+// upstream sends requests to endpoints. It uses net/http, which closes the connection of a canceled
+// request at once. A late answer can therefore not be mistaken for that of another request.
 type upstream struct {
-	// shared reuses connections. It is for repeatable requests.
-	shared *http.Client
-	// singleUse opens a connection for each request: if an endpoint closes an idle connection just
-	// as it is reused, it is unknown whether the request was read.
-	singleUse *http.Client
+	reusingClient *http.Client
+	// singleUseClient opens a new connection for each request. It is used for requests that must
+	// not be repeated. If an endpoint closed a reused connection while a request was being sent, it
+	// would be unknown whether the endpoint had read the request.
+	singleUseClient *http.Client
 }
 
 func newUpstream() *upstream {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	base := http.Transport{
+	baseTransport := http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	single := base.Clone()
-	single.DisableKeepAlives = true
-	return &upstream{shared: newClient(base.Clone()), singleUse: newClient(single)}
+	singleUseTransport := baseTransport.Clone()
+	singleUseTransport.DisableKeepAlives = true
+	return &upstream{reusingClient: newClient(baseTransport.Clone()), singleUseClient: newClient(singleUseTransport)}
 }
 
 func newClient(t *http.Transport) *http.Client {
@@ -59,8 +59,8 @@
 }
 
 func (u *upstream) close() {
-	u.shared.CloseIdleConnections()
-	u.singleUse.CloseIdleConnections()
+	u.reusingClient.CloseIdleConnections()
+	u.singleUseClient.CloseIdleConnections()
 }
 
 // upstreamCall is one request to an endpoint.
@@ -101,13 +101,13 @@
 	request.ContentLength = int64(len(c.body))
 	request.Header = c.header.Clone()
 	request.Header.Set(cluster.HeaderRequest, c.requestID)
-	client := u.shared
+	client := u.reusingClient
 	if !c.repeatable {
-		client = u.singleUse
+		client = u.singleUseClient
 		// Without GetBody and the Idempotency-Key header, http.Transport doesn't retry the request
 		// by itself.
 		request.GetBody = nil
-		request.Header.Del(headerKey)
+		request.Header.Del(headerIdempotencyKey)
 	}
 	response, err := client.Do(request)
 	if err != nil {
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -21,53 +21,60 @@
 	tickInterval = 500 * time.Millisecond
 	listInterval = 2 * time.Second
 	listTimeout  = time.Second
-	// maxListAge is the maximum age of the node list for a daemon to begin leading a domain.
-	// With an older list it might not know which nodes are leaving.
+	// maxListAge is the maximum age of the node list for a daemon to begin leading a domain. A
+	// daemon with an older list might not know which nodes are leaving.
 	maxListAge = 3500 * time.Millisecond
-	// A leader that can't reach most of its nodes for yieldTimeout steps down and does not lead
-	// again for yieldDuration.
+	// yieldTimeout is how long a leader may fail to reach most of its nodes before it steps down.
+	// It does not lead the domain again for yieldDuration.
 	yieldTimeout  = 5 * time.Second
 	yieldDuration = 20 * time.Second
-	// maxListWaitAfterRegain limits the wait for a new node list after a leader has regained
-	// contact with most nodes.
+	// maxListWaitAfterRegain limits how long a leader that has regained contact with most nodes
+	// waits for a new node list. The wait is counted from the last probe that failed to reach most
+	// nodes.
 	maxListWaitAfterRegain = 10 * time.Second
-	// reportOverdueAfter is the time after the deadline of the last report from which the report
-	// counts as overdue. A daemon may then lead the domain even with an old node list.
+	// reportOverdueAfter is how long after the deadline of a domain's last report the report counts
+	// as overdue. A daemon may then begin to lead the domain even with an old node list.
 	reportOverdueAfter = 4 * time.Second
 	probeTimeout       = 400 * time.Millisecond
 	orderTimeout       = 2 * time.Second
 	// maxProbeAge is the maximum age of the probe that orders are based on.
 	maxProbeAge = time.Second
 	// lostTimeout is how long a node may be silent before it counts as lost. Its replica can't
-	// serve meanwhile.
+	// serve during that time.
 	lostTimeout = 1500 * time.Millisecond
-	// lostTimeoutMajority replaces lostTimeout while more than half of a domain's nodes are silent:
-	// the cause may then be the network.
+	// lostTimeoutMajority replaces lostTimeout if more than half of a domain's nodes are silent.
+	// The cause is then more likely to be the network than the nodes.
 	lostTimeoutMajority = 5 * time.Second
-	// renewalsPerWindow is how many times a permit is renewed within one serve window.
+	// renewalsPerWindow is the number of times that an unchanged report is published again within
+	// one serve window.
 	renewalsPerWindow = 6
-	proposeInterval   = 2 * time.Second
+	// proposeInterval is the minimum interval between two proposals of a grant for a domain.
+	proposeInterval = 2 * time.Second
 	// rebalanceDelay is how long another daemon must be the preferred owner of a domain before the
 	// domain is handed over.
 	rebalanceDelay = 30 * time.Second
-	// proposeTimeout limits the time to append a grant to the log.
+	// proposeTimeout limits how long an append of a grant to the log may take.
 	proposeTimeout = 3 * time.Second
 	// maxLoadAge is the maximum age of a load report.
 	maxLoadAge = 2 * time.Second
-	// drainTimeout is how long requests in flight may delay a planned move.
+	// drainTimeout is the maximum time for which requests in flight delay the reassignment of a
+	// replica's nodes.
 	drainTimeout = 10 * time.Minute
-	// supplyRetention is how long a domain still counts as supply after the deadline of its report.
+	// supplyRetention is how long after the deadline of its last report a domain's nodes and
+	// replicas still count as supply for deployments.
 	supplyRetention = 30 * time.Second
-	// Orders to nodes that don't check tokens are protected only by time: the lease of the owner
-	// and a margin for pauses of the process.
+	// unfencedLease is how long after its last read of the grant log an owner may send orders to
+	// nodes that don't check tokens. A new owner waits for unfencedLease and unfencedMargin before
+	// it sends such orders. The margin covers a pause of the previous owner's process.
 	unfencedLease  = 5 * time.Second
 	unfencedMargin = 2 * time.Second
 	// maxParallelCalls is the maximum number of concurrent calls to the nodes of a domain.
 	maxParallelCalls = 64
 )
 
-// DefaultServeWindow is how long after the start of a probe a replica may serve. It is longer than
-// a deputy needs to take over a domain, so that replicas keep serving when a daemon fails.
+// DefaultServeWindow is how long a replica may serve after the start of the probe that confirmed
+// it. It is longer than another daemon needs to take over the domain, so that replicas keep serving
+// when a daemon fails.
 const DefaultServeWindow = 6 * time.Second
 
 // Members provides the membership information that the controller needs.
@@ -89,22 +96,26 @@
 	Control cluster.NodeControl
 	Catalog *catalog.Catalog
 	Members Members
-	// Ownership holds the grants. AppendGrant appends a grant to the log and returns once it has
-	// been applied to Ownership.
+	// Ownership holds the grants. A grant names the owner and the deputies of a domain. AppendGrant
+	// appends a grant to the log and returns once the grant has been applied to Ownership.
 	Ownership   *ownership.State
 	AppendGrant func(ctx context.Context, record json.RawMessage) error
-	// OwnershipConfirmed returns when the latest successful read of the grant stream began.
+	// OwnershipConfirmed returns when the latest successful read of the grant log began.
 	OwnershipConfirmed func() time.Time
-	ServeWindow        time.Duration
-	// LoadSlots is the number of replicas in a domain that may load weights at the same time.
+	// ServeWindow is how long a replica may serve after the start of the probe that confirmed it.
+	// If it is zero, DefaultServeWindow applies.
+	ServeWindow time.Duration
+	// LoadSlots is the maximum number of replicas in a domain that load weights at the same time.
+	// Zero means no limit.
 	LoadSlots int
 	Logger    hclog.Logger
 }
 
 // Controller manages the domains that this daemon owns.
 type Controller struct {
-	opts       Options
-	done       chan struct{}
+	opts Options
+	done chan struct{}
+	// background waits for appends of grants.
 	background conc.WaitGroup
 
 	mu            sync.Mutex
@@ -113,7 +124,8 @@
 	listedAt time.Time
 	// listFailedAt is when a read of the node list last failed.
 	listFailedAt time.Time
-	plans        map[string]placement.Plan
+	// plans holds the latest plan of each domain that this daemon has led.
+	plans map[string]placement.Plan
 }
 
 // NewController returns a controller. Call Run to start it.
@@ -130,7 +142,7 @@
 // Done returns a channel that is closed when Run has returned.
 func (c *Controller) Done() <-chan struct{} { return c.done }
 
-// Plan returns the latest plan for a domain that this daemon leads.
+// Plan returns the latest plan for a domain that this daemon leads or has led.
 func (c *Controller) Plan(domain string) (placement.Plan, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +207,7 @@
 }
 
 // wasSuspended reports whether the node list is old although no read has failed recently. The
-// process was then suspended, and must read the list before it publishes reports.
+// process was then suspended, and must read the list again before it publishes reports.
 func (c *Controller) wasSuspended(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,21 +224,21 @@
 // tickDomains wakes each domain at every tick. Domains run in separate goroutines so that a slow
 // one doesn't delay the others.
 func (c *Controller) tickDomains(ctx context.Context) {
-	domains := make(map[string]chan struct{})
+	wakeByDomain := make(map[string]chan struct{})
 	var group conc.WaitGroup
 	defer group.Wait()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		for _, name := range c.domainNames() {
-			if _, ok := domains[name]; ok {
+			if _, ok := wakeByDomain[name]; ok {
 				continue
 			}
 			wake := make(chan struct{}, 1)
-			domains[name] = wake
+			wakeByDomain[name] = wake
 			group.Go(func() { c.runDomain(ctx, name, wake) })
 		}
-		for _, wake := range domains {
+		for _, wake := range wakeByDomain {
 			select {
 			case wake <- struct{}{}:
 			default:
@@ -267,8 +279,8 @@
 	return c.nodesByDomain[domain]
 }
 
-// appendGrant appends a grant to the log. A concurrent grant may win, which shows only once the log
-// has been applied.
+// appendGrant appends a grant to the log. The grant may not take effect, because a concurrent grant
+// may come before it in the log.
 func (c *Controller) appendGrant(ctx context.Context, record ownership.Record) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/replica/domain.go
+++ b/replica/domain.go
@@ -17,7 +17,7 @@
 )
 
 // domain is the state of one fabric domain at one daemon. It is used only by the goroutine that
-// ticks it.
+// calls tick.
 type domain struct {
 	c        *Controller
 	name     string
@@ -27,43 +27,48 @@
 
 	// isLeading is set if this daemon acted as the domain's leader at the last tick.
 	isLeading bool
-	// unreachableAt is when a probe last failed to reach most of the nodes. unreachableSince is
-	// when the current series of such probes began; zero if the last probe reached enough nodes.
+	// unreachableAt is when more than half of the nodes last failed to answer a probe.
+	// unreachableSince is when the current series of such probes began. It is zero if the last
+	// probe reached at least half of the nodes.
 	unreachableAt    time.Time
 	unreachableSince time.Time
-	// yieldUntil is the time until which this daemon leaves the domain to others.
+	// yieldUntil is the time until which this daemon does not lead the domain.
 	yieldUntil time.Time
 	// leadingSince is when this daemon began to lead the domain.
 	leadingSince time.Time
 	// token is the highest token that this daemon has used for the domain.
 	token token.Token
-	// highestSeen is the highest token found on nodes by the last probe and by orders since.
-	highestSeen token.Token
-	// version and beat are the numbers of the last published report, lastReport its content.
+	// highestNodeToken is the highest token that nodes have reported in the last probe and in
+	// answers to orders since then.
+	highestNodeToken token.Token
+	// version counts the changes of the report's content, and beat counts its publications. Both
+	// restart with each new rank or epoch of this leader. lastReport is the content of the last
+	// report.
 	version    uint64
 	beat       uint64
 	lastReport *rpc.DomainReport
-	// renewAt is when an unchanged report is published again.
+	// renewAt is when the report is published again even if it is unchanged.
 	renewAt time.Time
 
 	// lastProbeAt is when the last probe began.
 	lastProbeAt time.Time
 
-	nodes  map[string]*trackedNode
+	nodes map[string]*trackedNode
+	// drains holds the draining replicas by replica ID.
 	drains map[string]drain
-	// permits holds, by assignment name, the permits that routers may still rely on.
+	// permits holds the permits that routers may still rely on, by assignment name.
 	permits map[string]permit
-	// unfencedAfter is when a new owner may begin to order nodes that don't check tokens, under the
-	// grant of unfencedEpoch.
-	unfencedAfter  time.Time
-	unfencedEpoch  uint64
-	nextProposalAt time.Time
-	// rebalanceAt is when the domain may be handed over to a preferred daemon; zero if there is
-	// none.
+	// unfencedOrdersAfter is the time from which this daemon may send orders to nodes that don't
+	// check tokens. It is computed once for the grant with epoch unfencedGrantEpoch.
+	unfencedOrdersAfter time.Time
+	unfencedGrantEpoch  uint64
+	nextProposalAt      time.Time
+	// rebalanceAt is when the domain may be handed over to the preferred owner. It is zero if this
+	// daemon is the preferred owner.
 	rebalanceAt time.Time
 }
 
-// trackedNode is what this daemon knows about a node.
+// trackedNode is the state of a node according to the node list and the probes.
 type trackedNode struct {
 	listed cluster.ListedNode
 	labels map[string]string
@@ -74,16 +79,17 @@
 	lostAt time.Time
 	// lastOrder is the token of the last order that changed the node's assignment.
 	lastOrder token.Token
-	// reportedLeaving is set if the previous leader reported the node as leaving. It applies until
-	// this daemon has read the node list itself.
+	// reportedLeaving is set if the previous leader reported the node as leaving. It is cleared
+	// once this daemon has read the node list while leading.
 	reportedLeaving bool
 }
 
 // drain is the state of a replica that is drained before its nodes are reassigned.
 type drain struct {
-	// settledAt is when all routers know of the drain and the load reports are current.
+	// settledAt is the time by which all routers have stopped sending requests to the replica and
+	// its load report includes the last of them.
 	settledAt time.Time
-	// forceAt is when the drain ends even if requests are still running.
+	// forceAt is when the nodes may be reassigned even if requests are still running.
 	forceAt time.Time
 }
 
@@ -94,7 +100,8 @@
 	}
 }
 
-// tick decides whether this daemon leads the domain and, if so, runs one round.
+// tick decides whether this daemon leads the domain. If so, it probes the nodes, publishes a report
+// and sends orders.
 func (d *domain) tick(ctx context.Context, listed []cluster.ListedNode) {
 	d.updateNodes(listed)
 	grant := d.c.opts.Ownership.Grant(d.name)
@@ -123,7 +130,7 @@
 	}
 	if previousToken.Epoch != d.token.Epoch || previousToken.Rank != d.token.Rank {
 		// Nodes must confirm this leader before its first report. Otherwise the report would show
-		// serving replicas as unconfirmed and take them out of service.
+		// serving replicas as unconfirmed, and they would get no requests.
 		d.sendOrders(ctx, d.reaffirmOrders(nil))
 		start = time.Now()
 		d.assumePermits(d.observeReplicas(view), start)
@@ -145,19 +152,19 @@
 }
 
 // updateDataHall sets the domain's data hall from the node list. A domain should be in one data
-// hall. If the list names several, all daemons use that of the node with the lowest ID.
+// hall. If the list names several, all daemons use the hall of the node with the lowest ID.
 func (d *domain) updateDataHall(listed []cluster.ListedNode) {
 	if len(listed) == 0 {
 		return
 	}
 	first := slices.MinFunc(listed, func(a, b cluster.ListedNode) int { return strings.Compare(a.ID, b.ID) })
 	d.dataHall = first.DataHall
-	other := slices.IndexFunc(listed, func(l cluster.ListedNode) bool { return l.DataHall != d.dataHall })
-	if spansHalls := other >= 0; spansHalls != d.spansHalls {
+	otherIndex := slices.IndexFunc(listed, func(l cluster.ListedNode) bool { return l.DataHall != d.dataHall })
+	if spansHalls := otherIndex >= 0; spansHalls != d.spansHalls {
 		d.spansHalls = spansHalls
 		if spansHalls {
 			d.c.opts.Logger.Warn("domain spans data halls; closing the other one does not stop requests to it",
-				"domain", d.name, "hall", d.dataHall, "other", listed[other].DataHall, "node", listed[other].ID)
+				"domain", d.name, "hall", d.dataHall, "other", listed[otherIndex].DataHall, "node", listed[otherIndex].ID)
 		}
 	}
 }
--- a/replica/domain_test.go
+++ b/replica/domain_test.go
@@ -12,17 +12,17 @@
 )
 
 // TestDomainThatSpansHalls checks that a domain listed in two data halls gets the same data hall
-// whatever the order of the list, and that the warning is logged once.
+// whatever the order of the list. The warning must be logged only once.
 func TestDomainThatSpansHalls(t *testing.T) {
-	row := func(id, hall string) cluster.ListedNode { return cluster.ListedNode{ID: id, DataHall: hall} }
+	newListedNode := func(id, hall string) cluster.ListedNode { return cluster.ListedNode{ID: id, DataHall: hall} }
 	cases := map[string]struct {
 		listed []cluster.ListedNode
 		hall   string
 		warned bool
 	}{
-		"one hall":         {[]cluster.ListedNode{row("n1", "a"), row("n2", "a")}, "a", false},
-		"two halls":        {[]cluster.ListedNode{row("n1", "a"), row("n2", "b")}, "a", true},
-		"in another order": {[]cluster.ListedNode{row("n2", "b"), row("n1", "a")}, "a", true},
+		"one hall":         {[]cluster.ListedNode{newListedNode("n1", "a"), newListedNode("n2", "a")}, "a", false},
+		"two halls":        {[]cluster.ListedNode{newListedNode("n1", "a"), newListedNode("n2", "b")}, "a", true},
+		"in another order": {[]cluster.ListedNode{newListedNode("n2", "b"), newListedNode("n1", "a")}, "a", true},
 		"nothing listed":   {nil, "as before", false},
 	}
 	for name, c := range cases {
@@ -35,11 +35,11 @@
 				d.updateNodes(c.listed)
 			}
 			assert.Equal(t, d.dataHall, c.hall)
-			lines := 0
+			wantLines := 0
 			if c.warned {
-				lines = 1
+				wantLines = 1
 			}
-			assert.Equal(t, strings.Count(log.String(), "domain spans data halls"), lines, log.String())
+			assert.Equal(t, strings.Count(log.String(), "domain spans data halls"), wantLines, log.String())
 		})
 	}
 }
--- a/replica/grant.go
+++ b/replica/grant.go
@@ -18,7 +18,7 @@
 	d.c.background.Go(func() { d.c.appendGrant(ctx, record) })
 }
 
-// proposedHolders returns the holders for a new grant.
+// proposedHolders returns the daemons for a new grant, the owner first and then the deputies.
 func (d *domain) proposedHolders() []string {
 	return ownership.Holders(d.name, d.c.opts.Members.Candidates(d.dataHall))
 }
@@ -26,8 +26,8 @@
 // rebalance hands the domain over once another daemon has been the preferred owner for
 // rebalanceDelay. Otherwise the daemons that survive failures would accumulate domains.
 func (d *domain) rebalance(ctx context.Context, grant ownership.Grant) {
-	preferred := d.proposedHolders()
-	if len(preferred) == 0 || preferred[0] == d.c.opts.Self {
+	preferredHolders := d.proposedHolders()
+	if len(preferredHolders) == 0 || preferredHolders[0] == d.c.opts.Self {
 		d.rebalanceAt = time.Time{}
 		return
 	}
@@ -37,12 +37,12 @@
 	}
 	if now.After(d.rebalanceAt) {
 		d.rebalanceAt = time.Time{}
-		d.propose(ctx, grant, preferred)
+		d.propose(ctx, grant, preferredHolders)
 	}
 }
 
-// withSelfFirst puts this daemon first, unless it is leaving, because it already knows the state of
-// the domain.
+// withSelfFirst returns the holders with this daemon first, because it already has the state of the
+// domain. If this daemon is leaving, it returns the holders unchanged.
 func (d *domain) withSelfFirst(holders []string) []string {
 	self := d.c.opts.Self
 	if d.c.opts.Members.IsLeaving(self) {
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -10,37 +10,37 @@
 
 // decideAction returns what this daemon should do under the grant, as decided by package ownership.
 func (d *domain) decideAction(grant ownership.Grant) ownership.Action {
-	active := d.activeRank(grant)
-	_, deadline, reported := d.c.opts.Catalog.Current(d.name)
+	activeRank := d.activeRank(grant)
+	_, deadline, hasReport := d.c.opts.Catalog.Current(d.name)
 	members := d.c.opts.Members
 	return ownership.Decide(ownership.Situation{
-		Overdue:    reported && active >= 0 && time.Now().After(deadline.Add(reportOverdueAfter)),
+		Overdue:    hasReport && activeRank >= 0 && time.Now().After(deadline.Add(reportOverdueAfter)),
 		Self:       d.c.opts.Self,
 		Domain:     d.name,
 		Grant:      grant,
-		ActiveRank: active,
+		ActiveRank: activeRank,
 		Gone:       members.IsGone,
 		Leaving:    members.IsLeaving,
 		Candidates: members.Candidates(d.dataHall),
 	})
 }
 
-// activeRank returns the highest rank known to have been used under the grant, from reports and
-// nodes; -1 if there is none.
+// activeRank returns the highest rank that reports and nodes show as used under the grant, or -1 if
+// they show none.
 func (d *domain) activeRank(grant ownership.Grant) int {
-	active := -1
+	rank := -1
 	if current, _, ok := d.c.opts.Catalog.Current(d.name); ok && current.Epoch == grant.Epoch() {
-		active = int(current.Rank)
+		rank = int(current.Rank)
 	}
-	if d.highestSeen.Epoch == grant.Epoch() && grant.Epoch() > 0 {
-		active = max(active, int(d.highestSeen.Rank))
+	if d.highestNodeToken.Epoch == grant.Epoch() && grant.Epoch() > 0 {
+		rank = max(rank, int(d.highestNodeToken.Rank))
 	}
-	return active
+	return rank
 }
 
-// restrictAction returns ownership.Follow instead of a leading action if this daemon has yielded
-// the domain, or if it would begin to lead with an old node list while the last report is not
-// overdue.
+// restrictAction returns ownership.Follow instead of a leading action in two cases. Either this
+// daemon has yielded the domain, or it would begin to lead with an old node list although the last
+// report is not overdue.
 func (d *domain) restrictAction(action ownership.Action) ownership.Action {
 	now := time.Now()
 	if !action.Leads() {
@@ -58,7 +58,7 @@
 	return action
 }
 
-// inheritLeaving marks the nodes that the previous leader reported as leaving.
+// inheritLeaving marks the nodes as leaving that the previous leader reported as leaving.
 func (d *domain) inheritLeaving() {
 	for _, report := range d.c.opts.Catalog.Reports() {
 		if report.Domain != d.name {
@@ -72,14 +72,14 @@
 	}
 }
 
-// claimToken ensures that this daemon has the highest token of the domain. It returns false if
-// nodes have seen a token from a newer grant.
+// claimToken ensures that this daemon's token is the highest of the domain, with a new rank if
+// necessary. It returns false if a node holds a token from a newer grant.
 func (d *domain) claimToken(grant ownership.Grant) bool {
-	if d.highestSeen.Epoch > grant.Epoch() {
+	if d.highestNodeToken.Epoch > grant.Epoch() {
 		return false
 	}
-	isCurrent := d.isLeading && d.token.Epoch == grant.Epoch()
-	if isCurrent && !d.highestSeen.Higher(d.token) && !d.supersededByReport() {
+	leadsUnderGrant := d.isLeading && d.token.Epoch == grant.Epoch()
+	if leadsUnderGrant && !d.highestNodeToken.Higher(d.token) && !d.isSuperseded() {
 		return true
 	}
 	highestRank := d.activeRank(grant)
@@ -94,18 +94,18 @@
 		d.leadingSince = time.Now()
 	}
 	d.isLeading = true
-	if d.unfencedEpoch != grant.Epoch() {
-		d.unfencedEpoch = grant.Epoch()
-		d.unfencedAfter = time.Now().Add(unfencedLease + unfencedMargin)
+	if d.unfencedGrantEpoch != grant.Epoch() {
+		d.unfencedGrantEpoch = grant.Epoch()
+		d.unfencedOrdersAfter = time.Now().Add(unfencedLease + unfencedMargin)
 	}
 	d.c.opts.Logger.Info("leading domain", "domain", d.name, "epoch", d.token.Epoch, "rank", rank)
 	return true
 }
 
-// supersededByReport reports whether the catalog holds a report that this leader's report would not
-// replace: one with a higher rank, or a newer one with the same rank that this daemon published
-// before a restart.
-func (d *domain) supersededByReport() bool {
+// isSuperseded reports whether the catalog holds a report that this leader's report would not
+// replace. Such a report has a higher rank, or it has the same rank and a higher version because
+// this daemon published it before a restart.
+func (d *domain) isSuperseded() bool {
 	current, _, ok := d.c.opts.Catalog.Current(d.name)
 	if !ok || current.Epoch != d.token.Epoch {
 		return false
@@ -116,15 +116,15 @@
 	return d.c.opts.Catalog.Version(d.name) > d.version
 }
 
-// nextToken returns the token for another order.
+// nextToken increments the sequence number of the token and returns the token for the next order.
 func (d *domain) nextToken() token.Token {
 	d.token.Sequence++
 	return d.token
 }
 
 // mustWait reports whether this leader must neither publish nor send orders now. A leader that
-// hasn't reached most nodes for yieldTimeout steps down. A leader that has regained contact waits
-// for a new node list, which may have changed meanwhile.
+// hasn't reached most nodes for yieldTimeout steps down. A leader that has regained contact with
+// them waits for a new node list, because the old one may be outdated.
 func (d *domain) mustWait(now time.Time) bool {
 	if !d.unreachableSince.IsZero() && now.After(d.unreachableSince.Add(yieldTimeout)) {
 		d.c.opts.Logger.Warn("cannot reach most nodes; letting another daemon lead", "domain", d.name)
@@ -136,14 +136,14 @@
 	if d.c.wasSuspended(now) {
 		return true
 	}
-	regained := d.unreachableSince.IsZero() && !d.unreachableAt.IsZero()
-	return regained && d.c.listReadAt().Before(d.unreachableAt) && now.Before(d.unreachableAt.Add(maxListWaitAfterRegain))
+	hasRegainedContact := d.unreachableSince.IsZero() && !d.unreachableAt.IsZero()
+	return hasRegainedContact && d.c.listReadAt().Before(d.unreachableAt) && now.Before(d.unreachableAt.Add(maxListWaitAfterRegain))
 }
 
-// updateReachability updates the reachability state from the number of silent nodes in the last
-// probe.
-func (d *domain) updateReachability(silent, nodes int, now time.Time) {
-	if nodes == 0 || 2*silent <= nodes {
+// updateReachability updates unreachableAt and unreachableSince after a probe. nodeCount is the
+// number of probed nodes, and silentCount the number of those that did not answer.
+func (d *domain) updateReachability(silentCount, nodeCount int, now time.Time) {
+	if nodeCount == 0 || 2*silentCount <= nodeCount {
 		d.unreachableSince = time.Time{}
 		return
 	}
@@ -166,11 +166,11 @@
 }
 
 // canOrderUnfenced reports whether this daemon may send orders to nodes that don't check tokens. It
-// must be the owner and not a deputy, must have read the grant log within the lease, and the lease
-// of the previous owner must have expired. Only the margin protects against a pause between this
-// check and the order.
+// must be the owner and not a deputy, and must have read the grant log within the last
+// unfencedLease. The lease of the previous owner must have expired. Only unfencedMargin protects
+// against a pause of the process between this check and the order.
 func (d *domain) canOrderUnfenced(grant ownership.Grant, now time.Time) bool {
-	if grant.Owner() != d.c.opts.Self || now.Before(d.unfencedAfter) {
+	if grant.Owner() != d.c.opts.Self || now.Before(d.unfencedOrdersAfter) {
 		return false
 	}
 	return now.Before(d.c.opts.OwnershipConfirmed().Add(unfencedLease))
--- a/replica/observed.go
+++ b/replica/observed.go
@@ -32,7 +32,7 @@
 // leader returns the node that accepts the replica's requests.
 func (o observedReplica) leader() *trackedNode { return o.members[0] }
 
-// isIdle reports whether the replica's own load report shows no requests.
+// isIdle reports whether the replica had no active or queued requests at the last probe.
 func (o observedReplica) isIdle() bool {
 	load := o.leader().state.Load
 	return load.Active == 0 && load.Queue == 0
@@ -40,34 +40,35 @@
 
 // observeReplicas returns the replicas found on the nodes, sorted by ID.
 func (d *domain) observeReplicas(view *config.View) []observedReplica {
-	byID := make(map[string]cluster.Assignment)
-	scripted := make(map[string][]*trackedNode)
+	assignmentsByID := make(map[string]cluster.Assignment)
+	scriptedNodesByID := make(map[string][]*trackedNode)
 	for _, m := range d.nodes {
 		switch {
 		case m.listed.Kind != cluster.KindEngine:
 		case m.isScripted():
 			id := m.labels[config.LabelDeployment] + "/" + m.labels[config.LabelReplica]
-			scripted[id] = append(scripted[id], m)
+			scriptedNodesByID[id] = append(scriptedNodesByID[id], m)
 		case !m.state.Assignment.Empty():
 			a := m.state.Assignment
-			if a.Generation > byID[a.Replica].Generation {
-				byID[a.Replica] = a
+			if a.Generation > assignmentsByID[a.Replica].Generation {
+				assignmentsByID[a.Replica] = a
 			}
 		}
 	}
 	var all []observedReplica
-	for id, a := range byID {
+	for id, a := range assignmentsByID {
 		all = append(all, d.observeManaged(id, a))
 	}
-	for id, members := range scripted {
+	for id, members := range scriptedNodesByID {
 		all = append(all, observeScripted(view, id, members))
 	}
 	slices.SortFunc(all, func(a, b observedReplica) int { return strings.Compare(a.id, b.id) })
 	return all
 }
 
-// observeManaged checks that every member confirms the same generation, and holds this leader's
-// token if it checks tokens. Orders of earlier leaders can then no longer change the replica.
+// observeManaged returns the replica with the given assignment. The replica has a problem unless
+// every member is ready in the assignment's generation. Members that check tokens must also hold a
+// token of this leader, so that orders of earlier leaders can no longer change the replica.
 func (d *domain) observeManaged(id string, a cluster.Assignment) observedReplica {
 	o := observedReplica{id: id, assignment: a}
 	for _, member := range a.Members {
@@ -99,15 +100,16 @@
 	return ""
 }
 
-// confirmsLeader reports whether the node's token is from this leader and not older than its last
-// order. An order without an answer may still arrive.
+// confirmsLeader reports whether the node's token is from this leader and not lower than that of
+// the last order to the node. An order that was not answered may still arrive, so a lower token
+// does not count.
 func (d *domain) confirmsLeader(m *trackedNode) bool {
 	t := m.state.Token
 	return t.Epoch == d.token.Epoch && t.Rank == d.token.Rank && !m.lastOrder.Higher(t)
 }
 
-// observeScripted checks a replica that is managed by scripts. All nodes that its deployment asks
-// for must answer and be ready.
+// observeScripted returns a replica that is managed by scripts. The replica has a problem unless it
+// has as many nodes as its deployment requires and all of them are ready.
 func observeScripted(view *config.View, id string, members []*trackedNode) observedReplica {
 	slices.SortFunc(members, func(a, b *trackedNode) int { return strings.Compare(a.listed.ID, b.listed.ID) })
 	name, _, _ := strings.Cut(id, "/")
--- a/replica/order.go
+++ b/replica/order.go
@@ -22,20 +22,20 @@
 // planOrders returns the orders of a plan that may be sent now. Orders that affect an intact
 // replica are delayed until it is drained.
 func (d *domain) planOrders(plan placement.Plan, replicas []observedReplica, now time.Time) []pendingOrder {
-	intact := intactByNode(replicas)
-	wasDraining := d.drains
+	intactReplicas := intactReplicasByNode(replicas)
+	previousDrains := d.drains
 	d.drains = make(map[string]drain)
-	for id, state := range wasDraining {
-		if movesReplica(plan, intact, id) {
+	for id, state := range previousDrains {
+		if movesReplica(plan, intactReplicas, id) {
 			d.drains[id] = state
 		}
 	}
 	var all []pendingOrder
 	for _, f := range plan.Formations {
-		all = append(all, d.formationOrders(f, intact, now)...)
+		all = append(all, d.formationOrders(f, intactReplicas, now)...)
 	}
 	for _, step := range plan.Releases {
-		if d.mayRelease(step, intact, now) {
+		if d.mayRelease(step, intactReplicas, now) {
 			all = append(all, d.newOrder(step.Node, step.Assignment, step.Reason))
 		}
 	}
@@ -44,12 +44,12 @@
 }
 
 // preloadOrders returns orders that make nodes fetch weights in advance, without a change of
-// assignment.
-func (d *domain) preloadOrders(plan placement.Plan, sent []pendingOrder) []pendingOrder {
-	busy := orderedNodes(sent)
+// assignment. It leaves out the nodes that the planned orders are for.
+func (d *domain) preloadOrders(plan placement.Plan, planned []pendingOrder) []pendingOrder {
+	hasOrder := orderedNodes(planned)
 	var all []pendingOrder
 	for _, p := range plan.Preloads {
-		if !busy[p.Node] {
+		if !hasOrder[p.Node] {
 			o := d.newOrder(p.Node, d.nodes[p.Node].state.Assignment, p.Reason)
 			o.order.Preload = []string{p.Version}
 			all = append(all, o)
@@ -67,34 +67,36 @@
 	return nodes
 }
 
-// intactByNode maps the nodes of intact replicas to their replica. Replicas managed by scripts are
+// intactReplicasByNode maps the nodes of intact replicas to their replica. Replicas managed by scripts are
 // left out.
-func intactByNode(replicas []observedReplica) map[string]observedReplica {
-	intact := make(map[string]observedReplica)
+func intactReplicasByNode(replicas []observedReplica) map[string]observedReplica {
+	intactReplicas := make(map[string]observedReplica)
 	for _, o := range replicas {
 		if !o.isIntact() || o.isScripted {
 			continue
 		}
 		for _, m := range o.members {
-			intact[m.listed.ID] = o
+			intactReplicas[m.listed.ID] = o
 		}
 	}
-	return intact
+	return intactReplicas
 }
 
-// mayRelease reports whether a node may be released now.
-func (d *domain) mayRelease(step placement.Step, intact map[string]observedReplica, now time.Time) bool {
-	if o, ok := intact[step.Node]; ok && !d.ensureDrained(o, now) {
+// mayRelease reports whether a node may be released now. If the node belongs to an intact replica,
+// the first call starts to drain the replica.
+func (d *domain) mayRelease(step placement.Step, intactReplicas map[string]observedReplica, now time.Time) bool {
+	if o, ok := intactReplicas[step.Node]; ok && !d.ensureDrained(o, now) {
 		return false
 	}
 	return len(d.blockingPermits(step.Node, now)) == 0
 }
 
-// movesReplica reports whether the plan reassigns a node of the intact replica.
-func movesReplica(plan placement.Plan, intact map[string]observedReplica, replica string) bool {
+// movesReplica reports whether the plan reassigns or releases a node of the intact replica with the
+// given ID.
+func movesReplica(plan placement.Plan, intactReplicas map[string]observedReplica, replicaID string) bool {
 	isMember := func(step placement.Step) bool {
-		o, ok := intact[step.Node]
-		return ok && o.id == replica
+		o, ok := intactReplicas[step.Node]
+		return ok && o.id == replicaID
 	}
 	for _, step := range plan.Releases {
 		if isMember(step) {
@@ -111,12 +113,13 @@
 	return false
 }
 
-// formationOrders returns the orders of a formation. It returns none while a replica that has to
-// give up nodes is still draining, and only release orders while a permit blocks a step.
-func (d *domain) formationOrders(f placement.Formation, intact map[string]observedReplica, now time.Time) []pendingOrder {
+// formationOrders returns the orders of a formation. It returns none while a replica that loses
+// nodes to the formation is draining. While a permit blocks a step, it returns at most release
+// orders.
+func (d *domain) formationOrders(f placement.Formation, intactReplicas map[string]observedReplica, now time.Time) []pendingOrder {
 	ready := true
 	for _, step := range f.Steps {
-		if o, ok := intact[step.Node]; ok && !d.ensureDrained(o, now) {
+		if o, ok := intactReplicas[step.Node]; ok && !d.ensureDrained(o, now) {
 			ready = false
 		}
 	}
@@ -141,8 +144,9 @@
 	return slices.ContainsFunc(steps, func(s placement.Step) bool { return len(d.blockingPermits(s.Node, now)) > 0 })
 }
 
-// releaseOrders returns orders that release the leader nodes of broken replicas whose permits
-// block the steps. Once such a node has confirmed, its replica's permit no longer blocks.
+// releaseOrders returns orders that release the leader nodes of broken replicas whose permits block
+// the steps. Once a leader node has confirmed its release, the permit of its replica no longer
+// blocks.
 func (d *domain) releaseOrders(steps []placement.Step, now time.Time) []pendingOrder {
 	released := make(map[string]bool)
 	var all []pendingOrder
@@ -160,27 +164,29 @@
 	return all
 }
 
-// Widths in bits of the rank and the sequence in a generation. The epoch takes the higher bits.
+// rankBits and sequenceBits are the numbers of bits of the rank and the sequence in a generation.
+// The epoch takes the higher bits.
 const (
 	rankBits     = 12
 	sequenceBits = 28
 )
 
 // generationOf returns the generation for a token. Each token is used once, so generations are
-// unique and later ones are higher. Generations are reported in JSON and must stay below 2^63.
+// unique, and later ones are higher. They are reported in JSON and must stay below 2^63.
 func generationOf(t token.Token) uint64 {
 	rank := uint64(t.Rank) & (1<<rankBits - 1)
 	sequence := t.Sequence & (1<<sequenceBits - 1)
 	return t.Epoch<<(rankBits+sequenceBits) | rank<<sequenceBits | sequence
 }
 
-// reaffirmOrders returns orders that repeat the current assignment of each node that still holds a
-// token of an earlier leader. They fence off that leader's orders and change nothing else.
-func (d *domain) reaffirmOrders(sent []pendingOrder) []pendingOrder {
-	busy := orderedNodes(sent)
+// reaffirmOrders returns orders that repeat the current assignment of nodes that have not confirmed
+// this leader. After such an order, a node rejects the orders of earlier leaders. It leaves out the
+// nodes that the planned orders are for.
+func (d *domain) reaffirmOrders(planned []pendingOrder) []pendingOrder {
+	hasOrder := orderedNodes(planned)
 	var all []pendingOrder
 	for id, m := range d.nodes {
-		if busy[id] || m.listed.Kind != cluster.KindEngine || m.isScripted() || !m.isFenced() || !m.answered {
+		if hasOrder[id] || m.listed.Kind != cluster.KindEngine || m.isScripted() || !m.isFenced() || !m.answered {
 			continue
 		}
 		if d.confirmsLeader(m) || m.state.Assignment.Empty() {
@@ -196,15 +202,16 @@
 	m := d.nodes[node]
 	t := d.nextToken()
 	if !m.state.Assignment.Same(a) {
-		// A late order that only repeats the assignment does no harm.
+		// An order that repeats the assignment is not recorded, because it does no harm if it
+		// arrives late.
 		m.lastOrder = t
 	}
 	return pendingOrder{node: m, order: cluster.Order{Token: t, Assignment: a}, reason: reason}
 }
 
-// sendOrders sends the orders concurrently. The effect of an order without an answer shows in the
-// next probe. Until the node reports the order's token or a higher one, its replica counts as
-// unconfirmed.
+// sendOrders sends the orders concurrently. If an order is not answered, the next probe shows
+// whether it took effect. Until the node reports the order's token or a higher one, its replica
+// counts as unconfirmed.
 func (d *domain) sendOrders(ctx context.Context, orders []pendingOrder) {
 	if len(orders) == 0 {
 		return
--- a/replica/permit.go
+++ b/replica/permit.go
@@ -7,8 +7,8 @@
 	"quartzshelf.dev/cluster"
 )
 
-// permit is the permission for a replica to serve, in one generation and until a deadline, that
-// routers may still rely on.
+// permit is the permission to send requests to a replica in one generation. Routers may rely on it
+// until the deadline.
 type permit struct {
 	assignment cluster.Assignment
 	deadline   time.Time
@@ -23,8 +23,9 @@
 	}
 }
 
-// assumePermits removes expired permits and adds those that an earlier leader may have granted: as
-// long as a node hasn't confirmed this leader, an earlier one may have published a report just now.
+// assumePermits removes expired permits and adds those that an earlier leader may have granted. As
+// long as a node of a replica hasn't confirmed this leader, an earlier leader may have just
+// published a report that lets the replica serve.
 func (d *domain) assumePermits(replicas []observedReplica, now time.Time) {
 	for name, p := range d.permits {
 		if now.After(p.deadline) {
@@ -32,16 +33,17 @@
 		}
 	}
 	for _, o := range replicas {
-		unconfirmed := slices.ContainsFunc(o.members, func(m *trackedNode) bool { return m.isFenced() && !d.confirmsLeader(m) })
-		if unconfirmed && !o.isScripted {
+		hasUnconfirmed := slices.ContainsFunc(o.members, func(m *trackedNode) bool { return m.isFenced() && !d.confirmsLeader(m) })
+		if hasUnconfirmed && !o.isScripted {
 			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, deadline: now.Add(d.c.opts.ServeWindow)}
 		}
 	}
 }
 
-// blockingPermits returns the permits that forbid a new assignment of the node: routers may still
-// send requests to the replica, and its leader node would still accept them. The leader node itself
-// may be reassigned, as it then rejects requests for the old replica.
+// blockingPermits returns the permits that forbid a new assignment of the node. Under such a
+// permit, routers may still send requests to the replica's leader node, and the leader node would
+// still accept them. The leader node itself may always be reassigned, because it then rejects
+// requests for the old replica.
 func (d *domain) blockingPermits(node string, now time.Time) []permit {
 	var all []permit
 	for _, p := range d.permits {
@@ -50,15 +52,15 @@
 			continue
 		}
 		leader, known := d.nodes[members[0]]
-		moved := known && leader.answered && !leader.state.Assignment.Same(p.assignment)
-		if !moved {
+		leaderReassigned := known && leader.answered && !leader.state.Assignment.Same(p.assignment)
+		if !leaderReassigned {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// isDraining reports whether the replica accepts no new requests.
+// isDraining reports whether the replica gets no new requests because it is draining or leaving.
 func (d *domain) isDraining(o observedReplica) bool {
 	_, draining := d.drains[o.id]
 	return draining || o.isLeaving()
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -12,18 +12,19 @@
 	"quartzshelf.dev/placement"
 )
 
-// probeResult is the result of a probe of, or an order to, one node.
+// probeResult is the answer of one node to a probe or an order.
 type probeResult struct {
 	id    string
 	state cluster.NodeState
 	err   error
 }
 
-// probeNodes asks all nodes of the domain for their state, concurrently.
+// probeNodes asks all nodes of the domain for their state concurrently and updates the nodes from
+// the answers.
 func (d *domain) probeNodes(ctx context.Context) {
 	d.lastProbeAt = time.Now()
-	// Earlier tokens may come from nodes that are no longer part of the domain.
-	d.highestSeen = token.Token{}
+	// Tokens of nodes that have left the domain must not count.
+	d.highestNodeToken = token.Token{}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(maxParallelCalls)
@@ -35,30 +36,30 @@
 		})
 	}
 	results := p.Wait()
-	silent := 0
+	silentCount := 0
 	for _, r := range results {
 		if r.err != nil {
-			silent++
+			silentCount++
 		}
 	}
-	d.updateReachability(silent, len(results), time.Now())
-	loseAt := time.Now().Add(lostTimeout)
-	if 2*silent > len(results) {
-		loseAt = time.Now().Add(lostTimeoutMajority)
+	d.updateReachability(silentCount, len(results), time.Now())
+	lostAt := time.Now().Add(lostTimeout)
+	if 2*silentCount > len(results) {
+		lostAt = time.Now().Add(lostTimeoutMajority)
 	}
 	for _, r := range results {
-		d.applyProbe(r, loseAt)
+		d.applyProbe(r, lostAt)
 	}
 }
 
 // applyProbe updates a node from its probe result. A node that has just become silent counts as
-// lost at loseAt.
-func (d *domain) applyProbe(r probeResult, loseAt time.Time) {
+// lost from lostAt on.
+func (d *domain) applyProbe(r probeResult, lostAt time.Time) {
 	m := d.nodes[r.id]
 	m.answered = r.err == nil && r.state.Node == r.id
 	if !m.answered {
 		if m.lostAt.IsZero() {
-			m.lostAt = loseAt
+			m.lostAt = lostAt
 		}
 		return
 	}
@@ -67,11 +68,12 @@
 	d.recordToken(m, r.state.Token)
 }
 
-// recordToken updates the highest token seen. Nodes that are managed by scripts or don't check
-// tokens are ignored, as their tokens don't show who leads.
+// recordToken updates highestNodeToken with a token that a node has reported. Nodes that are
+// managed by scripts or don't check tokens are ignored, because their tokens don't show which
+// daemon leads.
 func (d *domain) recordToken(m *trackedNode, t token.Token) {
-	if !m.isScripted() && m.isFenced() && t.Higher(d.highestSeen) {
-		d.highestSeen = t
+	if !m.isScripted() && m.isFenced() && t.Higher(d.highestNodeToken) {
+		d.highestNodeToken = t
 	}
 }
 
@@ -111,7 +113,7 @@
 func (d *domain) plannerInput(view *config.View) placement.Input {
 	now := time.Now()
 	in := placement.Input{Domain: d.name, LoadSlots: d.c.opts.LoadSlots, Closed: view.Hall(d.dataHall).Closed()}
-	unfencedAllowed := d.canOrderUnfenced(d.c.opts.Ownership.Grant(d.name), now)
+	canOrderUnfenced := d.canOrderUnfenced(d.c.opts.Ownership.Grant(d.name), now)
 	for id, m := range d.nodes {
 		if m.listed.Kind != cluster.KindEngine {
 			continue
@@ -123,7 +125,7 @@
 			Lost:         m.isLost(now),
 			Leaving:      m.isLeaving(),
 			Scripted:     m.isScripted(),
-			Unorderable:  !m.isFenced() && !unfencedAllowed,
+			Unorderable:  !m.isFenced() && !canOrderUnfenced,
 			Accelerators: m.listed.Accelerators,
 			Assignment:   m.state.Assignment,
 			Phase:        m.state.Phase,
--- a/replica/report.go
+++ b/replica/report.go
@@ -13,9 +13,9 @@
 	"quartzshelf.dev/rpc"
 )
 
-// publishReport publishes the domain's report if it has changed or is due for renewal. Replicas may
-// serve for the serve window counted from start, which must not be later than the probe that
-// confirmed them.
+// publishReport publishes the domain's report if it has changed or is due for renewal. The replicas
+// may serve for one serve window from start. The probe that confirmed them must not have begun
+// before start.
 func (d *domain) publishReport(replicas []observedReplica, plan placement.Plan, start time.Time) {
 	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.c.opts.Self}
 	report.Token = catalog.ToMessage(d.token)
@@ -68,7 +68,7 @@
 	return r
 }
 
-// missingReplicas returns reports on wanted replicas that no node is assigned to.
+// missingReplicas returns reports on replicas that are wanted but have no nodes.
 func (d *domain) missingReplicas(replicas []observedReplica, plan placement.Plan) []*rpc.ReplicaReport {
 	var all []*rpc.ReplicaReport
 	for _, id := range slices.Sorted(maps.Keys(plan.Dark)) {
@@ -87,7 +87,7 @@
 	for _, id := range slices.Sorted(maps.Keys(d.nodes)) {
 		m := d.nodes[id]
 		n := &rpc.NodeReport{
-			Id: id, State: m.reportState(now), Accelerators: uint32(m.listed.Accelerators),
+			Id: id, State: m.stateForReport(now), Accelerators: uint32(m.listed.Accelerators),
 			Replica: m.state.Assignment.Replica, Reason: plan.Idle[id],
 		}
 		if m.listed.Kind == cluster.KindService {
@@ -98,8 +98,8 @@
 	return all
 }
 
-// reportState returns the node's state for the report.
-func (m *trackedNode) reportState(now time.Time) rpc.NodeState {
+// stateForReport returns the node's state for the report.
+func (m *trackedNode) stateForReport(now time.Time) rpc.NodeState {
 	switch {
 	case m.isLost(now):
 		return rpc.NodeState_LOST
--- a/replica/want.go
+++ b/replica/want.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/rpc"
 )
 
-// One in rolloutDivisor replicas of a deployment, but at least one, may be down for an upgrade at a
-// time.
+// rolloutDivisor limits how many replicas of a deployment may be down for an upgrade at the same
+// time. The limit is their number divided by rolloutDivisor, but at least one.
 const rolloutDivisor = 10
 
 // computeWants returns what each deployment requires of this domain.
@@ -56,9 +56,9 @@
 	return deployment.SelectsNode
 }
 
-// computeSupplies returns what each domain can supply to a deployment: this domain by its last
-// probe, others by their reports. Domains in closed data halls or in regions that the deployment
-// does not allow are left out, so that others form the wanted replicas.
+// computeSupplies returns what each domain can supply to a deployment. It uses the last probe for
+// this domain and the reports for other domains. Domains in closed data halls or in regions that
+// the deployment does not allow are left out, so that the wanted replicas are formed elsewhere.
 func (d *domain) computeSupplies(view *config.View, deployment config.Deployment) []placement.Supply {
 	now := time.Now()
 	var supplies []placement.Supply
@@ -77,16 +77,16 @@
 	return supplies
 }
 
-// estimateAccelerators returns the number of accelerators on the given number of nodes, based on
-// the smallest node of the domain.
+// estimateAccelerators returns the number of accelerators on the given number of nodes, assuming
+// that each has as many as the smallest node of the domain.
 func (d *domain) estimateAccelerators(nodes int) int {
-	smallest := 0
+	minAccelerators := 0
 	for _, m := range d.nodes {
-		if m.listed.Kind == cluster.KindEngine && (smallest == 0 || m.listed.Accelerators < smallest) {
-			smallest = m.listed.Accelerators
+		if m.listed.Kind == cluster.KindEngine && (minAccelerators == 0 || m.listed.Accelerators < minAccelerators) {
+			minAccelerators = m.listed.Accelerators
 		}
 	}
-	return nodes * smallest
+	return nodes * minAccelerators
 }
 
 // countAssignedNodes returns the number of nodes that are assigned to a replica.
@@ -150,13 +150,14 @@
 	return n
 }
 
-// replicasToUpgrade returns the IDs of the deployment's replicas that may go down now for the
-// wanted version. All owners compute this from the same reports: the first outdated replicas by ID,
-// within the limit of replicas that may be down. Replicas in closed data halls keep their version
-// until the hall opens and don't count.
+// replicasToUpgrade returns the IDs of the deployment's replicas that may be taken down now for an
+// upgrade to the wanted version. Replicas that are down or draining anyway may be upgraded at once.
+// Further outdated replicas follow in the order of their IDs, within the limit of replicas that may
+// be down. All owners compute the same result from the same reports. Replicas in closed data halls
+// keep their version until the hall opens, and don't count.
 func (d *domain) replicasToUpgrade(view *config.View, deployment string, want placement.Want) []string {
 	var managed, outdated []catalog.Replica
-	down := 0
+	downCount := 0
 	for _, r := range d.c.opts.Catalog.Replicas() {
 		if r.Deployment() != deployment || r.Scripted() || view.Hall(r.DataHall()).Closed() {
 			continue
@@ -164,15 +165,15 @@
 		managed = append(managed, r)
 		switch {
 		case !r.Listed():
-			down++
+			downCount++
 		case r.ModelVersion() != want.Version:
 			outdated = append(outdated, r)
 		}
 	}
-	remaining := max(len(managed)/rolloutDivisor, 1) - down
+	upgradeBudget := max(len(managed)/rolloutDivisor, 1) - downCount
 	var allowed []string
 	for _, r := range outdated {
-		if r.Draining() || len(allowed) < remaining {
+		if r.Draining() || len(allowed) < upgradeBudget {
 			allowed = append(allowed, r.ID())
 		}
 	}
