--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -44,7 +44,7 @@
 func BenchmarkStream(b *testing.B) {
 	h := newHarness(b)
 	h.keepFirstEndpoint()
-	for name, address := range map[string]string{"direct": h.endpoints[0].addr, "through the gateway": h.address} {
+	for name, address := range map[string]string{"direct": h.endpoints[0].address, "through the gateway": h.address} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			var totalFirstByteTime time.Duration
--- a/gateway/decision.go
+++ b/gateway/decision.go
@@ -34,18 +34,18 @@
 	PassedOver PassedOver `json:"passed_over,omitempty"`
 }
 
-func newDecision(r *request, deployment string, candidates []routing.Candidate, chosenIndex int, passed PassedOver) Decision {
+func newDecision(r *request, deployment string, candidates []routing.Candidate, chosenIndex int, passedOver PassedOver) Decision {
 	return Decision{
 		Request: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
 		Replica: candidates[chosenIndex].ID, Occupancy: candidates[chosenIndex].Occupancy(),
-		Least: routing.LeastOccupancy(candidates), Candidates: len(candidates), PassedOver: passed,
+		Least: routing.LeastOccupancy(candidates), Candidates: len(candidates), PassedOver: passedOver,
 	}
 }
 
-func newRefusalDecision(r *request, deployment string, refused *refusal, passed PassedOver) Decision {
+func newRefusalDecision(r *request, deployment string, refused *refusal, passedOver PassedOver) Decision {
 	return Decision{
 		Request: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
-		Refused: refused.reason, Message: refused.message, PassedOver: passed,
+		Refused: refused.reason, Message: refused.message, PassedOver: passedOver,
 	}
 }
 
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -50,14 +50,14 @@
 	prefix := routing.Prefix(r.account.Name(), prompt)
 	return func(tried map[string]bool) (*target, *refusal) {
 		allowed := r.allowedRegions(d.AllowedRegions())
-		replicas, candidates, passed := g.findCandidates(d.Name(), allowed, tried)
-		g.countPassedOver(passed)
+		replicas, candidates, passedOver := g.findCandidates(d.Name(), allowed, tried)
+		g.countPassedOver(passedOver)
 		i := routing.Pick(candidates, prefix, random)
 		if i < 0 {
-			return nil, g.refuseNoReplica(r, d, passed)
+			return nil, g.refuseNoReplica(r, d, passedOver)
 		}
 		chosen := replicas[i]
-		g.decisions.Add(r.id, newDecision(r, d.Name(), candidates, i, passed))
+		g.decisions.Add(r.id, newDecision(r, d.Name(), candidates, i, passedOver))
 		return &target{
 			id:         chosen.ID(),
 			address:    chosen.Address(),
@@ -65,7 +65,7 @@
 			mayServe: func(now time.Time) bool {
 				return chosen.MayServe(now) && g.opts.Config().KeptOut(chosen.DataHall(), allowed...) == ""
 			},
-			finish: g.inflight.Start(chosen.ID(), r.account.Name()),
+			finish: g.inFlight.Start(chosen.ID(), r.account.Name()),
 		}, nil
 	}
 }
@@ -77,17 +77,17 @@
 	all := g.opts.Catalog.Of(deployment)
 	replicas := make([]*catalog.Replica, 0, len(all))
 	candidates := make([]routing.Candidate, 0, len(all))
-	var passed PassedOver
+	var passedOver PassedOver
 	for i := range all {
 		replica := &all[i]
 		if !replica.Listed() {
 			continue
 		}
 		if why := filter.exclusionReason(replica); why != "" {
-			passed = passed.add(why)
+			passedOver = passedOver.add(why)
 			continue
 		}
-		inFlight, inFlightAtReport := g.inflight.Observe(replica.ID(), replica.Deadline())
+		inFlight, inFlightAtReport := g.inFlight.Observe(replica.ID(), replica.Deadline())
 		load := replica.Load()
 		replicas = append(replicas, replica)
 		candidates = append(candidates, routing.Candidate{
@@ -95,7 +95,7 @@
 			Reported: load.Active() + load.Queue(), Slots: load.Slots(),
 		})
 	}
-	return replicas, candidates, passed
+	return replicas, candidates, passedOver
 }
 
 // admit checks the account's rate limit and the load of the deployment before the request is sent.
@@ -105,12 +105,12 @@
 		return refuse(reason.AccountLimit, "client account %q is over its limit of %g requests a second",
 			r.account.Name(), r.account.RequestsPerSecond()).withRetryAfter(wait)
 	}
-	_, candidates, passed := g.findCandidates(d.Name(), r.allowedRegions(d.AllowedRegions()), nil)
+	_, candidates, passedOver := g.findCandidates(d.Name(), r.allowedRegions(d.AllowedRegions()), nil)
 	if len(candidates) == 0 {
-		g.countPassedOver(passed)
-		return g.refuseNoReplica(r, d, passed)
+		g.countPassedOver(passedOver)
+		return g.refuseNoReplica(r, d, passedOver)
 	}
-	accountRequests, activeAccounts := g.inflight.Account(r.account.Name())
+	accountRequests, activeAccounts := g.inFlight.Account(r.account.Name())
 	refused := admission.Decide(admission.Situation{
 		Reported: routing.MeanOccupancy(candidates),
 		InFlight: routing.Own(candidates),
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -88,23 +88,23 @@
 }
 
 // countPassedOver increments the metric of each reason in passed by one, whatever its count.
-func (g *Gateway) countPassedOver(passed PassedOver) {
-	for why := range passed {
+func (g *Gateway) countPassedOver(passedOver PassedOver) {
+	for why := range passedOver {
 		g.opts.Meter.PassOver(why)
 	}
 }
 
 // refuseNoReplica refuses a request for which no replica is eligible and records the decision.
-func (g *Gateway) refuseNoReplica(r *request, d config.Deployment, passed PassedOver) *refusal {
-	refused := g.refuseWithout(fmt.Sprintf("replica of %q", d.Name()), r.allowedRegions(d.AllowedRegions()), passed)
-	g.decisions.Add(r.id, newRefusalDecision(r, d.Name(), refused, passed))
+func (g *Gateway) refuseNoReplica(r *request, d config.Deployment, passedOver PassedOver) *refusal {
+	refused := g.refuseWithout(fmt.Sprintf("replica of %q", d.Name()), r.allowedRegions(d.AllowedRegions()), passedOver)
+	g.decisions.Add(r.id, newRefusalDecision(r, d.Name(), refused, passedOver))
 	return refused
 }
 
 // refuseWithout returns a refusal of a request for which no target is eligible. The parameter what
 // names the kind of target in the message.
-func (g *Gateway) refuseWithout(what string, allowed []config.Regions, passed PassedOver) *refusal {
-	why := g.noTargetReason(allowed, passed)
+func (g *Gateway) refuseWithout(what string, allowed []config.Regions, passedOver PassedOver) *refusal {
+	why := g.noTargetReason(allowed, passedOver)
 	switch {
 	case why == reason.HallClosed:
 		return refuse(why, "every %s that may serve is in a closed data hall", what).withRetryAfter(closedHallRetryAfter)
@@ -112,7 +112,7 @@
 		return refuse(why, "no %s serves in a region that is allowed", what).withRetryAfter(longRetryAfter)
 	case why == reason.Resting:
 		return refuse(why, "every %s wants no requests for a while", what).withRetryAfter(longRetryAfter)
-	case passed[reason.Tried] > 0:
+	case passedOver[reason.Tried] > 0:
 		return refuse(why, "no further %s serves", what).withRetryAfter(shortRetryAfter)
 	}
 	return refuse(why, "no %s serves at present", what).withRetryAfter(longRetryAfter)
@@ -122,15 +122,15 @@
 // data halls and regions that are not allowed can be the reason even if passed has no count for
 // them. This is so when all known data halls are excluded, because a new or repaired replica could
 // not get the request either.
-func (g *Gateway) noTargetReason(allowed []config.Regions, passed PassedOver) reason.Reason {
+func (g *Gateway) noTargetReason(allowed []config.Regions, passedOver PassedOver) reason.Reason {
 	switch {
-	case passed[reason.Tried] > 0:
+	case passedOver[reason.Tried] > 0:
 		return reason.NoReplica
-	case passed[reason.HallClosed] > 0:
+	case passedOver[reason.HallClosed] > 0:
 		return reason.HallClosed
-	case passed[reason.RegionNotAllowed] > 0:
+	case passedOver[reason.RegionNotAllowed] > 0:
 		return reason.RegionNotAllowed
-	case passed[reason.Resting] > 0:
+	case passedOver[reason.Resting] > 0:
 		return reason.Resting
 	}
 	view, cause := g.opts.Config(), reason.NoReplica
--- a/gateway/eligible_test.go
+++ b/gateway/eligible_test.go
@@ -30,8 +30,8 @@
 	offset int64
 	// epochs holds the epoch of the latest report of each domain.
 	epochs []uint64
-	// requestsToClosedHalls holds the name of the data hall of each request that arrived in a
-	// closed one.
+	// requestsToClosedHalls holds the data hall's name for each request that arrived in a closed
+	// data hall.
 	requestsToClosedHalls []string
 }
 
@@ -50,11 +50,11 @@
 
 func hallName(i int) string { return fmt.Sprint("hall-", i) }
 
-// publishNewLeader publishes a report by a new leader of the data hall's domain, which gives the
-// replica a new generation.
+// publishNewLeader publishes a report by a new leader of the data hall's domain. The report has a
+// new generation of the replica.
 func (h *hallHarness) publishNewLeader(i int) {
 	h.epochs[i]++
-	address := h.endpoints[i].addr
+	address := h.endpoints[i].address
 	h.catalog.Publish(&rpc.DomainReport{
 		Domain: fmt.Sprint("domain-", i), DataHall: hallName(i), Version: 1, Beat: 1,
 		Token: &rpc.Token{Epoch: h.epochs[i]},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -90,7 +90,7 @@
 	opts        Options
 	app         *fiber.App
 	upstream    *upstream
-	inflight    *routing.Inflight
+	inFlight    *routing.Inflight
 	retryBudget *retryBudget
 	guard       *guard.Guard
 	// rests holds the periods for which endpoints have asked to get no requests.
@@ -109,7 +109,7 @@
 		opts.Logger = hclog.NewNullLogger()
 	}
 	g := &Gateway{
-		opts: opts, upstream: newUpstream(), inflight: routing.NewInflight(),
+		opts: opts, upstream: newUpstream(), inFlight: routing.NewInflight(),
 		retryBudget: newRetryBudget(), rests: backpressure.NewRests(), done: make(chan struct{}),
 	}
 	g.guard = guard.New(guard.Options{Dial: (&net.Dialer{Timeout: dialTimeout}).DialContext, Meter: opts.Meter, Logger: opts.Logger})
@@ -120,7 +120,7 @@
 }
 
 // Inflight returns the counter of requests in flight.
-func (g *Gateway) Inflight() *routing.Inflight { return g.inflight }
+func (g *Gateway) Inflight() *routing.Inflight { return g.inFlight }
 
 // Done returns a channel that is closed when Serve has returned.
 func (g *Gateway) Done() <-chan struct{} { return g.done }
@@ -134,10 +134,10 @@
 
 // Stop closes the listener, waits up to limit for requests in flight, and closes the remaining
 // connections.
-func (g *Gateway) Stop(limit time.Duration) error {
+func (g *Gateway) Stop(timeout time.Duration) error {
 	defer g.guard.Wait()
 	defer g.upstream.close()
-	return failure.At(failure.Unavailable, "stop serving callers", "callers", g.app.ShutdownWithTimeout(limit))
+	return failure.At(failure.Unavailable, "stop serving callers", "callers", g.app.ShutdownWithTimeout(timeout))
 }
 
 func (g *Gateway) routes() *fiber.App {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -63,14 +63,14 @@
 	onRequest func()
 	runs      int
 	server    *http.Server
-	addr      string
+	address   string
 }
 
 func newEndpoint(t testing.TB) *fakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	e := &fakeEndpoint{addr: l.Addr().String()}
+	e := &fakeEndpoint{address: l.Addr().String()}
 	e.server = &http.Server{Handler: e}
 	go func() { _ = e.server.Serve(l) }()
 	t.Cleanup(func() { _ = e.server.Close() })
@@ -197,6 +197,7 @@
 	log       *standin.Log
 	gateway   *Gateway
 	address   string
+	// sentCount is the number of requests sent so far. It makes idempotency keys unique.
 	sentCount int
 }
 
@@ -258,13 +259,13 @@
 	return ledger
 }
 
-// publishReport reports each endpoint, and an address that nothing listens on, as a serving replica. It
-// may be called again after endpoints have been added.
+// publishReport publishes a report with one serving replica for each endpoint, and another one at
+// an address that nothing listens on. It may be called again after endpoints have been added.
 func (h *harness) publishReport() {
 	report := &rpc.DomainReport{Domain: "fabric-1", Token: &rpc.Token{Epoch: 1}, Version: uint64(len(h.endpoints)), Beat: 1}
 	addresses := []string{downAddress}
 	for _, e := range h.endpoints {
-		addresses = append(addresses, e.addr)
+		addresses = append(addresses, e.address)
 	}
 	for i, address := range addresses {
 		report.Replicas = append(report.Replicas, &rpc.ReplicaReport{
@@ -430,8 +431,8 @@
 	return answer.Choices[0].Text
 }
 
-// TestSecondCallerGetsTheFirstOutcome checks that a second request with the same key gets the
-// stored answer, and that the key is refused for a different body.
+// TestSecondCallerGetsTheFirstOutcome checks that a second request with the same idempotency key
+// gets the stored answer, and that the key is refused for a different body.
 func TestSecondCallerGetsTheFirstOutcome(t *testing.T) {
 	for name, streamed := range map[string]bool{"whole": false, "streamed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -455,8 +456,8 @@
 	}
 }
 
-// TestKeyWithoutLog checks that requests with a key are refused while the log is unavailable, and
-// that others are served.
+// TestKeyWithoutLog checks that requests with an idempotency key are refused while the log is
+// unavailable. Other requests must be served.
 func TestKeyWithoutLog(t *testing.T) {
 	h := newHarness(t)
 	h.log.SetFaults(standin.LogFaults{Outage: true})
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -22,13 +22,13 @@
 		streamBody = `{"model":"chat","prompt":"ends endpoints","stream":true}`
 	)
 	tests := map[string]struct {
-		body string
-		ends behaviour
+		body  string
+		crash behaviour
 	}{
-		"a whole answer":                {body: wholeBody, ends: crashes},
-		"a whole answer that has begun": {body: wholeBody, ends: crashesInAnswer},
-		"a stream":                      {body: streamBody, ends: crashes},
-		"a stream that has some tokens": {body: streamBody, ends: crashesInAnswer},
+		"a whole answer":                {body: wholeBody, crash: crashes},
+		"a whole answer that has begun": {body: wholeBody, crash: crashesInAnswer},
+		"a stream":                      {body: streamBody, crash: crashes},
+		"a stream that has some tokens": {body: streamBody, crash: crashesInAnswer},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 				h.endpoints = append(h.endpoints, newEndpoint(t))
 			}
 			for _, e := range h.endpoints {
-				e.setScript([]behaviour{test.ends})
+				e.setScript([]behaviour{test.crash})
 			}
 			h.publishReport()
 			h.gateway.retryBudget.availableRetries = maxRetryBudget
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -15,29 +15,29 @@
 	const wholeBody, streamBody = `{"model":"chat","prompt":"p"}`, `{"model":"chat","prompt":"p","stream":true}`
 	for name, body := range map[string]string{"a whole answer": wholeBody, "a stream": streamBody} {
 		t.Run(name, func(t *testing.T) {
-			h, requests := newHarness(t), 0
-			setResting(h.endpoints[1:], &requests)
+			h, requestCount := newHarness(t), 0
+			setResting(h.endpoints[1:], &requestCount)
 			for _, got := range postRepeatedly(t, h, body) {
 				assert.Equal(t, got.status, http.StatusOK)
 			}
-			assert.Assert(t, requests <= 2, "%d requests arrived at two endpoints", requests)
-			setResting(h.endpoints[:1], &requests)
+			assert.Assert(t, requestCount <= 2, "%d requests arrived at two endpoints", requestCount)
+			setResting(h.endpoints[:1], &requestCount)
 			for _, got := range postRepeatedly(t, h, body) {
 				ran, _ := got.refusal()
 				assert.Equal(t, got.status, http.StatusServiceUnavailable)
 				assert.Equal(t, ran, reason.RanNo)
 				assert.Assert(t, got.header.Get("Retry-After") != "")
 			}
-			assert.Assert(t, requests <= 3, "%d requests arrived at three endpoints", requests)
+			assert.Assert(t, requestCount <= 3, "%d requests arrived at three endpoints", requestCount)
 		})
 	}
 }
 
 // setResting makes the endpoints ask for a rest period and counts the requests they get.
-func setResting(endpoints []*fakeEndpoint, requests *int) {
+func setResting(endpoints []*fakeEndpoint, requestCount *int) {
 	for _, e := range endpoints {
 		e.setScript([]behaviour{asksForRest, asksForRest, asksForRest})
-		e.onRequest = func() { *requests++ }
+		e.onRequest = func() { *requestCount++ }
 	}
 }
 
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -59,11 +59,11 @@
 func (g *Gateway) chooseEndpoint(r *request, s config.Service) chooser {
 	return func(tried map[string]bool) (*target, *refusal) {
 		allowed := r.allowedRegions(s.AllowedRegions())
-		endpoints, passed := g.eligibleEndpoints(s, allowed, tried)
-		g.countPassedOver(passed)
+		endpoints, passedOver := g.eligibleEndpoints(s, allowed, tried)
+		g.countPassedOver(passedOver)
 		if len(endpoints) == 0 {
-			refused := g.refuseWithout(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passed)
-			g.decisions.Add(r.id, newRefusalDecision(r, s.Name(), refused, passed))
+			refused := g.refuseWithout(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passedOver)
+			g.decisions.Add(r.id, newRefusalDecision(r, s.Name(), refused, passedOver))
 			return nil, refused
 		}
 		chosen := g.pickLessBusy(endpoints)
@@ -73,7 +73,7 @@
 			mayServe: func(now time.Time) bool {
 				return chosen.MayServe(now) && g.opts.Config().KeptOut(chosen.DataHall(), allowed...) == ""
 			},
-			finish: g.inflight.Start(chosen.ID(), r.account.Name()),
+			finish: g.inFlight.Start(chosen.ID(), r.account.Name()),
 		}, nil
 	}
 }
@@ -81,8 +81,8 @@
 func (g *Gateway) pickLessBusy(endpoints []catalog.Endpoint) catalog.Endpoint {
 	a := endpoints[rand.IntN(len(endpoints))]
 	b := endpoints[rand.IntN(len(endpoints))]
-	inFlightA, _ := g.inflight.Observe(a.ID(), time.Time{})
-	inFlightB, _ := g.inflight.Observe(b.ID(), time.Time{})
+	inFlightA, _ := g.inFlight.Observe(a.ID(), time.Time{})
+	inFlightB, _ := g.inFlight.Observe(b.ID(), time.Time{})
 	if inFlightB < inFlightA {
 		return b
 	}
@@ -94,7 +94,7 @@
 func (g *Gateway) eligibleEndpoints(s config.Service, allowed []config.Regions, tried map[string]bool) ([]catalog.Endpoint, PassedOver) {
 	view, now := g.opts.Config(), time.Now()
 	var all []catalog.Endpoint
-	var passed PassedOver
+	var passedOver PassedOver
 	for _, e := range g.opts.Catalog.Endpoints() {
 		labels := view.NodeLabels(e.ID(), map[string]string{
 			config.LabelDomain: e.Domain(), config.LabelDataHall: e.DataHall(),
@@ -105,18 +105,18 @@
 		}
 		switch why := view.KeptOut(e.DataHall(), allowed...); {
 		case why != "":
-			passed = passed.add(why)
+			passedOver = passedOver.add(why)
 		case tried[e.ID()]:
-			passed = passed.add(reason.Tried)
+			passedOver = passedOver.add(reason.Tried)
 		case isResting(g.rests, e.ID(), now):
-			passed = passed.add(reason.Resting)
+			passedOver = passedOver.add(reason.Resting)
 		case labels[config.LabelDrain] == config.LabelTrue:
-			passed = passed.add(reason.Leaving)
+			passedOver = passedOver.add(reason.Leaving)
 		case !e.MayServe(now):
-			passed = passed.add(reason.Suspected)
+			passedOver = passedOver.add(reason.Suspected)
 		default:
 			all = append(all, e)
 		}
 	}
-	return all, passed
+	return all, passedOver
 }
--- a/replica/domain.go
+++ b/replica/domain.go
@@ -19,9 +19,9 @@
 // domain is the state of one fabric domain at one daemon. It is used only by the goroutine that
 // calls tick.
 type domain struct {
-	c        *Controller
-	name     string
-	dataHall string
+	controller *Controller
+	name       string
+	dataHall   string
 	// spansHalls is set if the node list places the domain's nodes in several data halls.
 	spansHalls bool
 
@@ -63,8 +63,8 @@
 	unfencedOrdersAfter time.Time
 	unfencedGrantEpoch  uint64
 	nextProposalAt      time.Time
-	// rebalanceAt is when the domain may be handed over to the preferred owner. It is zero if this
-	// daemon is the preferred owner.
+	// rebalanceAt is when the domain may be handed over to the preferred owner. It is zero if no
+	// other daemon is preferred.
 	rebalanceAt time.Time
 }
 
@@ -95,7 +95,7 @@
 
 func newDomain(c *Controller, name string) *domain {
 	return &domain{
-		c: c, name: name, nodes: make(map[string]*trackedNode),
+		controller: c, name: name, nodes: make(map[string]*trackedNode),
 		drains: make(map[string]drain), permits: make(map[string]permit),
 	}
 }
@@ -104,7 +104,7 @@
 // and sends orders.
 func (d *domain) tick(ctx context.Context, listed []cluster.ListedNode) {
 	d.updateNodes(listed)
-	grant := d.c.opts.Ownership.Grant(d.name)
+	grant := d.controller.opts.Ownership.Grant(d.name)
 	action := d.restrictAction(d.decideAction(grant))
 	if action.Proposes() {
 		d.propose(ctx, grant, d.withSelfFirst(d.proposedHolders()))
@@ -116,9 +116,9 @@
 		d.stepDown()
 		return
 	}
-	view := d.c.opts.Config()
+	view := d.controller.opts.Config()
 	d.updateLabels(view)
-	start := time.Now()
+	probeStart := time.Now()
 	d.probeNodes(ctx)
 	previousToken := d.token
 	if !d.claimToken(grant) {
@@ -132,23 +132,23 @@
 		// Nodes must confirm this leader before its first report. Otherwise the report would show
 		// serving replicas as unconfirmed, and they would get no requests.
 		d.sendOrders(ctx, d.reaffirmOrders(nil))
-		start = time.Now()
-		d.assumePermits(d.observeReplicas(view), start)
+		probeStart = time.Now()
+		d.assumePermits(d.observeReplicas(view), probeStart)
 		d.probeNodes(ctx)
 	}
-	d.runRound(ctx, view, start)
+	d.runRound(ctx, view, probeStart)
 }
 
-// runRound plans from the results of the probe that began at start, publishes a report and sends
-// orders.
-func (d *domain) runRound(ctx context.Context, view *config.View, start time.Time) {
+// runRound makes a plan from the results of the last probe, publishes a report and sends orders.
+// The probe must not have begun before probeStart.
+func (d *domain) runRound(ctx context.Context, view *config.View, probeStart time.Time) {
 	plan := placement.Make(d.plannerInput(view))
 	replicas := d.observeReplicas(view)
-	d.assumePermits(replicas, start)
-	orders := d.planOrders(plan, replicas, start)
-	d.publishReport(replicas, plan, start)
+	d.assumePermits(replicas, probeStart)
+	orders := d.planOrders(plan, replicas, probeStart)
+	d.publishReport(replicas, plan, probeStart)
 	d.sendOrders(ctx, orders)
-	d.c.storePlan(d.name, plan)
+	d.controller.storePlan(d.name, plan)
 }
 
 // updateDataHall sets the domain's data hall from the node list. A domain should be in one data
@@ -163,18 +163,19 @@
 	if spansHalls := otherIndex >= 0; spansHalls != d.spansHalls {
 		d.spansHalls = spansHalls
 		if spansHalls {
-			d.c.opts.Logger.Warn("domain spans data halls; closing the other one does not stop requests to it",
+			d.controller.opts.Logger.Warn("domain spans data halls; closing the other one does not stop requests to it",
 				"domain", d.name, "hall", d.dataHall, "other", listed[otherIndex].DataHall, "node", listed[otherIndex].ID)
 		}
 	}
 }
 
-// updateNodes updates the tracked nodes from the node list.
+// updateNodes updates the tracked nodes from the node list. It removes lost nodes that the list no
+// longer contains.
 func (d *domain) updateNodes(listed []cluster.ListedNode) {
-	present := make(map[string]bool, len(listed))
+	isListed := make(map[string]bool, len(listed))
 	d.updateDataHall(listed)
 	for _, l := range listed {
-		present[l.ID] = true
+		isListed[l.ID] = true
 		m, ok := d.nodes[l.ID]
 		if !ok {
 			m = &trackedNode{}
@@ -183,11 +184,11 @@
 		m.listed = l
 	}
 	now := time.Now()
-	isListNewer := d.c.listReadAt().After(d.leadingSince)
+	isListNewer := d.controller.listReadAt().After(d.leadingSince)
 	for id, m := range d.nodes {
 		m.reportedLeaving = m.reportedLeaving && !isListNewer
 		// The list may be outdated, so a node that still answers is kept.
-		if !present[id] && !m.answered && !m.lostAt.IsZero() && now.After(m.lostAt) {
+		if !isListed[id] && !m.answered && !m.lostAt.IsZero() && now.After(m.lostAt) {
 			delete(d.nodes, id)
 		}
 	}
--- a/replica/domain_test.go
+++ b/replica/domain_test.go
@@ -16,9 +16,9 @@
 func TestDomainThatSpansHalls(t *testing.T) {
 	newListedNode := func(id, hall string) cluster.ListedNode { return cluster.ListedNode{ID: id, DataHall: hall} }
 	cases := map[string]struct {
-		listed []cluster.ListedNode
-		hall   string
-		warned bool
+		listed      []cluster.ListedNode
+		wantHall    string
+		wantWarning bool
 	}{
 		"one hall":         {[]cluster.ListedNode{newListedNode("n1", "a"), newListedNode("n2", "a")}, "a", false},
 		"two halls":        {[]cluster.ListedNode{newListedNode("n1", "a"), newListedNode("n2", "b")}, "a", true},
@@ -34,9 +34,9 @@
 			for range 3 {
 				d.updateNodes(c.listed)
 			}
-			assert.Equal(t, d.dataHall, c.hall)
+			assert.Equal(t, d.dataHall, c.wantHall)
 			wantLines := 0
-			if c.warned {
+			if c.wantWarning {
 				wantLines = 1
 			}
 			assert.Equal(t, strings.Count(log.String(), "domain spans data halls"), wantLines, log.String())
--- a/replica/grant.go
+++ b/replica/grant.go
@@ -7,7 +7,8 @@
 	"quartzshelf.dev/ownership"
 )
 
-// propose appends a new grant in the background, at most once per proposeInterval.
+// propose appends a new grant to the log in the background. It does nothing if there are no holders
+// or the last proposal was made less than proposeInterval ago.
 func (d *domain) propose(ctx context.Context, grant ownership.Grant, holders []string) {
 	now := time.Now()
 	if now.Before(d.nextProposalAt) || len(holders) == 0 {
@@ -15,19 +16,19 @@
 	}
 	d.nextProposalAt = now.Add(proposeInterval)
 	record := ownership.Record{Domain: d.name, Replaces: grant.Epoch(), Holders: holders}
-	d.c.background.Go(func() { d.c.appendGrant(ctx, record) })
+	d.controller.background.Go(func() { d.controller.appendGrant(ctx, record) })
 }
 
 // proposedHolders returns the daemons for a new grant, the owner first and then the deputies.
 func (d *domain) proposedHolders() []string {
-	return ownership.Holders(d.name, d.c.opts.Members.Candidates(d.dataHall))
+	return ownership.Holders(d.name, d.controller.opts.Members.Candidates(d.dataHall))
 }
 
-// rebalance hands the domain over once another daemon has been the preferred owner for
-// rebalanceDelay. Otherwise the daemons that survive failures would accumulate domains.
+// rebalance proposes a grant to another daemon once that daemon has been the preferred owner for
+// rebalanceDelay. Without it, the daemons that survive failures would accumulate domains.
 func (d *domain) rebalance(ctx context.Context, grant ownership.Grant) {
 	preferredHolders := d.proposedHolders()
-	if len(preferredHolders) == 0 || preferredHolders[0] == d.c.opts.Self {
+	if len(preferredHolders) == 0 || preferredHolders[0] == d.controller.opts.Self {
 		d.rebalanceAt = time.Time{}
 		return
 	}
@@ -44,8 +45,8 @@
 // withSelfFirst returns the holders with this daemon first, because it already has the state of the
 // domain. If this daemon is leaving, it returns the holders unchanged.
 func (d *domain) withSelfFirst(holders []string) []string {
-	self := d.c.opts.Self
-	if d.c.opts.Members.IsLeaving(self) {
+	self := d.controller.opts.Self
+	if d.controller.opts.Members.IsLeaving(self) {
 		return holders
 	}
 	ordered := []string{self}
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -11,11 +11,11 @@
 // decideAction returns what this daemon should do under the grant, as decided by package ownership.
 func (d *domain) decideAction(grant ownership.Grant) ownership.Action {
 	activeRank := d.activeRank(grant)
-	_, deadline, hasReport := d.c.opts.Catalog.Current(d.name)
-	members := d.c.opts.Members
+	_, deadline, hasReport := d.controller.opts.Catalog.Current(d.name)
+	members := d.controller.opts.Members
 	return ownership.Decide(ownership.Situation{
 		Overdue:    hasReport && activeRank >= 0 && time.Now().After(deadline.Add(reportOverdueAfter)),
-		Self:       d.c.opts.Self,
+		Self:       d.controller.opts.Self,
 		Domain:     d.name,
 		Grant:      grant,
 		ActiveRank: activeRank,
@@ -29,7 +29,7 @@
 // they show none.
 func (d *domain) activeRank(grant ownership.Grant) int {
 	rank := -1
-	if current, _, ok := d.c.opts.Catalog.Current(d.name); ok && current.Epoch == grant.Epoch() {
+	if current, _, ok := d.controller.opts.Catalog.Current(d.name); ok && current.Epoch == grant.Epoch() {
 		rank = int(current.Rank)
 	}
 	if d.highestNodeToken.Epoch == grant.Epoch() && grant.Epoch() > 0 {
@@ -49,10 +49,10 @@
 	if now.Before(d.yieldUntil) {
 		return ownership.Follow
 	}
-	if d.isLeading || now.Before(d.c.listReadAt().Add(maxListAge)) {
+	if d.isLeading || now.Before(d.controller.listReadAt().Add(maxListAge)) {
 		return action
 	}
-	if _, deadline, ok := d.c.opts.Catalog.Current(d.name); ok && now.Before(deadline.Add(reportOverdueAfter)) {
+	if _, deadline, ok := d.controller.opts.Catalog.Current(d.name); ok && now.Before(deadline.Add(reportOverdueAfter)) {
 		return ownership.Follow
 	}
 	return action
@@ -60,7 +60,7 @@
 
 // inheritLeaving marks the nodes as leaving that the previous leader reported as leaving.
 func (d *domain) inheritLeaving() {
-	for _, report := range d.c.opts.Catalog.Reports() {
+	for _, report := range d.controller.opts.Catalog.Reports() {
 		if report.Domain != d.name {
 			continue
 		}
@@ -86,7 +86,7 @@
 	if d.token.Epoch == grant.Epoch() {
 		highestRank = max(highestRank, int(d.token.Rank))
 	}
-	rank := ownership.NextRank(highestRank, grant.Position(d.c.opts.Self), len(grant.Holders()))
+	rank := ownership.NextRank(highestRank, grant.Position(d.controller.opts.Self), len(grant.Holders()))
 	d.token = token.Token{Epoch: grant.Epoch(), Rank: rank}
 	d.version, d.beat, d.lastReport = 0, 0, nil
 	if !d.isLeading {
@@ -98,7 +98,7 @@
 		d.unfencedGrantEpoch = grant.Epoch()
 		d.unfencedOrdersAfter = time.Now().Add(unfencedLease + unfencedMargin)
 	}
-	d.c.opts.Logger.Info("leading domain", "domain", d.name, "epoch", d.token.Epoch, "rank", rank)
+	d.controller.opts.Logger.Info("leading domain", "domain", d.name, "epoch", d.token.Epoch, "rank", rank)
 	return true
 }
 
@@ -106,14 +106,14 @@
 // replace. Such a report has a higher rank, or it has the same rank and a higher version because
 // this daemon published it before a restart.
 func (d *domain) isSuperseded() bool {
-	current, _, ok := d.c.opts.Catalog.Current(d.name)
+	current, _, ok := d.controller.opts.Catalog.Current(d.name)
 	if !ok || current.Epoch != d.token.Epoch {
 		return false
 	}
 	if current.Rank != d.token.Rank {
 		return current.Rank > d.token.Rank
 	}
-	return d.c.opts.Catalog.Version(d.name) > d.version
+	return d.controller.opts.Catalog.Version(d.name) > d.version
 }
 
 // nextToken increments the sequence number of the token and returns the token for the next order.
@@ -127,17 +127,17 @@
 // them waits for a new node list, because the old one may be outdated.
 func (d *domain) mustWait(now time.Time) bool {
 	if !d.unreachableSince.IsZero() && now.After(d.unreachableSince.Add(yieldTimeout)) {
-		d.c.opts.Logger.Warn("cannot reach most nodes; letting another daemon lead", "domain", d.name)
+		d.controller.opts.Logger.Warn("cannot reach most nodes; letting another daemon lead", "domain", d.name)
 		d.yieldUntil = now.Add(yieldDuration)
 		d.unreachableSince = time.Time{}
 		d.stepDown()
 		return true
 	}
-	if d.c.wasSuspended(now) {
+	if d.controller.wasSuspended(now) {
 		return true
 	}
 	hasRegainedContact := d.unreachableSince.IsZero() && !d.unreachableAt.IsZero()
-	return hasRegainedContact && d.c.listReadAt().Before(d.unreachableAt) && now.Before(d.unreachableAt.Add(maxListWaitAfterRegain))
+	return hasRegainedContact && d.controller.listReadAt().Before(d.unreachableAt) && now.Before(d.unreachableAt.Add(maxListWaitAfterRegain))
 }
 
 // updateReachability updates unreachableAt and unreachableSince after a probe. nodeCount is the
@@ -156,7 +156,7 @@
 // stepDown clears the state that is valid only while leading.
 func (d *domain) stepDown() {
 	if d.isLeading {
-		d.c.opts.Logger.Info("stopped leading domain", "domain", d.name)
+		d.controller.opts.Logger.Info("stopped leading domain", "domain", d.name)
 	}
 	d.isLeading = false
 	d.drains = make(map[string]drain)
@@ -170,8 +170,8 @@
 // unfencedLease. The lease of the previous owner must have expired. Only unfencedMargin protects
 // against a pause of the process between this check and the order.
 func (d *domain) canOrderUnfenced(grant ownership.Grant, now time.Time) bool {
-	if grant.Owner() != d.c.opts.Self || now.Before(d.unfencedOrdersAfter) {
+	if grant.Owner() != d.controller.opts.Self || now.Before(d.unfencedOrdersAfter) {
 		return false
 	}
-	return now.Before(d.c.opts.OwnershipConfirmed().Add(unfencedLease))
+	return now.Before(d.controller.opts.OwnershipConfirmed().Add(unfencedLease))
 }
--- a/replica/observed.go
+++ b/replica/observed.go
@@ -16,7 +16,7 @@
 	assignment cluster.Assignment
 	members    []*trackedNode
 	isScripted bool
-	// problem is why the replica can't serve; empty if every member confirms it.
+	// problem is why the replica can't serve. It is empty if every member confirms the assignment.
 	problem string
 }
 
@@ -142,10 +142,10 @@
 	state, ok := d.drains[o.id]
 	if !ok {
 		d.drains[o.id] = drain{
-			settledAt: now.Add(d.c.opts.ServeWindow + maxLoadAge),
+			settledAt: now.Add(d.controller.opts.ServeWindow + maxLoadAge),
 			forceAt:   now.Add(drainTimeout),
 		}
-		d.c.opts.Logger.Info("draining replica", "replica", o.id)
+		d.controller.opts.Logger.Info("draining replica", "replica", o.id)
 		return false
 	}
 	if now.After(state.forceAt) {
--- a/replica/order.go
+++ b/replica/order.go
@@ -67,8 +67,8 @@
 	return nodes
 }
 
-// intactReplicasByNode maps the nodes of intact replicas to their replica. Replicas managed by scripts are
-// left out.
+// intactReplicasByNode returns the intact replicas by the IDs of their nodes. Replicas managed by
+// scripts are left out.
 func intactReplicasByNode(replicas []observedReplica) map[string]observedReplica {
 	intactReplicas := make(map[string]observedReplica)
 	for _, o := range replicas {
@@ -117,13 +117,13 @@
 // nodes to the formation is draining. While a permit blocks a step, it returns at most release
 // orders.
 func (d *domain) formationOrders(f placement.Formation, intactReplicas map[string]observedReplica, now time.Time) []pendingOrder {
-	ready := true
+	allDrained := true
 	for _, step := range f.Steps {
 		if o, ok := intactReplicas[step.Node]; ok && !d.ensureDrained(o, now) {
-			ready = false
+			allDrained = false
 		}
 	}
-	if !ready {
+	if !allDrained {
 		return nil
 	}
 	if releases := d.releaseOrders(f.Steps, now); releases != nil || d.isBlocked(f.Steps, now) {
@@ -135,7 +135,7 @@
 		step.Assignment.Generation = generation
 		all = append(all, d.newOrder(step.Node, step.Assignment, step.Reason))
 	}
-	d.c.opts.Logger.Info("forming replica", "replica", f.Replica, "generation", generation, "reason", f.Reason)
+	d.controller.opts.Logger.Info("forming replica", "replica", f.Replica, "generation", generation, "reason", f.Reason)
 	return all
 }
 
@@ -148,16 +148,16 @@
 // the steps. Once a leader node has confirmed its release, the permit of its replica no longer
 // blocks.
 func (d *domain) releaseOrders(steps []placement.Step, now time.Time) []pendingOrder {
-	released := make(map[string]bool)
+	alreadyReleased := make(map[string]bool)
 	var all []pendingOrder
 	for _, step := range steps {
 		for _, p := range d.blockingPermits(step.Node, now) {
 			leader := p.assignment.Members[0]
 			m, known := d.nodes[leader]
-			if released[leader] || !known || !m.answered || !m.isFenced() {
+			if alreadyReleased[leader] || !known || !m.answered || !m.isFenced() {
 				continue
 			}
-			released[leader] = true
+			alreadyReleased[leader] = true
 			all = append(all, d.newOrder(leader, cluster.Assignment{}, "free a broken replica before its nodes move"))
 		}
 	}
@@ -226,7 +226,7 @@
 	for _, o := range orders {
 		address, id := o.node.listed.Address, o.node.listed.ID
 		p.Go(func() probeResult {
-			reply, err := d.c.opts.Control.Order(ctx, address, o.order)
+			reply, err := d.controller.opts.Control.Order(ctx, address, o.order)
 			return probeResult{id: id, state: reply.State, err: err}
 		})
 	}
--- a/replica/permit.go
+++ b/replica/permit.go
@@ -14,7 +14,7 @@
 	deadline   time.Time
 }
 
-// recordPermits records the permits granted by the report that is being published.
+// recordPermits records the permits that a report with the given deadline grants to the replicas.
 func (d *domain) recordPermits(replicas []observedReplica, deadline time.Time) {
 	for _, o := range replicas {
 		if o.isIntact() && !o.isScripted && !d.isDraining(o) {
@@ -35,7 +35,7 @@
 	for _, o := range replicas {
 		hasUnconfirmed := slices.ContainsFunc(o.members, func(m *trackedNode) bool { return m.isFenced() && !d.confirmsLeader(m) })
 		if hasUnconfirmed && !o.isScripted {
-			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, deadline: now.Add(d.c.opts.ServeWindow)}
+			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, deadline: now.Add(d.controller.opts.ServeWindow)}
 		}
 	}
 }
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -23,7 +23,7 @@
 // the answers.
 func (d *domain) probeNodes(ctx context.Context) {
 	d.lastProbeAt = time.Now()
-	// Tokens of nodes that have left the domain must not count.
+	// The highest token so far may come from a node that has left the domain.
 	d.highestNodeToken = token.Token{}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -31,7 +31,7 @@
 	for id, m := range d.nodes {
 		address := m.listed.Address
 		p.Go(func() probeResult {
-			state, err := d.c.opts.Control.State(ctx, address)
+			state, err := d.controller.opts.Control.State(ctx, address)
 			return probeResult{id: id, state: state, err: err}
 		})
 	}
@@ -112,8 +112,8 @@
 // plannerInput returns the planner's input for the current state.
 func (d *domain) plannerInput(view *config.View) placement.Input {
 	now := time.Now()
-	in := placement.Input{Domain: d.name, LoadSlots: d.c.opts.LoadSlots, Closed: view.Hall(d.dataHall).Closed()}
-	canOrderUnfenced := d.canOrderUnfenced(d.c.opts.Ownership.Grant(d.name), now)
+	in := placement.Input{Domain: d.name, LoadSlots: d.controller.opts.LoadSlots, Closed: view.Hall(d.dataHall).Closed()}
+	canOrderUnfenced := d.canOrderUnfenced(d.controller.opts.Ownership.Grant(d.name), now)
 	for id, m := range d.nodes {
 		if m.listed.Kind != cluster.KindEngine {
 			continue
--- a/replica/report.go
+++ b/replica/report.go
@@ -14,12 +14,14 @@
 )
 
 // publishReport publishes the domain's report if it has changed or is due for renewal. The replicas
-// may serve for one serve window from start. The probe that confirmed them must not have begun
-// before start.
-func (d *domain) publishReport(replicas []observedReplica, plan placement.Plan, start time.Time) {
-	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.c.opts.Self}
+// may serve for one serve window from probeStart. The probe that confirmed them must not have begun
+// before probeStart.
+func (d *domain) publishReport(replicas []observedReplica, plan placement.Plan, probeStart time.Time) {
+	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.controller.opts.Self}
 	report.Token = catalog.ToMessage(d.token)
 	report.Token.Sequence = 0
+	// loads holds the queue length, the active requests and the slots of each replica, in the order
+	// of replicas.
 	var loads []uint32
 	for _, o := range replicas {
 		report.Replicas = append(report.Replicas, d.replicaReport(o, plan))
@@ -35,37 +37,37 @@
 	if d.lastReport == nil || !proto.Equal(report, d.lastReport) {
 		d.version++
 		d.lastReport = proto.CloneOf(report)
-	} else if start.Before(d.renewAt) {
+	} else if probeStart.Before(d.renewAt) {
 		return
 	}
 	d.beat++
-	d.renewAt = start.Add(d.c.opts.ServeWindow / renewalsPerWindow)
+	d.renewAt = probeStart.Add(d.controller.opts.ServeWindow / renewalsPerWindow)
 	report.Version, report.Beat, report.Loads = d.version, d.beat, loads
-	deadline := start.Add(d.c.opts.ServeWindow)
+	deadline := probeStart.Add(d.controller.opts.ServeWindow)
 	d.recordPermits(replicas, deadline)
-	d.c.opts.Catalog.Publish(report, deadline)
+	d.controller.opts.Catalog.Publish(report, deadline)
 }
 
 func (d *domain) replicaReport(o observedReplica, plan placement.Plan) *rpc.ReplicaReport {
-	r := &rpc.ReplicaReport{
+	report := &rpc.ReplicaReport{
 		Id: o.id, Deployment: o.assignment.Deployment, Generation: o.assignment.Generation,
 		Serving: o.isIntact(), Draining: d.isDraining(o), Scripted: o.isScripted,
 		ModelVersion: o.assignment.Version, Adapters: o.assignment.Adapters,
 		Reason: o.problem,
 	}
-	if reason, ok := plan.Dark[o.id]; ok && !r.Serving {
-		r.Reason = reason
+	if reason, ok := plan.Dark[o.id]; ok && !report.Serving {
+		report.Reason = reason
 	}
 	if o.isScripted {
-		r.AssignedName = o.assignment.Replica
+		report.AssignedName = o.assignment.Replica
 	}
 	for _, m := range o.members {
-		r.Nodes = append(r.Nodes, m.listed.ID)
+		report.Nodes = append(report.Nodes, m.listed.ID)
 	}
-	if r.Serving {
-		r.LeaderAddress = o.leader().listed.Address
+	if report.Serving {
+		report.LeaderAddress = o.leader().listed.Address
 	}
-	return r
+	return report
 }
 
 // missingReplicas returns reports on replicas that are wanted but have no nodes.
--- a/replica/want.go
+++ b/replica/want.go
@@ -65,11 +65,11 @@
 	if view.KeptOut(d.dataHall, deployment.AllowedRegions()) == "" {
 		supplies = append(supplies, d.ownSupply(deployment, now))
 	}
-	for _, report := range d.c.opts.Catalog.Reports() {
+	for _, report := range d.controller.opts.Catalog.Reports() {
 		if report.Domain == d.name || view.KeptOut(report.DataHall, deployment.AllowedRegions()) != "" {
 			continue
 		}
-		if _, deadline, _ := d.c.opts.Catalog.Current(report.Domain); now.After(deadline.Add(supplyRetention)) {
+		if _, deadline, _ := d.controller.opts.Catalog.Current(report.Domain); now.After(deadline.Add(supplyRetention)) {
 			continue
 		}
 		supplies = append(supplies, reportedSupply(view, deployment, report))
@@ -102,7 +102,7 @@
 
 func (d *domain) ownSupply(deployment config.Deployment, now time.Time) placement.Supply {
 	s := placement.Supply{Domain: d.name}
-	replicas := make(map[string]bool)
+	existingIDs := make(map[string]bool)
 	for _, m := range d.nodes {
 		if m.listed.Kind != cluster.KindEngine || m.isScripted() {
 			continue
@@ -111,10 +111,10 @@
 			s.Eligible++
 		}
 		if a := m.state.Assignment; a.Deployment == deployment.Name() && m.answered {
-			replicas[a.Replica] = true
+			existingIDs[a.Replica] = true
 		}
 	}
-	s.Existing = len(replicas)
+	s.Existing = len(existingIDs)
 	if d.lastReport != nil {
 		s.Serving = countServing(d.lastReport, deployment.Name())
 	}
@@ -158,7 +158,7 @@
 func (d *domain) replicasToUpgrade(view *config.View, deployment string, want placement.Want) []string {
 	var managed, outdated []catalog.Replica
 	downCount := 0
-	for _, r := range d.c.opts.Catalog.Replicas() {
+	for _, r := range d.controller.opts.Catalog.Replicas() {
 		if r.Deployment() != deployment || r.Scripted() || view.Hall(r.DataHall()).Closed() {
 			continue
 		}
