--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -224,7 +224,7 @@
 		return nil, attemptRefusal
 	}
 	g.recordRest(t.id, response)
-	if refusedBeforeStart(response) {
+	if wasRefusedBeforeStart(response) {
 		closeBody(response)
 		cancel()
 		if response.StatusCode == http.StatusBadRequest {
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -87,7 +87,7 @@
 	return ""
 }
 
-// countPassedOver increments the metric of each reason in passed by one, whatever its count.
+// countPassedOver increments the metric of each reason in passedOver by one, whatever its count.
 func (g *Gateway) countPassedOver(passedOver PassedOver) {
 	for why := range passedOver {
 		g.opts.Meter.PassOver(why)
@@ -119,7 +119,7 @@
 }
 
 // noTargetReason returns the reason for refusing a request for which no target is eligible. Closed
-// data halls and regions that are not allowed can be the reason even if passed has no count for
+// data halls and regions that are not allowed can be the reason even if passedOver has no count for
 // them. This is so when all known data halls are excluded, because a new or repaired replica could
 // not get the request either.
 func (g *Gateway) noTargetReason(allowed []config.Regions, passedOver PassedOver) reason.Reason {
--- a/gateway/eligible_test.go
+++ b/gateway/eligible_test.go
@@ -213,7 +213,7 @@
 	}
 	const south, north = `,"allowedRegions":["south"]`, `,"allowedRegions":["north"]`
 	cases := map[string]struct {
-		closed              []int
+		closedHalls         []int
 		deployment, account string
 		// want is the reason of the refusal. If it is empty, runs holds the replicas that get
 		// requests.
@@ -221,19 +221,19 @@
 		runs []int
 	}{
 		"all may run":                    {runs: []int{0, 1, 2}},
-		"one hall closed":                {closed: []int{0}, runs: []int{1, 2}},
-		"all halls closed":               {closed: []int{0, 1, 2}, want: reason.HallClosed},
+		"one hall closed":                {closedHalls: []int{0}, runs: []int{1, 2}},
+		"all halls closed":               {closedHalls: []int{0, 1, 2}, want: reason.HallClosed},
 		"region of the deployment":       {deployment: north, runs: []int{2}},
 		"region of the account":          {account: south, runs: []int{0, 1}},
 		"both bind":                      {deployment: north, account: south, want: reason.RegionNotAllowed},
-		"allowed region closed":          {account: north, closed: []int{2}, want: reason.HallClosed},
-		"allowed region partly closed":   {account: south, closed: []int{0}, runs: []int{1}},
-		"closed where it is not allowed": {account: south, closed: []int{2}, runs: []int{0, 1}},
+		"allowed region closed":          {account: north, closedHalls: []int{2}, want: reason.HallClosed},
+		"allowed region partly closed":   {account: south, closedHalls: []int{0}, runs: []int{1}},
+		"closed where it is not allowed": {account: south, closedHalls: []int{2}, runs: []int{0, 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			h := newHallHarness(t)
-			for _, i := range c.closed {
+			for _, i := range c.closedHalls {
 				h.setHallClosed(i, true)
 			}
 			assert.Equal(t, h.putDocument("d", config.KindDeployment, "chat", deployment(c.deployment)), "")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -132,7 +132,7 @@
 	return failure.At(failure.Unavailable, "serve callers", l.Addr().String(), err)
 }
 
-// Stop closes the listener, waits up to limit for requests in flight, and closes the remaining
+// Stop closes the listener, waits up to timeout for requests in flight, and closes the remaining
 // connections.
 func (g *Gateway) Stop(timeout time.Duration) error {
 	defer g.guard.Wait()
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -39,7 +39,7 @@
 
 // isRepeatable reports whether a call may run more than once. It may not if the service's
 // configuration forbids it or the call has an idempotency key. Otherwise the caller's header
-// decides, and without the header the HTTP method.
+// decides. Without the header, the HTTP method decides.
 func isRepeatable(s config.Service, r *request) bool {
 	path, _, _ := strings.Cut(r.path, "?")
 	if !s.Repeatable(r.method, path) || r.key != "" {
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -127,8 +127,8 @@
 	return io.NopCloser(bytes.NewReader(c.body))
 }
 
-// refusedBeforeStart reports whether the endpoint rejected the request before running any of it.
-func refusedBeforeStart(r *http.Response) bool {
+// wasRefusedBeforeStart reports whether the endpoint rejected the request before running any of it.
+func wasRefusedBeforeStart(r *http.Response) bool {
 	return r.Header.Get(cluster.HeaderStarted) == cluster.StartedNo
 }
 
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -58,7 +58,7 @@
 	return action
 }
 
-// inheritLeaving marks the nodes as leaving that the previous leader reported as leaving.
+// inheritLeaving marks as leaving the nodes that the previous leader reported as leaving.
 func (d *domain) inheritLeaving() {
 	for _, report := range d.controller.opts.Catalog.Reports() {
 		if report.Domain != d.name {
--- a/replica/order.go
+++ b/replica/order.go
@@ -152,13 +152,13 @@
 	var all []pendingOrder
 	for _, step := range steps {
 		for _, p := range d.blockingPermits(step.Node, now) {
-			leader := p.assignment.Members[0]
-			m, known := d.nodes[leader]
-			if alreadyReleased[leader] || !known || !m.answered || !m.isFenced() {
+			leaderID := p.assignment.Members[0]
+			m, known := d.nodes[leaderID]
+			if alreadyReleased[leaderID] || !known || !m.answered || !m.isFenced() {
 				continue
 			}
-			alreadyReleased[leader] = true
-			all = append(all, d.newOrder(leader, cluster.Assignment{}, "free a broken replica before its nodes move"))
+			alreadyReleased[leaderID] = true
+			all = append(all, d.newOrder(leaderID, cluster.Assignment{}, "free a broken replica before its nodes move"))
 		}
 	}
 	return all
