--- a/replica/controller.go
+++ b/replica/controller.go
@@ -55,7 +55,8 @@
 	rebalanceDelay = 30 * time.Second
 	// proposeTimeout limits how long an append of a grant to the log may take.
 	proposeTimeout = 3 * time.Second
-	// maxLoadAge is the maximum age of a load report.
+	// maxLoadAge is the maximum age of the load that a replica reports. A drain takes at least the
+	// serve window and maxLoadAge, so that the load shows the last requests.
 	maxLoadAge = 2 * time.Second
 	// drainTimeout is the maximum time for which requests in flight delay the reassignment of a
 	// replica's nodes.
@@ -115,7 +116,7 @@
 type Controller struct {
 	opts Options
 	done chan struct{}
-	// background waits for appends of grants.
+	// background runs the appends of grants.
 	background conc.WaitGroup
 
 	mu            sync.Mutex
@@ -198,7 +199,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for domain := range c.nodesByDomain {
-		// A domain is still managed when all its nodes have left the list.
+		// A domain remains managed when the list no longer contains any of its nodes.
 		if _, ok := byDomain[domain]; !ok {
 			byDomain[domain] = nil
 		}
