--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// BenchmarkChoice measures the choice of one of 400 replicas.
+// BenchmarkChoice measures the choice of one of about 400 replicas.
 func BenchmarkChoice(b *testing.B) {
 	h := newHarness(b)
 	report := &rpc.DomainReport{Domain: "fabric-2", DataHall: "hall-a", Token: &rpc.Token{Epoch: 1}, Version: 1}
--- a/gateway/complete.go
+++ b/gateway/complete.go
@@ -49,8 +49,8 @@
 }
 
 // serveRequest sends the request to a target and relays the answer. If the request has an
-// idempotency key and must not be repeated, serveRequest first claims the key, so that the request
-// runs at most once.
+// idempotency key and must not be repeated, serveRequest first claims the key. The claim ensures
+// that the request runs at most once.
 func (g *Gateway) serveRequest(c *fiber.Ctx, r *request, choose chooser, streamed bool) error {
 	if r.repeatable || r.key == "" {
 		return g.relayAnswer(c, r, choose, streamed, nil)
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -223,7 +223,7 @@
 		}
 		return nil, attemptRefusal
 	}
-	g.recordRest(t.id, response)
+	g.recordRestPeriod(t.id, response)
 	if wasRefusedBeforeStart(response) {
 		closeBody(response)
 		cancel()
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -118,10 +118,10 @@
 	return refuse(why, "no %s serves at present", what).withRetryAfter(longRetryAfter)
 }
 
-// noTargetReason returns the reason for refusing a request for which no target is eligible. Closed
-// data halls and regions that are not allowed can be the reason even if passedOver has no count for
-// them. This is so when all known data halls are excluded, because a new or repaired replica could
-// not get the request either.
+// noTargetReason returns the reason for refusing a request for which no target is eligible. If all
+// reported domains are in closed data halls or in regions that are not allowed, this is the reason
+// even if passedOver has no count for it. A new or repaired replica could not get the request
+// either.
 func (g *Gateway) noTargetReason(allowed []config.Regions, passedOver PassedOver) reason.Reason {
 	switch {
 	case passedOver[reason.Tried] > 0:
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,9 +35,8 @@
 	maxHeaderBytes = 16 << 10
 	// callerIdleTimeout is how long an idle connection of a caller is kept open.
 	callerIdleTimeout = 2 * time.Minute
-	// bodyReadFactor is the size up to which request bodies are read, as a multiple of the maximum
-	// size that is accepted. Senders of bodies between the two sizes get an answer that states the
-	// limit.
+	// bodyReadFactor times the maximum accepted size is the size up to which request bodies are
+	// read. A body between the two sizes is refused with an answer that states the limit.
 	bodyReadFactor = 2
 	// DefaultMaxBody is the default limit of a request body, in bytes.
 	DefaultMaxBody = 8 << 20
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -14,8 +14,9 @@
 	// ledgerTimeout limits calls to the intent ledger that must continue if the request is
 	// canceled.
 	ledgerTimeout = 2 * time.Second
-	// maxStoredStreamBytes is the size in bytes from which nothing is added to the copy of a
-	// streamed answer that is kept for later requests with the same idempotency key.
+	// maxStoredStreamBytes limits the copy of a streamed answer that is kept for later requests
+	// with the same idempotency key. Once the copy has this size in bytes, no further event is
+	// added.
 	maxStoredStreamBytes = 1 << 20
 )
 
--- a/gateway/rest.go
+++ b/gateway/rest.go
@@ -7,10 +7,10 @@
 	"quartzshelf.dev/backpressure"
 )
 
-// recordRest records the rest period that an endpoint has asked for in its answer, if any. This
-// daemon sends the endpoint no requests until the period ends. Endpoints don't identify restarted
-// processes, so the period also applies after a restart.
-func (g *Gateway) recordRest(endpoint string, answer *http.Response) {
+// recordRestPeriod records the rest period that an endpoint has asked for in its answer, if any.
+// This daemon sends the endpoint no requests until the period ends. Endpoints don't identify
+// restarted processes, so the period also applies after a restart.
+func (g *Gateway) recordRestPeriod(endpoint string, answer *http.Response) {
 	signal, err := backpressure.Names{}.Read(answer, false)
 	if err != nil {
 		g.opts.Meter.Signal("unclear")
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestRestingEndpointsGetNoRequests checks that an endpoint gets no more requests from this daemon
-// until its rest period ends, and that requests are refused as not run while all endpoints rest.
+// until its rest period ends. While all endpoints rest, requests must be refused as not run.
 func TestRestingEndpointsGetNoRequests(t *testing.T) {
 	const wholeBody, streamBody = `{"model":"chat","prompt":"p"}`, `{"model":"chat","prompt":"p","stream":true}`
 	for name, body := range map[string]string{"a whole answer": wholeBody, "a stream": streamBody} {
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -28,9 +28,9 @@
 	// It does not lead the domain again for yieldDuration.
 	yieldTimeout  = 5 * time.Second
 	yieldDuration = 20 * time.Second
-	// maxListWaitAfterRegain limits how long a leader that has regained contact with most nodes
-	// waits for a new node list. The wait is counted from the last probe that failed to reach most
-	// nodes.
+	// maxListWaitAfterRegain limits how long a leader waits for a new node list after it has
+	// regained contact with most nodes. The wait is counted from the last probe that failed to
+	// reach most nodes.
 	maxListWaitAfterRegain = 10 * time.Second
 	// reportOverdueAfter is how long after the deadline of a domain's last report the report counts
 	// as overdue. A daemon may then begin to lead the domain even with an old node list.
@@ -56,7 +56,8 @@
 	// proposeTimeout limits how long an append of a grant to the log may take.
 	proposeTimeout = 3 * time.Second
 	// maxLoadAge is the maximum age of the load that a replica reports. A drain takes at least the
-	// serve window and maxLoadAge, so that the load shows the last requests.
+	// sum of the serve window and maxLoadAge. The reported load then includes the last requests
+	// that the replica accepted.
 	maxLoadAge = 2 * time.Second
 	// drainTimeout is the maximum time for which requests in flight delay the reassignment of a
 	// replica's nodes.
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -38,9 +38,9 @@
 	return rank
 }
 
-// restrictAction returns ownership.Follow instead of a leading action in two cases. Either this
-// daemon has yielded the domain, or it would begin to lead with an old node list although the last
-// report is not overdue.
+// restrictAction returns ownership.Follow instead of a leading action in two cases. In the first,
+// this daemon has yielded the domain. In the second, this daemon would begin to lead with an old
+// node list, and the last report is not overdue.
 func (d *domain) restrictAction(action ownership.Action) ownership.Action {
 	now := time.Now()
 	if !action.Leads() {
--- a/replica/observed.go
+++ b/replica/observed.go
@@ -108,8 +108,9 @@
 	return t.Epoch == d.token.Epoch && t.Rank == d.token.Rank && !m.lastOrder.Higher(t)
 }
 
-// observeScripted returns a replica that is managed by scripts. The replica has a problem unless it
-// has as many nodes as its deployment requires and all of them are ready.
+// observeScripted returns a replica that is managed by scripts. The replica has a problem unless
+// its deployment exists, it has as many nodes as the deployment requires, and all of them are ready
+// with the same assignment.
 func observeScripted(view *config.View, id string, members []*trackedNode) observedReplica {
 	slices.SortFunc(members, func(a, b *trackedNode) int { return strings.Compare(a.listed.ID, b.listed.ID) })
 	name, _, _ := strings.Cut(id, "/")
--- a/replica/order.go
+++ b/replica/order.go
@@ -44,7 +44,7 @@
 }
 
 // preloadOrders returns orders that make nodes fetch weights in advance, without a change of
-// assignment. It leaves out the nodes that the planned orders are for.
+// assignment. Nodes that have a planned order are left out.
 func (d *domain) preloadOrders(plan placement.Plan, planned []pendingOrder) []pendingOrder {
 	hasOrder := orderedNodes(planned)
 	var all []pendingOrder
@@ -114,8 +114,8 @@
 }
 
 // formationOrders returns the orders of a formation. It returns none while a replica that loses
-// nodes to the formation is draining. While a permit blocks a step, it returns at most release
-// orders.
+// nodes to the formation is draining. While a permit blocks a step, it returns only release orders,
+// or none.
 func (d *domain) formationOrders(f placement.Formation, intactReplicas map[string]observedReplica, now time.Time) []pendingOrder {
 	allDrained := true
 	for _, step := range f.Steps {
@@ -180,8 +180,8 @@
 }
 
 // reaffirmOrders returns orders that repeat the current assignment of nodes that have not confirmed
-// this leader. After such an order, a node rejects the orders of earlier leaders. It leaves out the
-// nodes that the planned orders are for.
+// this leader, except nodes that have a planned order. After such an order, a node rejects the
+// orders of earlier leaders.
 func (d *domain) reaffirmOrders(planned []pendingOrder) []pendingOrder {
 	hasOrder := orderedNodes(planned)
 	var all []pendingOrder
--- a/replica/permit.go
+++ b/replica/permit.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// blockingPermits returns the permits that forbid a new assignment of the node. Under such a
-// permit, routers may still send requests to the replica's leader node, and the leader node would
-// still accept them. The leader node itself may always be reassigned, because it then rejects
+// blockingPermits returns the permits that forbid a new assignment of the node. While a permit
+// lasts, routers may send requests to the replica's leader node. The leader node accepts them until
+// it is reassigned. The leader node itself may always be reassigned, because it then rejects
 // requests for the old replica.
 func (d *domain) blockingPermits(node string, now time.Time) []permit {
 	var all []permit
--- a/replica/want.go
+++ b/replica/want.go
@@ -58,7 +58,7 @@
 
 // computeSupplies returns what each domain can supply to a deployment. It uses the last probe for
 // this domain and the reports for other domains. Domains in closed data halls or in regions that
-// the deployment does not allow are left out, so that the wanted replicas are formed elsewhere.
+// the deployment does not allow are left out. The wanted replicas are then formed elsewhere.
 func (d *domain) computeSupplies(view *config.View, deployment config.Deployment) []placement.Supply {
 	now := time.Now()
 	var supplies []placement.Supply
@@ -151,10 +151,13 @@
 }
 
 // replicasToUpgrade returns the IDs of the deployment's replicas that may be taken down now for an
-// upgrade to the wanted version. Replicas that are down or draining anyway may be upgraded at once.
-// Further outdated replicas follow in the order of their IDs, within the limit of replicas that may
-// be down. All owners compute the same result from the same reports. Replicas in closed data halls
-// keep their version until the hall opens, and don't count.
+// upgrade to the wanted version. Replicas that are down are returned whatever their version.
+// Outdated replicas that are draining are always returned. Other outdated replicas are returned in
+// the order of their IDs, within the limit of replicas that may be down. Draining replicas with
+// higher IDs are not counted against the limit.
+//
+// Replicas in closed data halls are ignored. They keep their version until the hall opens, and the
+// limit is computed without them. All owners compute the same result from the same reports.
 func (d *domain) replicasToUpgrade(view *config.View, deployment string, want placement.Want) []string {
 	var managed, outdated []catalog.Replica
 	downCount := 0
