--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -13,8 +13,9 @@
 	"quartzshelf.dev/config"
 )
 
-// closedHallRetryAfter is the Retry-After value of a refusal because all usable data halls are
-// closed. It is longer than the time that all daemons need to learn that a hall has opened.
+// closedHallRetryAfter is the Retry-After value if a request is refused because all usable data
+// halls are closed. It is longer than the time that all daemons need to learn that a hall has
+// opened.
 const closedHallRetryAfter = 15 * time.Second
 
 // PassedOver counts the replicas or endpoints that were excluded from a choice, by reason.
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -52,7 +52,8 @@
 }
 
 // adjustRan adjusts the refusal of one attempt to the whole request. If an earlier attempt may have
-// run the request, a refusal that reports it as not run is changed to report that this is unknown.
+// run the request, "not run" in the refusal becomes "unknown". It also records whether this attempt
+// may have run the request.
 func (r *request) adjustRan(f *refusal) *refusal {
 	if f.ran != reason.RanNo {
 		r.maybeRan = true
@@ -122,8 +123,8 @@
 	}
 }
 
-// droppedHeaders are not forwarded to endpoints: hop-by-hop headers, credentials and headers that
-// the gateway sets itself.
+// droppedHeaders are the headers that are not forwarded to endpoints. These are hop-by-hop headers,
+// credentials and headers that the gateway sets itself.
 var droppedHeaders = []string{
 	"Authorization", "Connection", "Content-Length", "Host", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -21,7 +21,7 @@
 	tickInterval = 500 * time.Millisecond
 	listInterval = 2 * time.Second
 	listTimeout  = time.Second
-	// maxListAge is the maximum age of the node list for a daemon to begin leading a domain. A
+	// maxListAge is the maximum age of the node list with which a daemon begins to lead a domain. A
 	// daemon with an older list might not know which nodes are leaving.
 	maxListAge = 3500 * time.Millisecond
 	// yieldTimeout is how long a leader may fail to reach most of its nodes before it steps down.
@@ -32,8 +32,8 @@
 	// regained contact with most nodes. The wait is counted from the last probe that failed to
 	// reach most nodes.
 	maxListWaitAfterRegain = 10 * time.Second
-	// reportOverdueAfter is how long after the deadline of a domain's last report the report counts
-	// as overdue. A daemon may then begin to lead the domain even with an old node list.
+	// reportOverdueAfter is the time from the deadline of a domain's last report until the report
+	// counts as overdue. A daemon may then begin to lead the domain even with an old node list.
 	reportOverdueAfter = 4 * time.Second
 	probeTimeout       = 400 * time.Millisecond
 	orderTimeout       = 2 * time.Second
@@ -62,8 +62,8 @@
 	// drainTimeout is the maximum time for which requests in flight delay the reassignment of a
 	// replica's nodes.
 	drainTimeout = 10 * time.Minute
-	// supplyRetention is how long after the deadline of its last report a domain's nodes and
-	// replicas still count as supply for deployments.
+	// supplyRetention is how long a domain's nodes and replicas still count as supply for
+	// deployments after the deadline of the domain's last report.
 	supplyRetention = 30 * time.Second
 	// unfencedLease is how long after its last read of the grant log an owner may send orders to
 	// nodes that don't check tokens. A new owner waits for unfencedLease and unfencedMargin before
--- a/replica/domain.go
+++ b/replica/domain.go
@@ -86,8 +86,8 @@
 
 // drain is the state of a replica that is drained before its nodes are reassigned.
 type drain struct {
-	// settledAt is the time by which all routers have stopped sending requests to the replica and
-	// its load report includes the last of them.
+	// settledAt is the time by which all routers have stopped sending requests to the replica. The
+	// replica's load report then includes the last of these requests.
 	settledAt time.Time
 	// forceAt is when the nodes may be reassigned even if requests are still running.
 	forceAt time.Time
--- a/replica/grant.go
+++ b/replica/grant.go
@@ -25,7 +25,7 @@
 }
 
 // rebalance proposes a grant to another daemon once that daemon has been the preferred owner for
-// rebalanceDelay. Without it, the daemons that survive failures would accumulate domains.
+// rebalanceDelay. Without rebalancing, the daemons that survive failures would accumulate domains.
 func (d *domain) rebalance(ctx context.Context, grant ownership.Grant) {
 	preferredHolders := d.proposedHolders()
 	if len(preferredHolders) == 0 || preferredHolders[0] == d.controller.opts.Self {
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -58,7 +58,7 @@
 	return action
 }
 
-// inheritLeaving marks as leaving the nodes that the previous leader reported as leaving.
+// inheritLeaving marks nodes as leaving if the previous leader reported them as leaving.
 func (d *domain) inheritLeaving() {
 	for _, report := range d.controller.opts.Catalog.Reports() {
 		if report.Domain != d.name {
@@ -103,8 +103,8 @@
 }
 
 // isSuperseded reports whether the catalog holds a report that this leader's report would not
-// replace. Such a report has a higher rank, or it has the same rank and a higher version because
-// this daemon published it before a restart.
+// replace. This is a report with a higher rank, or with the same rank and a higher version. The
+// latter was published by this daemon before a restart.
 func (d *domain) isSuperseded() bool {
 	current, _, ok := d.controller.opts.Catalog.Current(d.name)
 	if !ok || current.Epoch != d.token.Epoch {
--- a/replica/want.go
+++ b/replica/want.go
@@ -77,8 +77,8 @@
 	return supplies
 }
 
-// estimateAccelerators returns the number of accelerators on the given number of nodes, assuming
-// that each has as many as the smallest node of the domain.
+// estimateAccelerators returns the number of accelerators on the given number of nodes. It assumes
+// that each node has as many accelerators as the smallest node of the domain.
 func (d *domain) estimateAccelerators(nodes int) int {
 	minAccelerators := 0
 	for _, m := range d.nodes {
