--- a/gateway/request.go
+++ b/gateway/request.go
@@ -52,8 +52,8 @@
 }
 
 // adjustRan adjusts the refusal of one attempt to the whole request. If an earlier attempt may have
-// run the request, "not run" in the refusal becomes "unknown". It also records whether this attempt
-// may have run the request.
+// run the request, "not run" in the refusal becomes "unknown". adjustRan also records whether this
+// attempt may have run the request.
 func (r *request) adjustRan(f *refusal) *refusal {
 	if f.ran != reason.RanNo {
 		r.maybeRan = true
