--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -3,39 +3,39 @@
 import "sync"
 
 const (
-	// budgetPerRequest is how many retries each request adds to the budget.
-	budgetPerRequest = 0.1
-	// budgetMax bounds the retries saved up.
-	budgetMax = 100.0
-	// budgetStart lets a fresh daemon retry.
-	budgetStart = 20.0
+	// retriesPerRequest is the number of retries that each request adds to the budget.
+	retriesPerRequest = 0.1
+	// maxRetryBudget is the maximum number of retries in the budget.
+	maxRetryBudget = 100.0
+	// initialRetryBudget is the number of retries in the budget when the daemon starts.
+	initialRetryBudget = 20.0
 )
 
-// budget bounds retries to a share of the requests, so that they cannot double
-// the load of a system that is already failing.
-type budget struct {
-	mu   sync.Mutex
-	left float64
+// retryBudget limits retries to a fraction of the requests, so that retries don't overload a system
+// that is already failing.
+type retryBudget struct {
+	mu               sync.Mutex
+	availableRetries float64
 }
 
-func newBudget() *budget {
-	return &budget{left: budgetStart}
+func newRetryBudget() *retryBudget {
+	return &retryBudget{availableRetries: initialRetryBudget}
 }
 
-// earn counts a request.
-func (b *budget) earn() {
+// addRequest increases the budget by retriesPerRequest. It is called for each new request.
+func (b *retryBudget) addRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+budgetPerRequest, budgetMax)
+	b.availableRetries = min(b.availableRetries+retriesPerRequest, maxRetryBudget)
 }
 
-// take reports whether a retry is allowed and counts it.
-func (b *budget) take() bool {
+// takeRetry takes one retry from the budget. It returns false if less than one retry is available.
+func (b *retryBudget) takeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.availableRetries < 1 {
 		return false
 	}
-	b.left--
+	b.availableRetries--
 	return true
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -14,21 +14,21 @@
 	"quartzshelf.dev/quarantine"
 )
 
-// TestRequestThatEndsEndpoints: a request that ends each endpoint which runs it is refused,
-// truly, once three have ended; others are served.
-func TestRequestThatEndsEndpoints(t *testing.T) {
+// TestCrashingRequestIsQuarantined checks that a request is refused as not run after it has crashed
+// three endpoints, and that other requests are served.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const (
-		whole  = `{"model":"chat","prompt":"ends endpoints"}`
-		stream = `{"model":"chat","prompt":"ends endpoints","stream":true}`
+		wholeBody  = `{"model":"chat","prompt":"ends endpoints"}`
+		streamBody = `{"model":"chat","prompt":"ends endpoints","stream":true}`
 	)
 	tests := map[string]struct {
-		body string
-		ends behaviour
+		body  string
+		crash behaviour
 	}{
-		"a whole answer":                {body: whole, ends: ends},
-		"a whole answer that has begun": {body: whole, ends: endsLate},
-		"a stream":                      {body: stream, ends: ends},
-		"a stream that has some tokens": {body: stream, ends: endsLate},
+		"a whole answer":                {body: wholeBody, crash: crashes},
+		"a whole answer that has begun": {body: wholeBody, crash: crashesInAnswer},
+		"a stream":                      {body: streamBody, crash: crashes},
+		"a stream that has some tokens": {body: streamBody, crash: crashesInAnswer},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,46 +37,46 @@
 				h.endpoints = append(h.endpoints, newEndpoint(t))
 			}
 			for _, e := range h.endpoints {
-				e.follow([]behaviour{test.ends})
+				e.setScript([]behaviour{test.crash})
 			}
-			h.publish()
-			h.gateway.budget.left = budgetMax
+			h.publishReport()
+			h.gateway.retryBudget.availableRetries = maxRetryBudget
 			got, err := h.post(body, nil)
 			assert.NilError(t, err)
-			ran, _ := got.problem()
+			ran, _ := got.refusal()
 			assert.Assert(t, ran != reason.RanNo)
-			assert.Equal(t, h.ran(), 3)
+			assert.Equal(t, h.runCount(), 3)
 			for _, e := range h.endpoints {
 				e.script = nil
 			}
 			got, err = h.post(body, nil)
 			assert.NilError(t, err)
-			ran, why := got.problem()
+			ran, why := got.refusal()
 			assert.Equal(t, got.status, http.StatusServiceUnavailable)
 			assert.Equal(t, why, reason.Quarantined)
 			assert.Equal(t, ran, reason.RanNo)
 			assert.Assert(t, got.header.Get("Retry-After") != "")
-			assert.Equal(t, h.ran(), 3, "nothing was sent")
-			// Endpoints that ended are tried too, until the catalog loses them.
-			served, last := false, outcome{}
+			assert.Equal(t, h.runCount(), 3, "no request may be sent while quarantined")
+			// The catalog still lists the crashed endpoints, so some requests fail.
+			anyServed, lastAnswer := false, receivedAnswer{}
 			for range 10 {
-				h.gateway.budget.left = budgetMax
+				h.gateway.retryBudget.availableRetries = maxRetryBudget
 				other, err := h.post(strings.Replace(body, "ends", "spares", 1), nil)
 				assert.NilError(t, err)
-				served, last = served || other.status == http.StatusOK, other
+				anyServed, lastAnswer = anyServed || other.status == http.StatusOK, other
 			}
-			assert.Assert(t, served, "%s", last.body)
+			assert.Assert(t, anyServed, "%s", lastAnswer.body)
 		})
 	}
 }
 
-// TestConnectionsOfTheLiving: endpoints that live leave nothing against a request whose
-// connections they break.
-func TestConnectionsOfTheLiving(t *testing.T) {
+// TestBrokenConnectionsOfLiveEndpoints checks that no crash is recorded for a request if its
+// connections broke but the endpoints are still alive.
+func TestBrokenConnectionsOfLiveEndpoints(t *testing.T) {
 	h := newHarness(t)
-	for _, b := range []behaviour{resets, cuts} {
+	for _, b := range []behaviour{resets, truncates} {
 		for _, e := range h.endpoints {
-			e.follow([]behaviour{b})
+			e.setScript([]behaviour{b})
 		}
 		_, err := h.post(`{"model":"chat","prompt":"prompt"}`, nil)
 		assert.NilError(t, err)
@@ -84,8 +84,9 @@
 	}
 }
 
-// TestCompletedRunsClear: a run that completes clears a request of two crashes.
-func TestCompletedRunsClear(t *testing.T) {
+// TestCompletedRunClearsCrashes checks that a completed run clears the crashes recorded for a
+// request.
+func TestCompletedRunClearsCrashes(t *testing.T) {
 	tests := map[string]string{
 		"a whole answer": `{"model":"chat","prompt":"prompt"}`,
 		"a stream":       `{"model":"chat","prompt":"prompt","stream":true}`,
@@ -96,8 +97,8 @@
 			f := quarantine.FingerprintOf("demo", http.MethodPost, "", "/v1/completions", []byte(body))
 			table := h.gateway.Guard().Table()
 			for i := range 2 {
-				ended := now.Add(time.Duration(i-2) * time.Second)
-				table.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended}, now)
+				crashedAt := now.Add(time.Duration(i-2) * time.Second)
+				table.Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: crashedAt, Ended: crashedAt}, now)
 			}
 			assert.Equal(t, table.State(f, now).Crashes, 2)
 			got, err := h.post(body, nil)
@@ -105,7 +106,7 @@
 			assert.Equal(t, got.status, http.StatusOK)
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if crashes := table.State(f, time.Now()).Crashes; crashes > 0 {
-					return poll.Continue("%d crashes are held against it", crashes)
+					return poll.Continue("%d crashes are still recorded", crashes)
 				}
 				return poll.Success()
 			}, poll.WithTimeout(time.Minute))
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -16,14 +16,15 @@
 
 // Headers of requests from callers.
 const (
-	headerKey        = "Idempotency-Key"
-	headerRepeatable = "Quartzshelf-Repeatable"
-	valueNo          = "no"
-	valueYes         = "yes"
-	maxKey           = 255
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRepeatable     = "Quartzshelf-Repeatable"
+	valueNo              = "no"
+	valueYes             = "yes"
+	maxKeyLength         = 255
 )
 
-// request is a caller's request. It holds copies, so it outlives the handler.
+// request is a caller's request. It holds copies of the data because fiber reuses its buffers after
+// the handler has returned.
 type request struct {
 	id      string
 	account *config.Account
@@ -31,61 +32,62 @@
 	path    string
 	header  http.Header
 	body    []byte
-	// key is the caller's key, empty for none.
+	// key is the idempotency key; empty if there is none.
 	key string
-	// repeatable tells whether the request may be run more than once.
+	// repeatable is set if the request may run more than once.
 	repeatable bool
-	start      time.Time
-	// deadline is when the request is given up.
+	arrivedAt  time.Time
+	// deadline is when the gateway abandons the request.
 	deadline time.Time
-	// ctx ends at the deadline or, if the request may be repeated, when the
-	// caller goes away.
+	// ctx ends at the deadline. For a repeatable request, it also ends when the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// priority is the account's.
+	// priority is the priority of the client account.
 	priority int
-	// mayHaveRan tells that some attempt was sent and may have run.
-	mayHaveRan bool
+	// maybeRan is set once an attempt may have run the request.
+	maybeRan bool
 
-	fingerprintOnce sync.Once
-	fingerprintHeld quarantine.Fingerprint
+	fingerprintOnce   sync.Once
+	cachedFingerprint quarantine.Fingerprint
 }
 
-// truthful returns the refusal with what it may say of the whole request: an
-// attempt that was refused says nothing of those before it.
-func (r *request) truthful(f *refusal) *refusal {
+// adjustRan adjusts the refusal of one attempt to the whole request. If an earlier attempt may have
+// run the request, "not run" in the refusal becomes "unknown". adjustRan also records whether this
+// attempt may have run the request.
+func (r *request) adjustRan(f *refusal) *refusal {
 	if f.ran != reason.RanNo {
-		r.mayHaveRan = true
-	} else if r.mayHaveRan {
+		r.maybeRan = true
+	} else if r.maybeRan {
 		f.ran = reason.RanUnknown
 	}
 	return f
 }
 
-// newRequest copies a caller's request and checks who sent it.
+// newRequest authenticates a caller's request, copies it, and checks its size and idempotency key.
+// It refuses all requests while the daemon accepts none.
 func (g *Gateway) newRequest(c *fiber.Ctx) (*request, *refusal) {
 	g.opts.Meter.Request()
 	if why := g.opts.Gate(); why != nil {
-		return nil, refuse(why.Reason, "%s", why.Message).after(retrySoon)
+		return nil, refuse(why.Reason, "%s", why.Message).withRetryAfter(shortRetryAfter)
 	}
-	account, bad := g.authenticate(c)
-	if bad != nil {
-		return nil, bad
+	account, refused := g.authenticate(c)
+	if refused != nil {
+		return nil, refused
 	}
 	r := &request{
-		id:       g.opts.NewID(),
-		account:  account,
-		method:   strings.Clone(c.Method()),
-		path:     strings.Clone(c.OriginalURL()),
-		header:   make(http.Header),
-		body:     append([]byte(nil), c.Body()...),
-		key:      strings.Clone(c.Get(headerKey)),
-		start:    time.Now(),
-		priority: account.Priority(),
+		id:        g.opts.NewID(),
+		account:   account,
+		method:    strings.Clone(c.Method()),
+		path:      strings.Clone(c.OriginalURL()),
+		header:    make(http.Header),
+		body:      append([]byte(nil), c.Body()...),
+		key:       strings.Clone(c.Get(headerIdempotencyKey)),
+		arrivedAt: time.Now(),
+		priority:  account.Priority(),
 	}
-	r.deadline = r.start.Add(requestTimeout)
+	r.deadline = r.arrivedAt.Add(requestTimeout)
 	for name, values := range c.GetReqHeaders() {
-		if !isHopHeader(name) {
+		if !isDroppedHeader(name) {
 			for _, v := range values {
 				r.header.Add(strings.Clone(name), strings.Clone(v))
 			}
@@ -94,8 +96,8 @@
 	if len(r.body) > g.opts.MaxBody {
 		return nil, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBody)
 	}
-	if len(r.key) > maxKey || strings.ContainsAny(r.key, "\x00\n") {
-		return nil, refuse(reason.KeyInvalid, "%s must be at most %d printable characters", headerKey, maxKey)
+	if len(r.key) > maxKeyLength || strings.ContainsAny(r.key, "\x00\n") {
+		return nil, refuse(reason.KeyInvalid, "%s must be at most %d printable characters", headerIdempotencyKey, maxKeyLength)
 	}
 	return r, nil
 }
@@ -112,24 +114,25 @@
 	return account, nil
 }
 
-// begin gives the request its context. A request that must not be repeated
-// goes on when its caller has gone, so that its outcome becomes known.
-func (r *request) begin(c *fiber.Ctx) {
+// startContext sets the request's context. A request that must not be repeated continues after its
+// caller has disconnected, so that its outcome can be recorded.
+func (r *request) startContext(c *fiber.Ctx) {
 	r.ctx, r.cancel = context.WithDeadline(context.Background(), r.deadline)
 	if r.repeatable {
-		watchHangup(r.ctx, c.Context().Conn(), r.cancel)
+		watchDisconnect(r.ctx, c.Context().Conn(), r.cancel)
 	}
 }
 
-// hopHeaders belong to one connection or to this system and are not passed on.
-var hopHeaders = []string{
+// droppedHeaders are the headers that are not forwarded to endpoints. These are hop-by-hop headers,
+// credentials and headers that the gateway sets itself.
+var droppedHeaders = []string{
 	"Authorization", "Connection", "Content-Length", "Host", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
-	"Engine-Request", "Engine-Assignment", "Engine-Started", "Engine-Priority", headerKey,
+	"Engine-Request", "Engine-Assignment", "Engine-Started", "Engine-Priority", headerIdempotencyKey,
 }
 
-func isHopHeader(name string) bool {
-	for _, h := range hopHeaders {
+func isDroppedHeader(name string) bool {
+	for _, h := range droppedHeaders {
 		if strings.EqualFold(name, h) {
 			return true
 		}
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -15,30 +15,31 @@
 	"quartzshelf.dev/config"
 )
 
-// callService passes a call on to a plain service.
-func (g *Gateway) callService(c *fiber.Ctx) error {
-	r, bad := g.newRequest(c)
-	if bad != nil {
-		return g.refuse(c, bad)
+// handleServiceCall forwards a call to a service.
+func (g *Gateway) handleServiceCall(c *fiber.Ctx) error {
+	r, refused := g.newRequest(c)
+	if refused != nil {
+		return g.writeRefusal(c, refused)
 	}
 	c.Set(headerRequest, r.id)
 	name := c.Params("name")
 	service, ok := g.opts.Config().Service(name)
 	if !ok || !service.Allows(r.account) {
-		return g.refuse(c, refuse(reason.UnknownService, "the service %q does not exist or is not open to this account", name))
+		return g.writeRefusal(c, refuse(reason.UnknownService, "the service %q does not exist or is not open to this account", name))
 	}
 	if ok, wait := g.opts.Limiter.Allow(r.account.Name(), r.account.RequestsPerSecond()); !ok {
-		return g.refuse(c, refuse(reason.AccountLimit, "client account %q is over its limit", r.account.Name()).after(wait))
+		return g.writeRefusal(c, refuse(reason.AccountLimit, "client account %q is over its limit", r.account.Name()).withRetryAfter(wait))
 	}
 	r.path = "/" + strings.TrimPrefix(strings.TrimPrefix(r.path, "/services/"+service.Name()), "/")
 	r.repeatable = isRepeatable(service, r)
-	g.budget.earn()
-	r.begin(c)
-	return g.run(c, r, g.chooseEndpoint(r, service), false)
+	g.retryBudget.addRequest()
+	r.startContext(c)
+	return g.serveRequest(c, r, g.chooseEndpoint(r, service), false)
 }
 
-// isRepeatable reports whether a call may be run more than once: what the
-// service declares goes first, then what the caller says, then the method.
+// isRepeatable reports whether a call may run more than once. It may not if the service's
+// configuration forbids it or the call has an idempotency key. Otherwise the caller's header
+// decides. Without the header, the HTTP method decides.
 func isRepeatable(s config.Service, r *request) bool {
 	path, _, _ := strings.Cut(r.path, "?")
 	if !s.Repeatable(r.method, path) || r.key != "" {
@@ -53,47 +54,47 @@
 	return r.method != http.MethodPost && r.method != http.MethodPatch
 }
 
-// chooseEndpoint returns a chooser over the endpoints of a service: the one
-// with the fewest of this daemon's requests of two random ones.
+// chooseEndpoint returns a chooser for the endpoints of a service. The chooser picks two endpoints
+// at random and takes the one with fewer requests in flight from this daemon.
 func (g *Gateway) chooseEndpoint(r *request, s config.Service) chooser {
 	return func(tried map[string]bool) (*target, *refusal) {
-		allowed := r.allowed(s.AllowedRegions())
-		endpoints, passed := g.endpointsOf(s, allowed, tried)
-		g.countPassed(passed)
+		allowed := r.allowedRegions(s.AllowedRegions())
+		endpoints, passedOver := g.eligibleEndpoints(s, allowed, tried)
+		g.countPassedOver(passedOver)
 		if len(endpoints) == 0 {
-			refused := g.refuseWithout(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passed)
-			g.decisions.Add(r.id, refusedDecision(r, s.Name(), refused, passed))
+			refused := g.refuseWithout(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passedOver)
+			g.decisions.Add(r.id, newRefusalDecision(r, s.Name(), refused, passedOver))
 			return nil, refused
 		}
-		chosen := g.lessBusy(endpoints)
+		chosen := g.pickLessBusy(endpoints)
 		return &target{
 			id:      chosen.ID(),
 			address: chosen.Address(),
 			mayServe: func(now time.Time) bool {
 				return chosen.MayServe(now) && g.opts.Config().KeptOut(chosen.DataHall(), allowed...) == ""
 			},
-			finish: g.inflight.Start(chosen.ID(), r.account.Name()),
+			finish: g.inFlight.Start(chosen.ID(), r.account.Name()),
 		}, nil
 	}
 }
 
-func (g *Gateway) lessBusy(endpoints []catalog.Endpoint) catalog.Endpoint {
+func (g *Gateway) pickLessBusy(endpoints []catalog.Endpoint) catalog.Endpoint {
 	a := endpoints[rand.IntN(len(endpoints))]
 	b := endpoints[rand.IntN(len(endpoints))]
-	ownA, _ := g.inflight.Observe(a.ID(), time.Time{})
-	ownB, _ := g.inflight.Observe(b.ID(), time.Time{})
-	if ownB < ownA {
+	inFlightA, _ := g.inFlight.Observe(a.ID(), time.Time{})
+	inFlightB, _ := g.inFlight.Observe(b.ID(), time.Time{})
+	if inFlightB < inFlightA {
 		return b
 	}
 	return a
 }
 
-// endpointsOf returns the endpoints that may take the call now, and what kept the
-// others out.
-func (g *Gateway) endpointsOf(s config.Service, allowed []config.Regions, tried map[string]bool) ([]catalog.Endpoint, PassedOver) {
+// eligibleEndpoints returns the endpoints that may get the call now, and counts the excluded ones
+// by reason.
+func (g *Gateway) eligibleEndpoints(s config.Service, allowed []config.Regions, tried map[string]bool) ([]catalog.Endpoint, PassedOver) {
 	view, now := g.opts.Config(), time.Now()
 	var all []catalog.Endpoint
-	var passed PassedOver
+	var passedOver PassedOver
 	for _, e := range g.opts.Catalog.Endpoints() {
 		labels := view.NodeLabels(e.ID(), map[string]string{
 			config.LabelDomain: e.Domain(), config.LabelDataHall: e.DataHall(),
@@ -104,18 +105,18 @@
 		}
 		switch why := view.KeptOut(e.DataHall(), allowed...); {
 		case why != "":
-			passed = passed.add(why)
+			passedOver = passedOver.add(why)
 		case tried[e.ID()]:
-			passed = passed.add(reason.Tried)
+			passedOver = passedOver.add(reason.Tried)
 		case isResting(g.rests, e.ID(), now):
-			passed = passed.add(reason.Resting)
+			passedOver = passedOver.add(reason.Resting)
 		case labels[config.LabelDrain] == config.LabelTrue:
-			passed = passed.add(reason.Leaving)
+			passedOver = passedOver.add(reason.Leaving)
 		case !e.MayServe(now):
-			passed = passed.add(reason.Suspected)
+			passedOver = passedOver.add(reason.Suspected)
 		default:
 			all = append(all, e)
 		}
 	}
-	return all, passed
+	return all, passedOver
 }
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -16,68 +16,77 @@
 	"quartzshelf.dev/placement"
 )
 
-// Timing of a controller.
+// Intervals, timeouts and limits of a controller.
 const (
-	tickEvery   = 500 * time.Millisecond
-	listEvery   = 2 * time.Second
-	listTimeout = time.Second
-	// listFresh is how old the node list may be for a daemon to begin to lead:
-	// from an older one it would not know which nodes are leaving.
-	listFresh = 3500 * time.Millisecond
-	// yieldAfter is how long a leader may fail to reach most nodes before it lets
-	// another daemon lead, and yieldFor for how long it then does not.
-	yieldAfter = 5 * time.Second
-	yieldFor   = 20 * time.Second
-	// regainLimit bounds the wait for the node list after nodes are reached again.
-	regainLimit = 10 * time.Second
-	// listOutage is how long a domain must have been without a current report
-	// before a daemon leads it by an older list: then nobody has a newer one.
-	listOutage   = 4 * time.Second
-	probeTimeout = 400 * time.Millisecond
-	orderTimeout = 2 * time.Second
-	// probeFresh is how old the probe may be on which an order rests.
-	probeFresh = time.Second
-	// loseAfter is how long a node may be silent before it is given up. Its
-	// replica is dark meanwhile, so more patience costs both measures; see
-	// docs/MEASUREMENTS.md.
-	loseAfter = 1500 * time.Millisecond
-	// loseManyAfter is the same when more than half of a domain falls silent at
-	// once: then the fault may be on the way to it.
-	loseManyAfter = 5 * time.Second
-	// renewals is how often a permit is renewed while it lasts.
-	renewals     = 6
-	proposeEvery = 2 * time.Second
-	// rebalanceAfter is how long another daemon must be better placed to own a
-	// domain before it gets it.
-	rebalanceAfter = 30 * time.Second
-	// proposeTimeout bounds the append of a grant.
+	tickInterval = 500 * time.Millisecond
+	listInterval = 2 * time.Second
+	listTimeout  = time.Second
+	// maxListAge is the maximum age of the node list with which a daemon begins to lead a domain. A
+	// daemon with an older list might not know which nodes are leaving.
+	maxListAge = 3500 * time.Millisecond
+	// yieldTimeout is how long a leader may fail to reach most of its nodes before it steps down.
+	// It does not lead the domain again for yieldDuration.
+	yieldTimeout  = 5 * time.Second
+	yieldDuration = 20 * time.Second
+	// maxListWaitAfterRegain limits how long a leader waits for a new node list after it has
+	// regained contact with most nodes. The wait is counted from the last probe that failed to
+	// reach most nodes.
+	maxListWaitAfterRegain = 10 * time.Second
+	// reportOverdueAfter is the time from the deadline of a domain's last report until the report
+	// counts as overdue. A daemon may then begin to lead the domain even with an old node list.
+	reportOverdueAfter = 4 * time.Second
+	probeTimeout       = 400 * time.Millisecond
+	orderTimeout       = 2 * time.Second
+	// maxProbeAge is the maximum age of the probe that orders are based on.
+	maxProbeAge = time.Second
+	// lostTimeout is how long a node may be silent before it counts as lost. Its replica can't
+	// serve during that time.
+	lostTimeout = 1500 * time.Millisecond
+	// lostTimeoutMajority replaces lostTimeout if more than half of a domain's nodes are silent.
+	// The cause is then more likely to be the network than the nodes.
+	lostTimeoutMajority = 5 * time.Second
+	// renewalsPerWindow is the number of times that an unchanged report is published again within
+	// one serve window.
+	renewalsPerWindow = 6
+	// proposeInterval is the minimum interval between two proposals of a grant for a domain.
+	proposeInterval = 2 * time.Second
+	// rebalanceDelay is how long another daemon must be the preferred owner of a domain before the
+	// domain is handed over.
+	rebalanceDelay = 30 * time.Second
+	// proposeTimeout limits how long an append of a grant to the log may take.
 	proposeTimeout = 3 * time.Second
-	// loadLag is how old a load report may be.
-	loadLag = 2 * time.Second
-	// drainLimit is how long requests in flight may hold up a planned move.
-	drainLimit = 10 * time.Minute
-	// staleSupply is how long a domain counts after its report has run out.
-	staleSupply = 30 * time.Second
-	// unfencedLease and unfencedMargin bound orders to nodes that do not check tokens.
+	// maxLoadAge is the maximum age of the load that a replica reports. A drain takes at least the
+	// sum of the serve window and maxLoadAge. The reported load then includes the last requests
+	// that the replica accepted.
+	maxLoadAge = 2 * time.Second
+	// drainTimeout is the maximum time for which requests in flight delay the reassignment of a
+	// replica's nodes.
+	drainTimeout = 10 * time.Minute
+	// supplyRetention is how long a domain's nodes and replicas still count as supply for
+	// deployments after the deadline of the domain's last report.
+	supplyRetention = 30 * time.Second
+	// unfencedLease is how long after its last read of the grant log an owner may send orders to
+	// nodes that don't check tokens. A new owner waits for unfencedLease and unfencedMargin before
+	// it sends such orders. The margin covers a pause of the previous owner's process.
 	unfencedLease  = 5 * time.Second
 	unfencedMargin = 2 * time.Second
-	// probeParallel is how many nodes of a domain are asked at a time.
-	probeParallel = 64
+	// maxParallelCalls is the maximum number of concurrent calls to the nodes of a domain.
+	maxParallelCalls = 64
 )
 
-// DefaultServeWindow is how long after the start of a probe a replica may
-// serve. It is longer than a deputy takes to take over, so that the loss of a
-// daemon does not darken replicas.
+// DefaultServeWindow is how long a replica may serve after the start of the probe that confirmed
+// it. It is longer than another daemon needs to take over the domain, so that replicas keep serving
+// when a daemon fails.
 const DefaultServeWindow = 6 * time.Second
 
-// Members is what the controller asks of membership.
+// Members provides the membership information that the controller needs.
 type Members interface {
-	// Gone reports whether a daemon is dead or has departed.
-	Gone(id string) bool
-	// Leaving reports whether a daemon has begun a planned stop.
-	Leaving(id string) bool
-	// Candidates returns the daemons that are alive and staying; those in the
-	// data hall are marked as local.
+	// IsGone reports whether a daemon is dead or has left.
+	IsGone(id string) bool
+	// IsLeaving reports whether a daemon has begun a planned shutdown.
+	IsLeaving(id string) bool
+	// Candidates returns the daemons that are alive and not leaving. Those in the given data hall
+	// are marked as local.
 	Candidates(dataHall string) []ownership.Candidate
 }
 
@@ -89,49 +98,53 @@
 	Control cluster.NodeControl
 	Catalog *catalog.Catalog
 	Members Members
-	// Ownership holds the grants; AppendGrant appends one and returns once it
-	// is folded.
+	// Ownership holds the grants. A grant names the owner and the deputies of a domain. AppendGrant
+	// appends a grant to the log and returns once the grant has been applied to Ownership.
 	Ownership   *ownership.State
 	AppendGrant func(ctx context.Context, record json.RawMessage) error
-	// OwnershipConfirmed returns when the newest successful read of the stream
-	// of grants began.
+	// OwnershipConfirmed returns when the latest successful read of the grant log began.
 	OwnershipConfirmed func() time.Time
-	ServeWindow        time.Duration
-	// LoadSlots is how many replicas of a domain may load weights at a time.
+	// ServeWindow is how long a replica may serve after the start of the probe that confirmed it.
+	// If it is zero, DefaultServeWindow applies.
+	ServeWindow time.Duration
+	// LoadSlots is the maximum number of replicas in a domain that load weights at the same time.
+	// Zero means no limit.
 	LoadSlots int
 	Logger    hclog.Logger
 }
 
-// Controller looks after the domains that this daemon owns.
+// Controller manages the domains that this daemon owns.
 type Controller struct {
-	opts       Options
-	done       chan struct{}
+	opts Options
+	done chan struct{}
+	// background runs the appends of grants.
 	background conc.WaitGroup
 
-	mu     sync.Mutex
-	listed map[string][]cluster.ListedNode
-	// listedAt is when the newest successful read of the node list began.
+	mu            sync.Mutex
+	nodesByDomain map[string][]cluster.ListedNode
+	// listedAt is when the latest successful read of the node list began.
 	listedAt time.Time
 	// listFailedAt is when a read of the node list last failed.
 	listFailedAt time.Time
-	plans        map[string]placement.Plan
+	// plans holds the latest plan of each domain that this daemon has led.
+	plans map[string]placement.Plan
 }
 
-// NewController returns a controller; Run makes it work.
+// NewController returns a controller. Call Run to start it.
 func NewController(opts Options) *Controller {
 	if opts.ServeWindow == 0 {
 		opts.ServeWindow = DefaultServeWindow
 	}
 	return &Controller{
 		opts: opts, done: make(chan struct{}),
-		listed: make(map[string][]cluster.ListedNode), plans: make(map[string]placement.Plan),
+		nodesByDomain: make(map[string][]cluster.ListedNode), plans: make(map[string]placement.Plan),
 	}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (c *Controller) Done() <-chan struct{} { return c.done }
 
-// Plan returns the last plan made for a domain that this daemon leads.
+// Plan returns the latest plan for a domain that this daemon leads or has led.
 func (c *Controller) Plan(domain string) (placement.Plan, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,13 +152,13 @@
 	return p, ok
 }
 
-func (c *Controller) remember(domain string, p placement.Plan) {
+func (c *Controller) storePlan(domain string, p placement.Plan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.plans[domain] = p
 }
 
-// Run looks after domains until ctx ends.
+// Run manages domains until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	var group conc.WaitGroup
@@ -155,10 +168,9 @@
 	c.background.Wait()
 }
 
-// pollList reads the node list again and again. While it cannot be read, the
-// last one stands.
+// pollList reads the node list periodically. If a read fails, the previous list remains in use.
 func (c *Controller) pollList(ctx context.Context) {
-	ticker := time.NewTicker(listEvery)
+	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		c.readList(ctx)
@@ -175,7 +187,7 @@
 	start := time.Now()
 	nodes, err := c.opts.List.Nodes(ctx)
 	if err != nil {
-		c.opts.Logger.Debug("node list not read", "error", err)
+		c.opts.Logger.Debug("cannot read the node list", "error", err)
 		c.mu.Lock()
 		c.listFailedAt = time.Now()
 		c.mu.Unlock()
@@ -187,48 +199,48 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for domain := range c.listed {
-		// A domain whose nodes all left the list is still looked after.
+	for domain := range c.nodesByDomain {
+		// A domain remains managed when the list no longer contains any of its nodes.
 		if _, ok := byDomain[domain]; !ok {
 			byDomain[domain] = nil
 		}
 	}
-	c.listed, c.listedAt = byDomain, start
+	c.nodesByDomain, c.listedAt = byDomain, start
 }
 
-// heldUp reports whether the node list is old though no read of it has failed:
-// then this process was held up, and must read the list before it reports.
-func (c *Controller) heldUp(now time.Time) bool {
+// wasSuspended reports whether the node list is old although no read has failed recently. The
+// process was then suspended, and must read the list again before it publishes reports.
+func (c *Controller) wasSuspended(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.After(c.listedAt.Add(listFresh)) && now.After(c.listFailedAt.Add(listFresh))
+	return now.After(c.listedAt.Add(maxListAge)) && now.After(c.listFailedAt.Add(maxListAge))
 }
 
-// listReadAt returns when the newest successful read of the node list began.
+// listReadAt returns when the latest successful read of the node list began.
 func (c *Controller) listReadAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.listedAt
 }
 
-// tickDomains ticks every domain, each in its own goroutine so that a slow one
-// does not hold up the others.
+// tickDomains wakes each domain at every tick. Domains run in separate goroutines so that a slow
+// one doesn't delay the others.
 func (c *Controller) tickDomains(ctx context.Context) {
-	domains := make(map[string]chan struct{})
+	wakeByDomain := make(map[string]chan struct{})
 	var group conc.WaitGroup
 	defer group.Wait()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		for _, name := range c.domainNames() {
-			if _, ok := domains[name]; ok {
+			if _, ok := wakeByDomain[name]; ok {
 				continue
 			}
 			wake := make(chan struct{}, 1)
-			domains[name] = wake
+			wakeByDomain[name] = wake
 			group.Go(func() { c.runDomain(ctx, name, wake) })
 		}
-		for _, wake := range domains {
+		for _, wake := range wakeByDomain {
 			select {
 			case wake <- struct{}{}:
 			default:
@@ -244,8 +256,8 @@
 func (c *Controller) domainNames() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	names := make([]string, 0, len(c.listed))
-	for name := range c.listed {
+	names := make([]string, 0, len(c.nodesByDomain))
+	for name := range c.nodesByDomain {
 		names = append(names, name)
 	}
 	return names
@@ -256,29 +268,30 @@
 	for {
 		select {
 		case <-wake:
-			d.tick(ctx, c.listedIn(name))
+			d.tick(ctx, c.listedNodes(name))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Controller) listedIn(domain string) []cluster.ListedNode {
+func (c *Controller) listedNodes(domain string) []cluster.ListedNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.listed[domain]
+	return c.nodesByDomain[domain]
 }
 
-// appendGrant appends a grant. Whether it won is seen by folding it.
+// appendGrant appends a grant to the log. The grant may not take effect, because a concurrent grant
+// may come before it in the log.
 func (c *Controller) appendGrant(ctx context.Context, record ownership.Record) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	data, err := json.Marshal(record)
 	if err != nil {
-		c.opts.Logger.Error("grant not encoded", "domain", record.Domain, "error", err)
+		c.opts.Logger.Error("cannot encode the grant", "domain", record.Domain, "error", err)
 		return
 	}
 	if err := c.opts.AppendGrant(ctx, data); err != nil {
-		c.opts.Logger.Debug("grant not appended", "domain", record.Domain, "error", err)
+		c.opts.Logger.Debug("cannot append the grant", "domain", record.Domain, "error", err)
 	}
 }
--- a/replica/domain_test.go
+++ b/replica/domain_test.go
@@ -11,18 +11,18 @@
 	"quartzshelf.dev/cluster"
 )
 
-// TestDomainThatSpansHalls lists nodes of one domain in two data halls: every daemon
-// takes the same hall, and says so once.
+// TestDomainThatSpansHalls checks that a domain listed in two data halls gets the same data hall
+// whatever the order of the list. The warning must be logged only once.
 func TestDomainThatSpansHalls(t *testing.T) {
-	row := func(id, hall string) cluster.ListedNode { return cluster.ListedNode{ID: id, DataHall: hall} }
+	newListedNode := func(id, hall string) cluster.ListedNode { return cluster.ListedNode{ID: id, DataHall: hall} }
 	cases := map[string]struct {
-		listed []cluster.ListedNode
-		hall   string
-		warned bool
+		listed      []cluster.ListedNode
+		wantHall    string
+		wantWarning bool
 	}{
-		"one hall":         {[]cluster.ListedNode{row("n1", "a"), row("n2", "a")}, "a", false},
-		"two halls":        {[]cluster.ListedNode{row("n1", "a"), row("n2", "b")}, "a", true},
-		"in another order": {[]cluster.ListedNode{row("n2", "b"), row("n1", "a")}, "a", true},
+		"one hall":         {[]cluster.ListedNode{newListedNode("n1", "a"), newListedNode("n2", "a")}, "a", false},
+		"two halls":        {[]cluster.ListedNode{newListedNode("n1", "a"), newListedNode("n2", "b")}, "a", true},
+		"in another order": {[]cluster.ListedNode{newListedNode("n2", "b"), newListedNode("n1", "a")}, "a", true},
 		"nothing listed":   {nil, "as before", false},
 	}
 	for name, c := range cases {
@@ -32,14 +32,14 @@
 			d := newDomain(controller, "fabric-1")
 			d.dataHall = "as before"
 			for range 3 {
-				d.remember(c.listed)
+				d.updateNodes(c.listed)
 			}
-			assert.Equal(t, d.dataHall, c.hall)
-			lines := 0
-			if c.warned {
-				lines = 1
+			assert.Equal(t, d.dataHall, c.wantHall)
+			wantLines := 0
+			if c.wantWarning {
+				wantLines = 1
 			}
-			assert.Equal(t, strings.Count(log.String(), "domain spans data halls"), lines, log.String())
+			assert.Equal(t, strings.Count(log.String(), "domain spans data halls"), wantLines, log.String())
 		})
 	}
 }
--- a/replica/grant.go
+++ b/replica/grant.go
@@ -7,45 +7,46 @@
 	"quartzshelf.dev/ownership"
 )
 
-// propose appends a new grant in the background, now and then at the most.
+// propose appends a new grant to the log in the background. It does nothing if there are no holders
+// or the last proposal was made less than proposeInterval ago.
 func (d *domain) propose(ctx context.Context, grant ownership.Grant, holders []string) {
 	now := time.Now()
-	if now.Before(d.proposeNext) || len(holders) == 0 {
+	if now.Before(d.nextProposalAt) || len(holders) == 0 {
 		return
 	}
-	d.proposeNext = now.Add(proposeEvery)
+	d.nextProposalAt = now.Add(proposeInterval)
 	record := ownership.Record{Domain: d.name, Replaces: grant.Epoch(), Holders: holders}
-	d.c.background.Go(func() { d.c.appendGrant(ctx, record) })
+	d.controller.background.Go(func() { d.controller.appendGrant(ctx, record) })
 }
 
-// bestHolders returns the holders that a new grant should name.
-func (d *domain) bestHolders() []string {
-	return ownership.Holders(d.name, d.c.opts.Members.Candidates(d.dataHall))
+// proposedHolders returns the daemons for a new grant, the owner first and then the deputies.
+func (d *domain) proposedHolders() []string {
+	return ownership.Holders(d.name, d.controller.opts.Members.Candidates(d.dataHall))
 }
 
-// rebalance hands the domain to the daemon that is best placed for it once
-// that has been the same one for a while. Without it, the survivors of
-// failures would own ever more domains.
+// rebalance proposes a grant to another daemon once that daemon has been the preferred owner for
+// rebalanceDelay. Without rebalancing, the daemons that survive failures would accumulate domains.
 func (d *domain) rebalance(ctx context.Context, grant ownership.Grant) {
-	best := d.bestHolders()
-	if len(best) == 0 || best[0] == d.c.opts.Self {
+	preferredHolders := d.proposedHolders()
+	if len(preferredHolders) == 0 || preferredHolders[0] == d.controller.opts.Self {
 		d.rebalanceAt = time.Time{}
 		return
 	}
 	now := time.Now()
 	if d.rebalanceAt.IsZero() {
-		d.rebalanceAt = now.Add(rebalanceAfter)
+		d.rebalanceAt = now.Add(rebalanceDelay)
 	}
 	if now.After(d.rebalanceAt) {
 		d.rebalanceAt = time.Time{}
-		d.propose(ctx, grant, best)
+		d.propose(ctx, grant, preferredHolders)
 	}
 }
 
-// selfFirst puts this daemon first unless it is leaving: it knows the domain.
-func (d *domain) selfFirst(holders []string) []string {
-	self := d.c.opts.Self
-	if d.c.opts.Members.Leaving(self) {
+// withSelfFirst returns the holders with this daemon first, because it already has the state of the
+// domain. If this daemon is leaving, it returns the holders unchanged.
+func (d *domain) withSelfFirst(holders []string) []string {
+	self := d.controller.opts.Self
+	if d.controller.opts.Members.IsLeaving(self) {
 		return holders
 	}
 	ordered := []string{self}
--- a/replica/order.go
+++ b/replica/order.go
@@ -12,44 +12,45 @@
 	"quartzshelf.dev/placement"
 )
 
-// outgoing is an order about to be sent.
-type outgoing struct {
-	memory *nodeMemory
+// pendingOrder is an order to be sent to a node.
+type pendingOrder struct {
+	node   *trackedNode
 	order  cluster.Order
 	reason string
 }
 
-// orders turns a plan into the orders that may go out now. Replicas that are
-// intact are drained first; their orders wait.
-func (d *domain) orders(plan placement.Plan, groups []observed, now time.Time) []outgoing {
-	intact := intactByNode(groups)
-	wasDraining := d.drains
+// planOrders returns the orders of a plan that may be sent now. Orders that affect an intact
+// replica are delayed until it is drained.
+func (d *domain) planOrders(plan placement.Plan, replicas []observedReplica, now time.Time) []pendingOrder {
+	intactReplicas := intactReplicasByNode(replicas)
+	previousDrains := d.drains
 	d.drains = make(map[string]drain)
-	for id, state := range wasDraining {
-		if touched(plan, intact, id) {
+	for id, state := range previousDrains {
+		if movesReplica(plan, intactReplicas, id) {
 			d.drains[id] = state
 		}
 	}
-	var all []outgoing
+	var all []pendingOrder
 	for _, f := range plan.Formations {
-		all = append(all, d.formationOrders(f, intact, now)...)
+		all = append(all, d.formationOrders(f, intactReplicas, now)...)
 	}
 	for _, step := range plan.Releases {
-		if d.mayRelease(step, intact, now) {
-			all = append(all, d.prepare(step.Node, step.Assignment, step.Reason))
+		if d.mayRelease(step, intactReplicas, now) {
+			all = append(all, d.newOrder(step.Node, step.Assignment, step.Reason))
 		}
 	}
-	all = append(all, d.preloads(plan, all)...)
-	return append(all, d.reaffirmations(all)...)
+	all = append(all, d.preloadOrders(plan, all)...)
+	return append(all, d.reaffirmOrders(all)...)
 }
 
-// preloads returns the orders that let nodes fetch weights beside their work.
-func (d *domain) preloads(plan placement.Plan, sent []outgoing) []outgoing {
-	busy := nodesOf(sent)
-	var all []outgoing
+// preloadOrders returns orders that make nodes fetch weights in advance, without a change of
+// assignment. Nodes that have a planned order are left out.
+func (d *domain) preloadOrders(plan placement.Plan, planned []pendingOrder) []pendingOrder {
+	hasOrder := orderedNodes(planned)
+	var all []pendingOrder
 	for _, p := range plan.Preloads {
-		if !busy[p.Node] {
-			o := d.prepare(p.Node, d.nodes[p.Node].state.Assignment, p.Reason)
+		if !hasOrder[p.Node] {
+			o := d.newOrder(p.Node, d.nodes[p.Node].state.Assignment, p.Reason)
 			o.order.Preload = []string{p.Version}
 			all = append(all, o)
 		}
@@ -57,52 +58,54 @@
 	return all
 }
 
-// nodesOf returns the nodes that the orders are for.
-func nodesOf(orders []outgoing) map[string]bool {
+// orderedNodes returns the IDs of the nodes that the orders are for.
+func orderedNodes(orders []pendingOrder) map[string]bool {
 	nodes := make(map[string]bool, len(orders))
 	for _, o := range orders {
-		nodes[o.memory.listed.ID] = true
+		nodes[o.node.listed.ID] = true
 	}
 	return nodes
 }
 
-// intactByNode returns, for each node of an intact replica that is not run by
-// scripts, the replica.
-func intactByNode(groups []observed) map[string]observed {
-	intact := make(map[string]observed)
-	for _, o := range groups {
-		if !o.intact() || o.scripted {
+// intactReplicasByNode returns the intact replicas by the IDs of their nodes. Replicas managed by
+// scripts are left out.
+func intactReplicasByNode(replicas []observedReplica) map[string]observedReplica {
+	intactReplicas := make(map[string]observedReplica)
+	for _, o := range replicas {
+		if !o.isIntact() || o.isScripted {
 			continue
 		}
 		for _, m := range o.members {
-			intact[m.listed.ID] = o
+			intactReplicas[m.listed.ID] = o
 		}
 	}
-	return intact
+	return intactReplicas
 }
 
-// mayRelease reports whether a node may be freed now.
-func (d *domain) mayRelease(step placement.Step, intact map[string]observed, now time.Time) bool {
-	if o, ok := intact[step.Node]; ok && !d.drained(o, now) {
+// mayRelease reports whether a node may be released now. If the node belongs to an intact replica,
+// the first call starts to drain the replica.
+func (d *domain) mayRelease(step placement.Step, intactReplicas map[string]observedReplica, now time.Time) bool {
+	if o, ok := intactReplicas[step.Node]; ok && !d.ensureDrained(o, now) {
 		return false
 	}
-	return len(d.guards(step.Node, now)) == 0
+	return len(d.blockingPermits(step.Node, now)) == 0
 }
 
-// touched reports whether the plan moves a node of the intact replica.
-func touched(plan placement.Plan, intact map[string]observed, replica string) bool {
-	of := func(step placement.Step) bool {
-		o, ok := intact[step.Node]
-		return ok && o.id == replica
+// movesReplica reports whether the plan reassigns or releases a node of the intact replica with the
+// given ID.
+func movesReplica(plan placement.Plan, intactReplicas map[string]observedReplica, replicaID string) bool {
+	isMember := func(step placement.Step) bool {
+		o, ok := intactReplicas[step.Node]
+		return ok && o.id == replicaID
 	}
 	for _, step := range plan.Releases {
-		if of(step) {
+		if isMember(step) {
 			return true
 		}
 	}
 	for _, f := range plan.Formations {
 		for _, step := range f.Steps {
-			if of(step) {
+			if isMember(step) {
 				return true
 			}
 		}
@@ -110,124 +113,126 @@
 	return false
 }
 
-// formationOrders returns the orders of a formation, or none while a replica
-// that has to give up nodes for it is still being drained.
-func (d *domain) formationOrders(f placement.Formation, intact map[string]observed, now time.Time) []outgoing {
-	ready := true
+// formationOrders returns the orders of a formation. It returns none while a replica that loses
+// nodes to the formation is draining. While a permit blocks a step, it returns only release orders,
+// or none.
+func (d *domain) formationOrders(f placement.Formation, intactReplicas map[string]observedReplica, now time.Time) []pendingOrder {
+	allDrained := true
 	for _, step := range f.Steps {
-		if o, ok := intact[step.Node]; ok && !d.drained(o, now) {
-			ready = false
+		if o, ok := intactReplicas[step.Node]; ok && !d.ensureDrained(o, now) {
+			allDrained = false
 		}
 	}
-	if !ready {
+	if !allDrained {
 		return nil
 	}
-	if first := d.releaseGuards(f.Steps, now); first != nil || d.guarded(f.Steps, now) {
-		return first
+	if releases := d.releaseOrders(f.Steps, now); releases != nil || d.isBlocked(f.Steps, now) {
+		return releases
 	}
-	generation := generationOf(d.next())
-	all := make([]outgoing, 0, len(f.Steps))
+	generation := generationOf(d.nextToken())
+	all := make([]pendingOrder, 0, len(f.Steps))
 	for _, step := range f.Steps {
 		step.Assignment.Generation = generation
-		all = append(all, d.prepare(step.Node, step.Assignment, step.Reason))
+		all = append(all, d.newOrder(step.Node, step.Assignment, step.Reason))
 	}
-	d.c.opts.Logger.Info("forming replica", "replica", f.Replica, "generation", generation, "reason", f.Reason)
+	d.controller.opts.Logger.Info("forming replica", "replica", f.Replica, "generation", generation, "reason", f.Reason)
 	return all
 }
 
-// guarded reports whether a step must wait for a permit to run out.
-func (d *domain) guarded(steps []placement.Step, now time.Time) bool {
-	return slices.ContainsFunc(steps, func(s placement.Step) bool { return len(d.guards(s.Node, now)) > 0 })
+// isBlocked reports whether any step must wait for a permit to expire.
+func (d *domain) isBlocked(steps []placement.Step, now time.Time) bool {
+	return slices.ContainsFunc(steps, func(s placement.Step) bool { return len(d.blockingPermits(s.Node, now)) > 0 })
 }
 
-// releaseGuards returns orders that free the answering nodes of broken
-// replicas whose permits hold up the steps. Once those nodes have confirmed,
-// the steps need not wait for the permits to run out.
-func (d *domain) releaseGuards(steps []placement.Step, now time.Time) []outgoing {
-	freed := make(map[string]bool)
-	var all []outgoing
+// releaseOrders returns orders that release the leader nodes of broken replicas whose permits block
+// the steps. Once a leader node has confirmed its release, the permit of its replica no longer
+// blocks.
+func (d *domain) releaseOrders(steps []placement.Step, now time.Time) []pendingOrder {
+	alreadyReleased := make(map[string]bool)
+	var all []pendingOrder
 	for _, step := range steps {
-		for _, p := range d.guards(step.Node, now) {
-			leader := p.assignment.Members[0]
-			m, known := d.nodes[leader]
-			if freed[leader] || !known || !m.answered || !m.fenced() {
+		for _, p := range d.blockingPermits(step.Node, now) {
+			leaderID := p.assignment.Members[0]
+			m, known := d.nodes[leaderID]
+			if alreadyReleased[leaderID] || !known || !m.answered || !m.isFenced() {
 				continue
 			}
-			freed[leader] = true
-			all = append(all, d.prepare(leader, cluster.Assignment{}, "free a broken replica before its nodes move"))
+			alreadyReleased[leaderID] = true
+			all = append(all, d.newOrder(leaderID, cluster.Assignment{}, "free a broken replica before its nodes move"))
 		}
 	}
 	return all
 }
 
-// Bits of a generation that hold the epoch, the rank and the sequence.
+// rankBits and sequenceBits are the numbers of bits of the rank and the sequence in a generation.
+// The epoch takes the higher bits.
 const (
 	rankBits     = 12
 	sequenceBits = 28
 )
 
-// generationOf returns the generation that a token stands for: as a token is
-// used once, no two formations share a generation, and later ones are higher.
-// It is reported in JSON, so it must stay below 2^63.
+// generationOf returns the generation for a token. Each token is used once, so generations are
+// unique, and later ones are higher. They are reported in JSON and must stay below 2^63.
 func generationOf(t token.Token) uint64 {
 	rank := uint64(t.Rank) & (1<<rankBits - 1)
 	sequence := t.Sequence & (1<<sequenceBits - 1)
 	return t.Epoch<<(rankBits+sequenceBits) | rank<<sequenceBits | sequence
 }
 
-// reaffirmations returns orders that repeat, under this leader's token, the
-// assignment of each node that still holds an older one. They disturb nothing
-// and fence off the orders of earlier leaders.
-func (d *domain) reaffirmations(sent []outgoing) []outgoing {
-	busy := nodesOf(sent)
-	var all []outgoing
+// reaffirmOrders returns orders that repeat the current assignment of nodes that have not confirmed
+// this leader, except nodes that have a planned order. After such an order, a node rejects the
+// orders of earlier leaders.
+func (d *domain) reaffirmOrders(planned []pendingOrder) []pendingOrder {
+	hasOrder := orderedNodes(planned)
+	var all []pendingOrder
 	for id, m := range d.nodes {
-		if busy[id] || m.listed.Kind != cluster.KindEngine || m.scripted() || !m.fenced() || !m.answered {
+		if hasOrder[id] || m.listed.Kind != cluster.KindEngine || m.isScripted() || !m.isFenced() || !m.answered {
 			continue
 		}
-		if d.mine(m) || m.state.Assignment.Empty() {
+		if d.confirmsLeader(m) || m.state.Assignment.Empty() {
 			continue
 		}
-		all = append(all, d.prepare(id, m.state.Assignment, "confirm the owner"))
+		all = append(all, d.newOrder(id, m.state.Assignment, "confirm the owner"))
 	}
 	return all
 }
 
-// prepare makes an order with a token of its own.
-func (d *domain) prepare(node string, a cluster.Assignment, reason string) outgoing {
+// newOrder returns an order for a node with a new token.
+func (d *domain) newOrder(node string, a cluster.Assignment, reason string) pendingOrder {
 	m := d.nodes[node]
-	t := d.next()
+	t := d.nextToken()
 	if !m.state.Assignment.Same(a) {
-		// An order that repeats the assignment may arrive late without harm.
-		m.ordered = t
+		// An order that repeats the assignment is not recorded, because it does no harm if it
+		// arrives late.
+		m.lastOrder = t
 	}
-	return outgoing{memory: m, order: cluster.Order{Token: t, Assignment: a}, reason: reason}
+	return pendingOrder{node: m, order: cluster.Order{Token: t, Assignment: a}, reason: reason}
 }
 
-// send gives the orders side by side. What an order without an answer did is
-// seen by the next probe; until the node shows the order's token or a higher
-// one, it counts for no replica.
-func (d *domain) send(ctx context.Context, orders []outgoing) {
+// sendOrders sends the orders concurrently. If an order is not answered, the next probe shows
+// whether it took effect. Until the node reports the order's token or a higher one, its replica
+// counts as unconfirmed.
+func (d *domain) sendOrders(ctx context.Context, orders []pendingOrder) {
 	if len(orders) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if time.Now().After(d.probedAt.Add(probeFresh)) {
-		// This process was held up: the nodes may not be any more as they were.
+	if time.Now().After(d.lastProbeAt.Add(maxProbeAge)) {
+		// The process was suspended, so the probe's results may be outdated.
 		return
 	}
-	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(probeParallel)
+	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(maxParallelCalls)
 	for _, o := range orders {
-		address, id := o.memory.listed.Address, o.memory.listed.ID
+		address, id := o.node.listed.Address, o.node.listed.ID
 		p.Go(func() probeResult {
-			reply, err := d.c.opts.Control.Order(ctx, address, o.order)
+			reply, err := d.controller.opts.Control.Order(ctx, address, o.order)
 			return probeResult{id: id, state: reply.State, err: err}
 		})
 	}
 	for _, r := range p.Wait() {
 		if r.err == nil {
-			d.see(d.nodes[r.id], r.state.Token)
+			d.recordToken(d.nodes[r.id], r.state.Token)
 		}
 	}
 }
--- a/replica/permit.go
+++ b/replica/permit.go
@@ -7,60 +7,61 @@
 	"quartzshelf.dev/cluster"
 )
 
-// permit is what routers may still act on: that a replica may serve, in one
-// generation, until a deadline.
+// permit is the permission to send requests to a replica in one generation. Routers may rely on it
+// until the deadline.
 type permit struct {
 	assignment cluster.Assignment
-	until      time.Time
+	deadline   time.Time
 }
 
-// grantPermits notes what a report that was just published allows.
-func (d *domain) grantPermits(groups []observed, until time.Time) {
-	for _, o := range groups {
-		if o.intact() && !o.scripted && !d.isDraining(o) {
-			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, until: until}
+// recordPermits records the permits that a report with the given deadline grants to the replicas.
+func (d *domain) recordPermits(replicas []observedReplica, deadline time.Time) {
+	for _, o := range replicas {
+		if o.isIntact() && !o.isScripted && !d.isDraining(o) {
+			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, deadline: deadline}
 		}
 	}
 }
 
-// assumePermits notes what an earlier leader may have allowed: as long as a
-// node has not confirmed this leader, an earlier one may just have published.
-func (d *domain) assumePermits(groups []observed, now time.Time) {
+// assumePermits removes expired permits and adds those that an earlier leader may have granted. As
+// long as a node of a replica hasn't confirmed this leader, an earlier leader may have just
+// published a report that lets the replica serve.
+func (d *domain) assumePermits(replicas []observedReplica, now time.Time) {
 	for name, p := range d.permits {
-		if now.After(p.until) {
+		if now.After(p.deadline) {
 			delete(d.permits, name)
 		}
 	}
-	for _, o := range groups {
-		unconfirmed := slices.ContainsFunc(o.members, func(m *nodeMemory) bool { return m.fenced() && !d.mine(m) })
-		if unconfirmed && !o.scripted {
-			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, until: now.Add(d.c.opts.ServeWindow)}
+	for _, o := range replicas {
+		hasUnconfirmed := slices.ContainsFunc(o.members, func(m *trackedNode) bool { return m.isFenced() && !d.confirmsLeader(m) })
+		if hasUnconfirmed && !o.isScripted {
+			d.permits[o.assignment.Name()] = permit{assignment: o.assignment, deadline: now.Add(d.controller.opts.ServeWindow)}
 		}
 	}
 }
 
-// guards returns the replicas whose permits forbid to give a node another
-// assignment: routers may still send to them, and the node that answers would
-// still accept. A node that answers for the replica itself may move: from then
-// on it refuses what was meant for the replica.
-func (d *domain) guards(node string, now time.Time) []permit {
+// blockingPermits returns the permits that forbid a new assignment of the node. While a permit
+// lasts, routers may send requests to the replica's leader node. The leader node accepts them until
+// it is reassigned. The leader node itself may always be reassigned, because it then rejects
+// requests for the old replica.
+func (d *domain) blockingPermits(node string, now time.Time) []permit {
 	var all []permit
 	for _, p := range d.permits {
 		members := p.assignment.Members
-		if now.After(p.until) || !slices.Contains(members, node) || members[0] == node {
+		if now.After(p.deadline) || !slices.Contains(members, node) || members[0] == node {
 			continue
 		}
 		leader, known := d.nodes[members[0]]
-		moved := known && leader.answered && !leader.state.Assignment.Same(p.assignment)
-		if !moved {
+		leaderReassigned := known && leader.answered && !leader.state.Assignment.Same(p.assignment)
+		if !leaderReassigned {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// isDraining reports whether the replica takes no new work.
-func (d *domain) isDraining(o observed) bool {
+// isDraining reports whether the replica gets no new requests because it is draining or leaving.
+func (d *domain) isDraining(o observedReplica) bool {
 	_, draining := d.drains[o.id]
-	return draining || o.leaving()
+	return draining || o.isLeaving()
 }
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -12,78 +12,80 @@
 	"quartzshelf.dev/placement"
 )
 
-// probeResult is what one probe brought.
+// probeResult is the answer of one node to a probe or an order.
 type probeResult struct {
 	id    string
 	state cluster.NodeState
 	err   error
 }
 
-// probe asks every node of the domain for its state, side by side.
-func (d *domain) probe(ctx context.Context) {
-	d.probedAt = time.Now()
-	// What nodes showed before may have been of nodes that now count no more.
-	d.seen = token.Token{}
+// probeNodes asks all nodes of the domain for their state concurrently and updates the nodes from
+// the answers.
+func (d *domain) probeNodes(ctx context.Context) {
+	d.lastProbeAt = time.Now()
+	// The highest token so far may come from a node that has left the domain.
+	d.highestNodeToken = token.Token{}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(probeParallel)
+	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(maxParallelCalls)
 	for id, m := range d.nodes {
 		address := m.listed.Address
 		p.Go(func() probeResult {
-			state, err := d.c.opts.Control.State(ctx, address)
+			state, err := d.controller.opts.Control.State(ctx, address)
 			return probeResult{id: id, state: state, err: err}
 		})
 	}
 	results := p.Wait()
-	silent := 0
+	silentCount := 0
 	for _, r := range results {
 		if r.err != nil {
-			silent++
+			silentCount++
 		}
 	}
-	d.noteReach(silent, len(results), time.Now())
-	loseAt := time.Now().Add(loseAfter)
-	if 2*silent > len(results) {
-		loseAt = time.Now().Add(loseManyAfter)
+	d.updateReachability(silentCount, len(results), time.Now())
+	lostAt := time.Now().Add(lostTimeout)
+	if 2*silentCount > len(results) {
+		lostAt = time.Now().Add(lostTimeoutMajority)
 	}
 	for _, r := range results {
-		d.note(r, loseAt)
+		d.applyProbe(r, lostAt)
 	}
 }
 
-// note takes over what a probe brought; loseAt is when a node that is newly
-// silent is given up.
-func (d *domain) note(r probeResult, loseAt time.Time) {
+// applyProbe updates a node from its probe result. A node that has just become silent counts as
+// lost from lostAt on.
+func (d *domain) applyProbe(r probeResult, lostAt time.Time) {
 	m := d.nodes[r.id]
 	m.answered = r.err == nil && r.state.Node == r.id
 	if !m.answered {
 		if m.lostAt.IsZero() {
-			m.lostAt = loseAt
+			m.lostAt = lostAt
 		}
 		return
 	}
 	m.lostAt = time.Time{}
 	m.state = r.state
-	d.see(m, r.state.Token)
+	d.recordToken(m, r.state.Token)
 }
 
-// see notes the highest token of the domain. Nodes that scripts run or that do
-// not check tokens say nothing of who leads.
-func (d *domain) see(m *nodeMemory, t token.Token) {
-	if !m.scripted() && m.fenced() && t.Higher(d.seen) {
-		d.seen = t
+// recordToken updates highestNodeToken with a token that a node has reported. Nodes that are
+// managed by scripts or don't check tokens are ignored, because their tokens don't show which
+// daemon leads.
+func (d *domain) recordToken(m *trackedNode, t token.Token) {
+	if !m.isScripted() && m.isFenced() && t.Higher(d.highestNodeToken) {
+		d.highestNodeToken = t
 	}
 }
 
-// relabel works out the labels of all nodes.
-func (d *domain) relabel(view *config.View) {
+// updateLabels computes the labels of all nodes.
+func (d *domain) updateLabels(view *config.View) {
 	for id, m := range d.nodes {
-		m.labels = view.NodeLabels(id, listLabels(m.listed.Domain, m.listed.DataHall, m.listed.Kind))
+		m.labels = view.NodeLabels(id, labelsFromList(m.listed.Domain, m.listed.DataHall, m.listed.Kind))
 	}
 }
 
-// listLabels returns the labels that a node has from the node list.
-func listLabels(domain, dataHall string, kind cluster.NodeKind) map[string]string {
+// labelsFromList returns the labels that a node gets from the node list.
+func labelsFromList(domain, dataHall string, kind cluster.NodeKind) map[string]string {
 	return map[string]string{
 		config.LabelDomain:   domain,
 		config.LabelDataHall: dataHall,
@@ -91,27 +93,27 @@
 	}
 }
 
-func (m *nodeMemory) scripted() bool {
+func (m *trackedNode) isScripted() bool {
 	return m.labels[config.LabelManagedBy] == config.ManagedByScripts
 }
 
-func (m *nodeMemory) fenced() bool {
+func (m *trackedNode) isFenced() bool {
 	return m.labels[config.LabelFenced] != config.LabelFalse
 }
 
-func (m *nodeMemory) leaving() bool {
-	return m.listed.Leaving || m.toldLeaving || m.labels[config.LabelDrain] == config.LabelTrue
+func (m *trackedNode) isLeaving() bool {
+	return m.listed.Leaving || m.reportedLeaving || m.labels[config.LabelDrain] == config.LabelTrue
 }
 
-func (m *nodeMemory) lost(now time.Time) bool {
+func (m *trackedNode) isLost(now time.Time) bool {
 	return !m.answered && !m.lostAt.IsZero() && !now.Before(m.lostAt)
 }
 
-// input makes the planner's input from what is known now.
-func (d *domain) input(view *config.View) placement.Input {
+// plannerInput returns the planner's input for the current state.
+func (d *domain) plannerInput(view *config.View) placement.Input {
 	now := time.Now()
-	in := placement.Input{Domain: d.name, LoadSlots: d.c.opts.LoadSlots, Closed: view.Hall(d.dataHall).Closed()}
-	mayUnfenced := d.mayOrderUnfenced(d.c.opts.Ownership.Grant(d.name), now)
+	in := placement.Input{Domain: d.name, LoadSlots: d.controller.opts.LoadSlots, Closed: view.Hall(d.dataHall).Closed()}
+	canOrderUnfenced := d.canOrderUnfenced(d.controller.opts.Ownership.Grant(d.name), now)
 	for id, m := range d.nodes {
 		if m.listed.Kind != cluster.KindEngine {
 			continue
@@ -120,10 +122,10 @@
 			ID:           id,
 			Labels:       m.labels,
 			Answering:    m.answered,
-			Lost:         m.lost(now),
-			Leaving:      m.leaving(),
-			Scripted:     m.scripted(),
-			Unorderable:  !m.fenced() && !mayUnfenced,
+			Lost:         m.isLost(now),
+			Leaving:      m.isLeaving(),
+			Scripted:     m.isScripted(),
+			Unorderable:  !m.isFenced() && !canOrderUnfenced,
 			Accelerators: m.listed.Accelerators,
 			Assignment:   m.state.Assignment,
 			Phase:        m.state.Phase,
@@ -131,6 +133,6 @@
 			Preloading:   m.state.Preloading,
 		})
 	}
-	in.Wants = d.wants(view)
+	in.Wants = d.computeWants(view)
 	return in
 }
--- a/replica/report.go
+++ b/replica/report.go
@@ -13,14 +13,17 @@
 	"quartzshelf.dev/rpc"
 )
 
-// publish reports the domain. The replicas may serve for the window counted
-// from start, which lies before the probe that confirmed them.
-func (d *domain) publish(groups []observed, plan placement.Plan, start time.Time) {
-	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.c.opts.Self}
+// publishReport publishes the domain's report if it has changed or is due for renewal. The replicas
+// may serve for one serve window from probeStart. The probe that confirmed them must not have begun
+// before probeStart.
+func (d *domain) publishReport(replicas []observedReplica, plan placement.Plan, probeStart time.Time) {
+	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.controller.opts.Self}
 	report.Token = catalog.ToMessage(d.token)
 	report.Token.Sequence = 0
+	// loads holds the queue length, the active requests and the slots of each replica, in the order
+	// of replicas.
 	var loads []uint32
-	for _, o := range groups {
+	for _, o := range replicas {
 		report.Replicas = append(report.Replicas, d.replicaReport(o, plan))
 		load := cluster.Load{}
 		if len(o.members) > 0 {
@@ -28,50 +31,50 @@
 		}
 		loads = append(loads, uint32(load.Queue), uint32(load.Active), uint32(load.Slots))
 	}
-	missing := d.missing(groups, plan)
+	missing := d.missingReplicas(replicas, plan)
 	report.Replicas = append(report.Replicas, missing...)
 	report.Nodes = d.nodeReports(plan, time.Now())
-	if d.content == nil || !proto.Equal(report, d.content) {
+	if d.lastReport == nil || !proto.Equal(report, d.lastReport) {
 		d.version++
-		d.content = proto.CloneOf(report)
-	} else if start.Before(d.renewAt) {
+		d.lastReport = proto.CloneOf(report)
+	} else if probeStart.Before(d.renewAt) {
 		return
 	}
 	d.beat++
-	d.renewAt = start.Add(d.c.opts.ServeWindow / renewals)
+	d.renewAt = probeStart.Add(d.controller.opts.ServeWindow / renewalsPerWindow)
 	report.Version, report.Beat, report.Loads = d.version, d.beat, loads
-	deadline := start.Add(d.c.opts.ServeWindow)
-	d.grantPermits(groups, deadline)
-	d.c.opts.Catalog.Publish(report, deadline)
+	deadline := probeStart.Add(d.controller.opts.ServeWindow)
+	d.recordPermits(replicas, deadline)
+	d.controller.opts.Catalog.Publish(report, deadline)
 }
 
-func (d *domain) replicaReport(o observed, plan placement.Plan) *rpc.ReplicaReport {
-	r := &rpc.ReplicaReport{
+func (d *domain) replicaReport(o observedReplica, plan placement.Plan) *rpc.ReplicaReport {
+	report := &rpc.ReplicaReport{
 		Id: o.id, Deployment: o.assignment.Deployment, Generation: o.assignment.Generation,
-		Serving: o.intact(), Draining: d.isDraining(o), Scripted: o.scripted,
+		Serving: o.isIntact(), Draining: d.isDraining(o), Scripted: o.isScripted,
 		ModelVersion: o.assignment.Version, Adapters: o.assignment.Adapters,
 		Reason: o.problem,
 	}
-	if reason, ok := plan.Dark[o.id]; ok && !r.Serving {
-		r.Reason = reason
+	if reason, ok := plan.Dark[o.id]; ok && !report.Serving {
+		report.Reason = reason
 	}
-	if o.scripted {
-		r.AssignedName = o.assignment.Replica
+	if o.isScripted {
+		report.AssignedName = o.assignment.Replica
 	}
 	for _, m := range o.members {
-		r.Nodes = append(r.Nodes, m.listed.ID)
+		report.Nodes = append(report.Nodes, m.listed.ID)
 	}
-	if r.Serving {
-		r.LeaderAddress = o.leader().listed.Address
+	if report.Serving {
+		report.LeaderAddress = o.leader().listed.Address
 	}
-	return r
+	return report
 }
 
-// missing reports the wanted replicas that no node holds.
-func (d *domain) missing(groups []observed, plan placement.Plan) []*rpc.ReplicaReport {
+// missingReplicas returns reports on replicas that are wanted but have no nodes.
+func (d *domain) missingReplicas(replicas []observedReplica, plan placement.Plan) []*rpc.ReplicaReport {
 	var all []*rpc.ReplicaReport
 	for _, id := range slices.Sorted(maps.Keys(plan.Dark)) {
-		found := slices.ContainsFunc(groups, func(o observed) bool { return o.id == id })
+		found := slices.ContainsFunc(replicas, func(o observedReplica) bool { return o.id == id })
 		if found {
 			continue
 		}
@@ -80,13 +83,13 @@
 	return all
 }
 
-// nodeReports describes the nodes, sorted by name.
+// nodeReports returns reports on all nodes, sorted by ID.
 func (d *domain) nodeReports(plan placement.Plan, now time.Time) []*rpc.NodeReport {
 	all := make([]*rpc.NodeReport, 0, len(d.nodes))
 	for _, id := range slices.Sorted(maps.Keys(d.nodes)) {
 		m := d.nodes[id]
 		n := &rpc.NodeReport{
-			Id: id, State: m.reportState(now), Accelerators: uint32(m.listed.Accelerators),
+			Id: id, State: m.stateForReport(now), Accelerators: uint32(m.listed.Accelerators),
 			Replica: m.state.Assignment.Replica, Reason: plan.Idle[id],
 		}
 		if m.listed.Kind == cluster.KindService {
@@ -97,18 +100,18 @@
 	return all
 }
 
-// reportState returns the state that the report gives for a node.
-func (m *nodeMemory) reportState(now time.Time) rpc.NodeState {
+// stateForReport returns the node's state for the report.
+func (m *trackedNode) stateForReport(now time.Time) rpc.NodeState {
 	switch {
-	case m.lost(now):
+	case m.isLost(now):
 		return rpc.NodeState_LOST
 	case !m.answered:
 		return rpc.NodeState_SILENT
-	case m.leaving():
+	case m.isLeaving():
 		return rpc.NodeState_LEAVING
 	case m.listed.Kind == cluster.KindService:
 		return rpc.NodeState_SERVICE
-	case m.scripted():
+	case m.isScripted():
 		return rpc.NodeState_SCRIPTED
 	case m.state.Assignment.Empty():
 		return rpc.NodeState_SPARE
