--- a/common/awake/awake.go
+++ b/common/awake/awake.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// readWithin is how far apart the readings of two clocks may be for their difference to
+	// maxReadSpan is how far apart the readings of two clocks may be for their difference to
 	// tell something; tries is how often they are read to get there.
-	readWithin = time.Millisecond
-	tries      = 4
-	// least is the shortest suspension that counts: readings are off by less.
-	least = 50 * time.Millisecond
+	maxReadSpan = time.Millisecond
+	maxReadings = 4
+	// minSuspension is the shortest suspension that counts: readings are off by less.
+	minSuspension = 50 * time.Millisecond
 )
 
 // Clock reads how long the machine was suspended since it started.
@@ -40,8 +40,8 @@
 // Suspended returns for how long the machine was suspended since it started, as exactly as
 // three readings of its clocks tell.
 func (c *Clock) Suspended() (time.Duration, error) {
-	best, apart := time.Duration(0), time.Duration(-1)
-	for range tries {
+	best, bestSpan := time.Duration(0), time.Duration(-1)
+	for range maxReadings {
 		before, err := c.read(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
@@ -54,10 +54,10 @@
 		if err != nil {
 			return 0, err
 		}
-		if span := after - before; apart < 0 || span < apart {
-			best, apart = boot-before-span/2, span
+		if span := after - before; bestSpan < 0 || span < bestSpan {
+			best, bestSpan = boot-before-span/2, span
 		}
-		if apart <= readWithin {
+		if bestSpan <= maxReadSpan {
 			break
 		}
 	}
@@ -72,13 +72,13 @@
 	// Check.
 	Woke func(asleep time.Duration)
 
-	mu    sync.Mutex
-	known time.Duration
+	mu       sync.Mutex
+	reported time.Duration
 }
 
 // NewWatch returns a watch from now on.
 func NewWatch(suspended func() time.Duration, woke func(asleep time.Duration)) *Watch {
-	return &Watch{Suspended: suspended, Woke: woke, known: suspended()}
+	return &Watch{Suspended: suspended, Woke: woke, reported: suspended()}
 }
 
 // Check tells of a suspension that was not told yet. What is believed afterwards is as old as
@@ -86,29 +86,29 @@
 func (w *Watch) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if asleep := w.Suspended() - w.known; asleep >= least {
-		w.known += asleep
+	if asleep := w.Suspended() - w.reported; asleep >= minSuspension {
+		w.reported += asleep
 		w.Woke(asleep)
 	}
 }
 
 // Stamp is a moment that stays as long ago as it is over suspensions.
 type Stamp struct {
-	at        time.Time
-	suspended func() time.Duration
-	before    time.Duration
+	at              time.Time
+	suspended       func() time.Duration
+	suspendedBefore time.Duration
 }
 
 // NewStamp returns the present moment.
 func NewStamp(suspended func() time.Duration) Stamp {
-	return Stamp{at: time.Now(), suspended: suspended, before: suspended()}
+	return Stamp{at: time.Now(), suspended: suspended, suspendedBefore: suspended()}
 }
 
 // Time returns the moment by the steady clock as it stands now.
-func (s Stamp) Time() time.Time { return s.at.Add(s.before - s.suspended()) }
+func (s Stamp) Time() time.Time { return s.at.Add(s.suspendedBefore - s.suspended()) }
 
 // Interrupted reports whether the machine was suspended since.
-func (s Stamp) Interrupted() bool { return s.suspended()-s.before >= least }
+func (s Stamp) Interrupted() bool { return s.suspended()-s.suspendedBefore >= minSuspension }
 
 // Never is for machines that are never suspended.
 func Never() time.Duration { return 0 }
--- a/common/awake/awake_test.go
+++ b/common/awake/awake_test.go
@@ -12,14 +12,14 @@
 // fakeClocks are the clocks of a machine that a test suspends.
 type fakeClocks struct {
 	steady, boot time.Duration
-	// slow is how long each reading of the first ones takes.
-	slow []time.Duration
-	err  error
+	// readDelays is how long each reading of the first ones takes.
+	readDelays []time.Duration
+	err        error
 }
 
 func (f *fakeClocks) read(clock int32) (time.Duration, error) {
-	if len(f.slow) > 0 {
-		f.steady, f.boot, f.slow = f.steady+f.slow[0], f.boot+f.slow[0], f.slow[1:]
+	if len(f.readDelays) > 0 {
+		f.steady, f.boot, f.readDelays = f.steady+f.readDelays[0], f.boot+f.readDelays[0], f.readDelays[1:]
 	}
 	if clock == unix.CLOCK_BOOTTIME {
 		return f.boot, f.err
@@ -36,8 +36,8 @@
 	}{
 		"never":                         {clocks: fakeClocks{steady: 7 * s, boot: 7 * s}},
 		"for three seconds":             {clocks: fakeClocks{steady: 7 * s, boot: 10 * s}, want: 3 * s},
-		"the reader stood still":        {clocks: fakeClocks{steady: 7 * s, boot: 10 * s, slow: []time.Duration{s, s, s}}, want: 3 * s},
-		"the reader stands still often": {clocks: fakeClocks{boot: 3 * s, slow: []time.Duration{0, s, s, 0, s, s, 0, s, s, 0, s / 100, 0}}, want: 3 * s, off: s / 100},
+		"the reader stood still":        {clocks: fakeClocks{steady: 7 * s, boot: 10 * s, readDelays: []time.Duration{s, s, s}}, want: 3 * s},
+		"the reader stands still often": {clocks: fakeClocks{boot: 3 * s, readDelays: []time.Duration{0, s, s, 0, s, s, 0, s, s, 0, s / 100, 0}}, want: 3 * s, off: s / 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -51,8 +51,8 @@
 	assert.ErrorContains(t, err, "no such clock")
 }
 
-// TestThisMachine: the clocks of the machine that runs the test can be read.
-func TestThisMachine(t *testing.T) {
+// TestSystemClocks: the clocks of the machine that runs the test can be read.
+func TestSystemClocks(t *testing.T) {
 	got, err := NewClock().Suspended()
 	assert.NilError(t, err)
 	assert.Assert(t, got > -time.Second)
@@ -61,18 +61,18 @@
 // TestWatch: each suspension is told once, and before whoever checks goes on.
 func TestWatch(t *testing.T) {
 	suspended := time.Minute
-	var told []time.Duration
-	w := NewWatch(func() time.Duration { return suspended }, func(asleep time.Duration) { told = append(told, asleep) })
+	var reported []time.Duration
+	w := NewWatch(func() time.Duration { return suspended }, func(asleep time.Duration) { reported = append(reported, asleep) })
 	w.Check()
-	suspended += least - 1
+	suspended += minSuspension - 1
 	w.Check()
-	assert.Equal(t, len(told), 0, "clocks are adjusted")
+	assert.Equal(t, len(reported), 0, "clocks are adjusted")
 	suspended += 5 * time.Second
 	w.Check()
 	w.Check()
 	suspended += time.Second
 	w.Check()
-	assert.DeepEqual(t, told, []time.Duration{5*time.Second + least - 1, time.Second})
+	assert.DeepEqual(t, reported, []time.Duration{5*time.Second + minSuspension - 1, time.Second})
 }
 
 // TestStamp: a moment before a suspension is as long ago afterwards as it is.
--- a/common/failure/failure.go
+++ b/common/failure/failure.go
@@ -27,14 +27,14 @@
 // located is an error of a type, with its step and peer, that lets errors.Is and
 // errors.As see its cause, which an errorx.Error hides.
 type located struct {
-	at    *errorx.Error
+	typed *errorx.Error
 	cause error
 }
 
-func (l *located) Error() string { return l.at.Error() }
+func (l *located) Error() string { return l.typed.Error() }
 
 // Unwrap returns the error's own type first, since that decides what it is.
-func (l *located) Unwrap() []error { return []error{l.at, l.cause} }
+func (l *located) Unwrap() []error { return []error{l.typed, l.cause} }
 
 // At wraps cause as an error of type t that arose in step while dealing with
 // peer. It returns nil when cause is nil.
@@ -45,10 +45,10 @@
 	wrapped := cause
 	if l, ok := cause.(*located); ok {
 		// The stack trace of an errorx.Error is taken over; another one costs its taking.
-		wrapped = l.at
+		wrapped = l.typed
 	}
-	at := t.WrapWithNoMessage(wrapped).WithProperty(propertyStep, step).WithProperty(propertyPeer, peer)
-	return &located{at: at, cause: cause}
+	typed := t.WrapWithNoMessage(wrapped).WithProperty(propertyStep, step).WithProperty(propertyPeer, peer)
+	return &located{typed: typed, cause: cause}
 }
 
 // Is reports whether err is of type t: the outermost type that it carries counts.
--- a/common/failure/failure_test.go
+++ b/common/failure/failure_test.go
@@ -22,15 +22,15 @@
 		"seen through a wrapping": fmt.Errorf("around: %w", once),
 	}
 	for name, err := range tests {
-		t.Run(name, func(t *testing.T) { check(t, err) })
+		t.Run(name, func(t *testing.T) { checkError(t, err) })
 	}
 	if failure.At(failure.Remote, "read", "peer", nil) != nil {
 		t.Error("no cause is no error")
 	}
 }
 
-// check wants an error of type Remote, of reading at a peer, for errCause.
-func check(t *testing.T, err error) {
+// checkError wants an error of type Remote, of reading at a peer, for errCause.
+func checkError(t *testing.T, err error) {
 	t.Helper()
 	if !errors.Is(err, errCause) {
 		t.Errorf("the cause of %v is not seen", err)
--- a/common/proptest/proptest.go
+++ b/common/proptest/proptest.go
@@ -18,17 +18,17 @@
 func Main(m *testing.M) {
 	flag.Parse()
 	if os.Getenv(SoakEnv) == "" {
-		set("rapid.seed", fixedSeed)
+		setFlag("rapid.seed", fixedSeed)
 	}
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// set changes a flag that rapid has registered, unless the command line has.
-func set(name, value string) {
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
-	if given {
+// setFlag changes a flag that rapid has registered, unless the command line has.
+func setFlag(name, value string) {
+	isGiven := false
+	flag.Visit(func(f *flag.Flag) { isGiven = isGiven || f.Name == name })
+	if isGiven {
 		return
 	}
 	if err := flag.Set(name, value); err != nil {
--- a/common/turn/turn_test.go
+++ b/common/turn/turn_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// TestAllComeUp: of things that stay, all come up in as many turns as they take, none twice.
-func TestAllComeUp(t *testing.T) {
+// TestFewReturnsAll: of things that stay, all come up in as many turns as they take, none twice.
+func TestFewReturnsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfNDistinct(rapid.IntRange(0, 1000), 1, 40, rapid.ID[int]).Draw(t, "all")
 		most := rapid.IntRange(1, 8).Draw(t, "most")
--- a/common/wiretest/wiretest.go
+++ b/common/wiretest/wiretest.go
@@ -46,11 +46,11 @@
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	default:
-		fillPlain(v, n)
+		fillScalar(v, n)
 	}
 }
 
-func fillPlain(v reflect.Value, n int64) {
+func fillScalar(v reflect.Value, n int64) {
 	switch {
 	case v.Kind() == reflect.String:
 		v.SetString(fmt.Sprint(filledPrefix, n))
@@ -101,12 +101,12 @@
 	switch b := before.(type) {
 	case map[string]any:
 		if a, ok := after.(map[string]any); ok {
-			return differentFields(path, b, a, same)
+			return fieldDifferences(path, b, a, same)
 		}
 		return []string{path}
 	case []any:
 		if a, ok := after.([]any); ok && len(a) >= len(b) {
-			return differentItems(path, b, a, same)
+			return itemDifferences(path, b, a, same)
 		}
 		return []string{path}
 	}
@@ -116,22 +116,22 @@
 	return []string{path}
 }
 
-func differentFields(path string, before, after map[string]any, same func(before, after any) bool) []string {
+func fieldDifferences(path string, before, after map[string]any, same func(before, after any) bool) []string {
 	var found []string
 	for key, value := range before {
-		held, ok := fieldOf(after, key, len(before))
+		other, ok := findField(after, key, len(before))
 		if !ok {
 			found = append(found, path+"/"+key)
 			continue
 		}
-		found = append(found, differences(path+"/"+key, value, held, same)...)
+		found = append(found, differences(path+"/"+key, value, other, same)...)
 	}
 	return found
 }
 
-// fieldOf returns a field. The only key of a map is data if Fill made it, so that any other one
+// findField returns a field. The only key of a map is data if Fill made it, so that any other one
 // stands for it.
-func fieldOf(fields map[string]any, key string, count int) (value any, ok bool) {
+func findField(fields map[string]any, key string, count int) (value any, ok bool) {
 	if value, ok = fields[key]; ok || count != 1 || !strings.HasPrefix(key, filledPrefix) {
 		return value, ok
 	}
@@ -141,7 +141,7 @@
 	return nil, false
 }
 
-func differentItems(path string, before, after []any, same func(before, after any) bool) []string {
+func itemDifferences(path string, before, after []any, same func(before, after any) bool) []string {
 	var found []string
 	for i := range before {
 		found = append(found, differences(fmt.Sprintf("%s/%d", path, i), before[i], after[i], same)...)
--- a/daemon/arrivals.go
+++ b/daemon/arrivals.go
@@ -26,54 +26,54 @@
 // arrivals folds the stream of arrivals: daemons that start later find the
 // others by it when the seeds of their settings are gone.
 type arrivals struct {
-	mu    sync.Mutex
-	peers map[string]string
-	order []string
+	mu        sync.Mutex
+	addresses map[string]string
+	names     []string
 }
 
 var _ eventlog.State = (*arrivals)(nil)
 
 func newArrivals() *arrivals {
-	return &arrivals{peers: make(map[string]string)}
+	return &arrivals{addresses: make(map[string]string)}
 }
 
-// addresses returns the peer addresses of the daemons that arrived, the newest last.
-func (a *arrivals) addresses() []string {
+// peerAddresses returns the peer addresses of the daemons that arrived, the newest last.
+func (a *arrivals) peerAddresses() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all := make([]string, 0, len(a.order))
-	for _, name := range a.order {
-		all = append(all, a.peers[name])
+	all := make([]string, 0, len(a.names))
+	for _, name := range a.names {
+		all = append(all, a.addresses[name])
 	}
 	return all
 }
 
-// others reports whether any daemon but the given one arrived.
-func (a *arrivals) others(name string) bool {
+// hasOther reports whether any daemon but the given one arrived.
+func (a *arrivals) hasOther(name string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.order) > 1 || len(a.order) == 1 && a.order[0] != name
+	return len(a.names) > 1 || len(a.names) == 1 && a.names[0] != name
 }
 
 // Apply implements eventlog.State.
 func (a *arrivals) Apply(_ cluster.Record, data json.RawMessage) {
-	var news arrival
-	if json.Unmarshal(data, &news) != nil || news.Name == "" || news.Peer == "" {
+	var arrived arrival
+	if json.Unmarshal(data, &arrived) != nil || arrived.Name == "" || arrived.Peer == "" {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.add(news)
+	a.add(arrived)
 }
 
-func (a *arrivals) add(news arrival) {
-	if _, known := a.peers[news.Name]; !known {
-		a.order = append(a.order, news.Name)
+func (a *arrivals) add(arrived arrival) {
+	if _, known := a.addresses[arrived.Name]; !known {
+		a.names = append(a.names, arrived.Name)
 	}
-	a.peers[news.Name] = news.Peer
-	if len(a.order) > maxArrivals {
-		delete(a.peers, a.order[0])
-		a.order = a.order[1:]
+	a.addresses[arrived.Name] = arrived.Peer
+	if len(a.names) > maxArrivals {
+		delete(a.addresses, a.names[0])
+		a.names = a.names[1:]
 	}
 }
 
@@ -81,9 +81,9 @@
 func (a *arrivals) Checkpoint() ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all := make([]arrival, 0, len(a.order))
-	for _, name := range a.order {
-		all = append(all, arrival{Name: name, Peer: a.peers[name]})
+	all := make([]arrival, 0, len(a.names))
+	for _, name := range a.names {
+		all = append(all, arrival{Name: name, Peer: a.addresses[name]})
 	}
 	return cbor.Marshal(all)
 }
@@ -96,9 +96,9 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.peers, a.order = make(map[string]string), nil
-	for _, news := range all {
-		a.add(news)
+	a.addresses, a.names = make(map[string]string), nil
+	for _, arrived := range all {
+		a.add(arrived)
 	}
 	return nil
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -37,46 +37,46 @@
 const (
 	// maxCheckpointDelay spreads the writers of checkpoints.
 	maxCheckpointDelay = 20 * time.Second
-	// keyShare of the log's retention is how long a caller's key is kept.
-	keyShare = 2
+	// keyRetentionDivisor of the log's retention is how long a caller's key is kept.
+	keyRetentionDivisor = 2
 	// announceTimeout bounds the append that announces the daemon.
-	announceTimeout = 5 * time.Second
-	announceRetry   = 5 * time.Second
-	peerReadTimeout = 10 * time.Second
+	announceTimeout    = 5 * time.Second
+	announceRetryDelay = 5 * time.Second
+	peerReadTimeout    = 10 * time.Second
 )
 
 // Daemon is one quartzshelf daemon.
 type Daemon struct {
-	settings *Settings
-	logger   hclog.Logger
-	start    time.Time
+	settings  *Settings
+	logger    hclog.Logger
+	startedAt time.Time
 
 	embedded  *server.Server
 	state     *config.State
 	grants    *ownership.State
 	intents   *intent.State
-	arrived   *arrivals
+	arrivals  *arrivals
 	followers map[string]*eventlog.Follower
 
-	meter      *telemetry.Meter
-	catalog    *catalog.Catalog
-	agent      *membership.Agent
-	dialer     *dialer
-	controller *replica.Controller
-	ledger     *intent.Ledger
-	limiter    *admission.Limiter
-	gateway    *gateway.Gateway
-	peerServer *peerServer
-	peerHTTP   *http.Server
-	operators  *operators
-	accounts   *accounting
-	halls      *hall.Watch
-	readiness  *readiness
+	meter          *telemetry.Meter
+	catalog        *catalog.Catalog
+	agent          *membership.Agent
+	peerClients    *peerClients
+	controller     *replica.Controller
+	ledger         *intent.Ledger
+	limiter        *admission.Limiter
+	gateway        *gateway.Gateway
+	peerServer     *peerServer
+	peerHTTP       *http.Server
+	operatorServer *operatorServer
+	accounting     *accounting
+	hallWatch      *hall.Watch
+	readiness      *readiness
 
 	listeners listeners
 	// cancel ends the duties of the group.
 	cancel context.CancelFunc
-	duties conc.WaitGroup
+	tasks  conc.WaitGroup
 	done   chan struct{}
 }
 
@@ -88,10 +88,10 @@
 }
 
 func (l listeners) close() {
-	for _, one := range []net.Listener{l.callers, l.operators, l.peers} {
-		if one != nil {
+	for _, listener := range []net.Listener{l.callers, l.operators, l.peers} {
+		if listener != nil {
 			// A listener that is closed twice returns an error of no interest.
-			_ = one.Close()
+			_ = listener.Close()
 		}
 	}
 }
@@ -99,19 +99,19 @@
 // New opens the ports and builds the parts. Nothing runs before Start.
 func New(settings *Settings, logger hclog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		settings: settings, logger: logger, start: time.Now(),
+		settings: settings, logger: logger, startedAt: time.Now(),
 		followers: make(map[string]*eventlog.Follower), done: make(chan struct{}),
 	}
 	if err := d.listen(); err != nil {
 		d.listeners.close()
 		return nil, err
 	}
-	surroundings, err := d.connectPlatform()
+	platform, err := d.connectPlatform()
 	if err != nil {
 		d.listeners.close()
 		return nil, err
 	}
-	if err := d.build(surroundings); err != nil {
+	if err := d.buildComponents(platform); err != nil {
 		d.listeners.close()
 		return nil, err
 	}
@@ -162,8 +162,8 @@
 	return client.New(client.Options{LogAddress: address, NodesAddress: address}), nil
 }
 
-// build makes the parts, each of which is given what it needs of the others.
-func (d *Daemon) build(surroundings *client.Client) error {
+// buildComponents makes the parts, each of which is given what it needs of the others.
+func (d *Daemon) buildComponents(platform *client.Client) error {
 	var err error
 	if d.meter, err = telemetry.NewMeter(); err != nil {
 		return err
@@ -171,17 +171,17 @@
 	retention := d.settings.Platform.LogRetention
 	d.state = config.NewState()
 	d.grants = ownership.NewState()
-	d.intents = intent.NewState(retention / keyShare)
-	d.arrived = newArrivals()
-	d.follow(surroundings, streamConfiguration, d.state)
-	d.follow(surroundings, ownership.Stream, d.grants)
-	d.follow(surroundings, intent.Stream, d.intents)
-	d.follow(surroundings, streamArrivals, d.arrived)
+	d.intents = intent.NewState(retention / keyRetentionDivisor)
+	d.arrivals = newArrivals()
+	d.addFollower(platform, streamConfiguration, d.state)
+	d.addFollower(platform, ownership.Stream, d.grants)
+	d.addFollower(platform, intent.Stream, d.intents)
+	d.addFollower(platform, streamArrivals, d.arrivals)
 
 	d.catalog = catalog.New()
-	d.dialer = newDialer()
+	d.peerClients = newPeerClients()
 	d.agent = d.newAgent()
-	d.controller = d.newController(surroundings)
+	d.controller = d.newController(platform)
 	d.ledger = d.newLedger()
 	d.limiter = admission.NewLimiter(admission.LimiterOptions{
 		Lease:   d.leaseShare,
@@ -191,13 +191,13 @@
 	d.peerHTTP = &http.Server{Handler: rpc.NewPeerServer(d.peerServer), ReadTimeout: peerReadTimeout}
 	d.readiness = newReadiness(d)
 	d.gateway = d.newGateway()
-	d.halls = d.newHallWatch()
-	d.accounts = newAccounting(d)
-	d.operators = newOperators(d)
+	d.hallWatch = d.newHallWatch()
+	d.accounting = newAccounting(d)
+	d.operatorServer = newOperatorServer(d)
 	return nil
 }
 
-func (d *Daemon) follow(log cluster.Log, stream string, state eventlog.State) {
+func (d *Daemon) addFollower(log cluster.Log, stream string, state eventlog.State) {
 	d.followers[stream] = eventlog.NewFollower(eventlog.FollowerOptions{
 		Log: log, Stream: stream, State: state,
 		Retention: d.settings.Platform.LogRetention,
@@ -212,22 +212,22 @@
 	s := d.settings
 	return membership.NewAgent(membership.Options{
 		Self: &rpc.Member{
-			Id: s.Name, Incarnation: uint64(d.start.UnixMilli()),
+			Id: s.Name, Incarnation: uint64(d.startedAt.UnixMilli()),
 			PeerAddress:  d.listeners.peers.Addr().String(),
 			EntryAddress: d.listeners.callers.Addr().String(),
 			DataHall:     s.DataHall, Region: s.Region,
 		},
-		Seeds: func() []string { return append(d.arrived.addresses(), s.Seeds...) },
-		Dial:  d.dialer.dial, Reports: d.catalog,
-		Configuration: eventlog.NewShared(d.followers[streamConfiguration]), Quarantine: d.spreadQuarantine(),
+		Seeds: func() []string { return append(d.arrivals.peerAddresses(), s.Seeds...) },
+		Dial:  d.peerClients.get, Reports: d.catalog,
+		Configuration: eventlog.NewShared(d.followers[streamConfiguration]), Quarantine: d.quarantineExchange(),
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 }
 
-func (d *Daemon) newController(surroundings *client.Client) *replica.Controller {
+func (d *Daemon) newController(platform *client.Client) *replica.Controller {
 	grants := d.followers[ownership.Stream]
 	return replica.NewController(replica.Options{
-		Self: d.settings.Name, Config: d.state.View, List: surroundings, Control: surroundings,
+		Self: d.settings.Name, Config: d.state.View, List: platform, Control: platform,
 		Catalog: d.catalog, Members: replica.NewTableMembers(d.agent.Table()), Ownership: d.grants,
 		AppendGrant: func(ctx context.Context, record json.RawMessage) error {
 			return grants.Append(ctx, newID(), record)
@@ -242,7 +242,7 @@
 func (d *Daemon) newLedger() *intent.Ledger {
 	return intent.NewLedger(intent.Options{
 		Self: d.settings.Name, State: d.intents, Follower: d.followers[intent.Stream], NewID: newID,
-		FlushEvery: func() time.Duration { return flushEvery(len(d.stayingMembers())) },
+		FlushEvery: func() time.Duration { return minFlushInterval(len(d.stayingMembers())) },
 		Submit:     d.submitIntent,
 		Ask:        d.askOutcome,
 	})
@@ -251,7 +251,7 @@
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return gateway.New(gateway.Options{
 		Config: d.state.View, Catalog: d.catalog, Ledger: d.ledger, Limiter: d.limiter, Meter: d.meter,
-		Gate: d.readiness.gate, Leaving: func() bool { return d.agent.Table().Self().Leaving }, Entries: d.entries, KeepEntriesUntil: d.readiness.keepEntries,
+		Gate: d.readiness.checkReady, Leaving: func() bool { return d.agent.Table().Self().Leaving }, Entries: d.listEntries, KeepEntriesUntil: d.readiness.renewEntriesExpiry,
 		Daemons: func() int { return len(d.stayingMembers()) },
 		NewID:   newID, MaxBody: d.settings.MaxBodyBytes, Logger: d.logger.Named("gateway"),
 	})
@@ -270,21 +270,23 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	for _, f := range d.followers {
-		d.duties.Go(func() { f.Run(ctx) })
+		d.tasks.Go(func() { f.Run(ctx) })
 	}
-	d.duties.Go(func() { d.agent.Run(ctx) })
-	d.duties.Go(func() { d.controller.Run(ctx) })
-	d.duties.Go(func() { d.ledger.Run(ctx) })
-	d.duties.Go(func() { d.limiter.Run(ctx) })
-	d.duties.Go(func() { d.accounts.run(ctx) })
-	d.duties.Go(func() { d.announce(ctx) })
-	d.duties.Go(func() { d.readiness.run(ctx) })
-	d.duties.Go(func() { d.halls.Run(ctx) })
-	d.duties.Go(func() {
-		d.serve("peers", func() error { return d.peerHTTP.Serve(countedListener{d.listeners.peers, d.dialer.traffic}) })
+	d.tasks.Go(func() { d.agent.Run(ctx) })
+	d.tasks.Go(func() { d.controller.Run(ctx) })
+	d.tasks.Go(func() { d.ledger.Run(ctx) })
+	d.tasks.Go(func() { d.limiter.Run(ctx) })
+	d.tasks.Go(func() { d.accounting.run(ctx) })
+	d.tasks.Go(func() { d.announce(ctx) })
+	d.tasks.Go(func() { d.readiness.run(ctx) })
+	d.tasks.Go(func() { d.hallWatch.Run(ctx) })
+	d.tasks.Go(func() {
+		d.serve("peers", func() error { return d.peerHTTP.Serve(countingListener{d.listeners.peers, d.peerClients.traffic}) })
 	})
-	d.duties.Go(func() { d.serve("operators", func() error { return d.operators.app.Listener(d.listeners.operators) }) })
-	d.duties.Go(func() { d.serve("callers", func() error { return d.gateway.Serve(d.listeners.callers) }) })
+	d.tasks.Go(func() {
+		d.serve("operators", func() error { return d.operatorServer.app.Listener(d.listeners.operators) })
+	})
+	d.tasks.Go(func() { d.serve("callers", func() error { return d.gateway.Serve(d.listeners.callers) }) })
 }
 
 func (d *Daemon) serve(what string, run func() error) {
@@ -312,7 +314,7 @@
 			d.logger.Warn("the log cannot be reached; trying on", "error", err)
 			warned = true
 		}
-		pause.For(ctx, announceRetry)
+		pause.For(ctx, announceRetryDelay)
 	}
 }
 
@@ -358,7 +360,7 @@
 
 // AwaitReplica waits until some replica serves.
 func (d *Daemon) AwaitReplica(ctx context.Context) error {
-	const look = 100 * time.Millisecond
+	const pollInterval = 100 * time.Millisecond
 	for {
 		for _, r := range d.replicaRows(time.Now()) {
 			if r.State == replicaServing {
@@ -368,7 +370,7 @@
 		select {
 		case <-ctx.Done():
 			return failure.At(failure.Unavailable, "wait for a replica", d.settings.Name, ctx.Err())
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -382,15 +384,15 @@
 	if err := d.followers[streamConfiguration].Append(ctx, id, data); err != nil {
 		return config.Verdict{}, err
 	}
-	verdict, ok := d.verdict(id)
+	verdict, ok := d.findVerdict(id)
 	if !ok {
 		return verdict, failure.New(failure.Unavailable, "find verdict", id, "it was pushed out of the history")
 	}
 	return verdict, nil
 }
 
-// verdict returns what the fold decided on the change set with the given id.
-func (d *Daemon) verdict(id string) (config.Verdict, bool) {
+// findVerdict returns what the fold decided on the change set with the given id.
+func (d *Daemon) findVerdict(id string) (config.Verdict, bool) {
 	for _, v := range d.state.History() {
 		if v.ID == id {
 			return v, true
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -133,8 +133,8 @@
 	<-d.agent.Done()
 }
 
-// TestPortTaken names the step and the peer when a port is in use.
-func TestPortTaken(t *testing.T) {
+// TestPortInUse names the step and the peer when a port is in use.
+func TestPortInUse(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
 	taken, _ := d.Addresses()
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -7,9 +7,9 @@
 	"quartzshelf.dev/rpc"
 )
 
-// entries lists the addresses of the daemons that take requests and stay. Those in
+// listEntries lists the addresses of the daemons that take requests and stay. Those in
 // closed data halls are left out, unless there are no others: they refuse truthfully.
-func (d *Daemon) entries() []gateway.Entry {
+func (d *Daemon) listEntries() []gateway.Entry {
 	view := d.state.View()
 	open, closed := []gateway.Entry{}, []gateway.Entry{}
 	for _, m := range d.stayingMembers() {
--- a/daemon/expected.go
+++ b/daemon/expected.go
@@ -2,18 +2,18 @@
 
 import "quartzshelf.dev/rpc"
 
-// expected is the daemons that may hold a newer configuration while the log is out of
+// expectedMembers is the daemons that may hold a newer configuration while the log is out of
 // reach: all that were members since it was last read, and have not departed. The table
 // of members forgets the dead after a while; to a daemon that is cut off, all others
 // look dead.
-type expected struct {
+type expectedMembers struct {
 	ids map[string]bool
-	// heard tells that another daemon was ever a member in this life.
-	heard bool
+	// seenOthers tells that another daemon was ever a member in this life.
+	seenOthers bool
 }
 
-// note takes over the members; logRead tells whether the log was read lately.
-func (e *expected) note(members []*rpc.Member, logRead bool) {
+// update takes over the members; logRead tells whether the log was read lately.
+func (e *expectedMembers) update(members []*rpc.Member, logRead bool) {
 	if logRead || e.ids == nil {
 		e.ids = make(map[string]bool, len(members))
 	}
@@ -24,8 +24,8 @@
 		}
 		e.ids[m.Id] = true
 	}
-	e.heard = e.heard || len(members) > 1
+	e.seenOthers = e.seenOthers || len(members) > 1
 }
 
 // count returns how many daemons are expected, this one included.
-func (e *expected) count() int { return len(e.ids) }
+func (e *expectedMembers) count() int { return len(e.ids) }
--- a/daemon/explain.go
+++ b/daemon/explain.go
@@ -47,36 +47,36 @@
 		e.Because = append(e.Because, row.Reason)
 	}
 	if r, ok := d.catalog.Replica(name); ok {
-		e.Because = append(e.Because, d.keptOutBy(r)...)
+		e.Because = append(e.Because, d.exclusionReasons(r)...)
 	}
 	for _, report := range d.catalog.Reports() {
 		if report.Domain == row.Domain {
 			e.Because = append(e.Because, fmt.Sprintf("reported by %s, which leads domain %s under epoch %d, rank %d",
 				report.Owner, report.Domain, report.Token.GetEpoch(), report.Token.GetRank()))
-			e.Because = append(e.Because, nodeReasons(report, row.Nodes)...)
+			e.Because = append(e.Because, unassignedNodes(report, row.Nodes)...)
 		}
 	}
 	return e, true
 }
 
-// keptOutBy returns what keeps a replica that its owner lists as serving from requests,
+// exclusionReasons returns what keeps a replica that its owner lists as serving from requests,
 // by the reasons of refusals. Client accounts may be bound to fewer regions.
-func (d *Daemon) keptOutBy(r catalog.Replica) []string {
+func (d *Daemon) exclusionReasons(r catalog.Replica) []string {
 	if !r.Listed() {
 		return nil
 	}
 	view := d.state.View()
-	h := view.Hall(r.DataHall())
+	dataHall := view.Hall(r.DataHall())
 	var all []string
 	add := func(why reason.Reason, format string, args ...any) {
 		all = append(all, fmt.Sprintf("%s: %s", why, fmt.Sprintf(format, args...)))
 	}
-	if h.Closed() {
-		add(reason.HallClosed, "an operator closed its data hall %s", h.Name())
+	if dataHall.Closed() {
+		add(reason.HallClosed, "an operator closed its data hall %s", dataHall.Name())
 	}
-	if deployment, ok := view.Deployment(r.Deployment()); ok && !deployment.AllowedRegions().Allow(h.Region()) {
+	if deployment, ok := view.Deployment(r.Deployment()); ok && !deployment.AllowedRegions().Allow(dataHall.Region()) {
 		add(reason.RegionNotAllowed, "its data hall %s lies in region %q, the deployment allows %v",
-			h.Name(), h.Region(), deployment.AllowedRegions())
+			dataHall.Name(), dataHall.Region(), deployment.AllowedRegions())
 	}
 	if r.Draining() {
 		add(reason.Leaving, "it is draining")
@@ -87,8 +87,8 @@
 	return all
 }
 
-// nodeReasons describes the nodes of a replica that are not simply assigned.
-func nodeReasons(report *rpc.DomainReport, nodes []string) []string {
+// unassignedNodes describes the nodes of a replica that are not simply assigned.
+func unassignedNodes(report *rpc.DomainReport, nodes []string) []string {
 	var all []string
 	for _, n := range report.Nodes {
 		if slices.Contains(nodes, n.Id) && n.State != rpc.NodeState_ASSIGNED {
@@ -126,7 +126,7 @@
 		return Explanation{}, false
 	}
 	if decision.Refused != "" {
-		return refusedExplanation(decision), true
+		return explainRefusal(decision), true
 	}
 	e := Explanation{
 		Subject: "request " + id,
@@ -144,8 +144,8 @@
 	return e, true
 }
 
-// refusedExplanation says what kept a request from every replica.
-func refusedExplanation(decision gateway.Decision) Explanation {
+// explainRefusal says what kept a request from every replica.
+func explainRefusal(decision gateway.Decision) Explanation {
 	e := Explanation{
 		Subject: "request " + decision.Request,
 		State:   "refused: " + string(decision.Refused),
--- a/daemon/halls.go
+++ b/daemon/halls.go
@@ -33,34 +33,34 @@
 // warnings returns what is in force but probably not meant.
 func (d *Daemon) warnings() []string {
 	warnings := d.state.View().Warnings()
-	var known, unknown []string
+	var populated, unpopulated []string
 	open := 0
-	for _, s := range d.halls.Statuses(time.Now()) {
+	for _, s := range d.hallWatch.Statuses(time.Now()) {
 		if s.Nodes == 0 && s.Daemons == 0 {
-			unknown = append(unknown, s.Name)
+			unpopulated = append(unpopulated, s.Name)
 			continue
 		}
-		known = append(known, s.Name)
+		populated = append(populated, s.Name)
 		if s.State == hall.Open {
 			open++
 		}
 	}
 	if len(d.catalog.Reports()) == 0 {
 		// A daemon that has just started knows no node yet.
-		unknown = nil
+		unpopulated = nil
 	}
-	for _, name := range unknown {
+	for _, name := range unpopulated {
 		warnings = append(warnings, fmt.Sprintf(
-			"DataHall/%s: no node and no daemon is there; halls with any are %s", name, strings.Join(known, ", ")))
+			"DataHall/%s: no node and no daemon is there; halls with any are %s", name, strings.Join(populated, ", ")))
 	}
-	if open == 0 && len(known) > 0 {
+	if open == 0 && len(populated) > 0 {
 		warnings = append(warnings, "every data hall is closed: all requests are refused with hall_closed")
 	}
 	return warnings
 }
 
 func (d *Daemon) explainHall(name string) (Explanation, bool) {
-	all := d.halls.Statuses(time.Now())
+	all := d.hallWatch.Statuses(time.Now())
 	i := slices.IndexFunc(all, func(s hall.Status) bool { return s.Name == name })
 	if i < 0 {
 		return Explanation{}, false
--- a/daemon/halls_test.go
+++ b/daemon/halls_test.go
@@ -48,10 +48,10 @@
 	return response
 }
 
-// TestClosingAHall closes the only hall of a daemon on an embedded platform while a
+// TestCloseHall closes the only hall of a daemon on an embedded platform while a
 // stream runs: the stream ends, new requests are refused truthfully, explain says why,
 // the hall becomes empty, and opening it serves at once with the same replica.
-func TestClosingAHall(t *testing.T) {
+func TestCloseHall(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
 	before := d.catalog.Of("demo")[0]
@@ -80,18 +80,18 @@
 		assert.Assert(t, strings.Contains(strings.Join(explanation.Because, "; "), "hall_closed: an operator closed it"), "%v", explanation)
 	}
 	assert.Assert(t, d.meter.Refusals()[reason.HallClosed] > 0)
-	assert.Equal(t, d.halls.Statuses(time.Now())[0].State, hall.Closing)
+	assert.Equal(t, d.hallWatch.Statuses(time.Now())[0].State, hall.Closing)
 
 	rest, err := io.ReadAll(stream)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.HasSuffix(string(rest), "data: [DONE]\n\n"), "what ran in the hall ends")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if s := d.halls.Statuses(time.Now())[0]; s.State != hall.Empty {
+		if s := d.hallWatch.Statuses(time.Now())[0]; s.State != hall.Empty {
 			return poll.Continue("%+v", s)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	assert.Equal(t, d.halls.Count(hall.Empty), 1)
+	assert.Equal(t, d.hallWatch.Count(hall.Empty), 1)
 
 	assert.Equal(t, putDocument(t, d, config.KindDataHall, "hall-a", `{"region":"south"}`).Problem, "")
 	assert.Equal(t, post(t, d, `{"model":"demo","prompt":"p"}`).StatusCode, http.StatusOK)
@@ -110,7 +110,7 @@
 	}})
 	entries := func() []string {
 		var all []string
-		for _, e := range d.entries() {
+		for _, e := range d.listEntries() {
 			all = append(all, e.Address)
 		}
 		slices.Sort(all)
--- a/daemon/homes.go
+++ b/daemon/homes.go
@@ -18,8 +18,8 @@
 	intentAppendsPerSecond = 60
 )
 
-// rendezvous returns the member with the highest score for key, nil for none.
-func rendezvous(key string, members []*rpc.Member) *rpc.Member {
+// pickMember returns the member with the highest score for key, nil for none.
+func pickMember(key string, members []*rpc.Member) *rpc.Member {
 	if len(members) == 0 {
 		return nil
 	}
@@ -38,15 +38,15 @@
 
 // accountHome returns the member that leases shares of an account's limit.
 func accountHome(account string, members []*rpc.Member) *rpc.Member {
-	return rendezvous("account/"+account, members)
+	return pickMember("account/"+account, members)
 }
 
-// writers returns the members that append intents.
-func writers(members []*rpc.Member) []*rpc.Member {
+// intentWriters returns the members that append intents.
+func intentWriters(members []*rpc.Member) []*rpc.Member {
 	left := slices.Clone(members)
 	var chosen []*rpc.Member
 	for len(chosen) < maxWriters && len(left) > 0 {
-		w := rendezvous("writer", left)
+		w := pickMember("writer", left)
 		chosen = append(chosen, w)
 		left = slices.DeleteFunc(left, func(m *rpc.Member) bool { return m == w })
 	}
@@ -55,11 +55,11 @@
 
 // intentWriter returns the member that appends the records of a key.
 func intentWriter(key string, members []*rpc.Member) *rpc.Member {
-	return rendezvous("key/"+key, writers(members))
+	return pickMember("key/"+key, intentWriters(members))
 }
 
-// flushEvery returns the least time between two appends of intents by one of
+// minFlushInterval returns the least time between two appends of intents by one of
 // the writers.
-func flushEvery(members int) time.Duration {
+func minFlushInterval(members int) time.Duration {
 	return time.Second * time.Duration(min(max(members, 1), maxWriters)) / intentAppendsPerSecond
 }
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -20,52 +20,52 @@
 const applyTimeout = 8 * time.Second
 
 //go:embed dashboard.html
-var dashboard string
+var dashboardHTML string
 
-// operators serves the operators' address.
-type operators struct {
-	d   *Daemon
-	app *fiber.App
+// operatorServer serves the operators' address.
+type operatorServer struct {
+	daemon *Daemon
+	app    *fiber.App
 }
 
-func newOperators(d *Daemon) *operators {
-	o := &operators{d: d}
+func newOperatorServer(d *Daemon) *operatorServer {
+	o := &operatorServer{daemon: d}
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		// Names from the path become record ids, beyond the life of a request.
 		Immutable:    true,
-		ErrorHandler: operatorsError,
+		ErrorHandler: writeError,
 	})
 	app.Get("/healthz", func(c *fiber.Ctx) error { return c.SendString("ok\n") })
-	app.Get("/readyz", o.ready)
+	app.Get("/readyz", o.serveReady)
 	app.Get("/metrics", adaptor.HTTPHandler(d.meter.Handler()))
 	app.Get("/", func(c *fiber.Ctx) error {
 		c.Set(fiber.HeaderContentType, fiber.MIMETextHTMLCharsetUTF8)
-		return c.SendString(dashboard)
+		return c.SendString(dashboardHTML)
 	})
-	app.Get("/api/objects", o.objects)
+	app.Get("/api/objects", o.listObjects)
 	app.Get("/api/history", func(c *fiber.Ctx) error { return c.JSON(d.state.History()) })
 	app.Get("/api/status", func(c *fiber.Ctx) error { return c.JSON(d.status()) })
-	app.Get("/api/halls", func(c *fiber.Ctx) error { return c.JSON(d.halls.Statuses(time.Now())) })
-	app.Get("/api/quarantine", o.quarantined)
-	app.Delete("/api/quarantine/:fingerprint", o.lift)
-	app.Get("/api/explain/:kind/*", o.explain)
-	app.Post("/api/changes/:id", o.change)
-	app.Get("/api/changes/:id", o.verdict)
+	app.Get("/api/halls", func(c *fiber.Ctx) error { return c.JSON(d.hallWatch.Statuses(time.Now())) })
+	app.Get("/api/quarantine", o.listQuarantined)
+	app.Delete("/api/quarantine/:fingerprint", o.liftQuarantine)
+	app.Get("/api/explain/:kind/*", o.explainSubject)
+	app.Post("/api/changes/:id", o.publishChange)
+	app.Get("/api/changes/:id", o.getVerdict)
 	o.app = app
 	return o
 }
 
-// problem is the JSON of an error towards operators.
-type problem struct {
+// errorReply is the JSON of an error towards operators.
+type errorReply struct {
 	Error string `json:"error"`
 	Step  string `json:"step,omitempty"`
 	Peer  string `json:"peer,omitempty"`
-	// Settled tells that the action is known not to have taken effect.
-	Settled bool `json:"settled"`
+	// IsSettled tells that the action is known not to have taken effect.
+	IsSettled bool `json:"settled"`
 }
 
-func operatorsError(c *fiber.Ctx, err error) error {
+func writeError(c *fiber.Ctx, err error) error {
 	code, settled := http.StatusInternalServerError, false
 	var f *fiber.Error
 	switch {
@@ -78,13 +78,13 @@
 	case failure.Is(err, failure.Unavailable):
 		code = http.StatusServiceUnavailable
 	}
-	return c.Status(code).JSON(problem{
-		Error: err.Error(), Step: failure.Step(err), Peer: failure.Peer(err), Settled: settled,
+	return c.Status(code).JSON(errorReply{
+		Error: err.Error(), Step: failure.Step(err), Peer: failure.Peer(err), IsSettled: settled,
 	})
 }
 
-func (o *operators) ready(c *fiber.Ctx) error {
-	if closed := o.d.readiness.gate(); closed != nil {
+func (o *operatorServer) serveReady(c *fiber.Ctx) error {
+	if closed := o.daemon.readiness.checkReady(); closed != nil {
 		return c.Status(http.StatusServiceUnavailable).SendString(string(closed.Reason) + ": " + closed.Message + "\n")
 	}
 	return c.SendString("ready\n")
@@ -96,14 +96,14 @@
 	Revision int64 `json:"revision"`
 }
 
-func (o *operators) objects(c *fiber.Ctx) error {
+func (o *operatorServer) listObjects(c *fiber.Ctx) error {
 	selector, err := labels.Parse(c.Query("selector"))
 	if err != nil {
 		return fiber.NewError(http.StatusBadRequest, "bad selector: "+err.Error())
 	}
 	kind, name := c.Query("kind"), c.Query("name")
 	rows := []ObjectRow{}
-	for _, object := range o.d.state.View().Objects() {
+	for _, object := range o.daemon.state.View().Objects() {
 		d := object.Document()
 		if (kind != "" && kind != string(d.Kind)) || (name != "" && name != d.Name) {
 			continue
@@ -121,39 +121,39 @@
 	Warnings []string       `json:"warnings"`
 }
 
-// change publishes a change set. A daemon that is cut off refuses: what it
+// publishChange publishes a change set. A daemon that is cut off refuses: what it
 // accepted might not come into force elsewhere.
-func (o *operators) change(c *fiber.Ctx) error {
+func (o *operatorServer) publishChange(c *fiber.Ctx) error {
 	var set config.ChangeSet
 	if err := c.BodyParser(&set); err != nil {
 		return fiber.NewError(http.StatusBadRequest, "not a change set: "+err.Error())
 	}
-	if closed := o.d.readiness.publishing(); closed != nil {
-		return failure.New(failure.Refused, "publish configuration", o.d.settings.Name, "%s", closed.Message)
+	if closed := o.daemon.readiness.checkMayPublish(); closed != nil {
+		return failure.New(failure.Refused, "publish configuration", o.daemon.settings.Name, "%s", closed.Message)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 	defer cancel()
-	verdict, err := o.d.publish(ctx, c.Params("id"), set)
+	verdict, err := o.daemon.publish(ctx, c.Params("id"), set)
 	if err != nil {
 		return err
 	}
 	if !verdict.Accepted {
-		o.d.meter.Refuse(reason.ConfigurationClash)
+		o.daemon.meter.Refuse(reason.ConfigurationClash)
 	}
-	return c.JSON(ChangeReply{Verdict: verdict, Warnings: o.d.warnings()})
+	return c.JSON(ChangeReply{Verdict: verdict, Warnings: o.daemon.warnings()})
 }
 
-func (o *operators) verdict(c *fiber.Ctx) error {
-	verdict, ok := o.d.verdict(c.Params("id"))
+func (o *operatorServer) getVerdict(c *fiber.Ctx) error {
+	verdict, ok := o.daemon.findVerdict(c.Params("id"))
 	if !ok {
 		return fiber.NewError(http.StatusNotFound, "no such change set is folded here")
 	}
-	return c.JSON(ChangeReply{Verdict: verdict, Warnings: o.d.warnings()})
+	return c.JSON(ChangeReply{Verdict: verdict, Warnings: o.daemon.warnings()})
 }
 
-func (o *operators) explain(c *fiber.Ctx) error {
+func (o *operatorServer) explainSubject(c *fiber.Ctx) error {
 	kind, name := c.Params("kind"), c.Params("*")
-	explanation, ok := o.d.explain(kind, name)
+	explanation, ok := o.daemon.explain(kind, name)
 	if !ok {
 		return fiber.NewError(http.StatusNotFound, "nothing is known here of "+kind+" "+name)
 	}
--- a/daemon/peer.go
+++ b/daemon/peer.go
@@ -59,8 +59,8 @@
 	return &rpc.LeaseShareReply{}, nil
 }
 
-// dialer keeps one client for each peer address.
-type dialer struct {
+// peerClients keeps one client for each peer address.
+type peerClients struct {
 	http    *http.Client
 	traffic *traffic
 
@@ -70,20 +70,20 @@
 
 const (
 	// peerTimeout bounds a call between daemons whose context sets no deadline.
-	peerTimeout = 5 * time.Second
-	peerIdle    = 2
-	// peerIdleTime is how long an idle connection is kept: in a large fleet the
+	peerTimeout      = 5 * time.Second
+	maxIdlePeerConns = 2
+	// peerIdleTimeout is how long an idle connection is kept: in a large fleet the
 	// same two daemons seldom meet again soon.
-	peerIdleTime = 5 * time.Second
+	peerIdleTimeout = 5 * time.Second
 )
 
-func newDialer() *dialer {
+func newPeerClients() *peerClients {
 	t := &traffic{}
-	return &dialer{
+	return &peerClients{
 		http: &http.Client{
 			Timeout: peerTimeout,
 			Transport: &http.Transport{
-				MaxIdleConnsPerHost: peerIdle, IdleConnTimeout: peerIdleTime, DialContext: t.dial,
+				MaxIdleConnsPerHost: maxIdlePeerConns, IdleConnTimeout: peerIdleTimeout, DialContext: t.dial,
 			},
 		},
 		traffic: t,
@@ -91,8 +91,8 @@
 	}
 }
 
-// dial returns the client of the daemon at a peer address.
-func (d *dialer) dial(address string) rpc.Peer {
+// get returns the client of the daemon at a peer address.
+func (d *peerClients) get(address string) rpc.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	client, ok := d.clients[address]
@@ -103,11 +103,11 @@
 	return client
 }
 
-// close ends the idle connections.
-func (d *dialer) close() { d.http.CloseIdleConnections() }
+// closeIdle ends the idle connections.
+func (d *peerClients) closeIdle() { d.http.CloseIdleConnections() }
 
-// addressOf returns the peer address of a member.
-func (d *Daemon) addressOf(id string) (string, error) {
+// peerAddress returns the peer address of a member.
+func (d *Daemon) peerAddress(id string) (string, error) {
 	m, ok := d.agent.Table().Member(id)
 	if !ok {
 		return "", failure.New(failure.Unavailable, "find member", id, "the member is not known")
@@ -121,17 +121,17 @@
 	if writer == nil || writer.Id == d.settings.Name {
 		return false
 	}
-	reply, err := d.dialer.dial(writer.PeerAddress).Claim(ctx, &rpc.ClaimRequest{RecordId: record.ID, Data: record.Data})
+	reply, err := d.peerClients.get(writer.PeerAddress).Claim(ctx, &rpc.ClaimRequest{RecordId: record.ID, Data: record.Data})
 	return err == nil && reply.Committed
 }
 
 // askOutcome asks the holder of an attempt what became of it.
 func (d *Daemon) askOutcome(ctx context.Context, holder, attempt string) (intent.Outcome, error) {
-	address, err := d.addressOf(holder)
+	address, err := d.peerAddress(holder)
 	if err != nil {
 		return intent.Outcome{}, err
 	}
-	reply, err := d.dialer.dial(address).Outcome(ctx, &rpc.OutcomeRequest{Attempt: attempt})
+	reply, err := d.peerClients.get(address).Outcome(ctx, &rpc.OutcomeRequest{Attempt: attempt})
 	if err != nil {
 		return intent.Outcome{}, failure.At(failure.Unavailable, "ask outcome", holder, err)
 	}
@@ -152,7 +152,7 @@
 	if home.Id == d.settings.Name {
 		reply, err = d.peerServer.LeaseShare(ctx, request)
 	} else {
-		reply, err = d.dialer.dial(home.PeerAddress).LeaseShare(ctx, request)
+		reply, err = d.peerClients.get(home.PeerAddress).LeaseShare(ctx, request)
 	}
 	if err != nil {
 		return 0, time.Time{}, failure.At(failure.Unavailable, "lease share", home.Id, err)
@@ -162,11 +162,11 @@
 
 // stayingMembers returns the members that are alive and do not leave.
 func (d *Daemon) stayingMembers() []*rpc.Member {
-	var all []*rpc.Member
+	var staying []*rpc.Member
 	for _, m := range d.agent.Table().Alive() {
 		if !m.Leaving {
-			all = append(all, m)
+			staying = append(staying, m)
 		}
 	}
-	return all
+	return staying
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -11,8 +11,8 @@
 	"quartzshelf.dev/rpc"
 )
 
-// spreadQuarantine returns how what is known of requests that end workers spreads.
-func (d *Daemon) spreadQuarantine() membership.Quarantine {
+// quarantineExchange returns how what is known of requests that end workers spreads.
+func (d *Daemon) quarantineExchange() membership.Quarantine {
 	return membership.Quarantine{
 		Report: func() []*rpc.QuarantineEntry {
 			now := time.Now()
@@ -70,10 +70,10 @@
 	Rounds int `json:"rounds"`
 }
 
-// quarantined lists the requests that are quarantined.
-func (o *operators) quarantined(c *fiber.Ctx) error {
+// listQuarantined lists the requests that are quarantined.
+func (o *operatorServer) listQuarantined(c *fiber.Ctx) error {
 	rows := []QuarantineRow{}
-	for _, m := range o.d.gateway.Guard().Table().Marks(time.Now()) {
+	for _, m := range o.daemon.gateway.Guard().Table().Marks(time.Now()) {
 		row := QuarantineRow{Fingerprint: m.Fingerprint, Since: m.MarkedAt, Until: m.Until, Rounds: m.Rounds}
 		for _, crash := range m.Crashes {
 			row.Workers = append(row.Workers, crash.Worker)
@@ -83,13 +83,13 @@
 	return c.JSON(rows)
 }
 
-// lift ends a quarantine; the other daemons hear of it.
-func (o *operators) lift(c *fiber.Ctx) error {
+// liftQuarantine ends a quarantine; the other daemons hear of it.
+func (o *operatorServer) liftQuarantine(c *fiber.Ctx) error {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(c.Params("fingerprint"))); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
-	if !o.d.gateway.Guard().Lift(f, "operator") {
+	if !o.daemon.gateway.Guard().Lift(f, "operator") {
 		return fiber.NewError(http.StatusNotFound, "no request with the fingerprint "+f.String()+" is quarantined here")
 	}
 	return c.JSON(QuarantineRow{Fingerprint: f})
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -29,15 +29,15 @@
 	assert.DeepEqual(t, fromMessages(append(messages, short, &rpc.QuarantineEntry{})), []quarantine.Entry{entry})
 }
 
-// TestOperatorsLiftQuarantines: an operator sees what is quarantined and why, and lifts it;
+// TestOperatorLiftsQuarantine: an operator sees what is quarantined and why, and lifts it;
 // peers hear of both.
-func TestOperatorsLiftQuarantines(t *testing.T) {
+func TestOperatorLiftsQuarantine(t *testing.T) {
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
 	d := &Daemon{meter: meter, gateway: gateway.New(gateway.Options{Meter: meter})}
 	peer := &Daemon{meter: meter, gateway: gateway.New(gateway.Options{Meter: meter})}
-	o, f, now := newOperators(d), quarantine.FingerprintOf("a", "POST", "", "/", nil), time.Now()
-	ask := func(method, path string, reply any) int {
+	o, f, now := newOperatorServer(d), quarantine.FingerprintOf("a", "POST", "", "/", nil), time.Now()
+	request := func(method, path string, reply any) int {
 		response, err := o.app.Test(httptest.NewRequest(method, path, nil))
 		assert.NilError(t, err)
 		defer func() { _ = response.Body.Close() }()
@@ -46,28 +46,28 @@
 		}
 		return response.StatusCode
 	}
-	tell := func() { peer.spreadQuarantine().Merge("d", d.spreadQuarantine().Report()) }
+	exchange := func() { peer.quarantineExchange().Merge("d", d.quarantineExchange().Report()) }
 	for i := range 3 {
 		ended := now.Add(time.Duration(i-3) * time.Second)
 		d.gateway.Guard().Blame(f, quarantine.Crash{Worker: fmt.Sprint("w", i), Sent: ended, Ended: ended})
 	}
-	tell()
+	exchange()
 	assert.Assert(t, peer.gateway.Guard().Table().State(f, now).Quarantined)
 	var rows []QuarantineRow
-	assert.Equal(t, ask(http.MethodGet, "/api/quarantine", &rows), http.StatusOK)
+	assert.Equal(t, request(http.MethodGet, "/api/quarantine", &rows), http.StatusOK)
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, rows[0].Fingerprint, f)
 	assert.DeepEqual(t, rows[0].Workers, []string{"w0", "w1", "w2"})
 
-	assert.Equal(t, ask(http.MethodDelete, "/api/quarantine/none", nil), http.StatusBadRequest)
-	assert.Equal(t, ask(http.MethodDelete, "/api/quarantine/"+f.String(), nil), http.StatusOK)
-	assert.Equal(t, ask(http.MethodDelete, "/api/quarantine/"+f.String(), nil), http.StatusNotFound)
-	tell()
+	assert.Equal(t, request(http.MethodDelete, "/api/quarantine/none", nil), http.StatusBadRequest)
+	assert.Equal(t, request(http.MethodDelete, "/api/quarantine/"+f.String(), nil), http.StatusOK)
+	assert.Equal(t, request(http.MethodDelete, "/api/quarantine/"+f.String(), nil), http.StatusNotFound)
+	exchange()
 	assert.Assert(t, !peer.gateway.Guard().Table().State(f, now).Quarantined)
 }
 
-// TestQuarantineGoesWithExchanges asks a whole daemon as its peers do.
-func TestQuarantineGoesWithExchanges(t *testing.T) {
+// TestExchangeCarriesQuarantine asks a whole daemon as its peers do.
+func TestExchangeCarriesQuarantine(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Stop()
 	f, now := quarantine.FingerprintOf("a", "POST", "", "/", nil), time.Now()
--- a/daemon/readiness_test.go
+++ b/daemon/readiness_test.go
@@ -16,9 +16,9 @@
 	"quartzshelf.dev/standin"
 )
 
-// TestWhoMayPublish checks that of two parts of a fleet that do not reach each other,
+// TestOnlyMajorityMayPublish checks that of two parts of a fleet that do not reach each other,
 // the one that publishes leaves no majority that goes on without it.
-func TestWhoMayPublish(t *testing.T) {
+func TestOnlyMajorityMayPublish(t *testing.T) {
 	cases := map[string]struct {
 		reached, members int
 		may              bool
@@ -34,22 +34,22 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			closed := tooFew(c.reached, c.members)
+			closed := checkReached(c.reached, c.members)
 			assert.Equal(t, closed == nil, c.may)
 			if closed != nil {
 				assert.Equal(t, closed.Reason, reason.Isolated)
 			}
 			// The rule by which the others go on (readiness.connected).
-			away := c.members - c.reached
-			goesOn := away > 1 && 2*away > c.members
-			assert.Equal(t, goesOn, !c.may, "what is published leaves no majority behind")
+			unreached := c.members - c.reached
+			othersContinue := unreached > 1 && 2*unreached > c.members
+			assert.Equal(t, othersContinue, !c.may, "what is published leaves no majority behind")
 		})
 	}
 }
 
-// TestMinorityDoesNotPublish makes a daemon believe in two others that it does not
+// TestMinorityMayNotPublish makes a daemon believe in two others that it does not
 // reach, while it still reaches the log.
-func TestMinorityDoesNotPublish(t *testing.T) {
+func TestMinorityMayNotPublish(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
 	_, operators := d.Addresses()
@@ -74,8 +74,8 @@
 	assert.Equal(t, code, http.StatusOK, text)
 }
 
-// TestExpected checks who counts towards a majority while the log is out of reach.
-func TestExpected(t *testing.T) {
+// TestExpectedMembers checks who counts towards a majority while the log is out of reach.
+func TestExpectedMembers(t *testing.T) {
 	alive := func(ids ...string) []*rpc.Member {
 		var all []*rpc.Member
 		for _, id := range ids {
@@ -84,37 +84,37 @@
 		return all
 	}
 	left := append(alive("a"), &rpc.Member{Id: "b", State: rpc.MemberState_LEFT}, &rpc.Member{Id: "c", State: rpc.MemberState_DEAD})
-	type look struct {
+	type observation struct {
 		members []*rpc.Member
 		logRead bool
 	}
 	cases := map[string]struct {
-		looks []look
+		looks []observation
 		want  int
 		heard bool
 	}{
-		"alone":                         {[]look{{alive("a"), true}, {alive("a"), false}}, 1, false},
-		"the dead count when forgotten": {[]look{{alive("a", "b", "c"), true}, {alive("a"), false}}, 3, true},
-		"who left does not":             {[]look{{alive("a", "b", "c"), true}, {left, false}, {alive("a"), false}}, 2, true},
-		"new ones count":                {[]look{{alive("a"), true}, {alive("a", "b"), false}, {alive("a"), false}}, 2, true},
-		"the log was read again":        {[]look{{alive("a", "b", "c"), true}, {alive("a"), false}, {alive("a"), true}}, 1, true},
-		"who left and came again":       {[]look{{left, false}, {alive("a", "b"), false}, {alive("a"), false}}, 3, true},
+		"alone":                         {[]observation{{alive("a"), true}, {alive("a"), false}}, 1, false},
+		"the dead count when forgotten": {[]observation{{alive("a", "b", "c"), true}, {alive("a"), false}}, 3, true},
+		"who left does not":             {[]observation{{alive("a", "b", "c"), true}, {left, false}, {alive("a"), false}}, 2, true},
+		"new ones count":                {[]observation{{alive("a"), true}, {alive("a", "b"), false}, {alive("a"), false}}, 2, true},
+		"the log was read again":        {[]observation{{alive("a", "b", "c"), true}, {alive("a"), false}, {alive("a"), true}}, 1, true},
+		"who left and came again":       {[]observation{{left, false}, {alive("a", "b"), false}, {alive("a"), false}}, 3, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var e expected
+			var e expectedMembers
 			for _, l := range c.looks {
-				e.note(l.members, l.logRead)
+				e.update(l.members, l.logRead)
 			}
 			assert.Equal(t, e.count(), c.want)
-			assert.Equal(t, e.heard, c.heard)
+			assert.Equal(t, e.seenOthers, c.heard)
 		})
 	}
 }
 
-// TestWhoGoesOnWithoutTheLog takes the log away from a daemon that reaches no other:
+// TestReadinessWithoutLog takes the log away from a daemon that reaches no other:
 // it goes on only if it knows of none.
-func TestWhoGoesOnWithoutTheLog(t *testing.T) {
+func TestReadinessWithoutLog(t *testing.T) {
 	three := []*rpc.Member{{Id: "entry-1"}, {Id: "entry-2"}, {Id: "entry-3"}}
 	cases := map[string]struct {
 		settings string
@@ -127,14 +127,14 @@
 		},
 		"another that arrived once": {
 			settings: goodSettings, want: reason.Isolated,
-			change: func(d *Daemon) { d.arrived.Apply(cluster.Record{}, []byte(`{"name":"entry-2","peer":"127.0.0.1:1"}`)) },
+			change: func(d *Daemon) { d.arrivals.Apply(cluster.Record{}, []byte(`{"name":"entry-2","peer":"127.0.0.1:1"}`)) },
 		},
 		"others that look dead for long": {
 			settings: goodSettings, want: reason.Isolated,
 			change: func(d *Daemon) {
 				d.readiness.mu.Lock()
 				defer d.readiness.mu.Unlock()
-				d.readiness.expected.note(three, false)
+				d.readiness.expected.update(three, false)
 			},
 		},
 	}
@@ -146,7 +146,7 @@
 			d.embedded.Log().SetFaults(standin.LogFaults{Outage: true})
 			confirmed := d.followers[streamConfiguration].Confirmed
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if time.Since(confirmed()) < contactWindow+time.Second {
+				if time.Since(confirmed()) < contactTimeout+time.Second {
 					return poll.Continue("the log was read %v ago", time.Since(confirmed()))
 				}
 				return poll.Success()
@@ -155,7 +155,7 @@
 				c.change(d)
 			}
 			got := reason.Reason("")
-			if closed := d.readiness.gate(); closed != nil {
+			if closed := d.readiness.checkReady(); closed != nil {
 				got = closed.Reason
 			}
 			assert.Equal(t, got, c.want)
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -21,14 +21,14 @@
 	defaultLogRetention = time.Hour
 	defaultServeWindow  = 6 * time.Second
 	defaultKeepEntries  = 10 * time.Second
-	defaultMaxBody      = 8 << 20
+	defaultMaxBodyBytes = 8 << 20
 	defaultWeightLoads  = 2
 	minLogRetention     = 5 * time.Minute
 	minServeWindow      = 2 * time.Second
 	maxServeWindow      = time.Minute
 	maxKeepEntries      = 10 * time.Minute
-	minMaxBody          = 1 << 10
-	maxMaxBody          = 64 << 20
+	minMaxBodyBytes     = 1 << 10
+	maxMaxBodyBytes     = 64 << 20
 	maxWeightLoads      = 1000
 )
 
@@ -106,7 +106,7 @@
 	s := &Settings{
 		ServeWindow:  defaultServeWindow,
 		KeepEntries:  defaultKeepEntries,
-		MaxBodyBytes: defaultMaxBody,
+		MaxBodyBytes: defaultMaxBodyBytes,
 		WeightLoads:  defaultWeightLoads,
 		Platform:     PlatformSettings{LogRetention: defaultLogRetention},
 		Log:          LogSettings{Level: "info", Format: "text"},
@@ -129,7 +129,7 @@
 	return filepath.Join(filepath.Dir(s.file), s.Platform.Embedded.Configuration)
 }
 
-var daemonName = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
 // settingsChecker collects the problems of settings.
 type settingsChecker struct {
@@ -137,78 +137,78 @@
 	problems []error
 }
 
-func (c *settingsChecker) fail(field, format string, args ...any) {
+func (c *settingsChecker) addProblem(field, format string, args ...any) {
 	c.problems = append(c.problems, fmt.Errorf("%s: field %s: %s", c.file, field, fmt.Sprintf(format, args...)))
 }
 
-func (c *settingsChecker) name(field, value string) {
-	if !daemonName.MatchString(value) {
-		c.fail(field, "%q must be lower-case letters, digits, dots and dashes", value)
+func (c *settingsChecker) checkName(field, value string) {
+	if !namePattern.MatchString(value) {
+		c.addProblem(field, "%q must be lower-case letters, digits, dots and dashes", value)
 	}
 }
 
-func (c *settingsChecker) address(field, value string) {
+func (c *settingsChecker) checkAddress(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.fail(field, "%q must be an IP number and a port, as in 127.0.0.1:7400", value)
+		c.addProblem(field, "%q must be an IP number and a port, as in 127.0.0.1:7400", value)
 	}
 }
 
-func (c *settingsChecker) duration(field string, value, low, high time.Duration) {
+func (c *settingsChecker) checkDuration(field string, value, low, high time.Duration) {
 	if value < low || value > high {
-		c.fail(field, "%v is outside %v to %v", value, low, high)
+		c.addProblem(field, "%v is outside %v to %v", value, low, high)
 	}
 }
 
-func (c *settingsChecker) number(field string, value, low, high int) {
+func (c *settingsChecker) checkNumber(field string, value, low, high int) {
 	if value < low || value > high {
-		c.fail(field, "%d is outside %d to %d", value, low, high)
+		c.addProblem(field, "%d is outside %d to %d", value, low, high)
 	}
 }
 
-func (c *settingsChecker) oneOf(field, value string, allowed ...string) {
+func (c *settingsChecker) checkOneOf(field, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
-		c.fail(field, "%q must be one of %v", value, allowed)
+		c.addProblem(field, "%q must be one of %v", value, allowed)
 	}
 }
 
 func (s *Settings) check() error {
 	c := &settingsChecker{file: s.file}
-	c.name("name", s.Name)
-	c.name("data_hall", s.DataHall)
-	c.name("region", s.Region)
-	c.address("callers", s.Callers)
-	c.address("operators", s.Operators)
-	c.address("peers", s.Peers)
+	c.checkName("name", s.Name)
+	c.checkName("data_hall", s.DataHall)
+	c.checkName("region", s.Region)
+	c.checkAddress("callers", s.Callers)
+	c.checkAddress("operators", s.Operators)
+	c.checkAddress("peers", s.Peers)
 	for i, seed := range s.Seeds {
-		c.address(fmt.Sprintf("seeds[%d]", i), seed)
-	}
-	c.duration("serve_window", s.ServeWindow, minServeWindow, maxServeWindow)
-	c.duration("keep_entries", s.KeepEntries, time.Second, maxKeepEntries)
-	c.number("max_body_bytes", s.MaxBodyBytes, minMaxBody, maxMaxBody)
-	c.number("weight_loads", s.WeightLoads, 1, maxWeightLoads)
-	c.oneOf("log.level", s.Log.Level, "trace", "debug", "info", "warn", "error")
-	c.oneOf("log.format", s.Log.Format, "text", "json")
+		c.checkAddress(fmt.Sprintf("seeds[%d]", i), seed)
+	}
+	c.checkDuration("serve_window", s.ServeWindow, minServeWindow, maxServeWindow)
+	c.checkDuration("keep_entries", s.KeepEntries, time.Second, maxKeepEntries)
+	c.checkNumber("max_body_bytes", s.MaxBodyBytes, minMaxBodyBytes, maxMaxBodyBytes)
+	c.checkNumber("weight_loads", s.WeightLoads, 1, maxWeightLoads)
+	c.checkOneOf("log.level", s.Log.Level, "trace", "debug", "info", "warn", "error")
+	c.checkOneOf("log.format", s.Log.Format, "text", "json")
 	s.Platform.check(c)
 	return errors.Join(c.problems...)
 }
 
 func (p *PlatformSettings) check(c *settingsChecker) {
 	if p.LogRetention < minLogRetention {
-		c.fail("platform.log_retention", "%v is below %v", p.LogRetention, minLogRetention)
+		c.addProblem("platform.log_retention", "%v is below %v", p.LogRetention, minLogRetention)
 	}
 	if p.Embedded == nil {
-		c.address("platform.log", p.Log)
-		c.address("platform.nodes", p.Nodes)
+		c.checkAddress("platform.log", p.Log)
+		c.checkAddress("platform.nodes", p.Nodes)
 		return
 	}
 	if p.Log != "" || p.Nodes != "" {
-		c.fail("platform.embedded", "cannot be given together with platform.log or platform.nodes")
+		c.addProblem("platform.embedded", "cannot be given together with platform.log or platform.nodes")
 	}
 	if len(p.Embedded.Domains) == 0 {
-		c.fail("platform.embedded.domains", "must name at least one fabric domain")
+		c.addProblem("platform.embedded.domains", "must name at least one fabric domain")
 	}
 	if p.Embedded.StoreGBPerSecond <= 0 {
-		c.fail("platform.embedded.store_gb_per_second", "must be above zero")
+		c.addProblem("platform.embedded.store_gb_per_second", "must be above zero")
 	}
-	c.number("platform.embedded.slots", p.Embedded.Slots, 1, maxWeightLoads)
+	c.checkNumber("platform.embedded.slots", p.Embedded.Slots, 1, maxWeightLoads)
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -84,16 +84,16 @@
 	now := time.Now()
 	s := Status{
 		Daemon: d.settings.Name, Ready: "ready", Revision: d.state.View().Revision(),
-		Sums: d.accounts.sums(), Requests: d.meter.Requests(),
+		Sums: d.accounting.sums(), Requests: d.meter.Requests(),
 		Refusals: d.meter.Refusals(), Retries: d.meter.Retries(),
 		Warnings: d.warnings(),
 		Replicas: d.replicaRows(now),
-		Halls:    d.halls.Statuses(now),
+		Halls:    d.hallWatch.Statuses(now),
 	}
-	if closed := d.readiness.gate(); closed != nil {
+	if closed := d.readiness.checkReady(); closed != nil {
 		s.Ready = string(closed.Reason) + ": " + closed.Message
 	}
-	if confirmed := d.followers[streamConfiguration].Confirmed(); now.Sub(confirmed) > contactWindow {
+	if confirmed := d.followers[streamConfiguration].Confirmed(); now.Sub(confirmed) > contactTimeout {
 		s.LogSilent = "the log does not answer"
 	}
 	for _, m := range d.agent.Table().Members() {
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -13,39 +13,39 @@
 	sent     atomic.Int64
 }
 
-// countedConn is a connection whose bytes are counted.
-type countedConn struct {
+// countingConn is a connection whose bytes are counted.
+type countingConn struct {
 	net.Conn
 	traffic *traffic
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.received.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.sent.Add(int64(n))
 	return n, err
 }
 
-// countedListener counts the bytes of the connections that it accepts.
-type countedListener struct {
+// countingListener counts the bytes of the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	traffic *traffic
 }
 
 // Accept implements net.Listener.
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: conn, traffic: l.traffic}, nil
+	return countingConn{Conn: conn, traffic: l.traffic}, nil
 }
 
 // dial opens a connection whose bytes are counted.
@@ -55,5 +55,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: conn, traffic: t}, nil
+	return countingConn{Conn: conn, traffic: t}, nil
 }
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -22,28 +22,28 @@
 // fast for long, are dropped and counted by their message. It is safe for
 // concurrent use.
 type Lines struct {
-	out  io.Writer
-	opts LinesOptions
-	ring chan []byte
-	done chan struct{}
+	out   io.Writer
+	opts  LinesOptions
+	queue chan []byte
+	done  chan struct{}
 
 	mu       sync.Mutex
 	tokens   float64
 	filledAt time.Time
 	dropped  map[string]int64
-	// untold holds what was dropped since that was last told.
-	untold map[string]int64
+	// unreported holds what was dropped since that was last told.
+	unreported map[string]int64
 }
 
-// tellEvery is how often it is told what was dropped, if anything was.
-const tellEvery = time.Second
+// reportInterval is how often it is told what was dropped, if anything was.
+const reportInterval = time.Second
 
 // NewLines returns lines that go to out; Run writes them.
 func NewLines(out io.Writer, opts LinesOptions) *Lines {
 	return &Lines{
-		out: out, opts: opts, ring: make(chan []byte, opts.Most), done: make(chan struct{}),
+		out: out, opts: opts, queue: make(chan []byte, opts.Most), done: make(chan struct{}),
 		tokens: float64(opts.Most), filledAt: time.Now(),
-		dropped: make(map[string]int64), untold: make(map[string]int64),
+		dropped: make(map[string]int64), unreported: make(map[string]int64),
 	}
 }
 
@@ -51,13 +51,13 @@
 func (l *Lines) Write(line []byte) (int, error) {
 	if l.admit(time.Now()) {
 		select {
-		case l.ring <- bytes.Clone(line):
+		case l.queue <- bytes.Clone(line):
 			return len(line), nil
 		default:
 			// Whoever reads the lines does not keep up.
 		}
 	}
-	l.drop(messageOf(line))
+	l.countDropped(messageOf(line))
 	return len(line), nil
 }
 
@@ -74,11 +74,11 @@
 	return true
 }
 
-func (l *Lines) drop(message string) {
+func (l *Lines) countDropped(message string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropped[message]++
-	l.untold[message]++
+	l.unreported[message]++
 }
 
 // Dropped returns how many lines were dropped, by message.
@@ -98,14 +98,14 @@
 // Run writes lines until ctx ends, then those that still wait.
 func (l *Lines) Run(ctx context.Context) {
 	defer close(l.done)
-	ticker := time.NewTicker(tellEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case line := <-l.ring:
-			l.pass(line)
+		case line := <-l.queue:
+			l.writeOut(line)
 		case <-ticker.C:
-			l.tell()
+			l.reportDropped()
 		case <-ctx.Done():
 			l.flush()
 			return
@@ -116,16 +116,16 @@
 func (l *Lines) flush() {
 	for {
 		select {
-		case line := <-l.ring:
-			l.pass(line)
+		case line := <-l.queue:
+			l.writeOut(line)
 		default:
-			l.tell()
+			l.reportDropped()
 			return
 		}
 	}
 }
 
-func (l *Lines) pass(line []byte) {
+func (l *Lines) writeOut(line []byte) {
 	// There is nowhere to tell that the log itself is broken.
 	_, _ = l.out.Write(line)
 }
@@ -138,23 +138,23 @@
 	Lines   map[string]int64 `json:"lines"`
 }
 
-// tell writes what was dropped since the last time.
-func (l *Lines) tell() {
+// reportDropped writes what was dropped since the last time.
+func (l *Lines) reportDropped() {
 	l.mu.Lock()
-	untold := l.untold
-	if len(untold) > 0 {
-		l.untold = make(map[string]int64)
+	unreported := l.unreported
+	if len(unreported) > 0 {
+		l.unreported = make(map[string]int64)
 	}
 	l.mu.Unlock()
-	if len(untold) == 0 {
+	if len(unreported) == 0 {
 		return
 	}
-	data, err := json.Marshal(droppedLine{Level: "warn", Message: "log lines dropped", Time: time.Now().UTC(), Lines: untold})
+	data, err := json.Marshal(droppedLine{Level: "warn", Message: "log lines dropped", Time: time.Now().UTC(), Lines: unreported})
 	if err != nil {
 		// The line holds strings and numbers alone, which always encode.
 		panic(err)
 	}
-	l.pass(append(data, '\n'))
+	l.writeOut(append(data, '\n'))
 }
 
 // messageOf returns the message of a line, by which dropped ones are counted.
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -15,14 +15,14 @@
 
 // slowWriter takes a while for each line, or holds it for ever.
 type slowWriter struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	held chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
+	release chan struct{}
 }
 
 func (w *slowWriter) Write(p []byte) (int, error) {
-	if w.held != nil {
-		<-w.held
+	if w.release != nil {
+		<-w.release
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,9 +63,9 @@
 	})
 }
 
-func TestWhoLogsIsNeverHeldUp(t *testing.T) {
+func TestWriteNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &slowWriter{held: make(chan struct{})}
+		out := &slowWriter{release: make(chan struct{})}
 		l := NewLines(out, LinesOptions{PerSecond: 1e6, Most: 5})
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.Run(ctx)
@@ -76,13 +76,13 @@
 		}
 		assert.Equal(t, time.Since(before), time.Duration(0), "no time passes")
 		assert.Assert(t, l.Dropped()["refused"] >= 44)
-		close(out.held)
+		close(out.release)
 		cancel()
 		<-l.Done()
 	})
 }
 
-func TestMessagesOfLines(t *testing.T) {
+func TestMessageOf(t *testing.T) {
 	for text, want := range map[string]string{
 		line("stream resumes", 1): "stream resumes", "panic: something": "other", `{"@message":"torn`: "torn",
 	} {
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -26,29 +26,29 @@
 	retries  map[reason.Reason]*atomic.Int64
 	late     map[reason.Reason]*atomic.Int64
 	// passedOver counts choices in which replicas were passed over.
-	passedOver map[reason.Reason]*atomic.Int64
-	requests   atomic.Int64
-	first      metric.Float64Histogram
-	between    metric.Float64Histogram
-	orders     metric.Int64Counter
+	passedOver    map[reason.Reason]*atomic.Int64
+	requests      atomic.Int64
+	firstToken    metric.Float64Histogram
+	betweenTokens metric.Float64Histogram
+	orders        metric.Int64Counter
 	// warmUp counts tokens of the warm-up allowance, by outcome.
 	warmUp metric.Int64Counter
 	// quarantine counts what happened to requests that end workers.
 	quarantine metric.Int64Counter
 	// suspensions counts how often the machine was suspended.
 	suspensions metric.Int64Counter
-	// signals counts what workers said of themselves in answers.
-	signals metric.Int64Counter
-	// broken counts attempts that their workers broke off.
-	broken metric.Int64Counter
+	// workerSignals counts what workers said of themselves in answers.
+	workerSignals metric.Int64Counter
+	// brokenAttempts counts attempts that their workers broke off.
+	brokenAttempts metric.Int64Counter
 	// connections counts what carried requests to workers.
 	connections metric.Int64Counter
 	// datagrams and datagramBytes count what was sent to peers.
 	datagrams     metric.Int64Counter
 	datagramBytes metric.Int64Counter
-	// passedOverDatagrams counts what came from peers and was not understood.
-	passedOverDatagrams metric.Int64Counter
-	handler             http.Handler
+	// ignoredDatagrams counts what came from peers and was not understood.
+	ignoredDatagrams metric.Int64Counter
+	handler          http.Handler
 
 	mu     sync.Mutex
 	gauges map[string]func() float64
@@ -71,10 +71,10 @@
 		return nil, fmt.Errorf("start metrics exporter: %w", err)
 	}
 	m := &Meter{
-		refusals:   zeroes(reason.Refusals()),
-		retries:    zeroes(reason.Retries()),
-		late:       zeroes(reason.Lateness()),
-		passedOver: zeroes(reason.PassedOver()),
+		refusals:   newCounters(reason.Refusals()),
+		retries:    newCounters(reason.Retries()),
+		late:       newCounters(reason.Lateness()),
+		passedOver: newCounters(reason.PassedOver()),
 		handler:    promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
 		gauges:     make(map[string]func() float64),
 	}
@@ -85,7 +85,7 @@
 	return m, nil
 }
 
-func zeroes(reasons []reason.Reason) map[reason.Reason]*atomic.Int64 {
+func newCounters(reasons []reason.Reason) map[reason.Reason]*atomic.Int64 {
 	all := make(map[reason.Reason]*atomic.Int64, len(reasons))
 	for _, r := range reasons {
 		all[r] = &atomic.Int64{}
@@ -94,16 +94,16 @@
 }
 
 func (m *Meter) register(meter metric.Meter) error {
-	if err := observe(meter, "quartzshelf_refusals", "Requests refused or failed, by reason.", m.refusals); err != nil {
+	if err := exportCounters(meter, "quartzshelf_refusals", "Requests refused or failed, by reason.", m.refusals); err != nil {
 		return err
 	}
-	if err := observe(meter, "quartzshelf_retries", "Requests sent again, by reason.", m.retries); err != nil {
+	if err := exportCounters(meter, "quartzshelf_retries", "Requests sent again, by reason.", m.retries); err != nil {
 		return err
 	}
-	if err := observe(meter, "quartzshelf_late", "Streams that were late, by reason.", m.late); err != nil {
+	if err := exportCounters(meter, "quartzshelf_late", "Streams that were late, by reason.", m.late); err != nil {
 		return err
 	}
-	if err := observe(meter, "quartzshelf_passed_over", "Choices of a replica in which some were passed over, by reason.", m.passedOver); err != nil {
+	if err := exportCounters(meter, "quartzshelf_passed_over", "Choices of a replica in which some were passed over, by reason.", m.passedOver); err != nil {
 		return err
 	}
 	_, err := meter.Int64ObservableCounter("quartzshelf_requests",
@@ -127,18 +127,18 @@
 			return err
 		}
 	}
-	m.first, err = meter.Float64Histogram("quartzshelf_first_token_seconds",
+	m.firstToken, err = meter.Float64Histogram("quartzshelf_first_token_seconds",
 		metric.WithDescription("Time from a request to the first token."), bounds)
 	if err != nil {
 		return err
 	}
-	m.between, err = meter.Float64Histogram("quartzshelf_between_tokens_seconds",
+	m.betweenTokens, err = meter.Float64Histogram("quartzshelf_between_tokens_seconds",
 		metric.WithDescription("Time between two tokens of an answer."), bounds)
 	return err
 }
 
-// observe exports a set of counters under one name, labelled by reason.
-func observe(meter metric.Meter, name, description string, counters map[reason.Reason]*atomic.Int64) error {
+// exportCounters exports a set of counters under one name, labelled by reason.
+func exportCounters(meter metric.Meter, name, description string, counters map[reason.Reason]*atomic.Int64) error {
 	_, err := meter.Int64ObservableCounter(name,
 		metric.WithDescription(description),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
@@ -170,19 +170,19 @@
 func (m *Meter) Request() { m.requests.Add(1) }
 
 // Refuse counts a refusal; reasons outside reason.Refusals are not counted.
-func (m *Meter) Refuse(r reason.Reason) { add(m.refusals, r) }
+func (m *Meter) Refuse(r reason.Reason) { increment(m.refusals, r) }
 
 // Retry counts a retry; reasons outside reason.Retries are not counted.
-func (m *Meter) Retry(r reason.Reason) { add(m.retries, r) }
+func (m *Meter) Retry(r reason.Reason) { increment(m.retries, r) }
 
 // Late counts a stream that was late; reasons outside reason.Lateness are not counted.
-func (m *Meter) Late(r reason.Reason) { add(m.late, r) }
+func (m *Meter) Late(r reason.Reason) { increment(m.late, r) }
 
 // PassOver counts a choice in which replicas were passed over; reasons outside
 // reason.PassedOver are not counted.
-func (m *Meter) PassOver(r reason.Reason) { add(m.passedOver, r) }
+func (m *Meter) PassOver(r reason.Reason) { increment(m.passedOver, r) }
 
-func add(counters map[reason.Reason]*atomic.Int64, r reason.Reason) {
+func increment(counters map[reason.Reason]*atomic.Int64, r reason.Reason) {
 	if counter, ok := counters[r]; ok {
 		counter.Add(1)
 	}
@@ -211,12 +211,12 @@
 // Signal counts what a worker asked for in an answer: a limit, rest, or that it leaves, and
 // values that were not understood.
 func (m *Meter) Signal(event string) {
-	m.signals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
+	m.workerSignals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
 
 // Broken counts an attempt that a worker of a service broke off.
 func (m *Meter) Broken(service string) {
-	m.broken.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
+	m.brokenAttempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
 // Connection counts a connection to a worker of a service that is to carry a
@@ -233,20 +233,20 @@
 // registerCounters registers the counters whose labels are not known before.
 func (m *Meter) registerCounters(meter metric.Meter) error {
 	counters := map[*metric.Int64Counter]struct{ name, description string }{
-		&m.orders:              {"quartzshelf_orders", "Orders given to workers, by order and outcome."},
-		&m.warmUp:              {"quartzshelf_warm_up", "Requests to workers that warm up, by whether the allowance had room."},
-		&m.quarantine:          {"quartzshelf_quarantine", "Requests that were at a worker when it ended, and their quarantine, by event."},
-		&m.suspensions:         {"quartzshelf_suspensions", "Times that the machine was suspended."},
-		&m.signals:             {"quartzshelf_worker_signals", "What workers asked for in their answers, by event: new, changed, dropped or not understood."},
-		&m.broken:              {"quartzshelf_attempts_broken", "Attempts whose connection the worker ended within, by service."},
-		&m.connections:         {"quartzshelf_connections", "Connections that carried requests to workers, by service, opened or reused."},
-		&m.datagrams:           {"quartzshelf_datagrams", "Datagrams sent to peers, by kind."},
-		&m.datagramBytes:       {"quartzshelf_datagram_bytes", "Bytes of datagrams sent to peers, by kind."},
-		&m.passedOverDatagrams: {"quartzshelf_datagrams_passed_over", "Datagrams of peers that were not understood, by cause."},
+		&m.orders:           {"quartzshelf_orders", "Orders given to workers, by order and outcome."},
+		&m.warmUp:           {"quartzshelf_warm_up", "Requests to workers that warm up, by whether the allowance had room."},
+		&m.quarantine:       {"quartzshelf_quarantine", "Requests that were at a worker when it ended, and their quarantine, by event."},
+		&m.suspensions:      {"quartzshelf_suspensions", "Times that the machine was suspended."},
+		&m.workerSignals:    {"quartzshelf_worker_signals", "What workers asked for in their answers, by event: new, changed, dropped or not understood."},
+		&m.brokenAttempts:   {"quartzshelf_attempts_broken", "Attempts whose connection the worker ended within, by service."},
+		&m.connections:      {"quartzshelf_connections", "Connections that carried requests to workers, by service, opened or reused."},
+		&m.datagrams:        {"quartzshelf_datagrams", "Datagrams sent to peers, by kind."},
+		&m.datagramBytes:    {"quartzshelf_datagram_bytes", "Bytes of datagrams sent to peers, by kind."},
+		&m.ignoredDatagrams: {"quartzshelf_datagrams_passed_over", "Datagrams of peers that were not understood, by cause."},
 	}
-	for counter, is := range counters {
+	for counter, definition := range counters {
 		var err error
-		if *counter, err = meter.Int64Counter(is.name, metric.WithDescription(is.description)); err != nil {
+		if *counter, err = meter.Int64Counter(definition.name, metric.WithDescription(definition.description)); err != nil {
 			return err
 		}
 	}
@@ -262,7 +262,7 @@
 
 // PassedOverDatagram counts a datagram of a peer that was not understood.
 func (m *Meter) PassedOverDatagram(cause string) {
-	m.passedOverDatagrams.Add(context.Background(), 1, metric.WithAttributes(attribute.String("cause", cause)))
+	m.ignoredDatagrams.Add(context.Background(), 1, metric.WithAttributes(attribute.String("cause", cause)))
 }
 
 func (m *Meter) registerDaemons(meter metric.Meter) error {
@@ -317,12 +317,12 @@
 
 // FirstToken records the time from a request, begun at start, to its first token.
 func (m *Meter) FirstToken(start time.Time) {
-	m.first.Record(context.Background(), time.Since(start).Seconds())
+	m.firstToken.Record(context.Background(), time.Since(start).Seconds())
 }
 
 // NextToken records the time since the token before, which came at last.
 func (m *Meter) NextToken(last time.Time) {
-	m.between.Record(context.Background(), time.Since(last).Seconds())
+	m.betweenTokens.Record(context.Background(), time.Since(last).Seconds())
 }
 
 // Refusals returns the counters of refusals that are not zero.
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConnectionsAreTold: the ratio of new connections can be read for each service.
-func TestConnectionsAreTold(t *testing.T) {
+// TestConnectionsAreExported: the ratio of new connections can be read for each service.
+func TestConnectionsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
 	m.Connection("models", false)
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestStoreCallsAreTold: the calls to the store can be read by purpose, and none are shown
+// TestStoreCallsAreExported: the calls to the store can be read by purpose, and none are shown
 // before it is known who counts them.
-func TestStoreCallsAreTold(t *testing.T) {
+func TestStoreCallsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
 	shown := func() string {
