--- a/common/awake/awake.go
+++ b/common/awake/awake.go
@@ -1,6 +1,6 @@
-// Package awake tells for how long the machine was suspended. The steady clock, by which
-// time.Time counts spans, stands still meanwhile: what was known before would seem as fresh
-// after it as it was.
+// Package awake detects that the machine was suspended, and for how long. Go's monotonic
+// clock doesn't advance while the machine is suspended. Information from before the
+// suspension would otherwise seem as recent afterwards as it was before.
 package awake
 
 import (
@@ -12,17 +12,18 @@
 )
 
 const (
-	// maxReadSpan is how far apart the readings of two clocks may be for their difference to
-	// tell something; tries is how often they are read to get there.
+	// maxReadSpan is the longest time that reading all clocks may take for a result to be
+	// accurate. If it takes longer, they are read again, up to maxReadings times in all.
 	maxReadSpan = time.Millisecond
 	maxReadings = 4
-	// minSuspension is the shortest suspension that counts: readings are off by less.
+	// minSuspension is the shortest suspension that counts. Shorter ones can be errors of
+	// measurement.
 	minSuspension = 50 * time.Millisecond
 )
 
-// Clock reads how long the machine was suspended since it started.
+// Clock measures how long the machine has been suspended in total since it was booted.
 type Clock struct {
-	// read returns a clock of the system; a seam for tests.
+	// read returns the value of a system clock; tests replace it.
 	read func(clock int32) (time.Duration, error)
 }
 
@@ -37,10 +38,10 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Suspended returns for how long the machine was suspended since it started, as exactly as
-// three readings of its clocks tell.
+// Suspended returns how long the machine has been suspended in total since it was booted. It
+// returns an error if a system clock can't be read.
 func (c *Clock) Suspended() (time.Duration, error) {
-	best, bestSpan := time.Duration(0), time.Duration(-1)
+	suspended, bestSpan := time.Duration(0), time.Duration(-1)
 	for range maxReadings {
 		before, err := c.read(unix.CLOCK_MONOTONIC)
 		if err != nil {
@@ -55,60 +56,61 @@
 			return 0, err
 		}
 		if span := after - before; bestSpan < 0 || span < bestSpan {
-			best, bestSpan = boot-before-span/2, span
+			suspended, bestSpan = boot-before-span/2, span
 		}
 		if bestSpan <= maxReadSpan {
 			break
 		}
 	}
-	return best, nil
+	return suspended, nil
 }
 
-// Watch notices that the machine was suspended. It is safe for concurrent use.
+// Watch detects suspensions of the machine. It is safe for concurrent use.
 type Watch struct {
-	// Suspended returns for how long it was in all.
+	// Suspended returns how long the machine has been suspended in total.
 	Suspended func() time.Duration
-	// Woke is called with each further time, before Check returns anywhere. It must not call
-	// Check.
-	Woke func(asleep time.Duration)
+	// OnResume is called by Check with the duration of each new suspension. Concurrent calls
+	// of Check wait until it returns. It must not call Check itself.
+	OnResume func(asleep time.Duration)
 
 	mu       sync.Mutex
 	reported time.Duration
 }
 
-// NewWatch returns a watch from now on.
-func NewWatch(suspended func() time.Duration, woke func(asleep time.Duration)) *Watch {
-	return &Watch{Suspended: suspended, Woke: woke, reported: suspended()}
+// NewWatch returns a watch that reports suspensions from now on to onResume. The function
+// suspended returns how long the machine has been suspended in total.
+func NewWatch(suspended func() time.Duration, onResume func(asleep time.Duration)) *Watch {
+	return &Watch{Suspended: suspended, OnResume: onResume, reported: suspended()}
 }
 
-// Check tells of a suspension that was not told yet. What is believed afterwards is as old as
-// it is.
+// Check calls OnResume if the machine was suspended since the last reported suspension.
 func (w *Watch) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if asleep := w.Suspended() - w.reported; asleep >= minSuspension {
-		w.reported += asleep
-		w.Woke(asleep)
+	if added := w.Suspended() - w.reported; added >= minSuspension {
+		w.reported += added
+		w.OnResume(added)
 	}
 }
 
-// Stamp is a moment that stays as long ago as it is over suspensions.
+// Stamp is a point in time whose age includes the time that the machine was suspended since.
 type Stamp struct {
 	at              time.Time
 	suspended       func() time.Duration
 	suspendedBefore time.Duration
 }
 
-// NewStamp returns the present moment.
+// NewStamp returns a stamp of the current time. The function suspended returns how long the
+// machine has been suspended in total.
 func NewStamp(suspended func() time.Duration) Stamp {
 	return Stamp{at: time.Now(), suspended: suspended, suspendedBefore: suspended()}
 }
 
-// Time returns the moment by the steady clock as it stands now.
+// Time returns the stamp as a time whose distance to time.Now includes suspensions up to now.
 func (s Stamp) Time() time.Time { return s.at.Add(s.suspendedBefore - s.suspended()) }
 
-// Interrupted reports whether the machine was suspended since.
+// Interrupted reports whether the machine was suspended since the stamp was taken.
 func (s Stamp) Interrupted() bool { return s.suspended()-s.suspendedBefore >= minSuspension }
 
-// Never is for machines that are never suspended.
+// Never returns zero, as the total suspension of a machine that is never suspended.
 func Never() time.Duration { return 0 }
--- a/common/awake/awake_test.go
+++ b/common/awake/awake_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeClocks are the clocks of a machine that a test suspends.
+// fakeClocks simulate the clocks of a machine that was suspended for boot minus steady.
 type fakeClocks struct {
 	steady, boot time.Duration
-	// readDelays is how long each reading of the first ones takes.
+	// readDelays are the durations of the first readings; later ones take no time.
 	readDelays []time.Duration
 	err        error
 }
@@ -51,14 +51,14 @@
 	assert.ErrorContains(t, err, "no such clock")
 }
 
-// TestSystemClocks: the clocks of the machine that runs the test can be read.
+// TestSystemClocks checks that the clocks of the machine that runs the test can be read.
 func TestSystemClocks(t *testing.T) {
 	got, err := NewClock().Suspended()
 	assert.NilError(t, err)
 	assert.Assert(t, got > -time.Second)
 }
 
-// TestWatch: each suspension is told once, and before whoever checks goes on.
+// TestWatch checks that each suspension is reported once, and before Check returns.
 func TestWatch(t *testing.T) {
 	suspended := time.Minute
 	var reported []time.Duration
@@ -66,7 +66,7 @@
 	w.Check()
 	suspended += minSuspension - 1
 	w.Check()
-	assert.Equal(t, len(reported), 0, "clocks are adjusted")
+	assert.Equal(t, len(reported), 0, "a suspension shorter than minSuspension was reported")
 	suspended += 5 * time.Second
 	w.Check()
 	w.Check()
@@ -75,7 +75,7 @@
 	assert.DeepEqual(t, reported, []time.Duration{5*time.Second + minSuspension - 1, time.Second})
 }
 
-// TestStamp: a moment before a suspension is as long ago afterwards as it is.
+// TestStamp checks that the age of a stamp includes a later suspension.
 func TestStamp(t *testing.T) {
 	suspended := time.Duration(0)
 	s := NewStamp(func() time.Duration { return suspended })
--- a/common/failure/failure.go
+++ b/common/failure/failure.go
@@ -1,5 +1,5 @@
-// Package failure builds errors that carry the step and the peer at which they
-// arose, so that a log line or an answer names the place without a stack trace.
+// Package failure builds errors that carry the failed step and the peer that it dealt with.
+// Log lines and answers can then show where an error arose without a stack trace.
 package failure
 
 import (
@@ -11,21 +11,21 @@
 var (
 	namespace = errorx.NewNamespace("quartzshelf")
 
-	// Remote marks an error that another process caused or reported.
+	// Remote is the type of errors that another process caused or reported.
 	Remote = namespace.NewType("remote")
-	// Invalid marks an input that was refused.
+	// Invalid is the type of errors for invalid input.
 	Invalid = namespace.NewType("invalid")
-	// Refused marks an action that is known not to have taken effect.
+	// Refused is the type of errors for an action that is known not to have taken effect.
 	Refused = namespace.NewType("refused", errorx.Temporary())
-	// Unavailable marks a part that cannot do its work at present.
+	// Unavailable is the type of errors for a component or service that is unavailable now.
 	Unavailable = namespace.NewType("unavailable", errorx.Temporary())
 
 	propertyStep = errorx.RegisterPrintableProperty("step")
 	propertyPeer = errorx.RegisterPrintableProperty("peer")
 )
 
-// located is an error of a type, with its step and peer, that lets errors.Is and
-// errors.As see its cause, which an errorx.Error hides.
+// located is an error with a type, a step and a peer. Unlike an errorx.Error alone, it lets
+// errors.Is and errors.As find its cause.
 type located struct {
 	typed *errorx.Error
 	cause error
@@ -33,7 +33,8 @@
 
 func (l *located) Error() string { return l.typed.Error() }
 
-// Unwrap returns the error's own type first, since that decides what it is.
+// Unwrap returns the typed error before the cause, so that Is finds the outermost type
+// first.
 func (l *located) Unwrap() []error { return []error{l.typed, l.cause} }
 
 // At wraps cause as an error of type t that arose in step while dealing with
@@ -44,14 +45,14 @@
 	}
 	wrapped := cause
 	if l, ok := cause.(*located); ok {
-		// The stack trace of an errorx.Error is taken over; another one costs its taking.
+		// Wrapping an errorx.Error reuses its stack trace, so that no other one is collected.
 		wrapped = l.typed
 	}
 	typed := t.WrapWithNoMessage(wrapped).WithProperty(propertyStep, step).WithProperty(propertyPeer, peer)
 	return &located{typed: typed, cause: cause}
 }
 
-// Is reports whether err is of type t: the outermost type that it carries counts.
+// Is reports whether the outermost type that err carries is t.
 func Is(err error, t *errorx.Type) bool {
 	var typed *errorx.Error
 	return errors.As(err, &typed) && typed.IsOfType(t)
--- a/common/failure/failure_test.go
+++ b/common/failure/failure_test.go
@@ -11,8 +11,8 @@
 
 var errCause = errors.New("cause")
 
-// TestCauses: a caller finds a known cause behind steps and peers, while the outermost
-// type, step and peer tell what the error is.
+// TestCauses checks that errors.Is finds the cause of a wrapped error, and that the error
+// has its outermost type, step and peer.
 func TestCauses(t *testing.T) {
 	once := failure.At(failure.Remote, "read", "peer", errCause)
 	tests := map[string]error{
@@ -25,23 +25,23 @@
 		t.Run(name, func(t *testing.T) { checkError(t, err) })
 	}
 	if failure.At(failure.Remote, "read", "peer", nil) != nil {
-		t.Error("no cause is no error")
+		t.Error("a nil cause must give a nil error")
 	}
 }
 
-// checkError wants an error of type Remote, of reading at a peer, for errCause.
+// checkError checks that err has type Remote, step "read", peer "peer" and cause errCause.
 func checkError(t *testing.T, err error) {
 	t.Helper()
 	if !errors.Is(err, errCause) {
-		t.Errorf("the cause of %v is not seen", err)
+		t.Errorf("errors.Is does not find the cause of %v", err)
 	}
 	if errors.Is(err, context.Canceled) {
-		t.Errorf("a cause of %v that it does not have", err)
+		t.Errorf("errors.Is finds a cause of %v that it does not have", err)
 	}
 	if !failure.Is(err, failure.Remote) || failure.Is(err, failure.Refused) {
-		t.Errorf("the type of %v is not the outermost", err)
+		t.Errorf("%v does not have its outermost type", err)
 	}
 	if failure.Step(err) != "read" || failure.Peer(err) != "peer" {
-		t.Errorf("step %q and peer %q", failure.Step(err), failure.Peer(err))
+		t.Errorf("got step %q and peer %q", failure.Step(err), failure.Peer(err))
 	}
 }
--- a/common/pause/pause.go
+++ b/common/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits in a way that the end of a context cuts short.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or until ctx ends.
+// For waits for d, or until ctx is done if that is earlier.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/common/proptest/proptest.go
+++ b/common/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest lets property-based tests run with a fixed seed, so that CI
-// reaches the same verdict every time, and with drawn seeds in a soak.
+// Package proptest runs property-based tests with a fixed seed, so that results in CI are
+// repeatable. In soaks it uses random seeds instead.
 package proptest
 
 import (
@@ -9,12 +9,13 @@
 	"testing"
 )
 
-// SoakEnv is the environment variable that asks for drawn seeds.
+// SoakEnv is the environment variable that selects random seeds if it isn't empty.
 const SoakEnv = "QUARTZSHELF_SOAK"
 
 const fixedSeed = "20261202"
 
-// Main runs the tests of a package. Call it from TestMain.
+// Main sets the flags of the rapid library, runs the tests of a package, and exits. Call it
+// from TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	if os.Getenv(SoakEnv) == "" {
@@ -24,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// setFlag changes a flag that rapid has registered, unless the command line has.
+// setFlag sets a registered flag, unless it was given on the command line.
 func setFlag(name, value string) {
 	isGiven := false
 	flag.Visit(func(f *flag.Flag) { isGiven = isGiven || f.Name == name })
--- a/common/reason/reason.go
+++ b/common/reason/reason.go
@@ -1,12 +1,12 @@
-// Package reason names every cause for which a request is refused or retried.
-// The names are the labels of the counters, the reason field of error answers
-// and the headings of the operators' page, so that one word leads to all three.
+// Package reason lists the reasons for which requests are refused, retried or late. The
+// same names appear as labels of metrics, in the reason field of error answers, and as
+// headings on the operators' page.
 package reason
 
-// Reason is a cause of a refusal or a retry.
+// Reason is why a request was refused, retried or late, or why a replica was passed over.
 type Reason string
 
-// Reasons of refusals: nothing of the request ran unless the answer says so.
+// Reasons of refusals. A refused request was not run unless the answer says otherwise.
 const (
 	Unauthorized       Reason = "unauthorized"
 	UnknownModel       Reason = "unknown_model"
@@ -38,24 +38,24 @@
 	HallClosed         Reason = "hall_closed"
 	RegionNotAllowed   Reason = "region_not_allowed"
 	WarmUp             Reason = "warm_up"
-	// Limited: the workers named limits that leave no room now.
+	// Limited means that the limits set by the workers are reached.
 	Limited Reason = "limited"
-	// Resting: the workers want nothing from this daemon for a while.
+	// Resting means that the workers asked this daemon to send no requests for a while.
 	Resting Reason = "resting"
-	// MemoryBound: the daemon holds as many bytes for callers as it may.
+	// MemoryBound means that the daemon's limit on bytes held for callers is reached.
 	MemoryBound Reason = "memory_bound"
-	// Quarantined: the request ended the workers that ran it.
+	// Quarantined means that the request is blocked because workers crashed while running it.
 	Quarantined Reason = "quarantined"
 )
 
-// Reasons for which a replica is passed over that refuse no request by themselves.
+// Reasons for which only a replica is passed over. They are not reasons of refusals.
 const (
 	Tried     Reason = "tried"
 	Suspected Reason = "suspected"
 	Leaving   Reason = "leaving"
 )
 
-// Reasons of retries: the request was sent again to another replica.
+// Reasons for which a request was sent again, to another replica.
 const (
 	RetryUnreached Reason = "retry_unreachable"
 	RetryRefused   Reason = "retry_refused"
@@ -63,17 +63,18 @@
 	RetryResumed   Reason = "retry_resumed"
 )
 
-// Reasons for which a stream was late, though its caller got all of it.
+// Reasons for which a stream was late although the caller received all of it.
 const (
-	// LateRetried: attempts failed before the first event.
+	// LateRetried means that attempts failed before the first event.
 	LateRetried Reason = "late_retried"
-	// LateFull: the first event was late at a replica whose slots were nearly all taken.
+	// LateFull means that the first event was late, at a replica with few free slots.
 	LateFull Reason = "late_full"
-	// LateFirst: it was late at another one, behind prompts or a slow worker.
+	// LateFirst means that the first event was late, at a replica with enough free slots.
+	// The request waited for other prompts, or the worker was slow.
 	LateFirst Reason = "late_first"
-	// LateResumed: the stream broke or stood still, and went on elsewhere.
+	// LateResumed means that the stream broke or stalled, and was resumed at another replica.
 	LateResumed Reason = "late_resumed"
-	// LatePause: there was a pause at one replica.
+	// LatePause means that the stream paused at one replica and was continued there.
 	LatePause Reason = "late_pause"
 )
 
@@ -93,7 +94,7 @@
 	}
 }
 
-// PassedOver returns every reason for which replicas are passed over in a choice.
+// PassedOver returns every reason for which replicas are passed over when one is chosen.
 func PassedOver() []Reason {
 	return []Reason{Tried, RegionNotAllowed, HallClosed, WarmUp, Limited, Resting, Suspected, Leaving}
 }
@@ -103,15 +104,15 @@
 	return []Reason{RetryUnreached, RetryRefused, RetryBroken, RetryResumed}
 }
 
-// Ran tells whether a request ran.
+// Ran is what an error answer states about whether the request was run.
 type Ran string
 
-// The three things that an error answer can say about a request.
+// Values of Ran.
 const (
-	// RanNo promises that the request was not run and never will be.
+	// RanNo means that the request was not run and never will be.
 	RanNo Ran = "no"
-	// RanUnknown says that the request was sent and its fate is not known.
+	// RanUnknown means that the request was sent and may or may not have been run.
 	RanUnknown Ran = "unknown"
-	// RanYes says that the request ran.
+	// RanYes means that the request was run.
 	RanYes Ran = "yes"
 )
--- a/common/ring/ring.go
+++ b/common/ring/ring.go
@@ -1,6 +1,5 @@
-// Package ring provides the bounded queue that joins the goroutines of a
-// daemon. A full ring refuses instead of blocking its producer, so that one
-// slow duty never stalls another.
+// Package ring provides a bounded queue between goroutines. A full queue rejects values
+// instead of blocking the producer.
 package ring
 
 // Ring is a bounded queue of values of one type. It is safe for concurrent use.
@@ -8,13 +7,12 @@
 	slots chan T
 }
 
-// New returns a ring that holds at most capacity values; a capacity below one
-// is taken as one.
+// New returns a ring that holds at most capacity values, and at least one.
 func New[T any](capacity int) *Ring[T] {
 	return &Ring[T]{slots: make(chan T, max(capacity, 1))}
 }
 
-// Offer adds v and reports whether there was room for it.
+// Offer adds v if there is room, and reports whether it did. It doesn't block.
 func (r *Ring[T]) Offer(v T) bool {
 	select {
 	case r.slots <- v:
@@ -29,7 +27,7 @@
 	return r.slots
 }
 
-// Drain takes up to limit values that are ready now, without blocking.
+// Drain removes and returns up to limit queued values. It doesn't block.
 func (r *Ring[T]) Drain(limit int) []T {
 	var values []T
 	for len(values) < limit {
--- a/common/token/token.go
+++ b/common/token/token.go
@@ -1,22 +1,21 @@
-// Package token defines the fencing token that orders the commands which
-// daemons give to nodes.
+// Package token defines the fencing token that orders the commands of daemons to nodes.
 package token
 
 import "cmp"
 
-// Token orders commands to nodes. A node accepts a command only if its token
-// is higher than the one of the command that it holds. It is a message, hence
-// its exported fields.
+// Token is the fencing token of a command. A node accepts a command only if its token is
+// higher than that of the last accepted command.
 type Token struct {
-	// Epoch is one past the log offset of the grant under which the command is given.
+	// Epoch is the log offset of the grant of ownership that allows the command, plus one.
 	Epoch uint64 `json:"epoch"`
-	// Rank is zero for the owner and grows along the list of deputies.
+	// Rank is zero for the owner. Deputies have higher ranks, in the order of their list.
 	Rank uint32 `json:"rank"`
-	// Sequence grows with each command given under one epoch and rank.
+	// Sequence increases with each command of the same epoch and rank.
 	Sequence uint64 `json:"sequence"`
 }
 
-// Compare returns -1, 0 or 1 as t is lower than, equal to or higher than other.
+// Compare returns -1 if t is lower than other, 0 if they are equal, and 1 if t is higher.
+// Epochs are compared first, then ranks, then sequence numbers.
 func (t Token) Compare(other Token) int {
 	return cmp.Or(
 		cmp.Compare(t.Epoch, other.Epoch),
--- a/common/turn/turn.go
+++ b/common/turn/turn.go
@@ -1,10 +1,12 @@
-// Package turn picks a few of many things in turns, so that all come up again and again.
+// Package turn selects a limited number of items per call, in round-robin order.
 package turn
 
 import "slices"
 
-// Few returns at most some of all things, beginning with from or the next one in order, and
-// with which one the next turn begins. It sorts all.
+// Few returns at most the given number of items, in the order of compare and wrapping around
+// at the end. The first is from, or the next higher item if there is no such item. The
+// second result is the value of from for the next call. Few sorts all if it holds more
+// items than it returns.
 func Few[T any](all []T, from T, most int, compare func(a, b T) int) (few []T, next T) {
 	if len(all) <= most {
 		return all, from
--- a/common/turn/turn_test.go
+++ b/common/turn/turn_test.go
@@ -13,7 +13,8 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// TestFewReturnsAll: of things that stay, all come up in as many turns as they take, none twice.
+// TestFewReturnsAll checks that repeated calls return every item of a list that doesn't
+// change, in the smallest possible number of calls.
 func TestFewReturnsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfNDistinct(rapid.IntRange(0, 1000), 1, 40, rapid.ID[int]).Draw(t, "all")
--- a/common/wiretest/wiretest.go
+++ b/common/wiretest/wiretest.go
@@ -1,5 +1,6 @@
-// Package wiretest lets tests check messages in JSON against those that another build wrote:
-// that what it wrote is understood, and that nothing it needs is left out or of another type.
+// Package wiretest checks in tests that JSON messages are compatible with those recorded from
+// another build. It finds recorded fields that are lost in decoding, and fields of the other
+// build that are missing here or have another type.
 package wiretest
 
 import (
@@ -11,10 +12,11 @@
 	"time"
 )
 
-// filledPrefix begins the texts that Fill makes.
+// filledPrefix is the prefix of the strings that Fill sets.
 const filledPrefix = "s"
 
-// Fill sets all exported fields of what v points to, to values that differ from zero.
+// Fill sets all exported fields of the struct that v points to, and of those within it, to
+// values other than zero.
 func Fill(v any) { fill(reflect.ValueOf(v).Elem(), 1) }
 
 func fill(v reflect.Value, n int64) {
@@ -65,8 +67,8 @@
 	}
 }
 
-// Lost returns what of a recorded message is lost or changed when it is decoded into v and
-// encoded again, by path.
+// Lost decodes a recorded message into v, encodes v again, and returns the sorted paths of the
+// fields that are lost or changed. It returns an error if the message can't be decoded.
 func Lost(recorded []byte, v any) ([]string, error) {
 	if err := json.Unmarshal(recorded, v); err != nil {
 		return nil, fmt.Errorf("decode: %w", err)
@@ -74,7 +76,8 @@
 	return compare(recorded, v, func(before, after any) bool { return reflect.DeepEqual(before, after) })
 }
 
-// Missing returns what of a recorded message is not in v, or of another type there, by path.
+// Missing returns the sorted paths of the fields of a recorded message that v lacks or holds
+// with another JSON type.
 func Missing(recorded []byte, v any) ([]string, error) {
 	return compare(recorded, v, func(before, after any) bool { return reflect.TypeOf(before) == reflect.TypeOf(after) })
 }
@@ -96,7 +99,8 @@
 	return found, nil
 }
 
-// differences returns the paths at which after lacks what before has.
+// differences returns the paths of values in before that after lacks, or that aren't the
+// same in after according to same.
 func differences(path string, before, after any, same func(before, after any) bool) []string {
 	switch b := before.(type) {
 	case map[string]any:
@@ -129,8 +133,8 @@
 	return found
 }
 
-// findField returns a field. The only key of a map is data if Fill made it, so that any other one
-// stands for it.
+// findField returns the field with the given key. If key is the only one of count and was set
+// by Fill, it is the key of a map and not the name of a field; any field then matches.
 func findField(fields map[string]any, key string, count int) (value any, ok bool) {
 	if value, ok = fields[key]; ok || count != 1 || !strings.HasPrefix(key, filledPrefix) {
 		return value, ok
--- a/common/wiretest/wiretest_test.go
+++ b/common/wiretest/wiretest_test.go
@@ -18,8 +18,8 @@
 	Inner *inner `json:"inner"`
 }
 
-// TestChangesAreFound: a field that is renamed, left out or of another type is found, both by
-// who reads what was recorded and by who would have to write it.
+// TestChangesAreFound checks that Lost and Missing find renamed and removed fields, and that
+// Lost returns an error for a field of another type.
 func TestChangesAreFound(t *testing.T) {
 	b := &before{}
 	Fill(b)
--- a/daemon/accounting.go
+++ b/daemon/accounting.go
@@ -10,12 +10,12 @@
 
 const accountingInterval = time.Second
 
-// accounting sums up the two measures of the system as this daemon sees them.
+// accounting sums up, as this daemon sees the fleet, the downtime of replicas and the
+// time that accelerators were stranded, meaning in no serving replica.
 type accounting struct {
 	daemon *Daemon
 
-	mu sync.Mutex
-	// downtimeReplicaSeconds is in replica-seconds, stranded in accelerator-seconds.
+	mu                         sync.Mutex
 	downtimeReplicaSeconds     float64
 	strandedAcceleratorSeconds float64
 	darkReplicas               int
@@ -38,7 +38,9 @@
 	return a
 }
 
-// Sums are the two measures and what makes them up now.
+// Sums are the downtime and the stranded time since the daemon started, with the current
+// numbers of dark replicas and stranded accelerators. A dark replica is one that is
+// reported but doesn't serve.
 type Sums struct {
 	DowntimeSeconds      float64 `json:"group_downtime_replica_seconds"`
 	StrandedSeconds      float64 `json:"stranded_accelerator_seconds"`
@@ -68,7 +70,8 @@
 	}
 }
 
-// update counts the time since the last call with what is dark and stranded now.
+// update adds the time since the last update, multiplied by the current numbers of dark
+// replicas and stranded accelerators, to the sums.
 func (a *accounting) update(now time.Time) {
 	dark, stranded := 0, 0
 	for _, report := range a.daemon.catalog.Reports() {
@@ -86,8 +89,9 @@
 	a.strandedAcceleratorSeconds += seconds * float64(stranded)
 }
 
-// countDarkAndStranded returns how many replicas of a domain do not serve and how many
-// accelerators belong to no serving replica.
+// countDarkAndStranded returns how many replicas of a domain don't serve, and how many
+// accelerators belong to no serving replica. If the report is no longer current, no
+// replica counts as serving. Nodes of plain services don't count.
 func countDarkAndStranded(report *rpc.DomainReport, isCurrent bool) (dark, stranded int) {
 	serving := make(map[string]bool)
 	for _, r := range report.Replicas {
--- a/daemon/arrivals.go
+++ b/daemon/arrivals.go
@@ -14,17 +14,17 @@
 // streamArrivals is the log stream on which daemons announce themselves.
 const streamArrivals = "arrivals"
 
-// maxArrivals bounds the arrivals kept.
+// maxArrivals is how many daemons are kept; the oldest are dropped first.
 const maxArrivals = 2000
 
-// arrival announces a daemon.
+// arrival is the record with which a daemon announces itself.
 type arrival struct {
 	Name string `json:"name" cbor:"1,keyasint"`
 	Peer string `json:"peer" cbor:"2,keyasint"`
 }
 
-// arrivals folds the stream of arrivals: daemons that start later find the
-// others by it when the seeds of their settings are gone.
+// arrivals holds the peer addresses of the daemons that announced themselves in the log.
+// A daemon uses them to find others when none of its seeds is available.
 type arrivals struct {
 	mu        sync.Mutex
 	addresses map[string]string
@@ -37,7 +37,8 @@
 	return &arrivals{addresses: make(map[string]string)}
 }
 
-// peerAddresses returns the peer addresses of the daemons that arrived, the newest last.
+// peerAddresses returns the peer addresses of all announced daemons, in the order in
+// which they first appeared.
 func (a *arrivals) peerAddresses() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,7 +49,7 @@
 	return all
 }
 
-// hasOther reports whether any daemon but the given one arrived.
+// hasOther reports whether any daemon other than the named one was announced.
 func (a *arrivals) hasOther(name string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/daemon/configuration.go
+++ b/daemon/configuration.go
@@ -5,7 +5,7 @@
 	"quartzshelf.dev/membership"
 )
 
-// streamConfiguration is the log stream that operators publish on.
+// streamConfiguration is the log stream of the change sets that operators publish.
 const streamConfiguration = "configuration"
 
 var _ membership.Configuration = eventlog.Shared{}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -35,9 +35,11 @@
 )
 
 const (
-	// maxCheckpointDelay spreads the writers of checkpoints.
+	// maxCheckpointDelay bounds the random delay before a daemon writes a checkpoint. The
+	// delay keeps the daemons from all writing at the same time.
 	maxCheckpointDelay = 20 * time.Second
-	// keyRetentionDivisor of the log's retention is how long a caller's key is kept.
+	// keyRetentionDivisor divides the log's retention. The result is how long the
+	// idempotency key of a caller is kept.
 	keyRetentionDivisor = 2
 	// announceTimeout bounds the append that announces the daemon.
 	announceTimeout    = 5 * time.Second
@@ -51,36 +53,36 @@
 	logger    hclog.Logger
 	startedAt time.Time
 
-	embedded  *server.Server
-	state     *config.State
-	grants    *ownership.State
-	intents   *intent.State
-	arrivals  *arrivals
-	followers map[string]*eventlog.Follower
+	embedded         *server.Server
+	state            *config.State
+	grants           *ownership.State
+	intents          *intent.State
+	announcedDaemons *arrivals
+	followers        map[string]*eventlog.Follower
 
-	meter          *telemetry.Meter
-	catalog        *catalog.Catalog
-	agent          *membership.Agent
-	peerClients    *peerClients
-	controller     *replica.Controller
-	ledger         *intent.Ledger
-	limiter        *admission.Limiter
-	gateway        *gateway.Gateway
-	peerServer     *peerServer
-	peerHTTP       *http.Server
-	operatorServer *operatorServer
-	accounting     *accounting
-	hallWatch      *hall.Watch
-	readiness      *readiness
+	meter              *telemetry.Meter
+	catalog            *catalog.Catalog
+	agent              *membership.Agent
+	peerClients        *peerClients
+	controller         *replica.Controller
+	ledger             *intent.Ledger
+	limiter            *admission.Limiter
+	gateway            *gateway.Gateway
+	peerServer         *peerServer
+	peerHTTP           *http.Server
+	operatorServer     *operatorServer
+	downtimeAccounting *accounting
+	hallWatch          *hall.Watch
+	readiness          *readiness
 
 	listeners listeners
-	// cancel ends the duties of the group.
+	// cancel stops the tasks.
 	cancel context.CancelFunc
 	tasks  conc.WaitGroup
 	done   chan struct{}
 }
 
-// listeners are the open ports of a daemon.
+// listeners holds the listening sockets of a daemon.
 type listeners struct {
 	callers   net.Listener
 	operators net.Listener
@@ -90,13 +92,13 @@
 func (l listeners) close() {
 	for _, listener := range []net.Listener{l.callers, l.operators, l.peers} {
 		if listener != nil {
-			// A listener that is closed twice returns an error of no interest.
+			// The only expected error is that the listener is already closed.
 			_ = listener.Close()
 		}
 	}
 }
 
-// New opens the ports and builds the parts. Nothing runs before Start.
+// New opens the daemon's ports and builds its components. Start runs them.
 func New(settings *Settings, logger hclog.Logger) (*Daemon, error) {
 	d := &Daemon{
 		settings: settings, logger: logger, startedAt: time.Now(),
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// connectPlatform returns a client of the platform, and starts an embedded one
-// if the settings ask for it.
+// connectPlatform returns a client of the platform. If the settings ask for an
+// embedded platform, it starts that one first.
 func (d *Daemon) connectPlatform() (*client.Client, error) {
 	p := d.settings.Platform
 	if p.Embedded == nil {
@@ -162,7 +164,7 @@
 	return client.New(client.Options{LogAddress: address, NodesAddress: address}), nil
 }
 
-// buildComponents makes the parts, each of which is given what it needs of the others.
+// buildComponents creates the daemon's components and connects them to each other.
 func (d *Daemon) buildComponents(platform *client.Client) error {
 	var err error
 	if d.meter, err = telemetry.NewMeter(); err != nil {
@@ -172,11 +174,11 @@
 	d.state = config.NewState()
 	d.grants = ownership.NewState()
 	d.intents = intent.NewState(retention / keyRetentionDivisor)
-	d.arrivals = newArrivals()
+	d.announcedDaemons = newArrivals()
 	d.addFollower(platform, streamConfiguration, d.state)
 	d.addFollower(platform, ownership.Stream, d.grants)
 	d.addFollower(platform, intent.Stream, d.intents)
-	d.addFollower(platform, streamArrivals, d.arrivals)
+	d.addFollower(platform, streamArrivals, d.announcedDaemons)
 
 	d.catalog = catalog.New()
 	d.peerClients = newPeerClients()
@@ -192,7 +194,7 @@
 	d.readiness = newReadiness(d)
 	d.gateway = d.newGateway()
 	d.hallWatch = d.newHallWatch()
-	d.accounting = newAccounting(d)
+	d.downtimeAccounting = newAccounting(d)
 	d.operatorServer = newOperatorServer(d)
 	return nil
 }
@@ -217,7 +219,7 @@
 			EntryAddress: d.listeners.callers.Addr().String(),
 			DataHall:     s.DataHall, Region: s.Region,
 		},
-		Seeds: func() []string { return append(d.arrivals.peerAddresses(), s.Seeds...) },
+		Seeds: func() []string { return append(d.announcedDaemons.peerAddresses(), s.Seeds...) },
 		Dial:  d.peerClients.get, Reports: d.catalog,
 		Configuration: eventlog.NewShared(d.followers[streamConfiguration]), Quarantine: d.quarantineExchange(),
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -265,7 +267,7 @@
 // Done is closed when the daemon has stopped.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// Start runs the daemon's duties, each in a goroutine of its own.
+// Start runs each of the daemon's tasks in a goroutine of its own.
 func (d *Daemon) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -276,7 +278,7 @@
 	d.tasks.Go(func() { d.controller.Run(ctx) })
 	d.tasks.Go(func() { d.ledger.Run(ctx) })
 	d.tasks.Go(func() { d.limiter.Run(ctx) })
-	d.tasks.Go(func() { d.accounting.run(ctx) })
+	d.tasks.Go(func() { d.downtimeAccounting.run(ctx) })
 	d.tasks.Go(func() { d.announce(ctx) })
 	d.tasks.Go(func() { d.readiness.run(ctx) })
 	d.tasks.Go(func() { d.hallWatch.Run(ctx) })
@@ -295,7 +297,8 @@
 	}
 }
 
-// announce tells the log of this daemon, again until it is done.
+// announce appends this daemon's addresses to the log. It retries until the append
+// succeeds or ctx is done.
 func (d *Daemon) announce(ctx context.Context) {
 	record, err := json.Marshal(arrival{Name: d.settings.Name, Peer: d.listeners.peers.Addr().String()})
 	if err != nil {
@@ -311,25 +314,25 @@
 			return
 		}
 		if !warned && ctx.Err() == nil {
-			d.logger.Warn("the log cannot be reached; trying on", "error", err)
+			d.logger.Warn("announcement not appended to the log; retrying", "error", err)
 			warned = true
 		}
 		pause.For(ctx, announceRetryDelay)
 	}
 }
 
-// newID returns a unique name that sorts by time.
+// newID returns a unique id. Ids sort by the time of their creation.
 func newID() string {
 	id, err := uuid.NewV7()
 	if err != nil {
-		// The system's source of randomness is gone; nothing can go on.
+		// The system's source of randomness failed.
 		panic(err)
 	}
 	return id.String()
 }
 
-// ApplyConfigurationFile publishes the documents in a file if they are not in
-// force yet. It serves the first trial on an embedded platform.
+// ApplyConfigurationFile publishes the documents in a file, after the daemon has read
+// the configuration stream to its end. It is meant for the embedded platform.
 func (d *Daemon) ApplyConfigurationFile(ctx context.Context, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -358,7 +361,7 @@
 	return nil
 }
 
-// AwaitReplica waits until some replica serves.
+// AwaitReplica waits until at least one replica is serving or ctx is done.
 func (d *Daemon) AwaitReplica(ctx context.Context) error {
 	const pollInterval = 100 * time.Millisecond
 	for {
@@ -375,7 +378,8 @@
 	}
 }
 
-// publish appends a change set and returns what the fold decided.
+// publish appends a change set to the configuration stream. It returns the verdict that
+// this daemon reached when it applied the record.
 func (d *Daemon) publish(ctx context.Context, id string, set config.ChangeSet) (config.Verdict, error) {
 	data, err := set.Encode()
 	if err != nil {
@@ -386,12 +390,13 @@
 	}
 	verdict, ok := d.findVerdict(id)
 	if !ok {
-		return verdict, failure.New(failure.Unavailable, "find verdict", id, "it was pushed out of the history")
+		return verdict, failure.New(failure.Unavailable, "find verdict", id, "it is no longer in the history")
 	}
 	return verdict, nil
 }
 
-// findVerdict returns what the fold decided on the change set with the given id.
+// findVerdict returns the verdict on the change set with the given id. It reports false
+// if the history doesn't hold the verdict.
 func (d *Daemon) findVerdict(id string) (config.Verdict, bool) {
 	for _, v := range d.state.History() {
 		if v.ID == id {
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -37,7 +37,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	replace := func(old, fresh string) string { return strings.Replace(goodSettings, old, fresh, 1) }
+	replace := func(old, replacement string) string { return strings.Replace(goodSettings, old, replacement, 1) }
 	cases := map[string]struct {
 		text string
 		want string
@@ -67,14 +67,14 @@
 	}
 }
 
-// startDaemon starts a daemon on an embedded platform with the quickstart's
-// configuration, whose deployment it narrows to one replica.
+// startDaemon starts a daemon on an embedded platform and waits until a replica serves.
+// The configuration is that of the quickstart, but with one replica instead of two.
 func startDaemon(t *testing.T) *Daemon {
 	t.Helper()
 	return startDaemonWith(t, goodSettings)
 }
 
-// startDaemonWith is startDaemon with the given settings.
+// startDaemonWith does what startDaemon does, with the given settings.
 func startDaemonWith(t *testing.T, text string) *Daemon {
 	t.Helper()
 	dir := t.TempDir()
@@ -99,8 +99,7 @@
 	return d
 }
 
-// TestPlannedStopCutsNothingOff stops a daemon while a stream is on its way:
-// the caller must get all of it.
+// TestPlannedStopCutsNothingOff checks that a planned stop lets a stream in flight finish.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	d := startDaemon(t)
 	callers, _ := d.Addresses()
@@ -124,7 +123,7 @@
 	assert.ErrorContains(t, err, "refused")
 }
 
-// TestKilledDaemonLeavesNothingRunning ends a daemon as a crash would.
+// TestKilledDaemonLeavesNothingRunning checks that Kill stops the background tasks.
 func TestKilledDaemonLeavesNothingRunning(t *testing.T) {
 	d := startDaemon(t)
 	d.Kill()
@@ -133,7 +132,7 @@
 	<-d.agent.Done()
 }
 
-// TestPortInUse names the step and the peer when a port is in use.
+// TestPortInUse checks that the error for a port in use names the step and the address.
 func TestPortInUse(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
@@ -146,7 +145,8 @@
 	assert.ErrorContains(t, err, taken)
 }
 
-// TestOperatorsPageNamesEveryReason keeps the page and the counters in step.
+// TestOperatorsPageNamesEveryReason checks that the operators' page explains every reason
+// that the counters use as a label.
 func TestOperatorsPageNamesEveryReason(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATORS.md")
 	assert.NilError(t, err)
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -7,8 +7,9 @@
 	"quartzshelf.dev/rpc"
 )
 
-// listEntries lists the addresses of the daemons that take requests and stay. Those in
-// closed data halls are left out, unless there are no others: they refuse truthfully.
+// listEntries returns, in random order, the addresses of the daemons that take requests
+// and are not leaving. Those in closed data halls are only listed if there are no others.
+// They then answer callers that the halls are closed.
 func (d *Daemon) listEntries() []gateway.Entry {
 	view := d.state.View()
 	open, closed := []gateway.Entry{}, []gateway.Entry{}
--- a/daemon/expected.go
+++ b/daemon/expected.go
@@ -2,17 +2,18 @@
 
 import "quartzshelf.dev/rpc"
 
-// expectedMembers is the daemons that may hold a newer configuration while the log is out of
-// reach: all that were members since it was last read, and have not departed. The table
-// of members forgets the dead after a while; to a daemon that is cut off, all others
-// look dead.
+// expectedMembers is the set of daemons that may hold a newer configuration while the log
+// is unavailable. It contains all that have been members since the log was last read,
+// except those that left as planned. The table of members can't be used for this. It
+// drops dead members after a while, and to a daemon that is cut off all others look dead.
 type expectedMembers struct {
 	ids map[string]bool
-	// seenOthers tells that another daemon was ever a member in this life.
+	// seenOthers is set once another daemon was a member since this process started.
 	seenOthers bool
 }
 
-// update takes over the members; logRead tells whether the log was read lately.
+// update adds the current members and removes those that left. If the log was read within
+// contactTimeout, it drops all earlier members first.
 func (e *expectedMembers) update(members []*rpc.Member, logRead bool) {
 	if logRead || e.ids == nil {
 		e.ids = make(map[string]bool, len(members))
@@ -27,5 +28,5 @@
 	e.seenOthers = e.seenOthers || len(members) > 1
 }
 
-// count returns how many daemons are expected, this one included.
+// count returns the number of expected daemons, this one included.
 func (e *expectedMembers) count() int { return len(e.ids) }
--- a/daemon/explain.go
+++ b/daemon/explain.go
@@ -11,15 +11,15 @@
 	"quartzshelf.dev/rpc"
 )
 
-// Explanation answers an operator's why.
+// Explanation tells an operator why a subject is in its state.
 type Explanation struct {
 	Subject string   `json:"subject"`
 	State   string   `json:"state"`
 	Because []string `json:"because"`
 }
 
-// explain says why a replica, a node or a data hall is as it is, or why a request went
-// where it did.
+// explain returns why a replica, a node or a data hall is in its state, or why a request
+// was sent to its replica. It reports false if the subject is unknown.
 func (d *Daemon) explain(kind, name string) (Explanation, bool) {
 	switch kind {
 	case "replica":
@@ -59,8 +59,9 @@
 	return e, true
 }
 
-// exclusionReasons returns what keeps a replica that its owner lists as serving from requests,
-// by the reasons of refusals. Client accounts may be bound to fewer regions.
+// exclusionReasons returns why a replica gets no requests although its owner lists it as
+// serving. Each line begins with a reason as in refusals. The regions that client accounts
+// allow are not considered.
 func (d *Daemon) exclusionReasons(r catalog.Replica) []string {
 	if !r.Listed() {
 		return nil
@@ -87,7 +88,7 @@
 	return all
 }
 
-// unassignedNodes describes the nodes of a replica that are not simply assigned.
+// unassignedNodes describes those of the given nodes that are not in the state assigned.
 func unassignedNodes(report *rpc.DomainReport, nodes []string) []string {
 	var all []string
 	for _, n := range report.Nodes {
@@ -144,7 +145,7 @@
 	return e, true
 }
 
-// explainRefusal says what kept a request from every replica.
+// explainRefusal returns why a request was refused.
 func explainRefusal(decision gateway.Decision) Explanation {
 	e := Explanation{
 		Subject: "request " + decision.Request,
--- a/daemon/halls.go
+++ b/daemon/halls.go
@@ -30,7 +30,8 @@
 	return all
 }
 
-// warnings returns what is in force but probably not meant.
+// warnings returns texts about settings of the current configuration that are valid but
+// probably mistakes.
 func (d *Daemon) warnings() []string {
 	warnings := d.state.View().Warnings()
 	var populated, unpopulated []string
@@ -46,7 +47,7 @@
 		}
 	}
 	if len(d.catalog.Reports()) == 0 {
-		// A daemon that has just started knows no node yet.
+		// A daemon that has just started has no reports of nodes yet.
 		unpopulated = nil
 	}
 	for _, name := range unpopulated {
--- a/daemon/halls_test.go
+++ b/daemon/halls_test.go
@@ -21,7 +21,7 @@
 	"quartzshelf.dev/rpc"
 )
 
-// putDocument publishes a document over the one in force.
+// putDocument publishes a document that replaces the current one of the same kind and name.
 func putDocument(t *testing.T, d *Daemon, kind config.Kind, name, spec string) config.Verdict {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -35,7 +35,8 @@
 	return verdict
 }
 
-// post sends a completion and returns the answer with an open body.
+// post sends a completion request. The body of the returned response is closed when the
+// test ends.
 func post(t *testing.T, d *Daemon, body string) *http.Response {
 	t.Helper()
 	callers, _ := d.Addresses()
@@ -48,9 +49,9 @@
 	return response
 }
 
-// TestCloseHall closes the only hall of a daemon on an embedded platform while a
-// stream runs: the stream ends, new requests are refused truthfully, explain says why,
-// the hall becomes empty, and opening it serves at once with the same replica.
+// TestCloseHall closes the only data hall while a stream runs. It checks that the stream
+// finishes, that new requests are refused, that explain gives the reason, and that the hall
+// becomes empty. After the hall is opened again, the same replica serves at once.
 func TestCloseHall(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
@@ -84,7 +85,7 @@
 
 	rest, err := io.ReadAll(stream)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.HasSuffix(string(rest), "data: [DONE]\n\n"), "what ran in the hall ends")
+	assert.Assert(t, strings.HasSuffix(string(rest), "data: [DONE]\n\n"), "the stream was not finished")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if s := d.hallWatch.Statuses(time.Now())[0]; s.State != hall.Empty {
 			return poll.Continue("%+v", s)
@@ -96,10 +97,11 @@
 	assert.Equal(t, putDocument(t, d, config.KindDataHall, "hall-a", `{"region":"south"}`).Problem, "")
 	assert.Equal(t, post(t, d, `{"model":"demo","prompt":"p"}`).StatusCode, http.StatusOK)
 	after := d.catalog.Of("demo")[0]
-	assert.Equal(t, after.Generation(), before.Generation(), "the replica stayed formed")
+	assert.Equal(t, after.Generation(), before.Generation(), "the replica was formed again")
 }
 
-// TestEntriesOfClosedHalls names daemons in open halls, and all where none is open.
+// TestEntriesOfClosedHalls checks that only daemons in open halls are listed, and that all
+// are listed if no hall is open.
 func TestEntriesOfClosedHalls(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
@@ -125,7 +127,8 @@
 	assert.DeepEqual(t, entries(), both)
 }
 
-// TestRegionsOfTheQuickstart binds the deployment and the account to regions.
+// TestRegionsOfTheQuickstart checks that the regions allowed to a client account must
+// exist, and that they decide whether its requests are served.
 func TestRegionsOfTheQuickstart(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
--- a/daemon/homes.go
+++ b/daemon/homes.go
@@ -11,14 +11,16 @@
 )
 
 const (
-	// maxWriters is how many daemons of the fleet append intents, so that the
-	// log's rate suffices however many daemons there are.
+	// maxWriters is how many daemons of the fleet append intents. It is bounded so that the
+	// number of appends doesn't grow with the fleet.
 	maxWriters = 3
-	// intentAppendsPerSecond is the part of the log's rate that intents may use.
+	// intentAppendsPerSecond is how many appends of intents the whole fleet may make per
+	// second.
 	intentAppendsPerSecond = 60
 )
 
-// pickMember returns the member with the highest score for key, nil for none.
+// pickMember returns the member that rendezvous hashing assigns to key, or nil if there
+// are no members.
 func pickMember(key string, members []*rpc.Member) *rpc.Member {
 	if len(members) == 0 {
 		return nil
@@ -58,8 +60,8 @@
 	return pickMember("key/"+key, intentWriters(members))
 }
 
-// minFlushInterval returns the least time between two appends of intents by one of
-// the writers.
+// minFlushInterval returns the shortest allowed time between two appends of intents by
+// one writer, in a fleet with the given number of members.
 func minFlushInterval(members int) time.Duration {
 	return time.Second * time.Duration(min(max(members, 1), maxWriters)) / intentAppendsPerSecond
 }
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -16,13 +16,13 @@
 	"quartzshelf.dev/config"
 )
 
-// applyTimeout bounds the wait for a change set to be folded.
+// applyTimeout bounds the publication of a change set.
 const applyTimeout = 8 * time.Second
 
 //go:embed dashboard.html
 var dashboardHTML string
 
-// operatorServer serves the operators' address.
+// operatorServer serves the HTTP API for operators.
 type operatorServer struct {
 	daemon *Daemon
 	app    *fiber.App
@@ -32,7 +32,7 @@
 	o := &operatorServer{daemon: d}
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		// Names from the path become record ids, beyond the life of a request.
+		// Path parameters are used as record ids, which are kept after the request.
 		Immutable:    true,
 		ErrorHandler: writeError,
 	})
@@ -56,12 +56,12 @@
 	return o
 }
 
-// errorReply is the JSON of an error towards operators.
+// errorReply is the JSON body of an error answer to an operator.
 type errorReply struct {
 	Error string `json:"error"`
 	Step  string `json:"step,omitempty"`
 	Peer  string `json:"peer,omitempty"`
-	// IsSettled tells that the action is known not to have taken effect.
+	// IsSettled is set if the action is known not to have taken effect.
 	IsSettled bool `json:"settled"`
 }
 
@@ -121,8 +121,8 @@
 	Warnings []string       `json:"warnings"`
 }
 
-// publishChange publishes a change set. A daemon that is cut off refuses: what it
-// accepted might not come into force elsewhere.
+// publishChange publishes a change set. It refuses while this daemon can't reach enough
+// others, because they might not see the change.
 func (o *operatorServer) publishChange(c *fiber.Ctx) error {
 	var set config.ChangeSet
 	if err := c.BodyParser(&set); err != nil {
--- a/daemon/peer.go
+++ b/daemon/peer.go
@@ -16,7 +16,7 @@
 	"quartzshelf.dev/rpc"
 )
 
-// peerServer is what this daemon offers to the others.
+// peerServer answers the calls of other daemons.
 type peerServer struct {
 	*membership.Agent
 	ledger *intent.Ledger
@@ -26,7 +26,8 @@
 
 var _ rpc.Peer = (*peerServer)(nil)
 
-// Claim implements rpc.Peer: it queues a record for the next append.
+// Claim implements rpc.Peer. It queues the record of an intent for the next append to the
+// log, and replies whether there was room in the queue.
 func (p *peerServer) Claim(_ context.Context, r *rpc.ClaimRequest) (*rpc.ClaimReply, error) {
 	if r.RecordId == "" || len(r.Data) == 0 {
 		return &rpc.ClaimReply{Reason: string(reason.BadRequest)}, nil
@@ -37,7 +38,8 @@
 	return &rpc.ClaimReply{Committed: true}, nil
 }
 
-// Outcome implements rpc.Peer.
+// Outcome implements rpc.Peer. It returns the phase and the answer of an attempt that
+// this daemon holds.
 func (p *peerServer) Outcome(_ context.Context, r *rpc.OutcomeRequest) (*rpc.OutcomeReply, error) {
 	o := p.ledger.Local(r.Attempt)
 	return &rpc.OutcomeReply{
@@ -46,7 +48,8 @@
 	}, nil
 }
 
-// LeaseShare implements rpc.Peer.
+// LeaseShare implements rpc.Peer. It leases the calling daemon a share of an account's
+// rate limit, or none if the account is unknown.
 func (p *peerServer) LeaseShare(_ context.Context, r *rpc.LeaseShareRequest) (*rpc.LeaseShareReply, error) {
 	for _, a := range p.config().Accounts() {
 		if a.Name() == r.Account {
@@ -59,7 +62,7 @@
 	return &rpc.LeaseShareReply{}, nil
 }
 
-// peerClients keeps one client for each peer address.
+// peerClients holds one client for each peer address.
 type peerClients struct {
 	http    *http.Client
 	traffic *traffic
@@ -69,11 +72,11 @@
 }
 
 const (
-	// peerTimeout bounds a call between daemons whose context sets no deadline.
+	// peerTimeout bounds each call and each connection attempt to another daemon.
 	peerTimeout      = 5 * time.Second
 	maxIdlePeerConns = 2
-	// peerIdleTimeout is how long an idle connection is kept: in a large fleet the
-	// same two daemons seldom meet again soon.
+	// peerIdleTimeout is how long an idle connection is kept. It is short because, in a
+	// large fleet, the same two daemons seldom call each other again soon.
 	peerIdleTimeout = 5 * time.Second
 )
 
@@ -91,7 +94,7 @@
 	}
 }
 
-// get returns the client of the daemon at a peer address.
+// get returns the client of the daemon at a peer address, and creates it if needed.
 func (d *peerClients) get(address string) rpc.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +106,7 @@
 	return client
 }
 
-// closeIdle ends the idle connections.
+// closeIdle closes the idle connections.
 func (d *peerClients) closeIdle() { d.http.CloseIdleConnections() }
 
 // peerAddress returns the peer address of a member.
@@ -115,7 +118,8 @@
 	return m.PeerAddress, nil
 }
 
-// submitIntent hands a record to the daemon that writes the key's records.
+// submitIntent sends a record to the daemon that appends the key's records, and reports
+// whether that daemon queued it. It reports false if that daemon is this one.
 func (d *Daemon) submitIntent(ctx context.Context, key intent.Key, record cluster.Record) bool {
 	writer := intentWriter(string(key), d.stayingMembers())
 	if writer == nil || writer.Id == d.settings.Name {
@@ -125,7 +129,7 @@
 	return err == nil && reply.Committed
 }
 
-// askOutcome asks the holder of an attempt what became of it.
+// askOutcome asks the daemon that holds an attempt for the attempt's outcome.
 func (d *Daemon) askOutcome(ctx context.Context, holder, attempt string) (intent.Outcome, error) {
 	address, err := d.peerAddress(holder)
 	if err != nil {
@@ -139,7 +143,8 @@
 	return intent.NewOutcome(intent.Phase(reply.State), answer), nil
 }
 
-// leaseShare asks the home of an account for a share of its limit.
+// leaseShare asks the account's home, the daemon that divides the account's rate limit,
+// for a share in requests per second. It returns the share and when it expires.
 func (d *Daemon) leaseShare(ctx context.Context, account string, demand float64) (float64, time.Time, error) {
 	home := accountHome(account, d.stayingMembers())
 	if home == nil {
@@ -160,7 +165,7 @@
 	return reply.Share, start.Add(time.Duration(reply.RemainingMicros) * time.Microsecond), nil
 }
 
-// stayingMembers returns the members that are alive and do not leave.
+// stayingMembers returns the members that are alive and not about to leave.
 func (d *Daemon) stayingMembers() []*rpc.Member {
 	var staying []*rpc.Member
 	for _, m := range d.agent.Table().Alive() {
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -11,7 +11,8 @@
 	"quartzshelf.dev/rpc"
 )
 
-// quarantineExchange returns how what is known of requests that end workers spreads.
+// quarantineExchange returns the functions with which the membership agent exchanges
+// quarantine entries with peers. The entries describe requests that crash workers.
 func (d *Daemon) quarantineExchange() membership.Quarantine {
 	return membership.Quarantine{
 		Report: func() []*rpc.QuarantineEntry {
@@ -21,12 +22,14 @@
 			return toMessages(table.Report(now, true))
 		},
 		Merge: func(peer string, all []*rpc.QuarantineEntry) {
-			// Exchanges go to one peer after the other, each of which passes on by itself.
+			// The result is not needed, because later exchanges pass the entries on.
 			_ = d.gateway.Guard().Merge(fromMessages(all), time.Now(), peer)
 		},
 	}
 }
 
+// toMessages converts entries to messages between daemons.
+// toMessages converts entries to messages between daemons.
 func toMessages(all []quarantine.Entry) []*rpc.QuarantineEntry {
 	messages := make([]*rpc.QuarantineEntry, 0, len(all))
 	for i := range all {
@@ -42,7 +45,8 @@
 	return messages
 }
 
-// fromMessages returns the entries of messages; those without a whole fingerprint are left out.
+// fromMessages converts messages to entries. It skips messages whose fingerprint has the
+// wrong length.
 func fromMessages(messages []*rpc.QuarantineEntry) []quarantine.Entry {
 	all := make([]quarantine.Entry, 0, len(messages))
 	for _, m := range messages {
@@ -59,18 +63,18 @@
 	return all
 }
 
-// QuarantineRow is a request that is quarantined.
+// QuarantineRow describes a quarantined request.
 type QuarantineRow struct {
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
-	// Workers are those that ended, the newest last.
+	// Workers are the workers that crashed while they ran the request, the newest last.
 	Workers []string  `json:"workers"`
 	Since   time.Time `json:"since"`
 	Until   time.Time `json:"until"`
-	// Rounds is how often it was quarantined.
+	// Rounds is how many times the request has been quarantined.
 	Rounds int `json:"rounds"`
 }
 
-// listQuarantined lists the requests that are quarantined.
+// listQuarantined answers with the requests that are quarantined now.
 func (o *operatorServer) listQuarantined(c *fiber.Ctx) error {
 	rows := []QuarantineRow{}
 	for _, m := range o.daemon.gateway.Guard().Table().Marks(time.Now()) {
@@ -83,7 +87,8 @@
 	return c.JSON(rows)
 }
 
-// liftQuarantine ends a quarantine; the other daemons hear of it.
+// liftQuarantine lifts the quarantine of a request. The next exchanges pass this on to
+// the other daemons.
 func (o *operatorServer) liftQuarantine(c *fiber.Ctx) error {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(c.Params("fingerprint"))); err != nil {
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -16,8 +16,8 @@
 	"quartzshelf.dev/telemetry"
 )
 
-// TestQuarantineMessages: what daemons exchange comes back as it was; a fingerprint that is
-// not whole names no request.
+// TestQuarantineMessages checks that entries survive the conversion to messages and back,
+// and that messages with a fingerprint of the wrong length are skipped.
 func TestQuarantineMessages(t *testing.T) {
 	entry := quarantine.Entry{
 		Fingerprint: quarantine.FingerprintOf("a", "POST", "", "/", nil), Cleared: 1, Marked: 2, Left: 3, Rounds: 4,
@@ -29,8 +29,8 @@
 	assert.DeepEqual(t, fromMessages(append(messages, short, &rpc.QuarantineEntry{})), []quarantine.Entry{entry})
 }
 
-// TestOperatorLiftsQuarantine: an operator sees what is quarantined and why, and lifts it;
-// peers hear of both.
+// TestOperatorLiftsQuarantine checks that operators can list and lift quarantines, and that
+// exchanges pass both the quarantine and its lifting on to a peer.
 func TestOperatorLiftsQuarantine(t *testing.T) {
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
@@ -66,7 +66,8 @@
 	assert.Assert(t, !peer.gateway.Guard().Table().State(f, now).Quarantined)
 }
 
-// TestExchangeCarriesQuarantine asks a whole daemon as its peers do.
+// TestExchangeCarriesQuarantine checks that a running daemon reports its quarantine entries
+// in its answer to an exchange.
 func TestExchangeCarriesQuarantine(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Stop()
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -13,38 +13,42 @@
 )
 
 const (
-	// contactTimeout is how long a read of the log or an answer of a peer counts
-	// as contact. A daemon without contact takes no new requests, since a
-	// configuration might be in force that it does not know.
+	// contactTimeout is how long a daemon counts as in contact after it read the log or a
+	// peer answered. Without contact it takes no new requests, because it could miss a
+	// newer configuration.
 	contactTimeout = 10 * time.Second
-	// maxBehindDuration is how long the daemon may lag behind a peer's configuration.
+	// maxBehindDuration is how long the daemon may hold an older configuration than a
+	// peer and still take requests.
 	maxBehindDuration = 10 * time.Second
-	// seedTimeout is how long a starting daemon waits for an answer of its seeds.
+	// seedTimeout is how long a starting daemon waits for its seeds to answer.
 	seedTimeout = 3 * time.Second
-	// readinessInterval is how often the daemon looks whether it takes requests.
+	// readinessInterval is the time between two checks of the daemon's readiness.
 	readinessInterval = 200 * time.Millisecond
 )
 
 // readiness decides whether this daemon takes requests.
 //
-// It takes none before it has caught up with the highest configuration offset
-// that it can learn of, from the log or, while that is out, from a peer. It
-// goes on while the log is out as long as it is in contact with more than half
-// of the fleet: then nobody on the other side of a partition can hold more.
-// With neither, it stops taking requests after contactWindow.
+// A starting daemon takes none until it has applied the newest configuration that it
+// can find, in the log or, if the log is unavailable, at a peer. While the log is
+// unavailable, it continues as long as it is in contact with more than half of the
+// fleet. The other side of a partition is then a minority, which can't publish a newer
+// configuration. A daemon with neither contact stops taking requests after
+// contactTimeout.
 type readiness struct {
 	daemon *Daemon
 
 	mu sync.Mutex
-	// stopping is set by a planned stop.
+	// stopping is set while the daemon stops as planned.
 	stopping bool
-	// started stays set once the daemon has caught up for the first time.
+	// started is set when the daemon has caught up for the first time, and stays set.
 	started bool
-	// entriesExpireAt is until when callers may use the answers given out.
+	// entriesExpireAt is when the newest answer that lists this daemon's address expires.
 	entriesExpireAt time.Time
-	// expected is whom a majority is counted among while the log is out.
+	// expected is the set of daemons of which a majority is needed while the log is
+	// unavailable.
 	expected expectedMembers
-	// behindSince is since when a peer is known to hold a newer configuration.
+	// behindSince is when a peer was first seen to hold a newer configuration. It is zero
+	// while no peer holds one.
 	behindSince time.Time
 }
 
@@ -52,7 +56,8 @@
 	return &readiness{daemon: d}
 }
 
-// renewEntriesExpiry returns until when an answer that lists addresses may be kept.
+// renewEntriesExpiry records and returns when an answer that lists addresses, given now,
+// expires.
 func (r *readiness) renewEntriesExpiry(now time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,22 +65,22 @@
 	return r.entriesExpireAt
 }
 
-// latestEntriesExpiry returns until when callers may use the answers given out.
+// latestEntriesExpiry returns when the newest answer that lists addresses expires.
 func (r *readiness) latestEntriesExpiry() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.entriesExpireAt
 }
 
-// setStopping makes the gate refuse every new request.
+// setStopping makes checkReady refuse every new request.
 func (r *readiness) setStopping() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopping = true
 }
 
-// run tells the other daemons whether this one takes requests, so that they do
-// not name it to callers while it does not.
+// run publishes to the other daemons whether this one takes requests. While it doesn't,
+// they leave its address out of their answers to callers.
 func (r *readiness) run(ctx context.Context) {
 	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
@@ -100,7 +105,8 @@
 	}
 }
 
-// logChange logs a change of whether requests are taken.
+// logChange logs that the daemon began to take requests, if closed is nil, or that it
+// takes none.
 func (r *readiness) logChange(closed *gateway.Closed) {
 	if closed == nil {
 		r.daemon.logger.Info("taking requests")
@@ -109,7 +115,7 @@
 	r.daemon.logger.Warn("not taking requests", "reason", closed.Reason, "message", closed.Message)
 }
 
-// checkReady returns nil while requests are taken.
+// checkReady returns why this daemon takes no requests, or nil if it takes them.
 func (r *readiness) checkReady() *gateway.Closed {
 	now := time.Now()
 	connected, next := r.isConnected(now), r.daemon.followers[streamConfiguration].Fold().Next()
@@ -137,9 +143,9 @@
 	return nil
 }
 
-// checkMayPublish returns nil while this daemon may publish changes. It may not while most
-// daemons are out of its reach: they go on taking requests by what they know, as long as
-// more than half of all daemons reach each other.
+// checkMayPublish returns why this daemon may not publish changes, or nil if it may. It
+// may not while it can't reach most daemons. If those reach each other, they continue to
+// take requests and don't see the change.
 func (r *readiness) checkMayPublish() *gateway.Closed {
 	if closed := r.checkReady(); closed != nil {
 		return closed
@@ -147,8 +153,8 @@
 	return checkReached(r.daemon.agent.Reached(time.Now().Add(-contactTimeout)))
 }
 
-// checkReached returns why a daemon that reaches so many of all daemons must not publish, or
-// nil: those that it does not reach must be no majority.
+// checkReached returns why a daemon that reaches only so many members, itself included,
+// may not publish. It returns nil if the others aren't a majority.
 func checkReached(reached, members int) *gateway.Closed {
 	if 2*reached >= members {
 		return nil
@@ -157,14 +163,14 @@
 		"this daemon reaches %d of %d daemons; the others might go on without the change", reached, members)}
 }
 
-// hasConfiguration reports whether there is a configuration to start with: the log was
-// read to its end, or a peer gave one.
+// hasConfiguration reports whether the daemon read the log to its end, or has a
+// configuration from a peer; next is the offset after the last record applied.
 func (r *readiness) hasConfiguration(next int64) bool {
 	return !r.daemon.followers[streamConfiguration].Confirmed().IsZero() || next > 0
 }
 
-// hasPeerReports reports whether the daemon has the reports of its peers, if it
-// has any peers.
+// hasPeerReports reports whether a peer has answered since the start. If no peer is
+// known, it reports whether there are no seeds or seedTimeout has passed.
 func (r *readiness) hasPeerReports() bool {
 	reached, members := r.daemon.agent.Reached(r.daemon.startedAt)
 	if members > 1 {
@@ -173,7 +179,9 @@
 	return len(r.daemon.settings.Seeds) == 0 || time.Now().After(r.daemon.startedAt.Add(seedTimeout))
 }
 
-// isConnected reports whether the daemon hears of every new configuration.
+// isConnected reports whether the daemon would notice a new configuration. It would if
+// it read the log within contactTimeout, reached a majority of the expected members, or
+// is the only daemon.
 func (r *readiness) isConnected(now time.Time) bool {
 	since := now.Add(-contactTimeout)
 	if r.daemon.followers[streamConfiguration].Confirmed().After(since) {
@@ -187,7 +195,7 @@
 	return members > 1 && 2*reached > members || members == 1 && r.isOnlyDaemon(seenOthers)
 }
 
-// updateExpected notes which daemons are members now.
+// updateExpected updates the expected members from the current table of members.
 func (r *readiness) updateExpected(now time.Time) {
 	logRead := r.daemon.followers[streamConfiguration].Confirmed().After(now.Add(-contactTimeout))
 	r.mu.Lock()
@@ -195,13 +203,14 @@
 	r.expected.update(r.daemon.agent.Table().Members(), logRead)
 }
 
-// isOnlyDaemon reports whether the daemon, which has no other members, is the only one; then an
-// outage of the log leaves nobody who could accept a configuration through us. One that
-// has never heard of another daemon may just be cut off from those that it knows of.
+// isOnlyDaemon reports whether a daemon without other members is the only one of the
+// fleet. Nobody else can then accept a configuration while the log is unavailable. It
+// reports false for a daemon that has never seen another member but has seeds or
+// announcements of others, because it may be cut off from them.
 func (r *readiness) isOnlyDaemon(seenOthers bool) bool {
 	own := r.daemon.listeners.peers.Addr().String()
 	hasOtherSeed := slices.ContainsFunc(r.daemon.settings.Seeds, func(seed string) bool { return seed != own })
-	if !seenOthers && (hasOtherSeed || r.daemon.arrivals.hasOther(r.daemon.settings.Name)) {
+	if !seenOthers && (hasOtherSeed || r.daemon.announcedDaemons.hasOther(r.daemon.settings.Name)) {
 		return false
 	}
 	return !r.daemon.followers[streamConfiguration].Confirmed().IsZero()
--- a/daemon/readiness_test.go
+++ b/daemon/readiness_test.go
@@ -16,12 +16,12 @@
 	"quartzshelf.dev/standin"
 )
 
-// TestOnlyMajorityMayPublish checks that of two parts of a fleet that do not reach each other,
-// the one that publishes leaves no majority that goes on without it.
-func TestOnlyMajorityMayPublish(t *testing.T) {
+// TestPublishLeavesNoMajority checks that a daemon may publish exactly if the daemons that it
+// doesn't reach can't continue without it as a majority.
+func TestPublishLeavesNoMajority(t *testing.T) {
 	cases := map[string]struct {
 		reached, members int
-		may              bool
+		mayPublish       bool
 	}{
 		"alone":                     {1, 1, true},
 		"all":                       {3, 3, true},
@@ -35,20 +35,21 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			closed := checkReached(c.reached, c.members)
-			assert.Equal(t, closed == nil, c.may)
+			assert.Equal(t, closed == nil, c.mayPublish)
 			if closed != nil {
 				assert.Equal(t, closed.Reason, reason.Isolated)
 			}
-			// The rule by which the others go on (readiness.connected).
+			// The others continue without the log by the rule in readiness.isConnected.
 			unreached := c.members - c.reached
 			othersContinue := unreached > 1 && 2*unreached > c.members
-			assert.Equal(t, othersContinue, !c.may, "what is published leaves no majority behind")
+			assert.Equal(t, othersContinue, !c.mayPublish, "the others continue although a change is published")
 		})
 	}
 }
 
-// TestMinorityMayNotPublish makes a daemon believe in two others that it does not
-// reach, while it still reaches the log.
+// TestMinorityMayNotPublish gives a daemon two members that it can't reach, and checks that
+// it refuses a change although it reaches the log. After one member has left, half of the
+// members are reached and the change is accepted.
 func TestMinorityMayNotPublish(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
@@ -74,7 +75,8 @@
 	assert.Equal(t, code, http.StatusOK, text)
 }
 
-// TestExpectedMembers checks who counts towards a majority while the log is out of reach.
+// TestExpectedMembers checks which daemons count for the majority while the log is
+// unavailable.
 func TestExpectedMembers(t *testing.T) {
 	alive := func(ids ...string) []*rpc.Member {
 		var all []*rpc.Member
@@ -89,9 +91,9 @@
 		logRead bool
 	}
 	cases := map[string]struct {
-		looks []observation
-		want  int
-		heard bool
+		observations []observation
+		want         int
+		seenOthers   bool
 	}{
 		"alone":                         {[]observation{{alive("a"), true}, {alive("a"), false}}, 1, false},
 		"the dead count when forgotten": {[]observation{{alive("a", "b", "c"), true}, {alive("a"), false}}, 3, true},
@@ -103,17 +105,17 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var e expectedMembers
-			for _, l := range c.looks {
+			for _, l := range c.observations {
 				e.update(l.members, l.logRead)
 			}
 			assert.Equal(t, e.count(), c.want)
-			assert.Equal(t, e.seenOthers, c.heard)
+			assert.Equal(t, e.seenOthers, c.seenOthers)
 		})
 	}
 }
 
-// TestReadinessWithoutLog takes the log away from a daemon that reaches no other:
-// it goes on only if it knows of none.
+// TestReadinessWithoutLog makes the log unavailable to a daemon without peers. The daemon
+// must continue to take requests only if there are no signs of other daemons.
 func TestReadinessWithoutLog(t *testing.T) {
 	three := []*rpc.Member{{Id: "entry-1"}, {Id: "entry-2"}, {Id: "entry-3"}}
 	cases := map[string]struct {
@@ -127,7 +129,9 @@
 		},
 		"another that arrived once": {
 			settings: goodSettings, want: reason.Isolated,
-			change: func(d *Daemon) { d.arrivals.Apply(cluster.Record{}, []byte(`{"name":"entry-2","peer":"127.0.0.1:1"}`)) },
+			change: func(d *Daemon) {
+				d.announcedDaemons.Apply(cluster.Record{}, []byte(`{"name":"entry-2","peer":"127.0.0.1:1"}`))
+			},
 		},
 		"others that look dead for long": {
 			settings: goodSettings, want: reason.Isolated,
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of a quartzshelf daemon together and runs them.
+// Package daemon builds a quartzshelf daemon from its components and runs it.
 package daemon
 
 import (
@@ -16,7 +16,7 @@
 	"quartzshelf.dev/standin"
 )
 
-// Defaults of the settings.
+// Defaults and bounds of the settings.
 const (
 	defaultLogRetention = time.Hour
 	defaultServeWindow  = 6 * time.Second
@@ -32,8 +32,7 @@
 	maxWeightLoads      = 1000
 )
 
-// Settings are the settings of a daemon as written in YAML. They are a message,
-// hence their exported fields.
+// Settings are the settings of a daemon, as written in YAML.
 type Settings struct {
 	// Name is the daemon's name, unique in the fleet.
 	Name     string `yaml:"name"`
@@ -43,16 +42,16 @@
 	Callers   string `yaml:"callers"`
 	Operators string `yaml:"operators"`
 	Peers     string `yaml:"peers"`
-	// Seeds are the peer addresses of daemons to begin with.
+	// Seeds are peer addresses of other daemons, which this one contacts when it starts.
 	Seeds    []string         `yaml:"seeds"`
 	Platform PlatformSettings `yaml:"platform"`
-	// ServeWindow is how long after a probe a replica may serve.
+	// ServeWindow is how long a replica may serve after its last successful probe.
 	ServeWindow time.Duration `yaml:"serve_window"`
-	// KeepEntries is how long callers may keep an answer of /v1/entries.
+	// KeepEntries is how long callers may cache an answer of /v1/entries.
 	KeepEntries time.Duration `yaml:"keep_entries"`
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes is the largest allowed body of a request.
 	MaxBodyBytes int `yaml:"max_body_bytes"`
-	// WeightLoads is how many replicas of a domain may load weights at a time.
+	// WeightLoads is how many replicas of a domain may load weights at the same time.
 	WeightLoads int         `yaml:"weight_loads"`
 	Log         LogSettings `yaml:"log"`
 
@@ -60,7 +59,8 @@
 	file string
 }
 
-// PlatformSettings say where the platform's systems are.
+// PlatformSettings are the addresses of the platform's services, or the settings of an
+// embedded platform.
 type PlatformSettings struct {
 	// Log and Nodes are the IP:port pairs of the log service and the node list.
 	Log   string `yaml:"log"`
@@ -70,8 +70,8 @@
 	Embedded     *EmbeddedSettings `yaml:"embedded"`
 }
 
-// EmbeddedSettings describe a stand-in of the platform inside the daemon, for
-// a first trial on one machine.
+// EmbeddedSettings describe a simulated platform that runs inside the daemon, to try
+// the daemon out on one machine.
 type EmbeddedSettings struct {
 	Domains          []standin.DomainOptions `yaml:"domains"`
 	StoreGBPerSecond float64                 `yaml:"store_gb_per_second"`
@@ -79,12 +79,12 @@
 	Step             time.Duration           `yaml:"step"`
 	Slots            int                     `yaml:"slots"`
 	ListLag          time.Duration           `yaml:"list_lag"`
-	// Configuration is a file of documents to apply at the start, relative to
-	// the settings.
+	// Configuration is a file of documents to publish after the start. Its path is
+	// relative to the directory of the settings file.
 	Configuration string `yaml:"configuration"`
 }
 
-// LogSettings say what the daemon writes about itself.
+// LogSettings are the level and the format of the daemon's own log.
 type LogSettings struct {
 	// Level is trace, debug, info, warn or error.
 	Level string `yaml:"level"`
@@ -101,7 +101,8 @@
 	return ParseSettings(file, data)
 }
 
-// ParseSettings parses and checks settings. Every problem found is reported.
+// ParseSettings parses and checks settings; file is the name that errors show. The
+// error joins all problems that the check found.
 func ParseSettings(file string, data []byte) (*Settings, error) {
 	s := &Settings{
 		ServeWindow:  defaultServeWindow,
@@ -121,7 +122,8 @@
 	return s, nil
 }
 
-// ConfigurationFile returns the path of the documents to apply at the start.
+// ConfigurationFile returns the path of the documents to publish after the start, or an
+// empty string if there are none.
 func (s *Settings) ConfigurationFile() string {
 	if s.Platform.Embedded == nil || s.Platform.Embedded.Configuration == "" {
 		return ""
@@ -131,7 +133,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// settingsChecker collects the problems of settings.
+// settingsChecker collects problems with the settings of a file.
 type settingsChecker struct {
 	file     string
 	problems []error
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -8,8 +8,7 @@
 	"quartzshelf.dev/rpc"
 )
 
-// Status is what operators see of the fleet. It is a message, hence its
-// exported fields.
+// Status describes the fleet as this daemon sees it. Operators get it as JSON.
 type Status struct {
 	Daemon    string                  `json:"daemon"`
 	Ready     string                  `json:"ready"`
@@ -40,7 +39,8 @@
 	Name     string `json:"name"`
 	DataHall string `json:"data_hall"`
 	Owner    string `json:"owner"`
-	// Leader is who reports on the domain now; a deputy while the owner is gone.
+	// Leader is the daemon that reports on the domain now. It is a deputy while the owner
+	// is unavailable.
 	Leader  string `json:"leader"`
 	Epoch   uint64 `json:"epoch"`
 	Rank    uint32 `json:"rank"`
@@ -71,7 +71,7 @@
 	Reason       string `json:"reason"`
 }
 
-// States of a replica as operators see them.
+// States of a replica in answers to operators.
 const (
 	replicaServing  = "serving"
 	replicaDraining = "draining"
@@ -84,7 +84,7 @@
 	now := time.Now()
 	s := Status{
 		Daemon: d.settings.Name, Ready: "ready", Revision: d.state.View().Revision(),
-		Sums: d.accounting.sums(), Requests: d.meter.Requests(),
+		Sums: d.downtimeAccounting.sums(), Requests: d.meter.Requests(),
 		Refusals: d.meter.Refusals(), Retries: d.meter.Retries(),
 		Warnings: d.warnings(),
 		Replicas: d.replicaRows(now),
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// membershipSpreadTime is how long news of a leaving daemon takes to spread.
+	// membershipSpreadTime is how long a change of membership takes to reach all daemons.
 	membershipSpreadTime = 2 * time.Second
 	// handOverTimeout bounds the wait for others to take over domains.
 	handOverTimeout      = 10 * time.Second
@@ -17,9 +17,10 @@
 	operatorShutdownTimeout = 2 * time.Second
 )
 
-// Stop ends the daemon as planned: it tells those who ask for addresses first,
-// serves for as long as answers given out stay valid, hands its domains over,
-// finishes what is in flight, and goes.
+// Stop stops the daemon without cutting requests off. It announces that the daemon is
+// leaving, waits until others own its domains, and serves until no caller can hold its
+// address any more. It then refuses new requests, finishes those in flight, and closes
+// the ports.
 func (d *Daemon) Stop() {
 	defer close(d.done)
 	others := len(d.stayingMembers()) > 1
@@ -27,7 +28,7 @@
 	d.agent.Table().UpdateSelf(func(m *rpc.Member) { m.Leaving = true })
 	until := d.readiness.latestEntriesExpiry()
 	if others {
-		// Peers may have named this daemon until they heard that it leaves.
+		// Peers may give out this daemon's address until they know that it is leaving.
 		until = time.Now().Add(membershipSpreadTime + d.settings.KeepEntries)
 		d.awaitHandOver()
 	}
@@ -45,7 +46,7 @@
 	d.logger.Info("stopped")
 }
 
-// awaitHandOver waits until other daemons own the domains of this one.
+// awaitHandOver waits until this daemon owns no domain, for handOverTimeout at most.
 func (d *Daemon) awaitHandOver() {
 	deadline := time.Now().Add(handOverTimeout)
 	for time.Now().Before(deadline) {
@@ -60,19 +61,19 @@
 		}
 		time.Sleep(handOverPollInterval)
 	}
-	d.logger.Warn("domains were not all handed over; deputies take them when this daemon is gone")
+	d.logger.Warn("domains were not all handed over; deputies will lead them after this daemon stops")
 }
 
-// Kill ends the daemon at once, as a crash would.
+// Kill stops the daemon at once, as a crash would, and cuts off requests in flight.
 func (d *Daemon) Kill() {
 	defer close(d.done)
 	d.shutDown()
 }
 
-// shutDown stops the duties and the servers.
+// shutDown stops the tasks and the servers, and closes all connections.
 func (d *Daemon) shutDown() {
 	d.cancel()
-	// Errors here are of connections that are cut on purpose.
+	// Errors are expected, because open connections are cut off.
 	_ = d.operatorServer.app.ShutdownWithTimeout(operatorShutdownTimeout)
 	_ = d.gateway.Stop(0)
 	_ = d.peerHTTP.Close()
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// traffic counts the bytes between this daemon and the others, as they are on
-// their connections.
+// traffic counts the bytes that this daemon exchanges with other daemons, as read from
+// and written to connections.
 type traffic struct {
 	received atomic.Int64
 	sent     atomic.Int64
 }
 
-// countingConn is a connection whose bytes are counted.
+// countingConn is a connection that adds its bytes to traffic.
 type countingConn struct {
 	net.Conn
 	traffic *traffic
@@ -33,7 +33,7 @@
 	return n, err
 }
 
-// countingListener counts the bytes of the connections that it accepts.
+// countingListener accepts connections that add their bytes to traffic.
 type countingListener struct {
 	net.Listener
 	traffic *traffic
@@ -48,7 +48,7 @@
 	return countingConn{Conn: conn, traffic: l.traffic}, nil
 }
 
-// dial opens a connection whose bytes are counted.
+// dial opens a connection that adds its bytes to t.
 func (t *traffic) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: peerTimeout}
 	conn, err := dialer.DialContext(ctx, network, address)
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -11,16 +11,15 @@
 
 // LinesOptions configures Lines.
 type LinesOptions struct {
-	// PerSecond is how many lines may be written in a second on average, Most how
-	// many may wait to be written; so many may also come at once.
+	// PerSecond is how many lines may be written per second on average. Most is how many
+	// lines may wait in the queue; it is also the largest burst.
 	PerSecond float64
 	Most      int
 }
 
-// Lines passes log lines on to a slow writer without ever holding up who logs:
-// lines wait in a bounded ring, and those that find it full, or that come too
-// fast for long, are dropped and counted by their message. It is safe for
-// concurrent use.
+// Lines writes log lines to a possibly slow writer without blocking the code that logs.
+// Lines wait in a bounded queue. A line that exceeds the rate or finds the queue full is
+// dropped, and counted by its message. Lines is safe for concurrent use.
 type Lines struct {
 	out   io.Writer
 	opts  LinesOptions
@@ -31,14 +30,14 @@
 	tokens   float64
 	filledAt time.Time
 	dropped  map[string]int64
-	// unreported holds what was dropped since that was last told.
+	// unreported holds the numbers of lines dropped since the last report, by message.
 	unreported map[string]int64
 }
 
-// reportInterval is how often it is told what was dropped, if anything was.
+// reportInterval is the time between two reports of dropped lines.
 const reportInterval = time.Second
 
-// NewLines returns lines that go to out; Run writes them.
+// NewLines returns Lines for the writer out. Run must be called to write them.
 func NewLines(out io.Writer, opts LinesOptions) *Lines {
 	return &Lines{
 		out: out, opts: opts, queue: make(chan []byte, opts.Most), done: make(chan struct{}),
@@ -47,21 +46,22 @@
 	}
 }
 
-// Write implements io.Writer for one line. It always succeeds at once.
+// Write implements io.Writer for one line. It never blocks and never fails, also if it
+// drops the line.
 func (l *Lines) Write(line []byte) (int, error) {
 	if l.admit(time.Now()) {
 		select {
 		case l.queue <- bytes.Clone(line):
 			return len(line), nil
 		default:
-			// Whoever reads the lines does not keep up.
+			// The queue is full because the writer is too slow.
 		}
 	}
 	l.countDropped(messageOf(line))
 	return len(line), nil
 }
 
-// admit reports whether the rate allows another line.
+// admit reports whether the rate allows another line, and counts the line if so.
 func (l *Lines) admit(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 	l.unreported[message]++
 }
 
-// Dropped returns how many lines were dropped, by message.
+// Dropped returns how many lines were dropped so far, by message.
 func (l *Lines) Dropped() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +95,8 @@
 // Done is closed when Run has returned.
 func (l *Lines) Done() <-chan struct{} { return l.done }
 
-// Run writes lines until ctx ends, then those that still wait.
+// Run writes lines until ctx is done. It then writes the lines still in the queue and
+// returns.
 func (l *Lines) Run(ctx context.Context) {
 	defer close(l.done)
 	ticker := time.NewTicker(reportInterval)
@@ -126,11 +127,11 @@
 }
 
 func (l *Lines) writeOut(line []byte) {
-	// There is nowhere to tell that the log itself is broken.
+	// A failure of the log's own writer can't be logged anywhere.
 	_, _ = l.out.Write(line)
 }
 
-// droppedLine tells which lines were dropped, in the form of the others.
+// droppedLine is the log line that reports how many lines were dropped, by message.
 type droppedLine struct {
 	Level   string           `json:"@level"`
 	Message string           `json:"@message"`
@@ -138,7 +139,7 @@
 	Lines   map[string]int64 `json:"lines"`
 }
 
-// reportDropped writes what was dropped since the last time.
+// reportDropped writes a line that reports the lines dropped since the last report, if any.
 func (l *Lines) reportDropped() {
 	l.mu.Lock()
 	unreported := l.unreported
@@ -151,13 +152,13 @@
 	}
 	data, err := json.Marshal(droppedLine{Level: "warn", Message: "log lines dropped", Time: time.Now().UTC(), Lines: unreported})
 	if err != nil {
-		// The line holds strings and numbers alone, which always encode.
+		// The line holds only values that can always be encoded.
 		panic(err)
 	}
 	l.writeOut(append(data, '\n'))
 }
 
-// messageOf returns the message of a line, by which dropped ones are counted.
+// messageOf returns the message of a log line in JSON, or "other" if it has none.
 func messageOf(line []byte) string {
 	const mark = `"@message":"`
 	_, rest, ok := bytes.Cut(line, []byte(mark))
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowWriter takes a while for each line, or holds it for ever.
+// slowWriter blocks each write until release is closed. It doesn't block if release is nil.
 type slowWriter struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -57,9 +57,9 @@
 		cancel()
 		<-l.Done()
 		got := out.lines()
-		assert.Equal(t, len(got), 22, "20 lines, one that tells of the others, and one later")
+		assert.Equal(t, len(got), 22, "want 20 lines, one that reports the dropped lines, and one later line")
 		assert.Assert(t, strings.Contains(got[20], `"lines":{"refused":80}`), got[20])
-		assert.Assert(t, strings.Contains(got[21], "leading"), "lines pass again")
+		assert.Assert(t, strings.Contains(got[21], "leading"), "the later line was dropped")
 	})
 }
 
@@ -74,7 +74,7 @@
 			_, err := fmt.Fprint(l, line("refused", i))
 			assert.NilError(t, err)
 		}
-		assert.Equal(t, time.Since(before), time.Duration(0), "no time passes")
+		assert.Equal(t, time.Since(before), time.Duration(0), "Write blocked")
 		assert.Assert(t, l.Dropped()["refused"] >= 44)
 		close(out.release)
 		cancel()
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry counts what a daemon does and shows it as OpenTelemetry
-// metrics in the text format of Prometheus.
+// Package telemetry holds the metrics of a daemon and serves them in the text format of
+// Prometheus. It also writes log lines at a bounded rate.
 package telemetry
 
 import (
@@ -20,50 +20,55 @@
 	"quartzshelf.dev/common/reason"
 )
 
-// Meter holds the counters of one daemon. It is safe for concurrent use.
+// Meter holds the metrics of one daemon. It is safe for concurrent use.
 type Meter struct {
 	refusals map[reason.Reason]*atomic.Int64
 	retries  map[reason.Reason]*atomic.Int64
 	late     map[reason.Reason]*atomic.Int64
-	// passedOver counts choices in which replicas were passed over.
+	// passedOver counts, for each reason, the choices of a replica in which at least one
+	// replica was passed over.
 	passedOver    map[reason.Reason]*atomic.Int64
 	requests      atomic.Int64
 	firstToken    metric.Float64Histogram
 	betweenTokens metric.Float64Histogram
 	orders        metric.Int64Counter
-	// warmUp counts tokens of the warm-up allowance, by outcome.
+	// warmUp counts requests to workers that warm up, by whether the allowance had room.
 	warmUp metric.Int64Counter
-	// quarantine counts what happened to requests that end workers.
+	// quarantine counts events of requests that were at a worker when it crashed.
 	quarantine metric.Int64Counter
 	// suspensions counts how often the machine was suspended.
 	suspensions metric.Int64Counter
-	// workerSignals counts what workers said of themselves in answers.
+	// workerSignals counts requests of workers in their answers, such as a lower limit.
 	workerSignals metric.Int64Counter
-	// brokenAttempts counts attempts that their workers broke off.
+	// brokenAttempts counts attempts whose connection the worker closed early.
 	brokenAttempts metric.Int64Counter
-	// connections counts what carried requests to workers.
+	// connections counts uses of new and of reused connections to workers.
 	connections metric.Int64Counter
-	// datagrams and datagramBytes count what was sent to peers.
+	// datagrams and datagramBytes count the datagrams sent to peers and their bytes.
 	datagrams     metric.Int64Counter
 	datagramBytes metric.Int64Counter
-	// ignoredDatagrams counts what came from peers and was not understood.
+	// ignoredDatagrams counts datagrams from peers that could not be decoded or used.
 	ignoredDatagrams metric.Int64Counter
 	handler          http.Handler
 
 	mu     sync.Mutex
 	gauges map[string]func() float64
-	// storeCalls returns the calls to the store so far by purpose; nil before it is known.
+	// storeCalls returns the number of calls to the store so far, by purpose. It is nil
+	// until CountStoreCalls is called.
 	storeCalls func() map[string]int64
-	// daemons returns how many daemons live, by build; nil before it is known.
+	// daemons returns the number of live daemons, by build. It is nil until CountDaemons
+	// is called.
 	daemons func() map[Build]int64
 }
 
-// Build is what a daemon was built from, and which version of the format it speaks.
+// Build identifies the source that a daemon was built from and the version of the message
+// format that it uses.
 type Build struct {
 	Source, Format string
 }
 
-// NewMeter returns a meter with a counter for each reason, all at zero.
+// NewMeter returns a meter with a counter for each reason, initially zero. It returns an
+// error if a metric can't be registered.
 func NewMeter() (*Meter, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprometheus.New(otelprometheus.WithRegisterer(registry), otelprometheus.WithoutScopeInfo())
@@ -137,7 +142,7 @@
 	return err
 }
 
-// exportCounters exports a set of counters under one name, labelled by reason.
+// exportCounters registers a set of counters as one metric, labelled by reason.
 func exportCounters(meter metric.Meter, name, description string, counters map[reason.Reason]*atomic.Int64) error {
 	_, err := meter.Int64ObservableCounter(name,
 		metric.WithDescription(description),
@@ -159,7 +164,8 @@
 	return nil
 }
 
-// Gauge shows what read returns under the given name.
+// Gauge exports the result of read as the gauge quartzshelf_state with the given name as
+// its label. The meter calls read whenever the metrics are collected.
 func (m *Meter) Gauge(name string, read func() float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,11 +181,11 @@
 // Retry counts a retry; reasons outside reason.Retries are not counted.
 func (m *Meter) Retry(r reason.Reason) { increment(m.retries, r) }
 
-// Late counts a stream that was late; reasons outside reason.Lateness are not counted.
+// Late counts a late stream; reasons outside reason.Lateness are not counted.
 func (m *Meter) Late(r reason.Reason) { increment(m.late, r) }
 
-// PassOver counts a choice in which replicas were passed over; reasons outside
-// reason.PassedOver are not counted.
+// PassOver counts a choice of a replica in which others were passed over; reasons
+// outside reason.PassedOver are not counted.
 func (m *Meter) PassOver(r reason.Reason) { increment(m.passedOver, r) }
 
 func increment(counters map[reason.Reason]*atomic.Int64, r reason.Reason) {
@@ -188,39 +194,39 @@
 	}
 }
 
-// Order counts an order given to a worker by its outcome.
+// Order counts a command sent to a worker, by the kind of command and its outcome.
 func (m *Meter) Order(order, outcome string) {
 	m.orders.Add(context.Background(), 1,
 		metric.WithAttributes(attribute.String("order", order), attribute.String("outcome", outcome)))
 }
 
-// WarmUp counts a request to a worker that warms up, by whether it got a token.
+// WarmUp counts a request to a worker that warms up, by whether the allowance had room.
 func (m *Meter) WarmUp(outcome string) {
 	m.warmUp.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Quarantine counts what happened to a request that was at a worker when it ended: it was
-// blamed, quarantined, cleared or lifted.
+// Quarantine counts an event of a request that was at a worker when it crashed. The request
+// was blamed for the crash or quarantined, or its quarantine was cleared or lifted.
 func (m *Meter) Quarantine(event string) {
 	m.quarantine.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
 
-// Slept counts that the machine was suspended.
+// Slept counts a suspension of the machine; its duration is not used.
 func (m *Meter) Slept(time.Duration) { m.suspensions.Add(context.Background(), 1) }
 
-// Signal counts what a worker asked for in an answer: a limit, rest, or that it leaves, and
-// values that were not understood.
+// Signal counts a request that a worker made in an answer, such as a new limit, a pause or
+// its removal. Values that can't be parsed are counted as well.
 func (m *Meter) Signal(event string) {
 	m.workerSignals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
 
-// Broken counts an attempt that a worker of a service broke off.
+// Broken counts an attempt whose connection a worker of the service closed early.
 func (m *Meter) Broken(service string) {
 	m.brokenAttempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// Connection counts a connection to a worker of a service that is to carry a
-// request, either opened for it or reused.
+// Connection counts the use of a connection to a worker of the service for a request.
+// The connection was either reused or opened for the request.
 func (m *Meter) Connection(service string, reused bool) {
 	use := "opened"
 	if reused {
@@ -230,7 +236,7 @@
 		metric.WithAttributes(attribute.String("service", service), attribute.String("use", use)))
 }
 
-// registerCounters registers the counters whose labels are not known before.
+// registerCounters registers the counters whose label values are not fixed in advance.
 func (m *Meter) registerCounters(meter metric.Meter) error {
 	counters := map[*metric.Int64Counter]struct{ name, description string }{
 		&m.orders:           {"quartzshelf_orders", "Orders given to workers, by order and outcome."},
@@ -253,14 +259,14 @@
 	return nil
 }
 
-// Datagram counts a datagram sent to a peer.
+// Datagram counts a datagram sent to a peer, and its bytes.
 func (m *Meter) Datagram(kind string, bytes int) {
 	kinds := metric.WithAttributes(attribute.String("kind", kind))
 	m.datagrams.Add(context.Background(), 1, kinds)
 	m.datagramBytes.Add(context.Background(), int64(bytes), kinds)
 }
 
-// PassedOverDatagram counts a datagram of a peer that was not understood.
+// PassedOverDatagram counts a datagram from a peer that could not be decoded or used.
 func (m *Meter) PassedOverDatagram(cause string) {
 	m.ignoredDatagrams.Add(context.Background(), 1, metric.WithAttributes(attribute.String("cause", cause)))
 }
@@ -283,7 +289,8 @@
 	return err
 }
 
-// CountDaemons shows the daemons that read returns, by build.
+// CountDaemons exports the number of daemons that read returns for each build. The meter
+// calls read whenever the metrics are collected.
 func (m *Meter) CountDaemons(read func() map[Build]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -308,30 +315,32 @@
 	return err
 }
 
-// CountStoreCalls shows the calls to the store that read returns, by purpose.
+// CountStoreCalls exports the number of calls to the store that read returns for each
+// purpose. The meter calls read whenever the metrics are collected.
 func (m *Meter) CountStoreCalls(read func() map[string]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.storeCalls = read
 }
 
-// FirstToken records the time from a request, begun at start, to its first token.
+// FirstToken records the time from start, when a request arrived, to now as the time to
+// its first token.
 func (m *Meter) FirstToken(start time.Time) {
 	m.firstToken.Record(context.Background(), time.Since(start).Seconds())
 }
 
-// NextToken records the time since the token before, which came at last.
+// NextToken records the time since last, when the previous token arrived.
 func (m *Meter) NextToken(last time.Time) {
 	m.betweenTokens.Record(context.Background(), time.Since(last).Seconds())
 }
 
-// Refusals returns the counters of refusals that are not zero.
+// Refusals returns the numbers of refusals by reason, without those that are zero.
 func (m *Meter) Refusals() map[reason.Reason]int64 { return nonZero(m.refusals) }
 
-// Retries returns the counters of retries that are not zero.
+// Retries returns the numbers of retries by reason, without those that are zero.
 func (m *Meter) Retries() map[reason.Reason]int64 { return nonZero(m.retries) }
 
-// Requests returns how many requests were received.
+// Requests returns how many requests were received so far.
 func (m *Meter) Requests() int64 { return m.requests.Load() }
 
 // Handler serves the metrics in the text format of Prometheus.
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConnectionsAreExported: the ratio of new connections can be read for each service.
+// TestConnectionsAreExported checks that opened and reused connections are exported for
+// each service.
 func TestConnectionsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
@@ -28,8 +29,8 @@
 	}
 }
 
-// TestStoreCallsAreExported: the calls to the store can be read by purpose, and none are shown
-// before it is known who counts them.
+// TestStoreCallsAreExported checks that calls to the store are exported by purpose, and that
+// none are exported before CountStoreCalls is called.
 func TestStoreCallsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
