--- a/common/awake/awake.go
+++ b/common/awake/awake.go
@@ -69,21 +69,23 @@
 type Watch struct {
 	// Suspended returns how long the machine has been suspended in total.
 	Suspended func() time.Duration
-	// OnResume is called by Check with the duration of each new suspension. Concurrent calls
-	// of Check wait until it returns. It must not call Check itself.
-	OnResume func(asleep time.Duration)
+	// OnResume is called by Check when it detects a suspension. Concurrent calls of Check
+	// wait until OnResume returns. It must not call Check itself.
+	OnResume func(duration time.Duration)
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// reported is the total suspension up to the last call of OnResume.
 	reported time.Duration
 }
 
 // NewWatch returns a watch that reports suspensions from now on to onResume. The function
 // suspended returns how long the machine has been suspended in total.
-func NewWatch(suspended func() time.Duration, onResume func(asleep time.Duration)) *Watch {
+func NewWatch(suspended func() time.Duration, onResume func(duration time.Duration)) *Watch {
 	return &Watch{Suspended: suspended, OnResume: onResume, reported: suspended()}
 }
 
-// Check calls OnResume if the machine was suspended since the last reported suspension.
+// Check calls OnResume with the time that the machine was suspended and that was not reported
+// yet, if it is minSuspension or longer.
 func (w *Watch) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,7 +95,7 @@
 	}
 }
 
-// Stamp is a point in time whose age includes the time that the machine was suspended since.
+// Stamp is a point in time whose age includes later suspensions of the machine.
 type Stamp struct {
 	at              time.Time
 	suspended       func() time.Duration
@@ -106,7 +108,8 @@
 	return Stamp{at: time.Now(), suspended: suspended, suspendedBefore: suspended()}
 }
 
-// Time returns the stamp as a time whose distance to time.Now includes suspensions up to now.
+// Time returns the stamp as a time.Time for comparison with time.Now. The result is earlier by
+// the time that the machine was suspended since the stamp was taken.
 func (s Stamp) Time() time.Time { return s.at.Add(s.suspendedBefore - s.suspended()) }
 
 // Interrupted reports whether the machine was suspended since the stamp was taken.
--- a/common/awake/awake_test.go
+++ b/common/awake/awake_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeClocks simulate the clocks of a machine that was suspended for boot minus steady.
+// fakeClocks simulate the clocks of a machine that was suspended for boot minus monotonic.
 type fakeClocks struct {
-	steady, boot time.Duration
+	monotonic, boot time.Duration
 	// readDelays are the durations of the first readings; later ones take no time.
 	readDelays []time.Duration
 	err        error
@@ -19,31 +19,31 @@
 
 func (f *fakeClocks) read(clock int32) (time.Duration, error) {
 	if len(f.readDelays) > 0 {
-		f.steady, f.boot, f.readDelays = f.steady+f.readDelays[0], f.boot+f.readDelays[0], f.readDelays[1:]
+		f.monotonic, f.boot, f.readDelays = f.monotonic+f.readDelays[0], f.boot+f.readDelays[0], f.readDelays[1:]
 	}
 	if clock == unix.CLOCK_BOOTTIME {
 		return f.boot, f.err
 	}
-	return f.steady, f.err
+	return f.monotonic, f.err
 }
 
 func TestSuspended(t *testing.T) {
 	const s = time.Second
 	tests := map[string]struct {
-		clocks fakeClocks
-		want   time.Duration
-		off    time.Duration
+		clocks    fakeClocks
+		want      time.Duration
+		tolerance time.Duration
 	}{
-		"never":                         {clocks: fakeClocks{steady: 7 * s, boot: 7 * s}},
-		"for three seconds":             {clocks: fakeClocks{steady: 7 * s, boot: 10 * s}, want: 3 * s},
-		"the reader stood still":        {clocks: fakeClocks{steady: 7 * s, boot: 10 * s, readDelays: []time.Duration{s, s, s}}, want: 3 * s},
-		"the reader stands still often": {clocks: fakeClocks{boot: 3 * s, readDelays: []time.Duration{0, s, s, 0, s, s, 0, s, s, 0, s / 100, 0}}, want: 3 * s, off: s / 100},
+		"never":                         {clocks: fakeClocks{monotonic: 7 * s, boot: 7 * s}},
+		"for three seconds":             {clocks: fakeClocks{monotonic: 7 * s, boot: 10 * s}, want: 3 * s},
+		"the reader stood still":        {clocks: fakeClocks{monotonic: 7 * s, boot: 10 * s, readDelays: []time.Duration{s, s, s}}, want: 3 * s},
+		"the reader stands still often": {clocks: fakeClocks{boot: 3 * s, readDelays: []time.Duration{0, s, s, 0, s, s, 0, s, s, 0, s / 100, 0}}, want: 3 * s, tolerance: s / 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			got, err := (&Clock{read: test.clocks.read}).Suspended()
 			assert.NilError(t, err)
-			assert.Assert(t, got >= test.want-test.off && got <= test.want+test.off, "%s", got)
+			assert.Assert(t, got >= test.want-test.tolerance && got <= test.want+test.tolerance, "%s", got)
 		})
 	}
 	broken := fakeClocks{err: errors.New("no such clock")}
@@ -62,7 +62,7 @@
 func TestWatch(t *testing.T) {
 	suspended := time.Minute
 	var reported []time.Duration
-	w := NewWatch(func() time.Duration { return suspended }, func(asleep time.Duration) { reported = append(reported, asleep) })
+	w := NewWatch(func() time.Duration { return suspended }, func(duration time.Duration) { reported = append(reported, duration) })
 	w.Check()
 	suspended += minSuspension - 1
 	w.Check()
--- a/common/failure/failure.go
+++ b/common/failure/failure.go
@@ -1,4 +1,4 @@
-// Package failure builds errors that carry the failed step and the peer that it dealt with.
+// Package failure builds errors that carry the failed step and the peer or object involved.
 // Log lines and answers can then show where an error arose without a stack trace.
 package failure
 
--- a/common/proptest/proptest.go
+++ b/common/proptest/proptest.go
@@ -1,5 +1,5 @@
 // Package proptest runs property-based tests with a fixed seed, so that results in CI are
-// repeatable. In soaks it uses random seeds instead.
+// repeatable. It uses random seeds in soaks, which are long test runs.
 package proptest
 
 import (
--- a/common/turn/turn.go
+++ b/common/turn/turn.go
@@ -3,19 +3,18 @@
 
 import "slices"
 
-// Few returns at most the given number of items, in the order of compare and wrapping around
-// at the end. The first is from, or the next higher item if there is no such item. The
-// second result is the value of from for the next call. Few sorts all if it holds more
-// items than it returns.
-func Few[T any](all []T, from T, most int, compare func(a, b T) int) (few []T, next T) {
-	if len(all) <= most {
-		return all, from
+// Few returns up to limit items. If there are more, it sorts items by compare and returns
+// those that begin at start, or at the next higher item if start isn't one of them. After
+// the last item it continues with the first. The result next is the start for the next call.
+func Few[T any](items []T, start T, limit int, compare func(a, b T) int) (few []T, next T) {
+	if len(items) <= limit {
+		return items, start
 	}
-	slices.SortFunc(all, compare)
-	first, _ := slices.BinarySearchFunc(all, from, compare)
-	few = make([]T, 0, most)
-	for i := range most {
-		few = append(few, all[(first+i)%len(all)])
+	slices.SortFunc(items, compare)
+	first, _ := slices.BinarySearchFunc(items, start, compare)
+	few = make([]T, 0, limit)
+	for i := range limit {
+		few = append(few, items[(first+i)%len(items)])
 	}
-	return few, all[(first+most)%len(all)]
+	return few, items[(first+limit)%len(items)]
 }
--- a/common/wiretest/wiretest.go
+++ b/common/wiretest/wiretest.go
@@ -1,6 +1,6 @@
-// Package wiretest checks in tests that JSON messages are compatible with those recorded from
-// another build. It finds recorded fields that are lost in decoding, and fields of the other
-// build that are missing here or have another type.
+// Package wiretest helps to test that JSON messages are compatible with messages recorded from
+// another build. Lost finds recorded fields that this build loses when it decodes them.
+// Missing finds recorded fields that this build doesn't write, or writes with another type.
 package wiretest
 
 import (
@@ -15,7 +15,7 @@
 // filledPrefix is the prefix of the strings that Fill sets.
 const filledPrefix = "s"
 
-// Fill sets all exported fields of the struct that v points to, and of those within it, to
+// Fill sets all exported fields of the struct that v points to, also in nested values, to
 // values other than zero.
 func Fill(v any) { fill(reflect.ValueOf(v).Elem(), 1) }
 
--- a/common/wiretest/wiretest_test.go
+++ b/common/wiretest/wiretest_test.go
@@ -31,29 +31,29 @@
 		Work  map[string]int `json:"w"`
 	}
 	tests := map[string]struct {
-		now           any
+		current       any
 		lost, missing []string
 	}{
-		"the same": {now: &before{}},
-		"a field more": {now: &struct {
+		"the same": {current: &before{}},
+		"a field more": {current: &struct {
 			before
 			More int `json:"more"`
 		}{}},
-		"one renamed": {now: &struct {
+		"one renamed": {current: &struct {
 			Name  string        `json:"name"`
 			Inner *renamedInner `json:"inner"`
 		}{}, lost: []string{"/inner/n"}, missing: []string{"/inner/n"}},
-		"one left out": {now: &struct {
+		"one left out": {current: &struct {
 			Inner *inner `json:"inner"`
 		}{}, lost: []string{"/name"}, missing: []string{"/name"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			lost, err := Lost(recorded, test.now)
+			lost, err := Lost(recorded, test.current)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, lost, test.lost)
-			Fill(test.now)
-			missing, err := Missing(recorded, test.now)
+			Fill(test.current)
+			missing, err := Missing(recorded, test.current)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, missing, test.missing)
 		})
--- a/daemon/accounting.go
+++ b/daemon/accounting.go
@@ -10,8 +10,9 @@
 
 const accountingInterval = time.Second
 
-// accounting sums up, as this daemon sees the fleet, the downtime of replicas and the
-// time that accelerators were stranded, meaning in no serving replica.
+// accounting sums up the downtime of replicas and the time that accelerators were stranded,
+// as far as this daemon sees the fleet. An accelerator is stranded while it belongs to no
+// serving replica.
 type accounting struct {
 	daemon *Daemon
 
@@ -32,15 +33,15 @@
 	d.meter.Gauge("requests_in_flight", func() float64 { return float64(d.gateway.Inflight().Total()) })
 	d.meter.Gauge("members_alive", func() float64 { return float64(len(d.agent.Table().Alive())) })
 	d.meter.Gauge("configuration_next", func() float64 { return float64(d.followers[streamConfiguration].Fold().Next()) })
-	d.meter.Gauge("peer_bytes_received", func() float64 { return float64(d.peerClients.traffic.received.Load()) })
-	d.meter.Gauge("peer_bytes_sent", func() float64 { return float64(d.peerClients.traffic.sent.Load()) })
+	d.meter.Gauge("peer_bytes_received", func() float64 { return float64(d.peerClients.traffic.receivedBytes.Load()) })
+	d.meter.Gauge("peer_bytes_sent", func() float64 { return float64(d.peerClients.traffic.sentBytes.Load()) })
 	d.meter.Gauge("keys_kept", func() float64 { return float64(d.intents.Len()) })
 	return a
 }
 
-// Sums are the downtime and the stranded time since the daemon started, with the current
-// numbers of dark replicas and stranded accelerators. A dark replica is one that is
-// reported but doesn't serve.
+// Sums holds the downtime in replica-seconds and the stranded time in accelerator-seconds,
+// both since the daemon started. It also holds the current numbers of dark replicas and
+// stranded accelerators. A replica is dark if it is reported but doesn't serve.
 type Sums struct {
 	DowntimeSeconds      float64 `json:"group_downtime_replica_seconds"`
 	StrandedSeconds      float64 `json:"stranded_accelerator_seconds"`
@@ -70,8 +71,8 @@
 	}
 }
 
-// update adds the time since the last update, multiplied by the current numbers of dark
-// replicas and stranded accelerators, to the sums.
+// update counts the replicas that are dark and the accelerators that are stranded now. It
+// adds the time since the last update to the sums, once for each of them.
 func (a *accounting) update(now time.Time) {
 	dark, stranded := 0, 0
 	for _, report := range a.daemon.catalog.Reports() {
--- a/daemon/arrivals.go
+++ b/daemon/arrivals.go
@@ -14,21 +14,24 @@
 // streamArrivals is the log stream on which daemons announce themselves.
 const streamArrivals = "arrivals"
 
-// maxArrivals is how many daemons are kept; the oldest are dropped first.
+// maxArrivals is the largest number of announced daemons that are kept. The oldest are
+// dropped first.
 const maxArrivals = 2000
 
 // arrival is the record with which a daemon announces itself.
 type arrival struct {
-	Name string `json:"name" cbor:"1,keyasint"`
-	Peer string `json:"peer" cbor:"2,keyasint"`
+	Name        string `json:"name" cbor:"1,keyasint"`
+	PeerAddress string `json:"peer" cbor:"2,keyasint"`
 }
 
 // arrivals holds the peer addresses of the daemons that announced themselves in the log.
 // A daemon uses them to find others when none of its seeds is available.
 type arrivals struct {
-	mu        sync.Mutex
+	mu sync.Mutex
+	// addresses holds the peer address of each daemon by name.
 	addresses map[string]string
-	names     []string
+	// names are the daemons' names in the order in which they first appeared.
+	names []string
 }
 
 var _ eventlog.State = (*arrivals)(nil)
@@ -59,7 +62,7 @@
 // Apply implements eventlog.State.
 func (a *arrivals) Apply(_ cluster.Record, data json.RawMessage) {
 	var arrived arrival
-	if json.Unmarshal(data, &arrived) != nil || arrived.Name == "" || arrived.Peer == "" {
+	if json.Unmarshal(data, &arrived) != nil || arrived.Name == "" || arrived.PeerAddress == "" {
 		return
 	}
 	a.mu.Lock()
@@ -71,7 +74,7 @@
 	if _, known := a.addresses[arrived.Name]; !known {
 		a.names = append(a.names, arrived.Name)
 	}
-	a.addresses[arrived.Name] = arrived.Peer
+	a.addresses[arrived.Name] = arrived.PeerAddress
 	if len(a.names) > maxArrivals {
 		delete(a.addresses, a.names[0])
 		a.names = a.names[1:]
@@ -84,7 +87,7 @@
 	defer a.mu.Unlock()
 	all := make([]arrival, 0, len(a.names))
 	for _, name := range a.names {
-		all = append(all, arrival{Name: name, Peer: a.addresses[name]})
+		all = append(all, arrival{Name: name, PeerAddress: a.addresses[name]})
 	}
 	return cbor.Marshal(all)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -41,20 +41,20 @@
 	// keyRetentionDivisor divides the log's retention. The result is how long the
 	// idempotency key of a caller is kept.
 	keyRetentionDivisor = 2
-	// announceTimeout bounds the append that announces the daemon.
+	// announceTimeout bounds each attempt to append the daemon's announcement.
 	announceTimeout    = 5 * time.Second
 	announceRetryDelay = 5 * time.Second
 	peerReadTimeout    = 10 * time.Second
 )
 
-// Daemon is one quartzshelf daemon.
+// Daemon is a quartzshelf daemon with all its components.
 type Daemon struct {
 	settings  *Settings
 	logger    hclog.Logger
 	startedAt time.Time
 
 	embedded         *server.Server
-	state            *config.State
+	configState      *config.State
 	grants           *ownership.State
 	intents          *intent.State
 	announcedDaemons *arrivals
@@ -171,11 +171,11 @@
 		return err
 	}
 	retention := d.settings.Platform.LogRetention
-	d.state = config.NewState()
+	d.configState = config.NewState()
 	d.grants = ownership.NewState()
 	d.intents = intent.NewState(retention / keyRetentionDivisor)
 	d.announcedDaemons = newArrivals()
-	d.addFollower(platform, streamConfiguration, d.state)
+	d.addFollower(platform, streamConfiguration, d.configState)
 	d.addFollower(platform, ownership.Stream, d.grants)
 	d.addFollower(platform, intent.Stream, d.intents)
 	d.addFollower(platform, streamArrivals, d.announcedDaemons)
@@ -189,7 +189,7 @@
 		Lease:   d.leaseShare,
 		Daemons: func() int { return len(d.stayingMembers()) },
 	})
-	d.peerServer = &peerServer{Agent: d.agent, ledger: d.ledger, home: admission.NewHome(), config: d.state.View}
+	d.peerServer = &peerServer{Agent: d.agent, ledger: d.ledger, home: admission.NewHome(), config: d.configState.View}
 	d.peerHTTP = &http.Server{Handler: rpc.NewPeerServer(d.peerServer), ReadTimeout: peerReadTimeout}
 	d.readiness = newReadiness(d)
 	d.gateway = d.newGateway()
@@ -229,7 +229,7 @@
 func (d *Daemon) newController(platform *client.Client) *replica.Controller {
 	grants := d.followers[ownership.Stream]
 	return replica.NewController(replica.Options{
-		Self: d.settings.Name, Config: d.state.View, List: platform, Control: platform,
+		Self: d.settings.Name, Config: d.configState.View, List: platform, Control: platform,
 		Catalog: d.catalog, Members: replica.NewTableMembers(d.agent.Table()), Ownership: d.grants,
 		AppendGrant: func(ctx context.Context, record json.RawMessage) error {
 			return grants.Append(ctx, newID(), record)
@@ -252,7 +252,7 @@
 
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return gateway.New(gateway.Options{
-		Config: d.state.View, Catalog: d.catalog, Ledger: d.ledger, Limiter: d.limiter, Meter: d.meter,
+		Config: d.configState.View, Catalog: d.catalog, Ledger: d.ledger, Limiter: d.limiter, Meter: d.meter,
 		Gate: d.readiness.checkReady, Leaving: func() bool { return d.agent.Table().Self().Leaving }, Entries: d.listEntries, KeepEntriesUntil: d.readiness.renewEntriesExpiry,
 		Daemons: func() int { return len(d.stayingMembers()) },
 		NewID:   newID, MaxBody: d.settings.MaxBodyBytes, Logger: d.logger.Named("gateway"),
@@ -300,15 +300,15 @@
 // announce appends this daemon's addresses to the log. It retries until the append
 // succeeds or ctx is done.
 func (d *Daemon) announce(ctx context.Context) {
-	record, err := json.Marshal(arrival{Name: d.settings.Name, Peer: d.listeners.peers.Addr().String()})
+	record, err := json.Marshal(arrival{Name: d.settings.Name, PeerAddress: d.listeners.peers.Addr().String()})
 	if err != nil {
 		d.logger.Error("arrival not encoded", "error", err)
 		return
 	}
 	warned := false
 	for ctx.Err() == nil {
-		attempt, cancel := context.WithTimeout(ctx, announceTimeout)
-		err := d.followers[streamArrivals].Append(attempt, newID(), record)
+		attemptCtx, cancel := context.WithTimeout(ctx, announceTimeout)
+		err := d.followers[streamArrivals].Append(attemptCtx, newID(), record)
 		cancel()
 		if err == nil {
 			return
@@ -398,7 +398,7 @@
 // findVerdict returns the verdict on the change set with the given id. It reports false
 // if the history doesn't hold the verdict.
 func (d *Daemon) findVerdict(id string) (config.Verdict, bool) {
-	for _, v := range d.state.History() {
+	for _, v := range d.configState.History() {
 		if v.ID == id {
 			return v, true
 		}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -136,13 +136,13 @@
 func TestPortInUse(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
-	taken, _ := d.Addresses()
-	text := strings.Replace(goodSettings, "callers: 127.0.0.1:0", "callers: "+taken, 1)
+	usedAddress, _ := d.Addresses()
+	text := strings.Replace(goodSettings, "callers: 127.0.0.1:0", "callers: "+usedAddress, 1)
 	settings, err := ParseSettings("settings.yaml", []byte(text))
 	assert.NilError(t, err)
 	_, err = New(settings, hclog.NewNullLogger())
 	assert.ErrorContains(t, err, "listen for callers")
-	assert.ErrorContains(t, err, taken)
+	assert.ErrorContains(t, err, usedAddress)
 }
 
 // TestOperatorsPageNamesEveryReason checks that the operators' page explains every reason
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -11,7 +11,7 @@
 // and are not leaving. Those in closed data halls are only listed if there are no others.
 // They then answer callers that the halls are closed.
 func (d *Daemon) listEntries() []gateway.Entry {
-	view := d.state.View()
+	view := d.configState.View()
 	open, closed := []gateway.Entry{}, []gateway.Entry{}
 	for _, m := range d.stayingMembers() {
 		if m.State != rpc.MemberState_ALIVE || !m.Ready {
--- a/daemon/expected.go
+++ b/daemon/expected.go
@@ -4,18 +4,19 @@
 
 // expectedMembers is the set of daemons that may hold a newer configuration while the log
 // is unavailable. It contains all that have been members since the log was last read,
-// except those that left as planned. The table of members can't be used for this. It
-// drops dead members after a while, and to a daemon that is cut off all others look dead.
+// except those that left as planned. The table of members can't replace it, because that
+// drops dead members after a while. To a daemon that is cut off, all others look dead.
 type expectedMembers struct {
+	// ids are the names of the members.
 	ids map[string]bool
-	// seenOthers is set once another daemon was a member since this process started.
+	// seenOthers is set if another daemon has been a member since this process started.
 	seenOthers bool
 }
 
 // update adds the current members and removes those that left. If the log was read within
 // contactTimeout, it drops all earlier members first.
-func (e *expectedMembers) update(members []*rpc.Member, logRead bool) {
-	if logRead || e.ids == nil {
+func (e *expectedMembers) update(members []*rpc.Member, wasLogRead bool) {
+	if wasLogRead || e.ids == nil {
 		e.ids = make(map[string]bool, len(members))
 	}
 	for _, m := range members {
--- a/daemon/explain.go
+++ b/daemon/explain.go
@@ -60,13 +60,13 @@
 }
 
 // exclusionReasons returns why a replica gets no requests although its owner lists it as
-// serving. Each line begins with a reason as in refusals. The regions that client accounts
-// allow are not considered.
+// serving. Each line begins with a reason.Reason. Limits of single client accounts, such as
+// their allowed regions, are not considered.
 func (d *Daemon) exclusionReasons(r catalog.Replica) []string {
 	if !r.Listed() {
 		return nil
 	}
-	view := d.state.View()
+	view := d.configState.View()
 	dataHall := view.Hall(r.DataHall())
 	var all []string
 	add := func(why reason.Reason, format string, args ...any) {
@@ -88,7 +88,7 @@
 	return all
 }
 
-// unassignedNodes describes those of the given nodes that are not in the state assigned.
+// unassignedNodes describes the given nodes whose state isn't ASSIGNED.
 func unassignedNodes(report *rpc.DomainReport, nodes []string) []string {
 	var all []string
 	for _, n := range report.Nodes {
@@ -112,7 +112,7 @@
 			if n.Reason != "" {
 				e.Because = append(e.Because, n.Reason)
 			}
-			if d.state.View().Hall(report.DataHall).Closed() {
+			if d.configState.View().Hall(report.DataHall).Closed() {
 				e.Because = append(e.Because, fmt.Sprintf("%s: an operator closed its data hall %s", reason.HallClosed, report.DataHall))
 			}
 			return e, true
--- a/daemon/halls.go
+++ b/daemon/halls.go
@@ -11,7 +11,7 @@
 
 func (d *Daemon) newHallWatch() *hall.Watch {
 	w := hall.NewWatch(hall.Options{
-		Config: d.state.View, Catalog: d.catalog, Reached: d.agent.Reached,
+		Config: d.configState.View, Catalog: d.catalog, Reached: d.agent.Reached,
 		InFlight: d.gateway.Inflight().Count, Daemons: d.daemonsByHall,
 		ServeWindow: d.settings.ServeWindow, Logger: d.logger.Named("hall"),
 	})
@@ -33,9 +33,9 @@
 // warnings returns texts about settings of the current configuration that are valid but
 // probably mistakes.
 func (d *Daemon) warnings() []string {
-	warnings := d.state.View().Warnings()
+	warnings := d.configState.View().Warnings()
 	var populated, unpopulated []string
-	open := 0
+	openHalls := 0
 	for _, s := range d.hallWatch.Statuses(time.Now()) {
 		if s.Nodes == 0 && s.Daemons == 0 {
 			unpopulated = append(unpopulated, s.Name)
@@ -43,7 +43,7 @@
 		}
 		populated = append(populated, s.Name)
 		if s.State == hall.Open {
-			open++
+			openHalls++
 		}
 	}
 	if len(d.catalog.Reports()) == 0 {
@@ -54,7 +54,7 @@
 		warnings = append(warnings, fmt.Sprintf(
 			"DataHall/%s: no node and no daemon is there; halls with any are %s", name, strings.Join(populated, ", ")))
 	}
-	if open == 0 && len(populated) > 0 {
+	if openHalls == 0 && len(populated) > 0 {
 		warnings = append(warnings, "every data hall is closed: all requests are refused with hall_closed")
 	}
 	return warnings
--- a/daemon/halls_test.go
+++ b/daemon/halls_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	object, _ := d.state.View().Object(config.Key{Kind: kind, Name: name})
+	object, _ := d.configState.View().Object(config.Key{Kind: kind, Name: name})
 	document := config.Document{Kind: kind, Name: name, Labels: object.Document().Labels, Spec: json.RawMessage(spec)}
 	verdict, err := d.publish(ctx, newID(), config.ChangeSet{Changes: []config.Change{
 		{Operation: config.OperationPut, Base: object.Revision(), Document: document},
@@ -56,8 +56,8 @@
 	d := startDaemon(t)
 	defer d.Kill()
 	before := d.catalog.Of("demo")[0]
-	running := post(t, d, `{"model":"demo","stream":true,"prompt":"p","max_tokens":150}`)
-	stream := bufio.NewReader(running.Body)
+	response := post(t, d, `{"model":"demo","stream":true,"prompt":"p","max_tokens":150}`)
+	stream := bufio.NewReader(response.Body)
 	_, err := stream.ReadString('\n')
 	assert.NilError(t, err)
 
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -44,7 +44,7 @@
 		return c.SendString(dashboardHTML)
 	})
 	app.Get("/api/objects", o.listObjects)
-	app.Get("/api/history", func(c *fiber.Ctx) error { return c.JSON(d.state.History()) })
+	app.Get("/api/history", func(c *fiber.Ctx) error { return c.JSON(d.configState.History()) })
 	app.Get("/api/status", func(c *fiber.Ctx) error { return c.JSON(d.status()) })
 	app.Get("/api/halls", func(c *fiber.Ctx) error { return c.JSON(d.hallWatch.Statuses(time.Now())) })
 	app.Get("/api/quarantine", o.listQuarantined)
@@ -66,20 +66,20 @@
 }
 
 func writeError(c *fiber.Ctx, err error) error {
-	code, settled := http.StatusInternalServerError, false
+	code, isSettled := http.StatusInternalServerError, false
 	var f *fiber.Error
 	switch {
 	case errors.As(err, &f):
-		code, settled = f.Code, true
+		code, isSettled = f.Code, true
 	case failure.Is(err, failure.Refused):
-		code, settled = http.StatusServiceUnavailable, true
+		code, isSettled = http.StatusServiceUnavailable, true
 	case failure.Is(err, failure.Invalid):
-		code, settled = http.StatusUnprocessableEntity, true
+		code, isSettled = http.StatusUnprocessableEntity, true
 	case failure.Is(err, failure.Unavailable):
 		code = http.StatusServiceUnavailable
 	}
 	return c.Status(code).JSON(errorReply{
-		Error: err.Error(), Step: failure.Step(err), Peer: failure.Peer(err), IsSettled: settled,
+		Error: err.Error(), Step: failure.Step(err), Peer: failure.Peer(err), IsSettled: isSettled,
 	})
 }
 
@@ -103,7 +103,7 @@
 	}
 	kind, name := c.Query("kind"), c.Query("name")
 	rows := []ObjectRow{}
-	for _, object := range o.daemon.state.View().Objects() {
+	for _, object := range o.daemon.configState.View().Objects() {
 		d := object.Document()
 		if (kind != "" && kind != string(d.Kind)) || (name != "" && name != d.Name) {
 			continue
@@ -121,8 +121,8 @@
 	Warnings []string       `json:"warnings"`
 }
 
-// publishChange publishes a change set. It refuses while this daemon can't reach enough
-// others, because they might not see the change.
+// publishChange publishes a change set. It refuses while more than half of the daemons are
+// out of reach, because they might continue without the change.
 func (o *operatorServer) publishChange(c *fiber.Ctx) error {
 	var set config.ChangeSet
 	if err := c.BodyParser(&set); err != nil {
--- a/daemon/peer.go
+++ b/daemon/peer.go
@@ -95,19 +95,19 @@
 }
 
 // get returns the client of the daemon at a peer address, and creates it if needed.
-func (d *peerClients) get(address string) rpc.Peer {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	client, ok := d.clients[address]
+func (c *peerClients) get(address string) rpc.Peer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	client, ok := c.clients[address]
 	if !ok {
-		client = rpc.NewPeerProtobufClient("http://"+address, d.http)
-		d.clients[address] = client
+		client = rpc.NewPeerProtobufClient("http://"+address, c.http)
+		c.clients[address] = client
 	}
 	return client
 }
 
 // closeIdle closes the idle connections.
-func (d *peerClients) closeIdle() { d.http.CloseIdleConnections() }
+func (c *peerClients) closeIdle() { c.http.CloseIdleConnections() }
 
 // peerAddress returns the peer address of a member.
 func (d *Daemon) peerAddress(id string) (string, error) {
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -28,7 +28,6 @@
 	}
 }
 
-// toMessages converts entries to messages between daemons.
 // toMessages converts entries to messages between daemons.
 func toMessages(all []quarantine.Entry) []*rpc.QuarantineEntry {
 	messages := make([]*rpc.QuarantineEntry, 0, len(all))
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -38,14 +38,14 @@
 	daemon *Daemon
 
 	mu sync.Mutex
-	// stopping is set while the daemon stops as planned.
-	stopping bool
-	// started is set when the daemon has caught up for the first time, and stays set.
-	started bool
+	// isStopping is set while the daemon stops as planned.
+	isStopping bool
+	// hasStarted is set when the daemon has caught up for the first time, and stays set.
+	hasStarted bool
 	// entriesExpireAt is when the newest answer that lists this daemon's address expires.
 	entriesExpireAt time.Time
-	// expected is the set of daemons of which a majority is needed while the log is
-	// unavailable.
+	// expected holds the members that count as the whole fleet while the log is unavailable.
+	// The daemon needs contact with a majority of them.
 	expected expectedMembers
 	// behindSince is when a peer was first seen to hold a newer configuration. It is zero
 	// while no peer holds one.
@@ -56,8 +56,8 @@
 	return &readiness{daemon: d}
 }
 
-// renewEntriesExpiry records and returns when an answer that lists addresses, given now,
-// expires.
+// renewEntriesExpiry returns the expiry time of an answer that lists addresses and is given
+// now, and records it as the latest one.
 func (r *readiness) renewEntriesExpiry(now time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +76,7 @@
 func (r *readiness) setStopping() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopping = true
+	r.isStopping = true
 }
 
 // run publishes to the other daemons whether this one takes requests. While it doesn't,
@@ -84,17 +84,17 @@
 func (r *readiness) run(ctx context.Context) {
 	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
-	last := reason.Starting
+	previous := reason.Starting
 	for ctx.Err() == nil {
 		r.updateExpected(time.Now())
-		now := reason.Reason("")
+		current := reason.Reason("")
 		closed := r.checkReady()
 		if closed != nil {
-			now = closed.Reason
+			current = closed.Reason
 		}
-		if now != last {
+		if current != previous {
 			r.logChange(closed)
-			last = now
+			previous = current
 		}
 		ready := closed == nil
 		r.daemon.agent.Table().UpdateSelf(func(m *rpc.Member) { m.Ready = ready })
@@ -105,8 +105,8 @@
 	}
 }
 
-// logChange logs that the daemon began to take requests, if closed is nil, or that it
-// takes none.
+// logChange logs that the daemon takes requests from now on, or why it takes none if closed
+// isn't nil.
 func (r *readiness) logChange(closed *gateway.Closed) {
 	if closed == nil {
 		r.daemon.logger.Info("taking requests")
@@ -118,34 +118,34 @@
 // checkReady returns why this daemon takes no requests, or nil if it takes them.
 func (r *readiness) checkReady() *gateway.Closed {
 	now := time.Now()
-	connected, next := r.isConnected(now), r.daemon.followers[streamConfiguration].Fold().Next()
-	behind := next < r.daemon.agent.FleetNext()
+	isConnected, nextOffset := r.isConnected(now), r.daemon.followers[streamConfiguration].Fold().Next()
+	isBehind := nextOffset < r.daemon.agent.FleetNext()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !behind {
+	if !isBehind {
 		r.behindSince = time.Time{}
 	} else if r.behindSince.IsZero() {
 		r.behindSince = now
 	}
-	if !r.started && connected && !behind && r.hasConfiguration(next) && r.hasPeerReports() {
-		r.started = true
+	if !r.hasStarted && isConnected && !isBehind && r.hasConfiguration(nextOffset) && r.hasPeerReports() {
+		r.hasStarted = true
 	}
 	switch {
-	case r.stopping:
+	case r.isStopping:
 		return &gateway.Closed{Reason: reason.Stopping, Message: "this daemon is stopping; use another address"}
-	case !r.started:
+	case !r.hasStarted:
 		return &gateway.Closed{Reason: reason.Starting, Message: "this daemon has not yet read the configuration"}
-	case !connected:
+	case !isConnected:
 		return &gateway.Closed{Reason: reason.Isolated, Message: "this daemon reaches neither the log nor most of its peers"}
-	case behind && now.After(r.behindSince.Add(maxBehindDuration)):
+	case isBehind && now.After(r.behindSince.Add(maxBehindDuration)):
 		return &gateway.Closed{Reason: reason.Isolated, Message: "this daemon cannot get the newest configuration"}
 	}
 	return nil
 }
 
 // checkMayPublish returns why this daemon may not publish changes, or nil if it may. It
-// may not while it can't reach most daemons. If those reach each other, they continue to
-// take requests and don't see the change.
+// may not if more than half of the daemons are out of its reach, because those could
+// continue to take requests without the change.
 func (r *readiness) checkMayPublish() *gateway.Closed {
 	if closed := r.checkReady(); closed != nil {
 		return closed
@@ -153,8 +153,9 @@
 	return checkReached(r.daemon.agent.Reached(time.Now().Add(-contactTimeout)))
 }
 
-// checkReached returns why a daemon that reaches only so many members, itself included,
-// may not publish. It returns nil if the others aren't a majority.
+// checkReached returns why a daemon that reaches the given number of members, itself
+// included, may not publish. It returns nil if the members that it doesn't reach aren't a
+// majority.
 func checkReached(reached, members int) *gateway.Closed {
 	if 2*reached >= members {
 		return nil
@@ -164,9 +165,10 @@
 }
 
 // hasConfiguration reports whether the daemon read the log to its end, or has a
-// configuration from a peer; next is the offset after the last record applied.
-func (r *readiness) hasConfiguration(next int64) bool {
-	return !r.daemon.followers[streamConfiguration].Confirmed().IsZero() || next > 0
+// configuration from a peer. Nothing was applied yet if nextOffset, the offset of the next
+// record to apply, is zero.
+func (r *readiness) hasConfiguration(nextOffset int64) bool {
+	return !r.daemon.followers[streamConfiguration].Confirmed().IsZero() || nextOffset > 0
 }
 
 // hasPeerReports reports whether a peer has answered since the start. If no peer is
@@ -197,19 +199,20 @@
 
 // updateExpected updates the expected members from the current table of members.
 func (r *readiness) updateExpected(now time.Time) {
-	logRead := r.daemon.followers[streamConfiguration].Confirmed().After(now.Add(-contactTimeout))
+	wasLogRead := r.daemon.followers[streamConfiguration].Confirmed().After(now.Add(-contactTimeout))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expected.update(r.daemon.agent.Table().Members(), logRead)
+	r.expected.update(r.daemon.agent.Table().Members(), wasLogRead)
 }
 
 // isOnlyDaemon reports whether a daemon without other members is the only one of the
 // fleet. Nobody else can then accept a configuration while the log is unavailable. It
 // reports false for a daemon that has never seen another member but has seeds or
-// announcements of others, because it may be cut off from them.
+// announcements of others, because it may be cut off from them. It also reports false for
+// a daemon that has never read the log to its end.
 func (r *readiness) isOnlyDaemon(seenOthers bool) bool {
-	own := r.daemon.listeners.peers.Addr().String()
-	hasOtherSeed := slices.ContainsFunc(r.daemon.settings.Seeds, func(seed string) bool { return seed != own })
+	ownAddress := r.daemon.listeners.peers.Addr().String()
+	hasOtherSeed := slices.ContainsFunc(r.daemon.settings.Seeds, func(seed string) bool { return seed != ownAddress })
 	if !seenOthers && (hasOtherSeed || r.daemon.announcedDaemons.hasOther(r.daemon.settings.Name)) {
 		return false
 	}
--- a/daemon/readiness_test.go
+++ b/daemon/readiness_test.go
@@ -53,10 +53,10 @@
 func TestMinorityMayNotPublish(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
-	_, operators := d.Addresses()
+	_, operatorAddress := d.Addresses()
 	publish := func() (int, string) {
 		body := `{"changes":[{"operation":"put","document":{"kind":"DataHall","name":"hall-b"}}]}`
-		response, err := http.Post("http://"+operators+"/api/changes/"+newID(), "application/json", strings.NewReader(body))
+		response, err := http.Post("http://"+operatorAddress+"/api/changes/"+newID(), "application/json", strings.NewReader(body))
 		assert.NilError(t, err)
 		defer func() { _ = response.Body.Close() }()
 		text, err := io.ReadAll(response.Body)
--- a/daemon/homes.go
+++ b/daemon/rendezvous.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxWriters is how many daemons of the fleet append intents. It is bounded so that the
-	// number of appends doesn't grow with the fleet.
+	// maxWriters is the largest number of daemons that append intents, the records of
+	// requests with an idempotency key. Other daemons send their records to these.
 	maxWriters = 3
 	// intentAppendsPerSecond is how many appends of intents the whole fleet may make per
 	// second.
@@ -38,19 +38,19 @@
 	})
 }
 
-// accountHome returns the member that leases shares of an account's limit.
+// accountHome returns the member that divides an account's rate limit among the daemons.
 func accountHome(account string, members []*rpc.Member) *rpc.Member {
 	return pickMember("account/"+account, members)
 }
 
 // intentWriters returns the members that append intents.
 func intentWriters(members []*rpc.Member) []*rpc.Member {
-	left := slices.Clone(members)
+	remaining := slices.Clone(members)
 	var chosen []*rpc.Member
-	for len(chosen) < maxWriters && len(left) > 0 {
-		w := pickMember("writer", left)
+	for len(chosen) < maxWriters && len(remaining) > 0 {
+		w := pickMember("writer", remaining)
 		chosen = append(chosen, w)
-		left = slices.DeleteFunc(left, func(m *rpc.Member) bool { return m == w })
+		remaining = slices.DeleteFunc(remaining, func(m *rpc.Member) bool { return m == w })
 	}
 	return chosen
 }
@@ -60,8 +60,8 @@
 	return pickMember("key/"+key, intentWriters(members))
 }
 
-// minFlushInterval returns the shortest allowed time between two appends of intents by
-// one writer, in a fleet with the given number of members.
+// minFlushInterval returns the shortest allowed time between two appends of intents by one
+// writer. The argument members is the number of daemons in the fleet.
 func minFlushInterval(members int) time.Duration {
 	return time.Second * time.Duration(min(max(members, 1), maxWriters)) / intentAppendsPerSecond
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -83,7 +83,7 @@
 func (d *Daemon) status() Status {
 	now := time.Now()
 	s := Status{
-		Daemon: d.settings.Name, Ready: "ready", Revision: d.state.View().Revision(),
+		Daemon: d.settings.Name, Ready: "ready", Revision: d.configState.View().Revision(),
 		Sums: d.downtimeAccounting.sums(), Requests: d.meter.Requests(),
 		Refusals: d.meter.Refusals(), Retries: d.meter.Retries(),
 		Warnings: d.warnings(),
@@ -146,7 +146,7 @@
 		case !now.Before(r.Deadline()):
 			row.State = replicaDark
 			row.Reason = "nothing was heard from the leader of its domain"
-		case d.state.View().Hall(r.DataHall()).Closed():
+		case d.configState.View().Hall(r.DataHall()).Closed():
 			row.State = replicaClosed
 		case r.Draining():
 			row.State = replicaDraining
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -23,23 +23,23 @@
 // the ports.
 func (d *Daemon) Stop() {
 	defer close(d.done)
-	others := len(d.stayingMembers()) > 1
-	d.logger.Info("stopping", "others", others)
+	hasOthers := len(d.stayingMembers()) > 1
+	d.logger.Info("stopping", "others", hasOthers)
 	d.agent.Table().UpdateSelf(func(m *rpc.Member) { m.Leaving = true })
-	until := d.readiness.latestEntriesExpiry()
-	if others {
+	serveUntil := d.readiness.latestEntriesExpiry()
+	if hasOthers {
 		// Peers may give out this daemon's address until they know that it is leaving.
-		until = time.Now().Add(membershipSpreadTime + d.settings.KeepEntries)
+		serveUntil = time.Now().Add(membershipSpreadTime + d.settings.KeepEntries)
 		d.awaitHandOver()
 	}
-	time.Sleep(time.Until(until))
+	time.Sleep(time.Until(serveUntil))
 	d.readiness.setStopping()
 	d.logger.Info("finishing requests in flight", "requests", d.gateway.Inflight().Total())
 	if err := d.gateway.Stop(inflightTimeout); err != nil {
 		d.logger.Error("requests in flight were cut off", "error", err)
 	}
 	d.agent.Table().Leave()
-	if others {
+	if hasOthers {
 		time.Sleep(membershipSpreadTime)
 	}
 	d.shutDown()
@@ -50,13 +50,13 @@
 func (d *Daemon) awaitHandOver() {
 	deadline := time.Now().Add(handOverTimeout)
 	for time.Now().Before(deadline) {
-		owned := 0
+		ownedDomains := 0
 		for _, g := range d.grants.Grants() {
 			if g.Owner() == d.settings.Name {
-				owned++
+				ownedDomains++
 			}
 		}
-		if owned == 0 {
+		if ownedDomains == 0 {
 			return
 		}
 		time.Sleep(handOverPollInterval)
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -9,8 +9,8 @@
 // traffic counts the bytes that this daemon exchanges with other daemons, as read from
 // and written to connections.
 type traffic struct {
-	received atomic.Int64
-	sent     atomic.Int64
+	receivedBytes atomic.Int64
+	sentBytes     atomic.Int64
 }
 
 // countingConn is a connection that adds its bytes to traffic.
@@ -19,17 +19,17 @@
 	traffic *traffic
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn and counts the bytes read.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.traffic.received.Add(int64(n))
+	c.traffic.receivedBytes.Add(int64(n))
 	return n, err
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn and counts the bytes written.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.traffic.sent.Add(int64(n))
+	c.traffic.sentBytes.Add(int64(n))
 	return n, err
 }
 
@@ -39,7 +39,7 @@
 	traffic *traffic
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener; it returns a countingConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -11,8 +11,8 @@
 
 // LinesOptions configures Lines.
 type LinesOptions struct {
-	// PerSecond is how many lines may be written per second on average. Most is how many
-	// lines may wait in the queue; it is also the largest burst.
+	// PerSecond is how many lines may be written per second on average.
+	// Most is the largest number of lines in the queue, and the largest burst.
 	PerSecond float64
 	Most      int
 }
@@ -26,10 +26,12 @@
 	queue chan []byte
 	done  chan struct{}
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// tokens is how many lines the rate allows at filledAt; each admitted line takes one.
 	tokens   float64
 	filledAt time.Time
-	dropped  map[string]int64
+	// dropped holds the numbers of lines dropped so far, by message.
+	dropped map[string]int64
 	// unreported holds the numbers of lines dropped since the last report, by message.
 	unreported map[string]int64
 }
@@ -46,8 +48,8 @@
 	}
 }
 
-// Write implements io.Writer for one line. It never blocks and never fails, also if it
-// drops the line.
+// Write implements io.Writer for one line. It never blocks and never returns an error, even
+// if it drops the line.
 func (l *Lines) Write(line []byte) (int, error) {
 	if l.admit(time.Now()) {
 		select {
@@ -160,8 +162,8 @@
 
 // messageOf returns the message of a log line in JSON, or "other" if it has none.
 func messageOf(line []byte) string {
-	const mark = `"@message":"`
-	_, rest, ok := bytes.Cut(line, []byte(mark))
+	const messageField = `"@message":"`
+	_, rest, ok := bytes.Cut(line, []byte(messageField))
 	if !ok {
 		return "other"
 	}
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -32,17 +32,17 @@
 	firstToken    metric.Float64Histogram
 	betweenTokens metric.Float64Histogram
 	orders        metric.Int64Counter
-	// warmUp counts requests to workers that warm up, by whether the allowance had room.
-	warmUp metric.Int64Counter
+	// warmUpRequests counts requests to workers that warm up, by whether the allowance had room.
+	warmUpRequests metric.Int64Counter
 	// quarantine counts events of requests that were at a worker when it crashed.
 	quarantine metric.Int64Counter
 	// suspensions counts how often the machine was suspended.
 	suspensions metric.Int64Counter
-	// workerSignals counts requests of workers in their answers, such as a lower limit.
+	// workerSignals counts what workers asked for in their answers, such as a lower limit.
 	workerSignals metric.Int64Counter
 	// brokenAttempts counts attempts whose connection the worker closed early.
 	brokenAttempts metric.Int64Counter
-	// connections counts uses of new and of reused connections to workers.
+	// connections counts the connections used for requests to workers, opened or reused.
 	connections metric.Int64Counter
 	// datagrams and datagramBytes count the datagrams sent to peers and their bytes.
 	datagrams     metric.Int64Counter
@@ -126,19 +126,19 @@
 	if err != nil {
 		return err
 	}
-	bounds := metric.WithExplicitBucketBoundaries(0.01, 0.025, 0.05, 0.074, 0.1, 0.2, 0.36, 0.5, 1, 2, 5, 10)
+	buckets := metric.WithExplicitBucketBoundaries(0.01, 0.025, 0.05, 0.074, 0.1, 0.2, 0.36, 0.5, 1, 2, 5, 10)
 	for _, register := range []func(metric.Meter) error{m.registerCounters, m.registerStoreCalls, m.registerDaemons} {
 		if err := register(meter); err != nil {
 			return err
 		}
 	}
 	m.firstToken, err = meter.Float64Histogram("quartzshelf_first_token_seconds",
-		metric.WithDescription("Time from a request to the first token."), bounds)
+		metric.WithDescription("Time from a request to the first token."), buckets)
 	if err != nil {
 		return err
 	}
 	m.betweenTokens, err = meter.Float64Histogram("quartzshelf_between_tokens_seconds",
-		metric.WithDescription("Time between two tokens of an answer."), bounds)
+		metric.WithDescription("Time between two tokens of an answer."), buckets)
 	return err
 }
 
@@ -202,7 +202,7 @@
 
 // WarmUp counts a request to a worker that warms up, by whether the allowance had room.
 func (m *Meter) WarmUp(outcome string) {
-	m.warmUp.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
+	m.warmUpRequests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
 // Quarantine counts an event of a request that was at a worker when it crashed. The request
@@ -214,8 +214,8 @@
 // Slept counts a suspension of the machine; its duration is not used.
 func (m *Meter) Slept(time.Duration) { m.suspensions.Add(context.Background(), 1) }
 
-// Signal counts a request that a worker made in an answer, such as a new limit, a pause or
-// its removal. Values that can't be parsed are counted as well.
+// Signal counts what a worker asked for in an answer, such as a limit on requests or a pause.
+// The event tells what was asked for, or that the value could not be parsed.
 func (m *Meter) Signal(event string) {
 	m.workerSignals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
@@ -240,7 +240,7 @@
 func (m *Meter) registerCounters(meter metric.Meter) error {
 	counters := map[*metric.Int64Counter]struct{ name, description string }{
 		&m.orders:           {"quartzshelf_orders", "Orders given to workers, by order and outcome."},
-		&m.warmUp:           {"quartzshelf_warm_up", "Requests to workers that warm up, by whether the allowance had room."},
+		&m.warmUpRequests:   {"quartzshelf_warm_up", "Requests to workers that warm up, by whether the allowance had room."},
 		&m.quarantine:       {"quartzshelf_quarantine", "Requests that were at a worker when it ended, and their quarantine, by event."},
 		&m.suspensions:      {"quartzshelf_suspensions", "Times that the machine was suspended."},
 		&m.workerSignals:    {"quartzshelf_worker_signals", "What workers asked for in their answers, by event: new, changed, dropped or not understood."},
@@ -261,9 +261,9 @@
 
 // Datagram counts a datagram sent to a peer, and its bytes.
 func (m *Meter) Datagram(kind string, bytes int) {
-	kinds := metric.WithAttributes(attribute.String("kind", kind))
-	m.datagrams.Add(context.Background(), 1, kinds)
-	m.datagramBytes.Add(context.Background(), int64(bytes), kinds)
+	attributes := metric.WithAttributes(attribute.String("kind", kind))
+	m.datagrams.Add(context.Background(), 1, attributes)
+	m.datagramBytes.Add(context.Background(), int64(bytes), attributes)
 }
 
 // PassedOverDatagram counts a datagram from a peer that could not be decoded or used.
@@ -323,13 +323,14 @@
 	m.storeCalls = read
 }
 
-// FirstToken records the time from start, when a request arrived, to now as the time to
-// its first token.
+// FirstToken records the time since start, when the request arrived, for a first token that
+// arrives now.
 func (m *Meter) FirstToken(start time.Time) {
 	m.firstToken.Record(context.Background(), time.Since(start).Seconds())
 }
 
-// NextToken records the time since last, when the previous token arrived.
+// NextToken records the time since last, when the previous token arrived, for a token that
+// arrives now.
 func (m *Meter) NextToken(last time.Time) {
 	m.betweenTokens.Record(context.Background(), time.Since(last).Seconds())
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -34,12 +34,12 @@
 func TestStoreCallsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
-	shown := func() string {
+	scrape := func() string {
 		recorder := httptest.NewRecorder()
 		m.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		return recorder.Body.String()
 	}
-	assert.Assert(t, !strings.Contains(shown(), "quartzshelf_store_calls"))
+	assert.Assert(t, !strings.Contains(scrape(), "quartzshelf_store_calls"))
 	m.CountStoreCalls(func() map[string]int64 { return map[string]int64{"list members": 3} })
-	assert.Assert(t, strings.Contains(shown(), `quartzshelf_store_calls_total{purpose="list members"} 3`))
+	assert.Assert(t, strings.Contains(scrape(), `quartzshelf_store_calls_total{purpose="list members"} 3`))
 }
