--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -236,7 +236,7 @@
 		},
 		OwnershipConfirmed: grants.Confirmed,
 		ServeWindow:        d.settings.ServeWindow,
-		LoadSlots:          d.settings.WeightLoads,
+		LoadSlots:          d.settings.ConcurrentWeightLoads,
 		Logger:             d.logger.Named("replica"),
 	})
 }
@@ -390,7 +390,7 @@
 	}
 	verdict, ok := d.findVerdict(id)
 	if !ok {
-		return verdict, failure.New(failure.Unavailable, "find verdict", id, "it is no longer in the history")
+		return verdict, failure.New(failure.Unavailable, "find verdict", id, "it was pushed out of the history")
 	}
 	return verdict, nil
 }
--- a/daemon/explain.go
+++ b/daemon/explain.go
@@ -13,8 +13,9 @@
 
 // Explanation tells an operator why a subject is in its state.
 type Explanation struct {
-	Subject string   `json:"subject"`
-	State   string   `json:"state"`
+	Subject string `json:"subject"`
+	State   string `json:"state"`
+	// Because are the reasons, one sentence each.
 	Because []string `json:"because"`
 }
 
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -61,7 +61,7 @@
 func (r *readiness) renewEntriesExpiry(now time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.entriesExpireAt = now.Add(r.daemon.settings.KeepEntries)
+	r.entriesExpireAt = now.Add(r.daemon.settings.EntriesTTL)
 	return r.entriesExpireAt
 }
 
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -18,18 +18,18 @@
 
 // Defaults and bounds of the settings.
 const (
-	defaultLogRetention = time.Hour
-	defaultServeWindow  = 6 * time.Second
-	defaultKeepEntries  = 10 * time.Second
-	defaultMaxBodyBytes = 8 << 20
-	defaultWeightLoads  = 2
-	minLogRetention     = 5 * time.Minute
-	minServeWindow      = 2 * time.Second
-	maxServeWindow      = time.Minute
-	maxKeepEntries      = 10 * time.Minute
-	minMaxBodyBytes     = 1 << 10
-	maxMaxBodyBytes     = 64 << 20
-	maxWeightLoads      = 1000
+	defaultLogRetention          = time.Hour
+	defaultServeWindow           = 6 * time.Second
+	defaultEntriesTTL            = 10 * time.Second
+	defaultMaxBodyBytes          = 8 << 20
+	defaultConcurrentWeightLoads = 2
+	minLogRetention              = 5 * time.Minute
+	minServeWindow               = 2 * time.Second
+	maxServeWindow               = time.Minute
+	maxEntriesTTL                = 10 * time.Minute
+	minMaxBodyBytes              = 1 << 10
+	maxMaxBodyBytes              = 64 << 20
+	maxWeightLoads               = 1000
 )
 
 // Settings are the settings of a daemon, as written in YAML.
@@ -47,13 +47,13 @@
 	Platform PlatformSettings `yaml:"platform"`
 	// ServeWindow is how long a replica may serve after its last successful probe.
 	ServeWindow time.Duration `yaml:"serve_window"`
-	// KeepEntries is how long callers may cache an answer of /v1/entries.
-	KeepEntries time.Duration `yaml:"keep_entries"`
+	// EntriesTTL is how long callers may cache an answer of /v1/entries.
+	EntriesTTL time.Duration `yaml:"keep_entries"`
 	// MaxBodyBytes is the largest allowed body of a request.
 	MaxBodyBytes int `yaml:"max_body_bytes"`
-	// WeightLoads is how many replicas of a domain may load weights at the same time.
-	WeightLoads int         `yaml:"weight_loads"`
-	Log         LogSettings `yaml:"log"`
+	// ConcurrentWeightLoads is how many replicas of a domain may load weights at once.
+	ConcurrentWeightLoads int         `yaml:"weight_loads"`
+	Log                   LogSettings `yaml:"log"`
 
 	// file is where the settings were read from.
 	file string
@@ -73,12 +73,17 @@
 // EmbeddedSettings describe a simulated platform that runs inside the daemon, to try
 // the daemon out on one machine.
 type EmbeddedSettings struct {
-	Domains          []standin.DomainOptions `yaml:"domains"`
-	StoreGBPerSecond float64                 `yaml:"store_gb_per_second"`
-	LoadGB           float64                 `yaml:"load_gb"`
-	Step             time.Duration           `yaml:"step"`
-	Slots            int                     `yaml:"slots"`
-	ListLag          time.Duration           `yaml:"list_lag"`
+	Domains []standin.DomainOptions `yaml:"domains"`
+	// StoreGBPerSecond is the rate of the weight store.
+	StoreGBPerSecond float64 `yaml:"store_gb_per_second"`
+	// LoadGB is how much one node loads for one model version.
+	LoadGB float64 `yaml:"load_gb"`
+	// Step is the time between two tokens of an answer.
+	Step time.Duration `yaml:"step"`
+	// Slots is how many requests a node processes at once.
+	Slots int `yaml:"slots"`
+	// ListLag is the age of what the node list shows.
+	ListLag time.Duration `yaml:"list_lag"`
 	// Configuration is a file of documents to publish after the start. Its path is
 	// relative to the directory of the settings file.
 	Configuration string `yaml:"configuration"`
@@ -105,13 +110,13 @@
 // error joins all problems that the check found.
 func ParseSettings(file string, data []byte) (*Settings, error) {
 	s := &Settings{
-		ServeWindow:  defaultServeWindow,
-		KeepEntries:  defaultKeepEntries,
-		MaxBodyBytes: defaultMaxBodyBytes,
-		WeightLoads:  defaultWeightLoads,
-		Platform:     PlatformSettings{LogRetention: defaultLogRetention},
-		Log:          LogSettings{Level: "info", Format: "text"},
-		file:         file,
+		ServeWindow:           defaultServeWindow,
+		EntriesTTL:            defaultEntriesTTL,
+		MaxBodyBytes:          defaultMaxBodyBytes,
+		ConcurrentWeightLoads: defaultConcurrentWeightLoads,
+		Platform:              PlatformSettings{LogRetention: defaultLogRetention},
+		Log:                   LogSettings{Level: "info", Format: "text"},
+		file:                  file,
 	}
 	if err := yaml.UnmarshalWithOptions(data, s, yaml.Strict()); err != nil {
 		return nil, fmt.Errorf("%s: %s", file, yaml.FormatError(err, false, false))
@@ -185,9 +190,9 @@
 		c.checkAddress(fmt.Sprintf("seeds[%d]", i), seed)
 	}
 	c.checkDuration("serve_window", s.ServeWindow, minServeWindow, maxServeWindow)
-	c.checkDuration("keep_entries", s.KeepEntries, time.Second, maxKeepEntries)
+	c.checkDuration("keep_entries", s.EntriesTTL, time.Second, maxEntriesTTL)
 	c.checkNumber("max_body_bytes", s.MaxBodyBytes, minMaxBodyBytes, maxMaxBodyBytes)
-	c.checkNumber("weight_loads", s.WeightLoads, 1, maxWeightLoads)
+	c.checkNumber("weight_loads", s.ConcurrentWeightLoads, 1, maxWeightLoads)
 	c.checkOneOf("log.level", s.Log.Level, "trace", "debug", "info", "warn", "error")
 	c.checkOneOf("log.format", s.Log.Format, "text", "json")
 	s.Platform.check(c)
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -10,20 +10,21 @@
 
 // Status describes the fleet as this daemon sees it. Operators get it as JSON.
 type Status struct {
-	Daemon    string                  `json:"daemon"`
-	Ready     string                  `json:"ready"`
-	Revision  int64                   `json:"revision"`
-	Sums      Sums                    `json:"sums"`
-	Requests  int64                   `json:"requests"`
-	Refusals  map[reason.Reason]int64 `json:"refusals"`
-	Retries   map[reason.Reason]int64 `json:"retries"`
-	Members   []MemberRow             `json:"members"`
-	Domains   []DomainRow             `json:"domains"`
-	Replicas  []ReplicaRow            `json:"replicas"`
-	Nodes     []NodeRow               `json:"nodes"`
-	Halls     []hall.Status           `json:"halls"`
-	Warnings  []string                `json:"warnings"`
-	LogSilent string                  `json:"log_silent,omitempty"`
+	Daemon   string                  `json:"daemon"`
+	Ready    string                  `json:"ready"`
+	Revision int64                   `json:"revision"`
+	Sums     Sums                    `json:"sums"`
+	Requests int64                   `json:"requests"`
+	Refusals map[reason.Reason]int64 `json:"refusals"`
+	Retries  map[reason.Reason]int64 `json:"retries"`
+	Members  []MemberRow             `json:"members"`
+	Domains  []DomainRow             `json:"domains"`
+	Replicas []ReplicaRow            `json:"replicas"`
+	Nodes    []NodeRow               `json:"nodes"`
+	Halls    []hall.Status           `json:"halls"`
+	Warnings []string                `json:"warnings"`
+	// LogSilent says that the log does not answer, and is empty otherwise.
+	LogSilent string `json:"log_silent,omitempty"`
 }
 
 // MemberRow describes a daemon.
@@ -47,7 +48,7 @@
 	Current bool   `json:"current"`
 }
 
-// ReplicaRow describes a replica.
+// ReplicaRow describes a replica. State is one of the states below.
 type ReplicaRow struct {
 	Name       string   `json:"name"`
 	Deployment string   `json:"deployment"`
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -29,7 +29,7 @@
 	serveUntil := d.readiness.latestEntriesExpiry()
 	if hasOthers {
 		// Peers may give out this daemon's address until they know that it is leaving.
-		serveUntil = time.Now().Add(membershipSpreadTime + d.settings.KeepEntries)
+		serveUntil = time.Now().Add(membershipSpreadTime + d.settings.EntriesTTL)
 		d.awaitHandOver()
 	}
 	time.Sleep(time.Until(serveUntil))
