--- a/common/awake/awake.go
+++ b/common/awake/awake.go
@@ -115,5 +115,5 @@
 // Interrupted reports whether the machine was suspended since the stamp was taken.
 func (s Stamp) Interrupted() bool { return s.suspended()-s.suspendedBefore >= minSuspension }
 
-// Never returns zero, as the total suspension of a machine that is never suspended.
+// Never is the total suspension of a machine that is never suspended. The result is always zero.
 func Never() time.Duration { return 0 }
--- a/common/ring/ring.go
+++ b/common/ring/ring.go
@@ -7,7 +7,7 @@
 	slots chan T
 }
 
-// New returns a ring that holds at most capacity values, and at least one.
+// New returns a ring with room for capacity values. A capacity below one counts as one.
 func New[T any](capacity int) *Ring[T] {
 	return &Ring[T]{slots: make(chan T, max(capacity, 1))}
 }
--- a/common/wiretest/wiretest.go
+++ b/common/wiretest/wiretest.go
@@ -133,8 +133,9 @@
 	return found
 }
 
-// findField returns the field with the given key. If key is the only one of count and was set
-// by Fill, it is the key of a map and not the name of a field; any field then matches.
+// findField returns the field with the given key. The parameter count is the number of keys in the
+// recorded object. A sole key that starts with filledPrefix is taken for a map key that Fill set,
+// and then matches any field.
 func findField(fields map[string]any, key string, count int) (value any, ok bool) {
 	if value, ok = fields[key]; ok || count != 1 || !strings.HasPrefix(key, filledPrefix) {
 		return value, ok
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -7,9 +7,9 @@
 	"quartzshelf.dev/rpc"
 )
 
-// listEntries returns, in random order, the addresses of the daemons that take requests
-// and are not leaving. Those in closed data halls are only listed if there are no others.
-// They then answer callers that the halls are closed.
+// listEntries returns, in random order, the addresses of the daemons that take requests and are not
+// leaving. Daemons in closed data halls are only listed if there are no others. Their answers then
+// tell callers that the halls are closed.
 func (d *Daemon) listEntries() []gateway.Entry {
 	view := d.configState.View()
 	open, closed := []gateway.Entry{}, []gateway.Entry{}
--- a/daemon/expected.go
+++ b/daemon/expected.go
@@ -2,10 +2,10 @@
 
 import "quartzshelf.dev/rpc"
 
-// expectedMembers is the set of daemons that may hold a newer configuration while the log
-// is unavailable. It contains all that have been members since the log was last read,
-// except those that left as planned. The table of members can't replace it, because that
-// drops dead members after a while. To a daemon that is cut off, all others look dead.
+// expectedMembers is the set of daemons that may hold a newer configuration while the log is
+// unavailable. It contains all daemons that have been members since the log was last read, except
+// those that left as planned. The table of members can't replace this set, because the table drops
+// dead members after a while. To a daemon that is cut off, all others look dead.
 type expectedMembers struct {
 	// ids are the names of the members.
 	ids map[string]bool
--- a/daemon/peer.go
+++ b/daemon/peer.go
@@ -26,8 +26,8 @@
 
 var _ rpc.Peer = (*peerServer)(nil)
 
-// Claim implements rpc.Peer. It queues the record of an intent for the next append to the
-// log, and replies whether there was room in the queue.
+// Claim implements rpc.Peer. It queues the record of an intent for the next append to the log, and
+// replies whether the record was queued. It refuses a request without ID or data.
 func (p *peerServer) Claim(_ context.Context, r *rpc.ClaimRequest) (*rpc.ClaimReply, error) {
 	if r.RecordId == "" || len(r.Data) == 0 {
 		return &rpc.ClaimReply{Reason: string(reason.BadRequest)}, nil
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -22,7 +22,8 @@
 			return toMessages(table.Report(now, true))
 		},
 		Merge: func(peer string, all []*rpc.QuarantineEntry) {
-			// The result is not needed, because later exchanges pass the entries on.
+			// Merge reports whether entries should be passed on. The result is not needed here,
+			// because this daemon's later reports contain such entries.
 			_ = d.gateway.Guard().Merge(fromMessages(all), time.Now(), peer)
 		},
 	}
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -28,12 +28,11 @@
 
 // readiness decides whether this daemon takes requests.
 //
-// A starting daemon takes none until it has applied the newest configuration that it
-// can find, in the log or, if the log is unavailable, at a peer. While the log is
-// unavailable, it continues as long as it is in contact with more than half of the
-// fleet. The other side of a partition is then a minority, which can't publish a newer
-// configuration. A daemon with neither contact stops taking requests after
-// contactTimeout.
+// A starting daemon takes none until it has applied the newest configuration that it can find. It
+// looks in the log or, if the log is unavailable, asks a peer. While the log is unavailable, the
+// daemon continues as long as it is in contact with more than half of the fleet. The other side of
+// a partition is then a minority, which can't publish a newer configuration. A daemon that reaches
+// neither the log nor a majority stops taking requests after contactTimeout.
 type readiness struct {
 	daemon *Daemon
 
@@ -143,9 +142,9 @@
 	return nil
 }
 
-// checkMayPublish returns why this daemon may not publish changes, or nil if it may. It
-// may not if more than half of the daemons are out of its reach, because those could
-// continue to take requests without the change.
+// checkMayPublish returns why this daemon may not publish changes, or nil if it may. It may not if
+// more than half of the daemons are out of its reach. Those daemons could continue to take requests
+// without the change.
 func (r *readiness) checkMayPublish() *gateway.Closed {
 	if closed := r.checkReady(); closed != nil {
 		return closed
@@ -153,9 +152,8 @@
 	return checkReached(r.daemon.agent.Reached(time.Now().Add(-contactTimeout)))
 }
 
-// checkReached returns why a daemon that reaches the given number of members, itself
-// included, may not publish. It returns nil if the members that it doesn't reach aren't a
-// majority.
+// checkReached returns why a daemon that reaches the given number of members, itself included, may
+// not publish. It returns nil if the members that the daemon doesn't reach aren't a majority.
 func checkReached(reached, members int) *gateway.Closed {
 	if 2*reached >= members {
 		return nil
@@ -164,9 +162,9 @@
 		"this daemon reaches %d of %d daemons; the others might go on without the change", reached, members)}
 }
 
-// hasConfiguration reports whether the daemon read the log to its end, or has a
-// configuration from a peer. Nothing was applied yet if nextOffset, the offset of the next
-// record to apply, is zero.
+// hasConfiguration reports whether the daemon read the log to its end, or has a configuration from
+// a peer. The parameter nextOffset is the offset of the next record to apply. If it is zero,
+// nothing was applied yet.
 func (r *readiness) hasConfiguration(nextOffset int64) bool {
 	return !r.daemon.followers[streamConfiguration].Confirmed().IsZero() || nextOffset > 0
 }
@@ -181,9 +179,8 @@
 	return len(r.daemon.settings.Seeds) == 0 || time.Now().After(r.daemon.startedAt.Add(seedTimeout))
 }
 
-// isConnected reports whether the daemon would notice a new configuration. It would if
-// it read the log within contactTimeout, reached a majority of the expected members, or
-// is the only daemon.
+// isConnected reports whether the daemon would notice a new configuration. This is so if it read
+// the log within contactTimeout, reached a majority of the expected members, or is the only daemon.
 func (r *readiness) isConnected(now time.Time) bool {
 	since := now.Add(-contactTimeout)
 	if r.daemon.followers[streamConfiguration].Confirmed().After(since) {
--- a/daemon/readiness_test.go
+++ b/daemon/readiness_test.go
@@ -16,8 +16,8 @@
 	"quartzshelf.dev/standin"
 )
 
-// TestPublishLeavesNoMajority checks that a daemon may publish exactly if the daemons that it
-// doesn't reach can't continue without it as a majority.
+// TestPublishLeavesNoMajority checks that a daemon may publish if and only if the daemons that it
+// doesn't reach can't continue without it.
 func TestPublishLeavesNoMajority(t *testing.T) {
 	cases := map[string]struct {
 		reached, members int
@@ -39,7 +39,8 @@
 			if closed != nil {
 				assert.Equal(t, closed.Reason, reason.Isolated)
 			}
-			// The others continue without the log by the rule in readiness.isConnected.
+			// By the rule in readiness.isConnected, the daemons that are not reached continue
+			// without the log if they are more than one and more than half of all.
 			unreached := c.members - c.reached
 			othersContinue := unreached > 1 && 2*unreached > c.members
 			assert.Equal(t, othersContinue, !c.mayPublish, "the others continue although a change is published")
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -38,7 +38,8 @@
 	quarantine metric.Int64Counter
 	// suspensions counts how often the machine was suspended.
 	suspensions metric.Int64Counter
-	// workerSignals counts what workers asked for in their answers, such as a lower limit.
+	// workerSignals counts what workers asked for in their answers, such as a limit on requests,
+	// and values that could not be parsed.
 	workerSignals metric.Int64Counter
 	// brokenAttempts counts attempts whose connection the worker closed early.
 	brokenAttempts metric.Int64Counter
@@ -323,14 +324,14 @@
 	m.storeCalls = read
 }
 
-// FirstToken records the time since start, when the request arrived, for a first token that
-// arrives now.
+// FirstToken records the time to a first token that arrives now. The parameter start is when the
+// request arrived.
 func (m *Meter) FirstToken(start time.Time) {
 	m.firstToken.Record(context.Background(), time.Since(start).Seconds())
 }
 
-// NextToken records the time since last, when the previous token arrived, for a token that
-// arrives now.
+// NextToken records the time between the previous token and a token that arrives now. The parameter
+// last is when the previous token arrived.
 func (m *Meter) NextToken(last time.Time) {
 	m.betweenTokens.Record(context.Background(), time.Since(last).Seconds())
 }
