--- a/common/awake/awake.go
+++ b/common/awake/awake.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxReadSpan is the longest time that reading all clocks may take for a result to be
-	// accurate. If it takes longer, they are read again, up to maxReadings times in all.
+	// maxReadSpan is the longest time that one reading of all clocks may take. If a reading takes
+	// longer, the clocks are read again, up to maxReadings times in all.
 	maxReadSpan = time.Millisecond
 	maxReadings = 4
 	// minSuspension is the shortest suspension that counts. Shorter ones can be errors of
@@ -84,8 +84,8 @@
 	return &Watch{Suspended: suspended, OnResume: onResume, reported: suspended()}
 }
 
-// Check calls OnResume with the time that the machine was suspended and that was not reported
-// yet, if it is minSuspension or longer.
+// Check calls OnResume with the time that the machine has been suspended since the last report. It
+// does nothing if that time is shorter than minSuspension.
 func (w *Watch) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,8 +108,8 @@
 	return Stamp{at: time.Now(), suspended: suspended, suspendedBefore: suspended()}
 }
 
-// Time returns the stamp as a time.Time for comparison with time.Now. The result is earlier by
-// the time that the machine was suspended since the stamp was taken.
+// Time returns the stamp as a time.Time for comparison with time.Now. The result is moved back by
+// the time that the machine has been suspended since the stamp was taken.
 func (s Stamp) Time() time.Time { return s.at.Add(s.suspendedBefore - s.suspended()) }
 
 // Interrupted reports whether the machine was suspended since the stamp was taken.
--- a/common/wiretest/wiretest.go
+++ b/common/wiretest/wiretest.go
@@ -99,8 +99,8 @@
 	return found, nil
 }
 
-// differences returns the paths of values in before that after lacks, or that aren't the
-// same in after according to same.
+// differences returns the paths of values in before that are missing from after or differ there.
+// The function same reports whether two values count as equal.
 func differences(path string, before, after any, same func(before, after any) bool) []string {
 	switch b := before.(type) {
 	case map[string]any:
--- a/daemon/accounting.go
+++ b/daemon/accounting.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// update counts the replicas that are dark and the accelerators that are stranded now. It
-// adds the time since the last update to the sums, once for each of them.
+// update counts the replicas that are dark and the accelerators that are stranded now. For each of
+// them, it adds the time since the last update to the sum.
 func (a *accounting) update(now time.Time) {
 	dark, stranded := 0, 0
 	for _, report := range a.daemon.catalog.Reports() {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// connectPlatform returns a client of the platform. If the settings ask for an
-// embedded platform, it starts that one first.
+// connectPlatform returns a client of the platform. If the settings ask for an embedded platform,
+// it first starts the embedded platform.
 func (d *Daemon) connectPlatform() (*client.Client, error) {
 	p := d.settings.Platform
 	if p.Embedded == nil {
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -121,8 +121,8 @@
 	Warnings []string       `json:"warnings"`
 }
 
-// publishChange publishes a change set. It refuses while more than half of the daemons are
-// out of reach, because they might continue without the change.
+// publishChange publishes a change set. It refuses while more than half of the daemons are out of
+// reach. Those daemons might continue without the change.
 func (o *operatorServer) publishChange(c *fiber.Ctx) error {
 	var set config.ChangeSet
 	if err := c.BodyParser(&set); err != nil {
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -87,8 +87,8 @@
 	return c.JSON(rows)
 }
 
-// liftQuarantine lifts the quarantine of a request. The next exchanges pass this on to
-// the other daemons.
+// liftQuarantine lifts the quarantine of a request. The next exchanges report the lifting to the
+// other daemons.
 func (o *operatorServer) liftQuarantine(c *fiber.Ctx) error {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(c.Params("fingerprint"))); err != nil {
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -55,8 +55,8 @@
 	return &readiness{daemon: d}
 }
 
-// renewEntriesExpiry returns the expiry time of an answer that lists addresses and is given
-// now, and records it as the latest one.
+// renewEntriesExpiry returns when a list of addresses that is sent now expires. It records the
+// result as the latest expiry time.
 func (r *readiness) renewEntriesExpiry(now time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,8 +78,8 @@
 	r.isStopping = true
 }
 
-// run publishes to the other daemons whether this one takes requests. While it doesn't,
-// they leave its address out of their answers to callers.
+// run publishes to the other daemons whether this one takes requests. While this daemon takes none,
+// the others leave its address out of their answers to callers.
 func (r *readiness) run(ctx context.Context) {
 	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -25,8 +25,8 @@
 	refusals map[reason.Reason]*atomic.Int64
 	retries  map[reason.Reason]*atomic.Int64
 	late     map[reason.Reason]*atomic.Int64
-	// passedOver counts, for each reason, the choices of a replica in which at least one
-	// replica was passed over.
+	// passedOver counts, for each reason, the choices of a replica in which at least one replica
+	// was passed over for that reason.
 	passedOver    map[reason.Reason]*atomic.Int64
 	requests      atomic.Int64
 	firstToken    metric.Float64Histogram
@@ -185,8 +185,8 @@
 // Late counts a late stream; reasons outside reason.Lateness are not counted.
 func (m *Meter) Late(r reason.Reason) { increment(m.late, r) }
 
-// PassOver counts a choice of a replica in which others were passed over; reasons
-// outside reason.PassedOver are not counted.
+// PassOver counts a choice of a replica in which other replicas were passed over for a reason.
+// Reasons outside reason.PassedOver are not counted.
 func (m *Meter) PassOver(r reason.Reason) { increment(m.passedOver, r) }
 
 func increment(counters map[reason.Reason]*atomic.Int64, r reason.Reason) {
@@ -215,8 +215,8 @@
 // Slept counts a suspension of the machine; its duration is not used.
 func (m *Meter) Slept(time.Duration) { m.suspensions.Add(context.Background(), 1) }
 
-// Signal counts what a worker asked for in an answer, such as a limit on requests or a pause.
-// The event tells what was asked for, or that the value could not be parsed.
+// Signal counts what a worker asked for in an answer, such as a limit on requests or a pause. The
+// event names what was asked for, or states that the value could not be parsed.
 func (m *Meter) Signal(event string) {
 	m.workerSignals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
