--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -32,7 +32,8 @@
 	firstToken    metric.Float64Histogram
 	betweenTokens metric.Float64Histogram
 	orders        metric.Int64Counter
-	// warmUpRequests counts requests to workers that warm up, by whether the allowance had room.
+	// warmUpRequests counts requests to workers that warm up, by whether the limit on such requests
+	// had room.
 	warmUpRequests metric.Int64Counter
 	// quarantine counts events of requests that were at a worker when it crashed.
 	quarantine metric.Int64Counter
@@ -201,7 +202,8 @@
 		metric.WithAttributes(attribute.String("order", order), attribute.String("outcome", outcome)))
 }
 
-// WarmUp counts a request to a worker that warms up, by whether the allowance had room.
+// WarmUp counts a request to a worker that warms up. The outcome is whether the limit on such
+// requests had room.
 func (m *Meter) WarmUp(outcome string) {
 	m.warmUpRequests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
