--- a/common/awake/awake.go
+++ b/common/awake/awake.go
@@ -1,6 +1,6 @@
-// Package awake tells for how long the machine was suspended. The steady clock, by which
-// time.Time counts spans, stands still meanwhile: what was known before would seem as fresh
-// after it as it was.
+// Package awake detects that the machine was suspended, and for how long. Go's monotonic
+// clock doesn't advance while the machine is suspended. Information from before the
+// suspension would otherwise seem as recent afterwards as it was before.
 package awake
 
 import (
@@ -12,17 +12,18 @@
 )
 
 const (
-	// readWithin is how far apart the readings of two clocks may be for their difference to
-	// tell something; tries is how often they are read to get there.
-	readWithin = time.Millisecond
-	tries      = 4
-	// least is the shortest suspension that counts: readings are off by less.
-	least = 50 * time.Millisecond
+	// maxReadSpan is the longest time that one reading of all clocks may take. If a reading takes
+	// longer, the clocks are read again, up to maxReadings times in all.
+	maxReadSpan = time.Millisecond
+	maxReadings = 4
+	// minSuspension is the shortest suspension that counts. Shorter ones can be errors of
+	// measurement.
+	minSuspension = 50 * time.Millisecond
 )
 
-// Clock reads how long the machine was suspended since it started.
+// Clock measures how long the machine has been suspended in total since it was booted.
 type Clock struct {
-	// read returns a clock of the system; a seam for tests.
+	// read returns the value of a system clock; tests replace it.
 	read func(clock int32) (time.Duration, error)
 }
 
@@ -37,11 +38,11 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Suspended returns for how long the machine was suspended since it started, as exactly as
-// three readings of its clocks tell.
+// Suspended returns how long the machine has been suspended in total since it was booted. It
+// returns an error if a system clock can't be read.
 func (c *Clock) Suspended() (time.Duration, error) {
-	best, apart := time.Duration(0), time.Duration(-1)
-	for range tries {
+	suspended, bestSpan := time.Duration(0), time.Duration(-1)
+	for range maxReadings {
 		before, err := c.read(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
@@ -54,61 +55,65 @@
 		if err != nil {
 			return 0, err
 		}
-		if span := after - before; apart < 0 || span < apart {
-			best, apart = boot-before-span/2, span
+		if span := after - before; bestSpan < 0 || span < bestSpan {
+			suspended, bestSpan = boot-before-span/2, span
 		}
-		if apart <= readWithin {
+		if bestSpan <= maxReadSpan {
 			break
 		}
 	}
-	return best, nil
+	return suspended, nil
 }
 
-// Watch notices that the machine was suspended. It is safe for concurrent use.
+// Watch detects suspensions of the machine. It is safe for concurrent use.
 type Watch struct {
-	// Suspended returns for how long it was in all.
+	// Suspended returns how long the machine has been suspended in total.
 	Suspended func() time.Duration
-	// Woke is called with each further time, before Check returns anywhere. It must not call
-	// Check.
-	Woke func(asleep time.Duration)
+	// OnResume is called by Check when it detects a suspension. Concurrent calls of Check
+	// wait until OnResume returns. It must not call Check itself.
+	OnResume func(duration time.Duration)
 
-	mu    sync.Mutex
-	known time.Duration
+	mu sync.Mutex
+	// reported is the total suspension up to the last call of OnResume.
+	reported time.Duration
 }
 
-// NewWatch returns a watch from now on.
-func NewWatch(suspended func() time.Duration, woke func(asleep time.Duration)) *Watch {
-	return &Watch{Suspended: suspended, Woke: woke, known: suspended()}
+// NewWatch returns a watch that reports suspensions from now on to onResume. The function
+// suspended returns how long the machine has been suspended in total.
+func NewWatch(suspended func() time.Duration, onResume func(duration time.Duration)) *Watch {
+	return &Watch{Suspended: suspended, OnResume: onResume, reported: suspended()}
 }
 
-// Check tells of a suspension that was not told yet. What is believed afterwards is as old as
-// it is.
+// Check calls OnResume with the time that the machine has been suspended since the last report. It
+// does nothing if that time is shorter than minSuspension.
 func (w *Watch) Check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if asleep := w.Suspended() - w.known; asleep >= least {
-		w.known += asleep
-		w.Woke(asleep)
+	if added := w.Suspended() - w.reported; added >= minSuspension {
+		w.reported += added
+		w.OnResume(added)
 	}
 }
 
-// Stamp is a moment that stays as long ago as it is over suspensions.
+// Stamp is a point in time whose age includes later suspensions of the machine.
 type Stamp struct {
-	at        time.Time
-	suspended func() time.Duration
-	before    time.Duration
+	at              time.Time
+	suspended       func() time.Duration
+	suspendedBefore time.Duration
 }
 
-// NewStamp returns the present moment.
+// NewStamp returns a stamp of the current time. The function suspended returns how long the
+// machine has been suspended in total.
 func NewStamp(suspended func() time.Duration) Stamp {
-	return Stamp{at: time.Now(), suspended: suspended, before: suspended()}
+	return Stamp{at: time.Now(), suspended: suspended, suspendedBefore: suspended()}
 }
 
-// Time returns the moment by the steady clock as it stands now.
-func (s Stamp) Time() time.Time { return s.at.Add(s.before - s.suspended()) }
+// Time returns the stamp as a time.Time for comparison with time.Now. The result is moved back by
+// the time that the machine has been suspended since the stamp was taken.
+func (s Stamp) Time() time.Time { return s.at.Add(s.suspendedBefore - s.suspended()) }
 
-// Interrupted reports whether the machine was suspended since.
-func (s Stamp) Interrupted() bool { return s.suspended()-s.before >= least }
+// Interrupted reports whether the machine was suspended since the stamp was taken.
+func (s Stamp) Interrupted() bool { return s.suspended()-s.suspendedBefore >= minSuspension }
 
-// Never is for machines that are never suspended.
+// Never is the total suspension of a machine that is never suspended. The result is always zero.
 func Never() time.Duration { return 0 }
--- a/common/awake/awake_test.go
+++ b/common/awake/awake_test.go
@@ -9,41 +9,41 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeClocks are the clocks of a machine that a test suspends.
+// fakeClocks simulate the clocks of a machine that was suspended for boot minus monotonic.
 type fakeClocks struct {
-	steady, boot time.Duration
-	// slow is how long each reading of the first ones takes.
-	slow []time.Duration
-	err  error
+	monotonic, boot time.Duration
+	// readDelays are the durations of the first readings; later ones take no time.
+	readDelays []time.Duration
+	err        error
 }
 
 func (f *fakeClocks) read(clock int32) (time.Duration, error) {
-	if len(f.slow) > 0 {
-		f.steady, f.boot, f.slow = f.steady+f.slow[0], f.boot+f.slow[0], f.slow[1:]
+	if len(f.readDelays) > 0 {
+		f.monotonic, f.boot, f.readDelays = f.monotonic+f.readDelays[0], f.boot+f.readDelays[0], f.readDelays[1:]
 	}
 	if clock == unix.CLOCK_BOOTTIME {
 		return f.boot, f.err
 	}
-	return f.steady, f.err
+	return f.monotonic, f.err
 }
 
 func TestSuspended(t *testing.T) {
 	const s = time.Second
 	tests := map[string]struct {
-		clocks fakeClocks
-		want   time.Duration
-		off    time.Duration
+		clocks    fakeClocks
+		want      time.Duration
+		tolerance time.Duration
 	}{
-		"never":                         {clocks: fakeClocks{steady: 7 * s, boot: 7 * s}},
-		"for three seconds":             {clocks: fakeClocks{steady: 7 * s, boot: 10 * s}, want: 3 * s},
-		"the reader stood still":        {clocks: fakeClocks{steady: 7 * s, boot: 10 * s, slow: []time.Duration{s, s, s}}, want: 3 * s},
-		"the reader stands still often": {clocks: fakeClocks{boot: 3 * s, slow: []time.Duration{0, s, s, 0, s, s, 0, s, s, 0, s / 100, 0}}, want: 3 * s, off: s / 100},
+		"never":                         {clocks: fakeClocks{monotonic: 7 * s, boot: 7 * s}},
+		"for three seconds":             {clocks: fakeClocks{monotonic: 7 * s, boot: 10 * s}, want: 3 * s},
+		"the reader stood still":        {clocks: fakeClocks{monotonic: 7 * s, boot: 10 * s, readDelays: []time.Duration{s, s, s}}, want: 3 * s},
+		"the reader stands still often": {clocks: fakeClocks{boot: 3 * s, readDelays: []time.Duration{0, s, s, 0, s, s, 0, s, s, 0, s / 100, 0}}, want: 3 * s, tolerance: s / 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			got, err := (&Clock{read: test.clocks.read}).Suspended()
 			assert.NilError(t, err)
-			assert.Assert(t, got >= test.want-test.off && got <= test.want+test.off, "%s", got)
+			assert.Assert(t, got >= test.want-test.tolerance && got <= test.want+test.tolerance, "%s", got)
 		})
 	}
 	broken := fakeClocks{err: errors.New("no such clock")}
@@ -51,31 +51,31 @@
 	assert.ErrorContains(t, err, "no such clock")
 }
 
-// TestThisMachine: the clocks of the machine that runs the test can be read.
-func TestThisMachine(t *testing.T) {
+// TestSystemClocks checks that the clocks of the machine that runs the test can be read.
+func TestSystemClocks(t *testing.T) {
 	got, err := NewClock().Suspended()
 	assert.NilError(t, err)
 	assert.Assert(t, got > -time.Second)
 }
 
-// TestWatch: each suspension is told once, and before whoever checks goes on.
+// TestWatch checks that each suspension is reported once, and before Check returns.
 func TestWatch(t *testing.T) {
 	suspended := time.Minute
-	var told []time.Duration
-	w := NewWatch(func() time.Duration { return suspended }, func(asleep time.Duration) { told = append(told, asleep) })
+	var reported []time.Duration
+	w := NewWatch(func() time.Duration { return suspended }, func(duration time.Duration) { reported = append(reported, duration) })
 	w.Check()
-	suspended += least - 1
+	suspended += minSuspension - 1
 	w.Check()
-	assert.Equal(t, len(told), 0, "clocks are adjusted")
+	assert.Equal(t, len(reported), 0, "a suspension shorter than minSuspension was reported")
 	suspended += 5 * time.Second
 	w.Check()
 	w.Check()
 	suspended += time.Second
 	w.Check()
-	assert.DeepEqual(t, told, []time.Duration{5*time.Second + least - 1, time.Second})
+	assert.DeepEqual(t, reported, []time.Duration{5*time.Second + minSuspension - 1, time.Second})
 }
 
-// TestStamp: a moment before a suspension is as long ago afterwards as it is.
+// TestStamp checks that the age of a stamp includes a later suspension.
 func TestStamp(t *testing.T) {
 	suspended := time.Duration(0)
 	s := NewStamp(func() time.Duration { return suspended })
--- a/common/proptest/proptest.go
+++ b/common/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest lets property-based tests run with a fixed seed, so that CI
-// reaches the same verdict every time, and with drawn seeds in a soak.
+// Package proptest runs property-based tests with a fixed seed, so that results in CI are
+// repeatable. It uses random seeds in soaks, which are long test runs.
 package proptest
 
 import (
@@ -9,26 +9,27 @@
 	"testing"
 )
 
-// SoakEnv is the environment variable that asks for drawn seeds.
+// SoakEnv is the environment variable that selects random seeds if it isn't empty.
 const SoakEnv = "QUARTZSHELF_SOAK"
 
 const fixedSeed = "20261202"
 
-// Main runs the tests of a package. Call it from TestMain.
+// Main sets the flags of the rapid library, runs the tests of a package, and exits. Call it
+// from TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	if os.Getenv(SoakEnv) == "" {
-		set("rapid.seed", fixedSeed)
+		setFlag("rapid.seed", fixedSeed)
 	}
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// set changes a flag that rapid has registered, unless the command line has.
-func set(name, value string) {
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
-	if given {
+// setFlag sets a registered flag, unless it was given on the command line.
+func setFlag(name, value string) {
+	isGiven := false
+	flag.Visit(func(f *flag.Flag) { isGiven = isGiven || f.Name == name })
+	if isGiven {
 		return
 	}
 	if err := flag.Set(name, value); err != nil {
--- a/common/wiretest/wiretest.go
+++ b/common/wiretest/wiretest.go
@@ -1,5 +1,6 @@
-// Package wiretest lets tests check messages in JSON against those that another build wrote:
-// that what it wrote is understood, and that nothing it needs is left out or of another type.
+// Package wiretest helps to test that JSON messages are compatible with messages recorded from
+// another build. Lost finds recorded fields that this build loses when it decodes them.
+// Missing finds recorded fields that this build doesn't write, or writes with another type.
 package wiretest
 
 import (
@@ -11,10 +12,11 @@
 	"time"
 )
 
-// filledPrefix begins the texts that Fill makes.
+// filledPrefix is the prefix of the strings that Fill sets.
 const filledPrefix = "s"
 
-// Fill sets all exported fields of what v points to, to values that differ from zero.
+// Fill sets all exported fields of the struct that v points to, also in nested values, to
+// values other than zero.
 func Fill(v any) { fill(reflect.ValueOf(v).Elem(), 1) }
 
 func fill(v reflect.Value, n int64) {
@@ -46,11 +48,11 @@
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	default:
-		fillPlain(v, n)
+		fillScalar(v, n)
 	}
 }
 
-func fillPlain(v reflect.Value, n int64) {
+func fillScalar(v reflect.Value, n int64) {
 	switch {
 	case v.Kind() == reflect.String:
 		v.SetString(fmt.Sprint(filledPrefix, n))
@@ -65,8 +67,8 @@
 	}
 }
 
-// Lost returns what of a recorded message is lost or changed when it is decoded into v and
-// encoded again, by path.
+// Lost decodes a recorded message into v, encodes v again, and returns the sorted paths of the
+// fields that are lost or changed. It returns an error if the message can't be decoded.
 func Lost(recorded []byte, v any) ([]string, error) {
 	if err := json.Unmarshal(recorded, v); err != nil {
 		return nil, fmt.Errorf("decode: %w", err)
@@ -74,7 +76,8 @@
 	return compare(recorded, v, func(before, after any) bool { return reflect.DeepEqual(before, after) })
 }
 
-// Missing returns what of a recorded message is not in v, or of another type there, by path.
+// Missing returns the sorted paths of the fields of a recorded message that v lacks or holds
+// with another JSON type.
 func Missing(recorded []byte, v any) ([]string, error) {
 	return compare(recorded, v, func(before, after any) bool { return reflect.TypeOf(before) == reflect.TypeOf(after) })
 }
@@ -96,17 +99,18 @@
 	return found, nil
 }
 
-// differences returns the paths at which after lacks what before has.
+// differences returns the paths of values in before that are missing from after or differ there.
+// The function same reports whether two values count as equal.
 func differences(path string, before, after any, same func(before, after any) bool) []string {
 	switch b := before.(type) {
 	case map[string]any:
 		if a, ok := after.(map[string]any); ok {
-			return differentFields(path, b, a, same)
+			return fieldDifferences(path, b, a, same)
 		}
 		return []string{path}
 	case []any:
 		if a, ok := after.([]any); ok && len(a) >= len(b) {
-			return differentItems(path, b, a, same)
+			return itemDifferences(path, b, a, same)
 		}
 		return []string{path}
 	}
@@ -116,22 +120,23 @@
 	return []string{path}
 }
 
-func differentFields(path string, before, after map[string]any, same func(before, after any) bool) []string {
+func fieldDifferences(path string, before, after map[string]any, same func(before, after any) bool) []string {
 	var found []string
 	for key, value := range before {
-		held, ok := fieldOf(after, key, len(before))
+		other, ok := findField(after, key, len(before))
 		if !ok {
 			found = append(found, path+"/"+key)
 			continue
 		}
-		found = append(found, differences(path+"/"+key, value, held, same)...)
+		found = append(found, differences(path+"/"+key, value, other, same)...)
 	}
 	return found
 }
 
-// fieldOf returns a field. The only key of a map is data if Fill made it, so that any other one
-// stands for it.
-func fieldOf(fields map[string]any, key string, count int) (value any, ok bool) {
+// findField returns the field with the given key. The parameter count is the number of keys in the
+// recorded object. A sole key that starts with filledPrefix is taken for a map key that Fill set,
+// and then matches any field.
+func findField(fields map[string]any, key string, count int) (value any, ok bool) {
 	if value, ok = fields[key]; ok || count != 1 || !strings.HasPrefix(key, filledPrefix) {
 		return value, ok
 	}
@@ -141,7 +146,7 @@
 	return nil, false
 }
 
-func differentItems(path string, before, after []any, same func(before, after any) bool) []string {
+func itemDifferences(path string, before, after []any, same func(before, after any) bool) []string {
 	var found []string
 	for i := range before {
 		found = append(found, differences(fmt.Sprintf("%s/%d", path, i), before[i], after[i], same)...)
--- a/daemon/accounting.go
+++ b/daemon/accounting.go
@@ -8,23 +8,24 @@
 	"quartzshelf.dev/rpc"
 )
 
-const accountEvery = time.Second
+const accountingInterval = time.Second
 
-// accounting sums up the two measures of the system as this daemon sees them.
+// accounting sums up the downtime of replicas and the time that accelerators were stranded,
+// as far as this daemon sees the fleet. An accelerator is stranded while it belongs to no
+// serving replica.
 type accounting struct {
-	d *Daemon
+	daemon *Daemon
 
-	mu sync.Mutex
-	// downtime is in replica-seconds, stranded in accelerator-seconds.
-	downtime float64
-	stranded float64
-	dark     int
-	idle     int
-	last     time.Time
+	mu                         sync.Mutex
+	downtimeReplicaSeconds     float64
+	strandedAcceleratorSeconds float64
+	darkReplicas               int
+	strandedAccelerators       int
+	updatedAt                  time.Time
 }
 
 func newAccounting(d *Daemon) *accounting {
-	a := &accounting{d: d, last: time.Now()}
+	a := &accounting{daemon: d, updatedAt: time.Now()}
 	d.meter.Gauge("group_downtime_replica_seconds", func() float64 { return a.sums().DowntimeSeconds })
 	d.meter.Gauge("stranded_accelerator_seconds", func() float64 { return a.sums().StrandedSeconds })
 	d.meter.Gauge("dark_replicas", func() float64 { return float64(a.sums().DarkReplicas) })
@@ -32,13 +33,15 @@
 	d.meter.Gauge("requests_in_flight", func() float64 { return float64(d.gateway.Inflight().Total()) })
 	d.meter.Gauge("members_alive", func() float64 { return float64(len(d.agent.Table().Alive())) })
 	d.meter.Gauge("configuration_next", func() float64 { return float64(d.followers[streamConfiguration].Fold().Next()) })
-	d.meter.Gauge("peer_bytes_received", func() float64 { return float64(d.dialer.traffic.received.Load()) })
-	d.meter.Gauge("peer_bytes_sent", func() float64 { return float64(d.dialer.traffic.sent.Load()) })
+	d.meter.Gauge("peer_bytes_received", func() float64 { return float64(d.peerClients.traffic.receivedBytes.Load()) })
+	d.meter.Gauge("peer_bytes_sent", func() float64 { return float64(d.peerClients.traffic.sentBytes.Load()) })
 	d.meter.Gauge("keys_kept", func() float64 { return float64(d.intents.Len()) })
 	return a
 }
 
-// Sums are the two measures and what makes them up now.
+// Sums holds the downtime in replica-seconds and the stranded time in accelerator-seconds,
+// both since the daemon started. It also holds the current numbers of dark replicas and
+// stranded accelerators. A replica is dark if it is reported but doesn't serve.
 type Sums struct {
 	DowntimeSeconds      float64 `json:"group_downtime_replica_seconds"`
 	StrandedSeconds      float64 `json:"stranded_accelerator_seconds"`
@@ -50,48 +53,50 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return Sums{
-		DowntimeSeconds: a.downtime, StrandedSeconds: a.stranded,
-		DarkReplicas: a.dark, StrandedAccelerators: a.idle,
+		DowntimeSeconds: a.downtimeReplicaSeconds, StrandedSeconds: a.strandedAcceleratorSeconds,
+		DarkReplicas: a.darkReplicas, StrandedAccelerators: a.strandedAccelerators,
 	}
 }
 
 func (a *accounting) run(ctx context.Context) {
-	ticker := time.NewTicker(accountEvery)
+	ticker := time.NewTicker(accountingInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			a.add(time.Now())
+			a.update(time.Now())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// add counts the time since the last call with what is dark and stranded now.
-func (a *accounting) add(now time.Time) {
-	dark, idle := 0, 0
-	for _, report := range a.d.catalog.Reports() {
-		_, deadline, _ := a.d.catalog.Current(report.Domain)
-		darkHere, idleHere := countDark(report, now.Before(deadline))
-		dark += darkHere
-		idle += idleHere
+// update counts the replicas that are dark and the accelerators that are stranded now. For each of
+// them, it adds the time since the last update to the sum.
+func (a *accounting) update(now time.Time) {
+	dark, stranded := 0, 0
+	for _, report := range a.daemon.catalog.Reports() {
+		_, deadline, _ := a.daemon.catalog.Current(report.Domain)
+		domainDark, domainStranded := countDarkAndStranded(report, now.Before(deadline))
+		dark += domainDark
+		stranded += domainStranded
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	seconds := now.Sub(a.last).Seconds()
-	a.last = now
-	a.dark, a.idle = dark, idle
-	a.downtime += seconds * float64(dark)
-	a.stranded += seconds * float64(idle)
+	seconds := now.Sub(a.updatedAt).Seconds()
+	a.updatedAt = now
+	a.darkReplicas, a.strandedAccelerators = dark, stranded
+	a.downtimeReplicaSeconds += seconds * float64(dark)
+	a.strandedAcceleratorSeconds += seconds * float64(stranded)
 }
 
-// countDark returns how many replicas of a domain do not serve and how many
-// accelerators belong to no serving replica.
-func countDark(report *rpc.DomainReport, current bool) (dark, idle int) {
+// countDarkAndStranded returns how many replicas of a domain don't serve, and how many
+// accelerators belong to no serving replica. If the report is no longer current, no
+// replica counts as serving. Nodes of plain services don't count.
+func countDarkAndStranded(report *rpc.DomainReport, isCurrent bool) (dark, stranded int) {
 	serving := make(map[string]bool)
 	for _, r := range report.Replicas {
-		if r.Serving && current {
+		if r.Serving && isCurrent {
 			for _, n := range r.Nodes {
 				serving[n] = true
 			}
@@ -101,8 +106,8 @@
 	}
 	for _, n := range report.Nodes {
 		if n.State != rpc.NodeState_SERVICE && !serving[n.Id] {
-			idle += int(n.Accelerators)
+			stranded += int(n.Accelerators)
 		}
 	}
-	return dark, idle
+	return dark, stranded
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -35,52 +35,54 @@
 )
 
 const (
-	// maxCheckpointDelay spreads the writers of checkpoints.
+	// maxCheckpointDelay bounds the random delay before a daemon writes a checkpoint. The
+	// delay keeps the daemons from all writing at the same time.
 	maxCheckpointDelay = 20 * time.Second
-	// keyShare of the log's retention is how long a caller's key is kept.
-	keyShare = 2
-	// announceTimeout bounds the append that announces the daemon.
-	announceTimeout = 5 * time.Second
-	announceRetry   = 5 * time.Second
-	peerReadTimeout = 10 * time.Second
+	// keyRetentionDivisor divides the log's retention. The result is how long the
+	// idempotency key of a caller is kept.
+	keyRetentionDivisor = 2
+	// announceTimeout bounds each attempt to append the daemon's announcement.
+	announceTimeout    = 5 * time.Second
+	announceRetryDelay = 5 * time.Second
+	peerReadTimeout    = 10 * time.Second
 )
 
-// Daemon is one quartzshelf daemon.
+// Daemon is a quartzshelf daemon with all its components.
 type Daemon struct {
-	settings *Settings
-	logger   hclog.Logger
-	start    time.Time
+	settings  *Settings
+	logger    hclog.Logger
+	startedAt time.Time
 
-	embedded  *server.Server
-	state     *config.State
-	grants    *ownership.State
-	intents   *intent.State
-	arrived   *arrivals
-	followers map[string]*eventlog.Follower
+	embedded         *server.Server
+	configState      *config.State
+	grants           *ownership.State
+	intents          *intent.State
+	announcedDaemons *arrivals
+	followers        map[string]*eventlog.Follower
 
-	meter      *telemetry.Meter
-	catalog    *catalog.Catalog
-	agent      *membership.Agent
-	dialer     *dialer
-	controller *replica.Controller
-	ledger     *intent.Ledger
-	limiter    *admission.Limiter
-	gateway    *gateway.Gateway
-	peerServer *peerServer
-	peerHTTP   *http.Server
-	operators  *operators
-	accounts   *accounting
-	halls      *hall.Watch
-	readiness  *readiness
+	meter              *telemetry.Meter
+	catalog            *catalog.Catalog
+	agent              *membership.Agent
+	peerClients        *peerClients
+	controller         *replica.Controller
+	ledger             *intent.Ledger
+	limiter            *admission.Limiter
+	gateway            *gateway.Gateway
+	peerServer         *peerServer
+	peerHTTP           *http.Server
+	operatorServer     *operatorServer
+	downtimeAccounting *accounting
+	hallWatch          *hall.Watch
+	readiness          *readiness
 
 	listeners listeners
-	// cancel ends the duties of the group.
+	// cancel stops the tasks.
 	cancel context.CancelFunc
-	duties conc.WaitGroup
+	tasks  conc.WaitGroup
 	done   chan struct{}
 }
 
-// listeners are the open ports of a daemon.
+// listeners holds the listening sockets of a daemon.
 type listeners struct {
 	callers   net.Listener
 	operators net.Listener
@@ -88,30 +90,30 @@
 }
 
 func (l listeners) close() {
-	for _, one := range []net.Listener{l.callers, l.operators, l.peers} {
-		if one != nil {
-			// A listener that is closed twice returns an error of no interest.
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.callers, l.operators, l.peers} {
+		if listener != nil {
+			// The only expected error is that the listener is already closed.
+			_ = listener.Close()
 		}
 	}
 }
 
-// New opens the ports and builds the parts. Nothing runs before Start.
+// New opens the daemon's ports and builds its components. Start runs them.
 func New(settings *Settings, logger hclog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		settings: settings, logger: logger, start: time.Now(),
+		settings: settings, logger: logger, startedAt: time.Now(),
 		followers: make(map[string]*eventlog.Follower), done: make(chan struct{}),
 	}
 	if err := d.listen(); err != nil {
 		d.listeners.close()
 		return nil, err
 	}
-	surroundings, err := d.connectPlatform()
+	platform, err := d.connectPlatform()
 	if err != nil {
 		d.listeners.close()
 		return nil, err
 	}
-	if err := d.build(surroundings); err != nil {
+	if err := d.buildComponents(platform); err != nil {
 		d.listeners.close()
 		return nil, err
 	}
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// connectPlatform returns a client of the platform, and starts an embedded one
-// if the settings ask for it.
+// connectPlatform returns a client of the platform. If the settings ask for an embedded platform,
+// it first starts the embedded platform.
 func (d *Daemon) connectPlatform() (*client.Client, error) {
 	p := d.settings.Platform
 	if p.Embedded == nil {
@@ -162,42 +164,42 @@
 	return client.New(client.Options{LogAddress: address, NodesAddress: address}), nil
 }
 
-// build makes the parts, each of which is given what it needs of the others.
-func (d *Daemon) build(surroundings *client.Client) error {
+// buildComponents creates the daemon's components and connects them to each other.
+func (d *Daemon) buildComponents(platform *client.Client) error {
 	var err error
 	if d.meter, err = telemetry.NewMeter(); err != nil {
 		return err
 	}
 	retention := d.settings.Platform.LogRetention
-	d.state = config.NewState()
+	d.configState = config.NewState()
 	d.grants = ownership.NewState()
-	d.intents = intent.NewState(retention / keyShare)
-	d.arrived = newArrivals()
-	d.follow(surroundings, streamConfiguration, d.state)
-	d.follow(surroundings, ownership.Stream, d.grants)
-	d.follow(surroundings, intent.Stream, d.intents)
-	d.follow(surroundings, streamArrivals, d.arrived)
+	d.intents = intent.NewState(retention / keyRetentionDivisor)
+	d.announcedDaemons = newArrivals()
+	d.addFollower(platform, streamConfiguration, d.configState)
+	d.addFollower(platform, ownership.Stream, d.grants)
+	d.addFollower(platform, intent.Stream, d.intents)
+	d.addFollower(platform, streamArrivals, d.announcedDaemons)
 
 	d.catalog = catalog.New()
-	d.dialer = newDialer()
+	d.peerClients = newPeerClients()
 	d.agent = d.newAgent()
-	d.controller = d.newController(surroundings)
+	d.controller = d.newController(platform)
 	d.ledger = d.newLedger()
 	d.limiter = admission.NewLimiter(admission.LimiterOptions{
 		Lease:   d.leaseShare,
 		Daemons: func() int { return len(d.stayingMembers()) },
 	})
-	d.peerServer = &peerServer{Agent: d.agent, ledger: d.ledger, home: admission.NewHome(), config: d.state.View}
+	d.peerServer = &peerServer{Agent: d.agent, ledger: d.ledger, home: admission.NewHome(), config: d.configState.View}
 	d.peerHTTP = &http.Server{Handler: rpc.NewPeerServer(d.peerServer), ReadTimeout: peerReadTimeout}
 	d.readiness = newReadiness(d)
 	d.gateway = d.newGateway()
-	d.halls = d.newHallWatch()
-	d.accounts = newAccounting(d)
-	d.operators = newOperators(d)
+	d.hallWatch = d.newHallWatch()
+	d.downtimeAccounting = newAccounting(d)
+	d.operatorServer = newOperatorServer(d)
 	return nil
 }
 
-func (d *Daemon) follow(log cluster.Log, stream string, state eventlog.State) {
+func (d *Daemon) addFollower(log cluster.Log, stream string, state eventlog.State) {
 	d.followers[stream] = eventlog.NewFollower(eventlog.FollowerOptions{
 		Log: log, Stream: stream, State: state,
 		Retention: d.settings.Platform.LogRetention,
@@ -212,29 +214,29 @@
 	s := d.settings
 	return membership.NewAgent(membership.Options{
 		Self: &rpc.Member{
-			Id: s.Name, Incarnation: uint64(d.start.UnixMilli()),
+			Id: s.Name, Incarnation: uint64(d.startedAt.UnixMilli()),
 			PeerAddress:  d.listeners.peers.Addr().String(),
 			EntryAddress: d.listeners.callers.Addr().String(),
 			DataHall:     s.DataHall, Region: s.Region,
 		},
-		Seeds: func() []string { return append(d.arrived.addresses(), s.Seeds...) },
-		Dial:  d.dialer.dial, Reports: d.catalog,
-		Configuration: eventlog.NewShared(d.followers[streamConfiguration]), Quarantine: d.spreadQuarantine(),
+		Seeds: func() []string { return append(d.announcedDaemons.peerAddresses(), s.Seeds...) },
+		Dial:  d.peerClients.get, Reports: d.catalog,
+		Configuration: eventlog.NewShared(d.followers[streamConfiguration]), Quarantine: d.quarantineExchange(),
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 }
 
-func (d *Daemon) newController(surroundings *client.Client) *replica.Controller {
+func (d *Daemon) newController(platform *client.Client) *replica.Controller {
 	grants := d.followers[ownership.Stream]
 	return replica.NewController(replica.Options{
-		Self: d.settings.Name, Config: d.state.View, List: surroundings, Control: surroundings,
+		Self: d.settings.Name, Config: d.configState.View, List: platform, Control: platform,
 		Catalog: d.catalog, Members: replica.NewTableMembers(d.agent.Table()), Ownership: d.grants,
 		AppendGrant: func(ctx context.Context, record json.RawMessage) error {
 			return grants.Append(ctx, newID(), record)
 		},
 		OwnershipConfirmed: grants.Confirmed,
 		ServeWindow:        d.settings.ServeWindow,
-		LoadSlots:          d.settings.WeightLoads,
+		LoadSlots:          d.settings.ConcurrentWeightLoads,
 		Logger:             d.logger.Named("replica"),
 	})
 }
@@ -242,7 +244,7 @@
 func (d *Daemon) newLedger() *intent.Ledger {
 	return intent.NewLedger(intent.Options{
 		Self: d.settings.Name, State: d.intents, Follower: d.followers[intent.Stream], NewID: newID,
-		FlushEvery: func() time.Duration { return flushEvery(len(d.stayingMembers())) },
+		FlushEvery: func() time.Duration { return minFlushInterval(len(d.stayingMembers())) },
 		Submit:     d.submitIntent,
 		Ask:        d.askOutcome,
 	})
@@ -250,8 +252,8 @@
 
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return gateway.New(gateway.Options{
-		Config: d.state.View, Catalog: d.catalog, Ledger: d.ledger, Limiter: d.limiter, Meter: d.meter,
-		Gate: d.readiness.gate, Leaving: func() bool { return d.agent.Table().Self().Leaving }, Entries: d.entries, KeepEntriesUntil: d.readiness.keepEntries,
+		Config: d.configState.View, Catalog: d.catalog, Ledger: d.ledger, Limiter: d.limiter, Meter: d.meter,
+		Gate: d.readiness.checkReady, Leaving: func() bool { return d.agent.Table().Self().Leaving }, Entries: d.listEntries, KeepEntriesUntil: d.readiness.renewEntriesExpiry,
 		Daemons: func() int { return len(d.stayingMembers()) },
 		NewID:   newID, MaxBody: d.settings.MaxBodyBytes, Logger: d.logger.Named("gateway"),
 	})
@@ -265,26 +267,28 @@
 // Done is closed when the daemon has stopped.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// Start runs the daemon's duties, each in a goroutine of its own.
+// Start runs each of the daemon's tasks in a goroutine of its own.
 func (d *Daemon) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	for _, f := range d.followers {
-		d.duties.Go(func() { f.Run(ctx) })
+		d.tasks.Go(func() { f.Run(ctx) })
 	}
-	d.duties.Go(func() { d.agent.Run(ctx) })
-	d.duties.Go(func() { d.controller.Run(ctx) })
-	d.duties.Go(func() { d.ledger.Run(ctx) })
-	d.duties.Go(func() { d.limiter.Run(ctx) })
-	d.duties.Go(func() { d.accounts.run(ctx) })
-	d.duties.Go(func() { d.announce(ctx) })
-	d.duties.Go(func() { d.readiness.run(ctx) })
-	d.duties.Go(func() { d.halls.Run(ctx) })
-	d.duties.Go(func() {
-		d.serve("peers", func() error { return d.peerHTTP.Serve(countedListener{d.listeners.peers, d.dialer.traffic}) })
+	d.tasks.Go(func() { d.agent.Run(ctx) })
+	d.tasks.Go(func() { d.controller.Run(ctx) })
+	d.tasks.Go(func() { d.ledger.Run(ctx) })
+	d.tasks.Go(func() { d.limiter.Run(ctx) })
+	d.tasks.Go(func() { d.downtimeAccounting.run(ctx) })
+	d.tasks.Go(func() { d.announce(ctx) })
+	d.tasks.Go(func() { d.readiness.run(ctx) })
+	d.tasks.Go(func() { d.hallWatch.Run(ctx) })
+	d.tasks.Go(func() {
+		d.serve("peers", func() error { return d.peerHTTP.Serve(countingListener{d.listeners.peers, d.peerClients.traffic}) })
 	})
-	d.duties.Go(func() { d.serve("operators", func() error { return d.operators.app.Listener(d.listeners.operators) }) })
-	d.duties.Go(func() { d.serve("callers", func() error { return d.gateway.Serve(d.listeners.callers) }) })
+	d.tasks.Go(func() {
+		d.serve("operators", func() error { return d.operatorServer.app.Listener(d.listeners.operators) })
+	})
+	d.tasks.Go(func() { d.serve("callers", func() error { return d.gateway.Serve(d.listeners.callers) }) })
 }
 
 func (d *Daemon) serve(what string, run func() error) {
@@ -293,41 +297,42 @@
 	}
 }
 
-// announce tells the log of this daemon, again until it is done.
+// announce appends this daemon's addresses to the log. It retries until the append
+// succeeds or ctx is done.
 func (d *Daemon) announce(ctx context.Context) {
-	record, err := json.Marshal(arrival{Name: d.settings.Name, Peer: d.listeners.peers.Addr().String()})
+	record, err := json.Marshal(arrival{Name: d.settings.Name, PeerAddress: d.listeners.peers.Addr().String()})
 	if err != nil {
 		d.logger.Error("arrival not encoded", "error", err)
 		return
 	}
 	warned := false
 	for ctx.Err() == nil {
-		attempt, cancel := context.WithTimeout(ctx, announceTimeout)
-		err := d.followers[streamArrivals].Append(attempt, newID(), record)
+		attemptCtx, cancel := context.WithTimeout(ctx, announceTimeout)
+		err := d.followers[streamArrivals].Append(attemptCtx, newID(), record)
 		cancel()
 		if err == nil {
 			return
 		}
 		if !warned && ctx.Err() == nil {
-			d.logger.Warn("the log cannot be reached; trying on", "error", err)
+			d.logger.Warn("announcement not appended to the log; retrying", "error", err)
 			warned = true
 		}
-		pause.For(ctx, announceRetry)
+		pause.For(ctx, announceRetryDelay)
 	}
 }
 
-// newID returns a unique name that sorts by time.
+// newID returns a unique id. Ids sort by the time of their creation.
 func newID() string {
 	id, err := uuid.NewV7()
 	if err != nil {
-		// The system's source of randomness is gone; nothing can go on.
+		// The system's source of randomness failed.
 		panic(err)
 	}
 	return id.String()
 }
 
-// ApplyConfigurationFile publishes the documents in a file if they are not in
-// force yet. It serves the first trial on an embedded platform.
+// ApplyConfigurationFile publishes the documents in a file, after the daemon has read
+// the configuration stream to its end. It is meant for the embedded platform.
 func (d *Daemon) ApplyConfigurationFile(ctx context.Context, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -356,9 +361,9 @@
 	return nil
 }
 
-// AwaitReplica waits until some replica serves.
+// AwaitReplica waits until at least one replica is serving or ctx is done.
 func (d *Daemon) AwaitReplica(ctx context.Context) error {
-	const look = 100 * time.Millisecond
+	const pollInterval = 100 * time.Millisecond
 	for {
 		for _, r := range d.replicaRows(time.Now()) {
 			if r.State == replicaServing {
@@ -368,12 +373,13 @@
 		select {
 		case <-ctx.Done():
 			return failure.At(failure.Unavailable, "wait for a replica", d.settings.Name, ctx.Err())
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// publish appends a change set and returns what the fold decided.
+// publish appends a change set to the configuration stream. It returns the verdict that
+// this daemon reached when it applied the record.
 func (d *Daemon) publish(ctx context.Context, id string, set config.ChangeSet) (config.Verdict, error) {
 	data, err := set.Encode()
 	if err != nil {
@@ -382,16 +388,17 @@
 	if err := d.followers[streamConfiguration].Append(ctx, id, data); err != nil {
 		return config.Verdict{}, err
 	}
-	verdict, ok := d.verdict(id)
+	verdict, ok := d.findVerdict(id)
 	if !ok {
 		return verdict, failure.New(failure.Unavailable, "find verdict", id, "it was pushed out of the history")
 	}
 	return verdict, nil
 }
 
-// verdict returns what the fold decided on the change set with the given id.
-func (d *Daemon) verdict(id string) (config.Verdict, bool) {
-	for _, v := range d.state.History() {
+// findVerdict returns the verdict on the change set with the given id. It reports false
+// if the history doesn't hold the verdict.
+func (d *Daemon) findVerdict(id string) (config.Verdict, bool) {
+	for _, v := range d.configState.History() {
 		if v.ID == id {
 			return v, true
 		}
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -7,10 +7,11 @@
 	"quartzshelf.dev/rpc"
 )
 
-// entries lists the addresses of the daemons that take requests and stay. Those in
-// closed data halls are left out, unless there are no others: they refuse truthfully.
-func (d *Daemon) entries() []gateway.Entry {
-	view := d.state.View()
+// listEntries returns, in random order, the addresses of the daemons that take requests and are not
+// leaving. Daemons in closed data halls are only listed if there are no others. Their answers then
+// tell callers that the halls are closed.
+func (d *Daemon) listEntries() []gateway.Entry {
+	view := d.configState.View()
 	open, closed := []gateway.Entry{}, []gateway.Entry{}
 	for _, m := range d.stayingMembers() {
 		if m.State != rpc.MemberState_ALIVE || !m.Ready {
--- a/daemon/expected.go
+++ b/daemon/expected.go
@@ -2,19 +2,21 @@
 
 import "quartzshelf.dev/rpc"
 
-// expected is the daemons that may hold a newer configuration while the log is out of
-// reach: all that were members since it was last read, and have not departed. The table
-// of members forgets the dead after a while; to a daemon that is cut off, all others
-// look dead.
-type expected struct {
+// expectedMembers is the set of daemons that may hold a newer configuration while the log is
+// unavailable. It contains all daemons that have been members since the log was last read, except
+// those that left as planned. The table of members can't replace this set, because the table drops
+// dead members after a while. To a daemon that is cut off, all others look dead.
+type expectedMembers struct {
+	// ids are the names of the members.
 	ids map[string]bool
-	// heard tells that another daemon was ever a member in this life.
-	heard bool
+	// seenOthers is set if another daemon has been a member since this process started.
+	seenOthers bool
 }
 
-// note takes over the members; logRead tells whether the log was read lately.
-func (e *expected) note(members []*rpc.Member, logRead bool) {
-	if logRead || e.ids == nil {
+// update adds the current members and removes those that left. If the log was read within
+// contactTimeout, it drops all earlier members first.
+func (e *expectedMembers) update(members []*rpc.Member, wasLogRead bool) {
+	if wasLogRead || e.ids == nil {
 		e.ids = make(map[string]bool, len(members))
 	}
 	for _, m := range members {
@@ -24,8 +26,8 @@
 		}
 		e.ids[m.Id] = true
 	}
-	e.heard = e.heard || len(members) > 1
+	e.seenOthers = e.seenOthers || len(members) > 1
 }
 
-// count returns how many daemons are expected, this one included.
-func (e *expected) count() int { return len(e.ids) }
+// count returns the number of expected daemons, this one included.
+func (e *expectedMembers) count() int { return len(e.ids) }
--- a/daemon/halls.go
+++ b/daemon/halls.go
@@ -11,7 +11,7 @@
 
 func (d *Daemon) newHallWatch() *hall.Watch {
 	w := hall.NewWatch(hall.Options{
-		Config: d.state.View, Catalog: d.catalog, Reached: d.agent.Reached,
+		Config: d.configState.View, Catalog: d.catalog, Reached: d.agent.Reached,
 		InFlight: d.gateway.Inflight().Count, Daemons: d.daemonsByHall,
 		ServeWindow: d.settings.ServeWindow, Logger: d.logger.Named("hall"),
 	})
@@ -30,37 +30,38 @@
 	return all
 }
 
-// warnings returns what is in force but probably not meant.
+// warnings returns texts about settings of the current configuration that are valid but
+// probably mistakes.
 func (d *Daemon) warnings() []string {
-	warnings := d.state.View().Warnings()
-	var known, unknown []string
-	open := 0
-	for _, s := range d.halls.Statuses(time.Now()) {
+	warnings := d.configState.View().Warnings()
+	var populated, unpopulated []string
+	openHalls := 0
+	for _, s := range d.hallWatch.Statuses(time.Now()) {
 		if s.Nodes == 0 && s.Daemons == 0 {
-			unknown = append(unknown, s.Name)
+			unpopulated = append(unpopulated, s.Name)
 			continue
 		}
-		known = append(known, s.Name)
+		populated = append(populated, s.Name)
 		if s.State == hall.Open {
-			open++
+			openHalls++
 		}
 	}
 	if len(d.catalog.Reports()) == 0 {
-		// A daemon that has just started knows no node yet.
-		unknown = nil
+		// A daemon that has just started has no reports of nodes yet.
+		unpopulated = nil
 	}
-	for _, name := range unknown {
+	for _, name := range unpopulated {
 		warnings = append(warnings, fmt.Sprintf(
-			"DataHall/%s: no node and no daemon is there; halls with any are %s", name, strings.Join(known, ", ")))
+			"DataHall/%s: no node and no daemon is there; halls with any are %s", name, strings.Join(populated, ", ")))
 	}
-	if open == 0 && len(known) > 0 {
+	if openHalls == 0 && len(populated) > 0 {
 		warnings = append(warnings, "every data hall is closed: all requests are refused with hall_closed")
 	}
 	return warnings
 }
 
 func (d *Daemon) explainHall(name string) (Explanation, bool) {
-	all := d.halls.Statuses(time.Now())
+	all := d.hallWatch.Statuses(time.Now())
 	i := slices.IndexFunc(all, func(s hall.Status) bool { return s.Name == name })
 	if i < 0 {
 		return Explanation{}, false
--- a/daemon/halls_test.go
+++ b/daemon/halls_test.go
@@ -21,12 +21,12 @@
 	"quartzshelf.dev/rpc"
 )
 
-// putDocument publishes a document over the one in force.
+// putDocument publishes a document that replaces the current one of the same kind and name.
 func putDocument(t *testing.T, d *Daemon, kind config.Kind, name, spec string) config.Verdict {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	object, _ := d.state.View().Object(config.Key{Kind: kind, Name: name})
+	object, _ := d.configState.View().Object(config.Key{Kind: kind, Name: name})
 	document := config.Document{Kind: kind, Name: name, Labels: object.Document().Labels, Spec: json.RawMessage(spec)}
 	verdict, err := d.publish(ctx, newID(), config.ChangeSet{Changes: []config.Change{
 		{Operation: config.OperationPut, Base: object.Revision(), Document: document},
@@ -35,7 +35,8 @@
 	return verdict
 }
 
-// post sends a completion and returns the answer with an open body.
+// post sends a completion request. The body of the returned response is closed when the
+// test ends.
 func post(t *testing.T, d *Daemon, body string) *http.Response {
 	t.Helper()
 	callers, _ := d.Addresses()
@@ -48,15 +49,15 @@
 	return response
 }
 
-// TestClosingAHall closes the only hall of a daemon on an embedded platform while a
-// stream runs: the stream ends, new requests are refused truthfully, explain says why,
-// the hall becomes empty, and opening it serves at once with the same replica.
-func TestClosingAHall(t *testing.T) {
+// TestCloseHall closes the only data hall while a stream runs. It checks that the stream
+// finishes, that new requests are refused, that explain gives the reason, and that the hall
+// becomes empty. After the hall is opened again, the same replica serves at once.
+func TestCloseHall(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
 	before := d.catalog.Of("demo")[0]
-	running := post(t, d, `{"model":"demo","stream":true,"prompt":"p","max_tokens":150}`)
-	stream := bufio.NewReader(running.Body)
+	response := post(t, d, `{"model":"demo","stream":true,"prompt":"p","max_tokens":150}`)
+	stream := bufio.NewReader(response.Body)
 	_, err := stream.ReadString('\n')
 	assert.NilError(t, err)
 
@@ -80,26 +81,27 @@
 		assert.Assert(t, strings.Contains(strings.Join(explanation.Because, "; "), "hall_closed: an operator closed it"), "%v", explanation)
 	}
 	assert.Assert(t, d.meter.Refusals()[reason.HallClosed] > 0)
-	assert.Equal(t, d.halls.Statuses(time.Now())[0].State, hall.Closing)
+	assert.Equal(t, d.hallWatch.Statuses(time.Now())[0].State, hall.Closing)
 
 	rest, err := io.ReadAll(stream)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.HasSuffix(string(rest), "data: [DONE]\n\n"), "what ran in the hall ends")
+	assert.Assert(t, strings.HasSuffix(string(rest), "data: [DONE]\n\n"), "the stream was not finished")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if s := d.halls.Statuses(time.Now())[0]; s.State != hall.Empty {
+		if s := d.hallWatch.Statuses(time.Now())[0]; s.State != hall.Empty {
 			return poll.Continue("%+v", s)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	assert.Equal(t, d.halls.Count(hall.Empty), 1)
+	assert.Equal(t, d.hallWatch.Count(hall.Empty), 1)
 
 	assert.Equal(t, putDocument(t, d, config.KindDataHall, "hall-a", `{"region":"south"}`).Problem, "")
 	assert.Equal(t, post(t, d, `{"model":"demo","prompt":"p"}`).StatusCode, http.StatusOK)
 	after := d.catalog.Of("demo")[0]
-	assert.Equal(t, after.Generation(), before.Generation(), "the replica stayed formed")
+	assert.Equal(t, after.Generation(), before.Generation(), "the replica was formed again")
 }
 
-// TestEntriesOfClosedHalls names daemons in open halls, and all where none is open.
+// TestEntriesOfClosedHalls checks that only daemons in open halls are listed, and that all
+// are listed if no hall is open.
 func TestEntriesOfClosedHalls(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
@@ -110,7 +112,7 @@
 	}})
 	entries := func() []string {
 		var all []string
-		for _, e := range d.entries() {
+		for _, e := range d.listEntries() {
 			all = append(all, e.Address)
 		}
 		slices.Sort(all)
@@ -125,7 +127,8 @@
 	assert.DeepEqual(t, entries(), both)
 }
 
-// TestRegionsOfTheQuickstart binds the deployment and the account to regions.
+// TestRegionsOfTheQuickstart checks that the regions allowed to a client account must
+// exist, and that they decide whether its requests are served.
 func TestRegionsOfTheQuickstart(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
--- a/daemon/peer.go
+++ b/daemon/peer.go
@@ -16,7 +16,7 @@
 	"quartzshelf.dev/rpc"
 )
 
-// peerServer is what this daemon offers to the others.
+// peerServer answers the calls of other daemons.
 type peerServer struct {
 	*membership.Agent
 	ledger *intent.Ledger
@@ -26,7 +26,8 @@
 
 var _ rpc.Peer = (*peerServer)(nil)
 
-// Claim implements rpc.Peer: it queues a record for the next append.
+// Claim implements rpc.Peer. It queues the record of an intent for the next append to the log, and
+// replies whether the record was queued. It refuses a request without ID or data.
 func (p *peerServer) Claim(_ context.Context, r *rpc.ClaimRequest) (*rpc.ClaimReply, error) {
 	if r.RecordId == "" || len(r.Data) == 0 {
 		return &rpc.ClaimReply{Reason: string(reason.BadRequest)}, nil
@@ -37,7 +38,8 @@
 	return &rpc.ClaimReply{Committed: true}, nil
 }
 
-// Outcome implements rpc.Peer.
+// Outcome implements rpc.Peer. It returns the phase and the answer of an attempt that
+// this daemon holds.
 func (p *peerServer) Outcome(_ context.Context, r *rpc.OutcomeRequest) (*rpc.OutcomeReply, error) {
 	o := p.ledger.Local(r.Attempt)
 	return &rpc.OutcomeReply{
@@ -46,7 +48,8 @@
 	}, nil
 }
 
-// LeaseShare implements rpc.Peer.
+// LeaseShare implements rpc.Peer. It leases the calling daemon a share of an account's
+// rate limit, or none if the account is unknown.
 func (p *peerServer) LeaseShare(_ context.Context, r *rpc.LeaseShareRequest) (*rpc.LeaseShareReply, error) {
 	for _, a := range p.config().Accounts() {
 		if a.Name() == r.Account {
@@ -59,8 +62,8 @@
 	return &rpc.LeaseShareReply{}, nil
 }
 
-// dialer keeps one client for each peer address.
-type dialer struct {
+// peerClients holds one client for each peer address.
+type peerClients struct {
 	http    *http.Client
 	traffic *traffic
 
@@ -69,21 +72,21 @@
 }
 
 const (
-	// peerTimeout bounds a call between daemons whose context sets no deadline.
-	peerTimeout = 5 * time.Second
-	peerIdle    = 2
-	// peerIdleTime is how long an idle connection is kept: in a large fleet the
-	// same two daemons seldom meet again soon.
-	peerIdleTime = 5 * time.Second
+	// peerTimeout bounds each call and each connection attempt to another daemon.
+	peerTimeout      = 5 * time.Second
+	maxIdlePeerConns = 2
+	// peerIdleTimeout is how long an idle connection is kept. It is short because, in a
+	// large fleet, the same two daemons seldom call each other again soon.
+	peerIdleTimeout = 5 * time.Second
 )
 
-func newDialer() *dialer {
+func newPeerClients() *peerClients {
 	t := &traffic{}
-	return &dialer{
+	return &peerClients{
 		http: &http.Client{
 			Timeout: peerTimeout,
 			Transport: &http.Transport{
-				MaxIdleConnsPerHost: peerIdle, IdleConnTimeout: peerIdleTime, DialContext: t.dial,
+				MaxIdleConnsPerHost: maxIdlePeerConns, IdleConnTimeout: peerIdleTimeout, DialContext: t.dial,
 			},
 		},
 		traffic: t,
@@ -91,23 +94,23 @@
 	}
 }
 
-// dial returns the client of the daemon at a peer address.
-func (d *dialer) dial(address string) rpc.Peer {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	client, ok := d.clients[address]
+// get returns the client of the daemon at a peer address, and creates it if needed.
+func (c *peerClients) get(address string) rpc.Peer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	client, ok := c.clients[address]
 	if !ok {
-		client = rpc.NewPeerProtobufClient("http://"+address, d.http)
-		d.clients[address] = client
+		client = rpc.NewPeerProtobufClient("http://"+address, c.http)
+		c.clients[address] = client
 	}
 	return client
 }
 
-// close ends the idle connections.
-func (d *dialer) close() { d.http.CloseIdleConnections() }
+// closeIdle closes the idle connections.
+func (c *peerClients) closeIdle() { c.http.CloseIdleConnections() }
 
-// addressOf returns the peer address of a member.
-func (d *Daemon) addressOf(id string) (string, error) {
+// peerAddress returns the peer address of a member.
+func (d *Daemon) peerAddress(id string) (string, error) {
 	m, ok := d.agent.Table().Member(id)
 	if !ok {
 		return "", failure.New(failure.Unavailable, "find member", id, "the member is not known")
@@ -115,23 +118,24 @@
 	return m.PeerAddress, nil
 }
 
-// submitIntent hands a record to the daemon that writes the key's records.
+// submitIntent sends a record to the daemon that appends the key's records, and reports
+// whether that daemon queued it. It reports false if that daemon is this one.
 func (d *Daemon) submitIntent(ctx context.Context, key intent.Key, record cluster.Record) bool {
 	writer := intentWriter(string(key), d.stayingMembers())
 	if writer == nil || writer.Id == d.settings.Name {
 		return false
 	}
-	reply, err := d.dialer.dial(writer.PeerAddress).Claim(ctx, &rpc.ClaimRequest{RecordId: record.ID, Data: record.Data})
+	reply, err := d.peerClients.get(writer.PeerAddress).Claim(ctx, &rpc.ClaimRequest{RecordId: record.ID, Data: record.Data})
 	return err == nil && reply.Committed
 }
 
-// askOutcome asks the holder of an attempt what became of it.
+// askOutcome asks the daemon that holds an attempt for the attempt's outcome.
 func (d *Daemon) askOutcome(ctx context.Context, holder, attempt string) (intent.Outcome, error) {
-	address, err := d.addressOf(holder)
+	address, err := d.peerAddress(holder)
 	if err != nil {
 		return intent.Outcome{}, err
 	}
-	reply, err := d.dialer.dial(address).Outcome(ctx, &rpc.OutcomeRequest{Attempt: attempt})
+	reply, err := d.peerClients.get(address).Outcome(ctx, &rpc.OutcomeRequest{Attempt: attempt})
 	if err != nil {
 		return intent.Outcome{}, failure.At(failure.Unavailable, "ask outcome", holder, err)
 	}
@@ -139,7 +143,8 @@
 	return intent.NewOutcome(intent.Phase(reply.State), answer), nil
 }
 
-// leaseShare asks the home of an account for a share of its limit.
+// leaseShare asks the account's home, the daemon that divides the account's rate limit,
+// for a share in requests per second. It returns the share and when it expires.
 func (d *Daemon) leaseShare(ctx context.Context, account string, demand float64) (float64, time.Time, error) {
 	home := accountHome(account, d.stayingMembers())
 	if home == nil {
@@ -152,7 +157,7 @@
 	if home.Id == d.settings.Name {
 		reply, err = d.peerServer.LeaseShare(ctx, request)
 	} else {
-		reply, err = d.dialer.dial(home.PeerAddress).LeaseShare(ctx, request)
+		reply, err = d.peerClients.get(home.PeerAddress).LeaseShare(ctx, request)
 	}
 	if err != nil {
 		return 0, time.Time{}, failure.At(failure.Unavailable, "lease share", home.Id, err)
@@ -160,13 +165,13 @@
 	return reply.Share, start.Add(time.Duration(reply.RemainingMicros) * time.Microsecond), nil
 }
 
-// stayingMembers returns the members that are alive and do not leave.
+// stayingMembers returns the members that are alive and not about to leave.
 func (d *Daemon) stayingMembers() []*rpc.Member {
-	var all []*rpc.Member
+	var staying []*rpc.Member
 	for _, m := range d.agent.Table().Alive() {
 		if !m.Leaving {
-			all = append(all, m)
+			staying = append(staying, m)
 		}
 	}
-	return all
+	return staying
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -11,8 +11,9 @@
 	"quartzshelf.dev/rpc"
 )
 
-// spreadQuarantine returns how what is known of requests that end workers spreads.
-func (d *Daemon) spreadQuarantine() membership.Quarantine {
+// quarantineExchange returns the functions with which the membership agent exchanges
+// quarantine entries with peers. The entries describe requests that crash workers.
+func (d *Daemon) quarantineExchange() membership.Quarantine {
 	return membership.Quarantine{
 		Report: func() []*rpc.QuarantineEntry {
 			now := time.Now()
@@ -21,12 +22,14 @@
 			return toMessages(table.Report(now, true))
 		},
 		Merge: func(peer string, all []*rpc.QuarantineEntry) {
-			// Exchanges go to one peer after the other, each of which passes on by itself.
+			// Merge reports whether entries should be passed on. The result is not needed here,
+			// because this daemon's later reports contain such entries.
 			_ = d.gateway.Guard().Merge(fromMessages(all), time.Now(), peer)
 		},
 	}
 }
 
+// toMessages converts entries to messages between daemons.
 func toMessages(all []quarantine.Entry) []*rpc.QuarantineEntry {
 	messages := make([]*rpc.QuarantineEntry, 0, len(all))
 	for i := range all {
@@ -42,7 +45,8 @@
 	return messages
 }
 
-// fromMessages returns the entries of messages; those without a whole fingerprint are left out.
+// fromMessages converts messages to entries. It skips messages whose fingerprint has the
+// wrong length.
 func fromMessages(messages []*rpc.QuarantineEntry) []quarantine.Entry {
 	all := make([]quarantine.Entry, 0, len(messages))
 	for _, m := range messages {
@@ -59,21 +63,21 @@
 	return all
 }
 
-// QuarantineRow is a request that is quarantined.
+// QuarantineRow describes a quarantined request.
 type QuarantineRow struct {
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
-	// Workers are those that ended, the newest last.
+	// Workers are the workers that crashed while they ran the request, the newest last.
 	Workers []string  `json:"workers"`
 	Since   time.Time `json:"since"`
 	Until   time.Time `json:"until"`
-	// Rounds is how often it was quarantined.
+	// Rounds is how many times the request has been quarantined.
 	Rounds int `json:"rounds"`
 }
 
-// quarantined lists the requests that are quarantined.
-func (o *operators) quarantined(c *fiber.Ctx) error {
+// listQuarantined answers with the requests that are quarantined now.
+func (o *operatorServer) listQuarantined(c *fiber.Ctx) error {
 	rows := []QuarantineRow{}
-	for _, m := range o.d.gateway.Guard().Table().Marks(time.Now()) {
+	for _, m := range o.daemon.gateway.Guard().Table().Marks(time.Now()) {
 		row := QuarantineRow{Fingerprint: m.Fingerprint, Since: m.MarkedAt, Until: m.Until, Rounds: m.Rounds}
 		for _, crash := range m.Crashes {
 			row.Workers = append(row.Workers, crash.Worker)
@@ -83,13 +87,14 @@
 	return c.JSON(rows)
 }
 
-// lift ends a quarantine; the other daemons hear of it.
-func (o *operators) lift(c *fiber.Ctx) error {
+// liftQuarantine lifts the quarantine of a request. The next exchanges report the lifting to the
+// other daemons.
+func (o *operatorServer) liftQuarantine(c *fiber.Ctx) error {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(c.Params("fingerprint"))); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
-	if !o.d.gateway.Guard().Lift(f, "operator") {
+	if !o.daemon.gateway.Guard().Lift(f, "operator") {
 		return fiber.NewError(http.StatusNotFound, "no request with the fingerprint "+f.String()+" is quarantined here")
 	}
 	return c.JSON(QuarantineRow{Fingerprint: f})
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -13,86 +13,90 @@
 )
 
 const (
-	// contactWindow is how long a read of the log or an answer of a peer counts
-	// as contact. A daemon without contact takes no new requests, since a
-	// configuration might be in force that it does not know.
-	contactWindow = 10 * time.Second
-	// headWindow is how long the daemon may lag behind a peer's configuration.
-	headWindow = 10 * time.Second
-	// seedWindow is how long a starting daemon waits for an answer of its seeds.
-	seedWindow = 3 * time.Second
-	// readyEvery is how often the daemon looks whether it takes requests.
-	readyEvery = 200 * time.Millisecond
+	// contactTimeout is how long a daemon counts as in contact after it read the log or a
+	// peer answered. Without contact it takes no new requests, because it could miss a
+	// newer configuration.
+	contactTimeout = 10 * time.Second
+	// maxBehindDuration is how long the daemon may hold an older configuration than a
+	// peer and still take requests.
+	maxBehindDuration = 10 * time.Second
+	// seedTimeout is how long a starting daemon waits for its seeds to answer.
+	seedTimeout = 3 * time.Second
+	// readinessInterval is the time between two checks of the daemon's readiness.
+	readinessInterval = 200 * time.Millisecond
 )
 
 // readiness decides whether this daemon takes requests.
 //
-// It takes none before it has caught up with the highest configuration offset
-// that it can learn of, from the log or, while that is out, from a peer. It
-// goes on while the log is out as long as it is in contact with more than half
-// of the fleet: then nobody on the other side of a partition can hold more.
-// With neither, it stops taking requests after contactWindow.
+// A starting daemon takes none until it has applied the newest configuration that it can find. It
+// looks in the log or, if the log is unavailable, asks a peer. While the log is unavailable, the
+// daemon continues as long as it is in contact with more than half of the fleet. The other side of
+// a partition is then a minority, which can't publish a newer configuration. A daemon that reaches
+// neither the log nor a majority stops taking requests after contactTimeout.
 type readiness struct {
-	d *Daemon
+	daemon *Daemon
 
 	mu sync.Mutex
-	// stopping is set by a planned stop.
-	stopping bool
-	// started stays set once the daemon has caught up for the first time.
-	started bool
-	// entriesUntil is until when callers may use the answers given out.
-	entriesUntil time.Time
-	// expected is whom a majority is counted among while the log is out.
-	expected expected
-	// behindSince is since when a peer is known to hold a newer configuration.
+	// isStopping is set while the daemon stops as planned.
+	isStopping bool
+	// hasStarted is set when the daemon has caught up for the first time, and stays set.
+	hasStarted bool
+	// entriesExpireAt is when the newest answer that lists this daemon's address expires.
+	entriesExpireAt time.Time
+	// expected holds the members that count as the whole fleet while the log is unavailable.
+	// The daemon needs contact with a majority of them.
+	expected expectedMembers
+	// behindSince is when a peer was first seen to hold a newer configuration. It is zero
+	// while no peer holds one.
 	behindSince time.Time
 }
 
 func newReadiness(d *Daemon) *readiness {
-	return &readiness{d: d}
+	return &readiness{daemon: d}
 }
 
-// keepEntries returns until when an answer that lists addresses may be kept.
-func (r *readiness) keepEntries(now time.Time) time.Time {
+// renewEntriesExpiry returns when a list of addresses that is sent now expires. It records the
+// result as the latest expiry time.
+func (r *readiness) renewEntriesExpiry(now time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.entriesUntil = now.Add(r.d.settings.KeepEntries)
-	return r.entriesUntil
+	r.entriesExpireAt = now.Add(r.daemon.settings.EntriesTTL)
+	return r.entriesExpireAt
 }
 
-// lastEntriesUntil returns until when callers may use the answers given out.
-func (r *readiness) lastEntriesUntil() time.Time {
+// latestEntriesExpiry returns when the newest answer that lists addresses expires.
+func (r *readiness) latestEntriesExpiry() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.entriesUntil
+	return r.entriesExpireAt
 }
 
-// stop makes the gate refuse every new request.
-func (r *readiness) stop() {
+// setStopping makes checkReady refuse every new request.
+func (r *readiness) setStopping() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopping = true
+	r.isStopping = true
 }
 
-// run tells the other daemons whether this one takes requests, so that they do
-// not name it to callers while it does not.
+// run publishes to the other daemons whether this one takes requests. While this daemon takes none,
+// the others leave its address out of their answers to callers.
 func (r *readiness) run(ctx context.Context) {
-	ticker := time.NewTicker(readyEvery)
+	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
-	last := reason.Starting
+	previous := reason.Starting
 	for ctx.Err() == nil {
-		r.noteMembers(time.Now())
-		now := reason.Reason("")
-		closed := r.gate()
+		r.updateExpected(time.Now())
+		current := reason.Reason("")
+		closed := r.checkReady()
 		if closed != nil {
-			now = closed.Reason
+			current = closed.Reason
 		}
-		if now != last {
-			r.report(closed)
-			last = now
+		if current != previous {
+			r.logChange(closed)
+			previous = current
 		}
 		ready := closed == nil
-		r.d.agent.Table().UpdateSelf(func(m *rpc.Member) { m.Ready = ready })
+		r.daemon.agent.Table().UpdateSelf(func(m *rpc.Member) { m.Ready = ready })
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -100,56 +104,57 @@
 	}
 }
 
-// report logs a change of whether requests are taken.
-func (r *readiness) report(closed *gateway.Closed) {
+// logChange logs that the daemon takes requests from now on, or why it takes none if closed
+// isn't nil.
+func (r *readiness) logChange(closed *gateway.Closed) {
 	if closed == nil {
-		r.d.logger.Info("taking requests")
+		r.daemon.logger.Info("taking requests")
 		return
 	}
-	r.d.logger.Warn("not taking requests", "reason", closed.Reason, "message", closed.Message)
+	r.daemon.logger.Warn("not taking requests", "reason", closed.Reason, "message", closed.Message)
 }
 
-// gate returns nil while requests are taken.
-func (r *readiness) gate() *gateway.Closed {
+// checkReady returns why this daemon takes no requests, or nil if it takes them.
+func (r *readiness) checkReady() *gateway.Closed {
 	now := time.Now()
-	connected, next := r.connected(now), r.d.followers[streamConfiguration].Fold().Next()
-	behind := next < r.d.agent.FleetNext()
+	isConnected, nextOffset := r.isConnected(now), r.daemon.followers[streamConfiguration].Fold().Next()
+	isBehind := nextOffset < r.daemon.agent.FleetNext()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !behind {
+	if !isBehind {
 		r.behindSince = time.Time{}
 	} else if r.behindSince.IsZero() {
 		r.behindSince = now
 	}
-	if !r.started && connected && !behind && r.known(next) && r.heardPeers() {
-		r.started = true
+	if !r.hasStarted && isConnected && !isBehind && r.hasConfiguration(nextOffset) && r.hasPeerReports() {
+		r.hasStarted = true
 	}
 	switch {
-	case r.stopping:
+	case r.isStopping:
 		return &gateway.Closed{Reason: reason.Stopping, Message: "this daemon is stopping; use another address"}
-	case !r.started:
+	case !r.hasStarted:
 		return &gateway.Closed{Reason: reason.Starting, Message: "this daemon has not yet read the configuration"}
-	case !connected:
+	case !isConnected:
 		return &gateway.Closed{Reason: reason.Isolated, Message: "this daemon reaches neither the log nor most of its peers"}
-	case behind && now.After(r.behindSince.Add(headWindow)):
+	case isBehind && now.After(r.behindSince.Add(maxBehindDuration)):
 		return &gateway.Closed{Reason: reason.Isolated, Message: "this daemon cannot get the newest configuration"}
 	}
 	return nil
 }
 
-// publishing returns nil while this daemon may publish changes. It may not while most
-// daemons are out of its reach: they go on taking requests by what they know, as long as
-// more than half of all daemons reach each other.
-func (r *readiness) publishing() *gateway.Closed {
-	if closed := r.gate(); closed != nil {
+// checkMayPublish returns why this daemon may not publish changes, or nil if it may. It may not if
+// more than half of the daemons are out of its reach. Those daemons could continue to take requests
+// without the change.
+func (r *readiness) checkMayPublish() *gateway.Closed {
+	if closed := r.checkReady(); closed != nil {
 		return closed
 	}
-	return tooFew(r.d.agent.Reached(time.Now().Add(-contactWindow)))
+	return checkReached(r.daemon.agent.Reached(time.Now().Add(-contactTimeout)))
 }
 
-// tooFew returns why a daemon that reaches so many of all daemons must not publish, or
-// nil: those that it does not reach must be no majority.
-func tooFew(reached, members int) *gateway.Closed {
+// checkReached returns why a daemon that reaches the given number of members, itself included, may
+// not publish. It returns nil if the members that the daemon doesn't reach aren't a majority.
+func checkReached(reached, members int) *gateway.Closed {
 	if 2*reached >= members {
 		return nil
 	}
@@ -157,52 +162,56 @@
 		"this daemon reaches %d of %d daemons; the others might go on without the change", reached, members)}
 }
 
-// known reports whether there is a configuration to start with: the log was
-// read to its end, or a peer gave one.
-func (r *readiness) known(next int64) bool {
-	return !r.d.followers[streamConfiguration].Confirmed().IsZero() || next > 0
+// hasConfiguration reports whether the daemon read the log to its end, or has a configuration from
+// a peer. The parameter nextOffset is the offset of the next record to apply. If it is zero,
+// nothing was applied yet.
+func (r *readiness) hasConfiguration(nextOffset int64) bool {
+	return !r.daemon.followers[streamConfiguration].Confirmed().IsZero() || nextOffset > 0
 }
 
-// heardPeers reports whether the daemon has the reports of its peers, if it
-// has any peers.
-func (r *readiness) heardPeers() bool {
-	reached, members := r.d.agent.Reached(r.d.start)
+// hasPeerReports reports whether a peer has answered since the start. If no peer is
+// known, it reports whether there are no seeds or seedTimeout has passed.
+func (r *readiness) hasPeerReports() bool {
+	reached, members := r.daemon.agent.Reached(r.daemon.startedAt)
 	if members > 1 {
 		return reached > 1
 	}
-	return len(r.d.settings.Seeds) == 0 || time.Now().After(r.d.start.Add(seedWindow))
+	return len(r.daemon.settings.Seeds) == 0 || time.Now().After(r.daemon.startedAt.Add(seedTimeout))
 }
 
-// connected reports whether the daemon hears of every new configuration.
-func (r *readiness) connected(now time.Time) bool {
-	since := now.Add(-contactWindow)
-	if r.d.followers[streamConfiguration].Confirmed().After(since) {
+// isConnected reports whether the daemon would notice a new configuration. This is so if it read
+// the log within contactTimeout, reached a majority of the expected members, or is the only daemon.
+func (r *readiness) isConnected(now time.Time) bool {
+	since := now.Add(-contactTimeout)
+	if r.daemon.followers[streamConfiguration].Confirmed().After(since) {
 		return true
 	}
-	reached, members := r.d.agent.Reached(since)
+	reached, members := r.daemon.agent.Reached(since)
 	r.mu.Lock()
 	members = max(members, r.expected.count())
-	heard := r.expected.heard
+	seenOthers := r.expected.seenOthers
 	r.mu.Unlock()
-	return members > 1 && 2*reached > members || members == 1 && r.alone(heard)
+	return members > 1 && 2*reached > members || members == 1 && r.isOnlyDaemon(seenOthers)
 }
 
-// noteMembers notes which daemons are members now.
-func (r *readiness) noteMembers(now time.Time) {
-	logRead := r.d.followers[streamConfiguration].Confirmed().After(now.Add(-contactWindow))
+// updateExpected updates the expected members from the current table of members.
+func (r *readiness) updateExpected(now time.Time) {
+	wasLogRead := r.daemon.followers[streamConfiguration].Confirmed().After(now.Add(-contactTimeout))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expected.note(r.d.agent.Table().Members(), logRead)
+	r.expected.update(r.daemon.agent.Table().Members(), wasLogRead)
 }
 
-// alone reports whether the daemon, which has no other members, is the only one; then an
-// outage of the log leaves nobody who could accept a configuration through us. One that
-// has never heard of another daemon may just be cut off from those that it knows of.
-func (r *readiness) alone(heard bool) bool {
-	own := r.d.listeners.peers.Addr().String()
-	seeded := slices.ContainsFunc(r.d.settings.Seeds, func(seed string) bool { return seed != own })
-	if !heard && (seeded || r.d.arrived.others(r.d.settings.Name)) {
+// isOnlyDaemon reports whether a daemon without other members is the only one of the
+// fleet. Nobody else can then accept a configuration while the log is unavailable. It
+// reports false for a daemon that has never seen another member but has seeds or
+// announcements of others, because it may be cut off from them. It also reports false for
+// a daemon that has never read the log to its end.
+func (r *readiness) isOnlyDaemon(seenOthers bool) bool {
+	ownAddress := r.daemon.listeners.peers.Addr().String()
+	hasOtherSeed := slices.ContainsFunc(r.daemon.settings.Seeds, func(seed string) bool { return seed != ownAddress })
+	if !seenOthers && (hasOtherSeed || r.daemon.announcedDaemons.hasOther(r.daemon.settings.Name)) {
 		return false
 	}
-	return !r.d.followers[streamConfiguration].Confirmed().IsZero()
+	return !r.daemon.followers[streamConfiguration].Confirmed().IsZero()
 }
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of a quartzshelf daemon together and runs them.
+// Package daemon builds a quartzshelf daemon from its components and runs it.
 package daemon
 
 import (
@@ -16,24 +16,23 @@
 	"quartzshelf.dev/standin"
 )
 
-// Defaults of the settings.
+// Defaults and bounds of the settings.
 const (
-	defaultLogRetention = time.Hour
-	defaultServeWindow  = 6 * time.Second
-	defaultKeepEntries  = 10 * time.Second
-	defaultMaxBody      = 8 << 20
-	defaultWeightLoads  = 2
-	minLogRetention     = 5 * time.Minute
-	minServeWindow      = 2 * time.Second
-	maxServeWindow      = time.Minute
-	maxKeepEntries      = 10 * time.Minute
-	minMaxBody          = 1 << 10
-	maxMaxBody          = 64 << 20
-	maxWeightLoads      = 1000
+	defaultLogRetention          = time.Hour
+	defaultServeWindow           = 6 * time.Second
+	defaultEntriesTTL            = 10 * time.Second
+	defaultMaxBodyBytes          = 8 << 20
+	defaultConcurrentWeightLoads = 2
+	minLogRetention              = 5 * time.Minute
+	minServeWindow               = 2 * time.Second
+	maxServeWindow               = time.Minute
+	maxEntriesTTL                = 10 * time.Minute
+	minMaxBodyBytes              = 1 << 10
+	maxMaxBodyBytes              = 64 << 20
+	maxWeightLoads               = 1000
 )
 
-// Settings are the settings of a daemon as written in YAML. They are a message,
-// hence their exported fields.
+// Settings are the settings of a daemon, as written in YAML.
 type Settings struct {
 	// Name is the daemon's name, unique in the fleet.
 	Name     string `yaml:"name"`
@@ -43,24 +42,25 @@
 	Callers   string `yaml:"callers"`
 	Operators string `yaml:"operators"`
 	Peers     string `yaml:"peers"`
-	// Seeds are the peer addresses of daemons to begin with.
+	// Seeds are peer addresses of other daemons, which this one contacts when it starts.
 	Seeds    []string         `yaml:"seeds"`
 	Platform PlatformSettings `yaml:"platform"`
-	// ServeWindow is how long after a probe a replica may serve.
+	// ServeWindow is how long a replica may serve after its last successful probe.
 	ServeWindow time.Duration `yaml:"serve_window"`
-	// KeepEntries is how long callers may keep an answer of /v1/entries.
-	KeepEntries time.Duration `yaml:"keep_entries"`
-	// MaxBodyBytes bounds the body of a request.
+	// EntriesTTL is how long callers may cache an answer of /v1/entries.
+	EntriesTTL time.Duration `yaml:"keep_entries"`
+	// MaxBodyBytes is the largest allowed body of a request.
 	MaxBodyBytes int `yaml:"max_body_bytes"`
-	// WeightLoads is how many replicas of a domain may load weights at a time.
-	WeightLoads int         `yaml:"weight_loads"`
-	Log         LogSettings `yaml:"log"`
+	// ConcurrentWeightLoads is how many replicas of a domain may load weights at once.
+	ConcurrentWeightLoads int         `yaml:"weight_loads"`
+	Log                   LogSettings `yaml:"log"`
 
 	// file is where the settings were read from.
 	file string
 }
 
-// PlatformSettings say where the platform's systems are.
+// PlatformSettings are the addresses of the platform's services, or the settings of an
+// embedded platform.
 type PlatformSettings struct {
 	// Log and Nodes are the IP:port pairs of the log service and the node list.
 	Log   string `yaml:"log"`
@@ -70,21 +70,26 @@
 	Embedded     *EmbeddedSettings `yaml:"embedded"`
 }
 
-// EmbeddedSettings describe a stand-in of the platform inside the daemon, for
-// a first trial on one machine.
+// EmbeddedSettings describe a simulated platform that runs inside the daemon, to try
+// the daemon out on one machine.
 type EmbeddedSettings struct {
-	Domains          []standin.DomainOptions `yaml:"domains"`
-	StoreGBPerSecond float64                 `yaml:"store_gb_per_second"`
-	LoadGB           float64                 `yaml:"load_gb"`
-	Step             time.Duration           `yaml:"step"`
-	Slots            int                     `yaml:"slots"`
-	ListLag          time.Duration           `yaml:"list_lag"`
-	// Configuration is a file of documents to apply at the start, relative to
-	// the settings.
+	Domains []standin.DomainOptions `yaml:"domains"`
+	// StoreGBPerSecond is the rate of the weight store.
+	StoreGBPerSecond float64 `yaml:"store_gb_per_second"`
+	// LoadGB is how much one node loads for one model version.
+	LoadGB float64 `yaml:"load_gb"`
+	// Step is the time between two tokens of an answer.
+	Step time.Duration `yaml:"step"`
+	// Slots is how many requests a node processes at once.
+	Slots int `yaml:"slots"`
+	// ListLag is the age of what the node list shows.
+	ListLag time.Duration `yaml:"list_lag"`
+	// Configuration is a file of documents to publish after the start. Its path is
+	// relative to the directory of the settings file.
 	Configuration string `yaml:"configuration"`
 }
 
-// LogSettings say what the daemon writes about itself.
+// LogSettings are the level and the format of the daemon's own log.
 type LogSettings struct {
 	// Level is trace, debug, info, warn or error.
 	Level string `yaml:"level"`
@@ -101,16 +106,17 @@
 	return ParseSettings(file, data)
 }
 
-// ParseSettings parses and checks settings. Every problem found is reported.
+// ParseSettings parses and checks settings; file is the name that errors show. The
+// error joins all problems that the check found.
 func ParseSettings(file string, data []byte) (*Settings, error) {
 	s := &Settings{
-		ServeWindow:  defaultServeWindow,
-		KeepEntries:  defaultKeepEntries,
-		MaxBodyBytes: defaultMaxBody,
-		WeightLoads:  defaultWeightLoads,
-		Platform:     PlatformSettings{LogRetention: defaultLogRetention},
-		Log:          LogSettings{Level: "info", Format: "text"},
-		file:         file,
+		ServeWindow:           defaultServeWindow,
+		EntriesTTL:            defaultEntriesTTL,
+		MaxBodyBytes:          defaultMaxBodyBytes,
+		ConcurrentWeightLoads: defaultConcurrentWeightLoads,
+		Platform:              PlatformSettings{LogRetention: defaultLogRetention},
+		Log:                   LogSettings{Level: "info", Format: "text"},
+		file:                  file,
 	}
 	if err := yaml.UnmarshalWithOptions(data, s, yaml.Strict()); err != nil {
 		return nil, fmt.Errorf("%s: %s", file, yaml.FormatError(err, false, false))
@@ -121,7 +127,8 @@
 	return s, nil
 }
 
-// ConfigurationFile returns the path of the documents to apply at the start.
+// ConfigurationFile returns the path of the documents to publish after the start, or an
+// empty string if there are none.
 func (s *Settings) ConfigurationFile() string {
 	if s.Platform.Embedded == nil || s.Platform.Embedded.Configuration == "" {
 		return ""
@@ -129,86 +136,86 @@
 	return filepath.Join(filepath.Dir(s.file), s.Platform.Embedded.Configuration)
 }
 
-var daemonName = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// settingsChecker collects the problems of settings.
+// settingsChecker collects problems with the settings of a file.
 type settingsChecker struct {
 	file     string
 	problems []error
 }
 
-func (c *settingsChecker) fail(field, format string, args ...any) {
+func (c *settingsChecker) addProblem(field, format string, args ...any) {
 	c.problems = append(c.problems, fmt.Errorf("%s: field %s: %s", c.file, field, fmt.Sprintf(format, args...)))
 }
 
-func (c *settingsChecker) name(field, value string) {
-	if !daemonName.MatchString(value) {
-		c.fail(field, "%q must be lower-case letters, digits, dots and dashes", value)
+func (c *settingsChecker) checkName(field, value string) {
+	if !namePattern.MatchString(value) {
+		c.addProblem(field, "%q must be lower-case letters, digits, dots and dashes", value)
 	}
 }
 
-func (c *settingsChecker) address(field, value string) {
+func (c *settingsChecker) checkAddress(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.fail(field, "%q must be an IP number and a port, as in 127.0.0.1:7400", value)
+		c.addProblem(field, "%q must be an IP number and a port, as in 127.0.0.1:7400", value)
 	}
 }
 
-func (c *settingsChecker) duration(field string, value, low, high time.Duration) {
+func (c *settingsChecker) checkDuration(field string, value, low, high time.Duration) {
 	if value < low || value > high {
-		c.fail(field, "%v is outside %v to %v", value, low, high)
+		c.addProblem(field, "%v is outside %v to %v", value, low, high)
 	}
 }
 
-func (c *settingsChecker) number(field string, value, low, high int) {
+func (c *settingsChecker) checkNumber(field string, value, low, high int) {
 	if value < low || value > high {
-		c.fail(field, "%d is outside %d to %d", value, low, high)
+		c.addProblem(field, "%d is outside %d to %d", value, low, high)
 	}
 }
 
-func (c *settingsChecker) oneOf(field, value string, allowed ...string) {
+func (c *settingsChecker) checkOneOf(field, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
-		c.fail(field, "%q must be one of %v", value, allowed)
+		c.addProblem(field, "%q must be one of %v", value, allowed)
 	}
 }
 
 func (s *Settings) check() error {
 	c := &settingsChecker{file: s.file}
-	c.name("name", s.Name)
-	c.name("data_hall", s.DataHall)
-	c.name("region", s.Region)
-	c.address("callers", s.Callers)
-	c.address("operators", s.Operators)
-	c.address("peers", s.Peers)
+	c.checkName("name", s.Name)
+	c.checkName("data_hall", s.DataHall)
+	c.checkName("region", s.Region)
+	c.checkAddress("callers", s.Callers)
+	c.checkAddress("operators", s.Operators)
+	c.checkAddress("peers", s.Peers)
 	for i, seed := range s.Seeds {
-		c.address(fmt.Sprintf("seeds[%d]", i), seed)
-	}
-	c.duration("serve_window", s.ServeWindow, minServeWindow, maxServeWindow)
-	c.duration("keep_entries", s.KeepEntries, time.Second, maxKeepEntries)
-	c.number("max_body_bytes", s.MaxBodyBytes, minMaxBody, maxMaxBody)
-	c.number("weight_loads", s.WeightLoads, 1, maxWeightLoads)
-	c.oneOf("log.level", s.Log.Level, "trace", "debug", "info", "warn", "error")
-	c.oneOf("log.format", s.Log.Format, "text", "json")
+		c.checkAddress(fmt.Sprintf("seeds[%d]", i), seed)
+	}
+	c.checkDuration("serve_window", s.ServeWindow, minServeWindow, maxServeWindow)
+	c.checkDuration("keep_entries", s.EntriesTTL, time.Second, maxEntriesTTL)
+	c.checkNumber("max_body_bytes", s.MaxBodyBytes, minMaxBodyBytes, maxMaxBodyBytes)
+	c.checkNumber("weight_loads", s.ConcurrentWeightLoads, 1, maxWeightLoads)
+	c.checkOneOf("log.level", s.Log.Level, "trace", "debug", "info", "warn", "error")
+	c.checkOneOf("log.format", s.Log.Format, "text", "json")
 	s.Platform.check(c)
 	return errors.Join(c.problems...)
 }
 
 func (p *PlatformSettings) check(c *settingsChecker) {
 	if p.LogRetention < minLogRetention {
-		c.fail("platform.log_retention", "%v is below %v", p.LogRetention, minLogRetention)
+		c.addProblem("platform.log_retention", "%v is below %v", p.LogRetention, minLogRetention)
 	}
 	if p.Embedded == nil {
-		c.address("platform.log", p.Log)
-		c.address("platform.nodes", p.Nodes)
+		c.checkAddress("platform.log", p.Log)
+		c.checkAddress("platform.nodes", p.Nodes)
 		return
 	}
 	if p.Log != "" || p.Nodes != "" {
-		c.fail("platform.embedded", "cannot be given together with platform.log or platform.nodes")
+		c.addProblem("platform.embedded", "cannot be given together with platform.log or platform.nodes")
 	}
 	if len(p.Embedded.Domains) == 0 {
-		c.fail("platform.embedded.domains", "must name at least one fabric domain")
+		c.addProblem("platform.embedded.domains", "must name at least one fabric domain")
 	}
 	if p.Embedded.StoreGBPerSecond <= 0 {
-		c.fail("platform.embedded.store_gb_per_second", "must be above zero")
+		c.addProblem("platform.embedded.store_gb_per_second", "must be above zero")
 	}
-	c.number("platform.embedded.slots", p.Embedded.Slots, 1, maxWeightLoads)
+	c.checkNumber("platform.embedded.slots", p.Embedded.Slots, 1, maxWeightLoads)
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -8,23 +8,23 @@
 	"quartzshelf.dev/rpc"
 )
 
-// Status is what operators see of the fleet. It is a message, hence its
-// exported fields.
+// Status describes the fleet as this daemon sees it. Operators get it as JSON.
 type Status struct {
-	Daemon    string                  `json:"daemon"`
-	Ready     string                  `json:"ready"`
-	Revision  int64                   `json:"revision"`
-	Sums      Sums                    `json:"sums"`
-	Requests  int64                   `json:"requests"`
-	Refusals  map[reason.Reason]int64 `json:"refusals"`
-	Retries   map[reason.Reason]int64 `json:"retries"`
-	Members   []MemberRow             `json:"members"`
-	Domains   []DomainRow             `json:"domains"`
-	Replicas  []ReplicaRow            `json:"replicas"`
-	Nodes     []NodeRow               `json:"nodes"`
-	Halls     []hall.Status           `json:"halls"`
-	Warnings  []string                `json:"warnings"`
-	LogSilent string                  `json:"log_silent,omitempty"`
+	Daemon   string                  `json:"daemon"`
+	Ready    string                  `json:"ready"`
+	Revision int64                   `json:"revision"`
+	Sums     Sums                    `json:"sums"`
+	Requests int64                   `json:"requests"`
+	Refusals map[reason.Reason]int64 `json:"refusals"`
+	Retries  map[reason.Reason]int64 `json:"retries"`
+	Members  []MemberRow             `json:"members"`
+	Domains  []DomainRow             `json:"domains"`
+	Replicas []ReplicaRow            `json:"replicas"`
+	Nodes    []NodeRow               `json:"nodes"`
+	Halls    []hall.Status           `json:"halls"`
+	Warnings []string                `json:"warnings"`
+	// LogSilent says that the log does not answer, and is empty otherwise.
+	LogSilent string `json:"log_silent,omitempty"`
 }
 
 // MemberRow describes a daemon.
@@ -40,14 +40,15 @@
 	Name     string `json:"name"`
 	DataHall string `json:"data_hall"`
 	Owner    string `json:"owner"`
-	// Leader is who reports on the domain now; a deputy while the owner is gone.
+	// Leader is the daemon that reports on the domain now. It is a deputy while the owner
+	// is unavailable.
 	Leader  string `json:"leader"`
 	Epoch   uint64 `json:"epoch"`
 	Rank    uint32 `json:"rank"`
 	Current bool   `json:"current"`
 }
 
-// ReplicaRow describes a replica.
+// ReplicaRow describes a replica. State is one of the states below.
 type ReplicaRow struct {
 	Name       string   `json:"name"`
 	Deployment string   `json:"deployment"`
@@ -71,7 +72,7 @@
 	Reason       string `json:"reason"`
 }
 
-// States of a replica as operators see them.
+// States of a replica in answers to operators.
 const (
 	replicaServing  = "serving"
 	replicaDraining = "draining"
@@ -83,17 +84,17 @@
 func (d *Daemon) status() Status {
 	now := time.Now()
 	s := Status{
-		Daemon: d.settings.Name, Ready: "ready", Revision: d.state.View().Revision(),
-		Sums: d.accounts.sums(), Requests: d.meter.Requests(),
+		Daemon: d.settings.Name, Ready: "ready", Revision: d.configState.View().Revision(),
+		Sums: d.downtimeAccounting.sums(), Requests: d.meter.Requests(),
 		Refusals: d.meter.Refusals(), Retries: d.meter.Retries(),
 		Warnings: d.warnings(),
 		Replicas: d.replicaRows(now),
-		Halls:    d.halls.Statuses(now),
+		Halls:    d.hallWatch.Statuses(now),
 	}
-	if closed := d.readiness.gate(); closed != nil {
+	if closed := d.readiness.checkReady(); closed != nil {
 		s.Ready = string(closed.Reason) + ": " + closed.Message
 	}
-	if confirmed := d.followers[streamConfiguration].Confirmed(); now.Sub(confirmed) > contactWindow {
+	if confirmed := d.followers[streamConfiguration].Confirmed(); now.Sub(confirmed) > contactTimeout {
 		s.LogSilent = "the log does not answer"
 	}
 	for _, m := range d.agent.Table().Members() {
@@ -146,7 +147,7 @@
 		case !now.Before(r.Deadline()):
 			row.State = replicaDark
 			row.Reason = "nothing was heard from the leader of its domain"
-		case d.state.View().Hall(r.DataHall()).Closed():
+		case d.configState.View().Hall(r.DataHall()).Closed():
 			row.State = replicaClosed
 		case r.Draining():
 			row.State = replicaDraining
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -7,78 +7,79 @@
 )
 
 const (
-	// spreadTime is how long news of a leaving daemon takes to spread.
-	spreadTime = 2 * time.Second
-	// handOverLimit bounds the wait for others to take over domains.
-	handOverLimit = 10 * time.Second
-	handOverPoll  = 100 * time.Millisecond
-	// inflightLimit bounds the wait for requests in flight.
-	inflightLimit = 10 * time.Minute
-	serverLimit   = 2 * time.Second
+	// membershipSpreadTime is how long a change of membership takes to reach all daemons.
+	membershipSpreadTime = 2 * time.Second
+	// handOverTimeout bounds the wait for others to take over domains.
+	handOverTimeout      = 10 * time.Second
+	handOverPollInterval = 100 * time.Millisecond
+	// inflightTimeout bounds the wait for requests in flight.
+	inflightTimeout         = 10 * time.Minute
+	operatorShutdownTimeout = 2 * time.Second
 )
 
-// Stop ends the daemon as planned: it tells those who ask for addresses first,
-// serves for as long as answers given out stay valid, hands its domains over,
-// finishes what is in flight, and goes.
+// Stop stops the daemon without cutting requests off. It announces that the daemon is
+// leaving, waits until others own its domains, and serves until no caller can hold its
+// address any more. It then refuses new requests, finishes those in flight, and closes
+// the ports.
 func (d *Daemon) Stop() {
 	defer close(d.done)
-	others := len(d.stayingMembers()) > 1
-	d.logger.Info("stopping", "others", others)
+	hasOthers := len(d.stayingMembers()) > 1
+	d.logger.Info("stopping", "others", hasOthers)
 	d.agent.Table().UpdateSelf(func(m *rpc.Member) { m.Leaving = true })
-	until := d.readiness.lastEntriesUntil()
-	if others {
-		// Peers may have named this daemon until they heard that it leaves.
-		until = time.Now().Add(spreadTime + d.settings.KeepEntries)
-		d.handOver()
+	serveUntil := d.readiness.latestEntriesExpiry()
+	if hasOthers {
+		// Peers may give out this daemon's address until they know that it is leaving.
+		serveUntil = time.Now().Add(membershipSpreadTime + d.settings.EntriesTTL)
+		d.awaitHandOver()
 	}
-	time.Sleep(time.Until(until))
-	d.readiness.stop()
+	time.Sleep(time.Until(serveUntil))
+	d.readiness.setStopping()
 	d.logger.Info("finishing requests in flight", "requests", d.gateway.Inflight().Total())
-	if err := d.gateway.Stop(inflightLimit); err != nil {
+	if err := d.gateway.Stop(inflightTimeout); err != nil {
 		d.logger.Error("requests in flight were cut off", "error", err)
 	}
 	d.agent.Table().Leave()
-	if others {
-		time.Sleep(spreadTime)
+	if hasOthers {
+		time.Sleep(membershipSpreadTime)
 	}
-	d.end()
+	d.shutDown()
 	d.logger.Info("stopped")
 }
 
-// handOver waits until other daemons own the domains of this one.
-func (d *Daemon) handOver() {
-	limit := time.Now().Add(handOverLimit)
-	for time.Now().Before(limit) {
-		owned := 0
+// awaitHandOver waits until this daemon owns no domain, for handOverTimeout at most.
+func (d *Daemon) awaitHandOver() {
+	deadline := time.Now().Add(handOverTimeout)
+	for time.Now().Before(deadline) {
+		ownedDomains := 0
 		for _, g := range d.grants.Grants() {
 			if g.Owner() == d.settings.Name {
-				owned++
+				ownedDomains++
 			}
 		}
-		if owned == 0 {
+		if ownedDomains == 0 {
 			return
 		}
-		time.Sleep(handOverPoll)
+		time.Sleep(handOverPollInterval)
 	}
-	d.logger.Warn("domains were not all handed over; deputies take them when this daemon is gone")
+	d.logger.Warn("domains were not all handed over; deputies will lead them after this daemon stops")
 }
 
-// Kill ends the daemon at once, as a crash would.
+// Kill stops the daemon at once, as a crash would, and cuts off requests in flight.
 func (d *Daemon) Kill() {
 	defer close(d.done)
-	d.end()
+	d.shutDown()
 }
 
-// end stops the duties and the servers.
-func (d *Daemon) end() {
+// shutDown stops the tasks and the servers, and closes all connections.
+func (d *Daemon) shutDown() {
 	d.cancel()
-	// Errors here are of connections that are cut on purpose.
-	_ = d.operators.app.ShutdownWithTimeout(serverLimit)
+	// Errors are expected, because open connections are cut off.
+	_ = d.operatorServer.app.ShutdownWithTimeout(operatorShutdownTimeout)
 	_ = d.gateway.Stop(0)
 	_ = d.peerHTTP.Close()
 	d.listeners.close()
-	d.duties.Wait()
-	d.dialer.close()
+	d.tasks.Wait()
+	d.peerClients.closeIdle()
 	if d.embedded != nil {
 		d.embedded.Stop()
 	}
--- a/telemetry/lines_test.go
+++ b/telemetry/lines_test.go
@@ -13,16 +13,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowWriter takes a while for each line, or holds it for ever.
+// slowWriter blocks each write until release is closed. It doesn't block if release is nil.
 type slowWriter struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	held chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
+	release chan struct{}
 }
 
 func (w *slowWriter) Write(p []byte) (int, error) {
-	if w.held != nil {
-		<-w.held
+	if w.release != nil {
+		<-w.release
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,15 +57,15 @@
 		cancel()
 		<-l.Done()
 		got := out.lines()
-		assert.Equal(t, len(got), 22, "20 lines, one that tells of the others, and one later")
+		assert.Equal(t, len(got), 22, "want 20 lines, one that reports the dropped lines, and one later line")
 		assert.Assert(t, strings.Contains(got[20], `"lines":{"refused":80}`), got[20])
-		assert.Assert(t, strings.Contains(got[21], "leading"), "lines pass again")
+		assert.Assert(t, strings.Contains(got[21], "leading"), "the later line was dropped")
 	})
 }
 
-func TestWhoLogsIsNeverHeldUp(t *testing.T) {
+func TestWriteNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &slowWriter{held: make(chan struct{})}
+		out := &slowWriter{release: make(chan struct{})}
 		l := NewLines(out, LinesOptions{PerSecond: 1e6, Most: 5})
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.Run(ctx)
@@ -74,15 +74,15 @@
 			_, err := fmt.Fprint(l, line("refused", i))
 			assert.NilError(t, err)
 		}
-		assert.Equal(t, time.Since(before), time.Duration(0), "no time passes")
+		assert.Equal(t, time.Since(before), time.Duration(0), "Write blocked")
 		assert.Assert(t, l.Dropped()["refused"] >= 44)
-		close(out.held)
+		close(out.release)
 		cancel()
 		<-l.Done()
 	})
 }
 
-func TestMessagesOfLines(t *testing.T) {
+func TestMessageOf(t *testing.T) {
 	for text, want := range map[string]string{
 		line("stream resumes", 1): "stream resumes", "panic: something": "other", `{"@message":"torn`: "torn",
 	} {
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry counts what a daemon does and shows it as OpenTelemetry
-// metrics in the text format of Prometheus.
+// Package telemetry holds the metrics of a daemon and serves them in the text format of
+// Prometheus. It also writes log lines at a bounded rate.
 package telemetry
 
 import (
@@ -20,50 +20,57 @@
 	"quartzshelf.dev/common/reason"
 )
 
-// Meter holds the counters of one daemon. It is safe for concurrent use.
+// Meter holds the metrics of one daemon. It is safe for concurrent use.
 type Meter struct {
 	refusals map[reason.Reason]*atomic.Int64
 	retries  map[reason.Reason]*atomic.Int64
 	late     map[reason.Reason]*atomic.Int64
-	// passedOver counts choices in which replicas were passed over.
-	passedOver map[reason.Reason]*atomic.Int64
-	requests   atomic.Int64
-	first      metric.Float64Histogram
-	between    metric.Float64Histogram
-	orders     metric.Int64Counter
-	// warmUp counts tokens of the warm-up allowance, by outcome.
-	warmUp metric.Int64Counter
-	// quarantine counts what happened to requests that end workers.
+	// passedOver counts, for each reason, the choices of a replica in which at least one replica
+	// was passed over for that reason.
+	passedOver    map[reason.Reason]*atomic.Int64
+	requests      atomic.Int64
+	firstToken    metric.Float64Histogram
+	betweenTokens metric.Float64Histogram
+	orders        metric.Int64Counter
+	// warmUpRequests counts requests to workers that warm up, by whether the limit on such requests
+	// had room.
+	warmUpRequests metric.Int64Counter
+	// quarantine counts events of requests that were at a worker when it crashed.
 	quarantine metric.Int64Counter
 	// suspensions counts how often the machine was suspended.
 	suspensions metric.Int64Counter
-	// signals counts what workers said of themselves in answers.
-	signals metric.Int64Counter
-	// broken counts attempts that their workers broke off.
-	broken metric.Int64Counter
-	// connections counts what carried requests to workers.
+	// workerSignals counts what workers asked for in their answers, such as a limit on requests,
+	// and values that could not be parsed.
+	workerSignals metric.Int64Counter
+	// brokenAttempts counts attempts whose connection the worker closed early.
+	brokenAttempts metric.Int64Counter
+	// connections counts the connections used for requests to workers, opened or reused.
 	connections metric.Int64Counter
-	// datagrams and datagramBytes count what was sent to peers.
+	// datagrams and datagramBytes count the datagrams sent to peers and their bytes.
 	datagrams     metric.Int64Counter
 	datagramBytes metric.Int64Counter
-	// passedOverDatagrams counts what came from peers and was not understood.
-	passedOverDatagrams metric.Int64Counter
-	handler             http.Handler
+	// ignoredDatagrams counts datagrams from peers that could not be decoded or used.
+	ignoredDatagrams metric.Int64Counter
+	handler          http.Handler
 
 	mu     sync.Mutex
 	gauges map[string]func() float64
-	// storeCalls returns the calls to the store so far by purpose; nil before it is known.
+	// storeCalls returns the number of calls to the store so far, by purpose. It is nil
+	// until CountStoreCalls is called.
 	storeCalls func() map[string]int64
-	// daemons returns how many daemons live, by build; nil before it is known.
+	// daemons returns the number of live daemons, by build. It is nil until CountDaemons
+	// is called.
 	daemons func() map[Build]int64
 }
 
-// Build is what a daemon was built from, and which version of the format it speaks.
+// Build identifies the source that a daemon was built from and the version of the message
+// format that it uses.
 type Build struct {
 	Source, Format string
 }
 
-// NewMeter returns a meter with a counter for each reason, all at zero.
+// NewMeter returns a meter with a counter for each reason, initially zero. It returns an
+// error if a metric can't be registered.
 func NewMeter() (*Meter, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprometheus.New(otelprometheus.WithRegisterer(registry), otelprometheus.WithoutScopeInfo())
@@ -71,10 +78,10 @@
 		return nil, fmt.Errorf("start metrics exporter: %w", err)
 	}
 	m := &Meter{
-		refusals:   zeroes(reason.Refusals()),
-		retries:    zeroes(reason.Retries()),
-		late:       zeroes(reason.Lateness()),
-		passedOver: zeroes(reason.PassedOver()),
+		refusals:   newCounters(reason.Refusals()),
+		retries:    newCounters(reason.Retries()),
+		late:       newCounters(reason.Lateness()),
+		passedOver: newCounters(reason.PassedOver()),
 		handler:    promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
 		gauges:     make(map[string]func() float64),
 	}
@@ -85,7 +92,7 @@
 	return m, nil
 }
 
-func zeroes(reasons []reason.Reason) map[reason.Reason]*atomic.Int64 {
+func newCounters(reasons []reason.Reason) map[reason.Reason]*atomic.Int64 {
 	all := make(map[reason.Reason]*atomic.Int64, len(reasons))
 	for _, r := range reasons {
 		all[r] = &atomic.Int64{}
@@ -94,16 +101,16 @@
 }
 
 func (m *Meter) register(meter metric.Meter) error {
-	if err := observe(meter, "quartzshelf_refusals", "Requests refused or failed, by reason.", m.refusals); err != nil {
+	if err := exportCounters(meter, "quartzshelf_refusals", "Requests refused or failed, by reason.", m.refusals); err != nil {
 		return err
 	}
-	if err := observe(meter, "quartzshelf_retries", "Requests sent again, by reason.", m.retries); err != nil {
+	if err := exportCounters(meter, "quartzshelf_retries", "Requests sent again, by reason.", m.retries); err != nil {
 		return err
 	}
-	if err := observe(meter, "quartzshelf_late", "Streams that were late, by reason.", m.late); err != nil {
+	if err := exportCounters(meter, "quartzshelf_late", "Streams that were late, by reason.", m.late); err != nil {
 		return err
 	}
-	if err := observe(meter, "quartzshelf_passed_over", "Choices of a replica in which some were passed over, by reason.", m.passedOver); err != nil {
+	if err := exportCounters(meter, "quartzshelf_passed_over", "Choices of a replica in which some were passed over, by reason.", m.passedOver); err != nil {
 		return err
 	}
 	_, err := meter.Int64ObservableCounter("quartzshelf_requests",
@@ -121,24 +128,24 @@
 	if err != nil {
 		return err
 	}
-	bounds := metric.WithExplicitBucketBoundaries(0.01, 0.025, 0.05, 0.074, 0.1, 0.2, 0.36, 0.5, 1, 2, 5, 10)
+	buckets := metric.WithExplicitBucketBoundaries(0.01, 0.025, 0.05, 0.074, 0.1, 0.2, 0.36, 0.5, 1, 2, 5, 10)
 	for _, register := range []func(metric.Meter) error{m.registerCounters, m.registerStoreCalls, m.registerDaemons} {
 		if err := register(meter); err != nil {
 			return err
 		}
 	}
-	m.first, err = meter.Float64Histogram("quartzshelf_first_token_seconds",
-		metric.WithDescription("Time from a request to the first token."), bounds)
+	m.firstToken, err = meter.Float64Histogram("quartzshelf_first_token_seconds",
+		metric.WithDescription("Time from a request to the first token."), buckets)
 	if err != nil {
 		return err
 	}
-	m.between, err = meter.Float64Histogram("quartzshelf_between_tokens_seconds",
-		metric.WithDescription("Time between two tokens of an answer."), bounds)
+	m.betweenTokens, err = meter.Float64Histogram("quartzshelf_between_tokens_seconds",
+		metric.WithDescription("Time between two tokens of an answer."), buckets)
 	return err
 }
 
-// observe exports a set of counters under one name, labelled by reason.
-func observe(meter metric.Meter, name, description string, counters map[reason.Reason]*atomic.Int64) error {
+// exportCounters registers a set of counters as one metric, labelled by reason.
+func exportCounters(meter metric.Meter, name, description string, counters map[reason.Reason]*atomic.Int64) error {
 	_, err := meter.Int64ObservableCounter(name,
 		metric.WithDescription(description),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
@@ -159,7 +166,8 @@
 	return nil
 }
 
-// Gauge shows what read returns under the given name.
+// Gauge exports the result of read as the gauge quartzshelf_state with the given name as
+// its label. The meter calls read whenever the metrics are collected.
 func (m *Meter) Gauge(name string, read func() float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,57 +178,58 @@
 func (m *Meter) Request() { m.requests.Add(1) }
 
 // Refuse counts a refusal; reasons outside reason.Refusals are not counted.
-func (m *Meter) Refuse(r reason.Reason) { add(m.refusals, r) }
+func (m *Meter) Refuse(r reason.Reason) { increment(m.refusals, r) }
 
 // Retry counts a retry; reasons outside reason.Retries are not counted.
-func (m *Meter) Retry(r reason.Reason) { add(m.retries, r) }
+func (m *Meter) Retry(r reason.Reason) { increment(m.retries, r) }
 
-// Late counts a stream that was late; reasons outside reason.Lateness are not counted.
-func (m *Meter) Late(r reason.Reason) { add(m.late, r) }
+// Late counts a late stream; reasons outside reason.Lateness are not counted.
+func (m *Meter) Late(r reason.Reason) { increment(m.late, r) }
 
-// PassOver counts a choice in which replicas were passed over; reasons outside
-// reason.PassedOver are not counted.
-func (m *Meter) PassOver(r reason.Reason) { add(m.passedOver, r) }
+// PassOver counts a choice of a replica in which other replicas were passed over for a reason.
+// Reasons outside reason.PassedOver are not counted.
+func (m *Meter) PassOver(r reason.Reason) { increment(m.passedOver, r) }
 
-func add(counters map[reason.Reason]*atomic.Int64, r reason.Reason) {
+func increment(counters map[reason.Reason]*atomic.Int64, r reason.Reason) {
 	if counter, ok := counters[r]; ok {
 		counter.Add(1)
 	}
 }
 
-// Order counts an order given to a worker by its outcome.
+// Order counts a command sent to a worker, by the kind of command and its outcome.
 func (m *Meter) Order(order, outcome string) {
 	m.orders.Add(context.Background(), 1,
 		metric.WithAttributes(attribute.String("order", order), attribute.String("outcome", outcome)))
 }
 
-// WarmUp counts a request to a worker that warms up, by whether it got a token.
+// WarmUp counts a request to a worker that warms up. The outcome is whether the limit on such
+// requests had room.
 func (m *Meter) WarmUp(outcome string) {
-	m.warmUp.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
+	m.warmUpRequests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Quarantine counts what happened to a request that was at a worker when it ended: it was
-// blamed, quarantined, cleared or lifted.
+// Quarantine counts an event of a request that was at a worker when it crashed. The request
+// was blamed for the crash or quarantined, or its quarantine was cleared or lifted.
 func (m *Meter) Quarantine(event string) {
 	m.quarantine.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
 
-// Slept counts that the machine was suspended.
+// Slept counts a suspension of the machine; its duration is not used.
 func (m *Meter) Slept(time.Duration) { m.suspensions.Add(context.Background(), 1) }
 
-// Signal counts what a worker asked for in an answer: a limit, rest, or that it leaves, and
-// values that were not understood.
+// Signal counts what a worker asked for in an answer, such as a limit on requests or a pause. The
+// event names what was asked for, or states that the value could not be parsed.
 func (m *Meter) Signal(event string) {
-	m.signals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
+	m.workerSignals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
 
-// Broken counts an attempt that a worker of a service broke off.
+// Broken counts an attempt whose connection a worker of the service closed early.
 func (m *Meter) Broken(service string) {
-	m.broken.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
+	m.brokenAttempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// Connection counts a connection to a worker of a service that is to carry a
-// request, either opened for it or reused.
+// Connection counts the use of a connection to a worker of the service for a request.
+// The connection was either reused or opened for the request.
 func (m *Meter) Connection(service string, reused bool) {
 	use := "opened"
 	if reused {
@@ -230,39 +239,39 @@
 		metric.WithAttributes(attribute.String("service", service), attribute.String("use", use)))
 }
 
-// registerCounters registers the counters whose labels are not known before.
+// registerCounters registers the counters whose label values are not fixed in advance.
 func (m *Meter) registerCounters(meter metric.Meter) error {
 	counters := map[*metric.Int64Counter]struct{ name, description string }{
-		&m.orders:              {"quartzshelf_orders", "Orders given to workers, by order and outcome."},
-		&m.warmUp:              {"quartzshelf_warm_up", "Requests to workers that warm up, by whether the allowance had room."},
-		&m.quarantine:          {"quartzshelf_quarantine", "Requests that were at a worker when it ended, and their quarantine, by event."},
-		&m.suspensions:         {"quartzshelf_suspensions", "Times that the machine was suspended."},
-		&m.signals:             {"quartzshelf_worker_signals", "What workers asked for in their answers, by event: new, changed, dropped or not understood."},
-		&m.broken:              {"quartzshelf_attempts_broken", "Attempts whose connection the worker ended within, by service."},
-		&m.connections:         {"quartzshelf_connections", "Connections that carried requests to workers, by service, opened or reused."},
-		&m.datagrams:           {"quartzshelf_datagrams", "Datagrams sent to peers, by kind."},
-		&m.datagramBytes:       {"quartzshelf_datagram_bytes", "Bytes of datagrams sent to peers, by kind."},
-		&m.passedOverDatagrams: {"quartzshelf_datagrams_passed_over", "Datagrams of peers that were not understood, by cause."},
+		&m.orders:           {"quartzshelf_orders", "Orders given to workers, by order and outcome."},
+		&m.warmUpRequests:   {"quartzshelf_warm_up", "Requests to workers that warm up, by whether the allowance had room."},
+		&m.quarantine:       {"quartzshelf_quarantine", "Requests that were at a worker when it ended, and their quarantine, by event."},
+		&m.suspensions:      {"quartzshelf_suspensions", "Times that the machine was suspended."},
+		&m.workerSignals:    {"quartzshelf_worker_signals", "What workers asked for in their answers, by event: new, changed, dropped or not understood."},
+		&m.brokenAttempts:   {"quartzshelf_attempts_broken", "Attempts whose connection the worker ended within, by service."},
+		&m.connections:      {"quartzshelf_connections", "Connections that carried requests to workers, by service, opened or reused."},
+		&m.datagrams:        {"quartzshelf_datagrams", "Datagrams sent to peers, by kind."},
+		&m.datagramBytes:    {"quartzshelf_datagram_bytes", "Bytes of datagrams sent to peers, by kind."},
+		&m.ignoredDatagrams: {"quartzshelf_datagrams_passed_over", "Datagrams of peers that were not understood, by cause."},
 	}
-	for counter, is := range counters {
+	for counter, definition := range counters {
 		var err error
-		if *counter, err = meter.Int64Counter(is.name, metric.WithDescription(is.description)); err != nil {
+		if *counter, err = meter.Int64Counter(definition.name, metric.WithDescription(definition.description)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Datagram counts a datagram sent to a peer.
+// Datagram counts a datagram sent to a peer, and its bytes.
 func (m *Meter) Datagram(kind string, bytes int) {
-	kinds := metric.WithAttributes(attribute.String("kind", kind))
-	m.datagrams.Add(context.Background(), 1, kinds)
-	m.datagramBytes.Add(context.Background(), int64(bytes), kinds)
+	attributes := metric.WithAttributes(attribute.String("kind", kind))
+	m.datagrams.Add(context.Background(), 1, attributes)
+	m.datagramBytes.Add(context.Background(), int64(bytes), attributes)
 }
 
-// PassedOverDatagram counts a datagram of a peer that was not understood.
+// PassedOverDatagram counts a datagram from a peer that could not be decoded or used.
 func (m *Meter) PassedOverDatagram(cause string) {
-	m.passedOverDatagrams.Add(context.Background(), 1, metric.WithAttributes(attribute.String("cause", cause)))
+	m.ignoredDatagrams.Add(context.Background(), 1, metric.WithAttributes(attribute.String("cause", cause)))
 }
 
 func (m *Meter) registerDaemons(meter metric.Meter) error {
@@ -283,7 +292,8 @@
 	return err
 }
 
-// CountDaemons shows the daemons that read returns, by build.
+// CountDaemons exports the number of daemons that read returns for each build. The meter
+// calls read whenever the metrics are collected.
 func (m *Meter) CountDaemons(read func() map[Build]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -308,30 +318,33 @@
 	return err
 }
 
-// CountStoreCalls shows the calls to the store that read returns, by purpose.
+// CountStoreCalls exports the number of calls to the store that read returns for each
+// purpose. The meter calls read whenever the metrics are collected.
 func (m *Meter) CountStoreCalls(read func() map[string]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.storeCalls = read
 }
 
-// FirstToken records the time from a request, begun at start, to its first token.
+// FirstToken records the time to a first token that arrives now. The parameter start is when the
+// request arrived.
 func (m *Meter) FirstToken(start time.Time) {
-	m.first.Record(context.Background(), time.Since(start).Seconds())
+	m.firstToken.Record(context.Background(), time.Since(start).Seconds())
 }
 
-// NextToken records the time since the token before, which came at last.
+// NextToken records the time between the previous token and a token that arrives now. The parameter
+// last is when the previous token arrived.
 func (m *Meter) NextToken(last time.Time) {
-	m.between.Record(context.Background(), time.Since(last).Seconds())
+	m.betweenTokens.Record(context.Background(), time.Since(last).Seconds())
 }
 
-// Refusals returns the counters of refusals that are not zero.
+// Refusals returns the numbers of refusals by reason, without those that are zero.
 func (m *Meter) Refusals() map[reason.Reason]int64 { return nonZero(m.refusals) }
 
-// Retries returns the counters of retries that are not zero.
+// Retries returns the numbers of retries by reason, without those that are zero.
 func (m *Meter) Retries() map[reason.Reason]int64 { return nonZero(m.retries) }
 
-// Requests returns how many requests were received.
+// Requests returns how many requests were received so far.
 func (m *Meter) Requests() int64 { return m.requests.Load() }
 
 // Handler serves the metrics in the text format of Prometheus.
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConnectionsAreTold: the ratio of new connections can be read for each service.
-func TestConnectionsAreTold(t *testing.T) {
+// TestConnectionsAreExported checks that opened and reused connections are exported for
+// each service.
+func TestConnectionsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
 	m.Connection("models", false)
@@ -28,17 +29,17 @@
 	}
 }
 
-// TestStoreCallsAreTold: the calls to the store can be read by purpose, and none are shown
-// before it is known who counts them.
-func TestStoreCallsAreTold(t *testing.T) {
+// TestStoreCallsAreExported checks that calls to the store are exported by purpose, and that
+// none are exported before CountStoreCalls is called.
+func TestStoreCallsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
-	shown := func() string {
+	scrape := func() string {
 		recorder := httptest.NewRecorder()
 		m.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		return recorder.Body.String()
 	}
-	assert.Assert(t, !strings.Contains(shown(), "quartzshelf_store_calls"))
+	assert.Assert(t, !strings.Contains(scrape(), "quartzshelf_store_calls"))
 	m.CountStoreCalls(func() map[string]int64 { return map[string]int64{"list members": 3} })
-	assert.Assert(t, strings.Contains(shown(), `quartzshelf_store_calls_total{purpose="list members"} 3`))
+	assert.Assert(t, strings.Contains(scrape(), `quartzshelf_store_calls_total{purpose="list members"} 3`))
 }
