--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -154,7 +154,7 @@
 		}
 	}
 	if e.ownClaim != nil && e.highestClaim.Higher(*e.ownClaim) {
-		e.yield("a peer reported a higher claim")
+		e.yield("a higher claim was heard")
 	}
 }
 
@@ -206,11 +206,11 @@
 	if e.ownClaim != nil {
 		switch {
 		case !canLead:
-			e.yield("the daemon is stopping or lacks the configuration or workers")
+			e.yield("the daemon leaves or knows too little")
 		case e.currentEra() != e.ownEra:
-			e.yield("the store was restored from a copy")
+			e.yield("the store came back from a copy")
 		case e.isIsolated(alive, now):
-			e.yield("neither the store nor a majority of the daemons is reachable")
+			e.yield("neither the store nor most daemons are reached")
 		}
 		return false
 	}
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -17,7 +17,7 @@
 // requests with the same fingerprint.
 const fingerprintSize = 16
 
-var errLineBreaks = errors.New("it contains line breaks")
+var errLineBreaks = errors.New("it holds characters that count for nothing")
 
 // Fingerprint identifies a request by its content. Equal requests of one client account have the
 // same fingerprint at all daemons.
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -14,7 +14,7 @@
 func (s *Server) lead(ctx context.Context, claim peers.Claim, isFirst bool) {
 	s.inventory.BeginTerm(claim.Term())
 	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: isFirst, FirstLife: s.opts.FirstLife},
-		func() { s.elector.Yield("a worker reported a higher term") })
+		func() { s.elector.Yield("a worker knows a higher term") })
 	s.setKeeper(keeper)
 	keeper.Run(ctx)
 	s.mu.Lock()
--- a/serving/stop.go
+++ b/serving/stop.go
@@ -24,7 +24,7 @@
 	start := time.Now()
 	deadline := start.Add(s.opts.Bounds.Grace - graceMargin)
 	s.isLeaving.Store(true)
-	s.elector.Yield("the daemon is stopping")
+	s.elector.Yield("the daemon leaves")
 	s.agent.SendHeartbeat(start)
 	s.logger.Info("stopping", "until", deadline)
 	addressExpiry := start.Add(entryLifetimeFactor*s.opts.Bounds.KeepEntries + graceMargin)
