--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -49,7 +49,7 @@
 // milliseconds.
 func (f *fixture) listWorker(id string, coldLeft int64) {
 	f.position++
-	f.inventory.Apply([]fleet.Change{{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Zone: "hall", ColdLeft: coldLeft}}}, f.position, time.Now())
+	f.inventory.Apply([]fleet.Change{{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Zone: "hall", ColdRemainingMillis: coldLeft}}}, f.position, time.Now())
 }
 
 // replica returns a replica headed by the worker "w", as the inventory lists it now.
@@ -61,7 +61,7 @@
 // setHallClosed closes or opens the worker's data hall.
 func (f *fixture) setHallClosed(closed bool) {
 	f.position++
-	f.halls.Take(fleet.HallNews{Changes: []fleet.HallChange{{Hall: "hall", Closed: closed}}}, f.position, time.Now())
+	f.halls.ApplyRead(fleet.HallUpdate{Changes: []fleet.HallChange{{Hall: "hall", Closed: closed}}}, f.position, time.Now())
 }
 
 // countSends tries to send a request at every step, and returns how many were permitted.
--- a/allowance/cold.go
+++ b/allowance/cold.go
@@ -36,7 +36,7 @@
 	if at, ok := previous.coveredOpenings[w.ID]; ok && at.Equal(opened) {
 		return true
 	}
-	remaining := time.Duration(w.ColdLeft) * time.Millisecond
+	remaining := time.Duration(w.ColdRemainingMillis) * time.Millisecond
 	writtenAt := w.ColdUntil.Add(-remaining)
 	return remaining >= warmUp/2 && writtenAt.After(opened.Add(-a.opts.Settle))
 }
--- a/allowance/sum_test.go
+++ b/allowance/sum_test.go
@@ -47,7 +47,7 @@
 func (s span) covers(at time.Duration) bool { return s.from <= at && at < s.to }
 
 func (d *daemon) restart(bound Bound, now time.Time) {
-	view := viewOf(&fleet.Worker{ID: "w", Service: "models", Zone: "hall", ColdLeft: 1 << 30}, now)
+	view := viewOf(&fleet.Worker{ID: "w", Service: "models", Zone: "hall", ColdRemainingMillis: 1 << 30}, now)
 	config := configOf(bearableRate)
 	d.pending = nil
 	d.allowance = New(Options{
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -25,7 +25,7 @@
 	}
 	return func(r *fleet.Replica) bool {
 		l, ok := limits[r.Head.ID]
-		return !ok || l.born != r.Head.Born || l.bucket != nil && l.bucket.HasToken(now)
+		return !ok || l.born != r.Head.StartedAt || l.bucket != nil && l.bucket.HasToken(now)
 	}
 }
 
@@ -68,7 +68,7 @@
 		return nil
 	}
 	return func(r *fleet.Replica) bool {
-		_, isResting := t.rests.Until(r.Head.ID, r.Head.Born, now)
+		_, isResting := t.rests.Until(r.Head.ID, r.Head.StartedAt, now)
 		return !isResting
 	}
 }
@@ -76,13 +76,13 @@
 // TakeRested reports whether a replica's head worker accepts requests from this daemon now. The
 // result sendBy is always zero, as a rest period sets no deadline for sending.
 func (t *Table) TakeRested(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
-	_, isResting := t.rests.Until(r.Head.ID, r.Head.Born, now)
+	_, isResting := t.rests.Until(r.Head.ID, r.Head.StartedAt, now)
 	return time.Time{}, !isResting
 }
 
 // RestEnds returns when the rest period of a replica's head worker ends, and now if it has none.
 func (t *Table) RestEnds(r *fleet.Replica, now time.Time) time.Time {
-	if until, isResting := t.rests.Until(r.Head.ID, r.Head.Born, now); isResting {
+	if until, isResting := t.rests.Until(r.Head.ID, r.Head.StartedAt, now); isResting {
 		return until
 	}
 	return now
@@ -97,14 +97,14 @@
 	}
 	return func(r *fleet.Replica) bool {
 		l, ok := limits[r.Head.ID]
-		return ok && l.born == r.Head.Born
+		return ok && l.born == r.Head.StartedAt
 	}
 }
 
 // limitOf returns the limit of a replica's head worker, and false if it has none.
 func (t *Table) limitOf(r *fleet.Replica) (*limit, bool) {
 	l, ok := (*t.limits.Load())[r.Head.ID]
-	return l, ok && l.born == r.Head.Born
+	return l, ok && l.born == r.Head.StartedAt
 }
 
 // Look recomputes this daemon's shares and removes rest periods that have ended. It must be called
--- a/backpressure/limits_test.go
+++ b/backpressure/limits_test.go
@@ -16,15 +16,15 @@
 		head      fleet.Worker
 		isLimited bool
 	}{
-		"that incarnation":     {fleet.Worker{ID: "w", Born: 1}, true},
-		"its next incarnation": {fleet.Worker{ID: "w", Born: 2}, false},
+		"that incarnation":     {fleet.Worker{ID: "w", StartedAt: 1}, true},
+		"its next incarnation": {fleet.Worker{ID: "w", StartedAt: 2}, false},
 		"an earlier entry":     {fleet.Worker{ID: "w"}, false},
-		"another worker":       {fleet.Worker{ID: "v", Born: 1}, false},
+		"another worker":       {fleet.Worker{ID: "v", StartedAt: 1}, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := newTestTable()
-			table.Hear(&fleet.Worker{ID: "w", Born: 1}, limitSignal(1), start, start)
+			table.Hear(&fleet.Worker{ID: "w", StartedAt: 1}, limitSignal(1), start, start)
 			r := &fleet.Replica{ID: "any", Head: &test.head}
 			assert.Equal(t, table.Check(start)(r), !test.isLimited)
 			assert.Equal(t, table.Naming()(r), test.isLimited)
--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -107,7 +107,7 @@
 	if existing, ok := t.records[e.Worker]; ok && existing.born > e.Born || !ok && e.Limit == nil && !e.Leaves {
 		return nil
 	}
-	w := &fleet.Worker{ID: e.Worker, Born: e.Born}
+	w := &fleet.Worker{ID: e.Worker, StartedAt: e.Born}
 	r := t.ensureRecord(w)
 	c := newChanges(w, peer)
 	reportedAt, endedAt := sentAt.Add(-durationOf(e.Named)), sentAt.Add(-durationOf(e.Dropped))
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestReportToPeers(t *testing.T) {
-	w := &fleet.Worker{ID: "w", Born: 7}
+	w := &fleet.Worker{ID: "w", StartedAt: 7}
 	second := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	tests := map[string]struct {
 		exchange  func(a, b *Table)
@@ -70,13 +70,13 @@
 			sendReport(t, a, b, second(1), false)
 		}, isLeaving: true},
 		"a limit of an earlier incarnation": {exchange: func(a, b *Table) {
-			a.Hear(&fleet.Worker{ID: "w", Born: 6}, limitSignal(1.5), start, start)
+			a.Hear(&fleet.Worker{ID: "w", StartedAt: 6}, limitSignal(1.5), start, start)
 			b.Hear(w, Signal{Rest: time.Second}, start, start)
 			sendReport(t, a, b, second(1), false)
 		}},
 		"a limit of a later incarnation": {exchange: func(a, b *Table) {
 			a.Hear(w, limitSignal(1.5), start, start)
-			b.Hear(&fleet.Worker{ID: "w", Born: 6}, Signal{Leaving: true}, start, start)
+			b.Hear(&fleet.Worker{ID: "w", StartedAt: 6}, Signal{Leaving: true}, start, start)
 			sendReport(t, a, b, second(1), false)
 		}, limited: 1},
 		"a rest period, which is not reported": {exchange: func(a, b *Table) {
--- a/backpressure/rests_test.go
+++ b/backpressure/rests_test.go
@@ -26,14 +26,14 @@
 		"a longer one afterwards":               {answers: []answer{{at: s, signal: asks(3 * s)}, {at: 2 * s, signal: asks(5 * s)}}, worker: fleet.Worker{ID: "w"}, restEnds: 7 * s},
 		"an answer without one":                 {answers: []answer{{at: s, signal: asks(3 * s)}, {sent: s, at: 2 * s, signal: noLimitSignal}}, worker: fleet.Worker{ID: "w"}, restEnds: 4 * s},
 		"another worker":                        {answers: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "v"}},
-		"another incarnation":                   {answers: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w", Born: 1}},
-		"another incarnation that asks as well": {answers: []answer{{at: s, signal: asks(9 * s)}, {born: 1, at: 2 * s, signal: asks(s)}}, worker: fleet.Worker{ID: "w", Born: 1}, restEnds: 3 * s},
+		"another incarnation":                   {answers: []answer{{at: s, signal: asks(3 * s)}}, worker: fleet.Worker{ID: "w", StartedAt: 1}},
+		"another incarnation that asks as well": {answers: []answer{{at: s, signal: asks(9 * s)}, {born: 1, at: 2 * s, signal: asks(s)}}, worker: fleet.Worker{ID: "w", StartedAt: 1}, restEnds: 3 * s},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := newTestTable()
 			for _, w := range test.answers {
-				table.Hear(&fleet.Worker{ID: "w", Born: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
+				table.Hear(&fleet.Worker{ID: "w", StartedAt: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
 			}
 			r := &fleet.Replica{ID: "g", Head: &test.worker}
 			for at := 2 * s; at < 9*s; at += s / 4 {
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -43,7 +43,7 @@
 }
 
 func newChanges(w *fleet.Worker, by string) *changes {
-	return &changes{base: Change{Worker: w.ID, Born: w.Born, By: by}}
+	return &changes{base: Change{Worker: w.ID, Born: w.StartedAt, By: by}}
 }
 
 // add appends a change unless it is empty.
@@ -135,7 +135,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	existing, ok := t.records[w.ID]
-	if !ok && !s.isActionable() || ok && existing.born > w.Born {
+	if !ok && !s.isActionable() || ok && existing.born > w.StartedAt {
 		// The signal changes nothing, or the answer is from an earlier incarnation.
 		return nil
 	}
@@ -147,7 +147,7 @@
 	case s.Unlimited && r.isLimited && sentAt.After(r.limitReportedAt):
 		c.add(r.clearLimit(sentAt, now))
 	}
-	if s.Rest > 0 && t.rests.Note(w.ID, w.Born, s.Rest, now) {
+	if s.Rest > 0 && t.rests.Note(w.ID, w.StartedAt, s.Rest, now) {
 		c.add(Change{Event: RestAsked, Rest: s.Rest})
 	}
 	if s.Leaving {
@@ -200,10 +200,10 @@
 // ensureRecord returns the record of a worker's incarnation. If there is none, it creates one,
 // which replaces that of another incarnation.
 func (t *Table) ensureRecord(w *fleet.Worker) *record {
-	if r, ok := t.records[w.ID]; ok && r.born == w.Born {
+	if r, ok := t.records[w.ID]; ok && r.born == w.StartedAt {
 		return r
 	}
-	r := &record{born: w.Born}
+	r := &record{born: w.StartedAt}
 	t.records[w.ID] = r
 	t.publish(w.ID, nil)
 	return r
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -53,7 +53,7 @@
 			var events []Event
 			table := NewTable(testOptions(func(c Change) { events = append(events, c.Event) }))
 			for _, w := range test.answers {
-				table.Hear(&fleet.Worker{ID: "w", Born: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
+				table.Hear(&fleet.Worker{ID: "w", StartedAt: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
 			}
 			assert.DeepEqual(t, events, test.events)
 			assert.Equal(t, table.Limited(), test.limited)
@@ -66,8 +66,8 @@
 // recordRetention, and kept if it is listed again before.
 func TestForget(t *testing.T) {
 	table := NewTable(testOptions(func(Change) {}))
-	table.Hear(&fleet.Worker{ID: "w", Born: 1}, Signal{Leaving: true}, start, start)
-	table.Hear(&fleet.Worker{ID: "v", Born: 1}, limitSignal(1), start, start)
+	table.Hear(&fleet.Worker{ID: "w", StartedAt: 1}, Signal{Leaving: true}, start, start)
+	table.Hear(&fleet.Worker{ID: "v", StartedAt: 1}, limitSignal(1), start, start)
 	all := func(worker string, _ int64) bool { return worker == "w" }
 	none := func(string, int64) bool { return false }
 	table.Forget(none, start)
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -130,8 +130,8 @@
 // Load returns the replica's load.
 func (r Replica) Load() Load { return r.load }
 
-// Listed reports whether the owner reports the replica as serving.
-func (r Replica) Listed() bool { return r.report.Serving }
+// ReportedServing reports whether the owner reports the replica as serving.
+func (r Replica) ReportedServing() bool { return r.report.Serving }
 
 // MayServe reports whether the replica may be sent requests at the given time. It must be called
 // immediately before a request is sent. If sending is delayed after the call, engines still refuse
@@ -154,9 +154,9 @@
 	return serving
 }
 
-// Of returns all replicas of the deployment, sorted by name. The slice is shared and must not be
-// modified.
-func (c *Catalog) Of(deployment string) []Replica {
+// ReplicasOf returns all replicas of the deployment, sorted by name. The slice is shared and must
+// not be modified.
+func (c *Catalog) ReplicasOf(deployment string) []Replica {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.replicas[deployment]
@@ -207,8 +207,8 @@
 	return all
 }
 
-// Current returns the token and the deadline of a domain's newest report.
-func (c *Catalog) Current(domain string) (token.Token, time.Time, bool) {
+// TokenAndDeadline returns the token and the deadline of a domain's newest report.
+func (c *Catalog) TokenAndDeadline(domain string) (token.Token, time.Time, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	h, ok := c.domains[domain]
@@ -274,7 +274,7 @@
 	if d != nil && compareDigests(h.digest(), d) <= 0 {
 		return nil
 	}
-	peerHasContent := d != nil && FromMessage(d.Token).Compare(h.token) == 0 && d.Version == h.report.Version
+	peerHasContent := d != nil && TokenFromMessage(d.Token).Compare(h.token) == 0 && d.Version == h.report.Version
 	if peerHasContent {
 		return &rpc.DomainReport{
 			Domain: h.report.Domain, Token: h.report.Token, Version: h.report.Version,
@@ -316,7 +316,7 @@
 	} else {
 		h = &storedReport{beat: r.Beat, loads: r.Loads}
 	}
-	h.report, h.token, h.deadline = r, FromMessage(r.Token), deadline
+	h.report, h.token, h.deadline = r, TokenFromMessage(r.Token), deadline
 	h.removeAt = deadline.Add(expiredReportRetention)
 	c.domains[r.Domain] = h
 	c.isStale = true
@@ -369,13 +369,13 @@
 	return Load{queue: int(loads[first]), active: int(loads[first+1]), slots: int(loads[first+2])}
 }
 
-// FromMessage returns the token in a message; nil means the lowest token.
-func FromMessage(m *rpc.Token) token.Token {
+// TokenFromMessage returns the token in a message; nil means the lowest token.
+func TokenFromMessage(m *rpc.Token) token.Token {
 	return token.Token{Epoch: m.GetEpoch(), Rank: m.GetRank(), Sequence: m.GetSequence()}
 }
 
-// ToMessage returns the message for a token.
-func ToMessage(t token.Token) *rpc.Token {
+// TokenToMessage returns the message for a token.
+func TokenToMessage(t token.Token) *rpc.Token {
 	return &rpc.Token{Epoch: t.Epoch, Rank: t.Rank, Sequence: t.Sequence}
 }
 
@@ -385,7 +385,7 @@
 
 func compareContent(a, b *rpc.ReportDigest) int {
 	return cmp.Or(
-		FromMessage(a.Token).Compare(FromMessage(b.Token)),
+		TokenFromMessage(a.Token).Compare(TokenFromMessage(b.Token)),
 		cmp.Compare(a.Version, b.Version),
 	)
 }
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -60,8 +60,8 @@
 	Members []string `json:"members,omitempty"`
 }
 
-// Empty reports whether the node belongs to no replica.
-func (a Assignment) Empty() bool {
+// IsEmpty reports whether the node belongs to no replica.
+func (a Assignment) IsEmpty() bool {
 	return a.Replica == ""
 }
 
@@ -70,8 +70,8 @@
 	return fmt.Sprintf("%s@%d", a.Replica, a.Generation)
 }
 
-// Same reports whether a and other are for the same generation of the same replica.
-func (a Assignment) Same(other Assignment) bool {
+// SameReplica reports whether a and other are for the same generation of the same replica.
+func (a Assignment) SameReplica(other Assignment) bool {
 	return a.Replica == other.Replica && a.Generation == other.Generation
 }
 
--- a/config/hall.go
+++ b/config/hall.go
@@ -60,9 +60,9 @@
 	return v.halls[i]
 }
 
-// KeptOut returns why a request must not be sent to a node in the data hall, or an empty reason if
-// it may be. The hall's region must be allowed by each of the given lists.
-func (v *View) KeptOut(hall string, allowed ...Regions) reason.Reason {
+// ExclusionReason returns why a request must not be sent to a node in the data hall, or an empty
+// reason if it may be. The hall's region must be allowed by each of the given lists.
+func (v *View) ExclusionReason(hall string, allowed ...Regions) reason.Reason {
 	h := v.Hall(hall)
 	for _, regions := range allowed {
 		if !regions.Allow(h.Region()) {
--- a/config/hall_test.go
+++ b/config/hall_test.go
@@ -79,8 +79,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, original.View().KeptOut(c.hall, c.allowed...), c.want)
-			assert.Equal(t, restored.View().KeptOut(c.hall, c.allowed...), c.want)
+			assert.Equal(t, original.View().ExclusionReason(c.hall, c.allowed...), c.want)
+			assert.Equal(t, restored.View().ExclusionReason(c.hall, c.allowed...), c.want)
 		})
 	}
 }
--- a/daemon/accounting.go
+++ b/daemon/accounting.go
@@ -76,7 +76,7 @@
 func (a *accounting) update(now time.Time) {
 	dark, stranded := 0, 0
 	for _, report := range a.daemon.catalog.Reports() {
-		_, deadline, _ := a.daemon.catalog.Current(report.Domain)
+		_, deadline, _ := a.daemon.catalog.TokenAndDeadline(report.Domain)
 		domainDark, domainStranded := countDarkAndStranded(report, now.Before(deadline))
 		dark += domainDark
 		stranded += domainStranded
--- a/daemon/explain.go
+++ b/daemon/explain.go
@@ -64,7 +64,7 @@
 // serving. Each line begins with a reason.Reason. Limits of single client accounts, such as
 // their allowed regions, are not considered.
 func (d *Daemon) exclusionReasons(r catalog.Replica) []string {
-	if !r.Listed() {
+	if !r.ReportedServing() {
 		return nil
 	}
 	view := d.configState.View()
--- a/daemon/halls_test.go
+++ b/daemon/halls_test.go
@@ -55,7 +55,7 @@
 func TestCloseHall(t *testing.T) {
 	d := startDaemon(t)
 	defer d.Kill()
-	before := d.catalog.Of("demo")[0]
+	before := d.catalog.ReplicasOf("demo")[0]
 	response := post(t, d, `{"model":"demo","stream":true,"prompt":"p","max_tokens":150}`)
 	stream := bufio.NewReader(response.Body)
 	_, err := stream.ReadString('\n')
@@ -96,7 +96,7 @@
 
 	assert.Equal(t, putDocument(t, d, config.KindDataHall, "hall-a", `{"region":"south"}`).Problem, "")
 	assert.Equal(t, post(t, d, `{"model":"demo","prompt":"p"}`).StatusCode, http.StatusOK)
-	after := d.catalog.Of("demo")[0]
+	after := d.catalog.ReplicasOf("demo")[0]
 	assert.Equal(t, after.Generation(), before.Generation(), "the replica was formed again")
 }
 
--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -118,7 +118,7 @@
 func (r *readiness) checkReady() *gateway.Closed {
 	now := time.Now()
 	isConnected, nextOffset := r.isConnected(now), r.daemon.followers[streamConfiguration].Fold().Next()
-	isBehind := nextOffset < r.daemon.agent.FleetNext()
+	isBehind := nextOffset < r.daemon.agent.FleetConfigNext()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !isBehind {
@@ -149,7 +149,7 @@
 	if closed := r.checkReady(); closed != nil {
 		return closed
 	}
-	return checkReached(r.daemon.agent.Reached(time.Now().Add(-contactTimeout)))
+	return checkReached(r.daemon.agent.CountReached(time.Now().Add(-contactTimeout)))
 }
 
 // checkReached returns why a daemon that reaches the given number of members, itself included, may
@@ -172,7 +172,7 @@
 // hasPeerReports reports whether a peer has answered since the start. If no peer is
 // known, it reports whether there are no seeds or seedTimeout has passed.
 func (r *readiness) hasPeerReports() bool {
-	reached, members := r.daemon.agent.Reached(r.daemon.startedAt)
+	reached, members := r.daemon.agent.CountReached(r.daemon.startedAt)
 	if members > 1 {
 		return reached > 1
 	}
@@ -186,7 +186,7 @@
 	if r.daemon.followers[streamConfiguration].Confirmed().After(since) {
 		return true
 	}
-	reached, members := r.daemon.agent.Reached(since)
+	reached, members := r.daemon.agent.CountReached(since)
 	r.mu.Lock()
 	members = max(members, r.expected.count())
 	seenOthers := r.expected.seenOthers
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -118,7 +118,7 @@
 }
 
 func (d *Daemon) domainRow(report *rpc.DomainReport, now time.Time) DomainRow {
-	_, deadline, _ := d.catalog.Current(report.Domain)
+	_, deadline, _ := d.catalog.TokenAndDeadline(report.Domain)
 	return DomainRow{
 		Name: report.Domain, DataHall: report.DataHall,
 		Owner: d.grants.Grant(report.Domain).Owner(), Leader: report.Owner,
@@ -142,7 +142,7 @@
 			Active: r.Load().Active(), Queue: r.Load().Queue(),
 		}
 		switch {
-		case !r.Listed():
+		case !r.ReportedServing():
 			row.State = replicaDark
 		case !now.Before(r.Deadline()):
 			row.State = replicaDark
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Kind is the kind of a route. It determines how requests are answered and whether they may run
-// more than once.
-type Kind int
+// RouteKind is the kind of a route. It determines how requests are answered and whether they may
+// run more than once.
+type RouteKind int
 
 // The kinds of routes.
 const (
 	// NonIdempotent requests run at most once.
-	NonIdempotent Kind = iota
+	NonIdempotent RouteKind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
 	// Stream requests are answered by a stream of events.
@@ -35,15 +35,15 @@
 	Name   string
 	Host   string
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Timeout is the maximum time to complete a request.
 	Timeout time.Duration
 	// Objective is the target time to the answer, or to its first event for streams.
 	Objective time.Duration
 	// GapTarget is the target for the longest pause between two events of a stream.
 	GapTarget time.Duration
-	// Attempts is the maximum number of workers that a request is sent to.
-	Attempts int
+	// MaxAttempts is the maximum number of workers that a request is sent to.
+	MaxAttempts int
 	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int
 	// Public routes require no key.
@@ -84,14 +84,15 @@
 	Name string
 	// Size is the number of workers of one replica.
 	Size int
-	// Share is the assumed fraction of the service's load that the model gets, used until the load
-	// has been measured.
-	Share float64
-	// Pace is the factor by which the engine's processing times are multiplied for this model; 0
-	// counts as 1.
-	Pace float64
-	// Load is how long it takes to load the weights from the store, Warm from the worker's host.
-	Load, Warm time.Duration
+	// InitialShare is the assumed fraction of the service's load that the model gets, used until
+	// the load has been measured.
+	InitialShare float64
+	// TimeFactor is the factor by which the engine's processing times are multiplied for this
+	// model; 0 counts as 1.
+	TimeFactor float64
+	// Load is how long it takes to load the weights from the store, WarmLoad from the worker's
+	// host.
+	Load, WarmLoad time.Duration
 }
 
 // Engine describes the model workers of a service.
@@ -107,15 +108,15 @@
 	Step, StepPerRequest time.Duration
 	// Stride is the number of decoding steps in a pass.
 	Stride int
-	// UsualAnswer is the mean number of tokens of an answer.
-	UsualAnswer int
-	// LoadsPerSecond is how many loads of weights may start per second. LoadsAtOnce is how many can
-	// run concurrently without slowing each other down.
-	LoadsPerSecond float64
-	LoadsAtOnce    int
-	// Form is how long it takes to open a replica.
-	Form   time.Duration
-	Models []Model
+	// MeanAnswerTokens is the mean number of tokens of an answer.
+	MeanAnswerTokens int
+	// LoadsPerSecond is how many loads of weights may start per second. MaxConcurrentLoads is how
+	// many can run concurrently without slowing each other down.
+	LoadsPerSecond     float64
+	MaxConcurrentLoads int
+	// OpenDuration is how long it takes to open a replica.
+	OpenDuration time.Duration
+	Models       []Model
 }
 
 // Model returns the model with the given name.
@@ -130,24 +131,24 @@
 
 // timeFactor returns the factor by which the processing times are multiplied for a model.
 func (e *Engine) timeFactor(model string) float64 {
-	if m, ok := e.Model(model); ok && m.Pace > 0 {
-		return m.Pace
+	if m, ok := e.Model(model); ok && m.TimeFactor > 0 {
+		return m.TimeFactor
 	}
 	return 1
 }
 
-// PerToken returns how long a replica of a model takes to process one prompt token, or zero if that
-// is unknown.
-func (e *Engine) PerToken(model string) time.Duration {
+// TimePerPromptToken returns how long a replica of a model takes to process one prompt token, or
+// zero if that is unknown.
+func (e *Engine) TimePerPromptToken(model string) time.Duration {
 	if e.PrefillPerSecond <= 0 {
 		return 0
 	}
 	return time.Duration(e.timeFactor(model) * float64(time.Second) / e.PrefillPerSecond)
 }
 
-// Pass returns the base duration of a pass of a model's replica, and the time that each request in
-// the batch adds.
-func (e *Engine) Pass(model string) (base, perRequest time.Duration) {
+// PassTimes returns the base duration of a pass of a model's replica, and the time that each
+// request in the batch adds.
+func (e *Engine) PassTimes(model string) (base, perRequest time.Duration) {
 	factor := e.timeFactor(model) * float64(max(e.Stride, 1))
 	return time.Duration(factor * float64(e.Step)), time.Duration(factor * float64(e.StepPerRequest))
 }
@@ -177,20 +178,20 @@
 	Name string
 	// Regions are the regions in which the tenant's requests may run.
 	Regions Regions
-	// Priority replaces the route's priority if Ranked is set.
+	// Priority replaces the route's priority if HasPriority is set.
 	Priority int
-	// Ranked is set if the tenant has a priority.
-	Ranked bool
+	// HasPriority is set if the tenant has a priority.
+	HasPriority bool
 }
 
 // Limits are the limits on requests and connections of callers.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderWait is the maximum time to receive the headers of a request.
-	HeaderWait time.Duration
-	// IdleWait is how long an idle connection is kept open.
-	IdleWait time.Duration
+	// HeaderTimeout is the maximum time to receive the headers of a request.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long an idle connection is kept open.
+	IdleTimeout time.Duration
 }
 
 // Config is one version of the configuration. It is immutable.
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -35,7 +35,7 @@
 
 // run reads until ctx ends.
 func (c *configReader) run(ctx context.Context) {
-	shouldRead := func() bool { return c.opts.Reads(c.opts.Beliefs.Confirmed()) }
+	shouldRead := func() bool { return c.opts.ShouldRead(c.opts.ConfigCache.Confirmed()) }
 	c.poll(ctx, "configuration", shouldRead, c.readOnce)
 }
 
@@ -56,7 +56,7 @@
 	c.updateIsBehind(update, isIncremental, sent.Time())
 	c.observeEra(update.Next, sent.Time())
 	c.position = update.Next
-	if update.Lost {
+	if update.PositionLost {
 		c.position = -1
 		return nil
 	}
@@ -65,14 +65,14 @@
 }
 
 // fetch reads the newest configuration, or waits for changes after the current position.
-func (c *configReader) fetch(ctx context.Context) (ConfigNews, error) {
+func (c *configReader) fetch(ctx context.Context) (ConfigUpdate, error) {
 	if c.position < 0 {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
 		return c.opts.Source.ReadConfig(ctx)
 	}
 	wait := pollWait
-	if c.opts.Beliefs.Config() == nil {
+	if c.opts.ConfigCache.Config() == nil {
 		wait = firstConfigWait
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
@@ -82,7 +82,7 @@
 
 // updateIsBehind sets isBehind from the result of a read. While isBehind is set, reads skip to the
 // newest configuration. Reading each change in turn from a slow source would fall further behind.
-func (c *configReader) updateIsBehind(update ConfigNews, isIncremental bool, sent time.Time) {
+func (c *configReader) updateIsBehind(update ConfigUpdate, isIncremental bool, sent time.Time) {
 	if isIncremental {
 		c.isBehind = update.More
 		return
@@ -105,34 +105,34 @@
 }
 
 // apply applies the result of a read sent at the given time.
-func (c *configReader) apply(update ConfigNews, sent time.Time) {
+func (c *configReader) apply(update ConfigUpdate, sent time.Time) {
 	if update.More {
 		// The remaining changes may revoke keys or close data halls, so nothing is confirmed.
 		sent = time.Time{}
 	}
 	c.applyHalls(update, sent)
 	switch {
-	case update.Refused != nil:
-		c.opts.Logger.Error("invalid configuration; keeping the last valid one", "error", update.Refused)
+	case update.ConfigErr != nil:
+		c.opts.Logger.Error("invalid configuration; keeping the last valid one", "error", update.ConfigErr)
 		c.newestIsInvalid = true
 		if update.Config != nil {
-			c.opts.Beliefs.Offer(update.Config, time.Time{})
+			c.opts.ConfigCache.Offer(update.Config, time.Time{})
 		}
 	case update.Config != nil:
-		c.opts.Beliefs.Offer(update.Config, sent)
+		c.opts.ConfigCache.Offer(update.Config, sent)
 		c.newestIsInvalid = false
 	case !c.newestIsInvalid:
-		c.opts.Beliefs.ConfirmRead(sent)
+		c.opts.ConfigCache.ConfirmRead(sent)
 	}
 }
 
 // applyHalls applies the states of data halls that a read returned.
-func (c *configReader) applyHalls(update ConfigNews, sent time.Time) {
+func (c *configReader) applyHalls(update ConfigUpdate, sent time.Time) {
 	if c.opts.Halls == nil {
 		return
 	}
-	for _, err := range update.Halls.Refused {
+	for _, err := range update.Halls.EntryErrs {
 		c.opts.Logger.Error("invalid data hall entry; keeping its last state", "error", err)
 	}
-	c.opts.Halls.Take(update.Halls, update.Next, sent)
+	c.opts.Halls.ApplyRead(update.Halls, update.Next, sent)
 }
--- a/fleet/decisions.go
+++ b/fleet/decisions.go
@@ -27,9 +27,9 @@
 	// To is the number of decisions of the term up to the end of All.
 	To  int64          `json:"to"`
 	All []Announcement `json:"all"`
-	// Whole marks a complete snapshot. All then holds every decision that is still relevant,
+	// IsSnapshot marks a complete snapshot. All then holds every decision that is still relevant,
 	// including those of earlier terms.
-	Whole bool `json:"whole,omitempty"`
+	IsSnapshot bool `json:"whole,omitempty"`
 }
 
 // Split divides the decisions into parts of at most limit decisions each.
@@ -98,7 +98,7 @@
 	i.announce(d.All, time.Now())
 	current := i.decisions.position
 	switch {
-	case d.Whole:
+	case d.IsSnapshot:
 		if to := (DecisionPosition{Term: d.Term, Seq: d.To}); current.Before(to) {
 			i.decisions = decisionLog{position: to}
 		}
@@ -124,7 +124,7 @@
 		d.All = i.decisions.recent[p.Seq-i.decisions.seqBeforeFirst():]
 		return d
 	}
-	d.Whole = true
+	d.IsSnapshot = true
 	for _, a := range i.announcements {
 		d.All = append(d.All, a.Announcement)
 	}
--- a/fleet/decisions_test.go
+++ b/fleet/decisions_test.go
@@ -39,7 +39,7 @@
 
 // deliverSomeDecisions delivers a random selection of a leader's decisions to a follower.
 func deliverSomeDecisions(t *rapid.T, d Decisions, follower *Inventory) {
-	if d.Whole {
+	if d.IsSnapshot {
 		return
 	}
 	for _, part := range d.Split(2) {
@@ -59,7 +59,7 @@
 		return
 	}
 	for _, a := range leader.DecisionsSince(DecisionPosition{Term: term}).All {
-		if leader.Closed(a.Group) && !follower.Closed(a.Group) {
+		if leader.IsGroupClosed(a.Group) && !follower.IsGroupClosed(a.Group) {
 			t.Fatalf("at %v the follower lacks %s", follower.Decided(), a.Group)
 		}
 	}
@@ -87,7 +87,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := i.DecisionsSince(test.from)
-			assert.Equal(t, d.Whole, test.whole)
+			assert.Equal(t, d.IsSnapshot, test.whole)
 			assert.Equal(t, len(d.All), test.count)
 		})
 	}
--- a/fleet/delta.go
+++ b/fleet/delta.go
@@ -5,11 +5,11 @@
 	From    int64    `json:"from"`
 	To      int64    `json:"to"`
 	Changes []Change `json:"changes"`
-	// IsExact is set if there is one change for each position, so that the delta can be split. It is
-	// not set if invalid entries were left out.
+	// IsExact is set if there is one change for each position, so that the delta can be split. It
+	// is not set if invalid entries were left out.
 	IsExact bool `json:"exact,omitempty"`
-	// Heads is set if changes of workers other than heads may be missing from the delta.
-	Heads bool `json:"heads,omitempty"`
+	// HeadsOnly is set if changes of workers other than heads may be missing from the delta.
+	HeadsOnly bool `json:"heads,omitempty"`
 }
 
 // withExactness returns the delta with IsExact set if it has one change for each position.
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	i := NewInventory(time.Second, 5*time.Second)
 	draining, lost := headWorker("draining", "g", 1, Open), headWorker("lost", "l", 2, Open)
-	draining.Draining, draining.Beat = true, 9
+	draining.Draining, draining.HeartbeatCount = true, 9
 	i.Replace([]Change{{ID: "draining", Worker: draining}, {ID: "lost", Worker: lost}}, 100, time.Now())
 	time.Sleep(time.Second)
 	i.Replace(copied, PositionOf(1, 40), time.Now())
@@ -55,7 +55,7 @@
 func TestListOfRestoredStoreIsMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		olderEntry := headWorker("draining", "g", 1, Open)
-		olderEntry.Beat = 5
+		olderEntry.HeartbeatCount = 5
 		i := newRestoredInventory(t, Change{ID: "draining", Worker: olderEntry})
 		assert.Equal(t, i.Position(), PositionOf(1, 40), "the lower offset of the new era applies")
 		w, _ := i.View().Worker("draining")
@@ -65,7 +65,7 @@
 		i.Follow(Delta{From: 100, To: 102, Changes: []Change{{ID: "draining"}}}, time.Now())
 		assert.Equal(t, i.Position(), PositionOf(1, 40), "changes of the previous era are ignored")
 		confirmFor(i, 4*time.Second)
-		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "draining"}}}, time.Now())
+		i.ApplyRead(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "draining"}}}, time.Now())
 		_, isListed = i.View().Worker("lost")
 		assert.Assert(t, !isListed, "it did not write again")
 		_, isListed = i.View().Worker("draining")
@@ -80,7 +80,7 @@
 		w := headWorker("w", "g", 1, Open)
 		i := newRestoredInventory(t, Change{ID: "w", Worker: w})
 		confirmFor(i, postOutageWindow+time.Second)
-		i.Take(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "w"}}}, time.Now())
+		i.ApplyRead(Delta{From: PositionOf(1, 40), To: PositionOf(1, 41), Changes: []Change{{ID: "w"}}}, time.Now())
 		_, isListed := i.View().Worker("w")
 		assert.Assert(t, !isListed)
 	})
@@ -105,10 +105,10 @@
 // restored from a copy made before the operator closed it.
 func TestClosedHallsStayClosedAfterRestore(t *testing.T) {
 	h := NewHalls(0)
-	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 50, time.Now())
-	h.Take(HallNews{Whole: true}, PositionOf(1, 40), time.Now())
+	h.ApplyRead(HallUpdate{IsComplete: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 50, time.Now())
+	h.ApplyRead(HallUpdate{IsComplete: true}, PositionOf(1, 40), time.Now())
 	assert.Equal(t, h.View().State("a", time.Now()), HallClosed)
-	h.Take(HallNews{Whole: true}, PositionOf(1, 41), time.Now())
+	h.ApplyRead(HallUpdate{IsComplete: true}, PositionOf(1, 41), time.Now())
 	assert.Equal(t, h.View().State("a", time.Now()), HallOpen, "the operator's command was not repeated")
 }
 
@@ -117,20 +117,20 @@
 // lost a newer version that revoked a key, and its author needs time to publish it again.
 func TestRestoredStoreConfirmsNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBeliefs()
+		b := NewConfigCache()
 		c := NewConfig(Parts{Version: 3})
 		b.Offer(c, time.Now())
 		confirmedBefore := b.Confirmed()
 		time.Sleep(time.Second)
-		b.HoldCopy(time.Now())
+		b.HoldAfterRestore(time.Now())
 		b.Offer(c, time.Now())
 		b.Confirm(3, time.Now())
 		assert.Equal(t, b.Confirmed(), confirmedBefore)
 		time.Sleep(restoreHoldDuration)
 		b.Confirm(3, time.Now())
 		assert.Assert(t, b.Confirmed().After(confirmedBefore))
-		newBeliefs := NewBeliefs()
-		newBeliefs.HoldCopy(time.Now())
+		newBeliefs := NewConfigCache()
+		newBeliefs.HoldAfterRestore(time.Now())
 		newBeliefs.Offer(c, time.Now())
 		assert.Assert(t, !newBeliefs.Confirmed().IsZero(), "a daemon that has just started has nothing to hold")
 	})
@@ -141,14 +141,14 @@
 func TestFollowerHoldsConfirmationsAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
-		beliefs := NewBeliefs()
-		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		configCache := NewConfigCache()
+		stop := startFollower(source, configCache, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
 		source.set(func() { source.era, source.positionLost = 1, true })
 		time.Sleep(restoreHoldDuration - time.Second/2)
-		ageDuringHold := time.Since(beliefs.Confirmed())
+		ageDuringHold := time.Since(configCache.Confirmed())
 		time.Sleep(time.Second)
-		ageAfterHold := time.Since(beliefs.Confirmed())
+		ageAfterHold := time.Since(configCache.Confirmed())
 		stop()
 		assert.Assert(t, ageDuringHold > time.Second, "confirmed %s before", ageDuringHold)
 		assert.Assert(t, ageAfterHold < time.Second, "confirmed %s before", ageAfterHold)
@@ -160,14 +160,14 @@
 func TestFirstReadOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2}
-		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
-		beliefs.Offer(NewConfig(Parts{Version: 3}), time.Now())
+		configCache, inventory := NewConfigCache(), NewInventory(1200*time.Millisecond, 0)
+		configCache.Offer(NewConfig(Parts{Version: 3}), time.Now())
 		inventory.Replace(nil, PositionOf(1, 50), time.Now())
-		confirmedBefore := beliefs.Confirmed()
+		confirmedBefore := configCache.Confirmed()
 		time.Sleep(time.Second)
-		stop := startFollower(source, beliefs, inventory)
+		stop := startFollower(source, configCache, inventory)
 		time.Sleep(restoreHoldDuration - time.Second/2)
-		duringHold := beliefs.Confirmed()
+		duringHold := configCache.Confirmed()
 		stop()
 		assert.Equal(t, duringHold, confirmedBefore)
 	})
@@ -179,12 +179,12 @@
 func TestFirstReadAfterOutageMayBeOfRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3, era: 2, isDown: true}
-		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
-		stop := startFollower(source, beliefs, inventory)
+		configCache, inventory := NewConfigCache(), NewInventory(1200*time.Millisecond, 0)
+		stop := startFollower(source, configCache, inventory)
 		time.Sleep(1500 * time.Millisecond)
 		source.set(func() { source.isDown = false })
 		time.Sleep(restoreHoldDuration - time.Second/2)
-		duringHold := beliefs.Confirmed()
+		duringHold := configCache.Confirmed()
 		stop()
 		assert.Assert(t, duringHold.IsZero(), "confirmed before the operator's change could be repeated")
 	})
@@ -207,15 +207,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				source := &fakeSource{version: 3, era: test.era}
-				beliefs := NewBeliefs()
-				stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+				configCache := NewConfigCache()
+				stop := startFollower(source, configCache, NewInventory(1200*time.Millisecond, 0))
 				time.Sleep(restoreHoldDuration / 4)
 				if test.peerConfirms {
-					beliefs.Confirm(3, time.Now())
+					configCache.Confirm(3, time.Now())
 				}
-				confirmed := beliefs.Confirmed()
+				confirmed := configCache.Confirmed()
 				time.Sleep(restoreHoldDuration)
-				afterHold := beliefs.Confirmed()
+				afterHold := configCache.Confirmed()
 				stop()
 				assert.Equal(t, confirmed.IsZero(), test.isUnconfirmed)
 				assert.Assert(t, !afterHold.IsZero(), "the hold ends")
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -15,9 +15,9 @@
 
 // Timing of a follower.
 const (
-	// pollWait is how long a read waits for changes. A read confirms data as of when it was sent, so
-	// the confirmation may be pollWait old when the read returns. The age at which peers start to
-	// read the source themselves must exceed pollWait plus two heartbeats.
+	// pollWait is how long a read waits for changes. A read confirms data as of when it was sent,
+	// so the confirmation may be pollWait old when the read returns. The age at which peers start
+	// to read the source themselves must exceed pollWait plus two heartbeats.
 	pollWait = 300 * time.Millisecond
 	// firstConfigWait replaces pollWait until there is a configuration that could be confirmed.
 	firstConfigWait = 2 * time.Second
@@ -43,68 +43,68 @@
 	coalesceDelay = 60 * time.Millisecond
 )
 
-// ConfigNews is the result of a read of the configuration.
-type ConfigNews struct {
+// ConfigUpdate is the result of a read of the configuration.
+type ConfigUpdate struct {
 	// Config is nil if there is nothing new.
 	Config *Config
 	// Next is the position at which to continue.
 	Next int64
-	// Lost is set if the source no longer keeps the changes after the requested position, so that
-	// everything must be read again.
-	Lost bool
+	// PositionLost is set if the source no longer keeps the changes after the requested position,
+	// so that everything must be read again.
+	PositionLost bool
 	// More is set if there is more to read at once, starting at Next.
 	More bool
-	// Refused is the error of the newest configuration, or nil if that is valid. If there is an
+	// ConfigErr is the error of the newest configuration, or nil if that is valid. If there is an
 	// error, Config is the newest valid configuration, or nil if that is not new.
-	Refused error
+	ConfigErr error
 	// Halls holds the states of data halls, which are published along with the configuration.
-	Halls HallNews
+	Halls HallUpdate
 }
 
-// WorkerNews is the result of a read of the worker list.
-type WorkerNews struct {
+// WorkerUpdate is the result of a read of the worker list.
+type WorkerUpdate struct {
 	Changes []Change
 	// Next is the position at which to continue.
 	Next int64
-	// Lost is set if the source no longer keeps the changes after the requested position, so that
-	// the whole list must be read again.
-	Lost bool
-	// More is set if there is more to read at once. While a whole list is read, the next page starts
-	// after the id in Last; otherwise the next read continues at Next.
+	// PositionLost is set if the source no longer keeps the changes after the requested position,
+	// so that the whole list must be read again.
+	PositionLost bool
+	// More is set if there is more to read at once. While a whole list is read, the next page
+	// starts after the id in Last; otherwise the next read continues at Next.
 	More bool
 	// Last is the id of the last worker in a page of a whole list.
 	Last string
-	// Refused lists the errors of invalid entries, which are left out.
-	Refused []error
+	// EntryErrs lists the errors of invalid entries, which are left out.
+	EntryErrs []error
 }
 
 // Source reads the published configuration and worker list.
 type Source struct {
 	// ReadConfig returns the newest configuration.
-	ReadConfig func(ctx context.Context) (ConfigNews, error)
+	ReadConfig func(ctx context.Context) (ConfigUpdate, error)
 	// NextConfig waits for changes after position.
-	NextConfig func(ctx context.Context, position int64, wait time.Duration) (ConfigNews, error)
+	NextConfig func(ctx context.Context, position int64, wait time.Duration) (ConfigUpdate, error)
 	// ReadWorkers returns a page of the worker list as changes, starting after the given id. An
 	// empty id starts from the beginning. After the last page, NextWorkers continues at the Next of
 	// the first page.
-	ReadWorkers func(ctx context.Context, after string) (WorkerNews, error)
+	ReadWorkers func(ctx context.Context, after string) (WorkerUpdate, error)
 	// NextWorkers waits for changes after position.
-	NextWorkers func(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error)
+	NextWorkers func(ctx context.Context, position int64, wait time.Duration) (WorkerUpdate, error)
 }
 
 // FollowerOptions configures a Follower.
 type FollowerOptions struct {
-	Source  Source
-	Beliefs *Beliefs
+	Source      Source
+	ConfigCache *ConfigCache
 	// Halls receives the states of data halls; nil if none are published.
 	Halls     *Halls
 	Inventory *Inventory
-	// Reads reports whether this daemon must read the source itself rather than rely on its peers.
-	// confirmed is the time at which the data was last confirmed.
-	Reads func(confirmed time.Time) bool
-	// Spread returns the minimum delay after a failed read, so that a large fleet does not call a
-	// recovering source all at once. A nil function means no minimum.
-	Spread func() time.Duration
+	// ShouldRead reports whether this daemon must read the source itself rather than rely on its
+	// peers. confirmed is the time at which the data was last confirmed.
+	ShouldRead func(confirmed time.Time) bool
+	// MinRetryDelay returns the minimum delay after a failed read, so that a large fleet does not
+	// call a recovering source all at once. A nil function means no minimum.
+	MinRetryDelay func() time.Duration
 	// Suspended returns the total time for which the machine was suspended; nil if it never is.
 	Suspended func() time.Duration
 	Logger    hclog.Logger
@@ -143,7 +143,7 @@
 	position := int64(-1)
 	var list pendingList
 	f.poll(ctx, "worker list", f.shouldReadWorkers, func(ctx context.Context) error {
-		if position < 0 || f.opts.Inventory.AwaitsList() {
+		if position < 0 || f.opts.Inventory.NeedsList() {
 			done, err := f.readList(ctx, &list)
 			if done {
 				position = list.next
@@ -161,18 +161,18 @@
 		switch {
 		case err != nil:
 			return err
-		case update.Lost:
+		case update.PositionLost:
 			position = -1
 			return nil
 		}
-		f.logInvalidEntries(update.Refused)
+		f.logInvalidEntries(update.EntryErrs)
 		read := Delta{From: position, To: update.Next, Changes: update.Changes}
 		position = update.Next
 		if update.More {
 			f.opts.Inventory.ApplyPart(read, sent.Time())
 			return nil
 		}
-		f.opts.Inventory.Take(read, sent.Time())
+		f.opts.Inventory.ApplyRead(read, sent.Time())
 		pause.For(ctx, coalesceDelay)
 		return nil
 	})
@@ -181,21 +181,21 @@
 // delayListRetry waits for listRetryDelay if a whole list is still needed after one was read. This
 // is so if the list was older than what peers have sent.
 func (f *Follower) delayListRetry(ctx context.Context) {
-	if f.opts.Inventory.AwaitsList() {
+	if f.opts.Inventory.NeedsList() {
 		pause.For(ctx, listRetryDelay)
 	}
 }
 
 // shouldReadWorkers reports whether this daemon must read the worker list now.
 func (f *Follower) shouldReadWorkers() bool {
-	return f.opts.Inventory.AwaitsList() || f.opts.Reads(f.opts.Inventory.Confirmed())
+	return f.opts.Inventory.NeedsList() || f.opts.ShouldRead(f.opts.Inventory.Confirmed())
 }
 
 // holdFirstReads ignores confirmations by reads for a while after the first read if the source was
 // once restored from a copy, which its era shows. previousEra is negative at the first read.
 func (f *Follower) holdFirstReads(previousEra, era int64) {
 	if previousEra < 0 && era > 0 {
-		f.opts.Beliefs.HoldFirstReads(time.Now())
+		f.opts.ConfigCache.HoldFirstReads(time.Now())
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	eraPlusOne := EraOf(position) + 1
 	if knownPlusOne > 0 && eraPlusOne > knownPlusOne {
-		f.opts.Beliefs.HoldCopy(time.Now())
+		f.opts.ConfigCache.HoldAfterRestore(time.Now())
 	}
 	f.eraPlusOne.Store(max(eraPlusOne, knownPlusOne))
 }
@@ -237,7 +237,7 @@
 	if err != nil {
 		return false, err
 	}
-	f.logInvalidEntries(update.Refused)
+	f.logInvalidEntries(update.EntryErrs)
 	switch {
 	case l.after == "":
 		l.next = update.Next
@@ -263,10 +263,10 @@
 
 // spreadDelay returns the minimum delay after a failed read.
 func (f *Follower) spreadDelay() time.Duration {
-	if f.opts.Spread == nil {
+	if f.opts.MinRetryDelay == nil {
 		return 0
 	}
-	return f.opts.Spread()
+	return f.opts.MinRetryDelay()
 }
 
 // poll calls read repeatedly until ctx ends, except while shouldRead reports false. Failed reads
--- a/fleet/halls.go
+++ b/fleet/halls.go
@@ -15,7 +15,8 @@
 const (
 	// HallOpen halls take requests.
 	HallOpen HallState = iota
-	// HallClosing halls are being emptied. They take only requests for which no other hall has room.
+	// HallClosing halls are being emptied. They take only requests for which no other hall has
+	// room.
 	HallClosing
 	// HallClosed halls take no requests.
 	HallClosed
@@ -48,15 +49,15 @@
 	Closed bool
 }
 
-// HallNews is the result of a read of the closed data halls.
-type HallNews struct {
-	// Whole marks a complete list. Halls that it does not mention are open.
-	Whole   bool
-	Changes []HallChange
-	// Unclear names the halls whose entries are invalid. They keep their last state.
-	Unclear []string
-	// Refused holds the errors of the invalid entries.
-	Refused []error
+// HallUpdate is the result of a read of the closed data halls.
+type HallUpdate struct {
+	// IsComplete marks a complete list. Halls that it does not mention are open.
+	IsComplete bool
+	Changes    []HallChange
+	// InvalidHalls names the halls whose entries are invalid. They keep their last state.
+	InvalidHalls []string
+	// EntryErrs holds the errors of the invalid entries.
+	EntryErrs []error
 }
 
 // ClosedHall is a closed or closing data hall in a report to peers.
@@ -154,21 +155,21 @@
 // signal.
 func (h *Halls) Changed() <-chan struct{} { return h.changed }
 
-// Take applies the result of a read that was sent at the given time. The result includes all
+// ApplyRead applies the result of a read that was sent at the given time. The result includes all
 // commands up to position.
-func (h *Halls) Take(update HallNews, position int64, sent time.Time) {
+func (h *Halls) ApplyRead(update HallUpdate, position int64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if position < h.position {
 		return
 	}
 	closed := h.closedHalls()
-	// If the source was restored from a copy, the operator's last command may be missing until it is
-	// repeated.
+	// If the source was restored from a copy, the operator's last command may be missing until it
+	// is repeated.
 	isRestored := h.position > 0 && EraOf(position) > EraOf(h.position)
-	if update.Whole {
+	if update.IsComplete {
 		for hall := range closed {
-			closed[hall] = isRestored || slices.Contains(update.Unclear, hall)
+			closed[hall] = isRestored || slices.Contains(update.InvalidHalls, hall)
 		}
 	}
 	for _, c := range update.Changes {
@@ -199,16 +200,16 @@
 		h.publish(closed, func(hall string) time.Time { return now.Add(time.Duration(remainingMillis[hall]) * time.Millisecond) })
 		h.position = r.Position
 	}
-	// This daemon's state may be newer than the reported one. It then includes the reported state, so
-	// that the confirmation also applies to it.
+	// This daemon's state may be newer than the reported one. It then includes the reported state,
+	// so that the confirmation also applies to it.
 	if !sentAfter.IsZero() {
 		h.confirm(sentAfter.Add(-time.Duration(r.AgeMillis) * time.Millisecond))
 	}
 }
 
-// Slept moves the time of the last confirmation and the deadlines of closing halls back by the time
-// for which the machine was suspended. The monotonic clock does not count that time.
-func (h *Halls) Slept(suspended time.Duration) {
+// AddSuspension moves the time of the last confirmation and the deadlines of closing halls back by
+// the time for which the machine was suspended. The monotonic clock does not count that time.
+func (h *Halls) AddSuspension(suspended time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.confirmed.IsZero() {
--- a/fleet/halls_test.go
+++ b/fleet/halls_test.go
@@ -13,12 +13,12 @@
 
 const emptyWithin = 5 * time.Second
 
-func closeUpdate(hall string) HallNews {
-	return HallNews{Changes: []HallChange{{Hall: hall, Closed: true}}}
+func closeUpdate(hall string) HallUpdate {
+	return HallUpdate{Changes: []HallChange{{Hall: hall, Closed: true}}}
 }
 
-func openUpdate(hall string) HallNews {
-	return HallNews{Changes: []HallChange{{Hall: hall}}}
+func openUpdate(hall string) HallUpdate {
+	return HallUpdate{Changes: []HallChange{{Hall: hall}}}
 }
 
 func TestHallClosesWithinTheBound(t *testing.T) {
@@ -36,9 +36,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := NewHalls(emptyWithin)
-				h.Take(HallNews{Whole: true}, 1, time.Now())
+				h.ApplyRead(HallUpdate{IsComplete: true}, 1, time.Now())
 				time.Sleep(test.sinceLastRead)
-				h.Take(closeUpdate("a"), 2, time.Now())
+				h.ApplyRead(closeUpdate("a"), 2, time.Now())
 				assert.Equal(t, h.View().State("b", time.Now()), HallOpen)
 				if test.closesAfter > 0 {
 					time.Sleep(test.closesAfter - time.Millisecond)
@@ -53,21 +53,21 @@
 
 func TestClosedHallIsClosedImmediatelyAfterStart(t *testing.T) {
 	h := NewHalls(emptyWithin)
-	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 7, time.Now())
+	h.ApplyRead(HallUpdate{IsComplete: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 7, time.Now())
 	assert.Equal(t, h.View().State("a", time.Now()), HallClosed)
 }
 
 func TestHallsOpenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHalls(emptyWithin)
-		h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}, {Hall: "b", Closed: true}}}, 2, time.Now())
+		h.ApplyRead(HallUpdate{IsComplete: true, Changes: []HallChange{{Hall: "a", Closed: true}, {Hall: "b", Closed: true}}}, 2, time.Now())
 		time.Sleep(time.Second)
-		h.Take(openUpdate("a"), 3, time.Now())
+		h.ApplyRead(openUpdate("a"), 3, time.Now())
 		assert.Equal(t, h.View().State("a", time.Now()), HallOpen)
 		assert.Equal(t, h.View().OpenedAt("a"), time.Now())
 		assert.Assert(t, h.View().OpenedAt("b").IsZero())
 		time.Sleep(time.Second)
-		h.Take(HallNews{Whole: true}, 9, time.Now())
+		h.ApplyRead(HallUpdate{IsComplete: true}, 9, time.Now())
 		assert.Equal(t, h.View().State("b", time.Now()), HallOpen, "a complete list without the hall opens it")
 		assert.Assert(t, h.View().AllOpen())
 	})
@@ -75,15 +75,15 @@
 
 func TestInvalidEntryKeepsHallState(t *testing.T) {
 	h := NewHalls(emptyWithin)
-	h.Take(HallNews{Whole: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 2, time.Now())
-	h.Take(HallNews{Whole: true, Unclear: []string{"a", "b"}}, 3, time.Now())
+	h.ApplyRead(HallUpdate{IsComplete: true, Changes: []HallChange{{Hall: "a", Closed: true}}}, 2, time.Now())
+	h.ApplyRead(HallUpdate{IsComplete: true, InvalidHalls: []string{"a", "b"}}, 3, time.Now())
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 }
 
 func TestOlderHallUpdatesAreIgnored(t *testing.T) {
 	h := NewHalls(emptyWithin)
-	h.Take(closeUpdate("a"), 5, time.Now())
-	h.Take(openUpdate("a"), 4, time.Now())
+	h.ApplyRead(closeUpdate("a"), 5, time.Now())
+	h.ApplyRead(openUpdate("a"), 4, time.Now())
 	h.Follow(HallReport{Position: 4}, time.Now())
 	assert.DeepEqual(t, h.View().Closed(), []string{"a"})
 	h.Follow(HallReport{}, time.Now())
@@ -96,8 +96,8 @@
 func TestPeersCloseHallAtTheSameTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, third := NewHalls(emptyWithin), NewHalls(emptyWithin), NewHalls(emptyWithin)
-		first.Take(HallNews{Whole: true}, 1, time.Now())
-		first.Take(closeUpdate("a"), 2, time.Now())
+		first.ApplyRead(HallUpdate{IsComplete: true}, 1, time.Now())
+		first.ApplyRead(closeUpdate("a"), 2, time.Now())
 		time.Sleep(time.Second)
 		second.Follow(first.Report(time.Now()), time.Now())
 		third.Follow(HallReport{Position: 2, Closed: []ClosedHall{{Hall: "a", RemainingMillis: 1 << 40}}}, time.Now())
@@ -128,7 +128,7 @@
 	p := &hallSimulation{closed: make(map[string]bool), changedAt: make(map[string]time.Time)}
 	for range daemons {
 		h := NewHalls(emptyWithin)
-		h.Take(HallNews{Whole: true}, 1, time.Now())
+		h.ApplyRead(HallUpdate{IsComplete: true}, 1, time.Now())
 		p.daemons = append(p.daemons, h)
 		p.readTo, p.updatedAt = append(p.readTo, 0), append(p.updatedAt, time.Now())
 	}
@@ -143,7 +143,7 @@
 
 // read lets a daemon read the new commands.
 func (p *hallSimulation) read(daemon int) {
-	p.daemons[daemon].Take(HallNews{Changes: slices.Clone(p.commands[p.readTo[daemon]:])}, int64(len(p.commands)+1), time.Now())
+	p.daemons[daemon].ApplyRead(HallUpdate{Changes: slices.Clone(p.commands[p.readTo[daemon]:])}, int64(len(p.commands)+1), time.Now())
 	p.readTo[daemon], p.updatedAt[daemon] = len(p.commands), time.Now()
 }
 
@@ -220,7 +220,7 @@
 func TestColdUntil(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := NewInventory(1200*time.Millisecond, 0)
-		i.Apply([]Change{{ID: "h", Worker: &Worker{ID: "h", Service: "s", ColdLeft: 3000}}}, 1, time.Now())
+		i.Apply([]Change{{ID: "h", Worker: &Worker{ID: "h", Service: "s", ColdRemainingMillis: 3000}}}, 1, time.Now())
 		w, ok := i.View().Worker("h")
 		assert.Assert(t, ok)
 		assert.Equal(t, w.ColdUntil, time.Now().Add(3*time.Second))
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -25,8 +25,8 @@
 	Model   string `json:"model"`
 	// Head is the member that receives the group's requests.
 	Head string `json:"head"`
-	// Open is set if the head takes requests. Otherwise the group is closed, and its head must not be
-	// sent any.
+	// Open is set if the head takes requests. Otherwise the group is closed, and its head must not
+	// be sent any.
 	Open bool `json:"open"`
 }
 
@@ -124,9 +124,9 @@
 // signal.
 func (i *Inventory) Changed() <-chan struct{} { return i.changed }
 
-// News returns a channel that receives after changes and decisions that peers may lack. Several may
-// be combined into one signal.
-func (i *Inventory) News() <-chan struct{} { return i.peerUpdates }
+// PeerUpdates returns a channel that receives after changes and decisions that peers may lack.
+// Several may be combined into one signal.
+func (i *Inventory) PeerUpdates() <-chan struct{} { return i.peerUpdates }
 
 // Position returns the position after the newest change applied.
 func (i *Inventory) Position() int64 {
@@ -135,8 +135,8 @@
 	return i.position
 }
 
-// KnownSince returns when the first list was applied, or the zero time.
-func (i *Inventory) KnownSince() time.Time {
+// FirstListAt returns when the first list was applied, or the zero time.
+func (i *Inventory) FirstListAt() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.firstListAt
@@ -157,7 +157,7 @@
 	defer i.mu.Unlock()
 	if position < i.position {
 		since, ok := i.journalSince(position)
-		if !ok || since.Heads || !i.needsList() {
+		if !ok || since.HeadsOnly || !i.needsList() {
 			return
 		}
 		all, position = slices.Concat(all, since.Changes), i.position
@@ -198,9 +198,9 @@
 	i.publish()
 }
 
-// Take applies the result of a read that was sent at the given time. An empty result confirms the
-// current list.
-func (i *Inventory) Take(d Delta, sent time.Time) {
+// ApplyRead applies the result of a read that was sent at the given time. An empty result confirms
+// the current list.
+func (i *Inventory) ApplyRead(d Delta, sent time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.applyDelta(d.withExactness(), sent)
@@ -231,8 +231,8 @@
 	changes, position := d.Changes, d.To
 	i.detectOutage(sent)
 	i.markHeads(changes)
-	if len(changes) > 0 || d.Heads {
-		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, isExact: d.IsExact, headsOnly: d.Heads})
+	if len(changes) > 0 || d.HeadsOnly {
+		i.journal = append(i.journal, batch{from: i.position, to: position, changes: changes, isExact: d.IsExact, headsOnly: d.HeadsOnly})
 		i.journal = i.journal[max(len(i.journal)-maxJournalBatches, 0):]
 	}
 	for _, c := range changes {
@@ -284,7 +284,7 @@
 	d = Delta{From: i.journal[first].from, To: i.position, IsExact: true}
 	for _, b := range i.journal[first:] {
 		d.Changes = append(d.Changes, b.changes...)
-		d.IsExact, d.Heads = d.IsExact && b.isExact, d.Heads || b.headsOnly
+		d.IsExact, d.HeadsOnly = d.IsExact && b.isExact, d.HeadsOnly || b.headsOnly
 	}
 	return d, true
 }
@@ -295,7 +295,7 @@
 func (i *Inventory) Follow(d Delta, at time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if d.Heads && !i.headsOnly {
+	if d.HeadsOnly && !i.headsOnly {
 		// The changes of other workers would be missed.
 		return
 	}
@@ -337,9 +337,9 @@
 	}
 }
 
-// Slept moves the time of the last confirmation back by the time for which the machine was
+// AddSuspension moves the time of the last confirmation back by the time for which the machine was
 // suspended. The monotonic clock does not count that time.
-func (i *Inventory) Slept(suspended time.Duration) {
+func (i *Inventory) AddSuspension(suspended time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !i.confirmed.IsZero() {
@@ -347,13 +347,13 @@
 	}
 }
 
-// Leave marks a worker as leaving after its process announced this by other means than the list.
-// born is the start time of that process; other processes of the worker are not marked.
-func (i *Inventory) Leave(worker string, born int64) {
+// MarkLeaving marks a worker as leaving after its process announced this by other means than the
+// list. born is the start time of that process; other processes of the worker are not marked.
+func (i *Inventory) MarkLeaving(worker string, born int64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	w, held := i.workers[worker]
-	if !held || w.Born != born || w.Draining {
+	if !held || w.StartedAt != born || w.Draining {
 		return
 	}
 	leaving := *w
@@ -362,8 +362,8 @@
 	i.publish()
 }
 
-// Closed reports whether a leader announced that a group is closed.
-func (i *Inventory) Closed(group string) bool {
+// IsGroupClosed reports whether a leader announced that a group is closed.
+func (i *Inventory) IsGroupClosed(group string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	a, ok := i.announcements[group]
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -210,7 +210,7 @@
 
 func TestBeliefsOnlyMoveForwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBeliefs()
+		b := NewConfigCache()
 		start := time.Now()
 		highest, confirmed := int64(0), time.Time{}
 		for _, version := range rapid.SliceOfN(rapid.Int64Range(1, 9), 1, 40).Draw(t, "versions") {
@@ -261,24 +261,24 @@
 	return Source{ReadConfig: s.readConfig, NextConfig: s.nextConfig, ReadWorkers: s.readWorkers, NextWorkers: s.nextWorkers}
 }
 
-func (s *fakeSource) readConfig(context.Context) (ConfigNews, error) {
+func (s *fakeSource) readConfig(context.Context) (ConfigUpdate, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configCalls++
 	if s.isDown {
-		return ConfigNews{}, errUnavailable
+		return ConfigUpdate{}, errUnavailable
 	}
 	if s.version == 0 {
-		return ConfigNews{}, nil
+		return ConfigUpdate{}, nil
 	}
 	if s.invalidErr != nil {
 		// The version before the newest one is valid.
-		return ConfigNews{Config: NewConfig(Parts{Version: s.version - 1}), Refused: s.invalidErr, Next: s.version}, nil
+		return ConfigUpdate{Config: NewConfig(Parts{Version: s.version - 1}), ConfigErr: s.invalidErr, Next: s.version}, nil
 	}
-	return ConfigNews{Config: NewConfig(Parts{Version: s.version}), Next: PositionOf(s.era, s.version)}, nil
+	return ConfigUpdate{Config: NewConfig(Parts{Version: s.version}), Next: PositionOf(s.era, s.version)}, nil
 }
 
-func (s *fakeSource) nextConfig(ctx context.Context, position int64, wait time.Duration) (ConfigNews, error) {
+func (s *fakeSource) nextConfig(ctx context.Context, position int64, wait time.Duration) (ConfigUpdate, error) {
 	s.mu.Lock()
 	down, lost, version := s.isDown, s.positionLost, s.version
 	s.positionLost = false
@@ -286,7 +286,7 @@
 	s.mu.Unlock()
 	switch {
 	case lost:
-		return ConfigNews{Lost: true}, nil
+		return ConfigUpdate{PositionLost: true}, nil
 	case !down && version > OffsetOf(position):
 		return s.readConfig(ctx)
 	}
@@ -295,31 +295,31 @@
 	case <-ctx.Done():
 	}
 	if down {
-		return ConfigNews{}, errUnavailable
+		return ConfigUpdate{}, errUnavailable
 	}
-	return ConfigNews{Next: position}, nil
+	return ConfigUpdate{Next: position}, nil
 }
 
-func (s *fakeSource) readWorkers(context.Context, string) (WorkerNews, error) {
+func (s *fakeSource) readWorkers(context.Context, string) (WorkerUpdate, error) {
 	s.set(func() { s.listReads++ })
 	// The delay stands for the latency of the store.
 	time.Sleep(4 * time.Millisecond)
-	return WorkerNews{Next: 1, Changes: []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}}, nil
+	return WorkerUpdate{Next: 1, Changes: []Change{{ID: "w", Worker: headWorker("w", "g", 1, Open)}}}, nil
 }
 
-func (s *fakeSource) nextWorkers(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error) {
+func (s *fakeSource) nextWorkers(ctx context.Context, position int64, wait time.Duration) (WorkerUpdate, error) {
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	return WorkerNews{Next: position}, nil
+	return WorkerUpdate{Next: position}, nil
 }
 
 // startFollower runs a follower of a source until the returned function stop is called.
-func startFollower(source *fakeSource, beliefs *Beliefs, inventory *Inventory) (stop func()) {
+func startFollower(source *fakeSource, configCache *ConfigCache, inventory *Inventory) (stop func()) {
 	f := NewFollower(FollowerOptions{
-		Source: source.source(), Beliefs: beliefs, Inventory: inventory,
-		Reads: func(time.Time) bool { return true }, Logger: hclog.NewNullLogger(),
+		Source: source.source(), ConfigCache: configCache, Inventory: inventory,
+		ShouldRead: func(time.Time) bool { return true }, Logger: hclog.NewNullLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go f.Run(ctx)
@@ -332,20 +332,20 @@
 func TestFollowerKeepsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
-		beliefs, inventory := NewBeliefs(), NewInventory(1200*time.Millisecond, 0)
-		stop := startFollower(source, beliefs, inventory)
+		configCache, inventory := NewConfigCache(), NewInventory(1200*time.Millisecond, 0)
+		stop := startFollower(source, configCache, inventory)
 		time.Sleep(time.Second)
-		assert.Equal(t, beliefs.Version(), int64(3))
+		assert.Equal(t, configCache.Version(), int64(3))
 		assert.Equal(t, len(inventory.View().Workers()), 1)
-		assert.Assert(t, time.Since(beliefs.Confirmed()) <= time.Second)
+		assert.Assert(t, time.Since(configCache.Confirmed()) <= time.Second)
 
 		source.set(func() { source.isDown = true })
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, time.Since(beliefs.Confirmed()) > 8*time.Second, "a failed read confirms nothing")
+		assert.Assert(t, time.Since(configCache.Confirmed()) > 8*time.Second, "a failed read confirms nothing")
 
 		source.set(func() { source.isDown, source.version, source.positionLost = false, 5, true })
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, beliefs.Version(), int64(5))
+		assert.Equal(t, configCache.Version(), int64(5))
 		stop()
 	})
 }
@@ -355,19 +355,19 @@
 func TestInvalidConfigurationConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{version: 3}
-		beliefs := NewBeliefs()
-		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		configCache := NewConfigCache()
+		stop := startFollower(source, configCache, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(time.Second)
 		source.set(func() { source.version, source.invalidErr = 5, errUnavailable })
 		time.Sleep(10 * time.Second)
-		ageWhileInvalid, version := time.Since(beliefs.Confirmed()), beliefs.Version()
+		ageWhileInvalid, version := time.Since(configCache.Confirmed()), configCache.Version()
 		source.set(func() { source.version, source.invalidErr = 6, nil })
 		time.Sleep(2 * time.Second)
-		ageAfterwards := time.Since(beliefs.Confirmed())
+		ageAfterwards := time.Since(configCache.Confirmed())
 		stop()
 		assert.Equal(t, version, int64(4), "the last valid one")
 		assert.Assert(t, ageWhileInvalid > 8*time.Second, "an invalid configuration confirms nothing")
-		assert.Equal(t, beliefs.Version(), int64(6))
+		assert.Equal(t, configCache.Version(), int64(6))
 		assert.Assert(t, ageAfterwards < time.Second)
 	})
 }
@@ -377,15 +377,15 @@
 func TestFollowerWaitsForTheFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{}
-		beliefs := NewBeliefs()
-		stop := startFollower(source, beliefs, NewInventory(1200*time.Millisecond, 0))
+		configCache := NewConfigCache()
+		stop := startFollower(source, configCache, NewInventory(1200*time.Millisecond, 0))
 		time.Sleep(10 * time.Second)
 		source.set(func() {
 			assert.Assert(t, source.configCalls <= 10, "%d calls without a configuration", source.configCalls)
 			source.version = 1
 		})
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, beliefs.Version(), int64(1))
+		assert.Equal(t, configCache.Version(), int64(1))
 		stop()
 	})
 }
--- a/fleet/scope.go
+++ b/fleet/scope.go
@@ -9,8 +9,8 @@
 const (
 	// AllWorkers is the scope of leaders and of daemons that may become leader soon.
 	AllWorkers Scope = iota
-	// HeadsOnly is the scope of daemons that only serve requests. It covers the workers that requests
-	// can be sent to, which are a small part of all workers.
+	// HeadsOnly is the scope of daemons that only serve requests. It covers the workers that
+	// requests can be sent to, which are a small part of all workers.
 	HeadsOnly
 )
 
@@ -35,16 +35,16 @@
 	i.publish()
 }
 
-// Complete reports whether all listed workers are held.
-func (i *Inventory) Complete() bool {
+// IsComplete reports whether all listed workers are held.
+func (i *Inventory) IsComplete() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return !i.headsOnly && !i.confirmed.IsZero()
 }
 
-// AwaitsList reports whether a whole list is needed, because all workers are requested but only
+// NeedsList reports whether a whole list is needed, because all workers are requested but only
 // heads are held.
-func (i *Inventory) AwaitsList() bool {
+func (i *Inventory) NeedsList() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.needsList()
@@ -52,8 +52,8 @@
 
 func (i *Inventory) needsList() bool { return i.headsOnly && i.scope == AllWorkers }
 
-// Wants returns the scope to request from peers.
-func (i *Inventory) Wants() Scope {
+// RequestedScope returns the scope to request from peers.
+func (i *Inventory) RequestedScope() Scope {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.scope
@@ -93,7 +93,7 @@
 // heads only.
 func (i *Inventory) HeadsSince(from int64) (d Delta, whole bool) {
 	d, whole = i.Since(from)
-	heads := Delta{From: d.From, To: d.To, Heads: true}
+	heads := Delta{From: d.From, To: d.To, HeadsOnly: true}
 	for _, c := range d.Changes {
 		if c.OfHead || whole && c.Worker.isHead() {
 			heads.Changes = append(heads.Changes, c)
@@ -107,7 +107,7 @@
 // It returns false if several parts are needed but the delta is not exact.
 func (d Delta) SplitHeads(limit int) ([]Delta, bool) {
 	var parts []Delta
-	part := Delta{From: d.From, Heads: true}
+	part := Delta{From: d.From, HeadsOnly: true}
 	for n, c := range d.Changes {
 		if !c.OfHead {
 			continue
@@ -118,7 +118,7 @@
 			}
 			part.To = d.From + int64(n)
 			parts = append(parts, part)
-			part = Delta{From: part.To, Heads: true}
+			part = Delta{From: part.To, HeadsOnly: true}
 		}
 		part.Changes = append(part.Changes, c)
 	}
--- a/fleet/scope_test.go
+++ b/fleet/scope_test.go
@@ -57,7 +57,7 @@
 		d, _ := source.Since(-1)
 		member.Replace(d.Changes, d.To, time.Now())
 		checkSameWorkers(t, source.View(), member.View())
-		if !member.Complete() {
+		if !member.IsComplete() {
 			t.Fatalf("the list is not complete")
 		}
 	})
@@ -80,7 +80,7 @@
 // catchUpHeads brings a member to the source's position, with heads only unless it holds all
 // workers.
 func catchUpHeads(source, member *Inventory) {
-	if member.Complete() {
+	if member.IsComplete() {
 		catchUp(source, member, time.Now())
 		return
 	}
@@ -114,11 +114,11 @@
 func TestCompleteListIgnoresHeadDeltas(t *testing.T) {
 	i := NewInventory(time.Second, 0)
 	i.Replace([]Change{{ID: "h", Worker: headWorker("h", "g", 1, Open)}}, 1, time.Now())
-	i.Follow(Delta{From: 1, To: 3, Heads: true}, time.Now())
+	i.Follow(Delta{From: 1, To: 3, HeadsOnly: true}, time.Now())
 	assert.Equal(t, i.Position(), int64(1))
 	i.ReplaceHeads(nil, 5, time.Now())
 	assert.Equal(t, i.Position(), int64(1))
-	assert.Assert(t, i.Complete())
+	assert.Assert(t, i.IsComplete())
 }
 
 // TestHeadChangesGrowWithGroups checks that the number of changes and workers sent to a member with
@@ -176,7 +176,7 @@
 	i.Follow(d, time.Now())
 	assert.Equal(t, i.Position(), int64(4))
 	i.Replace(whole.Changes, whole.To, time.Now())
-	assert.Assert(t, i.Complete(), "a list is still needed")
+	assert.Assert(t, i.IsComplete(), "a list is still needed")
 	assert.Equal(t, i.Position(), int64(4))
 	_, isListed := i.View().Worker("b")
 	assert.Assert(t, !isListed, "a worker that left came back")
@@ -193,10 +193,10 @@
 		inventory.SetScope(HeadsOnly)
 		inventory.Replace(nil, 50, time.Now())
 		inventory.SetScope(AllWorkers)
-		stop := startFollower(source, NewBeliefs(), inventory)
+		stop := startFollower(source, NewConfigCache(), inventory)
 		time.Sleep(3 * time.Second)
 		stop()
-		assert.Assert(t, inventory.AwaitsList())
+		assert.Assert(t, inventory.NeedsList())
 		assert.Assert(t, source.listReads > 0 && source.listReads <= 10, "read %d times in 3 s", source.listReads)
 	})
 }
--- a/fleet/slowsource_test.go
+++ b/fleet/slowsource_test.go
@@ -53,28 +53,28 @@
 	return newest
 }
 
-func (s *slowSource) readConfig(context.Context) (ConfigNews, error) {
+func (s *slowSource) readConfig(context.Context) (ConfigUpdate, error) {
 	newest := s.readNewestSlowly()
-	return ConfigNews{Config: NewConfig(Parts{Version: newest}), Next: newest, Halls: HallNews{Whole: true}}, nil
+	return ConfigUpdate{Config: NewConfig(Parts{Version: newest}), Next: newest, Halls: HallUpdate{IsComplete: true}}, nil
 }
 
-func (s *slowSource) nextConfig(_ context.Context, position int64, _ time.Duration) (ConfigNews, error) {
+func (s *slowSource) nextConfig(_ context.Context, position int64, _ time.Duration) (ConfigUpdate, error) {
 	newest := s.readNewestSlowly()
 	next := min(position+slowPageSize, newest)
 	if next == position {
-		return ConfigNews{Next: next}, nil
+		return ConfigUpdate{Next: next}, nil
 	}
-	return ConfigNews{Config: NewConfig(Parts{Version: next}), Next: next, More: next < newest}, nil
+	return ConfigUpdate{Config: NewConfig(Parts{Version: next}), Next: next, More: next < newest}, nil
 }
 
-func (s *slowSource) readWorkers(context.Context, string) (WorkerNews, error) {
-	return WorkerNews{Next: s.readNewestSlowly()}, nil
+func (s *slowSource) readWorkers(context.Context, string) (WorkerUpdate, error) {
+	return WorkerUpdate{Next: s.readNewestSlowly()}, nil
 }
 
-func (s *slowSource) nextWorkers(_ context.Context, position int64, _ time.Duration) (WorkerNews, error) {
+func (s *slowSource) nextWorkers(_ context.Context, position int64, _ time.Duration) (WorkerUpdate, error) {
 	newest := s.readNewestSlowly()
 	next := min(position+slowPageSize, newest)
-	return WorkerNews{Next: next, More: next < newest}, nil
+	return WorkerUpdate{Next: next, More: next < newest}, nil
 }
 
 // TestSlowReaderConfirmsOnlyWhatItRead checks that outdated data is not confirmed while changes are
@@ -85,19 +85,19 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go source.publish(ctx, 100*time.Millisecond)
 		time.Sleep(time.Second)
-		beliefs, inventory, halls := NewBeliefs(), NewInventory(time.Second, 0), NewHalls(5*time.Second)
+		configCache, inventory, halls := NewConfigCache(), NewInventory(time.Second, 0), NewHalls(5*time.Second)
 		f := NewFollower(FollowerOptions{
 			Source: Source{
 				ReadConfig: source.readConfig, NextConfig: source.nextConfig,
 				ReadWorkers: source.readWorkers, NextWorkers: source.nextWorkers,
 			},
-			Beliefs: beliefs, Inventory: inventory, Halls: halls, Reads: func(time.Time) bool { return true },
+			ConfigCache: configCache, Inventory: inventory, Halls: halls, ShouldRead: func(time.Time) bool { return true },
 			Logger: hclog.NewNullLogger(),
 		})
 		go f.Run(ctx)
 		for range 400 {
 			time.Sleep(50 * time.Millisecond)
-			version, confirmed := beliefs.State()
+			version, confirmed := configCache.State()
 			assert.Assert(t, source.newestBefore(confirmed) <= version, "version %d was confirmed, %d was published", version, source.newestBefore(confirmed))
 			report := halls.Report(time.Now())
 			confirmedAt := time.Now().Add(-time.Duration(report.AgeMillis) * time.Millisecond)
@@ -106,7 +106,7 @@
 		}
 		// Two answers are enough to skip to the newest version.
 		const answers = 2
-		assert.Assert(t, beliefs.Version() >= source.newestBefore(time.Now().Add(-answers*slowAnswerDelay)), "%d of %d is known", beliefs.Version(), source.newestBefore(time.Now()))
+		assert.Assert(t, configCache.Version() >= source.newestBefore(time.Now().Add(-answers*slowAnswerDelay)), "%d of %d is known", configCache.Version(), source.newestBefore(time.Now()))
 		cancel()
 		<-f.Done()
 		time.Sleep(time.Second)
--- a/fleet/suspended_test.go
+++ b/fleet/suspended_test.go
@@ -18,13 +18,13 @@
 		var suspended atomic.Int64
 		source := (&fakeSource{version: 3}).source()
 		next := source.NextWorkers
-		source.NextWorkers = func(ctx context.Context, position int64, wait time.Duration) (WorkerNews, error) {
+		source.NextWorkers = func(ctx context.Context, position int64, wait time.Duration) (WorkerUpdate, error) {
 			suspended.Add(int64(time.Minute))
 			return next(ctx, position, wait)
 		}
 		inventory := NewInventory(time.Second, 0)
 		f := NewFollower(FollowerOptions{
-			Source: source, Beliefs: NewBeliefs(), Inventory: inventory, Reads: func(time.Time) bool { return true },
+			Source: source, ConfigCache: NewConfigCache(), Inventory: inventory, ShouldRead: func(time.Time) bool { return true },
 			Suspended: func() time.Duration { return time.Duration(suspended.Load()) }, Logger: hclog.NewNullLogger(),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -45,28 +45,28 @@
 		var suspended atomic.Int64
 		source := (&fakeSource{version: 3}).source()
 		readConfig, readWorkers := source.ReadConfig, source.ReadWorkers
-		source.ReadConfig = func(ctx context.Context) (ConfigNews, error) {
+		source.ReadConfig = func(ctx context.Context) (ConfigUpdate, error) {
 			suspended.Add(int64(time.Minute))
 			return readConfig(ctx)
 		}
-		source.ReadWorkers = func(ctx context.Context, after string) (WorkerNews, error) {
+		source.ReadWorkers = func(ctx context.Context, after string) (WorkerUpdate, error) {
 			suspended.Add(int64(time.Minute))
 			return readWorkers(ctx, after)
 		}
-		beliefs, inventory := NewBeliefs(), NewInventory(time.Second, 0)
+		configCache, inventory := NewConfigCache(), NewInventory(time.Second, 0)
 		f := NewFollower(FollowerOptions{
-			Source: source, Beliefs: beliefs, Inventory: inventory, Reads: func(time.Time) bool { return true },
+			Source: source, ConfigCache: configCache, Inventory: inventory, ShouldRead: func(time.Time) bool { return true },
 			Suspended: func() time.Duration { return time.Duration(suspended.Load()) }, Logger: hclog.NewNullLogger(),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		go f.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, beliefs.Version(), int64(3))
-		assert.Assert(t, time.Since(beliefs.Confirmed()) >= time.Minute, "confirmed %s ago", time.Since(beliefs.Confirmed()))
+		assert.Equal(t, configCache.Version(), int64(3))
+		assert.Assert(t, time.Since(configCache.Confirmed()) >= time.Minute, "confirmed %s ago", time.Since(configCache.Confirmed()))
 		assert.Equal(t, len(inventory.View().Workers()), 1)
 		assert.Assert(t, time.Since(inventory.Confirmed()) >= time.Minute, "confirmed %s ago", time.Since(inventory.Confirmed()))
 		time.Sleep(4 * time.Second)
-		assert.Assert(t, time.Since(beliefs.Confirmed()) < 4*time.Second, "uninterrupted reads confirm")
+		assert.Assert(t, time.Since(configCache.Confirmed()) < 4*time.Second, "uninterrupted reads confirm")
 		cancel()
 		<-f.Done()
 	})
--- a/fleet/worker.go
+++ b/fleet/worker.go
@@ -31,14 +31,15 @@
 	State GroupState `json:"state,omitempty"`
 }
 
-// Same reports whether m and other have the same group and epoch.
-func (m Membership) Same(other Membership) bool {
+// SameGroup reports whether m and other have the same group and epoch.
+func (m Membership) SameGroup(other Membership) bool {
 	return m.Group == other.Group && m.Epoch == other.Epoch
 }
 
 // Worker is the entry of one worker process, as the worker describes itself.
 type Worker struct {
-	// ID names the worker. A restarted worker has another id, or the same id and another start time.
+	// ID names the worker. A restarted worker has another id, or the same id and another start
+	// time.
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
@@ -47,15 +48,16 @@
 	Domain   string `json:"domain,omitempty"`
 	Slots    int    `json:"slots"`
 	Draining bool   `json:"draining,omitempty"`
-	// Born is when the process started, in Unix milliseconds; 0 if the worker does not report it.
-	Born int64 `json:"born,omitempty"`
-	// Beat counts the heartbeats of the process up to this entry.
-	Beat int64 `json:"beat,omitempty"`
-	// ColdLeft is how much longer the worker expected to be cold when it wrote the entry, in
-	// milliseconds.
-	ColdLeft int64 `json:"cold,omitempty"`
-	// ColdUntil is when this daemon considers the worker no longer cold. It is ColdLeft after the
-	// entry was received, and so rather too late than too early.
+	// StartedAt is when the process started, in Unix milliseconds; 0 if the worker does not report
+	// it.
+	StartedAt int64 `json:"born,omitempty"`
+	// HeartbeatCount counts the heartbeats of the process up to this entry.
+	HeartbeatCount int64 `json:"beat,omitempty"`
+	// ColdRemainingMillis is how much longer the worker expected to be cold when it wrote the
+	// entry, in milliseconds.
+	ColdRemainingMillis int64 `json:"cold,omitempty"`
+	// ColdUntil is when this daemon considers the worker no longer cold. It is ColdRemainingMillis
+	// after the entry was received, and so rather too late than too early.
 	ColdUntil time.Time `json:"-"`
 	// Loaded is the model of the process's last group, or empty if it was in none. The worker can
 	// join another group of that model without loading weights.
@@ -77,7 +79,7 @@
 
 // isOlderThan reports whether the worker wrote this entry before the other one.
 func (w *Worker) isOlderThan(other *Worker) bool {
-	return cmp.Or(cmp.Compare(w.Born, other.Born), cmp.Compare(w.Beat, other.Beat)) < 0
+	return cmp.Or(cmp.Compare(w.StartedAt, other.StartedAt), cmp.Compare(w.HeartbeatCount, other.HeartbeatCount)) < 0
 }
 
 // isHead reports whether the worker is the head of a group or belongs to a service without groups.
@@ -90,10 +92,10 @@
 // loaded model, the earlier one is kept, since a worker that left its group still holds the
 // weights. A worker that was marked as leaving stays so. ColdUntil is set if the worker is cold.
 func (w *Worker) mergedWith(earlier *Worker) *Worker {
-	sameProcess := earlier != nil && earlier.Born == w.Born
+	sameProcess := earlier != nil && earlier.StartedAt == w.StartedAt
 	keepsModel := sameProcess && w.Loaded == "" && earlier.Loaded != ""
 	isLeaving := sameProcess && earlier.Draining && !w.Draining
-	if !keepsModel && !isLeaving && w.ColdLeft <= 0 {
+	if !keepsModel && !isLeaving && w.ColdRemainingMillis <= 0 {
 		return w
 	}
 	merged := *w
@@ -101,8 +103,8 @@
 		merged.Loaded = earlier.Loaded
 	}
 	merged.Draining = w.Draining || isLeaving
-	if w.ColdLeft > 0 {
-		merged.ColdUntil = time.Now().Add(time.Duration(w.ColdLeft) * time.Millisecond)
+	if w.ColdRemainingMillis > 0 {
+		merged.ColdUntil = time.Now().Add(time.Duration(w.ColdRemainingMillis) * time.Millisecond)
 	}
 	return &merged
 }
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -43,12 +43,12 @@
 // within the pause that callers tolerate. It returns 0 if that pause is too short for any number of
 // replicas.
 func replicasForLoss(e *fleet.Engine, model string, w Work) float64 {
-	pass, perRequest := e.Pass(model)
+	pass, perRequest := e.PassTimes(model)
 	allowedSeconds := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
 	if allowedSeconds <= 0 {
 		return 0
 	}
-	readSeconds := w.Prompts * e.PerToken(model).Seconds()
+	readSeconds := w.Prompts * e.TimePerPromptToken(model).Seconds()
 	// The prompts of one of n replicas are read by the n-1 others.
 	return (1 + math.Sqrt(1+4*readSeconds/allowedSeconds)) / 2
 }
@@ -102,7 +102,7 @@
 // wantedReplicas returns the wanted number of replicas of a model. The number is based on the
 // measured work. Before there is any traffic, it is based on the model's configured share.
 func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workerCount int) float64 {
-	byShare := m.Share * float64(workerCount) / float64(max(m.Size, 1))
+	byShare := m.InitialShare * float64(workerCount) / float64(max(m.Size, 1))
 	work := k.smoothedWork[m.Name]
 	byDemand := work.Busy/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
 	// Slow replicas accumulate prompts. This limit keeps such a model from taking workers away from
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -16,7 +16,7 @@
 	const ms = time.Millisecond
 	e := &fleet.Engine{
 		Slots: 30, Stride: 7, PrefillPerSecond: 50000, Step: 6 * ms, StepPerRequest: 45 * time.Microsecond,
-		Models: []fleet.Model{{Name: "big", Size: 16, Pace: 1}, {Name: "small", Size: 4, Pace: 0.5}},
+		Models: []fleet.Model{{Name: "big", Size: 16, TimeFactor: 1}, {Name: "small", Size: 4, TimeFactor: 0.5}},
 	}
 	tests := map[string]struct {
 		model                    string
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -134,7 +134,7 @@
 func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
 	membership := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
 	headEntry, isListed := k.opts.Inventory.View().Worker(o.head.ID)
-	if isListed && headEntry.Member.Same(membership) && headEntry.Member.State == fleet.Ready {
+	if isListed && headEntry.Member.SameGroup(membership) && headEntry.Member.State == fleet.Ready {
 		return true
 	}
 	if !isListed && !k.mayBeAlive(o.head.ID) {
@@ -147,5 +147,5 @@
 	}
 	*nextQuery = now.Add(queryInterval)
 	state, ok := k.queryState(ctx, o.head)
-	return ok && (!state.Member.Same(membership) || state.Member.State == fleet.Ready)
+	return ok && (!state.Member.SameGroup(membership) || state.Member.State == fleet.Ready)
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -33,7 +33,7 @@
 // opens the group. If any of this fails, it abandons the group.
 func (k *Keeper) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
 	start := time.Now()
-	timeout := joinGracePeriod + f.Model.Warm
+	timeout := joinGracePeriod + f.Model.WarmLoad
 	if f.LoadCount > 0 {
 		timeout += loadTimeFactor * f.Model.Load
 	}
@@ -197,7 +197,7 @@
 func (k *Keeper) openingDuration(service string) time.Duration {
 	if c := k.opts.Config(); c != nil {
 		if s, ok := c.Service(service); ok && s.Engine != nil {
-			return s.Engine.Form
+			return s.Engine.OpenDuration
 		}
 	}
 	return 0
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -130,7 +130,7 @@
 	switch {
 	case o.head == nil:
 		k.repairHeadless(ctx, o, now)
-	case k.opts.Inventory.Closed(o.group.Name):
+	case k.opts.Inventory.IsGroupClosed(o.group.Name):
 		// Daemons never send requests to a closed group again, whatever its head reports. Earlier
 		// requests may still be in flight.
 		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
--- a/formation/incarnations.go
+++ b/formation/incarnations.go
@@ -15,17 +15,17 @@
 // the order in which they were written. A different incarnation is therefore a later one, even if
 // the worker's clock was set back. The caller must hold k.mu.
 func (k *Keeper) recordListedIncarnation(w *fleet.Worker) {
-	if w.Born == 0 {
+	if w.StartedAt == 0 {
 		return
 	}
 	l, known := k.incarnations[w.ID]
-	if known && w.Born == l.listedStart {
+	if known && w.StartedAt == l.listedStart {
 		return
 	}
-	if known && w.Born != l.newestStart {
+	if known && w.StartedAt != l.newestStart {
 		k.forgetIncarnation(w.ID)
 	}
-	k.incarnations[w.ID] = incarnation{listedStart: w.Born, newestStart: w.Born}
+	k.incarnations[w.ID] = incarnation{listedStart: w.StartedAt, newestStart: w.StartedAt}
 }
 
 // recordReportedIncarnation records the incarnation in a worker's own answer. It returns false if
@@ -48,7 +48,7 @@
 // The caller must hold k.mu.
 func (k *Keeper) isPastIncarnation(w *fleet.Worker) bool {
 	l, known := k.incarnations[w.ID]
-	return known && w.Born != 0 && w.Born != l.newestStart
+	return known && w.StartedAt != 0 && w.StartedAt != l.newestStart
 }
 
 // forgetIncarnation discards the state of a worker's earlier incarnation. The caller must hold
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -412,7 +412,7 @@
 	if a, isAbsent := k.absent[w.ID]; isAbsent && o.at.After(a.unlistedSince) {
 		return o.state.Member
 	}
-	if o.state.Member.Same(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
+	if o.state.Member.SameGroup(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
 		return w.Member
 	}
 	if o.state.Member.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(listSettleTime)) {
@@ -432,7 +432,7 @@
 	now := time.Now()
 	k.recordReport(id, s, now)
 	previous, ok := k.observations[id]
-	isOutdated := previous.state.Member.Epoch > s.Member.Epoch || previous.at.After(now) && previous.state.Member.Same(s.Member)
+	isOutdated := previous.state.Member.Epoch > s.Member.Epoch || previous.at.After(now) && previous.state.Member.SameGroup(s.Member)
 	if ok && isOutdated {
 		return
 	}
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -45,7 +45,7 @@
 		switch {
 		case !ok:
 			return false
-		case current.member.Same(wanted):
+		case current.member.SameGroup(wanted):
 			// An unanswered attempt was carried out.
 			return true
 		case current.member.Group != "":
@@ -134,7 +134,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	current, ok := k.orderStates[id]
-	if ok && verdict.Accepted() && current.member.Same(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
+	if ok && verdict.Accepted() && current.member.SameGroup(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
 		k.setOrderStateLocked(id, current.orderCount+1, fleet.Membership{})
 	}
 }
--- a/formation/partition_test.go
+++ b/formation/partition_test.go
@@ -20,7 +20,7 @@
 	}
 	names := []string{""}
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
-		m := fleet.Model{Name: fmt.Sprint("m", i), Size: rapid.IntRange(0, 9).Draw(t, "size"), Load: simLoadTime, Warm: simWarmJoinTime}
+		m := fleet.Model{Name: fmt.Sprint("m", i), Size: rapid.IntRange(0, 9).Draw(t, "size"), Load: simLoadTime, WarmLoad: simWarmJoinTime}
 		n := Need{Model: m, Want: rapid.Float64Range(0, 9).Draw(t, "want"), Have: rapid.IntRange(0, 9).Draw(t, "have")}
 		in.Needs = append(in.Needs, n)
 		in.ReplicasByHall[m.Name] = map[string]int{"h0": n.Have / 2, "h1": n.Have - n.Have/2}
@@ -179,7 +179,7 @@
 			assert.NilError(b, err)
 			in := Input{MaxLoads: 20, MaxStagings: 10}
 			for i, size := range sizes {
-				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoadTime, Warm: simWarmJoinTime}, Want: 100 / float64(size), Have: 60 / size})
+				in.Needs = append(in.Needs, Need{Model: fleet.Model{Name: fmt.Sprint("m", i), Size: size, Load: simLoadTime, WarmLoad: simWarmJoinTime}, Want: 100 / float64(size), Have: 60 / size})
 			}
 			for i := range workers {
 				f := FreeWorker{ID: fmt.Sprintf("w%02d", i), Domain: "d", LoadedModel: fmt.Sprint("m", i%len(sizes))}
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -118,7 +118,7 @@
 		w := newWorld(1, 1, 4)
 		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
 		m := fleet.Membership{Group: "g", Epoch: 5, Rank: 1, State: fleet.Open}
-		listedWorker := &fleet.Worker{ID: "w0-1", Service: "models", Domain: "d0", Loaded: "big", Born: 1000, Member: m}
+		listedWorker := &fleet.Worker{ID: "w0-1", Service: "models", Domain: "d0", Loaded: "big", StartedAt: 1000, Member: m}
 		k.recordListedIncarnation(listedWorker)
 		assert.Equal(t, k.membershipOf(listedWorker), m)
 		k.recordState("w0-1", State{Born: 2000, Staged: []string{"big"}})
@@ -127,12 +127,12 @@
 		k.recordState("w0-1", State{Born: 1000, Member: m})
 		assert.Equal(t, k.membershipOf(listedWorker), fleet.Membership{}, "late report of a past incarnation")
 		next := *listedWorker
-		next.Born, next.Member = 2000, fleet.Membership{Group: "h", Epoch: 7, State: fleet.Joining}
+		next.StartedAt, next.Member = 2000, fleet.Membership{Group: "h", Epoch: 7, State: fleet.Joining}
 		k.recordListedIncarnation(&next)
 		assert.Equal(t, k.membershipOf(&next).Group, "h")
 		for n, born := range []int64{0, 0, 1500, 1500} {
 			other := next
-			other.Born = born
+			other.StartedAt = born
 			k.recordListedIncarnation(&other)
 			assert.Equal(t, k.membershipOf(&other).Group, "h", fmt.Sprint("entry ", n))
 		}
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -50,8 +50,8 @@
 func largestOtherModel(e *fleet.Engine, excluded string) string {
 	best, highestShare := "", -1.0
 	for _, m := range e.Models {
-		if m.Name != excluded && m.Share > highestShare {
-			best, highestShare = m.Name, m.Share
+		if m.Name != excluded && m.InitialShare > highestShare {
+			best, highestShare = m.Name, m.InitialShare
 		}
 	}
 	return best
@@ -64,10 +64,10 @@
 // unlimitedLoads is used as the number of loads that may begin when loads are not limited.
 const unlimitedLoads = 1 << 20
 
-// Limits on concurrent loads, as multiples of LoadsAtOnce, the number of loads that do not slow
-// each other down. Loads for groups may exceed LoadsAtOnce, since a slowed load still ends sooner
-// than one that has to wait. The limit for idle workers is lower, so that groups do not have to
-// wait for their loads.
+// Limits on concurrent loads, as multiples of MaxConcurrentLoads, the number of loads that do not
+// slow each other down. Loads for groups may exceed MaxConcurrentLoads, since a slowed load still
+// ends sooner than one that has to wait. The limit for idle workers is lower, so that groups do not
+// have to wait for their loads.
 const (
 	groupLoadFactor = 1.5
 	idleLoadFactor  = 0.5
@@ -80,7 +80,7 @@
 		return unlimitedLoads, unlimitedLoads
 	}
 	runningLoads, availableLoads := float64(k.countRunningLoads(s, view, now)), budget.availableLoads(now)
-	loadsAtOnce := float64(s.Engine.LoadsAtOnce)
+	loadsAtOnce := float64(s.Engine.MaxConcurrentLoads)
 	return min(int(groupLoadFactor*loadsAtOnce-runningLoads), availableLoads), min(int(idleLoadFactor*loadsAtOnce-runningLoads), availableLoads)
 }
 
@@ -133,7 +133,7 @@
 		l = &loadBudget{}
 		k.loadBudgets[s.Name] = l
 	}
-	burst := s.Engine.LoadsAtOnce
+	burst := s.Engine.MaxConcurrentLoads
 	for _, m := range s.Engine.Models {
 		burst = max(burst, m.Size)
 	}
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -122,7 +122,7 @@
 // TestUnreliableWorkersAreChosenLast checks that unreliable workers are used only if there are too
 // few others.
 func TestUnreliableWorkersAreChosenLast(t *testing.T) {
-	big := fleet.Model{Name: "big", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
+	big := fleet.Model{Name: "big", Size: 2, Load: simLoadTime, WarmLoad: simWarmJoinTime}
 	worker := func(id, domain string, isUnreliable bool) FreeWorker {
 		return FreeWorker{ID: id, Domain: domain, LoadedModel: "big", IsUnreliable: isUnreliable}
 	}
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -14,7 +14,7 @@
 // TestTradeOnlyForFeasibleGroups checks that groups are traded only if a new group can be formed.
 // It also checks that a trade does not take too many groups of a model out of service.
 func TestTradeOnlyForFeasibleGroups(t *testing.T) {
-	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoadTime, Warm: simWarmJoinTime}, fleet.Model{Name: "small", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
+	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoadTime, WarmLoad: simWarmJoinTime}, fleet.Model{Name: "small", Size: 2, Load: simLoadTime, WarmLoad: simWarmJoinTime}
 	needs := []Need{{Model: big, Want: 9, Have: 6}, {Model: small, Want: 8, Have: 8}}
 	warm := []FreeWorker{{ID: "a", Domain: "d", LoadedModel: "big"}, {ID: "b", Domain: "d", LoadedModel: "big"}}
 	group := func(key, domain string, coldCount int) ServingGroup {
@@ -71,7 +71,7 @@
 // TestTradeInsteadOfLoads checks that a planned group whose members would have to load is replaced
 // by a trade that provides warm members.
 func TestTradeInsteadOfLoads(t *testing.T) {
-	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoadTime, Warm: simWarmJoinTime}, fleet.Model{Name: "small", Size: 2, Load: simLoadTime, Warm: simWarmJoinTime}
+	big, small := fleet.Model{Name: "big", Size: 4, Load: simLoadTime, WarmLoad: simWarmJoinTime}, fleet.Model{Name: "small", Size: 2, Load: simLoadTime, WarmLoad: simWarmJoinTime}
 	needs := []Need{{Model: big, Want: 6, Have: 4}, {Model: small, Want: 5, Have: 8}}
 	survivors := []FreeWorker{
 		{ID: "a", Domain: "d", LoadedModel: "big"}, {ID: "b", Domain: "d", LoadedModel: "big"}, {ID: "c", Domain: "d", LoadedModel: "big"}, {ID: "e", Domain: "d"},
--- a/formation/value.go
+++ b/formation/value.go
@@ -87,7 +87,7 @@
 // servingFraction returns the fraction of the planning horizon during which a new group of a model
 // serves. It is at least 0.1.
 func servingFraction(m fleet.Model, needsLoads bool) float64 {
-	ready := m.Warm
+	ready := m.WarmLoad
 	if needsLoads {
 		ready += m.Load
 	}
--- a/formation/wantedreplicas_test.go
+++ b/formation/wantedreplicas_test.go
@@ -15,7 +15,7 @@
 	k := NewKeeper(newWorld(1, 1, 0).options(), Term{Epoch: 2}, func() {})
 	k.isNewFleet = false
 	e := &fleet.Engine{Slots: 30, Stride: 7, PrefillPerSecond: 50000, Step: 6 * time.Millisecond}
-	m := fleet.Model{Name: "big", Size: 16, Share: 0.5, Pace: 1}
+	m := fleet.Model{Name: "big", Size: 16, InitialShare: 0.5, TimeFactor: 1}
 	for name, test := range map[string]struct {
 		work                     Work
 		minReplicas, maxReplicas float64
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -26,8 +26,8 @@
 	neverReady bool
 	isDead     bool
 	isDraining bool
-	// startedAt is the start time of the worker's incarnation. entryNumber is the number of list entries
-	// that this incarnation has published.
+	// startedAt is the start time of the worker's incarnation. entryNumber is the number of list
+	// entries that this incarnation has published.
 	startedAt, entryNumber int64
 	fence                  Fence
 	epoch                  int64
@@ -126,13 +126,13 @@
 var simCeiling = Ceiling{Window: 5 * time.Second, Over: 1.1}
 
 var simModels = []fleet.Model{
-	{Name: "big", Size: 4, Share: 0.5, Pace: 1, Load: simLoadTime, Warm: simWarmJoinTime},
-	{Name: "small", Size: 2, Share: 0.5, Pace: 1, Load: simLoadTime, Warm: simWarmJoinTime},
+	{Name: "big", Size: 4, InitialShare: 0.5, TimeFactor: 1, Load: simLoadTime, WarmLoad: simWarmJoinTime},
+	{Name: "small", Size: 2, InitialShare: 0.5, TimeFactor: 1, Load: simLoadTime, WarmLoad: simWarmJoinTime},
 }
 
 func simConfig(loadsPerSecond float64) *fleet.Config {
 	return fleet.NewConfig(fleet.Parts{Version: 1, Services: []*fleet.Service{{Name: "models", Engine: &fleet.Engine{
-		Slots: 10, LoadsPerSecond: loadsPerSecond, LoadsAtOnce: 7, Form: simOpenTime, Models: simModels,
+		Slots: 10, LoadsPerSecond: loadsPerSecond, MaxConcurrentLoads: 7, OpenDuration: simOpenTime, Models: simModels,
 	}}}})
 }
 
@@ -213,7 +213,7 @@
 	if !s.isDead {
 		entry := &fleet.Worker{
 			ID: s.id, Service: "models", Address: s.id, Domain: s.domain, Zone: s.zone, Slots: 10, Draining: s.isDraining,
-			Member: s.member(), Born: s.startedAt, Beat: s.entryNumber,
+			Member: s.member(), StartedAt: s.startedAt, HeartbeatCount: s.entryNumber,
 		}
 		s.entryNumber++
 		if s.group.Name != "" {
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -63,7 +63,7 @@
 			address:    chosen.Address(),
 			assignment: cluster.Assignment{Replica: chosen.AssignedName(), Generation: chosen.Generation()}.Name(),
 			mayServe: func(now time.Time) bool {
-				return chosen.MayServe(now) && g.opts.Config().KeptOut(chosen.DataHall(), allowed...) == ""
+				return chosen.MayServe(now) && g.opts.Config().ExclusionReason(chosen.DataHall(), allowed...) == ""
 			},
 			finish: g.inFlight.Start(chosen.ID(), r.account.Name()),
 		}, nil
@@ -74,13 +74,13 @@
 // each of them in the same order. It also counts the excluded replicas by reason.
 func (g *Gateway) findCandidates(deployment string, allowed []config.Regions, tried map[string]bool) ([]*catalog.Replica, []routing.Candidate, PassedOver) {
 	filter := replicaFilter{view: g.opts.Config(), allowed: allowed, tried: tried, rests: g.rests, now: time.Now()}
-	all := g.opts.Catalog.Of(deployment)
+	all := g.opts.Catalog.ReplicasOf(deployment)
 	replicas := make([]*catalog.Replica, 0, len(all))
 	candidates := make([]routing.Candidate, 0, len(all))
 	var passedOver PassedOver
 	for i := range all {
 		replica := &all[i]
-		if !replica.Listed() {
+		if !replica.ReportedServing() {
 			continue
 		}
 		if why := filter.exclusionReason(replica); why != "" {
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -63,7 +63,7 @@
 // hallExclusionReason returns why a data hall must not get the request, or an empty reason.
 func (c *replicaFilter) hallExclusionReason(hall string) reason.Reason {
 	if !c.hasLastHall || c.lastHall != hall {
-		c.lastHall, c.lastHallReason, c.hasLastHall = hall, c.view.KeptOut(hall, c.allowed...), true
+		c.lastHall, c.lastHallReason, c.hasLastHall = hall, c.view.ExclusionReason(hall, c.allowed...), true
 	}
 	return c.lastHallReason
 }
@@ -136,7 +136,7 @@
 	}
 	view, cause := g.opts.Config(), reason.NoReplica
 	for _, report := range g.opts.Catalog.Reports() {
-		switch view.KeptOut(report.DataHall, allowed...) {
+		switch view.ExclusionReason(report.DataHall, allowed...) {
 		case reason.HallClosed:
 			cause = reason.HallClosed
 		case reason.RegionNotAllowed:
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -71,7 +71,7 @@
 			id:      chosen.ID(),
 			address: chosen.Address(),
 			mayServe: func(now time.Time) bool {
-				return chosen.MayServe(now) && g.opts.Config().KeptOut(chosen.DataHall(), allowed...) == ""
+				return chosen.MayServe(now) && g.opts.Config().ExclusionReason(chosen.DataHall(), allowed...) == ""
 			},
 			finish: g.inFlight.Start(chosen.ID(), r.account.Name()),
 		}, nil
@@ -103,7 +103,7 @@
 		if !s.SelectsNode(labels) {
 			continue
 		}
-		switch why := view.KeptOut(e.DataHall(), allowed...); {
+		switch why := view.ExclusionReason(e.DataHall(), allowed...); {
 		case why != "":
 			passedOver = passedOver.add(why)
 		case tried[e.ID()]:
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -157,7 +157,7 @@
 		if report.DataHall != name {
 			continue
 		}
-		if _, deadline, _ := w.opts.Catalog.Current(report.Domain); !now.Before(deadline) {
+		if _, deadline, _ := w.opts.Catalog.TokenAndDeadline(report.Domain); !now.Before(deadline) {
 			all = append(all, "nothing was heard from the leader of its domain "+report.Domain)
 		}
 		inFlight += w.countInFlight(report)
--- a/measure/repair.go
+++ b/measure/repair.go
@@ -25,8 +25,8 @@
 	faultTime            = 60.0
 )
 
-// RepairScenario describes a fault in one fabric domain. The fault is a loss of nodes or a new model
-// version.
+// RepairScenario describes a fault in one fabric domain. The fault is a loss of nodes or a new
+// model version.
 type RepairScenario struct {
 	Name string
 	// Nodes is the number of nodes in the domain. Replicas is the number of replicas that should
@@ -67,8 +67,8 @@
 	skipsPreload bool
 }
 
-// RepairPolicies returns the baselines, followed by the policies of quartzshelf. The last two differ
-// only in whether idle nodes form further replicas.
+// RepairPolicies returns the baselines, followed by the policies of quartzshelf. The last two
+// differ only in whether idle nodes form further replicas.
 func RepairPolicies() []RepairPolicy {
 	return []RepairPolicy{
 		{Name: "rebuild from scratch", lostTimeout: longLostTimeout, dropsCache: true, skipsPreload: true},
@@ -175,7 +175,7 @@
 		}
 		n.Cached = append(n.Cached, n.loadingVersion)
 		n.loadingVersion, n.Preloading = "", nil
-		if !n.Assignment.Empty() && slices.Contains(n.Cached, n.Assignment.Version) {
+		if !n.Assignment.IsEmpty() && slices.Contains(n.Cached, n.Assignment.Version) {
 			n.Phase = cluster.PhaseReady
 		}
 	}
@@ -201,8 +201,8 @@
 	r.applyPlan(placement.Make(in))
 }
 
-// replicasToRoll returns the ID of a replica that may change its version. It returns nil if not enough
-// replicas are serving or all have the wanted version.
+// replicasToRoll returns the ID of a replica that may change its version. It returns nil if not
+// enough replicas are serving or all have the wanted version.
 func (r *repairTrial) replicasToRoll() []string {
 	serving := r.servingReplicas()
 	if len(serving) < r.scenario.Replicas {
@@ -259,8 +259,8 @@
 	n.loadingVersion, n.remainingGB, n.Preloading = version, weightsPerNodeGB, nil
 }
 
-// ensureDrained reports whether all serving replicas that lose nodes to a formation have been drained.
-// It starts to drain those that are not yet draining.
+// ensureDrained reports whether all serving replicas that lose nodes to a formation have been
+// drained. It starts to drain those that are not yet draining.
 func (r *repairTrial) ensureDrained(f placement.Formation, byID map[string]*repairNode, serving []string) bool {
 	affected := make(map[string]bool)
 	for _, s := range f.Steps {
@@ -287,7 +287,7 @@
 func (r *repairTrial) servingReplicas() []string {
 	readyNodeCounts := make(map[string]int)
 	for _, n := range r.nodes {
-		if n.Answering && !n.Assignment.Empty() && n.Phase == cluster.PhaseReady {
+		if n.Answering && !n.Assignment.IsEmpty() && n.Phase == cluster.PhaseReady {
 			readyNodeCounts[fmt.Sprint(n.Assignment.Replica, "@", n.Assignment.Generation)]++
 		}
 	}
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -40,7 +40,8 @@
 
 // Reports is a store of domain reports. Exchanges send peers the reports that they lack.
 type Reports interface {
-	// Digest returns a summary of the reports held, by which a peer finds out which ones are missing.
+	// Digest returns a summary of the reports held, by which a peer finds out which ones are
+	// missing.
 	Digest() []*rpc.ReportDigest
 	// MissingFrom returns the reports that are newer than those in a peer's digest.
 	MissingFrom(digest []*rpc.ReportDigest) []*rpc.DomainReport
@@ -109,8 +110,8 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// mismatchedExchanges counts the exchanges with differing tables since the table last equalled a
-	// peer's or was last sent as a whole.
+	// mismatchedExchanges counts the exchanges with differing tables since the table last equalled
+	// a peer's or was last sent as a whole.
 	mismatchedExchanges int
 	// rounds counts the rounds of exchanges.
 	rounds int
@@ -140,17 +141,18 @@
 // Done returns a channel that is closed when Run has returned.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
-// FleetNext returns one past the highest configuration offset that any peer reported.
-func (a *Agent) FleetNext() int64 {
+// FleetConfigNext returns one past the highest configuration offset that any peer reported.
+func (a *Agent) FleetConfigNext() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fleetConfigNext
 }
 
-// Reached returns how many members answered since the given time, and the number of all members.
-// This daemon counts as reached. Members that have left count in neither number, but dead ones
-// count as members, so that a disconnected minority does not mistake itself for the whole fleet.
-func (a *Agent) Reached(since time.Time) (reached, members int) {
+// CountReached returns how many members answered since the given time, and the number of all
+// members. This daemon counts as reached. Members that have left count in neither number, but dead
+// ones count as members, so that a disconnected minority does not mistake itself for the whole
+// fleet.
+func (a *Agent) CountReached(since time.Time) (reached, members int) {
 	all := a.table.Members()
 	self := a.table.Self().Id
 	a.mu.Lock()
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -70,7 +70,7 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.nodes)) {
-		if n := p.nodes[id]; p.usedBy[id] == "" && n.Assignment.Empty() {
+		if n := p.nodes[id]; p.usedBy[id] == "" && n.Assignment.IsEmpty() {
 			if want, ok := p.firstWant(n); ok {
 				addOrder(n, want.Version, "warm spare for "+want.Deployment)
 			}
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -97,7 +97,7 @@
 // generation of a replica. Nodes of older generations may be used for other replicas.
 func (p *planner) addToGroup(n *Node) {
 	a := n.Assignment
-	if a.Empty() || n.Scripted {
+	if a.IsEmpty() || n.Scripted {
 		return
 	}
 	g, ok := p.groups[a.Replica]
@@ -434,7 +434,7 @@
 func (p *planner) release() {
 	for _, id := range slices.Sorted(maps.Keys(p.nodes)) {
 		n := p.nodes[id]
-		if n.Assignment.Empty() || n.Scripted || !n.Answering || n.Unorderable || p.usedBy[id] != "" {
+		if n.Assignment.IsEmpty() || n.Scripted || !n.Answering || n.Unorderable || p.usedBy[id] != "" {
 			continue
 		}
 		if _, isDark := p.plan.Dark[n.Assignment.Replica]; isDark && !n.Leaving {
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -144,7 +144,7 @@
 	h.ledger = h.newLedger()
 	h.startedAt = time.Now()
 	h.halls = hall.NewWatch(hall.Options{
-		Config: h.state.View, Catalog: h.catalog, Reached: h.agent.Reached, ServeWindow: serveWindow,
+		Config: h.state.View, Catalog: h.catalog, Reached: h.agent.CountReached, ServeWindow: serveWindow,
 		InFlight: func(string) int { return 0 }, Daemons: func() map[string]int { return nil },
 		Logger: hclog.NewNullLogger(),
 	})
--- a/proof/hall_test.go
+++ b/proof/hall_test.go
@@ -46,7 +46,7 @@
 func usableReplicas(h *host) []catalog.Replica {
 	var all []catalog.Replica
 	for _, r := range h.catalog.Serving("chat", time.Now()) {
-		if h.state.View().KeptOut(r.DataHall()) == "" {
+		if h.state.View().ExclusionReason(r.DataHall()) == "" {
 			all = append(all, r)
 		}
 	}
@@ -57,7 +57,7 @@
 func replicaGenerations(h *host, name string) string {
 	var all []string
 	for _, r := range h.catalog.Replicas() {
-		if r.DataHall() == name && r.Deployment() == "chat" && r.Listed() {
+		if r.DataHall() == name && r.Deployment() == "chat" && r.ReportedServing() {
 			all = append(all, fmt.Sprintf("%s@%d", r.ID(), r.Generation()))
 		}
 	}
@@ -191,18 +191,18 @@
 	}
 	follower := h.followers["configuration"]
 	confirmed, next := follower.Confirmed(), follower.Fold().Next()
-	reached, members := h.agent.Reached(now.Add(-window))
+	reached, members := h.agent.CountReached(now.Add(-window))
 	r.updateMembers(h, confirmed.After(now.Add(-window)))
 	members = max(members, len(r.expectedMembers))
 	isConnected := confirmed.After(now.Add(-window)) ||
 		members > 1 && 2*reached > members || members == 1 && !confirmed.IsZero() && r.hasSeenOtherMember
-	isBehind := next < h.agent.FleetNext()
+	isBehind := next < h.agent.FleetConfigNext()
 	if !isBehind {
 		r.behindSince = time.Time{}
 	} else if r.behindSince.IsZero() {
 		r.behindSince = now
 	}
-	everReached, everMembers := h.agent.Reached(h.startedAt)
+	everReached, everMembers := h.agent.CountReached(h.startedAt)
 	hasFoundFleet := everMembers > 1 && everReached > 1 || everMembers == 1 && now.After(h.startedAt.Add(seedTimeout))
 	if isConnected && !isBehind && hasFoundFleet && (!confirmed.IsZero() || next > 0) {
 		r.hasStarted = true
--- a/proof/serving_test.go
+++ b/proof/serving_test.go
@@ -113,7 +113,7 @@
 	for _, n := range w.fleet.cluster.All() {
 		a, isReady := n.Held()
 		w.checkTokenOrder(n)
-		if isReady && !a.Empty() {
+		if isReady && !a.IsEmpty() {
 			name := a.Name()
 			holders[name]++
 			if holders[name] == len(a.Members) {
@@ -180,7 +180,7 @@
 		for _, id := range r.Nodes() {
 			n, _ := w.fleet.cluster.Node(id)
 			held, up := n.Held()
-			if !up || held.Empty() || held.Name() == name {
+			if !up || held.IsEmpty() || held.Name() == name {
 				continue
 			}
 			since, known := w.conflictSince[name+id]
--- a/relay/bound_test.go
+++ b/relay/bound_test.go
@@ -191,7 +191,7 @@
 		}}
 	}
 	for _, c := range changes[:warming] {
-		c.Worker.ColdLeft = time.Hour.Milliseconds()
+		c.Worker.ColdRemainingMillis = time.Hour.Milliseconds()
 	}
 	inventory.Apply(changes, 1, time.Now())
 	members := make([]string, 90)
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -83,7 +83,7 @@
 		return nil, &sendError{cause: failure.At(failure.Refused, "connect to worker", w.ID, err)}
 	}
 	u.onConnection(w.Service, false)
-	return &connection{Conn: raw, worker: w.ID, service: w.Service, workerBorn: w.Born, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
+	return &connection{Conn: raw, worker: w.ID, service: w.Service, workerBorn: w.StartedAt, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
 // reuse returns the most recently used idle connection, or nil if none is usable. The most recent
@@ -100,12 +100,12 @@
 			return nil
 		}
 		c := conns[len(conns)-1]
-		if c.workerBorn == w.Born && !u.isUsable(c, maxIdle, now) {
+		if c.workerBorn == w.StartedAt && !u.isUsable(c, maxIdle, now) {
 			return nil
 		}
 		u.idle[w.ID] = conns[:len(conns)-1]
 		u.idleCount--
-		if c.workerBorn == w.Born && c.isIntact() {
+		if c.workerBorn == w.StartedAt && c.isIntact() {
 			c.idleBefore = now.Sub(c.idleSince)
 			return c
 		}
--- a/relay/cost.go
+++ b/relay/cost.go
@@ -54,9 +54,9 @@
 	if e == nil {
 		return costs{slots: float64(max(slots, 1)), passTime: defaultServiceTime, slotTime: defaultServiceTime}
 	}
-	c := costs{slots: float64(max(e.Slots, 1)), perToken: e.PerToken(model)}
-	c.passTime, c.perRequest = e.Pass(model)
-	tokens := e.UsualAnswer
+	c := costs{slots: float64(max(e.Slots, 1)), perToken: e.TimePerPromptToken(model)}
+	c.passTime, c.perRequest = e.PassTimes(model)
+	tokens := e.MeanAnswerTokens
 	if tokens <= 0 {
 		tokens = defaultAnswerTokens
 	}
--- a/relay/eligible_test.go
+++ b/relay/eligible_test.go
@@ -15,13 +15,13 @@
 func closedHalls(closing bool, names ...string) *fleet.Halls {
 	h := fleet.NewHalls(time.Hour)
 	if closing {
-		h.Take(fleet.HallNews{Whole: true}, 1, time.Now())
+		h.ApplyRead(fleet.HallUpdate{IsComplete: true}, 1, time.Now())
 	}
-	var news fleet.HallNews
+	var news fleet.HallUpdate
 	for _, name := range names {
 		news.Changes = append(news.Changes, fleet.HallChange{Hall: name, Closed: true})
 	}
-	h.Take(news, 2, time.Now())
+	h.ApplyRead(news, 2, time.Now())
 	return h
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -278,7 +278,7 @@
 	switch {
 	case c.isDone():
 		return false
-	case mayHaveRun && (!c.route.Repeatable() || c.sends >= c.route.Attempts):
+	case mayHaveRun && (!c.route.Repeatable() || c.sends >= c.route.MaxAttempts):
 		return false
 	case !mayHaveRun && c.rejections > maxRejections:
 		return false
--- a/relay/request.go
+++ b/relay/request.go
@@ -252,7 +252,7 @@
 	priority := c.route.Priority
 	if c.tenant != nil {
 		header.Set(names.Tenant, c.tenant.Name)
-		if c.tenant.Ranked {
+		if c.tenant.HasPriority {
 			priority = c.tenant.Priority
 		}
 	}
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -20,7 +20,7 @@
 // simEngine has passes of 30 ms and reads a prompt token in 0.1 ms.
 var simEngine = &fleet.Engine{
 	Slots: 20, PrefillPerSecond: 10_000, Step: 5 * time.Millisecond, StepPerRequest: 50 * time.Microsecond,
-	Stride: 6, UsualAnswer: 6 * fakeEvents,
+	Stride: 6, MeanAnswerTokens: 6 * fakeEvents,
 }
 
 const (
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -272,7 +272,7 @@
 	return fleet.NewConfig(fleet.Parts{
 		Version: 1,
 		Routes: []*fleet.Route{{
-			Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 6 * time.Second, Attempts: 2, Resumable: true, Public: true,
+			Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 6 * time.Second, MaxAttempts: 2, Resumable: true, Public: true,
 			Objective: 300 * time.Millisecond, GapTarget: 200 * time.Millisecond,
 			Targets: []fleet.Target{{Service: "models", Weight: 1}},
 		}},
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -149,7 +149,7 @@
 	e.finish()
 	r.recordCompletion(c, e)
 	got := &answer{status: e.response.StatusCode, header: forwardedHeaders(e.response.Header), body: body}
-	if s.isHeadSent || got.status < http.StatusBadRequest || got.status >= http.StatusInternalServerError && c.sends+1 < c.route.Attempts {
+	if s.isHeadSent || got.status < http.StatusBadRequest || got.status >= http.StatusInternalServerError && c.sends+1 < c.route.MaxAttempts {
 		return &sendError{mayHaveArrived: true, cause: failure.New(failure.Remote, "read stream", replica.Head.ID, "status %d", got.status)}
 	}
 	c.sends++
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -249,10 +249,10 @@
 	return fleet.NewConfig(fleet.Parts{
 		Version: 7,
 		Routes: []*fleet.Route{
-			{Host: "h", Prefix: "/once/", Kind: fleet.NonIdempotent, Timeout: 5 * time.Second, Attempts: 2, Targets: plain},
-			{Host: "h", Prefix: "/safe/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, Attempts: 2, Targets: plain},
-			{Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 5 * time.Second, Attempts: 3, Resumable: true, Targets: models},
-			{Host: "h", Prefix: "/open/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, Attempts: 1, Public: true, Targets: plain},
+			{Host: "h", Prefix: "/once/", Kind: fleet.NonIdempotent, Timeout: 5 * time.Second, MaxAttempts: 2, Targets: plain},
+			{Host: "h", Prefix: "/safe/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, MaxAttempts: 2, Targets: plain},
+			{Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 5 * time.Second, MaxAttempts: 3, Resumable: true, Targets: models},
+			{Host: "h", Prefix: "/open/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, MaxAttempts: 1, Public: true, Targets: plain},
 		},
 		Services: []*fleet.Service{
 			{Name: "plain"},
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -11,7 +11,7 @@
 // decideAction returns what this daemon should do under the grant, as decided by package ownership.
 func (d *domain) decideAction(grant ownership.Grant) ownership.Action {
 	activeRank := d.activeRank(grant)
-	_, deadline, hasReport := d.controller.opts.Catalog.Current(d.name)
+	_, deadline, hasReport := d.controller.opts.Catalog.TokenAndDeadline(d.name)
 	members := d.controller.opts.Members
 	return ownership.Decide(ownership.Situation{
 		Overdue:    hasReport && activeRank >= 0 && time.Now().After(deadline.Add(reportOverdueAfter)),
@@ -29,7 +29,7 @@
 // they show none.
 func (d *domain) activeRank(grant ownership.Grant) int {
 	rank := -1
-	if current, _, ok := d.controller.opts.Catalog.Current(d.name); ok && current.Epoch == grant.Epoch() {
+	if current, _, ok := d.controller.opts.Catalog.TokenAndDeadline(d.name); ok && current.Epoch == grant.Epoch() {
 		rank = int(current.Rank)
 	}
 	if d.highestNodeToken.Epoch == grant.Epoch() && grant.Epoch() > 0 {
@@ -52,7 +52,7 @@
 	if d.isLeading || now.Before(d.controller.listReadAt().Add(maxListAge)) {
 		return action
 	}
-	if _, deadline, ok := d.controller.opts.Catalog.Current(d.name); ok && now.Before(deadline.Add(reportOverdueAfter)) {
+	if _, deadline, ok := d.controller.opts.Catalog.TokenAndDeadline(d.name); ok && now.Before(deadline.Add(reportOverdueAfter)) {
 		return ownership.Follow
 	}
 	return action
@@ -106,7 +106,7 @@
 // replace. This is a report with a higher rank, or with the same rank and a higher version. The
 // latter was published by this daemon before a restart.
 func (d *domain) isSuperseded() bool {
-	current, _, ok := d.controller.opts.Catalog.Current(d.name)
+	current, _, ok := d.controller.opts.Catalog.TokenAndDeadline(d.name)
 	if !ok || current.Epoch != d.token.Epoch {
 		return false
 	}
--- a/replica/observed.go
+++ b/replica/observed.go
@@ -48,7 +48,7 @@
 		case m.isScripted():
 			id := m.labels[config.LabelDeployment] + "/" + m.labels[config.LabelReplica]
 			scriptedNodesByID[id] = append(scriptedNodesByID[id], m)
-		case !m.state.Assignment.Empty():
+		case !m.state.Assignment.IsEmpty():
 			a := m.state.Assignment
 			if a.Generation > assignmentsByID[a.Replica].Generation {
 				assignmentsByID[a.Replica] = a
@@ -90,7 +90,7 @@
 	switch {
 	case !m.answered:
 		return "does not answer"
-	case !m.state.Assignment.Same(a):
+	case !m.state.Assignment.SameReplica(a):
 		return "is not part of this generation"
 	case m.state.Phase != cluster.PhaseReady:
 		return "is " + string(m.state.Phase)
@@ -130,7 +130,7 @@
 		switch {
 		case !m.answered:
 			o.problem = fmt.Sprintf("node %s does not answer", m.listed.ID)
-		case m.state.Phase != cluster.PhaseReady || !m.state.Assignment.Same(members[0].state.Assignment):
+		case m.state.Phase != cluster.PhaseReady || !m.state.Assignment.SameReplica(members[0].state.Assignment):
 			o.problem = fmt.Sprintf("node %s is not ready", m.listed.ID)
 		}
 	}
--- a/replica/order.go
+++ b/replica/order.go
@@ -189,7 +189,7 @@
 		if hasOrder[id] || m.listed.Kind != cluster.KindEngine || m.isScripted() || !m.isFenced() || !m.answered {
 			continue
 		}
-		if d.confirmsLeader(m) || m.state.Assignment.Empty() {
+		if d.confirmsLeader(m) || m.state.Assignment.IsEmpty() {
 			continue
 		}
 		all = append(all, d.newOrder(id, m.state.Assignment, "confirm the owner"))
@@ -201,7 +201,7 @@
 func (d *domain) newOrder(node string, a cluster.Assignment, reason string) pendingOrder {
 	m := d.nodes[node]
 	t := d.nextToken()
-	if !m.state.Assignment.Same(a) {
+	if !m.state.Assignment.SameReplica(a) {
 		// An order that repeats the assignment is not recorded, because it does no harm if it
 		// arrives late.
 		m.lastOrder = t
--- a/replica/permit.go
+++ b/replica/permit.go
@@ -52,7 +52,7 @@
 			continue
 		}
 		leader, known := d.nodes[members[0]]
-		leaderReassigned := known && leader.answered && !leader.state.Assignment.Same(p.assignment)
+		leaderReassigned := known && leader.answered && !leader.state.Assignment.SameReplica(p.assignment)
 		if !leaderReassigned {
 			all = append(all, p)
 		}
--- a/replica/report.go
+++ b/replica/report.go
@@ -18,7 +18,7 @@
 // before probeStart.
 func (d *domain) publishReport(replicas []observedReplica, plan placement.Plan, probeStart time.Time) {
 	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.controller.opts.Self}
-	report.Token = catalog.ToMessage(d.token)
+	report.Token = catalog.TokenToMessage(d.token)
 	report.Token.Sequence = 0
 	// loads holds the queue length, the active requests and the slots of each replica, in the order
 	// of replicas.
@@ -113,7 +113,7 @@
 		return rpc.NodeState_SERVICE
 	case m.isScripted():
 		return rpc.NodeState_SCRIPTED
-	case m.state.Assignment.Empty():
+	case m.state.Assignment.IsEmpty():
 		return rpc.NodeState_SPARE
 	default:
 		return rpc.NodeState_ASSIGNED
--- a/replica/want.go
+++ b/replica/want.go
@@ -62,14 +62,14 @@
 func (d *domain) computeSupplies(view *config.View, deployment config.Deployment) []placement.Supply {
 	now := time.Now()
 	var supplies []placement.Supply
-	if view.KeptOut(d.dataHall, deployment.AllowedRegions()) == "" {
+	if view.ExclusionReason(d.dataHall, deployment.AllowedRegions()) == "" {
 		supplies = append(supplies, d.ownSupply(deployment, now))
 	}
 	for _, report := range d.controller.opts.Catalog.Reports() {
-		if report.Domain == d.name || view.KeptOut(report.DataHall, deployment.AllowedRegions()) != "" {
+		if report.Domain == d.name || view.ExclusionReason(report.DataHall, deployment.AllowedRegions()) != "" {
 			continue
 		}
-		if _, deadline, _ := d.controller.opts.Catalog.Current(report.Domain); now.After(deadline.Add(supplyRetention)) {
+		if _, deadline, _ := d.controller.opts.Catalog.TokenAndDeadline(report.Domain); now.After(deadline.Add(supplyRetention)) {
 			continue
 		}
 		supplies = append(supplies, reportedSupply(view, deployment, report))
@@ -93,7 +93,7 @@
 func (d *domain) countAssignedNodes() int {
 	n := 0
 	for _, m := range d.nodes {
-		if !m.state.Assignment.Empty() {
+		if !m.state.Assignment.IsEmpty() {
 			n++
 		}
 	}
@@ -167,7 +167,7 @@
 		}
 		managed = append(managed, r)
 		switch {
-		case !r.Listed():
+		case !r.ReportedServing():
 			downCount++
 		case r.ModelVersion() != want.Version:
 			outdated = append(outdated, r)
@@ -182,7 +182,7 @@
 	}
 	for _, r := range managed {
 		// A replica that is down anyway may be upgraded at once.
-		if !r.Listed() && !slices.Contains(allowed, r.ID()) {
+		if !r.ReportedServing() && !slices.Contains(allowed, r.ID()) {
 			allowed = append(allowed, r.ID())
 		}
 	}
--- a/serving/awake.go
+++ b/serving/awake.go
@@ -17,9 +17,9 @@
 	s.logger.Warn("the machine was suspended", "ms", suspended.Milliseconds())
 	s.meter.Slept(suspended)
 	s.elector.Yield("the machine was suspended")
-	s.beliefs.Slept(suspended)
-	s.inventory.Slept(suspended)
-	s.halls.Slept(suspended)
+	s.configCache.AddSuspension(suspended)
+	s.inventory.AddSuspension(suspended)
+	s.halls.AddSuspension(suspended)
 	s.agent.Table().NoteSuspension(time.Now(), suspended)
 	s.relay.Slept()
 }
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -39,7 +39,7 @@
 	opts.Suspended, opts.Names = machine.suspended, crashingHeaders
 	s, err := New(opts)
 	assert.NilError(t, err)
-	s.beliefs.Offer(newCrashingConfig(), time.Now())
+	s.configCache.Offer(newCrashingConfig(), time.Now())
 	s.inventory.Replace(nil, 1, time.Now())
 	s.isSettled.Store(true)
 	return s, machine
@@ -65,7 +65,7 @@
 	assert.Equal(t, statusFor(s), http.StatusServiceUnavailable)
 	assert.Assert(t, s.relay.BeliefTooOld(time.Now()), "keys were checked against an outdated configuration")
 	assert.Assert(t, time.Since(s.inventory.Confirmed()) > time.Minute)
-	s.beliefs.ConfirmRead(time.Now())
+	s.configCache.ConfirmRead(time.Now())
 	assert.Assert(t, !s.relay.BeliefTooOld(time.Now()))
 }
 
@@ -78,21 +78,21 @@
 	assert.Assert(t, !s.relay.BeliefTooOld(time.Now()))
 }
 
-// TestHallsCloseDuringSuspension checks that a closing hall counts as closed after a suspension that
-// lasted longer than the bound for closing it.
+// TestHallsCloseDuringSuspension checks that a closing hall counts as closed after a suspension
+// that lasted longer than the bound for closing it.
 func TestHallsCloseDuringSuspension(t *testing.T) {
 	s, machine := newSuspendableServer(t)
 	s.halls = fleet.NewHalls(5 * time.Second)
-	s.halls.Take(fleet.HallNews{Whole: true}, 4, time.Now())
-	s.halls.Take(fleet.HallNews{Whole: true, Changes: []fleet.HallChange{{Hall: "z", Closed: true}}}, 5, time.Now())
+	s.halls.ApplyRead(fleet.HallUpdate{IsComplete: true}, 4, time.Now())
+	s.halls.ApplyRead(fleet.HallUpdate{IsComplete: true, Changes: []fleet.HallChange{{Hall: "z", Closed: true}}}, 5, time.Now())
 	assert.Equal(t, s.halls.View().State("z", time.Now()), fleet.HallClosing)
 	machine.add(time.Minute)
 	s.awake.Check()
 	assert.Equal(t, s.halls.View().State("z", time.Now()), fleet.HallClosed)
 }
 
-// TestFetchInterruptedBySuspension checks that a fetch of the configuration fails if the machine was
-// suspended during it. The peer's confirmation is then out of date.
+// TestFetchInterruptedBySuspension checks that a fetch of the configuration fails if the machine
+// was suspended during it. The peer's confirmation is then out of date.
 func TestFetchInterruptedBySuspension(t *testing.T) {
 	requester, machine := newSuspendableServer(t)
 	requester.opts.Decode = func([]byte) (*fleet.Config, error) { return fleet.NewConfig(fleet.Parts{Version: 2}), nil }
@@ -105,10 +105,10 @@
 	request := fetchRequest{Peer: p, requestedAt: awake.NewStamp(machine.suspended)}
 	machine.add(time.Minute)
 	assert.ErrorContains(t, requester.fetcher.fetchConfig(context.Background(), request), "suspended")
-	assert.Equal(t, requester.beliefs.Version(), int64(1))
+	assert.Equal(t, requester.configCache.Version(), int64(1))
 	request.requestedAt = awake.NewStamp(machine.suspended)
 	assert.NilError(t, requester.fetcher.fetchConfig(context.Background(), request))
-	assert.Equal(t, requester.beliefs.Version(), int64(2))
+	assert.Equal(t, requester.configCache.Version(), int64(2))
 }
 
 // gate blocks the callers of waitUntilOpen while it is closed.
@@ -139,8 +139,8 @@
 	}
 }
 
-// startPair starts two daemons that exchange heartbeats, and returns the first one. That one runs on
-// the given machine, and its incoming datagrams pass inboxGate.
+// startPair starts two daemons that exchange heartbeats, and returns the first one. That one runs
+// on the given machine, and its incoming datagrams pass inboxGate.
 func startPair(t *testing.T, machine *suspendableMachine, inboxGate *gate) *Server {
 	t.Helper()
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
@@ -183,8 +183,8 @@
 	return suspendableDaemon
 }
 
-// TestQueuedHeartbeatsAfterSuspension checks that a leader steps down after a suspension. Heartbeats
-// that arrived before the suspension and are read after it must count as old.
+// TestQueuedHeartbeatsAfterSuspension checks that a leader steps down after a suspension.
+// Heartbeats that arrived before the suspension and are read after it must count as old.
 func TestQueuedHeartbeatsAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine, inboxGate := &suspendableMachine{}, newGate()
@@ -251,24 +251,24 @@
 	opts := optionsOf(t, &fakeStore{})
 	opts.Suspended = machine.suspended
 	read := make(chan struct{}, 16)
-	opts.Source.ReadConfig = func(context.Context) (fleet.ConfigNews, error) {
+	opts.Source.ReadConfig = func(context.Context) (fleet.ConfigUpdate, error) {
 		machine.add(time.Minute)
 		read <- struct{}{}
-		return fleet.ConfigNews{Config: newCrashingConfig(), Next: 1}, nil
+		return fleet.ConfigUpdate{Config: newCrashingConfig(), Next: 1}, nil
 	}
 	s, err := New(opts)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.follower.Run(ctx)
 	<-read
-	<-s.beliefs.Changed()
-	assert.Assert(t, time.Since(s.beliefs.Confirmed()) >= time.Minute)
+	<-s.configCache.Changed()
+	assert.Assert(t, time.Since(s.configCache.Confirmed()) >= time.Minute)
 	cancel()
 	<-s.follower.Done()
 }
 
-// TestRetriesAfterSuspension suspends a machine during the first attempt of a request. There must be
-// no second attempt, because the key may have been revoked. Connections to workers from before a
+// TestRetriesAfterSuspension suspends a machine during the first attempt of a request. There must
+// be no second attempt, because the key may have been revoked. Connections to workers from before a
 // suspension must not be used again.
 func TestRetriesAfterSuspension(t *testing.T) {
 	f := newCrashingFleet(t, 0, 2)
@@ -287,7 +287,7 @@
 	s, err := New(opts)
 	assert.NilError(t, err)
 	now := time.Now()
-	s.beliefs.Offer(newCrashingConfig(), now)
+	s.configCache.Offer(newCrashingConfig(), now)
 	s.isSettled.Store(true)
 	var changes []fleet.Change
 	for _, w := range f.heads {
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -30,9 +30,9 @@
 	return t
 }
 
-// limitShareHolders returns the ids of the daemons in the own data hall that share the request limits
-// of workers. It returns none before the member list has been read, and none while limits must not
-// be shared.
+// limitShareHolders returns the ids of the daemons in the own data hall that share the request
+// limits of workers. It returns none before the member list has been read, and none while limits
+// must not be shared.
 func (s *Server) limitShareHolders() []string {
 	if s.membersReadAt.Load() == nil || s.needsMemberReread.Load() || !s.canShareLimits(time.Now()) {
 		return nil
@@ -44,7 +44,7 @@
 // marked as leaving at once, before the worker list shows it.
 func (s *Server) onSignalChange(c backpressure.Change) {
 	if c.Event == backpressure.Leaves {
-		s.inventory.Leave(c.Worker, c.Born)
+		s.inventory.MarkLeaving(c.Worker, c.Born)
 	}
 	s.meter.Signal(string(c.Event))
 	log := s.logger.Info
@@ -72,12 +72,12 @@
 		view := s.inventory.View()
 		s.signals.Forget(func(worker string, born int64) bool {
 			w, listed := view.Worker(worker)
-			return listed && w.Born == born
+			return listed && w.StartedAt == born
 		}, time.Now())
 		s.signals.Look(time.Now())
-		// A worker that was removed from the list and added again is no longer marked as leaving, so
-		// it is marked again.
-		s.signals.EachLeaving(s.inventory.Leave)
+		// A worker that was removed from the list and added again is no longer marked as leaving,
+		// so it is marked again.
+		s.signals.EachLeaving(s.inventory.MarkLeaving)
 		pause.For(ctx, signalCheckInterval)
 	}
 }
--- a/serving/crashing_test.go
+++ b/serving/crashing_test.go
@@ -148,7 +148,7 @@
 		Logger: hclog.New(&hclog.LoggerOptions{Name: self.ID, Output: testLog{f.t}, Level: hclog.Info}),
 	})
 	assert.NilError(f.t, err)
-	s.beliefs.Offer(newCrashingConfig(), time.Now())
+	s.configCache.Offer(newCrashingConfig(), time.Now())
 	s.isSettled.Store(true)
 	var changes []fleet.Change
 	for _, w := range f.heads {
@@ -186,9 +186,9 @@
 	return fleet.NewConfig(fleet.Parts{
 		Version: 1,
 		Routes: []*fleet.Route{
-			{Host: "h", Prefix: "/once/", Kind: fleet.NonIdempotent, Timeout: 5 * time.Second, Attempts: 2, Targets: plain},
-			{Host: "h", Prefix: "/safe/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, Attempts: 2, Targets: plain},
-			{Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 5 * time.Second, Attempts: 2, Resumable: true, Targets: models},
+			{Host: "h", Prefix: "/once/", Kind: fleet.NonIdempotent, Timeout: 5 * time.Second, MaxAttempts: 2, Targets: plain},
+			{Host: "h", Prefix: "/safe/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, MaxAttempts: 2, Targets: plain},
+			{Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 5 * time.Second, MaxAttempts: 2, Resumable: true, Targets: models},
 		},
 		Services: []*fleet.Service{{Name: "plain"}, {Name: "models", Engine: &fleet.Engine{Slots: 4, PrefillPerSecond: 1000}}},
 		Keys:     map[string]*fleet.Tenant{"key": {Name: "account"}, "other": {Name: "other account"}},
--- a/serving/entries.go
+++ b/serving/entries.go
@@ -48,14 +48,14 @@
 		return nil
 	}
 	regions := fleet.Regions{c.Region}
-	if config := s.beliefs.Config(); config != nil {
+	if config := s.configCache.Config(); config != nil {
 		regions = append(regions, config.RegionsOf(c.Host)...)
 	}
 	return regions
 }
 
-// entries returns the entries of this daemon and of all others that are alive, except for those that
-// are leaving. Daemons of other halls come first, after this one.
+// entries returns the entries of this daemon and of all others that are alive, except for those
+// that are leaving. Daemons of other halls come first, after this one.
 func (s *Server) entries() []entry {
 	var all []entry
 	if !s.isLeaving.Load() {
--- a/serving/entries_test.go
+++ b/serving/entries_test.go
@@ -34,7 +34,7 @@
 			s := newServer(t, &fakeStore{})
 			s.opts.Regions = map[string]string{"z": "east", "y": "west", "x": "south"}
 			setState(s, time.Now())
-			s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Routes: []*fleet.Route{westRoute, southWestRoute, unboundRoute}}), time.Now())
+			s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Routes: []*fleet.Route{westRoute, southWestRoute, unboundRoute}}), time.Now())
 			for id, hall := range map[string]string{"w": "y", "s": "x"} {
 				h := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id, Zone: hall}}
 				h.Ready = !slices.Contains(test.notReady, id)
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -24,8 +24,8 @@
 	pathConfig    = "/configuration"
 	pathWorkers   = "/workers"
 	pathDecisions = "/decisions"
-	// headsParam is the query parameter by which a peer asks only for group heads, to which requests
-	// are sent. wholeListPosition is the position by which it asks for the whole list.
+	// headsParam is the query parameter by which a peer asks only for group heads, to which
+	// requests are sent. wholeListPosition is the position by which it asks for the whole list.
 	headsParam        = "heads"
 	headsQuery        = headsParam + "=1"
 	wholeListPosition = -1
@@ -109,7 +109,7 @@
 // fetch fetches whatever state this daemon still lacks compared with a peer. Failures are logged.
 // The next heartbeat of a peer schedules another fetch.
 func (f *fetcher) fetch(ctx context.Context, p fetchRequest) {
-	if p.ConfigVersion > f.server.beliefs.Version() {
+	if p.ConfigVersion > f.server.configCache.Version() {
 		f.logFailure(p, f.fetchConfig(ctx, p))
 	}
 	if f.server.isBehindOnWorkers(p.Peer) {
@@ -135,14 +135,14 @@
 	if err != nil {
 		return err
 	}
-	f.server.beliefs.Offer(config, p.ConfigConfirmedAt())
+	f.server.configCache.Offer(config, p.ConfigConfirmedAt())
 	return nil
 }
 
 func (f *fetcher) fetchWorkers(ctx context.Context, p fetchRequest) error {
 	inventory := f.server.inventory
-	scope, from := inventory.Wants(), inventory.Position()
-	if inventory.AwaitsList() && p.Complete {
+	scope, from := inventory.RequestedScope(), inventory.Position()
+	if inventory.NeedsList() && p.Complete {
 		from = wholeListPosition
 	}
 	path := pathWorkers + "?from=" + strconv.FormatInt(from, 10)
@@ -158,7 +158,7 @@
 		return failure.At(failure.Remote, "decode workers", p.ID, err)
 	}
 	switch {
-	case m.Whole && m.Heads:
+	case m.Whole && m.HeadsOnly:
 		inventory.ReplaceHeads(m.Changes, m.To, p.WorkersConfirmedAt())
 	case m.Whole:
 		inventory.Replace(m.Changes, m.To, p.WorkersConfirmedAt())
@@ -207,7 +207,7 @@
 }
 
 func (f *fetcher) serveConfig(w http.ResponseWriter, r *http.Request) {
-	config := f.server.beliefs.Config()
+	config := f.server.configCache.Config()
 	if config == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -292,7 +292,7 @@
 		f.respondJSON(w, r, changesMessage{Delta: d, Whole: whole})
 		return
 	}
-	if !f.server.inventory.Complete() {
+	if !f.server.inventory.IsComplete() {
 		// The peer has to get the list from another daemon.
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/serving/fetch_test.go
+++ b/serving/fetch_test.go
@@ -15,8 +15,8 @@
 	"quartzshelf.dev/peers"
 )
 
-// TestConfigurationIsSentCompressed fetches two versions of the configuration from a peer and checks
-// that the responses are compressed.
+// TestConfigurationIsSentCompressed fetches two versions of the configuration from a peer and
+// checks that the responses are compressed.
 func TestConfigurationIsSentCompressed(t *testing.T) {
 	provider, requester := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
 	var sent []int
@@ -30,9 +30,9 @@
 	peer := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "giver", Address: strings.TrimPrefix(recorder.URL, "http://")}}}
 	for version := int64(1); version <= 2; version++ {
 		encoded := bytes.Repeat([]byte{'a' + byte(version)}, 50_000)
-		provider.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: version, Encoded: encoded}), time.Now())
+		provider.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: version, Encoded: encoded}), time.Now())
 		assert.NilError(t, requester.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: awake.NewStamp(awake.Never)}))
-		assert.Equal(t, requester.beliefs.Version(), version)
+		assert.Equal(t, requester.configCache.Version(), version)
 		assert.DeepEqual(t, decoded[version-1], encoded)
 
 		answer := httptest.NewRecorder()
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -11,8 +11,8 @@
 // fillHeartbeat sets this daemon's own state in a heartbeat.
 func (s *Server) fillHeartbeat(h *peers.Heartbeat, now time.Time) {
 	s.awake.Check()
-	h.Ready, h.Leaving, h.Complete = s.Ready(), s.isLeaving.Load(), s.inventory.Complete()
-	version, confirmed := s.beliefs.State()
+	h.Ready, h.Leaving, h.Complete = s.Ready(), s.isLeaving.Load(), s.inventory.IsComplete()
+	version, confirmed := s.configCache.State()
 	h.ConfigVersion, h.ConfigAge = version, ageMillis(confirmed, now)
 	h.WorkersPosition, h.WorkersAge = s.inventory.Position(), ageMillis(s.inventory.Confirmed(), now)
 	h.Halls = s.halls.Report(now)
@@ -26,8 +26,8 @@
 	h.Signals = s.signals.Report(now, s.forwardsNews())
 }
 
-// ageMillis returns the time since t in milliseconds, for use in a heartbeat. It is at least 1. If t
-// is zero, it is peers.NeverConfirmed.
+// ageMillis returns the time since t in milliseconds, for use in a heartbeat. It is at least 1. If
+// t is zero, it is peers.NeverConfirmed.
 func ageMillis(t, now time.Time) int64 {
 	if t.IsZero() {
 		return peers.NeverConfirmed
@@ -48,10 +48,10 @@
 	if ownPosition := s.inventory.Position(); ownPosition > 0 && fleet.EraOf(p.WorkersPosition) > fleet.EraOf(ownPosition) {
 		// The store was restored from a copy. Daemons that do not read it learn this from the
 		// positions of others.
-		s.beliefs.HoldCopy(p.HeardAt)
+		s.configCache.HoldAfterRestore(p.HeardAt)
 	}
 	s.halls.Follow(p.Halls, p.SentAfter)
-	s.beliefs.Confirm(p.ConfigVersion, p.ConfigConfirmedAt())
+	s.configCache.Confirm(p.ConfigVersion, p.ConfigConfirmedAt())
 	s.inventory.Confirm(p.WorkersPosition, p.WorkersConfirmedAt())
 	s.onSuspicions(p)
 	s.mergeQuarantine(p)
@@ -64,7 +64,7 @@
 // isBehind reports whether a peer has a newer configuration, later changes of the worker list or
 // later decisions than this daemon.
 func (s *Server) isBehind(p *peers.Peer) bool {
-	return p.ConfigVersion > s.beliefs.Version() || s.isBehindOnWorkers(p) || s.inventory.Decided().Before(p.Decided)
+	return p.ConfigVersion > s.configCache.Version() || s.isBehindOnWorkers(p) || s.inventory.Decided().Before(p.Decided)
 }
 
 // isBehindOnWorkers reports whether a fetch of the worker list from a peer would help. That is the
@@ -72,7 +72,7 @@
 // the same position, has them.
 func (s *Server) isBehindOnWorkers(p *peers.Peer) bool {
 	position := s.inventory.Position()
-	return p.WorkersPosition > position || p.WorkersPosition == position && p.Complete && s.inventory.AwaitsList()
+	return p.WorkersPosition > position || p.WorkersPosition == position && p.Complete && s.inventory.NeedsList()
 }
 
 // countsLoads reports whether this daemon adds up the loads in a peer's heartbeat itself. Otherwise
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -32,20 +32,20 @@
 	}{
 		"a closed data hall": {
 			prepare: func(sender *Server) {
-				sender.halls.Take(fleet.HallNews{Whole: true, Changes: []fleet.HallChange{{Hall: "z", Closed: true}}}, 5, now)
+				sender.halls.ApplyRead(fleet.HallUpdate{IsComplete: true, Changes: []fleet.HallChange{{Hall: "z", Closed: true}}}, 5, now)
 			},
 			isKnown: func(s *Server) bool { return s.halls.View().State("z", now) != fleet.HallOpen },
 		},
 		"that the configuration is the newest": {
-			prepare: func(sender *Server) { sender.beliefs.Confirm(1, now) },
-			isKnown: func(s *Server) bool { return now.Sub(s.beliefs.Confirmed()) < time.Second },
+			prepare: func(sender *Server) { sender.configCache.Confirm(1, now) },
+			isKnown: func(s *Server) bool { return now.Sub(s.configCache.Confirmed()) < time.Second },
 		},
 		"that the worker list is the newest": {
 			prepare: func(sender *Server) { sender.inventory.Confirm(1, now) },
 			isKnown: func(s *Server) bool { return now.Sub(s.inventory.Confirmed()) < time.Second },
 		},
 		"that there is a newer configuration": {
-			prepare: func(sender *Server) { sender.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now) },
+			prepare: func(sender *Server) { sender.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now) },
 			isKnown: func(s *Server) bool { return len(s.fetcher.requests) == 1 && s.newestPeerConfig.Load() == 2 },
 		},
 		"that there are changes of the worker list": {
@@ -90,12 +90,12 @@
 		"that the store was restored from a copy": {
 			prepare: func(sender *Server) {
 				sender.inventory.Replace(nil, fleet.PositionOf(1, 1), now)
-				sender.beliefs.Confirm(1, now)
+				sender.configCache.Confirm(1, now)
 			},
 			// For a while after the restoration, reads do not confirm the configuration.
 			isKnown: func(s *Server) bool {
-				s.beliefs.Confirm(1, now)
-				return s.beliefs.Confirmed().Equal(earlier)
+				s.configCache.Confirm(1, now)
+				return s.configCache.Confirmed().Equal(earlier)
 			},
 		},
 	}
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -26,8 +26,8 @@
 
 func (s *Server) formationOptions(claim peers.Claim) formation.Options {
 	return formation.Options{
-		Config: s.beliefs.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
-		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.KnownSince,
+		Config: s.configCache.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
+		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.FirstListAt,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
 		Smoothed:  s.smoothedDemand.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
 		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
@@ -49,8 +49,8 @@
 // demandSampleInterval is the time between two samples of the fleet's demand.
 const demandSampleInterval = time.Second
 
-// sampleDemand updates smoothedDemand until ctx ends. Every daemon does so, because a new leader needs a
-// current value at once.
+// sampleDemand updates smoothedDemand until ctx ends. Every daemon does so, because a new leader
+// needs a current value at once.
 func (s *Server) sampleDemand(ctx context.Context) {
 	ticker := time.NewTicker(demandSampleInterval)
 	defer ticker.Stop()
@@ -77,8 +77,8 @@
 	return all
 }
 
-// onStall logs a replica whose stall this daemon detected itself, and reports it to peers and to the
-// keeper.
+// onStall logs a replica whose stall this daemon detected itself, and reports it to peers and to
+// the keeper.
 func (s *Server) onStall(r *fleet.Replica) {
 	now := time.Now()
 	s.logger.Warn("replica stalled", "replica", r.ID, "head", r.Head.ID)
--- a/serving/news.go
+++ b/serving/news.go
@@ -28,13 +28,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.beliefs.Changed():
+		case <-s.configCache.Changed():
 			// Peers fetch the configuration when a heartbeat reports a new version.
 			if s.forwardsNews() {
 				s.agent.SendHeartbeat(time.Now())
 			}
 			continue
-		case <-s.inventory.News():
+		case <-s.inventory.PeerUpdates():
 		}
 		if s.forwardsNews() {
 			var unsent news
@@ -72,7 +72,7 @@
 func (s *Server) newsSince(from newsPosition) (news, newsPosition) {
 	var n news
 	decisions := s.inventory.DecisionsSince(from.decisions)
-	if !decisions.Whole {
+	if !decisions.IsSnapshot {
 		for _, part := range decisions.Split(decisionsPerNews) {
 			n.add(peers.News{Decisions: &part})
 		}
@@ -87,7 +87,7 @@
 // addWorkers adds changes of the worker list. Peers have to fetch changes that cannot be split.
 // Members that hold all workers get all changes, the others only those of group heads.
 func (s *Server) addWorkers(n *news, changes fleet.Delta) {
-	if s.inventory.Complete() {
+	if s.inventory.IsComplete() {
 		parts, _ := changes.Split(changesPerNews)
 		for _, part := range parts {
 			n.all = append(n.all, peers.News{Workers: &part})
--- a/serving/news_test.go
+++ b/serving/news_test.go
@@ -134,7 +134,7 @@
 			assert.Equal(t, follower.inventory.Position(), leader.inventory.Position())
 			assert.Equal(t, follower.inventory.Decided(), leader.inventory.Decided())
 			for _, group := range []string{"closed", "missed"} {
-				assert.Equal(t, follower.inventory.Closed(group), leader.inventory.Closed(group), "%s", group)
+				assert.Equal(t, follower.inventory.IsGroupClosed(group), leader.inventory.IsGroupClosed(group), "%s", group)
 			}
 		})
 	}
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -68,8 +68,9 @@
 		if s.isReader() {
 			k.sync(ctx, time.Now())
 		} else {
-			// Another leader may remove marks in the meantime, or the store may lose them. If a mark
-			// is missing in this daemon's next term, that does not mean that an operator removed it.
+			// Another leader may remove marks in the meantime, or the store may lose them. If a
+			// mark is missing in this daemon's next term, that does not mean that an operator
+			// removed it.
 			k.nextRead = time.Time{}
 			clear(k.stored)
 		}
@@ -97,8 +98,8 @@
 	}
 }
 
-// read loads the stored marks and reports whether that succeeded. It lifts the marks that an operator
-// removed from the store.
+// read loads the stored marks and reports whether that succeeded. It lifts the marks that an
+// operator removed from the store.
 func (k *markKeeper) read(ctx context.Context, now time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
@@ -178,5 +179,5 @@
 	if errors.Is(err, formation.ErrElsewhere) {
 		return true, nil
 	}
-	return err == nil && state.Born != 0 && w.Born != 0 && state.Born != w.Born, err
+	return err == nil && state.Born != 0 && w.StartedAt != 0 && state.Born != w.StartedAt, err
 }
--- a/serving/server.go
+++ b/serving/server.go
@@ -40,18 +40,18 @@
 // Server implements the daemon: it relays callers' requests to workers and exchanges state with its
 // peers.
 type Server struct {
-	opts      Options
-	logger    hclog.Logger
-	meter     *telemetry.Meter
-	beliefs   *fleet.Beliefs
-	halls     *fleet.Halls
-	inventory *fleet.Inventory
-	follower  *fleet.Follower
-	agent     *peers.Agent
-	elector   *leadership.Elector
-	tracker   *relay.Tracker
-	relay     *relay.Relay
-	fetcher   *fetcher
+	opts        Options
+	logger      hclog.Logger
+	meter       *telemetry.Meter
+	configCache *fleet.ConfigCache
+	halls       *fleet.Halls
+	inventory   *fleet.Inventory
+	follower    *fleet.Follower
+	agent       *peers.Agent
+	elector     *leadership.Elector
+	tracker     *relay.Tracker
+	relay       *relay.Relay
+	fetcher     *fetcher
 	// warmUp limits the requests to cold workers.
 	warmUp *allowance.Allowance
 	// signals holds the backpressure signals of workers.
@@ -74,7 +74,8 @@
 	// nextMemberRead is when the member list is to be read again.
 	nextMemberRead time.Time
 	// hallMembers is the own hall's member list as last read. registration is this daemon's entry
-	// in it. needsMemberReread is set if the list has to be read again after this daemon registered.
+	// in it. needsMemberReread is set if the list has to be read again after this daemon
+	// registered.
 	hallMembers       []peers.Identity
 	registration      registration
 	needsMemberReread atomic.Bool
@@ -100,7 +101,7 @@
 		opts.Suspended = awake.Never
 	}
 	s := &Server{
-		opts: opts, logger: opts.Logger, meter: meter, beliefs: fleet.NewBeliefs(), halls: fleet.NewHalls(opts.Bounds.Empty),
+		opts: opts, logger: opts.Logger, meter: meter, configCache: fleet.NewConfigCache(), halls: fleet.NewHalls(opts.Bounds.Empty),
 		inventory: fleet.NewInventory(opts.Bounds.Heartbeat, opts.Bounds.Leave), suspicions: newSuspicions(),
 		readDelay: readDelayOf(opts.Self.ID), startedAt: time.Now(), done: make(chan struct{}),
 	}
@@ -108,8 +109,8 @@
 	s.tracker = relay.NewTracker(opts.Self.Zone, s.onStall)
 	s.fetcher = newFetcher(s)
 	s.follower = fleet.NewFollower(fleet.FollowerOptions{
-		Source: opts.Source, Beliefs: s.beliefs, Halls: s.halls, Inventory: s.inventory,
-		Reads: s.shouldRead, Spread: s.retrySpread, Suspended: s.suspended, Logger: opts.Logger.Named("follower"),
+		Source: opts.Source, ConfigCache: s.configCache, Halls: s.halls, Inventory: s.inventory,
+		ShouldRead: s.shouldRead, MinRetryDelay: s.retrySpread, Suspended: s.suspended, Logger: opts.Logger.Named("follower"),
 	})
 	s.agent, err = peers.NewAgent(peers.Options{
 		Self: opts.Self, Transport: opts.Transport, FillHeartbeat: s.fillHeartbeat, OnHeartbeat: s.onHeartbeat, OnNews: s.onNews, OnSummary: s.onSummary,
@@ -153,7 +154,7 @@
 	s.meter.Gauge("held_bytes", func() float64 { return float64(holdings.Held()) })
 	return relay.New(relay.Options{
 		Holdings: holdings,
-		Names:    s.opts.Names, Config: s.beliefs.Config, Confirmed: s.configConfirmedAt, BeliefFor: s.maxConfigAge(),
+		Names:    s.opts.Names, Config: s.configCache.Config, Confirmed: s.configConfirmedAt, BeliefFor: s.maxConfigAge(),
 		View: s.inventory.View, Halls: s.halls.View, RegionOf: s.regionOf,
 		WarmUp:  relay.Bound{Check: s.warmUp.Check, Take: s.takeWarmUp, Next: s.warmUp.Next},
 		Limits:  relay.Bound{Scarce: s.signals.Naming, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
@@ -177,19 +178,19 @@
 
 // hasState reports whether this daemon has a configuration and a worker list.
 func (s *Server) hasState() bool {
-	return s.beliefs.Config() != nil && !s.inventory.Confirmed().IsZero()
+	return s.configCache.Config() != nil && !s.inventory.Confirmed().IsZero()
 }
 
 // canLead reports whether this daemon may lead. It must not be leaving, must have the configuration
 // and all workers, and must have waited for heartbeats of others for listenPeriod.
 func (s *Server) canLead() bool {
 	readAt := s.membersReadAt.Load()
-	return !s.isLeaving.Load() && s.hasState() && s.inventory.Complete() && readAt != nil && time.Since(*readAt) > listenPeriod
+	return !s.isLeaving.Load() && s.hasState() && s.inventory.IsComplete() && readAt != nil && time.Since(*readAt) > listenPeriod
 }
 
 // storeLastSeen returns when the configuration or the worker list was last known to be the newest.
 func (s *Server) storeLastSeen() time.Time {
-	config, workers := s.beliefs.Confirmed(), s.inventory.Confirmed()
+	config, workers := s.configCache.Confirmed(), s.inventory.Confirmed()
 	if config.After(workers) {
 		return config
 	}
--- a/serving/server_test.go
+++ b/serving/server_test.go
@@ -27,20 +27,20 @@
 	return fleet.Source{ReadConfig: f.readConfig, NextConfig: f.nextConfig, ReadWorkers: f.readWorkers, NextWorkers: f.nextWorkers}
 }
 
-func (f *fakeStore) readConfig(context.Context) (fleet.ConfigNews, error) {
-	return fleet.ConfigNews{Config: fleet.NewConfig(fleet.Parts{Version: 1})}, nil
+func (f *fakeStore) readConfig(context.Context) (fleet.ConfigUpdate, error) {
+	return fleet.ConfigUpdate{Config: fleet.NewConfig(fleet.Parts{Version: 1})}, nil
 }
 
-func (f *fakeStore) nextConfig(context.Context, int64, time.Duration) (fleet.ConfigNews, error) {
-	return fleet.ConfigNews{}, errUnavailable
+func (f *fakeStore) nextConfig(context.Context, int64, time.Duration) (fleet.ConfigUpdate, error) {
+	return fleet.ConfigUpdate{}, errUnavailable
 }
 
-func (f *fakeStore) readWorkers(context.Context, string) (fleet.WorkerNews, error) {
-	return fleet.WorkerNews{Next: 1}, nil
+func (f *fakeStore) readWorkers(context.Context, string) (fleet.WorkerUpdate, error) {
+	return fleet.WorkerUpdate{Next: 1}, nil
 }
 
-func (f *fakeStore) nextWorkers(context.Context, int64, time.Duration) (fleet.WorkerNews, error) {
-	return fleet.WorkerNews{}, errUnavailable
+func (f *fakeStore) nextWorkers(context.Context, int64, time.Duration) (fleet.WorkerUpdate, error) {
+	return fleet.WorkerUpdate{}, errUnavailable
 }
 
 func (f *fakeStore) register(context.Context, peers.Identity) error { return nil }
@@ -76,7 +76,7 @@
 // setState gives a daemon a configuration and a worker list that were confirmed at a time. The
 // daemon then counts as settled.
 func setState(s *Server, at time.Time) {
-	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), at)
+	s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), at)
 	s.inventory.Replace(nil, 1, at)
 	s.isSettled.Store(true)
 }
@@ -86,17 +86,17 @@
 // one. The daemon must wait for a peer's heartbeat, and then for the version that the peer reports.
 func TestStartingDaemonTrustsPeers(t *testing.T) {
 	s, now := newServer(t, &fakeStore{}), time.Now()
-	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
+	s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
 	s.inventory.Replace(nil, 1, now)
 	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "it has heard no peer yet")
 	p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, ConfigVersion: 2}, HeardAt: now}
 	s.agent.Table().RecordHeartbeat(p.Heartbeat, now, now)
 	s.onHeartbeat(p)
 	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "a peer has a newer configuration")
-	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now)
+	s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now)
 	assert.Assert(t, s.Ready() && !s.relay.BeliefTooOld(now))
 	loneServer := newServer(t, &fakeStore{})
-	loneServer.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
+	loneServer.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
 	loneServer.inventory.Replace(nil, 1, now)
 	longAgo := now.Add(-2 * listenPeriod)
 	loneServer.membersReadAt.Store(&longAgo)
--- a/serving/settle.go
+++ b/serving/settle.go
@@ -17,7 +17,7 @@
 	readAt := s.membersReadAt.Load()
 	alone := readAt != nil && now.Sub(*readAt) > listenPeriod || now.Sub(s.startedAt) > aloneTimeout
 	hasPeers := len(s.agent.Table().Alive(now)) > 0
-	if !hasPeers && !alone || s.newestPeerConfig.Load() > s.beliefs.Version() {
+	if !hasPeers && !alone || s.newestPeerConfig.Load() > s.configCache.Version() {
 		return false
 	}
 	s.isSettled.Store(true)
@@ -40,5 +40,5 @@
 	if !s.hasSettled(time.Now()) {
 		return time.Time{}
 	}
-	return s.beliefs.Confirmed()
+	return s.configCache.Confirmed()
 }
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -166,7 +166,7 @@
 // signalEngine has steps of 40 ms, plus 2 ms per request.
 var signalEngine = &fleet.Engine{
 	Slots: slotsPerHead, PrefillPerSecond: 45_900, Step: 8 * time.Millisecond, StepPerRequest: 400 * time.Microsecond,
-	Stride: 5, UsualAnswer: 50,
+	Stride: 5, MeanAnswerTokens: 50,
 }
 
 func newSignalConfig() *fleet.Config {
@@ -174,9 +174,9 @@
 	return fleet.NewConfig(fleet.Parts{
 		Version: 1,
 		Routes: []*fleet.Route{
-			{Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 5 * time.Second, Attempts: 2, Resumable: true, Public: true, Targets: models},
-			{Host: "h", Prefix: "/once/", Kind: fleet.NonIdempotent, Timeout: 5 * time.Second, Attempts: 2, Public: true, Targets: plain},
-			{Host: "h", Prefix: "/safe/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, Attempts: 2, Public: true, Targets: plain},
+			{Host: "h", Prefix: "/stream/", Kind: fleet.Stream, Timeout: 5 * time.Second, MaxAttempts: 2, Resumable: true, Public: true, Targets: models},
+			{Host: "h", Prefix: "/once/", Kind: fleet.NonIdempotent, Timeout: 5 * time.Second, MaxAttempts: 2, Public: true, Targets: plain},
+			{Host: "h", Prefix: "/safe/", Kind: fleet.Idempotent, Timeout: 5 * time.Second, MaxAttempts: 2, Public: true, Targets: plain},
 		},
 		Services: []*fleet.Service{{Name: "models", Engine: signalEngine}, {Name: "plain"}},
 	})
@@ -256,7 +256,7 @@
 // daemons, and starts the tasks that are needed to route requests.
 func (f *signalFleet) startTasks(ctx context.Context, tasks *conc.WaitGroup, s *Server) {
 	now := time.Now()
-	s.beliefs.Offer(newSignalConfig(), now)
+	s.configCache.Offer(newSignalConfig(), now)
 	var changes []fleet.Change
 	for id := range f.heads {
 		plain := id + "-plain"
--- a/serving/start_test.go
+++ b/serving/start_test.go
@@ -29,8 +29,8 @@
 	storeRate     = 500e6
 	smallLinkRate = 20e6 / 8
 	largeLinkRate = 1e9 / 8
-	// storeDelay is the minimum latency of the store. A call fails after storeTimeout if its response
-	// would be queued for longer.
+	// storeDelay is the minimum latency of the store. A call fails after storeTimeout if its
+	// response would be queued for longer.
 	storeDelay   = 4 * time.Millisecond
 	storeTimeout = 700 * time.Millisecond
 	// workerBytes is the size of a worker's entry in a response, in bytes. workersPerPage is the
@@ -52,7 +52,8 @@
 	workers []fleet.Change
 	members map[string][]peers.Identity
 	grant   peers.Grant
-	// changes holds the changes since the first worker list. version is the configuration's version.
+	// changes holds the changes since the first worker list. version is the configuration's
+	// version.
 	changes   []fleet.Change
 	version   int64
 	bytesRead int
@@ -135,8 +136,8 @@
 
 func fromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// waitForNews waits, at most for the given time, until size returns more than zero. Then it responds
-// like respond.
+// waitForNews waits, at most for the given time, until size returns more than zero. Then it
+// responds like respond.
 func (s *sharedStore) waitForNews(ctx context.Context, wait time.Duration, size func() int, linkRate float64) error {
 	for until := time.Now().Add(wait); size() == 0 && time.Now().Before(until); {
 		select {
@@ -151,43 +152,43 @@
 // source returns the store's source for a daemon whose link has the given rate.
 func (s *sharedStore) source(linkRate float64) fleet.Source {
 	return fleet.Source{
-		ReadConfig: func(ctx context.Context) (fleet.ConfigNews, error) {
+		ReadConfig: func(ctx context.Context) (fleet.ConfigUpdate, error) {
 			s.countCall("list configuration")
 			config := s.config()
-			return fleet.ConfigNews{Config: config, Next: config.Version()}, s.respond(ctx, configBytes, linkRate)
+			return fleet.ConfigUpdate{Config: config, Next: config.Version()}, s.respond(ctx, configBytes, linkRate)
 		},
-		NextConfig: func(ctx context.Context, position int64, wait time.Duration) (fleet.ConfigNews, error) {
+		NextConfig: func(ctx context.Context, position int64, wait time.Duration) (fleet.ConfigUpdate, error) {
 			s.countCall("follow configuration")
 			err := s.waitForNews(ctx, wait, func() int { return configBytes * int(s.config().Version()-position) }, linkRate)
 			if config := s.config(); err == nil && config.Version() > position {
-				return fleet.ConfigNews{Config: config, Next: config.Version()}, nil
+				return fleet.ConfigUpdate{Config: config, Next: config.Version()}, nil
 			}
-			return fleet.ConfigNews{Next: position}, err
+			return fleet.ConfigUpdate{Next: position}, err
 		},
-		ReadWorkers: func(ctx context.Context, after string) (fleet.WorkerNews, error) {
+		ReadWorkers: func(ctx context.Context, after string) (fleet.WorkerUpdate, error) {
 			s.countCall("list workers")
 			return s.readWorkers(ctx, after, linkRate)
 		},
-		NextWorkers: func(ctx context.Context, position int64, wait time.Duration) (fleet.WorkerNews, error) {
+		NextWorkers: func(ctx context.Context, position int64, wait time.Duration) (fleet.WorkerUpdate, error) {
 			s.countCall("follow workers")
 			err := s.waitForNews(ctx, wait, func() int { return workerBytes * len(s.changesFrom(position)) }, linkRate)
 			changes := s.changesFrom(position)
-			return fleet.WorkerNews{Changes: changes, Next: position + int64(len(changes))}, err
+			return fleet.WorkerUpdate{Changes: changes, Next: position + int64(len(changes))}, err
 		},
 	}
 }
 
 // readWorkers returns a page of the whole list.
-func (s *sharedStore) readWorkers(ctx context.Context, after string, linkRate float64) (fleet.WorkerNews, error) {
+func (s *sharedStore) readWorkers(ctx context.Context, after string, linkRate float64) (fleet.WorkerUpdate, error) {
 	first := 0
 	if after != "" {
 		if _, err := fmt.Sscanf(after, "w%d", &first); err != nil {
-			return fleet.WorkerNews{}, err
+			return fleet.WorkerUpdate{}, err
 		}
 		first++
 	}
 	page := s.workers[first:min(first+workersPerPage, len(s.workers))]
-	news := fleet.WorkerNews{Changes: page, Next: int64(len(s.workers)), More: first+len(page) < len(s.workers), Last: page[len(page)-1].ID}
+	news := fleet.WorkerUpdate{Changes: page, Next: int64(len(s.workers)), More: first+len(page) < len(s.workers), Last: page[len(page)-1].ID}
 	return news, s.respond(ctx, len(page)*workerBytes, linkRate)
 }
 
@@ -348,7 +349,7 @@
 func (f *startingFleet) countStates() (ready, leaders, complete int) {
 	for _, s := range f.daemons {
 		own, _, _ := s.elector.State()
-		ready, leaders, complete = ready+toInt(s.Ready()), leaders+toInt(own != nil), complete+toInt(s.inventory.Complete())
+		ready, leaders, complete = ready+toInt(s.Ready()), leaders+toInt(own != nil), complete+toInt(s.inventory.IsComplete())
 	}
 	return ready, leaders, complete
 }
@@ -364,8 +365,8 @@
 	return relays
 }
 
-// TestLargeFleetStarts starts all daemons of a large fleet at about the same time. All must be ready
-// within 5 s. It guards against every daemon reading the whole worker list from the store.
+// TestLargeFleetStarts starts all daemons of a large fleet at about the same time. All must be
+// ready within 5 s. It guards against every daemon reading the whole worker list from the store.
 func TestLargeFleetStarts(t *testing.T) {
 	tests := map[string]struct {
 		daemons, workers int
@@ -392,8 +393,8 @@
 }
 
 // TestLargeFleetRestarts stops all daemons and starts them again. The member list then holds their
-// former incarnations. All must be ready within 3 s, with little more than one call to the store per
-// daemon.
+// former incarnations. All must be ready within 3 s, with little more than one call to the store
+// per daemon.
 func TestLargeFleetRestarts(t *testing.T) {
 	t.Parallel()
 	const daemons, workers = 986, 3064
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -10,8 +10,8 @@
 const (
 	// startCheckInterval is the time between two checks of the progress of the start.
 	startCheckInterval = 20 * time.Millisecond
-	// startLogPeriod is the period after the start in which steps are logged. A daemon that is alone
-	// or gets no requests never reaches some of them.
+	// startLogPeriod is the period after the start in which steps are logged. A daemon that is
+	// alone or gets no requests never reaches some of them.
 	startLogPeriod = 10 * time.Second
 )
 
@@ -25,7 +25,7 @@
 // usual order.
 func (s *Server) startSteps() []startStep {
 	return []startStep{
-		{"configuration known", func(time.Time) bool { return s.beliefs.Config() != nil }},
+		{"configuration known", func(time.Time) bool { return s.configCache.Config() != nil }},
 		{"worker list known", func(time.Time) bool { return !s.inventory.Confirmed().IsZero() }},
 		{"ready for callers", func(time.Time) bool { return s.Ready() }},
 		{"daemons listed", func(time.Time) bool { return s.membersReadAt.Load() != nil }},
--- a/serving/warmup.go
+++ b/serving/warmup.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// warmUpHeartbeats is the number of heartbeat intervals after which a worker that has become cold
-	// must have reported it.
+	// warmUpHeartbeats is the number of heartbeat intervals after which a worker that has become
+	// cold must have reported it.
 	warmUpHeartbeats = 2
 	// warmUpCheckInterval is the time between two checks of which workers warm up. They keep the
 	// gauge and the logs current on a daemon that gets no requests.
@@ -24,7 +24,7 @@
 		Self: s.opts.Self.ID, Members: s.registeredIDs,
 		Bound:  allowance.Bound{Burst: s.opts.Bounds.WarmUp.Burst, Slack: s.opts.Bounds.WarmUp.Slack},
 		Settle: warmUpHeartbeats * s.opts.Bounds.Heartbeat,
-		View:   s.inventory.View, Halls: s.halls.View, Config: s.beliefs.Config, Changed: s.onWarmUpChange,
+		View:   s.inventory.View, Halls: s.halls.View, Config: s.configCache.Config, Changed: s.onWarmUpChange,
 	})
 	s.meter.Gauge("workers_warming", func() float64 { return float64(a.Warming()) })
 	return a
@@ -41,22 +41,22 @@
 }
 
 // isMemberReadDue reports whether the member list must be read again, even if other daemons are
-// alive. That is needed only if requests to cold workers are limited, since the daemons that may send
-// them are chosen from all registered ones.
+// alive. That is needed only if requests to cold workers are limited, since the daemons that may
+// send them are chosen from all registered ones.
 func (s *Server) isMemberReadDue(now time.Time) bool {
 	return !now.Before(s.nextMemberRead) && s.limitsWarmUp()
 }
 
 // limitsWarmUp reports whether any service limits the requests to its cold workers.
 func (s *Server) limitsWarmUp() bool {
-	config := s.beliefs.Config()
+	config := s.configCache.Config()
 	bounded := func(v *fleet.Service) bool { return v.WarmUp.PerSecond > 0 }
 	return config != nil && slices.ContainsFunc(config.Services(), bounded)
 }
 
 // takeWarmUp takes a token for a request to a replica and counts the result in metrics. It reports
-// false if there is none. sendBy is zero if the replica does not warm up; otherwise the request must
-// be sent by then.
+// false if there is none. sendBy is zero if the replica does not warm up; otherwise the request
+// must be sent by then.
 func (s *Server) takeWarmUp(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	sendBy, ok = s.warmUp.Take(r, now)
 	switch {
@@ -68,8 +68,8 @@
 	return sendBy, ok
 }
 
-// onWarmUpChange logs the start or end of a worker's warm-up. Only the leader logs it at level info,
-// because all daemons detect it.
+// onWarmUpChange logs the start or end of a worker's warm-up. Only the leader logs it at level
+// info, because all daemons detect it.
 func (s *Server) onWarmUpChange(w *fleet.Worker, warming bool) {
 	message := "worker warmed up"
 	if warming {
@@ -79,7 +79,7 @@
 	if s.isReader() {
 		log = s.logger.Info
 	}
-	log(message, "worker", w.ID, "service", w.Service, "hall", w.Zone, "group", w.Member.Group, "cold_ms", w.ColdLeft)
+	log(message, "worker", w.ID, "service", w.Service, "hall", w.Zone, "group", w.Member.Group, "cold_ms", w.ColdRemainingMillis)
 }
 
 // watchWarmUp regularly checks which workers warm up, until ctx ends.
--- a/serving/warmup_test.go
+++ b/serving/warmup_test.go
@@ -18,11 +18,11 @@
 // limits requests to cold workers.
 func setColdWorkers(s *Server) {
 	warmUp := fleet.WarmUp{PerSecond: 14, For: 3 * time.Second}
-	s.beliefs.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Services: []*fleet.Service{{Name: "models", WarmUp: warmUp}}}), time.Now())
+	s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Services: []*fleet.Service{{Name: "models", WarmUp: warmUp}}}), time.Now())
 	var all []fleet.Change
 	for i := range coldWorkerCount {
 		id := fmt.Sprint("w", i)
-		all = append(all, fleet.Change{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Zone: "hall", ColdLeft: time.Hour.Milliseconds()}})
+		all = append(all, fleet.Change{ID: id, Worker: &fleet.Worker{ID: id, Service: "models", Zone: "hall", ColdRemainingMillis: time.Hour.Milliseconds()}})
 	}
 	s.inventory.Replace(all, 2, time.Now())
 }
@@ -41,9 +41,9 @@
 	return count
 }
 
-// TestHoldersOfColdWorkers checks the number of cold workers that a daemon may send requests to. They
-// are divided among all daemons ever known, alive or not. Before a daemon has read the member list,
-// it may not send requests to any.
+// TestHoldersOfColdWorkers checks the number of cold workers that a daemon may send requests to.
+// They are divided among all daemons ever known, alive or not. Before a daemon has read the member
+// list, it may not send requests to any.
 func TestHoldersOfColdWorkers(t *testing.T) {
 	others := func(count int) []peers.Identity {
 		var all []peers.Identity
--- a/standin/node.go
+++ b/standin/node.go
@@ -127,8 +127,8 @@
 	return n.up
 }
 
-// checkReachable returns an error if the node is killed or stuck. If it is stuck, checkReachable blocks
-// until ctx is done.
+// checkReachable returns an error if the node is killed or stuck. If it is stuck, checkReachable
+// blocks until ctx is done.
 func (n *Node) checkReachable(ctx context.Context, step string) error {
 	n.mu.Lock()
 	up, stuck := n.up, n.stuck
@@ -153,8 +153,8 @@
 	return n.stateLocked(), nil
 }
 
-// stateLocked returns the node's state and updates its load if that is older than LoadLag. The caller
-// holds n.mu.
+// stateLocked returns the node's state and updates its load if that is older than LoadLag. The
+// caller holds n.mu.
 func (n *Node) stateLocked() cluster.NodeState {
 	now := time.Now()
 	if now.Sub(n.loadReportedAt) >= n.opts.LoadLag {
@@ -168,8 +168,8 @@
 	return state
 }
 
-// Order sends the node an order. The node accepts it only if its token is higher than the token of the
-// last accepted order, unless NodeOptions.Unfenced is set.
+// Order sends the node an order. The node accepts it only if its token is higher than the token of
+// the last accepted order, unless NodeOptions.Unfenced is set.
 func (n *Node) Order(ctx context.Context, order cluster.Order) (cluster.OrderReply, error) {
 	if err := n.checkReachable(ctx, "order node"); err != nil {
 		return cluster.OrderReply{}, err
@@ -180,7 +180,7 @@
 		return cluster.OrderReply{State: n.stateLocked()}, nil
 	}
 	n.state.Token = order.Token
-	if n.state.Assignment.Same(order.Assignment) {
+	if n.state.Assignment.SameReplica(order.Assignment) {
 		// The same assignment with a higher token does not interrupt the replica.
 		n.preload(order.Preload)
 		return cluster.OrderReply{Accepted: true, State: n.stateLocked()}, nil
@@ -195,11 +195,11 @@
 	return cluster.OrderReply{Accepted: true, State: n.stateLocked()}, nil
 }
 
-// startAssignment sets the node's phase for an assignment and starts loading its weights if they are
-// not cached. The caller holds n.mu.
+// startAssignment sets the node's phase for an assignment and starts loading its weights if they
+// are not cached. The caller holds n.mu.
 func (n *Node) startAssignment(a cluster.Assignment) {
 	switch {
-	case a.Empty():
+	case a.IsEmpty():
 		n.state.Phase = cluster.PhaseIdle
 	case slices.Contains(n.state.Cached, a.Version):
 		n.state.Phase = cluster.PhaseReady
@@ -254,7 +254,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ctx.Err() != nil || !n.up || !n.state.Assignment.Same(a) {
+	if ctx.Err() != nil || !n.up || !n.state.Assignment.SameReplica(a) {
 		return
 	}
 	n.addCached(a.Version)
@@ -268,8 +268,8 @@
 	return n.state.Assignment, n.up && n.state.Phase == cluster.PhaseReady
 }
 
-// Fence returns how often the node was started, and the token of the last order that it accepted since
-// its latest start.
+// Fence returns how often the node was started, and the token of the last order that it accepted
+// since its latest start.
 func (n *Node) Fence() (incarnation int, last token.Token) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
