--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -148,12 +148,12 @@
 	if p.Grant.Epoch > e.grant.Epoch {
 		e.grant = p.Grant
 	}
-	for _, c := range []*peers.Claim{&p.Highest, p.Leads} {
-		if c != nil && c.Higher(e.highestClaim) {
+	for _, c := range []*peers.Claim{&p.HighestClaim, p.OwnClaim} {
+		if c != nil && c.Outranks(e.highestClaim) {
 			e.highestClaim = *c
 		}
 	}
-	if e.ownClaim != nil && e.highestClaim.Higher(*e.ownClaim) {
+	if e.ownClaim != nil && e.highestClaim.Outranks(*e.ownClaim) {
 		e.yield("a higher claim was heard")
 	}
 }
@@ -245,7 +245,7 @@
 
 // hasLeader reports whether one of the daemons leads and is not stopping.
 func hasLeader(alive []*peers.Peer) bool {
-	return slices.ContainsFunc(alive, func(p *peers.Peer) bool { return p.Leads != nil && !p.Leaving })
+	return slices.ContainsFunc(alive, func(p *peers.Peer) bool { return p.OwnClaim != nil && !p.Leaving })
 }
 
 // leaderSeenByOthers reports whether another daemon has recently received a heartbeat from a
@@ -254,7 +254,7 @@
 	patience := e.opts.Patience()
 	return slices.ContainsFunc(alive, func(p *peers.Peer) bool {
 		age := time.Duration(p.LeaderAge) * time.Millisecond
-		return p.LeaderAge > 0 && age+now.Sub(p.HeardAt) < patience
+		return p.LeaderAge > 0 && age+now.Sub(p.LastHeartbeatAt) < patience
 	})
 }
 
@@ -309,7 +309,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	// If this daemon was suspended in between, others may have led meanwhile.
-	if !won || stamp.Interrupted() || e.highestClaim.Higher(claim) || ctx.Err() != nil {
+	if !won || stamp.Interrupted() || e.highestClaim.Outranks(claim) || ctx.Err() != nil {
 		e.pauseUntil = time.Now().Add(retryPause)
 		return
 	}
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -109,8 +109,8 @@
 // report sends a heartbeat to all reachable daemons five times a second, until ctx ends.
 func (d *fakeDaemon) report(ctx context.Context) {
 	for ctx.Err() == nil {
-		p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: d.identity(), Ready: !d.fleet.isUnready() && d.canLead(), Complete: true}, HeardAt: time.Now()}
-		p.Leads, p.Highest, p.Grant = d.elector.State()
+		p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: d.identity(), Ready: !d.fleet.isUnready() && d.canLead(), Complete: true}, LastHeartbeatAt: time.Now()}
+		p.OwnClaim, p.HighestClaim, p.Grant = d.elector.State()
 		d.fleet.mu.Lock()
 		all := slices.Clone(d.fleet.daemons)
 		d.fleet.mu.Unlock()
@@ -134,7 +134,7 @@
 	defer d.fleet.mu.Unlock()
 	var all []*peers.Peer
 	for _, p := range d.lastHeartbeats {
-		if now.Sub(p.HeardAt) < 800*time.Millisecond {
+		if now.Sub(p.LastHeartbeatAt) < 800*time.Millisecond {
 			all = append(all, p)
 		}
 	}
@@ -146,7 +146,7 @@
 	defer d.fleet.mu.Unlock()
 	n := 0
 	for _, p := range d.lastHeartbeats {
-		if p.HeardAt.After(since) {
+		if p.LastHeartbeatAt.After(since) {
 			n++
 		}
 	}
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -158,7 +158,7 @@
 	own := a.composeHeartbeat(now)
 	l, round := a.startRound(own, now)
 	if l.role != Relay {
-		a.deliver(kindHeartbeat, l.recipients(own.Leads != nil), now, a.newMessage(own))
+		a.deliver(kindHeartbeat, l.recipients(own.OwnClaim != nil), now, a.newMessage(own))
 		return
 	}
 	full, others := l.splitByTurn(round)
@@ -205,7 +205,7 @@
 // SendHeartbeat sends a heartbeat at once, without waiting for the next round.
 func (a *Agent) SendHeartbeat(now time.Time) {
 	own := a.composeHeartbeat(now)
-	a.deliver(kindHeartbeat, a.currentLayout().recipients(own.Leads != nil), now, a.newMessage(own))
+	a.deliver(kindHeartbeat, a.currentLayout().recipients(own.OwnClaim != nil), now, a.newMessage(own))
 }
 
 // SendNews sends news to the daemons that this one reports to. A relay sends it within its data
@@ -387,13 +387,14 @@
 		sentAfter = now.Add(echo - clock)
 	}
 	if a.table.RecordHeartbeat(*h, now, sentAfter) {
-		a.opts.OnHeartbeat(&Peer{Heartbeat: *h, HeardAt: now, SentAfter: sentAfter})
+		a.opts.OnHeartbeat(&Peer{Heartbeat: *h, LastHeartbeatAt: now, SentAfter: sentAfter})
 	}
 	return true
 }
 
-// handleSummaries stores the summaries in a message and calls OnSummary with those that are relevant
-// in this daemon's role. Relays need those of other halls, members that of the whole fleet.
+// handleSummaries stores the summaries in a message and calls OnSummary with those that are
+// relevant in this daemon's role. Relays need those of other halls, members that of the whole
+// fleet.
 func (a *Agent) handleSummaries(p *Peer, m *message, now time.Time) {
 	role := a.Role()
 	for _, s := range []*Summary{m.Hall, m.Fleet} {
--- a/peers/agent_test.go
+++ b/peers/agent_test.go
@@ -25,7 +25,7 @@
 func newAgent(t *testing.T, id string, onHeartbeat func(*Peer)) *Agent {
 	t.Helper()
 	a, err := NewAgent(Options{
-		Self:          Identity{ID: id, Incarnation: 1, Address: freeAddress(t), Front: id},
+		Self:          Identity{ID: id, Incarnation: 1, Address: freeAddress(t), ServingAddress: id},
 		FillHeartbeat: func(b *Heartbeat, _ time.Time) { b.Ready, b.ConfigAge = true, 100 },
 		OnHeartbeat:   onHeartbeat, OnNews: func(*Peer, *News) {}, OnSummary: func(string, Summary, time.Time) {}, OnSent: func(string, int) {},
 		Logger: hclog.NewNullLogger(),
@@ -49,7 +49,7 @@
 		// SentAfter is known once the peer has echoed this daemon's clock.
 		if !p.SentAfter.IsZero() {
 			assert.Equal(t, p.ID, "b")
-			assert.Assert(t, p.SentAfter.Before(p.HeardAt))
+			assert.Assert(t, p.SentAfter.Before(p.LastHeartbeatAt))
 			assert.Equal(t, p.ConfigConfirmedAt(), p.SentAfter.Add(-100*time.Millisecond))
 			break
 		}
@@ -85,7 +85,7 @@
 	table := NewTable(Identity{ID: "a", Incarnation: 1})
 	now := time.Unix(1000, 0)
 	assert.Equal(t, table.LeaderAge(now), int64(0))
-	table.RecordHeartbeat(Heartbeat{Identity: Identity{ID: "b", Incarnation: 1}, Leads: &Claim{Epoch: 1}}, now, now)
+	table.RecordHeartbeat(Heartbeat{Identity: Identity{ID: "b", Incarnation: 1}, OwnClaim: &Claim{Epoch: 1}}, now, now)
 	assert.Equal(t, table.LeaderAge(now.Add(time.Second)), int64(1001))
 }
 
@@ -137,7 +137,7 @@
 		a.handleDatagram(a.encodeDatagram(m, clock), time.Now())
 	}
 	full := &Heartbeat{
-		Identity: Identity{ID: "b", Incarnation: 1, Zone: "z", Address: "b:1", Front: "f"},
+		Identity: Identity{ID: "b", Incarnation: 1, Zone: "z", Address: "b:1", ServingAddress: "f"},
 		Grant:    Grant{Epoch: 7, Holders: []Holder{{ID: "b", Incarnation: 1}}}, ConfigVersion: 3,
 	}
 	receive(full.toBrief())
--- a/peers/format.go
+++ b/peers/format.go
@@ -25,18 +25,18 @@
 
 // Format is the range of format versions that a daemon supports.
 type Format struct {
-	// Spoken is the version that the daemon writes, Oldest the oldest version that it reads. Both
-	// are zero if the daemon reports none.
-	Spoken int `json:"v,omitempty"`
-	Oldest int `json:"o,omitempty"`
+	// Written is the version that the daemon writes, OldestRead the oldest version that it reads.
+	// Both are zero if the daemon reports none.
+	Written    int `json:"v,omitempty"`
+	OldestRead int `json:"o,omitempty"`
 }
 
 // OwnFormat returns the format of this build.
-func OwnFormat() Format { return Format{Spoken: currentFormat, Oldest: oldestUnderstood} }
+func OwnFormat() Format { return Format{Written: currentFormat, OldestRead: oldestUnderstood} }
 
 // isValid reports whether a format is a possible range of versions, or empty.
 func (f Format) isValid() bool {
-	return f == Format{} || f.Oldest >= FormatFirst && f.Spoken >= f.Oldest && f.Spoken <= maxFormat
+	return f == Format{} || f.OldestRead >= FormatFirst && f.Written >= f.OldestRead && f.Written <= maxFormat
 }
 
 // effectiveVersion returns the version that a daemon with this format uses, at most the version of
@@ -45,11 +45,11 @@
 	if f == (Format{}) || !f.isValid() {
 		return FormatFirst
 	}
-	return min(f.Spoken, currentFormat)
+	return min(f.Written, currentFormat)
 }
 
 // IsUnderstood reports whether this build can read messages of a daemon with this format.
-func (f Format) IsUnderstood() bool { return !f.isValid() || f.Oldest <= currentFormat }
+func (f Format) IsUnderstood() bool { return !f.isValid() || f.OldestRead <= currentFormat }
 
 // formats records when each earlier version was last in use. The mutex of the Table guards it.
 type formats struct {
--- a/peers/format_test.go
+++ b/peers/format_test.go
@@ -13,7 +13,7 @@
 
 // recordedLoads returns the loads of the recorded messages.
 func recordedLoads() Loads {
-	return Loads{{Replica: "big-r4fti4i@268435458", InFlight: 3, Prefill: 100, Moved: 20}, {Replica: "worker", InFlight: 2, Prefill: 7, Moved: 30}}
+	return Loads{{Replica: "big-r4fti4i@268435458", InFlight: 3, PendingPromptTokens: 100, EventAgeMillis: 20}, {Replica: "worker", InFlight: 2, PendingPromptTokens: 7, EventAgeMillis: 30}}
 }
 
 // filledMessage returns a message with every field set.
--- a/peers/heartbeat.go
+++ b/peers/heartbeat.go
@@ -18,8 +18,8 @@
 	Rank  int   `json:"rank,omitempty"`
 }
 
-// Higher reports whether c supersedes other.
-func (c Claim) Higher(other Claim) bool {
+// Outranks reports whether c supersedes other.
+func (c Claim) Outranks(other Claim) bool {
 	return c.Epoch > other.Epoch || c.Epoch == other.Epoch && c.Rank > other.Rank
 }
 
@@ -58,8 +58,8 @@
 	Zone string `json:"zone,omitempty"`
 	// Address is where peers reach the daemon, by both UDP and TCP.
 	Address string `json:"peer,omitempty"`
-	// Front is the address for callers.
-	Front string `json:"front,omitempty"`
+	// ServingAddress is the address for callers.
+	ServingAddress string `json:"front,omitempty"`
 	// Capacity is the computing capacity of the daemon's machine, in thousandths of a processor
 	// core; 0 if unknown.
 	Capacity int `json:"cap,omitempty"`
@@ -94,11 +94,11 @@
 	// Decided is the position up to which the daemon knows the leader's decisions.
 	Decided fleet.DecisionPosition `json:"d,omitzero"`
 
-	// Leads is the daemon's own claim while it leads, otherwise nil. Highest is the highest claim
-	// and Grant the newest grant that the daemon knows of.
-	Leads   *Claim `json:"leads,omitempty"`
-	Highest Claim  `json:"highest"`
-	Grant   Grant  `json:"grant,omitzero"`
+	// OwnClaim is the daemon's own claim while it leads, otherwise nil. HighestClaim is the highest
+	// claim and Grant the newest grant that the daemon knows of.
+	OwnClaim     *Claim `json:"leads,omitempty"`
+	HighestClaim Claim  `json:"highest"`
+	Grant        Grant  `json:"grant,omitzero"`
 	// LeaderAge is the time since the daemon last received a leader's heartbeat; 0 if it never did.
 	LeaderAge int64 `json:"la,omitempty"`
 
@@ -128,8 +128,8 @@
 // Peer is the state of another daemon as far as this daemon knows it.
 type Peer struct {
 	Heartbeat
-	// HeardAt is when its latest heartbeat was received; zero if none was.
-	HeardAt time.Time
+	// LastHeartbeatAt is when its latest heartbeat was received; zero if none was.
+	LastHeartbeatAt time.Time
 	// SentAfter is the earliest time, by this daemon's clock, at which the latest heartbeat can
 	// have been sent; zero if unknown. Ages in the heartbeat are subtracted from it.
 	SentAfter time.Time
@@ -142,10 +142,10 @@
 // lastSeen returns when this daemon or a relay last received a heartbeat of the peer. It is zero if
 // neither did.
 func (p *Peer) lastSeen() time.Time {
-	if p.reportedAt.After(p.HeardAt) {
+	if p.reportedAt.After(p.LastHeartbeatAt) {
 		return p.reportedAt
 	}
-	return p.HeardAt
+	return p.LastHeartbeatAt
 }
 
 // ConfigConfirmedAt returns when the peer's configuration was last known to be the newest; zero if
@@ -158,8 +158,9 @@
 
 func (p *Peer) confirmedAt(age int64) time.Time {
 	if p.SentAfter.IsZero() || age <= 0 || age >= NeverConfirmed {
-		// Ages start at 1, so 0 means that the sender omitted it. NeverConfirmed must yield the zero
-		// time, because a time in the distant past would make the receiver read the store at once.
+		// Ages start at 1, so 0 means that the sender omitted it. NeverConfirmed must yield the
+		// zero time, because a time in the distant past would make the receiver read the store at
+		// once.
 		return time.Time{}
 	}
 	return p.SentAfter.Add(-time.Duration(age) * time.Millisecond)
--- a/peers/loads.go
+++ b/peers/loads.go
@@ -14,30 +14,31 @@
 type Load struct {
 	Replica  string `json:"r"`
 	InFlight int    `json:"n"`
-	// Prefill is the number of prompt tokens in requests whose answers have not started.
-	Prefill int `json:"p,omitempty"`
-	// Moved is the time since the latest event was received from the replica, in milliseconds. It
-	// is zero if unknown.
-	Moved int64 `json:"m,omitempty"`
+	// PendingPromptTokens is the number of prompt tokens in requests whose answers have not
+	// started.
+	PendingPromptTokens int `json:"p,omitempty"`
+	// EventAgeMillis is the time since the latest event was received from the replica, in
+	// milliseconds. It is zero if unknown.
+	EventAgeMillis int64 `json:"m,omitempty"`
 }
 
 const (
-	// eventAgeUnitMillis is the resolution of Load.Moved in messages, in milliseconds.
+	// eventAgeUnitMillis is the resolution of Load.EventAgeMillis in messages, in milliseconds.
 	eventAgeUnitMillis = 10
-	// maxEventAgeMillis is the longest time that Load.Moved reports, in milliseconds. Replicas that are
-	// silent for longer are suspected anyway.
+	// maxEventAgeMillis is the longest time that Load.EventAgeMillis reports, in milliseconds.
+	// Replicas that are silent for longer are suspected anyway.
 	maxEventAgeMillis = 1500
 )
 
-// MovedAgo returns the value of Load.Moved for a replica whose latest event was received at
-// eventAt.
-func MovedAgo(eventAt, now time.Time) int64 {
+// EventAgeMillis returns the value of Load.EventAgeMillis for a replica whose latest event was
+// received at eventAt.
+func EventAgeMillis(eventAt, now time.Time) int64 {
 	return roundEventAge(now.Sub(eventAt).Milliseconds() + 1)
 }
 
-// roundEventAge rounds a value of Load.Moved up to a multiple of eventAgeUnitMillis, because rounding
-// down would make a replica look less silent than it is. The result is zero if the value is out of
-// range.
+// roundEventAge rounds a value of Load.EventAgeMillis up to a multiple of eventAgeUnitMillis,
+// because rounding down would make a replica look less silent than it is. The result is zero if the
+// value is out of range.
 func roundEventAge(ms int64) int64 {
 	if ms <= 0 || ms > maxEventAgeMillis {
 		return 0
@@ -45,7 +46,7 @@
 	return (ms + eventAgeUnitMillis - 1) / eventAgeUnitMillis * eventAgeUnitMillis
 }
 
-// minKnownEventAge returns the smaller of two values of Load.Moved, ignoring unknown ones.
+// minKnownEventAge returns the smaller of two values of Load.EventAgeMillis, ignoring unknown ones.
 func minKnownEventAge(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return a + b
@@ -57,8 +58,8 @@
 func (l Loads) withAgesIncreased(age time.Duration) Loads {
 	older := slices.Clone(l)
 	for i := range older {
-		if older[i].Moved > 0 {
-			older[i].Moved = roundEventAge(older[i].Moved + age.Milliseconds())
+		if older[i].EventAgeMillis > 0 {
+			older[i].EventAgeMillis = roundEventAge(older[i].EventAgeMillis + age.Milliseconds())
 		}
 	}
 	return older
@@ -71,10 +72,11 @@
 // packedLoads is the encoded form of Loads.
 type packedLoads struct {
 	// Groups holds three numbers for each group of a model, by ascending epoch. They are the
-	// difference to the previous epoch, Load.InFlight and Load.Prefill.
+	// difference to the previous epoch, Load.InFlight and Load.PendingPromptTokens.
 	Groups map[string][]int64 `json:"g,omitempty"`
-	// EventAges holds Load.Moved of each group in the same order, in units of eventAgeUnitMillis. It
-	// is a separate list because earlier versions expect three numbers per group in Groups.
+	// EventAges holds Load.EventAgeMillis of each group in the same order, in units of
+	// eventAgeUnitMillis. It is a separate list because earlier versions expect three numbers per
+	// group in Groups.
 	EventAges map[string][]int64 `json:"m,omitempty"`
 	// Others holds the replicas that are not groups.
 	Others []Load `json:"o,omitempty"`
@@ -107,8 +109,8 @@
 		if packed.Groups == nil {
 			packed.Groups, packed.EventAges = make(map[string][]int64), make(map[string][]int64)
 		}
-		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-lastEpochs[g.model], int64(g.InFlight), int64(g.Prefill))
-		packed.EventAges[g.model] = append(packed.EventAges[g.model], g.Moved/eventAgeUnitMillis)
+		packed.Groups[g.model] = append(packed.Groups[g.model], g.epoch-lastEpochs[g.model], int64(g.InFlight), int64(g.PendingPromptTokens))
+		packed.EventAges[g.model] = append(packed.EventAges[g.model], g.EventAgeMillis/eventAgeUnitMillis)
 		lastEpochs[g.model] = g.epoch
 	}
 	return json.Marshal(packed)
@@ -125,9 +127,9 @@
 		epoch, eventAges := int64(0), packed.EventAges[model]
 		for i := 0; len(values) >= valuesPerGroup; i++ {
 			epoch += values[0]
-			load := Load{Replica: fleet.KeyOf(model, epoch), InFlight: int(values[1]), Prefill: int(values[2])}
+			load := Load{Replica: fleet.KeyOf(model, epoch), InFlight: int(values[1]), PendingPromptTokens: int(values[2])}
 			if i < len(eventAges) {
-				load.Moved = roundEventAge(eventAges[i] * eventAgeUnitMillis)
+				load.EventAgeMillis = roundEventAge(eventAges[i] * eventAgeUnitMillis)
 			}
 			all = append(all, load)
 			values = values[valuesPerGroup:]
@@ -144,8 +146,8 @@
 		for _, l := range loads {
 			total := byReplica[l.Replica]
 			byReplica[l.Replica] = Load{
-				Replica: l.Replica, InFlight: total.InFlight + l.InFlight, Prefill: total.Prefill + l.Prefill,
-				Moved: minKnownEventAge(total.Moved, l.Moved),
+				Replica: l.Replica, InFlight: total.InFlight + l.InFlight, PendingPromptTokens: total.PendingPromptTokens + l.PendingPromptTokens,
+				EventAgeMillis: minKnownEventAge(total.EventAgeMillis, l.EventAgeMillis),
 			}
 		}
 	}
@@ -168,7 +170,7 @@
 	for _, load := range l {
 		o := byReplica[load.Replica]
 		load.InFlight = max(load.InFlight-o.InFlight, 0)
-		load.Prefill = max(load.Prefill-o.Prefill, 0)
+		load.PendingPromptTokens = max(load.PendingPromptTokens-o.PendingPromptTokens, 0)
 		if load.InFlight > 0 {
 			remaining = append(remaining, load)
 		}
--- a/peers/loads_test.go
+++ b/peers/loads_test.go
@@ -13,7 +13,7 @@
 // TestPackedLoads checks that loads survive encoding and decoding.
 func TestPackedLoads(t *testing.T) {
 	loads := Loads{
-		{Replica: fleet.KeyOf("a-b", 268435645), InFlight: 3, Prefill: 1420, Moved: 40}, {Replica: fleet.KeyOf("a-b", 9), InFlight: 1, Moved: 1500},
+		{Replica: fleet.KeyOf("a-b", 268435645), InFlight: 3, PendingPromptTokens: 1420, EventAgeMillis: 40}, {Replica: fleet.KeyOf("a-b", 9), InFlight: 1, EventAgeMillis: 1500},
 		{Replica: fleet.KeyOf("c", 10), InFlight: 2}, {Replica: "i-worker", InFlight: 4}, {Replica: "odd@x", InFlight: 1},
 	}
 	data, err := loads.MarshalJSON()
@@ -26,9 +26,9 @@
 // TestLoadsWithout checks the subtraction of a daemon's own loads from a sum that includes its
 // earlier, different loads.
 func TestLoadsWithout(t *testing.T) {
-	sum := Loads{{Replica: "a", InFlight: 3, Prefill: 300}, {Replica: "b", InFlight: 1, Prefill: 50}, {Replica: "c", InFlight: 2}}
-	own := Loads{{Replica: "a", InFlight: 1, Prefill: 100}, {Replica: "b", InFlight: 2, Prefill: 60}, {Replica: "d", InFlight: 1}}
-	assert.DeepEqual(t, sum.Without(own), Loads{{Replica: "a", InFlight: 2, Prefill: 200}, {Replica: "c", InFlight: 2}})
+	sum := Loads{{Replica: "a", InFlight: 3, PendingPromptTokens: 300}, {Replica: "b", InFlight: 1, PendingPromptTokens: 50}, {Replica: "c", InFlight: 2}}
+	own := Loads{{Replica: "a", InFlight: 1, PendingPromptTokens: 100}, {Replica: "b", InFlight: 2, PendingPromptTokens: 60}, {Replica: "d", InFlight: 1}}
+	assert.DeepEqual(t, sum.Without(own), Loads{{Replica: "a", InFlight: 2, PendingPromptTokens: 200}, {Replica: "c", InFlight: 2}})
 }
 
 // TestEventAgesIncrease checks that a sum of loads holds the age of the newest event of each
@@ -48,15 +48,15 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := Summary{Daemons: 1, Loads: Loads{{Replica: "a", InFlight: 1, Moved: test.own}}}
-			s.add(Summary{Daemons: 1, Loads: Loads{{Replica: "a", InFlight: 1, Moved: test.other}}}, test.age)
-			assert.DeepEqual(t, s.Loads, Loads{{Replica: "a", InFlight: 2, Moved: test.want}})
+			s := Summary{Daemons: 1, Loads: Loads{{Replica: "a", InFlight: 1, EventAgeMillis: test.own}}}
+			s.add(Summary{Daemons: 1, Loads: Loads{{Replica: "a", InFlight: 1, EventAgeMillis: test.other}}}, test.age)
+			assert.DeepEqual(t, s.Loads, Loads{{Replica: "a", InFlight: 2, EventAgeMillis: test.want}})
 		})
 	}
 	now := time.Unix(1000, 0)
-	assert.Equal(t, MovedAgo(time.Time{}, now), int64(0))
-	assert.Equal(t, MovedAgo(now, now), int64(10))
-	assert.Equal(t, MovedAgo(now.Add(-time.Hour), now), int64(0))
+	assert.Equal(t, EventAgeMillis(time.Time{}, now), int64(0))
+	assert.Equal(t, EventAgeMillis(now, now), int64(10))
+	assert.Equal(t, EventAgeMillis(now.Add(-time.Hour), now), int64(0))
 }
 
 // TestLoadsOfOlderDaemons checks that loads without event ages can be read.
@@ -64,7 +64,7 @@
 	var loads Loads
 	assert.NilError(t, loads.UnmarshalJSON([]byte(`{"g":{"a":[5,2,100,1,3,0]}}`)))
 	assert.DeepEqual(t, loads, Loads{
-		{Replica: fleet.KeyOf("a", 5), InFlight: 2, Prefill: 100}, {Replica: fleet.KeyOf("a", 6), InFlight: 3},
+		{Replica: fleet.KeyOf("a", 5), InFlight: 2, PendingPromptTokens: 100}, {Replica: fleet.KeyOf("a", 6), InFlight: 3},
 	})
 }
 
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -78,10 +78,10 @@
 	n.mu.Lock()
 	for range 5 {
 		epoch := 1<<28 + n.random.Int64N(replicaCount)
-		d.loads = append(d.loads, Load{Replica: fleet.KeyOf("model", epoch), InFlight: 1, Prefill: n.random.IntN(4000)})
+		d.loads = append(d.loads, Load{Replica: fleet.KeyOf("model", epoch), InFlight: 1, PendingPromptTokens: n.random.IntN(4000)})
 	}
 	n.mu.Unlock()
-	self := Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: hall, Address: id + ":1", Front: id + ":2", Capacity: capacity, Build: "01234567"}
+	self := Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: hall, Address: id + ":1", ServingAddress: id + ":2", Capacity: capacity, Build: "01234567"}
 	agent, err := NewAgent(Options{
 		Self: self, Transport: Transport{Send: d.send, Receive: d.receive, Close: func() error { return nil }},
 		FillHeartbeat: d.fillHeartbeat, OnHeartbeat: func(*Peer) {}, OnNews: func(_ *Peer, m *News) { d.handleNews(m) },
@@ -98,8 +98,8 @@
 	return d
 }
 
-// addFleet starts perHall daemons in each of several halls. The last largePerHall of each hall run on
-// larger machines. All daemons know each other's identities, as if read from the store.
+// addFleet starts perHall daemons in each of several halls. The last largePerHall of each hall run
+// on larger machines. All daemons know each other's identities, as if read from the store.
 func (n *network) addFleet(t *testing.T, halls, perHall, largePerHall int) []*simDaemon {
 	t.Helper()
 	var all []*simDaemon
@@ -123,7 +123,7 @@
 func (d *simDaemon) fillHeartbeat(h *Heartbeat, _ time.Time) {
 	d.net.mu.Lock()
 	defer d.net.mu.Unlock()
-	h.Ready, h.Leaving, h.Leads, h.ConfigAge, h.WorkersAge = d.isReady, d.isLeaving, d.claim, 100, 100
+	h.Ready, h.Leaving, h.OwnClaim, h.ConfigAge, h.WorkersAge = d.isReady, d.isLeaving, d.claim, 100, 100
 	h.Demand = map[string]float64{"m": d.demand}
 	h.Loads = d.loads
 }
--- a/peers/reports.go
+++ b/peers/reports.go
@@ -66,7 +66,7 @@
 		m := all[len(all)-1]
 		for _, p := range senders[:n] {
 			m.Statuses = append(m.Statuses, Status{
-				ID: p.ID, ShortIncarnation: shortIncarnation(p.Incarnation), Ready: p.Ready, Leaving: p.Leaving, Age: now.Sub(p.HeardAt).Milliseconds(),
+				ID: p.ID, ShortIncarnation: shortIncarnation(p.Incarnation), Ready: p.Ready, Leaving: p.Leaving, Age: now.Sub(p.LastHeartbeatAt).Milliseconds(),
 			})
 		}
 		if senders = senders[n:]; len(senders) > 0 {
--- a/peers/summaries.go
+++ b/peers/summaries.go
@@ -65,8 +65,8 @@
 	for _, p := range a.table.Alive(now) {
 		switch {
 		case !wanted(p):
-		case now.Sub(p.HeardAt) < aliveTimeout:
-			total.add(summaryOf(&p.Heartbeat), now.Sub(p.HeardAt))
+		case now.Sub(p.LastHeartbeatAt) < aliveTimeout:
+			total.add(summaryOf(&p.Heartbeat), now.Sub(p.LastHeartbeatAt))
 		default:
 			total.Daemons++
 		}
@@ -74,8 +74,8 @@
 	return total
 }
 
-// fleetSummary returns the summary of all daemons. A relay adds up the summaries of all halls, and a
-// member uses its relays' summary. Other daemons sum up the heartbeats that they received.
+// fleetSummary returns the summary of all daemons. A relay adds up the summaries of all halls, and
+// a member uses its relays' summary. Other daemons sum up the heartbeats that they received.
 func (a *Agent) fleetSummary(own *Heartbeat, now time.Time) Summary {
 	switch a.Role() {
 	case Relay:
--- a/peers/table.go
+++ b/peers/table.go
@@ -99,7 +99,7 @@
 	defer t.mu.Unlock()
 	for id, p := range t.peers {
 		earlier := *p
-		for _, at := range []*time.Time{&earlier.HeardAt, &earlier.SentAfter, &earlier.reportedAt, &earlier.addedAt} {
+		for _, at := range []*time.Time{&earlier.LastHeartbeatAt, &earlier.SentAfter, &earlier.reportedAt, &earlier.addedAt} {
 			if !at.IsZero() {
 				*at = at.Add(-suspended)
 			}
@@ -118,11 +118,11 @@
 		return false
 	}
 	t.formats.record(h.Format.effectiveVersion(), now)
-	next := &Peer{Heartbeat: h, HeardAt: now, SentAfter: sentAfter, addedAt: now}
+	next := &Peer{Heartbeat: h, LastHeartbeatAt: now, SentAfter: sentAfter, addedAt: now}
 	if known, ok := t.peers[h.ID]; ok && known.Incarnation == h.Incarnation {
 		if known.SentAfter.After(sentAfter) {
 			// Datagrams may arrive out of order.
-			known.HeardAt = now
+			known.LastHeartbeatAt = now
 			return false
 		}
 		next.reportedAt, next.addedAt = known.reportedAt, known.addedAt
@@ -145,7 +145,7 @@
 	}
 	next := *known
 	next.reportedAt = at
-	if at.Sub(known.HeardAt) > aliveTimeout {
+	if at.Sub(known.LastHeartbeatAt) > aliveTimeout {
 		// The daemon's last heartbeat is out of date.
 		next.Heartbeat = Heartbeat{Identity: known.Identity, Ready: s.Ready, Leaving: s.Leaving}
 	}
@@ -158,7 +158,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.peers[h.ID]
-	if !ok || known.Incarnation != h.Incarnation || known.HeardAt.IsZero() {
+	if !ok || known.Incarnation != h.Incarnation || known.LastHeartbeatAt.IsZero() {
 		return false
 	}
 	h.Identity, h.Grant = known.Identity, known.Grant
@@ -171,7 +171,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, ok := t.peers[id]
-	return p, ok && p.Incarnation == incarnation && !p.HeardAt.IsZero()
+	return p, ok && p.Incarnation == incarnation && !p.LastHeartbeatAt.IsZero()
 }
 
 // Alive returns the daemons whose heartbeats this daemon or a relay received recently, sorted by
@@ -195,7 +195,7 @@
 
 // hasRecentHeartbeat reports whether a heartbeat of a peer was received within aliveTimeout.
 func (t *Table) hasRecentHeartbeat(p *Peer, now time.Time) bool {
-	return t.elapsed(p.HeardAt, now) < aliveTimeout
+	return t.elapsed(p.LastHeartbeatAt, now) < aliveTimeout
 }
 
 // elapsed returns the time since at. Shortly after a pause of this process it deducts the pause.
@@ -214,10 +214,10 @@
 	defer t.mu.Unlock()
 	age := int64(0)
 	for _, p := range t.peers {
-		if p.Leads == nil || p.Leaving {
+		if p.OwnClaim == nil || p.Leaving {
 			continue
 		}
-		if leaderAge := now.Sub(p.HeardAt).Milliseconds() + 1; age == 0 || leaderAge < age {
+		if leaderAge := now.Sub(p.LastHeartbeatAt).Milliseconds() + 1; age == 0 || leaderAge < age {
 			age = leaderAge
 		}
 	}
@@ -242,8 +242,8 @@
 // AliveTimeout returns how long a daemon counts as alive after a heartbeat.
 func (t *Table) AliveTimeout() time.Duration { return aliveTimeout }
 
-// CountSeenSince returns the number of daemons, alive or not, that were seen after the given time and
-// were not leaving.
+// CountSeenSince returns the number of daemons, alive or not, that were seen after the given time
+// and were not leaving.
 func (t *Table) CountSeenSince(since time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/peers/topology.go
+++ b/peers/topology.go
@@ -59,8 +59,8 @@
 }
 
 // CompareRelays orders daemons by fitness to relay. Larger machines come first; equal ones are
-// ordered by id. Incarnations are not used because all daemons must agree on the relays, and after a
-// restart of the fleet they may know different incarnations.
+// ordered by id. Incarnations are not used because all daemons must agree on the relays, and after
+// a restart of the fleet they may know different incarnations.
 func CompareRelays(a, b Identity) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.ID, b.ID))
 }
@@ -141,8 +141,8 @@
 	since time.Time
 }
 
-// layout computes the addresses to report to. fleetSize is the number of daemons in the fleet, round
-// the number of the current round.
+// layout computes the addresses to report to. fleetSize is the number of daemons in the fleet,
+// round the number of the current round.
 func (t *Table) layout(now time.Time, previous previousRole, fleetSize, round int) layout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,8 +224,8 @@
 	return slices.Compact(all)
 }
 
-// hallAddresses returns the addresses in its own hall that a relay reports to. These are the daemons
-// alive or assumed to be, and a few silent ones in turn.
+// hallAddresses returns the addresses in its own hall that a relay reports to. These are the
+// daemons alive or assumed to be, and a few silent ones in turn.
 func (t *Table) hallAddresses(now time.Time, round int) []string {
 	var alive, silent []string
 	for _, p := range t.peers {
@@ -255,7 +255,7 @@
 	var all []string
 	for _, p := range expected {
 		alive[p.Zone] = append(alive[p.Zone], p)
-		if p.Leads != nil && p.Zone != t.self.Zone {
+		if p.OwnClaim != nil && p.Zone != t.self.Zone {
 			all = append(all, p.Address)
 		}
 	}
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -266,7 +266,7 @@
 func TestMuchFreerReplicasAreChosen(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "kept", InFlight: 10, Prefill: 3000}}}, now)
+	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "kept", InFlight: 10, PendingPromptTokens: 3000}}}, now)
 	c := testCosts
 	c.connectedWorkers = map[string]bool{"kept": true}
 	for range 10 {
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -155,8 +155,8 @@
 func (t *Tracker) lastEventOf(s *replicaLoad) time.Time {
 	latest := s.lastEventAt
 	for _, remote := range t.loadsBySource {
-		if l, ok := remote.loads[s.replica.ID]; ok && l.Moved > 0 {
-			if at := remote.receivedAt.Add(-time.Duration(l.Moved) * time.Millisecond); at.After(latest) {
+		if l, ok := remote.loads[s.replica.ID]; ok && l.EventAgeMillis > 0 {
+			if at := remote.receivedAt.Add(-time.Duration(l.EventAgeMillis) * time.Millisecond); at.After(latest) {
 				latest = at
 			}
 		}
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -169,8 +169,8 @@
 			if i != j {
 				summary := peers.Summary{Daemons: 1, Loads: slices.Clone(loads[j]), Age: age.Milliseconds()}
 				for k := range summary.Loads {
-					if summary.Loads[k].Moved > 0 {
-						summary.Loads[k].Moved += age.Milliseconds()
+					if summary.Loads[k].EventAgeMillis > 0 {
+						summary.Loads[k].EventAgeMillis += age.Milliseconds()
 					}
 				}
 				to.opts.Tracker.SetRemote(strconv.Itoa(j), summary, time.Now())
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -130,7 +130,7 @@
 	var all peers.Loads
 	for id, s := range t.replicas {
 		if s.inFlight > 0 {
-			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, Prefill: s.unreadTokens, Moved: peers.MovedAgo(s.lastEventAt, now)})
+			all = append(all, peers.Load{Replica: id, InFlight: s.inFlight, PendingPromptTokens: s.unreadTokens, EventAgeMillis: peers.EventAgeMillis(s.lastEventAt, now)})
 		}
 	}
 	return all
@@ -248,7 +248,7 @@
 		if now.Sub(peer.measuredAt) < remoteLoadTTL {
 			l := peer.loads[replica]
 			inFlight += l.InFlight
-			unreadTokens += l.Prefill
+			unreadTokens += l.PendingPromptTokens
 		}
 	}
 	return inFlight, unreadTokens
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -104,7 +104,7 @@
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	// Apart from the lack of slots, the predicted wait is shorter at a.
-	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, Prefill: 1500}}}, now)
+	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, PendingPromptTokens: 1500}}}, now)
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
 	counts := countChoices(tracker, replicas, now, 10)
 	assert.Equal(t, counts["b"], 10, "%v", counts)
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestShortSuspensionKeepsState checks that the configuration stays valid after a suspension that
-// is shorter than Bounds.Revoke, the time after which revoked keys must be rejected.
+// is shorter than Bounds.RevocationBound, the time after which revoked keys must be rejected.
 func TestShortSuspensionKeepsState(t *testing.T) {
 	s, machine := newSuspendableServer(t)
 	machine.add(time.Second)
@@ -99,8 +99,8 @@
 	provider := newServerWithState(t, time.Now())
 	heardAt := time.Now()
 	p := &peers.Peer{
-		Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "giver", Address: servePeer(t, provider)}, ConfigVersion: 2},
-		HeardAt:   heardAt, SentAfter: heardAt,
+		Heartbeat:       peers.Heartbeat{Identity: peers.Identity{ID: "giver", Address: servePeer(t, provider)}, ConfigVersion: 2},
+		LastHeartbeatAt: heardAt, SentAfter: heardAt,
 	}
 	request := fetchRequest{Peer: p, requestedAt: awake.NewStamp(machine.suspended)}
 	machine.add(time.Minute)
@@ -146,7 +146,7 @@
 	network := &fakeNetwork{random: rand.New(rand.NewPCG(1, 1)), inboxes: make(map[string]chan []byte)}
 	optionsFor := func(id string) Options {
 		return Options{
-			Self: peers.Identity{ID: id, Incarnation: 1, Zone: "z", Address: id}, Bounds: Bounds{Heartbeat: time.Second, KeepEntries: time.Second},
+			Self: peers.Identity{ID: id, Incarnation: 1, Zone: "z", Address: id}, Bounds: Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second},
 			Transport: network.transport(id), Source: (&fakeStore{}).source(), Logger: hclog.NewNullLogger(),
 			Registry: leadership.Registry{Newest: noGrant, Add: addGrant},
 		}
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -22,7 +22,7 @@
 	}
 	t := backpressure.NewTable(backpressure.Options{
 		Self: s.opts.Self.ID, Hall: s.opts.Self.Zone, Halls: halls, Members: s.limitShareHolders,
-		Bound: s.opts.Bounds.Limits, Changed: s.onSignalChange,
+		Bound: s.opts.Bounds.LimitBound, Changed: s.onSignalChange,
 	})
 	s.meter.Gauge("workers_limited", func() float64 { return float64(t.Limited()) })
 	s.meter.Gauge("workers_leaving", func() float64 { return float64(t.Leaving()) })
@@ -60,9 +60,9 @@
 func (s *Server) mergeSignals(p *peers.Peer) {
 	at := p.SentAfter
 	if at.IsZero() {
-		at = p.HeardAt
+		at = p.LastHeartbeatAt
 	}
-	s.signals.Merge(p.Signals, p.ID, at, p.HeardAt)
+	s.signals.Merge(p.Signals, p.ID, at, p.LastHeartbeatAt)
 }
 
 // watchSignals regularly deletes the signals of workers that are no longer listed. It also updates
--- a/serving/crashing_test.go
+++ b/serving/crashing_test.go
@@ -138,11 +138,11 @@
 	address := c.LocalAddr().String()
 	assert.NilError(f.t, c.Close())
 	store := &fakeStore{}
-	self := peers.Identity{ID: fmt.Sprintf("daemon-%d", len(f.daemons)), Incarnation: 1, Zone: "z", Address: address, Front: address}
+	self := peers.Identity{ID: fmt.Sprintf("daemon-%d", len(f.daemons)), Incarnation: 1, Zone: "z", Address: address, ServingAddress: address}
 	s, err := New(Options{
 		Self: self, Names: crashingHeaders, Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
 		Bounds: Bounds{
-			Heartbeat: time.Second, Revoke: time.Hour, KeepEntries: time.Second,
+			WorkerHeartbeatInterval: time.Second, RevocationBound: time.Hour, AddressTTL: time.Second,
 			Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000},
 		},
 		Logger: hclog.New(&hclog.LoggerOptions{Name: self.ID, Output: testLog{f.t}, Level: hclog.Info}),
--- a/serving/discovery.go
+++ b/serving/discovery.go
@@ -18,7 +18,8 @@
 	firstDiscoveryPause = 400 * time.Millisecond
 	discoveryInterval   = time.Second
 	// discoverySpread is the maximum random delay before a daemon that found an empty member list
-	// registers. When a fleet first starts, all daemons would otherwise register at the same moment.
+	// registers. When a fleet first starts, all daemons would otherwise register at the same
+	// moment.
 	discoverySpread = 300 * time.Millisecond
 	// memberListTimeout limits the duration of a call to the member list.
 	memberListTimeout = 3 * time.Second
@@ -98,10 +99,10 @@
 
 // storeEra returns how many times the store was restored from a copy, as far as this daemon knows.
 func (s *Server) storeEra() int64 {
-	if s.opts.Era == nil {
+	if s.opts.StoreEra == nil {
 		return 0
 	}
-	return s.opts.Era()
+	return s.opts.StoreEra()
 }
 
 // registration records when this daemon registered, and the value of storeEra at that time.
@@ -163,8 +164,9 @@
 	s.hasReadAllMembers.Store(true)
 }
 
-// needsAllHalls reports whether this daemon has to know the daemons of other data halls. All daemons
-// must in a small fleet, or if requests to cold workers are limited. Otherwise only relays must.
+// needsAllHalls reports whether this daemon has to know the daemons of other data halls. All
+// daemons must in a small fleet, or if requests to cold workers are limited. Otherwise only relays
+// must.
 func (s *Server) needsAllHalls() bool {
 	return s.agent.Role() != peers.Member || s.limitsWarmUp()
 }
--- a/serving/entries.go
+++ b/serving/entries.go
@@ -24,11 +24,11 @@
 	isReady bool
 }
 
-// Entries returns the addresses of the daemons that a caller should use. It omits daemons that are
-// leaving. It prefers ready daemons, among them those in the caller's region or in the regions that
-// the routes of its host allow. Daemons of other halls come first, because callers use only the
-// first few addresses and should still reach a daemon if this hall fails.
-func (s *Server) Entries(c Caller) []string {
+// AddressesFor returns the addresses of the daemons that a caller should use. It omits daemons that
+// are leaving. It prefers ready daemons, among them those in the caller's region or in the regions
+// that the routes of its host allow. Daemons of other halls come first, because callers use only
+// the first few addresses and should still reach a daemon if this hall fails.
+func (s *Server) AddressesFor(c Caller) []string {
 	all := s.entries()
 	allowed := s.allowedRegions(c)
 	inRegion := func(e entry) bool { return allowed.Allows(s.regionOf(e.hall)) }
@@ -59,13 +59,13 @@
 func (s *Server) entries() []entry {
 	var all []entry
 	if !s.isLeaving.Load() {
-		all = append(all, entry{address: s.opts.Self.Front, hall: s.opts.Self.Zone, isReady: s.Ready()})
+		all = append(all, entry{address: s.opts.Self.ServingAddress, hall: s.opts.Self.Zone, isReady: s.IsReady()})
 	}
 	alive := s.agent.Table().Alive(time.Now())
 	slices.SortStableFunc(alive, func(a, b *peers.Peer) int { return cmp.Compare(s.hallOrder(a), s.hallOrder(b)) })
 	for _, p := range alive {
 		if !p.Leaving {
-			all = append(all, entry{address: p.Front, hall: p.Zone, isReady: p.Ready})
+			all = append(all, entry{address: p.ServingAddress, hall: p.Zone, isReady: p.Ready})
 		}
 	}
 	return all
--- a/serving/entries_test.go
+++ b/serving/entries_test.go
@@ -36,11 +36,11 @@
 			setState(s, time.Now())
 			s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 2, Routes: []*fleet.Route{westRoute, southWestRoute, unboundRoute}}), time.Now())
 			for id, hall := range map[string]string{"w": "y", "s": "x"} {
-				h := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id, Zone: hall}}
+				h := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, ServingAddress: "front-" + id, Zone: hall}}
 				h.Ready = !slices.Contains(test.notReady, id)
 				s.agent.Table().RecordHeartbeat(h, time.Now(), time.Now())
 			}
-			got := s.Entries(test.caller)
+			got := s.AddressesFor(test.caller)
 			slices.Sort(got)
 			assert.DeepEqual(t, got, test.want)
 		})
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -53,8 +53,8 @@
 }
 
 func newFetcher(s *Server) *fetcher {
-	f := &fetcher{server: s, requests: make(chan fetchRequest, 1), client: &http.Client{Timeout: fetchTimeout, Transport: s.opts.Ask}}
-	if s.opts.Ask == nil {
+	f := &fetcher{server: s, requests: make(chan fetchRequest, 1), client: &http.Client{Timeout: fetchTimeout, Transport: s.opts.PeerTransport}}
+	if s.opts.PeerTransport == nil {
 		f.client.Transport = &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}
 	}
 	return f
--- a/serving/format.go
+++ b/serving/format.go
@@ -24,7 +24,7 @@
 	lastLogged := 0
 	for ctx.Err() == nil {
 		if oldest := s.agent.Table().OldestFormat(time.Now()); oldest != lastLogged {
-			s.logger.Info("the fleet acts by a version of the format", "oldest", oldest, "before", lastLogged, "own", s.opts.Self.Format.Spoken)
+			s.logger.Info("the fleet acts by a version of the format", "oldest", oldest, "before", lastLogged, "own", s.opts.Self.Format.Written)
 			lastLogged = oldest
 		}
 		pause.For(ctx, formatCheckInterval)
@@ -36,7 +36,7 @@
 func (s *Server) daemonsByBuild() map[telemetry.Build]int64 {
 	counts := map[telemetry.Build]int64{buildOf(s.opts.Self): 1}
 	for _, p := range s.agent.Table().Alive(time.Now()) {
-		if !p.HeardAt.IsZero() {
+		if !p.LastHeartbeatAt.IsZero() {
 			counts[buildOf(p.Identity)]++
 		}
 	}
@@ -44,5 +44,5 @@
 }
 
 func buildOf(id peers.Identity) telemetry.Build {
-	return telemetry.Build{Source: id.Build, Format: strconv.Itoa(max(id.Format.Spoken, peers.FormatFirst))}
+	return telemetry.Build{Source: id.Build, Format: strconv.Itoa(max(id.Format.Written, peers.FormatFirst))}
 }
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -143,7 +143,7 @@
 		}
 		s, err := New(Options{
 			Self:   peers.Identity{ID: id, Incarnation: 1, Zone: fmt.Sprintf("hall-%d", i/perHall), Address: id},
-			Bounds: Bounds{Heartbeat: time.Second, KeepEntries: time.Second}, Transport: transport,
+			Bounds: Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second}, Transport: transport,
 			Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read}, Logger: hclog.NewNullLogger(),
 		})
 		assert.NilError(t, err)
@@ -179,8 +179,8 @@
 }
 
 // TestMixedFleetUsesOldestFormat runs daemons of an earlier version in a fleet with relays. All
-// others must keep to the earlier version, even if the relays use the earlier one as well. Some time
-// after the earlier daemons stopped, they must switch to this build's version.
+// others must keep to the earlier version, even if the relays use the earlier one as well. Some
+// time after the earlier daemons stopped, they must switch to this build's version.
 func TestMixedFleetUsesOldestFormat(t *testing.T) {
 	tests := map[string]struct {
 		perHall int
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -11,13 +11,13 @@
 // fillHeartbeat sets this daemon's own state in a heartbeat.
 func (s *Server) fillHeartbeat(h *peers.Heartbeat, now time.Time) {
 	s.awake.Check()
-	h.Ready, h.Leaving, h.Complete = s.Ready(), s.isLeaving.Load(), s.inventory.IsComplete()
+	h.Ready, h.Leaving, h.Complete = s.IsReady(), s.isLeaving.Load(), s.inventory.IsComplete()
 	version, confirmed := s.configCache.State()
 	h.ConfigVersion, h.ConfigAge = version, ageMillis(confirmed, now)
 	h.WorkersPosition, h.WorkersAge = s.inventory.Position(), ageMillis(s.inventory.Confirmed(), now)
 	h.Halls = s.halls.Report(now)
 	h.Decided = s.inventory.Decided()
-	h.Leads, h.Highest, h.Grant = s.elector.State()
+	h.OwnClaim, h.HighestClaim, h.Grant = s.elector.State()
 	h.LeaderAge = s.agent.Table().LeaderAge(now)
 	h.Loads, h.Traffic = s.tracker.Loads(), s.tracker.Traffic()
 	h.Demand, h.PromptTokens = s.tracker.Demand()
@@ -39,7 +39,7 @@
 func (s *Server) onHeartbeat(p *peers.Peer) {
 	s.elector.Hear(p)
 	if s.countsLoads(p) {
-		s.tracker.SetRemote(p.ID, peers.Summary{Daemons: 1, Loads: p.Loads}, p.HeardAt)
+		s.tracker.SetRemote(p.ID, peers.Summary{Daemons: 1, Loads: p.Loads}, p.LastHeartbeatAt)
 	}
 	if p.Traffic {
 		s.tracker.SetTraffic()
@@ -48,7 +48,7 @@
 	if ownPosition := s.inventory.Position(); ownPosition > 0 && fleet.EraOf(p.WorkersPosition) > fleet.EraOf(ownPosition) {
 		// The store was restored from a copy. Daemons that do not read it learn this from the
 		// positions of others.
-		s.configCache.HoldAfterRestore(p.HeardAt)
+		s.configCache.HoldAfterRestore(p.LastHeartbeatAt)
 	}
 	s.halls.Follow(p.Halls, p.SentAfter)
 	s.configCache.Confirm(p.ConfigVersion, p.ConfigConfirmedAt())
@@ -92,11 +92,11 @@
 func (s *Server) onSuspicions(p *peers.Peer) {
 	hasNew := false
 	for _, stall := range p.Stalls {
-		at := p.HeardAt.Add(-time.Duration(stall.Age) * time.Millisecond)
+		at := p.LastHeartbeatAt.Add(-time.Duration(stall.Age) * time.Millisecond)
 		hasNew = s.suspicions.add(stall, at) || hasNew
 		// Repeated reports are passed on as well, because the tracker ignores a report while the
 		// replica still sends events.
-		s.tracker.Suspect(stall.Replica, p.HeardAt)
+		s.tracker.Suspect(stall.Replica, p.LastHeartbeatAt)
 		s.suspect(stall.Replica)
 	}
 	if hasNew && s.forwardsNews() {
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -16,7 +16,7 @@
 	h := peers.Heartbeat{Identity: from.opts.Self}
 	h.ID, h.Address = "sender", "127.0.0.1:1"
 	from.fillHeartbeat(&h, now)
-	p := &peers.Peer{Heartbeat: h, HeardAt: now, SentAfter: now}
+	p := &peers.Peer{Heartbeat: h, LastHeartbeatAt: now, SentAfter: now}
 	to.agent.Table().RecordHeartbeat(h, now, now)
 	to.onHeartbeat(p)
 }
@@ -62,7 +62,7 @@
 		"who may lead": {
 			prepare: func(sender *Server) {
 				claim := peers.Claim{Epoch: 7}
-				sender.elector.Hear(&peers.Peer{Heartbeat: peers.Heartbeat{Highest: claim, Grant: peers.Grant{Epoch: 7}}})
+				sender.elector.Hear(&peers.Peer{Heartbeat: peers.Heartbeat{HighestClaim: claim, Grant: peers.Grant{Epoch: 7}}})
 			},
 			isKnown: func(s *Server) bool {
 				_, highest, grant := s.elector.State()
@@ -72,7 +72,7 @@
 		"that a leader was heard": {
 			prepare: func(sender *Server) {
 				leader := peers.Identity{ID: "leader", Incarnation: 1, Address: "127.0.0.1:2"}
-				sender.agent.Table().RecordHeartbeat(peers.Heartbeat{Identity: leader, Leads: &peers.Claim{Epoch: 1}}, now, now)
+				sender.agent.Table().RecordHeartbeat(peers.Heartbeat{Identity: leader, OwnClaim: &peers.Claim{Epoch: 1}}, now, now)
 			},
 			isKnown: func(s *Server) bool {
 				hasLeaderAge := func(p *peers.Peer) bool { return p.ID == "sender" && p.LeaderAge > 0 }
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -13,7 +13,7 @@
 // as formation.Term.First.
 func (s *Server) lead(ctx context.Context, claim peers.Claim, isFirst bool) {
 	s.inventory.BeginTerm(claim.Term())
-	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: isFirst, FirstLife: s.opts.FirstLife},
+	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: isFirst, FirstLife: s.opts.RunningSinceFleetStart},
 		func() { s.elector.Yield("a worker knows a higher term") })
 	s.setKeeper(keeper)
 	keeper.Run(ctx)
@@ -29,8 +29,8 @@
 		Config: s.configCache.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
 		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.FirstListAt,
 		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
-		Smoothed:  s.smoothedDemand.Work, BearHalls: s.opts.Bounds.BearHalls, HallWeight: s.opts.Bounds.HallWeight, HallOpen: s.isHallOpen,
-		StallAfter: s.opts.Bounds.Stall, Ceiling: s.opts.Bounds.Ceiling,
+		Smoothed:  s.smoothedDemand.Work, BearHalls: s.opts.Bounds.ToleratedHallLosses, HallWeight: s.opts.Bounds.HallLossWeight, HallOpen: s.isHallOpen,
+		StallAfter: s.opts.Bounds.StallTimeout, Ceiling: s.opts.Bounds.Ceiling,
 		Awake: s.awake.Check, Counted: s.meter.Order, Logger: s.logger.Named("formation"),
 	}
 }
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -32,9 +32,9 @@
 	storeSource = "store"
 )
 
-// MarkStore persists the marks of quarantined requests, so that they survive a restart of all
-// daemons. Read and Write are nil if marks are not stored.
-type MarkStore struct {
+// QuarantineMarkStore persists the marks of quarantined requests, so that they survive a restart of
+// all daemons. Read and Write are nil if marks are not stored.
+type QuarantineMarkStore struct {
 	// Read returns the stored marks, and an error for each record that is not a valid mark.
 	Read func(ctx context.Context) (marks []quarantine.Mark, refused []error, err error)
 	// Write stores a mark, or removes it if its Until is zero.
@@ -60,7 +60,7 @@
 
 // syncMarks keeps the stored marks up to date while this daemon leads, until ctx ends.
 func (s *Server) syncMarks(ctx context.Context) {
-	if s.opts.Marks.Read == nil || s.opts.Marks.Write == nil {
+	if s.opts.QuarantineMarks.Read == nil || s.opts.QuarantineMarks.Write == nil {
 		return
 	}
 	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
@@ -103,7 +103,7 @@
 func (k *markKeeper) read(ctx context.Context, now time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
-	marks, refused, err := k.server.opts.Marks.Read(ctx)
+	marks, refused, err := k.server.opts.QuarantineMarks.Read(ctx)
 	if err != nil {
 		k.server.logger.Info("reading marks of quarantined requests failed", "error", err)
 		k.nextRead = now.Add(marksRetryDelay)
@@ -150,7 +150,7 @@
 func (k *markKeeper) write(ctx context.Context, m quarantine.Mark) {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
-	if err := k.server.opts.Marks.Write(ctx, m); err != nil {
+	if err := k.server.opts.QuarantineMarks.Write(ctx, m); err != nil {
 		// The next sync repeats the write, which may nevertheless have succeeded.
 		k.server.logger.Info("writing mark of quarantined request failed", "fingerprint", m.Fingerprint.String(), "error", err)
 		return
@@ -165,7 +165,7 @@
 // mergeQuarantine adds a peer's records of requests that crash workers. Leaders and relays forward
 // changes at once.
 func (s *Server) mergeQuarantine(p *peers.Peer) {
-	if s.relay.Guard().Merge(p.Quarantine, p.HeardAt, p.ID) && s.forwardsNews() {
+	if s.relay.Guard().Merge(p.Quarantine, p.LastHeartbeatAt, p.ID) && s.forwardsNews() {
 		s.agent.SendHeartbeat(time.Now())
 	}
 }
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -97,7 +97,7 @@
 		f: {Fingerprint: f, MarkedAt: now, Until: now.Add(time.Hour), Rounds: 1},
 	}}
 	s := newServer(t, &fakeStore{})
-	s.opts.Marks = marks.store()
+	s.opts.QuarantineMarks = marks.store()
 	s.opts.Registry = leadership.Registry{
 		Newest: func(context.Context) (leadership.Found, error) { return leadership.Found{}, nil },
 		Add:    func(context.Context, peers.Grant, int64) (bool, error) { return true, nil },
@@ -118,8 +118,8 @@
 	<-s.Done()
 }
 
-// fakeNetwork carries datagrams between daemons in virtual time. It loses the share lossRate of them
-// at random.
+// fakeNetwork carries datagrams between daemons in virtual time. It loses the share lossRate of
+// them at random.
 type fakeNetwork struct {
 	mu       sync.Mutex
 	random   *rand.Rand
@@ -238,7 +238,7 @@
 		store := &fakeStore{}
 		s, err := New(Options{
 			Self:   peers.Identity{ID: id, Incarnation: 1, Zone: fmt.Sprintf("hall-%d", i/perHall), Address: id},
-			Bounds: Bounds{Heartbeat: time.Second, KeepEntries: time.Second}, Transport: network.transport(id),
+			Bounds: Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second}, Transport: network.transport(id),
 			Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read}, Logger: hclog.NewNullLogger(),
 		})
 		assert.NilError(t, err)
@@ -267,7 +267,7 @@
 		Fingerprint: quarantine.FingerprintOf("a", "POST", "h", "/", nil),
 		Crashes:     []quarantine.CrashReport{{Worker: "w", Sent: 20, Ended: 10}},
 	}
-	s.onHeartbeat(&peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b"}, Quarantine: []quarantine.Entry{entry}}, HeardAt: now})
+	s.onHeartbeat(&peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b"}, Quarantine: []quarantine.Entry{entry}}, LastHeartbeatAt: now})
 	assert.Equal(t, s.relay.Guard().Table().State(entry.Fingerprint, now).Crashes, 1)
 	var h peers.Heartbeat
 	s.fillHeartbeat(&h, now)
@@ -284,7 +284,9 @@
 	invalid []error
 }
 
-func (f *fakeMarks) store() MarkStore { return MarkStore{Read: f.read, Write: f.write} }
+func (f *fakeMarks) store() QuarantineMarkStore {
+	return QuarantineMarkStore{Read: f.read, Write: f.write}
+}
 
 func (f *fakeMarks) read(context.Context) ([]quarantine.Mark, []error, error) {
 	f.mu.Lock()
@@ -322,14 +324,15 @@
 	}
 }
 
-// TestMarksSurviveRestartOfAllDaemons checks that a leader stores the marks of quarantined requests.
-// After a restart of all daemons, the next leader must read them and report them to its peers.
+// TestMarksSurviveRestartOfAllDaemons checks that a leader stores the marks of quarantined
+// requests. After a restart of all daemons, the next leader must read them and report them to its
+// peers.
 func TestMarksSurviveRestartOfAllDaemons(t *testing.T) {
 	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
 	newKeeper := func() (*Server, *markKeeper) {
 		s := newServer(t, &fakeStore{})
-		s.opts.Marks = marks.store()
+		s.opts.QuarantineMarks = marks.store()
 		return s, &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	}
 	before, k := newKeeper()
@@ -358,7 +361,7 @@
 	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark), invalid: []error{errors.New("no mark")}}
 	var lines bytes.Buffer
 	s, now := newServer(t, &fakeStore{}), time.Now()
-	s.opts.Marks, s.logger = marks.store(), hclog.New(&hclog.LoggerOptions{Output: &lines})
+	s.opts.QuarantineMarks, s.logger = marks.store(), hclog.New(&hclog.LoggerOptions{Output: &lines})
 	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	quarantineRequest(s, quarantine.FingerprintOf("a", "POST", "h", "/", nil), now)
 	k.sync(context.Background(), now)
@@ -368,12 +371,12 @@
 	assert.Equal(t, strings.Count(lines.String(), "invalid records of quarantined requests"), 1)
 }
 
-// TestOperatorLiftsMark checks that a mark is lifted some time after an operator removed it from the
-// store. A mark that daemons clear after a successful run must be removed from the store.
+// TestOperatorLiftsMark checks that a mark is lifted some time after an operator removed it from
+// the store. A mark that daemons clear after a successful run must be removed from the store.
 func TestOperatorLiftsMark(t *testing.T) {
 	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	s := newServer(t, &fakeStore{})
-	s.opts.Marks = marks.store()
+	s.opts.QuarantineMarks = marks.store()
 	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	f, other, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), quarantine.FingerprintOf("b", "POST", "h", "/", nil), time.Now()
 	quarantineRequest(s, f, now)
--- a/serving/server.go
+++ b/serving/server.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// revokeMargin is subtracted from Bounds.Revoke. A daemon whose configuration has not been
-	// confirmed for the remaining time accepts no more keys.
+	// revokeMargin is subtracted from Bounds.RevocationBound. A daemon whose configuration has not
+	// been confirmed for the remaining time accepts no more keys.
 	revokeMargin = 200 * time.Millisecond
 	// headerTimeout limits the reading of a request's header.
 	headerTimeout = 10 * time.Second
@@ -101,8 +101,8 @@
 		opts.Suspended = awake.Never
 	}
 	s := &Server{
-		opts: opts, logger: opts.Logger, meter: meter, configCache: fleet.NewConfigCache(), halls: fleet.NewHalls(opts.Bounds.Empty),
-		inventory: fleet.NewInventory(opts.Bounds.Heartbeat, opts.Bounds.Leave), suspicions: newSuspicions(),
+		opts: opts, logger: opts.Logger, meter: meter, configCache: fleet.NewConfigCache(), halls: fleet.NewHalls(opts.Bounds.HallEmptyBound),
+		inventory: fleet.NewInventory(opts.Bounds.WorkerHeartbeatInterval, opts.Bounds.RemovedWorkerBound), suspicions: newSuspicions(),
 		readDelay: readDelayOf(opts.Self.ID), startedAt: time.Now(), done: make(chan struct{}),
 	}
 	s.awake = awake.NewWatch(opts.Suspended, s.afterSuspension)
@@ -141,7 +141,7 @@
 		Registry: s.opts.Registry,
 		Alive:    table.Alive, Known: table.CountSeenSince, Settled: table.HasCaughtUp, Patience: table.AliveTimeout,
 		Fit:       s.canLead,
-		Era:       s.opts.Era,
+		Era:       s.opts.StoreEra,
 		StoreSeen: s.storeLastSeen, Suspended: s.opts.Suspended,
 		Lead: s.lead, Logger: s.logger.Named("leadership"),
 	}
@@ -150,7 +150,7 @@
 func (s *Server) newRelay() *relay.Relay {
 	budget := s.opts.Bounds.Budget
 	budget.Self, budget.Daemons = s.opts.Self.ID, s.agent.DaemonCount
-	holdings := relay.NewHoldings(s.opts.Bounds.Held)
+	holdings := relay.NewHoldings(s.opts.Bounds.MaxBufferedBytes)
 	s.meter.Gauge("held_bytes", func() float64 { return float64(holdings.Held()) })
 	return relay.New(relay.Options{
 		Holdings: holdings,
@@ -170,10 +170,10 @@
 func (s *Server) regionOf(hall string) string { return s.opts.Regions[hall] }
 
 func (s *Server) maxConfigAge() time.Duration {
-	if s.opts.Bounds.Revoke <= 0 {
+	if s.opts.Bounds.RevocationBound <= 0 {
 		return 0
 	}
-	return max(s.opts.Bounds.Revoke-revokeMargin, revokeMargin)
+	return max(s.opts.Bounds.RevocationBound-revokeMargin, revokeMargin)
 }
 
 // hasState reports whether this daemon has a configuration and a worker list.
@@ -239,13 +239,13 @@
 	return err
 }
 
-// Ready reports whether callers should use this daemon.
-func (s *Server) Ready() bool {
+// IsReady reports whether callers should use this daemon.
+func (s *Server) IsReady() bool {
 	return s.hasState() && s.hasSettled(time.Now()) && !s.isLeaving.Load() && !s.relay.BeliefTooOld(time.Now())
 }
 
-// KeepEntries returns how long callers may keep the addresses that Entries returned.
-func (s *Server) KeepEntries() time.Duration { return s.opts.Bounds.KeepEntries }
+// AddressTTL returns how long callers may keep the addresses that AddressesFor returned.
+func (s *Server) AddressTTL() time.Duration { return s.opts.Bounds.AddressTTL }
 
 // serveMetrics serves metrics until ctx ends.
 func (s *Server) serveMetrics(ctx context.Context) {
--- a/serving/server_test.go
+++ b/serving/server_test.go
@@ -67,8 +67,8 @@
 	address := c.LocalAddr().String()
 	assert.NilError(t, c.Close())
 	return Options{
-		Self:   peers.Identity{ID: "a", Incarnation: 1, Zone: "z", Address: address, Front: "front-a"},
-		Bounds: Bounds{Heartbeat: time.Second, Revoke: 5 * time.Second, KeepEntries: time.Second},
+		Self:   peers.Identity{ID: "a", Incarnation: 1, Zone: "z", Address: address, ServingAddress: "front-a"},
+		Bounds: Bounds{WorkerHeartbeatInterval: time.Second, RevocationBound: 5 * time.Second, AddressTTL: time.Second},
 		Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read}, Logger: hclog.NewNullLogger(),
 	}
 }
@@ -88,19 +88,19 @@
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
 	s.inventory.Replace(nil, 1, now)
-	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "it has heard no peer yet")
-	p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, ConfigVersion: 2}, HeardAt: now}
+	assert.Assert(t, !s.IsReady() && s.relay.BeliefTooOld(now), "it has heard no peer yet")
+	p := &peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, ConfigVersion: 2}, LastHeartbeatAt: now}
 	s.agent.Table().RecordHeartbeat(p.Heartbeat, now, now)
 	s.onHeartbeat(p)
-	assert.Assert(t, !s.Ready() && s.relay.BeliefTooOld(now), "a peer has a newer configuration")
+	assert.Assert(t, !s.IsReady() && s.relay.BeliefTooOld(now), "a peer has a newer configuration")
 	s.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 2}), now)
-	assert.Assert(t, s.Ready() && !s.relay.BeliefTooOld(now))
+	assert.Assert(t, s.IsReady() && !s.relay.BeliefTooOld(now))
 	loneServer := newServer(t, &fakeStore{})
 	loneServer.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: 1}), now)
 	loneServer.inventory.Replace(nil, 1, now)
 	longAgo := now.Add(-2 * listenPeriod)
 	loneServer.membersReadAt.Store(&longAgo)
-	assert.Assert(t, loneServer.Ready(), "there are no peers")
+	assert.Assert(t, loneServer.IsReady(), "there are no peers")
 }
 
 func TestNoLeadershipBeforeDiscovery(t *testing.T) {
@@ -121,7 +121,7 @@
 
 func TestEntries(t *testing.T) {
 	recordPeer := func(s *Server, id string, ready, leaving bool) {
-		b := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, Front: "front-" + id}, Ready: ready, Leaving: leaving}
+		b := peers.Heartbeat{Identity: peers.Identity{ID: id, Incarnation: 1, Address: id, ServingAddress: "front-" + id}, Ready: ready, Leaving: leaving}
 		s.agent.Table().RecordHeartbeat(b, time.Now(), time.Now())
 	}
 	tests := map[string]struct {
@@ -157,7 +157,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, &fakeStore{})
 			test.prepare(s)
-			assert.DeepEqual(t, s.Entries(Caller{}), test.want)
+			assert.DeepEqual(t, s.AddressesFor(Caller{}), test.want)
 		})
 	}
 }
@@ -169,7 +169,7 @@
 	s.membersReadAt.Store(&membersReadAt)
 	assert.Assert(t, s.shouldRead(time.Time{}), "it has no state")
 	assert.Assert(t, !s.shouldRead(now), "its state is current, though there is no leader")
-	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, Leads: &peers.Claim{Epoch: 1}}
+	b := peers.Heartbeat{Identity: peers.Identity{ID: "b", Incarnation: 1, Address: "b"}, OwnClaim: &peers.Claim{Epoch: 1}}
 	s.agent.Table().RecordHeartbeat(b, now, now)
 	assert.Assert(t, !s.shouldRead(now), "the leader reads")
 	assert.Assert(t, s.shouldRead(now.Add(-staleStateAge-readSpread)), "the state from the leader is too old")
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -239,9 +239,9 @@
 func (f *signalFleet) newDaemon(network *fakeNetwork, id, hall string, regions map[string]string) *Server {
 	store := &fakeStore{}
 	s, err := New(Options{
-		Self:      peers.Identity{ID: id, Incarnation: 1, Zone: hall, Address: id, Front: id},
+		Self:      peers.Identity{ID: id, Incarnation: 1, Zone: hall, Address: id, ServingAddress: id},
 		Regions:   regions,
-		Bounds:    Bounds{Heartbeat: time.Second, KeepEntries: time.Second, Limits: backpressure.Bound{Burst: 1.5, Slack: 5, Window: limitWindow}, Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 100}},
+		Bounds:    Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second, LimitBound: backpressure.Bound{Burst: 1.5, Slack: 5, Window: limitWindow}, Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 100}},
 		Names:     signalHeaders,
 		Transport: network.transport(id),
 		Source:    store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
--- a/serving/start_test.go
+++ b/serving/start_test.go
@@ -302,11 +302,11 @@
 		regions[fmt.Sprint("hall-", i)] = "r"
 	}
 	s, err := New(Options{
-		Self:    peers.Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: fmt.Sprint("hall-", hall), Address: id, Front: id, Capacity: capacity},
-		Regions: regions, Bounds: Bounds{Heartbeat: time.Second, Revoke: 5 * time.Second, KeepEntries: time.Second},
+		Self:    peers.Identity{ID: id, Incarnation: time.Now().UnixMilli(), Zone: fmt.Sprint("hall-", hall), Address: id, ServingAddress: id, Capacity: capacity},
+		Regions: regions, Bounds: Bounds{WorkerHeartbeatInterval: time.Second, RevocationBound: 5 * time.Second, AddressTTL: time.Second},
 		Source: f.store.source(linkRate), MemberList: f.store.memberList(linkRate), Registry: f.store.registry(linkRate),
 		Decode:    decodeVersion,
-		Transport: f.network.transport(id), Ask: f,
+		Transport: f.network.transport(id), PeerTransport: f,
 		ServePeers: func(ctx context.Context, handler http.Handler) {
 			f.mu.Lock()
 			f.handlers[id], f.linkRates[id] = handler, linkRate
@@ -349,7 +349,7 @@
 func (f *startingFleet) countStates() (ready, leaders, complete int) {
 	for _, s := range f.daemons {
 		own, _, _ := s.elector.State()
-		ready, leaders, complete = ready+toInt(s.Ready()), leaders+toInt(own != nil), complete+toInt(s.inventory.IsComplete())
+		ready, leaders, complete = ready+toInt(s.IsReady()), leaders+toInt(own != nil), complete+toInt(s.inventory.IsComplete())
 	}
 	return ready, leaders, complete
 }
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -27,7 +27,7 @@
 	return []startStep{
 		{"configuration known", func(time.Time) bool { return s.configCache.Config() != nil }},
 		{"worker list known", func(time.Time) bool { return !s.inventory.Confirmed().IsZero() }},
-		{"ready for callers", func(time.Time) bool { return s.Ready() }},
+		{"ready for callers", func(time.Time) bool { return s.IsReady() }},
 		{"daemons listed", func(time.Time) bool { return s.membersReadAt.Load() != nil }},
 		{"peers heard", func(now time.Time) bool { return len(s.agent.Table().Alive(now)) > 0 }},
 		{"loads of peers known", func(now time.Time) bool { return len(s.agent.FleetSummary(now).Loads) > len(s.tracker.Loads()) }},
--- a/serving/stop.go
+++ b/serving/stop.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// entryLifetimeFactor multiplies KeepEntries, because some callers keep addresses for longer.
+	// entryLifetimeFactor multiplies AddressTTL, because some callers keep addresses for longer.
 	entryLifetimeFactor = 3
 	// graceMargin is the time between the end of this process and the time when it would be killed.
 	graceMargin = 300 * time.Millisecond
-	// acceptMargin is how long stop waits, after it stopped accepting connections, for the server to
-	// start serving the last one.
+	// acceptMargin is how long stop waits, after it stopped accepting connections, for the server
+	// to start serving the last one.
 	acceptMargin = 100 * time.Millisecond
 )
 
@@ -22,12 +22,12 @@
 // the listener and waits for requests in flight.
 func (s *Server) stop(server *http.Server, front net.Listener) {
 	start := time.Now()
-	deadline := start.Add(s.opts.Bounds.Grace - graceMargin)
+	deadline := start.Add(s.opts.Bounds.StopGracePeriod - graceMargin)
 	s.isLeaving.Store(true)
 	s.elector.Yield("the daemon leaves")
 	s.agent.SendHeartbeat(start)
 	s.logger.Info("stopping", "until", deadline)
-	addressExpiry := start.Add(entryLifetimeFactor*s.opts.Bounds.KeepEntries + graceMargin)
+	addressExpiry := start.Add(entryLifetimeFactor*s.opts.Bounds.AddressTTL + graceMargin)
 	if addressExpiry.After(deadline) {
 		addressExpiry = deadline
 	}
--- a/serving/stop_test.go
+++ b/serving/stop_test.go
@@ -45,7 +45,7 @@
 // must get a response before stop returns.
 func TestStopAnswersTheLastConnection(t *testing.T) {
 	s := newServer(t, &fakeStore{})
-	s.opts.Bounds.KeepEntries, s.opts.Bounds.Grace = time.Millisecond, time.Minute
+	s.opts.Bounds.AddressTTL, s.opts.Bounds.StopGracePeriod = time.Millisecond, time.Minute
 	caller, daemon := net.Pipe()
 	front := &lateListener{conn: daemon, closed: make(chan struct{})}
 	server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/serving/warmup.go
+++ b/serving/warmup.go
@@ -23,7 +23,7 @@
 	a := allowance.New(allowance.Options{
 		Self: s.opts.Self.ID, Members: s.registeredIDs,
 		Bound:  allowance.Bound{Burst: s.opts.Bounds.WarmUp.Burst, Slack: s.opts.Bounds.WarmUp.Slack},
-		Settle: warmUpHeartbeats * s.opts.Bounds.Heartbeat,
+		Settle: warmUpHeartbeats * s.opts.Bounds.WorkerHeartbeatInterval,
 		View:   s.inventory.View, Halls: s.halls.View, Config: s.configCache.Config, Changed: s.onWarmUpChange,
 	})
 	s.meter.Gauge("workers_warming", func() float64 { return float64(a.Warming()) })
