--- a/formation/absent.go
+++ b/formation/absent.go
@@ -38,7 +38,7 @@
 
 // refreshAbsent records the workers that left the worker list while in a group that may serve. It
 // removes the records of workers that are listed again. The caller must hold k.mu.
-func (k *Keeper) refreshAbsent(view *fleet.View, now time.Time) {
+func (k *Reconciler) refreshAbsent(view *fleet.View, now time.Time) {
 	if view == k.lastView {
 		return
 	}
@@ -55,7 +55,7 @@
 	k.lastView = view
 }
 
-func (k *Keeper) recordAbsent(w *fleet.Worker, now time.Time) {
+func (k *Reconciler) recordAbsent(w *fleet.Worker, now time.Time) {
 	m := k.membershipOf(w)
 	if m.Group == "" || k.retirements[fleet.GroupKey(m)] != 0 || k.isUnresponsiveLocked(w.ID) {
 		return
@@ -65,13 +65,13 @@
 
 // isAbsent reports whether an unlisted worker is still treated as a member of its group. The
 // caller must hold k.mu.
-func (k *Keeper) isAbsent(id string) bool {
+func (k *Reconciler) isAbsent(id string) bool {
 	a, ok := k.absent[id]
 	return ok && !a.isGone
 }
 
 // mayBeAlive reports the same as isAbsent, for callers that do not hold k.mu.
-func (k *Keeper) mayBeAlive(id string) bool {
+func (k *Reconciler) mayBeAlive(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.isAbsent(id)
@@ -79,7 +79,7 @@
 
 // presentWorkers iterates over the listed workers and the unlisted ones that are still treated as
 // members of their groups. The caller must hold k.mu.
-func (k *Keeper) presentWorkers(view *fleet.View) iter.Seq[*fleet.Worker] {
+func (k *Reconciler) presentWorkers(view *fleet.View) iter.Seq[*fleet.Worker] {
 	return func(yield func(*fleet.Worker) bool) {
 		for _, w := range view.Workers() {
 			if !yield(w) {
@@ -97,7 +97,7 @@
 // repairAbsentHead drains a group whose head left the worker list but still answers. Callers send
 // the group no new requests, and requests in flight may finish. Nothing is done until the head has
 // answered once. The caller must hold k.mu.
-func (k *Keeper) repairAbsentHead(ctx context.Context, o *observedGroup) {
+func (k *Reconciler) repairAbsentHead(ctx context.Context, o *observedGroup) {
 	if !k.absent[o.head.ID].hasAnswered {
 		return
 	}
@@ -106,7 +106,7 @@
 
 // queryAbsent queries workers that left the worker list, each at its next query time. Workers that
 // have been absent for too long are marked as gone instead. The caller must hold k.mu.
-func (k *Keeper) queryAbsent(ctx context.Context, now time.Time) {
+func (k *Reconciler) queryAbsent(ctx context.Context, now time.Time) {
 	for _, a := range k.absent {
 		if a.isGone || now.Before(a.nextQuery) {
 			continue
@@ -122,7 +122,7 @@
 
 // checkAbsent queries one worker that left the worker list, and marks it as gone if it does not
 // answer.
-func (k *Keeper) checkAbsent(ctx context.Context, a *absence) {
+func (k *Reconciler) checkAbsent(ctx context.Context, a *absence) {
 	hasAnswered := k.isResponsive(ctx, a.worker)
 	if ctx.Err() != nil {
 		return
--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -18,7 +18,7 @@
 				w.publish(s)
 			}
 			options := w.options()
-			k := NewKeeper(options, Term{Epoch: 1}, func() {})
+			k := NewReconciler(options, Term{Epoch: 1}, func() {})
 			openGroups(w)
 			w.hasTraffic = true
 			ctx := context.Background()
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -29,13 +29,14 @@
 	rereadPauseShare = 0.25
 )
 
-// Work is a model's measured work. Busy and Prompts are summed over all daemons.
+// Work is a model's measured work. BusySlots and PromptTokens are summed over all daemons.
 type Work struct {
-	// Busy is the number of occupied slots. Prompts is the number of prompt tokens of the requests
-	// in these slots.
-	Busy, Prompts float64
-	// Pause is the longest pause that all callers of the model tolerate. It is zero if unknown.
-	Pause time.Duration
+	// BusySlots is the number of occupied slots. PromptTokens is the number of prompt tokens of the
+	// requests in these slots.
+	BusySlots, PromptTokens float64
+	// ToleratedPause is the longest pause that all callers of the model tolerate. It is zero if
+	// unknown.
+	ToleratedPause time.Duration
 }
 
 // replicasForLoss returns how many replicas a model needs to tolerate the loss of one. The other
@@ -44,18 +45,18 @@
 // replicas.
 func replicasForLoss(e *fleet.Engine, model string, w Work) float64 {
 	pass, perRequest := e.PassTimes(model)
-	allowedSeconds := rereadPauseShare * (w.Pause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
+	allowedSeconds := rereadPauseShare * (w.ToleratedPause - 2*(pass+time.Duration(targetUtilization*float64(e.Slots))*perRequest)).Seconds()
 	if allowedSeconds <= 0 {
 		return 0
 	}
-	readSeconds := w.Prompts * e.TimePerPromptToken(model).Seconds()
+	readSeconds := w.PromptTokens * e.TimePerPromptToken(model).Seconds()
 	// The prompts of one of n replicas are read by the n-1 others.
 	return (1 + math.Sqrt(1+4*readSeconds/allowedSeconds)) / 2
 }
 
 // computeNeeds returns the wanted and the available number of replicas of each model, and the
 // available number by model and data hall. Groups in closed halls do not count as available.
-func (k *Keeper) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
+func (k *Reconciler) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
 	workerCount := countWorkers(s, view)
 	replicaCounts, replicasByHall := make(map[string]int), make(map[string]map[string]int)
 	addReplica := func(model, hall string) {
@@ -101,10 +102,10 @@
 
 // wantedReplicas returns the wanted number of replicas of a model. The number is based on the
 // measured work. Before there is any traffic, it is based on the model's configured share.
-func (k *Keeper) wantedReplicas(e *fleet.Engine, m fleet.Model, workerCount int) float64 {
+func (k *Reconciler) wantedReplicas(e *fleet.Engine, m fleet.Model, workerCount int) float64 {
 	byShare := m.InitialShare * float64(workerCount) / float64(max(m.Size, 1))
 	work := k.smoothedWork[m.Name]
-	byDemand := work.Busy/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
+	byDemand := work.BusySlots/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
 	// Slow replicas accumulate prompts. This limit keeps such a model from taking workers away from
 	// other models.
 	byDemand = max(byDemand, min(replicasForLoss(e, m.Name, work), byShare))
@@ -123,14 +124,14 @@
 
 // inheritSmoothedWork starts the term with the smoothed work that this daemon tracked before. The
 // number of wanted replicas then does not change abruptly when the leader changes.
-func (k *Keeper) inheritSmoothedWork() {
-	if k.opts.Smoothed != nil {
-		maps.Copy(k.smoothedWork, k.opts.Smoothed())
+func (k *Reconciler) inheritSmoothedWork() {
+	if k.opts.SmoothedWork != nil {
+		maps.Copy(k.smoothedWork, k.opts.SmoothedWork())
 	}
 }
 
-func (k *Keeper) updateSmoothedWork() {
-	for model, measured := range k.opts.Demand() {
+func (k *Reconciler) updateSmoothedWork() {
+	for model, measured := range k.opts.MeasuredWork() {
 		previous, ok := k.smoothedWork[model]
 		if !ok {
 			previous = measured
--- a/formation/demand_test.go
+++ b/formation/demand_test.go
@@ -26,13 +26,13 @@
 		// Reading 60 prompts of 1,500 tokens takes 1.8 s. A pause of 300 ms, less the duration of
 		// two passes, leaves about 200 ms. The other n-1 replicas may use a quarter of that to read
 		// the prompts of a lost one.
-		"large prompts":       {model: "big", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, minReplicas: 6, maxReplicas: 7},
-		"twice the work":      {model: "big", work: Work{Busy: 120, Prompts: 180000, Pause: 300 * ms}, minReplicas: 8.5, maxReplicas: 9.5},
-		"a faster model":      {model: "small", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, minReplicas: 4, maxReplicas: 5},
-		"pauses do not count": {model: "big", work: Work{Busy: 60, Prompts: 90000}},
-		"no pause is enough":  {model: "big", work: Work{Busy: 60, Prompts: 90000, Pause: 80 * ms}},
-		"nothing to read":     {model: "big", work: Work{Pause: 300 * ms}, minReplicas: 1, maxReplicas: 1},
-		"an unknown model":    {model: "other", work: Work{Busy: 60, Prompts: 90000, Pause: 300 * ms}, minReplicas: 6, maxReplicas: 7},
+		"large prompts":       {model: "big", work: Work{BusySlots: 60, PromptTokens: 90000, ToleratedPause: 300 * ms}, minReplicas: 6, maxReplicas: 7},
+		"twice the work":      {model: "big", work: Work{BusySlots: 120, PromptTokens: 180000, ToleratedPause: 300 * ms}, minReplicas: 8.5, maxReplicas: 9.5},
+		"a faster model":      {model: "small", work: Work{BusySlots: 60, PromptTokens: 90000, ToleratedPause: 300 * ms}, minReplicas: 4, maxReplicas: 5},
+		"pauses do not count": {model: "big", work: Work{BusySlots: 60, PromptTokens: 90000}},
+		"no pause is enough":  {model: "big", work: Work{BusySlots: 60, PromptTokens: 90000, ToleratedPause: 80 * ms}},
+		"nothing to read":     {model: "big", work: Work{ToleratedPause: 300 * ms}, minReplicas: 1, maxReplicas: 1},
+		"an unknown model":    {model: "other", work: Work{BusySlots: 60, PromptTokens: 90000, ToleratedPause: 300 * ms}, minReplicas: 6, maxReplicas: 7},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 			assert.Assert(t, test.minReplicas <= got && got <= test.maxReplicas, "%.2f", got)
 		})
 	}
-	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{Prompts: 1e6, Pause: time.Second}), 1.0, "engine without times")
+	assert.Equal(t, replicasForLoss(&fleet.Engine{}, "big", Work{PromptTokens: 1e6, ToleratedPause: time.Second}), 1.0, "engine without times")
 }
 
 // TestLaterLeaderUsesMeasuredDemand checks that a later leader uses the measured work and not the
@@ -52,7 +52,7 @@
 		w.pending.Go(func() { w.confirmList(60 * time.Second) })
 		formAndStop(w)
 		w.mu.Lock()
-		w.demand = map[string]Work{"big": {Busy: 40}, "small": {Busy: 2}}
+		w.demand = map[string]Work{"big": {BusySlots: 40}, "small": {BusySlots: 2}}
 		w.mu.Unlock()
 		_, stop := startTerm(w, 2)
 		time.Sleep(20 * time.Second)
--- a/formation/displaced.go
+++ b/formation/displaced.go
@@ -7,13 +7,13 @@
 	"quartzshelf.dev/fleet"
 )
 
-// ErrElsewhere means that another worker answered at a worker's address.
-var ErrElsewhere = errors.New("another worker answered at the address")
+// ErrWrongWorker means that another worker answered at a worker's address.
+var ErrWrongWorker = errors.New("another worker answered at the address")
 
 // recordDisplaced records that another worker answered at a worker's address. The original worker
 // no longer runs, but the worker list may still show it while the store is unavailable. The record
 // keeps the original worker out of new groups.
-func (k *Keeper) recordDisplaced(w *fleet.Worker) {
+func (k *Reconciler) recordDisplaced(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.displaced[w.ID] {
@@ -37,7 +37,7 @@
 // previous model without having loaded the new one. Without this record, they would be assumed to
 // be warm, and their loads would not be counted. Members that already served the group's model are
 // not affected. The caller must hold k.mu.
-func (k *Keeper) recordInterruptedJoins(g Group, now time.Time) {
+func (k *Reconciler) recordInterruptedJoins(g Group, now time.Time) {
 	for _, id := range g.Members {
 		w, ok := k.knownWorkers[id]
 		if !ok {
--- a/formation/displaced_test.go
+++ b/formation/displaced_test.go
@@ -57,7 +57,7 @@
 					entry.Staged = []string{test.staged}
 				}
 				w.inventory.Apply([]fleet.Change{{ID: "a", Worker: entry}}, 1, time.Now())
-				k := NewKeeper(w.options(), Term{Epoch: 1}, func() {})
+				k := NewReconciler(w.options(), Term{Epoch: 1}, func() {})
 				k.knownWorkers["a"] = entry
 				before := k.asFreeWorker(entry)
 				k.recordInterruptedJoins(Group{Model: "big", Members: []string{"a", "unknown"}}, time.Now())
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -11,14 +11,14 @@
 // dissolve announces that a group is closed, and then frees its members. If the head does not
 // respond, they are freed without its confirmation. This is safe because daemons no longer send
 // requests to the head, and the group makes no progress without its members.
-func (k *Keeper) dissolve(ctx context.Context, o *observedGroup, head *fleet.Worker) {
+func (k *Reconciler) dissolve(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	k.announceClosed(o, head)
 	k.releaseMembers(ctx, o, head)
 }
 
 // releaseMembers orders the head to leave a group that takes no requests. It frees the members once
 // the head has confirmed or is presumed dead.
-func (k *Keeper) releaseMembers(ctx context.Context, o *observedGroup, head *fleet.Worker) {
+func (k *Reconciler) releaseMembers(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	unreachableSince := time.Time{}
 	for ctx.Err() == nil {
 		verdict, ok := k.leave(ctx, o.group, head)
@@ -43,7 +43,7 @@
 // leave orders the head of a group to leave it, and reports whether the head answered. If this
 // daemon cannot reach the head, it sends the order through other daemons. The group may still serve
 // requests of those daemons.
-func (k *Keeper) leave(ctx context.Context, g Group, head *fleet.Worker) (Verdict, bool) {
+func (k *Reconciler) leave(ctx context.Context, g Group, head *fleet.Worker) (Verdict, bool) {
 	verdict, ok := k.leaveDirectly(ctx, g, head)
 	if ok || ctx.Err() != nil {
 		return verdict, ok
@@ -52,7 +52,7 @@
 	defer cancel()
 	verdict, err := k.opts.IndirectLeave(ctx, head, k.nextFence(), g)
 	if err != nil {
-		return Unfit, false
+		return StateMismatch, false
 	}
 	k.opts.Logger.Info("order sent through another daemon", "order", "leave", "worker", head.ID)
 	k.endTermIfFenced("leave", head, verdict)
@@ -60,7 +60,7 @@
 }
 
 // leaveDirectly orders a worker to leave a group, and reports whether it answered.
-func (k *Keeper) leaveDirectly(ctx context.Context, g Group, w *fleet.Worker) (Verdict, bool) {
+func (k *Reconciler) leaveDirectly(ctx context.Context, g Group, w *fleet.Worker) (Verdict, bool) {
 	verdict, ok := k.sendOrder(ctx, "leave", w, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Leave(ctx, w, fence, g)
 	})
@@ -73,17 +73,17 @@
 // isPresumedGone reports whether a head that has been unreachable since the given time is presumed
 // dead. If the worker list is recent, the head must also be missing from it. Otherwise, the head
 // must have been unreachable for so long that its group has broken.
-func (k *Keeper) isPresumedGone(head *fleet.Worker, unreachableSince, now time.Time) bool {
+func (k *Reconciler) isPresumedGone(head *fleet.Worker, unreachableSince, now time.Time) bool {
 	_, isListed := k.opts.Inventory.View().Worker(head.ID)
 	isListRecent := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
 	unreachableFor := now.Sub(unreachableSince)
 	if isListRecent {
 		return !isListed && unreachableFor > lostHeadTimeout
 	}
-	return unreachableFor > k.opts.StallAfter+lostHeadTimeout
+	return unreachableFor > k.opts.StallTimeout+lostHeadTimeout
 }
 
-func (k *Keeper) retire(o *observedGroup, head *fleet.Worker, reason retirement) {
+func (k *Reconciler) retire(o *observedGroup, head *fleet.Worker, reason retirement) {
 	k.opts.Logger.Info("replica dissolved", "replica", o.key, "head", head.ID, "confirmed", reason == retiredConfirmed)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -94,15 +94,15 @@
 	delete(k.headlessSince, o.key)
 }
 
-func (k *Keeper) announceClosed(o *observedGroup, head *fleet.Worker) {
-	k.opts.Announced(fleet.Announcement{
+func (k *Reconciler) announceClosed(o *observedGroup, head *fleet.Worker) {
+	k.opts.OnAnnouncement(fleet.Announcement{
 		Group: o.group.Name, Epoch: o.group.Epoch, Service: head.Service, Model: o.group.Model, Head: head.ID,
 	})
 }
 
 // drainOrDissolve drains a group if all its members are present, since it may have requests in
 // flight. Otherwise, it dissolves the group immediately.
-func (k *Keeper) drainOrDissolve(ctx context.Context, o *observedGroup) {
+func (k *Reconciler) drainOrDissolve(ctx context.Context, o *observedGroup) {
 	if o.isComplete() {
 		k.drain(ctx, o)
 		return
@@ -112,7 +112,7 @@
 
 // drain closes a group and waits up to maxDrainTime for its requests to finish. It then dissolves
 // the group.
-func (k *Keeper) drain(ctx context.Context, o *observedGroup) {
+func (k *Reconciler) drain(ctx context.Context, o *observedGroup) {
 	k.opts.Logger.Info("draining replica", "replica", o.key)
 	k.announceClosed(o, o.head)
 	deadline := time.Now().Add(maxDrainTime)
@@ -122,7 +122,7 @@
 	k.recordBegun(o.head.ID, verdict)
 	nextQuery := time.Now().Add(queryInterval)
 	// An earlier leader may have closed the group.
-	isClosing := ok && (verdict.Accepted() || o.state == fleet.Closing)
+	isClosing := ok && (verdict.IsAccepted() || o.state == fleet.Closing)
 	for isClosing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextQuery) {
 		pause.For(ctx, tickInterval)
 	}
@@ -131,7 +131,7 @@
 
 // isDrained reports whether a closed group's requests have finished. It uses the worker list. If
 // the list is stale or does not show the head, it queries the head, but not before nextQuery.
-func (k *Keeper) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
+func (k *Reconciler) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
 	membership := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
 	headEntry, isListed := k.opts.Inventory.View().Worker(o.head.ID)
 	if isListed && headEntry.Member.SameGroup(membership) && headEntry.Member.State == fleet.Ready {
@@ -147,5 +147,5 @@
 	}
 	*nextQuery = now.Add(queryInterval)
 	state, ok := k.queryState(ctx, o.head)
-	return ok && (!state.Member.SameGroup(membership) || state.Member.State == fleet.Ready)
+	return ok && (!state.Membership.SameGroup(membership) || state.Membership.State == fleet.Ready)
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -12,7 +12,7 @@
 )
 
 // startForming starts forming a group. The caller must hold k.mu.
-func (k *Keeper) startForming(ctx context.Context, s *fleet.Service, f Formation) {
+func (k *Reconciler) startForming(ctx context.Context, s *fleet.Service, f Formation) {
 	epoch := int64(k.nextFenceLocked())
 	head := k.knownWorkers[f.Members[0]]
 	g := Group{Name: fleet.GroupName(f.Model.Name, epoch, head), Epoch: epoch, Model: f.Model.Name, Members: f.Members}
@@ -31,7 +31,7 @@
 
 // form orders the members to join, and waits until each of them is ready in the group. It then
 // opens the group. If any of this fails, it abandons the group.
-func (k *Keeper) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
+func (k *Reconciler) form(termCtx context.Context, s *fleet.Service, f Formation, g Group, members []*fleet.Worker) {
 	start := time.Now()
 	timeout := joinGracePeriod + f.Model.WarmLoad
 	if f.LoadCount > 0 {
@@ -58,7 +58,7 @@
 // abandon logs that a group could not be formed, and calls the dissolve function. That function
 // must free the members and ensure that a late order cannot open the group. If the term has ended,
 // abandon does nothing, and the next leader handles the group.
-func (k *Keeper) abandon(termCtx context.Context, g Group, reason string, dissolve func(o *observedGroup)) {
+func (k *Reconciler) abandon(termCtx context.Context, g Group, reason string, dissolve func(o *observedGroup)) {
 	if termCtx.Err() != nil {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // join orders all members concurrently to join the group, and reports whether all of them accepted.
-func (k *Keeper) join(ctx context.Context, g Group, members []*fleet.Worker) bool {
+func (k *Reconciler) join(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	p := pool.NewWithResults[bool]()
 	for _, w := range members {
 		p.Go(func() bool {
@@ -86,7 +86,7 @@
 
 // awaitReady waits until every member is ready in the group. It fails if a member is gone or ctx is
 // done. It then marks the members that caused the failure as unreliable.
-func (k *Keeper) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
+func (k *Reconciler) awaitReady(ctx context.Context, g Group, members []*fleet.Worker) bool {
 	readyMembers := make(map[string]bool)
 	nextQuery := time.Now().Add(queryInterval)
 	for ctx.Err() == nil {
@@ -119,7 +119,7 @@
 
 // membersToQuery returns the members whose current state the worker list does not show. If the list
 // is stale, these are all members. Otherwise, these are the unlisted ones.
-func (k *Keeper) membersToQuery(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
+func (k *Reconciler) membersToQuery(members []*fleet.Worker, view *fleet.View, now time.Time) []*fleet.Worker {
 	if now.Sub(k.opts.Inventory.Confirmed()) > listStaleAge {
 		return members
 	}
@@ -134,12 +134,12 @@
 
 // queryReady queries the members that are not in readyMembers, and adds those that are ready in the
 // group to it.
-func (k *Keeper) queryReady(ctx context.Context, g Group, members []*fleet.Worker, readyMembers map[string]bool) {
+func (k *Reconciler) queryReady(ctx context.Context, g Group, members []*fleet.Worker, readyMembers map[string]bool) {
 	for _, w := range members {
 		if readyMembers[w.ID] {
 			continue
 		}
-		if state, ok := k.queryState(ctx, w); ok && isReadyIn(state.Member, g) {
+		if state, ok := k.queryState(ctx, w); ok && isReadyIn(state.Membership, g) {
 			readyMembers[w.ID] = true
 		}
 	}
@@ -147,7 +147,7 @@
 
 // goneMembers returns the members that are gone, unresponsive or draining. It updates the absences
 // first, since a member that left the worker list after the last tick may still answer.
-func (k *Keeper) goneMembers(members []*fleet.Worker) []*fleet.Worker {
+func (k *Reconciler) goneMembers(members []*fleet.Worker) []*fleet.Worker {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	view := k.opts.Inventory.View()
@@ -165,18 +165,18 @@
 
 // open orders the head to open a group whose members are all ready, and announces the group as
 // open. It reports whether the head accepted the order.
-func (k *Keeper) open(ctx context.Context, service string, g Group, head *fleet.Worker) bool {
+func (k *Reconciler) open(ctx context.Context, service string, g Group, head *fleet.Worker) bool {
 	verdict, ok := k.sendOrder(ctx, "open", head, func(ctx context.Context, fence Fence) (Verdict, error) {
 		return k.opts.Orders.Open(ctx, head, fence, g)
 	})
-	if !ok || !verdict.Accepted() {
+	if !ok || !verdict.IsAccepted() {
 		return false
 	}
 	k.recordBegun(head.ID, verdict)
 	openingTime := k.openingDuration(service)
 	k.recordOpened(head.ID, g, time.Now().Add(openingTime+listSettleTime))
 	pause.For(ctx, openingTime)
-	k.opts.Announced(fleet.Announcement{
+	k.opts.OnAnnouncement(fleet.Announcement{
 		Group: g.Name, Epoch: g.Epoch, Service: service, Model: g.Model, Head: head.ID, Open: true,
 	})
 	return true
@@ -185,16 +185,16 @@
 // recordOpened records that a head accepted the order to open its group. For a while, the worker
 // list and the head's reports still show the group as ready. The record takes precedence until the
 // list has been confirmed after confirmedAfter.
-func (k *Keeper) recordOpened(head string, g Group, confirmedAfter time.Time) {
+func (k *Reconciler) recordOpened(head string, g Group, confirmedAfter time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.observations[head] = observation{at: confirmedAfter, state: State{
-		Member: fleet.Membership{Group: g.Name, Epoch: g.Epoch, State: fleet.Open}, Loaded: g.Model, Staged: []string{g.Model},
+	k.observations[head] = observation{at: confirmedAfter, state: WorkerState{
+		Membership: fleet.Membership{Group: g.Name, Epoch: g.Epoch, State: fleet.Open}, LoadedModel: g.Model, StagedModels: []string{g.Model},
 	}}
 }
 
 // openingDuration returns how long opening a group takes.
-func (k *Keeper) openingDuration(service string) time.Duration {
+func (k *Reconciler) openingDuration(service string) time.Duration {
 	if c := k.opts.Config(); c != nil {
 		if s, ok := c.Service(service); ok && s.Engine != nil {
 			return s.Engine.OpenDuration
@@ -204,7 +204,7 @@
 }
 
 // openInherited opens a group that an earlier leader formed but did not open.
-func (k *Keeper) openInherited(ctx context.Context, o *observedGroup) {
+func (k *Reconciler) openInherited(ctx context.Context, o *observedGroup) {
 	g := o.group
 	if len(g.Members) == 0 {
 		g.Members = []string{o.head.ID}
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -36,8 +36,8 @@
 
 // settleTime returns how long an incomplete group is left unchanged after it was first seen. It is
 // longer shortly after the process started, because the worker list itself may be incomplete then.
-func (k *Keeper) settleTime(now time.Time) time.Duration {
-	if now.Sub(k.opts.ListSince()) < youngListAge {
+func (k *Reconciler) settleTime(now time.Time) time.Duration {
+	if now.Sub(k.opts.FirstListAt()) < youngListAge {
 		return youngListSettleTime
 	}
 	return listSettleTime
@@ -49,7 +49,7 @@
 }
 
 // firstSeen returns the time when a group was first seen, and records it for a new group.
-func (k *Keeper) firstSeen(o *observedGroup, now time.Time) time.Time {
+func (k *Reconciler) firstSeen(o *observedGroup, now time.Time) time.Time {
 	since, ok := k.groupSeenSince[o.key]
 	if !ok {
 		since = now
@@ -59,7 +59,7 @@
 }
 
 // observeGroups returns the groups of a service as reported by its workers, sorted by key.
-func (k *Keeper) observeGroups(s *fleet.Service, view *fleet.View) []*observedGroup {
+func (k *Reconciler) observeGroups(s *fleet.Service, view *fleet.View) []*observedGroup {
 	byKey := make(map[string]*observedGroup)
 	for w := range k.presentWorkers(view) {
 		m := k.membershipOf(w)
@@ -83,7 +83,7 @@
 	return all
 }
 
-func (k *Keeper) addMember(o *observedGroup, w *fleet.Worker, m fleet.Membership) {
+func (k *Reconciler) addMember(o *observedGroup, w *fleet.Worker, m fleet.Membership) {
 	if k.isUnresponsiveLocked(w.ID) {
 		o.hasLostMember = true
 	} else {
@@ -104,7 +104,7 @@
 
 // resolveModel sets the group's model. If the group was formed in this term, it also sets the
 // members.
-func (k *Keeper) resolveModel(e *fleet.Engine, o *observedGroup) {
+func (k *Reconciler) resolveModel(e *fleet.Engine, o *observedGroup) {
 	if formed, ok := k.formedGroups[o.key]; ok {
 		o.group = formed
 	}
@@ -117,7 +117,7 @@
 }
 
 // repair starts the operation that a group needs, if any. The caller must hold k.mu.
-func (k *Keeper) repair(ctx context.Context, o *observedGroup, now time.Time) {
+func (k *Reconciler) repair(ctx context.Context, o *observedGroup, now time.Time) {
 	age := now.Sub(k.firstSeen(o, now))
 	k.detectReturn(o, now)
 	if o.head != nil && o.state != fleet.Broken && !k.isUnresponsiveLocked(o.head.ID) && k.retirements[o.key] == retiredAssumed {
@@ -157,9 +157,9 @@
 
 // repairHeadless frees the members of a group whose head is not listed. It contacts the head first,
 // because a head that lost its connection to the store may still serve. The head is unknown only if
-// an operator created the group by hand. The members of such a group are freed after StallAfter,
+// an operator created the group by hand. The members of such a group are freed after StallTimeout,
 // because the group has broken by then.
-func (k *Keeper) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
+func (k *Reconciler) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
 	since, ok := k.headlessSince[o.key]
 	if !ok {
 		k.headlessSince[o.key] = now
@@ -177,7 +177,7 @@
 		k.startOperation(ctx, o.key, nil, func(ctx context.Context) { k.dissolve(ctx, o, head) })
 		return
 	}
-	if now.Sub(since) > k.opts.StallAfter {
+	if now.Sub(since) > k.opts.StallTimeout {
 		k.retirements[o.key] = retiredAssumed
 	}
 }
@@ -191,7 +191,7 @@
 	return &fleet.Worker{ID: id, Address: address, Service: o.members[0].Service, Domain: o.members[0].Domain}
 }
 
-func (k *Keeper) hasBusyWorker(members []*fleet.Worker) bool {
+func (k *Reconciler) hasBusyWorker(members []*fleet.Worker) bool {
 	return slices.ContainsFunc(members, func(w *fleet.Worker) bool {
 		return k.busyWorkers[w.ID]
 	})
@@ -199,7 +199,7 @@
 
 // startOperation runs an operation in the background. It marks the group and the members as busy
 // until the operation ends. The caller must hold k.mu.
-func (k *Keeper) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
+func (k *Reconciler) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
 	k.busyGroups[key] = true
 	for _, w := range members {
 		k.busyWorkers[w.ID] = true
@@ -216,7 +216,7 @@
 }
 
 // freeWorkers returns the workers of a service that can be put into a new group.
-func (k *Keeper) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
+func (k *Reconciler) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
 	isInGroup := make(map[string]bool)
 	for _, o := range groups {
 		if k.retirements[o.key] != 0 {
@@ -242,7 +242,7 @@
 
 // asFreeWorker returns a worker in the form that the planner uses. An interrupted join and the
 // worker's own reports take precedence over the worker list until a later list has been received.
-func (k *Keeper) asFreeWorker(w *fleet.Worker) FreeWorker {
+func (k *Reconciler) asFreeWorker(w *fleet.Worker) FreeWorker {
 	if i, ok := k.interruptedJoins[w.ID]; ok {
 		if !k.opts.Inventory.Confirmed().After(i.abandonedAt.Add(listSettleTime)) {
 			return FreeWorker{ID: w.ID, Domain: w.Domain, StagedModels: i.staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
@@ -254,12 +254,12 @@
 
 // loadedModel returns the model that a worker served last, according to its own report or the
 // worker list.
-func (k *Keeper) loadedModel(w *fleet.Worker) string {
+func (k *Reconciler) loadedModel(w *fleet.Worker) string {
 	if k.isPastIncarnation(w) {
-		return k.observations[w.ID].state.Loaded
+		return k.observations[w.ID].state.LoadedModel
 	}
-	if o, ok := k.observations[w.ID]; ok && o.state.Loaded != "" && o.at.After(k.opts.Inventory.Confirmed()) {
-		return o.state.Loaded
+	if o, ok := k.observations[w.ID]; ok && o.state.LoadedModel != "" && o.at.After(k.opts.Inventory.Confirmed()) {
+		return o.state.LoadedModel
 	}
 	return w.Loaded
 }
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -23,7 +23,7 @@
 
 // refreshHalls updates which halls are closed. If all halls with workers are closed, none is
 // treated as closed. The caller must hold k.mu.
-func (k *Keeper) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
+func (k *Reconciler) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
 	closed := k.closedHalls(s, view)
 	for hall := range closed {
 		if !k.halls.closedHalls[hall] {
@@ -40,8 +40,8 @@
 	k.halls.closedHalls = closed
 }
 
-func (k *Keeper) closedHalls(s *fleet.Service, view *fleet.View) map[string]bool {
-	if k.opts.HallOpen == nil {
+func (k *Reconciler) closedHalls(s *fleet.Service, view *fleet.View) map[string]bool {
+	if k.opts.IsHallOpen == nil {
 		return nil
 	}
 	closed, open := make(map[string]bool), make(map[string]bool)
@@ -49,7 +49,7 @@
 		if w.Service != s.Name || closed[w.Zone] || open[w.Zone] {
 			continue
 		}
-		if k.opts.HallOpen(w.Zone) {
+		if k.opts.IsHallOpen(w.Zone) {
 			open[w.Zone] = true
 		} else {
 			closed[w.Zone] = true
@@ -63,9 +63,9 @@
 
 // hallLossPolicy returns how plans account for the loss of data halls. If no weight is configured,
 // plans do not account for it.
-func (k *Keeper) hallLossPolicy() HallLossPolicy {
-	if k.opts.HallWeight <= 0 {
+func (k *Reconciler) hallLossPolicy() HallLossPolicy {
+	if k.opts.HallLossWeight <= 0 {
 		return HallLossPolicy{}
 	}
-	return HallLossPolicy{MaxLost: k.opts.BearHalls, Weight: k.opts.HallWeight}
+	return HallLossPolicy{MaxLost: k.opts.ToleratedHallLosses, Weight: k.opts.HallLossWeight}
 }
--- a/formation/halls_test.go
+++ b/formation/halls_test.go
@@ -55,7 +55,7 @@
 func TestGroupsOfClosedHallAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := newHallWorld(4, 8)
-		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
+		w.demand = map[string]Work{"big": {BusySlots: 14}, "small": {BusySlots: 3}}
 		_, _, stop := startServing(w, "big")
 		w.pending.Go(func() { w.confirmList(80 * time.Second) })
 		time.Sleep(sharePeriod + 20*time.Second)
@@ -82,7 +82,7 @@
 func TestBrieflyClosedHallKeepsGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, closed := newHallWorld(4, 8)
-		w.demand = map[string]Work{"big": {Busy: 14}, "small": {Busy: 3}}
+		w.demand = map[string]Work{"big": {BusySlots: 14}, "small": {BusySlots: 3}}
 		_, _, stop := startServing(w, "big")
 		w.pending.Go(func() { w.confirmList(60 * time.Second) })
 		time.Sleep(sharePeriod + 20*time.Second)
@@ -137,7 +137,8 @@
 	tests := map[string]struct {
 		maxLost       int
 		isListGrowing bool
-		// maxLargeGroups is the maximum number of large groups in one hall. There are two large groups.
+		// maxLargeGroups is the maximum number of large groups in one hall. There are two large
+		// groups.
 		maxLargeGroups int
 	}{
 		"no tolerated loss":  {maxLargeGroups: 2},
--- a/formation/incarnations.go
+++ b/formation/incarnations.go
@@ -14,7 +14,7 @@
 // recordListedIncarnation records the incarnation in an entry of the worker list. Entries arrive in
 // the order in which they were written. A different incarnation is therefore a later one, even if
 // the worker's clock was set back. The caller must hold k.mu.
-func (k *Keeper) recordListedIncarnation(w *fleet.Worker) {
+func (k *Reconciler) recordListedIncarnation(w *fleet.Worker) {
 	if w.StartedAt == 0 {
 		return
 	}
@@ -30,7 +30,7 @@
 
 // recordReportedIncarnation records the incarnation in a worker's own answer. It returns false if
 // the answer comes from an earlier incarnation. The caller must hold k.mu.
-func (k *Keeper) recordReportedIncarnation(id string, born int64) bool {
+func (k *Reconciler) recordReportedIncarnation(id string, born int64) bool {
 	l, known := k.incarnations[id]
 	switch {
 	case born == 0 || known && born == l.newestStart:
@@ -46,14 +46,14 @@
 
 // isPastIncarnation reports whether an entry of the worker list belongs to an earlier incarnation.
 // The caller must hold k.mu.
-func (k *Keeper) isPastIncarnation(w *fleet.Worker) bool {
+func (k *Reconciler) isPastIncarnation(w *fleet.Worker) bool {
 	l, known := k.incarnations[w.ID]
 	return known && w.StartedAt != 0 && w.StartedAt != l.newestStart
 }
 
 // forgetIncarnation discards the state of a worker's earlier incarnation. The caller must hold
 // k.mu.
-func (k *Keeper) forgetIncarnation(id string) {
+func (k *Reconciler) forgetIncarnation(id string) {
 	k.opts.Logger.Info("worker restarted under its ID", "worker", id)
 	delete(k.observations, id)
 	delete(k.orderStates, id)
--- a/formation/inherit_test.go
+++ b/formation/inherit_test.go
@@ -15,11 +15,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
 		w.hasTraffic = true
-		w.demand = map[string]Work{"big": {Busy: 10}}
-		w.smoothed = func() map[string]Work { return map[string]Work{"big": {Busy: 40, Prompts: 8000}} }
-		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
+		w.demand = map[string]Work{"big": {BusySlots: 10}}
+		w.smoothed = func() map[string]Work { return map[string]Work{"big": {BusySlots: 40, PromptTokens: 8000}} }
+		k := NewReconciler(w.options(), Term{Epoch: 2}, func() {})
 		k.updateSmoothedWork()
-		assert.Assert(t, k.smoothedWork["big"].Busy > 39 && k.smoothedWork["big"].Prompts > 7000, "%v", k.smoothedWork["big"])
+		assert.Assert(t, k.smoothedWork["big"].BusySlots > 39 && k.smoothedWork["big"].PromptTokens > 7000, "%v", k.smoothedWork["big"])
 	})
 }
 
@@ -32,7 +32,7 @@
 		formAndStop(w)
 		servingBefore := w.countServing()
 		w.mu.Lock()
-		w.demand = map[string]Work{"big": {Busy: 40}, "small": {}}
+		w.demand = map[string]Work{"big": {BusySlots: 40}, "small": {}}
 		w.mu.Unlock()
 		_, stop := startTerm(w, 2)
 		time.Sleep(listSettleTime - 100*time.Millisecond)
@@ -51,23 +51,23 @@
 func TestSmootherIsIndependentOfInterval(t *testing.T) {
 	for name, interval := range map[string]time.Duration{"each tick": tickInterval, "each second": time.Second, "each five seconds": 5 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			var s Smoother
+			var s WorkSmoother
 			now := time.Time{}.Add(time.Hour)
-			s.Observe(map[string]Work{"big": {Busy: 100, Pause: time.Second}}, now)
+			s.Observe(map[string]Work{"big": {BusySlots: 100, ToleratedPause: time.Second}}, now)
 			for range 10 * time.Second / interval {
 				now = now.Add(interval)
-				s.Observe(map[string]Work{"big": {Busy: 50, Pause: time.Second}}, now)
+				s.Observe(map[string]Work{"big": {BusySlots: 50, ToleratedPause: time.Second}}, now)
 			}
 			// After 100 ticks, (1-demandFallWeight)^100 of the difference remains.
 			got := s.Work()["big"]
-			assert.Assert(t, math.Abs(got.Busy-68.3) < 0.1, "%.2f", got.Busy)
-			assert.Equal(t, got.Pause, time.Second)
+			assert.Assert(t, math.Abs(got.BusySlots-68.3) < 0.1, "%.2f", got.BusySlots)
+			assert.Equal(t, got.ToleratedPause, time.Second)
 			// A clock that steps back has no effect.
 			s.Observe(map[string]Work{"big": {}}, now.Add(-time.Hour))
-			assert.Equal(t, s.Work()["big"].Busy, got.Busy)
+			assert.Equal(t, s.Work()["big"].BusySlots, got.BusySlots)
 		})
 	}
-	var s Smoother
+	var s WorkSmoother
 	assert.Equal(t, len(s.Work()), 0)
 }
 
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -74,7 +74,7 @@
 		w.mu.Unlock()
 		servedMembership := w.membershipOf("w0-0")
 		w.kill("w0-1")
-		k.Suspect(fleet.GroupKey(servedMembership))
+		k.MarkSuspected(fleet.GroupKey(servedMembership))
 		time.Sleep(2 * time.Second)
 		dissolvedMembership := w.membershipOf("w0-0")
 		time.Sleep(5 * time.Second)
@@ -115,10 +115,10 @@
 func TestMembersOfDeadHeadAreReusedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 7)
-		w.demand = map[string]Work{"big": {Busy: 5}}
+		w.demand = map[string]Work{"big": {BusySlots: 5}}
 		k, oldGroup, stop := startServing(w, "big")
 		w.kill(oldGroup.Members[0])
-		k.Suspect(oldGroup.Key())
+		k.MarkSuspected(oldGroup.Key())
 		time.Sleep(3400 * time.Millisecond)
 		survivorMembership := w.membershipOf(oldGroup.Members[1])
 		stop()
@@ -136,7 +136,7 @@
 		w := newWorld(1, 1, 2)
 		k, oldGroup, stop := startServing(w, "small")
 		w.setUnreachable(oldGroup.Members[0], true)
-		k.Suspect(oldGroup.Key())
+		k.MarkSuspected(oldGroup.Key())
 		time.Sleep(3 * time.Second)
 		w.setUnreachable(oldGroup.Members[0], false)
 		time.Sleep(8 * time.Second)
--- a/formation/leaving.go
+++ b/formation/leaving.go
@@ -20,7 +20,7 @@
 // dissolved shortly before, it waits so that the model keeps serving, but not longer than
 // maxLeaveDelay. A group whose head is leaving is dissolved immediately, since it takes no more
 // requests.
-func (k *Keeper) dissolveLeaving(ctx context.Context, o *observedGroup, now time.Time) {
+func (k *Reconciler) dissolveLeaving(ctx context.Context, o *observedGroup, now time.Time) {
 	deadline, ok := k.leaveDeadlines[o.key]
 	if !ok {
 		deadline = now.Add(maxLeaveDelay)
--- a/formation/listgrowth.go
+++ b/formation/listgrowth.go
@@ -25,7 +25,7 @@
 // isListGrowing reports whether more workers of a new fleet are expected to be listed. If groups
 // were formed before the worker list is complete, groups of the smallest model would take most
 // domains. The larger models would then find no domain with enough workers.
-func (k *Keeper) isListGrowing(s *fleet.Service, view *fleet.View, now time.Time) bool {
+func (k *Reconciler) isListGrowing(s *fleet.Service, view *fleet.View, now time.Time) bool {
 	workerCount := countWorkers(s, view)
 	g, ok := k.listGrowths[s.Name]
 	if !ok {
--- a/formation/loadbudget.go
+++ b/formation/loadbudget.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// ceilingAllowance is the number of loads per window that the limit allows in addition to the
+	// loadLimitAllowance is the number of loads per window that the limit allows in addition to the
 	// load rate.
-	ceilingAllowance = 3
-	// ceilingMargin is the difference between the limit and the budget, in loads per window.
-	ceilingMargin = 0.5
+	loadLimitAllowance = 3
+	// loadLimitMargin is the difference between the limit and the budget, in loads per window.
+	loadLimitMargin = 0.5
 	// trafficNoticeDelay is the maximum time until a leader learns of the first request to the
 	// fleet. A load counts against the limit if the leader learns of that request less than this
 	// time after the load began.
 	trafficNoticeDelay = time.Second
 )
 
-// Ceiling limits the number of loads that may begin in any window of time.
-type Ceiling struct {
+// LoadLimit limits the number of loads that may begin in any window of time.
+type LoadLimit struct {
 	// Window is the length of the window.
 	Window time.Duration
-	// Over is the factor by which the services' load rates are multiplied to get the limit.
-	Over float64
+	// RateFactor is the factor by which the services' load rates are multiplied to get the limit.
+	RateFactor float64
 }
 
 // loadBudget is a token bucket for loads from the weight store. Unless the fleet is new, a leader
@@ -36,9 +36,9 @@
 // configure sets the limits for a service. perSecond is the rate at which its loads may begin.
 // burst is the number of loads that may begin at once. If startsFull is set, the first call fills
 // the bucket.
-func (l *loadBudget) configure(c Ceiling, perSecond, burst float64, startsFull bool, now time.Time) {
+func (l *loadBudget) configure(c LoadLimit, perSecond, burst float64, startsFull bool, now time.Time) {
 	window := c.Window.Seconds()
-	maxPerWindow := perSecond*window*c.Over + ceilingAllowance - ceilingMargin
+	maxPerWindow := perSecond*window*c.RateFactor + loadLimitAllowance - loadLimitMargin
 	l.burst = min(burst, maxPerWindow)
 	l.perSecond = min(perSecond, (maxPerWindow-l.burst)/window)
 	if l.refilledAt.IsZero() {
--- a/formation/loadbudget_test.go
+++ b/formation/loadbudget_test.go
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
 			var l loadBudget
-			l.configure(Ceiling{Window: 5 * time.Second, Over: 1.1}, 5, 7, true, now)
+			l.configure(LoadLimit{Window: 5 * time.Second, RateFactor: 1.1}, 5, 7, true, now)
 			l.record(5, false, now.Add(-test.loadAge))
 			assert.Equal(t, l.availableLoads(now), test.want)
 			l.record(1, true, now)
@@ -42,7 +42,7 @@
 func TestRefusedStagingDoesNotRefundBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
-		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
+		k := NewReconciler(w.options(), Term{Epoch: 2}, func() {})
 		service, _ := simConfig(w.loadsPerSecond).Service("models")
 		now := time.Now()
 		worker, _ := w.inventory.View().Worker("w0-0")
@@ -101,7 +101,7 @@
 			}
 			w.inventory.Apply(changes, 1, time.Now())
 			options := w.options()
-			k := NewKeeper(options, Term{Epoch: 1, First: true}, func() {})
+			k := NewReconciler(options, Term{Epoch: 1, IsFirst: true}, func() {})
 			k.isNewFleet = false
 			for i := range test.stagingCount {
 				k.activeLoads[fmt.Sprintf("s%d", i)] = activeLoad{model: "big", expiresAt: time.Now().Add(time.Hour)}
--- a/formation/options.go
+++ b/formation/options.go
@@ -8,42 +8,44 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Options configures a Keeper.
+// Options configures a Reconciler.
 type Options struct {
 	Config    func() *fleet.Config
 	Inventory *fleet.Inventory
-	Orders    Orders
+	Orders    WorkerClient
 	// IndirectLeave orders a head that this daemon cannot reach to leave its group.
 	IndirectLeave IndirectLeave
-	// Demand returns the measured work of each model.
-	Demand func() map[string]Work
-	// ListSince returns the time when this process first received the worker list.
-	ListSince func() time.Time
-	// Traffic reports whether any request has reached the fleet yet. It is not called if a replica
-	// had served when the term began, since traffic is then assumed.
-	Traffic func() bool
-	// Announced is called with an announcement whenever a group is opened or closed.
-	Announced func(a fleet.Announcement)
-	// StallAfter is the time for which a group that lost a member stalls before it breaks.
-	StallAfter time.Duration
-	Ceiling    Ceiling
-	// Counted is called with the outcome of each attempt to send an order. The outcome is the
-	// verdict's name, or "unanswered". It is "returned" if a head that had left its group reports
-	// that it is in the group again.
-	Counted func(order, outcome string)
-	// Smoothed returns the smoothed work that this daemon tracked before it became leader (see
-	// Smoother). The term starts with it. The function is nil if no work was tracked.
-	Smoothed func() map[string]Work
-	// BearHalls is the number of data halls that may be lost at once while enough replicas of each
-	// model remain. HallWeight is the weight of requests that are lost with a hall, relative to
-	// requests lost now. If HallWeight is zero, plans don't account for hall losses.
-	BearHalls  int
-	HallWeight float64
-	// HallOpen reports whether a data hall takes requests. The function is nil if all halls take
+	// MeasuredWork returns the measured work of each model.
+	MeasuredWork func() map[string]Work
+	// FirstListAt returns the time when this process first received the worker list.
+	FirstListAt func() time.Time
+	// HasTraffic reports whether any request has reached the fleet yet. It is not called if a
+	// replica had served when the term began, since traffic is then assumed.
+	HasTraffic func() bool
+	// OnAnnouncement is called with an announcement whenever a group is opened or closed.
+	OnAnnouncement func(a fleet.Announcement)
+	// StallTimeout is the time for which a group that lost a member stalls before it breaks.
+	StallTimeout time.Duration
+	LoadLimit    LoadLimit
+	// OnOrderOutcome is called with the outcome of each attempt to send an order. The outcome is
+	// the verdict's name, or "unanswered". It is "returned" if a head that had left its group
+	// reports that it is in the group again.
+	OnOrderOutcome func(order, outcome string)
+	// SmoothedWork returns the smoothed work that this daemon tracked before it became leader (see
+	// WorkSmoother). The term starts with it. The function is nil if no work was tracked.
+	SmoothedWork func() map[string]Work
+	// ToleratedHallLosses is the number of data halls that may be lost at once while enough
+	// replicas of each model remain. HallLossWeight is the weight of requests that are lost with a
+	// hall, relative to requests lost now. If HallLossWeight is zero, plans don't account for hall
+	// losses.
+	ToleratedHallLosses int
+	HallLossWeight      float64
+	// IsHallOpen reports whether a data hall takes requests. The function is nil if all halls take
 	// requests.
-	HallOpen func(hall string) bool
-	// Awake is called before each order. If the machine was suspended, it ends the term, since the
-	// leader's state may be outdated. The function is nil if the machine is never suspended.
-	Awake  func()
-	Logger hclog.Logger
+	IsHallOpen func(hall string) bool
+	// CheckSuspension is called before each order. If the machine was suspended, it ends the term,
+	// since the leader's state may be outdated. The function is nil if the machine is never
+	// suspended.
+	CheckSuspension func()
+	Logger          hclog.Logger
 }
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -35,16 +35,17 @@
 
 // Possible verdicts.
 const (
-	// Begun means that the worker has started to carry out the order.
-	Begun Verdict = iota
-	// Holds means that the worker is already carrying out the order, or has done so before.
-	Holds
-	// Unfit means that the order cannot be carried out in the worker's current state.
-	Unfit
+	// Started means that the worker has started to carry out the order.
+	Started Verdict = iota
+	// AlreadyStarted means that the worker is already carrying out the order, or has done so
+	// before.
+	AlreadyStarted
+	// StateMismatch means that the order cannot be carried out in the worker's current state.
+	StateMismatch
 	// Fenced means that the worker has seen a higher fence.
 	Fenced
-	// Elsewhere means that another worker answered at the address.
-	Elsewhere
+	// WrongWorker means that another worker answered at the address.
+	WrongWorker
 	// Malformed means that the worker could not parse the order.
 	Malformed
 )
@@ -52,15 +53,15 @@
 // String returns the verdict's name in logs and metrics.
 func (v Verdict) String() string {
 	switch v {
-	case Begun:
+	case Started:
 		return "begun"
-	case Holds:
+	case AlreadyStarted:
 		return "holds"
-	case Unfit:
+	case StateMismatch:
 		return "unfit"
 	case Fenced:
 		return "fenced"
-	case Elsewhere:
+	case WrongWorker:
 		return "elsewhere"
 	case Malformed:
 		return "malformed"
@@ -68,8 +69,8 @@
 	return "unknown"
 }
 
-// Accepted reports whether the worker carries out the order or has done so.
-func (v Verdict) Accepted() bool { return v == Begun || v == Holds }
+// IsAccepted reports whether the worker carries out the order or has done so.
+func (v Verdict) IsAccepted() bool { return v == Started || v == AlreadyStarted }
 
 // Group identifies a group in orders to workers.
 type Group struct {
@@ -85,23 +86,23 @@
 	return fleet.GroupKey(fleet.Membership{Group: g.Name, Epoch: g.Epoch})
 }
 
-// State is a worker's state, as the worker itself reports it.
-type State struct {
-	Member fleet.Membership
-	Loaded string
-	Staged []string
-	// Orders is the number of orders that the worker has begun since it started.
-	Orders int64
-	// Born is the time when the worker started, in Unix milliseconds. It is 0 if the worker does
-	// not report it.
-	Born int64
+// WorkerState is a worker's state, as the worker itself reports it.
+type WorkerState struct {
+	Membership   fleet.Membership
+	LoadedModel  string
+	StagedModels []string
+	// OrderCount is the number of orders that the worker has begun since it started.
+	OrderCount int64
+	// StartedAt is the time when the worker started, in Unix milliseconds. It is 0 if the worker
+	// does not report it.
+	StartedAt int64
 }
 
-// Orders holds the functions that send orders to workers. An error means that no answer arrived.
-// The order may nevertheless have been carried out, or may be carried out later.
-type Orders struct {
+// WorkerClient holds the functions that send orders to workers. An error means that no answer
+// arrived. The order may nevertheless have been carried out, or may be carried out later.
+type WorkerClient struct {
 	// Join orders a worker to join a group. Join and Stage are carried out only by a worker that
-	// has begun exactly the given number of orders. Any other worker answers Unfit.
+	// has begun exactly the given number of orders. Any other worker answers StateMismatch.
 	Join func(ctx context.Context, w *fleet.Worker, fence Fence, orderCount int64, g Group) (Verdict, error)
 	// Stage orders a worker to copy a model's weights to its host without interrupting its work.
 	Stage func(ctx context.Context, w *fleet.Worker, fence Fence, orderCount int64, model string) (Verdict, error)
@@ -109,9 +110,9 @@
 	// Close stops the group from taking new requests and lets those in flight finish.
 	Close func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
 	Leave func(ctx context.Context, w *fleet.Worker, fence Fence, g Group) (Verdict, error)
-	// Ask returns the worker's state, which may lag by some hundred milliseconds. The error is
-	// ErrElsewhere if another worker answered.
-	Ask func(ctx context.Context, w *fleet.Worker) (State, error)
+	// QueryState returns the worker's state, which may lag by some hundred milliseconds. The error
+	// is ErrWrongWorker if another worker answered.
+	QueryState func(ctx context.Context, w *fleet.Worker) (WorkerState, error)
 }
 
 // IndirectLeave sends an order to leave a group through any other daemon that can reach the worker.
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -13,9 +13,9 @@
 	// is needed if the worker must first leave a dissolved group, or has begun an order that the
 	// leader does not know of.
 	maxJoinAttempts = 4
-	// joinRetryPause is the pause after an attempt that the worker answered with Unfit. A worker's
-	// reports lag by up to 200 ms (report_lag_ms in the settings), so all pauses together must be
-	// longer than that.
+	// joinRetryPause is the pause after an attempt that the worker answered with StateMismatch. A
+	// worker's reports lag by up to 200 ms (report_lag_ms in the settings), so all pauses together
+	// must be longer than that.
 	joinRetryPause = 100 * time.Millisecond
 	// reportSettleTime is the time after an answered order in which the worker's reports may still
 	// show the state before the order. It is twice the lag of the reports.
@@ -38,7 +38,7 @@
 // joinMember orders a worker to join a group, and reports whether it accepted. A worker that is
 // still in a dissolved group must leave that group first. A worker in any other group does not
 // join, since that group may serve.
-func (k *Keeper) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
+func (k *Reconciler) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
 	wanted := fleet.Membership{Group: g.Name, Epoch: g.Epoch}
 	for range maxJoinAttempts {
 		current, ok := k.orderStateOf(ctx, w)
@@ -58,11 +58,11 @@
 			return k.opts.Orders.Join(ctx, w, fence, current.orderCount, g)
 		})
 		switch {
-		case ok && verdict == Begun:
+		case ok && verdict == Started:
 			k.setOrderState(w.ID, current.orderCount+1, wanted)
 			return true
-		case !ok || verdict != Unfit:
-			return ok && verdict.Accepted()
+		case !ok || verdict != StateMismatch:
+			return ok && verdict.IsAccepted()
 		}
 		k.forgetOrderState(w.ID)
 		pause.For(ctx, joinRetryPause)
@@ -73,7 +73,7 @@
 // leaveDissolved orders a worker to leave its group if that group was dissolved, and reports
 // whether it left. It returns false for any other group, since another leader put the worker into
 // it.
-func (k *Keeper) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
+func (k *Reconciler) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
 	k.mu.Lock()
 	dissolved := k.retirements[fleet.GroupKey(m)] != 0
 	k.mu.Unlock()
@@ -82,11 +82,11 @@
 		return false
 	}
 	verdict, ok := k.leaveDirectly(ctx, Group{Name: m.Group, Epoch: m.Epoch}, w)
-	return ok && verdict.Accepted()
+	return ok && verdict.IsAccepted()
 }
 
 // orderStateOf returns a worker's order state. If the state is not known, it queries the worker.
-func (k *Keeper) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
+func (k *Reconciler) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
 	k.mu.Lock()
 	current, ok := k.orderStates[w.ID]
 	k.mu.Unlock()
@@ -94,54 +94,54 @@
 		return current, true
 	}
 	state, ok := k.queryState(ctx, w)
-	return orderState{orderCount: state.Orders, member: state.Member}, ok
+	return orderState{orderCount: state.OrderCount, member: state.Membership}, ok
 }
 
 // recordReport records the order state that a worker reported. It ignores the report if an order
 // was answered so recently that the report may not include it. The caller must hold k.mu.
-func (k *Keeper) recordReport(id string, s State, now time.Time) {
+func (k *Reconciler) recordReport(id string, s WorkerState, now time.Time) {
 	if current, ok := k.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
 		return
 	}
-	k.orderStates[id] = orderState{orderCount: s.Orders, member: s.Member}
+	k.orderStates[id] = orderState{orderCount: s.OrderCount, member: s.Membership}
 }
 
 // setOrderState sets a worker's order state after an answered order.
-func (k *Keeper) setOrderState(id string, orderCount int64, membership fleet.Membership) {
+func (k *Reconciler) setOrderState(id string, orderCount int64, membership fleet.Membership) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.setOrderStateLocked(id, orderCount, membership)
 }
 
 // setOrderStateLocked is setOrderState for callers that hold k.mu.
-func (k *Keeper) setOrderStateLocked(id string, orderCount int64, m fleet.Membership) {
+func (k *Reconciler) setOrderStateLocked(id string, orderCount int64, m fleet.Membership) {
 	k.orderStates[id] = orderState{orderCount: orderCount, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
 
 // recordBegun increments a worker's order count if the worker began an order that does not change
 // its group. Orders that a worker does not begin are not counted.
-func (k *Keeper) recordBegun(id string, verdict Verdict) {
+func (k *Reconciler) recordBegun(id string, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if current, ok := k.orderStates[id]; ok && verdict == Begun {
+	if current, ok := k.orderStates[id]; ok && verdict == Started {
 		k.setOrderStateLocked(id, current.orderCount+1, current.member)
 	}
 }
 
 // recordLeft records that a worker accepted an order to leave a group. It has no effect if the
 // worker was not in that group.
-func (k *Keeper) recordLeft(id string, g Group, verdict Verdict) {
+func (k *Reconciler) recordLeft(id string, g Group, verdict Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	current, ok := k.orderStates[id]
-	if ok && verdict.Accepted() && current.member.SameGroup(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
+	if ok && verdict.IsAccepted() && current.member.SameGroup(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
 		k.setOrderStateLocked(id, current.orderCount+1, fleet.Membership{})
 	}
 }
 
 // forgetOrderState discards a worker's order state. It is called when the worker may have begun an
 // order that the leader does not know of, or may still begin one.
-func (k *Keeper) forgetOrderState(id string) {
+func (k *Reconciler) forgetOrderState(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.orderStates, id)
--- a/formation/oversized.go
+++ b/formation/oversized.go
@@ -7,8 +7,8 @@
 )
 
 // warnOversizedModels logs a warning, once per model, if no domain has enough workers for it.
-func (k *Keeper) warnOversizedModels(s *fleet.Service, view *fleet.View, now time.Time) {
-	if now.Sub(k.opts.ListSince()) < youngListAge {
+func (k *Reconciler) warnOversizedModels(s *fleet.Service, view *fleet.View, now time.Time) {
+	if now.Sub(k.opts.FirstListAt()) < youngListAge {
 		return
 	}
 	workerCounts, largestDomain := make(map[string]int), 0
--- a/formation/keeper.go
+++ b/formation/reconciler.go
@@ -10,7 +10,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Intervals, timeouts and limits of a Keeper.
+// Intervals, timeouts and limits of a Reconciler.
 const (
 	tickInterval = 100 * time.Millisecond
 	// maxConcurrentCalls is the maximum number of concurrent calls to workers. It also limits the
@@ -60,15 +60,15 @@
 type Term struct {
 	Epoch int64
 	Rank  int
-	// First reports whether this is the fleet's first term.
-	First bool
-	// FirstLife reports whether this process has been running since the fleet was started for the
-	// first time. Such a process would have observed any earlier requests.
-	FirstLife bool
+	// IsFirst reports whether this is the fleet's first term.
+	IsFirst bool
+	// RunningSinceFleetStart reports whether this process has been running since the fleet was
+	// started for the first time. Such a process would have observed any earlier requests.
+	RunningSinceFleetStart bool
 }
 
-// Keeper forms and repairs replicas for the duration of one term.
-type Keeper struct {
+// Reconciler forms and repairs replicas for the duration of one term.
+type Reconciler struct {
 	opts Options
 	term Term
 	// isNewFleet reports whether no replica had served when the term began.
@@ -182,17 +182,17 @@
 
 // observation is a state that a worker reported directly.
 type observation struct {
-	state State
+	state WorkerState
 	// at is the time of the state. It lies in the future if the worker is expected to reach the
 	// state then. Once the worker list has been confirmed after that time, the list is preferred.
 	at time.Time
 }
 
-// NewKeeper returns a Keeper for a term. It calls onSuperseded when a worker reports a leader with
-// a higher term.
-func NewKeeper(opts Options, term Term, onSuperseded func()) *Keeper {
+// NewReconciler returns a Reconciler for a term. It calls onSuperseded when a worker reports a
+// leader with a higher term.
+func NewReconciler(opts Options, term Term, onSuperseded func()) *Reconciler {
 	view := opts.Inventory.View()
-	k := &Keeper{
+	k := &Reconciler{
 		opts: opts, term: term, onSuperseded: onSuperseded,
 		done: make(chan struct{}), suspectedReplicas: make(chan string, 64),
 		observations:         make(map[string]observation),
@@ -226,7 +226,7 @@
 		reportedOversized:    make(map[string]bool),
 	}
 	k.inheritSmoothedWork()
-	if !term.First {
+	if !term.IsFirst {
 		k.tradesAllowedAt = time.Now().Add(listSettleTime)
 	}
 	k.isNewFleet = k.fleetNeverServed(view)
@@ -234,10 +234,10 @@
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (k *Keeper) Done() <-chan struct{} { return k.done }
+func (k *Reconciler) Done() <-chan struct{} { return k.done }
 
-// Suspect reports that requests at a replica have stopped receiving data. It does not block.
-func (k *Keeper) Suspect(replica string) {
+// MarkSuspected reports that requests at a replica have stopped receiving data. It does not block.
+func (k *Reconciler) MarkSuspected(replica string) {
 	select {
 	case k.suspectedReplicas <- replica:
 	default:
@@ -246,7 +246,7 @@
 }
 
 // Run forms and repairs replicas until ctx is done.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Reconciler) Run(ctx context.Context) {
 	defer close(k.done)
 	defer k.tasks.Wait()
 	ticker := time.NewTicker(tickInterval)
@@ -265,7 +265,7 @@
 }
 
 // tick repairs, forms and trades groups of every service whose workers form groups.
-func (k *Keeper) tick(ctx context.Context, now time.Time) {
+func (k *Reconciler) tick(ctx context.Context, now time.Time) {
 	config := k.opts.Config()
 	if config == nil {
 		return
@@ -284,7 +284,7 @@
 	}
 }
 
-func (k *Keeper) tickService(ctx context.Context, s *fleet.Service, view *fleet.View, now time.Time) {
+func (k *Reconciler) tickService(ctx context.Context, s *fleet.Service, view *fleet.View, now time.Time) {
 	groups := k.observeGroups(s, view)
 	for _, g := range groups {
 		k.repair(ctx, g, now)
@@ -329,27 +329,27 @@
 }
 
 // logReplicas logs the wanted and available replicas.
-func (k *Keeper) logReplicas(needs []Need, free []FreeWorker) {
+func (k *Reconciler) logReplicas(needs []Need, free []FreeWorker) {
 	for _, n := range needs {
 		k.opts.Logger.Info("replicas", "model", n.Model.Name, "want", n.Want, "have", n.Have,
-			"work", k.smoothedWork[n.Model.Name].Busy, "prompts", int(k.smoothedWork[n.Model.Name].Prompts), "idle_workers", len(free))
+			"work", k.smoothedWork[n.Model.Name].BusySlots, "prompts", int(k.smoothedWork[n.Model.Name].PromptTokens), "idle_workers", len(free))
 	}
 }
 
 // hasTraffic reports whether requests have reached the fleet. If a replica had served when the term
 // began, earlier requests are assumed.
-func (k *Keeper) hasTraffic() bool { return !k.isNewFleet || k.opts.Traffic() }
+func (k *Reconciler) hasTraffic() bool { return !k.isNewFleet || k.opts.HasTraffic() }
 
 // fleetNeverServed reports whether no replica has served yet. The worker list shows which groups
 // were opened. If this process started later than the fleet, no worker may hold a model either.
 // Otherwise, after a restart of all daemons while no replica is open, the leader would treat the
 // fleet as new. It would then start more loads at once than allowed.
-func (k *Keeper) fleetNeverServed(view *fleet.View) bool {
-	if k.term.First {
+func (k *Reconciler) fleetNeverServed(view *fleet.View) bool {
+	if k.term.IsFirst {
 		return true
 	}
 	for _, w := range view.Workers() {
-		if hasServed(w) || !k.term.FirstLife && hasModel(w) {
+		if hasServed(w) || !k.term.RunningSinceFleetStart && hasModel(w) {
 			return false
 		}
 	}
@@ -368,7 +368,7 @@
 
 // refreshWorkers records the listed workers. Unlisted workers are no longer recorded as
 // unresponsive.
-func (k *Keeper) refreshWorkers(view *fleet.View) {
+func (k *Reconciler) refreshWorkers(view *fleet.View) {
 	for id, w := range view.Workers() {
 		k.knownWorkers[id] = w
 		k.recordListedIncarnation(w)
@@ -381,7 +381,7 @@
 }
 
 // nextFence returns the fence of the next order.
-func (k *Keeper) nextFence() Fence {
+func (k *Reconciler) nextFence() Fence {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.nextFenceLocked()
@@ -390,7 +390,7 @@
 // nextFenceLocked is nextFence for callers that hold k.mu. A fence must never be lower than an
 // earlier one. When the term has used up its fences, it therefore returns the last fence again and
 // ends the term.
-func (k *Keeper) nextFenceLocked() Fence {
+func (k *Reconciler) nextFenceLocked() Fence {
 	if k.lastSequence == maxSequence {
 		go k.onSuperseded()
 	} else {
@@ -401,38 +401,38 @@
 
 // membershipOf returns a worker's group membership according to the worker list or the worker's own
 // report, whichever is newer.
-func (k *Keeper) membershipOf(w *fleet.Worker) fleet.Membership {
+func (k *Reconciler) membershipOf(w *fleet.Worker) fleet.Membership {
 	o, ok := k.observations[w.ID]
 	if k.isPastIncarnation(w) {
-		return o.state.Member
+		return o.state.Membership
 	}
-	if !ok || o.state.Member.Epoch < w.Member.Epoch {
+	if !ok || o.state.Membership.Epoch < w.Member.Epoch {
 		return w.Member
 	}
 	if a, isAbsent := k.absent[w.ID]; isAbsent && o.at.After(a.unlistedSince) {
-		return o.state.Member
+		return o.state.Membership
 	}
-	if o.state.Member.SameGroup(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
+	if o.state.Membership.SameGroup(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
 		return w.Member
 	}
-	if o.state.Member.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(listSettleTime)) {
+	if o.state.Membership.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(listSettleTime)) {
 		return w.Member
 	}
-	return o.state.Member
+	return o.state.Membership
 }
 
 // recordState records a state that a worker reported, unless a newer one is known.
-func (k *Keeper) recordState(id string, s State) {
+func (k *Reconciler) recordState(id string, s WorkerState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.recordReportedIncarnation(id, s.Born) {
+	if !k.recordReportedIncarnation(id, s.StartedAt) {
 		return
 	}
 	delete(k.unresponsive, id)
 	now := time.Now()
 	k.recordReport(id, s, now)
 	previous, ok := k.observations[id]
-	isOutdated := previous.state.Member.Epoch > s.Member.Epoch || previous.at.After(now) && previous.state.Member.SameGroup(s.Member)
+	isOutdated := previous.state.Membership.Epoch > s.Membership.Epoch || previous.at.After(now) && previous.state.Membership.SameGroup(s.Membership)
 	if ok && isOutdated {
 		return
 	}
--- a/formation/keeper_test.go
+++ b/formation/reconciler_test.go
@@ -15,10 +15,10 @@
 	"quartzshelf.dev/fleet"
 )
 
-// startTerm runs a keeper until the returned function is called.
-func startTerm(w *world, epoch int64) (k *Keeper, stop func()) {
+// startTerm runs a reconciler until the returned function is called.
+func startTerm(w *world, epoch int64) (k *Reconciler, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	k = NewKeeper(w.options(), Term{Epoch: epoch, First: epoch == 1}, cancel)
+	k = NewReconciler(w.options(), Term{Epoch: epoch, IsFirst: epoch == 1}, cancel)
 	go k.Run(ctx)
 	return k, func() {
 		cancel()
@@ -40,7 +40,7 @@
 
 // startServing lets a first leader form a fleet, starts traffic, and returns a group of the model.
 // The leader runs until the returned function is called.
-func startServing(w *world, model string) (k *Keeper, g Group, stop func()) {
+func startServing(w *world, model string) (k *Reconciler, g Group, stop func()) {
 	k, stop = startTerm(w, 1)
 	time.Sleep(8 * time.Second)
 	w.mu.Lock()
@@ -86,7 +86,7 @@
 		w := newWorld(1, 2, 10)
 		k, g, stop := startServing(w, "big")
 		w.kill(g.Members[2])
-		k.Suspect(g.Key())
+		k.MarkSuspected(g.Key())
 		time.Sleep(4 * time.Second)
 		assert.Equal(t, w.countServing()["big"], 2)
 		stop()
@@ -164,7 +164,7 @@
 func TestTradesRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 24)
-		w.demand, w.drainTime = map[string]Work{"big": {Busy: 40}}, 3*time.Second
+		w.demand, w.drainTime = map[string]Work{"big": {BusySlots: 40}}, 3*time.Second
 		_, stop := startTerm(w, 1)
 		time.Sleep(8 * time.Second)
 		w.mu.Lock()
@@ -274,7 +274,7 @@
 			id := fmt.Sprintf("w%d-%d", i%2, (i*7+step)%10)
 			w.kill(id)
 			for _, g := range w.groupsOf(id) {
-				k.Suspect(g)
+				k.MarkSuspected(g)
 			}
 		case step == 3:
 			// The old leader does not know that it was superseded.
@@ -293,7 +293,7 @@
 			groups := w.groupsOf(id)
 			w.restart(id, restartListDelays[step-6])
 			for _, g := range groups {
-				k.Suspect(g)
+				k.MarkSuspected(g)
 			}
 		default:
 			w.mu.Lock()
@@ -487,7 +487,7 @@
 		w := newWorld(1, 4, 10)
 		w.stageSmallOnEveryFourthWorker()
 		ctx, stop := context.WithCancel(context.Background())
-		k := NewKeeper(w.options(), Term{Epoch: 2, FirstLife: true}, stop)
+		k := NewReconciler(w.options(), Term{Epoch: 2, RunningSinceFleetStart: true}, stop)
 		go k.Run(ctx)
 		time.Sleep(time.Second)
 		assert.Assert(t, w.countJoining() > 7, "only %d loads run at once", w.countJoining())
@@ -591,7 +591,7 @@
 		w.mu.Lock()
 		w.openSmallGroup("w0-0", "w0-1")
 		w.mu.Unlock()
-		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
+		k := NewReconciler(w.options(), Term{Epoch: 2}, func() {})
 		taken, _ := view.Worker("w0-1")
 		free, _ := view.Worker("w0-2")
 		members := []*fleet.Worker{taken, free}
@@ -613,7 +613,7 @@
 		k, stop := startTerm(w, 2)
 		time.Sleep(200 * time.Millisecond)
 		w.kill(g.Members[2])
-		k.Suspect(g.Key())
+		k.MarkSuspected(g.Key())
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, w.countServing()["big"], 2)
 		stop()
--- a/formation/restart_test.go
+++ b/formation/restart_test.go
@@ -81,7 +81,7 @@
 		time.Sleep(20 * time.Millisecond)
 		w.restart(id, r.listedAfter)
 	}
-	k.Suspect(group.Key())
+	k.MarkSuspected(group.Key())
 	if r.changesLeader {
 		stop()
 		_, stop = startTerm(w, 3)
@@ -116,15 +116,15 @@
 func TestPastIncarnationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 4)
-		k := NewKeeper(w.options(), Term{Epoch: 2}, func() {})
+		k := NewReconciler(w.options(), Term{Epoch: 2}, func() {})
 		m := fleet.Membership{Group: "g", Epoch: 5, Rank: 1, State: fleet.Open}
 		listedWorker := &fleet.Worker{ID: "w0-1", Service: "models", Domain: "d0", Loaded: "big", StartedAt: 1000, Member: m}
 		k.recordListedIncarnation(listedWorker)
 		assert.Equal(t, k.membershipOf(listedWorker), m)
-		k.recordState("w0-1", State{Born: 2000, Staged: []string{"big"}})
+		k.recordState("w0-1", WorkerState{StartedAt: 2000, StagedModels: []string{"big"}})
 		assert.Equal(t, k.membershipOf(listedWorker), fleet.Membership{}, "the list shows a past incarnation")
 		assert.Equal(t, k.asFreeWorker(listedWorker).LoadedModel, "")
-		k.recordState("w0-1", State{Born: 1000, Member: m})
+		k.recordState("w0-1", WorkerState{StartedAt: 1000, Membership: m})
 		assert.Equal(t, k.membershipOf(listedWorker), fleet.Membership{}, "late report of a past incarnation")
 		next := *listedWorker
 		next.StartedAt, next.Member = 2000, fleet.Membership{Group: "h", Epoch: 7, State: fleet.Joining}
--- a/formation/send.go
+++ b/formation/send.go
@@ -11,7 +11,7 @@
 // whether an answer arrived. Each attempt has a new fence, so that workers reject earlier attempts
 // that arrive late. If no attempt is answered, the worker's state is queried. If that is not
 // answered either, the worker is marked as unresponsive.
-func (k *Keeper) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
+func (k *Reconciler) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
 	fencedCount, maxAttempts := 0, maxOrderAttempts
 	if k.isUnresponsive(w.ID) {
 		maxAttempts = unresponsiveAttempts
@@ -26,32 +26,32 @@
 			continue
 		case err == nil:
 			k.endTermIfFenced(order, w, verdict)
-			if verdict == Elsewhere {
+			if verdict == WrongWorker {
 				k.recordDisplaced(w)
 			}
 			return verdict, true
 		}
 		k.forgetOrderState(w.ID)
 		if ctx.Err() != nil {
-			return Unfit, false
+			return StateMismatch, false
 		}
 	}
 	k.opts.Logger.Warn("order not answered", "order", order, "worker", w.ID, "tries", maxAttempts)
 	if _, responds := k.queryState(ctx, w); !responds && ctx.Err() == nil {
 		k.markUnresponsive(w.ID)
 	}
-	return Unfit, false
+	return StateMismatch, false
 }
 
 // sendOrderOnce sends an order once, after waiting for a free call slot.
-func (k *Keeper) sendOrderOnce(ctx context.Context, send func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
+func (k *Reconciler) sendOrderOnce(ctx context.Context, send func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
 	k.callSlots <- struct{}{}
 	defer func() { <-k.callSlots }()
-	if k.opts.Awake != nil {
-		k.opts.Awake()
+	if k.opts.CheckSuspension != nil {
+		k.opts.CheckSuspension()
 	}
 	if err := ctx.Err(); err != nil {
-		return Unfit, err
+		return StateMismatch, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -59,7 +59,7 @@
 }
 
 // endTermIfFenced ends the term if a worker rejected an order because it had seen a higher fence.
-func (k *Keeper) endTermIfFenced(order string, w *fleet.Worker, verdict Verdict) {
+func (k *Reconciler) endTermIfFenced(order string, w *fleet.Worker, verdict Verdict) {
 	if verdict != Fenced {
 		return
 	}
@@ -68,17 +68,17 @@
 }
 
 // queryState queries a worker's state, records it, and reports whether the worker answered.
-func (k *Keeper) queryState(ctx context.Context, w *fleet.Worker) (State, bool) {
+func (k *Reconciler) queryState(ctx context.Context, w *fleet.Worker) (WorkerState, bool) {
 	k.callSlots <- struct{}{}
 	defer func() { <-k.callSlots }()
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	state, err := k.opts.Orders.Ask(ctx, w)
-	if errors.Is(err, ErrElsewhere) {
+	state, err := k.opts.Orders.QueryState(ctx, w)
+	if errors.Is(err, ErrWrongWorker) {
 		k.recordDisplaced(w)
 	}
 	if err != nil {
-		return State{}, false
+		return WorkerState{}, false
 	}
 	k.recordState(w.ID, state)
 	return state, true
--- a/formation/send_test.go
+++ b/formation/send_test.go
@@ -18,17 +18,17 @@
 		want     Verdict
 		endsTerm bool
 	}{
-		"accepted at once":                 {verdicts: []Verdict{Begun}, want: Begun},
-		"overtaken by another of the term": {verdicts: []Verdict{Fenced, Begun}, want: Begun},
+		"accepted at once":                 {verdicts: []Verdict{Started}, want: Started},
+		"overtaken by another of the term": {verdicts: []Verdict{Fenced, Started}, want: Started},
 		"superseded by a later leader":     {verdicts: []Verdict{Fenced, Fenced}, want: Fenced, endsTerm: true},
-		"does not fit":                     {verdicts: []Verdict{Unfit}, want: Unfit},
+		"does not fit":                     {verdicts: []Verdict{StateMismatch}, want: StateMismatch},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(1, 1, 1)
 				ended := false
-				k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended = true })
+				k := NewReconciler(w.options(), Term{Epoch: 1}, func() { ended = true })
 				sentCount := 0
 				last := Fence(0)
 				verdict, ok := k.sendOrder(context.Background(), "join", &fleet.Worker{ID: "w0-0"}, func(_ context.Context, f Fence) (Verdict, error) {
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 1)
 		ended := make(chan struct{}, 10)
-		k := NewKeeper(w.options(), Term{Epoch: 1}, func() { ended <- struct{}{} })
+		k := NewReconciler(w.options(), Term{Epoch: 1}, func() { ended <- struct{}{} })
 		k.lastSequence = maxSequence - 2
 		lastFence := Fence(0)
 		for range 5 {
--- a/formation/smoother.go
+++ b/formation/smoother.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// Smoother tracks the smoothed work of each model on a daemon, whether or not the daemon is the
-// leader. A daemon that becomes leader starts with this work (see Options.Smoothed). Observe may be
-// called at any interval of up to about one second, since work is smoothed over several seconds.
-type Smoother struct {
+// WorkSmoother tracks the smoothed work of each model on a daemon, whether or not the daemon is the
+// leader. A daemon that becomes leader starts with this work (see Options.SmoothedWork). Observe
+// may be called at any interval of up to about one second, since work is smoothed over several
+// seconds.
+type WorkSmoother struct {
 	mu        sync.Mutex
 	work      map[string]Work
 	updatedAt time.Time
 }
 
 // Observe adds a measurement taken at the time now.
-func (s *Smoother) Observe(measured map[string]Work, now time.Time) {
+func (s *WorkSmoother) Observe(measured map[string]Work, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.work == nil {
@@ -37,17 +38,17 @@
 }
 
 // Work returns the smoothed work of each model.
-func (s *Smoother) Work() map[string]Work {
+func (s *WorkSmoother) Work() map[string]Work {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.work)
 }
 
 // smoothedToward returns the work after smoothing it toward a measurement for a number of ticks.
-// Pause is taken from the measurement without smoothing.
+// ToleratedPause is taken from the measurement without smoothing.
 func (w Work) smoothedToward(measured Work, ticks float64) Work {
 	return Work{
-		Busy: smoothValue(w.Busy, measured.Busy, ticks), Prompts: smoothValue(w.Prompts, measured.Prompts, ticks), Pause: measured.Pause,
+		BusySlots: smoothValue(w.BusySlots, measured.BusySlots, ticks), PromptTokens: smoothValue(w.PromptTokens, measured.PromptTokens, ticks), ToleratedPause: measured.ToleratedPause,
 	}
 }
 
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -10,7 +10,7 @@
 
 // keepLongIdle returns the stagings whose workers have been idle for longer than listSettleTime. In
 // a new fleet, a worker that has been idle for less time is usually about to be put into a group.
-func (k *Keeper) keepLongIdle(stagings []Staging, now time.Time) []Staging {
+func (k *Reconciler) keepLongIdle(stagings []Staging, now time.Time) []Staging {
 	var all []Staging
 	idleSince := make(map[string]time.Time)
 	for _, s := range stagings {
@@ -30,7 +30,7 @@
 // secondModelStagings returns stagings of a second model for workers that serve another one, so
 // that they can quickly switch to it. It must be called only while loads are not limited. A worker
 // needs no staged copy of the model that it serves.
-func (k *Keeper) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
+func (k *Reconciler) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
 	var all []Staging
 	for id, w := range view.Workers() {
 		m := k.membershipOf(w)
@@ -75,7 +75,7 @@
 
 // allowedLoads returns how many loads may begin now for groups, and how many for idle workers.
 // Before the first request, loads are quick and not limited.
-func (k *Keeper) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (maxGroupLoads, maxIdleLoads int) {
+func (k *Reconciler) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (maxGroupLoads, maxIdleLoads int) {
 	if !k.hasTraffic() {
 		return unlimitedLoads, unlimitedLoads
 	}
@@ -85,7 +85,7 @@
 }
 
 // countRunningLoads returns how many workers of a service load weights from the store.
-func (k *Keeper) countRunningLoads(s *fleet.Service, view *fleet.View, now time.Time) int {
+func (k *Reconciler) countRunningLoads(s *fleet.Service, view *fleet.View, now time.Time) int {
 	count := 0
 	for id, w := range view.Workers() {
 		l, isLoading := k.activeLoads[id]
@@ -102,13 +102,13 @@
 
 // isLoadingForJoin reports whether a worker is loading weights to join a group. The join may have
 // been ordered by an earlier leader.
-func (k *Keeper) isLoadingForJoin(w *fleet.Worker) bool {
+func (k *Reconciler) isLoadingForJoin(w *fleet.Worker) bool {
 	m := k.membershipOf(w)
 	return m.State == fleet.Joining && k.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
 }
 
 // countWarm returns the number of workers that are warm for each model, by domain and model.
-func (k *Keeper) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
+func (k *Reconciler) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for _, w := range view.Workers() {
 		if w.Service != s.Name || w.Draining {
@@ -127,7 +127,7 @@
 }
 
 // budgetOf returns the load budget of a service.
-func (k *Keeper) budgetOf(s *fleet.Service, now time.Time) *loadBudget {
+func (k *Reconciler) budgetOf(s *fleet.Service, now time.Time) *loadBudget {
 	l, ok := k.loadBudgets[s.Name]
 	if !ok {
 		l = &loadBudget{}
@@ -137,19 +137,19 @@
 	for _, m := range s.Engine.Models {
 		burst = max(burst, m.Size)
 	}
-	l.configure(k.opts.Ceiling, s.Engine.LoadsPerSecond, float64(burst), k.term.First, now)
+	l.configure(k.opts.LoadLimit, s.Engine.LoadsPerSecond, float64(burst), k.term.IsFirst, now)
 	return l
 }
 
 // recordLoad records a load if the worker is cold for the model. The caller must hold k.mu.
-func (k *Keeper) recordLoad(w *fleet.Worker, m fleet.Model) {
+func (k *Reconciler) recordLoad(w *fleet.Worker, m fleet.Model) {
 	if k.asFreeWorker(w).warmth(m.Name) > Staged {
 		k.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
 	}
 }
 
 // clearLoads removes the recorded loads of workers.
-func (k *Keeper) clearLoads(ids []string) {
+func (k *Reconciler) clearLoads(ids []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, id := range ids {
@@ -158,7 +158,7 @@
 }
 
 // startStaging starts staging a model on a worker's host. The caller must hold k.mu.
-func (k *Keeper) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
+func (k *Reconciler) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
 	k.recordLoad(w, m)
 	k.opts.Logger.Info("staging", "worker", w.ID, "model", m.Name)
 	k.tasks.Go(func() {
@@ -174,7 +174,7 @@
 
 // stage orders a worker to stage a model, and reports whether it accepted. The worker accepts the
 // order at most once, so that each load that begins is recorded.
-func (k *Keeper) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
+func (k *Reconciler) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
 	current, ok := k.orderStateOf(ctx, w)
 	if !ok {
 		return false
@@ -185,18 +185,18 @@
 	switch {
 	case !ok:
 		return false
-	case verdict == Unfit:
+	case verdict == StateMismatch:
 		k.forgetOrderState(w.ID)
 		k.recordStageRefusal(w)
 	}
 	k.recordBegun(w.ID, verdict)
-	return verdict.Accepted()
+	return verdict.IsAccepted()
 }
 
 // recordStageRefusal records that a worker refused to stage, for example because it is already
 // loading. The worker is then not ordered again immediately. The load budget is not refunded, since
 // no token may have been taken for the load.
-func (k *Keeper) recordStageRefusal(w *fleet.Worker) {
+func (k *Reconciler) recordStageRefusal(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stageRetryAt[w.ID] = time.Now().Add(stageRetryDelay)
@@ -204,6 +204,6 @@
 
 // dropRecentlyRefused returns the stagings whose workers did not recently refuse to stage. The
 // caller must hold k.mu.
-func (k *Keeper) dropRecentlyRefused(stagings []Staging, now time.Time) []Staging {
+func (k *Reconciler) dropRecentlyRefused(stagings []Staging, now time.Time) []Staging {
 	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(k.stageRetryAt[s.Worker]) })
 }
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -24,7 +24,7 @@
 // These workers have been too few for a group of any model with too few replicas for longer than
 // survivorReleaseDelay. The surplus groups are traded back once the missing members are available
 // and warm. The caller must hold k.mu.
-func (k *Keeper) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
+func (k *Reconciler) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
 	released, isWaiting := make(map[string]bool), make(map[string]bool)
 	for domain, workers := range groupByDomain(free) {
 		if !lacksMembers(needs, len(workers)) || k.isTrading(domain) {
@@ -48,7 +48,7 @@
 
 // isTrading reports whether groups of a domain are being traded for another model. The members that
 // are already free then wait for the others.
-func (k *Keeper) isTrading(domain string) bool {
+func (k *Reconciler) isTrading(domain string) bool {
 	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -28,7 +28,7 @@
 func TestSurvivorsServeAnotherModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 3, 4)
-		w.demand = map[string]Work{"big": {Busy: 7}, "small": {Busy: 1}}
+		w.demand = map[string]Work{"big": {BusySlots: 7}, "small": {BusySlots: 1}}
 		_, big, stop := startServing(w, "big")
 		w.pending.Go(func() { w.confirmList(50 * time.Second) })
 		time.Sleep(sharePeriod + 8*time.Second)
@@ -149,7 +149,7 @@
 func TestTradingDomainIsNotReleased(t *testing.T) {
 	needs := []Need{{Model: fleet.Model{Name: "big", Size: 4}, Want: 2}, {Model: fleet.Model{Name: "small", Size: 2}, Want: 1, Have: 2}}
 	free := []FreeWorker{{ID: "a", Domain: "d"}, {ID: "b", Domain: "d"}, {ID: "c", Domain: "e"}, {ID: "f", Domain: "e"}}
-	k := NewKeeper(newWorld(1, 1, 0).options(), Term{Epoch: 1}, func() {})
+	k := NewReconciler(newWorld(1, 1, 0).options(), Term{Epoch: 1}, func() {})
 	k.activeTrades = []Trade{{Recipient: "big", Domain: "d"}}
 	now := time.Now()
 	assert.DeepEqual(t, k.releasedDomains(needs, free, now), map[string]bool{"e": false})
@@ -164,7 +164,7 @@
 func TestSurvivorsAreCompletedByTrade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, 1, 8)
-		w.demand = map[string]Work{"big": {Busy: 1}, "small": {}}
+		w.demand = map[string]Work{"big": {BusySlots: 1}, "small": {}}
 		_, big, stop := startServing(w, "big")
 		w.pending.Go(func() { w.confirmList(60 * time.Second) })
 		time.Sleep(sharePeriod + 2*time.Second)
--- a/formation/suspension_test.go
+++ b/formation/suspension_test.go
@@ -20,20 +20,20 @@
 		ctx, stop := context.WithCancel(context.Background())
 		opts := w.options()
 		suspended := false
-		opts.Awake = func() {
+		opts.CheckSuspension = func() {
 			if suspended {
 				stop()
 			}
 		}
-		k := NewKeeper(opts, Term{Epoch: 1, First: true}, stop)
+		k := NewReconciler(opts, Term{Epoch: 1, IsFirst: true}, stop)
 		suspended = true
 		sentCount := 0
 		verdict, _ := k.sendOrder(ctx, "join", &fleet.Worker{ID: "w0-0"}, func(context.Context, Fence) (Verdict, error) {
 			sentCount++
-			return Begun, nil
+			return Started, nil
 		})
 		assert.Equal(t, sentCount, 0)
-		assert.Assert(t, verdict != Begun)
+		assert.Assert(t, verdict != Started)
 		go k.Run(ctx)
 		time.Sleep(10 * time.Second)
 		<-k.Done()
--- a/formation/trading.go
+++ b/formation/trading.go
@@ -19,7 +19,7 @@
 // startTrades dissolves groups so that groups of models with too few replicas can be formed. It
 // takes the effects of ongoing trades into account. Trades are rate limited, unless they complete
 // the survivors of a broken group or dissolve only surplus groups.
-func (k *Keeper) startTrades(ctx context.Context, in Input, groups []*observedGroup, now time.Time) {
+func (k *Reconciler) startTrades(ctx context.Context, in Input, groups []*observedGroup, now time.Time) {
 	needs, free := slices.Clone(in.Needs), in.Free
 	if now.Before(k.tradesAllowedAt) {
 		return
@@ -50,7 +50,7 @@
 
 // clearFinishedTrades removes the trades whose groups are dissolved, and returns the recipients of
 // the remaining ones by domain.
-func (k *Keeper) clearFinishedTrades() map[string]string {
+func (k *Reconciler) clearFinishedTrades() map[string]string {
 	k.activeTrades = slices.DeleteFunc(k.activeTrades, func(x Trade) bool {
 		return !slices.ContainsFunc(x.GroupKeys, func(key string) bool { return k.busyGroups[key] })
 	})
@@ -63,7 +63,7 @@
 
 // applyActiveTrades applies the ongoing trades to needs, and returns how many groups of each model
 // they take out of service.
-func (k *Keeper) applyActiveTrades(needs []Need) map[string]int {
+func (k *Reconciler) applyActiveTrades(needs []Need) map[string]int {
 	downCounts := make(map[string]int)
 	for _, x := range k.activeTrades {
 		x.applyTo(needs)
@@ -75,7 +75,7 @@
 // replaceLoadsByTrades starts trades in place of planned groups whose members would have to load,
 // and returns the other planned groups. A group is replaced only by a trade in its domain that
 // provides warm members and has a higher value.
-func (k *Keeper) replaceLoadsByTrades(ctx context.Context, in Input, planned []Formation, groups []*observedGroup, now time.Time) []Formation {
+func (k *Reconciler) replaceLoadsByTrades(ctx context.Context, in Input, planned []Formation, groups []*observedGroup, now time.Time) []Formation {
 	needsLoads := slices.ContainsFunc(planned, func(f Formation) bool { return f.LoadCount > 0 })
 	if !needsLoads || now.Before(k.tradesAllowedAt) {
 		return planned
@@ -115,7 +115,7 @@
 }
 
 // startTrade starts to dissolve the groups of a trade.
-func (k *Keeper) startTrade(ctx context.Context, x Trade, byKey map[string]*observedGroup) {
+func (k *Reconciler) startTrade(ctx context.Context, x Trade, byKey map[string]*observedGroup) {
 	for _, key := range x.GroupKeys {
 		o := byKey[key]
 		k.opts.Logger.Info("replica given up for another model", "replica", key, "for", x.Recipient, "domain", x.Domain, "gets", x.FormedCount)
@@ -125,7 +125,7 @@
 
 // tradableGroups returns the serving groups that may be traded. The first result holds them by key.
 // The second one holds them in the form that the planner uses.
-func (k *Keeper) tradableGroups(groups []*observedGroup) (map[string]*observedGroup, []ServingGroup) {
+func (k *Reconciler) tradableGroups(groups []*observedGroup) (map[string]*observedGroup, []ServingGroup) {
 	byKey := make(map[string]*observedGroup)
 	var all []ServingGroup
 	for _, o := range groups {
@@ -141,7 +141,7 @@
 
 // countColdMembers returns the number of a group's members that would have to load a model, by
 // model.
-func (k *Keeper) countColdMembers(o *observedGroup) map[string]int {
+func (k *Reconciler) countColdMembers(o *observedGroup) map[string]int {
 	counts := make(map[string]int)
 	for _, s := range k.opts.Config().Services() {
 		if s.Name != o.head.Service || s.Engine == nil {
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -22,7 +22,7 @@
 		before := w.countServing()["big"]
 		w.mu.Lock()
 		w.hasTraffic = true
-		w.demand = map[string]Work{"big": {Busy: 100 * float64(domains)}, "small": {Busy: 1}}
+		w.demand = map[string]Work{"big": {BusySlots: 100 * float64(domains)}, "small": {BusySlots: 1}}
 		w.mu.Unlock()
 		// During sharePeriod, the models' shares are considered in addition to the measured work.
 		time.Sleep(sharePeriod + 10*time.Second)
@@ -65,7 +65,7 @@
 				}
 				w.mu.Unlock()
 				ctx, cancel := context.WithCancel(context.Background())
-				k := NewKeeper(w.options(), Term{Epoch: 9}, func() {})
+				k := NewReconciler(w.options(), Term{Epoch: 9}, func() {})
 				now := time.Now()
 				k.tradesAllowedAt, k.nextTrade = now, now.Add(time.Hour)
 				k.mu.Lock()
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -19,7 +19,7 @@
 
 // markUnreliable records the workers that prevented a group from forming. It records nothing if the
 // context was canceled, since the group then failed because the term ended.
-func (k *Keeper) markUnreliable(ctx context.Context, g Group, workers ...*fleet.Worker) {
+func (k *Reconciler) markUnreliable(ctx context.Context, g Group, workers ...*fleet.Worker) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
@@ -33,7 +33,7 @@
 }
 
 // clearUnreliable records that workers became ready and are no longer unreliable.
-func (k *Keeper) clearUnreliable(workers []*fleet.Worker) {
+func (k *Reconciler) clearUnreliable(workers []*fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, w := range workers {
@@ -43,14 +43,14 @@
 
 // isExcluded reports whether a worker is temporarily excluded from new groups. The caller must hold
 // k.mu.
-func (k *Keeper) isExcluded(id string) bool {
+func (k *Reconciler) isExcluded(id string) bool {
 	until, ok := k.unreliableUntil[id]
 	return ok && time.Now().Before(until.Add(exclusionPeriod-unreliableDuration))
 }
 
 // isUnreliable reports whether a worker recently prevented a group from forming, so that other
 // workers are preferred to it. The caller must hold k.mu.
-func (k *Keeper) isUnreliable(id string) bool {
+func (k *Reconciler) isUnreliable(id string) bool {
 	until, ok := k.unreliableUntil[id]
 	if !ok {
 		return false
--- a/formation/unresponsive.go
+++ b/formation/unresponsive.go
@@ -15,7 +15,7 @@
 
 // examineReplica queries the members of a suspected replica. It marks those that do not answer as
 // unresponsive, so that the next tick repairs the group.
-func (k *Keeper) examineReplica(ctx context.Context, replica string) {
+func (k *Reconciler) examineReplica(ctx context.Context, replica string) {
 	members := k.startExamination(replica)
 	if members == nil {
 		return
@@ -34,7 +34,7 @@
 
 // startExamination marks a replica as being examined and returns its members. It returns nil if the
 // replica is already being examined, has a running operation or is known to be broken.
-func (k *Keeper) startExamination(replica string) []*fleet.Worker {
+func (k *Reconciler) startExamination(replica string) []*fleet.Worker {
 	view := k.opts.Inventory.View()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -59,7 +59,7 @@
 	return members
 }
 
-func (k *Keeper) examineMember(ctx context.Context, w *fleet.Worker, replica string) {
+func (k *Reconciler) examineMember(ctx context.Context, w *fleet.Worker, replica string) {
 	if k.isResponsive(ctx, w) || ctx.Err() != nil {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // isResponsive reports whether a worker answers a query within unresponsiveAttempts attempts.
-func (k *Keeper) isResponsive(ctx context.Context, w *fleet.Worker) bool {
+func (k *Reconciler) isResponsive(ctx context.Context, w *fleet.Worker) bool {
 	for range unresponsiveAttempts {
 		if _, ok := k.queryState(ctx, w); ok {
 			return true
@@ -78,7 +78,7 @@
 }
 
 // markUnresponsive records that a worker does not answer, and treats it as gone if it is absent.
-func (k *Keeper) markUnresponsive(id string) {
+func (k *Reconciler) markUnresponsive(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.unresponsive[id] = time.Now().Add(unresponsiveQueryInterval)
@@ -89,14 +89,14 @@
 
 // isUnresponsive reports whether a worker is treated as gone. Either it does not answer, or another
 // worker answers at its address.
-func (k *Keeper) isUnresponsive(id string) bool {
+func (k *Reconciler) isUnresponsive(id string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.isUnresponsiveLocked(id)
 }
 
 // isUnresponsiveLocked is isUnresponsive for callers that hold k.mu.
-func (k *Keeper) isUnresponsiveLocked(id string) bool {
+func (k *Reconciler) isUnresponsiveLocked(id string) bool {
 	_, isUnresponsive := k.unresponsive[id]
 	a, isAbsent := k.absent[id]
 	return isUnresponsive || isAbsent && a.isGone || k.displaced[id]
@@ -104,7 +104,7 @@
 
 // queryUnresponsive queries each unresponsive worker once per unresponsiveQueryInterval. The caller
 // must hold k.mu.
-func (k *Keeper) queryUnresponsive(ctx context.Context, view *fleet.View, now time.Time) {
+func (k *Reconciler) queryUnresponsive(ctx context.Context, view *fleet.View, now time.Time) {
 	for id, nextQuery := range k.unresponsive {
 		w, listed := view.Worker(id)
 		if !listed || now.Before(nextQuery) {
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -49,7 +49,7 @@
 // timedState is a state that a worker reports from a given time on.
 type timedState struct {
 	from  time.Time
-	state State
+	state WorkerState
 }
 
 // member returns the worker's group membership.
@@ -123,7 +123,7 @@
 	simListDelay = 30 * time.Millisecond
 )
 
-var simCeiling = Ceiling{Window: 5 * time.Second, Over: 1.1}
+var simLoadLimit = LoadLimit{Window: 5 * time.Second, RateFactor: 1.1}
 
 var simModels = []fleet.Model{
 	{Name: "big", Size: 4, InitialShare: 0.5, TimeFactor: 1, Load: simLoadTime, WarmLoad: simWarmJoinTime},
@@ -149,7 +149,7 @@
 func newUnlistedWorld(seed uint64, domainCount, workersPerDomain int) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, seed)), workers: make(map[string]*simWorker),
-		demand: map[string]Work{"big": {Busy: 5}, "small": {Busy: 5}}, drainTime: time.Second,
+		demand: map[string]Work{"big": {BusySlots: 5}, "small": {BusySlots: 5}}, drainTime: time.Second,
 		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), unreachableByLeader: make(map[string]bool), unreachable: make(map[string]bool), displaced: make(map[string]bool),
 		refusesQueries: make(map[string]bool), attemptCounts: make(map[string]int),
 		delays: make(map[string][]time.Duration), openDelay: simOpenTime + simListDelay, openOrderCounts: make(map[string]int), loadsPerSecond: 5,
@@ -167,18 +167,18 @@
 	config := simConfig(w.loadsPerSecond)
 	return Options{
 		Config: func() *fleet.Config { return config }, Inventory: w.inventory, Orders: w.orders(), IndirectLeave: w.indirectLeave,
-		Demand:  func() map[string]Work { return w.demand },
-		Traffic: func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.hasTraffic },
-		ListSince: func() time.Time {
+		MeasuredWork: func() map[string]Work { return w.demand },
+		HasTraffic:   func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.hasTraffic },
+		FirstListAt: func() time.Time {
 			if w.hasYoungList {
 				return time.Now()
 			}
 			return time.Time{}
 		},
-		Announced:  func(a fleet.Announcement) { w.inventory.Decide(0, a) },
-		Counted:    w.countAttempt,
-		StallAfter: 6 * time.Second, Ceiling: simCeiling,
-		Smoothed: w.smoothed, HallOpen: w.isHallOpen,
+		OnAnnouncement: func(a fleet.Announcement) { w.inventory.Decide(0, a) },
+		OnOrderOutcome: w.countAttempt,
+		StallTimeout:   6 * time.Second, LoadLimit: simLoadLimit,
+		SmoothedWork: w.smoothed, IsHallOpen: w.isHallOpen,
 		Logger: hclog.NewNullLogger(),
 	}
 }
@@ -186,18 +186,18 @@
 // recordState records a worker's state. The worker's reports show it after simReportLag. The caller
 // must hold w.mu.
 func (w *world) recordState(s *simWorker) {
-	s.reports = append(s.reports, timedState{from: time.Now().Add(simReportLag), state: State{
-		Member: s.member(), Loaded: s.lastModel, Staged: []string{s.staged}, Orders: s.orderCount, Born: s.startedAt,
+	s.reports = append(s.reports, timedState{from: time.Now().Add(simReportLag), state: WorkerState{
+		Membership: s.member(), LoadedModel: s.lastModel, StagedModels: []string{s.staged}, OrderCount: s.orderCount, StartedAt: s.startedAt,
 	}})
 }
 
 // reportedState returns the state that a worker reports now. The caller must hold w.mu.
-func (s *simWorker) reportedState(now time.Time) State {
+func (s *simWorker) reportedState(now time.Time) WorkerState {
 	for len(s.reports) > 1 && !s.reports[1].from.After(now) {
 		s.reports = s.reports[1:]
 	}
 	if len(s.reports) == 0 || s.reports[0].from.After(now) {
-		return State{}
+		return WorkerState{}
 	}
 	return s.reports[0].state
 }
@@ -296,7 +296,7 @@
 	if w.displaced[id] {
 		w.displacedOrderCount++
 		w.mu.Unlock()
-		return Elsewhere, nil
+		return WrongWorker, nil
 	}
 	isUnreachable := s.isDead || w.unreachableByLeader[id] || w.unreachable[id]
 	delay, isLate := w.delay(order, id, fence)
@@ -307,14 +307,14 @@
 		defer w.mu.Unlock()
 		if s.isDead || s.startedAt != incarnation {
 			// Orders to an earlier incarnation are dropped.
-			return Unfit
+			return StateMismatch
 		}
 		if !w.ignoresFences && fence < s.fence {
 			return Fenced
 		}
 		s.fence = fence
 		verdict := do(s)
-		if verdict == Begun {
+		if verdict == Started {
 			s.orderCount++
 		}
 		w.recordState(s)
@@ -328,27 +328,27 @@
 	}
 	if isUnreachable || isLate {
 		<-ctx.Done()
-		return Unfit, errNoAnswer
+		return StateMismatch, errNoAnswer
 	}
 	time.Sleep(2 * time.Millisecond)
 	return apply(), nil
 }
 
 // orders returns the functions with which leaders send orders to the workers.
-func (w *world) orders() Orders {
-	return Orders{Join: w.join, Stage: w.stage, Open: w.open, Close: w.closeGroup, Leave: w.leaveGroup, Ask: w.ask}
+func (w *world) orders() WorkerClient {
+	return WorkerClient{Join: w.join, Stage: w.stage, Open: w.open, Close: w.closeGroup, Leave: w.leaveGroup, QueryState: w.ask}
 }
 
 func (w *world) join(ctx context.Context, worker *fleet.Worker, fence Fence, orderCount int64, g Group) (Verdict, error) {
 	return w.execute(ctx, "join", worker.ID, fence, func(s *simWorker) Verdict {
 		if orderCount != s.orderCount {
-			return Unfit
+			return StateMismatch
 		}
 		if g.Epoch < s.epoch || s.group.Name == g.Name && !slices.Equal(s.group.Members, g.Members) {
 			return Fenced
 		}
 		if s.group.Name == g.Name {
-			return Holds
+			return AlreadyStarted
 		}
 		w.checkNotServing(s, g)
 		s.epoch, s.group, s.state, s.rank = g.Epoch, g, fleet.Joining, slices.Index(g.Members, s.id)
@@ -364,13 +364,13 @@
 		}
 		w.publish(s)
 		if s.neverReady {
-			return Begun
+			return Started
 		}
 		w.changeLater(joinTime, s, g, func() {
 			s.state, s.lastModel, s.staged = fleet.Ready, g.Model, g.Model
 			w.wasReady[g.Key()+s.id] = true
 		})
-		return Begun
+		return Started
 	})
 }
 
@@ -385,13 +385,13 @@
 	w.loadStarts = append(w.loadStarts, now)
 	recentLoads := 0
 	for _, at := range w.loadStarts {
-		if now.Sub(at) < simCeiling.Window {
+		if now.Sub(at) < simLoadLimit.Window {
 			recentLoads++
 		}
 	}
-	limit := w.loadsPerSecond*simCeiling.Window.Seconds()*simCeiling.Over + ceilingAllowance
+	limit := w.loadsPerSecond*simLoadLimit.Window.Seconds()*simLoadLimit.RateFactor + loadLimitAllowance
 	if float64(recentLoads) > limit {
-		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", recentLoads, simCeiling.Window))
+		w.violations = append(w.violations, fmt.Sprintf("%d loads began within %s", recentLoads, simLoadLimit.Window))
 	}
 	return simLoadTime
 }
@@ -415,26 +415,26 @@
 	w.mu.Unlock()
 	return w.execute(ctx, "open", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.rank != 0 || s.state != fleet.Ready && s.state != fleet.Open {
-			return Unfit
+			return StateMismatch
 		}
 		if s.state == fleet.Open {
-			return Holds
+			return AlreadyStarted
 		}
 		w.checkComplete(s)
 		w.changeLater(w.openDelay, s, g, func() { s.state = fleet.Open })
-		return Begun
+		return Started
 	})
 }
 
 func (w *world) closeGroup(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
 	return w.execute(ctx, "close", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.state != fleet.Open {
-			return Unfit
+			return StateMismatch
 		}
 		s.state = fleet.Closing
 		w.publish(s)
 		w.changeLater(w.drainTime, s, g, func() { s.state = fleet.Ready })
-		return Begun
+		return Started
 	})
 }
 
@@ -453,7 +453,7 @@
 	}
 	w.mu.Unlock()
 	<-ctx.Done()
-	return Unfit, errNoAnswer
+	return StateMismatch, errNoAnswer
 }
 
 // leave removes a worker from a group. The caller must hold w.mu.
@@ -464,20 +464,20 @@
 		w.recordState(s)
 		w.publish(s)
 	}
-	return Holds
+	return AlreadyStarted
 }
 
 func (w *world) stage(ctx context.Context, worker *fleet.Worker, fence Fence, orderCount int64, model string) (Verdict, error) {
 	return w.execute(ctx, "stage", worker.ID, fence, func(s *simWorker) Verdict {
 		if orderCount != s.orderCount {
-			return Unfit
+			return StateMismatch
 		}
 		s.stageOrderCount++
 		switch {
 		case s.isStaging:
-			return Unfit
+			return StateMismatch
 		case s.staged == model:
-			return Holds
+			return AlreadyStarted
 		}
 		s.isStaging = true
 		wait, incarnation := w.startLoad(), s.startedAt
@@ -491,7 +491,7 @@
 			s.staged, s.isStaging = model, false
 			w.publish(s)
 		})
-		return Begun
+		return Started
 	})
 }
 
@@ -502,21 +502,21 @@
 	w.attemptCounts[order]++
 }
 
-func (w *world) ask(ctx context.Context, worker *fleet.Worker) (State, error) {
+func (w *world) ask(ctx context.Context, worker *fleet.Worker) (WorkerState, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.workers[worker.ID]
 	if w.displaced[worker.ID] {
-		return State{}, ErrElsewhere
+		return WorkerState{}, ErrWrongWorker
 	}
 	if w.refusesQueries[worker.ID] {
-		return State{}, errNoAnswer
+		return WorkerState{}, errNoAnswer
 	}
 	if s.isDead || w.unreachableByLeader[worker.ID] || w.unreachable[worker.ID] {
 		w.mu.Unlock()
 		<-ctx.Done()
 		w.mu.Lock()
-		return State{}, errNoAnswer
+		return WorkerState{}, errNoAnswer
 	}
 	return s.reportedState(time.Now()), nil
 }
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -228,7 +228,7 @@
 	s, machine := newSuspendableServer(t)
 	opts := s.formationOptions(peers.Claim{Epoch: 1})
 	machine.add(time.Minute)
-	opts.Awake()
+	opts.CheckSuspension()
 	assert.Assert(t, s.relay.BeliefTooOld(time.Now()))
 }
 
--- a/serving/indirect.go
+++ b/serving/indirect.go
@@ -38,9 +38,9 @@
 	Verdict formation.Verdict `json:"verdict"`
 }
 
-// leaveThroughPeers orders a worker to leave a group by way of several peers at once. It returns the
-// first verdict that a peer passes on. If all peers fail, it returns formation.Unfit and an error. It
-// is used as formation.Options.IndirectLeave.
+// leaveThroughPeers orders a worker to leave a group by way of several peers at once. It returns
+// the first verdict that a peer passes on. If all peers fail, it returns formation.StateMismatch
+// and an error. It is used as formation.Options.IndirectLeave.
 func (s *Server) leaveThroughPeers(ctx context.Context, w *fleet.Worker, fence formation.Fence, g formation.Group) (formation.Verdict, error) {
 	body, err := json.Marshal(leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch})
 	if err != nil {
@@ -67,7 +67,7 @@
 		case err = <-failures:
 		}
 	}
-	return formation.Unfit, err
+	return formation.StateMismatch, err
 }
 
 // randomPeers returns up to indirectPeerCount random peers that are alive.
--- a/serving/indirect_test.go
+++ b/serving/indirect_test.go
@@ -36,16 +36,16 @@
 		want       formation.Verdict
 		wantsError bool
 	}{
-		"the peer reaches it":        {orders: &leaveOrders{verdict: formation.Holds}, hasPeer: true, want: formation.Holds},
+		"the peer reaches it":        {orders: &leaveOrders{verdict: formation.AlreadyStarted}, hasPeer: true, want: formation.AlreadyStarted},
 		"a higher term is known":     {orders: &leaveOrders{verdict: formation.Fenced}, hasPeer: true, want: formation.Fenced},
-		"the peer does not reach it": {orders: &leaveOrders{err: errors.New("silent")}, hasPeer: true, want: formation.Unfit, wantsError: true},
-		"there is no peer":           {orders: &leaveOrders{}, want: formation.Unfit, wantsError: true},
+		"the peer does not reach it": {orders: &leaveOrders{err: errors.New("silent")}, hasPeer: true, want: formation.StateMismatch, wantsError: true},
+		"there is no peer":           {orders: &leaveOrders{}, want: formation.StateMismatch, wantsError: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			test.orders.received = make(chan leaveMessage, 1)
 			leader, peer := newServer(t, &fakeStore{}), newServer(t, &fakeStore{})
-			peer.opts.Orders = formation.Orders{Leave: test.orders.leave}
+			peer.opts.Orders = formation.WorkerClient{Leave: test.orders.leave}
 			if test.hasPeer {
 				addPeer(t, leader, servePeer(t, peer))
 			}
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -9,29 +9,29 @@
 	"quartzshelf.dev/peers"
 )
 
-// lead acts as leader for the term of a claim, until ctx ends. isFirst is passed on to the keeper
-// as formation.Term.First.
+// lead acts as leader for the term of a claim, until ctx ends. isFirst is passed on to the
+// reconciler as formation.Term.IsFirst.
 func (s *Server) lead(ctx context.Context, claim peers.Claim, isFirst bool) {
 	s.inventory.BeginTerm(claim.Term())
-	keeper := formation.NewKeeper(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, First: isFirst, FirstLife: s.opts.RunningSinceFleetStart},
+	reconciler := formation.NewReconciler(s.formationOptions(claim), formation.Term{Epoch: claim.Epoch, Rank: claim.Rank, IsFirst: isFirst, RunningSinceFleetStart: s.opts.RunningSinceFleetStart},
 		func() { s.elector.Yield("a worker knows a higher term") })
-	s.setKeeper(keeper)
-	keeper.Run(ctx)
+	s.setReconciler(reconciler)
+	reconciler.Run(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.keeper == keeper {
-		s.keeper = nil
+	if s.reconciler == reconciler {
+		s.reconciler = nil
 	}
 }
 
 func (s *Server) formationOptions(claim peers.Claim) formation.Options {
 	return formation.Options{
 		Config: s.configCache.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
-		Demand: s.demandByModel, Traffic: s.tracker.Traffic, ListSince: s.inventory.FirstListAt,
-		Announced: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
-		Smoothed:  s.smoothedDemand.Work, BearHalls: s.opts.Bounds.ToleratedHallLosses, HallWeight: s.opts.Bounds.HallLossWeight, HallOpen: s.isHallOpen,
-		StallAfter: s.opts.Bounds.StallTimeout, Ceiling: s.opts.Bounds.Ceiling,
-		Awake: s.awake.Check, Counted: s.meter.Order, Logger: s.logger.Named("formation"),
+		MeasuredWork: s.demandByModel, HasTraffic: s.tracker.Traffic, FirstListAt: s.inventory.FirstListAt,
+		OnAnnouncement: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
+		SmoothedWork:   s.smoothedDemand.Work, ToleratedHallLosses: s.opts.Bounds.ToleratedHallLosses, HallLossWeight: s.opts.Bounds.HallLossWeight, IsHallOpen: s.isHallOpen,
+		StallTimeout: s.opts.Bounds.StallTimeout, LoadLimit: s.opts.Bounds.Ceiling,
+		CheckSuspension: s.awake.Check, OnOrderOutcome: s.meter.Order, Logger: s.logger.Named("formation"),
 	}
 }
 
@@ -40,10 +40,10 @@
 	return s.halls.View().State(hall, time.Now()) == fleet.HallOpen
 }
 
-func (s *Server) setKeeper(k *formation.Keeper) {
+func (s *Server) setReconciler(k *formation.Reconciler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keeper = k
+	s.reconciler = k
 }
 
 // demandSampleInterval is the time between two samples of the fleet's demand.
@@ -72,13 +72,13 @@
 	measured := s.agent.FleetSummary(now)
 	all := make(map[string]formation.Work, len(measured.Demand))
 	for model, busy := range measured.Demand {
-		all[model] = formation.Work{Busy: busy, Prompts: measured.PromptTokens[model], Pause: s.tracker.Pause(model, now)}
+		all[model] = formation.Work{BusySlots: busy, PromptTokens: measured.PromptTokens[model], ToleratedPause: s.tracker.Pause(model, now)}
 	}
 	return all
 }
 
 // onStall logs a replica whose stall this daemon detected itself, and reports it to peers and to
-// the keeper.
+// the reconciler.
 func (s *Server) onStall(r *fleet.Replica) {
 	now := time.Now()
 	s.logger.Warn("replica stalled", "replica", r.ID, "head", r.Head.ID)
@@ -87,12 +87,12 @@
 	s.agent.SendHeartbeat(now)
 }
 
-// suspect asks the keeper to inspect a replica if this daemon leads and an inspection is due.
+// suspect asks the reconciler to inspect a replica if this daemon leads and an inspection is due.
 func (s *Server) suspect(replica string) {
 	s.mu.Lock()
-	keeper := s.keeper
+	reconciler := s.reconciler
 	s.mu.Unlock()
-	if keeper != nil && s.suspicions.startInspection(replica, time.Now()) {
-		keeper.Suspect(replica)
+	if reconciler != nil && s.suspicions.startInspection(replica, time.Now()) {
+		reconciler.MarkSuspected(replica)
 	}
 }
--- a/serving/options.go
+++ b/serving/options.go
@@ -42,7 +42,7 @@
 	// StallTimeout is how long a replica that lost a member may make no progress before it is
 	// dissolved.
 	StallTimeout time.Duration
-	Ceiling      formation.Ceiling
+	Ceiling      formation.LoadLimit
 	// MaxBufferedBytes is the number of bytes of requests and responses that the daemon may hold in
 	// memory; zero for no limit.
 	MaxBufferedBytes int64
@@ -89,7 +89,7 @@
 	// does not count them.
 	StoreCalls func() map[string]int64
 	MemberList MemberList
-	Orders     formation.Orders
+	Orders     formation.WorkerClient
 	// QuarantineMarks stores the marks of quarantined requests.
 	QuarantineMarks QuarantineMarkStore
 
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -41,8 +41,8 @@
 	Write func(ctx context.Context, m quarantine.Mark) error
 }
 
-// markKeeper stores marks while this daemon leads.
-type markKeeper struct {
+// markSyncer stores marks while this daemon leads.
+type markSyncer struct {
 	server *Server
 	// stored holds the marks known to be in the store.
 	stored map[quarantine.Fingerprint]storedMark
@@ -63,7 +63,7 @@
 	if s.opts.QuarantineMarks.Read == nil || s.opts.QuarantineMarks.Write == nil {
 		return
 	}
-	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
+	k := &markSyncer{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	for ctx.Err() == nil {
 		if s.isReader() {
 			k.sync(ctx, time.Now())
@@ -78,11 +78,11 @@
 	}
 }
 
-func (k *markKeeper) guard() *guard.Guard { return k.server.relay.Guard() }
+func (k *markSyncer) guard() *guard.Guard { return k.server.relay.Guard() }
 
 // sync reads the stored marks if a read is due, and writes changes to the store. It does nothing if
 // the read fails.
-func (k *markKeeper) sync(ctx context.Context, now time.Time) {
+func (k *markSyncer) sync(ctx context.Context, now time.Time) {
 	if !now.Before(k.nextRead) && !k.read(ctx, now) {
 		return
 	}
@@ -100,7 +100,7 @@
 
 // read loads the stored marks and reports whether that succeeded. It lifts the marks that an
 // operator removed from the store.
-func (k *markKeeper) read(ctx context.Context, now time.Time) bool {
+func (k *markSyncer) read(ctx context.Context, now time.Time) bool {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
 	marks, refused, err := k.server.opts.QuarantineMarks.Read(ctx)
@@ -122,7 +122,7 @@
 
 // logRefused logs the invalid records, unless the previous read found the same ones. They are not
 // deleted, because another version may be able to read them.
-func (k *markKeeper) logRefused(refused []error) {
+func (k *markSyncer) logRefused(refused []error) {
 	text := ""
 	if len(refused) > 0 {
 		text = errors.Join(refused...).Error()
@@ -135,7 +135,7 @@
 
 // liftRemoved lifts the marks that are no longer stored, if they were first read at least
 // marksLiftDelay ago.
-func (k *markKeeper) liftRemoved(marks []quarantine.Mark, now time.Time) {
+func (k *markSyncer) liftRemoved(marks []quarantine.Mark, now time.Time) {
 	for f, mark := range k.stored {
 		isStored := slices.ContainsFunc(marks, func(m quarantine.Mark) bool { return m.Fingerprint == f })
 		if isStored || mark.firstReadAt.IsZero() || now.Sub(mark.firstReadAt) < marksLiftDelay {
@@ -147,7 +147,7 @@
 }
 
 // write stores a mark, or removes it if its Until is zero.
-func (k *markKeeper) write(ctx context.Context, m quarantine.Mark) {
+func (k *markSyncer) write(ctx context.Context, m quarantine.Mark) {
 	ctx, cancel := context.WithTimeout(ctx, marksTimeout)
 	defer cancel()
 	if err := k.server.opts.QuarantineMarks.Write(ctx, m); err != nil {
@@ -172,12 +172,12 @@
 
 // isReplaced reports whether the address of a worker now belongs to another incarnation or worker.
 func (s *Server) isReplaced(ctx context.Context, w *fleet.Worker) (bool, error) {
-	if s.opts.Orders.Ask == nil {
+	if s.opts.Orders.QueryState == nil {
 		return false, nil
 	}
-	state, err := s.opts.Orders.Ask(ctx, w)
-	if errors.Is(err, formation.ErrElsewhere) {
+	state, err := s.opts.Orders.QueryState(ctx, w)
+	if errors.Is(err, formation.ErrWrongWorker) {
 		return true, nil
 	}
-	return err == nil && state.Born != 0 && w.StartedAt != 0 && state.Born != w.StartedAt, err
+	return err == nil && state.StartedAt != 0 && w.StartedAt != 0 && state.StartedAt != w.StartedAt, err
 }
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -77,13 +77,15 @@
 		isBlamed bool
 	}{
 		"the worker is alive":            {},
-		"another worker has its address": {err: formation.ErrElsewhere, isBlamed: true},
+		"another worker has its address": {err: formation.ErrWrongWorker, isBlamed: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newCrashingFleet(t, 1, 2)
 			d := f.daemons[0]
-			d.opts.Orders.Ask = func(context.Context, *fleet.Worker) (formation.State, error) { return formation.State{}, test.err }
+			d.opts.Orders.QueryState = func(context.Context, *fleet.Worker) (formation.WorkerState, error) {
+				return formation.WorkerState{}, test.err
+			}
 			assert.Equal(t, f.send(d, "/once/", "key", breakingBody), http.StatusBadGateway)
 			assert.Equal(t, !d.relay.Guard().Table().Empty(), test.isBlamed)
 		})
@@ -330,12 +332,12 @@
 func TestMarksSurviveRestartOfAllDaemons(t *testing.T) {
 	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
-	newKeeper := func() (*Server, *markKeeper) {
+	newSyncer := func() (*Server, *markSyncer) {
 		s := newServer(t, &fakeStore{})
 		s.opts.QuarantineMarks = marks.store()
-		return s, &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
+		return s, &markSyncer{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	}
-	before, k := newKeeper()
+	before, k := newSyncer()
 	quarantineRequest(before, f, now)
 	marks.isUnavailable = true
 	k.sync(context.Background(), now)
@@ -346,7 +348,7 @@
 	assert.Equal(t, len(marks.stored), 1)
 	assert.Equal(t, marks.reads, 2, "known marks are not read again")
 
-	after, k := newKeeper()
+	after, k := newSyncer()
 	assert.Assert(t, !after.relay.Guard().Table().State(f, now).Quarantined)
 	k.sync(context.Background(), now)
 	assert.Assert(t, after.relay.Guard().Table().State(f, now).Quarantined)
@@ -362,7 +364,7 @@
 	var lines bytes.Buffer
 	s, now := newServer(t, &fakeStore{}), time.Now()
 	s.opts.QuarantineMarks, s.logger = marks.store(), hclog.New(&hclog.LoggerOptions{Output: &lines})
-	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
+	k := &markSyncer{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	quarantineRequest(s, quarantine.FingerprintOf("a", "POST", "h", "/", nil), now)
 	k.sync(context.Background(), now)
 	k.sync(context.Background(), now.Add(marksReadInterval))
@@ -377,7 +379,7 @@
 	marks := &fakeMarks{stored: make(map[quarantine.Fingerprint]quarantine.Mark)}
 	s := newServer(t, &fakeStore{})
 	s.opts.QuarantineMarks = marks.store()
-	k := &markKeeper{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
+	k := &markSyncer{server: s, stored: make(map[quarantine.Fingerprint]storedMark)}
 	f, other, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), quarantine.FingerprintOf("b", "POST", "h", "/", nil), time.Now()
 	quarantineRequest(s, f, now)
 	quarantineRequest(s, other, now)
@@ -411,14 +413,16 @@
 		isReplaced, wantsError bool
 	}{
 		"it responds":                    {},
-		"another worker has its address": {err: formation.ErrElsewhere, isReplaced: true},
-		"a wrapped error":                {err: fmt.Errorf("ask: %w", formation.ErrElsewhere), isReplaced: true},
+		"another worker has its address": {err: formation.ErrWrongWorker, isReplaced: true},
+		"a wrapped error":                {err: fmt.Errorf("ask: %w", formation.ErrWrongWorker), isReplaced: true},
 		"the state is unknown":           {err: errors.New("no answer"), wantsError: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, &fakeStore{})
-			s.opts.Orders.Ask = func(context.Context, *fleet.Worker) (formation.State, error) { return formation.State{}, test.err }
+			s.opts.Orders.QueryState = func(context.Context, *fleet.Worker) (formation.WorkerState, error) {
+				return formation.WorkerState{}, test.err
+			}
 			replaced, err := s.isReplaced(context.Background(), &fleet.Worker{ID: "w"})
 			assert.Equal(t, replaced, test.isReplaced)
 			assert.Equal(t, err != nil, test.wantsError)
--- a/serving/server.go
+++ b/serving/server.go
@@ -61,7 +61,7 @@
 	// suspicions holds the replicas that stalled recently.
 	suspicions *suspicions
 	// smoothedDemand averages the fleet's demand for each model over time.
-	smoothedDemand formation.Smoother
+	smoothedDemand formation.WorkSmoother
 	isLeaving      atomic.Bool
 	// membersReadAt is when the member list of the own data hall was first read; nil before.
 	// hasReadAllMembers is set once those of all halls have been read.
@@ -86,8 +86,8 @@
 	done        chan struct{}
 
 	mu sync.Mutex
-	// keeper manages the replicas' groups while this daemon leads, and is nil otherwise.
-	keeper *formation.Keeper
+	// reconciler manages the replicas' groups while this daemon leads, and is nil otherwise.
+	reconciler *formation.Reconciler
 }
 
 // New creates a daemon and opens its port for peers. The daemon does nothing until Run is called.
