--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	for i := range sources {
-		tracker.SetRemote(fmt.Sprintf("hall%d", i), peers.Summary{Daemons: 40, Loads: loads}, now)
+		tracker.SetPeerLoads(fmt.Sprintf("hall%d", i), peers.Summary{Daemons: 40, Loads: loads}, now)
 	}
 	tests := map[string]func() map[string]bool{
 		"without connections": func() map[string]bool { return nil },
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -21,21 +21,21 @@
 	roundingMargin = 4
 )
 
-// BudgetOptions limits the retries of a service over the whole fleet. Any window may have at most
-// Ratio times as many retries as requests, plus Extra.
-type BudgetOptions struct {
-	Ratio  float64
-	Window time.Duration
-	Extra  float64
-	// Self identifies this daemon among those that share Extra.
+// RetryBudget limits the retries of a service over the whole fleet. Any window may have at most
+// Ratio times as many retries as requests, plus ExtraRetries.
+type RetryBudget struct {
+	Ratio        float64
+	Window       time.Duration
+	ExtraRetries float64
+	// Self identifies this daemon among those that share ExtraRetries.
 	Self string
-	// Daemons returns how many daemons share Extra.
+	// Daemons returns how many daemons share ExtraRetries.
 	Daemons func() int
 }
 
 // budget counts a daemon's requests and retries by service.
 type budget struct {
-	opts BudgetOptions
+	opts RetryBudget
 
 	mu       sync.Mutex
 	services map[string]*windowCounts
@@ -48,7 +48,7 @@
 	retries       [budgetBuckets]float64
 }
 
-func newBudget(opts BudgetOptions) *budget {
+func newBudget(opts RetryBudget) *budget {
 	return &budget{opts: opts, services: make(map[string]*windowCounts)}
 }
 
@@ -90,7 +90,7 @@
 		requests += counts.requests[p]
 		retries += counts.retries[p]
 	}
-	extra := b.opts.Extra / float64(max(b.opts.Daemons(), 1))
+	extra := b.opts.ExtraRetries / float64(max(b.opts.Daemons(), 1))
 	if retries+1 > b.roundShare(usedBudgetShare*(b.opts.Ratio*requests+extra), service, now) {
 		return false
 	}
@@ -106,7 +106,7 @@
 	whole, fraction := math.Modf(share)
 	daemons := float64(max(b.opts.Daemons(), 1))
 	deviation := math.Sqrt(daemons) / 2
-	if (1-usedBudgetShare)*b.opts.Extra < roundingMargin*deviation {
+	if (1-usedBudgetShare)*b.opts.ExtraRetries < roundingMargin*deviation {
 		return whole
 	}
 	cycles := float64(now.UnixNano()) / float64(roundingWindows*b.opts.Window.Nanoseconds())
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -13,8 +13,8 @@
 func fleetBudgets(daemons int, extra float64) []*budget {
 	var all []*budget
 	for i := range daemons {
-		all = append(all, newBudget(BudgetOptions{
-			Ratio: 0.2, Window: 10 * time.Second, Extra: extra, Self: fmt.Sprint("front-", i), Daemons: func() int { return daemons },
+		all = append(all, newBudget(RetryBudget{
+			Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: extra, Self: fmt.Sprint("front-", i), Daemons: func() int { return daemons },
 		}))
 	}
 	return all
--- a/relay/holdings.go
+++ b/relay/bufferlimit.go
@@ -24,10 +24,10 @@
 
 var errMemoryLimit = errors.New("the daemon holds as much as it may")
 
-// Holdings limits the bytes that a daemon buffers for callers and workers. These are the bodies of
-// requests, and answers that are read completely before they are forwarded. The small buffers of
+// BufferLimit limits the bytes that a daemon buffers for callers and workers. These are the bodies
+// of requests, and answers that are read completely before they are forwarded. The small buffers of
 // streams are not counted. It is safe for concurrent use.
-type Holdings struct {
+type BufferLimit struct {
 	limit int64
 
 	mu        sync.Mutex
@@ -35,52 +35,52 @@
 	byAccount map[string]int64
 }
 
-// NewHoldings returns Holdings with a limit in bytes; zero for no limit.
-func NewHoldings(limit int64) *Holdings {
-	return &Holdings{limit: limit, byAccount: make(map[string]int64)}
+// NewBufferLimit returns a BufferLimit with a limit in bytes; zero for no limit.
+func NewBufferLimit(limit int64) *BufferLimit {
+	return &BufferLimit{limit: limit, byAccount: make(map[string]int64)}
 }
 
-// Held returns the number of bytes in use.
-func (h *Holdings) Held() int64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.total
+// BytesInUse returns the number of bytes in use.
+func (b *BufferLimit) BytesInUse() int64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.total
 }
 
 // reserve reserves bytes for an account and reports whether they were available. The account's
 // share does not limit its first reservation.
-func (h *Holdings) reserve(account string, bytes int64) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	held := h.byAccount[account]
-	accountLimit := int64(maxAccountShare * float64(h.limit))
-	if h.limit > 0 && (h.total+bytes > h.limit || held > 0 && held+bytes > accountLimit) {
+func (b *BufferLimit) reserve(account string, bytes int64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	held := b.byAccount[account]
+	accountLimit := int64(maxAccountShare * float64(b.limit))
+	if b.limit > 0 && (b.total+bytes > b.limit || held > 0 && held+bytes > accountLimit) {
 		return false
 	}
-	h.total += bytes
-	h.byAccount[account] = held + bytes
+	b.total += bytes
+	b.byAccount[account] = held + bytes
 	return true
 }
 
-func (h *Holdings) release(account string, bytes int64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.total -= bytes
-	if h.byAccount[account] -= bytes; h.byAccount[account] <= 0 {
-		delete(h.byAccount, account)
+func (b *BufferLimit) release(account string, bytes int64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.total -= bytes
+	if b.byAccount[account] -= bytes; b.byAccount[account] <= 0 {
+		delete(b.byAccount, account)
 	}
 }
 
 // requestMemory is the memory reserved for one request.
 type requestMemory struct {
-	holdings *Holdings
-	account  string
-	bytes    int64
+	bufferLimit *BufferLimit
+	account     string
+	bytes       int64
 }
 
 // grow reserves further bytes and reports whether they were available.
 func (m *requestMemory) grow(bytes int64) bool {
-	if !m.holdings.reserve(m.account, bytes) {
+	if !m.bufferLimit.reserve(m.account, bytes) {
 		return false
 	}
 	m.bytes += bytes
@@ -89,7 +89,7 @@
 
 // release releases all reserved memory.
 func (m *requestMemory) release() {
-	m.holdings.release(m.account, m.bytes)
+	m.bufferLimit.release(m.account, m.bytes)
 	m.bytes = 0
 }
 
@@ -123,7 +123,7 @@
 
 // shrink releases memory that turned out not to be needed.
 func (m *requestMemory) shrink(bytes int64) {
-	m.holdings.release(m.account, bytes)
+	m.bufferLimit.release(m.account, bytes)
 	m.bytes -= bytes
 }
 
--- a/relay/holdings_test.go
+++ b/relay/bufferlimit_test.go
@@ -32,22 +32,22 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := NewHoldings(test.bound)
+			h := NewBufferLimit(test.bound)
 			for account, bytes := range test.held {
 				h.byAccount[account] = bytes
 				h.total += bytes
 			}
-			before := h.Held()
-			memory := requestMemory{holdings: h, account: "a"}
+			before := h.BytesInUse()
+			memory := requestMemory{bufferLimit: h, account: "a"}
 			body := bytes.Repeat([]byte("x"), test.size)
 			got, err := memory.read(bytes.NewReader(body), 8<<20, failWhenFull)
 			assert.Assert(t, errors.Is(err, test.want), "%v", err)
 			if test.want == nil {
 				assert.Equal(t, string(got), string(body))
-				assert.Equal(t, h.Held()-before, int64(test.size))
+				assert.Equal(t, h.BytesInUse()-before, int64(test.size))
 			}
 			memory.release()
-			assert.Equal(t, h.Held(), before)
+			assert.Equal(t, h.BytesInUse(), before)
 		})
 	}
 }
@@ -56,8 +56,8 @@
 // longest body allowed.
 func TestUnsentBodyTakesLittleMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := NewHoldings(1 << 20)
-		memory := requestMemory{holdings: h, account: "a"}
+		h := NewBufferLimit(1 << 20)
+		memory := requestMemory{bufferLimit: h, account: "a"}
 		reader, writer := io.Pipe()
 		done := make(chan error, 1)
 		go func() {
@@ -67,22 +67,22 @@
 		_, err := writer.Write([]byte("little"))
 		assert.NilError(t, err)
 		synctest.Wait()
-		assert.Assert(t, h.Held() <= initialBufferBytes, "%d bytes held", h.Held())
+		assert.Assert(t, h.BytesInUse() <= initialBufferBytes, "%d bytes held", h.BytesInUse())
 		assert.NilError(t, writer.CloseWithError(io.ErrClosedPipe))
 		assert.Assert(t, errors.Is(<-done, io.ErrClosedPipe))
 		memory.release()
-		assert.Equal(t, h.Held(), int64(0))
+		assert.Equal(t, h.BytesInUse(), int64(0))
 	})
 }
 
 // TestAnswersWaitForRoom: an answer waits until other requests release memory.
 func TestAnswersWaitForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := NewHoldings(1 << 20)
-		first := requestMemory{holdings: h, account: "b"}
+		h := NewBufferLimit(1 << 20)
+		first := requestMemory{bufferLimit: h, account: "b"}
 		assert.Assert(t, first.grow(1<<20))
 		time.AfterFunc(time.Second, first.release)
-		second := requestMemory{holdings: h, account: "a"}
+		second := requestMemory{bufferLimit: h, account: "a"}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		startedAt := time.Now()
@@ -90,7 +90,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, string(got), "answer")
 		assert.Assert(t, time.Since(startedAt) >= time.Second)
-		third := requestMemory{holdings: h, account: "b"}
+		third := requestMemory{bufferLimit: h, account: "b"}
 		assert.Assert(t, third.grow(1<<20-100))
 		_, err = second.read(strings.NewReader("answer"), 1<<20, waitForMemory(ctx))
 		assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "%v", err)
--- a/relay/choices_test.go
+++ b/relay/choices_test.go
@@ -145,14 +145,14 @@
 func (p *choiceSimulation) reportLoads(now time.Time) {
 	for _, d := range p.daemons {
 		own := make(map[string]int)
-		for _, l := range d.tracker.Loads() {
+		for _, l := range d.tracker.OwnLoads() {
 			own[l.Replica] = l.InFlight
 		}
 		summary := peers.Summary{Daemons: len(p.daemons) - 1}
 		for id, busy := range p.inFlight {
 			summary.Loads = append(summary.Loads, peers.Load{Replica: id, InFlight: busy - own[id]})
 		}
-		d.tracker.SetRemote("others", summary, now.Add(-50*time.Millisecond))
+		d.tracker.SetPeerLoads("others", summary, now.Add(-50*time.Millisecond))
 	}
 }
 
@@ -266,7 +266,7 @@
 func TestMuchFreerReplicasAreChosen(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "kept", InFlight: 10, PendingPromptTokens: 3000}}}, now)
+	tracker.SetPeerLoads("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "kept", InFlight: 10, PendingPromptTokens: 3000}}}, now)
 	c := testCosts
 	c.connectedWorkers = map[string]bool{"kept": true}
 	for range 10 {
--- a/relay/connections_test.go
+++ b/relay/connections_test.go
@@ -163,7 +163,7 @@
 			config := fleet.NewConfig(fleet.Parts{Services: []*fleet.Service{{Name: "s", MaxConns: test.maxConns}}})
 			r := &Relay{opts: Options{
 				Config: func() *fleet.Config { return config },
-				Budget: BudgetOptions{Daemons: func() int { return test.daemons }},
+				Budget: RetryBudget{Daemons: func() int { return test.daemons }},
 			}}
 			assert.Equal(t, r.idleShare("s"), test.want)
 		})
@@ -294,7 +294,7 @@
 		assert.Equal(t, sendRequest(t, server, "/safe/", strconv.Itoa(i), nil).status, 200)
 	}
 	assert.Equal(t, worker.connections(), 1)
-	r.Slept()
+	r.CloseIdleConnections()
 	assert.Equal(t, sendRequest(t, server, "/safe/", "after", nil).status, 200)
 	assert.Equal(t, worker.connections(), 2)
 }
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -36,7 +36,7 @@
 			rules.HallState = func(hall string) fleet.HallState { return halls.State(hall, now) }
 		}
 	}
-	rules.HasWarmUpRoom, rules.HasLimitRoom, rules.AcceptsRequests = r.opts.WarmUp.checker(now), r.opts.Limits.checker(now), r.opts.Rests.checker(now)
+	rules.HasWarmUpRoom, rules.HasLimitRoom, rules.AcceptsRequests = r.opts.WarmUpLimit.checker(now), r.opts.WorkerLimit.checker(now), r.opts.RestLimit.checker(now)
 	return rules
 }
 
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -145,7 +145,7 @@
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("", func(*fleet.Replica) {})
 	silent, other := testReplica("silent", ""), testReplica("other", "")
-	tracker.Suspect("silent", now)
+	tracker.MarkSuspected("silent", now)
 	assert.Equal(t, countChoices(tracker, []*fleet.Replica{silent, other}, now, 50)["silent"], 0)
 	tracker.Reserve(silent, 0)
 	assert.Assert(t, isPassedOver(tracker, silent, now.Add(time.Second)), "also after its first use")
@@ -192,7 +192,7 @@
 	for i := range 8 {
 		all = append(all, replicaAt(fmt.Sprint(i), "", ""))
 		if i > 0 {
-			tracker.Suspect(fmt.Sprint(i), now)
+			tracker.MarkSuspected(fmt.Sprint(i), now)
 		}
 	}
 	r := &Relay{opts: Options{Tracker: tracker}, startedAt: now}
--- a/relay/gaptargets.go
+++ b/relay/gaptargets.go
@@ -41,9 +41,9 @@
 	t.gapTargets.record(model, target, now)
 }
 
-// Pause returns the longest pause between events that all recent callers of a model accept; zero
-// if there were none.
-func (t *Tracker) Pause(model string, now time.Time) time.Duration {
+// ToleratedPause returns the longest pause between events that all recent callers of a model
+// accept; zero if there were none.
+func (t *Tracker) ToleratedPause(model string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.gapTargets.shortest(model, now)
--- a/relay/names.go
+++ b/relay/names.go
@@ -5,10 +5,10 @@
 
 import "quartzshelf.dev/backpressure"
 
-// Names holds the names of the headers exchanged with callers and workers.
-type Names struct {
-	// Attempt is the header with the request's ID, which answers repeat.
-	Attempt string
+// HeaderNames holds the names of the headers exchanged with callers and workers.
+type HeaderNames struct {
+	// AttemptID is the header with the request's ID, which answers repeat.
+	AttemptID string
 	// Deadline is the header with the sender's remaining time, in milliseconds.
 	Deadline string
 	// Key is the header with a tenant's key. It is not forwarded.
@@ -25,10 +25,10 @@
 	// tokens and the maximum number of answer tokens, separated by a comma.
 	Model string
 	Usage string
-	// LastEvent is the header with the ID of the last event that the caller has received.
-	LastEvent string
+	// LastEventID is the header with the ID of the last event that the caller has received.
+	LastEventID string
 	// Priority is the header with the request's priority; 0 is the most urgent.
 	Priority string
-	// Asks holds the names of the headers with which workers limit or pause requests.
-	Asks backpressure.Names
+	// Signals holds the names of the headers with which workers limit or pause requests.
+	Signals backpressure.Names
 }
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -73,8 +73,8 @@
 		return
 	}
 	w := guard.Worker{ID: head.ID, Address: head.Address}
-	if r.opts.Replaced != nil {
-		w.Replaced = func(ctx context.Context) (bool, error) { return r.opts.Replaced(ctx, head) }
+	if r.opts.IsReplaced != nil {
+		w.Replaced = func(ctx context.Context) (bool, error) { return r.opts.IsReplaced(ctx, head) }
 	}
 	r.guard.Broke(c.guardRequest(), w, c.chosenAt, time.Now())
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -44,7 +44,7 @@
 		"another life at the address": {
 			path: "/safe/", script: loses, isCrash: true,
 			prepare: func(r *testRelay, _ *fakeWorker) {
-				r.opts.Replaced = func(context.Context, *fleet.Worker) (bool, error) { return true, nil }
+				r.opts.IsReplaced = func(context.Context, *fleet.Worker) (bool, error) { return true, nil }
 			},
 		},
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -35,47 +35,47 @@
 
 // Options configures a Relay.
 type Options struct {
-	Names  Names
+	Names  HeaderNames
 	Config func() *fleet.Config
-	// Confirmed returns when the configuration was last known to be current. Keys are accepted
-	// for BeliefFor after that; zero means without limit.
-	Confirmed func() time.Time
-	BeliefFor time.Duration
-	View      func() *fleet.View
+	// ConfigConfirmedAt returns when the configuration was last known to be current. Keys are
+	// accepted for MaxConfigAge after that; zero means without limit.
+	ConfigConfirmedAt func() time.Time
+	MaxConfigAge      time.Duration
+	View              func() *fleet.View
 	// Halls returns the state of the data halls; nil if none is ever closed.
 	Halls func() *fleet.HallView
 	// RegionOf returns the region of a data hall; nil if there is only one region.
 	RegionOf func(hall string) string
-	// WarmUp limits requests to replicas that are warming up, Limits those to replicas whose
-	// heads set limits. Rests stops requests to replicas whose heads ask for a pause.
-	WarmUp, Limits, Rests Bound
+	// WarmUpLimit limits requests to replicas that are warming up, WorkerLimit those to replicas
+	// whose heads set limits. RestLimit stops requests to replicas whose heads ask for a pause.
+	WarmUpLimit, WorkerLimit, RestLimit RequestLimit
 
 	Tracker *Tracker
-	Budget  BudgetOptions
-	// Holdings limits the bytes buffered for callers and workers; nil for no limit.
-	Holdings *Holdings
+	Budget  RetryBudget
+	// BufferLimit limits the bytes buffered for callers and workers; nil for no limit.
+	BufferLimit *BufferLimit
 	// ServeLate makes the relay try to serve requests that are already late. They wait briefly for
 	// capacity, and callers refused for lack of capacity get random retry times. After a large loss
 	// of workers this delays new requests as well.
 	ServeLate bool
-	// Spread, if not nil, is called to notify peers at once of requests that crash workers.
-	Spread func()
-	// Replaced reports whether another worker instance has taken over the address of a worker;
+	// NotifyPeers, if not nil, is called to notify peers at once of requests that crash workers.
+	NotifyPeers func()
+	// IsReplaced reports whether another worker instance has taken over the address of a worker;
 	// nil if that can't be determined.
-	Replaced func(ctx context.Context, w *fleet.Worker) (bool, error)
-	// Signalled, if not nil, is called after each answer with the limits and pauses that the worker
+	IsReplaced func(ctx context.Context, w *fleet.Worker) (bool, error)
+	// OnSignal, if not nil, is called after each answer with the limits and pauses that the worker
 	// set in its header. sent is when the request was sent.
-	Signalled func(w *fleet.Worker, s backpressure.Signal, sent, now time.Time)
+	OnSignal func(w *fleet.Worker, s backpressure.Signal, sent, now time.Time)
 	// Dial opens connections to workers; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Awake is called before a request is accepted and before a replica is chosen. After a
-	// suspension of the machine, it corrects how old the daemon's information is considered to be.
-	// Nil if the machine is never suspended.
-	Awake func()
-	// Leaving reports whether this daemon is shutting down.
-	Leaving func() bool
-	Meter   *telemetry.Meter
-	Logger  hclog.Logger
+	// CheckSuspension is called before a request is accepted and before a replica is chosen. After
+	// a suspension of the machine, it corrects how old the daemon's information is considered to
+	// be. Nil if the machine is never suspended.
+	CheckSuspension func()
+	// IsLeaving reports whether this daemon is shutting down.
+	IsLeaving func() bool
+	Meter     *telemetry.Meter
+	Logger    hclog.Logger
 }
 
 // Relay serves callers. It implements http.Handler.
@@ -97,11 +97,11 @@
 
 // New returns a Relay. Run must be called for its periodic work.
 func New(opts Options) *Relay {
-	if opts.Holdings == nil {
-		opts.Holdings = NewHoldings(0)
+	if opts.BufferLimit == nil {
+		opts.BufferLimit = NewBufferLimit(0)
 	}
-	if opts.Awake == nil {
-		opts.Awake = func() {}
+	if opts.CheckSuspension == nil {
+		opts.CheckSuspension = func() {}
 	}
 	r := &Relay{
 		opts: opts, upstream: newUpstream(), budget: newBudget(opts.Budget), callerTimeouts: newCallerTimeouts(),
@@ -116,7 +116,7 @@
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return r.upstream.dial(ctx, network, address)
 		},
-		Marked: r.cancelQuarantined, Spread: opts.Spread, Meter: opts.Meter, Logger: opts.Logger,
+		Marked: r.cancelQuarantined, Spread: opts.NotifyPeers, Meter: opts.Meter, Logger: opts.Logger,
 	})
 	return r
 }
@@ -146,16 +146,16 @@
 	}
 }
 
-// Slept must be called after a suspension of the machine. It closes the idle connections, because
-// workers may have closed them unnoticed.
-func (r *Relay) Slept() { r.upstream.closeAll() }
+// CloseIdleConnections must be called after a suspension of the machine. It closes the idle
+// connections, because workers may have closed them unnoticed.
+func (r *Relay) CloseIdleConnections() { r.upstream.closeAll() }
 
 func (r *Relay) random() float64 { return rand.Float64() }
 
 // ServeHTTP answers one request.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	r.opts.Meter.Request()
-	if r.opts.Leaving() {
+	if r.opts.IsLeaving() {
 		w.Header().Set("Connection", "close")
 	}
 	c, refused := r.accept(h, http.NewResponseController(w))
@@ -178,8 +178,8 @@
 	r.hasAnswered.Store(true)
 }
 
-// Answered reports whether any caller has got a worker's answer yet.
-func (r *Relay) Answered() bool { return r.hasAnswered.Load() }
+// HasAnswered reports whether any caller has got a worker's answer yet.
+func (r *Relay) HasAnswered() bool { return r.hasAnswered.Load() }
 
 // refuse sends, counts and logs a refusal.
 func (r *Relay) refuse(w http.ResponseWriter, c *request, f *refusal) {
@@ -205,12 +205,12 @@
 
 // choose returns the replica for the next attempt, or a refusal if there is none.
 func (r *Relay) choose(c *request) (*fleet.Replica, *refusal) {
-	r.opts.Awake()
+	r.opts.CheckSuspension()
 	now := time.Now()
 	if f := r.checkQuarantine(c, now); f != nil {
 		return nil, f
 	}
-	if c.tenant != nil && r.BeliefTooOld(now) {
+	if c.tenant != nil && r.IsConfigStale(now) {
 		return nil, newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	selection := r.selectReplicas(c, now)
@@ -245,7 +245,7 @@
 		predicted := costsOf(c.engine, c.model, replicas[0].Head.Slots)
 		predicted.connectedWorkers = r.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
 		predicted.preferIdle = c.isSuspected
-		predicted.tightlyLimited = r.opts.Limits.tightLimitChecker()
+		predicted.tightlyLimited = r.opts.WorkerLimit.tightLimitChecker()
 		choice, ok := r.chooseFrom(c, replicas, exhausted, predicted, now)
 		if !ok {
 			continue
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -30,10 +30,10 @@
 	config := testConfig()
 	r.Relay = New(Options{
 		Names: testNames, Config: func() *fleet.Config { return config },
-		Confirmed: func() time.Time { return r.confirmedAt }, BeliefFor: time.Minute,
+		ConfigConfirmedAt: func() time.Time { return r.confirmedAt }, MaxConfigAge: time.Minute,
 		View: r.inventory.View, Tracker: NewTracker("", func(*fleet.Replica) {}),
-		Budget:  BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, Daemons: func() int { return 1 }},
-		Leaving: func() bool { return r.isLeaving }, Meter: meter, Logger: hclog.NewNullLogger(),
+		Budget:    RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 1000, Daemons: func() int { return 1 }},
+		IsLeaving: func() bool { return r.isLeaving }, Meter: meter, Logger: hclog.NewNullLogger(),
 	})
 	var changes []fleet.Change
 	for _, w := range workers {
@@ -66,7 +66,7 @@
 	request, err := http.NewRequest(http.MethodPost, server.URL+path, strings.NewReader("body"))
 	assert.NilError(t, err)
 	request.Host = "h"
-	request.Header.Set(testNames.Attempt, id)
+	request.Header.Set(testNames.AttemptID, id)
 	request.Header.Set(testNames.Key, "key")
 	request.Header.Set(testNames.Model, "m")
 	if change != nil {
@@ -234,7 +234,7 @@
 
 func TestBudget(t *testing.T) {
 	start := time.Unix(1000, 0)
-	b := newBudget(BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 20, Daemons: func() int { return 2 }})
+	b := newBudget(RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 20, Daemons: func() int { return 2 }})
 	retries := 0
 	for b.takeRetry("s", start) {
 		retries++
--- a/relay/request.go
+++ b/relay/request.go
@@ -90,15 +90,15 @@
 // accept finds the route of a request, authenticates the caller, reads the body and sets the
 // deadline. It returns a refusal if one of these steps fails.
 func (r *Relay) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
-	r.opts.Awake()
+	r.opts.CheckSuspension()
 	config := r.opts.Config()
 	if config == nil {
 		return nil, newUnavailable(reason.Starting, "no configuration is known yet", retryUninformed)
 	}
 	c := &request{
 		method: h.Method, target: h.RequestURI, host: h.Host, header: h.Header,
-		id: h.Header.Get(r.opts.Names.Attempt), arrived: time.Now(), triedReplicas: make(map[string]bool),
-		memory: requestMemory{holdings: r.opts.Holdings},
+		id: h.Header.Get(r.opts.Names.AttemptID), arrived: time.Now(), triedReplicas: make(map[string]bool),
+		memory: requestMemory{bufferLimit: r.opts.BufferLimit},
 	}
 	path, _, _ := strings.Cut(c.target, "?")
 	route, ok := config.Route(c.host, path)
@@ -134,7 +134,7 @@
 	if c.route.Public || !config.NeedsKeys() {
 		return nil
 	}
-	if r.BeliefTooOld(time.Now()) {
+	if r.IsConfigStale(time.Now()) {
 		return newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	tenant, ok := config.Tenant(key)
@@ -145,10 +145,10 @@
 	return nil
 }
 
-// BeliefTooOld reports whether the configuration was last confirmed so long ago that this daemon
+// IsConfigStale reports whether the configuration was last confirmed so long ago that this daemon
 // may have missed the revocation of a key.
-func (r *Relay) BeliefTooOld(now time.Time) bool {
-	return r.opts.BeliefFor > 0 && now.Sub(r.opts.Confirmed()) > r.opts.BeliefFor
+func (r *Relay) IsConfigStale(now time.Time) bool {
+	return r.opts.MaxConfigAge > 0 && now.Sub(r.opts.ConfigConfirmedAt()) > r.opts.MaxConfigAge
 }
 
 // readBody reads the request's body. It returns a refusal if the body exceeds the configured limit,
@@ -260,11 +260,11 @@
 		header.Set(names.Priority, strconv.Itoa(min(max(priority, 0), lowestPriority)))
 	}
 	if lastEvent != "" {
-		header.Set(names.LastEvent, lastEvent)
+		header.Set(names.LastEventID, lastEvent)
 	}
 	return &message{
 		method: c.method, encoded: encode(c.method, c.target, c.host, header, c.body),
-		sendBy: c.sendBy, attempt: c.id, attemptName: names.Attempt, atMostOnce: !c.route.Repeatable(),
+		sendBy: c.sendBy, attempt: c.id, attemptName: names.AttemptID, atMostOnce: !c.route.Repeatable(),
 	}
 }
 
--- a/relay/bound.go
+++ b/relay/requestlimit.go
@@ -8,12 +8,12 @@
 	"quartzshelf.dev/fleet"
 )
 
-// Bound is this daemon's share of a fleet-wide limit on the requests sent to replicas. The zero
-// value limits nothing.
-type Bound struct {
-	// Scarce returns a function that reports whether a replica accepts only few requests. Scarce or
-	// its result may be nil if no replica does.
-	Scarce func() func(r *fleet.Replica) bool
+// RequestLimit is this daemon's share of a fleet-wide limit on the requests sent to replicas. The
+// zero value limits nothing.
+type RequestLimit struct {
+	// TightlyLimited returns a function that reports whether a replica accepts only few requests.
+	// TightlyLimited or its result may be nil if no replica does.
+	TightlyLimited func() func(r *fleet.Replica) bool
 	// Check returns a function that reports whether a replica can take one more request at the
 	// given time. Check or its result may be nil if no replica is limited.
 	Check func(now time.Time) func(r *fleet.Replica) bool
@@ -24,28 +24,28 @@
 	Next func(r *fleet.Replica, now time.Time) time.Time
 }
 
-func (b Bound) checker(now time.Time) func(r *fleet.Replica) bool {
+func (b RequestLimit) checker(now time.Time) func(r *fleet.Replica) bool {
 	if b.Check == nil {
 		return nil
 	}
 	return b.Check(now)
 }
 
-func (b Bound) tightLimitChecker() func(r *fleet.Replica) bool {
-	if b.Scarce == nil {
+func (b RequestLimit) tightLimitChecker() func(r *fleet.Replica) bool {
+	if b.TightlyLimited == nil {
 		return nil
 	}
-	return b.Scarce()
+	return b.TightlyLimited()
 }
 
-func (b Bound) take(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
+func (b RequestLimit) take(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	if b.Take == nil {
 		return time.Time{}, true
 	}
 	return b.Take(r, now)
 }
 
-func (b Bound) nextTokenAt(r *fleet.Replica, now time.Time) time.Time {
+func (b RequestLimit) nextTokenAt(r *fleet.Replica, now time.Time) time.Time {
 	if b.Next == nil {
 		return now
 	}
@@ -57,9 +57,9 @@
 func (r *Relay) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
 	c.sendBy = time.Time{}
 	for _, bound := range []struct {
-		Bound
+		RequestLimit
 		reason reason.Reason
-	}{{r.opts.Rests, reason.Resting}, {r.opts.WarmUp, reason.WarmUp}, {r.opts.Limits, reason.Limited}} {
+	}{{r.opts.RestLimit, reason.Resting}, {r.opts.WarmUpLimit, reason.WarmUp}, {r.opts.WorkerLimit, reason.Limited}} {
 		sendBy, ok := bound.take(replica, now)
 		if !ok {
 			c.exhaustedBound = bound.reason
@@ -104,7 +104,7 @@
 // availableAt returns when a replica is expected to take a request from this daemon.
 func (r *Relay) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
-	for _, bound := range []Bound{r.opts.Rests, r.opts.WarmUp, r.opts.Limits} {
+	for _, bound := range []RequestLimit{r.opts.RestLimit, r.opts.WarmUpLimit, r.opts.WorkerLimit} {
 		if at := bound.nextTokenAt(replica, now); at.After(next) {
 			next = at
 		}
--- a/relay/bound_test.go
+++ b/relay/requestlimit_test.go
@@ -57,7 +57,7 @@
 
 // setWarmUp makes the tokens the relay's warm-up bound.
 func (f *fakeTokens) setWarmUp(r *testRelay) {
-	r.opts.WarmUp = Bound{Check: f.check, Take: f.take, Next: f.next}
+	r.opts.WarmUpLimit = RequestLimit{Check: f.check, Take: f.take, Next: f.next}
 }
 
 // allRuns returns the number of runs of all requests at a worker.
@@ -114,7 +114,7 @@
 			r, server := newTestRelay(t, a, b)
 			tokens := &fakeTokens{left: test.left}
 			tokens.setWarmUp(r)
-			r.opts.WarmUp.Check = func(time.Time) func(*fleet.Replica) bool { return nil }
+			r.opts.WarmUpLimit.Check = func(time.Time) func(*fleet.Replica) bool { return nil }
 			got := sendRequest(t, server, "/once/", "x", nil)
 			assert.Equal(t, got.status, test.status)
 			assert.Assert(t, strings.Contains(got.body, test.reason))
@@ -214,8 +214,8 @@
 	}
 	r := New(Options{
 		View: inventory.View, Tracker: NewTracker("hall", func(*fleet.Replica) {}), Meter: meter,
-		WarmUp: Bound{Check: tokens.Check, Take: tokens.Take, Next: tokens.Next},
-		Limits: Bound{Scarce: limits.Naming, Check: limits.Check, Take: limits.Take, Next: limits.Next},
+		WarmUpLimit: RequestLimit{Check: tokens.Check, Take: tokens.Take, Next: tokens.Next},
+		WorkerLimit: RequestLimit{TightlyLimited: limits.Naming, Check: limits.Check, Take: limits.Take, Next: limits.Next},
 	})
 	return r, &request{service: "models", model: "m", engine: service.Engine, route: &fleet.Route{}, triedReplicas: make(map[string]bool)}
 }
--- a/relay/signals.go
+++ b/relay/signals.go
@@ -26,12 +26,12 @@
 		return
 	}
 	isSigned := answer.Header.Get(r.opts.Names.Signature) != ""
-	signal, err := r.opts.Names.Asks.Read(answer, isSigned)
+	signal, err := r.opts.Names.Signals.Read(answer, isSigned)
 	if err != nil {
 		r.opts.Meter.Signal("unclear")
 		r.opts.Logger.Debug("failed to read a worker's signal", "worker", worker.ID, "error", err)
 	}
-	if r.opts.Signalled != nil {
-		r.opts.Signalled(worker, signal, sent, time.Now())
+	if r.opts.OnSignal != nil {
+		r.opts.OnSignal(worker, signal, sent, time.Now())
 	}
 }
--- a/relay/signals_test.go
+++ b/relay/signals_test.go
@@ -53,7 +53,7 @@
 			w.extraHeader = test.header
 			r, server := newTestRelay(t, w)
 			var recorder signalRecorder
-			r.opts.Names.Asks, r.opts.Signalled = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, recorder.record
+			r.opts.Names.Signals, r.opts.OnSignal = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, recorder.record
 			sendRequest(t, server, test.path, "x", nil)
 			recorder.mu.Lock()
 			defer recorder.mu.Unlock()
@@ -65,9 +65,9 @@
 // TestBoundedIsRefused: if all workers are limited or resting, a request is refused at once, with
 // a retry time that its caller follows.
 func TestBoundedIsRefused(t *testing.T) {
-	bounds := map[string]func(o *Options, b Bound){
-		"limited": func(o *Options, b Bound) { o.Limits = b },
-		"resting": func(o *Options, b Bound) { o.Rests = b },
+	bounds := map[string]func(o *Options, b RequestLimit){
+		"limited": func(o *Options, b RequestLimit) { o.WorkerLimit = b },
+		"resting": func(o *Options, b RequestLimit) { o.RestLimit = b },
 	}
 	for why, bound := range bounds {
 		for _, path := range []string{"/once/", "/safe/", "/stream/"} {
@@ -75,7 +75,7 @@
 				w := newFakeWorker(t, "w")
 				r, server := newTestRelay(t, w)
 				tokens := &fakeTokens{left: map[string]int{"w": 0, "w-model": 0}}
-				bound(&r.opts, Bound{Check: tokens.check, Take: tokens.take, Next: tokens.next})
+				bound(&r.opts, RequestLimit{Check: tokens.check, Take: tokens.take, Next: tokens.next})
 				got := sendRequest(t, server, path, "x", nil)
 				assert.Equal(t, got.status, http.StatusServiceUnavailable)
 				assert.Assert(t, strings.Contains(got.body, why), got.body)
@@ -94,7 +94,7 @@
 	w := newFakeWorker(t, "w", answers, drops)
 	r, server := newTestRelay(t, w)
 	tokens := &fakeTokens{left: map[string]int{"w": 2}}
-	r.opts.Limits = Bound{Check: tokens.check, Take: tokens.take, Next: tokens.next}
+	r.opts.WorkerLimit = RequestLimit{Check: tokens.check, Take: tokens.take, Next: tokens.next}
 	assert.Equal(t, sendRequest(t, server, "/safe/", "first", nil).status, http.StatusOK)
 	assert.Equal(t, sendRequest(t, server, "/safe/", "second", nil).status, http.StatusBadGateway)
 	w.mu.Lock()
--- a/relay/silence.go
+++ b/relay/silence.go
@@ -84,9 +84,9 @@
 	delete(t.loadOf(r).streams, watch)
 }
 
-// Suspect marks a replica as suspected because a peer reported it. It does nothing if the replica
-// has recently sent an event to this daemon or a peer.
-func (t *Tracker) Suspect(replica string, now time.Time) {
+// MarkSuspected marks a replica as suspected because a peer reported it. It does nothing if the
+// replica has recently sent an event to this daemon or a peer.
+func (t *Tracker) MarkSuspected(replica string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.replicas[replica]
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -163,8 +163,8 @@
 			now := time.Unix(1000, 0)
 			tracker := NewTracker("", func(*fleet.Replica) {})
 			tracker.Reserve(testReplica("a", ""), 0)
-			tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 1, EventAgeMillis: test.msSinceEvent}}}, now)
-			tracker.Suspect("a", now)
+			tracker.SetPeerLoads("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 1, EventAgeMillis: test.msSinceEvent}}}, now)
+			tracker.MarkSuspected("a", now)
 			assert.Equal(t, tracker.hasSuspected("a", now), test.want)
 		})
 	}
--- a/relay/simhead_test.go
+++ b/relay/simhead_test.go
@@ -117,9 +117,9 @@
 		if err != nil {
 			return
 		}
-		run := &simRun{body: string(body), id: request.Header.Get(testNames.Attempt), conn: c, nextEvent: 1, done: make(chan struct{})}
+		run := &simRun{body: string(body), id: request.Header.Get(testNames.AttemptID), conn: c, nextEvent: 1, done: make(chan struct{})}
 		run.readTimeLeft = time.Duration(promptTokens(request.Header.Get(testNames.Usage))) * simPromptTokenTime
-		if last, err := strconv.Atoi(request.Header.Get(testNames.LastEvent)); err == nil {
+		if last, err := strconv.Atoi(request.Header.Get(testNames.LastEventID)); err == nil {
 			run.nextEvent = last + 1
 		}
 		if rank, err := strconv.Atoi(request.Header.Get(testNames.Priority)); err == nil {
--- a/relay/simulation_test.go
+++ b/relay/simulation_test.go
@@ -90,11 +90,11 @@
 	assert.NilError(t, err)
 	config := simConfig()
 	r := New(Options{
-		Names: testNames, Config: func() *fleet.Config { return config }, Confirmed: time.Now,
+		Names: testNames, Config: func() *fleet.Config { return config }, ConfigConfirmedAt: time.Now,
 		ServeLate: true, View: p.inventory.View, Tracker: NewTracker("", func(*fleet.Replica) {}),
-		Budget:  BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, Daemons: func() int { return daemons }},
-		Spread:  func() { p.shareQuarantine() },
-		Leaving: func() bool { return false }, Meter: meter, Logger: hclog.NewNullLogger(),
+		Budget:      RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 1000, Daemons: func() int { return daemons }},
+		NotifyPeers: func() { p.shareQuarantine() },
+		IsLeaving:   func() bool { return false }, Meter: meter, Logger: hclog.NewNullLogger(),
 	})
 	r.upstream.dial = func(_ context.Context, _, address string) (net.Conn, error) {
 		p.mu.Lock()
@@ -153,7 +153,7 @@
 		wait(p.ctx, interval)
 		loads := make([]peers.Loads, len(p.daemons))
 		for i, r := range p.daemons {
-			loads[i] = r.opts.Tracker.Loads()
+			loads[i] = r.opts.Tracker.OwnLoads()
 		}
 		p.background.Go(func() {
 			wait(p.ctx, delay)
@@ -173,7 +173,7 @@
 						summary.Loads[k].EventAgeMillis += age.Milliseconds()
 					}
 				}
-				to.opts.Tracker.SetRemote(strconv.Itoa(j), summary, time.Now())
+				to.opts.Tracker.SetPeerLoads(strconv.Itoa(j), summary, time.Now())
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 	}
 	request := httptest.NewRequest(http.MethodPost, "/stream/", strings.NewReader(body)).WithContext(ctx)
 	request.Host = "h"
-	request.Header.Set(testNames.Attempt, id)
+	request.Header.Set(testNames.AttemptID, id)
 	request.Header.Set(testNames.Model, "m")
 	request.Header.Set(testNames.Deadline, strconv.FormatInt(timeout.Milliseconds(), 10))
 	request.Header.Set(testNames.Usage, strconv.Itoa(promptTokens)+",40")
--- a/relay/slowcaller_test.go
+++ b/relay/slowcaller_test.go
@@ -28,7 +28,7 @@
 	p.calls.Go(func() {
 		request := httptest.NewRequest(http.MethodPost, "/stream/", strings.NewReader("body")).WithContext(p.ctx)
 		request.Host = "h"
-		request.Header.Set(testNames.Attempt, id)
+		request.Header.Set(testNames.AttemptID, id)
 		request.Header.Set(testNames.Model, "m")
 		w := &slowWriter{ResponseRecorder: httptest.NewRecorder(), delay: delay}
 		got := simCall{answerSeen: answerSeen{isComplete: true}}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -43,7 +43,7 @@
 
 // serveStream relays a stream, and resumes it at another replica if it breaks.
 func (r *Relay) serveStream(w http.ResponseWriter, c *request) *refusal {
-	s := &relayedStream{w: w, lastEventID: c.header.Get(r.opts.Names.LastEvent), lastEventAt: c.arrived}
+	s := &relayedStream{w: w, lastEventID: c.header.Get(r.opts.Names.LastEventID), lastEventAt: c.arrived}
 	r.opts.Tracker.RecordGapTarget(c.model, c.route.GapTarget, c.arrived)
 	for {
 		replica, refused := r.chooseOrWait(c, s)
--- a/relay/tracker.go
+++ b/relay/tracker.go
@@ -96,8 +96,8 @@
 	return s
 }
 
-// SetRemote replaces the loads of other daemons that a source reported before.
-func (t *Tracker) SetRemote(source string, summary peers.Summary, receivedAt time.Time) {
+// SetPeerLoads replaces the loads of other daemons that a source reported before.
+func (t *Tracker) SetPeerLoads(source string, summary peers.Summary, receivedAt time.Time) {
 	byReplica := make(map[string]peers.Load, len(summary.Loads))
 	for _, l := range summary.Loads {
 		byReplica[l.Replica] = l
@@ -108,22 +108,22 @@
 	t.loadsBySource[source] = remoteLoads{measuredAt: measuredAt, receivedAt: receivedAt, daemons: summary.Daemons, loads: byReplica}
 }
 
-// Traffic reports whether a request with a prompt has arrived yet, at this daemon or a peer.
-func (t *Tracker) Traffic() bool {
+// HasTraffic reports whether a request with a prompt has arrived yet, at this daemon or a peer.
+func (t *Tracker) HasTraffic() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hasTraffic
 }
 
-// SetTraffic records that a request arrived at a peer.
-func (t *Tracker) SetTraffic() {
+// RecordPeerTraffic records that a request arrived at a peer.
+func (t *Tracker) RecordPeerTraffic() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hasTraffic = true
 }
 
-// Loads returns this daemon's own load at each replica where it has requests in flight.
-func (t *Tracker) Loads() peers.Loads {
+// OwnLoads returns this daemon's own load at each replica where it has requests in flight.
+func (t *Tracker) OwnLoads() peers.Loads {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -136,8 +136,8 @@
 	return all
 }
 
-// InFlightIn returns how many of this daemon's requests are in flight in a data hall.
-func (t *Tracker) InFlightIn(hall string) int {
+// InFlightInHall returns how many of this daemon's requests are in flight in a data hall.
+func (t *Tracker) InFlightInHall(hall string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
@@ -149,9 +149,9 @@
 	return count
 }
 
-// Demand returns this daemon's own load by model. inFlight counts the requests in flight,
+// DemandByModel returns this daemon's own load by model. inFlight counts the requests in flight,
 // promptTokens their prompt tokens.
-func (t *Tracker) Demand() (inFlight, promptTokens map[string]float64) {
+func (t *Tracker) DemandByModel() (inFlight, promptTokens map[string]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	inFlight, promptTokens = make(map[string]float64), make(map[string]float64)
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -45,7 +45,7 @@
 func TestChoicesAreSpread(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
-	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "b", InFlight: 1}}}, now.Add(-200*time.Millisecond))
+	tracker.SetPeerLoads("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "b", InFlight: 1}}}, now.Add(-200*time.Millisecond))
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
 	counts := countChoices(tracker, replicas, now, 400)
 	// The wait at b is 1 ms longer; the noise is at least 10 ms.
@@ -104,7 +104,7 @@
 	now := time.Unix(1000, 0)
 	tracker := NewTracker("z", func(*fleet.Replica) {})
 	// Apart from the lack of slots, the predicted wait is shorter at a.
-	tracker.SetRemote("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, PendingPromptTokens: 1500}}}, now)
+	tracker.SetPeerLoads("peer", peers.Summary{Daemons: 1, Loads: peers.Loads{{Replica: "a", InFlight: 19}, {Replica: "b", InFlight: 10, PendingPromptTokens: 1500}}}, now)
 	replicas := []*fleet.Replica{testReplica("a", "z"), testReplica("b", "z")}
 	counts := countChoices(tracker, replicas, now, 10)
 	assert.Equal(t, counts["b"], 10, "%v", counts)
@@ -118,21 +118,21 @@
 	first := tracker.Reserve(testReplica("a", "z"), 1500)
 	tracker.Reserve(testReplica("b", "z"), 500)
 	first.MarkPromptRead()
-	inFlight, prompts := tracker.Demand()
+	inFlight, prompts := tracker.DemandByModel()
 	assert.DeepEqual(t, inFlight, map[string]float64{"m": 2})
 	// Prompts that were already read count too, since another replica would have to read them
 	// again.
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 2000})
 	first.Release()
-	_, prompts = tracker.Demand()
+	_, prompts = tracker.DemandByModel()
 	assert.DeepEqual(t, prompts, map[string]float64{"m": 500})
 
-	assert.Equal(t, tracker.Pause("m", now), time.Duration(0))
+	assert.Equal(t, tracker.ToleratedPause("m", now), time.Duration(0))
 	tracker.RecordGapTarget("m", 300*time.Millisecond, now)
 	tracker.RecordGapTarget("m", 200*time.Millisecond, now)
 	tracker.RecordGapTarget("m", 0, now)
-	assert.Equal(t, tracker.Pause("m", now), 200*time.Millisecond)
+	assert.Equal(t, tracker.ToleratedPause("m", now), 200*time.Millisecond)
 	tracker.RecordGapTarget("m", 300*time.Millisecond, now.Add(gapTargetTTL))
-	assert.Equal(t, tracker.Pause("m", now.Add(gapTargetTTL+time.Second)), 300*time.Millisecond, "an expired gap target")
-	assert.Equal(t, tracker.Pause("other", now), time.Duration(0))
+	assert.Equal(t, tracker.ToleratedPause("m", now.Add(gapTargetTTL+time.Second)), 300*time.Millisecond, "an expired gap target")
+	assert.Equal(t, tracker.ToleratedPause("other", now), time.Duration(0))
 }
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -47,10 +47,10 @@
 	ends behaviour = "ends"
 )
 
-var testNames = Names{
-	Attempt: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
+var testNames = HeaderNames{
+	AttemptID: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
-	LastEvent: "Last-Event-Id", Priority: "X-Priority",
+	LastEventID: "Last-Event-Id", Priority: "X-Priority",
 }
 
 // fakeEvents is the number of events of a complete stream.
@@ -136,7 +136,7 @@
 // answer handles a request according to the next behaviour. It reports whether the connection stays
 // open.
 func (w *fakeWorker) answer(c net.Conn, r *http.Request) bool {
-	id := r.Header.Get(testNames.Attempt)
+	id := r.Header.Get(testNames.AttemptID)
 	b := w.nextBehaviour()
 	if w.onRequest != nil {
 		w.onRequest()
--- a/serving/crashing_test.go
+++ b/serving/crashing_test.go
@@ -36,10 +36,10 @@
 	waitingBody  = "gets no answer"
 )
 
-var crashingHeaders = relay.Names{
-	Attempt: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
+var crashingHeaders = relay.HeaderNames{
+	AttemptID: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
-	LastEvent: "Last-Event-Id", Priority: "X-Priority",
+	LastEventID: "Last-Event-Id", Priority: "X-Priority",
 }
 
 // crashingFleet is a group of daemons that exchange heartbeats, in front of heads that crash when
@@ -102,7 +102,7 @@
 			<-r.Context().Done()
 			return
 		}
-		w.Header().Set(crashingHeaders.Attempt, r.Header.Get(crashingHeaders.Attempt))
+		w.Header().Set(crashingHeaders.AttemptID, r.Header.Get(crashingHeaders.AttemptID))
 		w.Header().Set(crashingHeaders.Signature, id)
 		_, _ = io.WriteString(w, "id: 1\ndata: whole\n\n")
 	})
@@ -143,7 +143,7 @@
 		Self: self, Names: crashingHeaders, Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
 		Bounds: Bounds{
 			WorkerHeartbeatInterval: time.Second, RevocationBound: time.Hour, AddressTTL: time.Second,
-			Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000},
+			Budget: relay.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 1000},
 		},
 		Logger: hclog.New(&hclog.LoggerOptions{Name: self.ID, Output: testLog{f.t}, Level: hclog.Info}),
 	})
@@ -202,7 +202,7 @@
 	request, err := http.NewRequest(http.MethodPost, d.frontServer.URL+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
 	request.Host = "h"
-	request.Header.Set(crashingHeaders.Attempt, fmt.Sprintf("request-%d", f.sentCount.Add(1)))
+	request.Header.Set(crashingHeaders.AttemptID, fmt.Sprintf("request-%d", f.sentCount.Add(1)))
 	request.Header.Set(crashingHeaders.Key, key)
 	request.Header.Set(crashingHeaders.Model, "m")
 	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -217,7 +217,7 @@
 func TestNoLimitSharesWithEarlierDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		signal := func(h http.Header, _ time.Duration) bool {
-			h.Set(signalHeaders.Asks.Limit, "1.5")
+			h.Set(signalHeaders.Signals.Limit, "1.5")
 			return true
 		}
 		limited, other := &signalHead{id: "limited", signal: signal, processingTime: 30 * time.Millisecond}, &signalHead{id: "other", processingTime: 30 * time.Millisecond}
--- a/serving/halls.go
+++ b/serving/halls.go
@@ -15,8 +15,8 @@
 	server *Server
 	// closingSince holds, by hall, the time when this daemon learned that the hall is to be closed.
 	closingSince map[string]time.Time
-	// loggedStates holds, by hall, the state that was logged last. loggedEmpty holds the closed halls
-	// that were logged as empty, that is, without requests of this daemon in flight.
+	// loggedStates holds, by hall, the state that was logged last. loggedEmpty holds the closed
+	// halls that were logged as empty, that is, without requests of this daemon in flight.
 	loggedStates map[string]fleet.HallState
 	loggedEmpty  map[string]bool
 }
@@ -61,7 +61,7 @@
 			delete(w.closingSince, hall)
 			delete(w.loggedStates, hall)
 			delete(w.loggedEmpty, hall)
-		case state == fleet.HallClosed && !w.loggedEmpty[hall] && w.server.tracker.InFlightIn(hall) == 0:
+		case state == fleet.HallClosed && !w.loggedEmpty[hall] && w.server.tracker.InFlightInHall(hall) == 0:
 			w.loggedEmpty[hall] = true
 			w.server.logger.Info("data hall is empty", "hall", hall, "ms", now.Sub(since).Milliseconds())
 		}
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -19,8 +19,8 @@
 	h.Decided = s.inventory.Decided()
 	h.OwnClaim, h.HighestClaim, h.Grant = s.elector.State()
 	h.LeaderAge = s.agent.Table().LeaderAge(now)
-	h.Loads, h.Traffic = s.tracker.Loads(), s.tracker.Traffic()
-	h.Demand, h.PromptTokens = s.tracker.Demand()
+	h.Loads, h.Traffic = s.tracker.OwnLoads(), s.tracker.HasTraffic()
+	h.Demand, h.PromptTokens = s.tracker.DemandByModel()
 	h.Stalls = s.suspicions.recentStalls(now)
 	h.Quarantine = s.relay.Guard().Table().Report(now, s.forwardsNews())
 	h.Signals = s.signals.Report(now, s.forwardsNews())
@@ -39,10 +39,10 @@
 func (s *Server) onHeartbeat(p *peers.Peer) {
 	s.elector.Hear(p)
 	if s.countsLoads(p) {
-		s.tracker.SetRemote(p.ID, peers.Summary{Daemons: 1, Loads: p.Loads}, p.LastHeartbeatAt)
+		s.tracker.SetPeerLoads(p.ID, peers.Summary{Daemons: 1, Loads: p.Loads}, p.LastHeartbeatAt)
 	}
 	if p.Traffic {
-		s.tracker.SetTraffic()
+		s.tracker.RecordPeerTraffic()
 	}
 	s.noteConfigVersion(p.ConfigVersion)
 	if ownPosition := s.inventory.Position(); ownPosition > 0 && fleet.EraOf(p.WorkersPosition) > fleet.EraOf(ownPosition) {
@@ -96,7 +96,7 @@
 		hasNew = s.suspicions.add(stall, at) || hasNew
 		// Repeated reports are passed on as well, because the tracker ignores a report while the
 		// replica still sends events.
-		s.tracker.Suspect(stall.Replica, p.LastHeartbeatAt)
+		s.tracker.MarkSuspected(stall.Replica, p.LastHeartbeatAt)
 		s.suspect(stall.Replica)
 	}
 	if hasNew && s.forwardsNews() {
@@ -107,13 +107,13 @@
 // onSummary processes a relay's summary of a data hall, or of the whole fleet if hall is empty.
 func (s *Server) onSummary(hall string, summary peers.Summary, now time.Time) {
 	if summary.Traffic {
-		s.tracker.SetTraffic()
+		s.tracker.RecordPeerTraffic()
 	}
 	if hall == "" {
-		summary.Loads = summary.Loads.Without(s.tracker.Loads())
+		summary.Loads = summary.Loads.Without(s.tracker.OwnLoads())
 	}
 	source := fmt.Sprintf("hall %s/%d", hall, summary.Part)
-	s.tracker.SetRemote(source, summary, now)
+	s.tracker.SetPeerLoads(source, summary, now)
 }
 
 // changesMessage is the response to a peer that requests the worker list.
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -80,8 +80,8 @@
 			},
 		},
 		"that there is traffic": {
-			prepare: func(sender *Server) { sender.tracker.SetTraffic() },
-			isKnown: func(s *Server) bool { return s.tracker.Traffic() },
+			prepare: func(sender *Server) { sender.tracker.RecordPeerTraffic() },
+			isKnown: func(s *Server) bool { return s.tracker.HasTraffic() },
 		},
 		"that a replica stalled": {
 			prepare: func(sender *Server) { sender.suspicions.add(peers.Stall{Replica: "r", Head: "w"}, now) },
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -27,7 +27,7 @@
 func (s *Server) formationOptions(claim peers.Claim) formation.Options {
 	return formation.Options{
 		Config: s.configCache.Config, Inventory: s.inventory, Orders: s.opts.Orders, IndirectLeave: s.leaveThroughPeers,
-		MeasuredWork: s.demandByModel, HasTraffic: s.tracker.Traffic, FirstListAt: s.inventory.FirstListAt,
+		MeasuredWork: s.demandByModel, HasTraffic: s.tracker.HasTraffic, FirstListAt: s.inventory.FirstListAt,
 		OnAnnouncement: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
 		SmoothedWork:   s.smoothedDemand.Work, ToleratedHallLosses: s.opts.Bounds.ToleratedHallLosses, HallLossWeight: s.opts.Bounds.HallLossWeight, IsHallOpen: s.isHallOpen,
 		StallTimeout: s.opts.Bounds.StallTimeout, LoadLimit: s.opts.Bounds.Ceiling,
@@ -72,7 +72,7 @@
 	measured := s.agent.FleetSummary(now)
 	all := make(map[string]formation.Work, len(measured.Demand))
 	for model, busy := range measured.Demand {
-		all[model] = formation.Work{BusySlots: busy, PromptTokens: measured.PromptTokens[model], ToleratedPause: s.tracker.Pause(model, now)}
+		all[model] = formation.Work{BusySlots: busy, PromptTokens: measured.PromptTokens[model], ToleratedPause: s.tracker.ToleratedPause(model, now)}
 	}
 	return all
 }
--- a/serving/leaving_test.go
+++ b/serving/leaving_test.go
@@ -21,12 +21,12 @@
 	leaveBound       = 2 * time.Second
 )
 
-// newLeavingHeads returns eight heads. The first leavingCount of them signal from leaveSignalStart on
-// that they are leaving.
+// newLeavingHeads returns eight heads. The first leavingCount of them signal from leaveSignalStart
+// on that they are leaving.
 func newLeavingHeads(leavingCount int) []*signalHead {
 	signal := func(h http.Header, at time.Duration) bool {
 		if at >= leaveSignalStart {
-			h.Set(signalHeaders.Asks.Leaving, "1")
+			h.Set(signalHeaders.Signals.Leaving, "1")
 		}
 		return true
 	}
--- a/serving/limits_test.go
+++ b/serving/limits_test.go
@@ -57,7 +57,7 @@
 func newLimitedHeads(perSecond float64) []*signalHead {
 	signal := func(h http.Header, at time.Duration) bool {
 		if at >= limitStart {
-			h.Set(signalHeaders.Asks.Limit, strconv.FormatFloat(perSecond, 'f', -1, 64))
+			h.Set(signalHeaders.Signals.Limit, strconv.FormatFloat(perSecond, 'f', -1, 64))
 		}
 		return true
 	}
@@ -77,8 +77,8 @@
 func TestReportedLimitHolds(t *testing.T) {
 	tests := map[string]struct {
 		halls, perHall int
-		// sentPerSecond is the rate of requests to all daemons together, limitPerSecond the limit that
-		// each limited head reports.
+		// sentPerSecond is the rate of requests to all daemons together, limitPerSecond the limit
+		// that each limited head reports.
 		sentPerSecond  float64
 		limitPerSecond float64
 	}{
--- a/serving/options.go
+++ b/serving/options.go
@@ -46,7 +46,7 @@
 	// MaxBufferedBytes is the number of bytes of requests and responses that the daemon may hold in
 	// memory; zero for no limit.
 	MaxBufferedBytes int64
-	Budget           relay.BudgetOptions
+	Budget           relay.RetryBudget
 	// HallEmptyBound is the time after which a data hall that the operator closed must get no more
 	// requests.
 	HallEmptyBound time.Duration
@@ -77,7 +77,7 @@
 	// Regions maps each data hall to its region.
 	Regions map[string]string
 	Bounds  Bounds
-	Names   relay.Names
+	Names   relay.HeaderNames
 
 	Source   fleet.Source
 	Decode   func(data []byte) (*fleet.Config, error)
--- a/serving/server.go
+++ b/serving/server.go
@@ -150,19 +150,19 @@
 func (s *Server) newRelay() *relay.Relay {
 	budget := s.opts.Bounds.Budget
 	budget.Self, budget.Daemons = s.opts.Self.ID, s.agent.DaemonCount
-	holdings := relay.NewHoldings(s.opts.Bounds.MaxBufferedBytes)
-	s.meter.Gauge("held_bytes", func() float64 { return float64(holdings.Held()) })
+	bufferLimit := relay.NewBufferLimit(s.opts.Bounds.MaxBufferedBytes)
+	s.meter.Gauge("held_bytes", func() float64 { return float64(bufferLimit.BytesInUse()) })
 	return relay.New(relay.Options{
-		Holdings: holdings,
-		Names:    s.opts.Names, Config: s.configCache.Config, Confirmed: s.configConfirmedAt, BeliefFor: s.maxConfigAge(),
+		BufferLimit: bufferLimit,
+		Names:       s.opts.Names, Config: s.configCache.Config, ConfigConfirmedAt: s.configConfirmedAt, MaxConfigAge: s.maxConfigAge(),
 		View: s.inventory.View, Halls: s.halls.View, RegionOf: s.regionOf,
-		WarmUp:  relay.Bound{Check: s.warmUp.Check, Take: s.takeWarmUp, Next: s.warmUp.Next},
-		Limits:  relay.Bound{Scarce: s.signals.Naming, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
-		Rests:   relay.Bound{Check: s.signals.Rested, Take: s.signals.TakeRested, Next: s.signals.RestEnds},
-		Tracker: s.tracker, Budget: budget,
-		Spread: func() { s.agent.SendHeartbeat(time.Now()) }, Replaced: s.isReplaced, Signalled: s.signals.Hear, Dial: s.opts.DialWorker,
-		Awake:   s.awake.Check,
-		Leaving: s.isLeaving.Load, Meter: s.meter, Logger: s.logger.Named("relay"),
+		WarmUpLimit: relay.RequestLimit{Check: s.warmUp.Check, Take: s.takeWarmUp, Next: s.warmUp.Next},
+		WorkerLimit: relay.RequestLimit{TightlyLimited: s.signals.Naming, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
+		RestLimit:   relay.RequestLimit{Check: s.signals.Rested, Take: s.signals.TakeRested, Next: s.signals.RestEnds},
+		Tracker:     s.tracker, Budget: budget,
+		NotifyPeers: func() { s.agent.SendHeartbeat(time.Now()) }, IsReplaced: s.isReplaced, OnSignal: s.signals.Hear, Dial: s.opts.DialWorker,
+		CheckSuspension: s.awake.Check,
+		IsLeaving:       s.isLeaving.Load, Meter: s.meter, Logger: s.logger.Named("relay"),
 	})
 }
 
@@ -241,7 +241,7 @@
 
 // IsReady reports whether callers should use this daemon.
 func (s *Server) IsReady() bool {
-	return s.hasState() && s.hasSettled(time.Now()) && !s.isLeaving.Load() && !s.relay.BeliefTooOld(time.Now())
+	return s.hasState() && s.hasSettled(time.Now()) && !s.isLeaving.Load() && !s.relay.IsConfigStale(time.Now())
 }
 
 // AddressTTL returns how long callers may keep the addresses that AddressesFor returned.
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -27,11 +27,11 @@
 	"quartzshelf.dev/relay"
 )
 
-var signalHeaders = relay.Names{
-	Attempt: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
+var signalHeaders = relay.HeaderNames{
+	AttemptID: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
-	LastEvent: "Last-Event-Id", Priority: "X-Priority",
-	Asks: backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"},
+	LastEventID: "Last-Event-Id", Priority: "X-Priority",
+	Signals: backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"},
 }
 
 var errHeadClosed = errors.New("the head is closed")
@@ -104,7 +104,7 @@
 	h.mu.Lock()
 	h.events = append(h.events, headEvent{at: at, daemon: r.RemoteAddr, limitReceivedAt: never, isRejected: isRejected})
 	h.mu.Unlock()
-	w.Header().Set(signalHeaders.Attempt, r.Header.Get(signalHeaders.Attempt))
+	w.Header().Set(signalHeaders.AttemptID, r.Header.Get(signalHeaders.AttemptID))
 	if isRejected {
 		w.Header().Set(signalHeaders.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -119,7 +119,7 @@
 
 // recordLimit records that a daemon received a response, if the response holds a limit.
 func (h *signalHead) recordLimit(daemon string, header http.Header) {
-	if header.Get(signalHeaders.Asks.Limit) == "" {
+	if header.Get(signalHeaders.Signals.Limit) == "" {
 		return
 	}
 	h.mu.Lock()
@@ -241,7 +241,7 @@
 	s, err := New(Options{
 		Self:      peers.Identity{ID: id, Incarnation: 1, Zone: hall, Address: id, ServingAddress: id},
 		Regions:   regions,
-		Bounds:    Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second, LimitBound: backpressure.Bound{Burst: 1.5, Slack: 5, Window: limitWindow}, Budget: relay.BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Extra: 100}},
+		Bounds:    Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second, LimitBound: backpressure.Bound{Burst: 1.5, Slack: 5, Window: limitWindow}, Budget: relay.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 100}},
 		Names:     signalHeaders,
 		Transport: network.transport(id),
 		Source:    store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
@@ -290,7 +290,7 @@
 func (f *signalFleet) call(s *Server, id string) {
 	request := httptest.NewRequest(http.MethodPost, cmp.Or(f.path, "/stream/"), strings.NewReader("body "+id))
 	request.Host = "h"
-	request.Header.Set(signalHeaders.Attempt, id)
+	request.Header.Set(signalHeaders.AttemptID, id)
 	request.Header.Set(signalHeaders.Model, "m")
 	request.Header.Set(signalHeaders.Usage, "674,50")
 	w := httptest.NewRecorder()
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -30,9 +30,9 @@
 		{"ready for callers", func(time.Time) bool { return s.IsReady() }},
 		{"daemons listed", func(time.Time) bool { return s.membersReadAt.Load() != nil }},
 		{"peers heard", func(now time.Time) bool { return len(s.agent.Table().Alive(now)) > 0 }},
-		{"loads of peers known", func(now time.Time) bool { return len(s.agent.FleetSummary(now).Loads) > len(s.tracker.Loads()) }},
+		{"loads of peers known", func(now time.Time) bool { return len(s.agent.FleetSummary(now).Loads) > len(s.tracker.OwnLoads()) }},
 		{"leader known", func(time.Time) bool { _, highest, _ := s.elector.State(); return highest.Epoch > 0 }},
-		{"first answer", func(time.Time) bool { return s.relay.Answered() }},
+		{"first answer", func(time.Time) bool { return s.relay.HasAnswered() }},
 	}
 }
 
