--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { proptest.Main(m) }
 
 func TestDecide(t *testing.T) {
-	full := Situation{Reported: 1, InFlight: 100, Slots: 800, Daemons: 8, Own: 5, Accounts: 10}
+	full := Situation{ReportedOccupancy: 1, InFlight: 100, Slots: 800, Daemons: 8, AccountInFlight: 5, Accounts: 10}
 	change := func(f func(*Situation)) Situation {
 		s := full
 		f(&s)
@@ -28,12 +28,12 @@
 	}{
 		"full":                                    {full, reason.Overloaded},
 		"full, high priority":                     {change(func(s *Situation) { s.Priority = 1 }), ""},
-		"capacity left by other daemons":          {change(func(s *Situation) { s.Reported = 0.5 }), ""},
+		"capacity left by other daemons":          {change(func(s *Situation) { s.ReportedOccupancy = 0.5 }), ""},
 		"own share not used up":                   {change(func(s *Situation) { s.InFlight = 60 }), ""},
 		"low priority is refused sooner":          {change(func(s *Situation) { s.InFlight, s.Priority = 85, -2 }), reason.Overloaded},
-		"a large account is limited to its share": {change(func(s *Situation) { s.InFlight, s.Own = 95, 50 }), reason.FairShare},
-		"a small account is accepted":             {change(func(s *Situation) { s.InFlight, s.Own = 95, 2 }), ""},
-		"flood":                                   {change(func(s *Situation) { s.InFlight, s.Reported = 0, 4 }), reason.Overloaded},
+		"a large account is limited to its share": {change(func(s *Situation) { s.InFlight, s.AccountInFlight = 95, 50 }), reason.FairShare},
+		"a small account is accepted":             {change(func(s *Situation) { s.InFlight, s.AccountInFlight = 95, 2 }), ""},
+		"flood":                                   {change(func(s *Situation) { s.InFlight, s.ReportedOccupancy = 0, 4 }), reason.Overloaded},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -40,20 +40,20 @@
 
 // Situation holds the inputs of the decision about a request.
 type Situation struct {
-	// Reported is the mean occupancy of the deployment's replicas according to their reports,
-	// which are delayed.
-	Reported float64
+	// ReportedOccupancy is the mean occupancy of the deployment's replicas according to their
+	// reports, which are delayed.
+	ReportedOccupancy float64
 	// InFlight is the number of requests to the deployment that this daemon has in flight.
 	InFlight int
 	// Slots is the total number of slots of the replicas. Daemons is the number of daemons that
 	// share them.
 	Slots   int
 	Daemons int
-	// Own is the number of requests of the account that this daemon has in flight. Accounts is the
-	// number of accounts with requests in flight at this daemon.
-	Own      int
-	Accounts int
-	Priority int
+	// AccountInFlight is the number of requests of the account that this daemon has in flight.
+	// Accounts is the number of accounts with requests in flight at this daemon.
+	AccountInFlight int
+	Accounts        int
+	Priority        int
 }
 
 // Refusal says why a request is not accepted and when to retry.
@@ -75,17 +75,17 @@
 // The reported occupancy is not used as a limit below floodThreshold. Because reports are delayed,
 // such a limit would make the daemon alternate between accepting everything and nothing.
 func Decide(s Situation) *Refusal {
-	if s.Reported >= floodThreshold {
-		return &Refusal{reason: reason.Overloaded, retryAfter: retryAfter(s.Reported - 1)}
+	if s.ReportedOccupancy >= floodThreshold {
+		return &Refusal{reason: reason.Overloaded, retryAfter: retryAfter(s.ReportedOccupancy - 1)}
 	}
-	if s.Reported < busyThreshold {
+	if s.ReportedOccupancy < busyThreshold {
 		return nil
 	}
 	own := ownOccupancy(s)
 	if limit := refuseThresholdFor(s.Priority); own >= limit {
 		return &Refusal{reason: reason.Overloaded, retryAfter: retryAfter(own - limit)}
 	}
-	if own >= fairShareThreshold && float64(s.Own) >= fairShare(s) {
+	if own >= fairShareThreshold && float64(s.AccountInFlight) >= fairShare(s) {
 		return &Refusal{reason: reason.FairShare, retryAfter: retryAfter(own - fairShareThreshold)}
 	}
 	return nil
--- a/allowance/allowance.go
+++ b/allowance/allowance.go
@@ -13,9 +13,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// SendWithin is how long a token is valid after it was taken, which leaves time to open a
+// TokenLifetime is how long a token is valid after it was taken, which leaves time to open a
 // connection. A request that is sent later might exceed the limit of a later second.
-const SendWithin = 100 * time.Millisecond
+const TokenLifetime = 100 * time.Millisecond
 
 // Options configures an Allowance.
 type Options struct {
@@ -112,7 +112,7 @@
 	case w.bucket == nil || !w.bucket.Take(now):
 		return time.Time{}, false
 	}
-	return now.Add(SendWithin), true
+	return now.Add(TokenLifetime), true
 }
 
 // Next returns the earliest time at which this daemon may send a request to a replica, if no other
@@ -128,12 +128,12 @@
 	return earlier(w.bucket.Next(now), w.until)
 }
 
-// Warming returns the number of workers that warm up in the latest snapshot.
-func (a *Allowance) Warming() int { return len(a.current.Load().warming) }
+// CountWarming returns the number of workers that warm up in the latest snapshot.
+func (a *Allowance) CountWarming() int { return len(a.current.Load().warming) }
 
-// Look refreshes the snapshot. Check, Take and Next do so as well. It must be called regularly, so
-// that Changed is also called at daemons without requests.
-func (a *Allowance) Look(now time.Time) { a.refresh(now) }
+// Refresh refreshes the snapshot. Check, Take and Next do so as well. It must be called regularly,
+// so that Changed is also called at daemons without requests.
+func (a *Allowance) Refresh(now time.Time) { a.refresh(now) }
 
 func (a *Allowance) refresh(now time.Time) *snapshot {
 	if s := a.current.Load(); a.isCurrent(s, now) {
--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -93,7 +93,7 @@
 		"a service with a very low limit": {0.1, func(f *fixture) { f.listWorker("w", 3000) }, 0, 1},
 		"a worker that turns cold between two entries": {bearableRate, func(f *fixture) {
 			f.listWorker("w", 0)
-			f.Look(time.Now())
+			f.Refresh(time.Now())
 			f.listWorker("w", 3000)
 		}, 9, 12},
 		"its hall is opened again": {bearableRate, func(f *fixture) {
@@ -122,20 +122,20 @@
 			f.setHallClosed(true)
 			f.setHallClosed(false)
 			f.listWorker("w", 2000)
-			f.Look(time.Now())
+			f.Refresh(time.Now())
 			time.Sleep(time.Second)
 			f.listWorker("w", 1000)
-			f.Look(time.Now())
+			f.Refresh(time.Now())
 			time.Sleep(time.Second)
 			f.listWorker("w", 0)
-			f.Look(time.Now())
+			f.Refresh(time.Now())
 		}, all, all},
 		"its hall was opened again after its entry": {bearableRate, func(f *fixture) {
 			f.listWorker("w", 0)
 			f.setHallClosed(true)
 			f.setHallClosed(false)
 			f.listWorker("w", 2000)
-			f.Look(time.Now())
+			f.Refresh(time.Now())
 			time.Sleep(2 * time.Second)
 			f.listWorker("w", 0)
 			f.setHallClosed(true)
@@ -177,7 +177,7 @@
 			assert.Assert(t, f.Check(time.Now())(f.replica()))
 			sendBy, ok := f.Take(f.replica(), time.Now())
 			assert.Assert(t, ok)
-			assert.Equal(t, sendBy, time.Now().Add(SendWithin))
+			assert.Equal(t, sendBy, time.Now().Add(TokenLifetime))
 			_, ok = f.Take(f.replica(), time.Now())
 			assert.Assert(t, !ok, "the bucket holds one token")
 		}
@@ -188,15 +188,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(bearableRate)
 		f.listWorker("w", 0)
-		f.Look(time.Now())
+		f.Refresh(time.Now())
 		f.listWorker("w", 2000)
-		f.Look(time.Now())
+		f.Refresh(time.Now())
 		f.listWorker("w", 1500)
-		f.Look(time.Now())
-		assert.Equal(t, f.Warming(), 1)
+		f.Refresh(time.Now())
+		assert.Equal(t, f.CountWarming(), 1)
 		time.Sleep(2 * time.Second)
-		f.Look(time.Now())
-		assert.Equal(t, f.Warming(), 0)
+		f.Refresh(time.Now())
+		assert.Equal(t, f.CountWarming(), 0)
 		assert.DeepEqual(t, f.changes, []string{"wtrue", "wfalse"})
 	})
 }
--- a/allowance/share.go
+++ b/allowance/share.go
@@ -36,7 +36,7 @@
 // Divide returns how the requests to a worker that bears perSecond requests a second are split
 // between the registered daemons. members is their number. In any one second, a holder sends at
 // most one request for a saved token, plus those whose tokens become available within the second or
-// SendWithin before it. The rates take the holders on both sides of a network partition into
+// TokenLifetime before it. The rates take the holders on both sides of a network partition into
 // account. If the bound is too low for that, they take one side into account. If it is too low even
 // for one, the rate is zero.
 func (b Bound) Divide(perSecond float64, members int) Division {
@@ -62,7 +62,7 @@
 // negative.
 func rateOf(limit, perSecond float64, holders int) float64 {
 	maxPerHolder := limit / float64(holders)
-	return min((maxPerHolder-1)/(1+SendWithin.Seconds()), perSecond/float64(holders))
+	return min((maxPerHolder-1)/(1+TokenLifetime.Seconds()), perSecond/float64(holders))
 }
 
 // IsHolder reports whether a daemon is one of a worker's holders, which are selected by rendezvous
--- a/allowance/sum_test.go
+++ b/allowance/sum_test.go
@@ -55,7 +55,7 @@
 		View: func() *fleet.View { return view }, Halls: func() *fleet.HallView { return nil },
 		Config: func() *fleet.Config { return config }, Changed: func(*fleet.Worker, bool) {},
 	})
-	d.allowance.Look(now)
+	d.allowance.Refresh(now)
 }
 
 // runStep runs one step of the daemon.
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -40,7 +40,7 @@
 	case l.bucket == nil || !l.bucket.Take(now):
 		return time.Time{}, false
 	}
-	return now.Add(allowance.SendWithin), true
+	return now.Add(allowance.TokenLifetime), true
 }
 
 // otherDaemonRetryDelay is how long a client should wait before a retry if this daemon holds no
@@ -61,9 +61,9 @@
 	return l.bucket.Next(now)
 }
 
-// Rested returns a function that reports whether a replica's head worker accepts requests from
+// CheckRest returns a function that reports whether a replica's head worker accepts requests from
 // this daemon, that is, has no rest period now. It returns nil if no rest periods are recorded.
-func (t *Table) Rested(now time.Time) func(r *fleet.Replica) bool {
+func (t *Table) CheckRest(now time.Time) func(r *fleet.Replica) bool {
 	if !t.rests.Any() {
 		return nil
 	}
@@ -73,24 +73,25 @@
 	}
 }
 
-// TakeRested reports whether a replica's head worker accepts requests from this daemon now. The
+// TakeRest reports whether a replica's head worker accepts requests from this daemon now. The
 // result sendBy is always zero, as a rest period sets no deadline for sending.
-func (t *Table) TakeRested(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
+func (t *Table) TakeRest(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	_, isResting := t.rests.Until(r.Head.ID, r.Head.StartedAt, now)
 	return time.Time{}, !isResting
 }
 
-// RestEnds returns when the rest period of a replica's head worker ends, and now if it has none.
-func (t *Table) RestEnds(r *fleet.Replica, now time.Time) time.Time {
+// NextAfterRest returns when the rest period of a replica's head worker ends, and now if it has
+// none.
+func (t *Table) NextAfterRest(r *fleet.Replica, now time.Time) time.Time {
 	if until, isResting := t.rests.Until(r.Head.ID, r.Head.StartedAt, now); isResting {
 		return until
 	}
 	return now
 }
 
-// Naming returns a function that reports whether a replica's head worker has a limit; nil if no
+// HasLimit returns a function that reports whether a replica's head worker has a limit; nil if no
 // worker has one.
-func (t *Table) Naming() func(r *fleet.Replica) bool {
+func (t *Table) HasLimit() func(r *fleet.Replica) bool {
 	limits := *t.limits.Load()
 	if len(limits) == 0 {
 		return nil
@@ -107,9 +108,9 @@
 	return l, ok && l.born == r.Head.StartedAt
 }
 
-// Look recomputes this daemon's shares and removes rest periods that have ended. It must be called
-// regularly, since members change and limits become stale.
-func (t *Table) Look(now time.Time) {
+// Refresh recomputes this daemon's shares and removes rest periods that have ended. It must be
+// called regularly, since members change and limits become stale.
+func (t *Table) Refresh(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rests.Sweep(now)
@@ -131,7 +132,7 @@
 		t.publish(worker, nil)
 		return
 	}
-	split, key := t.opts.Bound.divide(r.perSecond, len(holders.halls)*MembersMost), worker
+	split, key := t.opts.Bound.divide(r.perSecond, len(holders.halls)*MaxShareholders), worker
 	if sinceReport := now.Sub(r.limitReportedAt); sinceReport > staleAfter {
 		split, key = t.opts.Bound.singleShare(r.perSecond), staleKey(worker, sinceReport)
 	}
--- a/backpressure/limits_test.go
+++ b/backpressure/limits_test.go
@@ -24,10 +24,10 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := newTestTable()
-			table.Hear(&fleet.Worker{ID: "w", StartedAt: 1}, limitSignal(1), start, start)
+			table.Observe(&fleet.Worker{ID: "w", StartedAt: 1}, limitSignal(1), start, start)
 			r := &fleet.Replica{ID: "any", Head: &test.head}
 			assert.Equal(t, table.Check(start)(r), !test.isLimited)
-			assert.Equal(t, table.Naming()(r), test.isLimited)
+			assert.Equal(t, table.HasLimit()(r), test.isLimited)
 			_, ok := table.Take(r, start)
 			assert.Equal(t, ok, !test.isLimited)
 			assert.Equal(t, table.Next(r, start).After(start), test.isLimited)
--- a/backpressure/report_test.go
+++ b/backpressure/report_test.go
@@ -34,64 +34,64 @@
 		isLeaving bool
 	}{
 		"a limit": {exchange: func(a, b *Table) {
-			a.Hear(w, limitSignal(1.5), start, start)
+			a.Observe(w, limitSignal(1.5), start, start)
 			sendReport(t, a, b, second(1), false)
 		}, limited: 1},
 		"a limit reported in rotation": {exchange: func(a, b *Table) {
-			a.Hear(w, limitSignal(1.5), start, start)
+			a.Observe(w, limitSignal(1.5), start, start)
 			sendReport(t, a, b, second(9), false)
 		}, limited: 1},
 		"the end of a limit": {exchange: func(a, b *Table) {
-			a.Hear(w, limitSignal(1.5), start, start)
+			a.Observe(w, limitSignal(1.5), start, start)
 			sendReport(t, a, b, second(1), false)
-			a.Hear(w, noLimitSignal, second(3), second(4))
+			a.Observe(w, noLimitSignal, second(3), second(4))
 			sendReport(t, a, b, second(4), false)
 		}},
 		"the end of a limit that the peer received again since": {exchange: func(a, b *Table) {
-			a.Hear(w, limitSignal(1.5), start, start)
-			a.Hear(w, noLimitSignal, second(1), second(2))
-			b.Hear(w, limitSignal(2), second(1), second(2))
+			a.Observe(w, limitSignal(1.5), start, start)
+			a.Observe(w, noLimitSignal, second(1), second(2))
+			b.Observe(w, limitSignal(2), second(1), second(2))
 			sendReport(t, a, b, second(3), false)
 		}, limited: 1},
 		"the end of a limit shortly after the peer received it": {exchange: func(a, b *Table) {
-			a.Hear(w, limitSignal(1.5), start, start)
-			b.Hear(w, limitSignal(1.5), start, start)
-			a.Hear(w, noLimitSignal, start.Add(dropAgeTolerance/2), second(1))
+			a.Observe(w, limitSignal(1.5), start, start)
+			b.Observe(w, limitSignal(1.5), start, start)
+			a.Observe(w, noLimitSignal, start.Add(dropAgeTolerance/2), second(1))
 			sendReport(t, a, b, second(1), false)
 		}, limited: 1},
 		"an old limit after its end": {exchange: func(a, b *Table) {
-			a.Hear(w, limitSignal(1.5), start, start)
-			b.Hear(w, limitSignal(1.5), start, start)
-			b.Hear(w, noLimitSignal, second(1), second(2))
+			a.Observe(w, limitSignal(1.5), start, start)
+			b.Observe(w, limitSignal(1.5), start, start)
+			b.Observe(w, noLimitSignal, second(1), second(2))
 			sendReport(t, a, b, second(3), false)
 		}},
 		"a shutdown notice": {exchange: func(a, b *Table) {
-			a.Hear(w, Signal{Leaving: true}, start, start)
+			a.Observe(w, Signal{Leaving: true}, start, start)
 			sendReport(t, a, b, second(1), false)
 		}, isLeaving: true},
 		"a limit of an earlier incarnation": {exchange: func(a, b *Table) {
-			a.Hear(&fleet.Worker{ID: "w", StartedAt: 6}, limitSignal(1.5), start, start)
-			b.Hear(w, Signal{Rest: time.Second}, start, start)
+			a.Observe(&fleet.Worker{ID: "w", StartedAt: 6}, limitSignal(1.5), start, start)
+			b.Observe(w, Signal{Rest: time.Second}, start, start)
 			sendReport(t, a, b, second(1), false)
 		}},
 		"a limit of a later incarnation": {exchange: func(a, b *Table) {
-			a.Hear(w, limitSignal(1.5), start, start)
-			b.Hear(&fleet.Worker{ID: "w", StartedAt: 6}, Signal{Leaving: true}, start, start)
+			a.Observe(w, limitSignal(1.5), start, start)
+			b.Observe(&fleet.Worker{ID: "w", StartedAt: 6}, Signal{Leaving: true}, start, start)
 			sendReport(t, a, b, second(1), false)
 		}, limited: 1},
 		"a rest period, which is not reported": {exchange: func(a, b *Table) {
-			a.Hear(w, Signal{Rest: time.Hour}, start, start)
+			a.Observe(w, Signal{Rest: time.Hour}, start, start)
 			sendReport(t, a, b, second(1), false)
 		}},
 		"by way of a relay": {exchange: func(a, b *Table) {
 			relay := newTestTable()
-			a.Hear(w, limitSignal(1.5), start, start)
+			a.Observe(w, limitSignal(1.5), start, start)
 			sendReport(t, a, relay, second(1), false)
 			sendReport(t, relay, b, second(2), true)
 		}, limited: 1},
 		"by way of a daemon that is no relay": {exchange: func(a, b *Table) {
 			other := newTestTable()
-			a.Hear(w, limitSignal(1.5), start, start)
+			a.Observe(w, limitSignal(1.5), start, start)
 			sendReport(t, a, other, second(1), false)
 			sendReport(t, other, b, second(2), false)
 		}},
@@ -100,9 +100,9 @@
 		t.Run(name, func(t *testing.T) {
 			a, b := newTestTable(), newTestTable()
 			test.exchange(a, b)
-			assert.Equal(t, b.Limited(), test.limited)
+			assert.Equal(t, b.CountLimited(), test.limited)
 			assert.Equal(t, b.countRecords(func(r *record) bool { return r.isLeaving }) > 0, test.isLeaving)
-			assert.Equal(t, b.Resting(second(1)), 0)
+			assert.Equal(t, b.CountResting(second(1)), 0)
 		})
 	}
 }
@@ -127,7 +127,7 @@
 			table := newTestTable()
 			table.Merge([]Entry{entry, {Worker: "v", Limit: limitOf(1), Named: 1}}, "peer", start, start)
 			assert.Equal(t, len(table.records), 1)
-			assert.Equal(t, table.Limited(), 1)
+			assert.Equal(t, table.CountLimited(), 1)
 		})
 	}
 }
@@ -138,7 +138,7 @@
 	const workers = 400
 	table, reported := newTestTable(), make(map[string]bool)
 	for i := range workers {
-		table.Hear(&fleet.Worker{ID: fmt.Sprint("w", i)}, limitSignal(1), start, start)
+		table.Observe(&fleet.Worker{ID: fmt.Sprint("w", i)}, limitSignal(1), start, start)
 	}
 	assert.Equal(t, len(table.Report(start, false)), maxChangedEntries)
 	for round := range 25 {
@@ -161,14 +161,14 @@
 			Self: self, Hall: "hall", Halls: []string{"hall"}, Members: func() []string { return members },
 			Bound: testBound, Changed: func(Change) {},
 		})
-		table.Hear(&fleet.Worker{ID: "w"}, limitSignal(1.3), start, start)
+		table.Observe(&fleet.Worker{ID: "w"}, limitSignal(1.3), start, start)
 		all = append(all, table)
 	}
 	r, senders := &fleet.Replica{ID: "g", Head: &fleet.Worker{ID: "w"}}, make(map[int]bool)
 	for second := range 120 {
 		now, holderCount := start.Add(staleAfter+time.Duration(second+1)*time.Second), 0
 		for i, table := range all {
-			table.Look(now)
+			table.Refresh(now)
 			if table.records["w"].shares > 0 {
 				holderCount++
 			}
--- a/backpressure/rests.go
+++ b/backpressure/restperiods.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Rests records the rest periods that workers asked this daemon for. It is safe for concurrent
-// use; reads take no lock.
-type Rests struct {
+// RestPeriods records the rest periods that workers asked this daemon for. It is safe for
+// concurrent use; reads take no lock.
+type RestPeriods struct {
 	// entries maps worker IDs to rest periods. The map is replaced on change, never modified.
 	entries atomic.Pointer[map[string]rest]
 	mu      sync.Mutex
@@ -24,17 +24,17 @@
 // isActive reports whether the rest period belongs to the given incarnation and has not ended.
 func (o rest) isActive(born int64, now time.Time) bool { return o.born == born && now.Before(o.until) }
 
-// NewRests returns an empty set of rest periods.
-func NewRests() *Rests {
-	r := &Rests{}
+// NewRestPeriods returns an empty set of rest periods.
+func NewRestPeriods() *RestPeriods {
+	r := &RestPeriods{}
 	r.entries.Store(&map[string]rest{})
 	return r
 }
 
-// Note records that an incarnation of a worker asked for a rest period from now on. It reports
+// Add records that an incarnation of a worker asked for a rest period from now on. It reports
 // whether the worker was not resting before. A rest period that is still running is extended if
 // the new one ends later, and kept otherwise.
-func (r *Rests) Note(worker string, born int64, duration time.Duration, now time.Time) (started bool) {
+func (r *RestPeriods) Add(worker string, born int64, duration time.Duration, now time.Time) (started bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	previous, next := (*r.entries.Load())[worker], rest{born: born, until: now.Add(duration)}
@@ -50,17 +50,17 @@
 
 // Any reports whether rest periods are recorded, including those that have ended but were not
 // removed yet.
-func (r *Rests) Any() bool { return len(*r.entries.Load()) > 0 }
+func (r *RestPeriods) Any() bool { return len(*r.entries.Load()) > 0 }
 
 // Until returns when the rest period of a worker's incarnation ends, and false if it is not
 // resting.
-func (r *Rests) Until(worker string, born int64, now time.Time) (until time.Time, isResting bool) {
+func (r *RestPeriods) Until(worker string, born int64, now time.Time) (until time.Time, isResting bool) {
 	entry := (*r.entries.Load())[worker]
 	return entry.until, entry.isActive(born, now)
 }
 
 // Count returns the number of resting workers.
-func (r *Rests) Count(now time.Time) int {
+func (r *RestPeriods) Count(now time.Time) int {
 	count := 0
 	for _, entry := range *r.entries.Load() {
 		if now.Before(entry.until) {
@@ -71,7 +71,7 @@
 }
 
 // Sweep removes the rest periods that have ended.
-func (r *Rests) Sweep(now time.Time) {
+func (r *RestPeriods) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	remaining := maps.Clone(*r.entries.Load())
--- a/backpressure/rests_test.go
+++ b/backpressure/restperiods_test.go
@@ -33,19 +33,19 @@
 		t.Run(name, func(t *testing.T) {
 			table := newTestTable()
 			for _, w := range test.answers {
-				table.Hear(&fleet.Worker{ID: "w", StartedAt: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
+				table.Observe(&fleet.Worker{ID: "w", StartedAt: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
 			}
 			r := &fleet.Replica{ID: "g", Head: &test.worker}
 			for at := 2 * s; at < 9*s; at += s / 4 {
 				now := start.Add(at)
-				rested := table.Rested(now)
-				_, ok := table.TakeRested(r, now)
+				rested := table.CheckRest(now)
+				_, ok := table.TakeRest(r, now)
 				assert.Equal(t, rested == nil || rested(r), at >= test.restEnds, "at %s", at)
 				assert.Equal(t, ok, at >= test.restEnds, "at %s", at)
-				assert.Equal(t, table.RestEnds(r, now), start.Add(max(at, test.restEnds)))
+				assert.Equal(t, table.NextAfterRest(r, now), start.Add(max(at, test.restEnds)))
 			}
-			table.Look(start.Add(time.Minute))
-			assert.Assert(t, table.Rested(start.Add(time.Minute)) == nil, "ended rest periods are removed")
+			table.Refresh(start.Add(time.Minute))
+			assert.Assert(t, table.CheckRest(start.Add(time.Minute)) == nil, "ended rest periods are removed")
 		})
 	}
 }
--- a/backpressure/shares.go
+++ b/backpressure/shares.go
@@ -9,8 +9,8 @@
 	"quartzshelf.dev/allowance"
 )
 
-// MembersMost is the maximum number of daemons in a data hall that hold shares.
-const MembersMost = 8
+// MaxShareholders is the maximum number of daemons in a data hall that hold shares.
+const MaxShareholders = 8
 
 const (
 	// minShareRate is the minimum rate of a share, in requests a second, if a limit is split into
@@ -47,9 +47,9 @@
 
 // maxSentPerShare returns the maximum number of requests that the holder of one share sends within
 // the window. These are one request for a saved token, and those whose tokens become available
-// within the window or SendWithin before it.
+// within the window or TokenLifetime before it.
 func (b Bound) maxSentPerShare(rate float64) float64 {
-	return 1 + rate*(b.Window+allowance.SendWithin).Seconds()
+	return 1 + rate*(b.Window+allowance.TokenLifetime).Seconds()
 }
 
 // divide splits a limit into as many shares as the bound allows, up to maxShares, each with a rate
@@ -71,7 +71,7 @@
 // hold it.
 func (b Bound) singleShare(perSecond float64) division {
 	const holders = 2
-	rate := (b.maxRequests(perSecond)/holders - 1) / (b.Window + allowance.SendWithin).Seconds()
+	rate := (b.maxRequests(perSecond)/holders - 1) / (b.Window + allowance.TokenLifetime).Seconds()
 	return division{shares: 1, rate: max(min(rate, max(perSecond, minProbeRate)), 0)}
 }
 
--- a/backpressure/shares_test.go
+++ b/backpressure/shares_test.go
@@ -54,7 +54,7 @@
 		worker := rapid.StringMatching(`i-[0-9a-f]{4}`).Draw(t, "worker")
 		held := 0
 		for _, hall := range halls {
-			members := namesOf(hall, rapid.IntRange(1, MembersMost).Draw(t, hall))
+			members := namesOf(hall, rapid.IntRange(1, MaxShareholders).Draw(t, hall))
 			for _, self := range members {
 				held += shareholders{self: self, hall: hall, halls: halls, members: members}.countShares(worker, shares)
 			}
@@ -113,7 +113,7 @@
 					members = append(members, other.id)
 				}
 			}
-			return members[:min(len(members), MembersMost)]
+			return members[:min(len(members), MaxShareholders)]
 		},
 	})
 }
@@ -138,11 +138,11 @@
 		return false
 	}
 	if step%50 == 0 || now == s.learnsAt || restarted {
-		s.table.Hear(r.Head, limitSignal(perSecond), at, at)
-		s.table.Look(at)
+		s.table.Observe(r.Head, limitSignal(perSecond), at, at)
+		s.table.Refresh(at)
 	}
 	_, ok := s.table.Take(r, at)
-	return ok && s.table.Naming() != nil
+	return ok && s.table.HasLimit() != nil
 }
 
 // simulate runs a simulation in which the daemons send all requests that they may. It returns the
@@ -202,7 +202,7 @@
 	var now time.Duration
 	for _, s := range all {
 		s.restart(all, names, &now)
-		s.table.Hear(&fleet.Worker{ID: "w"}, limitSignal(perSecond), start, start)
+		s.table.Observe(&fleet.Worker{ID: "w"}, limitSignal(perSecond), start, start)
 	}
 	return all
 }
--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -28,8 +28,8 @@
 // ErrInvalidValue means that a worker's answer holds an invalid header value.
 var ErrInvalidValue = errors.New("invalid header value")
 
-// Names holds the names of the headers that carry the signals of workers.
-type Names struct {
+// HeaderNames holds the names of the headers that carry the signals of workers.
+type HeaderNames struct {
 	// Limit carries the number of requests a second that the worker accepts from all daemons
 	// together.
 	Limit string
@@ -54,7 +54,7 @@
 // Read returns the signal in the headers of an answer. If isSigned is set, the answer is verified
 // as the worker's own. Invalid values are left out of the signal and reported as joined errors that
 // wrap ErrInvalidValue.
-func (n Names) Read(answer *http.Response, isSigned bool) (Signal, error) {
+func (n HeaderNames) Read(answer *http.Response, isSigned bool) (Signal, error) {
 	var s Signal
 	var invalid []error
 	switch limit, ok, err := parseNumber(answer.Header, n.Limit, maxLimit); {
--- a/backpressure/signal_test.go
+++ b/backpressure/signal_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-var testNames = Names{Limit: "X-Limit", Leaving: "X-Leaving"}
+var testNames = HeaderNames{Limit: "X-Limit", Leaving: "X-Leaving"}
 
 func TestRead(t *testing.T) {
 	limits := func(values ...string) http.Header { return http.Header{"X-Limit": values} }
@@ -62,7 +62,7 @@
 
 // TestReadWithoutHeaderNames checks that only Retry-After is read when no header names are set.
 func TestReadWithoutHeaderNames(t *testing.T) {
-	got, err := Names{}.Read(&http.Response{StatusCode: http.StatusOK, Header: http.Header{"": {"1"}}}, true)
+	got, err := HeaderNames{}.Read(&http.Response{StatusCode: http.StatusOK, Header: http.Header{"": {"1"}}}, true)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, Signal{Unlimited: true})
 }
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -18,7 +18,7 @@
 	LimitChanged Event = "limit_changed"
 	LimitDropped Event = "limit_dropped"
 	RestAsked    Event = "rest_asked"
-	Leaves       Event = "leaves"
+	Leaving      Event = "leaves"
 )
 
 // Change describes a change in what a worker reports, such as a new limit.
@@ -78,7 +78,7 @@
 	// limits maps worker IDs to the published limits. The map is replaced on change, never
 	// modified; the buckets in it are shared.
 	limits atomic.Pointer[map[string]*limit]
-	rests  *Rests
+	rests  *RestPeriods
 
 	mu      sync.Mutex
 	records map[string]*record
@@ -113,15 +113,15 @@
 
 // NewTable returns an empty table.
 func NewTable(opts Options) *Table {
-	t := &Table{opts: opts, records: make(map[string]*record), rests: NewRests()}
+	t := &Table{opts: opts, records: make(map[string]*record), rests: NewRestPeriods()}
 	t.limits.Store(&map[string]*limit{})
 	return t
 }
 
-// Hear applies the signal of an answer that arrived now, to a request that was sent at sentAt.
+// Observe applies the signal of an answer that arrived now, to a request that was sent at sentAt.
 // Answers may arrive out of order. An answer without a limit therefore ends the recorded limit only
 // if that limit was reported before the request was sent.
-func (t *Table) Hear(w *fleet.Worker, s Signal, sentAt, now time.Time) {
+func (t *Table) Observe(w *fleet.Worker, s Signal, sentAt, now time.Time) {
 	t.notify(t.applySignal(w, s, sentAt, now))
 }
 
@@ -147,7 +147,7 @@
 	case s.Unlimited && r.isLimited && sentAt.After(r.limitReportedAt):
 		c.add(r.clearLimit(sentAt, now))
 	}
-	if s.Rest > 0 && t.rests.Note(w.ID, w.StartedAt, s.Rest, now) {
+	if s.Rest > 0 && t.rests.Add(w.ID, w.StartedAt, s.Rest, now) {
 		c.add(Change{Event: RestAsked, Rest: s.Rest})
 	}
 	if s.Leaving {
@@ -194,7 +194,7 @@
 		return Change{}
 	}
 	r.isLeaving, r.changedAt = true, now
-	return Change{Event: Leaves}
+	return Change{Event: Leaving}
 }
 
 // ensureRecord returns the record of a worker's incarnation. If there is none, it creates one,
@@ -247,17 +247,19 @@
 	}
 }
 
-// Limited returns the number of workers that have a limit.
-func (t *Table) Limited() int {
+// CountLimited returns the number of workers that have a limit.
+func (t *Table) CountLimited() int {
 	return t.countRecords(func(r *record) bool { return r.isLimited })
 }
 
-// Resting returns the number of workers that asked this daemon for a rest period which has not
+// CountResting returns the number of workers that asked this daemon for a rest period which has not
 // ended.
-func (t *Table) Resting(now time.Time) int { return t.rests.Count(now) }
+func (t *Table) CountResting(now time.Time) int { return t.rests.Count(now) }
 
-// Leaving returns the number of workers that are about to stop.
-func (t *Table) Leaving() int { return t.countRecords(func(r *record) bool { return r.isLeaving }) }
+// CountLeaving returns the number of workers that are about to stop.
+func (t *Table) CountLeaving() int {
+	return t.countRecords(func(r *record) bool { return r.isLeaving })
+}
 
 func (t *Table) countRecords(matches func(r *record) bool) int {
 	t.mu.Lock()
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -45,19 +45,19 @@
 		"a longer rest":                       {answers: []answer{{at: 8 * s, signal: Signal{Rest: s}}, {at: 8500 * time.Millisecond, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked}, resting: 1},
 		"a shorter rest does not shorten":     {answers: []answer{{at: 8 * s, signal: Signal{Rest: 3 * s}}, {at: 9 * s, signal: Signal{Rest: time.Millisecond}}}, events: []Event{RestAsked}, resting: 1},
 		"rest again":                          {answers: []answer{{at: s, signal: Signal{Rest: s}}, {at: 9 * s, signal: Signal{Rest: 3 * s}}}, events: []Event{RestAsked, RestAsked}, resting: 1},
-		"two shutdown notices":                {answers: []answer{{at: s, signal: Signal{Leaving: true}}, {at: 2 * s, signal: Signal{Leaving: true}}}, events: []Event{Leaves}},
-		"a shutdown notice with a limit":      {answers: []answer{{at: s, signal: Signal{Leaving: true, Limited: true, PerSecond: 1}}}, events: []Event{LimitNamed, Leaves}, limited: 1},
+		"two shutdown notices":                {answers: []answer{{at: s, signal: Signal{Leaving: true}}, {at: 2 * s, signal: Signal{Leaving: true}}}, events: []Event{Leaving}},
+		"a shutdown notice with a limit":      {answers: []answer{{at: s, signal: Signal{Leaving: true, Limited: true, PerSecond: 1}}}, events: []Event{LimitNamed, Leaving}, limited: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var events []Event
 			table := NewTable(testOptions(func(c Change) { events = append(events, c.Event) }))
 			for _, w := range test.answers {
-				table.Hear(&fleet.Worker{ID: "w", StartedAt: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
+				table.Observe(&fleet.Worker{ID: "w", StartedAt: w.born}, w.signal, start.Add(w.sent), start.Add(w.at))
 			}
 			assert.DeepEqual(t, events, test.events)
-			assert.Equal(t, table.Limited(), test.limited)
-			assert.Equal(t, table.Resting(start.Add(10*s)), test.resting)
+			assert.Equal(t, table.CountLimited(), test.limited)
+			assert.Equal(t, table.CountResting(start.Add(10*s)), test.resting)
 		})
 	}
 }
@@ -66,19 +66,19 @@
 // recordRetention, and kept if it is listed again before.
 func TestForget(t *testing.T) {
 	table := NewTable(testOptions(func(Change) {}))
-	table.Hear(&fleet.Worker{ID: "w", StartedAt: 1}, Signal{Leaving: true}, start, start)
-	table.Hear(&fleet.Worker{ID: "v", StartedAt: 1}, limitSignal(1), start, start)
+	table.Observe(&fleet.Worker{ID: "w", StartedAt: 1}, Signal{Leaving: true}, start, start)
+	table.Observe(&fleet.Worker{ID: "v", StartedAt: 1}, limitSignal(1), start, start)
 	all := func(worker string, _ int64) bool { return worker == "w" }
 	none := func(string, int64) bool { return false }
 	table.Forget(none, start)
 	table.Forget(none, start.Add(recordRetention/2))
-	assert.Equal(t, table.Limited()+table.Leaving(), 2)
+	assert.Equal(t, table.CountLimited()+table.CountLeaving(), 2)
 	table.Forget(all, start.Add(recordRetention/2))
 	table.Forget(none, start.Add(recordRetention+time.Second))
-	assert.Equal(t, table.Limited(), 0)
-	assert.Equal(t, table.Leaving(), 1)
+	assert.Equal(t, table.CountLimited(), 0)
+	assert.Equal(t, table.CountLeaving(), 1)
 	table.Forget(none, start.Add(2*recordRetention))
-	assert.Equal(t, table.Leaving(), 0)
+	assert.Equal(t, table.CountLeaving(), 0)
 }
 
 var testBound = Bound{Burst: 1.5, Slack: 5, Window: 4 * time.Second}
--- a/daemon/halls.go
+++ b/daemon/halls.go
@@ -11,7 +11,7 @@
 
 func (d *Daemon) newHallWatch() *hall.Watch {
 	w := hall.NewWatch(hall.Options{
-		Config: d.configState.View, Catalog: d.catalog, Reached: d.agent.CountReached,
+		Config: d.configState.View, Catalog: d.catalog, CountReached: d.agent.CountReached,
 		InFlight: d.gateway.Inflight().Count, Daemons: d.daemonsByHall,
 		ServeWindow: d.settings.ServeWindow, Logger: d.logger.Named("hall"),
 	})
--- a/daemon/peer.go
+++ b/daemon/peer.go
@@ -41,7 +41,7 @@
 // Outcome implements rpc.Peer. It returns the phase and the answer of an attempt that
 // this daemon holds.
 func (p *peerServer) Outcome(_ context.Context, r *rpc.OutcomeRequest) (*rpc.OutcomeReply, error) {
-	o := p.ledger.Local(r.Attempt)
+	o := p.ledger.LocalOutcome(r.Attempt)
 	return &rpc.OutcomeReply{
 		State: string(o.Phase()), Status: uint32(o.Answer().Status()),
 		ContentType: o.Answer().ContentType(), Body: o.Answer().Body(),
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -35,7 +35,7 @@
 	for i := range all {
 		e := &all[i]
 		m := &rpc.QuarantineEntry{
-			Fingerprint: e.Fingerprint[:], ClearedMillis: e.Cleared, MarkedMillis: e.Marked, LeftMillis: e.Left, Rounds: int32(e.Rounds),
+			Fingerprint: e.Fingerprint[:], ClearedMillis: e.Cleared, MarkedMillis: e.Marked, LeftMillis: e.Remaining, Rounds: int32(e.Rounds),
 		}
 		for _, c := range e.Crashes {
 			m.Crashes = append(m.Crashes, &rpc.QuarantineCrash{Worker: c.Worker, SentMillis: c.Sent, EndedMillis: c.Ended})
@@ -50,7 +50,7 @@
 func fromMessages(messages []*rpc.QuarantineEntry) []quarantine.Entry {
 	all := make([]quarantine.Entry, 0, len(messages))
 	for _, m := range messages {
-		e := quarantine.Entry{Cleared: m.ClearedMillis, Marked: m.MarkedMillis, Left: m.LeftMillis, Rounds: int(m.Rounds)}
+		e := quarantine.Entry{Cleared: m.ClearedMillis, Marked: m.MarkedMillis, Remaining: m.LeftMillis, Rounds: int(m.Rounds)}
 		if len(m.Fingerprint) != len(e.Fingerprint) {
 			continue
 		}
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -20,7 +20,7 @@
 // and that messages with a fingerprint of the wrong length are skipped.
 func TestQuarantineMessages(t *testing.T) {
 	entry := quarantine.Entry{
-		Fingerprint: quarantine.FingerprintOf("a", "POST", "", "/", nil), Cleared: 1, Marked: 2, Left: 3, Rounds: 4,
+		Fingerprint: quarantine.FingerprintOf("a", "POST", "", "/", nil), Cleared: 1, Marked: 2, Remaining: 3, Rounds: 4,
 		Crashes: []quarantine.CrashReport{{Worker: "w", Sent: 20, Ended: 10}},
 	}
 	messages := toMessages([]quarantine.Entry{entry})
--- a/gateway/complete.go
+++ b/gateway/complete.go
@@ -135,7 +135,7 @@
 		defer cancel()
 		g.opts.Ledger.Release(ctx, *claim)
 	default:
-		g.opts.Ledger.Lose(*claim)
+		g.opts.Ledger.MarkUnknown(*claim)
 	}
 }
 
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -47,7 +47,7 @@
 
 // chooseReplica returns a chooser for the replicas of a deployment.
 func (g *Gateway) chooseReplica(r *request, d config.Deployment, prompt string) chooser {
-	prefix := routing.Prefix(r.account.Name(), prompt)
+	prefix := routing.PrefixHash(r.account.Name(), prompt)
 	return func(tried map[string]bool) (*target, *refusal) {
 		allowed := r.allowedRegions(d.AllowedRegions())
 		replicas, candidates, passedOver := g.findCandidates(d.Name(), allowed, tried)
@@ -91,7 +91,7 @@
 		load := replica.Load()
 		replicas = append(replicas, replica)
 		candidates = append(candidates, routing.Candidate{
-			ID: replica.ID(), Own: inFlight, OwnAtReport: inFlightAtReport,
+			ID: replica.ID(), OwnInFlight: inFlight, OwnInFlightAtReport: inFlightAtReport,
 			Reported: load.Active() + load.Queue(), Slots: load.Slots(),
 		})
 	}
@@ -112,13 +112,13 @@
 	}
 	accountRequests, activeAccounts := g.inFlight.Account(r.account.Name())
 	refused := admission.Decide(admission.Situation{
-		Reported: routing.MeanOccupancy(candidates),
-		InFlight: routing.Own(candidates),
-		Slots:    routing.Slots(candidates),
-		Daemons:  g.opts.Daemons(),
-		Own:      accountRequests,
-		Accounts: activeAccounts,
-		Priority: r.priority,
+		ReportedOccupancy: routing.MeanOccupancy(candidates),
+		InFlight:          routing.TotalOwnInFlight(candidates),
+		Slots:             routing.Slots(candidates),
+		Daemons:           g.opts.Daemons(),
+		AccountInFlight:   accountRequests,
+		Accounts:          activeAccounts,
+		Priority:          r.priority,
 	})
 	if refused == nil {
 		return nil
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -51,7 +51,7 @@
 	view    *config.View
 	allowed []config.Regions
 	tried   map[string]bool
-	rests   *backpressure.Rests
+	rests   *backpressure.RestPeriods
 	now     time.Time
 	// lastHall and lastHallReason cache the last result of hallExclusionReason, because replicas of
 	// one data hall usually follow each other. hasLastHall is set once there is a result.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -89,11 +89,11 @@
 	opts        Options
 	app         *fiber.App
 	upstream    *upstream
-	inFlight    *routing.Inflight
+	inFlight    *routing.InFlightCounter
 	retryBudget *retryBudget
 	guard       *guard.Guard
 	// rests holds the periods for which endpoints have asked to get no requests.
-	rests *backpressure.Rests
+	rests *backpressure.RestPeriods
 	// decisions holds the most recent routing decisions by request ID.
 	decisions *lru.Cache[string, Decision]
 	done      chan struct{}
@@ -108,8 +108,8 @@
 		opts.Logger = hclog.NewNullLogger()
 	}
 	g := &Gateway{
-		opts: opts, upstream: newUpstream(), inFlight: routing.NewInflight(),
-		retryBudget: newRetryBudget(), rests: backpressure.NewRests(), done: make(chan struct{}),
+		opts: opts, upstream: newUpstream(), inFlight: routing.NewInFlightCounter(),
+		retryBudget: newRetryBudget(), rests: backpressure.NewRestPeriods(), done: make(chan struct{}),
 	}
 	g.guard = guard.New(guard.Options{Dial: (&net.Dialer{Timeout: dialTimeout}).DialContext, Meter: opts.Meter, Logger: opts.Logger})
 	// lru.New fails only for sizes below 1.
@@ -119,7 +119,7 @@
 }
 
 // Inflight returns the counter of requests in flight.
-func (g *Gateway) Inflight() *routing.Inflight { return g.inFlight }
+func (g *Gateway) Inflight() *routing.InFlightCounter { return g.inFlight }
 
 // Done returns a channel that is closed when Serve has returned.
 func (g *Gateway) Done() <-chan struct{} { return g.done }
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -29,7 +29,7 @@
 // claimKey claims the request's idempotency key in the intent ledger.
 func (g *Gateway) claimKey(r *request) (intent.Claim, *refusal) {
 	key := intent.KeyOf(r.account.Name(), r.key)
-	claim, err := g.opts.Ledger.Take(r.ctx, key, intent.BodyHash(r.method, r.path, r.body))
+	claim, err := g.opts.Ledger.ClaimKey(r.ctx, key, intent.BodyHash(r.method, r.path, r.body))
 	if err != nil {
 		return intent.Claim{}, refuse(reason.IntentLog, "the request needs the log to run at most once: %v", err).withRetryAfter(longRetryAfter)
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -31,7 +31,7 @@
 // checkQuarantine returns a refusal if the request is quarantined for crashing its workers,
 // otherwise nil.
 func (g *Gateway) checkQuarantine(r *request, now time.Time) *refusal {
-	state := g.guard.Judge(r.guardRequest(), now)
+	state := g.guard.State(r.guardRequest(), now)
 	if !state.Quarantined {
 		return nil
 	}
@@ -44,10 +44,10 @@
 // each restart counts as a new worker. If two daemons see a crash in different seconds, it still
 // counts once, because package quarantine merges crashes that are close in time.
 func (g *Gateway) reportBrokenAttempt(r *request, t *target, err error) {
-	if !guard.BrokeOff(err) && !errors.Is(err, errTruncated) {
+	if !guard.IsConnectionBroken(err) && !errors.Is(err, errTruncated) {
 		return
 	}
 	now := time.Now()
 	w := guard.Worker{ID: fmt.Sprintf("%s/%s@%d", t.address, t.assignment, now.Unix()), Address: t.address}
-	g.guard.Broke(r.guardRequest(), w, t.sentAt, now)
+	g.guard.HandleBrokenConnection(r.guardRequest(), w, t.sentAt, now)
 }
--- a/gateway/rest.go
+++ b/gateway/rest.go
@@ -11,13 +11,13 @@
 // This daemon sends the endpoint no requests until the period ends. Endpoints don't identify
 // restarted processes, so the period also applies after a restart.
 func (g *Gateway) recordRestPeriod(endpoint string, answer *http.Response) {
-	signal, err := backpressure.Names{}.Read(answer, false)
+	signal, err := backpressure.HeaderNames{}.Read(answer, false)
 	if err != nil {
 		g.opts.Meter.Signal("unclear")
 		g.opts.Logger.Debug("invalid backpressure headers in an endpoint's answer", "endpoint", endpoint, "error", err)
 	}
 	now := time.Now()
-	if signal.Rest <= 0 || !g.rests.Note(endpoint, 0, signal.Rest, now) {
+	if signal.Rest <= 0 || !g.rests.Add(endpoint, 0, signal.Rest, now) {
 		return
 	}
 	g.rests.Sweep(now)
@@ -25,7 +25,7 @@
 	g.opts.Logger.Info("endpoint asked for a rest period", "endpoint", endpoint, "rest_ms", signal.Rest.Milliseconds())
 }
 
-func isResting(rests *backpressure.Rests, endpoint string, now time.Time) bool {
+func isResting(rests *backpressure.RestPeriods, endpoint string, now time.Time) bool {
 	_, resting := rests.Until(endpoint, 0, now)
 	return resting
 }
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -48,9 +48,9 @@
 type Options struct {
 	Config  func() *config.View
 	Catalog *catalog.Catalog
-	// Reached returns the number of daemons that answered this one since the given time, and the
-	// number of all daemons. Both include this daemon.
-	Reached func(since time.Time) (reached, members int)
+	// CountReached returns the number of daemons that answered this one since the given time, and
+	// the number of all daemons. Both include this daemon.
+	CountReached func(since time.Time) (reached, members int)
 	// InFlight returns the number of requests that this daemon has in flight at a replica or at a
 	// node of a service.
 	InFlight func(id string) int
@@ -149,7 +149,7 @@
 	}
 	// Without a majority, this daemon may be on the smaller side of a network partition, and the
 	// daemons on the other side may still send requests to the hall.
-	if reached, members := w.opts.Reached(c.closedAt); 2*reached < members {
+	if reached, members := w.opts.CountReached(c.closedAt); 2*reached < members {
 		all = append(all, fmt.Sprintf("only %d of %d daemons have answered since it was closed", reached, members))
 	}
 	var inFlight int
--- a/hall/watch_test.go
+++ b/hall/watch_test.go
@@ -41,10 +41,10 @@
 	f := &fixture{state: config.NewState(), catalog: catalog.New(), reached: 3, inFlight: make(map[string]int)}
 	f.watch = NewWatch(Options{
 		Config: f.state.View, Catalog: f.catalog, ServeWindow: serveWindow,
-		Reached:  func(time.Time) (int, int) { return f.reached, 3 },
-		InFlight: func(id string) int { return f.inFlight[id] },
-		Daemons:  func() map[string]int { return map[string]int{"hall-c": 1} },
-		Logger:   hclog.New(&hclog.LoggerOptions{Output: &f.log, DisableTime: true}),
+		CountReached: func(time.Time) (int, int) { return f.reached, 3 },
+		InFlight:     func(id string) int { return f.inFlight[id] },
+		Daemons:      func() map[string]int { return map[string]int{"hall-c": 1} },
+		Logger:       hclog.New(&hclog.LoggerOptions{Output: &f.log, DisableTime: true}),
 	})
 	f.report()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/intent/ledger.go
+++ b/intent/ledger.go
@@ -83,7 +83,7 @@
 	entry      Entry
 }
 
-// Won reports whether the caller of Take has won the key and may send the request once.
+// Won reports whether the caller of Ledger.ClaimKey has won the key and may send the request once.
 func (c Claim) Won() bool { return c.won }
 
 // Entry returns the state of the key after the claim. If the claim was not won, it names the
@@ -94,10 +94,10 @@
 // delay after the check, since no other attempt can win the key while the key is kept.
 func (c Claim) MaySend(now time.Time) bool { return c.won && now.Before(c.sendBefore) }
 
-// Take claims a key for a request with the given body hash. If the claim is not won, its entry
-// names the attempt that holds the key. If Take returns an error, the caller must not send the
+// ClaimKey claims a key for a request with the given body hash. If the claim is not won, its entry
+// names the attempt that holds the key. If ClaimKey returns an error, the caller must not send the
 // request.
-func (l *Ledger) Take(ctx context.Context, key Key, body string) (Claim, error) {
+func (l *Ledger) ClaimKey(ctx context.Context, key Key, body string) (Claim, error) {
 	if time.Since(l.opts.Follower.Confirmed()) > maxLogSilence {
 		return Claim{}, failure.New(failure.Unavailable, "claim key", Stream, "the log has not answered for %v", maxLogSilence)
 	}
@@ -148,14 +148,14 @@
 	l.enqueue(Record{Operation: OperationDone, Key: c.key, Attempt: c.attempt, Status: answer.status})
 }
 
-// Lose records that the request was sent and that its outcome is unknown.
-func (l *Ledger) Lose(c Claim) {
+// MarkUnknown records that the request was sent and that its outcome is unknown.
+func (l *Ledger) MarkUnknown(c Claim) {
 	l.outcomes.set(c.attempt, Outcome{phase: PhaseUnknown})
 }
 
-// Local returns the outcome of an attempt of this process. It has PhaseAbsent if the attempt is not
-// known.
-func (l *Ledger) Local(attempt string) Outcome {
+// LocalOutcome returns the outcome of an attempt of this process. It has PhaseAbsent if the attempt
+// is not known.
+func (l *Ledger) LocalOutcome(attempt string) Outcome {
 	return l.outcomes.get(attempt)
 }
 
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -50,22 +50,22 @@
 // Registry stores grants, each with a unique epoch.
 type Registry struct {
 	// Newest returns the newest grant and the position at which the next one has to be added.
-	Newest func(ctx context.Context) (Found, error)
+	Newest func(ctx context.Context) (RegistryState, error)
 	// Add adds a grant if position is still that of the next grant, that is, if no other grant was
 	// added in the meantime. It reports whether it did. The epoch of the grant must be above all
-	// epochs known from Found and from peers.
+	// epochs known from RegistryState and from peers.
 	Add func(ctx context.Context, grant peers.Grant, position int64) (won bool, err error)
 }
 
-// Found is the content of a registry.
-type Found struct {
+// RegistryState is the content of a registry.
+type RegistryState struct {
 	// Grant is the newest grant, the zero value before the first.
 	Grant peers.Grant
 	// Position is where the next grant has to be added.
 	Position int64
-	// Given is an upper bound of the epochs that may have been granted. It includes grants that
+	// MaxEpoch is an upper bound of the epochs that may have been granted. It includes grants that
 	// were lost when the registry was restored from a backup.
-	Given int64
+	MaxEpoch int64
 }
 
 // Options configures an Elector.
@@ -76,18 +76,18 @@
 	Alive func(now time.Time) []*peers.Peer
 	// Known returns the number of other daemons that sent a heartbeat since the given time.
 	Known func(since time.Time) int
-	// Patience returns how long a daemon counts as alive after its last heartbeat.
-	Patience func() time.Duration
-	// Settled reports whether this daemon's information from peers is up to date.
-	Settled func(now time.Time) bool
-	// Fit reports whether this daemon has the data that a leader needs and is not stopping.
-	Fit func() bool
+	// AliveTimeout returns how long a daemon counts as alive after its last heartbeat.
+	AliveTimeout func() time.Duration
+	// IsSettled reports whether this daemon's information from peers is up to date.
+	IsSettled func(now time.Time) bool
+	// CanLead reports whether this daemon has the data that a leader needs and is not stopping.
+	CanLead func() bool
 	// Era returns the newest era reported by the registry. A new era begins when the registry is
 	// restored from a backup. A term ends with the era in which it began, as its grant may be
 	// lost. Era is nil for a registry that never loses data.
 	Era func() int64
-	// StoreSeen returns when the store last answered this daemon.
-	StoreSeen func() time.Time
+	// LastStoreAnswer returns when the store last answered this daemon.
+	LastStoreAnswer func() time.Time
 	// Suspended returns the total time for which the machine was suspended; nil if it never is.
 	Suspended func() time.Duration
 	// Lead is called for each term that this daemon wins, and runs until the term's context ends.
@@ -140,9 +140,9 @@
 	return e.ownClaim, e.highestClaim, e.grant
 }
 
-// Hear updates the known grant and claims from a heartbeat of a peer, and yields if the peer
-// reports a higher claim.
-func (e *Elector) Hear(p *peers.Peer) {
+// HandleHeartbeat updates the known grant and claims from a heartbeat of a peer, and yields if the
+// peer reports a higher claim.
+func (e *Elector) HandleHeartbeat(p *peers.Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if p.Grant.Epoch > e.grant.Epoch {
@@ -200,7 +200,7 @@
 // to try to lead.
 func (e *Elector) tick(now time.Time) bool {
 	alive := e.opts.Alive(now)
-	canLead := e.opts.Fit()
+	canLead := e.opts.CanLead()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ownClaim != nil {
@@ -214,7 +214,7 @@
 		}
 		return false
 	}
-	if !canLead || !e.opts.Settled(now) || now.Sub(e.startedAt) < startupDelay || now.Before(e.pauseUntil) {
+	if !canLead || !e.opts.IsSettled(now) || now.Sub(e.startedAt) < startupDelay || now.Before(e.pauseUntil) {
 		e.leaderlessSince = time.Time{}
 		return false
 	}
@@ -240,7 +240,7 @@
 // isIsolated reports whether neither the store nor a majority of the daemons is reachable.
 func (e *Elector) isIsolated(alive []*peers.Peer, now time.Time) bool {
 	known := e.opts.Known(now.Add(-majorityWindow)) + 1
-	return 2*(len(alive)+1) <= known && now.Sub(e.opts.StoreSeen()) > storeTimeout
+	return 2*(len(alive)+1) <= known && now.Sub(e.opts.LastStoreAnswer()) > storeTimeout
 }
 
 // hasLeader reports whether one of the daemons leads and is not stopping.
@@ -251,7 +251,7 @@
 // leaderSeenByOthers reports whether another daemon has recently received a heartbeat from a
 // leader.
 func (e *Elector) leaderSeenByOthers(alive []*peers.Peer, now time.Time) bool {
-	patience := e.opts.Patience()
+	patience := e.opts.AliveTimeout()
 	return slices.ContainsFunc(alive, func(p *peers.Peer) bool {
 		age := time.Duration(p.LeaderAge) * time.Millisecond
 		return p.LeaderAge > 0 && age+now.Sub(p.LastHeartbeatAt) < patience
@@ -362,8 +362,8 @@
 // nextGrant returns the grant to add next. Its epoch is above every epoch known to the registry,
 // peers or this daemon, because two grants with the same epoch would lead to equal fencing tokens.
 // The caller must hold e.mu.
-func (e *Elector) nextGrant(found Found) peers.Grant {
-	given := max(found.Given, found.Grant.Epoch, e.grant.Epoch, e.highestClaim.Epoch)
+func (e *Elector) nextGrant(found RegistryState) peers.Grant {
+	given := max(found.MaxEpoch, found.Grant.Epoch, e.grant.Epoch, e.highestClaim.Epoch)
 	return peers.Grant{Epoch: given + 1, Holders: e.chooseHolders()}
 }
 
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -68,9 +68,9 @@
 	d := &fakeDaemon{fleet: f, self: peers.Holder{ID: id, Incarnation: incarnation}, lastHeartbeats: make(map[string]*peers.Peer)}
 	d.elector = NewElector(Options{
 		Self: d.identity(), Registry: Registry{Newest: d.newest, Add: d.add}, Alive: d.alive, Known: d.countKnown,
-		Patience: func() time.Duration { return 800 * time.Millisecond },
-		Settled:  func(time.Time) bool { return true }, Fit: d.canLead,
-		Era: d.reportedEra, StoreSeen: d.lastStoreAnswer, Lead: d.lead, Logger: hclog.NewNullLogger(),
+		AliveTimeout: func() time.Duration { return 800 * time.Millisecond },
+		IsSettled:    func(time.Time) bool { return true }, CanLead: d.canLead,
+		Era: d.reportedEra, LastStoreAnswer: d.lastStoreAnswer, Lead: d.lead, Logger: hclog.NewNullLogger(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
@@ -122,7 +122,7 @@
 			}
 			d.fleet.mu.Unlock()
 			if reachable {
-				other.elector.Hear(p)
+				other.elector.HandleHeartbeat(p)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -166,19 +166,19 @@
 	return d.fleet.storeIsUp && !d.fleet.isolated[d.self.ID] && !d.fleet.dead[d.self.ID]
 }
 
-func (d *fakeDaemon) newest(context.Context) (Found, error) {
+func (d *fakeDaemon) newest(context.Context) (RegistryState, error) {
 	if !d.reachesStore() {
-		return Found{}, errUnavailable
+		return RegistryState{}, errUnavailable
 	}
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	d.fleet.registryCalls++
 	d.era = d.fleet.era
 	n := len(d.fleet.grants)
-	found := Found{Position: int64(n), Given: d.fleet.era * maxLostGrants}
+	found := RegistryState{Position: int64(n), MaxEpoch: d.fleet.era * maxLostGrants}
 	if n > 0 {
 		found.Grant = d.fleet.grants[n-1].Grant
-		found.Given = found.Grant.Epoch + (d.fleet.era-d.fleet.grants[n-1].era)*maxLostGrants
+		found.MaxEpoch = found.Grant.Epoch + (d.fleet.era-d.fleet.grants[n-1].era)*maxLostGrants
 	}
 	return found, nil
 }
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -1,5 +1,6 @@
-// Package measure compares the routing and repair policies of quartzshelf with baselines. Trials run in
-// virtual time with fixed seeds, so that results are reproducible. They don't simulate a whole cluster.
+// Package measure compares the routing and repair policies of quartzshelf with baselines. Trials
+// run in virtual time with fixed seeds, so that results are reproducible. They don't simulate a
+// whole cluster.
 package measure
 
 import (
@@ -56,7 +57,7 @@
 		{"least in flight, own view", func(d *daemon, _ uint64, _ *rand.Rand) int {
 			least := 0
 			for i, c := range d.view {
-				if c.Own < d.view[least].Own {
+				if c.OwnInFlight < d.view[least].OwnInFlight {
 					least = i
 				}
 			}
@@ -90,8 +91,8 @@
 	roundRobinCount int
 }
 
-// engine is the engine of one endpoint. cachedPrefixes is ordered from the least to the most recently
-// used prefix.
+// engine is the engine of one endpoint. cachedPrefixes is ordered from the least to the most
+// recently used prefix.
 type engine struct {
 	activeJobCount int
 	queuedJobs     []*job
@@ -237,8 +238,8 @@
 	heap.Push(&t.pendingEvents, event{at: at, sequence: t.lastSequence, run: run})
 }
 
-// maxRequestRate returns how many requests per second all endpoints together can serve if every prefix
-// is cached.
+// maxRequestRate returns how many requests per second all endpoints together can serve if every
+// prefix is cached.
 func maxRequestRate() float64 {
 	return endpointCount * slotsPerEndpoint / (warmPrefillTime + meanTokens*tokenTime)
 }
@@ -262,8 +263,8 @@
 	}
 }
 
-// scheduleArrivals schedules the next request of a client account. When that request arrives, the one
-// after it is scheduled.
+// scheduleArrivals schedules the next request of a client account. When that request arrives, the
+// one after it is scheduled.
 func (t *routingTrial) scheduleArrivals(accountIndex int) {
 	rate := maxRequestRate() * t.load.Share * t.accountWeights[accountIndex]
 	if accountIndex == 0 && t.load.Burst > 0 && t.now >= burstStart && t.now < burstEnd {
@@ -299,8 +300,8 @@
 		}
 		return
 	}
-	j.endpointIndex = t.policy.pick(d, routing.Prefix(fmt.Sprint(accountIndex), fmt.Sprint(j.prefix)), t.random)
-	d.view[j.endpointIndex].Own++
+	j.endpointIndex = t.policy.pick(d, routing.PrefixHash(fmt.Sprint(accountIndex), fmt.Sprint(j.prefix)), t.random)
+	d.view[j.endpointIndex].OwnInFlight++
 	t.addInFlight(j, 1)
 	e := t.engines[j.endpointIndex]
 	e.queuedJobs = append(e.queuedJobs, j)
@@ -308,8 +309,8 @@
 	t.startQueuedJobs(e)
 }
 
-// addInFlight adds n to the number of requests that the job's client account has in flight at the job's
-// daemon.
+// addInFlight adds n to the number of requests that the job's client account has in flight at the
+// job's daemon.
 func (t *routingTrial) addInFlight(j *job, n int) {
 	if t.inFlightByDaemon[j.daemonIndex] == nil {
 		t.inFlightByDaemon[j.daemonIndex] = make(map[int]int)
@@ -330,8 +331,8 @@
 		totalInFlight += n
 	}
 	return admission.Decide(admission.Situation{
-		Reported: routing.MeanOccupancy(d.view), InFlight: totalInFlight, Slots: endpointCount * slotsPerEndpoint, Daemons: daemonCount,
-		Own: accountInFlight, Accounts: activeAccounts,
+		ReportedOccupancy: routing.MeanOccupancy(d.view), InFlight: totalInFlight, Slots: endpointCount * slotsPerEndpoint, Daemons: daemonCount,
+		AccountInFlight: accountInFlight, Accounts: activeAccounts,
 	}) != nil
 }
 
@@ -353,8 +354,8 @@
 	}
 }
 
-// cachePrefix adds a prefix to the cache or renews it, and reports whether it was cached already. If
-// the cache is full, the least recently used prefix is dropped.
+// cachePrefix adds a prefix to the cache or renews it, and reports whether it was cached already.
+// If the cache is full, the least recently used prefix is dropped.
 func (e *engine) cachePrefix(prefix uint64) bool {
 	i := slices.Index(e.cachedPrefixes, prefix)
 	if i >= 0 {
@@ -383,7 +384,7 @@
 
 func (t *routingTrial) finishJob(e *engine, j *job) {
 	e.activeJobCount--
-	t.daemons[j.daemonIndex].view[j.endpointIndex].Own--
+	t.daemons[j.daemonIndex].view[j.endpointIndex].OwnInFlight--
 	t.addInFlight(j, -1)
 	t.startQueuedJobs(e)
 }
@@ -395,7 +396,7 @@
 	if t.random.Float64() >= reportLossShare {
 		t.schedule(t.now+reportLag, func() {
 			c := &t.daemons[daemonIndex].view[endpointIndex]
-			c.Reported, c.OwnAtReport = load, c.Own
+			c.Reported, c.OwnInFlightAtReport = load, c.OwnInFlight
 		})
 	}
 	t.schedule(t.now+reportInterval, func() { t.reportLoad(daemonIndex, endpointIndex) })
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -49,10 +49,10 @@
 	// Overdue means that the daemon with the active rank has not reported on the domain in time. It
 	// may be alive, but is assumed not to manage the domain.
 	Overdue bool
-	// Gone reports whether a daemon is dead or has left.
-	Gone func(id string) bool
-	// Leaving reports whether a daemon has started a planned shutdown.
-	Leaving func(id string) bool
+	// IsGone reports whether a daemon is dead or has left.
+	IsGone func(id string) bool
+	// IsLeaving reports whether a daemon has started a planned shutdown.
+	IsLeaving func(id string) bool
 	// Candidates are the daemons that are alive and not shutting down.
 	Candidates []Candidate
 }
@@ -70,7 +70,7 @@
 	if s.Grant.holders[leader] != s.Self {
 		return Follow
 	}
-	if s.Leaving(s.Self) && len(s.Candidates) > 0 {
+	if s.IsLeaving(s.Self) && len(s.Candidates) > 0 {
 		return LeadAndPropose
 	}
 	if leader != 0 {
@@ -90,7 +90,7 @@
 	}
 	for i := range n {
 		position := (start + i) % n
-		if !s.Gone(s.Grant.holders[position]) {
+		if !s.IsGone(s.Grant.holders[position]) {
 			return position
 		}
 	}
--- a/ownership/decide_test.go
+++ b/ownership/decide_test.go
@@ -51,8 +51,8 @@
 			}
 			got := Decide(Situation{
 				Self: c.self, Domain: "d", Grant: c.grant, ActiveRank: c.activeRank, Overdue: c.overdue,
-				Gone:       func(id string) bool { return slices.Contains(c.gone, id) },
-				Leaving:    func(id string) bool { return slices.Contains(c.leaving, id) },
+				IsGone:     func(id string) bool { return slices.Contains(c.gone, id) },
+				IsLeaving:  func(id string) bool { return slices.Contains(c.leaving, id) },
 				Candidates: alive,
 			})
 			assert.Equal(t, got, c.want)
--- a/placement/closed.go
+++ b/placement/closed.go
@@ -8,7 +8,7 @@
 	for _, want := range p.wants {
 		for _, g := range p.sortedGroups(want.Deployment) {
 			if problem := p.problemOf(g, want); problem != "" {
-				p.plan.Dark[g.id] = problem + "; its data hall is closed"
+				p.plan.NotServing[g.id] = problem + "; its data hall is closed"
 				p.plan.deployments[g.id] = want.Deployment
 				p.reserve(g.id, g.nodes)
 				continue
--- a/placement/closed_test.go
+++ b/placement/closed_test.go
@@ -53,7 +53,7 @@
 			if c.dark == nil {
 				c.dark = map[string]string{}
 			}
-			assert.DeepEqual(t, p.Dark, c.dark)
+			assert.DeepEqual(t, p.NotServing, c.dark)
 			assert.Equal(t, len(p.Releases), c.released)
 			assert.Equal(t, len(p.Formations)+len(p.Preloads), 0)
 			for id, why := range p.Idle {
@@ -81,7 +81,7 @@
 		}
 		p := Make(Input{Domain: "d", Nodes: nodes, Wants: wants})
 		if len(p.Kept) == 0 || p.Kept[0] != "chat-d-0" {
-			rt.Fatalf("chat-d-0 is not kept: %v, %v", p.Kept, p.Dark)
+			rt.Fatalf("chat-d-0 is not kept: %v, %v", p.Kept, p.NotServing)
 		}
 		for _, f := range p.Formations {
 			if f.Replica == "chat-d-0" {
--- a/placement/input.go
+++ b/placement/input.go
@@ -115,15 +115,15 @@
 	Preloads []Preload
 	// Releases remove nodes from replicas that are no longer wanted.
 	Releases []Step
-	// Dark maps the ID of each wanted replica that does not serve to the reason.
-	Dark map[string]string
+	// NotServing maps the ID of each wanted replica that does not serve to the reason.
+	NotServing map[string]string
 	// Idle maps the ID of each node without a replica to the reason.
 	Idle map[string]string
 	// Kept lists the IDs of the replicas that stay unchanged.
 	Kept []string
-	// deployments maps each replica named in Dark to its deployment.
+	// deployments maps each replica named in NotServing to its deployment.
 	deployments map[string]string
 }
 
-// DeploymentOf returns the deployment of a replica named in Dark.
+// DeploymentOf returns the deployment of a replica named in NotServing.
 func (p Plan) DeploymentOf(replica string) string { return p.deployments[replica] }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -80,7 +80,7 @@
 		placedCount:   make(map[string]int),
 		brokenGroups:  make(map[string][]*group),
 		extraReplicas: make(map[string]bool),
-		plan:          Plan{Dark: make(map[string]string), Idle: make(map[string]string), deployments: make(map[string]string)},
+		plan:          Plan{NotServing: make(map[string]string), Idle: make(map[string]string), deployments: make(map[string]string)},
 	}
 	slices.SortStableFunc(p.wants, func(a, b Want) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), strings.Compare(a.Deployment, b.Deployment))
@@ -149,7 +149,7 @@
 		}
 		p.placedCount[want.Deployment]++
 		if problem := p.problemOf(g, want); problem != "" {
-			p.plan.Dark[g.id] = problem
+			p.plan.NotServing[g.id] = problem
 			p.brokenGroups[want.Deployment] = append(p.brokenGroups[want.Deployment], g)
 			continue
 		}
@@ -175,7 +175,7 @@
 	}
 	if isLoading {
 		p.loadingCount++
-		p.plan.Dark[g.id] = "loading weights"
+		p.plan.NotServing[g.id] = "loading weights"
 	}
 }
 
@@ -237,7 +237,7 @@
 			delete(p.usedBy, n.ID)
 		}
 		p.plan.Kept = slices.DeleteFunc(p.plan.Kept, func(id string) bool { return id == g.id })
-		p.plan.Dark[g.id] = fmt.Sprintf("changing from version %s to %s", current.Version, want.Version)
+		p.plan.NotServing[g.id] = fmt.Sprintf("changing from version %s to %s", current.Version, want.Version)
 		p.brokenGroups[want.Deployment] = append(p.brokenGroups[want.Deployment], g)
 	}
 }
@@ -245,7 +245,7 @@
 // form repairs the deployment's broken groups and adds missing replicas.
 func (p *planner) form(want Want) {
 	for _, g := range p.brokenGroups[want.Deployment] {
-		p.formReplica(want, g.id, g.nodes, p.plan.Dark[g.id])
+		p.formReplica(want, g.id, g.nodes, p.plan.NotServing[g.id])
 	}
 	for p.placedCount[want.Deployment] < want.Replicas {
 		id := p.freeID(want.Deployment)
@@ -261,7 +261,7 @@
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%s-%d", deployment, p.in.Domain, i)
 		_, isUsed := p.groups[id]
-		_, isDark := p.plan.Dark[id]
+		_, isDark := p.plan.NotServing[id]
 		if !isUsed && !isDark {
 			return id
 		}
@@ -278,13 +278,13 @@
 		chosen = append(chosen, p.preempt(want, want.Size-len(chosen))...)
 	}
 	if len(chosen) < want.Size {
-		p.plan.Dark[id] = fmt.Sprintf("%s; needs %d nodes, only %d can be used", reason, want.Size, len(chosen))
+		p.plan.NotServing[id] = fmt.Sprintf("%s; needs %d nodes, only %d can be used", reason, want.Size, len(chosen))
 		p.reserve(id, survivors)
 		return false
 	}
 	needsLoad := slices.ContainsFunc(chosen, func(n *Node) bool { return !n.hasWeights(want.Version) })
 	if needsLoad && p.in.LoadSlots > 0 && p.loadingCount >= p.in.LoadSlots {
-		p.plan.Dark[id] = reason + "; waits for the weight store"
+		p.plan.NotServing[id] = reason + "; waits for the weight store"
 		for _, n := range chosen {
 			p.usedBy[n.ID] = id
 		}
@@ -293,7 +293,7 @@
 	if needsLoad {
 		p.loadingCount++
 	}
-	p.plan.Dark[id] = reason
+	p.plan.NotServing[id] = reason
 	p.plan.Formations = append(p.plan.Formations, p.newFormation(want, id, chosen, reason))
 	return true
 }
@@ -423,7 +423,7 @@
 func (p *planner) dissolve(g *group, to string) {
 	p.plan.Kept = slices.DeleteFunc(p.plan.Kept, func(id string) bool { return id == g.id })
 	if !p.extraReplicas[g.id] {
-		p.plan.Dark[g.id] = "its nodes went to " + to + ", which has the higher priority"
+		p.plan.NotServing[g.id] = "its nodes went to " + to + ", which has the higher priority"
 	}
 	for _, n := range g.nodes {
 		delete(p.usedBy, n.ID)
@@ -437,7 +437,7 @@
 		if n.Assignment.IsEmpty() || n.Scripted || !n.Answering || n.Unorderable || p.usedBy[id] != "" {
 			continue
 		}
-		if _, isDark := p.plan.Dark[n.Assignment.Replica]; isDark && !n.Leaving {
+		if _, isDark := p.plan.NotServing[n.Assignment.Replica]; isDark && !n.Leaving {
 			continue
 		}
 		p.plan.Releases = append(p.plan.Releases, Step{Node: id, Reason: "its replica is no longer wanted"})
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -117,10 +117,10 @@
 				assert.DeepEqual(t, p.Formations[0].Steps[0].Assignment.Members, c.members)
 			}
 			found := c.dark == ""
-			for _, reason := range p.Dark {
+			for _, reason := range p.NotServing {
 				found = found || reason == c.dark
 			}
-			assert.Assert(t, found, "%v", p.Dark)
+			assert.Assert(t, found, "%v", p.NotServing)
 		})
 	}
 }
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -144,7 +144,7 @@
 	h.ledger = h.newLedger()
 	h.startedAt = time.Now()
 	h.halls = hall.NewWatch(hall.Options{
-		Config: h.state.View, Catalog: h.catalog, Reached: h.agent.CountReached, ServeWindow: serveWindow,
+		Config: h.state.View, Catalog: h.catalog, CountReached: h.agent.CountReached, ServeWindow: serveWindow,
 		InFlight: func(string) int { return 0 }, Daemons: func() map[string]int { return nil },
 		Logger: hclog.NewNullLogger(),
 	})
@@ -234,7 +234,7 @@
 }
 
 func (p localPeer) Outcome(_ context.Context, r *rpc.OutcomeRequest) (*rpc.OutcomeReply, error) {
-	o := p.ledger.Local(r.Attempt)
+	o := p.ledger.LocalOutcome(r.Attempt)
 	return &rpc.OutcomeReply{State: string(o.Phase()), Status: uint32(o.Answer().Status()), Body: o.Answer().Body()}, nil
 }
 
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -72,7 +72,7 @@
 	kills := net.killCount(h.id)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	claim, err := ledger.Take(ctx, intent.Key(fmt.Sprint("key", c.key)), "body")
+	claim, err := ledger.ClaimKey(ctx, intent.Key(fmt.Sprint("key", c.key)), "body")
 	switch {
 	case err != nil:
 		e.record(c.key, true, false)
@@ -102,7 +102,7 @@
 	time.Sleep(30 * time.Millisecond)
 	net.waitWhileFrozen(h.id)
 	if c.outcome == "lost" {
-		ledger.Lose(claim)
+		ledger.MarkUnknown(claim)
 		e.record(c.key, false, false)
 		return
 	}
@@ -191,12 +191,12 @@
 		defer f.stop()
 		time.Sleep(2 * time.Second)
 		f.log.SetFaults(standin.LogFaults{Outage: true})
-		_, err := f.hosts[1].ledger.Take(t.Context(), "key", "body")
+		_, err := f.hosts[1].ledger.ClaimKey(t.Context(), "key", "body")
 		assert.Assert(t, err != nil)
 		time.Sleep(time.Second)
 		f.log.SetFaults(standin.LogFaults{})
 		time.Sleep(5 * time.Second)
-		claim, err := f.hosts[2].ledger.Take(t.Context(), "key", "body")
+		claim, err := f.hosts[2].ledger.ClaimKey(t.Context(), "key", "body")
 		assert.NilError(t, err)
 		assert.Assert(t, claim.Won(), "the key is held: %+v", claim.Entry())
 	})
--- a/quarantine/guard/endcheck.go
+++ b/quarantine/guard/endcheck.go
@@ -25,9 +25,9 @@
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// BrokeOff reports whether an exchange failed because the worker closed or reset the connection,
-// or because it refused a new one.
-func BrokeOff(err error) bool {
+// IsConnectionBroken reports whether an exchange failed because the worker closed or reset the
+// connection, or because it refused a new one.
+func IsConnectionBroken(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ECONNREFUSED} {
 		if errors.Is(err, cause) {
 			return true
--- a/quarantine/guard/guard.go
+++ b/quarantine/guard/guard.go
@@ -26,12 +26,12 @@
 // Options configures a Guard.
 type Options struct {
 	Dial Dial
-	// Marked is called with requests that have just been quarantined; it may be nil.
-	Marked func(all []quarantine.Fingerprint)
-	// Spread is called when a report should be sent to peers at once; it may be nil.
-	Spread func()
-	Meter  *telemetry.Meter
-	Logger hclog.Logger
+	// OnQuarantined is called with requests that have just been quarantined; it may be nil.
+	OnQuarantined func(all []quarantine.Fingerprint)
+	// NotifyPeers is called when a report should be sent to peers at once; it may be nil.
+	NotifyPeers func()
+	Meter       *telemetry.Meter
+	Logger      hclog.Logger
 }
 
 // Guard observes the requests of one daemon. It is safe for concurrent use.
@@ -43,11 +43,11 @@
 
 // New returns a guard without records.
 func New(opts Options) *Guard {
-	if opts.Marked == nil {
-		opts.Marked = func([]quarantine.Fingerprint) {}
+	if opts.OnQuarantined == nil {
+		opts.OnQuarantined = func([]quarantine.Fingerprint) {}
 	}
-	if opts.Spread == nil {
-		opts.Spread = func() {}
+	if opts.NotifyPeers == nil {
+		opts.NotifyPeers = func() {}
 	}
 	g := &Guard{opts: opts, table: quarantine.NewTable()}
 	g.checker = &endChecker{dial: opts.Dial, onError: g.logCheckError, byWorker: make(map[string]*endCheck)}
@@ -61,19 +61,19 @@
 // served.
 func (g *Guard) Wait() { g.checker.checks.Wait() }
 
-// Judge returns the state of a request. The caller must not send the request if it is quarantined.
-// While there are no records, Judge does not compute the fingerprint of the request.
-func (g *Guard) Judge(r Request, now time.Time) quarantine.State {
+// State returns the state of a request. The caller must not send the request if it is quarantined.
+// While there are no records, State does not compute the fingerprint of the request.
+func (g *Guard) State(r Request, now time.Time) quarantine.State {
 	if g.table.Empty() {
 		return quarantine.State{}
 	}
 	return g.table.State(r.Fingerprint(), now)
 }
 
-// Broke handles a request whose connection to the worker w broke now. If the worker has ended, it
-// records a crash for the request. It waits up to blameDelay for the check of the worker, so that
-// a request that is quarantined now is not retried.
-func (g *Guard) Broke(r Request, w Worker, sent, now time.Time) {
+// HandleBrokenConnection handles a request whose connection to the worker w broke now. If the
+// worker has ended, it records a crash for the request. It waits up to blameDelay for the check of
+// the worker, so that a request that is quarantined now is not retried.
+func (g *Guard) HandleBrokenConnection(r Request, w Worker, sent, now time.Time) {
 	crash := quarantine.Crash{Worker: w.ID, Sent: sent, Ended: now}
 	check := g.checker.check(w, now)
 	delay := time.NewTimer(blameDelay)
@@ -115,7 +115,7 @@
 		g.reportMarked([]quarantine.Fingerprint{f})
 	}
 	if state.Suspected() || marked {
-		g.opts.Spread()
+		g.opts.NotifyPeers()
 	}
 	return state, marked
 }
@@ -127,7 +127,7 @@
 	for range all {
 		g.opts.Meter.Quarantine("quarantined")
 	}
-	g.opts.Marked(all)
+	g.opts.OnQuarantined(all)
 }
 
 // Completed records that a worker completed a request, which proves that the request does not
@@ -138,7 +138,7 @@
 	}
 	g.opts.Meter.Quarantine("cleared")
 	g.opts.Logger.Warn("quarantined request completed", "request", r.ID, "fingerprint", r.Fingerprint().String())
-	g.opts.Spread()
+	g.opts.NotifyPeers()
 }
 
 // Merge applies a report that a peer sent at the time sentAt. It returns true if a record changed,
@@ -152,7 +152,7 @@
 	for _, f := range merged.Lifted {
 		g.logLifted(f, peer)
 	}
-	return merged.News
+	return merged.Changed
 }
 
 // Restore adds a quarantine that was read from persistent storage. The source is only logged.
@@ -170,7 +170,7 @@
 		return false
 	}
 	g.logLifted(f, operator)
-	g.opts.Spread()
+	g.opts.NotifyPeers()
 	return true
 }
 
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -26,12 +26,12 @@
 	Crashes     []CrashReport `json:"c,omitempty"`
 	// Cleared is the age of the request's last clearing; zero if it was not cleared.
 	Cleared int64 `json:"x,omitempty"`
-	// Marked is the age of the crash that led to the quarantine. Left is the remaining time of the
-	// quarantine, in milliseconds. Rounds is the number of quarantines so far. All are zero if the
-	// request is not quarantined.
-	Marked int64 `json:"m,omitempty"`
-	Left   int64 `json:"l,omitempty"`
-	Rounds int   `json:"n,omitempty"`
+	// Marked is the age of the crash that led to the quarantine. Remaining is the remaining time of
+	// the quarantine, in milliseconds. Rounds is the number of quarantines so far. All are zero if
+	// the request is not quarantined.
+	Marked    int64 `json:"m,omitempty"`
+	Remaining int64 `json:"l,omitempty"`
+	Rounds    int   `json:"n,omitempty"`
 }
 
 // CrashReport is a crash as sent to peers. Sent and Ended are ages in milliseconds.
@@ -93,7 +93,7 @@
 		e.Crashes = append(e.Crashes, CrashReport{Worker: c.Worker, Sent: ageMillis(c.Sent, now), Ended: ageMillis(c.Ended, now)})
 	}
 	if r.isQuarantined(now) {
-		e.Marked, e.Left, e.Rounds = ageMillis(r.markedAt, now), r.until.Sub(now).Milliseconds(), r.rounds
+		e.Marked, e.Remaining, e.Rounds = ageMillis(r.markedAt, now), r.until.Sub(now).Milliseconds(), r.rounds
 	}
 	return e
 }
@@ -112,8 +112,8 @@
 	// Marked lists the requests that are quarantined now and were not before, Lifted those that no
 	// longer are.
 	Marked, Lifted []Fingerprint
-	// News means that a record changed, which is to be reported to other peers.
-	News bool
+	// Changed means that a record changed, which is to be reported to other peers.
+	Changed bool
 }
 
 // Merge applies a report that a peer sent at the time sentAt.
@@ -128,7 +128,7 @@
 }
 
 func (t *Table) merge(e *Entry, sentAt, now time.Time, merged *Merged) {
-	if _, ok := t.records[e.Fingerprint]; !ok && len(e.Crashes) == 0 && e.Left <= 0 {
+	if _, ok := t.records[e.Fingerprint]; !ok && len(e.Crashes) == 0 && e.Remaining <= 0 {
 		// The request was cleared, and no record of it exists here.
 		return
 	}
@@ -142,12 +142,12 @@
 	for _, c := range e.Crashes[:min(len(e.Crashes), maxCrashes)] {
 		changed = r.add(Crash{Worker: c.Worker, Sent: timeOfAge(c.Sent, sentAt), Ended: timeOfAge(c.Ended, sentAt)}) || changed
 	}
-	if remaining := min(time.Duration(max(e.Left, 0))*time.Millisecond, maxPeriod); remaining > 0 {
+	if remaining := min(time.Duration(max(e.Remaining, 0))*time.Millisecond, maxPeriod); remaining > 0 {
 		changed = r.adopt(timeOfAge(e.Marked, sentAt), sentAt.Add(remaining), e.Rounds) || changed
 	}
 	changed = r.evaluate() || changed
 	if changed {
-		r.changedAt, merged.News = now, true
+		r.changedAt, merged.Changed = now, true
 	}
 	switch nowQuarantined := r.isQuarantined(now); {
 	case nowQuarantined && !wasQuarantined:
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -154,12 +154,12 @@
 	member, relayA, relayB, farMember, f := NewTable(), NewTable(), NewTable(), NewTable(), requestNumbered(1)
 	member.Blame(f, crash("a", 0, 50), at(50))
 	now := at(60)
-	assert.Assert(t, sendReport(member, relayA, now, false).News)
-	assert.Assert(t, sendReport(relayA, relayB, now, true).News)
-	assert.Assert(t, sendReport(relayB, farMember, now, true).News)
+	assert.Assert(t, sendReport(member, relayA, now, false).Changed)
+	assert.Assert(t, sendReport(relayA, relayB, now, true).Changed)
+	assert.Assert(t, sendReport(relayB, farMember, now, true).Changed)
 	assert.Equal(t, farMember.State(f, now).Crashes, 1)
 	assert.Equal(t, len(farMember.Report(now, false)), 0)
-	assert.Assert(t, !sendReport(relayB, farMember, now, true).News, "it is already known")
+	assert.Assert(t, !sendReport(relayB, farMember, now, true).Changed, "it is already known")
 }
 
 // TestReportsConverge merges reports in arbitrary order, and checks that all tables have the same
@@ -213,7 +213,7 @@
 	assert.DeepEqual(t, sendReport(a, b, at(1000), false).Marked, []Fingerprint{f})
 	assert.Assert(t, a.Clear(f, at(2000)))
 	assert.DeepEqual(t, sendReport(a, b, at(2001), false).Lifted, []Fingerprint{f})
-	assert.Assert(t, !sendReport(b, a, at(2002), true).News)
+	assert.Assert(t, !sendReport(b, a, at(2002), true).Changed)
 	assert.Equal(t, a.State(f, at(2002)), State{})
 	assert.Equal(t, b.State(f, at(2002)), State{})
 }
@@ -280,7 +280,7 @@
 		for range rapid.IntRange(0, 100).Draw(t, "entries") {
 			e := Entry{
 				Fingerprint: requestNumbered(rapid.IntRange(0, 3).Draw(t, "of")), Cleared: age.Draw(t, "cleared"), Marked: age.Draw(t, "marked"),
-				Left: age.Draw(t, "left"), Rounds: int(age.Draw(t, "rounds")),
+				Remaining: age.Draw(t, "left"), Rounds: int(age.Draw(t, "rounds")),
 			}
 			for range rapid.IntRange(0, 20).Draw(t, "crashes") {
 				e.Crashes = append(e.Crashes, CrashReport{Worker: rapid.String().Draw(t, "worker"), Sent: age.Draw(t, "sent"), Ended: age.Draw(t, "ended")})
--- a/relay/names.go
+++ b/relay/names.go
@@ -30,5 +30,5 @@
 	// Priority is the header with the request's priority; 0 is the most urgent.
 	Priority string
 	// Signals holds the names of the headers with which workers limit or pause requests.
-	Signals backpressure.Names
+	Signals backpressure.HeaderNames
 }
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -57,7 +57,7 @@
 // checkQuarantine returns a refusal if the request is quarantined because it crashed workers, at
 // this daemon or others. Otherwise it returns nil. It also sets isSuspected.
 func (r *Relay) checkQuarantine(c *request, now time.Time) *refusal {
-	state := r.guard.Judge(c.guardRequest(), now)
+	state := r.guard.State(c.guardRequest(), now)
 	c.isSuspected = state.Suspected()
 	if !state.Quarantined {
 		return nil
@@ -76,7 +76,7 @@
 	if r.opts.IsReplaced != nil {
 		w.Replaced = func(ctx context.Context) (bool, error) { return r.opts.IsReplaced(ctx, head) }
 	}
-	r.guard.Broke(c.guardRequest(), w, c.chosenAt, time.Now())
+	r.guard.HandleBrokenConnection(c.guardRequest(), w, c.chosenAt, time.Now())
 }
 
 // cancelQuarantined cancels the waiting streams of newly quarantined requests, because each would
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -116,7 +116,7 @@
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return r.upstream.dial(ctx, network, address)
 		},
-		Marked: r.cancelQuarantined, Spread: opts.NotifyPeers, Meter: opts.Meter, Logger: opts.Logger,
+		OnQuarantined: r.cancelQuarantined, NotifyPeers: opts.NotifyPeers, Meter: opts.Meter, Logger: opts.Logger,
 	})
 	return r
 }
@@ -300,7 +300,7 @@
 	} else {
 		c.rejections++
 	}
-	if mayHaveRun && guard.BrokeOff(err) {
+	if mayHaveRun && guard.IsConnectionBroken(err) {
 		r.logBroken(c, replica, err)
 		r.reportCrash(c, replica)
 	}
--- a/relay/requestlimit_test.go
+++ b/relay/requestlimit_test.go
@@ -210,12 +210,12 @@
 		Bound: backpressure.Bound{Burst: 1.5, Slack: 5, Window: 4 * time.Second}, Changed: func(backpressure.Change) {},
 	})
 	for _, c := range changes[:limited] {
-		limits.Hear(c.Worker, backpressure.Signal{Limited: true, PerSecond: 1.3}, time.Now(), time.Now())
+		limits.Observe(c.Worker, backpressure.Signal{Limited: true, PerSecond: 1.3}, time.Now(), time.Now())
 	}
 	r := New(Options{
 		View: inventory.View, Tracker: NewTracker("hall", func(*fleet.Replica) {}), Meter: meter,
 		WarmUpLimit: RequestLimit{Check: tokens.Check, Take: tokens.Take, Next: tokens.Next},
-		WorkerLimit: RequestLimit{TightlyLimited: limits.Naming, Check: limits.Check, Take: limits.Take, Next: limits.Next},
+		WorkerLimit: RequestLimit{TightlyLimited: limits.HasLimit, Check: limits.Check, Take: limits.Take, Next: limits.Next},
 	})
 	return r, &request{service: "models", model: "m", engine: service.Engine, route: &fleet.Route{}, triedReplicas: make(map[string]bool)}
 }
--- a/relay/signals_test.go
+++ b/relay/signals_test.go
@@ -53,7 +53,7 @@
 			w.extraHeader = test.header
 			r, server := newTestRelay(t, w)
 			var recorder signalRecorder
-			r.opts.Names.Signals, r.opts.OnSignal = backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"}, recorder.record
+			r.opts.Names.Signals, r.opts.OnSignal = backpressure.HeaderNames{Limit: "X-Limit", Leaving: "X-Leaving"}, recorder.record
 			sendRequest(t, server, test.path, "x", nil)
 			recorder.mu.Lock()
 			defer recorder.mu.Unlock()
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -19,8 +19,8 @@
 		Domain:     d.name,
 		Grant:      grant,
 		ActiveRank: activeRank,
-		Gone:       members.IsGone,
-		Leaving:    members.IsLeaving,
+		IsGone:     members.IsGone,
+		IsLeaving:  members.IsLeaving,
 		Candidates: members.Candidates(d.dataHall),
 	})
 }
--- a/replica/report.go
+++ b/replica/report.go
@@ -55,7 +55,7 @@
 		ModelVersion: o.assignment.Version, Adapters: o.assignment.Adapters,
 		Reason: o.problem,
 	}
-	if reason, ok := plan.Dark[o.id]; ok && !report.Serving {
+	if reason, ok := plan.NotServing[o.id]; ok && !report.Serving {
 		report.Reason = reason
 	}
 	if o.isScripted {
@@ -73,12 +73,12 @@
 // missingReplicas returns reports on replicas that are wanted but have no nodes.
 func (d *domain) missingReplicas(replicas []observedReplica, plan placement.Plan) []*rpc.ReplicaReport {
 	var all []*rpc.ReplicaReport
-	for _, id := range slices.Sorted(maps.Keys(plan.Dark)) {
+	for _, id := range slices.Sorted(maps.Keys(plan.NotServing)) {
 		found := slices.ContainsFunc(replicas, func(o observedReplica) bool { return o.id == id })
 		if found {
 			continue
 		}
-		all = append(all, &rpc.ReplicaReport{Id: id, Deployment: plan.DeploymentOf(id), Reason: plan.Dark[id]})
+		all = append(all, &rpc.ReplicaReport{Id: id, Deployment: plan.DeploymentOf(id), Reason: plan.NotServing[id]})
 	}
 	return all
 }
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Inflight counts the requests that this daemon has in flight, by replica and by client account. It
-// is safe for concurrent use.
-type Inflight struct {
+// InFlightCounter counts the requests that this daemon has in flight, by replica and by client
+// account. It is safe for concurrent use.
+type InFlightCounter struct {
 	mu       sync.Mutex
 	replicas map[string]*replicaCount
 	accounts map[string]int
@@ -24,15 +24,15 @@
 	inFlightAtReport int
 }
 
-// NewInflight returns a counter of zero requests.
-func NewInflight() *Inflight {
-	return &Inflight{replicas: make(map[string]*replicaCount), accounts: make(map[string]int)}
+// NewInFlightCounter returns a counter of zero requests.
+func NewInFlightCounter() *InFlightCounter {
+	return &InFlightCounter{replicas: make(map[string]*replicaCount), accounts: make(map[string]int)}
 }
 
 // Observe returns the number of requests in flight at the replica, now and when its last report
 // arrived. Each report has a different deadline. If reportDeadline is new, the report counts as
 // arrived now.
-func (f *Inflight) Observe(replica string, reportDeadline time.Time) (own, ownAtReport int) {
+func (f *InFlightCounter) Observe(replica string, reportDeadline time.Time) (own, ownAtReport int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := f.countOf(replica)
@@ -43,7 +43,7 @@
 }
 
 // Count returns the number of requests in flight at the replica.
-func (f *Inflight) Count(replica string) int {
+func (f *InFlightCounter) Count(replica string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r, ok := f.replicas[replica]; ok {
@@ -54,7 +54,7 @@
 
 // Start counts a request of a client account to a replica until the returned function is called.
 // Further calls of that function have no effect.
-func (f *Inflight) Start(replica, account string) func() {
+func (f *InFlightCounter) Start(replica, account string) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.countOf(replica).inFlight++
@@ -63,7 +63,7 @@
 	return sync.OnceFunc(func() { f.finish(replica, account) })
 }
 
-func (f *Inflight) finish(replica, account string) {
+func (f *InFlightCounter) finish(replica, account string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.countOf(replica).inFlight--
@@ -76,7 +76,7 @@
 
 // Account returns the number of requests that the account has in flight. It also returns the number
 // of accounts with requests in flight, which always includes the given one.
-func (f *Inflight) Account(account string) (inFlight, activeAccounts int) {
+func (f *InFlightCounter) Account(account string) (inFlight, activeAccounts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	inFlight, activeAccounts = f.accounts[account], len(f.accounts)
@@ -87,13 +87,13 @@
 }
 
 // Total returns the number of requests in flight.
-func (f *Inflight) Total() int {
+func (f *InFlightCounter) Total() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.total
 }
 
-func (f *Inflight) countOf(id string) *replicaCount {
+func (f *InFlightCounter) countOf(id string) *replicaCount {
 	r, ok := f.replicas[id]
 	if !ok {
 		r = &replicaCount{}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -13,10 +13,10 @@
 type Candidate struct {
 	// ID is the ID of the replica.
 	ID string
-	// Own is the number of requests that this daemon has in flight at the replica.
-	Own int
-	// OwnAtReport is the value of Own when the replica's last report arrived.
-	OwnAtReport int
+	// OwnInFlight is the number of requests that this daemon has in flight at the replica.
+	OwnInFlight int
+	// OwnInFlightAtReport is the value of OwnInFlight when the replica's last report arrived.
+	OwnInFlightAtReport int
 	// Reported is the number of running and queued requests in the replica's last report.
 	Reported int
 	// Slots is the number of requests that the replica runs at once, zero if unknown.
@@ -38,7 +38,7 @@
 // Occupancy returns the expected number of requests at the replica, per slot. This is the reported
 // number, corrected by the requests that this daemon has started and finished since the report.
 func (c Candidate) Occupancy() float64 {
-	expected := max(c.Reported+c.Own-c.OwnAtReport, c.Own)
+	expected := max(c.Reported+c.OwnInFlight-c.OwnInFlightAtReport, c.OwnInFlight)
 	return float64(expected) / float64(c.slots())
 }
 
@@ -49,9 +49,9 @@
 	return c.Slots
 }
 
-// Prefix returns a hash of the beginning of a prompt and the client account. Requests with the
+// PrefixHash returns a hash of the beginning of a prompt and the client account. Requests with the
 // same hash are preferably routed to the same replicas.
-func Prefix(account, prompt string) uint64 {
+func PrefixHash(account, prompt string) uint64 {
 	const prefixBytes = 256
 	return hash(account + "\x00" + prompt[:min(len(prompt), prefixBytes)])
 }
@@ -69,7 +69,7 @@
 	}
 	maxHomeLoad := homeLoadFactor*meanInFlight(candidates) + homeLoadExtra
 	for _, home := range homesOf(candidates, prefix) {
-		if float64(candidates[home].Own) <= maxHomeLoad {
+		if float64(candidates[home].OwnInFlight) <= maxHomeLoad {
 			return home
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 func meanInFlight(candidates []Candidate) float64 {
-	return float64(Own(candidates)) / float64(len(candidates))
+	return float64(TotalOwnInFlight(candidates)) / float64(len(candidates))
 }
 
 // pickLeastBusy picks two random candidates among those with the fewest requests of this daemon,
@@ -86,9 +86,9 @@
 	first, second, tied := -1, -1, 0
 	for i, c := range candidates {
 		switch {
-		case first < 0 || c.Own < candidates[first].Own:
+		case first < 0 || c.OwnInFlight < candidates[first].OwnInFlight:
 			first, second, tied = i, i, 1
-		case c.Own == candidates[first].Own:
+		case c.OwnInFlight == candidates[first].OwnInFlight:
 			tied++
 			// By reservoir sampling, each of these candidates is equally likely.
 			if random.IntN(tied) == 0 {
@@ -151,11 +151,11 @@
 	return load / slots
 }
 
-// Own returns the number of requests that this daemon has in flight at the candidates.
-func Own(candidates []Candidate) int {
+// TotalOwnInFlight returns the number of requests that this daemon has in flight at the candidates.
+func TotalOwnInFlight(candidates []Candidate) int {
 	sum := 0
 	for _, c := range candidates {
-		sum += c.Own
+		sum += c.OwnInFlight
 	}
 	return sum
 }
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -17,7 +17,7 @@
 func candidates(own ...int) []Candidate {
 	all := make([]Candidate, len(own))
 	for i, n := range own {
-		all[i] = Candidate{ID: fmt.Sprint("replica-", i), Own: n, Slots: 16}
+		all[i] = Candidate{ID: fmt.Sprint("replica-", i), OwnInFlight: n, Slots: 16}
 	}
 	return all
 }
@@ -31,7 +31,7 @@
 // TestSamePrefixPicksSameReplica checks that daemons without requests in flight pick the same
 // replica for a prefix.
 func TestSamePrefixPicksSameReplica(t *testing.T) {
-	prefix := Prefix("account", "prompt")
+	prefix := PrefixHash("account", "prompt")
 	first := Pick(candidates(0, 0, 0, 0, 0), prefix, random())
 	for seed := range uint64(20) {
 		assert.Equal(t, Pick(candidates(0, 0, 0, 0, 0), prefix, rand.New(rand.NewPCG(seed, 0))), first)
@@ -45,12 +45,12 @@
 		own := rapid.SliceOfN(rapid.IntRange(0, 40), 1, 60).Draw(rt, "own")
 		all := candidates(own...)
 		i := Pick(all, rapid.Uint64().Draw(rt, "prefix"), random())
-		least := all[0].Own
+		least := all[0].OwnInFlight
 		for _, c := range all {
-			least = min(least, c.Own)
+			least = min(least, c.OwnInFlight)
 		}
-		if float64(all[i].Own) > homeLoadFactor*meanInFlight(all)+homeLoadExtra && all[i].Own > least {
-			rt.Fatalf("picked one with %d, mean %g, least %d", all[i].Own, meanInFlight(all), least)
+		if float64(all[i].OwnInFlight) > homeLoadFactor*meanInFlight(all)+homeLoadExtra && all[i].OwnInFlight > least {
+			rt.Fatalf("picked one with %d, mean %g, least %d", all[i].OwnInFlight, meanInFlight(all), least)
 		}
 	})
 }
@@ -69,7 +69,7 @@
 }
 
 func TestInflightCounts(t *testing.T) {
-	f := NewInflight()
+	f := NewInFlightCounter()
 	report := time.Unix(1, 0)
 	end := f.Start("r", "a")
 	own, at := f.Observe("r", report)
@@ -90,7 +90,7 @@
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
 			all, r := candidates(make([]int, n)...), random()
 			for i := range all {
-				all[i].Own = i % 5
+				all[i].OwnInFlight = i % 5
 			}
 			b.ReportAllocs()
 			for i := range b.N {
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -207,7 +207,9 @@
 	})
 }
 
-func noGrant(context.Context) (leadership.Found, error) { return leadership.Found{}, nil }
+func noGrant(context.Context) (leadership.RegistryState, error) {
+	return leadership.RegistryState{}, nil
+}
 
 func addGrant(context.Context, peers.Grant, int64) (bool, error) { return true, nil }
 
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -24,9 +24,9 @@
 		Self: s.opts.Self.ID, Hall: s.opts.Self.Zone, Halls: halls, Members: s.limitShareHolders,
 		Bound: s.opts.Bounds.LimitBound, Changed: s.onSignalChange,
 	})
-	s.meter.Gauge("workers_limited", func() float64 { return float64(t.Limited()) })
-	s.meter.Gauge("workers_leaving", func() float64 { return float64(t.Leaving()) })
-	s.meter.Gauge("workers_resting", func() float64 { return float64(t.Resting(time.Now())) })
+	s.meter.Gauge("workers_limited", func() float64 { return float64(t.CountLimited()) })
+	s.meter.Gauge("workers_leaving", func() float64 { return float64(t.CountLeaving()) })
+	s.meter.Gauge("workers_resting", func() float64 { return float64(t.CountResting(time.Now())) })
 	return t
 }
 
@@ -37,13 +37,13 @@
 	if s.membersReadAt.Load() == nil || s.needsMemberReread.Load() || !s.canShareLimits(time.Now()) {
 		return nil
 	}
-	return s.agent.Table().FittestInHall(backpressure.MembersMost)
+	return s.agent.Table().FittestInHall(backpressure.MaxShareholders)
 }
 
 // onSignalChange counts and logs a worker's signal. A worker that signals that it is leaving is
 // marked as leaving at once, before the worker list shows it.
 func (s *Server) onSignalChange(c backpressure.Change) {
-	if c.Event == backpressure.Leaves {
+	if c.Event == backpressure.Leaving {
 		s.inventory.MarkLeaving(c.Worker, c.Born)
 	}
 	s.meter.Signal(string(c.Event))
@@ -74,7 +74,7 @@
 			w, listed := view.Worker(worker)
 			return listed && w.StartedAt == born
 		}, time.Now())
-		s.signals.Look(time.Now())
+		s.signals.Refresh(time.Now())
 		// A worker that was removed from the list and added again is no longer marked as leaving,
 		// so it is marked again.
 		s.signals.EachLeaving(s.inventory.MarkLeaving)
--- a/serving/discovery.go
+++ b/serving/discovery.go
@@ -28,7 +28,7 @@
 	// starting daemon knows the relays and the daemons that share limits. Other daemons are
 	// discovered by their heartbeats.
 	minRegistered        = 32
-	minFittestRegistered = backpressure.MembersMost
+	minFittestRegistered = backpressure.MaxShareholders
 	// memberRereadDelay is the time after which the member list is read again after the first read.
 	// It finds daemons that started at the same time. memberReadInterval is the interval between
 	// later reads.
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -223,7 +223,7 @@
 		limited, other := &signalHead{id: "limited", signal: signal, processingTime: 30 * time.Millisecond}, &signalHead{id: "other", processingTime: 30 * time.Millisecond}
 		f := newSignalFleet(t, 3, 2, limited, other)
 		for _, s := range f.daemons {
-			s.signals.Hear(&fleet.Worker{ID: "limited"}, backpressure.Signal{Limited: true, PerSecond: 1.5}, time.Now(), time.Now())
+			s.signals.Observe(&fleet.Worker{ID: "limited"}, backpressure.Signal{Limited: true, PerSecond: 1.5}, time.Now(), time.Now())
 			s.agent.Table().NoteFormat(peers.FormatFirst, time.Now())
 		}
 		f.sendLoad(30, 8*time.Second)
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -37,7 +37,7 @@
 
 // onHeartbeat processes a peer's heartbeat.
 func (s *Server) onHeartbeat(p *peers.Peer) {
-	s.elector.Hear(p)
+	s.elector.HandleHeartbeat(p)
 	if s.countsLoads(p) {
 		s.tracker.SetPeerLoads(p.ID, peers.Summary{Daemons: 1, Loads: p.Loads}, p.LastHeartbeatAt)
 	}
--- a/serving/heartbeat_test.go
+++ b/serving/heartbeat_test.go
@@ -62,7 +62,7 @@
 		"who may lead": {
 			prepare: func(sender *Server) {
 				claim := peers.Claim{Epoch: 7}
-				sender.elector.Hear(&peers.Peer{Heartbeat: peers.Heartbeat{HighestClaim: claim, Grant: peers.Grant{Epoch: 7}}})
+				sender.elector.HandleHeartbeat(&peers.Peer{Heartbeat: peers.Heartbeat{HighestClaim: claim, Grant: peers.Grant{Epoch: 7}}})
 			},
 			isKnown: func(s *Server) bool {
 				_, highest, grant := s.elector.State()
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -101,7 +101,7 @@
 	s := newServer(t, &fakeStore{})
 	s.opts.QuarantineMarks = marks.store()
 	s.opts.Registry = leadership.Registry{
-		Newest: func(context.Context) (leadership.Found, error) { return leadership.Found{}, nil },
+		Newest: func(context.Context) (leadership.RegistryState, error) { return leadership.RegistryState{}, nil },
 		Add:    func(context.Context, peers.Grant, int64) (bool, error) { return true, nil },
 	}
 	s.elector = leadership.NewElector(s.electorOptions())
--- a/serving/server.go
+++ b/serving/server.go
@@ -139,10 +139,10 @@
 	return leadership.Options{
 		Self:     s.opts.Self,
 		Registry: s.opts.Registry,
-		Alive:    table.Alive, Known: table.CountSeenSince, Settled: table.HasCaughtUp, Patience: table.AliveTimeout,
-		Fit:       s.canLead,
-		Era:       s.opts.StoreEra,
-		StoreSeen: s.storeLastSeen, Suspended: s.opts.Suspended,
+		Alive:    table.Alive, Known: table.CountSeenSince, IsSettled: table.HasCaughtUp, AliveTimeout: table.AliveTimeout,
+		CanLead:         s.canLead,
+		Era:             s.opts.StoreEra,
+		LastStoreAnswer: s.storeLastSeen, Suspended: s.opts.Suspended,
 		Lead: s.lead, Logger: s.logger.Named("leadership"),
 	}
 }
@@ -157,10 +157,10 @@
 		Names:       s.opts.Names, Config: s.configCache.Config, ConfigConfirmedAt: s.configConfirmedAt, MaxConfigAge: s.maxConfigAge(),
 		View: s.inventory.View, Halls: s.halls.View, RegionOf: s.regionOf,
 		WarmUpLimit: relay.RequestLimit{Check: s.warmUp.Check, Take: s.takeWarmUp, Next: s.warmUp.Next},
-		WorkerLimit: relay.RequestLimit{TightlyLimited: s.signals.Naming, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
-		RestLimit:   relay.RequestLimit{Check: s.signals.Rested, Take: s.signals.TakeRested, Next: s.signals.RestEnds},
+		WorkerLimit: relay.RequestLimit{TightlyLimited: s.signals.HasLimit, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
+		RestLimit:   relay.RequestLimit{Check: s.signals.CheckRest, Take: s.signals.TakeRest, Next: s.signals.NextAfterRest},
 		Tracker:     s.tracker, Budget: budget,
-		NotifyPeers: func() { s.agent.SendHeartbeat(time.Now()) }, IsReplaced: s.isReplaced, OnSignal: s.signals.Hear, Dial: s.opts.DialWorker,
+		NotifyPeers: func() { s.agent.SendHeartbeat(time.Now()) }, IsReplaced: s.isReplaced, OnSignal: s.signals.Observe, Dial: s.opts.DialWorker,
 		CheckSuspension: s.awake.Check,
 		IsLeaving:       s.isLeaving.Load, Meter: s.meter, Logger: s.logger.Named("relay"),
 	})
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -31,7 +31,7 @@
 	AttemptID: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
 	LastEventID: "Last-Event-Id", Priority: "X-Priority",
-	Signals: backpressure.Names{Limit: "X-Limit", Leaving: "X-Leaving"},
+	Signals: backpressure.HeaderNames{Limit: "X-Limit", Leaving: "X-Leaving"},
 }
 
 var errHeadClosed = errors.New("the head is closed")
--- a/serving/start_test.go
+++ b/serving/start_test.go
@@ -217,12 +217,12 @@
 
 func (s *sharedStore) registry(linkRate float64) leadership.Registry {
 	return leadership.Registry{
-		Newest: func(ctx context.Context) (leadership.Found, error) {
+		Newest: func(ctx context.Context) (leadership.RegistryState, error) {
 			s.countCall("list grants")
 			err := s.respond(ctx, identityBytes, linkRate)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return leadership.Found{Grant: s.grant, Position: s.grant.Epoch}, err
+			return leadership.RegistryState{Grant: s.grant, Position: s.grant.Epoch}, err
 		},
 		Add: func(ctx context.Context, grant peers.Grant, position int64) (bool, error) {
 			s.countCall("add grants")
--- a/serving/warmup.go
+++ b/serving/warmup.go
@@ -26,7 +26,7 @@
 		Settle: warmUpHeartbeats * s.opts.Bounds.WorkerHeartbeatInterval,
 		View:   s.inventory.View, Halls: s.halls.View, Config: s.configCache.Config, Changed: s.onWarmUpChange,
 	})
-	s.meter.Gauge("workers_warming", func() float64 { return float64(a.Warming()) })
+	s.meter.Gauge("workers_warming", func() float64 { return float64(a.CountWarming()) })
 	return a
 }
 
@@ -85,7 +85,7 @@
 // watchWarmUp regularly checks which workers warm up, until ctx ends.
 func (s *Server) watchWarmUp(ctx context.Context) {
 	for ctx.Err() == nil {
-		s.warmUp.Look(time.Now())
+		s.warmUp.Refresh(time.Now())
 		pause.For(ctx, warmUpCheckInterval)
 	}
 }
--- a/serving/warmup_test.go
+++ b/serving/warmup_test.go
@@ -33,7 +33,7 @@
 	for i := range coldWorkerCount {
 		w, _ := s.inventory.View().Worker(fmt.Sprint("w", i))
 		r := &fleet.Replica{ID: w.ID, Head: w}
-		s.warmUp.Look(time.Now())
+		s.warmUp.Refresh(time.Now())
 		if _, ok := s.takeWarmUp(r, later); ok {
 			count++
 		}
