--- a/daemon/accounting.go
+++ b/daemon/accounting.go
@@ -30,7 +30,7 @@
 	d.meter.Gauge("stranded_accelerator_seconds", func() float64 { return a.sums().StrandedSeconds })
 	d.meter.Gauge("dark_replicas", func() float64 { return float64(a.sums().DarkReplicas) })
 	d.meter.Gauge("stranded_accelerators", func() float64 { return float64(a.sums().StrandedAccelerators) })
-	d.meter.Gauge("requests_in_flight", func() float64 { return float64(d.gateway.Inflight().Total()) })
+	d.meter.Gauge("requests_in_flight", func() float64 { return float64(d.gateway.InFlight().Total()) })
 	d.meter.Gauge("members_alive", func() float64 { return float64(len(d.agent.Table().Alive())) })
 	d.meter.Gauge("configuration_next", func() float64 { return float64(d.followers[streamConfiguration].Fold().Next()) })
 	d.meter.Gauge("peer_bytes_received", func() float64 { return float64(d.peerClients.traffic.receivedBytes.Load()) })
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -229,15 +229,15 @@
 func (d *Daemon) newController(platform *client.Client) *replica.Controller {
 	grants := d.followers[ownership.Stream]
 	return replica.NewController(replica.Options{
-		Self: d.settings.Name, Config: d.configState.View, List: platform, Control: platform,
+		Self: d.settings.Name, Config: d.configState.View, NodeList: platform, NodeControl: platform,
 		Catalog: d.catalog, Members: replica.NewTableMembers(d.agent.Table()), Ownership: d.grants,
 		AppendGrant: func(ctx context.Context, record json.RawMessage) error {
 			return grants.Append(ctx, newID(), record)
 		},
-		OwnershipConfirmed: grants.Confirmed,
-		ServeWindow:        d.settings.ServeWindow,
-		LoadSlots:          d.settings.ConcurrentWeightLoads,
-		Logger:             d.logger.Named("replica"),
+		OwnershipConfirmedAt: grants.Confirmed,
+		ServeWindow:          d.settings.ServeWindow,
+		MaxConcurrentLoads:   d.settings.ConcurrentWeightLoads,
+		Logger:               d.logger.Named("replica"),
 	})
 }
 
@@ -253,9 +253,9 @@
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return gateway.New(gateway.Options{
 		Config: d.configState.View, Catalog: d.catalog, Ledger: d.ledger, Limiter: d.limiter, Meter: d.meter,
-		Gate: d.readiness.checkReady, Leaving: func() bool { return d.agent.Table().Self().Leaving }, Entries: d.listEntries, KeepEntriesUntil: d.readiness.renewEntriesExpiry,
-		Daemons: func() int { return len(d.stayingMembers()) },
-		NewID:   newID, MaxBody: d.settings.MaxBodyBytes, Logger: d.logger.Named("gateway"),
+		ClosedState: d.readiness.checkReady, IsLeaving: func() bool { return d.agent.Table().Self().Leaving }, Entries: d.listEntries, EntriesValidUntil: d.readiness.renewEntriesExpiry,
+		DaemonCount: func() int { return len(d.stayingMembers()) },
+		NewID:       newID, MaxBodyBytes: d.settings.MaxBodyBytes, Logger: d.logger.Named("gateway"),
 	})
 }
 
--- a/daemon/explain.go
+++ b/daemon/explain.go
@@ -127,7 +127,7 @@
 	if !ok {
 		return Explanation{}, false
 	}
-	if decision.Refused != "" {
+	if decision.RefusalReason != "" {
 		return explainRefusal(decision), true
 	}
 	e := Explanation{
@@ -135,9 +135,9 @@
 		State:   "sent to replica " + decision.Replica,
 		Because: []string{
 			fmt.Sprintf("at %s it was chosen from %d serving replicas of %s for client account %s",
-				decision.Time.Format(time.RFC3339Nano), decision.Candidates, decision.Deployment, decision.Account),
+				decision.Time.Format(time.RFC3339Nano), decision.CandidateCount, decision.Deployment, decision.Account),
 			fmt.Sprintf("its slots were %.0f%% occupied, the least occupied replica's %.0f%%",
-				100*decision.Occupancy, 100*decision.Least),
+				100*decision.Occupancy, 100*decision.LeastOccupancy),
 		},
 	}
 	if len(decision.PassedOver) > 0 {
@@ -149,10 +149,10 @@
 // explainRefusal returns why a request was refused.
 func explainRefusal(decision gateway.Decision) Explanation {
 	e := Explanation{
-		Subject: "request " + decision.Request,
-		State:   "refused: " + string(decision.Refused),
+		Subject: "request " + decision.RequestID,
+		State:   "refused: " + string(decision.RefusalReason),
 		Because: []string{fmt.Sprintf("at %s for client account %s: %s",
-			decision.Time.Format(time.RFC3339Nano), decision.Account, decision.Message)},
+			decision.Time.Format(time.RFC3339Nano), decision.Account, decision.RefusalMessage)},
 	}
 	if len(decision.PassedOver) > 0 {
 		e.Because = append(e.Because, "passed over: "+decision.PassedOver.String())
--- a/daemon/halls.go
+++ b/daemon/halls.go
@@ -12,7 +12,7 @@
 func (d *Daemon) newHallWatch() *hall.Watch {
 	w := hall.NewWatch(hall.Options{
 		Config: d.configState.View, Catalog: d.catalog, CountReached: d.agent.CountReached,
-		InFlight: d.gateway.Inflight().Count, Daemons: d.daemonsByHall,
+		InFlight: d.gateway.InFlight().Count, Daemons: d.daemonsByHall,
 		ServeWindow: d.settings.ServeWindow, Logger: d.logger.Named("hall"),
 	})
 	for _, state := range []hall.State{hall.Open, hall.Closing, hall.Empty} {
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -34,7 +34,7 @@
 	}
 	time.Sleep(time.Until(serveUntil))
 	d.readiness.setStopping()
-	d.logger.Info("finishing requests in flight", "requests", d.gateway.Inflight().Total())
+	d.logger.Info("finishing requests in flight", "requests", d.gateway.InFlight().Total())
 	if err := d.gateway.Stop(inflightTimeout); err != nil {
 		d.logger.Error("requests in flight were cut off", "error", err)
 	}
--- a/gateway/decision.go
+++ b/gateway/decision.go
@@ -13,39 +13,39 @@
 // Decision describes why a request was sent to a replica or refused. It is encoded as JSON in
 // answers to operators.
 type Decision struct {
-	Request string `json:"request"`
-	Account string `json:"account"`
+	RequestID string `json:"request"`
+	Account   string `json:"account"`
 	// Deployment is the name of the deployment, or of the service if a service call was refused.
 	Deployment string    `json:"deployment"`
 	Time       time.Time `json:"time"`
 	// Replica is the ID of the replica that the request was sent to. It is empty if the request was
 	// refused.
 	Replica string `json:"replica,omitempty"`
-	// Refused and Message are the reason and the text of the refusal.
-	Refused reason.Reason `json:"refused,omitempty"`
-	Message string        `json:"message,omitempty"`
+	// RefusalReason and RefusalMessage are the reason and the text of the refusal.
+	RefusalReason  reason.Reason `json:"refused,omitempty"`
+	RefusalMessage string        `json:"message,omitempty"`
 	// Occupancy is the number of requests at the chosen replica divided by the number of its slots.
-	// Least is the same for the least occupied candidate, and Candidates is the number of
-	// candidates.
-	Occupancy  float64 `json:"occupancy"`
-	Least      float64 `json:"least_occupancy"`
-	Candidates int     `json:"candidates"`
+	// LeastOccupancy is the same for the least occupied candidate, and CandidateCount is the number
+	// of candidates.
+	Occupancy      float64 `json:"occupancy"`
+	LeastOccupancy float64 `json:"least_occupancy"`
+	CandidateCount int     `json:"candidates"`
 	// PassedOver counts the excluded replicas or endpoints by reason.
 	PassedOver PassedOver `json:"passed_over,omitempty"`
 }
 
 func newDecision(r *request, deployment string, candidates []routing.Candidate, chosenIndex int, passedOver PassedOver) Decision {
 	return Decision{
-		Request: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
+		RequestID: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
 		Replica: candidates[chosenIndex].ID, Occupancy: candidates[chosenIndex].Occupancy(),
-		Least: routing.LeastOccupancy(candidates), Candidates: len(candidates), PassedOver: passedOver,
+		LeastOccupancy: routing.LeastOccupancy(candidates), CandidateCount: len(candidates), PassedOver: passedOver,
 	}
 }
 
 func newRefusalDecision(r *request, deployment string, refused *refusal, passedOver PassedOver) Decision {
 	return Decision{
-		Request: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
-		Refused: refused.reason, Message: refused.message, PassedOver: passedOver,
+		RequestID: r.id, Account: r.account.Name(), Deployment: deployment, Time: time.Now(),
+		RefusalReason: refused.reason, RefusalMessage: refused.message, PassedOver: passedOver,
 	}
 }
 
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -115,7 +115,7 @@
 		ReportedOccupancy: routing.MeanOccupancy(candidates),
 		InFlight:          routing.TotalOwnInFlight(candidates),
 		Slots:             routing.Slots(candidates),
-		Daemons:           g.opts.Daemons(),
+		Daemons:           g.opts.DaemonCount(),
 		AccountInFlight:   accountRequests,
 		Accounts:          activeAccounts,
 		Priority:          r.priority,
--- a/gateway/eligible_test.go
+++ b/gateway/eligible_test.go
@@ -265,7 +265,7 @@
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	decision, ok := h.gateway.Decision(got.header.Get(headerRequest))
 	assert.Assert(t, ok)
-	assert.Equal(t, decision.Refused, wantRefusal)
+	assert.Equal(t, decision.RefusalReason, wantRefusal)
 }
 
 // TestDecisionCountsPassedOver checks that the decision and the metrics count replicas in a closed
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,8 +38,8 @@
 	// bodyReadFactor times the maximum accepted size is the size up to which request bodies are
 	// read. A body between the two sizes is refused with an answer that states the limit.
 	bodyReadFactor = 2
-	// DefaultMaxBody is the default limit of a request body, in bytes.
-	DefaultMaxBody = 8 << 20
+	// DefaultMaxBodyBytes is the default limit of a request body, in bytes.
+	DefaultMaxBodyBytes = 8 << 20
 )
 
 // Closed is the reason why the daemon accepts no requests at present.
@@ -61,24 +61,24 @@
 	Ledger  *intent.Ledger
 	Limiter *admission.Limiter
 	Meter   *telemetry.Meter
-	// Gate returns nil if the daemon accepts requests. Otherwise it returns the reason why it
-	// doesn't.
-	Gate func() *Closed
-	// Leaving reports whether this daemon has begun a planned shutdown. If so, answers ask callers
-	// to close their connections.
-	Leaving func() bool
+	// ClosedState returns nil if the daemon accepts requests. Otherwise it returns the reason why
+	// it doesn't.
+	ClosedState func() *Closed
+	// IsLeaving reports whether this daemon has begun a planned shutdown. If so, answers ask
+	// callers to close their connections.
+	IsLeaving func() bool
 	// Entries returns the daemon addresses that callers should use.
 	Entries func() []Entry
-	// KeepEntriesUntil returns the time until which callers may cache an entry list that is sent at
-	// now.
-	KeepEntriesUntil func(now time.Time) time.Time
-	// Daemons returns the number of daemons that share the load.
-	Daemons func() int
+	// EntriesValidUntil returns the time until which callers may cache an entry list that is sent
+	// at now.
+	EntriesValidUntil func(now time.Time) time.Time
+	// DaemonCount returns the number of daemons that share the load.
+	DaemonCount func() int
 	// NewID returns a unique ID for a request.
 	NewID func() string
-	// MaxBody is the maximum size of a request body in bytes. If it is zero, DefaultMaxBody
-	// applies.
-	MaxBody int
+	// MaxBodyBytes is the maximum size of a request body in bytes. If it is zero,
+	// DefaultMaxBodyBytes applies.
+	MaxBodyBytes int
 	// Logger logs quarantined requests and rest periods of endpoints. If it is nil, nothing is
 	// logged.
 	Logger hclog.Logger
@@ -101,8 +101,8 @@
 
 // New returns a gateway. Call Serve to accept requests.
 func New(opts Options) *Gateway {
-	if opts.MaxBody == 0 {
-		opts.MaxBody = DefaultMaxBody
+	if opts.MaxBodyBytes == 0 {
+		opts.MaxBodyBytes = DefaultMaxBodyBytes
 	}
 	if opts.Logger == nil {
 		opts.Logger = hclog.NewNullLogger()
@@ -118,8 +118,8 @@
 	return g
 }
 
-// Inflight returns the counter of requests in flight.
-func (g *Gateway) Inflight() *routing.InFlightCounter { return g.inFlight }
+// InFlight returns the counter of requests in flight.
+func (g *Gateway) InFlight() *routing.InFlightCounter { return g.inFlight }
 
 // Done returns a channel that is closed when Serve has returned.
 func (g *Gateway) Done() <-chan struct{} { return g.done }
@@ -142,14 +142,14 @@
 func (g *Gateway) routes() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		BodyLimit:             bodyReadFactor * g.opts.MaxBody,
+		BodyLimit:             bodyReadFactor * g.opts.MaxBodyBytes,
 		ReadBufferSize:        maxHeaderBytes,
 		IdleTimeout:           callerIdleTimeout,
 		ErrorHandler:          g.handleError,
 		UnescapePath:          false,
 	})
 	app.Use(func(c *fiber.Ctx) error {
-		if g.opts.Leaving() {
+		if g.opts.IsLeaving() {
 			c.Context().SetConnectionClose()
 		}
 		return c.Next()
@@ -182,7 +182,7 @@
 func (g *Gateway) handleError(c *fiber.Ctx, err error) error {
 	var f *fiber.Error
 	if errors.As(err, &f) && f.Code == fiber.StatusRequestEntityTooLarge {
-		return g.writeRefusal(c, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBody))
+		return g.writeRefusal(c, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBodyBytes))
 	}
 	return g.writeRefusal(c, refuse(reason.BadRequest, "%v", err))
 }
@@ -232,6 +232,6 @@
 	now := time.Now()
 	return c.JSON(entryList{
 		Entries:     g.opts.Entries(),
-		KeepSeconds: g.opts.KeepEntriesUntil(now).Sub(now).Seconds(),
+		KeepSeconds: g.opts.EntriesValidUntil(now).Sub(now).Seconds(),
 	})
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -217,11 +217,11 @@
 	applyDocuments(t, state)
 	h.gateway = New(Options{
 		Config: state.View, Catalog: h.catalog, Ledger: h.newLedger(t), Meter: meter,
-		Limiter: admission.NewLimiter(admission.LimiterOptions{Daemons: func() int { return 1 }}),
-		Gate:    func() *Closed { return nil }, Leaving: func() bool { return false },
-		Entries: func() []Entry { return nil }, KeepEntriesUntil: func(now time.Time) time.Time { return now },
-		Daemons: func() int { return 1 },
-		NewID:   func() string { return fmt.Sprint("request-", rand.Uint64()) },
+		Limiter:     admission.NewLimiter(admission.LimiterOptions{Daemons: func() int { return 1 }}),
+		ClosedState: func() *Closed { return nil }, IsLeaving: func() bool { return false },
+		Entries: func() []Entry { return nil }, EntriesValidUntil: func(now time.Time) time.Time { return now },
+		DaemonCount: func() int { return 1 },
+		NewID:       func() string { return fmt.Sprint("request-", rand.Uint64()) },
 	})
 	// The retry budget is not under test here.
 	h.gateway.retryBudget.availableRetries = maxRetryBudget
@@ -552,7 +552,7 @@
 		"wrong key":     {`{}`, map[string]string{"Authorization": "Bearer no"}, http.StatusUnauthorized, reason.Unauthorized},
 		"no key":        {`{}`, map[string]string{"Authorization": ""}, http.StatusUnauthorized, reason.Unauthorized},
 		"long key":      {`{}`, map[string]string{headerIdempotencyKey: strings.Repeat("k", 300)}, http.StatusBadRequest, reason.KeyInvalid},
-		"large body":    {strings.Repeat(" ", DefaultMaxBody+1), nil, http.StatusRequestEntityTooLarge, reason.BodyTooLarge},
+		"large body":    {strings.Repeat(" ", DefaultMaxBodyBytes+1), nil, http.StatusRequestEntityTooLarge, reason.BodyTooLarge},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -67,7 +67,7 @@
 // It refuses all requests while the daemon accepts none.
 func (g *Gateway) newRequest(c *fiber.Ctx) (*request, *refusal) {
 	g.opts.Meter.Request()
-	if why := g.opts.Gate(); why != nil {
+	if why := g.opts.ClosedState(); why != nil {
 		return nil, refuse(why.Reason, "%s", why.Message).withRetryAfter(shortRetryAfter)
 	}
 	account, refused := g.authenticate(c)
@@ -93,8 +93,8 @@
 			}
 		}
 	}
-	if len(r.body) > g.opts.MaxBody {
-		return nil, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBody)
+	if len(r.body) > g.opts.MaxBodyBytes {
+		return nil, refuse(reason.BodyTooLarge, "the body is longer than %d bytes", g.opts.MaxBodyBytes)
 	}
 	if len(r.key) > maxKeyLength || strings.ContainsAny(r.key, "\x00\n") {
 		return nil, refuse(reason.KeyInvalid, "%s must be at most %d printable characters", headerIdempotencyKey, maxKeyLength)
--- a/measure/repair.go
+++ b/measure/repair.go
@@ -182,7 +182,7 @@
 }
 
 func (r *repairTrial) planAndApply() {
-	in := placement.Input{Domain: "d", LoadSlots: 2, Wants: []placement.Want{{
+	in := placement.Input{Domain: "d", MaxConcurrentLoads: 2, Wants: []placement.Want{{
 		Deployment: "chat", Replicas: r.scenario.Replicas, Size: nodesPerReplica, Version: r.wantedVersion,
 		Selects: func(map[string]string) bool { return true }, Fill: r.policy.FillsIdleNodes,
 		MayRoll: r.replicasToRoll(),
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -81,7 +81,7 @@
 // preloadBudget returns the number of nodes that may start to preload now. It is not positive if
 // none may.
 func (p *planner) preloadBudget() int {
-	if p.in.LoadSlots == 0 {
+	if p.in.MaxConcurrentLoads == 0 {
 		return len(p.nodes)
 	}
 	largest, preloading := 1, 0
@@ -93,7 +93,7 @@
 			preloading++
 		}
 	}
-	return (p.in.LoadSlots-p.loadingCount)*largest - preloading
+	return (p.in.MaxConcurrentLoads-p.loadingCount)*largest - preloading
 }
 
 // firstWant returns the want with the highest priority that selects the node.
--- a/placement/input.go
+++ b/placement/input.go
@@ -77,9 +77,9 @@
 	Domain string
 	Nodes  []Node
 	Wants  []Want
-	// LoadSlots is the maximum number of replicas that load weights at the same time; zero means no
-	// limit. A limit makes the first of several replicas ready earlier.
-	LoadSlots int
+	// MaxConcurrentLoads is the maximum number of replicas that load weights at the same time; zero
+	// means no limit. A limit makes the first of several replicas ready earlier.
+	MaxConcurrentLoads int
 	// Closed means that the domain's data hall is closed. Replicas then stay as they are, and none
 	// are formed or repaired.
 	Closed bool
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -283,7 +283,7 @@
 		return false
 	}
 	needsLoad := slices.ContainsFunc(chosen, func(n *Node) bool { return !n.hasWeights(want.Version) })
-	if needsLoad && p.in.LoadSlots > 0 && p.loadingCount >= p.in.LoadSlots {
+	if needsLoad && p.in.MaxConcurrentLoads > 0 && p.loadingCount >= p.in.MaxConcurrentLoads {
 		p.plan.NotServing[id] = reason + "; waits for the weight store"
 		for _, n := range chosen {
 			p.usedBy[n.ID] = id
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -164,7 +164,7 @@
 }
 
 func drawInput(t *rapid.T) Input {
-	in := Input{Domain: "d", LoadSlots: rapid.IntRange(0, 3).Draw(t, "slots")}
+	in := Input{Domain: "d", MaxConcurrentLoads: rapid.IntRange(0, 3).Draw(t, "slots")}
 	replicas := []string{"", "", "chat-d-0", "chat-d-1", "batch-d-0"}
 	for i := range rapid.IntRange(0, 24).Draw(t, "nodes") {
 		n := Node{
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -192,12 +192,12 @@
 	h.tasks.Go(func() { h.halls.Run(ctx) })
 	if !opts.withoutControllers {
 		controller := replica.NewController(replica.Options{
-			Self: h.id, Config: h.state.View, List: nodes, Control: nodes, Catalog: h.catalog,
+			Self: h.id, Config: h.state.View, NodeList: nodes, NodeControl: nodes, Catalog: h.catalog,
 			Members: replica.NewTableMembers(h.agent.Table()), Ownership: h.grants,
 			AppendGrant: func(ctx context.Context, record json.RawMessage) error {
 				return grants.Append(ctx, h.fleet.newID(), record)
 			},
-			OwnershipConfirmed: grants.Confirmed, ServeWindow: serveWindow, LoadSlots: 2,
+			OwnershipConfirmedAt: grants.Confirmed, ServeWindow: serveWindow, MaxConcurrentLoads: 2,
 			Logger: hclog.NewNullLogger(),
 		})
 		h.tasks.Go(func() { controller.Run(ctx) })
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -92,25 +92,25 @@
 
 // Options configures a Controller.
 type Options struct {
-	Self    string
-	Config  func() *config.View
-	List    cluster.NodeList
-	Control cluster.NodeControl
-	Catalog *catalog.Catalog
-	Members Members
+	Self        string
+	Config      func() *config.View
+	NodeList    cluster.NodeList
+	NodeControl cluster.NodeControl
+	Catalog     *catalog.Catalog
+	Members     Members
 	// Ownership holds the grants. A grant names the owner and the deputies of a domain. AppendGrant
 	// appends a grant to the log and returns once the grant has been applied to Ownership.
 	Ownership   *ownership.State
 	AppendGrant func(ctx context.Context, record json.RawMessage) error
-	// OwnershipConfirmed returns when the latest successful read of the grant log began.
-	OwnershipConfirmed func() time.Time
+	// OwnershipConfirmedAt returns when the latest successful read of the grant log began.
+	OwnershipConfirmedAt func() time.Time
 	// ServeWindow is how long a replica may serve after the start of the probe that confirmed it.
 	// If it is zero, DefaultServeWindow applies.
 	ServeWindow time.Duration
-	// LoadSlots is the maximum number of replicas in a domain that load weights at the same time.
-	// Zero means no limit.
-	LoadSlots int
-	Logger    hclog.Logger
+	// MaxConcurrentLoads is the maximum number of replicas in a domain that load weights at the
+	// same time. Zero means no limit.
+	MaxConcurrentLoads int
+	Logger             hclog.Logger
 }
 
 // Controller manages the domains that this daemon owns.
@@ -185,7 +185,7 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	start := time.Now()
-	nodes, err := c.opts.List.Nodes(ctx)
+	nodes, err := c.opts.NodeList.Nodes(ctx)
 	if err != nil {
 		c.opts.Logger.Debug("cannot read the node list", "error", err)
 		c.mu.Lock()
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -173,5 +173,5 @@
 	if grant.Owner() != d.controller.opts.Self || now.Before(d.unfencedOrdersAfter) {
 		return false
 	}
-	return now.Before(d.controller.opts.OwnershipConfirmed().Add(unfencedLease))
+	return now.Before(d.controller.opts.OwnershipConfirmedAt().Add(unfencedLease))
 }
--- a/replica/order.go
+++ b/replica/order.go
@@ -226,7 +226,7 @@
 	for _, o := range orders {
 		address, id := o.node.listed.Address, o.node.listed.ID
 		p.Go(func() probeResult {
-			reply, err := d.controller.opts.Control.Order(ctx, address, o.order)
+			reply, err := d.controller.opts.NodeControl.Order(ctx, address, o.order)
 			return probeResult{id: id, state: reply.State, err: err}
 		})
 	}
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -31,7 +31,7 @@
 	for id, m := range d.nodes {
 		address := m.listed.Address
 		p.Go(func() probeResult {
-			state, err := d.controller.opts.Control.State(ctx, address)
+			state, err := d.controller.opts.NodeControl.State(ctx, address)
 			return probeResult{id: id, state: state, err: err}
 		})
 	}
@@ -112,7 +112,7 @@
 // plannerInput returns the planner's input for the current state.
 func (d *domain) plannerInput(view *config.View) placement.Input {
 	now := time.Now()
-	in := placement.Input{Domain: d.name, LoadSlots: d.controller.opts.LoadSlots, Closed: view.Hall(d.dataHall).Closed()}
+	in := placement.Input{Domain: d.name, MaxConcurrentLoads: d.controller.opts.MaxConcurrentLoads, Closed: view.Hall(d.dataHall).Closed()}
 	canOrderUnfenced := d.canOrderUnfenced(d.controller.opts.Ownership.Grant(d.name), now)
 	for id, m := range d.nodes {
 		if m.listed.Kind != cluster.KindEngine {
