--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -84,11 +84,11 @@
 		return 0, false, nil
 	}
 	if len(values) > 1 || len(values[0]) > maxValueLength {
-		return 0, false, failure.At(failure.Remote, "read header", name, ErrInvalidValue)
+		return 0, false, failure.Wrap(failure.Remote, "read header", name, ErrInvalidValue)
 	}
 	value, err = strconv.ParseFloat(values[0], 64)
 	if err != nil || !(value >= 0 && value <= upper) {
-		return 0, false, failure.At(failure.Remote, "read header", name, ErrInvalidValue)
+		return 0, false, failure.Wrap(failure.Remote, "read header", name, ErrInvalidValue)
 	}
 	return value, true, nil
 }
--- a/cmd/operatorcmd/show.go
+++ b/cmd/operatorcmd/show.go
@@ -88,14 +88,14 @@
 	// early.
 	var page bytes.Buffer
 	fmt.Fprintf(&page, "daemon %s is %s, configuration revision %d\n", status.Daemon, status.Ready, status.Revision)
-	if status.LogSilent != "" {
-		fmt.Fprintln(&page, "warning:", status.LogSilent)
+	if status.LogProblem != "" {
+		fmt.Fprintln(&page, "warning:", status.LogProblem)
 	}
 	for _, warning := range status.Warnings {
 		fmt.Fprintln(&page, "warning:", warning)
 	}
-	fmt.Fprintf(&page, "dark replicas %d, group downtime %.0f replica-seconds\n", status.Sums.DarkReplicas, status.Sums.DowntimeSeconds)
-	fmt.Fprintf(&page, "stranded accelerators %d, %.0f accelerator-seconds\n\n", status.Sums.StrandedAccelerators, status.Sums.StrandedSeconds)
+	fmt.Fprintf(&page, "dark replicas %d, group downtime %.0f replica-seconds\n", status.Sums.DarkReplicas, status.Sums.DowntimeReplicaSeconds)
+	fmt.Fprintf(&page, "stranded accelerators %d, %.0f accelerator-seconds\n\n", status.Sums.StrandedAccelerators, status.Sums.StrandedAcceleratorSeconds)
 	for _, t := range []table{replicaTable(status), hallTable(status.Halls), domainTable(status), memberTable(status), counterTable(status)} {
 		if err := t.write(&page); err != nil {
 			return err
--- a/common/failure/failure.go
+++ b/common/failure/failure.go
@@ -37,9 +37,9 @@
 // first.
 func (l *located) Unwrap() []error { return []error{l.typed, l.cause} }
 
-// At wraps cause as an error of type t that arose in step while dealing with
+// Wrap wraps cause as an error of type t that arose in step while dealing with
 // peer. It returns nil when cause is nil.
-func At(t *errorx.Type, step, peer string, cause error) error {
+func Wrap(t *errorx.Type, step, peer string, cause error) error {
 	if cause == nil {
 		return nil
 	}
--- a/common/failure/failure_test.go
+++ b/common/failure/failure_test.go
@@ -14,17 +14,17 @@
 // TestCauses checks that errors.Is finds the cause of a wrapped error, and that the error
 // has its outermost type, step and peer.
 func TestCauses(t *testing.T) {
-	once := failure.At(failure.Remote, "read", "peer", errCause)
+	once := failure.Wrap(failure.Remote, "read", "peer", errCause)
 	tests := map[string]error{
 		"wrapped once":            once,
-		"wrapped twice":           failure.At(failure.Remote, "read", "peer", failure.At(failure.Refused, "dial", "other", errCause)),
-		"wrapped beside a text":   failure.At(failure.Remote, "read", "peer", fmt.Errorf("in between: %w", errCause)),
+		"wrapped twice":           failure.Wrap(failure.Remote, "read", "peer", failure.Wrap(failure.Refused, "dial", "other", errCause)),
+		"wrapped beside a text":   failure.Wrap(failure.Remote, "read", "peer", fmt.Errorf("in between: %w", errCause)),
 		"seen through a wrapping": fmt.Errorf("around: %w", once),
 	}
 	for name, err := range tests {
 		t.Run(name, func(t *testing.T) { checkError(t, err) })
 	}
-	if failure.At(failure.Remote, "read", "peer", nil) != nil {
+	if failure.Wrap(failure.Remote, "read", "peer", nil) != nil {
 		t.Error("a nil cause must give a nil error")
 	}
 }
--- a/common/pause/pause.go
+++ b/common/pause/pause.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d, or until ctx is done if that is earlier.
-func For(ctx context.Context, d time.Duration) {
+// Sleep waits for d, or until ctx is done if that is earlier.
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/common/reason/reason.go
+++ b/common/reason/reason.go
@@ -8,36 +8,36 @@
 
 // Reasons of refusals. A refused request was not run unless the answer says otherwise.
 const (
-	Unauthorized       Reason = "unauthorized"
-	UnknownModel       Reason = "unknown_model"
-	UnknownService     Reason = "unknown_service"
-	NotFound           Reason = "not_found"
-	BadRequest         Reason = "bad_request"
-	WrongMethod        Reason = "method_not_allowed"
-	BodyTooLarge       Reason = "body_too_large"
-	NoReplica          Reason = "no_replica"
-	Overloaded         Reason = "overloaded"
-	AccountLimit       Reason = "account_limit"
-	FairShare          Reason = "fair_share"
-	Starting           Reason = "starting"
-	Stopping           Reason = "stopping"
-	Isolated           Reason = "isolated"
-	IntentLog          Reason = "intent_log_unavailable"
-	KeyMismatch        Reason = "key_body_mismatch"
-	KeyInvalid         Reason = "key_invalid"
-	KeyExpired         Reason = "key_expired"
-	KeyPending         Reason = "key_pending"
-	KeyHolderGone      Reason = "key_holder_gone"
-	RetryBudget        Reason = "retry_budget_exhausted"
-	EndpointRefused    Reason = "endpoint_refused"
-	EndpointUnreached  Reason = "endpoint_unreachable"
-	EndpointBroken     Reason = "endpoint_broken"
-	EndpointTimeout    Reason = "endpoint_timeout"
-	EndpointCrossed    Reason = "endpoint_answer_mismatch"
-	ConfigurationClash Reason = "configuration_clash"
-	HallClosed         Reason = "hall_closed"
-	RegionNotAllowed   Reason = "region_not_allowed"
-	WarmUp             Reason = "warm_up"
+	Unauthorized           Reason = "unauthorized"
+	UnknownModel           Reason = "unknown_model"
+	UnknownService         Reason = "unknown_service"
+	NotFound               Reason = "not_found"
+	BadRequest             Reason = "bad_request"
+	WrongMethod            Reason = "method_not_allowed"
+	BodyTooLarge           Reason = "body_too_large"
+	NoReplica              Reason = "no_replica"
+	Overloaded             Reason = "overloaded"
+	AccountLimit           Reason = "account_limit"
+	FairShare              Reason = "fair_share"
+	Starting               Reason = "starting"
+	Stopping               Reason = "stopping"
+	Isolated               Reason = "isolated"
+	IntentLogUnavailable   Reason = "intent_log_unavailable"
+	KeyBodyMismatch        Reason = "key_body_mismatch"
+	KeyInvalid             Reason = "key_invalid"
+	KeyExpired             Reason = "key_expired"
+	KeyPending             Reason = "key_pending"
+	KeyHolderGone          Reason = "key_holder_gone"
+	RetryBudgetExhausted   Reason = "retry_budget_exhausted"
+	EndpointRefused        Reason = "endpoint_refused"
+	EndpointUnreachable    Reason = "endpoint_unreachable"
+	EndpointBroken         Reason = "endpoint_broken"
+	EndpointTimeout        Reason = "endpoint_timeout"
+	EndpointAnswerMismatch Reason = "endpoint_answer_mismatch"
+	ConfigurationClash     Reason = "configuration_clash"
+	HallClosed             Reason = "hall_closed"
+	RegionNotAllowed       Reason = "region_not_allowed"
+	WarmUp                 Reason = "warm_up"
 	// Limited means that the limits set by the workers are reached.
 	Limited Reason = "limited"
 	// Resting means that the workers asked this daemon to send no requests for a while.
@@ -57,10 +57,10 @@
 
 // Reasons for which a request was sent again, to another replica.
 const (
-	RetryUnreached Reason = "retry_unreachable"
-	RetryRefused   Reason = "retry_refused"
-	RetryBroken    Reason = "retry_broken"
-	RetryResumed   Reason = "retry_resumed"
+	RetryUnreachable Reason = "retry_unreachable"
+	RetryRefused     Reason = "retry_refused"
+	RetryBroken      Reason = "retry_broken"
+	RetryResumed     Reason = "retry_resumed"
 )
 
 // Reasons for which a stream was late although the caller received all of it.
@@ -69,18 +69,18 @@
 	LateRetried Reason = "late_retried"
 	// LateFull means that the first event was late, at a replica with few free slots.
 	LateFull Reason = "late_full"
-	// LateFirst means that the first event was late, at a replica with enough free slots.
+	// LateFirstEvent means that the first event was late, at a replica with enough free slots.
 	// The request waited for other prompts, or the worker was slow.
-	LateFirst Reason = "late_first"
+	LateFirstEvent Reason = "late_first"
 	// LateResumed means that the stream broke or stalled, and was resumed at another replica.
 	LateResumed Reason = "late_resumed"
-	// LatePause means that the stream paused at one replica and was continued there.
-	LatePause Reason = "late_pause"
+	// LatePaused means that the stream paused at one replica and was continued there.
+	LatePaused Reason = "late_pause"
 )
 
 // Lateness returns every reason for which a stream was late.
 func Lateness() []Reason {
-	return []Reason{LateRetried, LateFull, LateFirst, LateResumed, LatePause}
+	return []Reason{LateRetried, LateFull, LateFirstEvent, LateResumed, LatePaused}
 }
 
 // Refusals returns every reason of a refusal.
@@ -88,8 +88,8 @@
 	return []Reason{
 		Unauthorized, UnknownModel, UnknownService, NotFound, BadRequest, WrongMethod, BodyTooLarge,
 		NoReplica, Overloaded, AccountLimit, FairShare, Starting, Stopping, Isolated,
-		IntentLog, KeyMismatch, KeyInvalid, KeyExpired, KeyPending, KeyHolderGone, RetryBudget,
-		EndpointRefused, EndpointUnreached, EndpointBroken, EndpointTimeout, EndpointCrossed,
+		IntentLogUnavailable, KeyBodyMismatch, KeyInvalid, KeyExpired, KeyPending, KeyHolderGone, RetryBudgetExhausted,
+		EndpointRefused, EndpointUnreachable, EndpointBroken, EndpointTimeout, EndpointAnswerMismatch,
 		ConfigurationClash, HallClosed, RegionNotAllowed, WarmUp, Limited, Resting, MemoryBound, Quarantined,
 	}
 }
@@ -101,7 +101,7 @@
 
 // Retries returns every reason of a retry.
 func Retries() []Reason {
-	return []Reason{RetryUnreached, RetryRefused, RetryBroken, RetryResumed}
+	return []Reason{RetryUnreachable, RetryRefused, RetryBroken, RetryResumed}
 }
 
 // Ran is what an error answer states about whether the request was run.
--- a/common/turn/turn.go
+++ b/common/turn/turn.go
@@ -3,10 +3,10 @@
 
 import "slices"
 
-// Few returns up to limit items. If there are more, it sorts items by compare and begins at start,
-// or at the next higher item if start isn't one of them. After the last item it continues with the
-// first. The result next is the start for the next call.
-func Few[T any](items []T, start T, limit int, compare func(a, b T) int) (few []T, next T) {
+// Select returns up to limit items. If there are more, it sorts items by compare and begins at
+// start, or at the next higher item if start isn't one of them. After the last item it continues
+// with the first. The result next is the start for the next call.
+func Select[T any](items []T, start T, limit int, compare func(a, b T) int) (few []T, next T) {
 	if len(items) <= limit {
 		return items, start
 	}
--- a/common/turn/turn_test.go
+++ b/common/turn/turn_test.go
@@ -23,7 +23,7 @@
 		var seen []int
 		for range (len(all) + most - 1) / most {
 			var few []int
-			few, from = Few(slices.Clone(all), from, most, cmp.Compare)
+			few, from = Select(slices.Clone(all), from, most, cmp.Compare)
 			assert.Assert(t, len(few) <= most)
 			seen = append(seen, few...)
 		}
--- a/daemon/accounting.go
+++ b/daemon/accounting.go
@@ -26,16 +26,16 @@
 
 func newAccounting(d *Daemon) *accounting {
 	a := &accounting{daemon: d, updatedAt: time.Now()}
-	d.meter.Gauge("group_downtime_replica_seconds", func() float64 { return a.sums().DowntimeSeconds })
-	d.meter.Gauge("stranded_accelerator_seconds", func() float64 { return a.sums().StrandedSeconds })
-	d.meter.Gauge("dark_replicas", func() float64 { return float64(a.sums().DarkReplicas) })
-	d.meter.Gauge("stranded_accelerators", func() float64 { return float64(a.sums().StrandedAccelerators) })
-	d.meter.Gauge("requests_in_flight", func() float64 { return float64(d.gateway.InFlight().Total()) })
-	d.meter.Gauge("members_alive", func() float64 { return float64(len(d.agent.Table().Alive())) })
-	d.meter.Gauge("configuration_next", func() float64 { return float64(d.followers[streamConfiguration].Fold().Next()) })
-	d.meter.Gauge("peer_bytes_received", func() float64 { return float64(d.peerClients.traffic.receivedBytes.Load()) })
-	d.meter.Gauge("peer_bytes_sent", func() float64 { return float64(d.peerClients.traffic.sentBytes.Load()) })
-	d.meter.Gauge("keys_kept", func() float64 { return float64(d.intents.Len()) })
+	d.meter.ExportGauge("group_downtime_replica_seconds", func() float64 { return a.sums().DowntimeReplicaSeconds })
+	d.meter.ExportGauge("stranded_accelerator_seconds", func() float64 { return a.sums().StrandedAcceleratorSeconds })
+	d.meter.ExportGauge("dark_replicas", func() float64 { return float64(a.sums().DarkReplicas) })
+	d.meter.ExportGauge("stranded_accelerators", func() float64 { return float64(a.sums().StrandedAccelerators) })
+	d.meter.ExportGauge("requests_in_flight", func() float64 { return float64(d.gateway.InFlight().Total()) })
+	d.meter.ExportGauge("members_alive", func() float64 { return float64(len(d.agent.Table().Alive())) })
+	d.meter.ExportGauge("configuration_next", func() float64 { return float64(d.followers[streamConfiguration].Fold().Next()) })
+	d.meter.ExportGauge("peer_bytes_received", func() float64 { return float64(d.peerClients.traffic.receivedBytes.Load()) })
+	d.meter.ExportGauge("peer_bytes_sent", func() float64 { return float64(d.peerClients.traffic.sentBytes.Load()) })
+	d.meter.ExportGauge("keys_kept", func() float64 { return float64(d.intents.Len()) })
 	return a
 }
 
@@ -43,17 +43,17 @@
 // both since the daemon started. It also holds the current numbers of dark replicas and
 // stranded accelerators. A replica is dark if it is reported but doesn't serve.
 type Sums struct {
-	DowntimeSeconds      float64 `json:"group_downtime_replica_seconds"`
-	StrandedSeconds      float64 `json:"stranded_accelerator_seconds"`
-	DarkReplicas         int     `json:"dark_replicas"`
-	StrandedAccelerators int     `json:"stranded_accelerators"`
+	DowntimeReplicaSeconds     float64 `json:"group_downtime_replica_seconds"`
+	StrandedAcceleratorSeconds float64 `json:"stranded_accelerator_seconds"`
+	DarkReplicas               int     `json:"dark_replicas"`
+	StrandedAccelerators       int     `json:"stranded_accelerators"`
 }
 
 func (a *accounting) sums() Sums {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return Sums{
-		DowntimeSeconds: a.downtimeReplicaSeconds, StrandedSeconds: a.strandedAcceleratorSeconds,
+		DowntimeReplicaSeconds: a.downtimeReplicaSeconds, StrandedAcceleratorSeconds: a.strandedAcceleratorSeconds,
 		DarkReplicas: a.darkReplicas, StrandedAccelerators: a.strandedAccelerators,
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -131,7 +131,7 @@
 		{"listen for peers", d.settings.Peers, &d.listeners.peers},
 	} {
 		if *port.listener, err = net.Listen("tcp", port.address); err != nil {
-			return failure.At(failure.Unavailable, port.step, port.address, err)
+			return failure.Wrap(failure.Unavailable, port.step, port.address, err)
 		}
 	}
 	return nil
@@ -146,7 +146,7 @@
 	}
 	host, _, err := net.SplitHostPort(d.settings.Callers)
 	if err != nil {
-		return nil, failure.At(failure.Invalid, "start embedded platform", d.settings.Callers, err)
+		return nil, failure.Wrap(failure.Invalid, "start embedded platform", d.settings.Callers, err)
 	}
 	d.embedded, err = server.New(server.Options{
 		Host: host,
@@ -317,7 +317,7 @@
 			d.logger.Warn("announcement not appended to the log; retrying", "error", err)
 			warned = true
 		}
-		pause.For(ctx, announceRetryDelay)
+		pause.Sleep(ctx, announceRetryDelay)
 	}
 }
 
@@ -336,7 +336,7 @@
 func (d *Daemon) ApplyConfigurationFile(ctx context.Context, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return failure.At(failure.Invalid, "read configuration", file, err)
+		return failure.Wrap(failure.Invalid, "read configuration", file, err)
 	}
 	parsed, err := config.ParseFile(file, string(text))
 	if err != nil {
@@ -345,7 +345,7 @@
 	select {
 	case <-d.followers[streamConfiguration].CaughtUp():
 	case <-ctx.Done():
-		return failure.At(failure.Unavailable, "read configuration stream", file, ctx.Err())
+		return failure.Wrap(failure.Unavailable, "read configuration stream", file, ctx.Err())
 	}
 	set := config.ChangeSet{Author: "settings"}
 	for _, p := range parsed {
@@ -372,7 +372,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure.At(failure.Unavailable, "wait for a replica", d.settings.Name, ctx.Err())
+			return failure.Wrap(failure.Unavailable, "wait for a replica", d.settings.Name, ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
@@ -383,7 +383,7 @@
 func (d *Daemon) publish(ctx context.Context, id string, set config.ChangeSet) (config.Verdict, error) {
 	data, err := set.Encode()
 	if err != nil {
-		return config.Verdict{}, failure.At(failure.Invalid, "encode change set", "", err)
+		return config.Verdict{}, failure.Wrap(failure.Invalid, "encode change set", "", err)
 	}
 	if err := d.followers[streamConfiguration].Append(ctx, id, data); err != nil {
 		return config.Verdict{}, err
--- a/daemon/halls.go
+++ b/daemon/halls.go
@@ -16,7 +16,7 @@
 		ServeWindow: d.settings.ServeWindow, Logger: d.logger.Named("hall"),
 	})
 	for _, state := range []hall.State{hall.Open, hall.Closing, hall.Empty} {
-		d.meter.Gauge("data_halls_"+string(state), func() float64 { return float64(w.Count(state)) })
+		d.meter.ExportGauge("data_halls_"+string(state), func() float64 { return float64(w.Count(state)) })
 	}
 	return w
 }
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -138,7 +138,7 @@
 		return err
 	}
 	if !verdict.Accepted {
-		o.daemon.meter.Refuse(reason.ConfigurationClash)
+		o.daemon.meter.CountRefusal(reason.ConfigurationClash)
 	}
 	return c.JSON(ChangeReply{Verdict: verdict, Warnings: o.daemon.warnings()})
 }
--- a/daemon/peer.go
+++ b/daemon/peer.go
@@ -137,7 +137,7 @@
 	}
 	reply, err := d.peerClients.get(address).Outcome(ctx, &rpc.OutcomeRequest{Attempt: attempt})
 	if err != nil {
-		return intent.Outcome{}, failure.At(failure.Unavailable, "ask outcome", holder, err)
+		return intent.Outcome{}, failure.Wrap(failure.Unavailable, "ask outcome", holder, err)
 	}
 	answer := intent.NewAnswer(int(reply.Status), reply.ContentType, reply.Body)
 	return intent.NewOutcome(intent.Phase(reply.State), answer), nil
@@ -160,7 +160,7 @@
 		reply, err = d.peerClients.get(home.PeerAddress).LeaseShare(ctx, request)
 	}
 	if err != nil {
-		return 0, time.Time{}, failure.At(failure.Unavailable, "lease share", home.Id, err)
+		return 0, time.Time{}, failure.Wrap(failure.Unavailable, "lease share", home.Id, err)
 	}
 	return reply.Share, start.Add(time.Duration(reply.RemainingMicros) * time.Microsecond), nil
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -23,8 +23,8 @@
 	Nodes    []NodeRow               `json:"nodes"`
 	Halls    []hall.Status           `json:"halls"`
 	Warnings []string                `json:"warnings"`
-	// LogSilent says that the log does not answer, and is empty otherwise.
-	LogSilent string `json:"log_silent,omitempty"`
+	// LogProblem says that the log does not answer, and is empty otherwise.
+	LogProblem string `json:"log_silent,omitempty"`
 }
 
 // MemberRow describes a daemon.
@@ -95,7 +95,7 @@
 		s.Ready = string(closed.Reason) + ": " + closed.Message
 	}
 	if confirmed := d.followers[streamConfiguration].Confirmed(); now.Sub(confirmed) > contactTimeout {
-		s.LogSilent = "the log does not answer"
+		s.LogProblem = "the log does not answer"
 	}
 	for _, m := range d.agent.Table().Members() {
 		s.Members = append(s.Members, memberRow(m))
--- a/eventlog/follower.go
+++ b/eventlog/follower.go
@@ -99,7 +99,7 @@
 	var checkpointDue time.Time
 	for ctx.Err() == nil {
 		if err := f.read(ctx); err != nil {
-			pause.For(ctx, retryDelay)
+			pause.Sleep(ctx, retryDelay)
 			continue
 		}
 		checkpointDue = f.writeCheckpointIfDue(ctx, checkpointDue)
@@ -189,7 +189,8 @@
 	}
 	record, err := newCheckpointRecord(f.opts.NewID(), c)
 	if err == nil {
-		// Errors need no handling. Another checkpoint is written unless this one is found in the log.
+		// Errors need no handling. Another checkpoint is written unless this one is found in the
+		// log.
 		_, _ = f.opts.Log.Append(ctx, f.opts.Stream, []cluster.Record{record})
 	}
 	return now.Add(readTimeout + f.opts.CheckpointDelay())
@@ -231,7 +232,7 @@
 func (f *Follower) Append(ctx context.Context, id string, data []byte) error {
 	record, err := NewRecord(id, data)
 	if err != nil {
-		return failure.At(failure.Invalid, "encode record", f.opts.Stream, err)
+		return failure.Wrap(failure.Invalid, "encode record", f.opts.Stream, err)
 	}
 	return f.AppendRecords(ctx, []cluster.Record{record})
 }
@@ -250,6 +251,6 @@
 	case <-folded:
 		return nil
 	case <-ctx.Done():
-		return failure.At(failure.Unavailable, "settle append", f.opts.Stream, ctx.Err())
+		return failure.Wrap(failure.Unavailable, "settle append", f.opts.Stream, ctx.Err())
 	}
 }
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -173,7 +173,7 @@
 			return nil
 		}
 		f.opts.Inventory.ApplyRead(read, sent.Time())
-		pause.For(ctx, coalesceDelay)
+		pause.Sleep(ctx, coalesceDelay)
 		return nil
 	})
 }
@@ -182,7 +182,7 @@
 // is so if the list was older than what peers have sent.
 func (f *Follower) delayListRetry(ctx context.Context) {
 	if f.opts.Inventory.NeedsList() {
-		pause.For(ctx, listRetryDelay)
+		pause.Sleep(ctx, listRetryDelay)
 	}
 }
 
@@ -276,7 +276,7 @@
 	backoff, isUnreachable := minRetryDelay, false
 	for ctx.Err() == nil {
 		if !shouldRead() {
-			pause.For(ctx, idlePollInterval)
+			pause.Sleep(ctx, idlePollInterval)
 			continue
 		}
 		err := read(ctx)
@@ -295,7 +295,7 @@
 			isUnreachable = true
 		}
 		backoff = max(backoff, f.spreadDelay())
-		pause.For(ctx, backoff+rand.N(backoff))
+		pause.Sleep(ctx, backoff+rand.N(backoff))
 		backoff = min(2*backoff, max(maxRetryDelay, f.spreadDelay()))
 	}
 }
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -36,7 +36,7 @@
 			k.retire(o, head, retiredAssumed)
 			return
 		}
-		pause.For(ctx, tickInterval)
+		pause.Sleep(ctx, tickInterval)
 	}
 }
 
@@ -124,7 +124,7 @@
 	// An earlier leader may have closed the group.
 	isClosing := ok && (verdict.IsAccepted() || o.state == fleet.Closing)
 	for isClosing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextQuery) {
-		pause.For(ctx, tickInterval)
+		pause.Sleep(ctx, tickInterval)
 	}
 	k.dissolve(ctx, o, o.head)
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -107,7 +107,7 @@
 			k.markUnreliable(ctx, g, lost...)
 			return false
 		}
-		pause.For(ctx, tickInterval/4)
+		pause.Sleep(ctx, tickInterval/4)
 	}
 	k.markUnreliable(ctx, g, slices.DeleteFunc(slices.Clone(members), func(w *fleet.Worker) bool { return readyMembers[w.ID] })...)
 	return false
@@ -175,7 +175,7 @@
 	k.recordBegun(head.ID, verdict)
 	openingTime := k.openingDuration(service)
 	k.recordOpened(head.ID, g, time.Now().Add(openingTime+listSettleTime))
-	pause.For(ctx, openingTime)
+	pause.Sleep(ctx, openingTime)
 	k.opts.OnAnnouncement(fleet.Announcement{
 		Group: g.Name, Epoch: g.Epoch, Service: service, Model: g.Model, Head: head.ID, Open: true,
 	})
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -65,7 +65,7 @@
 			return ok && verdict.IsAccepted()
 		}
 		k.forgetOrderState(w.ID)
-		pause.For(ctx, joinRetryPause)
+		pause.Sleep(ctx, joinRetryPause)
 	}
 	return false
 }
--- a/gateway/complete.go
+++ b/gateway/complete.go
@@ -117,7 +117,7 @@
 	if !r.repeatable || len(tried) >= maxAttempts || r.ctx.Err() != nil || !g.retryBudget.takeRetry() {
 		return nil, attemptRefusal
 	}
-	g.opts.Meter.Retry(reason.RetryBroken)
+	g.opts.Meter.CountRetry(reason.RetryBroken)
 	return g.openAttempt(r, body, choose, tried, func(time.Time) bool { return true })
 }
 
@@ -212,9 +212,9 @@
 
 func (s *streamRelay) recordLatency() {
 	if len(s.tokens) == 0 {
-		s.g.opts.Meter.FirstToken(s.r.arrivedAt)
+		s.g.opts.Meter.RecordFirstToken(s.r.arrivedAt)
 	} else {
-		s.g.opts.Meter.NextToken(s.lastTokenAt)
+		s.g.opts.Meter.RecordNextToken(s.lastTokenAt)
 	}
 	s.lastTokenAt = time.Now()
 }
@@ -259,7 +259,7 @@
 		a.close()
 		return nil, attemptRefusal
 	}
-	s.g.opts.Meter.Retry(reason.RetryResumed)
+	s.g.opts.Meter.CountRetry(reason.RetryResumed)
 	return a, nil
 }
 
@@ -288,7 +288,7 @@
 // marker.
 func (s *streamRelay) fail(refused *refusal) {
 	refused.ran = reason.RanUnknown
-	s.g.opts.Meter.Refuse(refused.reason)
+	s.g.opts.Meter.CountRefusal(refused.reason)
 	s.g.recordOutcome(s.claim, reason.RanUnknown, intent.Answer{})
 	_ = s.writeEvent(refused.body())
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -182,18 +182,18 @@
 			return nil, attemptRefusal
 		}
 		if !g.retryBudget.takeRetry() {
-			return nil, refuse(reason.RetryBudget, "%s; the budget of retries is used up", attemptRefusal.message).
+			return nil, refuse(reason.RetryBudgetExhausted, "%s; the budget of retries is used up", attemptRefusal.message).
 				withRan(attemptRefusal.ran).withRetryAfter(shortRetryAfter)
 		}
-		g.opts.Meter.Retry(retry)
+		g.opts.Meter.CountRetry(retry)
 	}
 }
 
 // retryReason returns why a failed attempt may be retried, or an empty reason if it may not.
 func retryReason(why reason.Reason, ran reason.Ran, repeatable bool) reason.Reason {
 	switch {
-	case why == reason.EndpointUnreached:
-		return reason.RetryUnreached
+	case why == reason.EndpointUnreachable:
+		return reason.RetryUnreachable
 	case why == reason.EndpointRefused:
 		return reason.RetryRefused
 	case repeatable && ran == reason.RanUnknown:
@@ -242,9 +242,9 @@
 	maybeSent := !errors.As(err, &sendErr) || sendErr.maybeSent
 	switch {
 	case !maybeSent:
-		return refuse(reason.EndpointUnreached, "%v", err).withRetryAfter(shortRetryAfter)
+		return refuse(reason.EndpointUnreachable, "%v", err).withRetryAfter(shortRetryAfter)
 	case errors.Is(err, errWrongRequest):
-		return refuse(reason.EndpointCrossed, "%v", err).withRan(reason.RanUnknown)
+		return refuse(reason.EndpointAnswerMismatch, "%v", err).withRan(reason.RanUnknown)
 	case errors.Is(err, context.DeadlineExceeded):
 		return refuse(reason.EndpointTimeout, "%v", err).withRan(reason.RanUnknown)
 	default:
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -91,7 +91,7 @@
 // countPassedOver increments the metric of each reason in passedOver by one, whatever its count.
 func (g *Gateway) countPassedOver(passedOver PassedOver) {
 	for why := range passedOver {
-		g.opts.Meter.PassOver(why)
+		g.opts.Meter.CountPassOver(why)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -128,7 +128,7 @@
 func (g *Gateway) Serve(l net.Listener) error {
 	defer close(g.done)
 	err := g.app.Listener(l)
-	return failure.At(failure.Unavailable, "serve callers", l.Addr().String(), err)
+	return failure.Wrap(failure.Unavailable, "serve callers", l.Addr().String(), err)
 }
 
 // Stop closes the listener, waits up to timeout for requests in flight, and closes the remaining
@@ -136,7 +136,7 @@
 func (g *Gateway) Stop(timeout time.Duration) error {
 	defer g.guard.Wait()
 	defer g.upstream.close()
-	return failure.At(failure.Unavailable, "stop serving callers", "callers", g.app.ShutdownWithTimeout(timeout))
+	return failure.Wrap(failure.Unavailable, "stop serving callers", "callers", g.app.ShutdownWithTimeout(timeout))
 }
 
 func (g *Gateway) routes() *fiber.App {
@@ -189,7 +189,7 @@
 
 // writeRefusal counts a refusal in the metrics and sends it as the answer.
 func (g *Gateway) writeRefusal(c *fiber.Ctx, r *refusal) error {
-	g.opts.Meter.Refuse(r.reason)
+	g.opts.Meter.CountRefusal(r.reason)
 	return r.write(c)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -450,7 +450,7 @@
 			other, err := h.post(`{"model":"chat","prompt":"other"}`, key)
 			assert.NilError(t, err)
 			_, why := other.refusal()
-			assert.Equal(t, why, reason.KeyMismatch)
+			assert.Equal(t, why, reason.KeyBodyMismatch)
 			assert.Equal(t, h.runCount(), 1)
 		})
 	}
@@ -465,7 +465,7 @@
 	assert.NilError(t, err)
 	ran, why := got.refusal()
 	assert.Equal(t, ran, reason.RanNo)
-	assert.Equal(t, why, reason.IntentLog)
+	assert.Equal(t, why, reason.IntentLogUnavailable)
 	assert.Equal(t, h.runCount(), 0)
 	got, err = h.post(`{"model":"chat","prompt":"prompt"}`, nil)
 	assert.NilError(t, err)
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -31,7 +31,7 @@
 	key := intent.KeyOf(r.account.Name(), r.key)
 	claim, err := g.opts.Ledger.ClaimKey(r.ctx, key, intent.BodyHash(r.method, r.path, r.body))
 	if err != nil {
-		return intent.Claim{}, refuse(reason.IntentLog, "the request needs the log to run at most once: %v", err).withRetryAfter(longRetryAfter)
+		return intent.Claim{}, refuse(reason.IntentLogUnavailable, "the request needs the log to run at most once: %v", err).withRetryAfter(longRetryAfter)
 	}
 	return claim, nil
 }
@@ -41,7 +41,7 @@
 func (g *Gateway) answerDuplicate(c *fiber.Ctx, r *request, claim intent.Claim) error {
 	entry := claim.Entry()
 	if entry.Body() != intent.BodyHash(r.method, r.path, r.body) {
-		return g.writeRefusal(c, refuse(reason.KeyMismatch, "the key was used before with another request"))
+		return g.writeRefusal(c, refuse(reason.KeyBodyMismatch, "the key was used before with another request"))
 	}
 	ctx, cancel := g.detachedContext()
 	defer cancel()
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -66,7 +66,7 @@
 // newRequest authenticates a caller's request, copies it, and checks its size and idempotency key.
 // It refuses all requests while the daemon accepts none.
 func (g *Gateway) newRequest(c *fiber.Ctx) (*request, *refusal) {
-	g.opts.Meter.Request()
+	g.opts.Meter.CountRequest()
 	if why := g.opts.ClosedState(); why != nil {
 		return nil, refuse(why.Reason, "%s", why.Message).withRetryAfter(shortRetryAfter)
 	}
--- a/gateway/rest.go
+++ b/gateway/rest.go
@@ -13,7 +13,7 @@
 func (g *Gateway) recordRestPeriod(endpoint string, answer *http.Response) {
 	signal, err := backpressure.HeaderNames{}.Read(answer, false)
 	if err != nil {
-		g.opts.Meter.Signal("unclear")
+		g.opts.Meter.CountWorkerSignal("unclear")
 		g.opts.Logger.Debug("invalid backpressure headers in an endpoint's answer", "endpoint", endpoint, "error", err)
 	}
 	now := time.Now()
@@ -21,7 +21,7 @@
 		return
 	}
 	g.rests.Sweep(now)
-	g.opts.Meter.Signal(string(backpressure.RestAsked))
+	g.opts.Meter.CountWorkerSignal(string(backpressure.RestAsked))
 	g.opts.Logger.Info("endpoint asked for a rest period", "endpoint", endpoint, "rest_ms", signal.Rest.Milliseconds())
 }
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -82,23 +82,23 @@
 	for {
 		data, err := s.readEvent()
 		if err != nil {
-			return nil, "", failure.At(failure.Remote, "read stream", s.attempt.target.address, err)
+			return nil, "", failure.Wrap(failure.Remote, "read stream", s.attempt.target.address, err)
 		}
 		if bytes.Equal(data, doneMarker) {
 			return nil, "", nil
 		}
 		e, err := parseEvent(&s.parser, data)
 		if err != nil {
-			return nil, "", failure.At(failure.Remote, "read event", s.attempt.target.address, err)
+			return nil, "", failure.Wrap(failure.Remote, "read event", s.attempt.target.address, err)
 		}
 		if e.id != s.requestID {
-			return nil, "", failure.At(failure.Remote, "check event", s.attempt.target.address, errWrongRequest)
+			return nil, "", failure.Wrap(failure.Remote, "check event", s.attempt.target.address, errWrongRequest)
 		}
 		if e.index < s.nextIndex {
 			continue
 		}
 		if e.index > s.nextIndex {
-			return nil, "", failure.At(failure.Remote, "check event", s.attempt.target.address, errMissingToken)
+			return nil, "", failure.Wrap(failure.Remote, "check event", s.attempt.target.address, errMissingToken)
 		}
 		s.nextIndex++
 		return data, e.text, nil
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -96,7 +96,7 @@
 	})
 	request, err := http.NewRequestWithContext(ctx, c.method, "http://"+c.address+c.path, bodyReader(c))
 	if err != nil {
-		return nil, &sendError{cause: failure.At(failure.Invalid, "build request", c.address, err)}
+		return nil, &sendError{cause: failure.Wrap(failure.Invalid, "build request", c.address, err)}
 	}
 	request.ContentLength = int64(len(c.body))
 	request.Header = c.header.Clone()
@@ -111,11 +111,11 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, &sendError{maybeSent: connected.Load(), cause: failure.At(failure.Remote, "send request", c.address, err)}
+		return nil, &sendError{maybeSent: connected.Load(), cause: failure.Wrap(failure.Remote, "send request", c.address, err)}
 	}
 	if id := response.Header.Get(cluster.HeaderRequest); id != "" && id != c.requestID {
 		closeBody(response)
-		return nil, &sendError{maybeSent: true, cause: failure.At(failure.Remote, "check answer", c.address, errWrongRequest)}
+		return nil, &sendError{maybeSent: true, cause: failure.Wrap(failure.Remote, "check answer", c.address, errWrongRequest)}
 	}
 	return response, nil
 }
@@ -144,11 +144,11 @@
 	defer closeBody(r)
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxAnswerBytes+1))
 	if err != nil {
-		return nil, &sendError{maybeSent: true, cause: failure.At(failure.Remote, "read answer", address, err)}
+		return nil, &sendError{maybeSent: true, cause: failure.Wrap(failure.Remote, "read answer", address, err)}
 	}
 	if len(data) > maxAnswerBytes {
 		err := fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
-		return nil, &sendError{maybeSent: true, cause: failure.At(failure.Remote, "read answer", address, err)}
+		return nil, &sendError{maybeSent: true, cause: failure.Wrap(failure.Remote, "read answer", address, err)}
 	}
 	return data, nil
 }
--- a/intent/ledger.go
+++ b/intent/ledger.go
@@ -190,7 +190,7 @@
 	case <-applied:
 		return nil
 	case <-ctx.Done():
-		return failure.At(failure.Unavailable, "settle intent", Stream, ctx.Err())
+		return failure.Wrap(failure.Unavailable, "settle intent", Stream, ctx.Err())
 	}
 }
 
@@ -212,7 +212,7 @@
 func (l *Ledger) encode(r Record) (cluster.Record, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
-		return cluster.Record{}, failure.At(failure.Invalid, "encode intent", Stream, err)
+		return cluster.Record{}, failure.Wrap(failure.Invalid, "encode intent", Stream, err)
 	}
 	return eventlog.NewRecord(l.opts.NewID(), data)
 }
@@ -230,7 +230,7 @@
 		case record := <-l.queue.Values():
 			batch := append([]cluster.Record{record}, l.queue.Drain(batchSize-1)...)
 			l.flush(ctx, batch)
-			pause.For(ctx, l.opts.FlushEvery())
+			pause.Sleep(ctx, l.opts.FlushEvery())
 		case <-ctx.Done():
 			return
 		}
@@ -248,6 +248,6 @@
 		if err == nil {
 			return
 		}
-		pause.For(ctx, appendRetryDelay)
+		pause.Sleep(ctx, appendRetryDelay)
 	}
 }
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -234,7 +234,7 @@
 	start := time.Now()
 	reply, err := a.opts.Dial(address).Exchange(ctx, request)
 	if err != nil {
-		return failure.At(failure.Unavailable, "exchange", address, err)
+		return failure.Wrap(failure.Unavailable, "exchange", address, err)
 	}
 	a.table.Merge(reply.Members)
 	a.opts.Reports.Merge(reply.Reports, start)
@@ -419,7 +419,7 @@
 	start := time.Now()
 	reply, err := a.opts.Dial(m.PeerAddress).Probe(ctx, request)
 	if err != nil {
-		return failure.At(failure.Unavailable, "probe member", m.Id, err)
+		return failure.Wrap(failure.Unavailable, "probe member", m.Id, err)
 	}
 	a.recordAnswer(m.PeerAddress, start)
 	if reply.Incarnation > m.Incarnation {
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -27,17 +27,17 @@
 func encode(m *message) ([]byte, error) {
 	body, err := json.Marshal(m)
 	if err != nil {
-		return nil, failure.At(failure.Invalid, "encode message", m.ID, err)
+		return nil, failure.Wrap(failure.Invalid, "encode message", m.ID, err)
 	}
 	var out bytes.Buffer
 	w := deflateWriters.Get().(*flate.Writer)
 	defer deflateWriters.Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(body); err != nil {
-		return nil, failure.At(failure.Invalid, "deflate message", m.ID, err)
+		return nil, failure.Wrap(failure.Invalid, "deflate message", m.ID, err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, failure.At(failure.Invalid, "deflate message", m.ID, err)
+		return nil, failure.Wrap(failure.Invalid, "deflate message", m.ID, err)
 	}
 	return out.Bytes(), nil
 }
@@ -48,14 +48,14 @@
 	r := inflateReaders.Get().(io.ReadCloser)
 	defer inflateReaders.Put(r)
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(data), nil); err != nil {
-		return m, failure.At(failure.Remote, "inflate message", "", err)
+		return m, failure.Wrap(failure.Remote, "inflate message", "", err)
 	}
 	body, err := io.ReadAll(io.LimitReader(r, maxMessageBytes))
 	if err != nil {
-		return m, failure.At(failure.Remote, "inflate message", "", err)
+		return m, failure.Wrap(failure.Remote, "inflate message", "", err)
 	}
 	if err := json.Unmarshal(body, &m); err != nil {
-		return m, failure.At(failure.Remote, "decode message", "", err)
+		return m, failure.Wrap(failure.Remote, "decode message", "", err)
 	}
 	return m, nil
 }
--- a/peers/loads.go
+++ b/peers/loads.go
@@ -120,7 +120,7 @@
 func (l *Loads) UnmarshalJSON(data []byte) error {
 	var packed packedLoads
 	if err := json.Unmarshal(data, &packed); err != nil {
-		return failure.At(failure.Remote, "decode loads", "", err)
+		return failure.Wrap(failure.Remote, "decode loads", "", err)
 	}
 	all := packed.Others
 	for model, values := range packed.Groups {
--- a/peers/transport.go
+++ b/peers/transport.go
@@ -19,17 +19,17 @@
 func ListenUDP(address string) (Transport, error) {
 	resolved, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
-		return Transport{}, failure.At(failure.Invalid, "open UDP port for peers", address, err)
+		return Transport{}, failure.Wrap(failure.Invalid, "open UDP port for peers", address, err)
 	}
 	conn, err := net.ListenUDP("udp4", resolved)
 	if err != nil {
-		return Transport{}, failure.At(failure.Unavailable, "open UDP port for peers", address, err)
+		return Transport{}, failure.Wrap(failure.Unavailable, "open UDP port for peers", address, err)
 	}
 	return Transport{
 		Send: func(to string, datagram []byte) error {
 			destination, err := netip.ParseAddrPort(to)
 			if err != nil {
-				return failure.At(failure.Invalid, "send datagram", to, err)
+				return failure.Wrap(failure.Invalid, "send datagram", to, err)
 			}
 			_, err = conn.WriteToUDPAddrPort(datagram, destination)
 			return err
--- a/proof/network_test.go
+++ b/proof/network_test.go
@@ -162,7 +162,7 @@
 		}
 		<-ctx.Done()
 	}
-	return failure.At(failure.Unavailable, "carry call", to, errCut)
+	return failure.Wrap(failure.Unavailable, "carry call", to, errCut)
 }
 
 // callPlace makes a call to a place. The message and the reply can each be delayed or lost.
@@ -245,7 +245,7 @@
 	defer p.net.mu.Unlock()
 	peer := p.net.peers[p.to]
 	if peer == nil {
-		return nil, failure.At(failure.Refused, "dial", p.to, errCut)
+		return nil, failure.Wrap(failure.Refused, "dial", p.to, errCut)
 	}
 	return peer, nil
 }
--- a/quarantine/guard/guard.go
+++ b/quarantine/guard/guard.go
@@ -109,7 +109,7 @@
 // Blame records that a worker ended while it had a request. It informs peers at once if the request
 // is now quarantined, or would be after one more crash.
 func (g *Guard) Blame(f quarantine.Fingerprint, crash quarantine.Crash) (state quarantine.State, marked bool) {
-	g.opts.Meter.Quarantine("blamed")
+	g.opts.Meter.CountQuarantineEvent("blamed")
 	state, marked = g.table.Blame(f, crash, time.Now())
 	if marked {
 		g.reportMarked([]quarantine.Fingerprint{f})
@@ -125,7 +125,7 @@
 		return
 	}
 	for range all {
-		g.opts.Meter.Quarantine("quarantined")
+		g.opts.Meter.CountQuarantineEvent("quarantined")
 	}
 	g.opts.OnQuarantined(all)
 }
@@ -136,7 +136,7 @@
 	if g.table.Empty() || !g.table.Clear(r.Fingerprint(), time.Now()) {
 		return
 	}
-	g.opts.Meter.Quarantine("cleared")
+	g.opts.Meter.CountQuarantineEvent("cleared")
 	g.opts.Logger.Warn("quarantined request completed", "request", r.ID, "fingerprint", r.Fingerprint().String())
 	g.opts.NotifyPeers()
 }
@@ -180,7 +180,7 @@
 }
 
 func (g *Guard) logLifted(f quarantine.Fingerprint, source string) {
-	g.opts.Meter.Quarantine("lifted")
+	g.opts.Meter.CountQuarantineEvent("lifted")
 	g.opts.Logger.Info("quarantine lifted", "fingerprint", f.String(), "by", source)
 }
 
--- a/relay/brokenattempt.go
+++ b/relay/brokenattempt.go
@@ -35,7 +35,7 @@
 // logBroken counts and logs an attempt that broke off. The logged fingerprint is the same for all
 // copies of a request, even if their IDs differ.
 func (r *Relay) logBroken(c *request, replica *fleet.Replica, err error) {
-	r.opts.Meter.Broken(c.service)
+	r.opts.Meter.CountBrokenAttempt(c.service)
 	r.opts.Logger.Info("attempt broke off", "request", c.id, "fingerprint", c.fingerprint().String(),
 		"account", c.account(), "host", c.host, "target", c.target, "bytes", len(c.body),
 		"worker", replica.Head.ID, "replica", replica.ID, "busy", c.chosenInFlight, "sends", c.sends,
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -37,14 +37,14 @@
 			return nil
 		}
 		if err == nil {
-			r.opts.Meter.Retry(reason.RetryBroken)
+			r.opts.Meter.CountRetry(reason.RetryBroken)
 			continue
 		}
 		mayHaveRun := r.recordFailure(c, replica, err)
 		if !r.takeRetry(c, mayHaveRun) {
 			return r.failureRefusal(c)
 		}
-		r.opts.Meter.Retry(retryReason(mayHaveRun))
+		r.opts.Meter.CountRetry(retryReason(mayHaveRun))
 	}
 }
 
@@ -112,7 +112,7 @@
 	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
 		return nil
 	}
-	return &sendError{mayHaveArrived: e.isResent, cause: failure.At(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
+	return &sendError{mayHaveArrived: e.isResent, cause: failure.Wrap(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
 }
 
 // writeAnswer forwards a complete answer.
--- a/relay/bufferlimit.go
+++ b/relay/bufferlimit.go
@@ -135,7 +135,7 @@
 // because a request that has run should get its answer. It fails when ctx ends.
 func waitForMemory(ctx context.Context) func() error {
 	return func() error {
-		pause.For(ctx, memoryPollInterval)
+		pause.Sleep(ctx, memoryPollInterval)
 		return context.Cause(ctx)
 	}
 }
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -80,7 +80,7 @@
 func (u *upstream) open(ctx context.Context, w *fleet.Worker) (*connection, error) {
 	raw, err := u.dial(ctx, "tcp", w.Address)
 	if err != nil {
-		return nil, &sendError{cause: failure.At(failure.Refused, "connect to worker", w.ID, err)}
+		return nil, &sendError{cause: failure.Wrap(failure.Refused, "connect to worker", w.ID, err)}
 	}
 	u.onConnection(w.Service, false)
 	return &connection{Conn: raw, worker: w.ID, service: w.Service, workerBorn: w.StartedAt, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
--- a/relay/eligible.go
+++ b/relay/eligible.go
@@ -20,10 +20,10 @@
 	selection := rules.Select(&request, view.Replicas(c.service, c.model))
 	if counts := selection.Counts(); counts.HasAny() {
 		c.passedOver = counts.String()
-		counts.ForEach(func(cause eligibility.Cause, _ int) { r.opts.Meter.PassOver(cause.Reason()) })
+		counts.ForEach(func(cause eligibility.Cause, _ int) { r.opts.Meter.CountPassOver(cause.Reason()) })
 	}
 	if view.Leaving(c.service, c.model) > 0 {
-		r.opts.Meter.PassOver(reason.Leaving)
+		r.opts.Meter.CountPassOver(reason.Leaving)
 	}
 	return selection
 }
--- a/relay/failover_test.go
+++ b/relay/failover_test.go
@@ -109,7 +109,7 @@
 // a head as unreachable.
 func TestFailuresThatMarkAHeadUnreachable(t *testing.T) {
 	dialError := func(err error) error {
-		return &sendError{cause: failure.At(failure.Refused, "connect to worker", "w", &net.OpError{Op: "dial", Err: err})}
+		return &sendError{cause: failure.Wrap(failure.Refused, "connect to worker", "w", &net.OpError{Op: "dial", Err: err})}
 	}
 	tests := map[string]struct {
 		err  error
@@ -119,7 +119,7 @@
 		"timed out":   {err: dialError(os.ErrDeadlineExceeded), want: true},
 		"no route":    {err: dialError(syscall.EHOSTUNREACH)},
 		"cut off":     {err: &sendError{mayHaveArrived: true, cause: io.ErrUnexpectedEOF}},
-		"turned away": {err: &sendError{cause: failure.At(failure.Refused, "exchange with worker", "w", errRejected)}},
+		"turned away": {err: &sendError{cause: failure.Wrap(failure.Refused, "exchange with worker", "w", errRejected)}},
 		"fell silent": {err: withCause(canceledContext(errReplicaSilent), "w", io.ErrUnexpectedEOF)},
 	}
 	for name, test := range tests {
--- a/relay/lateness.go
+++ b/relay/lateness.go
@@ -33,7 +33,7 @@
 	case c.engine != nil && c.chosenInFlight >= nearlyFullShare*float64(c.engine.Slots):
 		l.setCause(reason.LateFull, replica)
 	default:
-		l.setCause(reason.LateFirst, replica)
+		l.setCause(reason.LateFirstEvent, replica)
 	}
 }
 
@@ -41,7 +41,7 @@
 func (l *lateness) recordNext(c *request, replica string, pause time.Duration) {
 	l.longestPause = max(l.longestPause, pause)
 	if c.route.GapTarget > 0 && pause > c.route.GapTarget {
-		cause := reason.LatePause
+		cause := reason.LatePaused
 		if l.isResuming {
 			cause = reason.LateResumed
 		}
@@ -61,7 +61,7 @@
 	if l.cause == "" {
 		return
 	}
-	r.opts.Meter.Late(l.cause)
+	r.opts.Meter.CountLateStream(l.cause)
 	r.opts.Logger.Info("stream late", "request", c.id, "reason", string(l.cause), "service", c.service, "model", c.model,
 		"replica", l.replica, "first_ms", l.firstDelay.Milliseconds(), "pause_ms", l.longestPause.Milliseconds(), "sends", c.sends,
 		"rejections", c.rejections, "busy", int(c.chosenInFlight), "prompt", c.promptTokens, "ms", time.Since(c.arrived).Milliseconds())
--- a/relay/lateness_test.go
+++ b/relay/lateness_test.go
@@ -27,14 +27,14 @@
 		want     reason.Reason
 	}{
 		"in time":                       {steps: []lateStep{event(290 * ms), event(480 * ms)}},
-		"late behind prompts":           {steps: []lateStep{event(310 * ms)}, want: reason.LateFirst},
+		"late behind prompts":           {steps: []lateStep{event(310 * ms)}, want: reason.LateFirstEvent},
 		"late at a full replica":        {steps: []lateStep{event(310 * ms)}, inFlight: 9, want: reason.LateFull},
 		"late after a failure":          {steps: []lateStep{failed(200 * ms), event(310 * ms)}, inFlight: 9, want: reason.LateRetried},
-		"a pause":                       {steps: []lateStep{event(100 * ms), event(301 * ms)}, want: reason.LatePause},
+		"a pause":                       {steps: []lateStep{event(100 * ms), event(301 * ms)}, want: reason.LatePaused},
 		"moved in time":                 {steps: []lateStep{event(100 * ms), failed(150 * ms), event(290 * ms)}},
 		"moved too late":                {steps: []lateStep{event(100 * ms), failed(250 * ms), event(310 * ms)}, want: reason.LateResumed},
-		"a pause after a move in time":  {steps: []lateStep{event(100 * ms), failed(150 * ms), event(200 * ms), event(500 * ms)}, want: reason.LatePause},
-		"the first reason is the cause": {steps: []lateStep{event(310 * ms), event(600 * ms)}, want: reason.LateFirst},
+		"a pause after a move in time":  {steps: []lateStep{event(100 * ms), failed(150 * ms), event(200 * ms), event(500 * ms)}, want: reason.LatePaused},
+		"the first reason is the cause": {steps: []lateStep{event(310 * ms), event(600 * ms)}, want: reason.LateFirstEvent},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -107,7 +107,7 @@
 		opts: opts, upstream: newUpstream(), budget: newBudget(opts.Budget), callerTimeouts: newCallerTimeouts(),
 		startedAt: time.Now(), done: make(chan struct{}),
 	}
-	r.upstream.idleShare, r.upstream.onConnection = r.idleShare, opts.Meter.Connection
+	r.upstream.idleShare, r.upstream.onConnection = r.idleShare, opts.Meter.CountConnection
 	if opts.Dial != nil {
 		r.upstream.dial = opts.Dial
 	}
@@ -154,7 +154,7 @@
 
 // ServeHTTP answers one request.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, h *http.Request) {
-	r.opts.Meter.Request()
+	r.opts.Meter.CountRequest()
 	if r.opts.IsLeaving() {
 		w.Header().Set("Connection", "close")
 	}
@@ -183,7 +183,7 @@
 
 // refuse sends, counts and logs a refusal.
 func (r *Relay) refuse(w http.ResponseWriter, c *request, f *refusal) {
-	r.opts.Meter.Refuse(f.reason)
+	r.opts.Meter.CountRefusal(f.reason)
 	if r.opts.ServeLate && f.isForCapacity() {
 		f.retryAfter = r.spreadRetryAfter(c, time.Now())
 	}
@@ -284,7 +284,7 @@
 		return false
 	}
 	if !r.budget.takeRetry(c.service, time.Now()) {
-		r.opts.Meter.Refuse(reason.RetryBudget)
+		r.opts.Meter.CountRefusal(reason.RetryBudgetExhausted)
 		return false
 	}
 	return true
--- a/relay/signals.go
+++ b/relay/signals.go
@@ -28,7 +28,7 @@
 	isSigned := answer.Header.Get(r.opts.Names.Signature) != ""
 	signal, err := r.opts.Names.Signals.Read(answer, isSigned)
 	if err != nil {
-		r.opts.Meter.Signal("unclear")
+		r.opts.Meter.CountWorkerSignal("unclear")
 		r.opts.Logger.Debug("failed to read a worker's signal", "worker", worker.ID, "error", err)
 	}
 	if r.opts.OnSignal != nil {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -60,13 +60,13 @@
 		if c.isDone() || s.isClientGone || !r.takeRetry(c, mayHaveRun) {
 			return r.endStream(c, s, r.failureRefusal(c))
 		}
-		pause.For(c.ctx, r.resumeDelay(c, s, time.Now()))
+		pause.Sleep(c.ctx, r.resumeDelay(c, s, time.Now()))
 		if s.isHeadSent {
 			r.opts.Logger.Info("stream resumes", "request", c.id, "from", replica.ID, "after_event", s.lastEventID, "error", err)
-			r.opts.Meter.Retry(reason.RetryResumed)
+			r.opts.Meter.CountRetry(reason.RetryResumed)
 			continue
 		}
-		r.opts.Meter.Retry(retryReason(mayHaveRun))
+		r.opts.Meter.CountRetry(retryReason(mayHaveRun))
 	}
 }
 
@@ -77,7 +77,7 @@
 		if refused == nil || !r.mayWait(c, s, refused, time.Now()) {
 			return replica, refused
 		}
-		pause.For(c.ctx, resumePollInterval)
+		pause.Sleep(c.ctx, resumePollInterval)
 	}
 }
 
@@ -88,7 +88,7 @@
 	if !s.isHeadSent {
 		return f
 	}
-	r.opts.Meter.Refuse(f.reason)
+	r.opts.Meter.CountRefusal(f.reason)
 	r.opts.Logger.Info("stream broken off", "request", c.id, "reason", string(f.reason), "after_event", s.lastEventID,
 		"sends", c.sends, "client_gone", s.isClientGone, "ms", time.Since(c.arrived).Milliseconds(), "error", c.lastErr)
 	panic(http.ErrAbortHandler)
@@ -119,7 +119,7 @@
 		if s.isHeadSent {
 			s.timing.recordNext(c, replica.ID, now.Sub(s.lastEventAt))
 		} else {
-			r.opts.Meter.FirstToken(c.arrived)
+			r.opts.Meter.RecordFirstToken(c.arrived)
 			r.waitingStreams.remove(c)
 			s.timing.recordFirst(c, replica.ID, now)
 		}
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -126,7 +126,7 @@
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
-	return &sendError{mayHaveArrived: sent, cause: failure.At(failure.Remote, "exchange with worker", worker, err)}
+	return &sendError{mayHaveArrived: sent, cause: failure.Wrap(failure.Remote, "exchange with worker", worker, err)}
 }
 
 // roundTrip writes the request and reads the header of its answer. Late answers to earlier
--- a/serving/awake.go
+++ b/serving/awake.go
@@ -15,7 +15,7 @@
 // accepted and a superseded leader could continue.
 func (s *Server) afterSuspension(suspended time.Duration) {
 	s.logger.Warn("the machine was suspended", "ms", suspended.Milliseconds())
-	s.meter.Slept(suspended)
+	s.meter.CountSuspension(suspended)
 	s.elector.Yield("the machine was suspended")
 	s.configCache.AddSuspension(suspended)
 	s.inventory.AddSuspension(suspended)
--- a/serving/backpressure.go
+++ b/serving/backpressure.go
@@ -24,9 +24,9 @@
 		Self: s.opts.Self.ID, Hall: s.opts.Self.Zone, Halls: halls, Members: s.limitShareHolders,
 		Bound: s.opts.Bounds.LimitBound, Changed: s.onSignalChange,
 	})
-	s.meter.Gauge("workers_limited", func() float64 { return float64(t.CountLimited()) })
-	s.meter.Gauge("workers_leaving", func() float64 { return float64(t.CountLeaving()) })
-	s.meter.Gauge("workers_resting", func() float64 { return float64(t.CountResting(time.Now())) })
+	s.meter.ExportGauge("workers_limited", func() float64 { return float64(t.CountLimited()) })
+	s.meter.ExportGauge("workers_leaving", func() float64 { return float64(t.CountLeaving()) })
+	s.meter.ExportGauge("workers_resting", func() float64 { return float64(t.CountResting(time.Now())) })
 	return t
 }
 
@@ -46,7 +46,7 @@
 	if c.Event == backpressure.Leaving {
 		s.inventory.MarkLeaving(c.Worker, c.Born)
 	}
-	s.meter.Signal(string(c.Event))
+	s.meter.CountWorkerSignal(string(c.Event))
 	log := s.logger.Info
 	if c.Event == backpressure.LimitChanged || c.By != "" {
 		log = s.logger.Debug
@@ -78,6 +78,6 @@
 		// A worker that was removed from the list and added again is no longer marked as leaving,
 		// so it is marked again.
 		s.signals.EachLeaving(s.inventory.MarkLeaving)
-		pause.For(ctx, signalCheckInterval)
+		pause.Sleep(ctx, signalCheckInterval)
 	}
 }
--- a/serving/discovery.go
+++ b/serving/discovery.go
@@ -48,7 +48,7 @@
 		}
 		if s.membersReadAt.Load() != nil && len(s.hallMembers) == 0 && !hasDelayed {
 			hasDelayed = true
-			pause.For(ctx, rand.N(discoverySpread))
+			pause.Sleep(ctx, rand.N(discoverySpread))
 			continue
 		}
 		// A daemon that registered reads the list again. If two daemons register at the same time,
@@ -56,7 +56,7 @@
 		registered := s.mustRegister(time.Now()) && s.register(ctx)
 		s.needsMemberReread.Store(registered)
 		s.readOtherHalls(ctx)
-		pause.For(ctx, wait)
+		pause.Sleep(ctx, wait)
 		wait = discoveryInterval
 	}
 }
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -80,7 +80,7 @@
 		case <-ctx.Done():
 			return
 		case p := <-f.requests:
-			pause.For(ctx, fetchDelay)
+			pause.Sleep(ctx, fetchDelay)
 			f.fetch(ctx, p)
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 	var m changesMessage
 	if err := json.Unmarshal(data, &m); err != nil {
-		return failure.At(failure.Remote, "decode workers", p.ID, err)
+		return failure.Wrap(failure.Remote, "decode workers", p.ID, err)
 	}
 	switch {
 	case m.Whole && m.HeadsOnly:
@@ -176,7 +176,7 @@
 	}
 	var d fleet.Decisions
 	if err := json.Unmarshal(data, &d); err != nil {
-		return failure.At(failure.Remote, "decode decisions", p.ID, err)
+		return failure.Wrap(failure.Remote, "decode decisions", p.ID, err)
 	}
 	f.server.inventory.FollowDecisions(d)
 	return nil
@@ -185,16 +185,16 @@
 func (f *fetcher) get(ctx context.Context, p fetchRequest, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
-		return nil, failure.At(failure.Invalid, "ask peer", p.ID, err)
+		return nil, failure.Wrap(failure.Invalid, "ask peer", p.ID, err)
 	}
 	response, err := f.client.Do(request)
 	if err != nil {
-		return nil, failure.At(failure.Unavailable, "ask peer", p.ID, err)
+		return nil, failure.Wrap(failure.Unavailable, "ask peer", p.ID, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxFetchBytes))
 	if err != nil {
-		return nil, failure.At(failure.Unavailable, "read response of peer", p.ID, err)
+		return nil, failure.Wrap(failure.Unavailable, "read response of peer", p.ID, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, failure.New(failure.Refused, "ask peer", p.ID, "status %d", response.StatusCode)
@@ -247,13 +247,13 @@
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
-		return nil, failure.At(failure.Invalid, "compress response", "", err)
+		return nil, failure.Wrap(failure.Invalid, "compress response", "", err)
 	}
 	if _, err := w.Write(data); err != nil {
-		return nil, failure.At(failure.Invalid, "compress response", "", err)
+		return nil, failure.Wrap(failure.Invalid, "compress response", "", err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, failure.At(failure.Invalid, "compress response", "", err)
+		return nil, failure.Wrap(failure.Invalid, "compress response", "", err)
 	}
 	return out.Bytes(), nil
 }
--- a/serving/format.go
+++ b/serving/format.go
@@ -27,7 +27,7 @@
 			s.logger.Info("the fleet acts by a version of the format", "oldest", oldest, "before", lastLogged, "own", s.opts.Self.Format.Written)
 			lastLogged = oldest
 		}
-		pause.For(ctx, formatCheckInterval)
+		pause.Sleep(ctx, formatCheckInterval)
 	}
 }
 
--- a/serving/indirect.go
+++ b/serving/indirect.go
@@ -44,7 +44,7 @@
 func (s *Server) leaveThroughPeers(ctx context.Context, w *fleet.Worker, fence formation.Fence, g formation.Group) (formation.Verdict, error) {
 	body, err := json.Marshal(leaveMessage{Worker: *w, Fence: fence, Group: g.Name, Epoch: g.Epoch})
 	if err != nil {
-		return formation.Malformed, failure.At(failure.Invalid, "encode order", w.ID, err)
+		return formation.Malformed, failure.Wrap(failure.Invalid, "encode order", w.ID, err)
 	}
 	chosen := s.randomPeers()
 	verdicts := make(chan verdictMessage, len(chosen))
@@ -81,18 +81,18 @@
 	var m verdictMessage
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Address+pathLeave, bytes.NewReader(body))
 	if err != nil {
-		return m, failure.At(failure.Invalid, "ask peer to send order", p.ID, err)
+		return m, failure.Wrap(failure.Invalid, "ask peer to send order", p.ID, err)
 	}
 	response, err := s.fetcher.client.Do(request)
 	if err != nil {
-		return m, failure.At(failure.Unavailable, "ask peer to send order", p.ID, err)
+		return m, failure.Wrap(failure.Unavailable, "ask peer to send order", p.ID, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return m, failure.New(failure.Refused, "ask peer to send order", p.ID, "status %d", response.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxOrderBytes)).Decode(&m); err != nil {
-		return m, failure.At(failure.Remote, "decode verdict", p.ID, err)
+		return m, failure.Wrap(failure.Remote, "decode verdict", p.ID, err)
 	}
 	return m, nil
 }
--- a/serving/news.go
+++ b/serving/news.go
@@ -43,7 +43,7 @@
 		} else {
 			forwarded = newsPosition{workers: s.inventory.Position(), decisions: s.inventory.Decided()}
 		}
-		pause.For(ctx, newsBatchDelay)
+		pause.Sleep(ctx, newsBatchDelay)
 	}
 }
 
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -74,7 +74,7 @@
 			k.nextRead = time.Time{}
 			clear(k.stored)
 		}
-		pause.For(ctx, marksSyncInterval)
+		pause.Sleep(ctx, marksSyncInterval)
 	}
 }
 
--- a/serving/reader.go
+++ b/serving/reader.go
@@ -22,11 +22,11 @@
 	// roleSettleTime is how long a daemon waits after reading its hall's member list before it
 	// relies on its role. It is slightly longer than a round of heartbeats.
 	roleSettleTime = 250 * time.Millisecond
-	// memberListGracePeriod is how long a daemon that cannot read the member list waits before it reads
-	// anything else.
+	// memberListGracePeriod is how long a daemon that cannot read the member list waits before it
+	// reads anything else.
 	memberListGracePeriod = 1500 * time.Millisecond
-	// relayStateTimeout is how long a starting member waits for state from its relays before it reads the
-	// store itself.
+	// relayStateTimeout is how long a starting member waits for state from its relays before it
+	// reads the store itself.
 	relayStateTimeout = 4 * time.Second
 	// storeRetriesPerSecond limits how often all daemons together retry a store that does not
 	// respond.
@@ -58,12 +58,13 @@
 		case s.inventory.Confirmed().IsZero() || now.Sub(lastNeeded) > scopeRetention:
 			s.inventory.SetScope(fleet.HeadsOnly)
 		}
-		pause.For(ctx, scopeCheckInterval)
+		pause.Sleep(ctx, scopeCheckInterval)
 	}
 }
 
 // needsAllWorkers reports whether this daemon must hold all workers rather than only group heads.
-// In a large fleet only the leader and the relays must, unless requests to cold workers are limited.
+// In a large fleet only the leader and the relays must, unless requests to cold workers are
+// limited.
 func (s *Server) needsAllWorkers() bool {
 	return s.isReader() || s.agent.Role() != peers.Member || s.limitsWarmUp()
 }
@@ -118,8 +119,8 @@
 	return staleStateAge + delay
 }
 
-// readDelayOf returns the delay of a daemon's reads, between zero and readSpread. It depends only on
-// the daemon's id.
+// readDelayOf returns the delay of a daemon's reads, between zero and readSpread. It depends only
+// on the daemon's id.
 func readDelayOf(id string) time.Duration {
 	h := fnv.New32a()
 	// Writing to a hash never fails.
--- a/serving/server.go
+++ b/serving/server.go
@@ -94,7 +94,7 @@
 func New(opts Options) (*Server, error) {
 	meter, err := telemetry.NewMeter()
 	if err != nil {
-		return nil, failure.At(failure.Unavailable, "start metrics", opts.Metrics, err)
+		return nil, failure.Wrap(failure.Unavailable, "start metrics", opts.Metrics, err)
 	}
 	opts.Self.Format = peers.OwnFormat()
 	if opts.Suspended == nil {
@@ -114,7 +114,7 @@
 	})
 	s.agent, err = peers.NewAgent(peers.Options{
 		Self: opts.Self, Transport: opts.Transport, FillHeartbeat: s.fillHeartbeat, OnHeartbeat: s.onHeartbeat, OnNews: s.onNews, OnSummary: s.onSummary,
-		OnSent: s.meter.Datagram, OnDropped: s.meter.PassedOverDatagram, Suspended: s.suspended, Logger: opts.Logger.Named("peers"),
+		OnSent: s.meter.CountDatagram, OnDropped: s.meter.CountIgnoredDatagram, Suspended: s.suspended, Logger: opts.Logger.Named("peers"),
 	})
 	if err != nil {
 		return nil, err
@@ -123,14 +123,14 @@
 	s.warmUp = s.newWarmUp()
 	s.signals = s.newSignals()
 	s.relay = s.newRelay()
-	meter.Gauge("requests_quarantined", func() float64 { return float64(len(s.relay.Guard().Table().Marks(time.Now()))) })
+	meter.ExportGauge("requests_quarantined", func() float64 { return float64(len(s.relay.Guard().Table().Marks(time.Now()))) })
 	if opts.StoreCalls != nil {
-		meter.CountStoreCalls(opts.StoreCalls)
+		meter.ExportStoreCalls(opts.StoreCalls)
 	}
-	meter.Gauge("oldest_format", func() float64 { return float64(s.agent.Table().OldestFormat(time.Now())) })
-	meter.CountDaemons(s.daemonsByBuild)
-	meter.Gauge("halls_closing", s.hallCounter(fleet.HallClosing))
-	meter.Gauge("halls_closed", s.hallCounter(fleet.HallClosed))
+	meter.ExportGauge("oldest_format", func() float64 { return float64(s.agent.Table().OldestFormat(time.Now())) })
+	meter.ExportDaemons(s.daemonsByBuild)
+	meter.ExportGauge("halls_closing", s.hallCounter(fleet.HallClosing))
+	meter.ExportGauge("halls_closed", s.hallCounter(fleet.HallClosed))
 	return s, nil
 }
 
@@ -151,7 +151,7 @@
 	budget := s.opts.Bounds.Budget
 	budget.Self, budget.Daemons = s.opts.Self.ID, s.agent.DaemonCount
 	bufferLimit := relay.NewBufferLimit(s.opts.Bounds.MaxBufferedBytes)
-	s.meter.Gauge("held_bytes", func() float64 { return float64(bufferLimit.BytesInUse()) })
+	s.meter.ExportGauge("held_bytes", func() float64 { return float64(bufferLimit.BytesInUse()) })
 	return relay.New(relay.Options{
 		BufferLimit: bufferLimit,
 		Names:       s.opts.Names, Config: s.configCache.Config, ConfigConfirmedAt: s.configConfirmedAt, MaxConfigAge: s.maxConfigAge(),
@@ -232,7 +232,7 @@
 	case <-ctx.Done():
 		s.stop(server, front)
 	case err = <-stopped:
-		err = failure.At(failure.Unavailable, "serve callers", front.Addr().String(), err)
+		err = failure.Wrap(failure.Unavailable, "serve callers", front.Addr().String(), err)
 	}
 	cancel()
 	tasks.Wait()
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -50,6 +50,6 @@
 			s.logger.Info("start: "+step.name, "ms", now.Sub(began).Milliseconds(), "workers", len(s.inventory.View().Workers()))
 		}
 		remaining = pending
-		pause.For(ctx, startCheckInterval)
+		pause.Sleep(ctx, startCheckInterval)
 	}
 }
--- a/serving/warmup.go
+++ b/serving/warmup.go
@@ -26,7 +26,7 @@
 		Settle: warmUpHeartbeats * s.opts.Bounds.WorkerHeartbeatInterval,
 		View:   s.inventory.View, Halls: s.halls.View, Config: s.configCache.Config, Changed: s.onWarmUpChange,
 	})
-	s.meter.Gauge("workers_warming", func() float64 { return float64(a.CountWarming()) })
+	s.meter.ExportGauge("workers_warming", func() float64 { return float64(a.CountWarming()) })
 	return a
 }
 
@@ -61,9 +61,9 @@
 	sendBy, ok = s.warmUp.Take(r, now)
 	switch {
 	case !ok:
-		s.meter.WarmUp("refused")
+		s.meter.CountWarmUp("refused")
 	case !sendBy.IsZero():
-		s.meter.WarmUp("used")
+		s.meter.CountWarmUp("used")
 	}
 	return sendBy, ok
 }
@@ -86,6 +86,6 @@
 func (s *Server) watchWarmUp(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.warmUp.Refresh(time.Now())
-		pause.For(ctx, warmUpCheckInterval)
+		pause.Sleep(ctx, warmUpCheckInterval)
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -19,7 +19,8 @@
 // restartDelay is the time between the exit of a daemon and its restart.
 const restartDelay = 200 * time.Millisecond
 
-// daemon is one daemon, including its restarts. Each start runs a new process, called an incarnation.
+// daemon is one daemon, including its restarts. Each start runs a new process, called an
+// incarnation.
 type daemon struct {
 	settings standin.DaemonSettings
 	// programOf returns the path of the program for an incarnation. The first one is 1.
@@ -54,7 +55,7 @@
 	for range count {
 		l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 		if err != nil {
-			return nil, failure.At(failure.Unavailable, "choose a port", ip, err)
+			return nil, failure.Wrap(failure.Unavailable, "choose a port", ip, err)
 		}
 		defer func() { _ = l.Close() }()
 		ports = append(ports, l.Addr().(*net.TCPAddr).Port)
@@ -67,7 +68,7 @@
 	d.settingsFile = filepath.Join(dir, d.settings.Name+".toml")
 	log, err := os.Create(filepath.Join(dir, d.settings.Name+".log"))
 	if err != nil {
-		return failure.At(failure.Invalid, "open log", d.settings.Name, err)
+		return failure.Wrap(failure.Invalid, "open log", d.settings.Name, err)
 	}
 	d.log = log
 	return nil
@@ -84,7 +85,7 @@
 	settings := d.settings
 	settings.Bootstrap = d.incarnation == 0
 	if err := os.WriteFile(d.settingsFile, []byte(settings.Text()), 0o600); err != nil {
-		return failure.At(failure.Invalid, "write settings", settings.Name, err)
+		return failure.Wrap(failure.Invalid, "write settings", settings.Name, err)
 	}
 	command := exec.Command(d.programOf(d.incarnation + 1))
 	command.Env = append(os.Environ(), standin.SettingsVariable+"="+d.settingsFile)
@@ -94,7 +95,7 @@
 		err = command.Start()
 	}
 	if err != nil {
-		return failure.At(failure.Unavailable, "start daemon", d.settings.Name, err)
+		return failure.Wrap(failure.Unavailable, "start daemon", d.settings.Name, err)
 	}
 	d.incarnation++
 	d.command, d.exited, d.stopping, d.frozen = command, make(chan struct{}), false, false
@@ -161,8 +162,8 @@
 	return d.start()
 }
 
-// stop sends SIGTERM and reports whether the daemon exited within its grace period. If it did not, stop
-// kills it.
+// stop sends SIGTERM and reports whether the daemon exited within its grace period. If it did not,
+// stop kills it.
 func (d *daemon) stop() bool {
 	d.mu.Lock()
 	exited := d.exited
@@ -184,7 +185,8 @@
 	}
 }
 
-// isUndisturbedSince reports whether the daemon runs and has not been killed or frozen since a time.
+// isUndisturbedSince reports whether the daemon runs and has not been killed or frozen since a
+// time.
 func (d *daemon) isUndisturbedSince(t time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -38,7 +38,8 @@
 	Host string
 	// Daemons is the number of daemons. Workers is the number of workers of the model service.
 	Daemons, Workers int
-	// Callers is the number of concurrent callers. Series is the number of concurrent series of faults.
+	// Callers is the number of concurrent callers. Series is the number of concurrent series of
+	// faults.
 	Callers, Series int
 	// Duration is the time during which faults are injected.
 	Duration time.Duration
@@ -77,8 +78,8 @@
 	Event:     15 * time.Millisecond, Work: 10 * time.Millisecond,
 }
 
-// modelLoadLimit limits how often workers load models from the weight store. The daemons apply it, and
-// the simulated platform checks it.
+// modelLoadLimit limits how often workers load models from the weight store. The daemons apply it,
+// and the simulated platform checks it.
 var modelLoadLimit = standin.Ceiling{PerSecond: 1, Window: 5 * time.Second, Over: 1.1, Extra: 3}
 
 const (
@@ -128,8 +129,8 @@
 	err error
 }
 
-// Run runs one soak. It returns an error if the soak could not be completed. Violations are not errors
-// but part of the result.
+// Run runs one soak. It returns an error if the soak could not be completed. Violations are not
+// errors but part of the result.
 func Run(ctx context.Context, opts Options) (Result, error) {
 	r := &run{
 		opts: opts, store: standin.NewStore(), ledger: standin.NewLedger(), callers: newCallerState(),
@@ -211,7 +212,7 @@
 		return workerProxy.address()
 	})
 	if cause := cmp.Or(startErr, proxyErr); cause != nil {
-		return failure.At(failure.Unavailable, "start worker", spec.ID, cause)
+		return failure.Wrap(failure.Unavailable, "start worker", spec.ID, cause)
 	}
 	return nil
 }
@@ -230,8 +231,9 @@
 	r.recordError(r.startWorker(spec))
 }
 
-// restartWorker restarts or replaces a worker that has ended. With Options.Reborn, about half of the
-// workers restart with the same ID and the model that is staged on their host. All others are replaced.
+// restartWorker restarts or replaces a worker that has ended. With Options.Reborn, about half of
+// the workers restart with the same ID and the model that is staged on their host. All others are
+// replaced.
 func (r *run) restartWorker(w *standin.Worker) {
 	r.mu.Lock()
 	keepsID := r.opts.Reborn && r.startedWorkers%2 == 0
@@ -245,7 +247,8 @@
 	r.recordError(r.startWorker(spec))
 }
 
-// startDaemon starts the ith daemon. Its connections from callers and to the store go through proxies.
+// startDaemon starts the ith daemon. Its connections from callers and to the store go through
+// proxies.
 func (r *run) startDaemon(i int) error {
 	const firstHostNumber = 2
 	ip := fmt.Sprintf("%s.%d", r.opts.Host, firstHostNumber+i)
@@ -257,7 +260,7 @@
 	r.storeServers = append(r.storeServers, storeServer)
 	storeProxy, err := newProxy(r.opts.Host+".1", storeServer.Listener.Addr().String())
 	if err != nil {
-		return failure.At(failure.Unavailable, "open link to the store", ip, err)
+		return failure.Wrap(failure.Unavailable, "open link to the store", ip, err)
 	}
 	d := &daemon{programOf: r.opts.programsOf(i), storeProxy: storeProxy, onLeading: r.recordLeader, settings: standin.DaemonSettings{
 		Name: fmt.Sprintf("daemon-%d", i), Zone: r.hallOfDaemon(i), Zones: r.daemonHalls(), IP: ip, Store: storeProxy.address(),
@@ -268,7 +271,7 @@
 		d.directoryProxy, err = newProxy(r.opts.Host+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
 	}
 	if err != nil {
-		return failure.At(failure.Unavailable, "open links to a daemon", ip, err)
+		return failure.Wrap(failure.Unavailable, "open links to a daemon", ip, err)
 	}
 	if err := d.prepareFiles(r.opts.Dir); err != nil {
 		return err
@@ -313,8 +316,8 @@
 	if !r.awaitServing(ctx) {
 		return failure.New(failure.Unavailable, "start", r.opts.Dir, "no replica serves within %s", startTimeout)
 	}
-	// The rate of model loads is checked from the first request on. The pause lets the initial loads
-	// end before that.
+	// The rate of model loads is checked from the first request on. The pause lets the initial
+	// loads end before that.
 	sleep(ctx, settleTime)
 	for i := range r.opts.Callers {
 		c := newCaller(r, i)
@@ -450,8 +453,8 @@
 	return false
 }
 
-// checkAtEnd reports two kinds of violations. One is a request that was executed although its response
-// guaranteed the opposite. The other is a daemon that exited unexpectedly.
+// checkAtEnd reports two kinds of violations. One is a request that was executed although its
+// response guaranteed the opposite. The other is a daemon that exited unexpectedly.
 func (r *run) checkAtEnd() {
 	for _, id := range r.callers.notExecuted {
 		if r.ledger.Runs(id) > 0 {
@@ -514,7 +517,7 @@
 func NewDir(seed uint64) (string, error) {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("quartzshelf-soak-%d-", seed))
 	if err != nil {
-		return "", failure.At(failure.Unavailable, "make directory", "soak", err)
+		return "", failure.Wrap(failure.Unavailable, "make directory", "soak", err)
 	}
 	return dir, nil
 }
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,5 +1,5 @@
-// Package client is an HTTP client for the platform's log, node list and nodes. Package standin/server
-// serves simulations of them.
+// Package client is an HTTP client for the platform's log, node list and nodes. Package
+// standin/server serves simulations of them.
 package client
 
 import (
@@ -112,8 +112,8 @@
 	return reply, err
 }
 
-// failureTypeOf returns the failure type of a transport error. It is Refused if no connection could be
-// opened, because nothing was sent in that case. Otherwise it is Unavailable.
+// failureTypeOf returns the failure type of a transport error. It is Refused if no connection could
+// be opened, because nothing was sent in that case. Otherwise it is Unavailable.
 func failureTypeOf(err error) *errorx.Type {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -134,20 +134,20 @@
 	if body != nil {
 		encoded, err := json.Marshal(body)
 		if err != nil {
-			return failure.At(failure.Invalid, step, peer, err)
+			return failure.Wrap(failure.Invalid, step, peer, err)
 		}
 		request.Header.SetContentType("application/json")
 		request.SetBody(encoded)
 	}
 	if err := ctx.Err(); err != nil {
-		return failure.At(failure.Unavailable, step, peer, err)
+		return failure.Wrap(failure.Unavailable, step, peer, err)
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(callTimeout)
 	}
 	if err := c.http.DoDeadline(request, response, deadline); err != nil {
-		return failure.At(failureTypeOf(err), step, peer, err)
+		return failure.Wrap(failureTypeOf(err), step, peer, err)
 	}
 	switch code := response.StatusCode(); code {
 	case fasthttp.StatusOK:
@@ -157,7 +157,7 @@
 		return failure.New(failure.Remote, step, peer, "status %d: %.200s", code, response.Body())
 	}
 	if err := json.Unmarshal(response.Body(), reply); err != nil {
-		return failure.At(failure.Remote, step, peer, err)
+		return failure.Wrap(failure.Remote, step, peer, err)
 	}
 	return nil
 }
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -139,7 +139,7 @@
 func (c *Cluster) State(ctx context.Context, address string) (cluster.NodeState, error) {
 	n, ok := c.byAddress[address]
 	if !ok {
-		return cluster.NodeState{}, failure.At(failure.Refused, "probe node", address, errUnknownAddress)
+		return cluster.NodeState{}, failure.Wrap(failure.Refused, "probe node", address, errUnknownAddress)
 	}
 	return n.State(ctx)
 }
@@ -148,7 +148,7 @@
 func (c *Cluster) Order(ctx context.Context, address string, order cluster.Order) (cluster.OrderReply, error) {
 	n, ok := c.byAddress[address]
 	if !ok {
-		return cluster.OrderReply{}, failure.At(failure.Refused, "order node", address, errUnknownAddress)
+		return cluster.OrderReply{}, failure.Wrap(failure.Refused, "order node", address, errUnknownAddress)
 	}
 	return n.Order(ctx, order)
 }
--- a/standin/log.go
+++ b/standin/log.go
@@ -1,6 +1,6 @@
 // Package standin simulates the systems of the platform: the log service, the node list, the weight
-// store, model engines and a plain service. Faults can be switched on and off at run time. Tests use
-// the simulations within their process, or over HTTP by package server.
+// store, model engines and a plain service. Faults can be switched on and off at run time. Tests
+// use the simulations within their process, or over HTTP by package server.
 package standin
 
 import (
@@ -103,7 +103,7 @@
 		return 0, err
 	}
 	if !l.limiter.Allow() {
-		return 0, failure.At(failure.Refused, "append to log", stream, errRateExceeded)
+		return 0, failure.Wrap(failure.Refused, "append to log", stream, errRateExceeded)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +118,7 @@
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if l.faults.LoseAnswers {
-		return 0, failure.At(failure.Unavailable, "append to log", stream, errResponseLost)
+		return 0, failure.Wrap(failure.Unavailable, "append to log", stream, errResponseLost)
 	}
 	return first, nil
 }
@@ -143,7 +143,7 @@
 			}
 			return batch, nil
 		case <-ctx.Done():
-			return cluster.Batch{}, failure.At(failure.Unavailable, "read log", stream, ctx.Err())
+			return cluster.Batch{}, failure.Wrap(failure.Unavailable, "read log", stream, ctx.Err())
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			return failure.At(failure.Unavailable, "call log", "log", ctx.Err())
+			return failure.Wrap(failure.Unavailable, "call log", "log", ctx.Err())
 		}
 	}
 	return l.checkOutage()
@@ -169,13 +169,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.Outage {
-		return failure.At(failure.Unavailable, "call log", "log", errOutage)
+		return failure.Wrap(failure.Unavailable, "call log", "log", errOutage)
 	}
 	return nil
 }
 
-// readAvailable returns the records that are available from an offset on, at most limit. The channel is
-// closed at the next append.
+// readAvailable returns the records that are available from an offset on, at most limit. The
+// channel is closed at the next append.
 func (l *Log) readAvailable(stream string, from int64, limit int) (cluster.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/node.go
+++ b/standin/node.go
@@ -134,11 +134,11 @@
 	up, stuck := n.up, n.stuck
 	n.mu.Unlock()
 	if !up {
-		return failure.At(failure.Refused, step, n.opts.Listed.ID, errDown)
+		return failure.Wrap(failure.Refused, step, n.opts.Listed.ID, errDown)
 	}
 	if stuck {
 		<-ctx.Done()
-		return failure.At(failure.Unavailable, step, n.opts.Listed.ID, errStuck)
+		return failure.Wrap(failure.Unavailable, step, n.opts.Listed.ID, errStuck)
 	}
 	return nil
 }
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,5 +1,5 @@
-// Package server serves the simulations of package standin over HTTP. The log service, the node list
-// and the control of faults share one address. Each node has its own address.
+// Package server serves the simulations of package standin over HTTP. The log service, the node
+// list and the control of faults share one address. Each node has its own address.
 package server
 
 import (
@@ -55,7 +55,7 @@
 	l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, strconv.Itoa(opts.PlatformPort)))
 	if err != nil {
 		closeListeners(listeners)
-		return nil, failure.At(failure.Unavailable, "listen for the platform", opts.Host, err)
+		return nil, failure.Wrap(failure.Unavailable, "listen for the platform", opts.Host, err)
 	}
 	s.address = l.Addr().String()
 	s.serve(l, s.newPlatformApp())
@@ -73,7 +73,7 @@
 		l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, "0"))
 		if err != nil {
 			closeListeners(listeners)
-			return failure.At(failure.Unavailable, "listen for a node", opts.Host, err)
+			return failure.Wrap(failure.Unavailable, "listen for a node", opts.Host, err)
 		}
 		listeners[n.Listed().ID] = l
 	}
--- a/telemetry/lines.go
+++ b/telemetry/linewriter.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// LinesOptions configures Lines.
-type LinesOptions struct {
+// LineWriterOptions configures a LineWriter.
+type LineWriterOptions struct {
 	// PerSecond is how many lines may be written per second on average.
-	// Most is the largest number of lines in the queue, and the largest burst.
+	// MaxQueued is the largest number of lines in the queue, and the largest burst.
 	PerSecond float64
-	Most      int
+	MaxQueued int
 }
 
-// Lines writes log lines to a possibly slow writer without blocking the code that logs.
+// LineWriter writes log lines to a possibly slow writer without blocking the code that logs.
 // Lines wait in a bounded queue. A line that exceeds the rate or finds the queue full is
-// dropped, and counted by its message. Lines is safe for concurrent use.
-type Lines struct {
+// dropped, and counted by its message. LineWriter is safe for concurrent use.
+type LineWriter struct {
 	out   io.Writer
-	opts  LinesOptions
+	opts  LineWriterOptions
 	queue chan []byte
 	done  chan struct{}
 
@@ -39,18 +39,18 @@
 // reportInterval is the time between two reports of dropped lines.
 const reportInterval = time.Second
 
-// NewLines returns Lines for the writer out. Run must be called to write them.
-func NewLines(out io.Writer, opts LinesOptions) *Lines {
-	return &Lines{
-		out: out, opts: opts, queue: make(chan []byte, opts.Most), done: make(chan struct{}),
-		tokens: float64(opts.Most), filledAt: time.Now(),
+// NewLineWriter returns a LineWriter for the writer out. Run must be called to write them.
+func NewLineWriter(out io.Writer, opts LineWriterOptions) *LineWriter {
+	return &LineWriter{
+		out: out, opts: opts, queue: make(chan []byte, opts.MaxQueued), done: make(chan struct{}),
+		tokens: float64(opts.MaxQueued), filledAt: time.Now(),
 		dropped: make(map[string]int64), unreported: make(map[string]int64),
 	}
 }
 
 // Write implements io.Writer for one line. It never blocks and never returns an error, even
 // if it drops the line.
-func (l *Lines) Write(line []byte) (int, error) {
+func (l *LineWriter) Write(line []byte) (int, error) {
 	if l.admit(time.Now()) {
 		select {
 		case l.queue <- bytes.Clone(line):
@@ -64,10 +64,10 @@
 }
 
 // admit reports whether the rate allows another line, and counts the line if so.
-func (l *Lines) admit(now time.Time) bool {
+func (l *LineWriter) admit(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tokens = min(float64(l.opts.Most), l.tokens+now.Sub(l.filledAt).Seconds()*l.opts.PerSecond)
+	l.tokens = min(float64(l.opts.MaxQueued), l.tokens+now.Sub(l.filledAt).Seconds()*l.opts.PerSecond)
 	l.filledAt = now
 	if l.tokens < 1 {
 		return false
@@ -76,7 +76,7 @@
 	return true
 }
 
-func (l *Lines) countDropped(message string) {
+func (l *LineWriter) countDropped(message string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropped[message]++
@@ -84,7 +84,7 @@
 }
 
 // Dropped returns how many lines were dropped so far, by message.
-func (l *Lines) Dropped() map[string]int64 {
+func (l *LineWriter) Dropped() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counts := make(map[string]int64, len(l.dropped))
@@ -95,11 +95,11 @@
 }
 
 // Done is closed when Run has returned.
-func (l *Lines) Done() <-chan struct{} { return l.done }
+func (l *LineWriter) Done() <-chan struct{} { return l.done }
 
 // Run writes lines until ctx is done. It then writes the lines still in the queue and
 // returns.
-func (l *Lines) Run(ctx context.Context) {
+func (l *LineWriter) Run(ctx context.Context) {
 	defer close(l.done)
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -116,7 +116,7 @@
 	}
 }
 
-func (l *Lines) flush() {
+func (l *LineWriter) flush() {
 	for {
 		select {
 		case line := <-l.queue:
@@ -128,7 +128,7 @@
 	}
 }
 
-func (l *Lines) writeOut(line []byte) {
+func (l *LineWriter) writeOut(line []byte) {
 	// A failure of the log's own writer can't be logged anywhere.
 	_, _ = l.out.Write(line)
 }
@@ -142,7 +142,7 @@
 }
 
 // reportDropped writes a line that reports the lines dropped since the last report, if any.
-func (l *Lines) reportDropped() {
+func (l *LineWriter) reportDropped() {
 	l.mu.Lock()
 	unreported := l.unreported
 	if len(unreported) > 0 {
--- a/telemetry/lines_test.go
+++ b/telemetry/linewriter_test.go
@@ -42,7 +42,7 @@
 func TestLinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &slowWriter{}
-		l := NewLines(out, LinesOptions{PerSecond: 10, Most: 20})
+		l := NewLineWriter(out, LineWriterOptions{PerSecond: 10, MaxQueued: 20})
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.Run(ctx)
 		for i := range 100 {
@@ -66,7 +66,7 @@
 func TestWriteNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &slowWriter{release: make(chan struct{})}
-		l := NewLines(out, LinesOptions{PerSecond: 1e6, Most: 5})
+		l := NewLineWriter(out, LineWriterOptions{PerSecond: 1e6, MaxQueued: 5})
 		ctx, cancel := context.WithCancel(context.Background())
 		go l.Run(ctx)
 		before := time.Now()
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -56,9 +56,9 @@
 	mu     sync.Mutex
 	gauges map[string]func() float64
 	// storeCalls returns the number of calls to the store so far, by purpose. It is nil
-	// until CountStoreCalls is called.
+	// until ExportStoreCalls is called.
 	storeCalls func() map[string]int64
-	// daemons returns the number of live daemons, by build. It is nil until CountDaemons
+	// daemons returns the number of live daemons, by build. It is nil until ExportDaemons
 	// is called.
 	daemons func() map[Build]int64
 }
@@ -166,29 +166,29 @@
 	return nil
 }
 
-// Gauge exports the result of read as the gauge quartzshelf_state with the given name as
+// ExportGauge exports the result of read as the gauge quartzshelf_state with the given name as
 // its label. The meter calls read whenever the metrics are collected.
-func (m *Meter) Gauge(name string, read func() float64) {
+func (m *Meter) ExportGauge(name string, read func() float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.gauges[name] = read
 }
 
-// Request counts a request received.
-func (m *Meter) Request() { m.requests.Add(1) }
+// CountRequest counts a request received.
+func (m *Meter) CountRequest() { m.requests.Add(1) }
 
-// Refuse counts a refusal; reasons outside reason.Refusals are not counted.
-func (m *Meter) Refuse(r reason.Reason) { increment(m.refusals, r) }
+// CountRefusal counts a refusal; reasons outside reason.Refusals are not counted.
+func (m *Meter) CountRefusal(r reason.Reason) { increment(m.refusals, r) }
 
-// Retry counts a retry; reasons outside reason.Retries are not counted.
-func (m *Meter) Retry(r reason.Reason) { increment(m.retries, r) }
+// CountRetry counts a retry; reasons outside reason.Retries are not counted.
+func (m *Meter) CountRetry(r reason.Reason) { increment(m.retries, r) }
 
-// Late counts a late stream; reasons outside reason.Lateness are not counted.
-func (m *Meter) Late(r reason.Reason) { increment(m.late, r) }
+// CountLateStream counts a late stream; reasons outside reason.Lateness are not counted.
+func (m *Meter) CountLateStream(r reason.Reason) { increment(m.late, r) }
 
-// PassOver counts a choice of a replica in which other replicas were passed over for a reason.
+// CountPassOver counts a choice of a replica in which other replicas were passed over for a reason.
 // Reasons outside reason.PassedOver are not counted.
-func (m *Meter) PassOver(r reason.Reason) { increment(m.passedOver, r) }
+func (m *Meter) CountPassOver(r reason.Reason) { increment(m.passedOver, r) }
 
 func increment(counters map[reason.Reason]*atomic.Int64, r reason.Reason) {
 	if counter, ok := counters[r]; ok {
@@ -196,41 +196,41 @@
 	}
 }
 
-// Order counts a command sent to a worker, by the kind of command and its outcome.
-func (m *Meter) Order(order, outcome string) {
+// CountOrder counts a command sent to a worker, by the kind of command and its outcome.
+func (m *Meter) CountOrder(order, outcome string) {
 	m.orders.Add(context.Background(), 1,
 		metric.WithAttributes(attribute.String("order", order), attribute.String("outcome", outcome)))
 }
 
-// WarmUp counts a request to a worker that warms up. The outcome is whether the limit on such
+// CountWarmUp counts a request to a worker that warms up. The outcome is whether the limit on such
 // requests had room.
-func (m *Meter) WarmUp(outcome string) {
+func (m *Meter) CountWarmUp(outcome string) {
 	m.warmUpRequests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Quarantine counts an event of a request that was at a worker when it crashed. The request
-// was blamed for the crash or quarantined, or its quarantine was cleared or lifted.
-func (m *Meter) Quarantine(event string) {
+// CountQuarantineEvent counts an event of a request that was at a worker when it crashed. The
+// request was blamed for the crash or quarantined, or its quarantine was cleared or lifted.
+func (m *Meter) CountQuarantineEvent(event string) {
 	m.quarantine.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
 
-// Slept counts a suspension of the machine; its duration is not used.
-func (m *Meter) Slept(time.Duration) { m.suspensions.Add(context.Background(), 1) }
+// CountSuspension counts a suspension of the machine; its duration is not used.
+func (m *Meter) CountSuspension(time.Duration) { m.suspensions.Add(context.Background(), 1) }
 
-// Signal counts what a worker asked for in an answer, such as a limit on requests or a pause. The
-// event names what was asked for, or states that the value could not be parsed.
-func (m *Meter) Signal(event string) {
+// CountWorkerSignal counts what a worker asked for in an answer, such as a limit on requests or a
+// pause. The event names what was asked for, or states that the value could not be parsed.
+func (m *Meter) CountWorkerSignal(event string) {
 	m.workerSignals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("event", event)))
 }
 
-// Broken counts an attempt whose connection a worker of the service closed early.
-func (m *Meter) Broken(service string) {
+// CountBrokenAttempt counts an attempt whose connection a worker of the service closed early.
+func (m *Meter) CountBrokenAttempt(service string) {
 	m.brokenAttempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// Connection counts the use of a connection to a worker of the service for a request.
+// CountConnection counts the use of a connection to a worker of the service for a request.
 // The connection was either reused or opened for the request.
-func (m *Meter) Connection(service string, reused bool) {
+func (m *Meter) CountConnection(service string, reused bool) {
 	use := "opened"
 	if reused {
 		use = "reused"
@@ -262,15 +262,15 @@
 	return nil
 }
 
-// Datagram counts a datagram sent to a peer, and its bytes.
-func (m *Meter) Datagram(kind string, bytes int) {
+// CountDatagram counts a datagram sent to a peer, and its bytes.
+func (m *Meter) CountDatagram(kind string, bytes int) {
 	attributes := metric.WithAttributes(attribute.String("kind", kind))
 	m.datagrams.Add(context.Background(), 1, attributes)
 	m.datagramBytes.Add(context.Background(), int64(bytes), attributes)
 }
 
-// PassedOverDatagram counts a datagram from a peer that could not be decoded or used.
-func (m *Meter) PassedOverDatagram(cause string) {
+// CountIgnoredDatagram counts a datagram from a peer that could not be decoded or used.
+func (m *Meter) CountIgnoredDatagram(cause string) {
 	m.ignoredDatagrams.Add(context.Background(), 1, metric.WithAttributes(attribute.String("cause", cause)))
 }
 
@@ -292,9 +292,9 @@
 	return err
 }
 
-// CountDaemons exports the number of daemons that read returns for each build. The meter
+// ExportDaemons exports the number of daemons that read returns for each build. The meter
 // calls read whenever the metrics are collected.
-func (m *Meter) CountDaemons(read func() map[Build]int64) {
+func (m *Meter) ExportDaemons(read func() map[Build]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.daemons = read
@@ -318,23 +318,23 @@
 	return err
 }
 
-// CountStoreCalls exports the number of calls to the store that read returns for each
+// ExportStoreCalls exports the number of calls to the store that read returns for each
 // purpose. The meter calls read whenever the metrics are collected.
-func (m *Meter) CountStoreCalls(read func() map[string]int64) {
+func (m *Meter) ExportStoreCalls(read func() map[string]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.storeCalls = read
 }
 
-// FirstToken records the time to a first token that arrives now. The parameter start is when the
-// request arrived.
-func (m *Meter) FirstToken(start time.Time) {
+// RecordFirstToken records the time to a first token that arrives now. The parameter start is when
+// the request arrived.
+func (m *Meter) RecordFirstToken(start time.Time) {
 	m.firstToken.Record(context.Background(), time.Since(start).Seconds())
 }
 
-// NextToken records the time between the previous token and a token that arrives now. The parameter
-// last is when the previous token arrived.
-func (m *Meter) NextToken(last time.Time) {
+// RecordNextToken records the time between the previous token and a token that arrives now. The
+// parameter last is when the previous token arrived.
+func (m *Meter) RecordNextToken(last time.Time) {
 	m.betweenTokens.Record(context.Background(), time.Since(last).Seconds())
 }
 
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -14,10 +14,10 @@
 func TestConnectionsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
-	m.Connection("models", false)
-	m.Connection("models", true)
-	m.Connection("models", true)
-	m.Connection("plain", false)
+	m.CountConnection("models", false)
+	m.CountConnection("models", true)
+	m.CountConnection("models", true)
+	m.CountConnection("plain", false)
 	recorder := httptest.NewRecorder()
 	m.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, want := range []string{
@@ -30,7 +30,7 @@
 }
 
 // TestStoreCallsAreExported checks that calls to the store are exported by purpose, and that
-// none are exported before CountStoreCalls is called.
+// none are exported before ExportStoreCalls is called.
 func TestStoreCallsAreExported(t *testing.T) {
 	m, err := NewMeter()
 	assert.NilError(t, err)
@@ -40,6 +40,6 @@
 		return recorder.Body.String()
 	}
 	assert.Assert(t, !strings.Contains(scrape(), "quartzshelf_store_calls"))
-	m.CountStoreCalls(func() map[string]int64 { return map[string]int64{"list members": 3} })
+	m.ExportStoreCalls(func() map[string]int64 { return map[string]int64{"list members": 3} })
 	assert.Assert(t, strings.Contains(scrape(), `quartzshelf_store_calls_total{purpose="list members"} 3`))
 }
