--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TakeRested reports whether a replica's head worker accepts requests from this daemon now. The
-// result sendBy is always zero, as a rest period sets no deadline for sending.
+// TakeRested reports whether a replica's head worker is in no rest period now. The result sendBy is
+// always zero, because a rest period sets no deadline for sending.
 func (t *Table) TakeRested(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	_, isResting := t.rests.Until(r.Head.ID, r.Head.Born, now)
 	return time.Time{}, !isResting
--- a/config/document.go
+++ b/config/document.go
@@ -143,7 +143,8 @@
 	LabelReplica = "quartzshelf/replica"
 	// LabelFenced set to "false" on a node means that it does not check the tokens of orders.
 	LabelFenced = "quartzshelf/fenced"
-	// LabelDomain, LabelDataHall and LabelKind hold a node's values in the node list.
+	// LabelDomain, LabelDataHall and LabelKind are the node's fabric domain, data hall and kind, as
+	// given by the node list.
 	LabelDomain   = "quartzshelf/domain"
 	LabelDataHall = "quartzshelf/data-hall"
 	LabelKind     = "quartzshelf/kind"
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -144,7 +144,7 @@
 	var list pendingList
 	f.poll(ctx, "worker list", f.shouldReadWorkers, func(ctx context.Context) error {
 		if position < 0 || f.opts.Inventory.AwaitsList() {
-			done, err := f.readList(ctx, &list)
+			done, err := f.readListPage(ctx, &list)
 			if done {
 				position = list.next
 				list = pendingList{}
@@ -226,8 +226,8 @@
 	after string
 }
 
-// readList reads the next page of a whole list, and applies the list once it is complete.
-func (f *Follower) readList(ctx context.Context, l *pendingList) (done bool, err error) {
+// readListPage reads the next page of a whole list, and applies the list once it is complete.
+func (f *Follower) readListPage(ctx context.Context, l *pendingList) (done bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if l.after == "" || time.Since(l.sent.Time()) > listTimeout {
--- a/fleet/inventory.go
+++ b/fleet/inventory.go
@@ -33,7 +33,8 @@
 // pendingAnnouncement is an announcement that the list has not superseded yet.
 type pendingAnnouncement struct {
 	Announcement
-	// expiresAt is when the announcement is dropped if the list does not show the head.
+	// expiresAt is closedRetention after the announcement was received. See isSuperseded for its
+	// use.
 	expiresAt time.Time
 }
 
@@ -418,9 +419,10 @@
 	}
 }
 
-// isSuperseded reports whether an announcement is no longer needed because of the list. A closed
-// group is remembered for a while after its head disappeared. The head may return with an entry
-// from before the group was closed.
+// isSuperseded reports whether the list makes an announcement unnecessary. It does if the head is
+// listed in a later group. Otherwise, the announcement that a group is closed is kept until
+// expiresAt, and longer while the head is listed in that group. A head that is not listed may
+// return with an entry from before the closing.
 func (i *Inventory) isSuperseded(a pendingAnnouncement, now time.Time) bool {
 	head, listed := i.workers[a.Head]
 	switch {
--- a/fleet/worker.go
+++ b/fleet/worker.go
@@ -52,10 +52,10 @@
 	// Beat counts the heartbeats of the process up to this entry.
 	Beat int64 `json:"beat,omitempty"`
 	// ColdLeft is how much longer the worker expected to be cold when it wrote the entry, in
-	// milliseconds.
+	// milliseconds. A worker is cold while it warms up; daemons may limit the requests to it.
 	ColdLeft int64 `json:"cold,omitempty"`
-	// ColdUntil is when this daemon considers the worker no longer cold. It is ColdLeft after the
-	// entry was received, and so rather too late than too early.
+	// ColdUntil is the time from which this daemon treats the worker as warm: the time of receipt
+	// plus ColdLeft. Since the entry takes time to arrive, this errs on the late side.
 	ColdUntil time.Time `json:"-"`
 	// Loaded is the model of the process's last group, or empty if it was in none. The worker can
 	// join another group of that model without loading weights.
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -141,8 +141,8 @@
 		return true
 	}
 	now := time.Now()
-	isListCurrent := isListed && now.Sub(k.opts.Inventory.Confirmed()) <= listStaleAge
-	if isListCurrent || now.Before(*nextQuery) {
+	isEntryCurrent := isListed && now.Sub(k.opts.Inventory.Confirmed()) <= listStaleAge
+	if isEntryCurrent || now.Before(*nextQuery) {
 		return false
 	}
 	*nextQuery = now.Add(queryInterval)
--- a/formation/keeper.go
+++ b/formation/keeper.go
@@ -188,8 +188,8 @@
 	at time.Time
 }
 
-// NewKeeper returns a Keeper for a term. It calls onSuperseded when a worker reports a leader with
-// a higher term.
+// NewKeeper returns a Keeper for a term. The Keeper calls onSuperseded when a worker reports a
+// leader with a higher term, or when the term has used up its fences.
 func NewKeeper(opts Options, term Term, onSuperseded func()) *Keeper {
 	view := opts.Inventory.View()
 	k := &Keeper{
--- a/formation/loadbudget.go
+++ b/formation/loadbudget.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// availableLoads returns how many loads that count against the limit may begin now.
+// availableLoads returns the number of counted loads that may begin now. It first takes tokens for
+// recent uncounted loads and refills the bucket.
 func (l *loadBudget) availableLoads(now time.Time) int {
 	for _, at := range l.uncountedStarts {
 		if now.Sub(at) < trafficNoticeDelay {
--- a/formation/search.go
+++ b/formation/search.go
@@ -98,14 +98,14 @@
 // computeBounds computes upper bounds for the total value of the models from each depth on, by the
 // number of available workers. It uses the knapsack recurrence and assumes that each model gets the
 // workers that suit it best.
-func (s *search) computeBounds(all *assignment) {
-	workers := all.countUnassigned()
+func (s *search) computeBounds(initial *assignment) {
+	workers := initial.countUnassigned()
 	s.maxValues = make([][]float64, len(s.models))
 	s.upperBounds = make([][]float64, len(s.modelOrder)+1)
 	s.upperBounds[len(s.modelOrder)] = make([]float64, workers+1)
 	for depth := len(s.modelOrder) - 1; depth >= 0; depth-- {
 		i := s.modelOrder[depth]
-		values := s.maxModelValues(i, all.countWarm(i))
+		values := s.maxModelValues(i, initial.countWarm(i))
 		s.maxValues[i] = values
 		s.upperBounds[depth] = make([]float64, workers+1)
 		for remaining := range s.upperBounds[depth] {
@@ -122,16 +122,16 @@
 // warmCount is the number of workers that need no load for the model.
 func (s *search) maxModelValues(i, warmCount int) []float64 {
 	size := s.models[i].Size
-	var all []float64
+	var values []float64
 	for count := range s.modelValues[i] {
 		loadCount := max(count*size-warmCount, 0)
 		if loadCount > s.maxLoads && loadCount > 0 {
 			break
 		}
 		loadingGroups := (loadCount + size - 1) / size
-		all = append(all, s.modelValues[i][count-loadingGroups][loadingGroups])
+		values = append(values, s.modelValues[i][count-loadingGroups][loadingGroups])
 	}
-	return all
+	return values
 }
 
 // explore tries the possible numbers of groups of the models from the given depth on. It skips
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -107,7 +107,8 @@
 	return m.State == fleet.Joining && k.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
 }
 
-// countWarm returns the number of workers that are warm for each model, by domain and model.
+// countWarm returns the number of workers that are warm for a model or in one of its groups, by
+// domain and model. Draining workers are not counted.
 func (k *Keeper) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for _, w := range view.Workers() {
--- a/formation/survivors_test.go
+++ b/formation/survivors_test.go
@@ -201,7 +201,7 @@
 		time.Sleep(5 * time.Second)
 		stop()
 		w.pending.Wait()
-		// Up to four partners get orders once per second for five seconds. Between these orders,
+		// Up to three partners get orders once per second for five seconds. Between these orders,
 		// they also form groups of other models.
 		assert.Assert(t, w.attemptCounts["join"] <= 40, "%v", w.attemptCounts)
 	})
--- a/formation/trading_test.go
+++ b/formation/trading_test.go
@@ -43,14 +43,14 @@
 // tradeInterval. Other groups must wait for it.
 func TestSurplusTradesDoNotWait(t *testing.T) {
 	tests := map[string]struct {
-		// wantReplicas is the wanted number of small groups. There are four of them.
-		wantReplicas float64
+		// neededReplicas is the number of small groups that are needed. Four exist.
+		neededReplicas float64
 		// wantTrades is the expected number of trades.
 		wantTrades int
 	}{
-		"beyond what is wanted":   {wantReplicas: 1, wantTrades: 1},
-		"some of what is wanted":  {wantReplicas: 3, wantTrades: 0},
-		"nothing could be spared": {wantReplicas: 9, wantTrades: 0},
+		"beyond what is wanted":   {neededReplicas: 1, wantTrades: 1},
+		"some of what is wanted":  {neededReplicas: 3, wantTrades: 0},
+		"nothing could be spared": {neededReplicas: 9, wantTrades: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 				k.tradesAllowedAt, k.nextTrade = now, now.Add(time.Hour)
 				k.mu.Lock()
 				groups := k.observeGroups(service, w.inventory.View())
-				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.wantReplicas, Have: 4}}
+				needs := []Need{{Model: simModels[0], Want: 20, Have: 1}, {Model: simModels[1], Want: test.neededReplicas, Have: 4}}
 				k.startTrades(ctx, Input{Needs: needs, MaxLoads: 9}, groups, now)
 				tradeCount := len(k.activeTrades)
 				k.mu.Unlock()
--- a/intent/state.go
+++ b/intent/state.go
@@ -209,8 +209,8 @@
 	s.order = s.order[n:]
 }
 
-// storedEntry is the entry of a key in a checkpoint. ExpiresAt is in nanoseconds since the Unix
-// epoch.
+// storedEntry is the entry of a key in a checkpoint. Body is the hash of the request (see
+// BodyHash). ExpiresAt is in nanoseconds since the Unix epoch.
 type storedEntry struct {
 	Key       Key      `cbor:"1,keyasint"`
 	Attempt   string   `cbor:"2,keyasint"`
--- a/leadership/elector_test.go
+++ b/leadership/elector_test.go
@@ -196,7 +196,8 @@
 	return true, nil
 }
 
-// reportedEra returns the era that the store last reported to this daemon.
+// reportedEra returns the era of the store that it last reported to this daemon. Each restore from
+// a backup begins a new era.
 func (d *fakeDaemon) reportedEra() int64 {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -147,9 +147,10 @@
 	return a.fleetConfigNext
 }
 
-// Reached returns how many members answered since the given time, and the number of all members.
-// This daemon counts as reached. Members that have left count in neither number, but dead ones
-// count as members, so that a disconnected minority does not mistake itself for the whole fleet.
+// Reached returns how many members answered a call that was started at or after the given time, and
+// the number of all members. This daemon counts as reached. Members that have left count in neither
+// number, but dead ones count as members, so that a disconnected minority does not mistake itself
+// for the whole fleet.
 func (a *Agent) Reached(since time.Time) (reached, members int) {
 	all := a.table.Members()
 	self := a.table.Self().Id
--- a/peers/loads.go
+++ b/peers/loads.go
@@ -53,7 +53,8 @@
 	return min(a, b)
 }
 
-// withAgesIncreased returns the loads with event ages increased by age.
+// withAgesIncreased returns the loads with known event ages increased by age and rounded up. Ages
+// above maxEventAgeMillis become unknown.
 func (l Loads) withAgesIncreased(age time.Duration) Loads {
 	older := slices.Clone(l)
 	for i := range older {
--- a/peers/relay_test.go
+++ b/peers/relay_test.go
@@ -261,9 +261,9 @@
 	}
 }
 
-// TestFleetRejoinsAfterPartition turns all daemons of a hall off for a while. It checks that all
+// TestFleetRejoinsAfterHallOutage turns all daemons of a hall off for a while. It checks that all
 // daemons know each other again afterwards.
-func TestFleetRejoinsAfterPartition(t *testing.T) {
+func TestFleetRejoinsAfterHallOutage(t *testing.T) {
 	runInVirtualTime(t, 4, func(t *testing.T, n *network) {
 		all := n.addFleet(t, 3, 12, 2)
 		time.Sleep(3 * time.Second)
--- a/peers/table.go
+++ b/peers/table.go
@@ -74,8 +74,9 @@
 	}
 }
 
-// isSuperseded reports whether the table must ignore an identity. It does so if the identity
-// belongs to this daemon, or if a later incarnation of the daemon was alive recently.
+// isSuperseded reports whether the table must ignore an identity. It reports true for this daemon's
+// address, for this daemon's id with the same or an earlier incarnation, and for any daemon of
+// which a later incarnation was seen recently.
 func (t *Table) isSuperseded(identity Identity, now time.Time) bool {
 	if identity.Address != "" && identity.Address == t.self.Address || identity.ID == t.self.ID && identity.Incarnation <= t.self.Incarnation {
 		return true
--- a/peers/topology.go
+++ b/peers/topology.go
@@ -182,8 +182,8 @@
 
 // hasNewRelay reports whether one of the relays became known within the last relayHandOverPeriod.
 // Relays that became known less than relayHandOverPeriod after this daemon became a relay itself
-// are ignored. Thus, when a whole fleet starts, a daemon that wrongly took itself for a relay stops
-// at once.
+// are ignored. When a whole fleet starts, all relays are new, and a daemon that wrongly took the
+// relay role must give it up at once, without a hand-over period.
 func (t *Table) hasNewRelay(relays []Identity, relaySince, now time.Time) bool {
 	return slices.ContainsFunc(relays, func(id Identity) bool {
 		p, ok := t.peers[id.ID]
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -179,14 +179,14 @@
 // evictOldest removes the record with the oldest event. It removes a quarantined request only if
 // all are quarantined.
 func (t *Table) evictOldest(now time.Time) {
-	var oldest Fingerprint
+	var evictedFingerprint Fingerprint
 	var evicted *record
 	for f, r := range t.records {
 		if evicted == nil || r.evictedBefore(evicted, now) {
-			oldest, evicted = f, r
+			evictedFingerprint, evicted = f, r
 		}
 	}
-	t.remove(oldest)
+	t.remove(evictedFingerprint)
 }
 
 // evictedBefore reports whether a record is evicted before another one.
