--- a/daemon/readiness.go
+++ b/daemon/readiness.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// contactTimeout is how long a daemon counts as in contact after it read the log or a
-	// peer answered. Without contact it takes no new requests, because it could miss a
-	// newer configuration.
+	// contactTimeout is how long a reading of the log, or the answer of one peer, counts as
+	// contact. A daemon in contact with neither the log nor a majority takes no new requests,
+	// because it could miss a newer configuration.
 	contactTimeout = 10 * time.Second
 	// maxBehindDuration is how long the daemon may hold an older configuration than a
 	// peer and still take requests.
@@ -37,7 +37,7 @@
 	daemon *Daemon
 
 	mu sync.Mutex
-	// isStopping is set while the daemon stops as planned.
+	// isStopping is set once the daemon refuses new requests during a planned stop.
 	isStopping bool
 	// hasStarted is set when the daemon has caught up for the first time, and stays set.
 	hasStarted bool
@@ -202,11 +202,11 @@
 	r.expected.update(r.daemon.agent.Table().Members(), wasLogRead)
 }
 
-// isOnlyDaemon reports whether a daemon without other members is the only one of the
-// fleet. Nobody else can then accept a configuration while the log is unavailable. It
-// reports false for a daemon that has never seen another member but has seeds or
-// announcements of others, because it may be cut off from them. It also reports false for
-// a daemon that has never read the log to its end.
+// isOnlyDaemon is called when the table of members lists no other daemon. It reports whether the
+// fleet consists of this daemon alone. If it does, nobody else can accept a configuration while the
+// log is unavailable. It reports false if this daemon has never read the log to its end. It also
+// reports false if it has never seen another member but knows others from its seeds or from
+// announcements, because it may be cut off from them.
 func (r *readiness) isOnlyDaemon(seenOthers bool) bool {
 	ownAddress := r.daemon.listeners.peers.Addr().String()
 	hasOtherSeed := slices.ContainsFunc(r.daemon.settings.Seeds, func(seed string) bool { return seed != ownAddress })
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -17,10 +17,10 @@
 	operatorShutdownTimeout = 2 * time.Second
 )
 
-// Stop stops the daemon without cutting requests off. It announces that the daemon is
-// leaving, waits until others own its domains, and serves until no caller can hold its
-// address any more. It then refuses new requests, finishes those in flight, and closes
-// the ports.
+// Stop stops the daemon and lets requests in flight finish, for inflightTimeout at most. It
+// announces that the daemon is leaving, waits until others own its domains, for handOverTimeout at
+// most, and serves until no caller can hold its address any more. It then refuses new requests,
+// finishes those in flight, and closes the ports.
 func (d *Daemon) Stop() {
 	defer close(d.done)
 	hasOthers := len(d.stayingMembers()) > 1
--- a/relay/connections.go
+++ b/relay/connections.go
@@ -120,7 +120,7 @@
 	return idleTime < maxIdle && now.Before(c.closeAt) && !u.dropsEarly(c.service, idleTime, now)
 }
 
-// connectedWorkers returns the workers with a connection that has been idle for less than
+// connectedWorkers returns the workers whose last idle connection is usable for a request with this
 // maxIdle.
 func (u *upstream) connectedWorkers(maxIdle time.Duration) map[string]bool {
 	now := time.Now()
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -131,7 +131,7 @@
 			w := newFakeWorker(t, "w1", test.script...)
 			workers := []*fakeWorker{w}
 			for i := 2; i <= 4; i++ {
-				workers = append(workers, workerSharingScript(w, fmt.Sprintf("w%d", i)))
+				workers = append(workers, workerAtSameAddress(w, fmt.Sprintf("w%d", i)))
 			}
 			_, server := newTestRelay(t, workers...)
 			got := sendRequest(t, server, test.path, "a", test.change)
@@ -148,8 +148,9 @@
 	}
 }
 
-// workerSharingScript returns another worker with the script and counters of w.
-func workerSharingScript(w *fakeWorker, id string) *fakeWorker {
+// workerAtSameAddress returns another worker entry at the address of w, so that w answers its
+// requests.
+func workerAtSameAddress(w *fakeWorker, id string) *fakeWorker {
 	return &fakeWorker{id: id, listener: w.listener}
 }
 
@@ -160,7 +161,7 @@
 		script := rapid.SliceOfN(rapid.SampledFrom(all), 0, 12).Draw(t, "script")
 		paths := rapid.SliceOfN(rapid.SampledFrom([]string{"/once/", "/safe/", "/stream/"}), 1, 5).Draw(t, "paths")
 		w := newFakeWorker(outer, "w1", script...)
-		_, server := newTestRelay(outer, w, workerSharingScript(w, "w2"), workerSharingScript(w, "w3"))
+		_, server := newTestRelay(outer, w, workerAtSameAddress(w, "w2"), workerAtSameAddress(w, "w3"))
 		for i, path := range paths {
 			id := fmt.Sprintf("r%d", i)
 			checkPromises(t, path, id, sendRequest(t, server, path, id, nil), w.runs(id))
--- a/relay/resumedelay_test.go
+++ b/relay/resumedelay_test.go
@@ -9,8 +9,9 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLateStreamsResumeSpreadOut simulates a replica that stalls with 200 streams. They must not
-// all resume within one pass, and must resume before callers disconnect.
+// TestLateStreamsResumeSpreadOut simulates a replica that stalls with 200 streams. Less than a
+// quarter of them may resume within the time of one forward pass, and all must resume before
+// callers disconnect.
 func TestLateStreamsResumeSpreadOut(t *testing.T) {
 	const (
 		streams        = 200
--- a/relay/servelate_test.go
+++ b/relay/servelate_test.go
@@ -12,8 +12,8 @@
 	"quartzshelf.dev/fleet"
 )
 
-// TestLateRequestsWaitOnlyWithServeLate: when no replica is available, started streams wait. Late
-// requests wait only with ServeLate.
+// TestLateRequestsWaitOnlyWithServeLate: when all replicas are overloaded, started streams wait.
+// Late requests wait only with ServeLate, and not if there is no replica.
 func TestLateRequestsWaitOnlyWithServeLate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := map[string]struct {
--- a/relay/tracker_test.go
+++ b/relay/tracker_test.go
@@ -58,8 +58,9 @@
 func TestNearReplicasAreChosenFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	replicas := []*fleet.Replica{testReplica("a", "far"), testReplica("b", "near")}
-	// Without the cost of another data hall, each replica would get about 500. Each tracker makes
-	// only ten choices, since further ones would raise the request rate and with it the noise.
+	// Without the penalty for replicas in other data halls, each replica would be chosen for about
+	// 500 of the 1000 requests. Each tracker makes only ten choices, because the noise grows with
+	// the request rate.
 	near := 0
 	for range 100 {
 		tracker := NewTracker("near", func(*fleet.Replica) {})
--- a/relay/worker_test.go
+++ b/relay/worker_test.go
@@ -235,7 +235,7 @@
 	return &fleet.Worker{ID: w.id, Service: "plain", Address: w.listener.Addr().String(), Slots: 4}
 }
 
-// modelEntry lists the worker as the head of an open replica.
+// modelEntry returns an inventory entry with the worker as the head of an open replica.
 func (w *fakeWorker) modelEntry() *fleet.Worker {
 	return &fleet.Worker{
 		ID: w.id, Service: "models", Address: w.listener.Addr().String(), Domain: "d", Slots: 4, Loaded: "m",
--- a/serving/format_test.go
+++ b/serving/format_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// newEarlierTransport wraps a transport. A daemon that uses the result acts like one of the first
-// format version.
+// newEarlierTransport wraps a transport so that the daemon using it acts like a daemon with the
+// first format version.
 func newEarlierTransport(t peers.Transport) peers.Transport {
 	return peers.Transport{
 		Send: func(to string, datagram []byte) error { return t.Send(to, toFirstFormat(datagram)) },
--- a/serving/settle.go
+++ b/serving/settle.go
@@ -7,9 +7,10 @@
 const aloneTimeout = 2 * time.Second
 
 // hasSettled reports whether the configuration that this daemon read after its start is at least as
-// new as that of its peers. It waits for a peer's heartbeat, unless the daemon seems to be alone. A
-// store that was just restored from a copy may return an older configuration, with keys that have
-// been revoked.
+// new as that of its peers. It returns false until a peer's heartbeat has arrived, unless the
+// daemon seems to be alone. Once true, the result stays true. The check is needed because a store
+// that was just restored from a copy may return an older configuration, with keys that have been
+// revoked.
 func (s *Server) hasSettled(now time.Time) bool {
 	if s.isSettled.Load() {
 		return true
--- a/serving/warmup.go
+++ b/serving/warmup.go
@@ -54,9 +54,10 @@
 	return config != nil && slices.ContainsFunc(config.Services(), bounded)
 }
 
-// takeWarmUp takes a token for a request to a replica and counts the result in metrics. It reports
-// false if there is none. sendBy is zero if the replica does not warm up; otherwise the request must
-// be sent by then.
+// takeWarmUp asks whether a request may be sent to a replica now, and counts refusals and uses in
+// the metrics. While a replica warms up, the rate of requests to it is limited. The result ok is
+// false if the limit is used up. sendBy is the time by which the request must be sent, or zero if
+// the replica is not warming up.
 func (s *Server) takeWarmUp(r *fleet.Replica, now time.Time) (sendBy time.Time, ok bool) {
 	sendBy, ok = s.warmUp.Take(r, now)
 	switch {
