--- a/soak/caller.go
+++ b/soak/caller.go
@@ -111,7 +111,7 @@
 	kind           standin.Kind
 	usesAddedRoute bool
 	eventCount     int
-	key            string
+	apiKey         string
 	daemon         *daemon
 	// incarnation is the daemon's incarnation when the request was sent.
 	incarnation int
@@ -134,7 +134,7 @@
 	}
 	r.incarnation, _ = d.status()
 	tenant := ""
-	r.key, tenant = c.run.callers.drawKey(c.random)
+	r.apiKey, tenant = c.run.callers.drawKey(c.random)
 	r.usesAddedRoute = c.kind == standin.Safe && c.random.IntN(3) == 0 && c.run.callers.isRoutePublished()
 	c.run.ledger.Sent(r.id, r.kind, tenant, r.sender())
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -167,7 +167,7 @@
 	request.Host = standin.Host
 	request.Header.Set(standin.HeaderAttempt, r.id)
 	request.Header.Set(standin.HeaderDeadline, strconv.FormatInt((callTimeout-time.Second).Milliseconds(), 10))
-	request.Header.Set(standin.HeaderKey, r.key)
+	request.Header.Set(standin.HeaderKey, r.apiKey)
 	if r.kind == standin.Stream {
 		request.Header.Set(standin.HeaderModel, c.run.models[c.random.IntN(len(c.run.models))].Name)
 		request.Header.Set(standin.HeaderUsage, "100,"+strconv.Itoa(r.eventCount))
@@ -214,7 +214,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		c.run.callers.recordNotExecuted(r.id)
 	case http.StatusUnauthorized:
-		if !c.run.callers.isRevoked(r.key) {
+		if !c.run.callers.isRevoked(r.apiKey) {
 			c.run.ledger.Broken("DENIED", "%s at %s: its key is in force", r.id, r.daemon.settings.Name)
 		}
 	case http.StatusNotFound:
@@ -261,7 +261,7 @@
 	if r.usesAddedRoute {
 		c.run.callers.recordRouteServed(r.daemon, r.incarnation)
 	}
-	if at, ok := c.run.callers.revocationTime(r.key); ok && r.sentAt.After(at.Add(revocationBound+revocationSlack)) {
+	if at, ok := c.run.callers.revocationTime(r.apiKey); ok && r.sentAt.After(at.Add(revocationBound+revocationSlack)) {
 		c.run.ledger.Broken("REVOKED", "%s ran %s after its key was taken away", r.id, r.sentAt.Sub(at))
 	}
 }
--- a/soak/callerstate.go
+++ b/soak/callerstate.go
@@ -153,8 +153,8 @@
 	c.outcomes = append(c.outcomes, outcome{endedAt: time.Now(), result: result})
 }
 
-// countServed returns how many requests that ended since a time were served, and how many ended in
-// total. Neither number includes responses with status 401.
+// countServed considers the requests that ended at or after since, except those answered with
+// status 401. It returns how many of them were served, and how many there are.
 func (c *callerState) countServed(since time.Time) (served, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -261,15 +261,15 @@
 
 // drainWorker starts a replacement for a worker and then drains the worker.
 func (r *run) drainWorker(random *rand.Rand) func() {
-	all := r.pickWorkers(random)
+	candidates := r.pickWorkers(random)
 	if random.IntN(2) == 0 {
-		all = r.fabric.Workers(standin.PlainService)
+		candidates = r.fabric.Workers(standin.PlainService)
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return noRevert
 	}
-	r.replaceWorker(all[0])
-	all[0].Drain()
+	r.replaceWorker(candidates[0])
+	candidates[0].Drain()
 	return noRevert
 }
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// watch copies the output of an incarnation to the log and starts the next one after it exits.
+// watch copies the output of an incarnation to the log, calls onLeading when the daemon becomes
+// leader, and starts the next incarnation after the exit unless restarts are disabled.
 func (d *daemon) watch(command *exec.Cmd, output io.Reader, exited chan struct{}) {
 	lines := bufio.NewReader(output)
 	for {
--- a/soak/workerannouncements.go
+++ b/soak/workerannouncements.go
@@ -25,8 +25,8 @@
 // rate that a replica usually gets.
 var announcedLimits = []float64{0, 0.25, 1.3, 3}
 
-// announcementFaults maps names to the faults in which workers announce limits, rest periods or their
-// leave.
+// announcementFaults maps names to faults in which workers announce a request limit, a period in
+// which they take no requests, or that they are about to leave.
 var announcementFaults = map[string]fault{
 	"worker-limits": {inject: (*run).announceWorkerLimits, minDuration: minLimitDuration},
 	"worker-rests":  {inject: (*run).makeWorkersRest, minDuration: minRestDuration},
@@ -46,10 +46,10 @@
 // pickHeads returns up to three random heads. Heads are the workers that requests are sent to.
 func (r *run) pickHeads(random *rand.Rand) []*standin.Worker {
 	const maxHeads = 3
-	all := r.fabric.Heads()
-	slices.SortFunc(all, func(a, b *standin.Worker) int { return cmp.Compare(a.ID(), b.ID()) })
-	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:min(len(all), 1+random.IntN(maxHeads))]
+	heads := r.fabric.Heads()
+	slices.SortFunc(heads, func(a, b *standin.Worker) int { return cmp.Compare(a.ID(), b.ID()) })
+	random.Shuffle(len(heads), func(i, j int) { heads[i], heads[j] = heads[j], heads[i] })
+	return heads[:min(len(heads), 1+random.IntN(maxHeads))]
 }
 
 // announceWorkerLimits makes a few workers announce limits on their request rate.
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -27,8 +27,9 @@
 	return s, client.New(client.Options{LogAddress: s.Address(), NodesAddress: s.Address()})
 }
 
-// TestStreamNamesOutliveRequests checks that records stay in their stream during later requests. This
-// fails if the server passes the log stream names whose memory the HTTP library reuses.
+// TestStreamNamesOutliveRequests checks that records stay in their stream during later requests.
+// The test fails if the server hands stream names to the log without copying them, because the HTTP
+// library reuses their memory.
 func TestStreamNamesOutliveRequests(t *testing.T) {
 	_, client := newServer(t)
 	ctx := context.Background()
