--- a/fleet/worker.go
+++ b/fleet/worker.go
@@ -54,10 +54,11 @@
 	// HeartbeatCount counts the heartbeats of the process up to this entry.
 	HeartbeatCount int64 `json:"beat,omitempty"`
 	// ColdRemainingMillis is how much longer the worker expected to be cold when it wrote the
-	// entry, in milliseconds.
+	// entry, in milliseconds. A worker is cold while it warms up; daemons may limit the requests to
+	// it.
 	ColdRemainingMillis int64 `json:"cold,omitempty"`
-	// ColdUntil is when this daemon considers the worker no longer cold. It is ColdRemainingMillis
-	// after the entry was received, and so rather too late than too early.
+	// ColdUntil is the time from which this daemon treats the worker as warm: the time of receipt
+	// plus ColdRemainingMillis. Since the entry takes time to arrive, this errs on the late side.
 	ColdUntil time.Time `json:"-"`
 	// Loaded is the model of the process's last group, or empty if it was in none. The worker can
 	// join another group of that model without loading weights.
--- a/formation/reconciler.go
+++ b/formation/reconciler.go
@@ -188,8 +188,8 @@
 	at time.Time
 }
 
-// NewReconciler returns a Reconciler for a term. It calls onSuperseded when a worker reports a
-// leader with a higher term.
+// NewReconciler returns a Reconciler for a term. The Reconciler calls onSuperseded when a worker
+// reports a leader with a higher term, or when the term has used up its fences.
 func NewReconciler(opts Options, term Term, onSuperseded func()) *Reconciler {
 	view := opts.Inventory.View()
 	k := &Reconciler{
--- a/membership/agent.go
+++ b/membership/agent.go
@@ -148,10 +148,10 @@
 	return a.fleetConfigNext
 }
 
-// CountReached returns how many members answered since the given time, and the number of all
-// members. This daemon counts as reached. Members that have left count in neither number, but dead
-// ones count as members, so that a disconnected minority does not mistake itself for the whole
-// fleet.
+// CountReached returns how many members answered a call that was started at or after the given
+// time, and the number of all members. This daemon counts as reached. Members that have left count
+// in neither number, but dead ones count as members, so that a disconnected minority does not
+// mistake itself for the whole fleet.
 func (a *Agent) CountReached(since time.Time) (reached, members int) {
 	all := a.table.Members()
 	self := a.table.Self().Id
