--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// keepFirstEndpoint removes all replicas but the one of the first endpoint from the catalog.
+// keepFirstEndpoint removes all replicas from the catalog except the one of the first endpoint.
 func (h *harness) keepFirstEndpoint() {
 	report := h.catalog.Reports()[0]
 	report.Replicas = report.Replicas[1:2]
--- a/gateway/completion.go
+++ b/gateway/completion.go
@@ -26,8 +26,8 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// routingPrompt returns the part of the request whose prefix identifies replicas that are likely to
-// have it cached.
+// routingPrompt returns the messages or the prompt of the request. Routing uses their prefix to
+// find replicas that are likely to have it cached.
 func (r completionRequest) routingPrompt() string {
 	if len(r.Messages) > 0 {
 		return string(r.Messages)
@@ -48,7 +48,7 @@
 }
 
 // validate returns a refusal if no engine could answer the request. A chat request needs messages,
-// and any other request needs a prompt. Limits of tokens must be positive.
+// and any other request needs a prompt. Limits on the number of tokens must be positive.
 func (r completionRequest) validate(chat bool) *refusal {
 	for name, limit := range map[string]*int{"max_tokens": r.MaxTokens, "max_completion_tokens": r.MaxCompletionTokens} {
 		if limit != nil && *limit < 1 {
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -23,8 +23,8 @@
 	address string
 	// assignment is the name of the replica's assignment; empty for a service endpoint.
 	assignment string
-	// mayServe reports whether the target may still get the request. It is called right before
-	// sending.
+	// mayServe reports whether the target may still get the request. It is called right before the
+	// request is sent.
 	mayServe func(now time.Time) bool
 	// finish removes the attempt from the in-flight count.
 	finish func()
@@ -73,7 +73,7 @@
 // findCandidates returns the replicas that may get the request now, and a routing candidate for
 // each of them in the same order. It also counts the excluded replicas by reason.
 func (g *Gateway) findCandidates(deployment string, allowed []config.Regions, tried map[string]bool) ([]*catalog.Replica, []routing.Candidate, PassedOver) {
-	filter := replicaFilter{view: g.opts.Config(), allowed: allowed, tried: tried, rests: g.rests, now: time.Now()}
+	filter := replicaFilter{view: g.opts.Config(), allowedRegions: allowed, tried: tried, rests: g.rests, now: time.Now()}
 	all := g.opts.Catalog.Of(deployment)
 	replicas := make([]*catalog.Replica, 0, len(all))
 	candidates := make([]routing.Candidate, 0, len(all))
@@ -98,8 +98,8 @@
 	return replicas, candidates, passedOver
 }
 
-// admit checks the account's rate limit and the load of the deployment before the request is sent.
-// It returns nil if the request is admitted.
+// admit checks the account's rate limit and the load of the deployment. It returns nil if the
+// request is admitted, and otherwise a refusal.
 func (g *Gateway) admit(r *request, d config.Deployment) *refusal {
 	if ok, wait := g.opts.Limiter.Allow(r.account.Name(), r.account.RequestsPerSecond()); !ok {
 		return refuse(reason.AccountLimit, "client account %q is over its limit of %g requests a second",
@@ -152,7 +152,8 @@
 
 // openAttempt sends the request to one target after another until one begins to answer. A request
 // that must not be repeated is sent to another target only if the previous one certainly did not
-// run it. Before each sending, maySend reports whether the request may still be sent.
+// run it. Before each attempt, openAttempt calls maySend, which reports whether the request may
+// still be sent.
 func (g *Gateway) openAttempt(r *request, body []byte, choose chooser, tried map[string]bool, maySend func(time.Time) bool) (*attempt, *refusal) {
 	for {
 		t, refused := g.nextTarget(r, choose, tried)
@@ -189,7 +190,8 @@
 	}
 }
 
-// retryReason returns why a failed attempt may be retried, or an empty reason if it may not.
+// retryReason returns the reason to record for a retry of a failed attempt. It is empty if the
+// attempt must not be retried.
 func retryReason(why reason.Reason, ran reason.Ran, repeatable bool) reason.Reason {
 	switch {
 	case why == reason.EndpointUnreached:
@@ -203,7 +205,8 @@
 	}
 }
 
-// sendAttempt sends the request to one target.
+// sendAttempt sends the request to one target and returns once the answer has begun to arrive. It
+// returns a refusal if there is no answer or the target refused the request.
 func (g *Gateway) sendAttempt(r *request, body []byte, t *target) (*attempt, *refusal) {
 	header := r.header.Clone()
 	header.Set(cluster.HeaderPriority, strconv.Itoa(r.priority))
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -13,9 +13,8 @@
 	"quartzshelf.dev/config"
 )
 
-// closedHallRetryAfter is the Retry-After value if a request is refused because all usable data
-// halls are closed. It is longer than the time that all daemons need to learn that a hall has
-// opened.
+// closedHallRetryAfter is the Retry-After value of requests that are refused because all usable
+// data halls are closed. If a hall opens, all daemons apply the change in less than this time.
 const closedHallRetryAfter = 15 * time.Second
 
 // PassedOver counts the replicas or endpoints that were excluded from a choice, by reason.
@@ -39,20 +38,21 @@
 	return strings.Join(all, " ")
 }
 
-// allowedRegions returns the region restrictions that apply to the request. These are the given
-// ones of the deployment or service, and those that the client account had when the request
-// arrived.
+// allowedRegions returns the region restrictions that apply to the request. The first is the given
+// restriction of the deployment or service. The second is the one that the client account had when
+// the request arrived.
 func (r *request) allowedRegions(regions config.Regions) []config.Regions {
 	return []config.Regions{regions, r.account.AllowedRegions()}
 }
 
-// replicaFilter checks replicas for one choice, with the configuration and time of that choice.
+// replicaFilter decides which replicas may get one request. It uses the configuration and the time
+// at which the choice began.
 type replicaFilter struct {
-	view    *config.View
-	allowed []config.Regions
-	tried   map[string]bool
-	rests   *backpressure.Rests
-	now     time.Time
+	view           *config.View
+	allowedRegions []config.Regions
+	tried          map[string]bool
+	rests          *backpressure.Rests
+	now            time.Time
 	// lastHall and lastHallReason cache the last result of hallExclusionReason, because replicas of
 	// one data hall usually follow each other. hasLastHall is set once there is a result.
 	lastHall       string
@@ -63,7 +63,7 @@
 // hallExclusionReason returns why a data hall must not get the request, or an empty reason.
 func (c *replicaFilter) hallExclusionReason(hall string) reason.Reason {
 	if !c.hasLastHall || c.lastHall != hall {
-		c.lastHall, c.lastHallReason, c.hasLastHall = hall, c.view.KeptOut(hall, c.allowed...), true
+		c.lastHall, c.lastHallReason, c.hasLastHall = hall, c.view.KeptOut(hall, c.allowedRegions...), true
 	}
 	return c.lastHallReason
 }
@@ -97,32 +97,32 @@
 
 // refuseNoReplica refuses a request for which no replica is eligible and records the decision.
 func (g *Gateway) refuseNoReplica(r *request, d config.Deployment, passedOver PassedOver) *refusal {
-	refused := g.refuseWithout(fmt.Sprintf("replica of %q", d.Name()), r.allowedRegions(d.AllowedRegions()), passedOver)
+	refused := g.refuseNoTarget(fmt.Sprintf("replica of %q", d.Name()), r.allowedRegions(d.AllowedRegions()), passedOver)
 	g.decisions.Add(r.id, newRefusalDecision(r, d.Name(), refused, passedOver))
 	return refused
 }
 
-// refuseWithout returns a refusal of a request for which no target is eligible. The parameter what
-// names the kind of target in the message.
-func (g *Gateway) refuseWithout(what string, allowed []config.Regions, passedOver PassedOver) *refusal {
+// refuseNoTarget returns a refusal of a request for which no target is eligible. targetKind
+// describes the kind of target in the message.
+func (g *Gateway) refuseNoTarget(targetKind string, allowed []config.Regions, passedOver PassedOver) *refusal {
 	why := g.noTargetReason(allowed, passedOver)
 	switch {
 	case why == reason.HallClosed:
-		return refuse(why, "every %s that may serve is in a closed data hall", what).withRetryAfter(closedHallRetryAfter)
+		return refuse(why, "every %s that may serve is in a closed data hall", targetKind).withRetryAfter(closedHallRetryAfter)
 	case why == reason.RegionNotAllowed:
-		return refuse(why, "no %s serves in a region that is allowed", what).withRetryAfter(longRetryAfter)
+		return refuse(why, "no %s serves in a region that is allowed", targetKind).withRetryAfter(longRetryAfter)
 	case why == reason.Resting:
-		return refuse(why, "every %s wants no requests for a while", what).withRetryAfter(longRetryAfter)
+		return refuse(why, "every %s wants no requests for a while", targetKind).withRetryAfter(longRetryAfter)
 	case passedOver[reason.Tried] > 0:
-		return refuse(why, "no further %s serves", what).withRetryAfter(shortRetryAfter)
+		return refuse(why, "no further %s serves", targetKind).withRetryAfter(shortRetryAfter)
 	}
-	return refuse(why, "no %s serves at present", what).withRetryAfter(longRetryAfter)
+	return refuse(why, "no %s serves at present", targetKind).withRetryAfter(longRetryAfter)
 }
 
-// noTargetReason returns the reason for refusing a request for which no target is eligible. If all
-// reported domains are in closed data halls or in regions that are not allowed, this is the reason
-// even if passedOver has no count for it. A new or repaired replica could not get the request
-// either.
+// noTargetReason returns the reason for refusing a request for which no target is eligible. It is
+// taken from passedOver if possible. Otherwise it depends on the reported domains. If all of them
+// are in closed data halls or in regions that are not allowed, the reason is HallClosed or
+// RegionNotAllowed, because a new or repaired replica could not get the request either.
 func (g *Gateway) noTargetReason(allowed []config.Regions, passedOver PassedOver) reason.Reason {
 	switch {
 	case passedOver[reason.Tried] > 0:
--- a/gateway/eligible_test.go
+++ b/gateway/eligible_test.go
@@ -26,8 +26,8 @@
 type hallHarness struct {
 	*harness
 	mu sync.Mutex
-	// offset is the log offset of the last configuration change.
-	offset int64
+	// configOffset is the log offset of the last configuration change.
+	configOffset int64
 	// epochs holds the epoch of the latest report of each domain.
 	epochs []uint64
 	// requestsToClosedHalls holds the data hall's name for each request that arrived in a closed
@@ -41,7 +41,7 @@
 	h.catalog.Publish(&rpc.DomainReport{Domain: "fabric-1", Token: &rpc.Token{Epoch: 2}, Version: 1}, time.Now())
 	h.putDocument("service ledger", config.KindService, "ledger", `{"nodeSelector":"quartzshelf/kind=service"}`)
 	for i, e := range h.endpoints {
-		h.publishNewLeader(i)
+		h.publishAsNewLeader(i)
 		h.setHallClosed(i, false)
 		e.onRequest = func() { h.recordIfClosed(i) }
 	}
@@ -50,9 +50,9 @@
 
 func hallName(i int) string { return fmt.Sprint("hall-", i) }
 
-// publishNewLeader publishes a report by a new leader of the data hall's domain. The report has a
-// new generation of the replica.
-func (h *hallHarness) publishNewLeader(i int) {
+// publishAsNewLeader publishes a report of the data hall's domain with the token of a new leader.
+// The report has a new generation of the replica.
+func (h *hallHarness) publishAsNewLeader(i int) {
 	h.epochs[i]++
 	address := h.endpoints[i].address
 	h.catalog.Publish(&rpc.DomainReport{
@@ -69,7 +69,7 @@
 func (h *hallHarness) putDocument(id string, kind config.Kind, name, spec string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	object, _ := h.state.View().Object(config.Key{Kind: kind, Name: name})
+	object, _ := h.configState.View().Object(config.Key{Kind: kind, Name: name})
 	set := config.ChangeSet{Changes: []config.Change{{
 		Operation: config.OperationPut, Base: object.Revision(),
 		Document: config.Document{Kind: kind, Name: name, Spec: json.RawMessage(spec)},
@@ -78,9 +78,9 @@
 	if err != nil {
 		panic(err)
 	}
-	h.offset++
-	h.state.Apply(cluster.Record{Offset: h.offset, ID: id}, data)
-	history := h.state.History()
+	h.configOffset++
+	h.configState.Apply(cluster.Record{Offset: h.configOffset, ID: id}, data)
+	history := h.configState.History()
 	return history[len(history)-1].Problem
 }
 
@@ -96,7 +96,7 @@
 	}
 }
 
-func (h *hallHarness) isClosed(i int) bool { return h.state.View().Hall(hallName(i)).Closed() }
+func (h *hallHarness) isClosed(i int) bool { return h.configState.View().Hall(hallName(i)).Closed() }
 
 // recordIfClosed records a request that arrived in a closed data hall.
 func (h *hallHarness) recordIfClosed(i int) {
@@ -144,17 +144,17 @@
 			case "open":
 				h.setHallClosed(i, false)
 			case "lead":
-				h.publishNewLeader(i)
+				h.publishAsNewLeader(i)
 			case "request":
-				h.sendDrawnRequest(rt, i)
+				h.sendRandomRequest(rt, i)
 			}
 		}
 	})
 }
 
-// sendDrawnRequest sends a request to endpoints with random behaviour. The data hall with the given
-// index may close when the request first arrives at an endpoint.
-func (h *hallHarness) sendDrawnRequest(rt *rapid.T, closingHall int) {
+// sendRandomRequest sends a random kind of request to endpoints with random behaviour. The data
+// hall with the given index may close when the request first arrives at an endpoint.
+func (h *hallHarness) sendRandomRequest(rt *rapid.T, closingHall int) {
 	var once sync.Once
 	closesMeanwhile := rapid.Bool().Draw(rt, "closes meanwhile")
 	for i, e := range h.endpoints {
@@ -250,8 +250,8 @@
 	}
 }
 
-// checkRequest sends one request and checks that it is refused for the given reason, or served if
-// the reason is empty.
+// checkRequest sends one request. It checks that the request is refused for the given reason, or
+// that it is served if the reason is empty.
 func (h *hallHarness) checkRequest(t *testing.T, prompt int, wantRefusal reason.Reason) {
 	t.Helper()
 	got, err := h.post(fmt.Sprintf(`{"model":"chat","prompt":"prompt %d"}`, prompt), nil)
@@ -296,11 +296,11 @@
 	h := newHallHarness(t)
 	h.setHallClosed(1, true)
 	h.setHallClosed(2, true)
-	deployment, ok := h.state.View().Deployment("chat")
+	deployment, ok := h.configState.View().Deployment("chat")
 	assert.Assert(t, ok)
-	service, ok := h.state.View().Service("ledger")
+	service, ok := h.configState.View().Service("ledger")
 	assert.Assert(t, ok)
-	r := &request{id: "r", account: h.state.View().Accounts()[0]}
+	r := &request{id: "r", account: h.configState.View().Accounts()[0]}
 	for name, choose := range map[string]chooser{
 		"replica":  h.gateway.chooseReplica(r, deployment, testPrompt),
 		"endpoint": h.gateway.chooseEndpoint(r, service),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,8 +35,9 @@
 	maxHeaderBytes = 16 << 10
 	// callerIdleTimeout is how long an idle connection of a caller is kept open.
 	callerIdleTimeout = 2 * time.Minute
-	// bodyReadFactor times the maximum accepted size is the size up to which request bodies are
-	// read. A body between the two sizes is refused with an answer that states the limit.
+	// bodyReadFactor is the size up to which request bodies are read, as a multiple of the maximum
+	// accepted size. A body between the two sizes is refused with an answer that states the
+	// maximum.
 	bodyReadFactor = 2
 	// DefaultMaxBody is the default limit of a request body, in bytes.
 	DefaultMaxBody = 8 << 20
@@ -69,10 +70,10 @@
 	Leaving func() bool
 	// Entries returns the daemon addresses that callers should use.
 	Entries func() []Entry
-	// KeepEntriesUntil returns the time until which callers may cache an entry list that is sent at
-	// now.
+	// KeepEntriesUntil returns the time until which callers may cache a list of entries that they
+	// receive at the given time.
 	KeepEntriesUntil func(now time.Time) time.Time
-	// Daemons returns the number of daemons that share the load.
+	// Daemons returns the number of daemons that share the load of requests.
 	Daemons func() int
 	// NewID returns a unique ID for a request.
 	NewID func() string
@@ -114,7 +115,7 @@
 	g.guard = guard.New(guard.Options{Dial: (&net.Dialer{Timeout: dialTimeout}).DialContext, Meter: opts.Meter, Logger: opts.Logger})
 	// lru.New fails only for sizes below 1.
 	g.decisions, _ = lru.New[string, Decision](maxDecisions)
-	g.app = g.routes()
+	g.app = g.newApp()
 	return g
 }
 
@@ -132,14 +133,15 @@
 }
 
 // Stop closes the listener, waits up to timeout for requests in flight, and closes the remaining
-// connections.
+// connections of callers. It then closes the idle connections to endpoints and waits for the
+// guard's checks.
 func (g *Gateway) Stop(timeout time.Duration) error {
 	defer g.guard.Wait()
 	defer g.upstream.close()
 	return failure.At(failure.Unavailable, "stop serving callers", "callers", g.app.ShutdownWithTimeout(timeout))
 }
 
-func (g *Gateway) routes() *fiber.App {
+func (g *Gateway) newApp() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             bodyReadFactor * g.opts.MaxBody,
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -52,7 +52,7 @@
 	testPrompt                       = "prompt"
 )
 
-var behaviours = []behaviour{answers, refuses, truncates, resets, answersForOtherRequest, repeatsTokens, skipsToken, sendsInvalidEvent}
+var randomBehaviours = []behaviour{answers, refuses, truncates, resets, answersForOtherRequest, repeatsTokens, skipsToken, sendsInvalidEvent}
 
 // fakeEndpoint handles each request according to the next behaviour of its script. After the end of
 // the script, it answers normally.
@@ -131,7 +131,7 @@
 		id = "of-another-request"
 	}
 	if !body.Stream {
-		e.writeWhole(w, id, b)
+		e.writeUnstreamed(w, id, b)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -141,7 +141,7 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// promptFor returns the prompt that the endpoint answers.
+// promptFor returns the prompt whose tokens an endpoint with the behaviour sends.
 func promptFor(b behaviour) string {
 	if b == answersForOtherRequest {
 		return "the prompt of another request"
@@ -149,7 +149,7 @@
 	return testPrompt
 }
 
-func (e *fakeEndpoint) writeWhole(w http.ResponseWriter, id string, b behaviour) {
+func (e *fakeEndpoint) writeUnstreamed(w http.ResponseWriter, id string, b behaviour) {
 	var text strings.Builder
 	for i := range tokenCount {
 		text.WriteString(standin.Token(promptFor(b), i))
@@ -191,12 +191,12 @@
 
 // harness is a gateway with fake endpoints and one replica address that nothing listens on.
 type harness struct {
-	endpoints []*fakeEndpoint
-	catalog   *catalog.Catalog
-	state     *config.State
-	log       *standin.Log
-	gateway   *Gateway
-	address   string
+	endpoints   []*fakeEndpoint
+	catalog     *catalog.Catalog
+	configState *config.State
+	log         *standin.Log
+	gateway     *Gateway
+	address     string
 	// sentCount is the number of requests sent so far. It makes idempotency keys unique.
 	sentCount int
 }
@@ -213,7 +213,7 @@
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
 	state := config.NewState()
-	h.state = state
+	h.configState = state
 	applyDocuments(t, state)
 	h.gateway = New(Options{
 		Config: state.View, Catalog: h.catalog, Ledger: h.newLedger(t), Meter: meter,
@@ -360,14 +360,14 @@
 	return text.String(), bytes.HasSuffix(bytes.TrimSpace(body), []byte("[DONE]"))
 }
 
-// TestAnswersAreCompleteAndCorrect checks that a caller gets a complete and correct answer or a
-// correct report of whether its request ran. Requests that must not be repeated may run at most
-// once. The behaviour of the endpoints and the kind of request are random.
+// TestAnswersAreCompleteAndCorrect checks that a caller gets either a complete and correct answer
+// or a refusal that states correctly whether its request ran. Requests that must not be repeated
+// may run at most once. The behaviour of the endpoints and the kind of request are random.
 func TestAnswersAreCompleteAndCorrect(t *testing.T) {
 	h := newHarness(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		for _, e := range h.endpoints {
-			e.setScript(rapid.SliceOfN(rapid.SampledFrom(behaviours), 3, 3).Draw(rt, "script"))
+			e.setScript(rapid.SliceOfN(rapid.SampledFrom(randomBehaviours), 3, 3).Draw(rt, "script"))
 		}
 		streamed := rapid.Bool().Draw(rt, "streamed")
 		repeatable := rapid.Bool().Draw(rt, "repeatable")
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -12,7 +12,7 @@
 
 const (
 	// ledgerTimeout limits calls to the intent ledger that must continue if the request is
-	// canceled.
+	// canceled. The ledger ensures that requests with the same idempotency key run at most once.
 	ledgerTimeout = 2 * time.Second
 	// maxStoredStreamBytes limits the copy of a streamed answer that is kept for later requests
 	// with the same idempotency key. Once the copy has this size in bytes, no further event is
@@ -20,13 +20,15 @@
 	maxStoredStreamBytes = 1 << 20
 )
 
-// detachedContext returns a context that doesn't depend on the request and ends after
+// newDetachedContext returns a context that doesn't depend on the request and ends after
 // ledgerTimeout.
-func (g *Gateway) detachedContext() (context.Context, context.CancelFunc) {
+func (g *Gateway) newDetachedContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), ledgerTimeout)
 }
 
-// claimKey claims the request's idempotency key in the intent ledger.
+// claimKey claims the request's idempotency key in the intent ledger. The returned claim tells
+// whether this request won the key and may be sent. claimKey returns a refusal if the ledger's log
+// is not available.
 func (g *Gateway) claimKey(r *request) (intent.Claim, *refusal) {
 	key := intent.KeyOf(r.account.Name(), r.key)
 	claim, err := g.opts.Ledger.Take(r.ctx, key, intent.BodyHash(r.method, r.path, r.body))
@@ -43,7 +45,7 @@
 	if entry.Body() != intent.BodyHash(r.method, r.path, r.body) {
 		return g.writeRefusal(c, refuse(reason.KeyMismatch, "the key was used before with another request"))
 	}
-	ctx, cancel := g.detachedContext()
+	ctx, cancel := g.newDetachedContext()
 	defer cancel()
 	outcome := g.opts.Ledger.Outcome(ctx, entry)
 	switch outcome.Phase() {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -38,11 +38,11 @@
 	return refuse(reason.Quarantined, "the request ended the workers that ran it").withRetryAfter(state.Until.Sub(now))
 }
 
-// reportBrokenAttempt reports a failed attempt to the guard if its connection broke, so that the
-// guard can check whether the worker has crashed. An endpoint's answers don't show whether its
-// process was restarted. The worker ID therefore includes the time of the failure in seconds, and
-// each restart counts as a new worker. If two daemons see a crash in different seconds, it still
-// counts once, because package quarantine merges crashes that are close in time.
+// reportBrokenAttempt reports to the guard that the connection of an attempt broke or that its
+// answer was cut short. The guard then checks whether the worker has crashed. Nothing in an
+// endpoint's answers identifies its process, so the worker ID contains the second of the failure:
+// failures in different seconds count as different workers. Package quarantine merges crashes that
+// are close in time, so a crash seen by two daemons counts once.
 func (g *Gateway) reportBrokenAttempt(r *request, t *target, err error) {
 	if !guard.BrokeOff(err) && !errors.Is(err, errTruncated) {
 		return
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -18,15 +18,15 @@
 // three endpoints, and that other requests are served.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const (
-		wholeBody  = `{"model":"chat","prompt":"ends endpoints"}`
-		streamBody = `{"model":"chat","prompt":"ends endpoints","stream":true}`
+		unstreamedBody = `{"model":"chat","prompt":"ends endpoints"}`
+		streamBody     = `{"model":"chat","prompt":"ends endpoints","stream":true}`
 	)
 	tests := map[string]struct {
 		body  string
 		crash behaviour
 	}{
-		"a whole answer":                {body: wholeBody, crash: crashes},
-		"a whole answer that has begun": {body: wholeBody, crash: crashesInAnswer},
+		"a whole answer":                {body: unstreamedBody, crash: crashes},
+		"a whole answer that has begun": {body: unstreamedBody, crash: crashesInAnswer},
 		"a stream":                      {body: streamBody, crash: crashes},
 		"a stream that has some tokens": {body: streamBody, crash: crashesInAnswer},
 	}
@@ -71,7 +71,7 @@
 }
 
 // TestBrokenConnectionsOfLiveEndpoints checks that no crash is recorded for a request if its
-// connections broke but the endpoints are still alive.
+// connections broke but the endpoints are still running.
 func TestBrokenConnectionsOfLiveEndpoints(t *testing.T) {
 	h := newHarness(t)
 	for _, b := range []behaviour{resets, truncates} {
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -97,7 +97,7 @@
 }
 
 // errorBody is the JSON body of an error answer. It has the error object of the OpenAI API and two
-// fields of this project.
+// additional fields.
 type errorBody struct {
 	Error  errorDetail   `json:"error"`
 	Ran    reason.Ran    `json:"ran"`
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -37,7 +37,7 @@
 	// repeatable is set if the request may run more than once.
 	repeatable bool
 	arrivedAt  time.Time
-	// deadline is when the gateway abandons the request.
+	// deadline is when the gateway cancels the request.
 	deadline time.Time
 	// ctx ends at the deadline. For a repeatable request, it also ends when the caller disconnects.
 	ctx    context.Context
--- a/gateway/rest.go
+++ b/gateway/rest.go
@@ -8,8 +8,8 @@
 )
 
 // recordRestPeriod records the rest period that an endpoint has asked for in its answer, if any.
-// This daemon sends the endpoint no requests until the period ends. Endpoints don't identify
-// restarted processes, so the period also applies after a restart.
+// This daemon sends the endpoint no requests until the period ends. Nothing in the answers shows
+// that an endpoint was restarted, so the period also applies after a restart.
 func (g *Gateway) recordRestPeriod(endpoint string, answer *http.Response) {
 	signal, err := backpressure.Names{}.Read(answer, false)
 	if err != nil {
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -12,8 +12,8 @@
 // TestRestingEndpointsGetNoRequests checks that an endpoint gets no more requests from this daemon
 // until its rest period ends. While all endpoints rest, requests must be refused as not run.
 func TestRestingEndpointsGetNoRequests(t *testing.T) {
-	const wholeBody, streamBody = `{"model":"chat","prompt":"p"}`, `{"model":"chat","prompt":"p","stream":true}`
-	for name, body := range map[string]string{"a whole answer": wholeBody, "a stream": streamBody} {
+	const unstreamedBody, streamBody = `{"model":"chat","prompt":"p"}`, `{"model":"chat","prompt":"p","stream":true}`
+	for name, body := range map[string]string{"a whole answer": unstreamedBody, "a stream": streamBody} {
 		t.Run(name, func(t *testing.T) {
 			h, requestCount := newHarness(t), 0
 			setResting(h.endpoints[1:], &requestCount)
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -38,8 +38,8 @@
 }
 
 // isRepeatable reports whether a call may run more than once. It may not if the service's
-// configuration forbids it or the call has an idempotency key. Otherwise the caller's header
-// decides. Without the header, the HTTP method decides.
+// configuration forbids it or the call has an idempotency key. Otherwise the value of
+// headerRepeatable decides. Without this header, all methods but POST and PATCH are repeatable.
 func isRepeatable(s config.Service, r *request) bool {
 	path, _, _ := strings.Cut(r.path, "?")
 	if !s.Repeatable(r.method, path) || r.key != "" {
@@ -62,7 +62,7 @@
 		endpoints, passedOver := g.eligibleEndpoints(s, allowed, tried)
 		g.countPassedOver(passedOver)
 		if len(endpoints) == 0 {
-			refused := g.refuseWithout(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passedOver)
+			refused := g.refuseNoTarget(fmt.Sprintf("endpoint of service %q", s.Name()), allowed, passedOver)
 			g.decisions.Add(r.id, newRefusalDecision(r, s.Name(), refused, passedOver))
 			return nil, refused
 		}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -29,7 +29,8 @@
 	errNotTokenEvent = errors.New("the stream has an event that is no token")
 )
 
-// tokenEvent holds the fields of an engine's event that the gateway checks.
+// tokenEvent holds the fields that the gateway reads from an engine's event. Each event carries one
+// token.
 type tokenEvent struct {
 	id    string
 	index int
@@ -77,7 +78,7 @@
 }
 
 // readToken returns the data of the next token event and the token's text. It returns nil data and
-// a nil error at the end-of-stream marker. Tokens that were read before are skipped.
+// a nil error at the end-of-stream marker. Tokens with an index below nextIndex are skipped.
 func (s *tokenReader) readToken() ([]byte, string, error) {
 	for {
 		data, err := s.readEvent()
@@ -119,9 +120,9 @@
 	}
 }
 
-// readLongEvent reads an event whose line exceeds the reader's buffer. The parameter start holds
-// the part read so far, and err is the error of that read. If err is not bufio.ErrBufferFull, it
-// returns errTruncated.
+// readLongEvent reads the rest of a line that exceeds the reader's buffer and returns the event's
+// data. The parameter start holds the part read so far, and err is the error of that read. If err
+// is not bufio.ErrBufferFull, readLongEvent returns errTruncated.
 func (s *tokenReader) readLongEvent(start []byte, err error) ([]byte, error) {
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return nil, errTruncated
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -29,12 +29,12 @@
 var errWrongRequest = errors.New("the answer is of another request")
 
 // upstream sends requests to endpoints. It uses net/http, which closes the connection of a canceled
-// request at once. A late answer can therefore not be mistaken for that of another request.
+// request at once. A late answer can therefore not be mistaken for the answer to another request.
 type upstream struct {
 	reusingClient *http.Client
 	// singleUseClient opens a new connection for each request. It is used for requests that must
-	// not be repeated. If an endpoint closed a reused connection while a request was being sent, it
-	// would be unknown whether the endpoint had read the request.
+	// not be repeated. On a reused connection, the endpoint could close the connection while a
+	// request is being sent. It would then be unknown whether the endpoint had read the request.
 	singleUseClient *http.Client
 }
 
--- a/replica/controller.go
+++ b/replica/controller.go
@@ -21,17 +21,17 @@
 	tickInterval = 500 * time.Millisecond
 	listInterval = 2 * time.Second
 	listTimeout  = time.Second
-	// maxListAge is the maximum age of the node list with which a daemon begins to lead a domain. A
-	// daemon with an older list might not know which nodes are leaving.
+	// maxListAge is the maximum age of the node list with which a daemon begins to lead a domain.
+	// An older list might not show which nodes are leaving.
 	maxListAge = 3500 * time.Millisecond
 	// yieldTimeout is how long a leader may fail to reach most of its nodes before it steps down.
 	// It does not lead the domain again for yieldDuration.
 	yieldTimeout  = 5 * time.Second
 	yieldDuration = 20 * time.Second
-	// maxListWaitAfterRegain limits how long a leader waits for a new node list after it has
-	// regained contact with most nodes. The wait is counted from the last probe that failed to
-	// reach most nodes.
-	maxListWaitAfterRegain = 10 * time.Second
+	// maxListWaitAfterContact limits how long a leader waits for a new node list after it has
+	// regained contact with most nodes. The wait starts with the last probe that failed to reach
+	// most nodes.
+	maxListWaitAfterContact = 10 * time.Second
 	// reportOverdueAfter is the time from the deadline of a domain's last report until the report
 	// counts as overdue. A daemon may then begin to lead the domain even with an old node list.
 	reportOverdueAfter = 4 * time.Second
@@ -39,16 +39,17 @@
 	orderTimeout       = 2 * time.Second
 	// maxProbeAge is the maximum age of the probe that orders are based on.
 	maxProbeAge = time.Second
-	// lostTimeout is how long a node may be silent before it counts as lost. Its replica can't
-	// serve during that time.
+	// lostTimeout is how long a node may leave probes unanswered before it counts as lost and its
+	// replica is repaired. The replica can't serve during that time.
 	lostTimeout = 1500 * time.Millisecond
-	// lostTimeoutMajority replaces lostTimeout if more than half of a domain's nodes are silent.
-	// The cause is then more likely to be the network than the nodes.
+	// lostTimeoutMajority replaces lostTimeout if more than half of a domain's nodes leave a probe
+	// unanswered. The cause is then more likely to be the network than the nodes.
 	lostTimeoutMajority = 5 * time.Second
 	// renewalsPerWindow is the number of times that an unchanged report is published again within
 	// one serve window.
 	renewalsPerWindow = 6
-	// proposeInterval is the minimum interval between two proposals of a grant for a domain.
+	// proposeInterval is the minimum interval between two proposals of a grant for a domain. A
+	// grant is a record in the shared log that names the domain's owner and deputies.
 	proposeInterval = 2 * time.Second
 	// rebalanceDelay is how long another daemon must be the preferred owner of a domain before the
 	// domain is handed over.
@@ -56,18 +57,18 @@
 	// proposeTimeout limits how long an append of a grant to the log may take.
 	proposeTimeout = 3 * time.Second
 	// maxLoadAge is the maximum age of the load that a replica reports. A drain takes at least the
-	// sum of the serve window and maxLoadAge. The reported load then includes the last requests
+	// serve window plus maxLoadAge. After that time, the reported load includes the last requests
 	// that the replica accepted.
 	maxLoadAge = 2 * time.Second
 	// drainTimeout is the maximum time for which requests in flight delay the reassignment of a
 	// replica's nodes.
 	drainTimeout = 10 * time.Minute
-	// supplyRetention is how long a domain's nodes and replicas still count as supply for
+	// supplyRetention is how long a domain's nodes and replicas still count as available for
 	// deployments after the deadline of the domain's last report.
 	supplyRetention = 30 * time.Second
 	// unfencedLease is how long after its last read of the grant log an owner may send orders to
-	// nodes that don't check tokens. A new owner waits for unfencedLease and unfencedMargin before
-	// it sends such orders. The margin covers a pause of the previous owner's process.
+	// nodes that don't check fencing tokens. A new owner first waits for unfencedLease plus
+	// unfencedMargin. The margin allows for a pause of the previous owner's process.
 	unfencedLease  = 5 * time.Second
 	unfencedMargin = 2 * time.Second
 	// maxParallelCalls is the maximum number of concurrent calls to the nodes of a domain.
@@ -98,8 +99,9 @@
 	Control cluster.NodeControl
 	Catalog *catalog.Catalog
 	Members Members
-	// Ownership holds the grants. A grant names the owner and the deputies of a domain. AppendGrant
-	// appends a grant to the log and returns once the grant has been applied to Ownership.
+	// Ownership holds the grants. A grant names the owner of a domain and its deputies, who may
+	// lead the domain if the owner fails. AppendGrant appends a grant to the log and returns once
+	// the grant has been applied to Ownership.
 	Ownership   *ownership.State
 	AppendGrant func(ctx context.Context, record json.RawMessage) error
 	// OwnershipConfirmed returns when the latest successful read of the grant log began.
@@ -200,7 +202,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for domain := range c.nodesByDomain {
-		// A domain remains managed when the list no longer contains any of its nodes.
+		// A domain remains managed even if the list no longer contains any of its nodes.
 		if _, ok := byDomain[domain]; !ok {
 			byDomain[domain] = nil
 		}
@@ -208,8 +210,9 @@
 	c.nodesByDomain, c.listedAt = byDomain, start
 }
 
-// wasSuspended reports whether the node list is old although no read has failed recently. The
-// process was then suspended, and must read the list again before it publishes reports.
+// wasSuspended reports whether the process seems to have been suspended: the node list is old
+// although no read has failed recently. The list must then be read again before reports are
+// published.
 func (c *Controller) wasSuspended(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,8 +226,8 @@
 	return c.listedAt
 }
 
-// tickDomains wakes each domain at every tick. Domains run in separate goroutines so that a slow
-// one doesn't delay the others.
+// tickDomains wakes the goroutine of each domain every tickInterval. Each domain has its own
+// goroutine so that a slow one doesn't delay the others.
 func (c *Controller) tickDomains(ctx context.Context) {
 	wakeByDomain := make(map[string]chan struct{})
 	var group conc.WaitGroup
@@ -281,8 +284,8 @@
 	return c.nodesByDomain[domain]
 }
 
-// appendGrant appends a grant to the log. The grant may not take effect, because a concurrent grant
-// may come before it in the log.
+// appendGrant appends a grant to the log. The grant has no effect if another grant for the same
+// domain comes before it in the log.
 func (c *Controller) appendGrant(ctx context.Context, record ownership.Record) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/replica/domain.go
+++ b/replica/domain.go
@@ -25,28 +25,30 @@
 	// spansHalls is set if the node list places the domain's nodes in several data halls.
 	spansHalls bool
 
-	// isLeading is set if this daemon acted as the domain's leader at the last tick.
+	// isLeading is set if this daemon acted as the domain's leader at the last tick. The leader is
+	// the owner or the deputy that currently manages the domain.
 	isLeading bool
-	// unreachableAt is when more than half of the nodes last failed to answer a probe.
-	// unreachableSince is when the current series of such probes began. It is zero if the last
-	// probe reached at least half of the nodes.
-	unreachableAt    time.Time
-	unreachableSince time.Time
+	// lastUnreachableAt is when more than half of the nodes last failed to answer a probe.
+	// unreachableSince is when the current series of such probes began. It is zero if at least half
+	// of the nodes answered the last probe.
+	lastUnreachableAt time.Time
+	unreachableSince  time.Time
 	// yieldUntil is the time until which this daemon does not lead the domain.
 	yieldUntil time.Time
 	// leadingSince is when this daemon began to lead the domain.
 	leadingSince time.Time
-	// token is the highest token that this daemon has used for the domain.
+	// token is the highest fencing token that this daemon has used for the domain. Nodes reject
+	// orders with a lower token than the highest that they have received.
 	token token.Token
-	// highestNodeToken is the highest token that nodes have reported in the last probe and in
-	// answers to orders since then.
+	// highestNodeToken is the highest token that any node has reported in the last probe or in an
+	// answer to a later order.
 	highestNodeToken token.Token
-	// version counts the changes of the report's content, and beat counts its publications. Both
-	// restart with each new rank or epoch of this leader. lastReport is the content of the last
-	// report.
-	version    uint64
-	beat       uint64
-	lastReport *rpc.DomainReport
+	// version counts the changes of the report's content, and publishCount counts its publications.
+	// Both restart at zero when the epoch or the rank of token changes. lastReport is the content
+	// of the last report.
+	version      uint64
+	publishCount uint64
+	lastReport   *rpc.DomainReport
 	// renewAt is when the report is published again even if it is unchanged.
 	renewAt time.Time
 
@@ -56,7 +58,8 @@
 	nodes map[string]*trackedNode
 	// drains holds the draining replicas by replica ID.
 	drains map[string]drain
-	// permits holds the permits that routers may still rely on, by assignment name.
+	// permits holds the permits that routers may still rely on, by assignment name. A permit is the
+	// permission to send requests to a replica, as granted by a report.
 	permits map[string]permit
 	// unfencedOrdersAfter is the time from which this daemon may send orders to nodes that don't
 	// check tokens. It is computed once for the grant with epoch unfencedGrantEpoch.
@@ -75,10 +78,11 @@
 	state  cluster.NodeState
 	// answered is set if the node answered the last probe.
 	answered bool
-	// lostAt is when a silent node counts as lost; zero while it answers.
+	// lostAt is the time from which the node counts as lost if it remains silent. It is zero while
+	// the node answers probes.
 	lostAt time.Time
-	// lastOrder is the token of the last order that changed the node's assignment.
-	lastOrder token.Token
+	// lastOrderToken is the token of the last order that changed the node's assignment.
+	lastOrderToken token.Token
 	// reportedLeaving is set if the previous leader reported the node as leaving. It is cleared
 	// once this daemon has read the node list while leading.
 	reportedLeaving bool
@@ -125,12 +129,13 @@
 		d.stepDown()
 		return
 	}
-	if d.mustWait(time.Now()) {
+	if d.pauseOrStepDown(time.Now()) {
 		return
 	}
 	if previousToken.Epoch != d.token.Epoch || previousToken.Rank != d.token.Rank {
-		// Nodes must confirm this leader before its first report. Otherwise the report would show
-		// serving replicas as unconfirmed, and they would get no requests.
+		// Nodes confirm this leader by reporting one of its tokens. They must do so before its
+		// first report. Otherwise the report would show serving replicas as unconfirmed, and they
+		// would get no requests.
 		d.sendOrders(ctx, d.reaffirmOrders(nil))
 		probeStart = time.Now()
 		d.assumePermits(d.observeReplicas(view), probeStart)
@@ -140,7 +145,7 @@
 }
 
 // runRound makes a plan from the results of the last probe, publishes a report and sends orders.
-// The probe must not have begun before probeStart.
+// The parameter probeStart is a time at or before the start of that probe.
 func (d *domain) runRound(ctx context.Context, view *config.View, probeStart time.Time) {
 	plan := placement.Make(d.plannerInput(view))
 	replicas := d.observeReplicas(view)
--- a/replica/grant.go
+++ b/replica/grant.go
@@ -7,8 +7,9 @@
 	"quartzshelf.dev/ownership"
 )
 
-// propose appends a new grant to the log in the background. It does nothing if there are no holders
-// or the last proposal was made less than proposeInterval ago.
+// propose appends a grant with the given holders to the log in the background. The holders are the
+// proposed owner and then the deputies. It does nothing if there are no holders or the last
+// proposal was made less than proposeInterval ago.
 func (d *domain) propose(ctx context.Context, grant ownership.Grant, holders []string) {
 	now := time.Now()
 	if now.Before(d.nextProposalAt) || len(holders) == 0 {
@@ -24,7 +25,7 @@
 	return ownership.Holders(d.name, d.controller.opts.Members.Candidates(d.dataHall))
 }
 
-// rebalance proposes a grant to another daemon once that daemon has been the preferred owner for
+// rebalance proposes another daemon as owner once other daemons have been preferred for
 // rebalanceDelay. Without rebalancing, the daemons that survive failures would accumulate domains.
 func (d *domain) rebalance(ctx context.Context, grant ownership.Grant) {
 	preferredHolders := d.proposedHolders()
@@ -42,8 +43,8 @@
 	}
 }
 
-// withSelfFirst returns the holders with this daemon first, because it already has the state of the
-// domain. If this daemon is leaving, it returns the holders unchanged.
+// withSelfFirst returns the holders with this daemon as the first, which is the owner. This daemon
+// already has the state of the domain. If it is leaving, the holders are returned unchanged.
 func (d *domain) withSelfFirst(holders []string) []string {
 	self := d.controller.opts.Self
 	if d.controller.opts.Members.IsLeaving(self) {
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -25,8 +25,9 @@
 	})
 }
 
-// activeRank returns the highest rank that reports and nodes show as used under the grant, or -1 if
-// they show none.
+// activeRank returns the highest rank that a leader has used under the grant, according to the
+// reports and the nodes' tokens. It returns -1 if there is none. Each new leader under a grant uses
+// a higher rank.
 func (d *domain) activeRank(grant ownership.Grant) int {
 	rank := -1
 	if current, _, ok := d.controller.opts.Catalog.Current(d.name); ok && current.Epoch == grant.Epoch() {
@@ -38,9 +39,9 @@
 	return rank
 }
 
-// restrictAction returns ownership.Follow instead of a leading action in two cases. In the first,
-// this daemon has yielded the domain. In the second, this daemon would begin to lead with an old
-// node list, and the last report is not overdue.
+// restrictAction replaces a leading action by ownership.Follow in two cases. In the first, this
+// daemon has recently stopped leading because it couldn't reach most nodes. In the second, this
+// daemon would begin to lead with an old node list although the last report is not overdue.
 func (d *domain) restrictAction(action ownership.Action) ownership.Action {
 	now := time.Now()
 	if !action.Leads() {
@@ -72,8 +73,9 @@
 	}
 }
 
-// claimToken ensures that this daemon's token is the highest of the domain, with a new rank if
-// necessary. It returns false if a node holds a token from a newer grant.
+// claimToken ensures that this daemon's token is the highest of the domain. When this daemon begins
+// to lead under the grant, or when another token or report is higher, it takes a new rank.
+// claimToken returns false if a node has reported a token from a newer grant.
 func (d *domain) claimToken(grant ownership.Grant) bool {
 	if d.highestNodeToken.Epoch > grant.Epoch() {
 		return false
@@ -88,7 +90,7 @@
 	}
 	rank := ownership.NextRank(highestRank, grant.Position(d.controller.opts.Self), len(grant.Holders()))
 	d.token = token.Token{Epoch: grant.Epoch(), Rank: rank}
-	d.version, d.beat, d.lastReport = 0, 0, nil
+	d.version, d.publishCount, d.lastReport = 0, 0, nil
 	if !d.isLeading {
 		d.inheritLeaving()
 		d.leadingSince = time.Now()
@@ -102,9 +104,9 @@
 	return true
 }
 
-// isSuperseded reports whether the catalog holds a report that this leader's report would not
-// replace. This is a report with a higher rank, or with the same rank and a higher version. The
-// latter was published by this daemon before a restart.
+// isSuperseded reports whether the catalog holds a report that this leader's reports would not
+// replace. Such a report has a higher rank, or the same rank and a higher version. In the second
+// case, this daemon published it before it was restarted.
 func (d *domain) isSuperseded() bool {
 	current, _, ok := d.controller.opts.Catalog.Current(d.name)
 	if !ok || current.Epoch != d.token.Epoch {
@@ -122,10 +124,11 @@
 	return d.token
 }
 
-// mustWait reports whether this leader must neither publish nor send orders now. A leader that
-// hasn't reached most nodes for yieldTimeout steps down. A leader that has regained contact with
-// them waits for a new node list, because the old one may be outdated.
-func (d *domain) mustWait(now time.Time) bool {
+// pauseOrStepDown reports whether this leader must neither publish nor send orders now. If it
+// hasn't reached most nodes for yieldTimeout, it steps down. It pauses until there is a new node
+// list if the process was suspended or if it has just regained contact with most nodes. In both
+// cases the list may be outdated.
+func (d *domain) pauseOrStepDown(now time.Time) bool {
 	if !d.unreachableSince.IsZero() && now.After(d.unreachableSince.Add(yieldTimeout)) {
 		d.controller.opts.Logger.Warn("cannot reach most nodes; letting another daemon lead", "domain", d.name)
 		d.yieldUntil = now.Add(yieldDuration)
@@ -136,18 +139,18 @@
 	if d.controller.wasSuspended(now) {
 		return true
 	}
-	hasRegainedContact := d.unreachableSince.IsZero() && !d.unreachableAt.IsZero()
-	return hasRegainedContact && d.controller.listReadAt().Before(d.unreachableAt) && now.Before(d.unreachableAt.Add(maxListWaitAfterRegain))
+	hasRegainedContact := d.unreachableSince.IsZero() && !d.lastUnreachableAt.IsZero()
+	return hasRegainedContact && d.controller.listReadAt().Before(d.lastUnreachableAt) && now.Before(d.lastUnreachableAt.Add(maxListWaitAfterContact))
 }
 
-// updateReachability updates unreachableAt and unreachableSince after a probe. nodeCount is the
-// number of probed nodes, and silentCount the number of those that did not answer.
+// updateReachability updates lastUnreachableAt and unreachableSince after a probe. nodeCount is the
+// number of probed nodes, and silentCount is the number of those that did not answer.
 func (d *domain) updateReachability(silentCount, nodeCount int, now time.Time) {
 	if nodeCount == 0 || 2*silentCount <= nodeCount {
 		d.unreachableSince = time.Time{}
 		return
 	}
-	d.unreachableAt = now
+	d.lastUnreachableAt = now
 	if d.unreachableSince.IsZero() {
 		d.unreachableSince = now
 	}
@@ -165,10 +168,10 @@
 	}
 }
 
-// canOrderUnfenced reports whether this daemon may send orders to nodes that don't check tokens. It
-// must be the owner and not a deputy, and must have read the grant log within the last
-// unfencedLease. The lease of the previous owner must have expired. Only unfencedMargin protects
-// against a pause of the process between this check and the order.
+// canOrderUnfenced reports whether this daemon may send orders to nodes that don't check tokens.
+// This daemon must be the owner, not a deputy. It must have read the grant log within the last
+// unfencedLease, and the lease of the previous owner must have expired. If the process pauses
+// between this check and the order, only unfencedMargin prevents conflicting orders.
 func (d *domain) canOrderUnfenced(grant ownership.Grant, now time.Time) bool {
 	if grant.Owner() != d.controller.opts.Self || now.Before(d.unfencedOrdersAfter) {
 		return false
--- a/replica/observed.go
+++ b/replica/observed.go
@@ -23,18 +23,18 @@
 // isIntact reports whether the replica can serve.
 func (o observedReplica) isIntact() bool { return o.problem == "" }
 
-// isLeaving reports whether any member is leaving. The replica then accepts no new requests, even
-// if its nodes can't be replaced.
+// isLeaving reports whether any member is leaving. The replica then gets no new requests, even if
+// its nodes can't be replaced.
 func (o observedReplica) isLeaving() bool {
 	return slices.ContainsFunc(o.members, (*trackedNode).isLeaving)
 }
 
-// leader returns the node that accepts the replica's requests.
-func (o observedReplica) leader() *trackedNode { return o.members[0] }
+// head returns the node that accepts the replica's requests.
+func (o observedReplica) head() *trackedNode { return o.members[0] }
 
 // isIdle reports whether the replica had no active or queued requests at the last probe.
 func (o observedReplica) isIdle() bool {
-	load := o.leader().state.Load
+	load := o.head().state.Load
 	return load.Active == 0 && load.Queue == 0
 }
 
@@ -67,8 +67,8 @@
 }
 
 // observeManaged returns the replica with the given assignment. The replica has a problem unless
-// every member is ready in the assignment's generation. Members that check tokens must also hold a
-// token of this leader, so that orders of earlier leaders can no longer change the replica.
+// every member is ready in the assignment's generation. Members that check fencing tokens must also
+// have accepted a token of this leader. They then reject orders of earlier leaders.
 func (d *domain) observeManaged(id string, a cluster.Assignment) observedReplica {
 	o := observedReplica{id: id, assignment: a}
 	for _, member := range a.Members {
@@ -100,17 +100,17 @@
 	return ""
 }
 
-// confirmsLeader reports whether the node's token is from this leader and not lower than that of
-// the last order to the node. An order that was not answered may still arrive, so a lower token
-// does not count.
+// confirmsLeader reports whether the node's token is from this leader and not lower than
+// lastOrderToken. With a lower token, an unanswered order could still arrive and change the
+// assignment.
 func (d *domain) confirmsLeader(m *trackedNode) bool {
 	t := m.state.Token
-	return t.Epoch == d.token.Epoch && t.Rank == d.token.Rank && !m.lastOrder.Higher(t)
+	return t.Epoch == d.token.Epoch && t.Rank == d.token.Rank && !m.lastOrderToken.Higher(t)
 }
 
-// observeScripted returns a replica that is managed by scripts. The replica has a problem unless
-// its deployment exists, it has as many nodes as the deployment requires, and all of them are ready
-// with the same assignment.
+// observeScripted returns a replica that is managed by operators' scripts and not by this package.
+// Its deployment must exist, and it must have as many nodes as the deployment requires. All nodes
+// must be ready with the same assignment. Otherwise the replica has a problem.
 func observeScripted(view *config.View, id string, members []*trackedNode) observedReplica {
 	slices.SortFunc(members, func(a, b *trackedNode) int { return strings.Compare(a.listed.ID, b.listed.ID) })
 	name, _, _ := strings.Cut(id, "/")
@@ -137,8 +137,8 @@
 	return o
 }
 
-// ensureDrained reports whether the replica's nodes may be reassigned. The first call for a replica
-// starts the drain.
+// ensureDrained reports whether the replica's nodes may be reassigned, because it is drained or
+// because drainTimeout has passed. The first call for a replica starts the drain.
 func (d *domain) ensureDrained(o observedReplica, now time.Time) bool {
 	state, ok := d.drains[o.id]
 	if !ok {
--- a/replica/order.go
+++ b/replica/order.go
@@ -19,8 +19,8 @@
 	reason string
 }
 
-// planOrders returns the orders of a plan that may be sent now. Orders that affect an intact
-// replica are delayed until it is drained.
+// planOrders returns the orders of a plan that may be sent now. Orders that reassign or release
+// nodes of an intact replica are held back until it is drained.
 func (d *domain) planOrders(plan placement.Plan, replicas []observedReplica, now time.Time) []pendingOrder {
 	intactReplicas := intactReplicasByNode(replicas)
 	previousDrains := d.drains
@@ -82,8 +82,8 @@
 	return intactReplicas
 }
 
-// mayRelease reports whether a node may be released now. If the node belongs to an intact replica,
-// the first call starts to drain the replica.
+// mayRelease reports whether a node may be released now, that is, taken out of its replica. If the
+// node belongs to an intact replica, the first call starts to drain the replica.
 func (d *domain) mayRelease(step placement.Step, intactReplicas map[string]observedReplica, now time.Time) bool {
 	if o, ok := intactReplicas[step.Node]; ok && !d.ensureDrained(o, now) {
 		return false
@@ -113,9 +113,10 @@
 	return false
 }
 
-// formationOrders returns the orders of a formation. It returns none while a replica that loses
-// nodes to the formation is draining. While a permit blocks a step, it returns only release orders,
-// or none.
+// formationOrders returns the orders that form a replica from the nodes of the formation. It
+// returns none while another replica that loses nodes to the formation is draining. A permit (the
+// permission to send a replica requests until a deadline) can also block a step. In that case
+// formationOrders returns only release orders, which end such permits early, or none.
 func (d *domain) formationOrders(f placement.Formation, intactReplicas map[string]observedReplica, now time.Time) []pendingOrder {
 	allDrained := true
 	for _, step := range f.Steps {
@@ -139,26 +140,27 @@
 	return all
 }
 
-// isBlocked reports whether any step must wait for a permit to expire.
+// isBlocked reports whether a permit blocks any of the steps. See blockingPermits.
 func (d *domain) isBlocked(steps []placement.Step, now time.Time) bool {
 	return slices.ContainsFunc(steps, func(s placement.Step) bool { return len(d.blockingPermits(s.Node, now)) > 0 })
 }
 
-// releaseOrders returns orders that release the leader nodes of broken replicas whose permits block
-// the steps. Once a leader node has confirmed its release, the permit of its replica no longer
-// blocks.
+// releaseOrders returns orders for the replicas whose permits block the steps. A permit is the
+// permission to send a replica requests until a deadline. Each order releases the head of such a
+// replica. Once the head has confirmed, the permit no longer blocks. Heads that didn't answer or
+// don't check tokens get no order.
 func (d *domain) releaseOrders(steps []placement.Step, now time.Time) []pendingOrder {
 	alreadyReleased := make(map[string]bool)
 	var all []pendingOrder
 	for _, step := range steps {
 		for _, p := range d.blockingPermits(step.Node, now) {
-			leaderID := p.assignment.Members[0]
-			m, known := d.nodes[leaderID]
-			if alreadyReleased[leaderID] || !known || !m.answered || !m.isFenced() {
+			headID := p.assignment.Members[0]
+			m, known := d.nodes[headID]
+			if alreadyReleased[headID] || !known || !m.answered || !m.isFenced() {
 				continue
 			}
-			alreadyReleased[leaderID] = true
-			all = append(all, d.newOrder(leaderID, cluster.Assignment{}, "free a broken replica before its nodes move"))
+			alreadyReleased[headID] = true
+			all = append(all, d.newOrder(headID, cluster.Assignment{}, "free a broken replica before its nodes move"))
 		}
 	}
 	return all
@@ -171,17 +173,18 @@
 	sequenceBits = 28
 )
 
-// generationOf returns the generation for a token. Each token is used once, so generations are
-// unique, and later ones are higher. They are reported in JSON and must stay below 2^63.
+// generationOf returns the generation number of a replica that is formed with the token. Each token
+// is used once, so generations are unique, and later ones are higher. They are reported in JSON and
+// must stay below 2^63.
 func generationOf(t token.Token) uint64 {
 	rank := uint64(t.Rank) & (1<<rankBits - 1)
 	sequence := t.Sequence & (1<<sequenceBits - 1)
 	return t.Epoch<<(rankBits+sequenceBits) | rank<<sequenceBits | sequence
 }
 
-// reaffirmOrders returns orders that repeat the current assignment of nodes that have not confirmed
-// this leader, except nodes that have a planned order. After such an order, a node rejects the
-// orders of earlier leaders.
+// reaffirmOrders returns orders for nodes that have not confirmed this leader. Each order repeats
+// the node's current assignment with a token of this leader, so that the node rejects later orders
+// of earlier leaders. Nodes that have a planned order are left out.
 func (d *domain) reaffirmOrders(planned []pendingOrder) []pendingOrder {
 	hasOrder := orderedNodes(planned)
 	var all []pendingOrder
@@ -197,21 +200,20 @@
 	return all
 }
 
-// newOrder returns an order for a node with a new token.
+// newOrder returns an order with a new token for a node.
 func (d *domain) newOrder(node string, a cluster.Assignment, reason string) pendingOrder {
 	m := d.nodes[node]
 	t := d.nextToken()
 	if !m.state.Assignment.Same(a) {
 		// An order that repeats the assignment is not recorded, because it does no harm if it
 		// arrives late.
-		m.lastOrder = t
+		m.lastOrderToken = t
 	}
 	return pendingOrder{node: m, order: cluster.Order{Token: t, Assignment: a}, reason: reason}
 }
 
-// sendOrders sends the orders concurrently. If an order is not answered, the next probe shows
-// whether it took effect. Until the node reports the order's token or a higher one, its replica
-// counts as unconfirmed.
+// sendOrders sends the orders concurrently. Unanswered orders are not repeated here. The next probe
+// shows whether they took effect.
 func (d *domain) sendOrders(ctx context.Context, orders []pendingOrder) {
 	if len(orders) == 0 {
 		return
@@ -222,12 +224,12 @@
 		// The process was suspended, so the probe's results may be outdated.
 		return
 	}
-	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(maxParallelCalls)
+	p := pool.NewWithResults[nodeAnswer]().WithMaxGoroutines(maxParallelCalls)
 	for _, o := range orders {
 		address, id := o.node.listed.Address, o.node.listed.ID
-		p.Go(func() probeResult {
+		p.Go(func() nodeAnswer {
 			reply, err := d.controller.opts.Control.Order(ctx, address, o.order)
-			return probeResult{id: id, state: reply.State, err: err}
+			return nodeAnswer{id: id, state: reply.State, err: err}
 		})
 	}
 	for _, r := range p.Wait() {
--- a/replica/permit.go
+++ b/replica/permit.go
@@ -7,8 +7,8 @@
 	"quartzshelf.dev/cluster"
 )
 
-// permit is the permission to send requests to a replica in one generation. Routers may rely on it
-// until the deadline.
+// permit is the permission to send requests to a replica in one generation. It is granted by a
+// report, and routers may rely on it until the deadline.
 type permit struct {
 	assignment cluster.Assignment
 	deadline   time.Time
@@ -24,8 +24,8 @@
 }
 
 // assumePermits removes expired permits and adds those that an earlier leader may have granted. As
-// long as a node of a replica hasn't confirmed this leader, an earlier leader may have just
-// published a report that lets the replica serve.
+// long as a node of a replica hasn't confirmed this leader, an earlier leader may still publish
+// reports under which the replica may serve.
 func (d *domain) assumePermits(replicas []observedReplica, now time.Time) {
 	for name, p := range d.permits {
 		if now.After(p.deadline) {
@@ -40,10 +40,10 @@
 	}
 }
 
-// blockingPermits returns the permits that forbid a new assignment of the node. While a permit
-// lasts, routers may send requests to the replica's leader node. The leader node accepts them until
-// it is reassigned. The leader node itself may always be reassigned, because it then rejects
-// requests for the old replica.
+// blockingPermits returns the permits that forbid a new assignment of the node. Until the deadline
+// of a permit, routers may send requests to the replica's head, which accepts them until it is
+// reassigned. A permit never blocks the head itself, because a reassigned head rejects requests for
+// the old replica.
 func (d *domain) blockingPermits(node string, now time.Time) []permit {
 	var all []permit
 	for _, p := range d.permits {
@@ -51,9 +51,9 @@
 		if now.After(p.deadline) || !slices.Contains(members, node) || members[0] == node {
 			continue
 		}
-		leader, known := d.nodes[members[0]]
-		leaderReassigned := known && leader.answered && !leader.state.Assignment.Same(p.assignment)
-		if !leaderReassigned {
+		head, known := d.nodes[members[0]]
+		headReassigned := known && head.answered && !head.state.Assignment.Same(p.assignment)
+		if !headReassigned {
 			all = append(all, p)
 		}
 	}
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -12,27 +12,27 @@
 	"quartzshelf.dev/placement"
 )
 
-// probeResult is the answer of one node to a probe or an order.
-type probeResult struct {
+// nodeAnswer is the answer of one node to a probe or an order, or the error if there was no answer.
+type nodeAnswer struct {
 	id    string
 	state cluster.NodeState
 	err   error
 }
 
-// probeNodes asks all nodes of the domain for their state concurrently and updates the nodes from
-// the answers.
+// probeNodes asks all nodes of the domain concurrently for their state and updates the tracked
+// nodes from the answers.
 func (d *domain) probeNodes(ctx context.Context) {
 	d.lastProbeAt = time.Now()
-	// The highest token so far may come from a node that has left the domain.
+	// The previous value may come from a node that has left the domain.
 	d.highestNodeToken = token.Token{}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	p := pool.NewWithResults[probeResult]().WithMaxGoroutines(maxParallelCalls)
+	p := pool.NewWithResults[nodeAnswer]().WithMaxGoroutines(maxParallelCalls)
 	for id, m := range d.nodes {
 		address := m.listed.Address
-		p.Go(func() probeResult {
+		p.Go(func() nodeAnswer {
 			state, err := d.controller.opts.Control.State(ctx, address)
-			return probeResult{id: id, state: state, err: err}
+			return nodeAnswer{id: id, state: state, err: err}
 		})
 	}
 	results := p.Wait()
@@ -52,9 +52,9 @@
 	}
 }
 
-// applyProbe updates a node from its probe result. A node that has just become silent counts as
-// lost from lostAt on.
-func (d *domain) applyProbe(r probeResult, lostAt time.Time) {
+// applyProbe updates a tracked node from its answer to a probe. If the node answered the previous
+// probe but not this one, it counts as lost from lostAt on.
+func (d *domain) applyProbe(r nodeAnswer, lostAt time.Time) {
 	m := d.nodes[r.id]
 	m.answered = r.err == nil && r.state.Node == r.id
 	if !m.answered {
--- a/replica/report.go
+++ b/replica/report.go
@@ -14,8 +14,8 @@
 )
 
 // publishReport publishes the domain's report if it has changed or is due for renewal. The replicas
-// may serve for one serve window from probeStart. The probe that confirmed them must not have begun
-// before probeStart.
+// may serve for one serve window from probeStart, which must not be later than the start of the
+// probe that confirmed them.
 func (d *domain) publishReport(replicas []observedReplica, plan placement.Plan, probeStart time.Time) {
 	report := &rpc.DomainReport{Domain: d.name, DataHall: d.dataHall, Owner: d.controller.opts.Self}
 	report.Token = catalog.ToMessage(d.token)
@@ -27,7 +27,7 @@
 		report.Replicas = append(report.Replicas, d.replicaReport(o, plan))
 		load := cluster.Load{}
 		if len(o.members) > 0 {
-			load = o.leader().state.Load
+			load = o.head().state.Load
 		}
 		loads = append(loads, uint32(load.Queue), uint32(load.Active), uint32(load.Slots))
 	}
@@ -40,9 +40,9 @@
 	} else if probeStart.Before(d.renewAt) {
 		return
 	}
-	d.beat++
+	d.publishCount++
 	d.renewAt = probeStart.Add(d.controller.opts.ServeWindow / renewalsPerWindow)
-	report.Version, report.Beat, report.Loads = d.version, d.beat, loads
+	report.Version, report.Beat, report.Loads = d.version, d.publishCount, loads
 	deadline := probeStart.Add(d.controller.opts.ServeWindow)
 	d.recordPermits(replicas, deadline)
 	d.controller.opts.Catalog.Publish(report, deadline)
@@ -65,12 +65,12 @@
 		report.Nodes = append(report.Nodes, m.listed.ID)
 	}
 	if report.Serving {
-		report.LeaderAddress = o.leader().listed.Address
+		report.LeaderAddress = o.head().listed.Address
 	}
 	return report
 }
 
-// missingReplicas returns reports on replicas that are wanted but have no nodes.
+// missingReplicas returns reports on replicas that deployments require but that have no nodes.
 func (d *domain) missingReplicas(replicas []observedReplica, plan placement.Plan) []*rpc.ReplicaReport {
 	var all []*rpc.ReplicaReport
 	for _, id := range slices.Sorted(maps.Keys(plan.Dark)) {
--- a/replica/want.go
+++ b/replica/want.go
@@ -12,7 +12,7 @@
 )
 
 // rolloutDivisor limits how many replicas of a deployment may be down for an upgrade at the same
-// time. The limit is their number divided by rolloutDivisor, but at least one.
+// time. The limit is the number of replicas divided by rolloutDivisor, but at least one.
 const rolloutDivisor = 10
 
 // computeWants returns what each deployment requires of this domain.
@@ -56,9 +56,10 @@
 	return deployment.SelectsNode
 }
 
-// computeSupplies returns what each domain can supply to a deployment. It uses the last probe for
-// this domain and the reports for other domains. Domains in closed data halls or in regions that
-// the deployment does not allow are left out. The wanted replicas are then formed elsewhere.
+// computeSupplies returns the numbers of usable nodes and existing replicas that each domain has
+// for a deployment. It uses the last probe for this domain and the reports for other domains.
+// Domains in closed data halls or in regions that the deployment does not allow are left out, so
+// that its replicas are formed in other domains.
 func (d *domain) computeSupplies(view *config.View, deployment config.Deployment) []placement.Supply {
 	now := time.Now()
 	var supplies []placement.Supply
@@ -151,10 +152,10 @@
 }
 
 // replicasToUpgrade returns the IDs of the deployment's replicas that may be taken down now for an
-// upgrade to the wanted version. Replicas that are down are returned whatever their version.
-// Outdated replicas that are draining are always returned. Other outdated replicas are returned in
-// the order of their IDs, within the limit of replicas that may be down. Draining replicas with
-// higher IDs are not counted against the limit.
+// upgrade to the wanted version. Replicas that are down and outdated replicas that are draining are
+// always returned. Other outdated replicas are returned in the order of the catalog until the limit
+// of replicas that may be down is reached. Replicas that are down count against the limit, and so
+// do draining replicas that come earlier in the order.
 //
 // Replicas in closed data halls are ignored. They keep their version until the hall opens, and the
 // limit is computed without them. All owners compute the same result from the same reports.
