--- a/gateway/complete.go
+++ b/gateway/complete.go
@@ -121,9 +121,10 @@
 	return g.openAttempt(r, body, choose, tried, func(time.Time) bool { return true })
 }
 
-// recordOutcome records in the intent ledger whether the request ran, and its answer if it ran. The
-// ledger stores the outcomes of requests by idempotency key. recordOutcome does nothing for a nil
-// claim.
+// recordOutcome records the outcome of the request in the intent ledger, which stores outcomes by
+// idempotency key. If the request ran, its answer is stored. If it did not run, the claim is
+// released, so that the key can be used again. Otherwise the outcome is recorded as unknown.
+// recordOutcome does nothing for a nil claim.
 func (g *Gateway) recordOutcome(claim *intent.Claim, ran reason.Ran, answer intent.Answer) {
 	if claim == nil {
 		return
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -21,7 +21,8 @@
 	// id is the ID of the replica or of the service node.
 	id      string
 	address string
-	// assignment is the name of the replica's assignment; empty for a service endpoint.
+	// assignment names the replica and its generation, so that the endpoint can reject requests for
+	// an earlier generation. It is empty for a service endpoint.
 	assignment string
 	// mayServe reports whether the target may still get the request. It is called right before the
 	// request is sent.
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -17,7 +17,7 @@
 // data halls are closed. If a hall opens, all daemons apply the change in less than this time.
 const closedHallRetryAfter = 15 * time.Second
 
-// PassedOver counts the replicas or endpoints that were excluded from a choice, by reason.
+// PassedOver counts, by reason, the replicas or endpoints that could not be chosen for a request.
 type PassedOver map[reason.Reason]int
 
 // add counts one more exclusion and allocates the map if necessary.
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -13,7 +13,8 @@
 // Guard returns the guard that quarantines requests which crash their workers.
 func (g *Gateway) Guard() *guard.Guard { return g.guard }
 
-// guardRequest returns the description of the request for the guard.
+// guardRequest describes the request for the guard, which detects requests that crash their
+// workers.
 func (r *request) guardRequest() guard.Request {
 	return guard.Request{
 		ID: r.id, Account: r.account.Name(), Target: r.path, Bytes: len(r.body), Fingerprint: r.fingerprint,
--- a/replica/domain.go
+++ b/replica/domain.go
@@ -44,7 +44,7 @@
 	// answer to a later order.
 	highestNodeToken token.Token
 	// version counts the changes of the report's content, and publishCount counts its publications.
-	// Both restart at zero when the epoch or the rank of token changes. lastReport is the content
+	// Both restart at zero when the field token gets a new epoch or rank. lastReport is the content
 	// of the last report.
 	version      uint64
 	publishCount uint64
--- a/replica/order.go
+++ b/replica/order.go
@@ -205,8 +205,8 @@
 	m := d.nodes[node]
 	t := d.nextToken()
 	if !m.state.Assignment.Same(a) {
-		// An order that repeats the assignment is not recorded, because it does no harm if it
-		// arrives late.
+		// The token of an order that repeats the assignment is not recorded, because such an order
+		// does no harm if it arrives late.
 		m.lastOrderToken = t
 	}
 	return pendingOrder{node: m, order: cluster.Order{Token: t, Assignment: a}, reason: reason}
--- a/replica/probe.go
+++ b/replica/probe.go
@@ -93,10 +93,12 @@
 	}
 }
 
+// isScripted reports whether the node is managed by operators' scripts and not by this package.
 func (m *trackedNode) isScripted() bool {
 	return m.labels[config.LabelManagedBy] == config.ManagedByScripts
 }
 
+// isFenced reports whether the node checks fencing tokens.
 func (m *trackedNode) isFenced() bool {
 	return m.labels[config.LabelFenced] != config.LabelFalse
 }
