--- a/cmd/daemoncmd/run.go
+++ b/cmd/daemoncmd/run.go
@@ -25,7 +25,7 @@
 )
 
 // applyTimeout is the maximum duration of the publication of the initial configuration.
-// replicaTimeout is the maximum wait for the first replica after that.
+// replicaTimeout is the maximum wait for the first replica after the publication.
 const (
 	applyTimeout   = 20 * time.Second
 	replicaTimeout = time.Minute
@@ -59,7 +59,7 @@
 }
 
 // serve runs a daemon until SIGINT or SIGTERM and then stops it gracefully. A second signal
-// makes serve return without waiting for that.
+// makes serve return without waiting for the graceful stop.
 func serve(settings *daemon.Settings, logger hclog.Logger, stdout io.Writer) int {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/loadcmd/caller.go
+++ b/cmd/loadcmd/caller.go
@@ -52,7 +52,7 @@
 // reply is the result of one attempt.
 type reply struct {
 	status int
-	// ran says whether the request was executed, or that this is unknown. It is set only when the
+	// ran says whether the request was executed: yes, no or unknown. The field is set only if the
 	// attempt failed.
 	ran    reason.Ran
 	reason string
--- a/cmd/loadcmd/result.go
+++ b/cmd/loadcmd/result.go
@@ -39,7 +39,8 @@
 	mu sync.Mutex
 	// answers is the number of complete completions.
 	answers int
-	// crossed is the number of answers with text that belongs to another request.
+	// crossed is the number of answers whose text differs from the expected one, such as text of
+	// another request.
 	crossed int
 	// cut is the number of streams that ended without the final event.
 	cut int
@@ -51,7 +52,7 @@
 	falseNotRun int
 	// answeredNotRun is the number of receipt requests that were answered, but did not run.
 	answeredNotRun int
-	// refusals counts attempts without a result, by reason.
+	// refusals counts attempts without a result, by reason and by whether the request ran.
 	refusals map[string]int
 	// receipts holds the state of each receipt request by its mark.
 	receipts  map[string]receiptState
@@ -108,7 +109,7 @@
 	r.addExample("lost: %s", request)
 }
 
-// recordRefusal counts an attempt that gave no result, by reason.
+// recordRefusal counts an attempt that gave no result, by reason and by whether the request ran.
 func (r *result) recordRefusal(a reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/operatorcmd/builds.go
+++ b/cmd/operatorcmd/builds.go
@@ -16,8 +16,8 @@
 	messageFormat  = "the fleet acts by a version of the format"
 )
 
-// buildsCommand lists the build of each daemon and the version of the message format between
-// daemons that it uses. Both are read from its log.
+// buildsCommand reads the logs of daemons and lists, for each daemon, its build and the version of
+// the inter-daemon message format that it uses.
 type buildsCommand struct {
 	Logs []string `arg:"" help:"Log files of the daemons, JSON lines." type:"existingfile"`
 }
--- a/cmd/operatorcmd/change.go
+++ b/cmd/operatorcmd/change.go
@@ -124,11 +124,11 @@
 		return &refusedError{problem: reply.Verdict.Problem}
 	}
 	for i, object := range reply.Verdict.Objects {
-		done := "applied"
+		pastAction := "applied"
 		if set.Changes[i].Operation == config.OperationDelete {
-			done = "deleted"
+			pastAction = "deleted"
 		}
-		fmt.Fprintf(out, "%s %s at revision %d\n", object, done, reply.Verdict.Offset+1)
+		fmt.Fprintf(out, "%s %s at revision %d\n", object, pastAction, reply.Verdict.Offset+1)
 	}
 	return nil
 }
--- a/cmd/operatorcmd/client.go
+++ b/cmd/operatorcmd/client.go
@@ -92,7 +92,7 @@
 	return json.Unmarshal(response.Body(), reply)
 }
 
-// listObjects returns the published objects of a kind, with a name and matching a selector. An
+// listObjects returns the published objects that match the kind, the name and the selector. An
 // empty argument matches all objects.
 func (c *client) listObjects(kind, name, selector string) ([]daemon.ObjectRow, error) {
 	query := url.Values{"kind": {kind}, "name": {name}, "selector": {selector}}
--- a/cmd/operatorcmd/complete.go
+++ b/cmd/operatorcmd/complete.go
@@ -10,7 +10,7 @@
 // defaultDaemon is the operators' address that is used if none is configured.
 const defaultDaemon = "127.0.0.1:7401"
 
-// predictHalls returns the names of data halls, which the shell completes. It asks the daemons
+// predictHalls returns the names of data halls for completion in the shell. It asks the daemons
 // that the variable QUARTZSHELF_DAEMONS lists, and returns no names if none of them answers.
 func predictHalls(complete.Args) []string {
 	addresses := []string{defaultDaemon}
--- a/cmd/operatorcmd/hallwait.go
+++ b/cmd/operatorcmd/hallwait.go
@@ -30,8 +30,8 @@
 	lastShown string
 }
 
-// run polls the daemons and prints each change of progress until the hall is empty, is opened
-// again, or the deadline passes. An error of a poll is printed as progress.
+// run polls the daemons and prints each change of progress until the hall is empty or open
+// again, or until the deadline passes. An error of a poll is printed as progress.
 func (w *hallWait) run() error {
 	for {
 		h, err := w.pollDaemons()
@@ -57,7 +57,8 @@
 
 // pollDaemons asks every configured daemon, because each one knows only its own service calls in
 // flight. It returns the state Empty only if all daemons that answer report the hall as empty, in
-// the same revision. If a daemon has an older revision, it returns the state Open.
+// the same revision. Otherwise it returns the status from a daemon where the hall is not empty. The
+// hall counts as open at a daemon with an older revision.
 func (w *hallWait) pollDaemons() (hall.Status, error) {
 	var all []hall.Status
 	var last error
--- a/cmd/operatorcmd/run.go
+++ b/cmd/operatorcmd/run.go
@@ -57,7 +57,7 @@
 	stderr io.Writer
 }
 
-// refusedError means that a change was refused.
+// refusedError means that a change was refused or was overridden by a later one.
 type refusedError struct {
 	problem string
 }
--- a/cmd/operatorcmd/show_test.go
+++ b/cmd/operatorcmd/show_test.go
@@ -26,8 +26,8 @@
 	return w.Buffer.Write(p)
 }
 
-// TestStatusIsWrittenAtOnce guards against a broken pipe in commands such as "status | grep -q",
-// where the reader exits early.
+// TestStatusIsWrittenAtOnce checks that the status is written in a single call. Otherwise commands
+// such as "status | grep -q", where the reader exits early, would fail with a broken pipe.
 func TestStatusIsWrittenAtOnce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(daemon.Status{
--- a/cmd/operatorcmd/trace.go
+++ b/cmd/operatorcmd/trace.go
@@ -17,8 +17,8 @@
 const (
 	// maxLogLine is the maximum length of a log line, in bytes.
 	maxLogLine = 1 << 20
-	// relatedWindow extends the time span of a request's own lines in both directions. Lines in
-	// this span that mention its workers or replicas are part of the trace.
+	// relatedWindow is the time before the first and after the last line of a request in which
+	// lines about the request's workers and replicas are also part of the trace.
 	relatedWindow = 3 * time.Second
 )
 
@@ -71,7 +71,7 @@
 }
 
 // readLog reads a log. It ignores text before the first brace of a line and lines without a
-// brace. It returns the number of other lines that could not be parsed.
+// brace. It returns the number of other lines that could not be parsed or have no message.
 func readLog(file string) (lines []logLine, unread int, err error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -98,8 +98,8 @@
 	return lines, unread, nil
 }
 
-// peerInError matches the property "peer" in the text of an error. Its value is the ID of the
-// called party, such as a worker.
+// peerInError matches the property "peer" in the text of an error. The value of
+// that property is the ID of the called party, such as a worker.
 var peerInError = regexp.MustCompile(`peer: ([^,}]+)`)
 
 // standardFields matches the fields that every log line has.
@@ -119,8 +119,8 @@
 	return string(standardFields.ReplaceAll(l.raw, nil))
 }
 
-// traceLines returns the lines that mention an id, sorted by time. If the id is a request, the
-// result includes lines within relatedWindow about its workers and replicas.
+// traceLines returns the lines that mention an id, sorted by time. If the id is that of a
+// request, the result includes lines within relatedWindow about the request's workers and replicas.
 func traceLines(id string, lines []logLine) []logLine {
 	var matching []logLine
 	related := make(map[string]bool)
--- a/cmd/soakcmd/run.go
+++ b/cmd/soakcmd/run.go
@@ -129,8 +129,8 @@
 	return seedResult{Result: result, dir: dir, err: err}
 }
 
-// loopbackPrefix returns the first three numbers of the loopback addresses of a run. They depend
-// on the process id and the index of the run, so that concurrent runs rarely share them.
+// loopbackPrefix returns the first three numbers of the loopback addresses of a run. The numbers
+// depend on the process id and the index of the run, so that concurrent runs rarely share addresses.
 func loopbackPrefix(index int) string {
 	const valuesPerByte = 250
 	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%valuesPerByte, 1+index%valuesPerByte)
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// checkAgreement checks, at the end of a run without remaining faults, that all daemons hold the
-// same revision and that it agrees with the verdicts.
+// checkAgreement checks that all daemons hold the same revision, and that this revision agrees with
+// the verdicts. It is called at the end of a run, when no faults remain.
 func (cc *configurationChecker) checkAgreement(f *fleet) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -156,8 +156,8 @@
 		Self: h.id, State: h.intents, Follower: h.followers[intent.Stream], NewID: h.fleet.newID,
 		FlushEvery: func() time.Duration { return 50 * time.Millisecond },
 		Submit: func(ctx context.Context, _ intent.Key, record cluster.Record) bool {
-			// The first daemon appends the claims of all others to the log. It may be killed, cut
-			// off or frozen.
+			// The first daemon appends the claims of all others to the log. That daemon may be
+			// killed, cut off or frozen.
 			if h.id == h.fleet.hosts[0].id {
 				return false
 			}
--- a/proof/hall_test.go
+++ b/proof/hall_test.go
@@ -65,9 +65,9 @@
 }
 
 // TestClosedHallIsReplacedElsewhere closes the hall that holds the replicas. The other hall must
-// form replacements. Then daemons are restarted. With the log available, these are all daemons.
-// Without it, only the owner of the hall's domain is restarted. The closed hall must keep its
-// replicas meanwhile. When it opens again, they must be usable at once.
+// form replacements. Then the test restarts all daemons if the log is available, or only the owner
+// of the hall's domain during an outage of the log. The closed hall must keep its replicas. When
+// the hall opens again, these replicas must be usable at once.
 func TestClosedHallIsReplacedElsewhere(t *testing.T) {
 	for name, isLogDown := range map[string]bool{"log well": false, "log out": true} {
 		t.Run(name, func(t *testing.T) {
@@ -182,8 +182,8 @@
 	hasSeenOtherMember bool
 }
 
-// takesRequests reports whether the host takes requests at the given time. It keeps state, so
-// it must be called periodically.
+// takesRequests reports whether the host takes requests at the given time. The result
+// depends on earlier calls, so the method must be called periodically.
 func (r *readiness) takesRequests(h *host, now time.Time) bool {
 	const window, seedTimeout = 10 * time.Second, 3 * time.Second
 	if r.runNumber != h.runNumber {
@@ -210,8 +210,9 @@
 	return r.hasStarted && isConnected && (!isBehind || !now.After(r.behindSince.Add(window)))
 }
 
-// updateMembers updates the expected members from the membership table. Every host has seeds, so
-// a host that never had contact with another one doesn't assume that it is alone.
+// updateMembers updates the expected members from the membership table. Every host has seeds,
+// the configured addresses of daemons. So a host that never had contact with another one doesn't
+// assume that the fleet consists of this host only.
 func (r *readiness) updateMembers(h *host, isLogCurrent bool) {
 	if isLogCurrent || r.expectedMembers == nil {
 		r.expectedMembers = make(map[string]bool)
@@ -334,8 +335,8 @@
 	assert.Assert(t, emptyReports > 0, "no hall was ever called empty")
 }
 
-// TestIsolatedDaemonTakesNoRequestsWithoutTheLog starts a daemon that can't reach the others. It
-// lets the daemon read the log, and then cuts it off from the log too. The daemon must not take
+// TestIsolatedDaemonTakesNoRequestsWithoutTheLog starts a daemon that can't reach the others. The
+// daemon reads the log and is then cut off from the log too. The daemon must not take
 // requests while another one reports a hall as empty, even after it has forgotten the other
 // members.
 func TestIsolatedDaemonTakesNoRequestsWithoutTheLog(t *testing.T) {
@@ -368,7 +369,7 @@
 
 // TestHallIsNotEmptyBehindAPartition closes a hall through the only daemon that reaches the log.
 // The two others reach only each other and go on taking requests. The hall must not be reported
-// as empty until they have learned that it is closed.
+// as empty until these two have learned that the hall is closed.
 func TestHallIsNotEmptyBehindAPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hallOptions)
--- a/proof/network_test.go
+++ b/proof/network_test.go
@@ -23,15 +23,15 @@
 var errCut = errors.New("cut off")
 
 // network simulates the calls of daemons to each other, to the log and to the nodes. It can cut
-// two places off from each other, and it can freeze daemons. A call of a frozen daemon waits until
-// the daemon is resumed, both before and after the call takes effect. Then the call continues,
-// regardless of the time that has passed.
+// two places off from each other, and it can freeze daemons. The calls of a frozen daemon wait,
+// before and after they take effect, until the daemon is resumed. Then they continue, however long
+// the freeze has lasted.
 type network struct {
 	mu     sync.Mutex
 	cuts   map[[2]string]bool
 	frozen map[string]chan struct{}
-	// armedFreezes holds the pairs of daemon and place for which the next order or append
-	// freezes the daemon.
+	// armedFreezes holds pairs of a daemon and a place (the nodes or the log). The daemon's next
+	// write to that place (an order to a node, an append to the log) freezes the daemon.
 	armedFreezes map[[2]string]bool
 	// killCounts holds the number of times that each daemon was killed.
 	killCounts map[string]int
@@ -64,16 +64,16 @@
 	}
 }
 
-// freezeBeforeNext arms a freeze of the daemon, right before its next order or append at the
-// place takes effect.
+// freezeBeforeNext arms a freeze of the daemon. The freeze starts right before the daemon's next
+// write to the place (the nodes or the log) takes effect.
 func (n *network) freezeBeforeNext(id, place string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.armedFreezes[[2]string{id, place}] = true
 }
 
-// freezeIfArmed freezes the daemon if a freeze is armed for the place, and waits until it is
-// resumed.
+// freezeIfArmed freezes the daemon if a freeze is armed for the place. Then it waits while the
+// daemon is frozen.
 func (n *network) freezeIfArmed(id, place string) {
 	n.mu.Lock()
 	isArmed := n.armedFreezes[[2]string{id, place}]
@@ -91,8 +91,8 @@
 	n.freezeLocked(id)
 }
 
-// freezeLocked freezes a running daemon. It does nothing to a killed one, which has to shut down.
-// The mutex must be held.
+// freezeLocked freezes a running daemon. It does nothing to a killed daemon, because that one must
+// be able to shut down. The mutex must be held.
 func (n *network) freezeLocked(id string) {
 	if n.frozen[id] == nil && n.peers[id] != nil {
 		n.frozen[id] = make(chan struct{})
@@ -142,9 +142,9 @@
 	}
 }
 
-// transmit simulates the transport of a message from a daemon to a place. It waits while either of
-// them is frozen, and returns an error when ctx ends first or when the two are cut off from each
-// other.
+// transmit simulates the transport of a message from a daemon to a place. It waits while
+// the sender or the receiver is frozen. If ctx ends before the receiver is resumed, or if the two
+// are cut off from each other, transmit returns an error when ctx ends.
 func (n *network) transmit(ctx context.Context, from, to string) error {
 	n.waitWhileFrozen(from)
 	time.Sleep(transitDelay)
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -24,7 +24,7 @@
 	delay time.Duration
 	host  int
 	key   int
-	// outcome is the result of the request: answered, lost or not sent.
+	// outcome is what the test simulates if this call wins the claim: answered, lost or not sent.
 	outcome string
 }
 
@@ -157,8 +157,8 @@
 	return problem
 }
 
-// replaceNodeFaults replaces faults of nodes and of orders to them, for tests without nodes. Each
-// becomes a freeze of the daemon before its next append to the log.
+// replaceNodeFaults replaces the faults that need nodes, for tests without nodes. Each of them
+// becomes a freeze of a daemon before that daemon's next append to the log.
 func replaceNodeFaults(schedule []fault) []fault {
 	var replaced []fault
 	for _, f := range schedule {
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -88,7 +88,8 @@
 
 // TestNodesAreNotReusedWhileRoutersMayUseThem checks that no node of a broken replica is given to
 // another replica while a router may still use the broken one. The router is cut off from the
-// owner, the nodes and the log. The head of the broken replica would still accept its requests.
+// owner, the nodes and the log. The head of the broken replica would still accept requests from the
+// router.
 func TestNodesAreNotReusedWhileRoutersMayUseThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(singleDomainOptions(2, 8))
@@ -150,7 +151,7 @@
 	})
 }
 
-// TestTakeoverKeepsReplicasServing kills the owner of a domain. Its replicas must stay usable
+// TestTakeoverKeepsReplicasServing kills the owner of a domain. The replica must stay usable
 // before and after a deputy, a daemon that acts for an absent owner, takes over.
 func TestTakeoverKeepsReplicasServing(t *testing.T) {
 	withLogUpAndDown(t, func(t *testing.T, _ *fleet, owner, router *host, applyLogState func()) {
@@ -212,7 +213,7 @@
 	})
 }
 
-// TestDomainsReturnToTheirDaemon kills the owner and starts it again. The owner must get the
+// TestDomainsReturnToTheirDaemon kills and restarts the owner of a domain. The owner must get the
 // domain back after a while, and the replica must serve all the time.
 func TestDomainsReturnToTheirDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/proof/serving_test.go
+++ b/proof/serving_test.go
@@ -37,8 +37,8 @@
 	lastAllReady map[string]time.Time
 	// highestToken holds the highest token that each node has held since its process started.
 	highestToken map[string]token.Token
-	// conflictSince holds the members of usable replicas that hold an assignment of another
-	// replica, and the time at which each conflict was first seen.
+	// conflictSince holds the time at which each conflict was first seen. In a conflict, a member
+	// of a usable replica holds an assignment of another replica.
 	conflictSince map[string]time.Time
 	// forbidsConflict makes such a conflict a problem at once instead of after serveWindow.
 	forbidsConflict bool
@@ -128,8 +128,8 @@
 	}
 }
 
-// checkTokenOrder checks that the token which the node holds has not decreased since the node's
-// process started.
+// checkTokenOrder checks that the fencing token of the node has not decreased since the process of
+// the node started.
 func (w *watcher) checkTokenOrder(n *standin.Node) {
 	count, held := n.Fence()
 	process := fmt.Sprint(n.Listed().ID, " in run ", count)
