--- a/formation/demand.go
+++ b/formation/demand.go
@@ -23,9 +23,9 @@
 	// spareReplicas is the number of replicas wanted in addition to those needed for the measured
 	// work.
 	spareReplicas = 1
-	// rereadPauseShare is the fraction of the tolerated pause in which the remaining replicas must
-	// read the prompts of a lost replica. The duration of two forward passes is deducted from the
-	// pause first. The rest is a reserve for uneven load and for new prompts.
+	// rereadPauseShare is the fraction of the tolerated pause, less two forward passes, in which
+	// the remaining replicas must read the prompts of a lost replica. The other part is a reserve
+	// for uneven load and for new prompts.
 	rereadPauseShare = 0.25
 )
 
--- a/formation/late_test.go
+++ b/formation/late_test.go
@@ -32,8 +32,8 @@
 }
 
 // TestLateLoadsStayWithinTheBound checks that loads stay within the limit when traffic starts in a
-// new fleet. Some orders are sent before, when loads do not count, but are carried out only
-// afterwards.
+// new fleet. Some orders are sent before the first request, when loads do not count, but are
+// carried out after it.
 func TestLateLoadsStayWithinTheBound(outerT *testing.T) {
 	rapid.Check(outerT, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -103,8 +103,8 @@
 		time.Sleep(8 * time.Second)
 		stop()
 		w.pending.Wait()
-		assert.Assert(t, len(w.openOrderCounts) >= 7)
-		for group, orders := range w.openOrderCounts {
+		assert.Assert(t, len(w.openOrdersByGroup) >= 7)
+		for group, orders := range w.openOrdersByGroup {
 			assert.Equal(t, orders, 1, group)
 		}
 	})
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -61,8 +61,9 @@
 	// number of available replicas by model and hall.
 	HallLoss       HallLossPolicy
 	ReplicasByHall map[string]map[string]int
-	// ReleasedDomains holds the domains whose idle workers are too few for a group of a model that
-	// has too few replicas. These workers may serve another model in the meantime.
+	// ReleasedDomains holds the domains whose idle workers may form surplus groups although some
+	// models lack replicas. The workers of such a domain are too few for a group of any of these
+	// models.
 	ReleasedDomains map[string]bool
 	// TradeRecipients holds, by domain, the model for which groups are being traded there. Until
 	// the trade is complete, only groups of that model that need no load are formed in the domain.
@@ -74,7 +75,7 @@
 //
 // Groups that need no load are formed first, then groups that need loads. Models with a greater
 // shortage come first. If a model has to wait for loads, no model with a smaller shortage may use
-// them. Workers that were freed by a trade are reserved for its recipient.
+// them. Workers that were freed by a trade are reserved for the model that lacks replicas.
 //
 // If every model has enough replicas, the remaining warm workers form surplus groups. No workers
 // are kept idle as spares, because a broken group is repaired with survivors of other groups or by
@@ -294,7 +295,8 @@
 
 // bestDomain returns the domain with the warmest workers for a group of the model, and these
 // workers. It returns nil if no domain has enough workers. Among domains of equal cost, it prefers
-// the one with fewer groups of the model in its hall, then the one with the higher affinity.
+// the one with fewer groups of the model in its hall, then the one where more workers are warm for
+// the model and fewer for others (see affinity).
 func (p *planner) bestDomain(m fleet.Model, coldest Warmth) (string, []FreeWorker) {
 	var bestWorkers []FreeWorker
 	var bestDomainName string
--- a/formation/reconciler.go
+++ b/formation/reconciler.go
@@ -149,9 +149,8 @@
 	// unreliableUntil holds the time until which a worker that prevented a group from forming is
 	// avoided, by worker ID.
 	unreliableUntil map[string]time.Time
-	// releaseAt holds the time from which the idle workers of a domain may serve another model, by
-	// domain. It is set for domains with too few idle workers for a group of any model that has too
-	// few replicas.
+	// releaseAt holds the time from which the idle workers of a domain may form surplus groups, by
+	// domain. It is set only while these workers can form no group of a model that lacks replicas.
 	releaseAt map[string]time.Time
 	halls     hallStates
 	// tradesAllowedAt is the time from which groups may be traded for another model. A new leader
@@ -340,10 +339,10 @@
 // began, earlier requests are assumed.
 func (k *Reconciler) hasTraffic() bool { return !k.isNewFleet || k.opts.HasTraffic() }
 
-// fleetNeverServed reports whether no replica has served yet. The worker list shows which groups
-// were opened. If this process started later than the fleet, no worker may hold a model either.
-// Otherwise, after a restart of all daemons while no replica is open, the leader would treat the
-// fleet as new. It would then start more loads at once than allowed.
+// fleetNeverServed reports whether no replica has served yet, as far as the worker list shows. It
+// returns false if a group has been opened. It also returns false if a worker has a model and this
+// process started later than the fleet, since all daemons may have been restarted while no replica
+// was open. Loads are not limited before the first request to a new fleet.
 func (k *Reconciler) fleetNeverServed(view *fleet.View) bool {
 	if k.term.IsFirst {
 		return true
--- a/formation/reconciler_test.go
+++ b/formation/reconciler_test.go
@@ -128,8 +128,8 @@
 		w.publish(leaving)
 		w.isListFrozen = true
 		w.mu.Unlock()
-		// Draining takes one second. Forming a group again takes three seconds at most, with an
-		// idle worker or one of a traded group.
+		// Draining takes one second. After that, the head must soon get an order to join a new
+		// group. The join need not have completed.
 		time.Sleep(2500 * time.Millisecond)
 		w.mu.Lock()
 		newGroup := w.workers[oldGroup.Members[0]].group.Name
--- a/formation/search.go
+++ b/formation/search.go
@@ -95,9 +95,9 @@
 	return total
 }
 
-// computeBounds computes upper bounds for the total value of the models from each depth on, by the
-// number of available workers. It uses the knapsack recurrence and assumes that each model gets the
-// workers that suit it best.
+// computeBounds computes, for each depth of the search, upper bounds for the total value of the
+// models that are not yet decided, by the number of available workers. It uses the knapsack
+// recurrence and assumes that each model gets the workers that suit it best.
 func (s *search) computeBounds(initial *assignment) {
 	workers := initial.countUnassigned()
 	s.maxValues = make([][]float64, len(s.models))
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -64,10 +64,11 @@
 // unlimitedLoads is used as the number of loads that may begin when loads are not limited.
 const unlimitedLoads = 1 << 20
 
-// Limits on concurrent loads, as multiples of MaxConcurrentLoads, the number of loads that do not
-// slow each other down. Loads for groups may exceed MaxConcurrentLoads, since a slowed load still
-// ends sooner than one that has to wait. The limit for idle workers is lower, so that groups do not
-// have to wait for their loads.
+// groupLoadFactor and idleLoadFactor limit the concurrent loads for groups and for idle workers.
+// They are multiples of MaxConcurrentLoads, the number of loads that do not slow each other down.
+// Loads for groups may exceed that number, since a slowed load still ends sooner than one that has
+// to wait. The limit for idle workers is lower, so that groups rarely wait for the loads of idle
+// workers.
 const (
 	groupLoadFactor = 1.5
 	idleLoadFactor  = 0.5
@@ -84,7 +85,9 @@
 	return min(int(groupLoadFactor*loadsAtOnce-runningLoads), availableLoads), min(int(idleLoadFactor*loadsAtOnce-runningLoads), availableLoads)
 }
 
-// countRunningLoads returns how many workers of a service load weights from the store.
+// countRunningLoads returns the number of recorded loads of all services, plus the other workers of
+// this service that are loading to join a group. It removes records of loads that have ended or
+// expired.
 func (k *Reconciler) countRunningLoads(s *fleet.Service, view *fleet.View, now time.Time) int {
 	count := 0
 	for id, w := range view.Workers() {
@@ -195,8 +198,8 @@
 }
 
 // recordStageRefusal records that a worker refused to stage, for example because it is already
-// loading. The worker is then not ordered again immediately. The load budget is not refunded, since
-// no token may have been taken for the load.
+// loading. The worker is then not ordered again immediately. No token is returned to the load
+// budget, since none may have been taken for the load.
 func (k *Reconciler) recordStageRefusal(w *fleet.Worker) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// survivorReleaseDelay is the time for which a domain's idle workers stay idle if they are too few
-// for a group of a model that has too few replicas. During this time, more workers may become free,
-// or a trade may provide them.
+// survivorReleaseDelay is the time for which a domain's idle workers are not used for surplus
+// groups, if they can form no group of a model that lacks replicas. During this time, more workers
+// may become free, or a trade may provide them.
 const survivorReleaseDelay = 300 * time.Millisecond
 
 const (
@@ -20,10 +20,11 @@
 	sufficientSurplus = 2
 )
 
-// releasedDomains returns the domains whose idle workers may form surplus groups of another model.
-// These workers have been too few for a group of any model with too few replicas for longer than
-// survivorReleaseDelay. The surplus groups are traded back once the missing members are available
-// and warm. The caller must hold k.mu.
+// releasedDomains returns the domains whose idle workers may form surplus groups, which exceed the
+// wanted number of groups of a model. A domain is released if, for survivorReleaseDelay, its idle
+// workers could form no group of a model that lacks replicas, but could form one of another model.
+// The surplus groups are traded back once the missing workers are available and warm. The caller
+// must hold k.mu.
 func (k *Reconciler) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
 	released, isWaiting := make(map[string]bool), make(map[string]bool)
 	for domain, workers := range groupByDomain(free) {
@@ -52,9 +53,8 @@
 	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
-// lacksMembers reports whether the workers are too few for a group of any model that has too few
-// replicas, but enough for a group of another model. It is false if every model has enough
-// replicas.
+// lacksMembers reports whether the given number of workers can form no group of a model that lacks
+// replicas, but can form one of another model. It is false if every model has enough replicas.
 func lacksMembers(needs []Need, workerCount int) bool {
 	hasShortage, canFormOther := false, false
 	for _, n := range needs {
--- a/formation/trade.go
+++ b/formation/trade.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// tradeMargin is the factor by which a donor's coverage must exceed the recipient's after a
-	// trade. It prevents replicas from switching back and forth between models.
+	// tradeMargin is the minimum ratio, after a trade, of the coverage of a model that gave up
+	// groups to that of the model that got them. Coverage is the ratio of available to wanted
+	// replicas. The margin prevents replicas from switching back and forth between models.
 	tradeMargin = 1.1
 	// loadPenalty is the value that is deducted from a trade for each second of loading by each
 	// member, since a load slows down other loads. It is small compared with the value of a group,
 	// so that it only decides between similar trades.
 	loadPenalty = 1e-5
-	// coldTradeMaxCoverage is the recipient's highest coverage at which a trade may use members
-	// that have to load. There is no such limit if only surplus groups are dissolved.
+	// coldTradeMaxCoverage is the highest coverage at which a model may get groups by a trade if
+	// members of these groups have to load. There is no such limit if only surplus groups are
+	// dissolved.
 	coldTradeMaxCoverage = 0.5
 	// maxDownFraction is the maximum fraction of a model's groups that trades may take out of
-	// service at once. A trade is not limited if no other trade takes groups of the model out of
-	// service.
+	// service at once. The limit applies to a trade only if another trade already takes groups of
+	// the model out of service.
 	maxDownFraction = 0.25
 )
 
@@ -40,7 +42,7 @@
 func (s ServingGroup) countWarm(model string) int { return s.MemberCount - s.ColdCounts[model] }
 
 // Trade is a set of groups of one domain that are dissolved to form groups of another model, the
-// recipient, which has too few replicas.
+// recipient, which has too few replicas. The models of the dissolved groups are the donors.
 type Trade struct {
 	Recipient string
 	Domain    string
@@ -61,7 +63,8 @@
 	}
 }
 
-// takesOnlySurplus reports whether the donors still have all wanted replicas after the trade.
+// takesOnlySurplus reports whether the models that give up groups still have all wanted replicas
+// after the trade.
 func (x Trade) takesOnlySurplus(needs []Need) bool {
 	for _, n := range needs {
 		if dissolved := x.DissolvedCounts[n.Model.Name]; dissolved > 0 && n.coverageWith(-dissolved) < 1 {
@@ -80,10 +83,10 @@
 }
 
 // FindTrade returns the best trade for the model with the greatest shortage, or for the next model
-// if there is no trade for that one. All dissolved groups are in one domain. The donors keep a
-// better coverage than the recipient. Members that have to load are used only if the recipient has
-// at most half of its wanted replicas, or if the donors have a surplus. FindTrade returns false if
-// there is no such trade.
+// if there is no trade for that one. All dissolved groups are in one domain. The models that give
+// up groups keep a higher ratio of available to wanted replicas than the model that gets them.
+// Workers that have to load are used only if that model has at most half of its wanted replicas, or
+// if only surplus groups are dissolved. FindTrade returns false if there is no such trade.
 func FindTrade(needs []Need, free []FreeWorker, servingGroups []ServingGroup) (Trade, bool) {
 	return newTradeFinder(needs, free, servingGroups).bestTrade()
 }
@@ -217,9 +220,9 @@
 	return g
 }
 
-// donatableGroups returns the groups of a domain that a donor can give up while keeping a better
-// coverage than the recipient. Their number is limited by maxDownFraction. Those with the most warm
-// members come first.
+// donatableGroups returns the groups of one model, the donor, that can be dissolved in a domain for
+// another model, the recipient. tradeMargin and maxDownFraction limit their number. Groups with the
+// most members that are warm for the recipient come first.
 func (t *tradeFinder) donatableGroups(donor, recipient Need, domain string) []ServingGroup {
 	if donor.Model.Name == recipient.Model.Name {
 		return nil
@@ -317,8 +320,8 @@
 	}
 }
 
-// takesOnlySurplus reports whether the donors still have all wanted replicas if the chosen groups
-// are dissolved.
+// takesOnlySurplus reports whether the models of the chosen groups still have all wanted replicas
+// after these groups are dissolved.
 func (g *tradeSearch) takesOnlySurplus() bool {
 	for i, o := range g.donors {
 		if g.chosenCounts[i] > 0 && o.coverageWith(-g.chosenCounts[i]) < 1 {
--- a/formation/tradesearch_test.go
+++ b/formation/tradesearch_test.go
@@ -188,7 +188,8 @@
 }
 
 // TestTradeInvariants checks that the traded groups are distinct and in one domain, that they
-// provide enough members, and that the donors keep a better coverage than the recipient.
+// provide enough members, and that the models that give up groups keep a higher ratio of available
+// to wanted replicas than the recipient.
 func TestTradeInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
--- a/formation/trading.go
+++ b/formation/trading.go
@@ -17,8 +17,8 @@
 )
 
 // startTrades dissolves groups so that groups of models with too few replicas can be formed. It
-// takes the effects of ongoing trades into account. Trades are rate limited, unless they complete
-// the survivors of a broken group or dissolve only surplus groups.
+// takes the effects of ongoing trades into account. Trades are rate limited, except for those that
+// dissolve only surplus groups and those that complete a broken group (see completesSurvivors).
 func (k *Reconciler) startTrades(ctx context.Context, in Input, groups []*observedGroup, now time.Time) {
 	needs, free := slices.Clone(in.Needs), in.Free
 	if now.Before(k.tradesAllowedAt) {
--- a/formation/world_test.go
+++ b/formation/world_test.go
@@ -79,10 +79,10 @@
 	// demand is the measured work by model. drainTime is the time that draining a group takes.
 	demand    map[string]Work
 	drainTime time.Duration
-	// openDelay is the time until the worker list shows that a group is open. openOrderCounts holds
+	// openDelay is the time until the worker list shows that a group is open. openOrdersByGroup holds
 	// the number of orders to open by group.
-	openDelay       time.Duration
-	openOrderCounts map[string]int
+	openDelay         time.Duration
+	openOrdersByGroup map[string]int
 	// isListFrozen reports whether the worker list is no longer updated.
 	isListFrozen bool
 	// unreachableByLeader holds the workers that other daemons can reach but leaders cannot.
@@ -152,7 +152,7 @@
 		demand: map[string]Work{"big": {BusySlots: 5}, "small": {BusySlots: 5}}, drainTime: time.Second,
 		inventory: fleet.NewInventory(1200*time.Millisecond, 0), wasReady: make(map[string]bool), unreachableByLeader: make(map[string]bool), unreachable: make(map[string]bool), displaced: make(map[string]bool),
 		refusesQueries: make(map[string]bool), attemptCounts: make(map[string]int),
-		delays: make(map[string][]time.Duration), openDelay: simOpenTime + simListDelay, openOrderCounts: make(map[string]int), loadsPerSecond: 5,
+		delays: make(map[string][]time.Duration), openDelay: simOpenTime + simListDelay, openOrdersByGroup: make(map[string]int), loadsPerSecond: 5,
 	}
 	for d := range domainCount {
 		for i := range workersPerDomain {
@@ -411,7 +411,7 @@
 
 func (w *world) open(ctx context.Context, worker *fleet.Worker, fence Fence, g Group) (Verdict, error) {
 	w.mu.Lock()
-	w.openOrderCounts[g.Key()]++
+	w.openOrdersByGroup[g.Key()]++
 	w.mu.Unlock()
 	return w.execute(ctx, "open", worker.ID, fence, func(s *simWorker) Verdict {
 		if s.group.Name != g.Name || s.rank != 0 || s.state != fleet.Ready && s.state != fleet.Open {
--- a/gateway/eligible.go
+++ b/gateway/eligible.go
@@ -119,10 +119,11 @@
 	return refuse(why, "no %s serves at present", targetKind).withRetryAfter(longRetryAfter)
 }
 
-// noTargetReason returns the reason for refusing a request for which no target is eligible. It is
-// taken from passedOver if possible. Otherwise it depends on the reported domains. If all of them
-// are in closed data halls or in regions that are not allowed, the reason is HallClosed or
-// RegionNotAllowed, because a new or repaired replica could not get the request either.
+// noTargetReason returns the reason for refusing a request for which no target is eligible. The
+// reasons counted in passedOver come first. If they don't decide, the reported domains do. If all
+// of them are in closed data halls or regions that are not allowed, a new replica wouldn't help.
+// The reason is then HallClosed if any of them is in a closed data hall, otherwise
+// RegionNotAllowed. In all other cases the reason is NoReplica.
 func (g *Gateway) noTargetReason(allowed []config.Regions, passedOver PassedOver) reason.Reason {
 	switch {
 	case passedOver[reason.Tried] > 0:
--- a/gateway/eligible_test.go
+++ b/gateway/eligible_test.go
@@ -213,8 +213,8 @@
 	}
 	const south, north = `,"allowedRegions":["south"]`, `,"allowedRegions":["north"]`
 	cases := map[string]struct {
-		closedHalls         []int
-		deployment, account string
+		closedHalls                       []int
+		deploymentRegions, accountRegions string
 		// want is the reason of the refusal. If it is empty, runs holds the replicas that get
 		// requests.
 		want reason.Reason
@@ -223,12 +223,12 @@
 		"all may run":                    {runs: []int{0, 1, 2}},
 		"one hall closed":                {closedHalls: []int{0}, runs: []int{1, 2}},
 		"all halls closed":               {closedHalls: []int{0, 1, 2}, want: reason.HallClosed},
-		"region of the deployment":       {deployment: north, runs: []int{2}},
-		"region of the account":          {account: south, runs: []int{0, 1}},
-		"both bind":                      {deployment: north, account: south, want: reason.RegionNotAllowed},
-		"allowed region closed":          {account: north, closedHalls: []int{2}, want: reason.HallClosed},
-		"allowed region partly closed":   {account: south, closedHalls: []int{0}, runs: []int{1}},
-		"closed where it is not allowed": {account: south, closedHalls: []int{2}, runs: []int{0, 1}},
+		"region of the deployment":       {deploymentRegions: north, runs: []int{2}},
+		"region of the account":          {accountRegions: south, runs: []int{0, 1}},
+		"both bind":                      {deploymentRegions: north, accountRegions: south, want: reason.RegionNotAllowed},
+		"allowed region closed":          {accountRegions: north, closedHalls: []int{2}, want: reason.HallClosed},
+		"allowed region partly closed":   {accountRegions: south, closedHalls: []int{0}, runs: []int{1}},
+		"closed where it is not allowed": {accountRegions: south, closedHalls: []int{2}, runs: []int{0, 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -236,8 +236,8 @@
 			for _, i := range c.closedHalls {
 				h.setHallClosed(i, true)
 			}
-			assert.Equal(t, h.putDocument("d", config.KindDeployment, "chat", deployment(c.deployment)), "")
-			assert.Equal(t, h.putDocument("a", config.KindAccount, "demo", account(c.account)), "")
+			assert.Equal(t, h.putDocument("d", config.KindDeployment, "chat", deployment(c.deploymentRegions)), "")
+			assert.Equal(t, h.putDocument("a", config.KindAccount, "demo", account(c.accountRegions)), "")
 			// Routing prefers a replica by prompt, so several prompts are needed to reach every
 			// replica.
 			for prompt := range 24 {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -92,7 +92,8 @@
 	upstream    *upstream
 	inFlight    *routing.InFlightCounter
 	retryBudget *retryBudget
-	guard       *guard.Guard
+	// guard detects requests that crash endpoints, and quarantines them.
+	guard *guard.Guard
 	// rests holds the periods for which endpoints have asked to get no requests.
 	rests *backpressure.RestPeriods
 	// decisions holds the most recent routing decisions by request ID.
@@ -134,7 +135,7 @@
 
 // Stop closes the listener, waits up to timeout for requests in flight, and closes the remaining
 // connections of callers. It then closes the idle connections to endpoints and waits for the
-// guard's checks.
+// quarantine's running checks of endpoints.
 func (g *Gateway) Stop(timeout time.Duration) error {
 	defer g.guard.Wait()
 	defer g.upstream.close()
--- a/replica/domain.go
+++ b/replica/domain.go
@@ -1,5 +1,6 @@
-// Package replica manages the fabric domains that a daemon owns. It probes their nodes, forms and
-// repairs replicas with fenced orders, and publishes which replicas may serve and until when.
+// Package replica manages the fabric domains that a daemon leads. It probes their nodes, forms and
+// repairs replicas with orders, and publishes which replicas may serve and until when. Orders carry
+// fencing tokens, but some nodes do not check them.
 package replica
 
 import (
--- a/replica/lead.go
+++ b/replica/lead.go
@@ -127,7 +127,7 @@
 // pauseOrStepDown reports whether this leader must neither publish nor send orders now. If it
 // hasn't reached most nodes for yieldTimeout, it steps down. It pauses until there is a new node
 // list if the process was suspended or if it has just regained contact with most nodes. In both
-// cases the list may be outdated.
+// cases the list may be outdated. After regained contact it waits at most maxListWaitAfterContact.
 func (d *domain) pauseOrStepDown(now time.Time) bool {
 	if !d.unreachableSince.IsZero() && now.After(d.unreachableSince.Add(yieldTimeout)) {
 		d.controller.opts.Logger.Warn("cannot reach most nodes; letting another daemon lead", "domain", d.name)
--- a/replica/order.go
+++ b/replica/order.go
@@ -19,8 +19,9 @@
 	reason string
 }
 
-// planOrders returns the orders of a plan that may be sent now. Orders that reassign or release
-// nodes of an intact replica are held back until it is drained.
+// planOrders returns the orders of a plan that may be sent now, and orders for the nodes that have
+// not confirmed this leader. Orders that reassign or release nodes of an intact replica are held
+// back until it is drained.
 func (d *domain) planOrders(plan placement.Plan, replicas []observedReplica, now time.Time) []pendingOrder {
 	intactReplicas := intactReplicasByNode(replicas)
 	previousDrains := d.drains
