--- a/cmd/soakcmd/run.go
+++ b/cmd/soakcmd/run.go
@@ -167,6 +167,6 @@
 		fmt.Fprintf(r.out, "  not played to its end: %v\n", p.err)
 	}
 	for _, v := range p.Violations {
-		fmt.Fprintf(r.out, "  %s %s: %s\n", v.At.Format("15:04:05.000"), v.Promise, v.What)
+		fmt.Fprintf(r.out, "  %s %s: %s\n", v.At.Format("15:04:05.000"), v.Rule, v.Details)
 	}
 }
--- a/serving/lead.go
+++ b/serving/lead.go
@@ -30,7 +30,7 @@
 		MeasuredWork: s.demandByModel, HasTraffic: s.tracker.HasTraffic, FirstListAt: s.inventory.FirstListAt,
 		OnAnnouncement: func(a fleet.Announcement) { s.inventory.Decide(claim.Term(), a) },
 		SmoothedWork:   s.smoothedDemand.Work, ToleratedHallLosses: s.opts.Bounds.ToleratedHallLosses, HallLossWeight: s.opts.Bounds.HallLossWeight, IsHallOpen: s.isHallOpen,
-		StallTimeout: s.opts.Bounds.StallTimeout, LoadLimit: s.opts.Bounds.Ceiling,
+		StallTimeout: s.opts.Bounds.StallTimeout, LoadLimit: s.opts.Bounds.LoadLimit,
 		CheckSuspension: s.awake.Check, OnOrderOutcome: s.meter.CountOrder, Logger: s.logger.Named("formation"),
 	}
 }
--- a/serving/options.go
+++ b/serving/options.go
@@ -42,7 +42,7 @@
 	// StallTimeout is how long a replica that lost a member may make no progress before it is
 	// dissolved.
 	StallTimeout time.Duration
-	Ceiling      formation.LoadLimit
+	LoadLimit    formation.LoadLimit
 	// MaxBufferedBytes is the number of bytes of requests and responses that the daemon may hold in
 	// memory; zero for no limit.
 	MaxBufferedBytes int64
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -46,7 +46,7 @@
 }
 
 func newCaller(r *run, index int) *caller {
-	kinds := []standin.Kind{standin.Stream, standin.Once, standin.Stream, standin.Safe}
+	kinds := []standin.Kind{standin.Stream, standin.AtMostOnce, standin.Stream, standin.Repeatable}
 	c := &caller{
 		run: r, index: index, random: rand.New(rand.NewPCG(r.opts.Seed, uint64(index))),
 		kind: kinds[index%len(kinds)], staysWithDaemon: index%3 == 0,
@@ -55,8 +55,8 @@
 	return c
 }
 
-// dial opens a connection to an address. If the address belongs to a daemon, it connects to the front
-// proxy of the daemon instead.
+// dial opens a connection to an address. If the address belongs to a daemon, it connects to the
+// front proxy of the daemon instead.
 func (r *run) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if d, ok := r.daemonsByAddress[address]; ok {
 		address = d.frontProxy.address()
@@ -135,8 +135,8 @@
 	r.incarnation, _ = d.status()
 	tenant := ""
 	r.key, tenant = c.run.callers.drawKey(c.random)
-	r.usesAddedRoute = c.kind == standin.Safe && c.random.IntN(3) == 0 && c.run.callers.isRoutePublished()
-	c.run.ledger.Sent(r.id, r.kind, tenant, r.sender())
+	r.usesAddedRoute = c.kind == standin.Repeatable && c.random.IntN(3) == 0 && c.run.callers.isRoutePublished()
+	c.run.ledger.RecordSent(r.id, r.kind, tenant, r.sender())
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { r.connReused.Store(i.Reused || i.WasIdle) }})
@@ -151,7 +151,7 @@
 
 func (c *caller) newRequest(ctx context.Context, r *call) *http.Request {
 	path := map[standin.Kind]string{
-		standin.Stream: standin.StreamPath + strconv.Itoa(r.eventCount), standin.Once: standin.OncePath, standin.Safe: standin.SafePath,
+		standin.Stream: standin.StreamPath + strconv.Itoa(r.eventCount), standin.AtMostOnce: standin.OncePath, standin.Repeatable: standin.SafePath,
 	}[r.kind]
 	if r.usesAddedRoute {
 		path = standin.LaterPath
@@ -165,7 +165,7 @@
 		panic(err)
 	}
 	request.Host = standin.Host
-	request.Header.Set(standin.HeaderAttempt, r.id)
+	request.Header.Set(standin.HeaderAttemptID, r.id)
 	request.Header.Set(standin.HeaderDeadline, strconv.FormatInt((callTimeout-time.Second).Milliseconds(), 10))
 	request.Header.Set(standin.HeaderKey, r.key)
 	if r.kind == standin.Stream {
@@ -182,7 +182,7 @@
 	c.run.callers.recordOutcome("no answer")
 	if errors.Is(err, context.DeadlineExceeded) {
 		if c.isUndisturbed(r) {
-			c.run.ledger.Broken("HELD", "%s at %s got no answer in %s", r.id, r.daemon.settings.Name, callTimeout)
+			c.run.ledger.RecordViolation("HELD", "%s at %s got no answer in %s", r.id, r.daemon.settings.Name, callTimeout)
 		}
 		return
 	}
@@ -193,7 +193,7 @@
 	const closeRaceWindow = 100 * time.Millisecond
 	mayHaveRacedClose := r.connReused.Load() && time.Since(r.sentAt) < closeRaceWindow
 	if c.isUndisturbed(r) && incarnation == r.incarnation && !dialFailed && !mayHaveRacedClose {
-		c.run.ledger.Broken("LOST", "%s at %s: %v", r.id, r.daemon.settings.Name, err)
+		c.run.ledger.RecordViolation("LOST", "%s at %s: %v", r.id, r.daemon.settings.Name, err)
 	}
 }
 
@@ -215,7 +215,7 @@
 		c.run.callers.recordNotExecuted(r.id)
 	case http.StatusUnauthorized:
 		if !c.run.callers.isRevoked(r.key) {
-			c.run.ledger.Broken("DENIED", "%s at %s: its key is in force", r.id, r.daemon.settings.Name)
+			c.run.ledger.RecordViolation("DENIED", "%s at %s: its key is in force", r.id, r.daemon.settings.Name)
 		}
 	case http.StatusNotFound:
 		c.checkNotFound(r)
@@ -225,23 +225,24 @@
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// checkNotFound checks a response with status 404. Such a response is allowed only for the route that
-// is added during the soak, and only until the daemon's incarnation has first served that route.
+// checkNotFound checks a response with status 404. Such a response is allowed only for the route
+// that is added during the soak, and only until the daemon's incarnation has first served that
+// route.
 func (c *caller) checkNotFound(r *call) {
 	if !r.usesAddedRoute {
-		c.run.ledger.Broken("DENIED", "%s at %s: its route is there", r.id, r.daemon.settings.Name)
+		c.run.ledger.RecordViolation("DENIED", "%s at %s: its route is there", r.id, r.daemon.settings.Name)
 		return
 	}
 	if c.run.callers.hadServedRoute(r.daemon, r.incarnation, r.sentAt) {
-		c.run.ledger.Broken("CONFIG", "%s: %s went back to an older version", r.id, r.daemon.settings.Name)
+		c.run.ledger.RecordViolation("CONFIG", "%s: %s went back to an older version", r.id, r.daemon.settings.Name)
 	}
 }
 
-// checkResult checks a response with status 200. It checks the signature and the content, and that the
-// key had not been revoked too long before the request.
+// checkResult checks a response with status 200. It checks the signature and the content, and that
+// the key had not been revoked too long before the request.
 func (c *caller) checkResult(r *call, response *http.Response) {
 	if !strings.HasSuffix(response.Header.Get(standin.HeaderSignature), "."+r.id) {
-		c.run.ledger.Broken("MIXED", "%s got an answer signed %q", r.id, response.Header.Get(standin.HeaderSignature))
+		c.run.ledger.RecordViolation("MIXED", "%s got an answer signed %q", r.id, response.Header.Get(standin.HeaderSignature))
 	}
 	var err error
 	if r.kind == standin.Stream {
@@ -253,7 +254,7 @@
 		c.currentDaemon = nil
 		c.run.callers.recordOutcome("cut")
 		if c.run.wasFaultFreeAt(r.sentAt) && c.isUndisturbed(r) {
-			c.run.ledger.Broken("LOST", "the answer to %s at %s was cut: %v", r.id, r.daemon.settings.Name, err)
+			c.run.ledger.RecordViolation("LOST", "the answer to %s at %s was cut: %v", r.id, r.daemon.settings.Name, err)
 		}
 		return
 	}
@@ -262,7 +263,7 @@
 		c.run.callers.recordRouteServed(r.daemon, r.incarnation)
 	}
 	if at, ok := c.run.callers.revocationTime(r.key); ok && r.sentAt.After(at.Add(revocationBound+revocationSlack)) {
-		c.run.ledger.Broken("REVOKED", "%s ran %s after its key was taken away", r.id, r.sentAt.Sub(at))
+		c.run.ledger.RecordViolation("REVOKED", "%s ran %s after its key was taken away", r.id, r.sentAt.Sub(at))
 	}
 }
 
@@ -271,8 +272,8 @@
 	if err != nil {
 		return err
 	}
-	if string(body) != standin.Body(r.id) {
-		c.run.ledger.Broken("MIXED", "%s got %q", r.id, body)
+	if string(body) != standin.ResponseBody(r.id) {
+		c.run.ledger.RecordViolation("MIXED", "%s got %q", r.id, body)
 	}
 	return nil
 }
@@ -288,12 +289,12 @@
 		case err == io.EOF && event == "" && next == r.eventCount+1:
 			return nil
 		case err == io.EOF:
-			c.run.ledger.Broken("ORDER", "%s ended as complete before event %d of %d", r.id, next, r.eventCount)
+			c.run.ledger.RecordViolation("ORDER", "%s ended as complete before event %d of %d", r.id, next, r.eventCount)
 			return nil
 		case err != nil:
 			return err
-		case event != standin.Event(r.id, next, r.eventCount):
-			c.run.ledger.Broken("ORDER", "%s got %q in place of event %d", r.id, event, next)
+		case event != standin.FormatEvent(r.id, next, r.eventCount):
+			c.run.ledger.RecordViolation("ORDER", "%s got %q in place of event %d", r.id, event, next)
 			return nil
 		}
 		next++
--- a/soak/caller_test.go
+++ b/soak/caller_test.go
@@ -17,7 +17,7 @@
 func signedResponse(id string, status int, body string) *http.Response {
 	return &http.Response{
 		StatusCode: status, Body: io.NopCloser(strings.NewReader(body)),
-		Header: http.Header{standin.HeaderSignature: {standin.Signature("w", id)}},
+		Header: http.Header{standin.HeaderSignature: {standin.ResponseSignature("w", id)}},
 	}
 }
 
@@ -25,7 +25,7 @@
 	const count = 3
 	var all strings.Builder
 	for _, n := range numbers {
-		all.WriteString(standin.Event(id, n, count))
+		all.WriteString(standin.FormatEvent(id, n, count))
 	}
 	return all.String()
 }
@@ -33,7 +33,7 @@
 // TestCallerDetectsViolations checks that a caller records the right violation for each incorrect
 // response, and none for a correct one.
 func TestCallerDetectsViolations(t *testing.T) {
-	whole, stream := standin.Kind(standin.Safe), standin.Stream
+	whole, stream := standin.Kind(standin.Repeatable), standin.Stream
 	tests := map[string]struct {
 		kind           standin.Kind
 		usesAddedRoute bool
@@ -41,30 +41,30 @@
 		prepare        func(r *run)
 		want           string
 	}{
-		"a whole answer":            {kind: whole, response: signedResponse("q", 200, standin.Body("q"))},
-		"another's answer":          {kind: whole, response: signedResponse("q", 200, standin.Body("p")), want: "MIXED"},
-		"another's signature":       {kind: whole, response: signedResponse("p", 200, standin.Body("q")), want: "MIXED"},
+		"a whole answer":            {kind: whole, response: signedResponse("q", 200, standin.ResponseBody("q"))},
+		"another's answer":          {kind: whole, response: signedResponse("q", 200, standin.ResponseBody("p")), want: "MIXED"},
+		"another's signature":       {kind: whole, response: signedResponse("p", 200, standin.ResponseBody("q")), want: "MIXED"},
 		"a whole stream":            {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 2, 3))},
 		"a stream that ends early":  {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 2)), want: "ORDER"},
 		"an event twice":            {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 2, 2, 3)), want: "ORDER"},
 		"an event is missing":       {kind: stream, response: signedResponse("q", 200, streamBody("q", 1, 3)), want: "ORDER"},
 		"an event of another":       {kind: stream, response: signedResponse("q", 200, streamBody("q", 1)+streamBody("p", 2, 3)), want: "ORDER"},
 		"refused and not run":       {kind: whole, response: signedResponse("q", 503, "")},
-		"refused and run":           {kind: whole, response: signedResponse("q", 503, ""), prepare: func(r *run) { r.ledger.Ran("q", "t", "w") }, want: "REFUSED"},
+		"refused and run":           {kind: whole, response: signedResponse("q", 503, ""), prepare: func(r *run) { r.ledger.RecordRun("q", "t", "w") }, want: "REFUSED"},
 		"no route though it is":     {kind: whole, response: signedResponse("q", 404, ""), want: "DENIED"},
 		"a route not known yet":     {kind: whole, usesAddedRoute: true, response: signedResponse("q", 404, "")},
 		"a route no longer known":   {kind: whole, usesAddedRoute: true, response: signedResponse("q", 404, ""), prepare: recordRouteServedEarlier, want: "CONFIG"},
 		"no key though it is":       {kind: whole, response: signedResponse("q", 401, ""), want: "DENIED"},
 		"a key that was taken away": {kind: whole, response: signedResponse("q", 401, ""), prepare: func(r *run) { r.callers.recordRevocation("key", time.Now()) }},
 		"a key taken away long ago": {
-			kind: whole, response: signedResponse("q", 200, standin.Body("q")), want: "REVOKED",
+			kind: whole, response: signedResponse("q", 200, standin.ResponseBody("q")), want: "REVOKED",
 			prepare: func(r *run) { r.callers.recordRevocation("key", time.Now().Add(-time.Minute)) },
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := &run{ledger: standin.NewLedger(), callers: newCallerState(), daemons: []*daemon{{incarnation: 1}}}
-			r.ledger.Sent("q", test.kind, "t", standin.Sender{})
+			r.ledger.RecordSent("q", test.kind, "t", standin.Sender{})
 			if test.prepare != nil {
 				test.prepare(r)
 			}
@@ -73,7 +73,7 @@
 			r.checkAtEnd()
 			var got []string
 			for _, v := range r.ledger.Violations() {
-				got = append(got, v.Promise)
+				got = append(got, v.Rule)
 			}
 			if test.want == "" {
 				assert.Equal(t, len(got), 0, "%v", r.ledger.Violations())
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -21,8 +21,8 @@
 	minCrashDowntime = 2 * time.Second
 )
 
-// sendCrashingRequests sends crashing requests to random daemons until ctx is done. A crashing request
-// crashes every worker that executes it.
+// sendCrashingRequests sends crashing requests to random daemons until ctx is done. A crashing
+// request crashes every worker that executes it.
 func (r *run) sendCrashingRequests(ctx context.Context) {
 	const crashingCallerIndex = 1000
 	c := newCaller(r, crashingCallerIndex)
@@ -41,7 +41,7 @@
 	c.sentCount++
 	crashingCall := &call{id: fmt.Sprintf("c%d-%d", c.index, c.sentCount), kind: standin.Stream, daemon: d, eventCount: minEvents, sentAt: time.Now(), key: keyName(1, 1)}
 	crashingCall.incarnation, _ = d.status()
-	c.run.ledger.Sent(crashingCall.id, crashingCall.kind, tenantName(1), crashingCall.sender())
+	c.run.ledger.RecordSent(crashingCall.id, crashingCall.kind, tenantName(1), crashingCall.sender())
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := c.newRequest(ctx, crashingCall)
@@ -56,7 +56,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.run.callers.recordNotExecuted(crashingCall.id)
 	case http.StatusOK:
-		c.run.ledger.Broken("CRASH", "%s, which ends each worker, was answered with 200", crashingCall.id)
+		c.run.ledger.RecordViolation("CRASH", "%s, which ends each worker, was answered with 200", crashingCall.id)
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -24,14 +24,14 @@
 	minDuration time.Duration
 }
 
-// minRevocationOutage is the minimum duration of an outage during which a key is revoked. It exceeds
-// revocationBound, so that daemons must reject the key before the outage ends.
+// minRevocationOutage is the minimum duration of an outage during which a key is revoked. It
+// exceeds revocationBound, so that daemons must reject the key before the outage ends.
 const minRevocationOutage = revocationBound + 3*time.Second
 
 const (
 	// minLateOrdersDuration is the minimum duration of the fault that delays orders and crashes
-	// workers. It is long enough for groups to dissolve and form again while earlier orders are still
-	// delayed.
+	// workers. It is long enough for groups to dissolve and form again while earlier orders are
+	// still delayed.
 	minLateOrdersDuration = 10 * time.Second
 	// crashInterval is the time between two crashes while orders are delayed. It exceeds the
 	// usual time to form a group.
@@ -46,11 +46,11 @@
 	"leader-kill":      {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { r.leader().kill(false); return noRevert }},
 	"leader-freeze":    {blocksUpdates: true, inject: func(r *run, _ *rand.Rand) func() { return r.freezeDaemon(r.leader()) }},
 	"daemon-stop":      {inject: (*run).stopDaemon},
-	"store-silent":     {blocksUpdates: true, inject: newStoreFault(standin.Faults{Silent: true})},
-	"store-busy":       {blocksUpdates: true, inject: newStoreFault(standin.Faults{Status: http.StatusServiceUnavailable})},
-	"store-reset":      {blocksUpdates: true, inject: newStoreFault(standin.Faults{Reset: true})},
-	"store-slow":       {blocksUpdates: true, inject: newStoreFault(standin.Faults{Slow: 250 * time.Millisecond})},
-	"store-loses":      {blocksUpdates: true, inject: newStoreFault(standin.Faults{Lose: 0.4, LoseLate: 0.2})},
+	"store-silent":     {blocksUpdates: true, inject: newStoreFault(standin.StoreFaults{Silent: true})},
+	"store-busy":       {blocksUpdates: true, inject: newStoreFault(standin.StoreFaults{Status: http.StatusServiceUnavailable})},
+	"store-reset":      {blocksUpdates: true, inject: newStoreFault(standin.StoreFaults{Reset: true})},
+	"store-slow":       {blocksUpdates: true, inject: newStoreFault(standin.StoreFaults{ResponseDelay: 250 * time.Millisecond})},
+	"store-loses":      {blocksUpdates: true, inject: newStoreFault(standin.StoreFaults{LoseResponses: 0.4, DelayAppends: 0.2})},
 	"store-lapse":      {blocksUpdates: true, inject: (*run).dropWorkerList},
 	"store-revokes":    {blocksUpdates: true, inject: (*run).revokeKeyDuringOutage, minDuration: minRevocationOutage},
 	"store-forgets":    {inject: (*run).trimStore},
@@ -64,11 +64,11 @@
 	"worker-cut":           {inject: (*run).cutWorkersFromStore},
 	"worker-leaves":        {inject: (*run).drainWorker},
 	"worker-link":          {inject: (*run).injectWorkerLinkFaults},
-	"workers-slow":         {inject: newWorkerFault(standin.WorkerFaults{Slow: 6})},
+	"workers-slow":         {inject: newWorkerFault(standin.WorkerFaults{SlowFactor: 6})},
 	"workers-reject":       {inject: newWorkerFault(standin.WorkerFaults{Reject: 0.4})},
-	"workers-lose-answers": {inject: newWorkerFault(standin.WorkerFaults{Lose: 0.2, Cut: 0.2})},
-	"workers-add-answers":  {inject: newWorkerFault(standin.WorkerFaults{Surplus: 0.3})},
-	"orders-late":          {inject: newWorkerFault(standin.WorkerFaults{Late: 0.5})},
+	"workers-lose-answers": {inject: newWorkerFault(standin.WorkerFaults{LoseResponses: 0.2, CutResponses: 0.2})},
+	"workers-add-answers":  {inject: newWorkerFault(standin.WorkerFaults{DuplicateResponses: 0.3})},
+	"orders-late":          {inject: newWorkerFault(standin.WorkerFaults{LateOrders: 0.5})},
 	"orders-late-crashes":  {inject: (*run).delayOrdersAndCrash, minDuration: minLateOrdersDuration},
 	"store-conns-silent":   {blocksUpdates: true, inject: (*run).silenceStoreConnections},
 	"worker-conns-silent":  {inject: (*run).silenceWorkerConnections},
@@ -115,8 +115,8 @@
 	return func() { setFrozen(false, syscall.SIGCONT) }
 }
 
-// stopDaemon stops a daemon with SIGTERM. The daemon then restarts. The returned function waits until
-// the daemon has stopped.
+// stopDaemon stops a daemon with SIGTERM. The daemon then restarts. The returned function waits
+// until the daemon has stopped.
 func (r *run) stopDaemon(random *rand.Rand) func() {
 	d := r.pickDaemon(random)
 	stopped := make(chan struct{})
@@ -124,40 +124,41 @@
 		defer close(stopped)
 		started := time.Now()
 		if !d.stop() && d.isUndisturbedSince(started) {
-			r.ledger.Broken("STOP", "%s did not end within its grace", d.settings.Name)
+			r.ledger.RecordViolation("STOP", "%s did not end within its grace", d.settings.Name)
 		}
 	}()
 	return func() { <-stopped }
 }
 
 // newStoreFault returns a function that injects faults into the store for all daemons.
-func newStoreFault(f standin.Faults) injectFunc {
+func newStoreFault(f standin.StoreFaults) injectFunc {
 	return func(r *run, _ *rand.Rand) func() {
 		r.store.SetFaults(f)
-		return func() { r.store.SetFaults(standin.Faults{}) }
+		return func() { r.store.SetFaults(standin.StoreFaults{}) }
 	}
 }
 
 // dropWorkerList makes the store unresponsive and drops the entries of all workers from it.
 func (r *run) dropWorkerList(*rand.Rand) func() {
-	r.store.SetFaults(standin.Faults{Silent: true})
-	r.fabric.Lapse()
-	return func() { r.store.SetFaults(standin.Faults{}) }
+	r.store.SetFaults(standin.StoreFaults{Silent: true})
+	r.fabric.DropWorkerList()
+	return func() { r.store.SetFaults(standin.StoreFaults{}) }
 }
 
 // revokeKeyDuringOutage revokes a key while no daemon can read the store.
 func (r *run) revokeKeyDuringOutage(random *rand.Rand) func() {
-	// The store still answers reads that were waiting when the outage began. The pause lets them end.
+	// The store still answers reads that were waiting when the outage began. The pause lets them
+	// end.
 	const pendingReadTime = 500 * time.Millisecond
-	r.store.SetFaults(standin.Faults{Silent: true})
+	r.store.SetFaults(standin.StoreFaults{Silent: true})
 	time.Sleep(pendingReadTime)
 	r.revokeKey(random)
-	return func() { r.store.SetFaults(standin.Faults{}) }
+	return func() { r.store.SetFaults(standin.StoreFaults{}) }
 }
 
 func (r *run) trimStore(*rand.Rand) func() {
-	r.store.Forget(standin.TopicWorkers)
-	r.store.Forget(standin.TopicOperator)
+	r.store.Compact(standin.TopicWorkers)
+	r.store.Compact(standin.TopicOperator)
 	return noRevert
 }
 
@@ -198,10 +199,10 @@
 	}
 }
 
-// delayOrdersAndCrash delays most orders to workers, and crashes a random worker every crashInterval.
-// Groups are thus dissolved and formed again while orders are pending.
+// delayOrdersAndCrash delays most orders to workers, and crashes a random worker every
+// crashInterval. Groups are thus dissolved and formed again while orders are pending.
 func (r *run) delayOrdersAndCrash(random *rand.Rand) func() {
-	revertDelay := newWorkerFault(standin.WorkerFaults{Late: 0.8})(r, random)
+	revertDelay := newWorkerFault(standin.WorkerFaults{LateOrders: 0.8})(r, random)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -239,7 +240,7 @@
 	affected := r.pickWorkers(random)
 	setSilent := func(silent bool, link linkFault) {
 		for _, w := range affected {
-			w.Darken(silent)
+			w.SetSilent(silent)
 			r.proxyOf(w).setFault(link)
 		}
 	}
@@ -250,11 +251,11 @@
 func (r *run) cutWorkersFromStore(random *rand.Rand) func() {
 	affected := r.pickWorkers(random)
 	for _, w := range affected {
-		w.Cut(true)
+		w.SetCutFromStore(true)
 	}
 	return func() {
 		for _, w := range affected {
-			w.Cut(false)
+			w.SetCutFromStore(false)
 		}
 	}
 }
--- a/soak/halls.go
+++ b/soak/halls.go
@@ -20,9 +20,9 @@
 	minClosedDuration = hallEmptyBound + 4*time.Second
 )
 
-// warmUp limits the request rate of cold workers. A worker is cold for a while after it has started or
-// its hall has been opened.
-var warmUp = standin.WarmUp{For: 1500 * time.Millisecond, PerSecond: 10, Burst: 1.5, Slack: 5}
+// warmUp limits the request rate of cold workers. A worker is cold for a while after it has started
+// or its hall has been opened.
+var warmUp = standin.WarmUp{Duration: 1500 * time.Millisecond, PerSecond: 10, Burst: 1.5, Slack: 5}
 
 // hallFaults maps names to the faults of data halls.
 var hallFaults = map[string]fault{
@@ -67,15 +67,15 @@
 	return all
 }
 
-// hallRules returns the rules that daemons must follow for data halls. They include the region of each
-// hall, the regions that each tenant may use, and limits for closed and newly opened halls.
-func (r *run) hallRules() standin.Halls {
+// hallRules returns the rules that daemons must follow for data halls. They include the region of
+// each hall, the regions that each tenant may use, and limits for closed and newly opened halls.
+func (r *run) hallRules() standin.HallRules {
 	if !r.opts.Halls {
-		return standin.Halls{}
+		return standin.HallRules{}
 	}
-	h := standin.Halls{
+	h := standin.HallRules{
 		Regions: make(map[string]string), Allowed: map[string][]string{tenantName(0): {"region-0"}},
-		Empty: hallEmptyBound, WarmUp: warmUp,
+		EmptyBound: hallEmptyBound, WarmUp: warmUp,
 	}
 	for i := range hallCount {
 		h.Regions[hallName(i)] = "region-0"
@@ -90,7 +90,7 @@
 }
 
 func (r *run) openHall(hall string) {
-	r.fabric.HallOpens(hall)
+	r.fabric.MarkHallOpen(hall)
 	r.operator.OpenHall(hall)
 }
 
@@ -127,8 +127,8 @@
 	return slices.DeleteFunc(r.fabric.Workers(standin.ModelService), func(w *standin.Worker) bool { return w.Spec().Zone != hall })
 }
 
-// failHall crashes all model workers of a hall and kills its daemons. When the fault ends, the workers
-// are restarted or replaced and the daemons are restarted.
+// failHall crashes all model workers of a hall and kills its daemons. When the fault ends, the
+// workers are restarted or replaced and the daemons are restarted.
 func (r *run) failHall(random *rand.Rand) func() {
 	hall := hallName(random.IntN(hallCount))
 	crashed := r.modelWorkersIn(hall)
@@ -164,7 +164,7 @@
 // writeInvalidHallEntry publishes an invalid entry for a hall, which daemons must ignore.
 func (r *run) writeInvalidHallEntry(random *rand.Rand) func() {
 	hall := hallName(random.IntN(hallCount))
-	r.operator.PutHall(hall, []byte("no entry"))
+	r.operator.PublishHallRecord(hall, []byte("no entry"))
 	return func() { r.operator.OpenHall(hall) }
 }
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -178,7 +178,7 @@
 	select {
 	case <-exited:
 		return true
-	case <-time.After(d.settings.Grace + slack):
+	case <-time.After(d.settings.StopGracePeriod + slack):
 		d.signal(syscall.SIGKILL)
 		<-exited
 		return false
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -19,8 +19,8 @@
 // restoreFaults contains only the fault that restores the store from a copy.
 var restoreFaults = map[string]fault{"store-drill": {blocksUpdates: true, inject: (*run).restoreFromCopy}}
 
-// restoreSchedule returns the faults that restore the store. It draws from a separate random stream, so
-// that it does not change the other schedules of a seed.
+// restoreSchedule returns the faults that restore the store. It draws from a separate random
+// stream, so that it does not change the other schedules of a seed.
 func restoreSchedule(seed uint64, total time.Duration) []scheduledFault {
 	const randomStream = 1 << 34
 	return drawSchedule(rand.New(rand.NewPCG(seed, randomStream)), []string{"store-drill"}, total)
@@ -28,13 +28,13 @@
 
 // restoreFromCopy copies the store. When the fault ends, it restores the store from the copy.
 func (r *run) restoreFromCopy(random *rand.Rand) func() {
-	c := r.store.Copy()
+	c := r.store.Snapshot()
 	resumeDelay := minResumeDelay + time.Duration(random.Int64N(int64(resumeDelaySpread)))
 	return func() {
-		r.store.SetFaults(standin.Faults{Silent: true})
+		r.store.SetFaults(standin.StoreFaults{Silent: true})
 		time.Sleep(restoreOutage)
 		r.store.Restore(c, resumeDelay)
-		r.store.SetFaults(standin.Faults{})
+		r.store.SetFaults(standin.StoreFaults{})
 		// Until the writers resume, daemons cannot detect which updates were lost.
 		time.Sleep(resumeDelay)
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -72,15 +72,15 @@
 
 // timing holds the durations that the daemons and the simulated platform use.
 var timing = standin.Timing{
-	Heartbeat: 500 * time.Millisecond, Load: 2500 * time.Millisecond, Warm: 400 * time.Millisecond, Hot: 100 * time.Millisecond,
-	Form: 100 * time.Millisecond, Stall: 3 * time.Second, Drain: 2 * time.Second,
-	ReportLag: 200 * time.Millisecond,
-	Event:     15 * time.Millisecond, Work: 10 * time.Millisecond,
+	Heartbeat: 500 * time.Millisecond, LoadDuration: 2500 * time.Millisecond, WarmLoadDuration: 400 * time.Millisecond, RejoinDuration: 100 * time.Millisecond,
+	OpenDuration: 100 * time.Millisecond, StallTimeout: 3 * time.Second, Drain: 2 * time.Second,
+	ReportLag:     200 * time.Millisecond,
+	EventInterval: 15 * time.Millisecond, RequestDuration: 10 * time.Millisecond,
 }
 
 // modelLoadLimit limits how often workers load models from the weight store. The daemons apply it,
 // and the simulated platform checks it.
-var modelLoadLimit = standin.Ceiling{PerSecond: 1, Window: 5 * time.Second, Over: 1.1, Extra: 3}
+var modelLoadLimit = standin.LoadLimit{PerSecond: 1, Window: 5 * time.Second, RateFactor: 1.1, Extra: 3}
 
 const (
 	slotsPerWorker   = 12
@@ -149,18 +149,18 @@
 	cancel()
 	group.Wait()
 	r.checkAtEnd()
-	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.countByResult(), Faults: r.faultCount, Crashed: r.fabric.CrashedUnder()}, cmp.Or(err, r.err)
+	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.countByResult(), Faults: r.faultCount, Crashed: r.fabric.CrashedByRequest()}, cmp.Or(err, r.err)
 }
 
 // startSystem starts the simulated platform, the workers and the daemons.
 func (r *run) startSystem() error {
 	r.fabric = standin.NewFabric(standin.FabricOptions{
-		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, Ceiling: modelLoadLimit, Calm: r.settledSince,
-		Fenceless: drawWorkersIgnoreFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerProxy, Crashed: r.scheduleRestart,
-		LinkSound: r.isLinkHealthySince,
+		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, LoadLimit: modelLoadLimit, NoFaultSince: r.settledSince,
+		IgnoreFences: drawWorkersIgnoreFences(r.opts.Seed), Halls: r.hallRules(), OnStopped: r.closeWorkerProxy, OnCrashed: r.scheduleRestart,
+		LinkHealthySince: r.isLinkHealthySince,
 	})
 	r.operator = standin.NewOperator(standin.OperatorOptions{
-		Store: r.store, Models: r.models, Timing: timing, Ceiling: modelLoadLimit, Slots: slotsPerWorker, LoadsAtOnce: 4, Tenants: r.callers.keysByTenant, Halls: r.hallRules(),
+		Store: r.store, Models: r.models, Timing: timing, LoadLimit: modelLoadLimit, Slots: slotsPerWorker, MaxConcurrentLoads: 4, Tenants: r.callers.keysByTenant, Halls: r.hallRules(),
 	})
 	r.operator.Publish()
 	for i := range r.opts.Workers {
@@ -227,7 +227,7 @@
 // replaceWorker starts a replacement for a worker. It has a new ID and no staged models.
 func (r *run) replaceWorker(w *standin.Worker) {
 	spec := w.Spec()
-	spec.ID, spec.Address, spec.Staged = "", "", ""
+	spec.ID, spec.Address, spec.StagedModel = "", "", ""
 	r.recordError(r.startWorker(spec))
 }
 
@@ -243,7 +243,7 @@
 		return
 	}
 	spec := w.Spec()
-	spec.Address, spec.Staged = "", w.Staged()
+	spec.Address, spec.StagedModel = "", w.StagedModel()
 	r.recordError(r.startWorker(spec))
 }
 
@@ -263,9 +263,9 @@
 		return failure.Wrap(failure.Unavailable, "open link to the store", ip, err)
 	}
 	d := &daemon{programOf: r.opts.programsOf(i), storeProxy: storeProxy, onLeading: r.recordLeader, settings: standin.DaemonSettings{
-		Name: fmt.Sprintf("daemon-%d", i), Zone: r.hallOfDaemon(i), Zones: r.daemonHalls(), IP: ip, Store: storeProxy.address(),
+		Name: fmt.Sprintf("daemon-%d", i), Zone: r.hallOfDaemon(i), Zones: r.daemonHalls(), IP: ip, StoreAddress: storeProxy.address(),
 		Front: ports[0], Ready: ports[1], Directory: ports[2], Peer: ports[3],
-		Timing: timing, Grace: stopGrace, Revoke: revocationBound, Ceiling: modelLoadLimit, Halls: r.hallRules(),
+		Timing: timing, StopGracePeriod: stopGrace, RevocationBound: revocationBound, LoadLimit: modelLoadLimit, Halls: r.hallRules(),
 	}}
 	if d.frontProxy, err = newProxy(r.opts.Host+".1", d.frontAddress()); err == nil {
 		d.directoryProxy, err = newProxy(r.opts.Host+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
@@ -343,7 +343,7 @@
 	series.Wait()
 	if !r.awaitRecovery(ctx) {
 		served, total := r.callers.countServed(time.Now().Add(-recoveryWindow))
-		r.ledger.Broken("RECOVER", "%d of %d requests are served %s after the last fault", served, total, recoveryTimeout)
+		r.ledger.RecordViolation("RECOVER", "%d of %d requests are served %s after the last fault", served, total, recoveryTimeout)
 	}
 	r.checkPlannedLeaves(ctx)
 	return ctx.Err()
@@ -352,7 +352,7 @@
 func (r *run) awaitServing(ctx context.Context) bool {
 	const pollInterval = 50 * time.Millisecond
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(pollInterval) {
-		if len(r.fabric.Serving()) == len(r.models) {
+		if len(r.fabric.CompleteOpenGroups()) == len(r.models) {
 			return true
 		}
 	}
@@ -458,12 +458,12 @@
 func (r *run) checkAtEnd() {
 	for _, id := range r.callers.notExecuted {
 		if r.ledger.Runs(id) > 0 {
-			r.ledger.Broken("REFUSED", "%s ran though its caller was told that it would not", id)
+			r.ledger.RecordViolation("REFUSED", "%s ran though its caller was told that it would not", id)
 		}
 	}
 	for _, d := range r.daemons {
 		if d.unexpectedExits > 0 {
-			r.ledger.Broken("ENDS", "%s ended by itself %d times", d.settings.Name, d.unexpectedExits)
+			r.ledger.RecordViolation("ENDS", "%s ended by itself %d times", d.settings.Name, d.unexpectedExits)
 		}
 	}
 }
--- a/soak/workerannouncements.go
+++ b/soak/workerannouncements.go
@@ -25,8 +25,8 @@
 // rate that a replica usually gets.
 var announcedLimits = []float64{0, 0.25, 1.3, 3}
 
-// announcementFaults maps names to the faults in which workers announce limits, rest periods or their
-// leave.
+// announcementFaults maps names to the faults in which workers announce limits, rest periods or
+// their leave.
 var announcementFaults = map[string]fault{
 	"worker-limits": {inject: (*run).announceWorkerLimits, minDuration: minLimitDuration},
 	"worker-rests":  {inject: (*run).makeWorkersRest, minDuration: minRestDuration},
@@ -46,7 +46,7 @@
 // pickHeads returns up to three random heads. Heads are the workers that requests are sent to.
 func (r *run) pickHeads(random *rand.Rand) []*standin.Worker {
 	const maxHeads = 3
-	all := r.fabric.Heads()
+	all := r.fabric.RequestTargets()
 	slices.SortFunc(all, func(a, b *standin.Worker) int { return cmp.Compare(a.ID(), b.ID()) })
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), 1+random.IntN(maxHeads))]
@@ -56,11 +56,11 @@
 func (r *run) announceWorkerLimits(random *rand.Rand) func() {
 	affected := r.pickHeads(random)
 	for _, w := range affected {
-		w.NameLimit(announcedLimits[random.IntN(len(announcedLimits))])
+		w.AnnounceLimit(announcedLimits[random.IntN(len(announcedLimits))])
 	}
 	return func() {
 		for _, w := range affected {
-			w.DropLimit()
+			w.ClearLimit()
 		}
 	}
 }
@@ -69,22 +69,22 @@
 func (r *run) makeWorkersRest(random *rand.Rand) func() {
 	affected := r.pickHeads(random)
 	for _, w := range affected {
-		w.AskRest(requestedRestPeriod)
+		w.SetRetryAfter(requestedRestPeriod)
 	}
 	return func() {
 		for _, w := range affected {
-			w.AskRest(0)
+			w.SetRetryAfter(0)
 		}
 	}
 }
 
-// announceWorkerLeaving starts a replacement for a worker and makes the worker announce that it leaves.
-// The worker announces this in its responses but not in the store.
+// announceWorkerLeaving starts a replacement for a worker and makes the worker announce that it
+// leaves. The worker announces this in its responses but not in the store.
 func (r *run) announceWorkerLeaving(random *rand.Rand) func() {
 	heads := r.pickHeads(random)
 	for _, w := range heads[:min(len(heads), 1)] {
 		r.replaceWorker(w)
-		w.SayLeaving()
+		w.AnnounceLeaving()
 	}
 	return noRevert
 }
