--- a/cmd/measurecmd/run.go
+++ b/cmd/measurecmd/run.go
@@ -39,10 +39,10 @@
 		fmt.Fprintf(w, "### Routing at %.0f%% of capacity, largest account doubled for 10 s\n\n", 100*share)
 		fmt.Fprintln(w, "| policy | first token p50 ms | p95 ms | p99 ms | smallest account p99 ms in the burst | prefix hits | fullest endpoint (slots) |")
 		fmt.Fprintln(w, "|---|---|---|---|---|---|---|")
-		for _, p := range measure.Policies() {
-			r := measure.Routing(p, measure.Load{Share: share, Burst: 2}, seed)
+		for _, p := range measure.RoutingPolicies() {
+			r := measure.RunRouting(p, measure.Load{CapacityShare: share, BurstFactor: 2}, seed)
 			fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.0f | %.0f%% | %.2f |\n", r.Policy,
-				millisPerSecond*r.FirstP50, millisPerSecond*r.FirstP95, millisPerSecond*r.FirstP99, millisPerSecond*r.SmallP99, 100*r.Hits, r.Peak)
+				millisPerSecond*r.FirstTokenP50, millisPerSecond*r.FirstTokenP95, millisPerSecond*r.FirstTokenP99, millisPerSecond*r.SmallestAccountFirstTokenP99, 100*r.HitShare, r.PeakOccupancy)
 		}
 		fmt.Fprintln(w)
 	}
@@ -53,13 +53,13 @@
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "| load | without admission | with admission | refused | smallest account refused | first token p95 ms without | with |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|")
-	policies := measure.Policies()
+	policies := measure.RoutingPolicies()
 	ownPolicy := policies[len(policies)-1]
 	for _, share := range []float64{1, 1.5, 3} {
-		withoutAdmission := measure.Routing(ownPolicy, measure.Load{Share: share}, seed)
-		withAdmission := measure.Routing(ownPolicy, measure.Load{Share: share, Admit: true}, seed)
+		withoutAdmission := measure.RunRouting(ownPolicy, measure.Load{CapacityShare: share}, seed)
+		withAdmission := measure.RunRouting(ownPolicy, measure.Load{CapacityShare: share, UseAdmission: true}, seed)
 		fmt.Fprintf(w, "| %.1f | %.0f | %.0f | %.0f%% | %.0f%% | %.0f | %.0f |\n", share, withoutAdmission.Goodput, withAdmission.Goodput,
-			100*withAdmission.Refused, 100*withAdmission.RefusedSmall, millisPerSecond*withoutAdmission.FirstP95, millisPerSecond*withAdmission.FirstP95)
+			100*withAdmission.RefusedShare, 100*withAdmission.SmallestAccountRefusedShare, millisPerSecond*withoutAdmission.FirstTokenP95, millisPerSecond*withAdmission.FirstTokenP95)
 	}
 	fmt.Fprintln(w)
 }
@@ -71,9 +71,9 @@
 	fmt.Fprintln(w, "|---|---|---|---|---|")
 	for _, s := range measure.RepairScenarios() {
 		for _, p := range measure.RepairPolicies() {
-			r := measure.Repair(s, p)
+			r := measure.RunRepair(s, p)
 			fmt.Fprintf(w, "| %s | %s | %.1f | %.0f | %d of %d |\n", r.Scenario, r.Policy,
-				r.Downtime, r.Stranded, r.LeastServing, s.Replicas)
+				r.DowntimeReplicaSeconds, r.StrandedAcceleratorSeconds, r.MinServingReplicas, s.Replicas)
 		}
 	}
 }
--- a/cmd/soakcmd/run.go
+++ b/cmd/soakcmd/run.go
@@ -121,8 +121,8 @@
 		}
 	}
 	result, err := soak.Run(ctx, soak.Options{
-		Seed: seed, Program: program, Earlier: earlier, Mix: soak.Mix(flags.Mix), Dir: dir, Host: loopbackPrefix(index), Daemons: flags.Daemons, Workers: flags.Workers,
-		Callers: flags.Callers, Series: flags.Series, Duration: flags.Duration, Halls: flags.Halls, Crashing: flags.Crashing, Drills: flags.Drills, Reborn: flags.Reborn, Asking: flags.Asking,
+		Seed: seed, Program: program, EarlierProgram: earlier, Mix: soak.BuildMix(flags.Mix), Dir: dir, AddressPrefix: loopbackPrefix(index), Daemons: flags.Daemons, Workers: flags.Workers,
+		Callers: flags.Callers, SeriesCount: flags.Series, Duration: flags.Duration, HallFaults: flags.Halls, CrashingRequest: flags.Crashing, StoreRestores: flags.Drills, WorkersKeepIDs: flags.Reborn, WorkerSignals: flags.Asking,
 		Logger: hclog.New(&hclog.LoggerOptions{Name: "soak", Output: stderr, Level: level}),
 	})
 	result.Seed = seed
@@ -149,20 +149,20 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var counts []string
-	for _, what := range slices.Sorted(maps.Keys(p.Totals)) {
-		counts = append(counts, fmt.Sprintf("%s %d", what, p.Totals[what]))
+	for _, what := range slices.Sorted(maps.Keys(p.RequestsByResult)) {
+		counts = append(counts, fmt.Sprintf("%s %d", what, p.RequestsByResult[what]))
 	}
-	if p.Crashed > 0 {
-		counts = append(counts, fmt.Sprintf("workers ended by a request %d", p.Crashed))
+	if p.CrashedWorkers > 0 {
+		counts = append(counts, fmt.Sprintf("workers ended by a request %d", p.CrashedWorkers))
 	}
 	if p.err == nil && len(p.Violations) == 0 {
-		fmt.Fprintf(r.out, "seed %d: passed, %d faults; %s\n", p.Seed, p.Faults, strings.Join(counts, ", "))
+		fmt.Fprintf(r.out, "seed %d: passed, %d faults; %s\n", p.Seed, p.FaultCount, strings.Join(counts, ", "))
 		// The logs of a passed run are not needed.
 		_ = os.RemoveAll(p.dir)
 		return
 	}
 	r.failed++
-	fmt.Fprintf(r.out, "seed %d: FAILED, %d faults; %s; logs in %s\n", p.Seed, p.Faults, strings.Join(counts, ", "), p.dir)
+	fmt.Fprintf(r.out, "seed %d: FAILED, %d faults; %s; logs in %s\n", p.Seed, p.FaultCount, strings.Join(counts, ", "), p.dir)
 	if p.err != nil {
 		fmt.Fprintf(r.out, "  not played to its end: %v\n", p.err)
 	}
--- a/cmd/standincmd/run.go
+++ b/cmd/standincmd/run.go
@@ -70,8 +70,8 @@
 		Host: s.Host, PlatformPort: s.Port,
 		Log: standin.LogOptions{AppendsPerSecond: s.AppendsPerSecond, Retention: s.Retention},
 		Cluster: standin.ClusterOptions{
-			Domains: s.Domains, StoreGBPerSecond: s.StoreGBPerSecond, LoadGB: s.LoadGB,
-			Step: s.Step, Slots: s.Slots, ListLag: s.ListLag, LoadLag: s.LoadLag,
+			Domains: s.Domains, StoreGBPerSecond: s.StoreGBPerSecond, WeightsPerNodeGB: s.LoadGB,
+			TokenInterval: s.Step, Slots: s.Slots, MaxListAge: s.ListLag, MaxLoadAge: s.LoadLag,
 		},
 	})
 	if err != nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -142,7 +142,7 @@
 func (d *Daemon) connectPlatform() (*client.Client, error) {
 	p := d.settings.Platform
 	if p.Embedded == nil {
-		return client.New(client.Options{LogAddress: p.Log, NodesAddress: p.Nodes}), nil
+		return client.New(client.Options{LogAddress: p.Log, NodeListAddress: p.Nodes}), nil
 	}
 	host, _, err := net.SplitHostPort(d.settings.Callers)
 	if err != nil {
@@ -153,15 +153,15 @@
 		Log:  standin.LogOptions{Retention: p.LogRetention},
 		Cluster: standin.ClusterOptions{
 			Domains: p.Embedded.Domains, StoreGBPerSecond: p.Embedded.StoreGBPerSecond,
-			LoadGB: p.Embedded.LoadGB, Step: p.Embedded.Step, Slots: p.Embedded.Slots,
-			ListLag: p.Embedded.ListLag,
+			WeightsPerNodeGB: p.Embedded.LoadGB, TokenInterval: p.Embedded.Step, Slots: p.Embedded.Slots,
+			MaxListAge: p.Embedded.ListLag,
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
 	address := d.embedded.Address()
-	return client.New(client.Options{LogAddress: address, NodesAddress: address}), nil
+	return client.New(client.Options{LogAddress: address, NodeListAddress: address}), nil
 }
 
 // buildComponents creates the daemon's components and connects them to each other.
--- a/measure/repair.go
+++ b/measure/repair.go
@@ -82,12 +82,13 @@
 // RepairResult holds the measurements of a repair trial. They start at the time of the fault.
 type RepairResult struct {
 	Scenario, Policy string
-	// Downtime is the time in replica-seconds for which replicas were missing or draining. Stranded
-	// is the time in accelerator-seconds for which accelerators were not part of a serving replica.
-	Downtime, Stranded float64
-	// LeastServing is the minimum number of replicas that were serving at any time. It is at most
-	// RepairScenario.Replicas. Draining replicas don't count.
-	LeastServing int
+	// DowntimeReplicaSeconds is the time in replica-seconds for which replicas were missing or
+	// draining. StrandedAcceleratorSeconds is the time in accelerator-seconds for which
+	// accelerators were not part of a serving replica.
+	DowntimeReplicaSeconds, StrandedAcceleratorSeconds float64
+	// MinServingReplicas is the minimum number of replicas that were serving at any time. It is at
+	// most RepairScenario.Replicas. Draining replicas don't count.
+	MinServingReplicas int
 	// IncompleteTime is the total time in seconds for which at least one replica was missing or
 	// draining.
 	IncompleteTime float64
@@ -118,10 +119,10 @@
 	result    RepairResult
 }
 
-// Repair runs one repair trial.
-func Repair(s RepairScenario, p RepairPolicy) RepairResult {
+// RunRepair runs one repair trial.
+func RunRepair(s RepairScenario, p RepairPolicy) RepairResult {
 	r := &repairTrial{scenario: s, policy: p, wantedVersion: "v1", drainedAt: make(map[string]float64)}
-	r.result = RepairResult{Scenario: s.Name, Policy: p.Name, LeastServing: s.Replicas}
+	r.result = RepairResult{Scenario: s.Name, Policy: p.Name, MinServingReplicas: s.Replicas}
 	for i := range s.Nodes {
 		n := &repairNode{Node: placement.Node{
 			ID: fmt.Sprintf("n%03d", i), Answering: true, Accelerators: acceleratorsPerNode,
@@ -315,11 +316,11 @@
 		}
 	}
 	missingCount := max(r.scenario.Replicas-availableCount, 0)
-	r.result.Downtime += float64(missingCount) * tickSeconds
-	r.result.LeastServing = min(r.result.LeastServing, r.scenario.Replicas-missingCount)
+	r.result.DowntimeReplicaSeconds += float64(missingCount) * tickSeconds
+	r.result.MinServingReplicas = min(r.result.MinServingReplicas, r.scenario.Replicas-missingCount)
 	if missingCount > 0 {
 		r.result.IncompleteTime += tickSeconds
 	}
 	idleCount := len(r.nodes) - nodesPerReplica*len(serving)
-	r.result.Stranded += float64(idleCount*acceleratorsPerNode) * tickSeconds
+	r.result.StrandedAcceleratorSeconds += float64(idleCount*acceleratorsPerNode) * tickSeconds
 }
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -40,15 +40,15 @@
 	secondsPerMicrosecond     = 1e-6
 )
 
-// Policy chooses an endpoint for each request. It uses one daemon's view of the endpoints.
-type Policy struct {
+// RoutingPolicy chooses an endpoint for each request. It uses one daemon's view of the endpoints.
+type RoutingPolicy struct {
 	Name string
 	pick func(d *daemon, prefix uint64, r *rand.Rand) int
 }
 
-// Policies returns the baselines, followed by quartzshelf's own policy.
-func Policies() []Policy {
-	return []Policy{
+// RoutingPolicies returns the baselines, followed by quartzshelf's own policy.
+func RoutingPolicies() []RoutingPolicy {
+	return []RoutingPolicy{
 		{"random", func(d *daemon, _ uint64, r *rand.Rand) int { return r.IntN(len(d.view)) }},
 		{"round robin", func(d *daemon, _ uint64, _ *rand.Rand) int {
 			d.roundRobinCount++
@@ -137,38 +137,42 @@
 
 // Load describes the load of a routing trial.
 type Load struct {
-	// Share is the arrival rate as a share of the rate that all endpoints together can serve.
-	Share float64
-	// Burst is the factor by which the largest client account's arrival rate increases between
-	// burstStart and burstEnd. Zero means no burst.
-	Burst float64
-	// Admit enables quartzshelf's admission control, which refuses requests under overload.
-	Admit bool
+	// CapacityShare is the arrival rate as a share of the rate that all endpoints together can
+	// serve.
+	CapacityShare float64
+	// BurstFactor is the factor by which the largest client account's arrival rate increases
+	// between burstStart and burstEnd. Zero means no burst.
+	BurstFactor float64
+	// UseAdmission enables quartzshelf's admission control, which refuses requests under overload.
+	UseAdmission bool
 }
 
 // RoutingResult holds the measurements of a routing trial.
 type RoutingResult struct {
 	Policy string
-	// FirstP50, FirstP95 and FirstP99 are percentiles of the time to the first token in seconds.
-	FirstP50, FirstP95, FirstP99 float64
-	// SmallP99 is the 99th percentile of the smallest client account's time to the first token, in
-	// seconds. It covers the requests that arrive between burstStart and burstEnd.
-	SmallP99 float64
-	// Hits is the share of admitted requests whose prefix was cached.
-	Hits float64
-	// Peak is the highest number of requests at one endpoint, divided by its slots.
-	Peak float64
+	// FirstTokenP50, FirstTokenP95 and FirstTokenP99 are percentiles of the time to the first token
+	// in seconds.
+	FirstTokenP50, FirstTokenP95, FirstTokenP99 float64
+	// SmallestAccountFirstTokenP99 is the 99th percentile of the smallest client account's time to
+	// the first token, in seconds. It covers the requests that arrive between burstStart and
+	// burstEnd.
+	SmallestAccountFirstTokenP99 float64
+	// HitShare is the share of admitted requests whose prefix was cached.
+	HitShare float64
+	// PeakOccupancy is the highest number of requests at one endpoint, divided by its slots.
+	PeakOccupancy float64
 	// Goodput is the number of requests per second with a first token within firstTokenTarget.
 	Goodput float64
-	// Refused is the share of requests that were refused.
-	Refused float64
-	// RefusedSmall is the share of the smallest account's requests that were refused.
-	RefusedSmall float64
+	// RefusedShare is the share of requests that were refused.
+	RefusedShare float64
+	// SmallestAccountRefusedShare is the share of the smallest account's requests that were
+	// refused.
+	SmallestAccountRefusedShare float64
 }
 
 // routingTrial is the state of one routing trial.
 type routingTrial struct {
-	policy               Policy
+	policy               RoutingPolicy
 	load                 Load
 	random               *rand.Rand
 	now                  float64
@@ -197,8 +201,8 @@
 	histogramDigits          = 3
 )
 
-// Routing runs one routing trial.
-func Routing(p Policy, load Load, seed uint64) RoutingResult {
+// RunRouting runs one routing trial.
+func RunRouting(p RoutingPolicy, load Load, seed uint64) RoutingResult {
 	t := &routingTrial{
 		policy: p, load: load, random: rand.New(rand.NewPCG(seed, 1)),
 		firstTokenTimes:      hdrhistogram.New(1, histogramMaxMicroseconds, histogramDigits),
@@ -266,9 +270,9 @@
 // scheduleArrivals schedules the next request of a client account. When that request arrives, the
 // one after it is scheduled.
 func (t *routingTrial) scheduleArrivals(accountIndex int) {
-	rate := maxRequestRate() * t.load.Share * t.accountWeights[accountIndex]
-	if accountIndex == 0 && t.load.Burst > 0 && t.now >= burstStart && t.now < burstEnd {
-		rate *= t.load.Burst
+	rate := maxRequestRate() * t.load.CapacityShare * t.accountWeights[accountIndex]
+	if accountIndex == 0 && t.load.BurstFactor > 0 && t.now >= burstStart && t.now < burstEnd {
+		rate *= t.load.BurstFactor
 	}
 	t.schedule(t.now+t.random.ExpFloat64()/rate, func() {
 		t.handleArrival(accountIndex)
@@ -291,7 +295,7 @@
 		t.smallRequestCount++
 	}
 	d := t.daemons[j.daemonIndex]
-	if t.load.Admit && t.isRefused(d, j) {
+	if t.load.UseAdmission && t.isRefused(d, j) {
 		if isMeasured {
 			t.refusedCount++
 		}
@@ -408,14 +412,14 @@
 	}
 	admittedCount := max(t.requestCount-t.refusedCount, 1)
 	return RoutingResult{
-		Policy:   t.policy.Name,
-		FirstP50: quantileSeconds(t.firstTokenTimes, 50), FirstP95: quantileSeconds(t.firstTokenTimes, 95), FirstP99: quantileSeconds(t.firstTokenTimes, 99),
-		SmallP99: quantileSeconds(t.smallFirstTokenTimes, 99),
-		Hits:     float64(t.cacheHits) / float64(admittedCount),
-		Peak:     float64(t.peakRequests) / slotsPerEndpoint,
-		Goodput:  float64(t.withinTargetCount) / measuredTime,
-		Refused:  float64(t.refusedCount) / float64(max(t.requestCount, 1)),
-
-		RefusedSmall: float64(t.smallRefusedCount) / float64(max(t.smallRequestCount, 1)),
+		Policy:        t.policy.Name,
+		FirstTokenP50: quantileSeconds(t.firstTokenTimes, 50), FirstTokenP95: quantileSeconds(t.firstTokenTimes, 95), FirstTokenP99: quantileSeconds(t.firstTokenTimes, 99),
+		SmallestAccountFirstTokenP99: quantileSeconds(t.smallFirstTokenTimes, 99),
+		HitShare:                     float64(t.cacheHits) / float64(admittedCount),
+		PeakOccupancy:                float64(t.peakRequests) / slotsPerEndpoint,
+		Goodput:                      float64(t.withinTargetCount) / measuredTime,
+		RefusedShare:                 float64(t.refusedCount) / float64(max(t.requestCount, 1)),
+
+		SmallestAccountRefusedShare: float64(t.smallRefusedCount) / float64(max(t.smallRequestCount, 1)),
 	}
 }
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -79,8 +79,8 @@
 	f := &fleet{net: newNetwork()}
 	f.log = standin.NewLog(standin.LogOptions{Retention: opts.retention})
 	f.cluster = standin.NewCluster(standin.ClusterOptions{
-		Domains: opts.domains, StoreGBPerSecond: 20, LoadGB: 2,
-		Step: 8 * time.Millisecond, Slots: 4, ListLag: 2 * time.Second,
+		Domains: opts.domains, StoreGBPerSecond: 20, WeightsPerNodeGB: 2,
+		TokenInterval: 8 * time.Millisecond, Slots: 4, MaxListAge: 2 * time.Second,
 	})
 	for i := range opts.daemons {
 		h := &host{id: fmt.Sprintf("entry-%d", i), fleet: f}
@@ -104,8 +104,8 @@
 	for _, h := range f.hosts {
 		h.kill()
 	}
-	for _, n := range f.cluster.All() {
-		n.SetStuck(false)
+	for _, n := range f.cluster.AllNodes() {
+		n.SetUnresponsive(false)
 		n.Kill()
 	}
 }
--- a/proof/hall_test.go
+++ b/proof/hall_test.go
@@ -24,8 +24,8 @@
 var hallOptions = fleetOptions{
 	daemons: 3,
 	domains: []standin.DomainOptions{
-		{Name: "fabric-1", DataHall: "hall-0", Nodes: 12, Accelerators: 4},
-		{Name: "fabric-2", DataHall: "hall-1", Nodes: 12, Accelerators: 4},
+		{Name: "fabric-1", DataHall: "hall-0", EngineNodes: 12, Accelerators: 4},
+		{Name: "fabric-2", DataHall: "hall-1", EngineNodes: 12, Accelerators: 4},
 	},
 }
 
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -18,7 +18,7 @@
 func singleDomainOptions(daemons, nodes int) fleetOptions {
 	return fleetOptions{
 		daemons: daemons,
-		domains: []standin.DomainOptions{{Name: "fabric-1", DataHall: "hall-0", Nodes: nodes, Accelerators: 4}},
+		domains: []standin.DomainOptions{{Name: "fabric-1", DataHall: "hall-0", EngineNodes: nodes, Accelerators: 4}},
 	}
 }
 
@@ -187,12 +187,12 @@
 func TestUnfencedNodesAreLeftToTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opts := singleDomainOptions(3, 6)
-		opts.domains[0].Unfenced = true
+		opts.domains[0].IgnoreTokens = true
 		f := newFleet(opts)
 		defer f.stop()
 		time.Sleep(2 * time.Second)
-		for _, n := range f.cluster.All() {
-			publishLabels(t, f.hosts[0], n.Listed().ID, map[string]string{config.LabelFenced: config.LabelFalse})
+		for _, n := range f.cluster.AllNodes() {
+			publishLabels(t, f.hosts[0], n.ListEntry().ID, map[string]string{config.LabelFenced: config.LabelFalse})
 		}
 		f.publishBasics(t, 1)
 		time.Sleep(20 * time.Second)
@@ -288,7 +288,7 @@
 		assert.Equal(t, servingCount(router, "chat"), 1, "the managed replica has no node to take")
 		for _, id := range scripted {
 			n, _ := f.cluster.Node(id)
-			_, held := n.Fence()
+			_, held := n.IncarnationAndToken()
 			assert.Equal(t, held, order.Token, id)
 		}
 		member, _ := f.cluster.Node("fabric-1-n06")
--- a/proof/schedule_test.go
+++ b/proof/schedule_test.go
@@ -87,7 +87,7 @@
 		f.net.heal()
 	default:
 		f.injectLogFault(x.name)
-		if nodes := f.cluster.All(); x.node < len(nodes) {
+		if nodes := f.cluster.AllNodes(); x.node < len(nodes) {
 			injectNodeFault(x.name, nodes[x.node])
 		}
 	}
@@ -110,8 +110,8 @@
 			h.start(opts)
 		}
 	}
-	for _, n := range f.cluster.All() {
-		n.SetStuck(false)
+	for _, n := range f.cluster.AllNodes() {
+		n.SetUnresponsive(false)
 		n.SetLeaving(false)
 		n.Restart()
 	}
@@ -124,9 +124,9 @@
 	case "restart node":
 		node.Restart()
 	case "stick node":
-		node.SetStuck(true)
+		node.SetUnresponsive(true)
 	case "unstick node":
-		node.SetStuck(false)
+		node.SetUnresponsive(false)
 	case "node leaves":
 		node.SetLeaving(true)
 	case "node stays":
@@ -139,7 +139,7 @@
 	case "log out":
 		f.log.SetFaults(standin.LogFaults{Outage: true})
 	case "log loses answers":
-		f.log.SetFaults(standin.LogFaults{LoseAnswers: true})
+		f.log.SetFaults(standin.LogFaults{LoseResponses: true})
 	case "log slow":
 		f.log.SetFaults(standin.LogFaults{SlowMillis: 1500})
 	case "log well":
--- a/proof/serving_test.go
+++ b/proof/serving_test.go
@@ -24,8 +24,8 @@
 var servingOptions = fleetOptions{
 	daemons: 3,
 	domains: []standin.DomainOptions{
-		{Name: "fabric-1", DataHall: "hall-0", Nodes: 9, Accelerators: 4},
-		{Name: "fabric-2", DataHall: "hall-1", Nodes: 5, Accelerators: 4},
+		{Name: "fabric-1", DataHall: "hall-0", EngineNodes: 9, Accelerators: 4},
+		{Name: "fabric-2", DataHall: "hall-1", EngineNodes: 5, Accelerators: 4},
 	},
 }
 
@@ -110,8 +110,8 @@
 // recordNodes records which generations have all their nodes ready and which nodes are leaving.
 func (w *watcher) recordNodes(now time.Time) {
 	holders := make(map[string]int)
-	for _, n := range w.fleet.cluster.All() {
-		a, isReady := n.Held()
+	for _, n := range w.fleet.cluster.AllNodes() {
+		a, isReady := n.CurrentAssignment()
 		w.checkTokenOrder(n)
 		if isReady && !a.IsEmpty() {
 			name := a.Name()
@@ -120,10 +120,10 @@
 				w.lastAllReady[name] = now
 			}
 		}
-		if !n.Listed().Leaving {
-			delete(w.leavingSince, n.Listed().ID)
-		} else if w.leavingSince[n.Listed().ID].IsZero() {
-			w.leavingSince[n.Listed().ID] = now
+		if !n.ListEntry().Leaving {
+			delete(w.leavingSince, n.ListEntry().ID)
+		} else if w.leavingSince[n.ListEntry().ID].IsZero() {
+			w.leavingSince[n.ListEntry().ID] = now
 		}
 	}
 }
@@ -131,8 +131,8 @@
 // checkTokenOrder checks that the token which the node holds has not decreased since the node's
 // process started.
 func (w *watcher) checkTokenOrder(n *standin.Node) {
-	count, held := n.Fence()
-	process := fmt.Sprint(n.Listed().ID, " in run ", count)
+	count, held := n.IncarnationAndToken()
+	process := fmt.Sprint(n.ListEntry().ID, " in run ", count)
 	if w.highestToken[process].Higher(held) {
 		w.recordProblem("node %s went back from token %v to %v", process, w.highestToken[process], held)
 	}
@@ -163,8 +163,8 @@
 // wouldAccept reports whether the head of the replica would accept a request for this
 // generation.
 func (w *watcher) wouldAccept(r catalog.Replica, name string) bool {
-	for _, n := range w.fleet.cluster.All() {
-		if a, isReady := n.Held(); isReady && n.Listed().Address == r.Address() {
+	for _, n := range w.fleet.cluster.AllNodes() {
+		if a, isReady := n.CurrentAssignment(); isReady && n.ListEntry().Address == r.Address() {
 			return a.Name() == name
 		}
 	}
@@ -179,7 +179,7 @@
 	for name, r := range accepted {
 		for _, id := range r.Nodes() {
 			n, _ := w.fleet.cluster.Node(id)
-			held, up := n.Held()
+			held, up := n.CurrentAssignment()
 			if !up || held.IsEmpty() || held.Name() == name {
 				continue
 			}
--- a/soak/mix_test.go
+++ b/soak/buildmix_test.go
@@ -13,13 +13,13 @@
 		want                string
 	}{
 		"one build":                      {Options{Program: "now", Mix: MixHalf}, 0, 1, "now"},
-		"half, an even one":              {Options{Program: "now", Earlier: "before", Mix: MixHalf}, 2, 3, "before"},
-		"half, an odd one":               {Options{Program: "now", Earlier: "before", Mix: MixHalf}, 3, 1, "now"},
-		"replaced, its first life":       {Options{Program: "now", Earlier: "before", Mix: MixReplaced}, 3, 1, "before"},
-		"replaced, a later life":         {Options{Program: "now", Earlier: "before", Mix: MixReplaced}, 2, 2, "now"},
-		"taken back, the second time":    {Options{Program: "now", Earlier: "before", Mix: MixTakenBack}, 2, 3, "before"},
-		"taken back, between the two":    {Options{Program: "now", Earlier: "before", Mix: MixTakenBack}, 2, 2, "now"},
-		"an earlier build without a mix": {Options{Program: "now", Earlier: "before"}, 0, 1, "now"},
+		"half, an even one":              {Options{Program: "now", EarlierProgram: "before", Mix: MixHalf}, 2, 3, "before"},
+		"half, an odd one":               {Options{Program: "now", EarlierProgram: "before", Mix: MixHalf}, 3, 1, "now"},
+		"replaced, its first life":       {Options{Program: "now", EarlierProgram: "before", Mix: MixReplaced}, 3, 1, "before"},
+		"replaced, a later life":         {Options{Program: "now", EarlierProgram: "before", Mix: MixReplaced}, 2, 2, "now"},
+		"taken back, the second time":    {Options{Program: "now", EarlierProgram: "before", Mix: MixAlternating}, 2, 3, "before"},
+		"taken back, between the two":    {Options{Program: "now", EarlierProgram: "before", Mix: MixAlternating}, 2, 2, "now"},
+		"an earlier build without a mix": {Options{Program: "now", EarlierProgram: "before"}, 0, 1, "now"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/soak/halls.go
+++ b/soak/halls.go
@@ -43,14 +43,14 @@
 // hallForIndex returns the data hall of the ith fabric domain or plain worker. It returns "" if the
 // soak injects no faults of data halls.
 func (r *run) hallForIndex(i int) string {
-	if !r.opts.Halls {
+	if !r.opts.HallFaults {
 		return ""
 	}
 	return hallName(i % hallCount)
 }
 
 func (r *run) hallOfDaemon(i int) string {
-	if r.opts.Halls {
+	if r.opts.HallFaults {
 		return hallName(i % hallCount)
 	}
 	return hallName(i % 2)
@@ -70,7 +70,7 @@
 // hallRules returns the rules that daemons must follow for data halls. They include the region of
 // each hall, the regions that each tenant may use, and limits for closed and newly opened halls.
 func (r *run) hallRules() standin.HallRules {
-	if !r.opts.Halls {
+	if !r.opts.HallFaults {
 		return standin.HallRules{}
 	}
 	h := standin.HallRules{
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -29,31 +29,32 @@
 	Seed uint64
 	// Program is the path of the daemon's program. Dir is the directory for settings and logs.
 	Program, Dir string
-	// Earlier is the path of an earlier build's program, or empty. Mix selects the daemons that
-	// run it.
-	Earlier string
-	Mix     Mix
-	// Host is the first three numbers of the loopback addresses of this soak, such as 127.1.1.
-	// No other process may use them.
-	Host string
+	// EarlierProgram is the path of an earlier build's program, or empty. Mix selects the daemons
+	// that run it.
+	EarlierProgram string
+	Mix            BuildMix
+	// AddressPrefix is the first three numbers of the loopback addresses of this soak, such as
+	// 127.1.1. No other process may use them.
+	AddressPrefix string
 	// Daemons is the number of daemons. Workers is the number of workers of the model service.
 	Daemons, Workers int
-	// Callers is the number of concurrent callers. Series is the number of concurrent series of
-	// faults.
-	Callers, Series int
+	// Callers is the number of concurrent callers. SeriesCount is the number of concurrent series
+	// of faults.
+	Callers, SeriesCount int
 	// Duration is the time during which faults are injected.
 	Duration time.Duration
-	// Crashing adds a caller whose requests crash every worker that executes them.
-	Crashing bool
-	// Reborn makes about half of the restarted workers keep their ID. Otherwise, every restarted
-	// worker gets a new ID.
-	Reborn bool
-	// Asking adds faults in which workers announce request limits, rest periods or their leave.
-	Asking bool
-	// Drills adds restores of the store from a copy that is seconds old.
-	Drills bool
-	// Halls adds faults of data halls, and a second region.
-	Halls bool
+	// CrashingRequest adds a caller whose requests crash every worker that executes them.
+	CrashingRequest bool
+	// WorkersKeepIDs makes about half of the restarted workers keep their ID. Otherwise, every
+	// restarted worker gets a new ID.
+	WorkersKeepIDs bool
+	// WorkerSignals adds faults in which workers announce request limits, rest periods or their
+	// leave.
+	WorkerSignals bool
+	// StoreRestores adds restores of the store from a copy that is seconds old.
+	StoreRestores bool
+	// HallFaults adds faults of data halls, and a second region.
+	HallFaults bool
 	// Logger receives a message at level Debug for each injected fault.
 	Logger hclog.Logger
 }
@@ -62,12 +63,12 @@
 type Result struct {
 	Seed       uint64
 	Violations []standin.Violation
-	// Totals is the number of requests for each result.
-	Totals map[string]int
-	// Faults is the number of faults that were injected.
-	Faults int
-	// Crashed is the number of workers that were crashed by a request.
-	Crashed int
+	// RequestsByResult is the number of requests for each result.
+	RequestsByResult map[string]int
+	// FaultCount is the number of faults that were injected.
+	FaultCount int
+	// CrashedWorkers is the number of workers that were crashed by a request.
+	CrashedWorkers int
 }
 
 // timing holds the durations that the daemons and the simulated platform use.
@@ -149,7 +150,7 @@
 	cancel()
 	group.Wait()
 	r.checkAtEnd()
-	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.countByResult(), Faults: r.faultCount, Crashed: r.fabric.CrashedByRequest()}, cmp.Or(err, r.err)
+	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), RequestsByResult: r.callers.countByResult(), FaultCount: r.faultCount, CrashedWorkers: r.fabric.CrashedByRequest()}, cmp.Or(err, r.err)
 }
 
 // startSystem starts the simulated platform, the workers and the daemons.
@@ -202,8 +203,8 @@
 	r.mu.Unlock()
 	var workerProxy *proxy
 	var proxyErr error
-	_, startErr := r.fabric.StartWorker(r.opts.Host+".1", spec, func(workerAddress string) string {
-		if workerProxy, proxyErr = newProxy(r.opts.Host+".1", workerAddress); proxyErr != nil {
+	_, startErr := r.fabric.StartWorker(r.opts.AddressPrefix+".1", spec, func(workerAddress string) string {
+		if workerProxy, proxyErr = newProxy(r.opts.AddressPrefix+".1", workerAddress); proxyErr != nil {
 			return workerAddress
 		}
 		r.mu.Lock()
@@ -231,12 +232,12 @@
 	r.recordError(r.startWorker(spec))
 }
 
-// restartWorker restarts or replaces a worker that has ended. With Options.Reborn, about half of
-// the workers restart with the same ID and the model that is staged on their host. All others are
-// replaced.
+// restartWorker restarts or replaces a worker that has ended. With Options.WorkersKeepIDs, about
+// half of the workers restart with the same ID and the model that is staged on their host. All
+// others are replaced.
 func (r *run) restartWorker(w *standin.Worker) {
 	r.mu.Lock()
-	keepsID := r.opts.Reborn && r.startedWorkers%2 == 0
+	keepsID := r.opts.WorkersKeepIDs && r.startedWorkers%2 == 0
 	r.mu.Unlock()
 	if !keepsID {
 		r.replaceWorker(w)
@@ -251,14 +252,14 @@
 // proxies.
 func (r *run) startDaemon(i int) error {
 	const firstHostNumber = 2
-	ip := fmt.Sprintf("%s.%d", r.opts.Host, firstHostNumber+i)
+	ip := fmt.Sprintf("%s.%d", r.opts.AddressPrefix, firstHostNumber+i)
 	ports, err := findFreePorts(ip, 4)
 	if err != nil {
 		return err
 	}
 	storeServer := httptest.NewServer(r.store)
 	r.storeServers = append(r.storeServers, storeServer)
-	storeProxy, err := newProxy(r.opts.Host+".1", storeServer.Listener.Addr().String())
+	storeProxy, err := newProxy(r.opts.AddressPrefix+".1", storeServer.Listener.Addr().String())
 	if err != nil {
 		return failure.Wrap(failure.Unavailable, "open link to the store", ip, err)
 	}
@@ -267,8 +268,8 @@
 		Front: ports[0], Ready: ports[1], Directory: ports[2], Peer: ports[3],
 		Timing: timing, StopGracePeriod: stopGrace, RevocationBound: revocationBound, LoadLimit: modelLoadLimit, Halls: r.hallRules(),
 	}}
-	if d.frontProxy, err = newProxy(r.opts.Host+".1", d.frontAddress()); err == nil {
-		d.directoryProxy, err = newProxy(r.opts.Host+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
+	if d.frontProxy, err = newProxy(r.opts.AddressPrefix+".1", d.frontAddress()); err == nil {
+		d.directoryProxy, err = newProxy(r.opts.AddressPrefix+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
 	}
 	if err != nil {
 		return failure.Wrap(failure.Unavailable, "open links to a daemon", ip, err)
@@ -323,21 +324,21 @@
 		c := newCaller(r, i)
 		group.Go(func() { c.sendRequests(backgroundCtx) })
 	}
-	if r.opts.Crashing {
+	if r.opts.CrashingRequest {
 		group.Go(func() { r.sendCrashingRequests(backgroundCtx) })
 	}
 	time.Sleep(time.Second)
 	var series conc.WaitGroup
-	for i := range r.opts.Series {
+	for i := range r.opts.SeriesCount {
 		series.Go(func() { r.injectSeries(ctx, i) })
 	}
-	if r.opts.Halls {
+	if r.opts.HallFaults {
 		series.Go(func() { r.injectFaults(ctx, hallSchedule(r.opts.Seed, r.opts.Duration), hallFaults) })
 	}
-	if r.opts.Drills {
+	if r.opts.StoreRestores {
 		series.Go(func() { r.injectFaults(ctx, restoreSchedule(r.opts.Seed, r.opts.Duration), restoreFaults) })
 	}
-	if r.opts.Asking {
+	if r.opts.WorkerSignals {
 		series.Go(func() { r.injectFaults(ctx, announcementSchedule(r.opts.Seed, r.opts.Duration), announcementFaults) })
 	}
 	series.Wait()
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -42,16 +42,16 @@
 
 // Options holds the addresses of the platform.
 type Options struct {
-	// LogAddress and NodesAddress are IP:port pairs.
-	LogAddress   string
-	NodesAddress string
+	// LogAddress and NodeListAddress are IP:port pairs.
+	LogAddress      string
+	NodeListAddress string
 }
 
 // New returns a client for the addresses in opts. It doesn't connect yet.
 func New(opts Options) *Client {
 	return &Client{
 		logURL:   "http://" + opts.LogAddress,
-		nodesURL: "http://" + opts.NodesAddress,
+		nodesURL: "http://" + opts.NodeListAddress,
 		http: &fasthttp.Client{
 			MaxResponseBodySize:       maxResponseBytes,
 			MaxIdemponentCallAttempts: 1,
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -19,14 +19,14 @@
 type DomainOptions struct {
 	Name     string `yaml:"name"`
 	DataHall string `yaml:"data_hall"`
-	// Nodes is the number of nodes that run an engine.
-	Nodes int `yaml:"nodes"`
+	// EngineNodes is the number of nodes that run an engine.
+	EngineNodes int `yaml:"nodes"`
 	// Accelerators is the number of accelerators per node.
 	Accelerators int `yaml:"accelerators"`
-	// Services is the number of nodes that run the plain service, in addition to Nodes.
-	Services int `yaml:"services"`
-	// Unfenced makes the nodes accept orders regardless of their token.
-	Unfenced bool `yaml:"unfenced"`
+	// ServiceNodes is the number of nodes that run the plain service, in addition to EngineNodes.
+	ServiceNodes int `yaml:"services"`
+	// IgnoreTokens makes the nodes accept orders regardless of their token.
+	IgnoreTokens bool `yaml:"unfenced"`
 }
 
 // ClusterOptions describes a cluster.
@@ -34,16 +34,17 @@
 	Domains []DomainOptions
 	// StoreGBPerSecond is the total rate of the weight store in gigabytes per second.
 	StoreGBPerSecond float64
-	// LoadGB is the size in gigabytes of the weights that each node loads for a model version.
-	LoadGB float64
-	// Step is the time that an engine takes for each token.
-	Step time.Duration
+	// WeightsPerNodeGB is the size in gigabytes of the weights that each node loads for a model
+	// version.
+	WeightsPerNodeGB float64
+	// TokenInterval is the time that an engine takes for each token.
+	TokenInterval time.Duration
 	// Slots is the number of requests that a node runs concurrently.
 	Slots int
-	// ListLag is the maximum age of the node list.
-	ListLag time.Duration
-	// LoadLag is the maximum age of the load in a node's state.
-	LoadLag time.Duration
+	// MaxListAge is the maximum age of the node list.
+	MaxListAge time.Duration
+	// MaxLoadAge is the maximum age of the load in a node's state.
+	MaxLoadAge time.Duration
 	// Address returns the address of the node with the given ID. If it is nil, the ID itself is the
 	// address. That is sufficient for calls within the process.
 	Address func(id string) string
@@ -72,10 +73,10 @@
 	c := &Cluster{opts: opts, byID: make(map[string]*Node), byAddress: make(map[string]*Node)}
 	weightStore := NewWeightStore(opts.StoreGBPerSecond)
 	for _, d := range opts.Domains {
-		for i := range d.Nodes {
+		for i := range d.EngineNodes {
 			c.addNode(d, fmt.Sprintf("%s-n%02d", d.Name, i), cluster.KindEngine, weightStore)
 		}
-		for i := range d.Services {
+		for i := range d.ServiceNodes {
 			c.addNode(d, fmt.Sprintf("%s-s%02d", d.Name, i), cluster.KindService, weightStore)
 		}
 	}
@@ -88,12 +89,12 @@
 		address = c.opts.Address(id)
 	}
 	n := NewNode(NodeOptions{
-		Listed: cluster.ListedNode{
+		ListEntry: cluster.ListedNode{
 			ID: id, Domain: d.Name, DataHall: d.DataHall, Address: address,
 			Kind: kind, Accelerators: d.Accelerators,
 		},
-		Unfenced: d.Unfenced, Store: weightStore, LoadGB: c.opts.LoadGB,
-		TokenInterval: c.opts.Step, Slots: c.opts.Slots, LoadLag: c.opts.LoadLag,
+		IgnoreTokens: d.IgnoreTokens, Store: weightStore, WeightsPerNodeGB: c.opts.WeightsPerNodeGB,
+		TokenInterval: c.opts.TokenInterval, Slots: c.opts.Slots, MaxLoadAge: c.opts.MaxLoadAge,
 		IsNodeUp: c.isNodeUp,
 	})
 	c.nodes = append(c.nodes, n)
@@ -101,8 +102,8 @@
 	c.byAddress[address] = n
 }
 
-// All returns the cluster's nodes.
-func (c *Cluster) All() []*Node {
+// AllNodes returns the cluster's nodes.
+func (c *Cluster) AllNodes() []*Node {
 	return slices.Clone(c.nodes)
 }
 
@@ -114,21 +115,21 @@
 
 func (c *Cluster) isNodeUp(id string) bool {
 	n, ok := c.byID[id]
-	return ok && n.Up()
+	return ok && n.IsUp()
 }
 
-// Nodes implements cluster.NodeList. The list is cached for ListLag, so it may be out of date.
+// Nodes implements cluster.NodeList. The list is cached for MaxListAge, so it may be out of date.
 func (c *Cluster) Nodes(context.Context) ([]cluster.ListedNode, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.nodeList != nil && time.Since(c.nodeListCachedAt) < c.opts.ListLag {
+	if c.nodeList != nil && time.Since(c.nodeListCachedAt) < c.opts.MaxListAge {
 		return c.nodeList, nil
 	}
 	c.nodeList = nil
 	c.nodeListCachedAt = time.Now()
 	for _, n := range c.nodes {
-		if n.Up() {
-			c.nodeList = append(c.nodeList, n.Listed())
+		if n.IsUp() {
+			c.nodeList = append(c.nodeList, n.ListEntry())
 		}
 	}
 	slices.SortFunc(c.nodeList, func(a, b cluster.ListedNode) int { return strings.Compare(a.ID, b.ID) })
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,7 +14,8 @@
 // ErrNotStarted is returned when a node rejects a request before executing any part of it.
 var ErrNotStarted = errors.New("not started")
 
-// errMemberLost is returned when a node of the replica that executes a request is no longer running.
+// errMemberLost is returned when a node of the replica that executes a request is no longer
+// running.
 var errMemberLost = errors.New("a member of the replica is gone")
 
 // vocabulary holds the words of generated answers.
@@ -59,8 +60,8 @@
 }
 
 // acquireSlot waits for a free slot and returns the node's incarnation. It returns ErrNotStarted if
-// the node is not the head of the request's replica, if the node restarts during the wait, or if ctx
-// is done.
+// the node is not the head of the request's replica, if the node restarts during the wait, or if
+// ctx is done.
 func (n *Node) acquireSlot(ctx context.Context, assignmentName string) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,16 +98,16 @@
 	n.slotFreed = make(chan struct{})
 }
 
-// isHeadOf reports whether the node is ready and the head of the replica with this assignment name. The
-// caller holds n.mu.
+// isHeadOf reports whether the node is ready and the head of the replica with this assignment name.
+// The caller holds n.mu.
 func (n *Node) isHeadOf(assignmentName string) bool {
 	a := n.state.Assignment
 	return n.up && n.state.Phase == cluster.PhaseReady &&
-		assignmentName == a.Name() && len(a.Members) > 0 && a.Members[0] == n.opts.Listed.ID
+		assignmentName == a.Name() && len(a.Members) > 0 && a.Members[0] == n.opts.ListEntry.ID
 }
 
-// isReplicaIntact reports whether the node has not restarted, is still the head of the replica, and all
-// members of the replica are running.
+// isReplicaIntact reports whether the node has not restarted, is still the head of the replica, and
+// all members of the replica are running.
 func (n *Node) isReplicaIntact(incarnation int, assignmentName string) bool {
 	n.mu.Lock()
 	isHead := n.incarnation == incarnation && n.isHeadOf(assignmentName)
@@ -123,9 +124,9 @@
 	return true
 }
 
-// Call executes one call of the plain service, which takes the given duration. The mark is a label by
-// which calls are counted. Call returns how many calls with this mark the node has executed, including
-// this one.
+// Call executes one call of the plain service, which takes the given duration. The mark is a label
+// by which calls are counted. Call returns how many calls with this mark the node has executed,
+// including this one.
 func (n *Node) Call(ctx context.Context, mark string, duration time.Duration) (int, error) {
 	n.mu.Lock()
 	if !n.up {
--- a/standin/log.go
+++ b/standin/log.go
@@ -32,8 +32,8 @@
 type LogFaults struct {
 	// Outage makes every call fail.
 	Outage bool `json:"outage" yaml:"outage"`
-	// LoseAnswers makes appends return an error after they have taken effect.
-	LoseAnswers bool `json:"lose_answers" yaml:"lose_answers"`
+	// LoseResponses makes appends return an error after they have taken effect.
+	LoseResponses bool `json:"lose_answers" yaml:"lose_answers"`
 	// SlowMillis is the delay of every call in milliseconds.
 	SlowMillis int `json:"slow_millis" yaml:"slow_millis"`
 }
@@ -90,8 +90,8 @@
 	l.faults = f
 }
 
-// Appends returns the number of appends that took effect.
-func (l *Log) Appends() int {
+// AppendCount returns the number of appends that took effect.
+func (l *Log) AppendCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appendCount
@@ -117,7 +117,7 @@
 	l.appendCount++
 	close(s.changed)
 	s.changed = make(chan struct{})
-	if l.faults.LoseAnswers {
+	if l.faults.LoseResponses {
 		return 0, failure.Wrap(failure.Unavailable, "append to log", stream, errResponseLost)
 	}
 	return first, nil
--- a/standin/node.go
+++ b/standin/node.go
@@ -23,19 +23,19 @@
 
 // NodeOptions describes a node.
 type NodeOptions struct {
-	// Listed is the node's entry in the node list.
-	Listed cluster.ListedNode
-	// Unfenced makes the node accept orders regardless of their token.
-	Unfenced bool
-	Store    *WeightStore
-	// LoadGB is the size of the weights of a model version, in gigabytes.
-	LoadGB float64
+	// ListEntry is the node's entry in the node list.
+	ListEntry cluster.ListedNode
+	// IgnoreTokens makes the node accept orders regardless of their token.
+	IgnoreTokens bool
+	Store        *WeightStore
+	// WeightsPerNodeGB is the size of the weights of a model version, in gigabytes.
+	WeightsPerNodeGB float64
 	// TokenInterval is the time that the engine takes for each token.
 	TokenInterval time.Duration
 	// Slots is the number of requests that the node runs concurrently.
 	Slots int
-	// LoadLag is the maximum age of the load in the node's state.
-	LoadLag time.Duration
+	// MaxLoadAge is the maximum age of the load in the node's state.
+	MaxLoadAge time.Duration
 	// IsNodeUp reports whether the node with the given ID is running. If it is nil, all nodes count
 	// as running.
 	IsNodeUp func(id string) bool
@@ -71,18 +71,18 @@
 	return n
 }
 
-// Listed returns the node's entry in the node list.
-func (n *Node) Listed() cluster.ListedNode {
+// ListEntry returns the node's entry in the node list.
+func (n *Node) ListEntry() cluster.ListedNode {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.opts.Listed
+	return n.opts.ListEntry
 }
 
 // SetLeaving sets whether the node list shows the node as leaving.
 func (n *Node) SetLeaving(leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.opts.Listed.Leaving = leaving
+	n.opts.ListEntry.Leaving = leaving
 }
 
 // Kill stops the node at once. Restart then starts it without its state.
@@ -107,21 +107,21 @@
 	n.incarnation++
 	n.activeRequests, n.queuedRequests = 0, 0
 	n.state = cluster.NodeState{
-		Node:  n.opts.Listed.ID,
+		Node:  n.opts.ListEntry.ID,
 		Phase: cluster.PhaseIdle,
 		Start: strconv.Itoa(n.incarnation),
 	}
 }
 
-// SetStuck makes calls to the node block until their context is done.
-func (n *Node) SetStuck(stuck bool) {
+// SetUnresponsive makes calls to the node block until their context is done.
+func (n *Node) SetUnresponsive(stuck bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stuck = stuck
 }
 
-// Up reports whether the node is running.
-func (n *Node) Up() bool {
+// IsUp reports whether the node is running.
+func (n *Node) IsUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.up
@@ -134,11 +134,11 @@
 	up, stuck := n.up, n.stuck
 	n.mu.Unlock()
 	if !up {
-		return failure.Wrap(failure.Refused, step, n.opts.Listed.ID, errDown)
+		return failure.Wrap(failure.Refused, step, n.opts.ListEntry.ID, errDown)
 	}
 	if stuck {
 		<-ctx.Done()
-		return failure.Wrap(failure.Unavailable, step, n.opts.Listed.ID, errStuck)
+		return failure.Wrap(failure.Unavailable, step, n.opts.ListEntry.ID, errStuck)
 	}
 	return nil
 }
@@ -153,11 +153,11 @@
 	return n.stateLocked(), nil
 }
 
-// stateLocked returns the node's state and updates its load if that is older than LoadLag. The
+// stateLocked returns the node's state and updates its load if that is older than MaxLoadAge. The
 // caller holds n.mu.
 func (n *Node) stateLocked() cluster.NodeState {
 	now := time.Now()
-	if now.Sub(n.loadReportedAt) >= n.opts.LoadLag {
+	if now.Sub(n.loadReportedAt) >= n.opts.MaxLoadAge {
 		n.reportedLoad = cluster.Load{Queue: n.queuedRequests, Active: n.activeRequests, Slots: n.opts.Slots}
 		n.loadReportedAt = now
 	}
@@ -169,14 +169,14 @@
 }
 
 // Order sends the node an order. The node accepts it only if its token is higher than the token of
-// the last accepted order, unless NodeOptions.Unfenced is set.
+// the last accepted order, unless NodeOptions.IgnoreTokens is set.
 func (n *Node) Order(ctx context.Context, order cluster.Order) (cluster.OrderReply, error) {
 	if err := n.checkReachable(ctx, "order node"); err != nil {
 		return cluster.OrderReply{}, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.opts.Unfenced && !order.Token.Higher(n.state.Token) {
+	if !n.opts.IgnoreTokens && !order.Token.Higher(n.state.Token) {
 		return cluster.OrderReply{State: n.stateLocked()}, nil
 	}
 	n.state.Token = order.Token
@@ -221,7 +221,7 @@
 		n.state.Preloading = append(n.state.Preloading, v)
 		incarnation := n.incarnation
 		go func() {
-			if n.opts.Store != nil && n.opts.Store.Load(context.Background(), n.opts.LoadGB) != nil {
+			if n.opts.Store != nil && n.opts.Store.Load(context.Background(), n.opts.WeightsPerNodeGB) != nil {
 				return
 			}
 			n.mu.Lock()
@@ -249,7 +249,7 @@
 // load loads the weights for an assignment and then marks the node ready, unless the assignment has
 // changed meanwhile.
 func (n *Node) load(ctx context.Context, a cluster.Assignment) {
-	if n.opts.Store != nil && n.opts.Store.Load(ctx, n.opts.LoadGB) != nil {
+	if n.opts.Store != nil && n.opts.Store.Load(ctx, n.opts.WeightsPerNodeGB) != nil {
 		return
 	}
 	n.mu.Lock()
@@ -261,16 +261,17 @@
 	n.state.Phase = cluster.PhaseReady
 }
 
-// Held returns the node's assignment, and whether the node is running and ready to serve it.
-func (n *Node) Held() (cluster.Assignment, bool) {
+// CurrentAssignment returns the node's assignment, and whether the node is running and ready to
+// serve it.
+func (n *Node) CurrentAssignment() (cluster.Assignment, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Assignment, n.up && n.state.Phase == cluster.PhaseReady
 }
 
-// Fence returns how often the node was started, and the token of the last order that it accepted
-// since its latest start.
-func (n *Node) Fence() (incarnation int, last token.Token) {
+// IncarnationAndToken returns how often the node was started, and the token of the last order that
+// it accepted since its latest start.
+func (n *Node) IncarnationAndToken() (incarnation int, last token.Token) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.incarnation, n.state.Token
--- a/standin/server/node.go
+++ b/standin/server/node.go
@@ -54,7 +54,7 @@
 func newNodeApp(n *standin.Node) *fiber.App {
 	app := newApp()
 	app.Use(func(c *fiber.Ctx) error {
-		if !n.Up() {
+		if !n.IsUp() {
 			return closeWithoutResponse(c)
 		}
 		return c.Next()
@@ -70,7 +70,7 @@
 	})
 	app.Post("/control/order", func(c *fiber.Ctx) error { return postOrder(n, c) })
 	app.Get("/control/runs", func(c *fiber.Ctx) error { return c.JSON(n.CallCounts()) })
-	if n.Listed().Kind == cluster.KindService {
+	if n.ListEntry().Kind == cluster.KindService {
 		app.All("/*", func(c *fiber.Ctx) error { return serveCall(n, c) })
 		return app
 	}
@@ -112,7 +112,7 @@
 	if errors.Is(err, standin.ErrNotStarted) {
 		return respondNotStarted(c, err)
 	}
-	if err != nil || !n.Up() {
+	if err != nil || !n.IsUp() {
 		return closeWithoutResponse(c)
 	}
 	c.Set(cluster.HeaderRequest, c.Get(cluster.HeaderRequest))
@@ -177,8 +177,8 @@
 	return g
 }
 
-// streamCompletion responds with server-sent events. It waits for the first token before it sends the
-// status. It can thus still reject a request that was not started.
+// streamCompletion responds with server-sent events. It waits for the first token before it sends
+// the status. It can thus still reject a request that was not started.
 func streamCompletion(n *standin.Node, c *fiber.Ctx, r completionRequest, id, assignment string, isChat bool) error {
 	g := startGeneration(n, r, assignment)
 	first, hasToken := <-g.tokens
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -59,8 +59,8 @@
 	}
 	s.address = l.Addr().String()
 	s.serve(l, s.newPlatformApp())
-	for _, n := range s.cluster.All() {
-		s.serve(listeners[n.Listed().ID], newNodeApp(n))
+	for _, n := range s.cluster.AllNodes() {
+		s.serve(listeners[n.ListEntry().ID], newNodeApp(n))
 	}
 	return s, nil
 }
@@ -69,13 +69,13 @@
 func openNodeListeners(opts Options, listeners map[string]net.Listener) error {
 	optionsWithoutAddresses := opts.Cluster
 	optionsWithoutAddresses.Address = nil
-	for _, n := range standin.NewCluster(optionsWithoutAddresses).All() {
+	for _, n := range standin.NewCluster(optionsWithoutAddresses).AllNodes() {
 		l, err := net.Listen("tcp", net.JoinHostPort(opts.Host, "0"))
 		if err != nil {
 			closeListeners(listeners)
 			return failure.Wrap(failure.Unavailable, "listen for a node", opts.Host, err)
 		}
-		listeners[n.Listed().ID] = l
+		listeners[n.ListEntry().ID] = l
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 	})
 	app.Post("/faults/nodes/:id/:fault", s.postNodeFault)
 	app.Get("/stats", func(c *fiber.Ctx) error {
-		return c.JSON(fiber.Map{"appends": s.log.Appends()})
+		return c.JSON(fiber.Map{"appends": s.log.AppendCount()})
 	})
 	return app
 }
@@ -197,9 +197,9 @@
 	case "restart":
 		n.Restart()
 	case "stick":
-		n.SetStuck(true)
+		n.SetUnresponsive(true)
 	case "unstick":
-		n.SetStuck(false)
+		n.SetUnresponsive(false)
 	case "leave":
 		n.SetLeaving(true)
 	case "stay":
@@ -207,7 +207,7 @@
 	default:
 		return c.Status(fiber.StatusBadRequest).JSON(fiber.Map{"error": "no such fault"})
 	}
-	return c.JSON(n.Listed())
+	return c.JSON(n.ListEntry())
 }
 
 // newCallContext returns a context for one call to a node. Its timeout is one minute.
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -18,17 +18,17 @@
 	s, err := New(Options{
 		Host: "127.0.0.1",
 		Cluster: standin.ClusterOptions{
-			Domains:          []standin.DomainOptions{{Name: "fabric-1", DataHall: "hall-a", Nodes: 4, Accelerators: 4}},
-			StoreGBPerSecond: 1000, LoadGB: 1, Step: time.Millisecond, Slots: 2,
+			Domains:          []standin.DomainOptions{{Name: "fabric-1", DataHall: "hall-a", EngineNodes: 4, Accelerators: 4}},
+			StoreGBPerSecond: 1000, WeightsPerNodeGB: 1, TokenInterval: time.Millisecond, Slots: 2,
 		},
 	})
 	assert.NilError(t, err)
 	t.Cleanup(s.Stop)
-	return s, client.New(client.Options{LogAddress: s.Address(), NodesAddress: s.Address()})
+	return s, client.New(client.Options{LogAddress: s.Address(), NodeListAddress: s.Address()})
 }
 
-// TestStreamNamesOutliveRequests checks that records stay in their stream during later requests. This
-// fails if the server passes the log stream names whose memory the HTTP library reuses.
+// TestStreamNamesOutliveRequests checks that records stay in their stream during later requests.
+// This fails if the server passes the log stream names whose memory the HTTP library reuses.
 func TestStreamNamesOutliveRequests(t *testing.T) {
 	_, client := newServer(t)
 	ctx := context.Background()
