--- a/relay/brokenattempt.go
+++ b/proxy/brokenattempt.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"time"
@@ -34,7 +34,7 @@
 
 // logBroken counts and logs an attempt that broke off. The logged fingerprint is the same for all
 // copies of a request, even if their IDs differ.
-func (r *Relay) logBroken(c *request, replica *fleet.Replica, err error) {
+func (r *Proxy) logBroken(c *request, replica *fleet.Replica, err error) {
 	r.opts.Meter.CountBrokenAttempt(c.service)
 	r.opts.Logger.Info("attempt broke off", "request", c.id, "fingerprint", c.fingerprint().String(),
 		"account", c.account(), "host", c.host, "target", c.target, "bytes", len(c.body),
--- a/relay/buffered.go
+++ b/proxy/buffered.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"errors"
@@ -25,7 +25,7 @@
 }
 
 // serveBuffered relays a request whose answer is read completely before it is forwarded.
-func (r *Relay) serveBuffered(w http.ResponseWriter, c *request) *refusal {
+func (r *Proxy) serveBuffered(w http.ResponseWriter, c *request) *refusal {
 	for {
 		replica, refused := r.choose(c)
 		if refused != nil {
@@ -58,7 +58,7 @@
 
 // shouldRetryAnswer reports whether another worker should be tried because a worker answered with a
 // server error (5xx). If so, it takes the retry from the budget.
-func (r *Relay) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
+func (r *Proxy) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
 	if got.status < http.StatusInternalServerError || !c.route.Repeatable() {
 		return false
 	}
@@ -71,7 +71,7 @@
 }
 
 // tryBuffered sends the request to one worker and reads the complete answer.
-func (r *Relay) tryBuffered(c *request, replica *fleet.Replica) (*answer, error) {
+func (r *Proxy) tryBuffered(c *request, replica *fleet.Replica) (*answer, error) {
 	reservation := r.opts.Tracker.Reserve(replica, c.promptTokens)
 	defer reservation.Release()
 	e, err := r.sendTo(c.ctx, c, replica.Head, "")
@@ -97,7 +97,7 @@
 }
 
 // checkSigned returns an error if an answer with a status below 300 lacks its worker's signature.
-func (r *Relay) checkSigned(got *answer, worker string) error {
+func (r *Proxy) checkSigned(got *answer, worker string) error {
 	if got.status >= http.StatusMultipleChoices || got.header.Get(r.opts.Names.Signature) != "" {
 		return nil
 	}
@@ -107,7 +107,7 @@
 // checkRejected returns an error if the worker rejected the request before running it. If the
 // request was sent twice, the error says that it may have arrived, because the first copy may have
 // run.
-func (r *Relay) checkRejected(e *exchange, worker string) error {
+func (r *Proxy) checkRejected(e *exchange, worker string) error {
 	status := e.response.StatusCode
 	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
 		return nil
--- a/relay/callerdeadlines.go
+++ b/proxy/callerdeadlines.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 
 // setCallerDeadlines sets the times by which the caller must have sent the body and read the
 // answer.
-func (r *Relay) setCallerDeadlines(controller *http.ResponseController, arrived time.Time, timeout time.Duration) {
+func (r *Proxy) setCallerDeadlines(controller *http.ResponseController, arrived time.Time, timeout time.Duration) {
 	body, answer := arrived.Add(defaultBodyTimeout), arrived.Add(defaultTimeout)
 	if timeout > 0 {
 		body, answer = arrived.Add(timeout), arrived.Add(timeout+answerReadGrace)
@@ -26,11 +26,11 @@
 
 // clearReadDeadline removes the read deadline after the body was read. Later reads only detect that
 // the caller has disconnected.
-func (r *Relay) clearReadDeadline(controller *http.ResponseController) {
+func (r *Proxy) clearReadDeadline(controller *http.ResponseController) {
 	r.logDeadlineError("send", controller.SetReadDeadline(time.Time{}))
 }
 
-func (r *Relay) logDeadlineError(what string, err error) {
+func (r *Proxy) logDeadlineError(what string, err error) {
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		r.opts.Logger.Debug("failed to set a deadline for the caller", "to", what, "error", err)
 	}
--- a/relay/callerdeadlines_test.go
+++ b/proxy/callerdeadlines_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"io"
@@ -25,7 +25,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &Relay{opts: Options{Logger: hclog.NewNullLogger()}}
+			r := &Proxy{opts: Options{Logger: hclog.NewNullLogger()}}
 			isGone := make(chan bool, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 				controller := http.NewResponseController(w)
--- a/relay/callertimeouts.go
+++ b/proxy/callertimeouts.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net/http"
@@ -84,7 +84,7 @@
 // mayWait reports whether a request may wait for a replica when none is available. A started stream
 // may wait until its caller is expected to disconnect. With ServeLate, a late request may wait
 // briefly, because a retry by the caller would be late too.
-func (r *Relay) mayWait(c *request, s *relayedStream, refused *refusal, now time.Time) bool {
+func (r *Proxy) mayWait(c *request, s *relayedStream, refused *refusal, now time.Time) bool {
 	switch {
 	case c.isDone():
 		return false
--- a/relay/choices_test.go
+++ b/proxy/choices_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"container/heap"
--- a/relay/connections.go
+++ b/proxy/connections.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -232,7 +232,7 @@
 // idleShare returns how many idle connections this daemon may keep to a worker of a service. All
 // daemons together keep up to half of the connections that the worker accepts. The other half is
 // left for requests in flight and for daemons that just joined.
-func (r *Relay) idleShare(service string) int {
+func (r *Proxy) idleShare(service string) int {
 	config := r.opts.Config()
 	if config == nil {
 		return maxIdlePerWorker
--- a/relay/connections_test.go
+++ b/proxy/connections_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -51,7 +51,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			worker := newFakeWorker(t, "w").withHeader(test.header)
-			_, server := newTestRelay(t, worker)
+			_, server := newTestProxy(t, worker)
 			for i := range requests {
 				for _, path := range []string{"/safe/", "/stream/"} {
 					got := sendRequest(t, server, path, strconv.Itoa(i)+path, nil)
@@ -86,7 +86,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			worker := newFakeWorker(t, "w", test.script...)
-			_, server := newTestRelay(t, worker)
+			_, server := newTestProxy(t, worker)
 			assert.Equal(t, sendRequest(t, server, test.path, "first", nil).status, 200)
 			assert.Equal(t, sendRequest(t, server, test.path, "second", nil).status, test.status)
 			assert.Equal(t, worker.runs("second"), test.runs)
@@ -161,7 +161,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			config := fleet.NewConfig(fleet.Parts{Services: []*fleet.Service{{Name: "s", MaxConns: test.maxConns}}})
-			r := &Relay{opts: Options{
+			r := &Proxy{opts: Options{
 				Config: func() *fleet.Config { return config },
 				Budget: RetryBudget{Daemons: func() int { return test.daemons }},
 			}}
@@ -289,7 +289,7 @@
 // suspended, and requests that must not be repeated would be lost on them.
 func TestSuspensionClosesConnections(t *testing.T) {
 	worker := newFakeWorker(t, "w")
-	r, server := newTestRelay(t, worker)
+	r, server := newTestProxy(t, worker)
 	for i := range 3 {
 		assert.Equal(t, sendRequest(t, server, "/safe/", strconv.Itoa(i), nil).status, 200)
 	}
--- a/relay/eligible.go
+++ b/proxy/eligible.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"time"
@@ -10,7 +10,7 @@
 
 // selectReplicas classifies the replicas for a request. It records the counts of those passed over
 // in the request, and each cause once in the meter.
-func (r *Relay) selectReplicas(c *request, now time.Time) eligibility.Selection {
+func (r *Proxy) selectReplicas(c *request, now time.Time) eligibility.Selection {
 	view := r.opts.View()
 	rules := r.rules(now)
 	request := eligibility.Request{RouteRegions: c.route.Regions, Tried: c.triedReplicas}
@@ -29,7 +29,7 @@
 }
 
 // rules returns the current rules for replicas; checks that would exclude nothing are nil.
-func (r *Relay) rules(now time.Time) *eligibility.Rules {
+func (r *Proxy) rules(now time.Time) *eligibility.Rules {
 	rules := &eligibility.Rules{RegionOf: r.opts.RegionOf, IsSuspected: r.opts.Tracker.suspectCheck(now)}
 	if r.opts.Halls != nil {
 		if halls := r.opts.Halls(); !halls.AllOpen() {
@@ -42,7 +42,7 @@
 
 // noReplicaRefusal returns the refusal of a request that no replica may take. Its reason follows
 // from the most frequent cause.
-func (r *Relay) noReplicaRefusal(c *request, counts eligibility.Counts, now time.Time) *refusal {
+func (r *Proxy) noReplicaRefusal(c *request, counts eligibility.Counts, now time.Time) *refusal {
 	f := newUnavailable(reason.NoReplica, "no replica serves at present", retryBusy)
 	switch counts.MostFrequent() {
 	case eligibility.HallNotOpen:
--- a/relay/eligible_test.go
+++ b/proxy/eligible_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net/http"
@@ -26,7 +26,7 @@
 }
 
 // listInHalls lists the workers in data halls: the first in "a", the second in "b", and so on.
-func listInHalls(r *testRelay, workers ...*fakeWorker) {
+func listInHalls(r *testProxy, workers ...*fakeWorker) {
 	var changes []fleet.Change
 	for i, w := range workers {
 		hall := string(rune('a' + i))
@@ -57,7 +57,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			open, closed := newFakeWorker(t, "open", test.script...), newFakeWorker(t, "closed")
-			r, server := newTestRelay(t, open, closed)
+			r, server := newTestProxy(t, open, closed)
 			r.opts.Halls = test.halls.View
 			listInHalls(r, open, closed)
 			got := sendRequest(t, server, test.path, "id", nil)
@@ -87,7 +87,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			east, west := newFakeWorker(t, "east", test.script...), newFakeWorker(t, "west")
-			r, server := newTestRelay(t, east, west)
+			r, server := newTestProxy(t, east, west)
 			tenant, _ := r.opts.Config().Tenant("key")
 			tenant.Regions = test.account
 			r.opts.RegionOf = func(hall string) string { return regions[hall] }
--- a/relay/failover.go
+++ b/proxy/failover.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 // recordHeadFailure records that an attempt failed at the replica's head. It marks the replica as
 // unreachable if no connection could be opened. Rejections and the silence of a single stream do
 // not count.
-func (r *Relay) recordHeadFailure(c *request, replica *fleet.Replica, err error) {
+func (r *Proxy) recordHeadFailure(c *request, replica *fleet.Replica, err error) {
 	if errors.Is(err, errRejected) || errors.Is(err, errStreamSilent) {
 		return
 	}
@@ -58,7 +58,7 @@
 // chooseFrom chooses a replica for the next attempt. After a failed attempt it prefers replicas
 // that are unlikely to fail for the same reason. Shortly after the daemon's start it chooses
 // between two random replicas.
-func (r *Relay) chooseFrom(c *request, replicas []*fleet.Replica, exhausted map[string]bool, predicted costs, now time.Time) (Choice, bool) {
+func (r *Proxy) chooseFrom(c *request, replicas []*fleet.Replica, exhausted map[string]bool, predicted costs, now time.Time) (Choice, bool) {
 	choose := func(candidates []*fleet.Replica) (Choice, bool) {
 		return r.opts.Tracker.Choose(candidates, exhausted, predicted, c.promptTokens, now)
 	}
@@ -79,7 +79,7 @@
 // randomPair returns two random replicas, or all if there are fewer than three. When all daemons
 // start at once, they know few loads and would all choose the same replicas. Choosing between two
 // random ones limits each replica to about twice its share of the requests.
-func (r *Relay) randomPair(replicas []*fleet.Replica) []*fleet.Replica {
+func (r *Proxy) randomPair(replicas []*fleet.Replica) []*fleet.Replica {
 	n := len(replicas)
 	const minForPair = 3
 	if n < minForPair {
--- a/relay/failover_test.go
+++ b/proxy/failover_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -125,7 +125,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			marked := false
-			r := &Relay{opts: Options{Logger: hclog.NewNullLogger(), Tracker: NewTracker("", func(*fleet.Replica) { marked = true })}}
+			r := &Proxy{opts: Options{Logger: hclog.NewNullLogger(), Tracker: NewTracker("", func(*fleet.Replica) { marked = true })}}
 			r.recordHeadFailure(&request{}, testReplica("a", ""), test.err)
 			assert.Equal(t, marked, test.want)
 		})
@@ -166,7 +166,7 @@
 	for i := range n {
 		all = append(all, replicaAt(fmt.Sprint(i), "", ""))
 	}
-	r := &Relay{}
+	r := &Proxy{}
 	counts := make(map[string]int)
 	for range draws {
 		two := r.randomPair(all)
@@ -195,7 +195,7 @@
 			tracker.MarkSuspected(fmt.Sprint(i), now)
 		}
 	}
-	r := &Relay{opts: Options{Tracker: tracker}, startedAt: now}
+	r := &Proxy{opts: Options{Tracker: tracker}, startedAt: now}
 	rules := eligibility.Rules{IsSuspected: tracker.suspectCheck(now)}
 	selection := rules.Select(&eligibility.Request{}, all)
 	for range 50 {
--- a/relay/lateness.go
+++ b/proxy/lateness.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"time"
@@ -57,7 +57,7 @@
 }
 
 // logLate counts and logs a stream that was late.
-func (r *Relay) logLate(c *request, l *lateness) {
+func (r *Proxy) logLate(c *request, l *lateness) {
 	if l.cause == "" {
 		return
 	}
--- a/relay/names.go
+++ b/proxy/names.go
@@ -1,7 +1,7 @@
-// Package relay serves callers: it finds the route of a request, chooses a replica, forwards the
+// Package proxy serves callers: it finds the route of a request, chooses a replica, forwards the
 // request and relays the answer. It retries only requests that may be repeated, and reports that
 // a request did not run only when that is certain.
-package relay
+package proxy
 
 import "quartzshelf.dev/backpressure"
 
--- a/relay/relay.go
+++ b/proxy/proxy.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -33,7 +33,7 @@
 	sweepInterval = 50 * time.Millisecond
 )
 
-// Options configures a Relay.
+// Options configures a Proxy.
 type Options struct {
 	Names  HeaderNames
 	Config func() *fleet.Config
@@ -54,7 +54,7 @@
 	Budget  RetryBudget
 	// BufferLimit limits the bytes buffered for callers and workers; nil for no limit.
 	BufferLimit *BufferLimit
-	// ServeLate makes the relay try to serve requests that are already late. They wait briefly for
+	// ServeLate makes the proxy try to serve requests that are already late. They wait briefly for
 	// capacity, and callers refused for lack of capacity get random retry times. After a large loss
 	// of workers this delays new requests as well.
 	ServeLate bool
@@ -78,8 +78,8 @@
 	Logger    hclog.Logger
 }
 
-// Relay serves callers. It implements http.Handler.
-type Relay struct {
+// Proxy serves callers. It implements http.Handler.
+type Proxy struct {
 	opts           Options
 	upstream       *upstream
 	budget         *budget
@@ -93,17 +93,17 @@
 	done        chan struct{}
 }
 
-var _ http.Handler = (*Relay)(nil)
+var _ http.Handler = (*Proxy)(nil)
 
-// New returns a Relay. Run must be called for its periodic work.
-func New(opts Options) *Relay {
+// New returns a Proxy. Run must be called for its periodic work.
+func New(opts Options) *Proxy {
 	if opts.BufferLimit == nil {
 		opts.BufferLimit = NewBufferLimit(0)
 	}
 	if opts.CheckSuspension == nil {
 		opts.CheckSuspension = func() {}
 	}
-	r := &Relay{
+	r := &Proxy{
 		opts: opts, upstream: newUpstream(), budget: newBudget(opts.Budget), callerTimeouts: newCallerTimeouts(),
 		startedAt: time.Now(), done: make(chan struct{}),
 	}
@@ -122,11 +122,11 @@
 }
 
 // Done is closed when Run has returned.
-func (r *Relay) Done() <-chan struct{} { return r.done }
+func (r *Proxy) Done() <-chan struct{} { return r.done }
 
 // Run periodically checks for silent replicas, closes idle connections that are no longer needed,
 // and removes expired crash records, until ctx ends.
-func (r *Relay) Run(ctx context.Context) {
+func (r *Proxy) Run(ctx context.Context) {
 	defer close(r.done)
 	defer r.guard.Wait()
 	ticker := time.NewTicker(sweepInterval)
@@ -148,12 +148,12 @@
 
 // CloseIdleConnections must be called after a suspension of the machine. It closes the idle
 // connections, because workers may have closed them unnoticed.
-func (r *Relay) CloseIdleConnections() { r.upstream.closeAll() }
+func (r *Proxy) CloseIdleConnections() { r.upstream.closeAll() }
 
-func (r *Relay) random() float64 { return rand.Float64() }
+func (r *Proxy) random() float64 { return rand.Float64() }
 
 // ServeHTTP answers one request.
-func (r *Relay) ServeHTTP(w http.ResponseWriter, h *http.Request) {
+func (r *Proxy) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	r.opts.Meter.CountRequest()
 	if r.opts.IsLeaving() {
 		w.Header().Set("Connection", "close")
@@ -179,10 +179,10 @@
 }
 
 // HasAnswered reports whether any caller has got a worker's answer yet.
-func (r *Relay) HasAnswered() bool { return r.hasAnswered.Load() }
+func (r *Proxy) HasAnswered() bool { return r.hasAnswered.Load() }
 
 // refuse sends, counts and logs a refusal.
-func (r *Relay) refuse(w http.ResponseWriter, c *request, f *refusal) {
+func (r *Proxy) refuse(w http.ResponseWriter, c *request, f *refusal) {
 	r.opts.Meter.CountRefusal(f.reason)
 	if r.opts.ServeLate && f.isForCapacity() {
 		f.retryAfter = r.spreadRetryAfter(c, time.Now())
@@ -196,7 +196,7 @@
 	f.write(w)
 }
 
-func (r *Relay) configVersion() int64 {
+func (r *Proxy) configVersion() int64 {
 	if c := r.opts.Config(); c != nil {
 		return c.Version()
 	}
@@ -204,7 +204,7 @@
 }
 
 // choose returns the replica for the next attempt, or a refusal if there is none.
-func (r *Relay) choose(c *request) (*fleet.Replica, *refusal) {
+func (r *Proxy) choose(c *request) (*fleet.Replica, *refusal) {
 	r.opts.CheckSuspension()
 	now := time.Now()
 	if f := r.checkQuarantine(c, now); f != nil {
@@ -235,7 +235,7 @@
 
 // chooseByClass chooses among the replicas of the best class with free capacity. Replicas of class
 // LastResort are not used while better ones are merely full.
-func (r *Relay) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
+func (r *Proxy) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
 	isFull := false
 	for class := eligibility.Eligible; class < eligibility.Excluded; class++ {
 		replicas := s.InClass(class)
@@ -265,7 +265,7 @@
 }
 
 // maxInFlight returns how many requests may be in flight at a replica over all daemons.
-func (r *Relay) maxInFlight(c *request, replica *fleet.Replica) float64 {
+func (r *Proxy) maxInFlight(c *request, replica *fleet.Replica) float64 {
 	if c.engine != nil {
 		return engineLoadFactor * float64(c.engine.Slots)
 	}
@@ -274,7 +274,7 @@
 
 // takeRetry reports whether a failed attempt may be followed by another one. If so, it takes the
 // retry from the budget. mayHaveRun reports whether the failed attempt may have run.
-func (r *Relay) takeRetry(c *request, mayHaveRun bool) bool {
+func (r *Proxy) takeRetry(c *request, mayHaveRun bool) bool {
 	switch {
 	case c.isDone():
 		return false
@@ -291,7 +291,7 @@
 }
 
 // recordFailure records a failed attempt and returns whether it may have run.
-func (r *Relay) recordFailure(c *request, replica *fleet.Replica, err error) (mayHaveRun bool) {
+func (r *Proxy) recordFailure(c *request, replica *fleet.Replica, err error) (mayHaveRun bool) {
 	c.lastErr = err
 	c.triedReplicas[replica.ID] = true
 	mayHaveRun = mayHaveArrived(err)
@@ -312,7 +312,7 @@
 }
 
 // failureRefusal returns the refusal of a request whose attempts all failed.
-func (r *Relay) failureRefusal(c *request) *refusal {
+func (r *Proxy) failureRefusal(c *request) *refusal {
 	if c.isTimedOut() {
 		return c.correctStatus(timeoutRefusal(c))
 	}
--- a/relay/relay_test.go
+++ b/proxy/proxy_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -21,14 +21,14 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// newTestRelay starts a relay for the workers, and a server for it.
-func newTestRelay(t *testing.T, workers ...*fakeWorker) (*testRelay, *httptest.Server) {
+// newTestProxy starts a proxy for the workers, and a server for it.
+func newTestProxy(t *testing.T, workers ...*fakeWorker) (*testProxy, *httptest.Server) {
 	t.Helper()
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
-	r := &testRelay{inventory: fleet.NewInventory(1200*time.Millisecond, 0), confirmedAt: time.Now()}
+	r := &testProxy{inventory: fleet.NewInventory(1200*time.Millisecond, 0), confirmedAt: time.Now()}
 	config := testConfig()
-	r.Relay = New(Options{
+	r.Proxy = New(Options{
 		Names: testNames, Config: func() *fleet.Config { return config },
 		ConfigConfirmedAt: func() time.Time { return r.confirmedAt }, MaxConfigAge: time.Minute,
 		View: r.inventory.View, Tracker: NewTracker("", func(*fleet.Replica) {}),
@@ -89,7 +89,7 @@
 	return b.String()
 }
 
-func TestRelay(t *testing.T) {
+func TestProxy(t *testing.T) {
 	tests := map[string]struct {
 		path   string
 		script []behaviour
@@ -133,7 +133,7 @@
 			for i := 2; i <= 4; i++ {
 				workers = append(workers, workerSharingScript(w, fmt.Sprintf("w%d", i)))
 			}
-			_, server := newTestRelay(t, workers...)
+			_, server := newTestProxy(t, workers...)
 			got := sendRequest(t, server, test.path, "a", test.change)
 			assert.Equal(t, got.status, test.status)
 			assert.Equal(t, got.isComplete, !test.isCut)
@@ -160,7 +160,7 @@
 		script := rapid.SliceOfN(rapid.SampledFrom(all), 0, 12).Draw(t, "script")
 		paths := rapid.SliceOfN(rapid.SampledFrom([]string{"/once/", "/safe/", "/stream/"}), 1, 5).Draw(t, "paths")
 		w := newFakeWorker(outer, "w1", script...)
-		_, server := newTestRelay(outer, w, workerSharingScript(w, "w2"), workerSharingScript(w, "w3"))
+		_, server := newTestProxy(outer, w, workerSharingScript(w, "w2"), workerSharingScript(w, "w3"))
 		for i, path := range paths {
 			id := fmt.Sprintf("r%d", i)
 			checkPromises(t, path, id, sendRequest(t, server, path, id, nil), w.runs(id))
@@ -189,7 +189,7 @@
 
 func TestForwardedHeaders(t *testing.T) {
 	w := newFakeWorker(t, "w1")
-	_, server := newTestRelay(t, w)
+	_, server := newTestProxy(t, w)
 	sendRequest(t, server, "/safe/", "a", func(h *http.Request) {
 		h.Header.Set(testNames.Tenant, "forged")
 		h.Header.Set(testNames.Instance, "forged")
@@ -212,7 +212,7 @@
 
 func TestKeysExpireWithoutConfirmation(t *testing.T) {
 	w := newFakeWorker(t, "w1")
-	r, server := newTestRelay(t, w)
+	r, server := newTestProxy(t, w)
 	r.confirmedAt = time.Now().Add(-time.Hour)
 	assert.Equal(t, sendRequest(t, server, "/safe/", "a", nil).status, 503)
 	assert.Equal(t, sendRequest(t, server, "/open/", "b", nil).status, 200)
@@ -220,7 +220,7 @@
 }
 
 func TestLeavingDaemonClosesConnections(t *testing.T) {
-	r, server := newTestRelay(t, newFakeWorker(t, "w1"))
+	r, server := newTestProxy(t, newFakeWorker(t, "w1"))
 	r.isLeaving = true
 	request, err := http.NewRequest(http.MethodPost, server.URL+"/open/", nil)
 	assert.NilError(t, err)
@@ -282,7 +282,7 @@
 // TestFirstTokensAreMeasured: the first token of a resumed stream must be measured once. One of the
 // two requests is sent to the worker that breaks off its first stream.
 func TestFirstTokensAreMeasured(t *testing.T) {
-	r, server := newTestRelay(t, newFakeWorker(t, "w1", cuts), newFakeWorker(t, "w2"))
+	r, server := newTestProxy(t, newFakeWorker(t, "w1", cuts), newFakeWorker(t, "w2"))
 	for _, id := range []string{"a", "b"} {
 		got := sendRequest(t, server, "/stream/", id, nil)
 		assert.Equal(t, got.body, wholeStream())
--- a/relay/quarantine.go
+++ b/proxy/quarantine.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -45,7 +45,7 @@
 }
 
 // Guard returns the guard against requests that crash their workers.
-func (r *Relay) Guard() *guard.Guard { return r.guard }
+func (r *Proxy) Guard() *guard.Guard { return r.guard }
 
 // guardRequest returns the guard's description of the request.
 func (c *request) guardRequest() guard.Request {
@@ -56,7 +56,7 @@
 
 // checkQuarantine returns a refusal if the request is quarantined because it crashed workers, at
 // this daemon or others. Otherwise it returns nil. It also sets isSuspected.
-func (r *Relay) checkQuarantine(c *request, now time.Time) *refusal {
+func (r *Proxy) checkQuarantine(c *request, now time.Time) *refusal {
 	state := r.guard.State(c.guardRequest(), now)
 	c.isSuspected = state.Suspected()
 	if !state.Quarantined {
@@ -67,7 +67,7 @@
 
 // reportCrash reports a broken attempt to the guard, unless the worker had announced that it
 // would stop.
-func (r *Relay) reportCrash(c *request, replica *fleet.Replica) {
+func (r *Proxy) reportCrash(c *request, replica *fleet.Replica) {
 	head := replica.Head
 	if listed, ok := r.opts.View().Worker(head.ID); ok && listed.Draining {
 		return
@@ -82,7 +82,7 @@
 // cancelQuarantined cancels the waiting streams of newly quarantined requests, because each would
 // crash its worker. Streams that have received events continue. If one of them completes, the
 // quarantine is lifted.
-func (r *Relay) cancelQuarantined(marked []quarantine.Fingerprint) {
+func (r *Proxy) cancelQuarantined(marked []quarantine.Fingerprint) {
 	for _, f := range marked {
 		r.waitingStreams.cancel(func(c *request) bool { return c.fingerprint() == f })
 	}
@@ -91,7 +91,7 @@
 // recordCompletion reports to the guard that a worker completed a request. An answer that is
 // neither chunked nor has a length doesn't count, since a crash may have cut it short. An answer
 // without the worker's signature doesn't count either.
-func (r *Relay) recordCompletion(c *request, e *exchange) {
+func (r *Proxy) recordCompletion(c *request, e *exchange) {
 	isFramed := e.response.ContentLength >= 0 || isChunked(e.response)
 	if isFramed && e.response.Header.Get(r.opts.Names.Signature) != "" {
 		r.guard.Completed(c.guardRequest())
--- a/relay/quarantine_test.go
+++ b/proxy/quarantine_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 		path   string
 		script behaviour
 		// prepare changes the worker or its entry before the request.
-		prepare func(r *testRelay, w *fakeWorker)
+		prepare func(r *testProxy, w *fakeWorker)
 		change  func(*http.Request)
 		isCrash bool
 	}{
@@ -39,11 +39,11 @@
 		"our own patience":                      {path: "/stream/", script: stalls, change: func(h *http.Request) { h.Header.Set(testNames.Deadline, "100") }},
 		"a worker that ends":                    {path: "/safe/", script: ends, isCrash: true},
 		"a stream whose worker ends":            {path: "/stream/", script: ends, isCrash: true},
-		"a worker that said it leaves":          {path: "/safe/", script: ends, prepare: (*testRelay).drain},
-		"an address that is not there any more": {path: "/safe/", prepare: func(_ *testRelay, w *fakeWorker) { _ = w.listener.Close() }},
+		"a worker that said it leaves":          {path: "/safe/", script: ends, prepare: (*testProxy).drain},
+		"an address that is not there any more": {path: "/safe/", prepare: func(_ *testProxy, w *fakeWorker) { _ = w.listener.Close() }},
 		"another life at the address": {
 			path: "/safe/", script: loses, isCrash: true,
-			prepare: func(r *testRelay, _ *fakeWorker) {
+			prepare: func(r *testProxy, _ *fakeWorker) {
 				r.opts.IsReplaced = func(context.Context, *fleet.Worker) (bool, error) { return true, nil }
 			},
 		},
@@ -51,7 +51,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w", test.script)
-			r, server := newTestRelay(t, w)
+			r, server := newTestProxy(t, w)
 			if test.prepare != nil {
 				test.prepare(r, w)
 			}
@@ -62,7 +62,7 @@
 }
 
 // drain lists a worker as draining as soon as it gets a request.
-func (r *testRelay) drain(w *fakeWorker) {
+func (r *testProxy) drain(w *fakeWorker) {
 	w.onRequest = func() {
 		entry := w.entry()
 		entry.Draining = true
@@ -71,7 +71,7 @@
 }
 
 // quarantineRequest records so many crashes of a request that it is quarantined.
-func quarantineRequest(r *testRelay, target, account, body string) quarantine.Fingerprint {
+func quarantineRequest(r *testProxy, target, account, body string) quarantine.Fingerprint {
 	f := quarantine.FingerprintOf(account, http.MethodPost, "h", target, []byte(body))
 	recordCrashes(r.guard.Table(), f, 3, time.Now())
 	return f
@@ -100,7 +100,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w")
-			r, server := newTestRelay(t, w)
+			r, server := newTestProxy(t, w)
 			quarantineRequest(r, test.path, test.account, test.body)
 			got := sendRequest(t, server, "/safe/", "a", nil)
 			assert.Equal(t, got.status, test.status)
@@ -121,7 +121,7 @@
 func TestCompletedRunClears(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
-			r, server := newTestRelay(t, newFakeWorker(t, "w"))
+			r, server := newTestProxy(t, newFakeWorker(t, "w"))
 			f := quarantine.FingerprintOf("tenant", http.MethodPost, "h", path, []byte("body"))
 			recordCrashes(r.guard.Table(), f, 2, time.Now())
 			assert.Equal(t, r.guard.Table().State(f, time.Now()).Crashes, 2)
--- a/relay/request.go
+++ b/proxy/request.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -89,7 +89,7 @@
 
 // accept finds the route of a request, authenticates the caller, reads the body and sets the
 // deadline. It returns a refusal if one of these steps fails.
-func (r *Relay) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
+func (r *Proxy) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
 	r.opts.CheckSuspension()
 	config := r.opts.Config()
 	if config == nil {
@@ -129,7 +129,7 @@
 
 // authenticate sets the tenant from the request's key. It returns a refusal if the key is unknown,
 // or if it may have been revoked. Public routes need no key.
-func (r *Relay) authenticate(c *request, config *fleet.Config) *refusal {
+func (r *Proxy) authenticate(c *request, config *fleet.Config) *refusal {
 	key := c.header.Get(r.opts.Names.Key)
 	if c.route.Public || !config.NeedsKeys() {
 		return nil
@@ -147,13 +147,13 @@
 
 // IsConfigStale reports whether the configuration was last confirmed so long ago that this daemon
 // may have missed the revocation of a key.
-func (r *Relay) IsConfigStale(now time.Time) bool {
+func (r *Proxy) IsConfigStale(now time.Time) bool {
 	return r.opts.MaxConfigAge > 0 && now.Sub(r.opts.ConfigConfirmedAt()) > r.opts.MaxConfigAge
 }
 
 // readBody reads the request's body. It returns a refusal if the body exceeds the configured limit,
 // if the daemon's memory is exhausted, or if reading fails.
-func (r *Relay) readBody(c *request, h *http.Request, limits fleet.Limits) *refusal {
+func (r *Proxy) readBody(c *request, h *http.Request, limits fleet.Limits) *refusal {
 	limit := limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -189,7 +189,7 @@
 
 // setDeadline sets the request's deadline and context. A request that must not be repeated
 // continues after its caller has disconnected.
-func (r *Relay) setDeadline(c *request, h *http.Request) {
+func (r *Proxy) setDeadline(c *request, h *http.Request) {
 	c.deadline = c.arrived.Add(defaultTimeout)
 	if c.route.Timeout > 0 {
 		c.deadline = c.arrived.Add(c.route.Timeout)
@@ -240,7 +240,7 @@
 }
 
 // messageFor returns the request as sent to a worker.
-func (r *Relay) messageFor(c *request, worker *fleet.Worker, lastEvent string) *message {
+func (r *Proxy) messageFor(c *request, worker *fleet.Worker, lastEvent string) *message {
 	names := r.opts.Names
 	header := forwardedHeaders(c.header)
 	for _, name := range []string{names.Key, names.Tenant, names.Instance, names.Priority, names.Deadline} {
--- a/relay/requestlimit.go
+++ b/proxy/requestlimit.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"time"
@@ -54,7 +54,7 @@
 
 // takeTokens takes the tokens that an attempt at a replica needs. It reports false if another
 // request took the last one since the replica was classified.
-func (r *Relay) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
+func (r *Proxy) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
 	c.sendBy = time.Time{}
 	for _, bound := range []struct {
 		RequestLimit
@@ -82,7 +82,7 @@
 // boundRefusal returns the refusal of a request for which no replica has a token left. Callers
 // refused because of limits or rests get random retry times. Tokens may stay scarce for long, and
 // callers that retry at the same time would be refused again.
-func (r *Relay) boundRefusal(c *request, cause reason.Reason, now time.Time) *refusal {
+func (r *Proxy) boundRefusal(c *request, cause reason.Reason, now time.Time) *refusal {
 	wait := r.boundRetryAfter(c, now)
 	if cause == reason.Limited || cause == reason.Resting {
 		wait = r.spreadRetryFrom(c, wait, now)
@@ -91,7 +91,7 @@
 }
 
 // boundRetryAfter returns after how long a caller should retry when no replica has a token left.
-func (r *Relay) boundRetryAfter(c *request, now time.Time) time.Duration {
+func (r *Proxy) boundRetryAfter(c *request, now time.Time) time.Duration {
 	retryAfter := retryClosed
 	for _, replica := range r.opts.View().Replicas(c.service, c.model) {
 		if !c.triedReplicas[replica.ID] {
@@ -102,7 +102,7 @@
 }
 
 // availableAt returns when a replica is expected to take a request from this daemon.
-func (r *Relay) availableAt(replica *fleet.Replica, now time.Time) time.Time {
+func (r *Proxy) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
 	for _, bound := range []RequestLimit{r.opts.RestLimit, r.opts.WarmUpLimit, r.opts.WorkerLimit} {
 		if at := bound.nextTokenAt(replica, now); at.After(next) {
--- a/relay/requestlimit_test.go
+++ b/proxy/requestlimit_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -55,8 +55,8 @@
 	return now.Add(120 * time.Millisecond)
 }
 
-// setWarmUp makes the tokens the relay's warm-up bound.
-func (f *fakeTokens) setWarmUp(r *testRelay) {
+// setWarmUp makes the tokens the proxy's warm-up bound.
+func (f *fakeTokens) setWarmUp(r *testProxy) {
 	r.opts.WarmUpLimit = RequestLimit{Check: f.check, Take: f.take, Next: f.next}
 }
 
@@ -75,7 +75,7 @@
 // sent at once, so that other requests often take the last token between the check and the choice.
 func TestNoMoreThanTokens(t *testing.T) {
 	cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
-	r, server := newTestRelay(t, cold, warm)
+	r, server := newTestProxy(t, cold, warm)
 	tokens := &fakeTokens{left: map[string]int{"cold": 5}}
 	tokens.setWarmUp(r)
 	const requests = 40
@@ -111,7 +111,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			a, b := newFakeWorker(t, "a"), newFakeWorker(t, "b")
-			r, server := newTestRelay(t, a, b)
+			r, server := newTestProxy(t, a, b)
 			tokens := &fakeTokens{left: test.left}
 			tokens.setWarmUp(r)
 			r.opts.WarmUpLimit.Check = func(time.Time) func(*fleet.Replica) bool { return nil }
@@ -139,7 +139,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			a, b := newFakeWorker(t, "a", test.first), newFakeWorker(t, "b", test.first)
-			r, server := newTestRelay(t, a, b)
+			r, server := newTestProxy(t, a, b)
 			(&fakeTokens{left: test.left}).setWarmUp(r)
 			sendRequest(t, server, test.path, "x", nil)
 			assert.Equal(t, a.allRuns()+b.allRuns(), test.want)
@@ -149,7 +149,7 @@
 
 func TestNoTokenIsRefused(t *testing.T) {
 	cold := newFakeWorker(t, "cold")
-	r, server := newTestRelay(t, cold)
+	r, server := newTestProxy(t, cold)
 	(&fakeTokens{left: map[string]int{"cold": 0}}).setWarmUp(r)
 	got := sendRequest(t, server, "/once/", "x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
@@ -163,7 +163,7 @@
 	for _, path := range []string{"/once/", "/safe/", "/stream/"} {
 		t.Run(path, func(t *testing.T) {
 			cold, warm := newFakeWorker(t, "cold"), newFakeWorker(t, "warm")
-			r, server := newTestRelay(t, cold, warm)
+			r, server := newTestProxy(t, cold, warm)
 			(&fakeTokens{left: map[string]int{"cold": 100}, isStale: true}).setWarmUp(r)
 			for i := range 10 {
 				got := sendRequest(t, server, path, fmt.Sprint("r", i), nil)
@@ -175,9 +175,9 @@
 	}
 }
 
-// newChoiceRelay returns a relay with the given number of replicas, and a request to them. The
+// newChoiceProxy returns a proxy with the given number of replicas, and a request to them. The
 // first ones are warming up or have limits.
-func newChoiceRelay(b *testing.B, replicas, warming, limited int) (*Relay, *request) {
+func newChoiceProxy(b *testing.B, replicas, warming, limited int) (*Proxy, *request) {
 	b.Helper()
 	inventory := fleet.NewInventory(time.Second, 0)
 	service := &fleet.Service{Name: "models", Engine: &fleet.Engine{Slots: 30}, WarmUp: fleet.WarmUp{PerSecond: 14, For: time.Second}}
@@ -225,7 +225,7 @@
 func BenchmarkChoice(b *testing.B) {
 	for _, load := range []struct{ warming, limited int }{{0, 0}, {100, 0}, {0, 100}, {0, 399}} {
 		b.Run(fmt.Sprintf("warming=%d/limited=%d", load.warming, load.limited), func(b *testing.B) {
-			r, c := newChoiceRelay(b, 400, load.warming, load.limited)
+			r, c := newChoiceProxy(b, 400, load.warming, load.limited)
 			for b.Loop() {
 				if _, none := r.choose(c); none != nil {
 					b.Fatal(none.message)
--- a/relay/resumedelay.go
+++ b/proxy/resumedelay.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import "time"
 
@@ -13,7 +13,7 @@
 
 // resumeDelay returns how long a broken stream waits before it resumes at another replica. The
 // delay is zero while the stream can still be on time, and random once it is late.
-func (r *Relay) resumeDelay(c *request, s *relayedStream, now time.Time) time.Duration {
+func (r *Proxy) resumeDelay(c *request, s *relayedStream, now time.Time) time.Duration {
 	lastProgress, maxGap := c.arrived, c.route.Objective
 	if s.isHeadSent {
 		lastProgress, maxGap = s.lastEventAt, c.route.GapTarget
--- a/relay/resumedelay_test.go
+++ b/proxy/resumedelay_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"testing"
@@ -20,7 +20,7 @@
 	)
 	now := time.Unix(1000, 0)
 	route := &fleet.Route{Objective: 300 * time.Millisecond, GapTarget: 300 * time.Millisecond}
-	r := &Relay{}
+	r := &Proxy{}
 	perPass := make(map[time.Duration]int)
 	for range streams {
 		s := &relayedStream{isHeadSent: true, lastEventAt: now.Add(-silentFor)}
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := &request{route: route, arrived: now.Add(-5 * time.Second), deadline: now.Add(test.left)}
 			for range 100 {
-				wait := (&Relay{}).resumeDelay(c, &relayedStream{isHeadSent: true, lastEventAt: now.Add(-test.pause)}, now)
+				wait := (&Proxy{}).resumeDelay(c, &relayedStream{isHeadSent: true, lastEventAt: now.Add(-test.pause)}, now)
 				assert.Assert(t, wait >= 0 && wait <= test.most, "%s", wait)
 			}
 		})
@@ -79,7 +79,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := &relayedStream{isHeadSent: test.hasBegun, lastEventAt: now.Add(-test.pause)}
 			c := &request{route: test.route, arrived: now.Add(-test.age)}
-			assert.Equal(t, (&Relay{}).resumeDelay(c, s, now), time.Duration(0))
+			assert.Equal(t, (&Proxy{}).resumeDelay(c, s, now), time.Duration(0))
 		})
 	}
 }
--- a/relay/retryafter.go
+++ b/proxy/retryafter.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"errors"
@@ -27,7 +27,7 @@
 // spreadRetryAfter returns a random time after which a caller refused for lack of capacity should
 // retry. Callers retry once, and would collide again if all were given the same time. Only the
 // later half of the possible range is used, because peers' loads are reported with a delay.
-func (r *Relay) spreadRetryAfter(c *request, now time.Time) time.Duration {
+func (r *Proxy) spreadRetryAfter(c *request, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= retryBusy {
 		return max(latest, retrySoon)
@@ -44,7 +44,7 @@
 // spreadRetryFrom returns a random retry time between wait and maxRetryAfter, so that callers don't
 // all return at the same time. If maxRetryAfter is not above wait, it is returned instead, but at
 // least retrySoon.
-func (r *Relay) spreadRetryFrom(c *request, wait time.Duration, now time.Time) time.Duration {
+func (r *Proxy) spreadRetryFrom(c *request, wait time.Duration, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= wait {
 		return max(latest, retrySoon)
--- a/relay/retryafter_test.go
+++ b/proxy/retryafter_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -22,7 +22,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			for range 100 {
-				got := (&Relay{}).spreadRetryAfter(&request{deadline: now.Add(test.left)}, now)
+				got := (&Proxy{}).spreadRetryAfter(&request{deadline: now.Add(test.left)}, now)
 				assert.Assert(t, got >= test.least && got <= test.most, "%s", got)
 			}
 		})
--- a/relay/servelate_test.go
+++ b/proxy/servelate_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -34,7 +34,7 @@
 				route: &fleet.Route{Objective: 300 * time.Millisecond}, waitedBefore: test.waited, ctx: context.Background(),
 				arrived: now, deadline: now.Add(5 * time.Second),
 			}
-			r := &Relay{opts: Options{ServeLate: test.serveLate}}
+			r := &Proxy{opts: Options{ServeLate: test.serveLate}}
 			none := &refusal{status: http.StatusServiceUnavailable, reason: test.why}
 			got := r.mayWait(c, &relayedStream{isHeadSent: test.hasBegun, lastEventAt: now}, none, now.Add(10*time.Millisecond))
 			assert.Equal(t, got, test.want)
--- a/relay/signals.go
+++ b/proxy/signals.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 )
 
 // sendTo sends an attempt to a worker, and processes the worker's signal in the answer's header.
-func (r *Relay) sendTo(ctx context.Context, c *request, worker *fleet.Worker, lastEvent string) (*exchange, error) {
+func (r *Proxy) sendTo(ctx context.Context, c *request, worker *fleet.Worker, lastEvent string) (*exchange, error) {
 	sent := time.Now()
 	e, err := r.upstream.send(ctx, worker, r.messageFor(c, worker, lastEvent))
 	if err != nil {
@@ -21,7 +21,7 @@
 
 // readSignal reports the limits and pauses that a worker sets in the header of an answer. An
 // answer by another worker at its address is ignored.
-func (r *Relay) readSignal(worker *fleet.Worker, answer *http.Response, sent time.Time) {
+func (r *Proxy) readSignal(worker *fleet.Worker, answer *http.Response, sent time.Time) {
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
--- a/relay/signals_test.go
+++ b/proxy/signals_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net/http"
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w", test.script...)
 			w.extraHeader = test.header
-			r, server := newTestRelay(t, w)
+			r, server := newTestProxy(t, w)
 			var recorder signalRecorder
 			r.opts.Names.Signals, r.opts.OnSignal = backpressure.HeaderNames{Limit: "X-Limit", Leaving: "X-Leaving"}, recorder.record
 			sendRequest(t, server, test.path, "x", nil)
@@ -73,7 +73,7 @@
 		for _, path := range []string{"/once/", "/safe/", "/stream/"} {
 			t.Run(why+path, func(t *testing.T) {
 				w := newFakeWorker(t, "w")
-				r, server := newTestRelay(t, w)
+				r, server := newTestProxy(t, w)
 				tokens := &fakeTokens{left: map[string]int{"w": 0, "w-model": 0}}
 				bound(&r.opts, RequestLimit{Check: tokens.check, Take: tokens.take, Next: tokens.next})
 				got := sendRequest(t, server, path, "x", nil)
@@ -92,7 +92,7 @@
 // may have arrived the first time.
 func TestOneTokenSendsOnce(t *testing.T) {
 	w := newFakeWorker(t, "w", answers, drops)
-	r, server := newTestRelay(t, w)
+	r, server := newTestProxy(t, w)
 	tokens := &fakeTokens{left: map[string]int{"w": 2}}
 	r.opts.WorkerLimit = RequestLimit{Check: tokens.check, Take: tokens.take, Next: tokens.next}
 	assert.Equal(t, sendRequest(t, server, "/safe/", "first", nil).status, http.StatusOK)
--- a/relay/simulation_test.go
+++ b/proxy/simulation_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 	ctx       context.Context
 	inventory *fleet.Inventory
 	heads     map[string]*simHead
-	daemons   []*Relay
+	daemons   []*Proxy
 	// callerPatience is how long callers wait for the first event.
 	callerPatience time.Duration
 	// bodyOf returns the body of a request. If it is nil, all requests have the same body.
@@ -84,7 +84,7 @@
 	p.background.Go(func() { h.run(p.ctx) })
 }
 
-func (p *simulation) newDaemon(t *testing.T, daemons int) *Relay {
+func (p *simulation) newDaemon(t *testing.T, daemons int) *Proxy {
 	t.Helper()
 	meter, err := telemetry.NewMeter()
 	assert.NilError(t, err)
--- a/relay/stream.go
+++ b/proxy/stream.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -42,7 +42,7 @@
 }
 
 // serveStream relays a stream, and resumes it at another replica if it breaks.
-func (r *Relay) serveStream(w http.ResponseWriter, c *request) *refusal {
+func (r *Proxy) serveStream(w http.ResponseWriter, c *request) *refusal {
 	s := &relayedStream{w: w, lastEventID: c.header.Get(r.opts.Names.LastEventID), lastEventAt: c.arrived}
 	r.opts.Tracker.RecordGapTarget(c.model, c.route.GapTarget, c.arrived)
 	for {
@@ -71,7 +71,7 @@
 }
 
 // chooseOrWait chooses a replica. A stream that has started or is late may wait for one.
-func (r *Relay) chooseOrWait(c *request, s *relayedStream) (*fleet.Replica, *refusal) {
+func (r *Proxy) chooseOrWait(c *request, s *relayedStream) (*fleet.Replica, *refusal) {
 	for {
 		replica, refused := r.choose(c)
 		if refused == nil || !r.mayWait(c, s, refused, time.Now()) {
@@ -83,7 +83,7 @@
 
 // endStream ends a stream that can't continue. It returns a refusal if the caller has received
 // nothing. Otherwise it aborts the connection, so that the incomplete answer doesn't look complete.
-func (r *Relay) endStream(c *request, s *relayedStream, f *refusal) *refusal {
+func (r *Proxy) endStream(c *request, s *relayedStream, f *refusal) *refusal {
 	f = c.correctStatus(f)
 	if !s.isHeadSent {
 		return f
@@ -95,7 +95,7 @@
 }
 
 // tryStream sends the request to one replica and relays the answer until the stream is complete.
-func (r *Relay) tryStream(c *request, s *relayedStream, replica *fleet.Replica) error {
+func (r *Proxy) tryStream(c *request, s *relayedStream, replica *fleet.Replica) error {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
 	r.waitingStreams.add(c, cancel)
@@ -140,7 +140,7 @@
 // handleStreamFailure handles an answer that is not a signed stream. An error status is forwarded
 // if the caller has received nothing yet, but a server error (5xx) only at the last attempt. In all
 // other cases handleStreamFailure returns an error.
-func (r *Relay) handleStreamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
+func (r *Proxy) handleStreamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
 	body, err := io.ReadAll(io.LimitReader(e.response.Body, maxEventBytes))
 	if err != nil {
 		e.abort()
--- a/relay/tracker_test.go
+++ b/proxy/tracker_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -23,7 +23,7 @@
 	return &fleet.Replica{ID: id, Service: "s", Model: "m", Head: &fleet.Worker{ID: id, Zone: zone}}
 }
 
-// countChoices makes a number of choices and counts them by replica. As in a Relay, suspected
+// countChoices makes a number of choices and counts them by replica. As in a Proxy, suspected
 // replicas are used only if there are no others.
 func countChoices(t *Tracker, replicas []*fleet.Replica, now time.Time, draws int) map[string]int {
 	counts := make(map[string]int)
--- a/relay/worker_test.go
+++ b/proxy/worker_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -223,9 +223,9 @@
 	_, _ = io.WriteString(c, data)
 }
 
-// testRelay is a relay for fake workers.
-type testRelay struct {
-	*Relay
+// testProxy is a proxy for fake workers.
+type testProxy struct {
+	*Proxy
 	inventory   *fleet.Inventory
 	confirmedAt time.Time
 	isLeaving   bool
--- a/serving/awake_test.go
+++ b/serving/awake_test.go
@@ -20,7 +20,7 @@
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/leadership"
 	"quartzshelf.dev/peers"
-	"quartzshelf.dev/relay"
+	"quartzshelf.dev/proxy"
 )
 
 // suspendableMachine holds the total time for which a simulated machine was suspended.
@@ -52,7 +52,7 @@
 	request.Host = "h"
 	request.Header.Set(crashingHeaders.AttemptID, "request")
 	request.Header.Set(crashingHeaders.Key, "key")
-	s.relay.ServeHTTP(answer, request)
+	s.proxy.ServeHTTP(answer, request)
 	return answer.Code
 }
 
@@ -60,13 +60,13 @@
 // until its configuration is confirmed again. Keys may have been revoked in the meantime.
 func TestKeysRevokedDuringSuspension(t *testing.T) {
 	s, machine := newSuspendableServer(t)
-	assert.Assert(t, !s.relay.IsConfigStale(time.Now()))
+	assert.Assert(t, !s.proxy.IsConfigStale(time.Now()))
 	machine.add(time.Minute)
 	assert.Equal(t, statusFor(s), http.StatusServiceUnavailable)
-	assert.Assert(t, s.relay.IsConfigStale(time.Now()), "keys were checked against an outdated configuration")
+	assert.Assert(t, s.proxy.IsConfigStale(time.Now()), "keys were checked against an outdated configuration")
 	assert.Assert(t, time.Since(s.inventory.Confirmed()) > time.Minute)
 	s.configCache.ConfirmRead(time.Now())
-	assert.Assert(t, !s.relay.IsConfigStale(time.Now()))
+	assert.Assert(t, !s.proxy.IsConfigStale(time.Now()))
 }
 
 // TestShortSuspensionKeepsState checks that the configuration stays valid after a suspension that
@@ -75,7 +75,7 @@
 	s, machine := newSuspendableServer(t)
 	machine.add(time.Second)
 	s.awake.Check()
-	assert.Assert(t, !s.relay.IsConfigStale(time.Now()))
+	assert.Assert(t, !s.proxy.IsConfigStale(time.Now()))
 }
 
 // TestHallsCloseDuringSuspension checks that a closing hall counts as closed after a suspension
@@ -231,7 +231,7 @@
 	opts := s.formationOptions(peers.Claim{Epoch: 1})
 	machine.add(time.Minute)
 	opts.CheckSuspension()
-	assert.Assert(t, s.relay.IsConfigStale(time.Now()))
+	assert.Assert(t, s.proxy.IsConfigStale(time.Now()))
 }
 
 // TestGrantsAfterSuspension checks that the elector takes suspensions into account; its behavior
@@ -276,7 +276,7 @@
 	f := newCrashingFleet(t, 0, 2)
 	machine := &suspendableMachine{}
 	opts := optionsOf(t, &fakeStore{})
-	opts.Suspended, opts.Names, opts.Bounds.Budget = machine.suspended, crashingHeaders, relay.RetryBudget{Ratio: 1, Window: 10 * time.Second, ExtraRetries: 100}
+	opts.Suspended, opts.Names, opts.Bounds.Budget = machine.suspended, crashingHeaders, proxy.RetryBudget{Ratio: 1, Window: 10 * time.Second, ExtraRetries: 100}
 	var dials, suspendDuringDial atomic.Int64
 	opts.DialWorker = func(ctx context.Context, network, address string) (net.Conn, error) {
 		dials.Add(1)
@@ -305,7 +305,7 @@
 	machine.add(time.Second)
 	assert.Equal(t, statusFor(s), http.StatusOK)
 	assert.Equal(t, dials.Load(), dialsBefore+1, "a connection from before the suspension was used")
-	s.relay.CloseIdleConnections()
+	s.proxy.CloseIdleConnections()
 	suspendDuringDial.Store(int64(time.Minute))
 	assert.Equal(t, statusFor(s), http.StatusServiceUnavailable)
 	assert.Equal(t, dials.Load(), dialsBefore+2, "the request was sent again with an unconfirmed key")
--- a/serving/crashing_test.go
+++ b/serving/crashing_test.go
@@ -20,7 +20,7 @@
 
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/peers"
-	"quartzshelf.dev/relay"
+	"quartzshelf.dev/proxy"
 )
 
 // The tests below guard against a request that crashes every worker that runs it and that the
@@ -36,7 +36,7 @@
 	waitingBody  = "gets no answer"
 )
 
-var crashingHeaders = relay.HeaderNames{
+var crashingHeaders = proxy.HeaderNames{
 	AttemptID: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
 	LastEventID: "Last-Event-Id", Priority: "X-Priority",
@@ -143,7 +143,7 @@
 		Self: self, Names: crashingHeaders, Source: store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
 		Bounds: Bounds{
 			WorkerHeartbeatInterval: time.Second, RevocationBound: time.Hour, AddressTTL: time.Second,
-			Budget: relay.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 1000},
+			Budget: proxy.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 1000},
 		},
 		Logger: hclog.New(&hclog.LoggerOptions{Name: self.ID, Output: testLog{f.t}, Level: hclog.Info}),
 	})
@@ -162,8 +162,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks conc.WaitGroup
 	tasks.Go(func() { s.agent.Run(ctx) })
-	tasks.Go(func() { s.relay.Run(ctx) })
-	d := &crashingDaemon{Server: s, frontServer: httptest.NewServer(s.relay)}
+	tasks.Go(func() { s.proxy.Run(ctx) })
+	d := &crashingDaemon{Server: s, frontServer: httptest.NewServer(s.proxy)}
 	f.t.Cleanup(func() {
 		d.frontServer.Close()
 		cancel()
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -22,7 +22,7 @@
 	h.Loads, h.Traffic = s.tracker.OwnLoads(), s.tracker.HasTraffic()
 	h.Demand, h.PromptTokens = s.tracker.DemandByModel()
 	h.Stalls = s.suspicions.recentStalls(now)
-	h.Quarantine = s.relay.Guard().Table().Report(now, s.forwardsNews())
+	h.Quarantine = s.proxy.Guard().Table().Report(now, s.forwardsNews())
 	h.Signals = s.signals.Report(now, s.forwardsNews())
 }
 
--- a/serving/options.go
+++ b/serving/options.go
@@ -15,7 +15,7 @@
 	"quartzshelf.dev/formation"
 	"quartzshelf.dev/leadership"
 	"quartzshelf.dev/peers"
-	"quartzshelf.dev/relay"
+	"quartzshelf.dev/proxy"
 )
 
 // MemberList gives access to the list of daemons in the store. Starting daemons discover others by
@@ -46,7 +46,7 @@
 	// MaxBufferedBytes is the number of bytes of requests and responses that the daemon may hold in
 	// memory; zero for no limit.
 	MaxBufferedBytes int64
-	Budget           relay.RetryBudget
+	Budget           proxy.RetryBudget
 	// HallEmptyBound is the time after which a data hall that the operator closed must get no more
 	// requests.
 	HallEmptyBound time.Duration
@@ -77,7 +77,7 @@
 	// Regions maps each data hall to its region.
 	Regions map[string]string
 	Bounds  Bounds
-	Names   relay.HeaderNames
+	Names   proxy.HeaderNames
 
 	Source   fleet.Source
 	Decode   func(data []byte) (*fleet.Config, error)
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func (k *markSyncer) guard() *guard.Guard { return k.server.relay.Guard() }
+func (k *markSyncer) guard() *guard.Guard { return k.server.proxy.Guard() }
 
 // sync reads the stored marks if a read is due, and writes changes to the store. It does nothing if
 // the read fails.
@@ -165,7 +165,7 @@
 // mergeQuarantine adds a peer's records of requests that crash workers. Leaders and relays forward
 // changes at once.
 func (s *Server) mergeQuarantine(p *peers.Peer) {
-	if s.relay.Guard().Merge(p.Quarantine, p.LastHeartbeatAt, p.ID) && s.forwardsNews() {
+	if s.proxy.Guard().Merge(p.Quarantine, p.LastHeartbeatAt, p.ID) && s.forwardsNews() {
 		s.agent.SendHeartbeat(time.Now())
 	}
 }
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -37,7 +37,7 @@
 	crashesBefore := f.crashCount.Load()
 	startingDaemon := f.startDaemon()
 	for range 20 {
-		if len(startingDaemon.relay.Guard().Table().Marks(time.Now())) > 0 {
+		if len(startingDaemon.proxy.Guard().Table().Marks(time.Now())) > 0 {
 			break
 		}
 		time.Sleep(heartbeatWait / 2)
@@ -63,7 +63,7 @@
 	now := time.Now()
 	for i := range 3 {
 		ended := now.Add(time.Duration(i-3) * time.Second)
-		f.daemons[1].relay.Guard().Blame(waiting, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended})
+		f.daemons[1].proxy.Guard().Blame(waiting, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended})
 	}
 	assert.Equal(t, <-status, http.StatusBadGateway, "it may have run")
 	assert.Equal(t, f.daemons[0].meter.Refusals()[reason.Quarantined], int64(1))
@@ -87,7 +87,7 @@
 				return formation.WorkerState{}, test.err
 			}
 			assert.Equal(t, f.send(d, "/once/", "key", breakingBody), http.StatusBadGateway)
-			assert.Equal(t, !d.relay.Guard().Table().Empty(), test.isBlamed)
+			assert.Equal(t, !d.proxy.Guard().Table().Empty(), test.isBlamed)
 		})
 	}
 }
@@ -110,12 +110,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = s.Run(ctx, front) }()
 	for range 200 {
-		if s.relay.Guard().Table().State(f, time.Now()).Quarantined {
+		if s.proxy.Guard().Table().State(f, time.Now()).Quarantined {
 			break
 		}
 		time.Sleep(heartbeatWait / 10)
 	}
-	assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined)
+	assert.Assert(t, s.proxy.Guard().Table().State(f, time.Now()).Quarantined)
 	cancel()
 	<-s.Done()
 }
@@ -193,11 +193,11 @@
 				for hall := range halls {
 					s := all[(hall+1)*test.perHall-1]
 					ended := now.Add(time.Duration(hall-halls) * time.Second)
-					s.relay.Guard().Blame(f, quarantine.Crash{Worker: fmt.Sprint(hall), Sent: ended, Ended: ended})
+					s.proxy.Guard().Blame(f, quarantine.Crash{Worker: fmt.Sprint(hall), Sent: ended, Ended: ended})
 				}
 				time.Sleep(time.Second)
 				for _, s := range all {
-					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
+					assert.Assert(t, s.proxy.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
 				}
 			})
 		})
@@ -216,12 +216,12 @@
 				f, now := quarantine.FingerprintOf("a", "POST", "h", "/", nil), time.Now()
 				for i := range 3 {
 					ended := now.Add(time.Duration(i-3) * time.Second)
-					all[len(all)-1].relay.Guard().Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended})
+					all[len(all)-1].proxy.Guard().Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended})
 				}
 				const threeHops = 20 * time.Millisecond
 				time.Sleep(threeHops)
 				for _, s := range all {
-					assert.Assert(t, s.relay.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
+					assert.Assert(t, s.proxy.Guard().Table().State(f, time.Now()).Quarantined, "%s does not know of the quarantine", s.opts.Self.ID)
 				}
 			})
 		})
@@ -270,7 +270,7 @@
 		Crashes:     []quarantine.CrashReport{{Worker: "w", Sent: 20, Ended: 10}},
 	}
 	s.onHeartbeat(&peers.Peer{Heartbeat: peers.Heartbeat{Identity: peers.Identity{ID: "b"}, Quarantine: []quarantine.Entry{entry}}, LastHeartbeatAt: now})
-	assert.Equal(t, s.relay.Guard().Table().State(entry.Fingerprint, now).Crashes, 1)
+	assert.Equal(t, s.proxy.Guard().Table().State(entry.Fingerprint, now).Crashes, 1)
 	var h peers.Heartbeat
 	s.fillHeartbeat(&h, now)
 	assert.Equal(t, len(h.Quarantine), 0)
@@ -322,7 +322,7 @@
 func quarantineRequest(s *Server, f quarantine.Fingerprint, now time.Time) {
 	for i := range 3 {
 		ended := now.Add(time.Duration(i-3) * time.Second)
-		s.relay.Guard().Table().Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended}, now)
+		s.proxy.Guard().Table().Blame(f, quarantine.Crash{Worker: fmt.Sprint(i), Sent: ended, Ended: ended}, now)
 	}
 }
 
@@ -349,9 +349,9 @@
 	assert.Equal(t, marks.reads, 2, "known marks are not read again")
 
 	after, k := newSyncer()
-	assert.Assert(t, !after.relay.Guard().Table().State(f, now).Quarantined)
+	assert.Assert(t, !after.proxy.Guard().Table().State(f, now).Quarantined)
 	k.sync(context.Background(), now)
-	assert.Assert(t, after.relay.Guard().Table().State(f, now).Quarantined)
+	assert.Assert(t, after.proxy.Guard().Table().State(f, now).Quarantined)
 	var h peers.Heartbeat
 	after.fillHeartbeat(&h, now)
 	assert.Equal(t, len(h.Quarantine), 1)
@@ -390,19 +390,19 @@
 	removed := marks.stored[f]
 	delete(marks.stored, f)
 	syncAfter(marksReadInterval)
-	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "a stale read lifts nothing")
+	assert.Assert(t, s.proxy.Guard().Table().State(f, now).Quarantined, "a stale read lifts nothing")
 	marks.stored[f] = removed
 	syncAfter(2 * marksReadInterval)
 	delete(marks.stored, f)
 	marks.isUnavailable = true
 	syncAfter(3 * marksReadInterval)
-	assert.Assert(t, s.relay.Guard().Table().State(f, now).Quarantined, "a failed read lifts nothing")
+	assert.Assert(t, s.proxy.Guard().Table().State(f, now).Quarantined, "a failed read lifts nothing")
 	marks.isUnavailable = false
 	syncAfter(4 * marksReadInterval)
-	assert.Assert(t, !s.relay.Guard().Table().State(f, now).Quarantined)
-	assert.Assert(t, s.relay.Guard().Table().State(other, now).Quarantined)
+	assert.Assert(t, !s.proxy.Guard().Table().State(f, now).Quarantined)
+	assert.Assert(t, s.proxy.Guard().Table().State(other, now).Quarantined)
 
-	s.relay.Guard().Table().Clear(other, now.Add(4*marksReadInterval))
+	s.proxy.Guard().Table().Clear(other, now.Add(4*marksReadInterval))
 	syncAfter(4 * marksReadInterval)
 	assert.Equal(t, len(marks.stored), 0)
 }
--- a/serving/server.go
+++ b/serving/server.go
@@ -19,7 +19,7 @@
 	"quartzshelf.dev/formation"
 	"quartzshelf.dev/leadership"
 	"quartzshelf.dev/peers"
-	"quartzshelf.dev/relay"
+	"quartzshelf.dev/proxy"
 	"quartzshelf.dev/telemetry"
 )
 
@@ -49,8 +49,8 @@
 	follower    *fleet.Follower
 	agent       *peers.Agent
 	elector     *leadership.Elector
-	tracker     *relay.Tracker
-	relay       *relay.Relay
+	tracker     *proxy.Tracker
+	proxy       *proxy.Proxy
 	fetcher     *fetcher
 	// warmUp limits the requests to cold workers.
 	warmUp *allowance.Allowance
@@ -106,7 +106,7 @@
 		readDelay: readDelayOf(opts.Self.ID), startedAt: time.Now(), done: make(chan struct{}),
 	}
 	s.awake = awake.NewWatch(opts.Suspended, s.afterSuspension)
-	s.tracker = relay.NewTracker(opts.Self.Zone, s.onStall)
+	s.tracker = proxy.NewTracker(opts.Self.Zone, s.onStall)
 	s.fetcher = newFetcher(s)
 	s.follower = fleet.NewFollower(fleet.FollowerOptions{
 		Source: opts.Source, ConfigCache: s.configCache, Halls: s.halls, Inventory: s.inventory,
@@ -122,8 +122,8 @@
 	s.elector = leadership.NewElector(s.electorOptions())
 	s.warmUp = s.newWarmUp()
 	s.signals = s.newSignals()
-	s.relay = s.newRelay()
-	meter.ExportGauge("requests_quarantined", func() float64 { return float64(len(s.relay.Guard().Table().Marks(time.Now()))) })
+	s.proxy = s.newProxy()
+	meter.ExportGauge("requests_quarantined", func() float64 { return float64(len(s.proxy.Guard().Table().Marks(time.Now()))) })
 	if opts.StoreCalls != nil {
 		meter.ExportStoreCalls(opts.StoreCalls)
 	}
@@ -147,18 +147,18 @@
 	}
 }
 
-func (s *Server) newRelay() *relay.Relay {
+func (s *Server) newProxy() *proxy.Proxy {
 	budget := s.opts.Bounds.Budget
 	budget.Self, budget.Daemons = s.opts.Self.ID, s.agent.DaemonCount
-	bufferLimit := relay.NewBufferLimit(s.opts.Bounds.MaxBufferedBytes)
+	bufferLimit := proxy.NewBufferLimit(s.opts.Bounds.MaxBufferedBytes)
 	s.meter.ExportGauge("held_bytes", func() float64 { return float64(bufferLimit.BytesInUse()) })
-	return relay.New(relay.Options{
+	return proxy.New(proxy.Options{
 		BufferLimit: bufferLimit,
 		Names:       s.opts.Names, Config: s.configCache.Config, ConfigConfirmedAt: s.configConfirmedAt, MaxConfigAge: s.maxConfigAge(),
 		View: s.inventory.View, Halls: s.halls.View, RegionOf: s.regionOf,
-		WarmUpLimit: relay.RequestLimit{Check: s.warmUp.Check, Take: s.takeWarmUp, Next: s.warmUp.Next},
-		WorkerLimit: relay.RequestLimit{TightlyLimited: s.signals.HasLimit, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
-		RestLimit:   relay.RequestLimit{Check: s.signals.CheckRest, Take: s.signals.TakeRest, Next: s.signals.NextAfterRest},
+		WarmUpLimit: proxy.RequestLimit{Check: s.warmUp.Check, Take: s.takeWarmUp, Next: s.warmUp.Next},
+		WorkerLimit: proxy.RequestLimit{TightlyLimited: s.signals.HasLimit, Check: s.signals.Check, Take: s.signals.Take, Next: s.signals.Next},
+		RestLimit:   proxy.RequestLimit{Check: s.signals.CheckRest, Take: s.signals.TakeRest, Next: s.signals.NextAfterRest},
 		Tracker:     s.tracker, Budget: budget,
 		NotifyPeers: func() { s.agent.SendHeartbeat(time.Now()) }, IsReplaced: s.isReplaced, OnSignal: s.signals.Observe, Dial: s.opts.DialWorker,
 		CheckSuspension: s.awake.Check,
@@ -205,14 +205,14 @@
 	defer close(s.done)
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	server := &http.Server{
-		Handler: s.relay, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		Handler: s.proxy, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: s.logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 	var tasks conc.WaitGroup
 	tasks.Go(func() { s.follower.Run(running) })
 	tasks.Go(func() { s.agent.Run(running) })
 	tasks.Go(func() { s.elector.Run(running) })
-	tasks.Go(func() { s.relay.Run(running) })
+	tasks.Go(func() { s.proxy.Run(running) })
 	tasks.Go(func() { s.fetcher.run(running) })
 	tasks.Go(func() { s.forwardNews(running) })
 	tasks.Go(func() { s.watchHalls(running) })
@@ -241,7 +241,7 @@
 
 // IsReady reports whether callers should use this daemon.
 func (s *Server) IsReady() bool {
-	return s.hasState() && s.hasSettled(time.Now()) && !s.isLeaving.Load() && !s.relay.IsConfigStale(time.Now())
+	return s.hasState() && s.hasSettled(time.Now()) && !s.isLeaving.Load() && !s.proxy.IsConfigStale(time.Now())
 }
 
 // AddressTTL returns how long callers may keep the addresses that AddressesFor returned.
--- a/serving/signals_test.go
+++ b/serving/signals_test.go
@@ -24,10 +24,10 @@
 	"quartzshelf.dev/backpressure"
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/peers"
-	"quartzshelf.dev/relay"
+	"quartzshelf.dev/proxy"
 )
 
-var signalHeaders = relay.HeaderNames{
+var signalHeaders = proxy.HeaderNames{
 	AttemptID: "X-Attempt", Deadline: "X-Deadline", Key: "X-Key", Tenant: "X-Tenant", Instance: "X-Instance",
 	NotRun: "X-Not-Run", Signature: "X-Signature", Model: "X-Model", Usage: "X-Usage",
 	LastEventID: "Last-Event-Id", Priority: "X-Priority",
@@ -241,7 +241,7 @@
 	s, err := New(Options{
 		Self:      peers.Identity{ID: id, Incarnation: 1, Zone: hall, Address: id, ServingAddress: id},
 		Regions:   regions,
-		Bounds:    Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second, LimitBound: backpressure.Bound{Burst: 1.5, Slack: 5, Window: limitWindow}, Budget: relay.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 100}},
+		Bounds:    Bounds{WorkerHeartbeatInterval: time.Second, AddressTTL: time.Second, LimitBound: backpressure.Bound{Burst: 1.5, Slack: 5, Window: limitWindow}, Budget: proxy.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, ExtraRetries: 100}},
 		Names:     signalHeaders,
 		Transport: network.transport(id),
 		Source:    store.source(), MemberList: MemberList{Register: store.register, Read: store.read},
@@ -275,7 +275,7 @@
 		s.agent.Table().Learn(other.opts.Self, now)
 	}
 	tasks.Go(func() { s.agent.Run(ctx) })
-	tasks.Go(func() { s.relay.Run(ctx) })
+	tasks.Go(func() { s.proxy.Run(ctx) })
 	tasks.Go(func() { s.watchSignals(ctx) })
 }
 
@@ -294,7 +294,7 @@
 	request.Header.Set(signalHeaders.Model, "m")
 	request.Header.Set(signalHeaders.Usage, "674,50")
 	w := httptest.NewRecorder()
-	s.relay.ServeHTTP(w, request)
+	s.proxy.ServeHTTP(w, request)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sent++
--- a/serving/starting.go
+++ b/serving/starting.go
@@ -32,7 +32,7 @@
 		{"peers heard", func(now time.Time) bool { return len(s.agent.Table().Alive(now)) > 0 }},
 		{"loads of peers known", func(now time.Time) bool { return len(s.agent.FleetSummary(now).Loads) > len(s.tracker.OwnLoads()) }},
 		{"leader known", func(time.Time) bool { _, highest, _ := s.elector.State(); return highest.Epoch > 0 }},
-		{"first answer", func(time.Time) bool { return s.relay.HasAnswered() }},
+		{"first answer", func(time.Time) bool { return s.proxy.HasAnswered() }},
 	}
 }
 
