--- a/common/awake/awake.go
+++ b/common/suspension/suspension.go
@@ -1,7 +1,7 @@
-// Package awake detects that the machine was suspended, and for how long. Go's monotonic
+// Package suspension detects that the machine was suspended, and for how long. Go's monotonic
 // clock doesn't advance while the machine is suspended. Information from before the
 // suspension would otherwise seem as recent afterwards as it was before.
-package awake
+package suspension
 
 import (
 	"fmt"
--- a/common/awake/awake_test.go
+++ b/common/suspension/suspension_test.go
@@ -1,4 +1,4 @@
-package awake
+package suspension
 
 import (
 	"errors"
--- a/fleet/configreader.go
+++ b/fleet/configreader.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"quartzshelf.dev/common/awake"
+	"quartzshelf.dev/common/suspension"
 )
 
 // configReader keeps the configuration and the states of the data halls up to date from their
@@ -41,7 +41,7 @@
 
 // readOnce does one read and applies its result.
 func (c *configReader) readOnce(ctx context.Context) error {
-	sent := awake.NewStamp(c.opts.Suspended)
+	sent := suspension.NewStamp(c.opts.Suspended)
 	if !c.rereadAt.IsZero() && sent.Time().After(c.rereadAt) {
 		c.position, c.rereadAt = -1, time.Time{}
 	}
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/sourcegraph/conc"
 
-	"quartzshelf.dev/common/awake"
 	"quartzshelf.dev/common/pause"
+	"quartzshelf.dev/common/suspension"
 )
 
 // Timing of a follower.
@@ -121,7 +121,7 @@
 // NewFollower returns a follower that starts to read when Run is called.
 func NewFollower(opts FollowerOptions) *Follower {
 	if opts.Suspended == nil {
-		opts.Suspended = awake.Never
+		opts.Suspended = suspension.Never
 	}
 	return &Follower{opts: opts, done: make(chan struct{})}
 }
@@ -152,7 +152,7 @@
 			}
 			return err
 		}
-		sent := awake.NewStamp(f.opts.Suspended)
+		sent := suspension.NewStamp(f.opts.Suspended)
 		// Skip what peers have sent since the last read.
 		position = max(position, f.opts.Inventory.Position())
 		next, cancel := context.WithTimeout(ctx, pollWait+readTimeout)
@@ -221,7 +221,7 @@
 	// next is the position at which to continue after the list, as returned with the first page.
 	next int64
 	// sent is when the first page was requested.
-	sent awake.Stamp
+	sent suspension.Stamp
 	// after is the id of the last worker read, empty before the first page.
 	after string
 }
@@ -231,7 +231,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if l.after == "" || time.Since(l.sent.Time()) > listTimeout {
-		*l = pendingList{sent: awake.NewStamp(f.opts.Suspended)}
+		*l = pendingList{sent: suspension.NewStamp(f.opts.Suspended)}
 	}
 	update, err := f.opts.Source.ReadWorkers(ctx, l.after)
 	if err != nil {
--- a/leadership/elector.go
+++ b/leadership/elector.go
@@ -14,7 +14,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"quartzshelf.dev/common/awake"
+	"quartzshelf.dev/common/suspension"
 	"quartzshelf.dev/peers"
 )
 
@@ -124,7 +124,7 @@
 // NewElector returns an elector, which is started by Run.
 func NewElector(opts Options) *Elector {
 	if opts.Suspended == nil {
-		opts.Suspended = awake.Never
+		opts.Suspended = suspension.Never
 	}
 	return &Elector{opts: opts, startedAt: time.Now(), done: make(chan struct{})}
 }
@@ -304,7 +304,7 @@
 // tryToLead tries to win a term: by a new grant, or by a higher rank if the store is unavailable.
 func (e *Elector) tryToLead(ctx context.Context) {
 	// Read the era before the grant, so that a later restore of the store ends the term.
-	era, stamp := e.currentEra(), awake.NewStamp(e.opts.Suspended)
+	era, stamp := e.currentEra(), suspension.NewStamp(e.opts.Suspended)
 	claim, isFirst, won := e.acquireClaim(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/sourcegraph/conc"
 
-	"quartzshelf.dev/common/awake"
 	"quartzshelf.dev/common/failure"
+	"quartzshelf.dev/common/suspension"
 )
 
 const (
@@ -96,7 +96,7 @@
 func NewAgent(opts Options) (*Agent, error) {
 	opts.Self.Format = OwnFormat()
 	if opts.Suspended == nil {
-		opts.Suspended = awake.Never
+		opts.Suspended = suspension.Never
 	}
 	if opts.Transport.Send == nil {
 		transport, err := ListenUDP(opts.Self.Address)
--- a/peers/agent_test.go
+++ b/peers/agent_test.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/go-hclog"
 	"gotest.tools/v3/assert"
 
-	"quartzshelf.dev/common/awake"
+	"quartzshelf.dev/common/suspension"
 )
 
 // freeAddress returns a free loopback address.
@@ -119,7 +119,7 @@
 	return &Agent{
 		opts: Options{
 			Self: Identity{ID: "a", Incarnation: 1}, OnHeartbeat: onHeartbeat, OnNews: func(*Peer, *News) {},
-			OnSummary: func(string, Summary, time.Time) {}, Suspended: awake.Never, Logger: hclog.NewNullLogger(),
+			OnSummary: func(string, Summary, time.Time) {}, Suspended: suspension.Never, Logger: hclog.NewNullLogger(),
 		},
 		table: NewTable(Identity{ID: "a", Incarnation: 1}), clocks: newClocks(), receivedSummaries: newSummaries(), startedAt: time.Now(), loggedDrops: make(map[string]bool),
 	}
--- a/serving/fetch.go
+++ b/serving/fetch.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"quartzshelf.dev/common/awake"
 	"quartzshelf.dev/common/failure"
 	"quartzshelf.dev/common/pause"
+	"quartzshelf.dev/common/suspension"
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/peers"
 )
@@ -49,7 +49,7 @@
 // fetchRequest holds the peer to fetch from, and the time when the fetch was requested.
 type fetchRequest struct {
 	*peers.Peer
-	requestedAt awake.Stamp
+	requestedAt suspension.Stamp
 }
 
 func newFetcher(s *Server) *fetcher {
@@ -63,7 +63,7 @@
 // schedule schedules a fetch from a peer, unless a fetch is pending already.
 func (f *fetcher) schedule(p *peers.Peer) {
 	select {
-	case f.requests <- fetchRequest{Peer: p, requestedAt: awake.NewStamp(f.server.opts.Suspended)}:
+	case f.requests <- fetchRequest{Peer: p, requestedAt: suspension.NewStamp(f.server.opts.Suspended)}:
 	default:
 	}
 }
--- a/serving/fetch_test.go
+++ b/serving/fetch_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"quartzshelf.dev/common/awake"
+	"quartzshelf.dev/common/suspension"
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/peers"
 )
@@ -31,7 +31,7 @@
 	for version := int64(1); version <= 2; version++ {
 		encoded := bytes.Repeat([]byte{'a' + byte(version)}, 50_000)
 		provider.configCache.Offer(fleet.NewConfig(fleet.Parts{Version: version, Encoded: encoded}), time.Now())
-		assert.NilError(t, requester.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: awake.NewStamp(awake.Never)}))
+		assert.NilError(t, requester.fetcher.fetchConfig(context.Background(), fetchRequest{Peer: peer, requestedAt: suspension.NewStamp(suspension.Never)}))
 		assert.Equal(t, requester.configCache.Version(), version)
 		assert.DeepEqual(t, decoded[version-1], encoded)
 
--- a/serving/news_test.go
+++ b/serving/news_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"quartzshelf.dev/common/awake"
+	"quartzshelf.dev/common/suspension"
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/peers"
 )
@@ -130,7 +130,7 @@
 				Identity:        peers.Identity{ID: "leader", Address: servePeer(t, leader)},
 				WorkersPosition: leader.inventory.Position(), Decided: leader.inventory.Decided(),
 			}}
-			follower.fetcher.fetch(context.Background(), fetchRequest{Peer: p, requestedAt: awake.NewStamp(awake.Never)})
+			follower.fetcher.fetch(context.Background(), fetchRequest{Peer: p, requestedAt: suspension.NewStamp(suspension.Never)})
 			assert.Equal(t, follower.inventory.Position(), leader.inventory.Position())
 			assert.Equal(t, follower.inventory.Decided(), leader.inventory.Decided())
 			for _, group := range []string{"closed", "missed"} {
--- a/serving/server.go
+++ b/serving/server.go
@@ -13,8 +13,8 @@
 
 	"quartzshelf.dev/allowance"
 	"quartzshelf.dev/backpressure"
-	"quartzshelf.dev/common/awake"
 	"quartzshelf.dev/common/failure"
+	"quartzshelf.dev/common/suspension"
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/formation"
 	"quartzshelf.dev/leadership"
@@ -56,8 +56,8 @@
 	warmUp *allowance.Allowance
 	// signals holds the backpressure signals of workers.
 	signals *backpressure.Table
-	// awake detects suspensions of the machine.
-	awake *awake.Watch
+	// suspensionWatch detects suspensions of the machine.
+	suspensionWatch *suspension.Watch
 	// suspicions holds the replicas that stalled recently.
 	suspicions *suspicions
 	// smoothedDemand averages the fleet's demand for each model over time.
@@ -98,14 +98,14 @@
 	}
 	opts.Self.Format = peers.OwnFormat()
 	if opts.Suspended == nil {
-		opts.Suspended = awake.Never
+		opts.Suspended = suspension.Never
 	}
 	s := &Server{
 		opts: opts, logger: opts.Logger, meter: meter, configCache: fleet.NewConfigCache(), halls: fleet.NewHalls(opts.Bounds.HallEmptyBound),
 		inventory: fleet.NewInventory(opts.Bounds.WorkerHeartbeatInterval, opts.Bounds.RemovedWorkerBound), suspicions: newSuspicions(),
 		readDelay: readDelayOf(opts.Self.ID), startedAt: time.Now(), done: make(chan struct{}),
 	}
-	s.awake = awake.NewWatch(opts.Suspended, s.afterSuspension)
+	s.suspensionWatch = suspension.NewWatch(opts.Suspended, s.afterSuspension)
 	s.tracker = proxy.NewTracker(opts.Self.Zone, s.onStall)
 	s.fetcher = newFetcher(s)
 	s.follower = fleet.NewFollower(fleet.FollowerOptions{
@@ -161,7 +161,7 @@
 		RestLimit:   proxy.RequestLimit{Check: s.signals.CheckRest, Take: s.signals.TakeRest, Next: s.signals.NextAfterRest},
 		Tracker:     s.tracker, Budget: budget,
 		NotifyPeers: func() { s.agent.SendHeartbeat(time.Now()) }, IsReplaced: s.isReplaced, OnSignal: s.signals.Observe, Dial: s.opts.DialWorker,
-		CheckSuspension: s.awake.Check,
+		CheckSuspension: s.suspensionWatch.Check,
 		IsLeaving:       s.isLeaving.Load, Meter: s.meter, Logger: s.logger.Named("relay"),
 	})
 }
--- a/serving/awake.go
+++ b/serving/suspension.go
@@ -6,7 +6,7 @@
 // suspension, it calls afterSuspension first. The caller must not hold a lock that afterSuspension
 // takes.
 func (s *Server) suspended() time.Duration {
-	s.awake.Check()
+	s.suspensionWatch.Check()
 	return s.opts.Suspended()
 }
 
--- a/serving/awake_test.go
+++ b/serving/suspension_test.go
@@ -16,7 +16,7 @@
 	"github.com/sourcegraph/conc"
 	"gotest.tools/v3/assert"
 
-	"quartzshelf.dev/common/awake"
+	"quartzshelf.dev/common/suspension"
 	"quartzshelf.dev/fleet"
 	"quartzshelf.dev/leadership"
 	"quartzshelf.dev/peers"
@@ -74,7 +74,7 @@
 func TestShortSuspensionKeepsState(t *testing.T) {
 	s, machine := newSuspendableServer(t)
 	machine.add(time.Second)
-	s.awake.Check()
+	s.suspensionWatch.Check()
 	assert.Assert(t, !s.proxy.IsConfigStale(time.Now()))
 }
 
@@ -87,7 +87,7 @@
 	s.halls.ApplyRead(fleet.HallUpdate{IsComplete: true, Changes: []fleet.HallChange{{Hall: "z", Closed: true}}}, 5, time.Now())
 	assert.Equal(t, s.halls.View().State("z", time.Now()), fleet.HallClosing)
 	machine.add(time.Minute)
-	s.awake.Check()
+	s.suspensionWatch.Check()
 	assert.Equal(t, s.halls.View().State("z", time.Now()), fleet.HallClosed)
 }
 
@@ -102,11 +102,11 @@
 		Heartbeat:       peers.Heartbeat{Identity: peers.Identity{ID: "giver", Address: servePeer(t, provider)}, ConfigVersion: 2},
 		LastHeartbeatAt: heardAt, SentAfter: heardAt,
 	}
-	request := fetchRequest{Peer: p, requestedAt: awake.NewStamp(machine.suspended)}
+	request := fetchRequest{Peer: p, requestedAt: suspension.NewStamp(machine.suspended)}
 	machine.add(time.Minute)
 	assert.ErrorContains(t, requester.fetcher.fetchConfig(context.Background(), request), "suspended")
 	assert.Equal(t, requester.configCache.Version(), int64(1))
-	request.requestedAt = awake.NewStamp(machine.suspended)
+	request.requestedAt = suspension.NewStamp(machine.suspended)
 	assert.NilError(t, requester.fetcher.fetchConfig(context.Background(), request))
 	assert.Equal(t, requester.configCache.Version(), int64(2))
 }
