--- a/backpressure/report.go
+++ b/backpressure/report.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"quartzshelf.dev/common/turn"
+	"quartzshelf.dev/common/roundrobin"
 	"quartzshelf.dev/fleet"
 )
 
@@ -60,7 +60,7 @@
 	slices.SortFunc(changed, func(a, b string) int {
 		return cmp.Or(t.records[b].changedAt.Compare(t.records[a].changedAt), strings.Compare(a, b))
 	})
-	unchanged, t.nextWorker = turn.Select(unchanged, t.nextWorker, maxRotatedEntries, strings.Compare)
+	unchanged, t.nextWorker = roundrobin.Select(unchanged, t.nextWorker, maxRotatedEntries, strings.Compare)
 	var all []Entry
 	for _, id := range append(changed[:min(len(changed), maxChangedEntries)], unchanged...) {
 		all = append(all, t.records[id].toEntry(id, now))
--- a/common/turn/turn.go
+++ b/common/roundrobin/roundrobin.go
@@ -1,5 +1,5 @@
-// Package turn selects a limited number of items per call, in round-robin order.
-package turn
+// Package roundrobin selects a limited number of items per call, in round-robin order.
+package roundrobin
 
 import "slices"
 
--- a/common/turn/turn_test.go
+++ b/common/roundrobin/roundrobin_test.go
@@ -1,4 +1,4 @@
-package turn
+package roundrobin
 
 import (
 	"cmp"
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"quartzshelf.dev/common/turn"
+	"quartzshelf.dev/common/roundrobin"
 )
 
 const (
@@ -58,7 +58,7 @@
 			marks = append(marks, f)
 		}
 	}
-	marks, t.nextMark = turn.Select(marks, t.nextMark, maxRotatedMarks, compare)
+	marks, t.nextMark = roundrobin.Select(marks, t.nextMark, maxRotatedMarks, compare)
 	var all []Entry
 	for _, f := range append(t.selectMostRelevant(changed), marks...) {
 		all = append(all, t.records[f].toEntry(f, now))
