--- a/formation/absent.go
+++ b/formation/absent.go
@@ -38,56 +38,56 @@
 
 // refreshAbsent records the workers that left the worker list while in a group that may serve. It
 // removes the records of workers that are listed again. The caller must hold k.mu.
-func (k *Reconciler) refreshAbsent(view *fleet.View, now time.Time) {
-	if view == k.lastView {
+func (rc *Reconciler) refreshAbsent(view *fleet.View, now time.Time) {
+	if view == rc.lastView {
 		return
 	}
-	for id := range k.absent {
+	for id := range rc.absent {
 		if _, listed := view.Worker(id); listed {
-			delete(k.absent, id)
+			delete(rc.absent, id)
 		}
 	}
-	for id, w := range k.lastView.Workers() {
+	for id, w := range rc.lastView.Workers() {
 		if _, listed := view.Worker(id); !listed {
-			k.recordAbsent(w, now)
+			rc.recordAbsent(w, now)
 		}
 	}
-	k.lastView = view
+	rc.lastView = view
 }
 
-func (k *Reconciler) recordAbsent(w *fleet.Worker, now time.Time) {
-	m := k.membershipOf(w)
-	if m.Group == "" || k.retirements[fleet.GroupKey(m)] != 0 || k.isUnresponsiveLocked(w.ID) {
+func (rc *Reconciler) recordAbsent(w *fleet.Worker, now time.Time) {
+	m := rc.membershipOf(w)
+	if m.Group == "" || rc.retirements[fleet.GroupKey(m)] != 0 || rc.isUnresponsiveLocked(w.ID) {
 		return
 	}
-	k.absent[w.ID] = &absence{worker: w, unlistedSince: now, nextQuery: now, queryUntil: now.Add(maxAbsence)}
+	rc.absent[w.ID] = &absence{worker: w, unlistedSince: now, nextQuery: now, queryUntil: now.Add(maxAbsence)}
 }
 
 // isAbsent reports whether an unlisted worker is still treated as a member of its group. The
 // caller must hold k.mu.
-func (k *Reconciler) isAbsent(id string) bool {
-	a, ok := k.absent[id]
+func (rc *Reconciler) isAbsent(id string) bool {
+	a, ok := rc.absent[id]
 	return ok && !a.isGone
 }
 
 // mayBeAlive reports the same as isAbsent, for callers that do not hold k.mu.
-func (k *Reconciler) mayBeAlive(id string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.isAbsent(id)
+func (rc *Reconciler) mayBeAlive(id string) bool {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return rc.isAbsent(id)
 }
 
 // presentWorkers iterates over the listed workers and the unlisted ones that are still treated as
 // members of their groups. The caller must hold k.mu.
-func (k *Reconciler) presentWorkers(view *fleet.View) iter.Seq[*fleet.Worker] {
+func (rc *Reconciler) presentWorkers(view *fleet.View) iter.Seq[*fleet.Worker] {
 	return func(yield func(*fleet.Worker) bool) {
 		for _, w := range view.Workers() {
 			if !yield(w) {
 				return
 			}
 		}
-		for id, a := range k.absent {
-			if k.isAbsent(id) && !yield(a.worker) {
+		for id, a := range rc.absent {
+			if rc.isAbsent(id) && !yield(a.worker) {
 				return
 			}
 		}
@@ -97,17 +97,17 @@
 // repairAbsentHead drains a group whose head left the worker list but still answers. Callers send
 // the group no new requests, and requests in flight may finish. Nothing is done until the head has
 // answered once. The caller must hold k.mu.
-func (k *Reconciler) repairAbsentHead(ctx context.Context, o *observedGroup) {
-	if !k.absent[o.head.ID].hasAnswered {
+func (rc *Reconciler) repairAbsentHead(ctx context.Context, o *observedGroup) {
+	if !rc.absent[o.head.ID].hasAnswered {
 		return
 	}
-	k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
+	rc.startOperation(ctx, o.key, o.members, func(ctx context.Context) { rc.drainOrDissolve(ctx, o) })
 }
 
 // queryAbsent queries workers that left the worker list, each at its next query time. Workers that
 // have been absent for too long are marked as gone instead. The caller must hold k.mu.
-func (k *Reconciler) queryAbsent(ctx context.Context, now time.Time) {
-	for _, a := range k.absent {
+func (rc *Reconciler) queryAbsent(ctx context.Context, now time.Time) {
+	for _, a := range rc.absent {
 		if a.isGone || now.Before(a.nextQuery) {
 			continue
 		}
@@ -116,25 +116,25 @@
 			continue
 		}
 		a.nextQuery = now.Add(absentQueryInterval + unresponsiveAttempts*queryTimeout)
-		k.tasks.Go(func() { k.checkAbsent(ctx, a) })
+		rc.tasks.Go(func() { rc.checkAbsent(ctx, a) })
 	}
 }
 
 // checkAbsent queries one worker that left the worker list, and marks it as gone if it does not
 // answer.
-func (k *Reconciler) checkAbsent(ctx context.Context, a *absence) {
-	hasAnswered := k.isResponsive(ctx, a.worker)
+func (rc *Reconciler) checkAbsent(ctx context.Context, a *absence) {
+	hasAnswered := rc.isResponsive(ctx, a.worker)
 	if ctx.Err() != nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	if hasAnswered {
 		a.hasAnswered = true
 		a.nextQuery = time.Now().Add(absentQueryInterval)
 		return
 	}
 	a.isGone = true
-	k.opts.Logger.Info("worker that left the list does not answer", "worker", a.worker.ID,
+	rc.opts.Logger.Info("worker that left the list does not answer", "worker", a.worker.ID,
 		"ms", time.Since(a.unlistedSince).Milliseconds())
 }
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -56,11 +56,11 @@
 
 // computeNeeds returns the wanted and the available number of replicas of each model, and the
 // available number by model and data hall. Groups in closed halls do not count as available.
-func (k *Reconciler) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
+func (rc *Reconciler) computeNeeds(s *fleet.Service, groups []*observedGroup, view *fleet.View) ([]Need, map[string]map[string]int) {
 	workerCount := countWorkers(s, view)
 	replicaCounts, replicasByHall := make(map[string]int), make(map[string]map[string]int)
 	addReplica := func(model, hall string) {
-		if !k.halls.isUsable(hall) {
+		if !rc.halls.isUsable(hall) {
 			return
 		}
 		if replicasByHall[model] == nil {
@@ -72,19 +72,19 @@
 	completeGroups := make(map[string]bool)
 	for _, o := range groups {
 		completeGroups[o.key] = o.isComplete()
-		if o.isComplete() && k.retirements[o.key] == 0 {
+		if o.isComplete() && rc.retirements[o.key] == 0 {
 			addReplica(o.model.Name, o.head.Zone)
 		}
 	}
-	for key, g := range k.formedGroups {
-		if k.busyGroups[key] && !completeGroups[key] {
-			addReplica(g.Model, k.knownWorkers[g.Members[0]].Zone)
+	for key, g := range rc.formedGroups {
+		if rc.busyGroups[key] && !completeGroups[key] {
+			addReplica(g.Model, rc.knownWorkers[g.Members[0]].Zone)
 		}
 	}
-	k.updateSmoothedWork()
+	rc.updateSmoothedWork()
 	var needs []Need
 	for _, m := range s.Engine.Models {
-		needs = append(needs, Need{Model: m, Want: k.wantedReplicas(s.Engine, m, workerCount), Have: replicaCounts[m.Name]})
+		needs = append(needs, Need{Model: m, Want: rc.wantedReplicas(s.Engine, m, workerCount), Have: replicaCounts[m.Name]})
 	}
 	return needs, replicasByHall
 }
@@ -102,21 +102,21 @@
 
 // wantedReplicas returns the wanted number of replicas of a model. The number is based on the
 // measured work. Before there is any traffic, it is based on the model's configured share.
-func (k *Reconciler) wantedReplicas(e *fleet.Engine, m fleet.Model, workerCount int) float64 {
+func (rc *Reconciler) wantedReplicas(e *fleet.Engine, m fleet.Model, workerCount int) float64 {
 	byShare := m.InitialShare * float64(workerCount) / float64(max(m.Size, 1))
-	work := k.smoothedWork[m.Name]
+	work := rc.smoothedWork[m.Name]
 	byDemand := work.BusySlots/(targetUtilization*float64(max(e.Slots, 1))) + spareReplicas
 	// Slow replicas accumulate prompts. This limit keeps such a model from taking workers away from
 	// other models.
 	byDemand = max(byDemand, min(replicasForLoss(e, m.Name, work), byShare))
 	now := time.Now()
 	switch {
-	case !k.hasTraffic():
+	case !rc.hasTraffic():
 		return byShare
-	case k.trafficSince.IsZero():
-		k.trafficSince = now
+	case rc.trafficSince.IsZero():
+		rc.trafficSince = now
 	}
-	if k.isNewFleet && now.Sub(k.trafficSince) < sharePeriod {
+	if rc.isNewFleet && now.Sub(rc.trafficSince) < sharePeriod {
 		return max(byShare, byDemand)
 	}
 	return byDemand
@@ -124,18 +124,18 @@
 
 // inheritSmoothedWork starts the term with the smoothed work that this daemon tracked before. The
 // number of wanted replicas then does not change abruptly when the leader changes.
-func (k *Reconciler) inheritSmoothedWork() {
-	if k.opts.SmoothedWork != nil {
-		maps.Copy(k.smoothedWork, k.opts.SmoothedWork())
+func (rc *Reconciler) inheritSmoothedWork() {
+	if rc.opts.SmoothedWork != nil {
+		maps.Copy(rc.smoothedWork, rc.opts.SmoothedWork())
 	}
 }
 
-func (k *Reconciler) updateSmoothedWork() {
-	for model, measured := range k.opts.MeasuredWork() {
-		previous, ok := k.smoothedWork[model]
+func (rc *Reconciler) updateSmoothedWork() {
+	for model, measured := range rc.opts.MeasuredWork() {
+		previous, ok := rc.smoothedWork[model]
 		if !ok {
 			previous = measured
 		}
-		k.smoothedWork[model] = previous.smoothedToward(measured, 1)
+		rc.smoothedWork[model] = previous.smoothedToward(measured, 1)
 	}
 }
--- a/formation/displaced.go
+++ b/formation/displaced.go
@@ -13,17 +13,17 @@
 // recordDisplaced records that another worker answered at a worker's address. The original worker
 // no longer runs, but the worker list may still show it while the store is unavailable. The record
 // keeps the original worker out of new groups.
-func (k *Reconciler) recordDisplaced(w *fleet.Worker) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.displaced[w.ID] {
+func (rc *Reconciler) recordDisplaced(w *fleet.Worker) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	if rc.displaced[w.ID] {
 		return
 	}
-	k.displaced[w.ID] = true
-	if a, ok := k.absent[w.ID]; ok {
+	rc.displaced[w.ID] = true
+	if a, ok := rc.absent[w.ID]; ok {
 		a.isGone = true
 	}
-	k.opts.Logger.Info("worker replaced: another one answers at its address", "worker", w.ID)
+	rc.opts.Logger.Info("worker replaced: another one answers at its address", "worker", w.ID)
 }
 
 // interruptedJoin is the assumed state of a worker whose join was abandoned at abandonedAt. The
@@ -37,18 +37,18 @@
 // previous model without having loaded the new one. Without this record, they would be assumed to
 // be warm, and their loads would not be counted. Members that already served the group's model are
 // not affected. The caller must hold k.mu.
-func (k *Reconciler) recordInterruptedJoins(g Group, now time.Time) {
+func (rc *Reconciler) recordInterruptedJoins(g Group, now time.Time) {
 	for _, id := range g.Members {
-		w, ok := k.knownWorkers[id]
+		w, ok := rc.knownWorkers[id]
 		if !ok {
 			continue
 		}
-		switch k.asFreeWorker(w).warmth(g.Model) {
+		switch rc.asFreeWorker(w).warmth(g.Model) {
 		case Hot:
 		case Staged:
-			k.interruptedJoins[id] = interruptedJoin{staged: []string{g.Model}, abandonedAt: now}
+			rc.interruptedJoins[id] = interruptedJoin{staged: []string{g.Model}, abandonedAt: now}
 		default:
-			k.interruptedJoins[id] = interruptedJoin{abandonedAt: now}
+			rc.interruptedJoins[id] = interruptedJoin{abandonedAt: now}
 		}
 	}
 }
--- a/formation/dissolve.go
+++ b/formation/dissolve.go
@@ -11,29 +11,29 @@
 // dissolve announces that a group is closed, and then frees its members. If the head does not
 // respond, they are freed without its confirmation. This is safe because daemons no longer send
 // requests to the head, and the group makes no progress without its members.
-func (k *Reconciler) dissolve(ctx context.Context, o *observedGroup, head *fleet.Worker) {
-	k.announceClosed(o, head)
-	k.releaseMembers(ctx, o, head)
+func (rc *Reconciler) dissolve(ctx context.Context, o *observedGroup, head *fleet.Worker) {
+	rc.announceClosed(o, head)
+	rc.releaseMembers(ctx, o, head)
 }
 
 // releaseMembers orders the head to leave a group that takes no requests. It frees the members once
 // the head has confirmed or is presumed dead.
-func (k *Reconciler) releaseMembers(ctx context.Context, o *observedGroup, head *fleet.Worker) {
+func (rc *Reconciler) releaseMembers(ctx context.Context, o *observedGroup, head *fleet.Worker) {
 	unreachableSince := time.Time{}
 	for ctx.Err() == nil {
-		verdict, ok := k.leave(ctx, o.group, head)
+		verdict, ok := rc.leave(ctx, o.group, head)
 		now := time.Now()
 		switch {
 		case ok && verdict == Fenced:
 			return
 		case ok:
-			k.retire(o, head, retiredConfirmed)
+			rc.retire(o, head, retiredConfirmed)
 			return
 		case unreachableSince.IsZero():
 			unreachableSince = now.Add(-maxOrderAttempts * orderTimeout)
 		}
-		if k.isUnresponsive(head.ID) || k.isPresumedGone(head, unreachableSince, now) {
-			k.retire(o, head, retiredAssumed)
+		if rc.isUnresponsive(head.ID) || rc.isPresumedGone(head, unreachableSince, now) {
+			rc.retire(o, head, retiredAssumed)
 			return
 		}
 		pause.Sleep(ctx, tickInterval)
@@ -43,29 +43,29 @@
 // leave orders the head of a group to leave it, and reports whether the head answered. If this
 // daemon cannot reach the head, it sends the order through other daemons. The group may still serve
 // requests of those daemons.
-func (k *Reconciler) leave(ctx context.Context, g Group, head *fleet.Worker) (Verdict, bool) {
-	verdict, ok := k.leaveDirectly(ctx, g, head)
+func (rc *Reconciler) leave(ctx context.Context, g Group, head *fleet.Worker) (Verdict, bool) {
+	verdict, ok := rc.leaveDirectly(ctx, g, head)
 	if ok || ctx.Err() != nil {
 		return verdict, ok
 	}
 	ctx, cancel := context.WithTimeout(ctx, indirectTimeout)
 	defer cancel()
-	verdict, err := k.opts.IndirectLeave(ctx, head, k.nextFence(), g)
+	verdict, err := rc.opts.IndirectLeave(ctx, head, rc.nextFence(), g)
 	if err != nil {
 		return StateMismatch, false
 	}
-	k.opts.Logger.Info("order sent through another daemon", "order", "leave", "worker", head.ID)
-	k.endTermIfFenced("leave", head, verdict)
+	rc.opts.Logger.Info("order sent through another daemon", "order", "leave", "worker", head.ID)
+	rc.endTermIfFenced("leave", head, verdict)
 	return verdict, true
 }
 
 // leaveDirectly orders a worker to leave a group, and reports whether it answered.
-func (k *Reconciler) leaveDirectly(ctx context.Context, g Group, w *fleet.Worker) (Verdict, bool) {
-	verdict, ok := k.sendOrder(ctx, "leave", w, func(ctx context.Context, fence Fence) (Verdict, error) {
-		return k.opts.Orders.Leave(ctx, w, fence, g)
+func (rc *Reconciler) leaveDirectly(ctx context.Context, g Group, w *fleet.Worker) (Verdict, bool) {
+	verdict, ok := rc.sendOrder(ctx, "leave", w, func(ctx context.Context, fence Fence) (Verdict, error) {
+		return rc.opts.Orders.Leave(ctx, w, fence, g)
 	})
 	if ok {
-		k.recordLeft(w.ID, g, verdict)
+		rc.recordLeft(w.ID, g, verdict)
 	}
 	return verdict, ok
 }
@@ -73,79 +73,79 @@
 // isPresumedGone reports whether a head that has been unreachable since the given time is presumed
 // dead. If the worker list is recent, the head must also be missing from it. Otherwise, the head
 // must have been unreachable for so long that its group has broken.
-func (k *Reconciler) isPresumedGone(head *fleet.Worker, unreachableSince, now time.Time) bool {
-	_, isListed := k.opts.Inventory.View().Worker(head.ID)
-	isListRecent := now.Sub(k.opts.Inventory.Confirmed()) < maxListAge
+func (rc *Reconciler) isPresumedGone(head *fleet.Worker, unreachableSince, now time.Time) bool {
+	_, isListed := rc.opts.Inventory.View().Worker(head.ID)
+	isListRecent := now.Sub(rc.opts.Inventory.Confirmed()) < maxListAge
 	unreachableFor := now.Sub(unreachableSince)
 	if isListRecent {
 		return !isListed && unreachableFor > lostHeadTimeout
 	}
-	return unreachableFor > k.opts.StallTimeout+lostHeadTimeout
+	return unreachableFor > rc.opts.StallTimeout+lostHeadTimeout
 }
 
-func (k *Reconciler) retire(o *observedGroup, head *fleet.Worker, reason retirement) {
-	k.opts.Logger.Info("replica dissolved", "replica", o.key, "head", head.ID, "confirmed", reason == retiredConfirmed)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.retirements[o.key] = reason
+func (rc *Reconciler) retire(o *observedGroup, head *fleet.Worker, reason retirement) {
+	rc.opts.Logger.Info("replica dissolved", "replica", o.key, "head", head.ID, "confirmed", reason == retiredConfirmed)
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.retirements[o.key] = reason
 	if reason == retiredConfirmed {
-		k.dissolutions[o.key] = dissolution{confirmedAt: time.Now(), lastState: o.state}
+		rc.dissolutions[o.key] = dissolution{confirmedAt: time.Now(), lastState: o.state}
 	}
-	delete(k.headlessSince, o.key)
+	delete(rc.headlessSince, o.key)
 }
 
-func (k *Reconciler) announceClosed(o *observedGroup, head *fleet.Worker) {
-	k.opts.OnAnnouncement(fleet.Announcement{
+func (rc *Reconciler) announceClosed(o *observedGroup, head *fleet.Worker) {
+	rc.opts.OnAnnouncement(fleet.Announcement{
 		Group: o.group.Name, Epoch: o.group.Epoch, Service: head.Service, Model: o.group.Model, Head: head.ID,
 	})
 }
 
 // drainOrDissolve drains a group if all its members are present, since it may have requests in
 // flight. Otherwise, it dissolves the group immediately.
-func (k *Reconciler) drainOrDissolve(ctx context.Context, o *observedGroup) {
+func (rc *Reconciler) drainOrDissolve(ctx context.Context, o *observedGroup) {
 	if o.isComplete() {
-		k.drain(ctx, o)
+		rc.drain(ctx, o)
 		return
 	}
-	k.dissolve(ctx, o, o.head)
+	rc.dissolve(ctx, o, o.head)
 }
 
 // drain closes a group and waits up to maxDrainTime for its requests to finish. It then dissolves
 // the group.
-func (k *Reconciler) drain(ctx context.Context, o *observedGroup) {
-	k.opts.Logger.Info("draining replica", "replica", o.key)
-	k.announceClosed(o, o.head)
+func (rc *Reconciler) drain(ctx context.Context, o *observedGroup) {
+	rc.opts.Logger.Info("draining replica", "replica", o.key)
+	rc.announceClosed(o, o.head)
 	deadline := time.Now().Add(maxDrainTime)
-	verdict, ok := k.sendOrder(ctx, "close", o.head, func(ctx context.Context, fence Fence) (Verdict, error) {
-		return k.opts.Orders.Close(ctx, o.head, fence, o.group)
+	verdict, ok := rc.sendOrder(ctx, "close", o.head, func(ctx context.Context, fence Fence) (Verdict, error) {
+		return rc.opts.Orders.Close(ctx, o.head, fence, o.group)
 	})
-	k.recordBegun(o.head.ID, verdict)
+	rc.recordBegun(o.head.ID, verdict)
 	nextQuery := time.Now().Add(queryInterval)
 	// An earlier leader may have closed the group.
 	isClosing := ok && (verdict.IsAccepted() || o.state == fleet.Closing)
-	for isClosing && ctx.Err() == nil && time.Now().Before(deadline) && !k.isDrained(ctx, o, &nextQuery) {
+	for isClosing && ctx.Err() == nil && time.Now().Before(deadline) && !rc.isDrained(ctx, o, &nextQuery) {
 		pause.Sleep(ctx, tickInterval)
 	}
-	k.dissolve(ctx, o, o.head)
+	rc.dissolve(ctx, o, o.head)
 }
 
 // isDrained reports whether a closed group's requests have finished. It uses the worker list. If
 // the list is stale or does not show the head, it queries the head, but not before nextQuery.
-func (k *Reconciler) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
+func (rc *Reconciler) isDrained(ctx context.Context, o *observedGroup, nextQuery *time.Time) bool {
 	membership := fleet.Membership{Group: o.group.Name, Epoch: o.group.Epoch}
-	headEntry, isListed := k.opts.Inventory.View().Worker(o.head.ID)
+	headEntry, isListed := rc.opts.Inventory.View().Worker(o.head.ID)
 	if isListed && headEntry.Member.SameGroup(membership) && headEntry.Member.State == fleet.Ready {
 		return true
 	}
-	if !isListed && !k.mayBeAlive(o.head.ID) {
+	if !isListed && !rc.mayBeAlive(o.head.ID) {
 		return true
 	}
 	now := time.Now()
-	isListCurrent := isListed && now.Sub(k.opts.Inventory.Confirmed()) <= listStaleAge
+	isListCurrent := isListed && now.Sub(rc.opts.Inventory.Confirmed()) <= listStaleAge
 	if isListCurrent || now.Before(*nextQuery) {
 		return false
 	}
 	*nextQuery = now.Add(queryInterval)
-	state, ok := k.queryState(ctx, o.head)
+	state, ok := rc.queryState(ctx, o.head)
 	return ok && (!state.Membership.SameGroup(membership) || state.Membership.State == fleet.Ready)
 }
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -36,8 +36,8 @@
 
 // settleTime returns how long an incomplete group is left unchanged after it was first seen. It is
 // longer shortly after the process started, because the worker list itself may be incomplete then.
-func (k *Reconciler) settleTime(now time.Time) time.Duration {
-	if now.Sub(k.opts.FirstListAt()) < youngListAge {
+func (rc *Reconciler) settleTime(now time.Time) time.Duration {
+	if now.Sub(rc.opts.FirstListAt()) < youngListAge {
 		return youngListSettleTime
 	}
 	return listSettleTime
@@ -49,20 +49,20 @@
 }
 
 // firstSeen returns the time when a group was first seen, and records it for a new group.
-func (k *Reconciler) firstSeen(o *observedGroup, now time.Time) time.Time {
-	since, ok := k.groupSeenSince[o.key]
+func (rc *Reconciler) firstSeen(o *observedGroup, now time.Time) time.Time {
+	since, ok := rc.groupSeenSince[o.key]
 	if !ok {
 		since = now
-		k.groupSeenSince[o.key] = now
+		rc.groupSeenSince[o.key] = now
 	}
 	return since
 }
 
 // observeGroups returns the groups of a service as reported by its workers, sorted by key.
-func (k *Reconciler) observeGroups(s *fleet.Service, view *fleet.View) []*observedGroup {
+func (rc *Reconciler) observeGroups(s *fleet.Service, view *fleet.View) []*observedGroup {
 	byKey := make(map[string]*observedGroup)
-	for w := range k.presentWorkers(view) {
-		m := k.membershipOf(w)
+	for w := range rc.presentWorkers(view) {
+		m := rc.membershipOf(w)
 		if w.Service != s.Name || m.Group == "" {
 			continue
 		}
@@ -72,24 +72,24 @@
 			o = &observedGroup{key: key, group: Group{Name: m.Group, Epoch: m.Epoch}}
 			byKey[key] = o
 		}
-		k.addMember(o, w, m)
+		rc.addMember(o, w, m)
 	}
 	all := make([]*observedGroup, 0, len(byKey))
 	for _, o := range byKey {
-		k.resolveModel(s.Engine, o)
+		rc.resolveModel(s.Engine, o)
 		all = append(all, o)
 	}
 	slices.SortFunc(all, func(a, b *observedGroup) int { return cmp.Compare(a.key, b.key) })
 	return all
 }
 
-func (k *Reconciler) addMember(o *observedGroup, w *fleet.Worker, m fleet.Membership) {
-	if k.isUnresponsiveLocked(w.ID) {
+func (rc *Reconciler) addMember(o *observedGroup, w *fleet.Worker, m fleet.Membership) {
+	if rc.isUnresponsiveLocked(w.ID) {
 		o.hasLostMember = true
 	} else {
 		o.members = append(o.members, w)
 	}
-	if k.isAbsent(w.ID) {
+	if rc.isAbsent(w.ID) {
 		o.absentCount++
 	}
 	o.isDraining = o.isDraining || w.Draining
@@ -98,14 +98,14 @@
 	}
 	if m.Rank == 0 {
 		o.head, o.state = w, m.State
-		k.headIDs[o.key] = w.ID
+		rc.headIDs[o.key] = w.ID
 	}
 }
 
 // resolveModel sets the group's model. If the group was formed in this term, it also sets the
 // members.
-func (k *Reconciler) resolveModel(e *fleet.Engine, o *observedGroup) {
-	if formed, ok := k.formedGroups[o.key]; ok {
+func (rc *Reconciler) resolveModel(e *fleet.Engine, o *observedGroup) {
+	if formed, ok := rc.formedGroups[o.key]; ok {
 		o.group = formed
 	}
 	name := o.group.Model
@@ -117,41 +117,41 @@
 }
 
 // repair starts the operation that a group needs, if any. The caller must hold k.mu.
-func (k *Reconciler) repair(ctx context.Context, o *observedGroup, now time.Time) {
-	age := now.Sub(k.firstSeen(o, now))
-	k.detectReturn(o, now)
-	if o.head != nil && o.state != fleet.Broken && !k.isUnresponsiveLocked(o.head.ID) && k.retirements[o.key] == retiredAssumed {
+func (rc *Reconciler) repair(ctx context.Context, o *observedGroup, now time.Time) {
+	age := now.Sub(rc.firstSeen(o, now))
+	rc.detectReturn(o, now)
+	if o.head != nil && o.state != fleet.Broken && !rc.isUnresponsiveLocked(o.head.ID) && rc.retirements[o.key] == retiredAssumed {
 		// The head answers again.
-		delete(k.retirements, o.key)
+		delete(rc.retirements, o.key)
 	}
-	if k.busyGroups[o.key] || k.retirements[o.key] != 0 || k.hasBusyWorker(o.members) {
+	if rc.busyGroups[o.key] || rc.retirements[o.key] != 0 || rc.hasBusyWorker(o.members) {
 		return
 	}
 	switch {
 	case o.head == nil:
-		k.repairHeadless(ctx, o, now)
-	case k.opts.Inventory.IsGroupClosed(o.group.Name):
+		rc.repairHeadless(ctx, o, now)
+	case rc.opts.Inventory.IsGroupClosed(o.group.Name):
 		// Daemons never send requests to a closed group again, whatever its head reports. Earlier
 		// requests may still be in flight.
-		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drainOrDissolve(ctx, o) })
-	case k.isAbsent(o.head.ID):
-		k.repairAbsentHead(ctx, o)
+		rc.startOperation(ctx, o.key, o.members, func(ctx context.Context) { rc.drainOrDissolve(ctx, o) })
+	case rc.isAbsent(o.head.ID):
+		rc.repairAbsentHead(ctx, o)
 	case o.state == fleet.Open && o.isComplete() && !o.isDraining:
 		// The group is healthy, even if a member left the worker list, because a group works
 		// without the list. Dissolving such groups would take many replicas out of service whenever
 		// workers lose their connection to the store.
 	case o.state == fleet.Open && o.isComplete():
-		k.dissolveLeaving(ctx, o, now)
-	case age < k.settleTime(now) && !o.hasLostMember:
+		rc.dissolveLeaving(ctx, o, now)
+	case age < rc.settleTime(now) && !o.hasLostMember:
 		// The worker list may show the members one after another, so the group is left unchanged
 		// for now.
 	case o.isComplete() && !o.isDraining && o.isForming() && age < joinGracePeriod+loadTimeFactor*o.model.Load:
 		// An earlier leader started to form the group, and its members are still loading.
 	case o.isComplete() && !o.isDraining && o.readyCount == o.model.Size && o.state == fleet.Ready:
 		// An earlier leader formed the group but did not open it.
-		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.openInherited(ctx, o) })
+		rc.startOperation(ctx, o.key, o.members, func(ctx context.Context) { rc.openInherited(ctx, o) })
 	default:
-		k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.dissolve(ctx, o, o.head) })
+		rc.startOperation(ctx, o.key, o.members, func(ctx context.Context) { rc.dissolve(ctx, o, o.head) })
 	}
 }
 
@@ -159,14 +159,14 @@
 // because a head that lost its connection to the store may still serve. The head is unknown only if
 // an operator created the group by hand. The members of such a group are freed after StallTimeout,
 // because the group has broken by then.
-func (k *Reconciler) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
-	since, ok := k.headlessSince[o.key]
+func (rc *Reconciler) repairHeadless(ctx context.Context, o *observedGroup, now time.Time) {
+	since, ok := rc.headlessSince[o.key]
 	if !ok {
-		k.headlessSince[o.key] = now
+		rc.headlessSince[o.key] = now
 		since = now
 	}
-	head, isKnown := k.knownWorkers[k.headIDs[o.key]]
-	if !isKnown && now.Sub(since) < k.settleTime(now) {
+	head, isKnown := rc.knownWorkers[rc.headIDs[o.key]]
+	if !isKnown && now.Sub(since) < rc.settleTime(now) {
 		// The worker list may still show the head.
 		return
 	}
@@ -174,11 +174,11 @@
 		head = headFromName(o)
 	}
 	if head != nil {
-		k.startOperation(ctx, o.key, nil, func(ctx context.Context) { k.dissolve(ctx, o, head) })
+		rc.startOperation(ctx, o.key, nil, func(ctx context.Context) { rc.dissolve(ctx, o, head) })
 		return
 	}
-	if now.Sub(since) > k.opts.StallTimeout {
-		k.retirements[o.key] = retiredAssumed
+	if now.Sub(since) > rc.opts.StallTimeout {
+		rc.retirements[o.key] = retiredAssumed
 	}
 }
 
@@ -191,35 +191,35 @@
 	return &fleet.Worker{ID: id, Address: address, Service: o.members[0].Service, Domain: o.members[0].Domain}
 }
 
-func (k *Reconciler) hasBusyWorker(members []*fleet.Worker) bool {
+func (rc *Reconciler) hasBusyWorker(members []*fleet.Worker) bool {
 	return slices.ContainsFunc(members, func(w *fleet.Worker) bool {
-		return k.busyWorkers[w.ID]
+		return rc.busyWorkers[w.ID]
 	})
 }
 
 // startOperation runs an operation in the background. It marks the group and the members as busy
 // until the operation ends. The caller must hold k.mu.
-func (k *Reconciler) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
-	k.busyGroups[key] = true
+func (rc *Reconciler) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
+	rc.busyGroups[key] = true
 	for _, w := range members {
-		k.busyWorkers[w.ID] = true
+		rc.busyWorkers[w.ID] = true
 	}
-	k.tasks.Go(func() {
+	rc.tasks.Go(func() {
 		operation(ctx)
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		delete(k.busyGroups, key)
+		rc.mu.Lock()
+		defer rc.mu.Unlock()
+		delete(rc.busyGroups, key)
 		for _, w := range members {
-			delete(k.busyWorkers, w.ID)
+			delete(rc.busyWorkers, w.ID)
 		}
 	})
 }
 
 // freeWorkers returns the workers of a service that can be put into a new group.
-func (k *Reconciler) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
+func (rc *Reconciler) freeWorkers(s *fleet.Service, groups []*observedGroup, view *fleet.View) []FreeWorker {
 	isInGroup := make(map[string]bool)
 	for _, o := range groups {
-		if k.retirements[o.key] != 0 {
+		if rc.retirements[o.key] != 0 {
 			continue
 		}
 		for _, w := range o.members {
@@ -228,13 +228,13 @@
 	}
 	var all []FreeWorker
 	for id, w := range view.Workers() {
-		if w.Service != s.Name || w.Draining || k.busyWorkers[id] || k.isUnresponsiveLocked(id) || k.isExcluded(id) || isInGroup[id] || !k.halls.isUsable(w.Zone) {
+		if w.Service != s.Name || w.Draining || rc.busyWorkers[id] || rc.isUnresponsiveLocked(id) || rc.isExcluded(id) || isInGroup[id] || !rc.halls.isUsable(w.Zone) {
 			continue
 		}
-		if _, isLoading := k.activeLoads[id]; isLoading {
+		if _, isLoading := rc.activeLoads[id]; isLoading {
 			continue
 		}
-		all = append(all, k.asFreeWorker(w))
+		all = append(all, rc.asFreeWorker(w))
 	}
 	slices.SortFunc(all, func(a, b FreeWorker) int { return cmp.Compare(a.ID, b.ID) })
 	return all
@@ -242,23 +242,23 @@
 
 // asFreeWorker returns a worker in the form that the planner uses. An interrupted join and the
 // worker's own reports take precedence over the worker list until a later list has been received.
-func (k *Reconciler) asFreeWorker(w *fleet.Worker) FreeWorker {
-	if i, ok := k.interruptedJoins[w.ID]; ok {
-		if !k.opts.Inventory.Confirmed().After(i.abandonedAt.Add(listSettleTime)) {
-			return FreeWorker{ID: w.ID, Domain: w.Domain, StagedModels: i.staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
+func (rc *Reconciler) asFreeWorker(w *fleet.Worker) FreeWorker {
+	if i, ok := rc.interruptedJoins[w.ID]; ok {
+		if !rc.opts.Inventory.Confirmed().After(i.abandonedAt.Add(listSettleTime)) {
+			return FreeWorker{ID: w.ID, Domain: w.Domain, StagedModels: i.staged, Hall: w.Zone, IsUnreliable: rc.isUnreliable(w.ID)}
 		}
-		delete(k.interruptedJoins, w.ID)
+		delete(rc.interruptedJoins, w.ID)
 	}
-	return FreeWorker{ID: w.ID, Domain: w.Domain, LoadedModel: k.loadedModel(w), StagedModels: w.Staged, Hall: w.Zone, IsUnreliable: k.isUnreliable(w.ID)}
+	return FreeWorker{ID: w.ID, Domain: w.Domain, LoadedModel: rc.loadedModel(w), StagedModels: w.Staged, Hall: w.Zone, IsUnreliable: rc.isUnreliable(w.ID)}
 }
 
 // loadedModel returns the model that a worker served last, according to its own report or the
 // worker list.
-func (k *Reconciler) loadedModel(w *fleet.Worker) string {
-	if k.isPastIncarnation(w) {
-		return k.observations[w.ID].state.LoadedModel
+func (rc *Reconciler) loadedModel(w *fleet.Worker) string {
+	if rc.isPastIncarnation(w) {
+		return rc.observations[w.ID].state.LoadedModel
 	}
-	if o, ok := k.observations[w.ID]; ok && o.state.LoadedModel != "" && o.at.After(k.opts.Inventory.Confirmed()) {
+	if o, ok := rc.observations[w.ID]; ok && o.state.LoadedModel != "" && o.at.After(rc.opts.Inventory.Confirmed()) {
 		return o.state.LoadedModel
 	}
 	return w.Loaded
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -23,25 +23,25 @@
 
 // refreshHalls updates which halls are closed. If all halls with workers are closed, none is
 // treated as closed. The caller must hold k.mu.
-func (k *Reconciler) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
-	closed := k.closedHalls(s, view)
+func (rc *Reconciler) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
+	closed := rc.closedHalls(s, view)
 	for hall := range closed {
-		if !k.halls.closedHalls[hall] {
-			k.opts.Logger.Info("data hall is closed for new replicas", "hall", hall)
-			k.tradesAllowedAt = now.Add(hallSettleTime)
+		if !rc.halls.closedHalls[hall] {
+			rc.opts.Logger.Info("data hall is closed for new replicas", "hall", hall)
+			rc.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
-	for hall := range k.halls.closedHalls {
+	for hall := range rc.halls.closedHalls {
 		if !closed[hall] {
-			k.opts.Logger.Info("data hall is open for new replicas", "hall", hall)
-			k.tradesAllowedAt = now.Add(hallSettleTime)
+			rc.opts.Logger.Info("data hall is open for new replicas", "hall", hall)
+			rc.tradesAllowedAt = now.Add(hallSettleTime)
 		}
 	}
-	k.halls.closedHalls = closed
+	rc.halls.closedHalls = closed
 }
 
-func (k *Reconciler) closedHalls(s *fleet.Service, view *fleet.View) map[string]bool {
-	if k.opts.IsHallOpen == nil {
+func (rc *Reconciler) closedHalls(s *fleet.Service, view *fleet.View) map[string]bool {
+	if rc.opts.IsHallOpen == nil {
 		return nil
 	}
 	closed, open := make(map[string]bool), make(map[string]bool)
@@ -49,7 +49,7 @@
 		if w.Service != s.Name || closed[w.Zone] || open[w.Zone] {
 			continue
 		}
-		if k.opts.IsHallOpen(w.Zone) {
+		if rc.opts.IsHallOpen(w.Zone) {
 			open[w.Zone] = true
 		} else {
 			closed[w.Zone] = true
@@ -63,9 +63,9 @@
 
 // hallLossPolicy returns how plans account for the loss of data halls. If no weight is configured,
 // plans do not account for it.
-func (k *Reconciler) hallLossPolicy() HallLossPolicy {
-	if k.opts.HallLossWeight <= 0 {
+func (rc *Reconciler) hallLossPolicy() HallLossPolicy {
+	if rc.opts.HallLossWeight <= 0 {
 		return HallLossPolicy{}
 	}
-	return HallLossPolicy{MaxLost: k.opts.ToleratedHallLosses, Weight: k.opts.HallLossWeight}
+	return HallLossPolicy{MaxLost: rc.opts.ToleratedHallLosses, Weight: rc.opts.HallLossWeight}
 }
--- a/formation/leaving.go
+++ b/formation/leaving.go
@@ -20,15 +20,15 @@
 // dissolved shortly before, it waits so that the model keeps serving, but not longer than
 // maxLeaveDelay. A group whose head is leaving is dissolved immediately, since it takes no more
 // requests.
-func (k *Reconciler) dissolveLeaving(ctx context.Context, o *observedGroup, now time.Time) {
-	deadline, ok := k.leaveDeadlines[o.key]
+func (rc *Reconciler) dissolveLeaving(ctx context.Context, o *observedGroup, now time.Time) {
+	deadline, ok := rc.leaveDeadlines[o.key]
 	if !ok {
 		deadline = now.Add(maxLeaveDelay)
-		k.leaveDeadlines[o.key] = deadline
+		rc.leaveDeadlines[o.key] = deadline
 	}
-	if !o.head.Draining && now.Before(deadline) && now.Before(k.nextLeaveDissolution[o.model.Name]) {
+	if !o.head.Draining && now.Before(deadline) && now.Before(rc.nextLeaveDissolution[o.model.Name]) {
 		return
 	}
-	k.nextLeaveDissolution[o.model.Name] = now.Add(leaveInterval)
-	k.startOperation(ctx, o.key, o.members, func(ctx context.Context) { k.drain(ctx, o) })
+	rc.nextLeaveDissolution[o.model.Name] = now.Add(leaveInterval)
+	rc.startOperation(ctx, o.key, o.members, func(ctx context.Context) { rc.drain(ctx, o) })
 }
--- a/formation/listgrowth.go
+++ b/formation/listgrowth.go
@@ -25,12 +25,12 @@
 // isListGrowing reports whether more workers of a new fleet are expected to be listed. If groups
 // were formed before the worker list is complete, groups of the smallest model would take most
 // domains. The larger models would then find no domain with enough workers.
-func (k *Reconciler) isListGrowing(s *fleet.Service, view *fleet.View, now time.Time) bool {
+func (rc *Reconciler) isListGrowing(s *fleet.Service, view *fleet.View, now time.Time) bool {
 	workerCount := countWorkers(s, view)
-	g, ok := k.listGrowths[s.Name]
+	g, ok := rc.listGrowths[s.Name]
 	if !ok {
 		g = &listGrowth{deadline: now.Add(maxListWait)}
-		k.listGrowths[s.Name] = g
+		rc.listGrowths[s.Name] = g
 	}
 	if workerCount > g.workerCount {
 		g.workerCount, g.completeAt = workerCount, now.Add(listQuietPeriod)
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -38,10 +38,10 @@
 // joinMember orders a worker to join a group, and reports whether it accepted. A worker that is
 // still in a dissolved group must leave that group first. A worker in any other group does not
 // join, since that group may serve.
-func (k *Reconciler) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
+func (rc *Reconciler) joinMember(ctx context.Context, g Group, w *fleet.Worker) bool {
 	wanted := fleet.Membership{Group: g.Name, Epoch: g.Epoch}
 	for range maxJoinAttempts {
-		current, ok := k.orderStateOf(ctx, w)
+		current, ok := rc.orderStateOf(ctx, w)
 		switch {
 		case !ok:
 			return false
@@ -49,22 +49,22 @@
 			// An unanswered attempt was carried out.
 			return true
 		case current.member.Group != "":
-			if !k.leaveDissolved(ctx, w, current.member) {
+			if !rc.leaveDissolved(ctx, w, current.member) {
 				return false
 			}
 			continue
 		}
-		verdict, ok := k.sendOrder(ctx, "join", w, func(ctx context.Context, fence Fence) (Verdict, error) {
-			return k.opts.Orders.Join(ctx, w, fence, current.orderCount, g)
+		verdict, ok := rc.sendOrder(ctx, "join", w, func(ctx context.Context, fence Fence) (Verdict, error) {
+			return rc.opts.Orders.Join(ctx, w, fence, current.orderCount, g)
 		})
 		switch {
 		case ok && verdict == Started:
-			k.setOrderState(w.ID, current.orderCount+1, wanted)
+			rc.setOrderState(w.ID, current.orderCount+1, wanted)
 			return true
 		case !ok || verdict != StateMismatch:
 			return ok && verdict.IsAccepted()
 		}
-		k.forgetOrderState(w.ID)
+		rc.forgetOrderState(w.ID)
 		pause.Sleep(ctx, joinRetryPause)
 	}
 	return false
@@ -73,76 +73,76 @@
 // leaveDissolved orders a worker to leave its group if that group was dissolved, and reports
 // whether it left. It returns false for any other group, since another leader put the worker into
 // it.
-func (k *Reconciler) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
-	k.mu.Lock()
-	dissolved := k.retirements[fleet.GroupKey(m)] != 0
-	k.mu.Unlock()
+func (rc *Reconciler) leaveDissolved(ctx context.Context, w *fleet.Worker, m fleet.Membership) bool {
+	rc.mu.Lock()
+	dissolved := rc.retirements[fleet.GroupKey(m)] != 0
+	rc.mu.Unlock()
 	if !dissolved {
-		k.opts.Logger.Info("worker belongs to another group", "worker", w.ID, "replica", fleet.GroupKey(m))
+		rc.opts.Logger.Info("worker belongs to another group", "worker", w.ID, "replica", fleet.GroupKey(m))
 		return false
 	}
-	verdict, ok := k.leaveDirectly(ctx, Group{Name: m.Group, Epoch: m.Epoch}, w)
+	verdict, ok := rc.leaveDirectly(ctx, Group{Name: m.Group, Epoch: m.Epoch}, w)
 	return ok && verdict.IsAccepted()
 }
 
 // orderStateOf returns a worker's order state. If the state is not known, it queries the worker.
-func (k *Reconciler) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
-	k.mu.Lock()
-	current, ok := k.orderStates[w.ID]
-	k.mu.Unlock()
+func (rc *Reconciler) orderStateOf(ctx context.Context, w *fleet.Worker) (orderState, bool) {
+	rc.mu.Lock()
+	current, ok := rc.orderStates[w.ID]
+	rc.mu.Unlock()
 	if ok {
 		return current, true
 	}
-	state, ok := k.queryState(ctx, w)
+	state, ok := rc.queryState(ctx, w)
 	return orderState{orderCount: state.OrderCount, member: state.Membership}, ok
 }
 
 // recordReport records the order state that a worker reported. It ignores the report if an order
 // was answered so recently that the report may not include it. The caller must hold k.mu.
-func (k *Reconciler) recordReport(id string, s WorkerState, now time.Time) {
-	if current, ok := k.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
+func (rc *Reconciler) recordReport(id string, s WorkerState, now time.Time) {
+	if current, ok := rc.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
 		return
 	}
-	k.orderStates[id] = orderState{orderCount: s.OrderCount, member: s.Membership}
+	rc.orderStates[id] = orderState{orderCount: s.OrderCount, member: s.Membership}
 }
 
 // setOrderState sets a worker's order state after an answered order.
-func (k *Reconciler) setOrderState(id string, orderCount int64, membership fleet.Membership) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.setOrderStateLocked(id, orderCount, membership)
+func (rc *Reconciler) setOrderState(id string, orderCount int64, membership fleet.Membership) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.setOrderStateLocked(id, orderCount, membership)
 }
 
 // setOrderStateLocked is setOrderState for callers that hold k.mu.
-func (k *Reconciler) setOrderStateLocked(id string, orderCount int64, m fleet.Membership) {
-	k.orderStates[id] = orderState{orderCount: orderCount, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
+func (rc *Reconciler) setOrderStateLocked(id string, orderCount int64, m fleet.Membership) {
+	rc.orderStates[id] = orderState{orderCount: orderCount, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
 
 // recordBegun increments a worker's order count if the worker began an order that does not change
 // its group. Orders that a worker does not begin are not counted.
-func (k *Reconciler) recordBegun(id string, verdict Verdict) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if current, ok := k.orderStates[id]; ok && verdict == Started {
-		k.setOrderStateLocked(id, current.orderCount+1, current.member)
+func (rc *Reconciler) recordBegun(id string, verdict Verdict) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	if current, ok := rc.orderStates[id]; ok && verdict == Started {
+		rc.setOrderStateLocked(id, current.orderCount+1, current.member)
 	}
 }
 
 // recordLeft records that a worker accepted an order to leave a group. It has no effect if the
 // worker was not in that group.
-func (k *Reconciler) recordLeft(id string, g Group, verdict Verdict) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	current, ok := k.orderStates[id]
+func (rc *Reconciler) recordLeft(id string, g Group, verdict Verdict) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	current, ok := rc.orderStates[id]
 	if ok && verdict.IsAccepted() && current.member.SameGroup(fleet.Membership{Group: g.Name, Epoch: g.Epoch}) {
-		k.setOrderStateLocked(id, current.orderCount+1, fleet.Membership{})
+		rc.setOrderStateLocked(id, current.orderCount+1, fleet.Membership{})
 	}
 }
 
 // forgetOrderState discards a worker's order state. It is called when the worker may have begun an
 // order that the leader does not know of, or may still begin one.
-func (k *Reconciler) forgetOrderState(id string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.orderStates, id)
+func (rc *Reconciler) forgetOrderState(id string) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	delete(rc.orderStates, id)
 }
--- a/formation/oversized.go
+++ b/formation/oversized.go
@@ -7,8 +7,8 @@
 )
 
 // warnOversizedModels logs a warning, once per model, if no domain has enough workers for it.
-func (k *Reconciler) warnOversizedModels(s *fleet.Service, view *fleet.View, now time.Time) {
-	if now.Sub(k.opts.FirstListAt()) < youngListAge {
+func (rc *Reconciler) warnOversizedModels(s *fleet.Service, view *fleet.View, now time.Time) {
+	if now.Sub(rc.opts.FirstListAt()) < youngListAge {
 		return
 	}
 	workerCounts, largestDomain := make(map[string]int), 0
@@ -19,9 +19,9 @@
 		}
 	}
 	for _, m := range s.Engine.Models {
-		if m.Size > largestDomain && largestDomain > 0 && !k.reportedOversized[m.Name] {
-			k.reportedOversized[m.Name] = true
-			k.opts.Logger.Warn("model is larger than any fabric domain", "model", m.Name, "size", m.Size, "largest_domain", largestDomain)
+		if m.Size > largestDomain && largestDomain > 0 && !rc.reportedOversized[m.Name] {
+			rc.reportedOversized[m.Name] = true
+			rc.opts.Logger.Warn("model is larger than any fabric domain", "model", m.Name, "size", m.Size, "largest_domain", largestDomain)
 		}
 	}
 }
--- a/formation/reconciler.go
+++ b/formation/reconciler.go
@@ -234,122 +234,122 @@
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (k *Reconciler) Done() <-chan struct{} { return k.done }
+func (rc *Reconciler) Done() <-chan struct{} { return rc.done }
 
 // MarkSuspected reports that requests at a replica have stopped receiving data. It does not block.
-func (k *Reconciler) MarkSuspected(replica string) {
+func (rc *Reconciler) MarkSuspected(replica string) {
 	select {
-	case k.suspectedReplicas <- replica:
+	case rc.suspectedReplicas <- replica:
 	default:
 		// The queue is full. This report can be dropped, since suspicions are reported repeatedly.
 	}
 }
 
 // Run forms and repairs replicas until ctx is done.
-func (k *Reconciler) Run(ctx context.Context) {
-	defer close(k.done)
-	defer k.tasks.Wait()
+func (rc *Reconciler) Run(ctx context.Context) {
+	defer close(rc.done)
+	defer rc.tasks.Wait()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ticker.C:
-		case <-k.opts.Inventory.Changed():
-		case replica := <-k.suspectedReplicas:
-			k.examineReplica(ctx, replica)
+		case <-rc.opts.Inventory.Changed():
+		case replica := <-rc.suspectedReplicas:
+			rc.examineReplica(ctx, replica)
 		case <-ctx.Done():
 			return
 		}
-		k.tick(ctx, time.Now())
+		rc.tick(ctx, time.Now())
 	}
 }
 
 // tick repairs, forms and trades groups of every service whose workers form groups.
-func (k *Reconciler) tick(ctx context.Context, now time.Time) {
-	config := k.opts.Config()
+func (rc *Reconciler) tick(ctx context.Context, now time.Time) {
+	config := rc.opts.Config()
 	if config == nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	// The view is read under the mutex, so that views are processed in order.
-	view := k.opts.Inventory.View()
-	k.refreshWorkers(view)
-	k.refreshAbsent(view, now)
-	k.queryAbsent(ctx, now)
+	view := rc.opts.Inventory.View()
+	rc.refreshWorkers(view)
+	rc.refreshAbsent(view, now)
+	rc.queryAbsent(ctx, now)
 	for _, s := range config.Services() {
 		if s.Engine != nil {
-			k.tickService(ctx, s, view, now)
+			rc.tickService(ctx, s, view, now)
 		}
 	}
 }
 
-func (k *Reconciler) tickService(ctx context.Context, s *fleet.Service, view *fleet.View, now time.Time) {
-	groups := k.observeGroups(s, view)
+func (rc *Reconciler) tickService(ctx context.Context, s *fleet.Service, view *fleet.View, now time.Time) {
+	groups := rc.observeGroups(s, view)
 	for _, g := range groups {
-		k.repair(ctx, g, now)
+		rc.repair(ctx, g, now)
 	}
-	k.refreshHalls(s, view, now)
-	budget := k.budgetOf(s, now)
-	needs, replicasByHall := k.computeNeeds(s, groups, view)
-	freeWorkers := k.freeWorkers(s, groups, view)
-	if !now.Before(k.nextReport) {
-		k.nextReport = now.Add(reportInterval)
-		k.logReplicas(needs, freeWorkers)
-		k.warnOversizedModels(s, view, now)
+	rc.refreshHalls(s, view, now)
+	budget := rc.budgetOf(s, now)
+	needs, replicasByHall := rc.computeNeeds(s, groups, view)
+	freeWorkers := rc.freeWorkers(s, groups, view)
+	if !now.Before(rc.nextReport) {
+		rc.nextReport = now.Add(reportInterval)
+		rc.logReplicas(needs, freeWorkers)
+		rc.warnOversizedModels(s, view, now)
 	}
-	hasTraffic := k.hasTraffic()
-	maxGroupLoads, maxIdleLoads := k.allowedLoads(s, view, budget, now)
+	hasTraffic := rc.hasTraffic()
+	maxGroupLoads, maxIdleLoads := rc.allowedLoads(s, view, budget, now)
 	input := Input{
-		Needs: needs, Free: freeWorkers, WarmCounts: k.countWarm(s, view),
+		Needs: needs, Free: freeWorkers, WarmCounts: rc.countWarm(s, view),
 		MaxLoads: maxGroupLoads, MaxStagings: maxIdleLoads,
-		IsListGrowing: !hasTraffic && k.isListGrowing(s, view, now),
-		HallLoss:      k.hallLossPolicy(), ReplicasByHall: replicasByHall, ReleasedDomains: k.releasedDomains(needs, freeWorkers, now), TradeRecipients: k.clearFinishedTrades(),
+		IsListGrowing: !hasTraffic && rc.isListGrowing(s, view, now),
+		HallLoss:      rc.hallLossPolicy(), ReplicasByHall: replicasByHall, ReleasedDomains: rc.releasedDomains(needs, freeWorkers, now), TradeRecipients: rc.clearFinishedTrades(),
 	}
 	formations, stagings := Plan(input)
 	if hasTraffic {
-		formations = k.replaceLoadsByTrades(ctx, input, formations, groups, now)
+		formations = rc.replaceLoadsByTrades(ctx, input, formations, groups, now)
 	}
 	for _, f := range formations {
 		budget.record(f.LoadCount, hasTraffic, now)
-		k.startForming(ctx, s, f)
+		rc.startForming(ctx, s, f)
 	}
 	if len(formations) == 0 && hasTraffic {
-		k.startTrades(ctx, input, groups, now)
+		rc.startTrades(ctx, input, groups, now)
 	}
 	if !hasTraffic {
-		stagings = append(k.keepLongIdle(stagings, now), k.secondModelStagings(s, view)...)
+		stagings = append(rc.keepLongIdle(stagings, now), rc.secondModelStagings(s, view)...)
 	}
-	for _, stage := range k.dropRecentlyRefused(stagings, now) {
+	for _, stage := range rc.dropRecentlyRefused(stagings, now) {
 		model, _ := s.Engine.Model(stage.Model)
 		budget.record(1, hasTraffic, now)
-		k.startStaging(ctx, k.knownWorkers[stage.Worker], model)
+		rc.startStaging(ctx, rc.knownWorkers[stage.Worker], model)
 	}
-	k.queryUnresponsive(ctx, view, now)
+	rc.queryUnresponsive(ctx, view, now)
 }
 
 // logReplicas logs the wanted and available replicas.
-func (k *Reconciler) logReplicas(needs []Need, free []FreeWorker) {
+func (rc *Reconciler) logReplicas(needs []Need, free []FreeWorker) {
 	for _, n := range needs {
-		k.opts.Logger.Info("replicas", "model", n.Model.Name, "want", n.Want, "have", n.Have,
-			"work", k.smoothedWork[n.Model.Name].BusySlots, "prompts", int(k.smoothedWork[n.Model.Name].PromptTokens), "idle_workers", len(free))
+		rc.opts.Logger.Info("replicas", "model", n.Model.Name, "want", n.Want, "have", n.Have,
+			"work", rc.smoothedWork[n.Model.Name].BusySlots, "prompts", int(rc.smoothedWork[n.Model.Name].PromptTokens), "idle_workers", len(free))
 	}
 }
 
 // hasTraffic reports whether requests have reached the fleet. If a replica had served when the term
 // began, earlier requests are assumed.
-func (k *Reconciler) hasTraffic() bool { return !k.isNewFleet || k.opts.HasTraffic() }
+func (rc *Reconciler) hasTraffic() bool { return !rc.isNewFleet || rc.opts.HasTraffic() }
 
 // fleetNeverServed reports whether no replica has served yet. The worker list shows which groups
 // were opened. If this process started later than the fleet, no worker may hold a model either.
 // Otherwise, after a restart of all daemons while no replica is open, the leader would treat the
 // fleet as new. It would then start more loads at once than allowed.
-func (k *Reconciler) fleetNeverServed(view *fleet.View) bool {
-	if k.term.IsFirst {
+func (rc *Reconciler) fleetNeverServed(view *fleet.View) bool {
+	if rc.term.IsFirst {
 		return true
 	}
 	for _, w := range view.Workers() {
-		if hasServed(w) || !k.term.RunningSinceFleetStart && hasModel(w) {
+		if hasServed(w) || !rc.term.RunningSinceFleetStart && hasModel(w) {
 			return false
 		}
 	}
@@ -368,73 +368,73 @@
 
 // refreshWorkers records the listed workers. Unlisted workers are no longer recorded as
 // unresponsive.
-func (k *Reconciler) refreshWorkers(view *fleet.View) {
+func (rc *Reconciler) refreshWorkers(view *fleet.View) {
 	for id, w := range view.Workers() {
-		k.knownWorkers[id] = w
-		k.recordListedIncarnation(w)
+		rc.knownWorkers[id] = w
+		rc.recordListedIncarnation(w)
 	}
-	for id := range k.unresponsive {
+	for id := range rc.unresponsive {
 		if _, listed := view.Worker(id); !listed {
-			delete(k.unresponsive, id)
+			delete(rc.unresponsive, id)
 		}
 	}
 }
 
 // nextFence returns the fence of the next order.
-func (k *Reconciler) nextFence() Fence {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.nextFenceLocked()
+func (rc *Reconciler) nextFence() Fence {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return rc.nextFenceLocked()
 }
 
 // nextFenceLocked is nextFence for callers that hold k.mu. A fence must never be lower than an
 // earlier one. When the term has used up its fences, it therefore returns the last fence again and
 // ends the term.
-func (k *Reconciler) nextFenceLocked() Fence {
-	if k.lastSequence == maxSequence {
-		go k.onSuperseded()
+func (rc *Reconciler) nextFenceLocked() Fence {
+	if rc.lastSequence == maxSequence {
+		go rc.onSuperseded()
 	} else {
-		k.lastSequence++
+		rc.lastSequence++
 	}
-	return NewFence(k.term.Epoch, k.term.Rank, k.lastSequence)
+	return NewFence(rc.term.Epoch, rc.term.Rank, rc.lastSequence)
 }
 
 // membershipOf returns a worker's group membership according to the worker list or the worker's own
 // report, whichever is newer.
-func (k *Reconciler) membershipOf(w *fleet.Worker) fleet.Membership {
-	o, ok := k.observations[w.ID]
-	if k.isPastIncarnation(w) {
+func (rc *Reconciler) membershipOf(w *fleet.Worker) fleet.Membership {
+	o, ok := rc.observations[w.ID]
+	if rc.isPastIncarnation(w) {
 		return o.state.Membership
 	}
 	if !ok || o.state.Membership.Epoch < w.Member.Epoch {
 		return w.Member
 	}
-	if a, isAbsent := k.absent[w.ID]; isAbsent && o.at.After(a.unlistedSince) {
+	if a, isAbsent := rc.absent[w.ID]; isAbsent && o.at.After(a.unlistedSince) {
 		return o.state.Membership
 	}
-	if o.state.Membership.SameGroup(w.Member) && k.opts.Inventory.Confirmed().After(o.at) {
+	if o.state.Membership.SameGroup(w.Member) && rc.opts.Inventory.Confirmed().After(o.at) {
 		return w.Member
 	}
-	if o.state.Membership.Group == "" && w.Member.Group != "" && k.opts.Inventory.Confirmed().After(o.at.Add(listSettleTime)) {
+	if o.state.Membership.Group == "" && w.Member.Group != "" && rc.opts.Inventory.Confirmed().After(o.at.Add(listSettleTime)) {
 		return w.Member
 	}
 	return o.state.Membership
 }
 
 // recordState records a state that a worker reported, unless a newer one is known.
-func (k *Reconciler) recordState(id string, s WorkerState) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.recordReportedIncarnation(id, s.StartedAt) {
+func (rc *Reconciler) recordState(id string, s WorkerState) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	if !rc.recordReportedIncarnation(id, s.StartedAt) {
 		return
 	}
-	delete(k.unresponsive, id)
+	delete(rc.unresponsive, id)
 	now := time.Now()
-	k.recordReport(id, s, now)
-	previous, ok := k.observations[id]
+	rc.recordReport(id, s, now)
+	previous, ok := rc.observations[id]
 	isOutdated := previous.state.Membership.Epoch > s.Membership.Epoch || previous.at.After(now) && previous.state.Membership.SameGroup(s.Membership)
 	if ok && isOutdated {
 		return
 	}
-	k.observations[id] = observation{state: s, at: now}
+	rc.observations[id] = observation{state: s, at: now}
 }
--- a/formation/send.go
+++ b/formation/send.go
@@ -11,75 +11,75 @@
 // whether an answer arrived. Each attempt has a new fence, so that workers reject earlier attempts
 // that arrive late. If no attempt is answered, the worker's state is queried. If that is not
 // answered either, the worker is marked as unresponsive.
-func (k *Reconciler) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
+func (rc *Reconciler) sendOrder(ctx context.Context, order string, w *fleet.Worker, send func(context.Context, Fence) (Verdict, error)) (Verdict, bool) {
 	fencedCount, maxAttempts := 0, maxOrderAttempts
-	if k.isUnresponsive(w.ID) {
+	if rc.isUnresponsive(w.ID) {
 		maxAttempts = unresponsiveAttempts
 	}
 	for attempt := range maxAttempts {
-		verdict, err := k.sendOrderOnce(ctx, send)
-		k.recordAttempt(order, w, attempt+1, verdict, err)
+		verdict, err := rc.sendOrderOnce(ctx, send)
+		rc.recordAttempt(order, w, attempt+1, verdict, err)
 		switch {
 		case err == nil && verdict == Fenced && fencedCount == 0:
 			// The worker may have received a later order of the same term first.
 			fencedCount++
 			continue
 		case err == nil:
-			k.endTermIfFenced(order, w, verdict)
+			rc.endTermIfFenced(order, w, verdict)
 			if verdict == WrongWorker {
-				k.recordDisplaced(w)
+				rc.recordDisplaced(w)
 			}
 			return verdict, true
 		}
-		k.forgetOrderState(w.ID)
+		rc.forgetOrderState(w.ID)
 		if ctx.Err() != nil {
 			return StateMismatch, false
 		}
 	}
-	k.opts.Logger.Warn("order not answered", "order", order, "worker", w.ID, "tries", maxAttempts)
-	if _, responds := k.queryState(ctx, w); !responds && ctx.Err() == nil {
-		k.markUnresponsive(w.ID)
+	rc.opts.Logger.Warn("order not answered", "order", order, "worker", w.ID, "tries", maxAttempts)
+	if _, responds := rc.queryState(ctx, w); !responds && ctx.Err() == nil {
+		rc.markUnresponsive(w.ID)
 	}
 	return StateMismatch, false
 }
 
 // sendOrderOnce sends an order once, after waiting for a free call slot.
-func (k *Reconciler) sendOrderOnce(ctx context.Context, send func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
-	k.callSlots <- struct{}{}
-	defer func() { <-k.callSlots }()
-	if k.opts.CheckSuspension != nil {
-		k.opts.CheckSuspension()
+func (rc *Reconciler) sendOrderOnce(ctx context.Context, send func(context.Context, Fence) (Verdict, error)) (Verdict, error) {
+	rc.callSlots <- struct{}{}
+	defer func() { <-rc.callSlots }()
+	if rc.opts.CheckSuspension != nil {
+		rc.opts.CheckSuspension()
 	}
 	if err := ctx.Err(); err != nil {
 		return StateMismatch, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return send(ctx, k.nextFence())
+	return send(ctx, rc.nextFence())
 }
 
 // endTermIfFenced ends the term if a worker rejected an order because it had seen a higher fence.
-func (k *Reconciler) endTermIfFenced(order string, w *fleet.Worker, verdict Verdict) {
+func (rc *Reconciler) endTermIfFenced(order string, w *fleet.Worker, verdict Verdict) {
 	if verdict != Fenced {
 		return
 	}
-	k.opts.Logger.Warn("order refused: another leader has a higher term", "order", order, "worker", w.ID)
-	k.onSuperseded()
+	rc.opts.Logger.Warn("order refused: another leader has a higher term", "order", order, "worker", w.ID)
+	rc.onSuperseded()
 }
 
 // queryState queries a worker's state, records it, and reports whether the worker answered.
-func (k *Reconciler) queryState(ctx context.Context, w *fleet.Worker) (WorkerState, bool) {
-	k.callSlots <- struct{}{}
-	defer func() { <-k.callSlots }()
+func (rc *Reconciler) queryState(ctx context.Context, w *fleet.Worker) (WorkerState, bool) {
+	rc.callSlots <- struct{}{}
+	defer func() { <-rc.callSlots }()
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	state, err := k.opts.Orders.QueryState(ctx, w)
+	state, err := rc.opts.Orders.QueryState(ctx, w)
 	if errors.Is(err, ErrWrongWorker) {
-		k.recordDisplaced(w)
+		rc.recordDisplaced(w)
 	}
 	if err != nil {
 		return WorkerState{}, false
 	}
-	k.recordState(w.ID, state)
+	rc.recordState(w.ID, state)
 	return state, true
 }
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -10,11 +10,11 @@
 
 // keepLongIdle returns the stagings whose workers have been idle for longer than listSettleTime. In
 // a new fleet, a worker that has been idle for less time is usually about to be put into a group.
-func (k *Reconciler) keepLongIdle(stagings []Staging, now time.Time) []Staging {
+func (rc *Reconciler) keepLongIdle(stagings []Staging, now time.Time) []Staging {
 	var all []Staging
 	idleSince := make(map[string]time.Time)
 	for _, s := range stagings {
-		since, ok := k.idleSince[s.Worker]
+		since, ok := rc.idleSince[s.Worker]
 		if !ok {
 			since = now
 		}
@@ -23,19 +23,19 @@
 			all = append(all, s)
 		}
 	}
-	k.idleSince = idleSince
+	rc.idleSince = idleSince
 	return all
 }
 
 // secondModelStagings returns stagings of a second model for workers that serve another one, so
 // that they can quickly switch to it. It must be called only while loads are not limited. A worker
 // needs no staged copy of the model that it serves.
-func (k *Reconciler) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
+func (rc *Reconciler) secondModelStagings(s *fleet.Service, view *fleet.View) []Staging {
 	var all []Staging
 	for id, w := range view.Workers() {
-		m := k.membershipOf(w)
-		_, isLoading := k.activeLoads[id]
-		if w.Service != s.Name || w.Draining || isLoading || k.busyWorkers[id] || m.State != fleet.Open && m.State != fleet.Ready {
+		m := rc.membershipOf(w)
+		_, isLoading := rc.activeLoads[id]
+		if w.Service != s.Name || w.Draining || isLoading || rc.busyWorkers[id] || m.State != fleet.Open && m.State != fleet.Ready {
 			continue
 		}
 		ownModel := fleet.ModelOf(m.Group)
@@ -75,25 +75,25 @@
 
 // allowedLoads returns how many loads may begin now for groups, and how many for idle workers.
 // Before the first request, loads are quick and not limited.
-func (k *Reconciler) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (maxGroupLoads, maxIdleLoads int) {
-	if !k.hasTraffic() {
+func (rc *Reconciler) allowedLoads(s *fleet.Service, view *fleet.View, budget *loadBudget, now time.Time) (maxGroupLoads, maxIdleLoads int) {
+	if !rc.hasTraffic() {
 		return unlimitedLoads, unlimitedLoads
 	}
-	runningLoads, availableLoads := float64(k.countRunningLoads(s, view, now)), budget.availableLoads(now)
+	runningLoads, availableLoads := float64(rc.countRunningLoads(s, view, now)), budget.availableLoads(now)
 	loadsAtOnce := float64(s.Engine.MaxConcurrentLoads)
 	return min(int(groupLoadFactor*loadsAtOnce-runningLoads), availableLoads), min(int(idleLoadFactor*loadsAtOnce-runningLoads), availableLoads)
 }
 
 // countRunningLoads returns how many workers of a service load weights from the store.
-func (k *Reconciler) countRunningLoads(s *fleet.Service, view *fleet.View, now time.Time) int {
+func (rc *Reconciler) countRunningLoads(s *fleet.Service, view *fleet.View, now time.Time) int {
 	count := 0
 	for id, w := range view.Workers() {
-		l, isLoading := k.activeLoads[id]
+		l, isLoading := rc.activeLoads[id]
 		if isLoading && (now.After(l.expiresAt) || w.HasStaged(l.model)) {
-			delete(k.activeLoads, id)
+			delete(rc.activeLoads, id)
 			isLoading = false
 		}
-		if isLoading || w.Service == s.Name && k.isLoadingForJoin(w) {
+		if isLoading || w.Service == s.Name && rc.isLoadingForJoin(w) {
 			count++
 		}
 	}
@@ -102,13 +102,13 @@
 
 // isLoadingForJoin reports whether a worker is loading weights to join a group. The join may have
 // been ordered by an earlier leader.
-func (k *Reconciler) isLoadingForJoin(w *fleet.Worker) bool {
-	m := k.membershipOf(w)
-	return m.State == fleet.Joining && k.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
+func (rc *Reconciler) isLoadingForJoin(w *fleet.Worker) bool {
+	m := rc.membershipOf(w)
+	return m.State == fleet.Joining && rc.asFreeWorker(w).warmth(fleet.ModelOf(m.Group)) > Staged
 }
 
 // countWarm returns the number of workers that are warm for each model, by domain and model.
-func (k *Reconciler) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
+func (rc *Reconciler) countWarm(s *fleet.Service, view *fleet.View) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for _, w := range view.Workers() {
 		if w.Service != s.Name || w.Draining {
@@ -118,7 +118,7 @@
 			counts[w.Domain] = make(map[string]int)
 		}
 		for _, m := range s.Engine.Models {
-			if k.asFreeWorker(w).warmth(m.Name) <= Staged || fleet.ModelOf(k.membershipOf(w).Group) == m.Name {
+			if rc.asFreeWorker(w).warmth(m.Name) <= Staged || fleet.ModelOf(rc.membershipOf(w).Group) == m.Name {
 				counts[w.Domain][m.Name]++
 			}
 		}
@@ -127,83 +127,83 @@
 }
 
 // budgetOf returns the load budget of a service.
-func (k *Reconciler) budgetOf(s *fleet.Service, now time.Time) *loadBudget {
-	l, ok := k.loadBudgets[s.Name]
+func (rc *Reconciler) budgetOf(s *fleet.Service, now time.Time) *loadBudget {
+	l, ok := rc.loadBudgets[s.Name]
 	if !ok {
 		l = &loadBudget{}
-		k.loadBudgets[s.Name] = l
+		rc.loadBudgets[s.Name] = l
 	}
 	burst := s.Engine.MaxConcurrentLoads
 	for _, m := range s.Engine.Models {
 		burst = max(burst, m.Size)
 	}
-	l.configure(k.opts.LoadLimit, s.Engine.LoadsPerSecond, float64(burst), k.term.IsFirst, now)
+	l.configure(rc.opts.LoadLimit, s.Engine.LoadsPerSecond, float64(burst), rc.term.IsFirst, now)
 	return l
 }
 
 // recordLoad records a load if the worker is cold for the model. The caller must hold k.mu.
-func (k *Reconciler) recordLoad(w *fleet.Worker, m fleet.Model) {
-	if k.asFreeWorker(w).warmth(m.Name) > Staged {
-		k.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
+func (rc *Reconciler) recordLoad(w *fleet.Worker, m fleet.Model) {
+	if rc.asFreeWorker(w).warmth(m.Name) > Staged {
+		rc.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
 	}
 }
 
 // clearLoads removes the recorded loads of workers.
-func (k *Reconciler) clearLoads(ids []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (rc *Reconciler) clearLoads(ids []string) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	for _, id := range ids {
-		delete(k.activeLoads, id)
+		delete(rc.activeLoads, id)
 	}
 }
 
 // startStaging starts staging a model on a worker's host. The caller must hold k.mu.
-func (k *Reconciler) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
-	k.recordLoad(w, m)
-	k.opts.Logger.Info("staging", "worker", w.ID, "model", m.Name)
-	k.tasks.Go(func() {
-		if k.stage(ctx, w, m) {
+func (rc *Reconciler) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
+	rc.recordLoad(w, m)
+	rc.opts.Logger.Info("staging", "worker", w.ID, "model", m.Name)
+	rc.tasks.Go(func() {
+		if rc.stage(ctx, w, m) {
 			return
 		}
-		k.clearLoads([]string{w.ID})
+		rc.clearLoads([]string{w.ID})
 		if ctx.Err() == nil {
-			k.opts.Logger.Warn("staging not taken", "worker", w.ID, "model", m.Name)
+			rc.opts.Logger.Warn("staging not taken", "worker", w.ID, "model", m.Name)
 		}
 	})
 }
 
 // stage orders a worker to stage a model, and reports whether it accepted. The worker accepts the
 // order at most once, so that each load that begins is recorded.
-func (k *Reconciler) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
-	current, ok := k.orderStateOf(ctx, w)
+func (rc *Reconciler) stage(ctx context.Context, w *fleet.Worker, m fleet.Model) bool {
+	current, ok := rc.orderStateOf(ctx, w)
 	if !ok {
 		return false
 	}
-	verdict, ok := k.sendOrder(ctx, "stage", w, func(ctx context.Context, fence Fence) (Verdict, error) {
-		return k.opts.Orders.Stage(ctx, w, fence, current.orderCount, m.Name)
+	verdict, ok := rc.sendOrder(ctx, "stage", w, func(ctx context.Context, fence Fence) (Verdict, error) {
+		return rc.opts.Orders.Stage(ctx, w, fence, current.orderCount, m.Name)
 	})
 	switch {
 	case !ok:
 		return false
 	case verdict == StateMismatch:
-		k.forgetOrderState(w.ID)
-		k.recordStageRefusal(w)
+		rc.forgetOrderState(w.ID)
+		rc.recordStageRefusal(w)
 	}
-	k.recordBegun(w.ID, verdict)
+	rc.recordBegun(w.ID, verdict)
 	return verdict.IsAccepted()
 }
 
 // recordStageRefusal records that a worker refused to stage, for example because it is already
 // loading. The worker is then not ordered again immediately. The load budget is not refunded, since
 // no token may have been taken for the load.
-func (k *Reconciler) recordStageRefusal(w *fleet.Worker) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stageRetryAt[w.ID] = time.Now().Add(stageRetryDelay)
+func (rc *Reconciler) recordStageRefusal(w *fleet.Worker) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.stageRetryAt[w.ID] = time.Now().Add(stageRetryDelay)
 }
 
 // dropRecentlyRefused returns the stagings whose workers did not recently refuse to stage. The
 // caller must hold k.mu.
-func (k *Reconciler) dropRecentlyRefused(stagings []Staging, now time.Time) []Staging {
-	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(k.stageRetryAt[s.Worker]) })
+func (rc *Reconciler) dropRecentlyRefused(stagings []Staging, now time.Time) []Staging {
+	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(rc.stageRetryAt[s.Worker]) })
 }
--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -24,23 +24,23 @@
 // These workers have been too few for a group of any model with too few replicas for longer than
 // survivorReleaseDelay. The surplus groups are traded back once the missing members are available
 // and warm. The caller must hold k.mu.
-func (k *Reconciler) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
+func (rc *Reconciler) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
 	released, isWaiting := make(map[string]bool), make(map[string]bool)
 	for domain, workers := range groupByDomain(free) {
-		if !lacksMembers(needs, len(workers)) || k.isTrading(domain) {
+		if !lacksMembers(needs, len(workers)) || rc.isTrading(domain) {
 			continue
 		}
 		isWaiting[domain] = true
-		releaseAt, ok := k.releaseAt[domain]
+		releaseAt, ok := rc.releaseAt[domain]
 		if !ok {
 			releaseAt = now.Add(survivorReleaseDelay)
-			k.releaseAt[domain] = releaseAt
+			rc.releaseAt[domain] = releaseAt
 		}
 		released[domain] = !now.Before(releaseAt)
 	}
-	for domain := range k.releaseAt {
+	for domain := range rc.releaseAt {
 		if !isWaiting[domain] {
-			delete(k.releaseAt, domain)
+			delete(rc.releaseAt, domain)
 		}
 	}
 	return released
@@ -48,8 +48,8 @@
 
 // isTrading reports whether groups of a domain are being traded for another model. The members that
 // are already free then wait for the others.
-func (k *Reconciler) isTrading(domain string) bool {
-	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
+func (rc *Reconciler) isTrading(domain string) bool {
+	return slices.ContainsFunc(rc.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
 // lacksMembers reports whether the workers are too few for a group of any model that has too few
--- a/formation/trading.go
+++ b/formation/trading.go
@@ -19,43 +19,43 @@
 // startTrades dissolves groups so that groups of models with too few replicas can be formed. It
 // takes the effects of ongoing trades into account. Trades are rate limited, unless they complete
 // the survivors of a broken group or dissolve only surplus groups.
-func (k *Reconciler) startTrades(ctx context.Context, in Input, groups []*observedGroup, now time.Time) {
+func (rc *Reconciler) startTrades(ctx context.Context, in Input, groups []*observedGroup, now time.Time) {
 	needs, free := slices.Clone(in.Needs), in.Free
-	if now.Before(k.tradesAllowedAt) {
+	if now.Before(rc.tradesAllowedAt) {
 		return
 	}
-	byKey, servingGroups := k.tradableGroups(groups)
+	byKey, servingGroups := rc.tradableGroups(groups)
 	maxTrades := max(len(servingGroups)/groupsPerTrade, 1)
-	nextTrade := k.nextTrade
-	defer func() { k.nextTrade = nextTrade }()
-	downCounts := k.applyActiveTrades(needs)
+	nextTrade := rc.nextTrade
+	defer func() { rc.nextTrade = nextTrade }()
+	downCounts := rc.applyActiveTrades(needs)
 	for {
 		t := newTradeFinder(needs, free, servingGroups)
 		t.downCounts, t.maxLoads = downCounts, in.MaxLoads
 		t.planValuation.hallLoss, t.planValuation.replicasByHall = in.HallLoss, in.ReplicasByHall
 		x, ok := t.bestTrade()
-		isRateLimited := now.Before(k.nextTrade) || len(k.activeTrades) >= maxTrades
+		isRateLimited := now.Before(rc.nextTrade) || len(rc.activeTrades) >= maxTrades
 		if !ok || isRateLimited && !t.completesSurvivors(x) && !x.takesOnlySurplus(needs) {
 			return
 		}
-		k.activeTrades = append(k.activeTrades, x)
+		rc.activeTrades = append(rc.activeTrades, x)
 		nextTrade = now.Add(tradeInterval)
 		x.applyTo(needs)
 		x.addDownCounts(downCounts)
 		free = slices.DeleteFunc(slices.Clone(free), func(f FreeWorker) bool { return f.Domain == x.Domain })
 		servingGroups = slices.DeleteFunc(servingGroups, func(s ServingGroup) bool { return s.Domain == x.Domain })
-		k.startTrade(ctx, x, byKey)
+		rc.startTrade(ctx, x, byKey)
 	}
 }
 
 // clearFinishedTrades removes the trades whose groups are dissolved, and returns the recipients of
 // the remaining ones by domain.
-func (k *Reconciler) clearFinishedTrades() map[string]string {
-	k.activeTrades = slices.DeleteFunc(k.activeTrades, func(x Trade) bool {
-		return !slices.ContainsFunc(x.GroupKeys, func(key string) bool { return k.busyGroups[key] })
+func (rc *Reconciler) clearFinishedTrades() map[string]string {
+	rc.activeTrades = slices.DeleteFunc(rc.activeTrades, func(x Trade) bool {
+		return !slices.ContainsFunc(x.GroupKeys, func(key string) bool { return rc.busyGroups[key] })
 	})
 	recipients := make(map[string]string)
-	for _, x := range k.activeTrades {
+	for _, x := range rc.activeTrades {
 		recipients[x.Domain] = x.Recipient
 	}
 	return recipients
@@ -63,9 +63,9 @@
 
 // applyActiveTrades applies the ongoing trades to needs, and returns how many groups of each model
 // they take out of service.
-func (k *Reconciler) applyActiveTrades(needs []Need) map[string]int {
+func (rc *Reconciler) applyActiveTrades(needs []Need) map[string]int {
 	downCounts := make(map[string]int)
-	for _, x := range k.activeTrades {
+	for _, x := range rc.activeTrades {
 		x.applyTo(needs)
 		x.addDownCounts(downCounts)
 	}
@@ -75,28 +75,28 @@
 // replaceLoadsByTrades starts trades in place of planned groups whose members would have to load,
 // and returns the other planned groups. A group is replaced only by a trade in its domain that
 // provides warm members and has a higher value.
-func (k *Reconciler) replaceLoadsByTrades(ctx context.Context, in Input, planned []Formation, groups []*observedGroup, now time.Time) []Formation {
+func (rc *Reconciler) replaceLoadsByTrades(ctx context.Context, in Input, planned []Formation, groups []*observedGroup, now time.Time) []Formation {
 	needsLoads := slices.ContainsFunc(planned, func(f Formation) bool { return f.LoadCount > 0 })
-	if !needsLoads || now.Before(k.tradesAllowedAt) {
+	if !needsLoads || now.Before(rc.tradesAllowedAt) {
 		return planned
 	}
-	byKey, servingGroups := k.tradableGroups(groups)
+	byKey, servingGroups := rc.tradableGroups(groups)
 	needs := slices.Clone(in.Needs)
-	downCounts := k.applyActiveTrades(needs)
+	downCounts := rc.applyActiveTrades(needs)
 	var kept []Formation
 	for i, f := range planned {
 		t := newTradeFinder(needs, excludeMembers(in.Free, kept, planned[i+1:]), servingGroups)
 		t.downCounts = downCounts
 		x, ok := t.tradeInsteadOf(f)
-		if !ok || k.isTrading(x.Domain) {
+		if !ok || rc.isTrading(x.Domain) {
 			kept = append(kept, f)
 			continue
 		}
-		k.activeTrades = append(k.activeTrades, x)
+		rc.activeTrades = append(rc.activeTrades, x)
 		x.applyTo(needs)
 		x.addDownCounts(downCounts)
 		servingGroups = slices.DeleteFunc(servingGroups, func(s ServingGroup) bool { return s.Domain == x.Domain })
-		k.startTrade(ctx, x, byKey)
+		rc.startTrade(ctx, x, byKey)
 	}
 	return kept
 }
@@ -115,24 +115,24 @@
 }
 
 // startTrade starts to dissolve the groups of a trade.
-func (k *Reconciler) startTrade(ctx context.Context, x Trade, byKey map[string]*observedGroup) {
+func (rc *Reconciler) startTrade(ctx context.Context, x Trade, byKey map[string]*observedGroup) {
 	for _, key := range x.GroupKeys {
 		o := byKey[key]
-		k.opts.Logger.Info("replica given up for another model", "replica", key, "for", x.Recipient, "domain", x.Domain, "gets", x.FormedCount)
-		k.startOperation(ctx, key, o.members, func(ctx context.Context) { k.drain(ctx, o) })
+		rc.opts.Logger.Info("replica given up for another model", "replica", key, "for", x.Recipient, "domain", x.Domain, "gets", x.FormedCount)
+		rc.startOperation(ctx, key, o.members, func(ctx context.Context) { rc.drain(ctx, o) })
 	}
 }
 
 // tradableGroups returns the serving groups that may be traded. The first result holds them by key.
 // The second one holds them in the form that the planner uses.
-func (k *Reconciler) tradableGroups(groups []*observedGroup) (map[string]*observedGroup, []ServingGroup) {
+func (rc *Reconciler) tradableGroups(groups []*observedGroup) (map[string]*observedGroup, []ServingGroup) {
 	byKey := make(map[string]*observedGroup)
 	var all []ServingGroup
 	for _, o := range groups {
-		if o.isComplete() && o.absentCount == 0 && o.state == fleet.Open && !k.busyGroups[o.key] && k.retirements[o.key] == 0 && k.halls.isUsable(o.head.Zone) {
+		if o.isComplete() && o.absentCount == 0 && o.state == fleet.Open && !rc.busyGroups[o.key] && rc.retirements[o.key] == 0 && rc.halls.isUsable(o.head.Zone) {
 			byKey[o.key] = o
 			all = append(all, ServingGroup{
-				Key: o.key, Domain: o.head.Domain, Model: o.model.Name, MemberCount: len(o.members), Hall: o.head.Zone, ColdCounts: k.countColdMembers(o),
+				Key: o.key, Domain: o.head.Domain, Model: o.model.Name, MemberCount: len(o.members), Hall: o.head.Zone, ColdCounts: rc.countColdMembers(o),
 			})
 		}
 	}
@@ -141,15 +141,15 @@
 
 // countColdMembers returns the number of a group's members that would have to load a model, by
 // model.
-func (k *Reconciler) countColdMembers(o *observedGroup) map[string]int {
+func (rc *Reconciler) countColdMembers(o *observedGroup) map[string]int {
 	counts := make(map[string]int)
-	for _, s := range k.opts.Config().Services() {
+	for _, s := range rc.opts.Config().Services() {
 		if s.Name != o.head.Service || s.Engine == nil {
 			continue
 		}
 		for _, m := range s.Engine.Models {
 			for _, w := range o.members {
-				if k.asFreeWorker(w).warmth(m.Name) > Staged {
+				if rc.asFreeWorker(w).warmth(m.Name) > Staged {
 					counts[m.Name]++
 				}
 			}
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -19,44 +19,44 @@
 
 // markUnreliable records the workers that prevented a group from forming. It records nothing if the
 // context was canceled, since the group then failed because the term ended.
-func (k *Reconciler) markUnreliable(ctx context.Context, g Group, workers ...*fleet.Worker) {
+func (rc *Reconciler) markUnreliable(ctx context.Context, g Group, workers ...*fleet.Worker) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	preferOthersUntil := time.Now().Add(unreliableDuration)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	for _, w := range workers {
-		k.unreliableUntil[w.ID] = preferOthersUntil
-		k.opts.Logger.Warn("member did not become ready", "worker", w.ID, "domain", w.Domain, "replica", g.Key())
+		rc.unreliableUntil[w.ID] = preferOthersUntil
+		rc.opts.Logger.Warn("member did not become ready", "worker", w.ID, "domain", w.Domain, "replica", g.Key())
 	}
 }
 
 // clearUnreliable records that workers became ready and are no longer unreliable.
-func (k *Reconciler) clearUnreliable(workers []*fleet.Worker) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (rc *Reconciler) clearUnreliable(workers []*fleet.Worker) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	for _, w := range workers {
-		delete(k.unreliableUntil, w.ID)
+		delete(rc.unreliableUntil, w.ID)
 	}
 }
 
 // isExcluded reports whether a worker is temporarily excluded from new groups. The caller must hold
 // k.mu.
-func (k *Reconciler) isExcluded(id string) bool {
-	until, ok := k.unreliableUntil[id]
+func (rc *Reconciler) isExcluded(id string) bool {
+	until, ok := rc.unreliableUntil[id]
 	return ok && time.Now().Before(until.Add(exclusionPeriod-unreliableDuration))
 }
 
 // isUnreliable reports whether a worker recently prevented a group from forming, so that other
 // workers are preferred to it. The caller must hold k.mu.
-func (k *Reconciler) isUnreliable(id string) bool {
-	until, ok := k.unreliableUntil[id]
+func (rc *Reconciler) isUnreliable(id string) bool {
+	until, ok := rc.unreliableUntil[id]
 	if !ok {
 		return false
 	}
 	if time.Now().After(until) {
-		delete(k.unreliableUntil, id)
+		delete(rc.unreliableUntil, id)
 		return false
 	}
 	return true
