--- a/common/roundrobin/roundrobin_test.go
+++ b/common/roundrobin/roundrobin_test.go
@@ -13,9 +13,9 @@
 
 func TestMain(m *testing.M) { proptest.Main(m) }
 
-// TestFewReturnsAll checks that repeated calls return every item of a list that doesn't
+// TestSelectReturnsAll checks that repeated calls return every item of a list that doesn't
 // change, in the smallest possible number of calls.
-func TestFewReturnsAll(t *testing.T) {
+func TestSelectReturnsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfNDistinct(rapid.IntRange(0, 1000), 1, 40, rapid.ID[int]).Draw(t, "all")
 		most := rapid.IntRange(1, 8).Draw(t, "most")
--- a/fleet/inventory_test.go
+++ b/fleet/inventory_test.go
@@ -208,7 +208,7 @@
 	follower.Follow(d, now)
 }
 
-func TestBeliefsOnlyMoveForwards(t *testing.T) {
+func TestConfigCacheOnlyMovesForwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewConfigCache()
 		start := time.Now()
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestInflightCounts(t *testing.T) {
+func TestInFlightCounter(t *testing.T) {
 	f := NewInFlightCounter()
 	report := time.Unix(1, 0)
 	end := f.Start("r", "a")
