--- a/formation/survivors.go
+++ b/formation/survivors.go
@@ -24,24 +24,24 @@
 // wanted number of groups of a model. A domain is released if, for survivorReleaseDelay, its idle
 // workers could form no group of a model that lacks replicas, but could form one of another model.
 // The surplus groups are traded back once the missing workers are available and warm. The caller
-// must hold k.mu.
-func (k *Reconciler) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
+// must hold rc.mu.
+func (rc *Reconciler) releasedDomains(needs []Need, free []FreeWorker, now time.Time) map[string]bool {
 	released, isWaiting := make(map[string]bool), make(map[string]bool)
 	for domain, workers := range groupByDomain(free) {
-		if !lacksMembers(needs, len(workers)) || k.isTrading(domain) {
+		if !lacksMembers(needs, len(workers)) || rc.isTrading(domain) {
 			continue
 		}
 		isWaiting[domain] = true
-		releaseAt, ok := k.releaseAt[domain]
+		releaseAt, ok := rc.releaseAt[domain]
 		if !ok {
 			releaseAt = now.Add(survivorReleaseDelay)
-			k.releaseAt[domain] = releaseAt
+			rc.releaseAt[domain] = releaseAt
 		}
 		released[domain] = !now.Before(releaseAt)
 	}
-	for domain := range k.releaseAt {
+	for domain := range rc.releaseAt {
 		if !isWaiting[domain] {
-			delete(k.releaseAt, domain)
+			delete(rc.releaseAt, domain)
 		}
 	}
 	return released
@@ -49,8 +49,8 @@
 
 // isTrading reports whether groups of a domain are being traded for another model. The members that
 // are already free then wait for the others.
-func (k *Reconciler) isTrading(domain string) bool {
-	return slices.ContainsFunc(k.activeTrades, func(x Trade) bool { return x.Domain == domain })
+func (rc *Reconciler) isTrading(domain string) bool {
+	return slices.ContainsFunc(rc.activeTrades, func(x Trade) bool { return x.Domain == domain })
 }
 
 // lacksMembers reports whether the given number of workers can form no group of a model that lacks
--- a/serving/heartbeat.go
+++ b/serving/heartbeat.go
@@ -10,7 +10,7 @@
 
 // fillHeartbeat sets this daemon's own state in a heartbeat.
 func (s *Server) fillHeartbeat(h *peers.Heartbeat, now time.Time) {
-	s.awake.Check()
+	s.suspensionWatch.Check()
 	h.Ready, h.Leaving, h.Complete = s.IsReady(), s.isLeaving.Load(), s.inventory.IsComplete()
 	version, confirmed := s.configCache.State()
 	h.ConfigVersion, h.ConfigAge = version, ageMillis(confirmed, now)
@@ -22,7 +22,7 @@
 	h.Loads, h.Traffic = s.tracker.OwnLoads(), s.tracker.HasTraffic()
 	h.Demand, h.PromptTokens = s.tracker.DemandByModel()
 	h.Stalls = s.suspicions.recentStalls(now)
-	h.Quarantine = s.relay.Guard().Table().Report(now, s.forwardsNews())
+	h.Quarantine = s.proxy.Guard().Table().Report(now, s.forwardsNews())
 	h.Signals = s.signals.Report(now, s.forwardsNews())
 }
 
--- a/serving/awake.go
+++ b/serving/suspension.go
@@ -6,7 +6,7 @@
 // suspension, it calls afterSuspension first. The caller must not hold a lock that afterSuspension
 // takes.
 func (s *Server) suspended() time.Duration {
-	s.awake.Check()
+	s.suspensionWatch.Check()
 	return s.opts.Suspended()
 }
 
@@ -21,5 +21,5 @@
 	s.inventory.AddSuspension(suspended)
 	s.halls.AddSuspension(suspended)
 	s.agent.Table().NoteSuspension(time.Now(), suspended)
-	s.relay.CloseIdleConnections()
+	s.proxy.CloseIdleConnections()
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -29,31 +29,32 @@
 	Seed uint64
 	// Program is the path of the daemon's program. Dir is the directory for settings and logs.
 	Program, Dir string
-	// Earlier is the path of an earlier build's program, or empty. Mix selects the daemons that
-	// run it.
-	Earlier string
-	Mix     Mix
-	// Host is the first three numbers of the loopback addresses of this soak, such as 127.1.1.
-	// No other process may use them.
-	Host string
+	// EarlierProgram is the path of an earlier build's program, or empty. Mix selects the daemons
+	// that run it.
+	EarlierProgram string
+	Mix            BuildMix
+	// AddressPrefix is the first three numbers of the loopback addresses of this soak, such as
+	// 127.1.1. No other process may use them.
+	AddressPrefix string
 	// Daemons is the number of daemons. Workers is the number of workers of the model service.
 	Daemons, Workers int
-	// Callers is the number of concurrent callers. Series is the number of concurrent series of
-	// faults.
-	Callers, Series int
+	// Callers is the number of concurrent callers. SeriesCount is the number of concurrent series
+	// of faults.
+	Callers, SeriesCount int
 	// Duration is the time during which faults are injected.
 	Duration time.Duration
-	// Crashing adds a caller whose requests crash every worker that executes them.
-	Crashing bool
-	// Reborn makes about half of the restarted workers keep their ID. Otherwise, every restarted
-	// worker gets a new ID.
-	Reborn bool
-	// Asking adds faults in which workers announce request limits, rest periods or their leave.
-	Asking bool
-	// Drills adds restores of the store from a copy that is seconds old.
-	Drills bool
-	// Halls adds faults of data halls, and a second region.
-	Halls bool
+	// CrashingRequest adds a caller whose requests crash every worker that executes them.
+	CrashingRequest bool
+	// WorkersKeepIDs makes about half of the restarted workers keep their ID. Otherwise, every
+	// restarted worker gets a new ID.
+	WorkersKeepIDs bool
+	// WorkerSignals adds faults in which workers announce request limits, rest periods or their
+	// leave.
+	WorkerSignals bool
+	// StoreRestores adds restores of the store from a copy that is seconds old.
+	StoreRestores bool
+	// HallFaults adds faults of data halls, and a second region.
+	HallFaults bool
 	// Logger receives a message at level Debug for each injected fault.
 	Logger hclog.Logger
 }
@@ -62,25 +63,25 @@
 type Result struct {
 	Seed       uint64
 	Violations []standin.Violation
-	// Totals is the number of requests for each result.
-	Totals map[string]int
-	// Faults is the number of faults that were injected.
-	Faults int
-	// Crashed is the number of workers that were crashed by a request.
-	Crashed int
+	// RequestsByResult is the number of requests for each result.
+	RequestsByResult map[string]int
+	// FaultCount is the number of faults that were injected.
+	FaultCount int
+	// CrashedWorkers is the number of workers that were crashed by a request.
+	CrashedWorkers int
 }
 
 // timing holds the durations that the daemons and the simulated platform use.
 var timing = standin.Timing{
-	Heartbeat: 500 * time.Millisecond, Load: 2500 * time.Millisecond, Warm: 400 * time.Millisecond, Hot: 100 * time.Millisecond,
-	Form: 100 * time.Millisecond, Stall: 3 * time.Second, Drain: 2 * time.Second,
-	ReportLag: 200 * time.Millisecond,
-	Event:     15 * time.Millisecond, Work: 10 * time.Millisecond,
+	Heartbeat: 500 * time.Millisecond, LoadDuration: 2500 * time.Millisecond, WarmLoadDuration: 400 * time.Millisecond, RejoinDuration: 100 * time.Millisecond,
+	OpenDuration: 100 * time.Millisecond, StallTimeout: 3 * time.Second, Drain: 2 * time.Second,
+	ReportLag:     200 * time.Millisecond,
+	EventInterval: 15 * time.Millisecond, RequestDuration: 10 * time.Millisecond,
 }
 
 // modelLoadLimit limits how often workers load models from the weight store. The daemons apply it,
 // and the simulated platform checks it.
-var modelLoadLimit = standin.Ceiling{PerSecond: 1, Window: 5 * time.Second, Over: 1.1, Extra: 3}
+var modelLoadLimit = standin.LoadLimit{PerSecond: 1, Window: 5 * time.Second, RateFactor: 1.1, Extra: 3}
 
 const (
 	slotsPerWorker   = 12
@@ -149,18 +150,18 @@
 	cancel()
 	group.Wait()
 	r.checkAtEnd()
-	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), Totals: r.callers.countByResult(), Faults: r.faultCount, Crashed: r.fabric.CrashedUnder()}, cmp.Or(err, r.err)
+	return Result{Seed: opts.Seed, Violations: r.ledger.Violations(), RequestsByResult: r.callers.countByResult(), FaultCount: r.faultCount, CrashedWorkers: r.fabric.CrashedByRequest()}, cmp.Or(err, r.err)
 }
 
 // startSystem starts the simulated platform, the workers and the daemons.
 func (r *run) startSystem() error {
 	r.fabric = standin.NewFabric(standin.FabricOptions{
-		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, Ceiling: modelLoadLimit, Calm: r.settledSince,
-		Fenceless: drawWorkersIgnoreFences(r.opts.Seed), Halls: r.hallRules(), Ended: r.closeWorkerProxy, Crashed: r.scheduleRestart,
-		LinkSound: r.isLinkHealthySince,
+		Store: r.store, Ledger: r.ledger, Timing: timing, Models: r.models, LoadLimit: modelLoadLimit, NoFaultSince: r.settledSince,
+		IgnoreFences: drawWorkersIgnoreFences(r.opts.Seed), Halls: r.hallRules(), OnStopped: r.closeWorkerProxy, OnCrashed: r.scheduleRestart,
+		LinkHealthySince: r.isLinkHealthySince,
 	})
 	r.operator = standin.NewOperator(standin.OperatorOptions{
-		Store: r.store, Models: r.models, Timing: timing, Ceiling: modelLoadLimit, Slots: slotsPerWorker, LoadsAtOnce: 4, Tenants: r.callers.keysByTenant, Halls: r.hallRules(),
+		Store: r.store, Models: r.models, Timing: timing, LoadLimit: modelLoadLimit, Slots: slotsPerWorker, MaxConcurrentLoads: 4, Tenants: r.callers.keysByTenant, Halls: r.hallRules(),
 	})
 	r.operator.Publish()
 	for i := range r.opts.Workers {
@@ -202,8 +203,8 @@
 	r.mu.Unlock()
 	var workerProxy *proxy
 	var proxyErr error
-	_, startErr := r.fabric.StartWorker(r.opts.Host+".1", spec, func(workerAddress string) string {
-		if workerProxy, proxyErr = newProxy(r.opts.Host+".1", workerAddress); proxyErr != nil {
+	_, startErr := r.fabric.StartWorker(r.opts.AddressPrefix+".1", spec, func(workerAddress string) string {
+		if workerProxy, proxyErr = newProxy(r.opts.AddressPrefix+".1", workerAddress); proxyErr != nil {
 			return workerAddress
 		}
 		r.mu.Lock()
@@ -227,23 +228,23 @@
 // replaceWorker starts a replacement for a worker. It has a new ID and no staged models.
 func (r *run) replaceWorker(w *standin.Worker) {
 	spec := w.Spec()
-	spec.ID, spec.Address, spec.Staged = "", "", ""
+	spec.ID, spec.Address, spec.StagedModel = "", "", ""
 	r.recordError(r.startWorker(spec))
 }
 
-// restartWorker restarts or replaces a worker that has ended. With Options.Reborn, about half of
-// the workers restart with the same ID and the model that is staged on their host. All others are
-// replaced.
+// restartWorker restarts or replaces a worker that has ended. With Options.WorkersKeepIDs, about
+// half of the workers restart with the same ID and the model that is staged on their host. All
+// others are replaced.
 func (r *run) restartWorker(w *standin.Worker) {
 	r.mu.Lock()
-	keepsID := r.opts.Reborn && r.startedWorkers%2 == 0
+	keepsID := r.opts.WorkersKeepIDs && r.startedWorkers%2 == 0
 	r.mu.Unlock()
 	if !keepsID {
 		r.replaceWorker(w)
 		return
 	}
 	spec := w.Spec()
-	spec.Address, spec.Staged = "", w.Staged()
+	spec.Address, spec.StagedModel = "", w.StagedModel()
 	r.recordError(r.startWorker(spec))
 }
 
@@ -251,24 +252,24 @@
 // proxies.
 func (r *run) startDaemon(i int) error {
 	const firstHostNumber = 2
-	ip := fmt.Sprintf("%s.%d", r.opts.Host, firstHostNumber+i)
+	ip := fmt.Sprintf("%s.%d", r.opts.AddressPrefix, firstHostNumber+i)
 	ports, err := findFreePorts(ip, 4)
 	if err != nil {
 		return err
 	}
 	storeServer := httptest.NewServer(r.store)
 	r.storeServers = append(r.storeServers, storeServer)
-	storeProxy, err := newProxy(r.opts.Host+".1", storeServer.Listener.Addr().String())
+	storeProxy, err := newProxy(r.opts.AddressPrefix+".1", storeServer.Listener.Addr().String())
 	if err != nil {
 		return failure.Wrap(failure.Unavailable, "open link to the store", ip, err)
 	}
 	d := &daemon{programOf: r.opts.programsOf(i), storeProxy: storeProxy, onLeading: r.recordLeader, settings: standin.DaemonSettings{
-		Name: fmt.Sprintf("daemon-%d", i), Zone: r.hallOfDaemon(i), Zones: r.daemonHalls(), IP: ip, Store: storeProxy.address(),
+		Name: fmt.Sprintf("daemon-%d", i), Zone: r.hallOfDaemon(i), Zones: r.daemonHalls(), IP: ip, StoreAddress: storeProxy.address(),
 		Front: ports[0], Ready: ports[1], Directory: ports[2], Peer: ports[3],
-		Timing: timing, Grace: stopGrace, Revoke: revocationBound, Ceiling: modelLoadLimit, Halls: r.hallRules(),
+		Timing: timing, StopGracePeriod: stopGrace, RevocationBound: revocationBound, LoadLimit: modelLoadLimit, Halls: r.hallRules(),
 	}}
-	if d.frontProxy, err = newProxy(r.opts.Host+".1", d.frontAddress()); err == nil {
-		d.directoryProxy, err = newProxy(r.opts.Host+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
+	if d.frontProxy, err = newProxy(r.opts.AddressPrefix+".1", d.frontAddress()); err == nil {
+		d.directoryProxy, err = newProxy(r.opts.AddressPrefix+".1", fmt.Sprintf("%s:%d", ip, ports[2]))
 	}
 	if err != nil {
 		return failure.Wrap(failure.Unavailable, "open links to a daemon", ip, err)
@@ -323,27 +324,27 @@
 		c := newCaller(r, i)
 		group.Go(func() { c.sendRequests(backgroundCtx) })
 	}
-	if r.opts.Crashing {
+	if r.opts.CrashingRequest {
 		group.Go(func() { r.sendCrashingRequests(backgroundCtx) })
 	}
 	time.Sleep(time.Second)
 	var series conc.WaitGroup
-	for i := range r.opts.Series {
+	for i := range r.opts.SeriesCount {
 		series.Go(func() { r.injectSeries(ctx, i) })
 	}
-	if r.opts.Halls {
+	if r.opts.HallFaults {
 		series.Go(func() { r.injectFaults(ctx, hallSchedule(r.opts.Seed, r.opts.Duration), hallFaults) })
 	}
-	if r.opts.Drills {
+	if r.opts.StoreRestores {
 		series.Go(func() { r.injectFaults(ctx, restoreSchedule(r.opts.Seed, r.opts.Duration), restoreFaults) })
 	}
-	if r.opts.Asking {
+	if r.opts.WorkerSignals {
 		series.Go(func() { r.injectFaults(ctx, announcementSchedule(r.opts.Seed, r.opts.Duration), announcementFaults) })
 	}
 	series.Wait()
 	if !r.awaitRecovery(ctx) {
 		served, total := r.callers.countServed(time.Now().Add(-recoveryWindow))
-		r.ledger.Broken("RECOVER", "%d of %d requests are served %s after the last fault", served, total, recoveryTimeout)
+		r.ledger.RecordViolation("RECOVER", "%d of %d requests are served %s after the last fault", served, total, recoveryTimeout)
 	}
 	r.checkPlannedLeaves(ctx)
 	return ctx.Err()
@@ -352,7 +353,7 @@
 func (r *run) awaitServing(ctx context.Context) bool {
 	const pollInterval = 50 * time.Millisecond
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(pollInterval) {
-		if len(r.fabric.Serving()) == len(r.models) {
+		if len(r.fabric.CompleteOpenGroups()) == len(r.models) {
 			return true
 		}
 	}
@@ -458,12 +459,12 @@
 func (r *run) checkAtEnd() {
 	for _, id := range r.callers.notExecuted {
 		if r.ledger.Runs(id) > 0 {
-			r.ledger.Broken("REFUSED", "%s ran though its caller was told that it would not", id)
+			r.ledger.RecordViolation("REFUSED", "%s ran though its caller was told that it would not", id)
 		}
 	}
 	for _, d := range r.daemons {
 		if d.unexpectedExits > 0 {
-			r.ledger.Broken("ENDS", "%s ended by itself %d times", d.settings.Name, d.unexpectedExits)
+			r.ledger.RecordViolation("ENDS", "%s ended by itself %d times", d.settings.Name, d.unexpectedExits)
 		}
 	}
 }
