--- a/formation/absent.go
+++ b/formation/absent.go
@@ -37,7 +37,7 @@
 }
 
 // refreshAbsent records the workers that left the worker list while in a group that may serve. It
-// removes the records of workers that are listed again. The caller must hold k.mu.
+// removes the records of workers that are listed again. The caller must hold rc.mu.
 func (rc *Reconciler) refreshAbsent(view *fleet.View, now time.Time) {
 	if view == rc.lastView {
 		return
@@ -64,13 +64,13 @@
 }
 
 // isAbsent reports whether an unlisted worker is still treated as a member of its group. The
-// caller must hold k.mu.
+// caller must hold rc.mu.
 func (rc *Reconciler) isAbsent(id string) bool {
 	a, ok := rc.absent[id]
 	return ok && !a.isGone
 }
 
-// mayBeAlive reports the same as isAbsent, for callers that do not hold k.mu.
+// mayBeAlive reports the same as isAbsent, for callers that do not hold rc.mu.
 func (rc *Reconciler) mayBeAlive(id string) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // presentWorkers iterates over the listed workers and the unlisted ones that are still treated as
-// members of their groups. The caller must hold k.mu.
+// members of their groups. The caller must hold rc.mu.
 func (rc *Reconciler) presentWorkers(view *fleet.View) iter.Seq[*fleet.Worker] {
 	return func(yield func(*fleet.Worker) bool) {
 		for _, w := range view.Workers() {
@@ -96,7 +96,7 @@
 
 // repairAbsentHead drains a group whose head left the worker list but still answers. Callers send
 // the group no new requests, and requests in flight may finish. Nothing is done until the head has
-// answered once. The caller must hold k.mu.
+// answered once. The caller must hold rc.mu.
 func (rc *Reconciler) repairAbsentHead(ctx context.Context, o *observedGroup) {
 	if !rc.absent[o.head.ID].hasAnswered {
 		return
@@ -105,7 +105,7 @@
 }
 
 // queryAbsent queries workers that left the worker list, each at its next query time. Workers that
-// have been absent for too long are marked as gone instead. The caller must hold k.mu.
+// have been absent for too long are marked as gone instead. The caller must hold rc.mu.
 func (rc *Reconciler) queryAbsent(ctx context.Context, now time.Time) {
 	for _, a := range rc.absent {
 		if a.isGone || now.Before(a.nextQuery) {
--- a/formation/displaced.go
+++ b/formation/displaced.go
@@ -36,7 +36,7 @@
 // recordInterruptedJoins records that the members of an abandoned group may have lost their
 // previous model without having loaded the new one. Without this record, they would be assumed to
 // be warm, and their loads would not be counted. Members that already served the group's model are
-// not affected. The caller must hold k.mu.
+// not affected. The caller must hold rc.mu.
 func (rc *Reconciler) recordInterruptedJoins(g Group, now time.Time) {
 	for _, id := range g.Members {
 		w, ok := rc.knownWorkers[id]
--- a/formation/form.go
+++ b/formation/form.go
@@ -11,7 +11,7 @@
 	"quartzshelf.dev/fleet"
 )
 
-// startForming starts forming a group. The caller must hold k.mu.
+// startForming starts forming a group. The caller must hold rc.mu.
 func (rc *Reconciler) startForming(ctx context.Context, s *fleet.Service, f Formation) {
 	epoch := int64(rc.nextFenceLocked())
 	head := rc.knownWorkers[f.Members[0]]
--- a/formation/groups.go
+++ b/formation/groups.go
@@ -116,7 +116,7 @@
 	o.group.Model = name
 }
 
-// repair starts the operation that a group needs, if any. The caller must hold k.mu.
+// repair starts the operation that a group needs, if any. The caller must hold rc.mu.
 func (rc *Reconciler) repair(ctx context.Context, o *observedGroup, now time.Time) {
 	age := now.Sub(rc.firstSeen(o, now))
 	rc.detectReturn(o, now)
@@ -198,7 +198,7 @@
 }
 
 // startOperation runs an operation in the background. It marks the group and the members as busy
-// until the operation ends. The caller must hold k.mu.
+// until the operation ends. The caller must hold rc.mu.
 func (rc *Reconciler) startOperation(ctx context.Context, key string, members []*fleet.Worker, operation func(context.Context)) {
 	rc.busyGroups[key] = true
 	for _, w := range members {
--- a/formation/halls.go
+++ b/formation/halls.go
@@ -22,7 +22,7 @@
 func (h *hallStates) isUsable(hall string) bool { return !h.closedHalls[hall] }
 
 // refreshHalls updates which halls are closed. If all halls with workers are closed, none is
-// treated as closed. The caller must hold k.mu.
+// treated as closed. The caller must hold rc.mu.
 func (rc *Reconciler) refreshHalls(s *fleet.Service, view *fleet.View, now time.Time) {
 	closed := rc.closedHalls(s, view)
 	for hall := range closed {
--- a/formation/incarnations.go
+++ b/formation/incarnations.go
@@ -13,7 +13,7 @@
 
 // recordListedIncarnation records the incarnation in an entry of the worker list. Entries arrive in
 // the order in which they were written. A different incarnation is therefore a later one, even if
-// the worker's clock was set back. The caller must hold k.mu.
+// the worker's clock was set back. The caller must hold rc.mu.
 func (rc *Reconciler) recordListedIncarnation(w *fleet.Worker) {
 	if w.StartedAt == 0 {
 		return
@@ -29,7 +29,7 @@
 }
 
 // recordReportedIncarnation records the incarnation in a worker's own answer. It returns false if
-// the answer comes from an earlier incarnation. The caller must hold k.mu.
+// the answer comes from an earlier incarnation. The caller must hold rc.mu.
 func (rc *Reconciler) recordReportedIncarnation(id string, born int64) bool {
 	l, known := rc.incarnations[id]
 	switch {
@@ -45,14 +45,14 @@
 }
 
 // isPastIncarnation reports whether an entry of the worker list belongs to an earlier incarnation.
-// The caller must hold k.mu.
+// The caller must hold rc.mu.
 func (rc *Reconciler) isPastIncarnation(w *fleet.Worker) bool {
 	l, known := rc.incarnations[w.ID]
 	return known && w.StartedAt != 0 && w.StartedAt != l.newestStart
 }
 
 // forgetIncarnation discards the state of a worker's earlier incarnation. The caller must hold
-// k.mu.
+// rc.mu.
 func (rc *Reconciler) forgetIncarnation(id string) {
 	rc.opts.Logger.Info("worker restarted under its ID", "worker", id)
 	delete(rc.observations, id)
--- a/formation/orderstate.go
+++ b/formation/orderstate.go
@@ -98,7 +98,7 @@
 }
 
 // recordReport records the order state that a worker reported. It ignores the report if an order
-// was answered so recently that the report may not include it. The caller must hold k.mu.
+// was answered so recently that the report may not include it. The caller must hold rc.mu.
 func (rc *Reconciler) recordReport(id string, s WorkerState, now time.Time) {
 	if current, ok := rc.orderStates[id]; ok && now.Before(current.trustReportsFrom) {
 		return
@@ -113,7 +113,7 @@
 	rc.setOrderStateLocked(id, orderCount, membership)
 }
 
-// setOrderStateLocked is setOrderState for callers that hold k.mu.
+// setOrderStateLocked is setOrderState for callers that hold rc.mu.
 func (rc *Reconciler) setOrderStateLocked(id string, orderCount int64, m fleet.Membership) {
 	rc.orderStates[id] = orderState{orderCount: orderCount, member: m, trustReportsFrom: time.Now().Add(reportSettleTime)}
 }
--- a/formation/outcomes.go
+++ b/formation/outcomes.go
@@ -32,7 +32,7 @@
 
 // detectReturn logs and counts each new state that a head reports for a group after confirming that
 // it left. Such a head has returned to the group. States from before the dissolution are ignored,
-// since a lagging worker list may still show them. The caller must hold k.mu.
+// since a lagging worker list may still show them. The caller must hold rc.mu.
 func (rc *Reconciler) detectReturn(o *observedGroup, now time.Time) {
 	d, ok := rc.dissolutions[o.key]
 	if !ok || o.head == nil || o.state == d.lastState {
--- a/formation/reconciler.go
+++ b/formation/reconciler.go
@@ -386,7 +386,7 @@
 	return rc.nextFenceLocked()
 }
 
-// nextFenceLocked is nextFence for callers that hold k.mu. A fence must never be lower than an
+// nextFenceLocked is nextFence for callers that hold rc.mu. A fence must never be lower than an
 // earlier one. When the term has used up its fences, it therefore returns the last fence again and
 // ends the term.
 func (rc *Reconciler) nextFenceLocked() Fence {
--- a/formation/staging.go
+++ b/formation/staging.go
@@ -145,7 +145,7 @@
 	return l
 }
 
-// recordLoad records a load if the worker is cold for the model. The caller must hold k.mu.
+// recordLoad records a load if the worker is cold for the model. The caller must hold rc.mu.
 func (rc *Reconciler) recordLoad(w *fleet.Worker, m fleet.Model) {
 	if rc.asFreeWorker(w).warmth(m.Name) > Staged {
 		rc.activeLoads[w.ID] = activeLoad{model: m.Name, expiresAt: time.Now().Add(loadTimeFactor * m.Load)}
@@ -161,7 +161,7 @@
 	}
 }
 
-// startStaging starts staging a model on a worker's host. The caller must hold k.mu.
+// startStaging starts staging a model on a worker's host. The caller must hold rc.mu.
 func (rc *Reconciler) startStaging(ctx context.Context, w *fleet.Worker, m fleet.Model) {
 	rc.recordLoad(w, m)
 	rc.opts.Logger.Info("staging", "worker", w.ID, "model", m.Name)
@@ -207,7 +207,7 @@
 }
 
 // dropRecentlyRefused returns the stagings whose workers did not recently refuse to stage. The
-// caller must hold k.mu.
+// caller must hold rc.mu.
 func (rc *Reconciler) dropRecentlyRefused(stagings []Staging, now time.Time) []Staging {
 	return slices.DeleteFunc(stagings, func(s Staging) bool { return now.Before(rc.stageRetryAt[s.Worker]) })
 }
--- a/formation/unreliable.go
+++ b/formation/unreliable.go
@@ -42,14 +42,14 @@
 }
 
 // isExcluded reports whether a worker is temporarily excluded from new groups. The caller must hold
-// k.mu.
+// rc.mu.
 func (rc *Reconciler) isExcluded(id string) bool {
 	until, ok := rc.unreliableUntil[id]
 	return ok && time.Now().Before(until.Add(exclusionPeriod-unreliableDuration))
 }
 
 // isUnreliable reports whether a worker recently prevented a group from forming, so that other
-// workers are preferred to it. The caller must hold k.mu.
+// workers are preferred to it. The caller must hold rc.mu.
 func (rc *Reconciler) isUnreliable(id string) bool {
 	until, ok := rc.unreliableUntil[id]
 	if !ok {
--- a/formation/unresponsive.go
+++ b/formation/unresponsive.go
@@ -95,7 +95,7 @@
 	return rc.isUnresponsiveLocked(id)
 }
 
-// isUnresponsiveLocked is isUnresponsive for callers that hold k.mu.
+// isUnresponsiveLocked is isUnresponsive for callers that hold rc.mu.
 func (rc *Reconciler) isUnresponsiveLocked(id string) bool {
 	_, isUnresponsive := rc.unresponsive[id]
 	a, isAbsent := rc.absent[id]
@@ -103,7 +103,7 @@
 }
 
 // queryUnresponsive queries each unresponsive worker once per unresponsiveQueryInterval. The caller
-// must hold k.mu.
+// must hold rc.mu.
 func (rc *Reconciler) queryUnresponsive(ctx context.Context, view *fleet.View, now time.Time) {
 	for id, nextQuery := range rc.unresponsive {
 		w, listed := view.Worker(id)
--- a/serving/suspicions_test.go
+++ b/serving/suspicions_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestLeaderInspectionsAreLimited reports the same suspicion a hundred times within a second. The
-// leader must inspect the replica only once per inspectInterval.
+// leader must inspect the replica only once per inspectionInterval.
 func TestLeaderInspectionsAreLimited(t *testing.T) {
 	s := newSuspicions()
 	now := time.Unix(1000, 0)
