--- a/proxy/brokenattempt.go
+++ b/proxy/brokenattempt.go
@@ -34,9 +34,9 @@
 
 // logBroken counts and logs an attempt that broke off. The logged fingerprint is the same for all
 // copies of a request, even if their IDs differ.
-func (r *Proxy) logBroken(c *request, replica *fleet.Replica, err error) {
-	r.opts.Meter.CountBrokenAttempt(c.service)
-	r.opts.Logger.Info("attempt broke off", "request", c.id, "fingerprint", c.fingerprint().String(),
+func (p *Proxy) logBroken(c *request, replica *fleet.Replica, err error) {
+	p.opts.Meter.CountBrokenAttempt(c.service)
+	p.opts.Logger.Info("attempt broke off", "request", c.id, "fingerprint", c.fingerprint().String(),
 		"account", c.account(), "host", c.host, "target", c.target, "bytes", len(c.body),
 		"worker", replica.Head.ID, "replica", replica.ID, "busy", c.chosenInFlight, "sends", c.sends,
 		"sent_ms", time.Since(c.chosenAt).Milliseconds(), "error", err)
--- a/proxy/buffered.go
+++ b/proxy/buffered.go
@@ -25,26 +25,26 @@
 }
 
 // serveBuffered relays a request whose answer is read completely before it is forwarded.
-func (r *Proxy) serveBuffered(w http.ResponseWriter, c *request) *refusal {
+func (p *Proxy) serveBuffered(w http.ResponseWriter, c *request) *refusal {
 	for {
-		replica, refused := r.choose(c)
+		replica, refused := p.choose(c)
 		if refused != nil {
 			return c.correctStatus(refused)
 		}
-		got, err := r.tryBuffered(c, replica)
-		if err == nil && !r.shouldRetryAnswer(c, replica, got) {
+		got, err := p.tryBuffered(c, replica)
+		if err == nil && !p.shouldRetryAnswer(c, replica, got) {
 			writeAnswer(w, got)
 			return nil
 		}
 		if err == nil {
-			r.opts.Meter.CountRetry(reason.RetryBroken)
+			p.opts.Meter.CountRetry(reason.RetryBroken)
 			continue
 		}
-		mayHaveRun := r.recordFailure(c, replica, err)
-		if !r.takeRetry(c, mayHaveRun) {
-			return r.failureRefusal(c)
+		mayHaveRun := p.recordFailure(c, replica, err)
+		if !p.takeRetry(c, mayHaveRun) {
+			return p.failureRefusal(c)
 		}
-		r.opts.Meter.CountRetry(retryReason(mayHaveRun))
+		p.opts.Meter.CountRetry(retryReason(mayHaveRun))
 	}
 }
 
@@ -58,27 +58,27 @@
 
 // shouldRetryAnswer reports whether another worker should be tried because a worker answered with a
 // server error (5xx). If so, it takes the retry from the budget.
-func (r *Proxy) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
+func (p *Proxy) shouldRetryAnswer(c *request, replica *fleet.Replica, got *answer) bool {
 	if got.status < http.StatusInternalServerError || !c.route.Repeatable() {
 		return false
 	}
 	c.sends++
 	c.triedReplicas[replica.ID] = true
-	if remaining := r.selectReplicas(c, time.Now()); remaining.IsEmpty() {
+	if remaining := p.selectReplicas(c, time.Now()); remaining.IsEmpty() {
 		return false
 	}
-	return r.takeRetry(c, true)
+	return p.takeRetry(c, true)
 }
 
 // tryBuffered sends the request to one worker and reads the complete answer.
-func (r *Proxy) tryBuffered(c *request, replica *fleet.Replica) (*answer, error) {
-	reservation := r.opts.Tracker.Reserve(replica, c.promptTokens)
+func (p *Proxy) tryBuffered(c *request, replica *fleet.Replica) (*answer, error) {
+	reservation := p.opts.Tracker.Reserve(replica, c.promptTokens)
 	defer reservation.Release()
-	e, err := r.sendTo(c.ctx, c, replica.Head, "")
+	e, err := p.sendTo(c.ctx, c, replica.Head, "")
 	if err != nil {
 		return nil, err
 	}
-	if err := r.checkRejected(e, replica.Head.ID); err != nil {
+	if err := p.checkRejected(e, replica.Head.ID); err != nil {
 		e.discard()
 		return nil, err
 	}
@@ -91,14 +91,14 @@
 		return nil, withCause(c.ctx, replica.Head.ID, &sendError{mayHaveArrived: true, cause: err})
 	}
 	e.finish()
-	r.recordCompletion(c, e)
+	p.recordCompletion(c, e)
 	got := &answer{status: e.response.StatusCode, header: forwardedHeaders(e.response.Header), body: body}
-	return got, r.checkSigned(got, replica.Head.ID)
+	return got, p.checkSigned(got, replica.Head.ID)
 }
 
 // checkSigned returns an error if an answer with a status below 300 lacks its worker's signature.
-func (r *Proxy) checkSigned(got *answer, worker string) error {
-	if got.status >= http.StatusMultipleChoices || got.header.Get(r.opts.Names.Signature) != "" {
+func (p *Proxy) checkSigned(got *answer, worker string) error {
+	if got.status >= http.StatusMultipleChoices || got.header.Get(p.opts.Names.Signature) != "" {
 		return nil
 	}
 	return &sendError{mayHaveArrived: true, cause: failure.New(failure.Remote, "check answer", worker, "the success is not signed")}
@@ -107,9 +107,9 @@
 // checkRejected returns an error if the worker rejected the request before running it. If the
 // request was sent twice, the error says that it may have arrived, because the first copy may have
 // run.
-func (r *Proxy) checkRejected(e *exchange, worker string) error {
+func (p *Proxy) checkRejected(e *exchange, worker string) error {
 	status := e.response.StatusCode
-	if e.response.Header.Get(r.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
+	if e.response.Header.Get(p.opts.Names.NotRun) == "" && status != http.StatusMisdirectedRequest {
 		return nil
 	}
 	return &sendError{mayHaveArrived: e.isResent, cause: failure.Wrap(failure.Refused, "exchange with worker", worker, fmt.Errorf("%w with status %d", errRejected, status))}
--- a/proxy/callertimeouts.go
+++ b/proxy/callertimeouts.go
@@ -84,13 +84,13 @@
 // mayWait reports whether a request may wait for a replica when none is available. A started stream
 // may wait until its caller is expected to disconnect. With ServeLate, a late request may wait
 // briefly, because a retry by the caller would be late too.
-func (r *Proxy) mayWait(c *request, s *relayedStream, refused *refusal, now time.Time) bool {
+func (p *Proxy) mayWait(c *request, s *relayedStream, refused *refusal, now time.Time) bool {
 	switch {
 	case c.isDone():
 		return false
 	case s.isHeadSent:
 		return now.Sub(s.lastEventAt) <= resumeTimeout
-	case !r.opts.ServeLate:
+	case !p.opts.ServeLate:
 		return false
 	}
 	maxWait := min(maxCapacityWait, time.Duration(capacityWaitShare*float64(c.deadline.Sub(c.arrived))))
--- a/proxy/connections.go
+++ b/proxy/connections.go
@@ -232,8 +232,8 @@
 // idleShare returns how many idle connections this daemon may keep to a worker of a service. All
 // daemons together keep up to half of the connections that the worker accepts. The other half is
 // left for requests in flight and for daemons that just joined.
-func (r *Proxy) idleShare(service string) int {
-	config := r.opts.Config()
+func (p *Proxy) idleShare(service string) int {
+	config := p.opts.Config()
 	if config == nil {
 		return maxIdlePerWorker
 	}
@@ -241,5 +241,5 @@
 	if !ok || s.MaxConns <= 0 {
 		return maxIdlePerWorker
 	}
-	return min(maxIdlePerWorker, s.MaxConns/2/max(r.opts.Budget.Daemons(), 1))
+	return min(maxIdlePerWorker, s.MaxConns/2/max(p.opts.Budget.Daemons(), 1))
 }
--- a/proxy/failover.go
+++ b/proxy/failover.go
@@ -16,7 +16,7 @@
 // recordHeadFailure records that an attempt failed at the replica's head. It marks the replica as
 // unreachable if no connection could be opened. Rejections and the silence of a single stream do
 // not count.
-func (r *Proxy) recordHeadFailure(c *request, replica *fleet.Replica, err error) {
+func (p *Proxy) recordHeadFailure(c *request, replica *fleet.Replica, err error) {
 	if errors.Is(err, errRejected) || errors.Is(err, errStreamSilent) {
 		return
 	}
@@ -25,8 +25,8 @@
 	if !refused && !isDialTimeout(err) {
 		return
 	}
-	if r.opts.Tracker.MarkUnreachable(replica, refused, time.Now()) {
-		r.opts.Logger.Info("head accepts no connections", "replica", replica.ID, "head", replica.Head.ID, "error", err)
+	if p.opts.Tracker.MarkUnreachable(replica, refused, time.Now()) {
+		p.opts.Logger.Info("head accepts no connections", "replica", replica.ID, "head", replica.Head.ID, "error", err)
 	}
 }
 
@@ -58,18 +58,18 @@
 // chooseFrom chooses a replica for the next attempt. After a failed attempt it prefers replicas
 // that are unlikely to fail for the same reason. Shortly after the daemon's start it chooses
 // between two random replicas.
-func (r *Proxy) chooseFrom(c *request, replicas []*fleet.Replica, exhausted map[string]bool, predicted costs, now time.Time) (Choice, bool) {
+func (p *Proxy) chooseFrom(c *request, replicas []*fleet.Replica, exhausted map[string]bool, predicted costs, now time.Time) (Choice, bool) {
 	choose := func(candidates []*fleet.Replica) (Choice, bool) {
-		return r.opts.Tracker.Choose(candidates, exhausted, predicted, c.promptTokens, now)
+		return p.opts.Tracker.Choose(candidates, exhausted, predicted, c.promptTokens, now)
 	}
 	switch independent := independentReplicas(replicas, c.failedHeads); {
 	case len(c.failedHeads) > 0 && len(independent) > 0:
 		choice, ok := choose(independent)
-		if ok && choice.InFlight < r.maxInFlight(c, choice.Replica) {
+		if ok && choice.InFlight < p.maxInFlight(c, choice.Replica) {
 			return choice, true
 		}
-	case now.Sub(r.startedAt) < randomPairPeriod:
-		if choice, ok := choose(r.randomPair(replicas)); ok {
+	case now.Sub(p.startedAt) < randomPairPeriod:
+		if choice, ok := choose(p.randomPair(replicas)); ok {
 			return choice, true
 		}
 	}
@@ -79,14 +79,14 @@
 // randomPair returns two random replicas, or all if there are fewer than three. When all daemons
 // start at once, they know few loads and would all choose the same replicas. Choosing between two
 // random ones limits each replica to about twice its share of the requests.
-func (r *Proxy) randomPair(replicas []*fleet.Replica) []*fleet.Replica {
+func (p *Proxy) randomPair(replicas []*fleet.Replica) []*fleet.Replica {
 	n := len(replicas)
 	const minForPair = 3
 	if n < minForPair {
 		return replicas
 	}
-	i := int(r.random() * float64(n))
-	j := (i + 1 + int(r.random()*float64(n-1))) % n
+	i := int(p.random() * float64(n))
+	j := (i + 1 + int(p.random()*float64(n-1))) % n
 	return []*fleet.Replica{replicas[i], replicas[j]}
 }
 
--- a/proxy/lateness.go
+++ b/proxy/lateness.go
@@ -57,12 +57,12 @@
 }
 
 // logLate counts and logs a stream that was late.
-func (r *Proxy) logLate(c *request, l *lateness) {
+func (p *Proxy) logLate(c *request, l *lateness) {
 	if l.cause == "" {
 		return
 	}
-	r.opts.Meter.CountLateStream(l.cause)
-	r.opts.Logger.Info("stream late", "request", c.id, "reason", string(l.cause), "service", c.service, "model", c.model,
+	p.opts.Meter.CountLateStream(l.cause)
+	p.opts.Logger.Info("stream late", "request", c.id, "reason", string(l.cause), "service", c.service, "model", c.model,
 		"replica", l.replica, "first_ms", l.firstDelay.Milliseconds(), "pause_ms", l.longestPause.Milliseconds(), "sends", c.sends,
 		"rejections", c.rejections, "busy", int(c.chosenInFlight), "prompt", c.promptTokens, "ms", time.Since(c.arrived).Milliseconds())
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -122,13 +122,13 @@
 }
 
 // Done is closed when Run has returned.
-func (r *Proxy) Done() <-chan struct{} { return r.done }
+func (p *Proxy) Done() <-chan struct{} { return p.done }
 
 // Run periodically checks for silent replicas, closes idle connections that are no longer needed,
 // and removes expired crash records, until ctx ends.
-func (r *Proxy) Run(ctx context.Context) {
-	defer close(r.done)
-	defer r.guard.Wait()
+func (p *Proxy) Run(ctx context.Context) {
+	defer close(p.done)
+	defer p.guard.Wait()
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	last := time.Now()
@@ -138,9 +138,9 @@
 			return
 		case <-ticker.C:
 			now := time.Now()
-			r.opts.Tracker.Sweep(now, now.Sub(last))
-			r.upstream.sweep(now)
-			r.guard.Table().Sweep(now)
+			p.opts.Tracker.Sweep(now, now.Sub(last))
+			p.upstream.sweep(now)
+			p.guard.Table().Sweep(now)
 			last = now
 		}
 	}
@@ -148,82 +148,82 @@
 
 // CloseIdleConnections must be called after a suspension of the machine. It closes the idle
 // connections, because workers may have closed them unnoticed.
-func (r *Proxy) CloseIdleConnections() { r.upstream.closeAll() }
+func (p *Proxy) CloseIdleConnections() { p.upstream.closeAll() }
 
-func (r *Proxy) random() float64 { return rand.Float64() }
+func (p *Proxy) random() float64 { return rand.Float64() }
 
 // ServeHTTP answers one request.
-func (r *Proxy) ServeHTTP(w http.ResponseWriter, h *http.Request) {
-	r.opts.Meter.CountRequest()
-	if r.opts.IsLeaving() {
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, h *http.Request) {
+	p.opts.Meter.CountRequest()
+	if p.opts.IsLeaving() {
 		w.Header().Set("Connection", "close")
 	}
-	c, refused := r.accept(h, http.NewResponseController(w))
+	c, refused := p.accept(h, http.NewResponseController(w))
 	if c != nil {
 		defer c.memory.release()
 	}
 	if refused == nil {
 		defer c.cancel()
-		r.budget.addRequest(c.service, c.arrived)
+		p.budget.addRequest(c.service, c.arrived)
 		if c.route.Kind == fleet.Stream {
-			refused = r.serveStream(w, c)
+			refused = p.serveStream(w, c)
 		} else {
-			refused = r.serveBuffered(w, c)
+			refused = p.serveBuffered(w, c)
 		}
 	}
 	if refused != nil {
-		r.refuse(w, c, refused)
+		p.refuse(w, c, refused)
 		return
 	}
-	r.hasAnswered.Store(true)
+	p.hasAnswered.Store(true)
 }
 
 // HasAnswered reports whether any caller has got a worker's answer yet.
-func (r *Proxy) HasAnswered() bool { return r.hasAnswered.Load() }
+func (p *Proxy) HasAnswered() bool { return p.hasAnswered.Load() }
 
 // refuse sends, counts and logs a refusal.
-func (r *Proxy) refuse(w http.ResponseWriter, c *request, f *refusal) {
-	r.opts.Meter.CountRefusal(f.reason)
-	if r.opts.ServeLate && f.isForCapacity() {
-		f.retryAfter = r.spreadRetryAfter(c, time.Now())
+func (p *Proxy) refuse(w http.ResponseWriter, c *request, f *refusal) {
+	p.opts.Meter.CountRefusal(f.reason)
+	if p.opts.ServeLate && f.isForCapacity() {
+		f.retryAfter = p.spreadRetryAfter(c, time.Now())
 	}
 	if c != nil {
 		service, sends, rejections := c.service, c.sends, c.rejections
-		r.opts.Logger.Info("request refused", "request", c.id, "status", f.status, "reason", string(f.reason),
+		p.opts.Logger.Info("request refused", "request", c.id, "status", f.status, "reason", string(f.reason),
 			"service", service, "model", c.model, "sends", sends, "rejections", rejections,
-			"ms", time.Since(c.arrived).Milliseconds(), "config", r.configVersion(), "passed_over", f.passedOver, "fingerprint", c.fingerprintIfKnown(), "error", f.cause)
+			"ms", time.Since(c.arrived).Milliseconds(), "config", p.configVersion(), "passed_over", f.passedOver, "fingerprint", c.fingerprintIfKnown(), "error", f.cause)
 	}
 	f.write(w)
 }
 
-func (r *Proxy) configVersion() int64 {
-	if c := r.opts.Config(); c != nil {
+func (p *Proxy) configVersion() int64 {
+	if c := p.opts.Config(); c != nil {
 		return c.Version()
 	}
 	return 0
 }
 
 // choose returns the replica for the next attempt, or a refusal if there is none.
-func (r *Proxy) choose(c *request) (*fleet.Replica, *refusal) {
-	r.opts.CheckSuspension()
+func (p *Proxy) choose(c *request) (*fleet.Replica, *refusal) {
+	p.opts.CheckSuspension()
 	now := time.Now()
-	if f := r.checkQuarantine(c, now); f != nil {
+	if f := p.checkQuarantine(c, now); f != nil {
 		return nil, f
 	}
-	if c.tenant != nil && r.IsConfigStale(now) {
+	if c.tenant != nil && p.IsConfigStale(now) {
 		return nil, newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
-	selection := r.selectReplicas(c, now)
+	selection := p.selectReplicas(c, now)
 	// exhausted holds replicas whose last token was taken by another request since they were
 	// classified.
 	var exhausted map[string]bool
 	for {
 		if selection.IsEmpty() {
-			return nil, r.noReplicaRefusal(c, selection.Counts(), now)
+			return nil, p.noReplicaRefusal(c, selection.Counts(), now)
 		}
-		replica, refused := r.chooseByClass(c, &selection, exhausted, now)
+		replica, refused := p.chooseByClass(c, &selection, exhausted, now)
 		c.chosenAt = now
-		if refused != nil || r.takeTokens(c, replica, now) {
+		if refused != nil || p.takeTokens(c, replica, now) {
 			return replica, refused
 		}
 		if exhausted == nil {
@@ -235,7 +235,7 @@
 
 // chooseByClass chooses among the replicas of the best class with free capacity. Replicas of class
 // LastResort are not used while better ones are merely full.
-func (r *Proxy) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
+func (p *Proxy) chooseByClass(c *request, s *eligibility.Selection, exhausted map[string]bool, now time.Time) (*fleet.Replica, *refusal) {
 	isFull := false
 	for class := eligibility.Eligible; class < eligibility.Excluded; class++ {
 		replicas := s.InClass(class)
@@ -243,29 +243,29 @@
 			continue
 		}
 		predicted := costsOf(c.engine, c.model, replicas[0].Head.Slots)
-		predicted.connectedWorkers = r.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
+		predicted.connectedWorkers = p.upstream.connectedWorkers(maxIdleFor(!c.route.Repeatable()))
 		predicted.preferIdle = c.isSuspected
-		predicted.tightlyLimited = r.opts.WorkerLimit.tightLimitChecker()
-		choice, ok := r.chooseFrom(c, replicas, exhausted, predicted, now)
+		predicted.tightlyLimited = p.opts.WorkerLimit.tightLimitChecker()
+		choice, ok := p.chooseFrom(c, replicas, exhausted, predicted, now)
 		if !ok {
 			continue
 		}
 		c.chosenInFlight = choice.InFlight
-		if choice.InFlight < r.maxInFlight(c, choice.Replica) {
+		if choice.InFlight < p.maxInFlight(c, choice.Replica) {
 			return choice.Replica, nil
 		}
 		isFull = true
 	}
 	f := newUnavailable(reason.Overloaded, "all replicas are busy", retryBusy)
 	if !isFull {
-		f = r.boundRefusal(c, c.exhaustedBound, now)
+		f = p.boundRefusal(c, c.exhaustedBound, now)
 	}
 	f.passedOver = c.passedOver
 	return nil, f
 }
 
 // maxInFlight returns how many requests may be in flight at a replica over all daemons.
-func (r *Proxy) maxInFlight(c *request, replica *fleet.Replica) float64 {
+func (p *Proxy) maxInFlight(c *request, replica *fleet.Replica) float64 {
 	if c.engine != nil {
 		return engineLoadFactor * float64(c.engine.Slots)
 	}
@@ -274,7 +274,7 @@
 
 // takeRetry reports whether a failed attempt may be followed by another one. If so, it takes the
 // retry from the budget. mayHaveRun reports whether the failed attempt may have run.
-func (r *Proxy) takeRetry(c *request, mayHaveRun bool) bool {
+func (p *Proxy) takeRetry(c *request, mayHaveRun bool) bool {
 	switch {
 	case c.isDone():
 		return false
@@ -283,15 +283,15 @@
 	case !mayHaveRun && c.rejections > maxRejections:
 		return false
 	}
-	if !r.budget.takeRetry(c.service, time.Now()) {
-		r.opts.Meter.CountRefusal(reason.RetryBudgetExhausted)
+	if !p.budget.takeRetry(c.service, time.Now()) {
+		p.opts.Meter.CountRefusal(reason.RetryBudgetExhausted)
 		return false
 	}
 	return true
 }
 
 // recordFailure records a failed attempt and returns whether it may have run.
-func (r *Proxy) recordFailure(c *request, replica *fleet.Replica, err error) (mayHaveRun bool) {
+func (p *Proxy) recordFailure(c *request, replica *fleet.Replica, err error) (mayHaveRun bool) {
 	c.lastErr = err
 	c.triedReplicas[replica.ID] = true
 	mayHaveRun = mayHaveArrived(err)
@@ -301,18 +301,18 @@
 		c.rejections++
 	}
 	if mayHaveRun && guard.IsConnectionBroken(err) {
-		r.logBroken(c, replica, err)
-		r.reportCrash(c, replica)
+		p.logBroken(c, replica, err)
+		p.reportCrash(c, replica)
 	}
 	if !c.isDone() && !errors.Is(err, errQuarantined) {
-		r.opts.Tracker.RecordFailure(replica, time.Now())
-		r.recordHeadFailure(c, replica, err)
+		p.opts.Tracker.RecordFailure(replica, time.Now())
+		p.recordHeadFailure(c, replica, err)
 	}
 	return mayHaveRun
 }
 
 // failureRefusal returns the refusal of a request whose attempts all failed.
-func (r *Proxy) failureRefusal(c *request) *refusal {
+func (p *Proxy) failureRefusal(c *request) *refusal {
 	if c.isTimedOut() {
 		return c.correctStatus(timeoutRefusal(c))
 	}
--- a/proxy/quarantine.go
+++ b/proxy/quarantine.go
@@ -45,7 +45,7 @@
 }
 
 // Guard returns the guard against requests that crash their workers.
-func (r *Proxy) Guard() *guard.Guard { return r.guard }
+func (p *Proxy) Guard() *guard.Guard { return p.guard }
 
 // guardRequest returns the guard's description of the request.
 func (c *request) guardRequest() guard.Request {
@@ -56,8 +56,8 @@
 
 // checkQuarantine returns a refusal if the request is quarantined because it crashed workers, at
 // this daemon or others. Otherwise it returns nil. It also sets isSuspected.
-func (r *Proxy) checkQuarantine(c *request, now time.Time) *refusal {
-	state := r.guard.State(c.guardRequest(), now)
+func (p *Proxy) checkQuarantine(c *request, now time.Time) *refusal {
+	state := p.guard.State(c.guardRequest(), now)
 	c.isSuspected = state.Suspected()
 	if !state.Quarantined {
 		return nil
@@ -67,33 +67,33 @@
 
 // reportCrash reports a broken attempt to the guard, unless the worker had announced that it
 // would stop.
-func (r *Proxy) reportCrash(c *request, replica *fleet.Replica) {
+func (p *Proxy) reportCrash(c *request, replica *fleet.Replica) {
 	head := replica.Head
-	if listed, ok := r.opts.View().Worker(head.ID); ok && listed.Draining {
+	if listed, ok := p.opts.View().Worker(head.ID); ok && listed.Draining {
 		return
 	}
 	w := guard.Worker{ID: head.ID, Address: head.Address}
-	if r.opts.IsReplaced != nil {
-		w.Replaced = func(ctx context.Context) (bool, error) { return r.opts.IsReplaced(ctx, head) }
+	if p.opts.IsReplaced != nil {
+		w.Replaced = func(ctx context.Context) (bool, error) { return p.opts.IsReplaced(ctx, head) }
 	}
-	r.guard.HandleBrokenConnection(c.guardRequest(), w, c.chosenAt, time.Now())
+	p.guard.HandleBrokenConnection(c.guardRequest(), w, c.chosenAt, time.Now())
 }
 
 // cancelQuarantined cancels the waiting streams of newly quarantined requests, because each would
 // crash its worker. Streams that have received events continue. If one of them completes, the
 // quarantine is lifted.
-func (r *Proxy) cancelQuarantined(marked []quarantine.Fingerprint) {
+func (p *Proxy) cancelQuarantined(marked []quarantine.Fingerprint) {
 	for _, f := range marked {
-		r.waitingStreams.cancel(func(c *request) bool { return c.fingerprint() == f })
+		p.waitingStreams.cancel(func(c *request) bool { return c.fingerprint() == f })
 	}
 }
 
 // recordCompletion reports to the guard that a worker completed a request. An answer that is
 // neither chunked nor has a length doesn't count, since a crash may have cut it short. An answer
 // without the worker's signature doesn't count either.
-func (r *Proxy) recordCompletion(c *request, e *exchange) {
+func (p *Proxy) recordCompletion(c *request, e *exchange) {
 	isFramed := e.response.ContentLength >= 0 || isChunked(e.response)
-	if isFramed && e.response.Header.Get(r.opts.Names.Signature) != "" {
-		r.guard.Completed(c.guardRequest())
+	if isFramed && e.response.Header.Get(p.opts.Names.Signature) != "" {
+		p.guard.Completed(c.guardRequest())
 	}
 }
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -89,16 +89,16 @@
 
 // accept finds the route of a request, authenticates the caller, reads the body and sets the
 // deadline. It returns a refusal if one of these steps fails.
-func (r *Proxy) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
-	r.opts.CheckSuspension()
-	config := r.opts.Config()
+func (p *Proxy) accept(h *http.Request, controller *http.ResponseController) (*request, *refusal) {
+	p.opts.CheckSuspension()
+	config := p.opts.Config()
 	if config == nil {
 		return nil, newUnavailable(reason.Starting, "no configuration is known yet", retryUninformed)
 	}
 	c := &request{
 		method: h.Method, target: h.RequestURI, host: h.Host, header: h.Header,
-		id: h.Header.Get(r.opts.Names.AttemptID), arrived: time.Now(), triedReplicas: make(map[string]bool),
-		memory: requestMemory{bufferLimit: r.opts.BufferLimit},
+		id: h.Header.Get(p.opts.Names.AttemptID), arrived: time.Now(), triedReplicas: make(map[string]bool),
+		memory: requestMemory{bufferLimit: p.opts.BufferLimit},
 	}
 	path, _, _ := strings.Cut(c.target, "?")
 	route, ok := config.Route(c.host, path)
@@ -106,35 +106,35 @@
 		return c, newRefusal(http.StatusNotFound, reason.NotFound, "no route leads there")
 	}
 	c.route = route
-	if refused := r.authenticate(c, config); refused != nil {
+	if refused := p.authenticate(c, config); refused != nil {
 		return c, refused
 	}
-	r.setCallerDeadlines(controller, c.arrived, route.Timeout)
-	bodyRefusal := r.readBody(c, h, config.Limits())
-	r.clearReadDeadline(controller)
+	p.setCallerDeadlines(controller, c.arrived, route.Timeout)
+	bodyRefusal := p.readBody(c, h, config.Limits())
+	p.clearReadDeadline(controller)
 	if bodyRefusal != nil {
 		return c, bodyRefusal
 	}
-	c.service = route.Choose(r.random())
+	c.service = route.Choose(p.random())
 	if s, ok := config.Service(c.service); ok {
 		c.engine = s.Engine
 	}
 	if c.engine != nil {
-		c.model = h.Header.Get(r.opts.Names.Model)
-		c.promptTokens = promptTokens(h.Header.Get(r.opts.Names.Usage))
+		c.model = h.Header.Get(p.opts.Names.Model)
+		c.promptTokens = promptTokens(h.Header.Get(p.opts.Names.Usage))
 	}
-	r.setDeadline(c, h)
+	p.setDeadline(c, h)
 	return c, nil
 }
 
 // authenticate sets the tenant from the request's key. It returns a refusal if the key is unknown,
 // or if it may have been revoked. Public routes need no key.
-func (r *Proxy) authenticate(c *request, config *fleet.Config) *refusal {
-	key := c.header.Get(r.opts.Names.Key)
+func (p *Proxy) authenticate(c *request, config *fleet.Config) *refusal {
+	key := c.header.Get(p.opts.Names.Key)
 	if c.route.Public || !config.NeedsKeys() {
 		return nil
 	}
-	if r.IsConfigStale(time.Now()) {
+	if p.IsConfigStale(time.Now()) {
 		return newUnavailable(reason.Isolated, "it is not certain which keys are in force", retryUninformed)
 	}
 	tenant, ok := config.Tenant(key)
@@ -147,13 +147,13 @@
 
 // IsConfigStale reports whether the configuration was last confirmed so long ago that this daemon
 // may have missed the revocation of a key.
-func (r *Proxy) IsConfigStale(now time.Time) bool {
-	return r.opts.MaxConfigAge > 0 && now.Sub(r.opts.ConfigConfirmedAt()) > r.opts.MaxConfigAge
+func (p *Proxy) IsConfigStale(now time.Time) bool {
+	return p.opts.MaxConfigAge > 0 && now.Sub(p.opts.ConfigConfirmedAt()) > p.opts.MaxConfigAge
 }
 
 // readBody reads the request's body. It returns a refusal if the body exceeds the configured limit,
 // if the daemon's memory is exhausted, or if reading fails.
-func (r *Proxy) readBody(c *request, h *http.Request, limits fleet.Limits) *refusal {
+func (p *Proxy) readBody(c *request, h *http.Request, limits fleet.Limits) *refusal {
 	limit := limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -189,12 +189,12 @@
 
 // setDeadline sets the request's deadline and context. A request that must not be repeated
 // continues after its caller has disconnected.
-func (r *Proxy) setDeadline(c *request, h *http.Request) {
+func (p *Proxy) setDeadline(c *request, h *http.Request) {
 	c.deadline = c.arrived.Add(defaultTimeout)
 	if c.route.Timeout > 0 {
 		c.deadline = c.arrived.Add(c.route.Timeout)
 	}
-	if ms, err := strconv.ParseFloat(h.Header.Get(r.opts.Names.Deadline), 64); err == nil && ms >= 0 {
+	if ms, err := strconv.ParseFloat(h.Header.Get(p.opts.Names.Deadline), 64); err == nil && ms >= 0 {
 		callerDeadline := c.arrived.Add(time.Duration(ms * float64(time.Millisecond)))
 		if callerDeadline.Before(c.deadline) {
 			c.deadline = callerDeadline
@@ -204,7 +204,7 @@
 	if c.route.Kind == fleet.NonIdempotent {
 		parent = context.WithoutCancel(parent)
 	}
-	c.waitedBefore = r.callerTimeouts.estimateWaited(c.route, c.deadline.Sub(c.arrived), c.arrived)
+	c.waitedBefore = p.callerTimeouts.estimateWaited(c.route, c.deadline.Sub(c.arrived), c.arrived)
 	c.ctx, c.cancel = context.WithDeadline(parent, c.deadline)
 }
 
@@ -240,8 +240,8 @@
 }
 
 // messageFor returns the request as sent to a worker.
-func (r *Proxy) messageFor(c *request, worker *fleet.Worker, lastEvent string) *message {
-	names := r.opts.Names
+func (p *Proxy) messageFor(c *request, worker *fleet.Worker, lastEvent string) *message {
+	names := p.opts.Names
 	header := forwardedHeaders(c.header)
 	for _, name := range []string{names.Key, names.Tenant, names.Instance, names.Priority, names.Deadline} {
 		header.Del(name)
--- a/proxy/requestlimit.go
+++ b/proxy/requestlimit.go
@@ -54,12 +54,12 @@
 
 // takeTokens takes the tokens that an attempt at a replica needs. It reports false if another
 // request took the last one since the replica was classified.
-func (r *Proxy) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
+func (p *Proxy) takeTokens(c *request, replica *fleet.Replica, now time.Time) bool {
 	c.sendBy = time.Time{}
 	for _, bound := range []struct {
 		RequestLimit
 		reason reason.Reason
-	}{{r.opts.RestLimit, reason.Resting}, {r.opts.WarmUpLimit, reason.WarmUp}, {r.opts.WorkerLimit, reason.Limited}} {
+	}{{p.opts.RestLimit, reason.Resting}, {p.opts.WarmUpLimit, reason.WarmUp}, {p.opts.WorkerLimit, reason.Limited}} {
 		sendBy, ok := bound.take(replica, now)
 		if !ok {
 			c.exhaustedBound = bound.reason
@@ -82,29 +82,29 @@
 // boundRefusal returns the refusal of a request for which no replica has a token left. Callers
 // refused because of limits or rests get random retry times. Tokens may stay scarce for long, and
 // callers that retry at the same time would be refused again.
-func (r *Proxy) boundRefusal(c *request, cause reason.Reason, now time.Time) *refusal {
-	wait := r.boundRetryAfter(c, now)
+func (p *Proxy) boundRefusal(c *request, cause reason.Reason, now time.Time) *refusal {
+	wait := p.boundRetryAfter(c, now)
 	if cause == reason.Limited || cause == reason.Resting {
-		wait = r.spreadRetryFrom(c, wait, now)
+		wait = p.spreadRetryFrom(c, wait, now)
 	}
 	return newUnavailable(cause, boundMessages[cause], wait)
 }
 
 // boundRetryAfter returns after how long a caller should retry when no replica has a token left.
-func (r *Proxy) boundRetryAfter(c *request, now time.Time) time.Duration {
+func (p *Proxy) boundRetryAfter(c *request, now time.Time) time.Duration {
 	retryAfter := retryClosed
-	for _, replica := range r.opts.View().Replicas(c.service, c.model) {
+	for _, replica := range p.opts.View().Replicas(c.service, c.model) {
 		if !c.triedReplicas[replica.ID] {
-			retryAfter = min(retryAfter, r.availableAt(replica, now).Sub(now))
+			retryAfter = min(retryAfter, p.availableAt(replica, now).Sub(now))
 		}
 	}
 	return max(retryAfter, retrySoon)
 }
 
 // availableAt returns when a replica is expected to take a request from this daemon.
-func (r *Proxy) availableAt(replica *fleet.Replica, now time.Time) time.Time {
+func (p *Proxy) availableAt(replica *fleet.Replica, now time.Time) time.Time {
 	next := now
-	for _, bound := range []RequestLimit{r.opts.RestLimit, r.opts.WarmUpLimit, r.opts.WorkerLimit} {
+	for _, bound := range []RequestLimit{p.opts.RestLimit, p.opts.WarmUpLimit, p.opts.WorkerLimit} {
 		if at := bound.nextTokenAt(replica, now); at.After(next) {
 			next = at
 		}
--- a/proxy/resumedelay.go
+++ b/proxy/resumedelay.go
@@ -13,7 +13,7 @@
 
 // resumeDelay returns how long a broken stream waits before it resumes at another replica. The
 // delay is zero while the stream can still be on time, and random once it is late.
-func (r *Proxy) resumeDelay(c *request, s *relayedStream, now time.Time) time.Duration {
+func (p *Proxy) resumeDelay(c *request, s *relayedStream, now time.Time) time.Duration {
 	lastProgress, maxGap := c.arrived, c.route.Objective
 	if s.isHeadSent {
 		lastProgress, maxGap = s.lastEventAt, c.route.GapTarget
@@ -23,5 +23,5 @@
 	}
 	maxDelay := time.Duration(resumeDelayShare * float64(c.deadline.Sub(now)))
 	limit := min(maxResumeDelay, maxDelay, resumeTimeout-now.Sub(lastProgress))
-	return time.Duration(r.random() * float64(max(limit, 0)))
+	return time.Duration(p.random() * float64(max(limit, 0)))
 }
--- a/proxy/retryafter.go
+++ b/proxy/retryafter.go
@@ -27,13 +27,13 @@
 // spreadRetryAfter returns a random time after which a caller refused for lack of capacity should
 // retry. Callers retry once, and would collide again if all were given the same time. Only the
 // later half of the possible range is used, because peers' loads are reported with a delay.
-func (r *Proxy) spreadRetryAfter(c *request, now time.Time) time.Duration {
+func (p *Proxy) spreadRetryAfter(c *request, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= retryBusy {
 		return max(latest, retrySoon)
 	}
 	half := float64(latest-retryBusy) / 2
-	return latest - time.Duration(r.random()*half)
+	return latest - time.Duration(p.random()*half)
 }
 
 // maxRetryAfter returns the longest retry time that the caller is expected to follow.
@@ -44,10 +44,10 @@
 // spreadRetryFrom returns a random retry time between wait and maxRetryAfter, so that callers don't
 // all return at the same time. If maxRetryAfter is not above wait, it is returned instead, but at
 // least retrySoon.
-func (r *Proxy) spreadRetryFrom(c *request, wait time.Duration, now time.Time) time.Duration {
+func (p *Proxy) spreadRetryFrom(c *request, wait time.Duration, now time.Time) time.Duration {
 	latest := c.maxRetryAfter(now)
 	if latest <= wait {
 		return max(latest, retrySoon)
 	}
-	return wait + time.Duration(r.random()*float64(latest-wait))
+	return wait + time.Duration(p.random()*float64(latest-wait))
 }
--- a/proxy/stream.go
+++ b/proxy/stream.go
@@ -42,39 +42,39 @@
 }
 
 // serveStream relays a stream, and resumes it at another replica if it breaks.
-func (r *Proxy) serveStream(w http.ResponseWriter, c *request) *refusal {
-	s := &relayedStream{w: w, lastEventID: c.header.Get(r.opts.Names.LastEventID), lastEventAt: c.arrived}
-	r.opts.Tracker.RecordGapTarget(c.model, c.route.GapTarget, c.arrived)
+func (p *Proxy) serveStream(w http.ResponseWriter, c *request) *refusal {
+	s := &relayedStream{w: w, lastEventID: c.header.Get(p.opts.Names.LastEventID), lastEventAt: c.arrived}
+	p.opts.Tracker.RecordGapTarget(c.model, c.route.GapTarget, c.arrived)
 	for {
-		replica, refused := r.chooseOrWait(c, s)
+		replica, refused := p.chooseOrWait(c, s)
 		if refused != nil {
-			return r.endStream(c, s, refused)
+			return p.endStream(c, s, refused)
 		}
-		err := r.tryStream(c, s, replica)
+		err := p.tryStream(c, s, replica)
 		if err == nil {
-			r.logLate(c, &s.timing)
+			p.logLate(c, &s.timing)
 			return nil
 		}
 		s.timing.isResuming = true
-		mayHaveRun := r.recordFailure(c, replica, err)
-		if c.isDone() || s.isClientGone || !r.takeRetry(c, mayHaveRun) {
-			return r.endStream(c, s, r.failureRefusal(c))
+		mayHaveRun := p.recordFailure(c, replica, err)
+		if c.isDone() || s.isClientGone || !p.takeRetry(c, mayHaveRun) {
+			return p.endStream(c, s, p.failureRefusal(c))
 		}
-		pause.Sleep(c.ctx, r.resumeDelay(c, s, time.Now()))
+		pause.Sleep(c.ctx, p.resumeDelay(c, s, time.Now()))
 		if s.isHeadSent {
-			r.opts.Logger.Info("stream resumes", "request", c.id, "from", replica.ID, "after_event", s.lastEventID, "error", err)
-			r.opts.Meter.CountRetry(reason.RetryResumed)
+			p.opts.Logger.Info("stream resumes", "request", c.id, "from", replica.ID, "after_event", s.lastEventID, "error", err)
+			p.opts.Meter.CountRetry(reason.RetryResumed)
 			continue
 		}
-		r.opts.Meter.CountRetry(retryReason(mayHaveRun))
+		p.opts.Meter.CountRetry(retryReason(mayHaveRun))
 	}
 }
 
 // chooseOrWait chooses a replica. A stream that has started or is late may wait for one.
-func (r *Proxy) chooseOrWait(c *request, s *relayedStream) (*fleet.Replica, *refusal) {
+func (p *Proxy) chooseOrWait(c *request, s *relayedStream) (*fleet.Replica, *refusal) {
 	for {
-		replica, refused := r.choose(c)
-		if refused == nil || !r.mayWait(c, s, refused, time.Now()) {
+		replica, refused := p.choose(c)
+		if refused == nil || !p.mayWait(c, s, refused, time.Now()) {
 			return replica, refused
 		}
 		pause.Sleep(c.ctx, resumePollInterval)
@@ -83,71 +83,71 @@
 
 // endStream ends a stream that can't continue. It returns a refusal if the caller has received
 // nothing. Otherwise it aborts the connection, so that the incomplete answer doesn't look complete.
-func (r *Proxy) endStream(c *request, s *relayedStream, f *refusal) *refusal {
+func (p *Proxy) endStream(c *request, s *relayedStream, f *refusal) *refusal {
 	f = c.correctStatus(f)
 	if !s.isHeadSent {
 		return f
 	}
-	r.opts.Meter.CountRefusal(f.reason)
-	r.opts.Logger.Info("stream broken off", "request", c.id, "reason", string(f.reason), "after_event", s.lastEventID,
+	p.opts.Meter.CountRefusal(f.reason)
+	p.opts.Logger.Info("stream broken off", "request", c.id, "reason", string(f.reason), "after_event", s.lastEventID,
 		"sends", c.sends, "client_gone", s.isClientGone, "ms", time.Since(c.arrived).Milliseconds(), "error", c.lastErr)
 	panic(http.ErrAbortHandler)
 }
 
 // tryStream sends the request to one replica and relays the answer until the stream is complete.
-func (r *Proxy) tryStream(c *request, s *relayedStream, replica *fleet.Replica) error {
+func (p *Proxy) tryStream(c *request, s *relayedStream, replica *fleet.Replica) error {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
-	r.waitingStreams.add(c, cancel)
-	defer r.waitingStreams.remove(c)
-	reservation := r.opts.Tracker.Reserve(replica, c.promptTokens)
+	p.waitingStreams.add(c, cancel)
+	defer p.waitingStreams.remove(c)
+	reservation := p.opts.Tracker.Reserve(replica, c.promptTokens)
 	defer reservation.Release()
-	watch := r.opts.Tracker.Watch(replica, costsOf(c.engine, c.model, replica.Head.Slots), cancel)
-	defer r.opts.Tracker.Unwatch(replica, watch)
-	e, err := r.sendTo(ctx, c, replica.Head, s.lastEventID)
+	watch := p.opts.Tracker.Watch(replica, costsOf(c.engine, c.model, replica.Head.Slots), cancel)
+	defer p.opts.Tracker.Unwatch(replica, watch)
+	e, err := p.sendTo(ctx, c, replica.Head, s.lastEventID)
 	if err != nil {
 		return err
 	}
-	if err := r.checkRejected(e, replica.Head.ID); err != nil {
+	if err := p.checkRejected(e, replica.Head.ID); err != nil {
 		e.discard()
 		return err
 	}
-	if e.response.StatusCode != http.StatusOK || e.response.Header.Get(r.opts.Names.Signature) == "" {
-		return r.handleStreamFailure(c, s, e, replica)
+	if e.response.StatusCode != http.StatusOK || e.response.Header.Get(p.opts.Names.Signature) == "" {
+		return p.handleStreamFailure(c, s, e, replica)
 	}
 	onEvent := func(now time.Time) {
 		if s.isHeadSent {
 			s.timing.recordNext(c, replica.ID, now.Sub(s.lastEventAt))
 		} else {
-			r.opts.Meter.RecordFirstToken(c.arrived)
-			r.waitingStreams.remove(c)
+			p.opts.Meter.RecordFirstToken(c.arrived)
+			p.waitingStreams.remove(c)
 			s.timing.recordFirst(c, replica.ID, now)
 		}
 		reservation.MarkPromptRead()
-		r.opts.Tracker.RecordEvent(replica, watch, now)
+		p.opts.Tracker.RecordEvent(replica, watch, now)
 		watch.BeginForward()
 	}
-	onForwarded := func() { r.opts.Tracker.EndForward(watch, time.Now()) }
+	onForwarded := func() { p.opts.Tracker.EndForward(watch, time.Now()) }
 	if err := s.copyEvents(e, onEvent, onForwarded); err != nil {
 		e.abort()
 		return withCause(ctx, replica.Head.ID, &sendError{mayHaveArrived: true, cause: err})
 	}
 	e.finish()
-	r.recordCompletion(c, e)
+	p.recordCompletion(c, e)
 	return nil
 }
 
 // handleStreamFailure handles an answer that is not a signed stream. An error status is forwarded
 // if the caller has received nothing yet, but a server error (5xx) only at the last attempt. In all
 // other cases handleStreamFailure returns an error.
-func (r *Proxy) handleStreamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
+func (p *Proxy) handleStreamFailure(c *request, s *relayedStream, e *exchange, replica *fleet.Replica) error {
 	body, err := io.ReadAll(io.LimitReader(e.response.Body, maxEventBytes))
 	if err != nil {
 		e.abort()
 		return &sendError{mayHaveArrived: true, cause: err}
 	}
 	e.finish()
-	r.recordCompletion(c, e)
+	p.recordCompletion(c, e)
 	got := &answer{status: e.response.StatusCode, header: forwardedHeaders(e.response.Header), body: body}
 	if s.isHeadSent || got.status < http.StatusBadRequest || got.status >= http.StatusInternalServerError && c.sends+1 < c.route.MaxAttempts {
 		return &sendError{mayHaveArrived: true, cause: failure.New(failure.Remote, "read stream", replica.Head.ID, "status %d", got.status)}
--- a/telemetry/linewriter.go
+++ b/telemetry/linewriter.go
@@ -50,87 +50,87 @@
 
 // Write implements io.Writer for one line. It never blocks and never returns an error, even
 // if it drops the line.
-func (l *LineWriter) Write(line []byte) (int, error) {
-	if l.admit(time.Now()) {
+func (w *LineWriter) Write(line []byte) (int, error) {
+	if w.admit(time.Now()) {
 		select {
-		case l.queue <- bytes.Clone(line):
+		case w.queue <- bytes.Clone(line):
 			return len(line), nil
 		default:
 			// The queue is full because the writer is too slow.
 		}
 	}
-	l.countDropped(messageOf(line))
+	w.countDropped(messageOf(line))
 	return len(line), nil
 }
 
 // admit reports whether the rate allows another line, and counts the line if so.
-func (l *LineWriter) admit(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.tokens = min(float64(l.opts.MaxQueued), l.tokens+now.Sub(l.filledAt).Seconds()*l.opts.PerSecond)
-	l.filledAt = now
-	if l.tokens < 1 {
+func (w *LineWriter) admit(now time.Time) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.tokens = min(float64(w.opts.MaxQueued), w.tokens+now.Sub(w.filledAt).Seconds()*w.opts.PerSecond)
+	w.filledAt = now
+	if w.tokens < 1 {
 		return false
 	}
-	l.tokens--
+	w.tokens--
 	return true
 }
 
-func (l *LineWriter) countDropped(message string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.dropped[message]++
-	l.unreported[message]++
+func (w *LineWriter) countDropped(message string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.dropped[message]++
+	w.unreported[message]++
 }
 
 // Dropped returns how many lines were dropped so far, by message.
-func (l *LineWriter) Dropped() map[string]int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	counts := make(map[string]int64, len(l.dropped))
-	for message, n := range l.dropped {
+func (w *LineWriter) Dropped() map[string]int64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	counts := make(map[string]int64, len(w.dropped))
+	for message, n := range w.dropped {
 		counts[message] = n
 	}
 	return counts
 }
 
 // Done is closed when Run has returned.
-func (l *LineWriter) Done() <-chan struct{} { return l.done }
+func (w *LineWriter) Done() <-chan struct{} { return w.done }
 
 // Run writes lines until ctx is done. It then writes the lines still in the queue and
 // returns.
-func (l *LineWriter) Run(ctx context.Context) {
-	defer close(l.done)
+func (w *LineWriter) Run(ctx context.Context) {
+	defer close(w.done)
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case line := <-l.queue:
-			l.writeOut(line)
+		case line := <-w.queue:
+			w.writeOut(line)
 		case <-ticker.C:
-			l.reportDropped()
+			w.reportDropped()
 		case <-ctx.Done():
-			l.flush()
+			w.flush()
 			return
 		}
 	}
 }
 
-func (l *LineWriter) flush() {
+func (w *LineWriter) flush() {
 	for {
 		select {
-		case line := <-l.queue:
-			l.writeOut(line)
+		case line := <-w.queue:
+			w.writeOut(line)
 		default:
-			l.reportDropped()
+			w.reportDropped()
 			return
 		}
 	}
 }
 
-func (l *LineWriter) writeOut(line []byte) {
+func (w *LineWriter) writeOut(line []byte) {
 	// A failure of the log's own writer can't be logged anywhere.
-	_, _ = l.out.Write(line)
+	_, _ = w.out.Write(line)
 }
 
 // droppedLine is the log line that reports how many lines were dropped, by message.
@@ -142,13 +142,13 @@
 }
 
 // reportDropped writes a line that reports the lines dropped since the last report, if any.
-func (l *LineWriter) reportDropped() {
-	l.mu.Lock()
-	unreported := l.unreported
+func (w *LineWriter) reportDropped() {
+	w.mu.Lock()
+	unreported := w.unreported
 	if len(unreported) > 0 {
-		l.unreported = make(map[string]int64)
+		w.unreported = make(map[string]int64)
 	}
-	l.mu.Unlock()
+	w.mu.Unlock()
 	if len(unreported) == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 		// The line holds only values that can always be encoded.
 		panic(err)
 	}
-	l.writeOut(append(data, '\n'))
+	w.writeOut(append(data, '\n'))
 }
 
 // messageOf returns the message of a log line in JSON, or "other" if it has none.
