--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The commands of the project. Everything that they need comes from go.mod files.
+# The commands of the project. The tools that they need are pinned in tools/go.mod.
 SHELL := /usr/bin/env bash -euo pipefail
 BIN := .bin
 MODULES := $(shell sed -n 's|^\t\./||p' go.work)
@@ -39,9 +39,9 @@
 faults: build
 	scripts/faults
 
-# soak plays random faults against real daemons, those of data halls too. It draws seeds and
-# prints them; replay one with SEEDS=n make soak, with HALLS=, CRASHING=, DRILLS=, REBORN= or ASKING= if it was
-# drawn without.
+# soak runs random faults against real daemons. It draws seeds and prints them; replay one with
+# SEEDS=n make soak. Add HALLS=, CRASHING=, DRILLS=, REBORN= or ASKING= to leave out the faults of
+# that kind, if the seed was drawn without them.
 HALLS := --halls
 CRASHING := --crashing
 DRILLS := --drills
@@ -50,7 +50,8 @@
 soak: build
 	$(SOAK) $(HALLS) $(CRASHING) $(DRILLS) $(REBORN) $(ASKING) --count $${COUNT:-10} --parallel $${PARALLEL:-4} $${SEEDS:+--seeds $$SEEDS}
 
-# soak-short is the part of CI (workers of seed 4 look at fences), soak-again plays what failed once.
+# soak-short is the soak of CI. Workers of seed 4 check fences. soak-again runs the seeds that once
+# failed, which are listed in soak/seeds.txt.
 soak-short: build
 	$(SOAK) --seeds 1,2,4 --parallel 3 --duration 5s
 	$(SOAK) --halls --seeds 11,12,13 --parallel 3 --duration 8s
@@ -68,22 +69,22 @@
 	$(SOAK) --parallel 4 --halls --crashing --drills --reborn --duration 12s --seeds $$(sed -n 's/^all \([0-9][0-9]*\).*/\1/p' soak/seeds.txt | paste -sd,)
 	$(SOAK) --parallel 4 --asking --duration 12s --seeds $$(sed -n 's/^asking \([0-9][0-9]*\).*/\1/p' soak/seeds.txt | paste -sd,)
 
-# soak-mixed plays random faults with the landing before this one beside it, in each way.
+# soak-mixed runs random faults against fleets that mix this build and the previous release.
 soak-mixed: build
 	scripts/soak-mixed $(SOAK) $(HALLS) $(CRASHING) $(DRILLS) $(REBORN) $(ASKING) --daemons 6 --duration 12s --count $${COUNT:-4} --parallel $${PARALLEL:-4} $${SEEDS:+--seeds $$SEEDS}
 
-# simulate plays schedules in virtual time. It draws new seeds and prints them;
-# replay one with SEED=n make simulate.
+# simulate runs random schedules in virtual time. It draws a seed and prints it; replay it with
+# SEED=n make simulate.
 simulate:
 	seed=$${SEED:-$$RANDOM$$RANDOM}; echo "seed $$seed"; \
 	QUARTZSHELF_SOAK=1 go test ./proof ./gateway ./formation ./leadership ./fleet -timeout 60m -count=1 \
 		-run 'Partial|Key|Configuration|Answers|Twice|SameList|Forwards' -rapid.seed=$$seed -rapid.checks=$${CHECKS:-2000}
 
-# measure prints the trials that docs/MEASUREMENTS.md keeps.
+# measure runs the trials whose results are in docs/MEASUREMENTS.md, and prints them as tables.
 measure:
 	go run ./cmd/quartzshelf-measure
 
-# bench reprints the slopes of docs/CAPACITY.md and the gateway's ratios.
+# bench runs the benchmarks behind the slopes in docs/CAPACITY.md and the gateway's ratios.
 bench:
 	go test ./membership -run XXX -bench Round -benchtime 20x
 	go test ./catalog ./config ./placement ./routing -run XXX -bench . -benchtime 300x
